--- /dev/null
+++ b/tools/knownred/main.go
@@ -0,0 +1,58 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+// Command knownred turns the events of a test run and the list of known failures into one verdict.
+package main
+
+import (
+	"os"
+
+	"github.com/alecthomas/kong"
+	"github.com/sirupsen/logrus"
+
+	"github.com/shelfledge/shelfledge/tools/knownred/verdict"
+)
+
+// options are the command's arguments.
+type options struct {
+	List   string `help:"The list of known failures." default:"KNOWN-RED.txt" type:"path"`
+	Status int    `help:"The exit status of go test."`
+	Events string `arg:"" help:"The file with the events of go test -json." type:"existingfile"`
+}
+
+func main() {
+	var arguments options
+	kong.Parse(&arguments, kong.Description("Judge a test run against the list of known failures."))
+	accepted, err := judge(arguments)
+	if err != nil {
+		logrus.WithError(err).Error("cannot judge the test run")
+	}
+	if !accepted {
+		os.Exit(1)
+	}
+}
+
+func judge(arguments options) (bool, error) {
+	content, err := os.ReadFile(arguments.List)
+	if err != nil {
+		return false, err
+	}
+	entries, err := verdict.ParseList(string(content))
+	if err != nil {
+		return false, err
+	}
+	events, err := os.Open(arguments.Events)
+	if err != nil {
+		return false, err
+	}
+	defer func() {
+		// The file was only read: closing it can't lose anything.
+		_ = events.Close()
+	}()
+	run, err := verdict.ReadRun(events)
+	if err != nil {
+		return false, err
+	}
+	result := run.Judge(entries, arguments.Status)
+	return len(result.Problems) == 0, result.Write(os.Stdout)
+}
