--- /dev/null
+++ b/services/node/lease/lease.go
@@ -0,0 +1,98 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package lease
+
+import "time"
+
+// Forever is the end of a freeze that evidence must lift, and of a right that a
+// test's fault leaves without an end. Not a limit, so not measured: it must be
+// longer than any life of the program.
+const Forever = 100 * 365 * 24 * time.Hour
+
+// Options are the timings of a lease.
+type Options struct {
+	// TTL is the life of the lease at the key-value service without a renewal.
+	TTL time.Duration
+	// Margin is how long before the end of TTL the node stops ordering by its own clock.
+	Margin time.Duration
+	// Renew is the time between two renewals.
+	Renew time.Duration
+	// Retry is the time after which an unanswered request for a pool is repeated.
+	Retry time.Duration
+	// NeverLapses is a seeded fault, for the proof that the tests find it.
+	NeverLapses bool
+}
+
+// Lease is the node's one lease at the key-value service, and the pools owned under it.
+type Lease struct {
+	options    Options
+	validUntil time.Time
+	renewAt    time.Time
+	owned      map[string]bool
+	askAt      map[string]time.Time
+}
+
+// New makes a lease that was never held.
+func New(o Options) *Lease {
+	return &Lease{options: o, owned: make(map[string]bool), askAt: make(map[string]time.Time)}
+}
+
+// Owns tells whether the pool is owned under the lease.
+func (l *Lease) Owns(pool string) bool {
+	return l.owned[pool]
+}
+
+// Own enters a pool that the key-value service has given; it reports false for a repeated answer.
+func (l *Lease) Own(pool string) bool {
+	if l.owned[pool] {
+		return false
+	}
+	l.owned[pool] = true
+	return true
+}
+
+// Forget drops a pool, so that it is asked for at once if it is wanted again.
+func (l *Lease) Forget(pool string) {
+	delete(l.owned, pool)
+	delete(l.askAt, pool)
+}
+
+// Lapse drops all pools, after the key-value service has forgotten the lease. The
+// right to order is left as it is: it ends by itself, a margin before the lease could.
+func (l *Lease) Lapse() {
+	clear(l.owned)
+	clear(l.askAt)
+}
+
+// AskDue tells whether to ask for a pool now, and counts it as asked for.
+func (l *Lease) AskDue(now time.Time, pool string) bool {
+	if l.owned[pool] || now.Before(l.askAt[pool]) {
+		return false
+	}
+	l.askAt[pool] = now.Add(l.options.Retry)
+	return true
+}
+
+// RenewDue tells whether to renew the lease now, and counts it as renewed.
+func (l *Lease) RenewDue(now time.Time) bool {
+	if len(l.owned) == 0 || now.Before(l.renewAt) {
+		return false
+	}
+	l.renewAt = now.Add(l.options.Renew)
+	return true
+}
+
+// Extend moves the right to order on: by this node's own clock, from when the renewal
+// was sent, a margin before the lease can lapse at the service. An answer that was
+// overtaken by that of a later renewal takes nothing away. It gives the end of the right.
+func (l *Lease) Extend(sent time.Time) time.Time {
+	until := sent.Add(l.options.TTL - l.options.Margin)
+	if l.options.NeverLapses {
+		until = sent.Add(Forever)
+	}
+	if until.After(l.validUntil) {
+		l.validUntil = until
+	}
+	return l.validUntil
+}
--- /dev/null
+++ b/services/node/lease/lease_test.go
@@ -0,0 +1,89 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package lease_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/services/node/lease"
+)
+
+const pool = "h1/base"
+
+var begin = time.Unix(1000, 0)
+
+func after(d time.Duration) time.Time {
+	return begin.Add(d)
+}
+
+func newLease() *lease.Lease {
+	return lease.New(lease.Options{TTL: 10 * time.Second, Margin: 3 * time.Second, Renew: 3 * time.Second, Retry: time.Second})
+}
+
+func TestLostAnswerIsAskedForAgainAfterTheRetryTime(t *testing.T) {
+	l := newLease()
+	require.True(t, l.AskDue(begin, pool))
+	for _, row := range []struct {
+		at  time.Duration
+		due bool
+	}{{0, false}, {time.Second - 1, false}, {time.Second, true}, {time.Second, false}, {2*time.Second - 1, false}, {2 * time.Second, true}} {
+		require.Equal(t, row.due, l.AskDue(after(row.at), pool), "at %v", row.at)
+	}
+	require.True(t, l.AskDue(after(2*time.Second), "h1/other"), "each pool has a retry time of its own")
+}
+
+func TestOwnedPoolIsNotAskedForUntilItIsForgotten(t *testing.T) {
+	l := newLease()
+	require.True(t, l.AskDue(begin, pool))
+	require.True(t, l.Own(pool))
+	require.False(t, l.AskDue(after(time.Hour), pool))
+	l.Forget(pool)
+	require.False(t, l.Owns(pool))
+	require.True(t, l.AskDue(after(time.Millisecond), pool), "a new takeover asks at once, without the retry time")
+}
+
+func TestRepeatedAnswerOwnsNothingAnew(t *testing.T) {
+	l := newLease()
+	require.True(t, l.Own(pool))
+	require.False(t, l.Own(pool), "the formers of a repeated answer must not restart the wait for them")
+	require.True(t, l.Owns(pool))
+}
+
+func TestRenewalIsDueOnlyWhileSomethingIsOwned(t *testing.T) {
+	l := newLease()
+	require.False(t, l.RenewDue(begin))
+	l.Own(pool)
+	require.True(t, l.RenewDue(begin))
+	require.False(t, l.RenewDue(after(3*time.Second-1)))
+	require.True(t, l.RenewDue(after(3*time.Second)), "a lost answer does not keep the next renewal back")
+	l.Lapse()
+	require.False(t, l.RenewDue(after(time.Minute)))
+	require.True(t, l.AskDue(after(time.Minute), pool), "after a lapse the pool is asked for at once")
+}
+
+func TestRightToOrderCountsFromWhenTheRenewalWasSent(t *testing.T) {
+	l := newLease()
+	for _, row := range []struct {
+		name        string
+		sent, until time.Duration
+	}{
+		{"first answer", 0, 7 * time.Second},
+		{"the same answer once more", 0, 7 * time.Second},
+		{"later renewal", 3 * time.Second, 10 * time.Second},
+		{"answer that a later one overtook", 2 * time.Second, 10 * time.Second},
+		{"renewal after losses", 9 * time.Second, 16 * time.Second},
+	} {
+		require.Equal(t, after(row.until), l.Extend(after(row.sent)), row.name)
+	}
+	l.Lapse()
+	require.Equal(t, after(16*time.Second), l.Extend(after(4*time.Second)), "a lapse does not shorten a right that ends by itself")
+}
+
+func TestSeededFaultNeverLapses(t *testing.T) {
+	l := lease.New(lease.Options{TTL: time.Second, NeverLapses: true})
+	require.True(t, l.Extend(begin).After(after(time.Hour)))
+}
--- a/services/node/node.go
+++ b/services/node/node.go
@@ -11,6 +11,7 @@
 	"github.com/shelfledge/shelfledge/models/fleet"
 	"github.com/shelfledge/shelfledge/services/budget"
 	"github.com/shelfledge/shelfledge/services/membership"
+	"github.com/shelfledge/shelfledge/services/node/lease"
 	"github.com/shelfledge/shelfledge/services/routing"
 )
 
@@ -29,7 +30,7 @@
 	peers    map[string]*peerState
 	ledger   *budget.Ledger
 	config   configuration
-	lease    leaseState
+	lease    *lease.Lease
 	leaving  bool
 	watching bool
 	known    map[string]fleet.Instance
@@ -83,7 +84,7 @@
 		gone:    make(map[string]time.Time),
 		leavers: make(map[string]time.Time),
 		config:  newConfiguration(),
-		lease:   leaseState{owned: make(map[string]bool), askAt: make(map[string]time.Time)},
+		lease:   newLease(o),
 	}
 	pools := fleet.BuildPools(o.Endpoints)
 	n.router = routing.NewRouter(o.Self.Hall, pools, o.Routing)
@@ -196,7 +197,7 @@
 		missing(id)
 	}
 	for _, ps := range n.order {
-		for _, f := range ps.former.waiting {
+		for _, f := range ps.former.Waiting() {
 			missing(f.ID)
 		}
 	}
--- a/services/node/ownership.go
+++ b/services/node/ownership.go
@@ -10,6 +10,7 @@
 	"github.com/shelfledge/shelfledge/models/fleet"
 	"github.com/shelfledge/shelfledge/modules/ring"
 	"github.com/shelfledge/shelfledge/services/membership"
+	"github.com/shelfledge/shelfledge/services/node/lease"
 	"github.com/shelfledge/shelfledge/services/placement"
 	"github.com/shelfledge/shelfledge/services/routing"
 )
@@ -34,7 +35,7 @@
 	waiting   []fleet.Envelope
 	handed    []fleet.TicketUse
 	handedBy  FormerOwner
-	former    formerHolders
+	former    lease.Succession
 	bidAt     time.Time
 	permits   map[fleet.AdapterRef]heldPermit
 	bidding   bool
@@ -46,18 +47,7 @@
 	dealt bool
 }
 
-// formerHolders are the placers before this one, as far as unloading must wait for their end.
-type formerHolders struct {
-	waiting []FormerOwner
-	frozen  bool
-	// ended is when all were known to grant no more; zero while one may.
-	ended   time.Time
-	settled bool
-}
-
 const (
-	// frozenForever is the end of a freeze that evidence must lift.
-	frozenForever = 100 * 365 * 24 * time.Hour
 	// flushAfter is how long requests wait for the last endpoint of a pool to be taken over.
 	flushAfter      = 400 * time.Millisecond
 	maxWaitingTaken = 20000
@@ -184,7 +174,10 @@
 	if handed == nil {
 		ps.handedBy = FormerOwner{}
 	}
-	ps.former = formerHolders{frozen: !n.options.Defects.SkipFreeze}
+	ps.former = lease.Unknown()
+	if n.options.Defects.SkipFreeze {
+		ps.former = ps.former.Unfrozen()
+	}
 	options := n.options.Placement
 	options.EvictInUse = n.options.Defects.UnloadWithoutTickets
 	options.Classes = n.config.classes(n.options.Classes)
@@ -200,7 +193,7 @@
 	for _, e := range ps.unfenced() {
 		ps.placer.AllowOrders(e.Name, time.Time{})
 	}
-	n.lease.forget(ps.pool.Name)
+	n.lease.Forget(ps.pool.Name)
 	ps.losses = 0
 	n.retryTakes(now, ps)
 	n.heartbeatAll(now)
@@ -248,8 +241,8 @@
 	ps.adopted[endpoint] = true
 	ps.inspected[endpoint] = now
 	frozen := now
-	if ps.former.frozen && n.isUnfenced(ps, endpoint) {
-		frozen = now.Add(frozenForever)
+	if ps.former.Frozen() && n.isUnfenced(ps, endpoint) {
+		frozen = now.Add(lease.Forever)
 	}
 	n.run(now, ps, ps.placer.Adopt(now, r.Inspection, r.Fence, frozen))
 	for _, u := range ps.handed {
@@ -320,7 +313,7 @@
 	}
 	clear(ps.permits)
 	if len(ps.unfenced()) > 0 {
-		n.lease.forget(ps.pool.Name)
+		n.lease.Forget(ps.pool.Name)
 		n.emit(ReleaseOwner{Pool: ps.pool.Name})
 	}
 }
