--- a/services/loading/copy.go
+++ b/services/loading/copy.go
@@ -9,6 +9,19 @@
 	"github.com/shelfledge/shelfledge/models/deployment"
 )
 
+const (
+	// ghostLife is how much later than its sending an unanswered order may be carried out; so long a place is kept for it.
+	// Longer wastes places, shorter lets a late order overfill the endpoint. Measured: docs/design/0006-measured.md,
+	// "places kept for unanswered loads"; the length itself was not varied.
+	ghostLife = 13 * time.Second
+	// descriptionLag is how long the description of an endpoint in the store may lag behind what it holds. Longer trusts
+	// the plan's own orders for longer, shorter takes in sooner what the endpoint dropped by itself. Not measured.
+	descriptionLag = 3 * time.Second
+	// reportLag is how long an endpoint's own report may lag behind what it holds; some 100 ms were seen (docs/incidents,
+	// hunt-14a9-7). Longer trusts own orders for longer. Not measured itself.
+	reportLag = 500 * time.Millisecond
+)
+
 // copyState is how far a copy of an adapter has come on one endpoint.
 type copyState int
 
@@ -80,9 +93,6 @@
 	until    time.Time
 }
 
-// ghostLife is how much later than its sending an unanswered order may be carried out.
-const ghostLife = 13 * time.Second
-
 // addGhost keeps a place for an order at a sequence.
 func (e *endpointPlan) addGhost(now time.Time, sequence int64) {
 	e.ghosts = append(e.ghosts, ghost{sequence: sequence, until: now.Add(ghostLife)})
@@ -132,9 +142,6 @@
 	return false
 }
 
-// descriptionLag is how long an endpoint's description may lag behind its state.
-const descriptionLag = 3 * time.Second
-
 // adopt takes in what the endpoint itself says it holds; recent results of own orders
 // outweigh it.
 func (e *endpointPlan) adopt(now time.Time, adapters map[deployment.Adapter]int64, lag time.Duration) {
--- a/services/loading/demand.go
+++ b/services/loading/demand.go
@@ -22,9 +22,11 @@
 }
 
 const (
-	// rateMemory is the time constant of the arrival rate.
+	// rateMemory is the time constant of the arrival rates. Longer knows rare adapters better, shorter follows a change of
+	// demand sooner. Not measured.
 	rateMemory = 12 * time.Second
-	// forgetBelow is the rate, in requests a second, below which an adapter is forgotten.
+	// forgetBelow is the rate, in requests a second, below which an adapter is forgotten. Lower takes more memory and search
+	// time. Not measured.
 	forgetBelow = 1e-4
 )
 
@@ -86,3 +88,48 @@
 	}
 	return waiting, inTime
 }
+
+// AddRates takes in one instance's arrival rates, in requests a second, from before this plan.
+func (p *Planner) AddRates(now time.Time, rates map[deployment.Adapter]float64) {
+	for adapter, rate := range rates {
+		known := p.demandOf(now, adapter)
+		known.decay(now)
+		known.rate += rate
+	}
+}
+
+// Report takes in one instance's whole demand.
+func (p *Planner) Report(now time.Time, instance string, demands []Demand) {
+	for _, known := range p.demand {
+		delete(known.waiting, instance)
+	}
+	for _, one := range demands {
+		known := p.demandOf(now, one.Adapter)
+		known.arrive(now, one.Arrivals)
+		if one.Waiting > 0 {
+			known.waiting[instance] = waitingPart{count: one.Waiting, until: now.Add(one.InTime)}
+		}
+	}
+}
+
+// ForgetInstance drops the waiting requests of an instance that is gone.
+func (p *Planner) ForgetInstance(instance string) {
+	for _, known := range p.demand {
+		delete(known.waiting, instance)
+	}
+}
+
+// SetVersion names the version of an adapter that is to be served.
+func (p *Planner) SetVersion(now time.Time, adapter deployment.Adapter, version int64) {
+	known := p.demandOf(now, adapter)
+	known.version = max(known.version, version)
+}
+
+func (p *Planner) demandOf(now time.Time, adapter deployment.Adapter) *adapterDemand {
+	known, ok := p.demand[adapter]
+	if !ok {
+		known = &adapterDemand{updated: now, waiting: make(map[string]waitingPart)}
+		p.demand[adapter] = known
+	}
+	return known
+}
--- /dev/null
+++ b/services/loading/forecast.go
@@ -0,0 +1,89 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package loading
+
+import (
+	"cmp"
+	"slices"
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+)
+
+// mostQueued is how many adapters whose load has not begun get a forecast of their own; all others get the backlog's. More
+// makes refusals more exact and heartbeats longer. Not measured.
+const mostQueued = 100
+
+// Forecast is when an adapter that is not resident will be.
+type Forecast struct {
+	Adapter deployment.Adapter
+	Until   time.Duration
+}
+
+// LoadTime is the usual time of a load of an adapter.
+func (p *Planner) LoadTime() time.Duration {
+	return p.pace.typical
+}
+
+// Forecasts gives the adapters on their way and, with the most valuable first, those that requests wait
+// for. Backlog is when an adapter would be there that nobody has asked for yet.
+func (p *Planner) Forecasts(now time.Time) (list []Forecast, backlog time.Duration) {
+	list = p.loadingForecasts(now)
+	queued := p.queuedAdapters(now)
+	parallel := p.parallelLoads()
+	for i, adapter := range queued {
+		if i < mostQueued {
+			list = append(list, Forecast{Adapter: adapter, Until: p.queueTime(i, parallel)})
+		}
+	}
+	return list, p.queueTime(len(queued), parallel)
+}
+
+// queueTime is when an adapter will be there that has so many others before it.
+func (p *Planner) queueTime(before, parallel int) time.Duration {
+	turns := float64(before+p.coldLoads()) / float64(parallel)
+	return time.Duration((1 + turns) * float64(p.pace.typical))
+}
+
+// parallelLoads is how many loads can run at once.
+func (p *Planner) parallelLoads() int {
+	open := 0
+	for _, plan := range p.endpoints {
+		if plan.endpoint.State == deployment.Ready && !plan.suspect && !plan.crowded && len(plan.endpoint.Models) > 0 {
+			open++
+		}
+	}
+	return max(1, min(open*maxPending, p.pace.concurrency()))
+}
+
+// queuedAdapters gives the adapters that requests wait for and that are not on their way, the most
+// valuable first.
+func (p *Planner) queuedAdapters(now time.Time) []deployment.Adapter {
+	p.indexCopies()
+	values := make(map[deployment.Adapter]float64)
+	var queued []deployment.Adapter
+	for adapter, known := range p.demand {
+		count := p.counts[adapter]
+		if len(known.waiting) == 0 || count.coming > 0 || count.free > 0 {
+			continue
+		}
+		known.decay(now)
+		values[adapter] = p.value(now, adapter, known, 0)
+		queued = append(queued, adapter)
+	}
+	slices.SortFunc(queued, func(a, b deployment.Adapter) int { return cmp.Compare(values[b], values[a]) })
+	return queued
+}
+
+func (p *Planner) loadingForecasts(now time.Time) []Forecast {
+	var list []Forecast
+	for _, plan := range p.endpoints {
+		for adapter, c := range plan.copies {
+			if c.state == copyLoading {
+				list = append(list, Forecast{Adapter: adapter, Until: max(0, c.since.Add(p.pace.typical).Sub(now))})
+			}
+		}
+	}
+	return list
+}
--- /dev/null
+++ b/services/loading/placement.go
@@ -0,0 +1,148 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package loading
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+)
+
+const (
+	// maxPending is how many loads may be under way to one endpoint at once. More fills a restarted endpoint sooner and
+	// keeps more places for loads. Measured: docs/design/0006-measured.md, "orders counted when taken".
+	maxPending = 2
+	// warmBonus is what an endpoint that held the adapter before is worth in the choice of an endpoint, in requests a second
+	// of load that it may draw more. Higher loads faster and spares the weight store, lower spreads the load more evenly.
+	// Measured as a whole with other changes: docs/design/0006-measured.md, "orders counted when taken, ... warm copies first".
+	warmBonus = 3.0
+	// copyWeight is what each copy on an endpoint weighs in that choice, in requests a second: among endpoints with the
+	// same load the emptier one is taken. Not measured.
+	copyWeight = 0.02
+	// tieSpread is the width of the random number that breaks ties in that choice, in requests a second. Not measured.
+	tieSpread = 0.01
+	// searchPause is, for each endpoint, the pause after a search that found nothing to load, and longestSearchPause bounds
+	// it. Longer saves processor time in a large fleet and begins loads later. Measured: docs/design/0006-measured.md,
+	// "places kept for unanswered loads, searches bounded"; the lengths themselves were not varied.
+	searchPause        = 400 * time.Microsecond
+	longestSearchPause = 50 * time.Millisecond
+	// warmLoadTime is when to ask first about a load of an adapter that the endpoint held before. Sooner wastes a call,
+	// later leaves requests waiting. Not measured by a recorded run.
+	warmLoadTime = 30 * time.Millisecond
+	// firstVersion is an adapter's version, a count, before another one is named by the configuration.
+	firstVersion = 1
+)
+
+// placement is a possible load.
+type placement struct {
+	adapter deployment.Adapter
+	plan    *endpointPlan
+	cold    bool
+	value   float64
+}
+
+// nextLoad starts the most valuable load.
+func (p *Planner) nextLoad(now time.Time) (Order, bool) {
+	if now.Before(p.searchAt) {
+		return Order{}, false
+	}
+	p.indexCopies()
+	best, found := p.bestPlacement(now, p.coldLoads() < p.pace.concurrency())
+	p.withdrawOutdated(now)
+	p.keepRoom(now)
+	if !found {
+		p.searchAt = now.Add(min(longestSearchPause, time.Duration(len(p.endpoints))*searchPause))
+		return Order{}, false
+	}
+	order := p.order(Load, best.plan, best.adapter)
+	duration := warmLoadTime
+	if best.cold {
+		duration = p.pace.firstLook()
+	}
+	best.plan.copies[best.adapter] = &copyPlan{
+		state: copyLoading, since: now, cold: best.cold, timed: true, pollAt: now.Add(duration), version: max(firstVersion, p.demandOf(now, best.adapter).version),
+	}
+	return order, true
+}
+
+func (p *Planner) bestPlacement(now time.Time, coldAllowed bool) (placement, bool) {
+	loads := p.expectedLoads(now)
+	total := 0.0
+	for _, load := range loads {
+		total += load
+	}
+	var best placement
+	found := false
+	for adapter, known := range p.demand {
+		known.decay(now)
+		value := p.value(now, adapter, known, total)
+		if value <= 0 || (found && value <= best.value) {
+			continue
+		}
+		plan, cold, ok := p.chooseEndpoint(now, adapter, loads, coldAllowed)
+		if !ok {
+			continue
+		}
+		best = placement{adapter: adapter, plan: plan, cold: cold, value: value}
+		found = true
+	}
+	return best, found
+}
+
+// chooseEndpoint gives the endpoint with room that draws the fewest requests, preferably one
+// that held the adapter before: there it comes ten times as fast and not from the weight store, so that a
+// short wait for that endpoint is worth it.
+func (p *Planner) chooseEndpoint(now time.Time, adapter deployment.Adapter, loads map[deployment.EndpointID]float64, coldAllowed bool) (*endpointPlan, bool, bool) {
+	var best *endpointPlan
+	bestCost, bestCold, warmSoon := 0.0, false, false
+	for id, plan := range p.endpoints {
+		_, warm := plan.held[adapter]
+		if !plan.takesCopies(adapter, warm) {
+			continue
+		}
+		if !plan.available(now) || plan.inspect || plan.taken(now) >= p.capacity(&plan.endpoint) || plan.pending() >= maxPending || plan.unloading() {
+			warmSoon = warmSoon || (warm && plan.soonAvailable(now))
+			continue
+		}
+		if !warm && !coldAllowed {
+			continue
+		}
+		cost := loads[id] + copyWeight*float64(len(plan.copies)) + tieSpread*p.options.Random()
+		if warm {
+			cost -= warmBonus
+		}
+		if best == nil || cost < bestCost {
+			best, bestCost, bestCold = plan, cost, !warm
+		}
+	}
+	if bestCold && warmSoon {
+		return nil, false, false
+	}
+	return best, bestCold, best != nil
+}
+
+// soonAvailable tells whether an endpoint that cannot take an order now probably can in a moment.
+func (e *endpointPlan) soonAvailable(now time.Time) bool {
+	outgoing, _ := e.outgoing()
+	return !now.Before(e.silentUntil) && (outgoing > 0 || e.busy || e.pending() > 0)
+}
+
+// takesCopies tells whether a copy of an adapter may be brought to an endpoint; a crowded one takes
+// only what it held before, which costs the weight store nothing.
+func (e *endpointPlan) takesCopies(adapter deployment.Adapter, warm bool) bool {
+	_, has := e.copies[adapter]
+	return !has && !e.suspect && !e.full && (warm || !e.crowded) && e.endpoint.State == deployment.Ready && e.endpoint.HasModel(adapter.Model)
+}
+
+func (p *Planner) coldLoads() int {
+	count := 0
+	for _, plan := range p.endpoints {
+		for _, c := range plan.copies {
+			if c.state == copyLoading && c.cold {
+				count++
+			}
+		}
+	}
+	return count
+}
--- a/services/loading/rate.go
+++ b/services/loading/rate.go
@@ -28,7 +28,8 @@
 	Slack     float64
 }
 
-// reserve is kept free for loads whose beginning was not seen, such as orders done late.
+// reserve is how many loads of the weight store's bound are kept free for loads whose beginning was not seen, such as orders
+// that are carried out late. More is safer and brings base models more slowly. Not measured.
 const reserve = 2
 
 func (o RateOptions) limit() int {
