--- /dev/null
+++ b/services/coordinator/coordinator_test.go
@@ -0,0 +1,370 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package coordinator_test
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/modules/peerstream"
+	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/services/admission"
+	"github.com/shelfledge/shelfledge/services/coordinator"
+	"github.com/shelfledge/shelfledge/services/directory"
+)
+
+// The messages between instances, written once more with their encoded names: a change of these breaks a
+// rolling restart.
+type wireMessage struct {
+	Report    *wireReport    `msgpack:"r,omitempty"`
+	View      *wireView      `msgpack:"v,omitempty"`
+	Request   *wireRequest   `msgpack:"q,omitempty"`
+	Successor *wireSuccessor `msgpack:"s,omitempty"`
+}
+
+type wireRequest struct {
+	Instance string `msgpack:"i"`
+}
+
+type wireSuccessor struct {
+	Term    int64          `msgpack:"t"`
+	Address netip.AddrPort `msgpack:"z"`
+}
+
+type wireReport struct {
+	Instance        string        `msgpack:"i"`
+	WithdrawalsSeen uint64        `msgpack:"w"`
+	ConfigurationAt int64         `msgpack:"c"`
+	InFlight        []wireCount   `msgpack:"f,omitempty"`
+	Demands         []wireDemand  `msgpack:"d,omitempty"`
+	Leaving         bool          `msgpack:"l,omitempty"`
+	StoreReadAge    time.Duration `msgpack:"k"`
+}
+
+type wireCount struct {
+	ID    string `msgpack:"e"`
+	Count int    `msgpack:"n"`
+}
+
+type wireDemand struct {
+	Service  string        `msgpack:"s"`
+	Model    string        `msgpack:"m"`
+	Name     string        `msgpack:"a"`
+	Waiting  int           `msgpack:"w,omitempty"`
+	InTime   time.Duration `msgpack:"t,omitempty"`
+	Arrivals int           `msgpack:"n,omitempty"`
+}
+
+type wireView struct {
+	Planner         string                   `msgpack:"p"`
+	Term            int64                    `msgpack:"t"`
+	Withdrawals     uint64                   `msgpack:"w"`
+	ReadAge         time.Duration            `msgpack:"g"`
+	Address         netip.AddrPort           `msgpack:"z,omitempty"`
+	ConfirmedAge    time.Duration            `msgpack:"k"`
+	Full            bool                     `msgpack:"x,omitempty"`
+	At              int64                    `msgpack:"y,omitempty"`
+	Endpoints       []wireEndpoint           `msgpack:"e,omitempty"`
+	Heartbeat       bool                     `msgpack:"h,omitempty"`
+	Totals          []wireCount              `msgpack:"f,omitempty"`
+	Backlogs        map[string]time.Duration `msgpack:"j,omitempty"`
+	Members         int                      `msgpack:"n"`
+	ConfigurationAt int64                    `msgpack:"c"`
+	Items           []store.Item             `msgpack:"o,omitempty"`
+	Resigned        bool                     `msgpack:"b,omitempty"`
+}
+
+type wireEndpoint struct {
+	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
+
+	ID       string
+	Revision int64
+	Service  string
+	Address  netip.AddrPort
+	Hall     string
+	Slots    int
+	State    int
+	Models   []wireModel
+}
+
+type wireModel struct {
+	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
+
+	Name     string
+	Adapters []wireAdapter
+}
+
+type wireAdapter struct {
+	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
+
+	Name    string
+	Version int64
+}
+
+type peer = peerstream.Stream[wireMessage]
+
+// link takes the next connection that the instance dials.
+func (s *site) link(t *testing.T) *peer {
+	t.Helper()
+	select {
+	case conn := <-s.pipes.dialed:
+		stream := peerstream.New[wireMessage](conn)
+		t.Cleanup(stream.Close)
+		return stream
+	case <-time.After(waitLimit):
+		require.FailNow(t, "the instance dials nobody")
+		return nil
+	}
+}
+
+// join connects to the instance as a peer that follows it.
+func (s *site) join(t *testing.T) *peer {
+	t.Helper()
+	near, far := net.Pipe()
+	s.pipes.incoming <- near
+	stream := peerstream.New[wireMessage](far)
+	t.Cleanup(stream.Close)
+	return stream
+}
+
+func receive(t *testing.T, stream *peer, wanted func(wireMessage) bool) wireMessage {
+	t.Helper()
+	for {
+		received, err := stream.Receive(waitLimit, time.Now)
+		require.NoError(t, err)
+		if wanted(received) {
+			return received
+		}
+	}
+}
+
+// drain reads a stream to its end, since nothing else empties a pipe.
+func drain(stream *peer) {
+	for {
+		if _, err := stream.Receive(waitLimit, time.Now); err != nil {
+			return
+		}
+	}
+}
+
+func (s *site) waitForStatus(t *testing.T, what string, wanted func(coordinator.Status) bool) {
+	t.Helper()
+	require.Eventually(t, func() bool { return wanted(s.control.Status()) }, waitLimit, lookPace, what)
+}
+
+func fullView(term int64, adapters ...string) *wireView {
+	model := wireModel{Name: "base"}
+	for _, name := range adapters {
+		model.Adapters = append(model.Adapters, wireAdapter{Name: name, Version: 1})
+	}
+	return &wireView{
+		Planner: "peer", Term: term, Full: true, At: 50, Heartbeat: true, Members: 2, ConfigurationAt: 50,
+		Endpoints: []wireEndpoint{{ID: "e1", Revision: 50, Service: service, Address: netip.MustParseAddrPort("127.0.0.1:2001"), Hall: "hall", Slots: 16, Models: []wireModel{model}}},
+	}
+}
+
+func TestAnInstanceAloneTakesTheRecordLoadsAndServes(t *testing.T) {
+	s := newSite()
+	s.start(t)
+	assignment, request, err := s.acquire("a1", waitLimit)
+	require.NoError(t, err)
+	assert.EqualValues(t, "e1", assignment.Endpoint.ID)
+	assert.Equal(t, 10, assignment.MaxConnections, "80 connections shared by the number of instances that is assumed")
+	record, found := s.store.record(t)
+	require.True(t, found)
+	assert.Equal(t, selfName, record.Holder)
+	assert.Equal(t, selfAddress, record.Address)
+	assert.EqualValues(t, 1, record.Term)
+	assert.True(t, record.Ordering)
+
+	status := s.control.Status()
+	assert.True(t, status.Planning)
+	assert.Equal(t, 1, status.InFlight)
+	s.control.Finish(request, assignment, directory.Succeeded, false)
+	assert.Zero(t, s.control.Status().InFlight)
+
+	_, _, err = s.acquire("a1", waitLimit)
+	require.NoError(t, err)
+	assert.Equal(t, 1, s.engines.loadCount(), "what is resident is not loaded again")
+}
+
+func TestAPlannedStopReleasesTheRecordAndTellsTheMembers(t *testing.T) {
+	s := newSite()
+	s.start(t)
+	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning })
+	require.Eventually(t, func() bool { record, found := s.store.record(t); return found && record.Ordering }, waitLimit, lookPace)
+	member := s.join(t)
+	require.NoError(t, member.Send(wireMessage{Report: &wireReport{Instance: "peer"}}))
+	receive(t, member, func(m wireMessage) bool { return m.View != nil })
+	released := make(chan struct{})
+	go func() { s.control.Release(context.Background()); close(released) }()
+	told := receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Resigned })
+	assert.EqualValues(t, 1, told.View.Term)
+	go drain(member)
+	<-released
+	record, _ := s.store.record(t)
+	assert.True(t, record.Released)
+	assert.False(t, s.control.Ready())
+}
+
+func TestAMemberGetsAWholeViewOnceThenChangesAndHeartbeats(t *testing.T) {
+	s := newSite()
+	s.start(t)
+	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
+	member := s.join(t)
+	require.NoError(t, member.Send(wireMessage{Report: &wireReport{Instance: "peer"}}))
+	first := receive(t, member, func(m wireMessage) bool { return m.View != nil })
+	assert.True(t, first.View.Full)
+	assert.Len(t, first.View.Endpoints, 1)
+	assert.Equal(t, selfName, first.View.Planner)
+	assert.Equal(t, 2, first.View.Members)
+
+	report := &wireReport{Instance: "peer", Demands: []wireDemand{{Service: service, Model: "base", Name: "a7", Waiting: 1, InTime: time.Second}}}
+	require.NoError(t, member.Send(wireMessage{Report: report}))
+	require.NoError(t, member.Send(wireMessage{Report: report}), "a repeated report asks for nothing more")
+	loaded := receive(t, member, func(m wireMessage) bool {
+		return m.View != nil && len(m.View.Endpoints) == 1 && len(m.View.Endpoints[0].Models[0].Adapters) == 1
+	})
+	assert.False(t, loaded.View.Full)
+	assert.Equal(t, "a7", loaded.View.Endpoints[0].Models[0].Adapters[0].Name)
+	assert.Equal(t, 1, s.engines.loadCount())
+	receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Heartbeat && !m.View.Full })
+	// A member that lacks the operators' keys for a while gets them.
+	items := receive(t, member, func(m wireMessage) bool { return m.View != nil && len(m.View.Items) > 0 })
+	assert.Equal(t, configurationKey, items.View.Items[0].Key)
+	go drain(member)
+}
+
+func TestAPlannerEndsWhenAPeerNamesALaterTerm(t *testing.T) {
+	s := newSite()
+	s.start(t)
+	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning })
+	member := s.join(t)
+	require.NoError(t, member.Send(wireMessage{Report: &wireReport{Instance: "peer"}}))
+	go drain(member)
+	require.NoError(t, member.Send(wireMessage{Successor: &wireSuccessor{Term: 1, Address: peerAddress}}))
+	time.Sleep(50 * time.Millisecond)
+	assert.True(t, s.control.Status().Planning, "its own term ends nothing")
+	s.pipes.refuse = true
+	require.NoError(t, member.Send(wireMessage{Successor: &wireSuccessor{Term: 9, Address: peerAddress}}))
+	s.waitForStatus(t, "ends", func(status coordinator.Status) bool { return !status.Planning })
+}
+
+func TestAFollowerReportsWhatItAsksForAndServesWhatTheViewOffers(t *testing.T) {
+	s := newSite()
+	s.planElsewhere(t, 4)
+	s.start(t)
+	planner := s.link(t)
+	first := receive(t, planner, func(m wireMessage) bool { return m.Report != nil })
+	assert.Equal(t, selfName, first.Report.Instance)
+	require.NoError(t, planner.Send(wireMessage{View: fullView(4, "a1")}))
+	go drain(planner)
+	assignment, _, err := s.acquire("a1", waitLimit)
+	require.NoError(t, err)
+	assert.EqualValues(t, "e1", assignment.Endpoint.ID)
+	s.waitForStatus(t, "follows", func(status coordinator.Status) bool { return status.Planner == "peer" && status.Term == 4 })
+
+	require.NoError(t, planner.Send(wireMessage{View: fullView(3)}), "a view of an earlier term")
+	time.Sleep(30 * time.Millisecond)
+	assert.EqualValues(t, 4, s.control.Status().Term)
+	_, _, err = s.acquire("a1", waitLimit)
+	assert.NoError(t, err, "what the former planner says does not count")
+	require.NoError(t, planner.Send(wireMessage{View: fullView(4, "a1")}), "the same view again")
+	_, _, err = s.acquire("a1", waitLimit)
+	assert.NoError(t, err)
+}
+
+func TestAFollowerRefusesAtOnceWhatIsExpectedTooLate(t *testing.T) {
+	s := newSite()
+	s.planElsewhere(t, 4)
+	s.start(t)
+	planner := s.link(t)
+	told := fullView(4)
+	told.Backlogs = map[string]time.Duration{service: 4 * time.Second}
+	require.NoError(t, planner.Send(wireMessage{View: told}))
+	go drain(planner)
+	s.waitForStatus(t, "follows", func(status coordinator.Status) bool { return status.Term == 4 })
+	began := time.Now()
+	_, _, err := s.acquire("a9", waitLimit)
+	var refusal *coordinator.Refusal
+	require.ErrorAs(t, err, &refusal)
+	assert.Equal(t, admission.AdapterNotLoaded, refusal.Reason)
+	assert.Less(t, time.Since(began), 200*time.Millisecond)
+	assert.Greater(t, refusal.RetryAfter, 3500*time.Millisecond)
+	assert.Less(t, refusal.RetryAfter, 4300*time.Millisecond)
+}
+
+func TestASilentPlannerIsReplacedOnceItsHeartbeatHasEnded(t *testing.T) {
+	s := newSite()
+	s.planElsewhere(t, 4)
+	s.start(t)
+	planner := s.link(t)
+	require.NoError(t, planner.Send(wireMessage{View: fullView(4, "a1")}))
+	s.waitForStatus(t, "follows", func(status coordinator.Status) bool { return status.Term == 4 })
+	s.pipes.refuse = true
+	planner.Close()
+	time.Sleep(1500 * time.Millisecond)
+	assert.False(t, s.control.Status().Planning, "the holder's heartbeat is still in the store")
+	s.store.mutex.Lock()
+	delete(s.store.items, heartbeatKey)
+	s.store.mutex.Unlock()
+	s.waitForStatus(t, "takes over", func(status coordinator.Status) bool { return status.Planning })
+	record, _ := s.store.record(t)
+	assert.EqualValues(t, 5, record.Term)
+	assert.Equal(t, "peer", record.Former)
+	assert.False(t, record.Ordering, "the former holder's time is waited for")
+}
+
+func TestAResignedPlannerIsReplacedWithoutItsTime(t *testing.T) {
+	s := newSite()
+	s.planElsewhere(t, 4)
+	s.start(t)
+	planner := s.link(t)
+	told := fullView(4, "a1")
+	told.Resigned = true
+	require.NoError(t, planner.Send(wireMessage{View: told}))
+	go drain(planner)
+	began := time.Now()
+	require.Eventually(t, func() bool { record, _ := s.store.record(t); return record.Term == 5 && record.Ordering }, waitLimit, lookPace)
+	assert.Less(t, time.Since(began), time.Second)
+}
+
+func TestAnInstanceWithoutStoreLearnsFromASeed(t *testing.T) {
+	s := newSite()
+	s.store.setDown(true)
+	s.start(t, selfAddress, peerAddress)
+	seed := s.link(t)
+	asked := receive(t, seed, func(m wireMessage) bool { return m.Request != nil })
+	assert.Equal(t, selfName, asked.Request.Instance)
+	told := fullView(6, "a1")
+	told.Address = peerAddress
+	told.Items = []store.Item{{Key: configurationKey, Value: []byte("3"), Revision: 50}}
+	require.NoError(t, seed.Send(wireMessage{View: told}))
+	require.Eventually(t, s.control.Ready, waitLimit, lookPace)
+	_, _, err := s.acquire("a1", waitLimit)
+	assert.NoError(t, err)
+	s.link(t)
+}
+
+func TestACallerThatLeavesTakesNoPlace(t *testing.T) {
+	s := newSite()
+	s.planElsewhere(t, 4)
+	s.start(t)
+	planner := s.link(t)
+	require.NoError(t, planner.Send(wireMessage{View: fullView(4)}))
+	go drain(planner)
+	s.waitForStatus(t, "follows", func(status coordinator.Status) bool { return status.Term == 4 })
+	_, _, err := s.acquire("a1", 20*time.Millisecond)
+	require.ErrorIs(t, err, context.DeadlineExceeded)
+	s.waitForStatus(t, "nobody waits", func(status coordinator.Status) bool { return status.Waiting == 0 })
+	require.NoError(t, planner.Send(wireMessage{View: fullView(4, "a1")}))
+	time.Sleep(30 * time.Millisecond)
+	assert.Zero(t, s.control.Status().InFlight)
+}
--- /dev/null
+++ b/services/coordinator/site_test.go
@@ -0,0 +1,366 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package coordinator_test
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/netip"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/services/coordinator"
+	"github.com/shelfledge/shelfledge/services/loading"
+	"github.com/shelfledge/shelfledge/services/ownership"
+)
+
+const (
+	configurationKey = "operators/configuration"
+	endpointPrefix   = "endpoints/"
+	recordKey        = "shelfledge/planner"
+	heartbeatKey     = "shelfledge/planner-alive"
+	service          = "chat"
+	selfName         = "self"
+)
+
+var (
+	selfAddress = netip.MustParseAddrPort("127.0.0.1:1001")
+	peerAddress = netip.MustParseAddrPort("127.0.0.1:1002")
+	route       = &deployment.Route{Name: "chat", Kind: deployment.Streaming, Target: 800 * time.Millisecond, PauseTarget: 250 * time.Millisecond}
+)
+
+func adapter(name string) deployment.Adapter {
+	return deployment.Adapter{Model: "base", Name: name}
+}
+
+// memoryStore is a store in memory that can be made silent.
+type memoryStore struct {
+	mutex    sync.Mutex
+	changed  chan struct{}
+	items    map[string]store.Item
+	events   []store.Event
+	revision int64
+	lease    int64
+	down     bool
+}
+
+var errDown = errors.New("down")
+
+func newMemoryStore() *memoryStore {
+	return &memoryStore{items: make(map[string]store.Item), changed: make(chan struct{}), revision: 10}
+}
+
+func (m *memoryStore) setDown(down bool) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.down = down
+}
+
+func (m *memoryStore) put(key, value string) int64 {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	m.revision++
+	m.write(store.Write{Key: key, Value: []byte(value)})
+	return m.revision
+}
+
+// write sets a key; the mutex is held.
+func (m *memoryStore) write(one store.Write) {
+	item := store.Item{Key: one.Key, Value: one.Value, Revision: m.revision, Lease: one.Lease}
+	m.items[one.Key] = item
+	m.events = append(m.events, store.Event{Item: item})
+	close(m.changed)
+	m.changed = make(chan struct{})
+}
+
+func (m *memoryStore) get(_ context.Context, key string) (store.Item, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.down {
+		return store.Item{}, errDown
+	}
+	item, ok := m.items[key]
+	if !ok {
+		return store.Item{}, store.ErrNotFound
+	}
+	return item, nil
+}
+
+func (m *memoryStore) rangeOf(_ context.Context, prefix, _ string) (store.Page, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.down {
+		return store.Page{}, errDown
+	}
+	page := store.Page{At: m.revision}
+	for key, item := range m.items {
+		if strings.HasPrefix(key, prefix) {
+			page.Items = append(page.Items, item)
+		}
+	}
+	return page, nil
+}
+
+func (m *memoryStore) watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]store.Event, int64, error) {
+	deadline := time.After(wait)
+	for {
+		m.mutex.Lock()
+		changed, next, down := m.changed, m.revision, m.down
+		var found []store.Event
+		for _, event := range m.events {
+			if event.Revision > after && strings.HasPrefix(event.Key, prefix) {
+				found = append(found, event)
+			}
+		}
+		m.mutex.Unlock()
+		if down {
+			return nil, after, errDown
+		}
+		if len(found) > 0 {
+			return found, next, nil
+		}
+		select {
+		case <-changed:
+		case <-deadline:
+			return nil, next, nil
+		case <-ctx.Done():
+			return nil, after, ctx.Err()
+		}
+	}
+}
+
+func (m *memoryStore) commit(_ context.Context, transaction store.Transaction) (int64, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.down {
+		return 0, errDown
+	}
+	for _, condition := range transaction.Conditions {
+		if m.items[condition.Key].Revision != condition.Revision {
+			return 0, &store.ConflictError{Current: []store.Item{m.items[condition.Key]}}
+		}
+	}
+	m.revision++
+	for _, one := range transaction.Writes {
+		m.write(one)
+	}
+	return m.revision, nil
+}
+
+func (m *memoryStore) grant(context.Context, time.Duration) (int64, error) {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.down {
+		return 0, errDown
+	}
+	m.lease++
+	return m.lease, nil
+}
+
+func (m *memoryStore) keep(context.Context, int64) error {
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	if m.down {
+		return errDown
+	}
+	return nil
+}
+
+func (m *memoryStore) client() store.Client {
+	return store.Client{
+		Get: m.get, Range: m.rangeOf, Watch: m.watch, Commit: m.commit, GrantLease: m.grant, KeepLease: m.keep,
+		EndLease: func(context.Context, int64) error { return nil },
+	}
+}
+
+// record gives the record as stored, and whether there is one.
+func (m *memoryStore) record(t *testing.T) (ownership.Record, bool) {
+	t.Helper()
+	m.mutex.Lock()
+	defer m.mutex.Unlock()
+	item, ok := m.items[recordKey]
+	if !ok {
+		return ownership.Record{}, false
+	}
+	record, err := ownership.DecodeRecord(item.Value)
+	require.NoError(t, err)
+	return record, true
+}
+
+// engines takes orders like endpoints do: loads are done at once.
+type engines struct {
+	mutex    sync.Mutex
+	sequence int64
+	adapters map[deployment.Adapter]int64
+	loads    int
+	silent   bool
+}
+
+func (e *engines) send(_ context.Context, order loading.Order, _ string, _ int64) loading.Result {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	result := loading.Result{Order: order, Reply: loading.Inspected}
+	_, held := e.adapters[order.Adapter]
+	switch {
+	case e.silent:
+		result.Reply = loading.Unanswered
+	case order.Kind == loading.Inspect:
+		report := &loading.Report{Sequence: e.sequence, Models: []string{"base"}, Adapters: make(map[deployment.Adapter]int64)}
+		for name, version := range e.adapters {
+			report.Adapters[name] = version
+		}
+		result.Report = report
+	case order.Kind == loading.Load && held:
+		result.Reply = loading.Holds
+	case order.Kind == loading.Load:
+		e.loads++
+		e.sequence++
+		e.adapters[order.Adapter] = 1
+		result.Reply = loading.Accepted
+	default:
+		e.sequence++
+		delete(e.adapters, order.Adapter)
+		result.Reply = loading.Accepted
+	}
+	return result
+}
+
+func (e *engines) loadCount() int {
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	return e.loads
+}
+
+// pipes connects one instance to peers that the test plays.
+type pipes struct {
+	// dialed are the far ends of the connections that the instance dials.
+	dialed   chan net.Conn
+	incoming chan net.Conn
+	refuse   bool
+	closed   chan struct{}
+	once     sync.Once
+}
+
+func (p *pipes) dial(ctx context.Context, _ netip.AddrPort) (net.Conn, error) {
+	if p.refuse {
+		return nil, errDown
+	}
+	near, far := net.Pipe()
+	select {
+	case p.dialed <- far:
+		return near, nil
+	case <-ctx.Done():
+		return nil, ctx.Err()
+	}
+}
+
+func (p *pipes) Accept() (net.Conn, error) {
+	select {
+	case conn := <-p.incoming:
+		return conn, nil
+	case <-p.closed:
+		return nil, net.ErrClosed
+	}
+}
+
+func (p *pipes) Close() error {
+	p.once.Do(func() { close(p.closed) })
+	return nil
+}
+
+func (p *pipes) Addr() net.Addr { return net.TCPAddrFromAddrPort(selfAddress) }
+
+// site is one instance with a store, one endpoint and peers that the test plays.
+type site struct {
+	store   *memoryStore
+	engines *engines
+	pipes   *pipes
+	control *coordinator.Coordinator
+}
+
+func parseEndpoint(item store.Item) (deployment.Endpoint, error) {
+	return deployment.Endpoint{
+		ID: deployment.EndpointID(strings.TrimPrefix(item.Key, endpointPrefix)), Service: service, Hall: "hall",
+		Address: netip.MustParseAddrPort("127.0.0.1:2001"), Slots: 16, Models: []string{"base"}, CachedModels: []string{"base"},
+		Adapters: make(map[deployment.Adapter]int64),
+	}, nil
+}
+
+func configuration() *deployment.Configuration {
+	engine := &deployment.Engine{
+		Slots: 16, AdapterCapacity: 8, LoadsPerSecond: 50, Models: []deployment.Model{{Name: "base", Adapters: 8}},
+	}
+	services := map[string]*deployment.Service{service: {Name: service, MaxConnections: 80, Engine: engine}}
+	return deployment.NewConfiguration(3, []*deployment.Route{route}, services, deployment.Limits{})
+}
+
+// newSite makes an instance whose store holds a configuration and an endpoint; start begins its work.
+func newSite() *site {
+	s := &site{
+		store: newMemoryStore(), engines: &engines{adapters: make(map[deployment.Adapter]int64)},
+		pipes: &pipes{dialed: make(chan net.Conn), incoming: make(chan net.Conn), closed: make(chan struct{})},
+	}
+	s.store.put(configurationKey, "3")
+	s.store.put(endpointPrefix+"e1", "")
+	return s
+}
+
+func (s *site) start(t *testing.T, seeds ...netip.AddrPort) {
+	t.Helper()
+	log := logrus.New()
+	log.SetOutput(io.Discard)
+	options := coordinator.Options{
+		Instance: selfName, Hall: "hall", PeerAddress: selfAddress, Seeds: seeds,
+		Ownership:  ownership.Options{Window: 1300 * time.Millisecond, OrderTimeout: 200 * time.Millisecond, Turn: 300 * time.Millisecond},
+		LoadWindow: time.Second, LoadTolerance: 1, LoadSlack: 10, VersionLimit: time.Second, StoreTimeout: 300 * time.Millisecond,
+		Now: time.Now, Random: func() float64 { return 0.5 }, Log: logrus.NewEntry(log),
+	}
+	environment := coordinator.Environment{
+		Store: s.store.client(), ConfigurationPrefix: "operators/", EndpointPrefix: endpointPrefix, ConfigurationKey: configurationKey,
+		ParseConfiguration: func([]byte) (*deployment.Configuration, error) { return configuration(), nil },
+		ParseVersion:       func(store.Item) (deployment.Adapter, int64, bool) { return deployment.Adapter{}, 0, false },
+		ParseEndpoint:      parseEndpoint,
+		EndpointOf: func(key string) deployment.EndpointID {
+			return deployment.EndpointID(strings.TrimPrefix(key, endpointPrefix))
+		},
+		SendOrder: s.engines.send, Dial: s.pipes.dial,
+		Listen: func(netip.AddrPort) (net.Listener, error) { return s.pipes, nil },
+		Retire: func(deployment.EndpointID) {},
+	}
+	s.control = coordinator.New(options, environment)
+	require.NoError(t, s.control.Start())
+	t.Cleanup(s.control.Stop)
+}
+
+// planElsewhere puts a record into the store by which another instance plans.
+func (s *site) planElsewhere(t *testing.T, term int64) {
+	t.Helper()
+	value, err := ownership.Record{Holder: "peer", Address: peerAddress, Term: term, Ordering: true}.Encode()
+	require.NoError(t, err)
+	s.store.put(recordKey, string(value))
+	s.store.put(heartbeatKey, "peer")
+}
+
+func (s *site) acquire(name string, patience time.Duration) (coordinator.Assignment, *deployment.Request, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	defer cancel()
+	now := time.Now()
+	request := &deployment.Request{Route: route, Service: service, Adapter: adapter(name), Arrived: now, Deadline: now.Add(10 * time.Second)}
+	assignment, err := s.control.Acquire(ctx, request, nil)
+	return assignment, request, err
+}
+
+const (
+	waitLimit = 5 * time.Second
+	lookPace  = 5 * time.Millisecond
+)
