--- a/services/admission/decide.go
+++ b/services/admission/decide.go
@@ -24,50 +24,73 @@
 
 // Situation is what is known of a request that waits.
 type Situation struct {
-	Route    *deployment.Route
-	Arrived  time.Time
+	// Route is the route that the request matched, with its targets (durations); from the settings in force.
+	Route *deployment.Route
+	// Arrived is when this instance began to serve the request; own clock.
+	Arrived time.Time
+	// Deadline is Arrived plus the shorter of the caller's time-out (its header) and the route's (settings).
 	Deadline time.Time
-	// NoEndpoint says that no endpoint of the service takes work at all.
+	// NoEndpoint says that no endpoint of the service takes work at all; verdict of package balance on this instance's
+	// directory at the present time.
 	NoEndpoint bool
-	// Crowded says that the adapter is there, but its endpoints have too much to do.
+	// Crowded says that the adapter is there, but its endpoints have too much to do; verdict of package balance, from own
+	// counts and the other instances' as of the planner's last view.
 	Crowded bool
-	// Expected is when the adapter is expected to be resident; zero if that is not known.
+	// Expected is when the adapter is expected to be resident; zero if that is not known. It comes from the planner's last
+	// view (forecasts come with its heartbeats), or, while no planner orders, from the usual time of a hand-over.
 	Expected time.Time
 }
 
 // Decision is what becomes of the request.
 type Decision struct {
-	Wait       bool
-	Reason     Reason
+	// Wait says that the request goes on waiting; the other fields are zero then.
+	Wait bool
+	// Reason is why it is refused; it stands as "reason" in the request's log line.
+	Reason Reason
+	// RetryAfter is how long the caller should wait before it comes back.
 	RetryAfter time.Duration
 }
 
 const (
-	// patienceGap and the two factors are after which silence callers give a stream up: the
-	// longest of a span, of so many targets and of so many pauses.
+	// patienceGap and the two factors (counts of the route's targets and pause targets) are after which silence callers give
+	// a stream up: the longest of the three. Longer waits for endpoints that may answer when nobody listens any more,
+	// shorter gives up answers that would have come. Not measured: it is what the users say of their callers.
 	patienceGap     = 2 * time.Second
 	patienceTargets = 4
 	patiencePauses  = 8
-	// waitShare is the part of a caller's patience that may be spent on waiting.
+	// waitShare is the part of that silence that a request may spend on waiting for an endpoint; the rest is for its answer.
+	// Higher serves more requests late, lower refuses more that would have been served. Not measured.
 	waitShare = 0.7
-	// plainWait is how long a plain request waits for an endpoint.
+	// streamWaitParts bounds the wait of a stream by one part in so many of its time to the deadline. Fewer parts leave less
+	// time for the answer. Not measured.
+	streamWaitParts = 2
+	// plainWait is how long a plain request waits for an endpoint: it needs no adapter, so that waiting seldom helps. Longer
+	// bridges the replacement of endpoints, shorter refuses in time for another attempt. Not measured.
 	plainWait = 100 * time.Millisecond
-	// crowdedPause is when a caller refused for crowded endpoints should come back.
+	// shortWaitParts bounds waits that seldom help (plain requests, and streams without any endpoint) by one part in so many
+	// of the time to the deadline, and of a stream's target. More parts refuse sooner. Not measured.
+	shortWaitParts = 4
+	// crowdedPause is when a caller refused for crowded endpoints should come back: a stream takes seconds. Longer spares
+	// the endpoints, shorter serves sooner. Not measured.
 	crowdedPause = 1500 * time.Millisecond
-	// retryPause is the least time after which a refused caller should come back.
+	// retryPause is the least time after which a refused caller should come back. Longer spares the instances, shorter
+	// serves sooner. Not measured.
 	retryPause = 400 * time.Millisecond
-	// promptFrom and promptShare are the parts of its target between which a request may be refused as
-	// hopeless: before, the planner's word on its adapter may still be on the way; after, the refusal
-	// would not be prompt enough for the caller to be served in time by another attempt.
-	promptFrom  = 0.13
-	promptShare = 0.25
-	// firstToken is the time from the choice of an endpoint to the first event of a usual prompt.
-	firstToken = 150 * time.Millisecond
-	// returnMargin is how long after the expected time a refused caller should come back.
+	// hopelessFrom and hopelessUntil are the parts of its target between which a request may be refused as hopeless: before,
+	// the planner's forecast of its adapter may still be on the way; after, the refusal would come too late for the caller
+	// to be served in time by another attempt. Wider refuses more. Measured as a rule: docs/design/0006-measured.md, "only
+	// those refused at once that would be refused anyway"; the bounds themselves were not varied.
+	hopelessFrom  = 0.13
+	hopelessUntil = 0.25
+	// firstTokenTime is the usual time from the choice of an endpoint to the first event. Longer refuses more requests as
+	// hopeless. Not measured.
+	firstTokenTime = 150 * time.Millisecond
+	// returnMargin is how long after the expected time of the adapter a refused caller should come back. Longer is safer
+	// against late loads, shorter serves sooner. Not measured.
 	returnMargin = 150 * time.Millisecond
 )
 
-// Decide tells whether to wait on.
+// Decide tells whether a request goes on waiting or is refused now, with the reason and the time to come back.
 func Decide(now time.Time, situation Situation) Decision {
 	waited := now.Sub(situation.Arrived)
 	if waited < waitLimit(situation) && !hopeless(waited, situation) {
@@ -91,21 +114,22 @@
 		return false
 	}
 	target := float64(situation.Route.Target)
-	if float64(waited) < promptFrom*target || float64(waited) > promptShare*target {
+	if float64(waited) < hopelessFrom*target || float64(waited) > hopelessUntil*target {
 		return false
 	}
-	return situation.Expected.Add(firstToken).After(situation.Arrived.Add(waitLimit(situation)))
+	return situation.Expected.Add(firstTokenTime).After(situation.Arrived.Add(waitLimit(situation)))
 }
 
+// waitLimit is how long a request may wait for an endpoint, from its arrival on.
 func waitLimit(situation Situation) time.Duration {
 	remaining := situation.Deadline.Sub(situation.Arrived)
 	if situation.Route.Kind != deployment.Streaming {
-		return min(plainWait, remaining/4)
+		return min(plainWait, remaining/shortWaitParts)
 	}
 	if situation.NoEndpoint {
-		return min(situation.Route.Target/4, remaining/4)
+		return min(situation.Route.Target/shortWaitParts, remaining/shortWaitParts)
 	}
-	return min(time.Duration(float64(Patience(situation.Route))*waitShare), remaining/2)
+	return min(time.Duration(float64(Patience(situation.Route))*waitShare), remaining/streamWaitParts)
 }
 
 // Patience is after how long a silence a caller gives a stream up.
@@ -113,6 +137,7 @@
 	return max(patienceGap, patienceTargets*route.Target, patiencePauses*route.PauseTarget)
 }
 
+// retryAfter is when a caller whose adapter is not there should come back: when it is expected.
 func retryAfter(now time.Time, situation Situation) time.Duration {
 	return max(retryPause, situation.Expected.Sub(now)+returnMargin)
 }
--- a/services/balance/choose.go
+++ b/services/balance/choose.go
@@ -14,7 +14,7 @@
 type Options struct {
 	// Hall is this instance's own.
 	Hall string
-	// HallPenalty is how many requests in flight a crossing of halls weighs.
+	// HallPenalty is how many requests in flight a crossing of halls weighs for services with models.
 	HallPenalty float64
 	// PlainHallPenalty is the same for plain services.
 	PlainHallPenalty float64
@@ -30,13 +30,19 @@
 
 // Demand is what a request asks of an endpoint.
 type Demand struct {
+	// Request is the caller's request, decoded from its head.
 	Request *deployment.Request
-	// Version is the lowest version of the adapter that may run the request; 0 allows any.
+	// Version is the lowest version of the adapter that may run the request, as named in the store; 0 allows any.
 	Version int64
-	// Tried are endpoints that were sent the request already.
+	// Tried are endpoints that were sent the request already, by this instance.
 	Tried []deployment.EndpointID
 }
 
+// tieSpread is the width of the random number that breaks ties between endpoints, in requests in flight. It stays below one, so
+// that a request more always counts, and above zero, so that instances with the same view do not choose alike. Not
+// measured.
+const tieSpread = 0.5
+
 // Verdict says why no endpoint was chosen.
 type Verdict int
 
@@ -96,8 +102,9 @@
 	return entry.Slots > 0 && float64(entry.Load()) >= limit
 }
 
+// cost is what a request adds to at an endpoint, in requests in flight; the lowest is chosen.
 func cost(entry *directory.Entry, request *deployment.Request, options Options) float64 {
-	cost := float64(entry.Load()) + options.Random()/2
+	cost := float64(entry.Load()) + tieSpread*options.Random()
 	if entry.Hall == options.Hall {
 		return cost
 	}
@@ -107,6 +114,7 @@
 	return cost + options.PlainHallPenalty
 }
 
+// tried tells whether an endpoint was sent the request before.
 func tried(list []deployment.EndpointID, id deployment.EndpointID) bool {
 	for _, other := range list {
 		if other == id {
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -191,6 +191,10 @@
 	}
 }
 
+// heldMemory is how long an adapter that was dropped is expected to load fast. Longer prefers endpoints that may have
+// lost it since, shorter loads from the weight store what an endpoint still has. Not measured.
+const heldMemory = 10 * time.Minute
+
 // RememberHeld notes what each endpoint holds now, and forgets what it held long ago.
 func (d *Directory) RememberHeld(now time.Time) {
 	for _, entry := range d.entries {
@@ -204,6 +208,3 @@
 		}
 	}
 }
-
-// heldMemory is how long an adapter that was dropped is expected to load fast.
-const heldMemory = 10 * time.Minute
--- a/services/directory/entry.go
+++ b/services/directory/entry.go
@@ -35,8 +35,8 @@
 	missing map[deployment.Adapter]time.Time
 }
 
-// missingFor is how long an endpoint's word that an adapter is not there is believed
-// against an older description.
+// missingFor is how long an endpoint's refusal for lack of an adapter outweighs an older description that lists it. Longer keeps
+// requests from a copy that was just brought, shorter sends them to one that is not there. Not measured.
 const missingFor = 1500 * time.Millisecond
 
 func newEntry(endpoint deployment.Endpoint, revision int64, hall *reach) *Entry {
--- a/services/directory/health.go
+++ b/services/directory/health.go
@@ -23,30 +23,47 @@
 )
 
 const (
-	// failureWeight is the weight of the newest exchange in the failure rate.
+	// failureWeight is the weight of the newest exchange in the failure rate. Higher notices a failing endpoint after fewer
+	// exchanges, with more noise. Not measured.
 	failureWeight = 0.2
-	// minimumExchanges is how many exchanges a rate needs to count.
+	// minimumExchanges is how many exchanges a failure rate needs to count. Fewer eject sooner, also for chance. Not
+	// measured.
 	minimumExchanges = 5
 	// comparedExchanges is how many exchanges another endpoint's rate needs to be compared with.
-	// It is smaller, so that a trouble of the whole service ejects nobody at its begin.
+	// It is smaller, so that a trouble of the whole service ejects nobody at its begin. Measured:
+	// docs/design/0006-measured.md, "failure rates of others count from the second exchange on".
 	comparedExchanges = 2
-	// consecutiveBroken ejects an endpoint without regard to its rate.
+	// consecutiveBroken is how many broken exchanges in a row eject an endpoint without regard to its rate. Fewer find out a
+	// dead endpoint sooner and eject sound ones for one lost connection. Not measured.
 	consecutiveBroken = 2
-	firstEjection     = 800 * time.Millisecond
-	longestEjection   = 6 * time.Second
-	// ejectedRate and ejectedRatio bound the failure rate, absolutely and against the service's.
-	ejectedRate  = 0.3
+	// firstEjection and longestEjection bound how long an endpoint is avoided before a request tries it again. Longer costs
+	// fewer failed trials and leaves a recovered endpoint idle. Not measured.
+	firstEjection   = 800 * time.Millisecond
+	longestEjection = 6 * time.Second
+	// ejectionGrowth is the factor from one ejection to the next one after a failed trial. Higher tries a dead endpoint less
+	// often. Not measured.
+	ejectionGrowth = 2
+	// ejectedRate is the failure rate, a share of exchanges, above which an endpoint may be ejected. Lower ejects sooner,
+	// and leaves more work to the others. Not measured.
+	ejectedRate = 0.3
+	// ejectedRatio is how many times the mean failure rate of the service's other endpoints it must exceed, too, so that an
+	// error of the whole service ejects nobody. Not measured.
 	ejectedRatio = 2.5
 )
 
 // Health is an endpoint's record at this instance.
 type Health struct {
+	// rate is the smoothed share of failed exchanges, exchanges how many it was made of; own counts.
 	rate      float64
 	exchanges int
-	broken    int
-	until     time.Time
-	backoff   time.Duration
-	trial     bool
+	// broken is how many exchanges in a row broke.
+	broken int
+	// until is the end of the ejection; zero for an endpoint that was not ejected since it was restored.
+	until time.Time
+	// backoff is the length of the last ejection.
+	backoff time.Duration
+	// trial is set while one request tries an ejected endpoint.
+	trial bool
 }
 
 // Ejected tells whether the endpoint gets no requests for now.
@@ -89,11 +106,13 @@
 	}
 }
 
+// add takes one exchange into the failure rate; failure is 0 or 1.
 func (h *Health) add(failure float64) {
 	h.exchanges++
 	h.rate += failureWeight * (failure - h.rate)
 }
 
+// bad tells whether the endpoint is to be ejected; serviceRate is the mean failure rate of the others.
 func (h *Health) bad(serviceRate float64) bool {
 	if h.broken >= consecutiveBroken {
 		return true
@@ -101,14 +120,16 @@
 	return h.exchanges >= minimumExchanges && h.rate > ejectedRate && h.rate > ejectedRatio*serviceRate
 }
 
+// eject avoids the endpoint, for longer each time.
 func (h *Health) eject(now time.Time) {
 	if now.Before(h.until) {
 		return
 	}
-	h.backoff = min(max(2*h.backoff, firstEjection), longestEjection)
+	h.backoff = min(max(ejectionGrowth*h.backoff, firstEjection), longestEjection)
 	h.until = now.Add(h.backoff)
 }
 
+// restore forgets what led to the ejection.
 func (h *Health) restore() {
 	h.until = time.Time{}
 	h.backoff = 0
--- a/services/directory/reach.go
+++ b/services/directory/reach.go
@@ -7,20 +7,26 @@
 
 const (
 	// cutAfter is how many exchanges in a row with a hall's endpoints must break, without any answer in
-	// between, until the hall counts as cut off.
+	// between, until the hall counts as cut off. Fewer notice a cut sooner and mistake dead endpoints for one. Measured:
+	// docs/design/0006-measured.md, "an unreachable hall avoided after three broken exchanges".
 	cutAfter = 3
 	// firstCut and longestCut bound how long a hall then gets no requests; after that one round of
-	// requests tries it again.
+	// requests tries it again. Longer loses fewer requests to a cut that lasts and leaves a healed hall unused. Measured
+	// with cutAfter; the lengths themselves were not varied.
 	firstCut   = 600 * time.Millisecond
 	longestCut = 2400 * time.Millisecond
+	// cutGrowth is the factor from one such span to the next one while the hall stays cut off. Not measured.
+	cutGrowth = 2
 )
 
 // reach is how this instance reaches the endpoints of one hall. A cut between halls breaks the exchanges
 // with all endpoints there, which would otherwise have to be found out for each of them.
 type reach struct {
+	// broken is how many exchanges with the hall's endpoints broke in a row; own count.
 	broken int
-	until  time.Time
-	span   time.Duration
+	// until is the end of the span, of this length, in which the hall is taken for cut off.
+	until time.Time
+	span  time.Duration
 }
 
 // cut tells whether the hall is taken for cut off.
@@ -42,6 +48,6 @@
 	if r.broken < cutAfter || r.cut(now) {
 		return
 	}
-	r.span = min(max(2*r.span, firstCut), longestCut)
+	r.span = min(max(cutGrowth*r.span, firstCut), longestCut)
 	r.until = now.Add(r.span)
 }
--- a/services/loading/doc.go
+++ b/services/loading/doc.go
@@ -5,5 +5,12 @@
 // next and where, what to withdraw and unload, and how fast, under the weight store's rate.
 //
 // A Planner is a plain state machine. It is told of endpoints, demand and the results of
-// orders with the present time as an argument, and gives the next order when asked.
+// orders with the present time as an argument, and gives the next order when asked. It owns the plan of copies (copy.go),
+// the demand of all instances (demand.go) and the pace of loads (pace.go, rate.go); it relies on the coordinator to
+// send its orders, one at a time for an endpoint, and on the settings for the weight store's bound. It does no I/O and
+// starts no goroutine.
+//
+// The rules, a file each: which order goes first (next.go), base models (model.go), what a copy is worth (value.go), where it
+// is loaded (placement.go), what makes room (eviction.go), what instances are told of adapters on their way (forecast.go),
+// and what follows from an endpoint's answer (result.go).
 package loading
--- a/services/retry/budget.go
+++ b/services/retry/budget.go
@@ -7,16 +7,17 @@
 
 // Options are the settings of a Budget.
 type Options struct {
-	// Ratio is how many repeats each request allows.
+	// Ratio is how many repeats each request allows; from the settings.
 	Ratio float64
-	// Extra is how many more repeats the whole fleet may make in a window.
+	// Extra is how many more repeats the whole fleet may make in a window; from the settings.
 	Extra float64
-	// Window is the length of every span in which the budget must hold.
+	// Window is the length of every span in which the budget must hold; from the settings.
 	Window time.Duration
 }
 
 // safetyShare is the part of the budget that is used, against requests that are counted at
-// the edge of a window.
+// the edge of a window. Higher repeats more and may break the bound of the whole fleet, which counts windows by
+// its own clock. Not measured.
 const safetyShare = 0.85
 
 // Budget counts requests and repeats for each service over a sliding window. It is not safe
