--- a/services/node/loads.go
+++ b/services/node/loads.go
@@ -108,7 +108,7 @@
 		return false
 	}
 	part := float64(ring.Score(ps.pool.Name, n.options.Self.ID)%1000) / 1000
-	return now.Sub(ps.tookAt) < time.Duration(float64(delay)*part)
+	return ps.takeover.Age(now) < time.Duration(float64(delay)*part)
 }
 
 func (n *Node) bidFrom(now time.Time, e fleet.Envelope) {
--- a/services/node/ownership.go
+++ b/services/node/ownership.go
@@ -11,6 +11,7 @@
 	"github.com/shelfledge/shelfledge/modules/ring"
 	"github.com/shelfledge/shelfledge/services/membership"
 	"github.com/shelfledge/shelfledge/services/node/lease"
+	"github.com/shelfledge/shelfledge/services/node/ownership"
 	"github.com/shelfledge/shelfledge/services/placement"
 	"github.com/shelfledge/shelfledge/services/routing"
 )
@@ -28,10 +29,7 @@
 	placer    *placement.Placer
 	publisher *routing.Publisher
 	gap       bool
-	tookAt    time.Time
-	adopted   map[string]bool
-	asked     map[string]time.Time
-	inspected map[string]time.Time
+	takeover  *ownership.Takeover
 	waiting   []fleet.Envelope
 	handed    []fleet.TicketUse
 	handedBy  FormerOwner
@@ -40,24 +38,18 @@
 	permits   map[fleet.AdapterRef]heldPermit
 	bidding   bool
 	bidSent   time.Time
-	losses    int
-	lostAt    time.Time
 	bidValue  float64
 	// dealt tells that this entry has asked the pool for a ticket.
 	dealt bool
 }
 
-const (
-	// flushAfter is how long requests wait for the last endpoint of a pool to be taken over.
-	flushAfter      = 400 * time.Millisecond
-	maxWaitingTaken = 20000
-)
+// maxWaitingTaken bounds the requests of a pool that wait for its takeover; one above it is
+// placed at once, and refused if no endpoint has answered. It bounds the memory in a rush
+// after a loss. Not measured.
+const maxWaitingTaken = 20000
 
 func newPoolState(pool fleet.Pool, own bool) *poolState {
-	return &poolState{
-		pool: pool, own: own, adopted: make(map[string]bool), asked: make(map[string]time.Time),
-		inspected: make(map[string]time.Time), permits: make(map[fleet.AdapterRef]heldPermit),
-	}
+	return &poolState{pool: pool, own: own, permits: make(map[fleet.AdapterRef]heldPermit)}
 }
 
 // unfenced lists the endpoints on which orders need the lease.
@@ -73,48 +65,38 @@
 
 // evaluate decides whether to take a pool over, to keep it or to let it go.
 func (n *Node) evaluate(now time.Time, ps *poolState) {
-	other := n.announcer(ps)
-	if ps.mine {
-		n.evaluateMine(now, ps, other)
-		return
-	}
-	n.setHolder(now, ps, other)
-	if other != nil || n.leaving || now.Sub(n.started) < n.options.Membership.Settle {
-		return
-	}
-	if ring.Best(ps.pool.Name, n.members.Candidates(n.leaving)) == n.options.Self.ID {
+	situation := ownership.Situation{
+		Pool: ps.pool.Name, Own: ownership.Claim{Instance: n.options.Self.ID, Term: ps.term}, Mine: ps.mine,
+		Leaving: n.leaving, Listening: now.Sub(n.started) < n.options.Membership.Settle,
+		Candidates: func() []string { return n.members.Candidates(n.leaving) },
+	}
+	situation.Announced, situation.Claimed = n.announced(ps)
+	holder := n.members.Member(situation.Announced.Instance)
+	switch ownership.Decide(situation) {
+	case ownership.Keep:
+		n.retryTakes(now, ps)
+	case ownership.StepDown:
+		n.stepDown(now, ps, holder.Instance, "another instance holds the pool under a higher term")
+	case ownership.Follow:
+		n.setHolder(now, ps, holder)
+	case ownership.TakeOver:
+		n.setHolder(now, ps, nil)
 		n.takeOver(now, ps, nil, "no live instance of the hall holds the pool")
 	}
 }
 
-func (n *Node) evaluateMine(now time.Time, ps *poolState, other *membership.Member) {
-	if other != nil && n.yieldsTo(ps, other) {
-		n.stepDown(now, ps, other.Instance, "another instance holds the pool under a higher term")
-		return
-	}
-	n.retryTakes(now, ps)
-}
-
-// announcer finds the live member that holds the pool under the highest term.
-func (n *Node) announcer(ps *poolState) *membership.Member {
-	var best *membership.Member
-	var bestTerm uint64
+// announced finds the highest claim of the live members on the pool.
+func (n *Node) announced(ps *poolState) (ownership.Claim, bool) {
+	var claims []ownership.Claim
 	for _, m := range n.members.Alive() {
-		term := heldTerm(m, ps.pool.Name)
-		if term == 0 {
-			continue
-		}
-		higher := best == nil || term > bestTerm
-		if !higher && term == bestTerm {
-			higher = ring.Score(ps.pool.Name, m.Instance.ID) > ring.Score(ps.pool.Name, best.Instance.ID)
-		}
-		if higher {
-			best, bestTerm = m, term
+		if term := heldTerm(m, ps.pool.Name); term != 0 {
+			claims = append(claims, ownership.Claim{Instance: m.Instance.ID, Term: term})
 		}
 	}
-	return best
+	return ownership.Highest(ps.pool.Name, claims)
 }
 
+// heldTerm gives the term under which a member announces the pool, or zero.
 func heldTerm(m *membership.Member, pool string) uint64 {
 	for _, h := range m.Held {
 		if h.Pool == pool {
@@ -124,15 +106,6 @@
 	return 0
 }
 
-// yieldsTo settles two believers: the higher term wins, and among equals the higher score.
-func (n *Node) yieldsTo(ps *poolState, other *membership.Member) bool {
-	term := heldTerm(other, ps.pool.Name)
-	if term != ps.term {
-		return term > ps.term
-	}
-	return ring.Score(ps.pool.Name, other.Instance.ID) > ring.Score(ps.pool.Name, n.options.Self.ID)
-}
-
 // learnHeld notes the terms that a member announces.
 func (n *Node) learnHeld(now time.Time, m *membership.Member) {
 	for _, h := range m.Held {
@@ -165,11 +138,10 @@
 // takeOver makes the node the pool's placer under a new term.
 func (n *Node) takeOver(now time.Time, ps *poolState, handed []fleet.TicketUse, cause string) {
 	ps.mine = true
-	// A new life of a lone instance knows no earlier terms, so the boot is a floor.
-	ps.maxTerm = max(ps.maxTerm+1, n.options.Boot)
+	ps.maxTerm = ownership.NextTerm(ps.maxTerm, n.options.Boot)
 	ps.term = ps.maxTerm
 	ps.holder = n.options.Self.ID
-	ps.tookAt = now
+	ps.takeover = ownership.NewTakeover(now, ps.pool.Endpoints, n.options.Timing.TakeRetry, n.options.Timing.Inspect)
 	ps.handed = handed
 	if handed == nil {
 		ps.handedBy = FormerOwner{}
@@ -185,16 +157,12 @@
 	ps.placer.SetEpoch(n.options.Boot, ps.term)
 	n.config.applyTo(ps.placer)
 	ps.publisher = routing.NewPublisher(ps.term)
-	clear(ps.adopted)
-	clear(ps.asked)
-	clear(ps.inspected)
 	clear(ps.permits)
 	n.note(now, fleet.Event{Kind: fleet.EventTakeover, Pool: ps.pool.Name, Fence: ps.term, Cause: cause})
 	for _, e := range ps.unfenced() {
 		ps.placer.AllowOrders(e.Name, time.Time{})
 	}
 	n.lease.Forget(ps.pool.Name)
-	ps.losses = 0
 	n.retryTakes(now, ps)
 	n.heartbeatAll(now)
 	n.resubmitPool(now, ps)
@@ -202,15 +170,10 @@
 
 // retryTakes asks the endpoints that have not answered yet.
 func (n *Node) retryTakes(now time.Time, ps *poolState) {
-	for _, e := range ps.pool.Endpoints {
-		last := ps.asked[e.Name]
-		if ps.adopted[e.Name] || (!last.IsZero() && now.Sub(last) < n.options.Timing.TakeRetry) {
-			continue
-		}
-		ps.asked[e.Name] = now
+	for _, e := range ps.takeover.TakesDue(now) {
 		n.emit(Take{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
 	}
-	if now.Sub(ps.tookAt) > flushAfter {
+	if ps.takeover.Age(now) > ownership.HoldRequests {
 		n.flushWaiting(now, ps)
 	}
 }
@@ -228,7 +191,7 @@
 // Taken takes an endpoint's answer to a takeover order.
 func (n *Node) Taken(now time.Time, r TakeResult) []Effect {
 	ps := n.pools[r.Pool]
-	if ps == nil || !ps.mine || ps.term != r.Term || ps.adopted[r.Inspection.Endpoint] {
+	if ps == nil || !ps.mine || ps.term != r.Term || ps.takeover.Adopted(r.Inspection.Endpoint) {
 		return nil
 	}
 	if !r.OK {
@@ -238,8 +201,7 @@
 		return n.take()
 	}
 	endpoint := r.Inspection.Endpoint
-	ps.adopted[endpoint] = true
-	ps.inspected[endpoint] = now
+	ps.takeover.Adopt(now, endpoint)
 	frozen := now
 	if ps.former.Frozen() && n.isUnfenced(ps, endpoint) {
 		frozen = now.Add(lease.Forever)
@@ -256,7 +218,7 @@
 		}
 	}
 	n.applyDrains(now, ps)
-	if len(ps.adopted) == len(ps.pool.Endpoints) {
+	if ps.takeover.Answered() {
 		n.flushWaiting(now, ps)
 	}
 	n.spend(now)
@@ -344,99 +306,3 @@
 	ps.handedBy = FormerOwner{ID: e.From, Boot: e.Boot}
 	n.takeOver(now, ps, uses, "handed over by "+e.From)
 }
-
-// tickPools lets the placers work and looks at the endpoints in turn.
-func (n *Node) tickPools(now time.Time) {
-	for _, ps := range n.order {
-		if !ps.mine {
-			continue
-		}
-		n.run(now, ps, ps.placer.Tick(now))
-		n.inspectDue(now, ps)
-		n.thawDue(now, ps)
-	}
-}
-
-func (n *Node) inspectDue(now time.Time, ps *poolState) {
-	for _, e := range ps.pool.Endpoints {
-		if !ps.adopted[e.Name] || now.Sub(ps.inspected[e.Name]) < n.options.Timing.Inspect {
-			continue
-		}
-		ps.inspected[e.Name] = now
-		n.emit(Inspect{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
-	}
-}
-
-// Inspected takes an endpoint's own list; a fence of another holder means that the pool is lost.
-func (n *Node) Inspected(now time.Time, pool string, term uint64, in placement.Inspection) []Effect {
-	ps := n.pools[pool]
-	if ps == nil || !ps.mine || ps.term != term {
-		return nil
-	}
-	ps.inspected[in.Endpoint] = now
-	n.run(now, ps, ps.placer.Inspected(now, in))
-	n.thaw(now, ps, in)
-	n.spend(now)
-	return n.take()
-}
-
-// LoadResult is the end of an ordered load.
-type LoadResult struct {
-	Pool        string
-	Term        uint64
-	Endpoint    string
-	Incarnation string
-	Adapter     fleet.AdapterRef
-	Result      placement.LoadResult
-	Cause       string
-	// FenceLost is true where the endpoint obeys another fence by now.
-	FenceLost bool
-}
-
-// Loaded takes the end of an ordered load.
-func (n *Node) Loaded(now time.Time, r LoadResult) []Effect {
-	ps := n.pools[r.Pool]
-	if ps == nil || !ps.mine || ps.term != r.Term {
-		return nil
-	}
-	if held, ok := ps.permits[r.Adapter]; ok {
-		delete(ps.permits, r.Adapter)
-		n.permitDone(now, r.Pool, held, true)
-	}
-	if r.FenceLost {
-		n.note(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Endpoint, Adapter: r.Adapter.String(), Cause: r.Cause})
-		n.loseFence(now, ps, r.Endpoint)
-	}
-	n.run(now, ps, ps.placer.Loaded(now, r.Endpoint, r.Incarnation, r.Adapter, r.Result, r.Cause))
-	n.spend(now)
-	return n.take()
-}
-
-const (
-	maxFenceLosses = 5
-	forgetLosses   = time.Minute
-)
-
-// loseFence stops the use of an endpoint that obeys another holder. Two instances that
-// cannot hear each other may both believe that they place the pool; each comes back
-// more slowly every time, so that they do not spend the endpoint's time on their quarrel.
-func (n *Node) loseFence(now time.Time, ps *poolState, endpoint string) {
-	if now.Sub(ps.lostAt) > forgetLosses {
-		ps.losses = 0
-	}
-	ps.lostAt = now
-	ps.losses = min(ps.losses+1, maxFenceLosses)
-	ps.adopted[endpoint] = false
-	ps.asked[endpoint] = now.Add(n.options.Timing.TakeRetry * (1<<ps.losses - 2))
-	ps.placer.LoseFence(endpoint)
-}
-
-// applyDrains passes on what leaves by the platform's list or an operator's command.
-func (n *Node) applyDrains(now time.Time, ps *poolState) {
-	for _, e := range ps.pool.Endpoints {
-		leaving := !n.leavers[e.Name].IsZero() && !n.options.Defects.IgnoreLeaving
-		n.run(now, ps, ps.placer.SetLeaving(now, e.Name, leaving))
-		drained := n.config.catalog.Drained[e.Name] || n.config.catalog.Drained[ps.pool.Hall]
-		n.run(now, ps, ps.placer.SetDrained(now, e.Name, drained))
-	}
-}
--- /dev/null
+++ b/services/node/ownership/decide_test.go
@@ -0,0 +1,102 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package ownership_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/modules/ring"
+	"github.com/shelfledge/shelfledge/services/node/ownership"
+)
+
+const pool = "h1/base"
+
+func claim(instance string, term uint64) ownership.Claim {
+	return ownership.Claim{Instance: instance, Term: term}
+}
+
+// rank gives three instances, the best candidate for the pool first.
+func rank() []string {
+	return ring.Rank(pool, []string{"i1", "i2", "i3"})
+}
+
+func TestHighestClaimIsTheSameInAnyOrderOfArrival(t *testing.T) {
+	r := rank()
+	for _, row := range []struct {
+		name   string
+		claims []ownership.Claim
+		want   ownership.Claim
+	}{
+		{"higher term", []ownership.Claim{claim(r[0], 3), claim(r[2], 4)}, claim(r[2], 4)},
+		{"equal terms, higher score", []ownership.Claim{claim(r[2], 4), claim(r[0], 4), claim(r[1], 4)}, claim(r[0], 4)},
+		{"repeated claim", []ownership.Claim{claim(r[1], 4), claim(r[1], 4)}, claim(r[1], 4)},
+	} {
+		got, ok := ownership.Highest(pool, row.claims)
+		require.True(t, ok)
+		require.Equal(t, row.want, got, row.name)
+		for i, j := 0, len(row.claims)-1; i < j; i, j = i+1, j-1 {
+			row.claims[i], row.claims[j] = row.claims[j], row.claims[i]
+		}
+		got, _ = ownership.Highest(pool, row.claims)
+		require.Equal(t, row.want, got, row.name+", the other way round")
+	}
+	_, ok := ownership.Highest(pool, nil)
+	require.False(t, ok)
+}
+
+func TestOfTwoHoldersExactlyOneYields(t *testing.T) {
+	r := rank()
+	for _, pair := range [][2]ownership.Claim{
+		{claim(r[0], 4), claim(r[1], 4)},
+		{claim(r[0], 4), claim(r[1], 5)},
+		{claim(r[0], 1), claim(r[2], 1<<62)},
+	} {
+		there, back := ownership.Yields(pool, pair[0], pair[1]), ownership.Yields(pool, pair[1], pair[0])
+		require.NotEqual(t, there, back, "%v", pair)
+	}
+	require.False(t, ownership.Yields(pool, claim(r[0], 4), claim(r[0], 4)), "an echo of the own claim changes nothing")
+}
+
+func TestDecision(t *testing.T) {
+	r := rank()
+	all := func() []string { return r }
+	costly := func() []string {
+		t.Fatal("candidates are named only where they decide")
+		return nil
+	}
+	best, other := r[0], r[1]
+	for _, row := range []struct {
+		name string
+		s    ownership.Situation
+		want ownership.Action
+	}{
+		{"nobody holds the pool, best candidate", ownership.Situation{Own: claim(best, 0), Candidates: all}, ownership.TakeOver},
+		{"nobody holds the pool, another is better", ownership.Situation{Own: claim(other, 0), Candidates: all}, ownership.Follow},
+		{"the better one was lost", ownership.Situation{Own: claim(other, 0), Candidates: func() []string { return r[1:] }}, ownership.TakeOver},
+		{"no candidates", ownership.Situation{Own: claim(other, 0), Candidates: func() []string { return nil }}, ownership.Follow},
+		{"too young", ownership.Situation{Own: claim(best, 0), Listening: true, Candidates: costly}, ownership.Follow},
+		{"stopping", ownership.Situation{Own: claim(best, 0), Leaving: true, Candidates: costly}, ownership.Follow},
+		{"announced by a worse one", ownership.Situation{Own: claim(best, 0), Announced: claim(other, 1), Claimed: true, Candidates: costly}, ownership.Follow},
+		{"held, nobody else claims", ownership.Situation{Own: claim(other, 3), Mine: true, Candidates: costly}, ownership.Keep},
+		{"held, a late claim of an older term", ownership.Situation{Own: claim(other, 3), Mine: true, Announced: claim(best, 2), Claimed: true, Candidates: costly}, ownership.Keep},
+		{"held, equal term, lower score", ownership.Situation{Own: claim(other, 3), Mine: true, Announced: claim(best, 3), Claimed: true, Candidates: costly}, ownership.StepDown},
+		{"held, equal term, higher score", ownership.Situation{Own: claim(best, 3), Mine: true, Announced: claim(other, 3), Claimed: true, Candidates: costly}, ownership.Keep},
+		{"held, higher term", ownership.Situation{Own: claim(best, 3), Mine: true, Announced: claim(other, 4), Claimed: true, Candidates: costly}, ownership.StepDown},
+		{"held while stopping", ownership.Situation{Own: claim(best, 3), Mine: true, Leaving: true, Candidates: costly}, ownership.Keep},
+		{"held while young, after a hand-over", ownership.Situation{Own: claim(best, 3), Mine: true, Listening: true, Candidates: costly}, ownership.Keep},
+	} {
+		row.s.Pool = pool
+		require.Equal(t, row.want, ownership.Decide(row.s), row.name)
+	}
+}
+
+func TestTermOfATakeoverIsAboveEveryTermHeard(t *testing.T) {
+	for _, row := range []struct{ highest, boot, want uint64 }{
+		{0, 0, 1}, {0, 1, 1}, {4, 5, 5}, {5, 5, 6}, {9, 5, 10}, {0, 1 << 40, 1 << 40},
+	} {
+		require.Equal(t, row.want, ownership.NextTerm(row.highest, row.boot), "%+v", row)
+	}
+}
--- /dev/null
+++ b/services/node/ownership/takeover_test.go
@@ -0,0 +1,121 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package ownership_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/services/node/ownership"
+)
+
+const (
+	retry   = time.Second
+	inspect = 500 * time.Millisecond
+)
+
+var begin = time.Unix(1000, 0)
+
+func after(d time.Duration) time.Time {
+	return begin.Add(d)
+}
+
+func newTakeover() *ownership.Takeover {
+	return ownership.NewTakeover(begin, []fleet.Endpoint{{Name: "e1"}, {Name: "e2"}}, retry, inspect)
+}
+
+func names(endpoints []fleet.Endpoint) []string {
+	var out []string
+	for _, e := range endpoints {
+		out = append(out, e.Name)
+	}
+	return out
+}
+
+func TestUnansweredOrderIsRepeatedAfterTheRetryTime(t *testing.T) {
+	o := newTakeover()
+	require.Equal(t, []string{"e1", "e2"}, names(o.TakesDue(begin)))
+	require.Empty(t, o.TakesDue(after(retry-1)))
+	o.Adopt(after(retry-1), "e1")
+	require.Equal(t, []string{"e2"}, names(o.TakesDue(after(retry))))
+	require.Empty(t, o.TakesDue(after(retry)))
+	require.Equal(t, []string{"e2"}, names(o.TakesDue(after(2*retry))))
+}
+
+func TestRequestsAreHeldUntilAllHaveAnsweredOrTimeIsUp(t *testing.T) {
+	for _, row := range []struct {
+		at       time.Duration
+		answered []string
+		holds    bool
+	}{
+		{0, nil, true},
+		{0, []string{"e1"}, true},
+		{0, []string{"e1", "e1"}, true},
+		{0, []string{"e1", "e2"}, false},
+		{ownership.HoldRequests, []string{"e1"}, true},
+		{ownership.HoldRequests + 1, []string{"e1"}, false},
+		{ownership.HoldRequests + 1, nil, false},
+	} {
+		o := newTakeover()
+		for _, e := range row.answered {
+			o.Adopt(begin, e)
+		}
+		require.Equal(t, row.holds, o.Holds(after(row.at)), "%+v", row)
+	}
+}
+
+func TestRestartedEndpointIsTakenAgainAtOnceAndHoldsNothingBack(t *testing.T) {
+	o := newTakeover()
+	o.TakesDue(begin)
+	o.Adopt(begin, "e1")
+	o.Adopt(begin, "e2")
+	o.Retake("e1")
+	require.False(t, o.Adopted("e1"))
+	require.False(t, o.Holds(after(time.Millisecond)), "the pool has answered once; requests go to the other endpoint meanwhile")
+	require.Equal(t, []string{"e1"}, names(o.TakesDue(after(time.Millisecond))))
+	require.Empty(t, o.TakesDue(after(2*time.Millisecond)))
+}
+
+func TestPauseAfterALostFenceDoublesUpToABound(t *testing.T) {
+	o := newTakeover()
+	o.TakesDue(begin)
+	now := begin
+	for losses, pause := range []time.Duration{retry, 3 * retry, 7 * retry, 15 * retry, 31 * retry, 31 * retry} {
+		o.Adopt(now, "e1")
+		o.Adopt(now, "e2")
+		o.LoseFence(now, "e1")
+		require.Empty(t, o.TakesDue(now.Add(pause-1)), "loss %d", losses+1)
+		now = now.Add(pause)
+		require.Equal(t, []string{"e1"}, names(o.TakesDue(now)), "loss %d", losses+1)
+	}
+}
+
+func TestLostFencesAreForgottenAfterAMinute(t *testing.T) {
+	for _, row := range []struct{ quiet, pause time.Duration }{{time.Minute, 3 * retry}, {time.Minute + 1, retry}} {
+		o := newTakeover()
+		o.LoseFence(begin, "e1")
+		at := after(row.quiet)
+		o.TakesDue(at)
+		o.LoseFence(at, "e1")
+		require.NotContains(t, names(o.TakesDue(at.Add(row.pause-1))), "e1", "%+v", row)
+		require.Contains(t, names(o.TakesDue(at.Add(row.pause))), "e1", "%+v", row)
+	}
+}
+
+func TestListsAreReadInTurnOnTakenEndpointsOnly(t *testing.T) {
+	o := newTakeover()
+	o.TakesDue(begin)
+	o.Adopt(begin, "e1")
+	require.Empty(t, o.InspectionsDue(after(inspect-1)), "the answer to the takeover held a list")
+	require.Equal(t, []string{"e1"}, names(o.InspectionsDue(after(inspect))))
+	require.Empty(t, o.InspectionsDue(after(inspect)), "a lost reading is made good by the next one")
+	require.Equal(t, []string{"e1"}, names(o.InspectionsDue(after(2*inspect))))
+	o.Inspect(after(2*inspect+inspect/2), "e1")
+	require.Empty(t, o.InspectionsDue(after(3*inspect)), "a reading out of turn moves the next one")
+	o.LoseFence(after(3*inspect), "e1")
+	require.Empty(t, o.InspectionsDue(after(time.Hour)))
+}
--- a/services/node/placing.go
+++ b/services/node/placing.go
@@ -19,7 +19,7 @@
 		return
 	}
 	n.learnReply(now, e)
-	if len(ps.adopted) < len(ps.pool.Endpoints) && now.Sub(ps.tookAt) <= flushAfter && len(ps.waiting) < maxWaitingTaken {
+	if ps.takeover.Holds(now) && len(ps.waiting) < maxWaitingTaken {
 		ps.waiting = append(ps.waiting, e)
 		return
 	}
@@ -93,11 +93,10 @@
 		case placement.Load:
 			n.emit(Order{Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint), Load: e})
 		case placement.Inspect:
-			ps.inspected[e.Endpoint] = now
+			ps.takeover.Inspect(now, e.Endpoint)
 			n.emit(Inspect{Pool: ps.pool.Name, Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint)})
 		case placement.Retake:
-			ps.adopted[e.Endpoint] = false
-			ps.asked[e.Endpoint] = time.Time{}
+			ps.takeover.Retake(e.Endpoint)
 			n.retryTakes(now, ps)
 		case placement.Note:
 			event := e.Event
