--- /dev/null
+++ b/tests/pinned/entry/program_test.go
@@ -0,0 +1,151 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package entry_test
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"net"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"strconv"
+	"strings"
+	"sync"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// ip is a loopback address that no other test uses.
+const ip = "127.0.0.77"
+
+var (
+	buildOnce  sync.Once
+	builtFile  string
+	builtError error
+)
+
+func TestMain(m *testing.M) {
+	code := m.Run()
+	if builtFile != "" {
+		_ = os.RemoveAll(filepath.Dir(builtFile))
+	}
+	os.Exit(code)
+}
+
+// binary builds the program once.
+func binary(t *testing.T) string {
+	t.Helper()
+	directory := root(t)
+	buildOnce.Do(func() {
+		var target string
+		if target, builtError = os.MkdirTemp("", "shelfledge-entry"); builtError != nil {
+			return
+		}
+		builtFile = filepath.Join(target, "shelfledge-entry")
+		build := exec.Command("go", "build", "-o", builtFile, program)
+		build.Dir = directory
+		if output, err := build.CombinedOutput(); err != nil {
+			builtError = fmt.Errorf("%w: %s", err, output)
+		}
+	})
+	require.NoError(t, builtError)
+	return builtFile
+}
+
+// ports are free ports for one run of the program.
+type ports struct {
+	callers, ready, peers, metrics string
+}
+
+func freePorts(t *testing.T) ports {
+	t.Helper()
+	var found []string
+	for range 4 {
+		listener, err := net.Listen("tcp4", ip+":0")
+		require.NoError(t, err)
+		defer func() { _ = listener.Close() }()
+		found = append(found, strconv.Itoa(listener.Addr().(*net.TCPAddr).Port))
+	}
+	return ports{callers: found[0], ready: found[1], peers: found[2], metrics: found[3]}
+}
+
+// settingsFile writes the fixed settings with the addresses of one run.
+func settingsFile(t *testing.T, p ports, store string) string {
+	t.Helper()
+	text := strings.NewReplacer("IP", ip, "CALLERS", p.callers, "READY", p.ready, "PEERS", p.peers, "STORE", store).
+		Replace(string(input(t, "settings.json")))
+	path := filepath.Join(t.TempDir(), "settings.json")
+	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
+	return path
+}
+
+// TestCommandLine pins flags, usage, errors and exit codes.
+func TestCommandLine(t *testing.T) {
+	t.Parallel()
+	taken, err := net.Listen("tcp4", ip+":0")
+	require.NoError(t, err)
+	defer func() { _ = taken.Close() }()
+	free := freePorts(t)
+	occupied := free
+	occupied.peers = strconv.Itoa(taken.Addr().(*net.TCPAddr).Port)
+	good, busy := settingsFile(t, free, "127.0.0.1:9"), settingsFile(t, occupied, "127.0.0.1:9")
+	broken := filepath.Join(t.TempDir(), "broken.json")
+	require.NoError(t, os.WriteFile(broken, []byte("{"), 0o600))
+	cases := []struct {
+		name        string
+		environment string
+		arguments   []string
+	}{
+		{"help", "", []string{"--help"}},
+		{"unknown flag", "", []string{"--no-such-flag"}},
+		{"unknown log level", "", []string{"--log-level=loud"}},
+		{"unknown argument", "", []string{"argument"}},
+		{"bad port", "", []string{"--metrics-port=70000"}},
+		{"missing settings", "", []string{"--settings=/nonexistent/settings.json"}},
+		{"missing settings by the environment", "SHELFLEDGE_CONFIG=/nonexistent/environment.json", nil},
+		{"broken settings", "", []string{"--settings=" + broken}},
+		{"bad settings", "", []string{"--settings=testdata/bad_settings.json"}},
+		{"bad settings checked", "", []string{"--check-settings", "--settings=testdata/bad_settings.json"}},
+		{"good settings checked", "", []string{"--check-settings", "--settings=" + good}},
+		{"good settings checked by the environment", "SHELFLEDGE_CONFIG=" + good, []string{"--check-settings"}},
+		{"port in use", "", []string{"--settings=" + busy}},
+	}
+	var all strings.Builder
+	for _, one := range cases {
+		command := exec.Command(binary(t), one.arguments...)
+		command.Env = append(os.Environ(), one.environment)
+		var stdout, stderr bytes.Buffer
+		command.Stdout, command.Stderr = &stdout, &stderr
+		code := exitCode(t, command.Run())
+		errorText := stderr.String()
+		if strings.HasPrefix(one.name, "bad settings") {
+			// The problems come in no fixed order.
+			errorText = sortedLines(strings.Split(strings.TrimSpace(errorText), "\n"))
+		}
+		errorText = strings.ReplaceAll(errorText, occupied.peers, "PORT")
+		fmt.Fprintf(&all, "=== %s: exit code %d\n--- output\n%s--- errors\n%s", one.name, code, stdout.String(), errorText)
+	}
+	pin(t, "command_line.txt", all.String())
+}
+
+// TestVersion pins that the version is printed and no settings are needed; its text follows the build.
+func TestVersion(t *testing.T) {
+	t.Parallel()
+	output, err := exec.Command(binary(t), "--version").Output()
+	require.NoError(t, err)
+	require.NotEmpty(t, strings.TrimSpace(string(output)))
+}
+
+func exitCode(t *testing.T, err error) int {
+	t.Helper()
+	if err == nil {
+		return 0
+	}
+	var failed *exec.ExitError
+	require.True(t, errors.As(err, &failed), "%v", err)
+	return failed.ExitCode()
+}
