--- a/services/loading/placement.go
+++ b/services/loading/placement.go
@@ -30,7 +30,8 @@
 	// warmLoadTime is when to ask first about a load of an adapter that the endpoint held before. Sooner wastes a call,
 	// later leaves requests waiting. Not measured by a recorded run.
 	warmLoadTime = 30 * time.Millisecond
-	// firstVersion is an adapter's version, a count, before another one is named by the configuration.
+	// firstVersion is an adapter's version, a count, before another one is named by the configuration. Not
+	// measured: it is the first number.
 	firstVersion = 1
 )
 
--- a/services/loading/value.go
+++ b/services/loading/value.go
@@ -13,8 +13,8 @@
 	// horizon is how far ahead the use of a copy is counted. Longer brings and keeps copies that are asked for rarely,
 	// shorter leaves more room for those that requests wait for now. Not measured.
 	horizon = 15 * time.Second
-	// inTimeValue is what a waiting request that can still be answered in time is worth, in requests served: the unit of
-	// all values here.
+	// inTimeValue is what a waiting request that can still be answered in time is worth, in requests served. It is the unit of
+	// all values here, so that there is nothing to trade. Not measured.
 	inTimeValue = 1.0
 	// lateValue is what a waiting request that can no longer be answered in time is worth, in requests served. Higher loads
 	// more for callers who are late already, at the cost of those who could be served in time. Not measured.
--- /dev/null
+++ b/tests/constants/constants_test.go
@@ -0,0 +1,173 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+// Package constants_test keeps docs/constants.md in step with the constants of the deciding packages.
+package constants_test
+
+import (
+	"bytes"
+	"go/ast"
+	"go/parser"
+	"go/printer"
+	"go/token"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+)
+
+const (
+	root         = "../.."
+	page         = root + "/docs/constants.md"
+	measuredPage = root + "/docs/design/0006-measured.md"
+)
+
+// decidingPackages are the folders whose constants the page must list.
+var decidingPackages = []string{
+	"services/admission", "services/balance", "services/retry", "services/directory", "services/loading",
+}
+
+// constant is one numeric constant as the code declares it.
+type constant struct {
+	value   string
+	comment string
+}
+
+// row is one line of the page.
+type row struct {
+	value, unit, trades, measured string
+}
+
+func TestThePageListsEachConstantWithItsValue(t *testing.T) {
+	sections := readPage(t)
+	for _, folder := range decidingPackages {
+		assert.Contains(t, sections, folder, "the page has no section for this package")
+	}
+	for folder, rows := range sections {
+		declared := readConstants(t, folder)
+		for name, one := range declared {
+			listed, ok := rows[name]
+			if assert.True(t, ok, "%s: the page lacks %s", folder, name) {
+				assert.Equal(t, one.value, listed.value, "%s: value of %s", folder, name)
+			}
+		}
+		for name := range rows {
+			assert.Contains(t, declared, name, "%s: the code has no such constant", folder)
+		}
+	}
+}
+
+func TestEachConstantHasUnitTradeOffAndSource(t *testing.T) {
+	content, err := os.ReadFile(measuredPage)
+	require.NoError(t, err)
+	quoted := regexp.MustCompile(`"([^"]+)"`)
+	for folder, rows := range readPage(t) {
+		for name, one := range rows {
+			assert.NotEmpty(t, one.unit, "%s: unit of %s", folder, name)
+			assert.NotEmpty(t, one.trades, "%s: trade-off of %s", folder, name)
+			assert.NotEmpty(t, one.measured, "%s: source of %s", folder, name)
+			for _, quote := range quoted.FindAllStringSubmatch(one.measured, -1) {
+				assert.Contains(t, string(content), "| "+quote[1], "%s: the measured page has no row that %s quotes", folder, name)
+			}
+		}
+	}
+}
+
+func TestEachConstantsCommentSaysWhetherItWasMeasured(t *testing.T) {
+	for folder := range readPage(t) {
+		for name, one := range readConstants(t, folder) {
+			assert.Contains(t, strings.ToLower(one.comment), "measured", "%s: comment of %s", folder, name)
+		}
+	}
+}
+
+// readPage gives the page's rows by folder and name.
+func readPage(t *testing.T) map[string]map[string]row {
+	t.Helper()
+	content, err := os.ReadFile(page)
+	require.NoError(t, err)
+	sections := make(map[string]map[string]row)
+	var rows map[string]row
+	for line := range strings.Lines(string(content)) {
+		line = strings.TrimSpace(line)
+		if folder, ok := strings.CutPrefix(line, "## "); ok {
+			rows = make(map[string]row)
+			sections[folder] = rows
+		}
+		if !strings.HasPrefix(line, "| `") {
+			continue
+		}
+		cells := strings.Split(strings.Trim(line, "|"), " | ")
+		require.Len(t, cells, 5, line)
+		for i := range cells {
+			cells[i] = strings.TrimSpace(cells[i])
+		}
+		name := strings.Trim(cells[0], "`")
+		require.NotContains(t, rows, name, "listed twice")
+		rows[name] = row{value: strings.Trim(cells[1], "`"), unit: cells[2], trades: cells[3], measured: cells[4]}
+	}
+	return sections
+}
+
+// readConstants gives the numeric constants that the files of a folder declare outside functions, tests excepted.
+func readConstants(t *testing.T, folder string) map[string]constant {
+	t.Helper()
+	paths, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
+	require.NoError(t, err)
+	require.NotEmpty(t, paths, folder)
+	constants := make(map[string]constant)
+	for _, path := range paths {
+		if strings.HasSuffix(path, "_test.go") {
+			continue
+		}
+		files := token.NewFileSet()
+		parsed, err := parser.ParseFile(files, path, nil, parser.ParseComments)
+		require.NoError(t, err)
+		for _, declaration := range parsed.Decls {
+			group, ok := declaration.(*ast.GenDecl)
+			if ok && group.Tok == token.CONST {
+				addGroup(t, files, group, constants)
+			}
+		}
+	}
+	return constants
+}
+
+// addGroup adds the numeric constants of one declaration. One without a comment of its own shares that of the one before.
+func addGroup(t *testing.T, files *token.FileSet, group *ast.GenDecl, constants map[string]constant) {
+	t.Helper()
+	comment := group.Doc.Text()
+	for _, spec := range group.Specs {
+		values := spec.(*ast.ValueSpec)
+		if values.Doc != nil {
+			comment = values.Doc.Text()
+		}
+		for i, name := range values.Names {
+			if len(values.Values) <= i || !numeric(values.Values[i]) {
+				continue
+			}
+			var text bytes.Buffer
+			require.NoError(t, printer.Fprint(&text, files, values.Values[i]))
+			constants[name.Name] = constant{value: text.String(), comment: comment}
+		}
+	}
+}
+
+// numeric tells whether an expression is a number that somebody chose: neither a text nor a running count of kinds.
+func numeric(expression ast.Expr) bool {
+	result := true
+	ast.Inspect(expression, func(node ast.Node) bool {
+		switch part := node.(type) {
+		case *ast.BasicLit:
+			result = result && part.Kind != token.STRING
+		case *ast.Ident:
+			result = result && part.Name != "iota"
+		}
+		return true
+	})
+	return result
+}
