--- a/tests/pinned/daemon/pinned_test.go
+++ b/tests/pinned/daemon/pinned_test.go
@@ -11,6 +11,7 @@
 	"os"
 	"path/filepath"
 	"reflect"
+	"strings"
 	"testing"
 	"time"
 
@@ -34,7 +35,17 @@
 	if *update {
 		require.NoError(t, os.WriteFile(filepath.Join("testdata", name), data, 0o600))
 	}
-	require.Equal(t, string(pinned(t, name)), string(data), "%s differs from what others see", name)
+	requireLines(t, name, pinned(t, name), data)
+}
+
+// requireLines fails at the first line that differs.
+func requireLines(t *testing.T, name string, want, got []byte) {
+	t.Helper()
+	wanted, found := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
+	for i := range min(len(wanted), len(found)) {
+		require.Equal(t, wanted[i], found[i], "%s differs from what others see in line %d", name, i+1)
+	}
+	require.Len(t, found, len(wanted), "%s differs from what others see in its length", name)
 }
 
 func indented(t *testing.T, value any) []byte {
@@ -60,7 +71,7 @@
 	d.DisallowUnknownFields()
 	require.NoError(t, d.Decode(&out), name)
 	requireFilled(t, name, "json", reflect.ValueOf(out))
-	require.Equal(t, string(pinned(t, name)), string(indented(t, out)), name)
+	requireLines(t, name, pinned(t, name), indented(t, out))
 }
 
 // filler gives every field a value of its own.
