--- a/models/catalog/catalog_test.go
+++ b/models/catalog/catalog_test.go
@@ -73,7 +73,7 @@
 			next, inverse, err := current.Apply(int64(i+1), []catalog.Change{c})
 			require.Equal(t, before, encoded(t, current), "a catalog never changes once built")
 			if err != nil {
-				require.True(t, catalog.IsErrBadChange(err))
+				require.ErrorAs(t, err, new(catalog.ErrBadChange))
 				continue
 			}
 			back, _, err := next.Apply(int64(i+2), inverse)
@@ -107,7 +107,7 @@
 	c, _, err = c.Apply(3, inverse)
 	require.NoError(t, err)
 	_, err = c.Resolve("a@2", 0)
-	require.True(t, catalog.IsErrVersionNotExist(err))
+	require.ErrorAs(t, err, new(catalog.ErrVersionNotExist))
 	_, _, err = c.Apply(4, []catalog.Change{{Kind: catalog.CreateVersion, Name: "a", Version: 2, Source: "y"}})
 	require.Error(t, err, "the name a@2 must never mean other weights")
 }
@@ -151,7 +151,9 @@
 		_, errSnapshot := catalog.DecodeSnapshot(data)
 		_, errRecord := catalog.DecodeRecord(data)
 		for _, err := range []error{errSnapshot, errRecord} {
-			require.True(t, err == nil || catalog.IsErrBadEncoding(err))
+			if err != nil {
+				require.ErrorAs(t, err, new(catalog.ErrBadEncoding))
+			}
 		}
 	})
 }
--- a/models/catalog/codec.go
+++ b/models/catalog/codec.go
@@ -5,7 +5,6 @@
 
 import (
 	"encoding/json"
-	"errors"
 	"fmt"
 	"sort"
 
@@ -25,12 +24,6 @@
 	return fmt.Sprintf("the stored %s cannot be read: %s", e.What, e.Reason)
 }
 
-// IsErrBadEncoding tells whether an error is an ErrBadEncoding.
-func IsErrBadEncoding(err error) bool {
-	var e ErrBadEncoding
-	return errors.As(err, &e)
-}
-
 // maxDecoded bounds what a stored value may unfold to, in bytes.
 const maxDecoded = 64 << 20
 
--- a/models/catalog/error.go
+++ b/models/catalog/error.go
@@ -20,12 +20,6 @@
 	return fmt.Sprintf("no adapter or service is named %q", e.Name)
 }
 
-// IsErrModelNotExist tells whether an error is an ErrModelNotExist.
-func IsErrModelNotExist(err error) bool {
-	var e ErrModelNotExist
-	return errors.As(err, &e)
-}
-
 // ErrVersionNotExist reports a version that does not exist or is retired.
 type ErrVersionNotExist struct {
 	Ref fleet.AdapterRef
@@ -36,12 +30,6 @@
 	return fmt.Sprintf("adapter %q has no version %d in service", e.Ref.Name, e.Ref.Version)
 }
 
-// IsErrVersionNotExist tells whether an error is an ErrVersionNotExist.
-func IsErrVersionNotExist(err error) bool {
-	var e ErrVersionNotExist
-	return errors.As(err, &e)
-}
-
 // ErrBadChange reports a change that the present configuration does not allow.
 type ErrBadChange struct {
 	Index  int
@@ -55,12 +43,6 @@
 	return fmt.Sprintf("change %d (%s %s): %s", e.Index+1, e.Kind, e.Name, e.Reason)
 }
 
-// IsErrBadChange tells whether an error is an ErrBadChange.
-func IsErrBadChange(err error) bool {
-	var e ErrBadChange
-	return errors.As(err, &e)
-}
-
 // ErrRevisionConflict reports a change based on a revision that another operator's change followed.
 type ErrRevisionConflict struct {
 	BasedOn  int64
--- a/models/fleet/adapter_ref.go
+++ b/models/fleet/adapter_ref.go
@@ -25,12 +25,6 @@
 	return fmt.Sprintf("%q is not of the form adapter@version", e.Text)
 }
 
-// IsErrBadAdapterRef tells whether an error is an ErrBadAdapterRef.
-func IsErrBadAdapterRef(err error) bool {
-	_, ok := err.(ErrBadAdapterRef)
-	return ok
-}
-
 // String gives the engine's name of the version, adapter@version.
 func (r AdapterRef) String() string {
 	return r.Name + "@" + strconv.Itoa(r.Version)
--- a/modules/engine/dialect.go
+++ b/modules/engine/dialect.go
@@ -115,12 +115,6 @@
 	return fmt.Sprintf("%s may or may not have been run: %s", e.What, e.Reason)
 }
 
-// IsErrUnknown tells whether an error is an ErrUnknown.
-func IsErrUnknown(err error) bool {
-	var e ErrUnknown
-	return errors.As(err, &e)
-}
-
 // NextFence gives a fence above every one seen that no other holder can choose:
 // the low bits are the holder's own.
 func NextFence(seen uint64, holder uint16) uint64 {
--- a/modules/language/grammar.go
+++ b/modules/language/grammar.go
@@ -271,12 +271,6 @@
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Reason)
 }
 
-// IsErrSyntax tells whether an error is an ErrSyntax.
-func IsErrSyntax(err error) bool {
-	var e ErrSyntax
-	return errors.As(err, &e)
-}
-
 // Point draws the line of the text with a mark under the column.
 func (e ErrSyntax) Point(text string) string {
 	lines := strings.Split(text, "\n")
--- a/modules/language/language_test.go
+++ b/modules/language/language_test.go
@@ -71,7 +71,7 @@
 	f.Fuzz(func(t *testing.T, text string) {
 		_, err := language.Parse(text)
 		if err != nil {
-			require.True(t, language.IsErrSyntax(err))
+			require.ErrorAs(t, err, new(language.ErrSyntax))
 		}
 	})
 }
--- a/modules/ring/ring.go
+++ b/modules/ring/ring.go
@@ -4,8 +4,6 @@
 package ring
 
 import (
-	"sort"
-
 	"github.com/cespare/xxhash/v2"
 )
 
@@ -38,16 +36,3 @@
 	}
 	return best
 }
-
-// Rank gives the candidates, the highest score first.
-func Rank(key string, candidates []string) []string {
-	out := append([]string(nil), candidates...)
-	sort.Slice(out, func(i, j int) bool {
-		a, b := Score(key, out[i]), Score(key, out[j])
-		if a != b {
-			return a > b
-		}
-		return out[i] < out[j]
-	})
-	return out
-}
--- a/modules/setting/decode.go
+++ b/modules/setting/decode.go
@@ -37,12 +37,6 @@
 	return b.String()
 }
 
-// IsErrBadSettings tells whether an error is an ErrBadSettings.
-func IsErrBadSettings(err error) bool {
-	_, ok := err.(ErrBadSettings)
-	return ok
-}
-
 // document is a parsed file with the line of each name.
 type document struct {
 	raw      []byte
--- a/services/command/translate.go
+++ b/services/command/translate.go
@@ -21,12 +21,6 @@
 // Error gives the reason.
 func (e ErrMeaning) Error() string { return e.Reason }
 
-// IsErrMeaning tells whether an error is an ErrMeaning.
-func IsErrMeaning(err error) bool {
-	_, ok := err.(ErrMeaning)
-	return ok
-}
-
 // translator turns statements into changes; what the present configuration says is only read.
 type translator struct {
 	current *catalog.Catalog
--- a/services/relay/service.go
+++ b/services/relay/service.go
@@ -7,7 +7,6 @@
 	"context"
 	"net/http"
 	"sync"
-	"sync/atomic"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/fleet"
@@ -54,7 +53,6 @@
 	endpoints map[string]fleet.Endpoint
 	budget    *retryBudget
 	running   sync.WaitGroup
-	count     atomic.Int64
 }
 
 // New makes a relay.
@@ -66,11 +64,6 @@
 	return s
 }
 
-// Running gives the number of requests in the relay.
-func (s *Service) Running() int64 {
-	return s.count.Load()
-}
-
 // Wait returns when every request and every late cancel has ended.
 func (s *Service) Wait() {
 	s.running.Wait()
@@ -98,11 +91,9 @@
 // unless w shows otherwise, and is to be told to the caller.
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, j Job) error {
 	s.running.Add(1)
-	s.count.Add(1)
 	s.options.Metrics.Streams.Inc()
 	defer func() {
 		s.options.Metrics.Streams.Dec()
-		s.count.Add(-1)
 		s.running.Done()
 	}()
 	run := &run{service: s, job: j, out: newWriter(w, s.options.SlowReader, s.options.Now), arrived: s.options.Now()}
