--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -85,6 +85,33 @@
 	assert.NotZero(t, count)
 }
 
+// TestEachFailureNamesItsTest wants a test, or the words "no test", in the last cell of each row of the table of failures.
+func TestEachFailureNamesItsTest(t *testing.T) {
+	content, err := os.ReadFile(filepath.Join(root, "docs", "ARCHITECTURE.md"))
+	require.NoError(t, err)
+	_, section, found := strings.Cut(string(content), "\n## When a dependency fails\n")
+	require.True(t, found)
+	section, _, _ = strings.Cut(section, "\n## ")
+	rows := 0
+	for line := range strings.SplitSeq(section, "\n") {
+		cells := strings.Split(line, "|")
+		if len(cells) < failureCells || strings.Contains(line, "| --- |") || strings.HasPrefix(line, "| failure |") {
+			continue
+		}
+		rows++
+		assert.Regexp(t, "^ `Test|no test", cells[len(cells)-2], "%s", cells[1])
+	}
+	assert.Greater(t, rows, leastFailures)
+}
+
+const (
+	// failureCells is the number of parts that the bars of a row of the table of failures make, at least.
+	failureCells = 8
+	// leastFailures is how many kinds of failures it must tell of: those of the store, the planner, peers, endpoints, the weight
+	// store, the platform's list, a hall and the clock.
+	leastFailures = 16
+)
+
 // TestMadeUpNamesAreFound shows that the check fails where it should: one made-up name of each kind.
 func TestMadeUpNamesAreFound(t *testing.T) {
 	all := readTree(t)
@@ -112,6 +139,7 @@
 	settingForm = regexp.MustCompile(`^[a-z_]+(\.[a-z_]+)+$`)
 	fileForm    = regexp.MustCompile(`\.(go|md|json|yml|toml|jsonl)$`)
 	fieldForm   = regexp.MustCompile(`^"(msg|reason|result|wait)":"([^"]+)"$`)
+	valueForm   = regexp.MustCompile(`^[0-9][0-9.e-]*(?: \* time\.[A-Z][a-z]+)?$`)
 	numberForm  = regexp.MustCompile(`\bN\b`)
 	holderForm  = regexp.MustCompile(`\b[A-Z]{2,}\b`)
 	callForm    = regexp.MustCompile(`^(GET|POST|DELETE|HEAD|OPTIONS|PUT) (/\S*)$`)
@@ -121,6 +149,9 @@
 func (all *tree) knows(named mention) bool {
 	text := named.text
 	switch {
+	case valueForm.MatchString(text):
+		// A value is no name.
+		return true
 	case callForm.MatchString(text):
 		return all.knowsURL(callForm.FindStringSubmatch(text)[2])
 	case fieldForm.MatchString(text):
