--- /dev/null
+++ b/tests/pinned/program/flags_test.go
@@ -0,0 +1,64 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package program_test
+
+import (
+	"fmt"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+)
+
+// calls lists command lines by program; "closed" is a port at which nobody listens.
+var calls = map[string][]string{
+	"shelfledged": {
+		"--help", "--no-such-flag", "surplus", "--settings", "--settings none.json", "--check-settings", "--version --no-such-flag", "",
+	},
+	"shelfctl": {
+		"--help", "run --help", "prompt --help", "top --help", "version --help", "--no-such-flag", "", "no-such-command", "run --output xml show",
+		"run --file none.txt", "--key-file none.key run x", "--ca none.pem run x", "--ca bad.pem run x", "--address here run x",
+		"--wait soon run x", "top --every soon", "--address 127.0.0.1:1 --wait 1ms run x", "--address 127.0.0.1:1 top --no-such-flag",
+	},
+	"replay": {
+		"--help", "--no-such-flag", "", "--fleet none.json", "--trace none.jsonl", "--fleet none.json --trace none.jsonl", "--seed x",
+	},
+}
+
+func TestFlagsAndExitCodes(t *testing.T) {
+	for name, list := range calls {
+		t.Run(name, func(t *testing.T) {
+			folder := temporary(t)
+			write(t, folder, "bad.pem", "no certificate\n")
+			var out strings.Builder
+			for _, call := range list {
+				got := run(t, folder, name, strings.Fields(call)...)
+				fmt.Fprintf(&out, "== %s %s\n%s", name, call, got.text(folder))
+			}
+			pin(t, "flags/"+name+".txt", out.String())
+		})
+	}
+}
+
+func TestVersionIsPrinted(t *testing.T) {
+	for _, call := range [][]string{{"shelfledged", "--version"}, {"shelfctl", "version"}} {
+		got := run(t, temporary(t), call[0], call[1:]...)
+		require.Zero(t, got.code)
+		require.Empty(t, got.stderr)
+		require.Regexp(t, regexp.MustCompile(`^\S.*\n$`), got.stdout)
+	}
+}
+
+// TestOtherProgramsTakeFlagsAlike holds the tools to the exit codes only; their options are no promise.
+func TestOtherProgramsTakeFlagsAlike(t *testing.T) {
+	for _, name := range others {
+		help := run(t, temporary(t), name, "--help")
+		require.Zero(t, help.code, name)
+		require.True(t, strings.HasPrefix(help.stdout, "Usage: "+name+" "), "%s: %s", name, help.stdout)
+		bad := run(t, temporary(t), name, "--no-such-flag")
+		require.Equal(t, exitBadUsage, bad.code, name)
+		require.Equal(t, name+": error: unknown flag --no-such-flag", strings.TrimSpace(bad.stderr))
+	}
+}
--- /dev/null
+++ b/tests/pinned/program/settings_test.go
@@ -0,0 +1,196 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package program_test
+
+import (
+	"fmt"
+	"os"
+	"path/filepath"
+	"regexp"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/modules/setting"
+)
+
+// daemonRejected makes a rejected file of daemon_least.json with each line.
+const daemonRejected = `
+instance.id ""
+instance.hall "h9"
+listen.callers.address
+listen.operators.address "127.0.0.1:7080"
+listen.peers.address "here"
+listen.callers.tls.cert "c.pem"
+listen.operators.tls.client_ca "ca.pem"
+halls []
+halls "h1"
+seeds[0].id ""
+seeds[0].hall "h9"
+seeds[0].address
+endpoints[0].name ""
+endpoints[1].name "e1"
+endpoints[0].hall "h9"
+endpoints[0].address
+endpoints[0].kind "other"
+endpoints[0].bases []
+endpoints[0].slots 0
+endpoints[0].max_batch 0
+endpoints[0].step 25
+endpoints[0].load "soon"
+endpoints[1].prefix "tickets"
+endpoints[1].prefix "/v1/x"
+classes[0].name ""
+classes[1].name "kiosk"
+classes[0].stall_weight -1
+classes[0].max_queued_tokens -1
+classes[0].priority "high"
+classes[0].patient 1
+kv.addresses []
+kv.addresses ["x"]
+kv.timeout "0s"
+kv.claim_ttl "0s"
+kv.reads_per_second 0
+kv.writes_per_second 0
+platform.every "0s"
+platform.timeout "-1s"
+platform.list "x"
+weight_store.loads_per_second 0
+weight_store.at_full_speed 0
+limits.max_body_bytes 1023
+limits.max_body_bytes 67108865
+limits.max_requests 0
+limits.max_requests 1000001
+limits.retry_share 1.1
+limits.retry_share -0.1
+limits.max_attempts 0
+limits.max_attempts 11
+limits.output_tokens 0
+limits.bytes_per_token 65
+limits.default_wait "0s"
+limits.slow_reader "0s"
+limits.endpoint_silent "0s"
+limits.drain_limit "0s"
+limits.leave_notice "0s"
+decision.tenant_share 0
+decision.tenant_share 7
+decision.tenant_batch_share 1.1
+decision.gather_share -1
+decision.reserve_share 0.95
+decision.preload_gain 0
+decision.give_up_failures 101
+decision.bounded_load 0.9
+decision.aging_step "0s"
+decision.fast_half_life "0s"
+decision.slow_half_life "0s"
+decision.gather_limit "0s"
+decision.load_timeout "0s"
+timing.heartbeat "0s"
+timing.heartbeat "1s"
+timing.lost_after "0s"
+timing.settle "0s"
+timing.digest "0s"
+timing.hall_silence "0s"
+timing.inspect "0s"
+timing.grant_age "0s"
+timing.start_within "0s"
+timing.lease_ttl "0s"
+timing.lease_ttl "10.5s"
+timing.lease_margin "0s"
+timing.lease_renew "0s"
+timing.lease_renew "7s"
+operators.failures_per_minute 0
+operators.keys[0].name ""
+operators.keys[0].role "king"
+operators.keys[0].sha256 "00"
+log.level "loud"
+log.format "xml"
+limits.max_atempts 3
+colour "red"
+metrics.max_callers "many"`
+
+// ownType is the name of a Go type of this module in a decoding error: it is no promise.
+var ownType = regexp.MustCompile(` Go value of type [a-z]+\.[A-Za-z]+`)
+
+func read(t *testing.T, name string) string {
+	t.Helper()
+	raw, err := os.ReadFile(filepath.Join("testdata", name))
+	require.NoError(t, err)
+	return string(raw)
+}
+
+// daemonValues gives what the daemon reads from a settings file.
+func daemonValues(t *testing.T, text string) map[string]string {
+	t.Helper()
+	settings, err := setting.Parse("file", []byte(text))
+	require.NoError(t, err)
+	return dump(settings)
+}
+
+func TestDaemonSettings(t *testing.T) {
+	full := daemonValues(t, read(t, "settings/daemon_full.json"))
+	least := daemonValues(t, read(t, "settings/daemon_least.json"))
+	for path, value := range least {
+		if got, ok := full[path]; ok && path != "endpoints[0].kind" && path != "endpoints[1].kind" {
+			require.NotEqual(t, value, got, "daemon_full.json should not set %s to its default", path)
+		}
+	}
+	pin(t, "settings/daemon_full.values.txt", lines(full))
+	pin(t, "settings/daemon_least.values.txt", lines(least))
+	sample, err := os.ReadFile(filepath.Join(root, "conf/shelfledged.sample.json"))
+	require.NoError(t, err)
+	pin(t, "settings/daemon_sample.values.txt", lines(daemonValues(t, string(sample))))
+}
+
+func TestDaemonAcceptsSettings(t *testing.T) {
+	for _, name := range []string{"settings/daemon_full.json", "settings/daemon_least.json"} {
+		got := run(t, "testdata", "shelfledged", "--settings", name, "--check-settings")
+		require.Equal(t, outcome{stdout: "the settings are valid\n"}, got, name)
+	}
+}
+
+// TestDaemonFullNamesEveryField holds that the full file has each field that is decoded.
+func TestDaemonFullNamesEveryField(t *testing.T) {
+	text := read(t, "settings/daemon_full.json")
+	index := regexp.MustCompile(`\[\d+\]`)
+	for path := range daemonValues(t, text) {
+		name := index.ReplaceAllString(path, "")
+		require.Contains(t, text, fmt.Sprintf("%q:", name[strings.LastIndex(name, ".")+1:]), path)
+	}
+}
+
+// TestDaemonRejectsSettings pins the error of each rejected file, as the daemon prints it.
+func TestDaemonRejectsSettings(t *testing.T) {
+	least := read(t, "settings/daemon_least.json")
+	cases := []struct{ title, text string }{{"broken", brokenSettings}, {"empty", ""}, {"list", "[]"}}
+	for _, c := range changes(daemonRejected) {
+		cases = append(cases, struct{ title, text string }{c.path + " " + c.value, edited(t, least, c.path, c.value)})
+	}
+	var out strings.Builder
+	for _, c := range cases {
+		_, err := setting.Parse("file.json", []byte(c.text))
+		require.Error(t, err, c.title)
+		fmt.Fprintf(&out, "== %s\n%s\n", c.title, ownType.ReplaceAllString(err.Error(), ""))
+	}
+	pin(t, "settings/daemon_rejected.txt", out.String())
+}
+
+const brokenSettings = "{\n\"halls\": [\n"
+
+// TestDaemonEndsOnBadSettings pins how the program ends on files that cannot be read or are wrong.
+func TestDaemonEndsOnBadSettings(t *testing.T) {
+	least := read(t, "settings/daemon_least.json")
+	folder := temporary(t)
+	write(t, folder, "broken.json", brokenSettings)
+	write(t, folder, "wrong.json", edited(t, edited(t, least, "limits.max_attempts", "0"), "log.level", `"loud"`))
+	var out strings.Builder
+	for _, file := range []string{"broken.json", "wrong.json", "none.json"} {
+		for _, arguments := range [][]string{{"--settings", file}, {"--settings", file, "--check-settings"}} {
+			got := run(t, folder, "shelfledged", arguments...)
+			fmt.Fprintf(&out, "== %s\n%s", strings.Join(arguments, " "), got.text(folder))
+		}
+	}
+	pin(t, "settings/daemon_ended.txt", out.String())
+}
