--- a/services/node/configuration.go
+++ b/services/node/configuration.go
@@ -108,7 +108,7 @@
 	n.emit(Publish{Catalog: next})
 	n.applyConfiguration(now)
 	n.heartbeatAll(now)
-	n.digested = time.Time{}
+	n.digests.Hurry()
 	n.sendDigests(now)
 }
 
--- a/services/node/entry.go
+++ b/services/node/entry.go
@@ -90,8 +90,7 @@
 		if r == nil {
 			return fleet.Instance{}, false
 		}
-		i, ok := r.placers[ps.pool.Name]
-		return i.Instance, ok
+		return r.Placer(ps.pool.Name)
 	}
 	if m := n.members.Member(ps.holder); m != nil && m.Alive {
 		return m.Instance, true
@@ -194,8 +193,8 @@
 		return true
 	}
 	r := n.remotes[ps.pool.Hall]
-	_, ok := r.placers[ps.pool.Name]
-	return ok && !r.cut
+	_, ok := r.Placer(ps.pool.Name)
+	return ok && !r.Cut()
 }
 
 func (n *Node) sortedPending() []*pendingRequest {
--- a/services/node/loads.go
+++ b/services/node/loads.go
@@ -26,17 +26,17 @@
 		return n.speaker()
 	}
 	r := n.remotes[hall]
-	if r == nil || r.speaker.ID == "" {
+	if r == nil {
 		return fleet.Instance{}, false
 	}
-	return r.speaker, true
+	return r.Speaker()
 }
 
 // visibleHalls names the halls that are not cut off from this one, itself included.
 func (n *Node) visibleHalls() []string {
 	halls := []string{n.options.Self.Hall}
 	for name, r := range n.remotes {
-		if !r.cut {
+		if !r.Cut() {
 			halls = append(halls, name)
 		}
 	}
@@ -188,10 +188,8 @@
 		return p.instance, true
 	}
 	for _, r := range n.remotes {
-		for _, i := range r.instances {
-			if i.ID == id {
-				return i, true
-			}
+		if i, ok := r.Instance(id); ok {
+			return i, true
 		}
 	}
 	i, ok := n.known[id]
--- a/services/node/node.go
+++ b/services/node/node.go
@@ -11,6 +11,7 @@
 	"github.com/shelfledge/shelfledge/models/fleet"
 	"github.com/shelfledge/shelfledge/services/budget"
 	"github.com/shelfledge/shelfledge/services/membership"
+	"github.com/shelfledge/shelfledge/services/node/digest"
 	"github.com/shelfledge/shelfledge/services/node/lease"
 	"github.com/shelfledge/shelfledge/services/routing"
 )
@@ -23,7 +24,7 @@
 	router   *routing.Router
 	pools    map[string]*poolState
 	order    []*poolState
-	remotes  map[string]*remoteHall
+	remotes  map[string]*digest.Hall
 	pending  map[string]*pendingRequest
 	uses     map[string]fleet.TicketUse
 	entries  map[string]*entryPeer
@@ -39,9 +40,7 @@
 	leavers  map[string]time.Time
 	lastList time.Time
 	redo     time.Time
-	digested time.Time
-	told     digestNews
-	fulled   time.Time
+	digests  digest.Schedule
 	effects  []Effect
 }
 
@@ -74,7 +73,7 @@
 		started: now,
 		members: membership.New(o.Self, o.Membership),
 		pools:   make(map[string]*poolState),
-		remotes: make(map[string]*remoteHall),
+		remotes: make(map[string]*digest.Hall),
 		pending: make(map[string]*pendingRequest),
 		uses:    make(map[string]fleet.TicketUse),
 		entries: make(map[string]*entryPeer),
@@ -85,6 +84,7 @@
 		leavers: make(map[string]time.Time),
 		config:  newConfiguration(),
 		lease:   newLease(o),
+		digests: digest.NewSchedule(o.Timing.Digest, o.Timing.FullSummary),
 	}
 	pools := fleet.BuildPools(o.Endpoints)
 	n.router = routing.NewRouter(o.Self.Hall, pools, o.Routing)
@@ -95,7 +95,7 @@
 	}
 	for _, hall := range o.Halls {
 		if hall != o.Self.Hall {
-			n.remotes[hall] = newRemoteHall(hall)
+			n.remotes[hall] = digest.NewHall(hall)
 		}
 	}
 	n.ledger = budget.NewLedger(now, o.Budget, o.Timing.PermitLife)
--- a/services/node/view.go
+++ b/services/node/view.go
@@ -30,11 +30,8 @@
 		if r == nil {
 			continue
 		}
-		v := HallView{Hall: name, Revision: r.revision, Cut: r.cut, Speaker: r.speaker}
-		if !r.heard.IsZero() {
-			v.Age = now.Sub(r.heard)
-		}
-		out = append(out, v)
+		speaker, _ := r.Speaker()
+		out = append(out, HallView{Hall: name, Revision: r.Revision(), Age: r.Silence(now), Cut: r.Cut(), Speaker: speaker})
 	}
 	slices.SortFunc(out, func(a, b HallView) int {
 		if a.Hall < b.Hall {
