--- a/services/node/ownership/decide_test.go
+++ b/services/node/ownership/decide_test.go
@@ -4,6 +4,8 @@
 package ownership_test
 
 import (
+	"cmp"
+	"slices"
 	"testing"
 
 	"github.com/stretchr/testify/require"
@@ -20,7 +22,9 @@
 
 // rank gives three instances, the best candidate for the pool first.
 func rank() []string {
-	return ring.Rank(pool, []string{"i1", "i2", "i3"})
+	out := []string{"i1", "i2", "i3"}
+	slices.SortFunc(out, func(a, b string) int { return cmp.Compare(ring.Score(pool, b), ring.Score(pool, a)) })
+	return out
 }
 
 func TestHighestClaimIsTheSameInAnyOrderOfArrival(t *testing.T) {
