--- a/Makefile
+++ b/Makefile
@@ -50,7 +50,7 @@
 	$(GO) test -run XXX -bench 'Streams|Catalog|Takeover|Leaving|Killed|KVCalls' -benchtime 1x -timeout 20m ./tests/integration
 
 capacity: ## How each role's cost grows with the fleet.
-	$(GO) run ./tools/capacity
+	$(GO) test -run XXX -bench Capacity -benchtime 1x -timeout 20m ./tests/capacity
 
 clean: ## Remove what was built.
 	rm -rf $(BIN)
--- a/tools/capacity/measure.go
+++ b/tests/capacity/capacity_test.go
@@ -1,13 +1,14 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package main
+package capacity_test
 
 import (
 	"context"
 	"fmt"
 	"runtime"
 	"sync"
+	"testing"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/catalog"
@@ -20,10 +21,60 @@
 	"github.com/shelfledge/shelfledge/services/placement"
 	queries "github.com/shelfledge/shelfledge/services/query"
 	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/tools/stats"
 )
 
+// figure is one row of the table of slopes.
+type figure struct {
+	name string
+	// size is what grows, unit what is measured; target is the size to come that docs/CAPACITY.md asks about.
+	size, unit string
+	sizes      []int
+	target     int
+	measure    func(size int) float64
+}
+
+var figures = []figure{
+	{"one decision", "endpoints", "us", []int{10, 25, 50, 75}, 75, decision},
+	{"node, processor time a second", "nodes a hall", "us", []int{4, 10, 20, 40}, 40, nodeProcessor},
+	{"node, bytes sent a second", "nodes a hall", "B", []int{4, 10, 20, 40}, 40, nodeBytes},
+	{"busiest node, bytes sent a second", "halls", "B", []int{2, 4, 6, 8}, 8, bytesSentByHalls},
+	{"busiest node, bytes received a second", "halls", "B", []int{2, 4, 6, 8}, 8, bytesReceivedByHalls},
+	{"placer, processor time a second", "requests per s", "us", []int{50, 100, 200, 400}, 167, placerProcessor},
+	{"placer, bytes sent a second", "requests per s", "B", []int{50, 100, 200, 400}, 167, placerBytes},
+	{"entry, bytes sent a second", "requests per s", "B", []int{10, 20, 40, 80}, 13, entryBytes},
+	{"catalog, heap", "adapters", "KB", []int{2000, 5500, 11000, 22000}, 22000, catalogHeap},
+	{"catalog, one change", "adapters", "us", []int{2000, 5500, 11000, 22000}, 22000, catalogChange},
+	{"query over all adapters", "adapters", "us", []int{2000, 5500, 11000, 22000}, 22000, query},
+	{"router, heap of one summary", "resident", "B", []int{100, 200, 400, 800}, 600, routerHeap},
+	{"claims in one write", "callers at once", "claims", []int{1, 8, 16, 32}, 32, claimsPerWrite},
+}
+
+// BenchmarkCapacity prints each figure at its sizes, and the line fitted through them.
+func BenchmarkCapacity(b *testing.B) {
+	for _, f := range figures {
+		b.Run(f.name, func(b *testing.B) {
+			for b.Loop() {
+				f.report(b)
+			}
+		})
+	}
+}
+
+func (f figure) report(b *testing.B) {
+	var xs, ys []float64
+	for _, size := range f.sizes {
+		y := f.measure(size)
+		xs, ys = append(xs, float64(size)), append(ys, y)
+	}
+	line := stats.Fit(xs, ys)
+	b.Logf("by %s %v: %.4g %s; slope %.4g, at zero %.4g, error %.1f%%; at %d: %.4g %s",
+		f.size, f.sizes, ys, f.unit, line.Slope, line.AtZero, line.Error*100, f.target, line.AtZero+line.Slope*float64(f.target), f.unit)
+}
+
 const (
 	endpointsAHall = 75
+	nodesAHall     = 6
 	knownAdapters  = 22000
 	repeats        = 5
 )
@@ -81,12 +132,12 @@
 	return newSimFleet(1, nodes, endpointsAHall).most(func(s *simNode) float64 { return float64(s.sent) })
 }
 
-func speakerBytes(halls int) float64 {
-	return newSimFleet(halls, 6, endpointsAHall).most(func(s *simNode) float64 { return float64(s.sent) })
+func bytesSentByHalls(halls int) float64 {
+	return newSimFleet(halls, nodesAHall, endpointsAHall).most(func(s *simNode) float64 { return float64(s.sent) })
 }
 
-func memberBytes(halls int) float64 {
-	return newSimFleet(halls, 6, endpointsAHall).most(func(s *simNode) float64 { return float64(s.received) })
+func bytesReceivedByHalls(halls int) float64 {
+	return newSimFleet(halls, nodesAHall, endpointsAHall).most(func(s *simNode) float64 { return float64(s.received) })
 }
 
 // catalogOf makes a configuration of so many adapters with two versions each.
@@ -236,8 +287,7 @@
 	gap := time.Second / time.Duration(rate)
 	for i := range rate * int(span/time.Second) {
 		f.run(gap / tickEvery * tickEvery)
-		f.now = f.now.Add(gap % tickEvery)
-		f.deliver(f.now)
+		f.messages.Until(&f.now, f.now.Add(gap%tickEvery))
 		ref, err := fleet.ParseAdapterRef(pool.Slots[i%len(pool.Slots)].Adapter)
 		if err != nil {
 			panic(err)
--- /dev/null
+++ b/tests/capacity/doc_test.go
@@ -0,0 +1,7 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+// Package capacity_test measures how the cost of each role grows with the size of the fleet, each
+// at four sizes, with the slope and its error. `make capacity` runs it; the table of slopes in
+// docs/CAPACITY.md is copied from what it prints.
+package capacity_test
--- a/tools/capacity/fleet.go
+++ b/tests/capacity/fleet_test.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package main
+package capacity_test
 
 import (
-	"container/heap"
 	"fmt"
 	"net/netip"
 	"time"
@@ -17,11 +16,13 @@
 	"github.com/shelfledge/shelfledge/services/node"
 	"github.com/shelfledge/shelfledge/services/placement"
 	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/tools/timeline"
 )
 
 const (
 	tickEvery   = 20 * time.Millisecond
 	messageTime = 2 * time.Millisecond
+	// settleTime lets all nodes find one another before anything is measured.
 	settleTime  = 6 * time.Second
 	measureTime = 20 * time.Second
 	// frameBytes is what gRPC, HTTP/2 and TCP/IP add to a message.
@@ -30,60 +31,28 @@
 	slots      = 8
 )
 
-// simFleet is a number of real nodes joined by messages that all arrive.
+// simFleet is a number of real nodes joined by a simulated network that loses nothing.
 type simFleet struct {
-	now      time.Time
-	nodes    []*simNode
-	byPlace  map[netip.AddrPort]*simNode
-	mail     mailHeap
-	serial   int
-	resident map[string][]fleet.AdapterRef
+	now       time.Time
+	nodes     []*simNode
+	byAddress map[netip.AddrPort]*simNode
+	messages  timeline.Timeline
+	resident  map[string][]fleet.AdapterRef
 }
 
-// simNode is one node with what it cost.
+// simNode is one node with the processor time and bytes that it cost.
 type simNode struct {
 	node      *node.Node
 	self      fleet.Instance
 	processor time.Duration
-	sent      int
-	received  int
-}
-
-type letter struct {
-	at     time.Time
-	serial int
-	to     *simNode
-	e      fleet.Envelope
-	size   int
-}
-
-type mailHeap []letter
-
-func (h mailHeap) Len() int { return len(h) }
-
-func (h mailHeap) Less(i, j int) bool {
-	if !h[i].at.Equal(h[j].at) {
-		return h[i].at.Before(h[j].at)
-	}
-	return h[i].serial < h[j].serial
-}
-
-func (h mailHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
-
-// Push implements heap.Interface.
-func (h *mailHeap) Push(x any) { *h = append(*h, x.(letter)) }
-
-// Pop implements heap.Interface.
-func (h *mailHeap) Pop() any {
-	old := *h
-	l := old[len(old)-1]
-	*h = old[:len(old)-1]
-	return l
+	// sent and received are bytes with their framing.
+	sent     int
+	received int
 }
 
 // newSimFleet makes halls of nodes and endpoints; the endpoints hold as many adapters as they have slots.
 func newSimFleet(halls, nodesAHall, endpointsAHall int) *simFleet {
-	f := &simFleet{now: time.Unix(1000, 0), byPlace: make(map[netip.AddrPort]*simNode), resident: make(map[string][]fleet.AdapterRef)}
+	f := &simFleet{now: time.Unix(1000, 0), byAddress: make(map[netip.AddrPort]*simNode), resident: make(map[string][]fleet.AdapterRef)}
 	var names []string
 	var endpoints []fleet.Endpoint
 	var instances []fleet.Instance
@@ -101,7 +70,7 @@
 	for i, self := range instances {
 		s := &simNode{self: self, node: node.New(f.now, options(self, uint64(i+1), names, endpoints))}
 		f.nodes = append(f.nodes, s)
-		f.byPlace[self.Address] = s
+		f.byAddress[self.Address] = s
 		f.carryOut(s, s.node.SetListed(f.now, instances, nil))
 	}
 	f.run(settleTime)
@@ -134,8 +103,7 @@
 func (f *simFleet) run(d time.Duration) {
 	until := f.now.Add(d)
 	for next := f.now; next.Before(until); next = next.Add(tickEvery) {
-		f.deliver(next)
-		f.now = next
+		f.messages.Until(&f.now, next)
 		for _, s := range f.nodes {
 			f.act(s, func() []node.Effect { return s.node.Tick(f.now) })
 		}
@@ -143,15 +111,6 @@
 	f.now = until
 }
 
-func (f *simFleet) deliver(until time.Time) {
-	for len(f.mail) > 0 && !f.mail[0].at.After(until) {
-		l := heap.Pop(&f.mail).(letter)
-		f.now = l.at
-		l.to.received += l.size
-		f.act(l.to, func() []node.Effect { return l.to.node.Handle(f.now, l.e) })
-	}
-}
-
 // act lets a node work and counts the time.
 func (f *simFleet) act(s *simNode, work func() []node.Effect) {
 	began := time.Now()
@@ -164,24 +123,23 @@
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case node.Send:
-			f.post(s, e.Envelope)
+			f.send(s, e.Envelope)
 		case node.Deliver:
 			f.act(s, func() []node.Effect { return s.node.Finish(f.now, e.Ticket.ID) })
 		case node.Take:
-			f.act(s, func() []node.Effect {
-				return s.node.Taken(f.now, node.TakeResult{Pool: e.Pool, Term: e.Term, OK: true, Fence: 1, Inspection: f.list(e.Endpoint.Name)})
-			})
+			taken := node.TakeResult{Pool: e.Pool, Term: e.Term, OK: true, Fence: 1, Inspection: f.inspect(e.Endpoint.Name)}
+			f.act(s, func() []node.Effect { return s.node.Taken(f.now, taken) })
 		case node.Inspect:
-			f.act(s, func() []node.Effect { return s.node.Inspected(f.now, e.Pool, e.Term, f.list(e.Endpoint.Name)) })
+			f.act(s, func() []node.Effect { return s.node.Inspected(f.now, e.Pool, e.Term, f.inspect(e.Endpoint.Name)) })
 		}
 	}
 }
 
-func (f *simFleet) list(endpoint string) placement.Inspection {
+func (f *simFleet) inspect(endpoint string) placement.Inspection {
 	return placement.Inspection{Endpoint: endpoint, Incarnation: endpoint, Began: f.now, Up: true, Resident: f.resident[endpoint]}
 }
 
-func (f *simFleet) post(s *simNode, e fleet.Envelope) {
+func (f *simFleet) send(s *simNode, e fleet.Envelope) {
 	began := time.Now()
 	data, err := msgpack.Marshal(&e)
 	if err != nil {
@@ -189,12 +147,15 @@
 	}
 	s.processor += time.Since(began)
 	s.sent += len(data) + frameBytes
-	to := f.byPlace[e.To]
+	to := f.byAddress[e.To]
 	if to == nil {
 		return
 	}
-	f.serial++
-	heap.Push(&f.mail, letter{at: f.now.Add(messageTime), serial: f.serial, to: to, e: e, size: len(data) + frameBytes})
+	size := len(data) + frameBytes
+	f.messages.Add(f.now.Add(messageTime), func(now time.Time) {
+		to.received += size
+		f.act(to, func() []node.Effect { return to.node.Handle(now, e) })
+	})
 }
 
 // most gives the greatest cost of a node, per second of the measured time.
--- /dev/null
+++ b/tools/stats/stats_test.go
@@ -0,0 +1,28 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package stats_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/tools/stats"
+)
+
+func TestPercentileIsTheValueOfTheNearestRank(t *testing.T) {
+	values := []int{40, 10, 30, 20}
+	require.Equal(t, 20, stats.Percentile(values, 0.5))
+	require.Equal(t, 40, stats.Percentile(values, 0.95))
+	require.Equal(t, 10, stats.Percentile(values, 0))
+	require.Zero(t, stats.Percentile([]float64(nil), 0.5))
+}
+
+func TestFitFindsTheLineAndItsError(t *testing.T) {
+	l := stats.Fit([]float64{1, 2, 3}, []float64{3, 5, 7})
+	require.InDelta(t, 2, l.Slope, 1e-9)
+	require.InDelta(t, 1, l.AtZero, 1e-9)
+	require.InDelta(t, 0, l.Error, 1e-9)
+	require.InDelta(t, 0.5, stats.Fit([]float64{0, 1, 2}, []float64{1, 4, 1}).Error, 1e-9)
+}
