--- a/tools/replay/main.go
+++ b/tools/replay/main.go
@@ -45,7 +45,7 @@
 		fmt.Println(sim.TableHeader())
 	}
 	for _, name := range policies {
-		result, err := sim.Run(f, lines, sim.Options{Policy: name})
+		result, err := sim.Run(f, lines, name)
 		if err != nil {
 			return fail(err)
 		}
--- a/tools/replay/sim/bound.go
+++ b/tools/replay/sim/bound.go
@@ -202,7 +202,7 @@
 // bound gives a result whose stalls are lower bounds and whose other figures are empty.
 func bound(f *FleetFile, lines []Line) Result {
 	b := newBoundCalc(f, lines)
-	out := Result{Policy: "bound", ByClass: make(map[string]Group), ByCaller: make(map[string]Group), Violations: map[string]int{}}
+	out := Result{Policy: "bound", ByClass: make(map[string]Group), Violations: map[string]int{}}
 	out.Requests = len(b.lines)
 	if out.Requests == 0 {
 		return out
--- a/tools/replay/sim/policy_budget.go
+++ b/tools/replay/sim/policy_budget.go
@@ -4,7 +4,8 @@
 package sim
 
 import (
-	"sort"
+	"maps"
+	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/fleet"
@@ -12,114 +13,146 @@
 	"github.com/shelfledge/shelfledge/services/placement"
 )
 
-// groupOf names the group of halls that a hall's pools share the weight store with.
-func (p *product) groupOf(hall string) string {
-	if p.cut[hall] {
+// budgets shares the weight store among the pools: one ledger for each group of halls that see
+// one another, named for its hall if it is cut off, and empty for all others.
+type budgets struct {
+	product *product
+	limits  budget.Limits
+	ledgers map[string]*budget.Ledger
+	permits map[loadKey]heldPermit
+	wake    time.Time
+}
+
+// loadKey names one load on one endpoint.
+type loadKey struct {
+	engine  *engine
+	adapter fleet.AdapterRef
+}
+
+// heldPermit is a permit in use and the ledger that gave it.
+type heldPermit struct {
+	ledger *budget.Ledger
+	id     uint64
+}
+
+func newBudgets(p *product) *budgets {
+	s := p.world.fleet.WeightStore
+	return &budgets{
+		product: p, limits: budget.Limits{LoadsPerSecond: s.LoadsPerSecond, AtFullSpeed: s.AtFullSpeed},
+		ledgers: make(map[string]*budget.Ledger), permits: make(map[loadKey]heldPermit),
+	}
+}
+
+func (b *budgets) groupOf(hall string) string {
+	if b.product.cutHalls[hall] {
 		return hall
 	}
 	return ""
 }
 
-func (p *product) renewLedgers(now time.Time) {
-	groups := map[string]int{}
-	for _, h := range p.world.fleet.Halls {
-		groups[p.groupOf(h.Name)]++
-	}
-	for group := range groups {
-		if p.ledgers[group] == nil {
-			p.ledgers[group] = budget.NewLedger(now, p.limits, permitLife)
+// renew makes the ledgers of new groups and shares the limits out among all.
+func (b *budgets) renew(now time.Time) {
+	for _, h := range b.product.world.fleet.Halls {
+		group := b.groupOf(h.Name)
+		if b.ledgers[group] == nil {
+			b.ledgers[group] = budget.NewLedger(now, b.limits, permitLife)
 		}
 	}
-	p.setLimits(now)
+	b.setLimits(now)
 }
 
-func (p *product) setLimits(now time.Time) {
-	groups := map[string]int{}
-	for _, h := range p.world.fleet.Halls {
-		groups[p.groupOf(h.Name)]++
+func (b *budgets) setLimits(now time.Time) {
+	halls := b.product.world.fleet.Halls
+	sizes := make(map[string]int)
+	for _, h := range halls {
+		sizes[b.groupOf(h.Name)]++
 	}
-	for group, l := range p.ledgers {
-		l.SetLimits(now, p.limits.Part(groups[group], len(p.world.fleet.Halls)))
+	for group, l := range b.ledgers {
+		l.SetLimits(now, b.limits.Part(sizes[group], len(halls)))
 	}
 }
 
-// permitsFor collects the bids and spends the permits that the ledgers give.
-func (p *product) permitsFor(now time.Time) {
-	for _, pool := range p.pools {
-		group := p.groupOf(pool.Hall)
-		l := p.ledgers[group]
-		if l == nil || !l.Open(now) {
-			continue
+// spend collects the bids and uses the permits that the ledgers give.
+func (b *budgets) spend(now time.Time) {
+	for _, pl := range b.product.pools {
+		if l := b.ledgers[b.groupOf(pl.Hall)]; l != nil && l.Open(now) {
+			bid(now, l, pl)
 		}
-		p.bid(now, pool, l)
 	}
-	for _, group := range p.groups() {
-		p.spend(now, group)
+	for _, group := range slices.Sorted(maps.Keys(b.ledgers)) {
+		b.spendOf(now, b.ledgers[group])
 	}
 }
 
-func (p *product) bid(now time.Time, pool fleet.Pool, l *budget.Ledger) {
-	placer := p.placers[pool.Name]
-	if placer == nil {
-		l.Bid(now, pool.Name, 0, false)
+// bid renews a pool's bid; a value of zero takes it back.
+func bid(now time.Time, l *budget.Ledger, pl *pool) {
+	if pl.placer == nil {
+		l.Bid(now, pl.Name, 0, false)
 		return
 	}
-	b, ok := placer.Bid(now)
+	wanted, ok := pl.placer.Bid(now)
 	if !ok {
-		b.Value = 0
+		wanted.Value = 0
 	}
-	l.Bid(now, pool.Name, b.Value, b.Preload)
+	l.Bid(now, pl.Name, wanted.Value, wanted.Preload)
 }
 
-func (p *product) groups() []string {
-	names := make([]string, 0, len(p.ledgers))
-	for name := range p.ledgers {
-		names = append(names, name)
-	}
-	sort.Strings(names)
-	return names
-}
-
-func (p *product) spend(now time.Time, group string) {
-	l := p.ledgers[group]
+func (b *budgets) spendOf(now time.Time, l *budget.Ledger) {
 	for {
 		permit, ok := l.Next(now)
 		if !ok {
 			break
 		}
-		p.use(now, group, permit)
+		b.use(now, l, permit)
 	}
 	next := l.NextWake(now)
-	if next.IsZero() || p.ledgerAt.After(now) && !next.Before(p.ledgerAt) {
+	if next.IsZero() || b.wake.After(now) && !next.Before(b.wake) {
 		return
 	}
-	p.ledgerAt = next
-	p.actions.At(next, func(at time.Time) {
-		if p.ledgerAt.Equal(at) {
-			p.permitsFor(at)
+	b.wake = next
+	b.product.world.agenda.Add(next, func(at time.Time) {
+		if b.wake.Equal(at) {
+			b.spend(at)
 		}
 	})
 }
 
-func (p *product) use(now time.Time, group string, permit budget.Permit) {
-	placer := p.placers[permit.Pool]
-	if placer == nil {
-		p.ledgers[group].Done(now, permit.ID, false)
+func (b *budgets) use(now time.Time, l *budget.Ledger, permit budget.Permit) {
+	pl := b.product.byName[permit.Pool]
+	if pl.placer == nil {
+		l.Done(now, permit.ID, false)
 		return
 	}
-	effects, used := placer.UsePermit(now)
+	effects, used := pl.placer.UsePermit(now)
 	for _, effect := range effects {
 		if e, ok := effect.(placement.Load); ok {
-			p.permits[loadKey{e.Endpoint, e.Adapter}] = heldPermit{group: group, id: permit.ID}
+			b.permits[loadKey{b.product.world.engines[e.Endpoint], e.Adapter}] = heldPermit{ledger: l, id: permit.ID}
 		}
 	}
-	p.run(now, permit.Pool, effects)
+	b.product.run(now, pl, effects)
 	if !used {
-		p.ledgers[group].Done(now, permit.ID, false)
+		l.Done(now, permit.ID, false)
 		return
 	}
-	pool := p.placers[permit.Pool]
-	if b, ok := pool.Bid(now); ok {
-		p.ledgers[group].Bid(now, permit.Pool, b.Value, b.Preload)
+	if wanted, ok := pl.placer.Bid(now); ok {
+		l.Bid(now, pl.Name, wanted.Value, wanted.Preload)
+	}
+}
+
+// loadEnded gives the permit of a load back.
+func (b *budgets) loadEnded(now time.Time, e *engine, ref fleet.AdapterRef) {
+	key := loadKey{e, ref}
+	if held, ok := b.permits[key]; ok {
+		delete(b.permits, key)
+		held.ledger.Done(now, held.id, true)
+	}
+}
+
+// loadsLost gives the permits of all loads on a restarted endpoint back.
+func (b *budgets) loadsLost(now time.Time, e *engine) {
+	for key := range b.permits {
+		if key.engine == e {
+			b.loadEnded(now, e, key.adapter)
+		}
 	}
 }
--- a/tools/replay/sim/replay_test.go
+++ b/tools/replay/sim/replay_test.go
@@ -23,7 +23,7 @@
 	require.NoError(t, err)
 	lines, err := sim.ReadTrace(filepath.Join(traces, scenario+".trace.jsonl"), f)
 	require.NoError(t, err)
-	r, err := sim.Run(f, lines, sim.Options{Policy: policy})
+	r, err := sim.Run(f, lines, policy)
 	require.NoError(t, err)
 	return r
 }
--- a/tools/replay/sim/result.go
+++ b/tools/replay/sim/result.go
@@ -8,10 +8,10 @@
 	"fmt"
 	"io"
 	"math"
-	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/tools/stats"
 )
 
 // Figures summarises one measure.
@@ -50,77 +50,36 @@
 	LoadsFailed     int              `json:"loads_failed"`
 	Evictions       int              `json:"evictions"`
 	ByClass         map[string]Group `json:"by_class"`
-	ByCaller        map[string]Group `json:"-"`
 	BatchEfficiency float64          `json:"batch_efficiency"`
 	MakespanMS      float64          `json:"makespan_ms"`
 	Violations      map[string]int   `json:"violations"`
 	DecideNS        DecideFigures    `json:"decide_ns"`
 }
 
-// decisionClock measures the processor time of the policy's decisions.
-type decisionClock struct {
-	count   int
-	total   time.Duration
-	buckets [decideBuckets]int
-}
-
-const (
-	decideBuckets  = 400
-	decideBase     = 1.05
-	decideFloor    = 20.0
-	percentile99   = 0.99
-	percentile95   = 0.95
-	percentile50   = 0.50
-	perMillisecond = float64(time.Millisecond)
-)
-
-func (d *decisionClock) measure(decide func()) {
-	began := time.Now()
-	decide()
-	took := time.Since(began)
-	d.count++
-	d.total += took
-	bucket := int(math.Log(math.Max(1, float64(took)/decideFloor)) / math.Log(decideBase))
-	d.buckets[min(bucket, decideBuckets-1)]++
-}
-
-func (d *decisionClock) figures() DecideFigures {
-	if d.count == 0 {
-		return DecideFigures{}
-	}
-	out := DecideFigures{Mean: float64(d.total) / float64(d.count)}
-	seen := 0
-	for i, n := range d.buckets {
-		seen += n
-		if float64(seen) >= percentile99*float64(d.count) {
-			out.P99 = decideFloor * math.Pow(decideBase, float64(i+1))
-			break
-		}
-	}
-	return out
-}
+const perMillisecond = float64(time.Millisecond)
 
-func (w *world) result() Result {
+func (w *world) result(policy string) Result {
 	weights := make(map[string]float64)
 	for _, c := range w.fleet.Classes {
 		weights[c.Name] = c.StallWeight
 	}
 	byClass := make(map[string][]*request)
-	byCaller := make(map[string][]*request)
 	for _, r := range w.list {
 		byClass[r.Class] = append(byClass[r.Class], r)
-		byCaller[r.Caller] = append(byCaller[r.Caller], r)
 	}
 	out := Result{
-		Policy: w.policy.Name, Group: group(w.list, weights), Loads: w.loads, LoadsFailed: w.failed, Evictions: w.evictions,
-		ByClass: make(map[string]Group), ByCaller: make(map[string]Group), BatchEfficiency: w.efficiency(),
-		MakespanMS: float64(w.lastEnd.Sub(start)) / perMillisecond, Violations: w.violations, DecideNS: w.decisions.figures(),
+		Policy: policy, Group: group(w.list, weights), Loads: w.loads, LoadsFailed: w.failed, Evictions: w.evictions,
+		ByClass: make(map[string]Group), BatchEfficiency: w.efficiency(),
+		MakespanMS: float64(w.lastEnd.Sub(start)) / perMillisecond, Violations: w.violations,
 	}
 	for name, list := range byClass {
 		out.ByClass[name] = group(list, weights)
 	}
-	for name, list := range byCaller {
-		out.ByCaller[name] = group(list, weights)
+	if len(w.decisions) > 0 {
+		out.DecideNS.P99 = float64(stats.Percentile(w.decisions, 0.99))
+		for _, took := range w.decisions {
+			out.DecideNS.Mean += float64(took) / float64(len(w.decisions))
+		}
 	}
 	return out
 }
@@ -168,21 +127,15 @@
 }
 
 func figures(values []float64) Figures {
-	if len(values) == 0 {
-		return Figures{}
+	f := Figures{
+		P50: stats.Percentile(values, 0.50), P95: stats.Percentile(values, 0.95), P99: stats.Percentile(values, 0.99),
+		Max: stats.Percentile(values, 1),
 	}
-	slices.Sort(values)
-	sum := 0.0
 	for _, v := range values {
-		sum += v
-	}
-	at := func(q float64) float64 {
-		return values[min(len(values)-1, int(math.Ceil(q*float64(len(values))))-1)]
-	}
-	return Figures{
-		Mean: sum / float64(len(values)), P50: at(percentile50), P95: at(percentile95), P99: at(percentile99),
-		Max: values[len(values)-1],
+		f.Mean += v
 	}
+	f.Mean /= math.Max(1, float64(len(values)))
+	return f
 }
 
 // WriteJSON prints the result as one JSON object.
--- a/tools/replay/sim/world.go
+++ b/tools/replay/sim/world.go
@@ -4,12 +4,12 @@
 package sim
 
 import (
-	"fmt"
 	"hash/fnv"
 	"math"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/tools/timeline"
 )
 
 // request is one request of the trace and what became of it.
@@ -25,28 +25,28 @@
 	stall    time.Duration
 	wait     time.Duration
 	first    time.Duration
-	ended    time.Time
+	// pool and ticket are what the product's policy placed it with.
+	pool, ticket string
 }
 
 // world is the model that a policy acts on.
 type world struct {
 	fleet      *FleetFile
 	now        time.Time
-	agenda     agenda
+	agenda     timeline.Timeline
 	engines    map[string]*engine
 	order      []*engine
 	store      store
 	requests   map[string]*request
 	list       []*request
-	policy     Policy
-	cut        map[string]bool
+	policy     policy
 	lost       map[string]bool
 	violations map[string]int
 	loads      int
 	failed     int
 	evictions  int
 	tokens     int64
-	decisions  decisionClock
+	decisions  []time.Duration
 	openCount  int
 	lastEnd    time.Time
 }
@@ -75,9 +75,8 @@
 		now:      start,
 		engines:  make(map[string]*engine),
 		requests: make(map[string]*request),
-		cut:      make(map[string]bool),
 		lost:     make(map[string]bool),
-		store:    store{rate: f.WeightStore.LoadsPerSecond, atFull: f.WeightStore.AtFullSpeed, tokens: 1, last: start, moved: start},
+		store:    store{rate: f.WeightStore.LoadsPerSecond, atFull: f.WeightStore.AtFullSpeed, tokens: 1, moved: start},
 		violations: map[string]int{
 			wrongVersion: 0, unloadInUse: 0, onceRunTwice: 0, notRunButRan: 0,
 			workOnLeaving: 0, answeredTwice: 0, beyondCapacity: 0, withoutEnd: 0,
@@ -94,26 +93,19 @@
 	return w
 }
 
-func (w *world) actions() Actions {
-	return Actions{Start: w.start, Refuse: w.refuse, Load: w.load, At: w.agenda.add}
-}
-
 // replay feeds the lines to the policy and runs until nothing is left to happen.
 func (w *world) replay(lines []Line) {
 	for i := 0; i < len(lines); {
 		at := start.Add(milliseconds(lines[i].AtMS))
-		if next, ok := w.agenda.peek(); ok && next.Before(at) {
-			w.step()
+		if next, ok := w.agenda.Next(); ok && next.Before(at) {
+			w.agenda.Step(&w.now)
 			continue
 		}
 		w.now = at
 		w.line(lines[i])
 		i++
 	}
-	for w.openCount > 0 {
-		if !w.step() {
-			break
-		}
+	for w.openCount > 0 && w.agenda.Step(&w.now) {
 	}
 	for _, r := range w.list {
 		if !r.done {
@@ -121,20 +113,12 @@
 		}
 	}
 	for _, e := range w.order {
-		w.idle(e)
+		if len(e.running) > 0 {
+			e.busy += w.now.Sub(e.busySince)
+		}
 	}
 }
 
-func (w *world) step() bool {
-	it, ok := w.agenda.next()
-	if !ok {
-		return false
-	}
-	w.now = it.at
-	it.run(it.at)
-	return true
-}
-
 func (w *world) line(l Line) {
 	if l.Event != "" {
 		w.event(l)
@@ -147,7 +131,7 @@
 	}}
 	if l.DeadlineMS > 0 {
 		r.Deadline = w.now.Add(milliseconds(l.DeadlineMS))
-		w.agenda.add(r.Deadline, func(now time.Time) { w.expire(now, r) })
+		w.agenda.Add(r.Deadline, func(now time.Time) { w.expire(now, r) })
 	}
 	r.instance = w.entryFor(r.ID, r.Hall)
 	r.Entry = r.instance
@@ -155,38 +139,51 @@
 	w.list = append(w.list, r)
 	w.openCount++
 	if r.instance == "" {
-		w.refuse(w.now, r.ID, fleet.ReasonNoEndpoint)
+		w.refuse(w.now, r)
 		return
 	}
 	w.arrive(w.now, r)
 }
 
 func (w *world) arrive(now time.Time, r *request) {
-	w.decisions.measure(func() { w.policy.Arrive(now, r.Request) })
+	w.decide(func() { w.policy.arrive(now, r) })
+}
+
+// decide measures the time of a decision.
+func (w *world) decide(decision func()) {
+	began := time.Now()
+	decision()
+	w.decisions = append(w.decisions, time.Since(began))
 }
 
 // entryFor spreads requests over the hall's live instances as the platform's balancer does.
 func (w *world) entryFor(id, hall string) string {
+	live := w.liveIn(hall)
+	if len(live) == 0 {
+		return ""
+	}
+	f := fnv.New32a()
+	_, _ = f.Write([]byte(id))
+	return live[int(f.Sum32())%len(live)]
+}
+
+// liveIn lists a hall's instances that were not lost; a hall without any counts as one itself.
+func (w *world) liveIn(hall string) []string {
 	var live []string
 	for _, h := range w.fleet.Halls {
 		if h.Name != hall {
 			continue
 		}
+		if len(h.Instances) == 0 {
+			return []string{hall}
+		}
 		for _, i := range h.Instances {
 			if !w.lost[i] {
 				live = append(live, i)
 			}
 		}
-		if len(h.Instances) == 0 {
-			live = append(live, hall)
-		}
 	}
-	if len(live) == 0 {
-		return ""
-	}
-	f := fnv.New32a()
-	_, _ = f.Write([]byte(id))
-	return live[int(f.Sum32())%len(live)]
+	return live
 }
 
 func (w *world) expire(now time.Time, r *request) {
@@ -197,7 +194,7 @@
 	r.wait = now.Sub(r.Arrived)
 	r.stall = w.stalled(r, now)
 	w.finish(now, r, fleet.OutcomeNotRun)
-	w.policy.Expired(now, r.ID)
+	w.policy.expired(now, r)
 }
 
 // stalled gives the wait of a request that never started: all of it, unless its
@@ -211,9 +208,8 @@
 	return now.Sub(r.Arrived)
 }
 
-func (w *world) refuse(now time.Time, id string, _ fleet.Reason) {
-	r := w.requests[id]
-	if r == nil || r.done {
+func (w *world) refuse(now time.Time, r *request) {
+	if r.done {
 		return
 	}
 	if r.runs > 0 && r.Once {
@@ -232,15 +228,13 @@
 	}
 	r.done = true
 	r.outcome = o
-	r.ended = now
 	w.lastEnd = now
 	w.openCount--
 }
 
 // start begins an attempt; the request joins the batch at the endpoint's next step.
-func (w *world) start(now time.Time, id, endpoint string) {
-	r, e := w.requests[id], w.engines[endpoint]
-	if r == nil || e == nil || r.done {
+func (w *world) start(now time.Time, r *request, e *engine) {
+	if r.done {
 		return
 	}
 	w.checkStart(now, r, e)
@@ -256,13 +250,13 @@
 	prefill := milliseconds(float64(r.PromptTokens) / e.entry.PrefillTokensPerMS)
 	steps := int(math.Ceil(float64(prefill) / float64(step)))
 	first := join.Add(time.Duration(steps+1) * step)
-	a := &attempt{request: r, engine: e, started: now, first: first, ends: first.Add(time.Duration(r.OutputTokens-1) * step)}
+	a := &attempt{request: r, engine: e, first: first}
 	r.run = a
 	r.runs++
 	e.running[a] = true
 	e.using[r.Adapter]++
 	w.account(now, r, a)
-	w.agenda.add(a.ends, func(at time.Time) { w.end(at, a) })
+	w.agenda.Add(first.Add(time.Duration(r.OutputTokens-1)*step), func(at time.Time) { w.end(at, a) })
 }
 
 func (w *world) account(now time.Time, r *request, a *attempt) {
@@ -299,7 +293,7 @@
 	w.tokens += int64(r.OutputTokens)
 	r.run = nil
 	w.finish(now, r, fleet.OutcomeAnswered)
-	w.decisions.measure(func() { w.policy.Ended(now, r.ID, a.engine.entry.Name, r.Adapter) })
+	w.decide(func() { w.policy.ended(now, r, a.engine) })
 }
 
 func (w *world) leave(now time.Time, a *attempt) {
@@ -315,20 +309,8 @@
 	}
 }
 
-// idle closes the account of an endpoint's busy time.
-func (w *world) idle(e *engine) {
-	if len(e.running) > 0 {
-		e.busy += w.now.Sub(e.busySince)
-		clear(e.running)
-	}
-}
-
 // load evicts at once and queues the load at the weight store.
-func (w *world) load(now time.Time, endpoint string, evict, adapter fleet.AdapterRef) {
-	e := w.engines[endpoint]
-	if e == nil {
-		return
-	}
+func (w *world) load(now time.Time, e *engine, evict, adapter fleet.AdapterRef) {
 	if !evict.IsZero() {
 		if e.using[evict] > 0 {
 			w.violations[unloadInUse]++
@@ -340,7 +322,7 @@
 		w.violations[beyondCapacity]++
 		return
 	}
-	l := &load{engine: e, incarnation: e.incarnation, adapter: adapter, left: e.entry.LoadMS / 1000}
+	l := &load{engine: e, adapter: adapter, left: e.entry.LoadMS / 1000}
 	e.loading[adapter] = l
 	w.loads++
 	w.moveStore(now)
@@ -351,11 +333,10 @@
 // moveStore brings the weight store up to the present and plans its next change.
 func (w *world) moveStore(now time.Time) {
 	ended := w.store.advance(now)
-	w.store.admit(now)
 	w.store.version++
 	version := w.store.version
 	if at, ok := w.store.next(now); ok {
-		w.agenda.add(at, func(now time.Time) {
+		w.agenda.Add(at, func(now time.Time) {
 			if w.store.version == version {
 				w.moveStore(now)
 			}
@@ -368,7 +349,7 @@
 
 func (w *world) loadEnded(now time.Time, l *load) {
 	e := l.engine
-	if l.dead || l.incarnation != e.incarnation {
+	if l.dead {
 		return
 	}
 	delete(e.loading, l.adapter)
@@ -379,120 +360,5 @@
 		e.failNext--
 		w.failed++
 	}
-	w.decisions.measure(func() { w.policy.Loaded(now, e.entry.Name, e.incarnation, l.adapter, ok) })
-}
-
-func (w *world) event(l Line) {
-	now, until := w.now, start.Add(milliseconds(l.UntilMS))
-	switch l.Event {
-	case EndpointRestart:
-		w.restart(now, w.engines[l.Endpoint])
-	case EndpointLeaving:
-		w.engines[l.Endpoint].leavingAt = now
-		w.policy.Leaving(now, l.Endpoint)
-	case LoadFails:
-		w.engines[l.Endpoint].failNext += l.Count
-	case StoreRate:
-		w.setRate(now, l.Rate)
-		w.agenda.add(until, func(now time.Time) { w.setRate(now, w.fleet.WeightStore.LoadsPerSecond) })
-	case HallCut:
-		w.cut[l.Hall] = true
-		w.policy.Cut(now, l.Hall, true)
-		w.agenda.add(until, func(now time.Time) {
-			w.cut[l.Hall] = false
-			w.policy.Cut(now, l.Hall, false)
-		})
-	case KVDown:
-		w.policy.KV(now, false, until)
-		w.agenda.add(until, func(now time.Time) { w.policy.KV(now, true, now) })
-	case InstanceLost:
-		w.lose(now, l.Instance)
-	default:
-		panic(fmt.Sprintf("event %q passed the check", l.Event))
-	}
-}
-
-func (w *world) setRate(now time.Time, rate float64) {
-	w.moveStore(now)
-	w.store.rate = rate
-	w.policy.Store(now, rate)
-	w.moveStore(now)
-}
-
-// restart empties an endpoint; what ran there is repeated unless it must not be.
-func (w *world) restart(now time.Time, e *engine) {
-	e.incarnation++
-	clear(e.resident)
-	for _, l := range e.loading {
-		l.dead = true
-	}
-	clear(e.loading)
-	broken := w.attemptsOn(e)
-	for _, a := range broken {
-		w.leave(now, a)
-	}
-	w.policy.Restarted(now, e.entry.Name, e.incarnation)
-	for _, a := range broken {
-		w.broken(now, a)
-	}
-}
-
-// attemptsOn lists the attempts of an endpoint in the order of the trace.
-func (w *world) attemptsOn(e *engine) []*attempt {
-	var out []*attempt
-	for _, r := range w.list {
-		if r.run != nil && r.run.engine == e && !r.run.dead {
-			out = append(out, r.run)
-		}
-	}
-	return out
-}
-
-func (w *world) broken(now time.Time, a *attempt) {
-	r := a.request
-	r.run = nil
-	if r.Once {
-		w.finish(now, r, fleet.OutcomeUnknown)
-		return
-	}
-	if r.Expired(now) {
-		// The caller stopped waiting for a first token long ago and has a part of the answer.
-		w.finish(now, r, fleet.OutcomeUnknown)
-		return
-	}
-	r.Attempt++
-	w.arrive(now, r)
-}
-
-// lose takes an instance away: the streams through it end unknown, and what waited
-// there is asked for again by its caller at another instance.
-func (w *world) lose(now time.Time, instance string) {
-	w.lost[instance] = true
-	var moved []*request
-	for _, r := range w.list {
-		if r.done || r.instance != instance {
-			continue
-		}
-		if r.run == nil {
-			moved = append(moved, r)
-			continue
-		}
-		a := r.run
-		w.leave(now, a)
-		r.run = nil
-		w.finish(now, r, fleet.OutcomeUnknown)
-		w.policy.Ended(now, r.ID, a.engine.entry.Name, r.Adapter)
-	}
-	w.policy.Lost(now, instance)
-	for _, r := range moved {
-		r.instance = w.entryFor(r.ID, r.Hall)
-		r.Entry = r.instance
-		if r.instance == "" {
-			w.refuse(now, r.ID, fleet.ReasonNoEndpoint)
-			continue
-		}
-		w.policy.Expired(now, r.ID)
-		r.Attempt++
-		w.arrive(now, r)
-	}
+	w.decide(func() { w.policy.loaded(now, e, l.adapter, ok) })
 }
