--- /dev/null
+++ b/services/loading/edges_test.go
@@ -0,0 +1,340 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package loading_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/services/loading"
+)
+
+func TestEdgesOfTheWorthOfACopy(t *testing.T) {
+	// A rate of 1/15 a second is one request within the horizon of 15 s.
+	const one = 1.0 / 15
+	for name, test := range map[string]struct {
+		need  loading.CopyNeed
+		worth float64
+	}{
+		"nothing known":                           {loading.CopyNeed{}, 0},
+		"no copy, use just below one request":     {loading.CopyNeed{Rate: one * 0.999}, 0},
+		"no copy, use of one request":             {loading.CopyNeed{Rate: one}, 1},
+		"no copy, use above one request":          {loading.CopyNeed{Rate: 2 * one}, 2},
+		"no copy, a request too late":             {loading.CopyNeed{Waiting: 1}, 0.15},
+		"no copy, a request in time":              {loading.CopyNeed{Waiting: 1, InTime: 1}, 1},
+		"no copy, one of three in time":           {loading.CopyNeed{Waiting: 3, InTime: 1}, 1.3},
+		"more instances in time than waiting":     {loading.CopyNeed{Waiting: 1, InTime: 2}, 2},
+		"the first copy is coming":                {loading.CopyNeed{Waiting: 9, InTime: 1, Coming: 1, Rate: 5}, 0},
+		"a copy with room":                        {loading.CopyNeed{Waiting: 9, InTime: 1, Usable: 1, Free: 1, Rate: 0.5, EvenRate: 1}, 0},
+		"all copies full, nobody waits":           {loading.CopyNeed{Usable: 1, Rate: 0.5}, 0},
+		"all copies full, one waits":              {loading.CopyNeed{Usable: 1, Waiting: 1}, 0.15},
+		"hot, rate just below the least":          {loading.CopyNeed{Usable: 1, Free: 1, Rate: 0.7999, EvenRate: 0.1}, 0},
+		"hot, rate at the least":                  {loading.CopyNeed{Usable: 1, Free: 1, Rate: 0.8, EvenRate: 0.1}, (0.8 - 0.07) * 15 * 0.4},
+		"hot, at its share of the endpoint":       {loading.CopyNeed{Usable: 1, Free: 1, Rate: 1.4, EvenRate: 2}, 0},
+		"hot, just above its share":               {loading.CopyNeed{Usable: 1, Free: 1, Rate: 1.5, EvenRate: 2}, 0.1 * 15 * 0.4},
+		"hot, two copies share it":                {loading.CopyNeed{Usable: 2, Free: 2, Rate: 1.5, EvenRate: 2}, 0},
+		"hot, total of all requests unknown":      {loading.CopyNeed{Usable: 1, Free: 1, Rate: 9}, 0},
+		"hot, a second copy is coming":            {loading.CopyNeed{Usable: 1, Free: 1, Coming: 1, Rate: 9, EvenRate: 1}, 0},
+		"all copies full, another one is coming":  {loading.CopyNeed{Usable: 1, Coming: 1, Waiting: 3, Rate: 9, EvenRate: 1}, 0},
+		"all copies full, hot, nobody waits here": {loading.CopyNeed{Usable: 1, Rate: 1.5, EvenRate: 2}, 0.1 * 15 * 0.4},
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.InDelta(t, test.worth, test.need.Value(), 1e-9)
+		})
+	}
+}
+
+func TestEdgesOfAResidentCopysUse(t *testing.T) {
+	assert.InDelta(t, 15.0, loading.ResidentValue(1, 1), 1e-9)
+	assert.InDelta(t, 7.5, loading.ResidentValue(1, 2), 1e-9)
+	assert.InDelta(t, 15.0, loading.ResidentValue(1, 0), 1e-9, "a copy that is not counted as usable yet stands for itself")
+	assert.Zero(t, loading.ResidentValue(0, 1))
+}
+
+func TestEdgesOfSparePlaces(t *testing.T) {
+	for capacity, spare := range map[int]int{0: 1, 1: 1, 6: 1, 13: 1, 14: 2, 20: 2, 100: 2} {
+		assert.Equal(t, spare, loading.SparePlaces(capacity), "capacity %d", capacity)
+	}
+}
+
+func TestEdgesOfThePaceOfLoads(t *testing.T) {
+	for name, test := range map[string]struct {
+		took        []time.Duration
+		concurrency int
+	}{
+		"nothing measured":               {nil, 8},
+		"at the shortest time":           {[]time.Duration{250 * time.Millisecond}, 9},
+		"at 1.5 of the shortest time":    {[]time.Duration{200 * time.Millisecond, 303 * time.Millisecond}, 10},
+		"above 1.5 of the shortest":      {[]time.Duration{200 * time.Millisecond, 303*time.Millisecond + 1}, 7},
+		"two slow ones beside another":   {[]time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 400 * time.Millisecond}, 7},
+		"after a slow one it grows less": {[]time.Duration{200 * time.Millisecond, 400 * time.Millisecond, 200 * time.Millisecond}, 7},
+	} {
+		t.Run(name, func(t *testing.T) {
+			pace := loading.NewPace()
+			for _, took := range test.took {
+				pace.Note(start, took)
+			}
+			assert.Equal(t, test.concurrency, pace.Concurrency())
+		})
+	}
+}
+
+func TestThePaceStaysWithinItsBounds(t *testing.T) {
+	pace := loading.NewPace()
+	for range 500 {
+		pace.Note(start, 250*time.Millisecond)
+	}
+	assert.Equal(t, 200, pace.Concurrency())
+	now := start
+	took := 500 * time.Millisecond
+	for range 500 {
+		// The shortest time grows by one hundredth a load; each load stays at twice of it.
+		now = now.Add(time.Hour)
+		pace.Note(now, took)
+		took += took / 100
+	}
+	assert.Equal(t, 1, pace.Concurrency())
+}
+
+func TestTheFirstLookIsBeforeTheShortestTime(t *testing.T) {
+	pace := loading.NewPace()
+	assert.Equal(t, 200*time.Millisecond, pace.FirstLook())
+	pace.Note(start, 100*time.Millisecond)
+	assert.Equal(t, 80*time.Millisecond, pace.FirstLook())
+}
+
+func TestEdgesOfTheBoundOfModelLoads(t *testing.T) {
+	// floor(3 x 5 x 1.1 + 3) - 2 = 17.
+	loads := loading.NewModelLoads(rate)
+	for range 16 {
+		loads.Begin(start)
+	}
+	require.True(t, loads.Allows(start), "just below the bound")
+	loads.Begin(start)
+	assert.False(t, loads.Allows(start), "at the bound")
+	assert.False(t, loads.Allows(start.Add(rate.Window-1)), "just within the window")
+	assert.True(t, loads.Allows(start.Add(rate.Window)), "the window is over")
+
+	tiny := loading.NewModelLoads(loading.RateOptions{Window: time.Second})
+	assert.True(t, tiny.Allows(start), "one load is always allowed")
+	tiny.Begin(start)
+	assert.False(t, tiny.Allows(start))
+
+	after := loading.NewModelLoads(rate)
+	after.Assume(start, 17)
+	assert.False(t, after.Allows(start.Add(rate.Window-1)), "a former planner's loads count for a window")
+	assert.True(t, after.Allows(start.Add(rate.Window)))
+}
+
+func TestEdgesOfOfferingAWithdrawnCopyAgain(t *testing.T) {
+	for name, test := range map[string]struct {
+		after   time.Duration
+		inUse   int
+		offered int
+	}{
+		"at the time-out":           {400 * time.Millisecond, 1, 3},
+		"just after it":             {400*time.Millisecond + 1, 1, 4},
+		"just after it, not in use": {400*time.Millisecond + 1, 0, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			use := copyUse{}
+			p := fullPlanner(use)
+			withdrawn := start.Add(time.Second)
+			p.Next(withdrawn)
+			_, offered := p.Offered("e")
+			require.Len(t, offered, 3)
+			for number := 1; number <= 4; number++ {
+				if _, kept := offered[adapter(number)]; !kept {
+					use[adapter(number)] = test.inUse
+				}
+			}
+			p.ConfirmUnused(withdrawn.Add(test.after), confirmNone)
+			_, offered = p.Offered("e")
+			assert.Len(t, offered, test.offered)
+		})
+	}
+}
+
+// TestEdgesOfWhatIsNeverEvicted has one endpoint whose four copies are all as hot.
+func TestEdgesOfWhatIsNeverEvicted(t *testing.T) {
+	// 0.8 requests a second are 12 within the horizon of 15 s.
+	for name, test := range map[string]struct {
+		rate    float64
+		offered int
+	}{
+		"just below": {0.7999, 3},
+		"at":         {0.8, 4},
+		"above":      {0.9, 4},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := fullPlanner(copyUse{})
+			rates := make(map[deployment.Adapter]float64)
+			for number := 1; number <= 4; number++ {
+				rates[adapter(number)] = test.rate
+			}
+			p.AddRates(start, rates)
+			p.Next(start)
+			_, offered := p.Offered("e")
+			assert.Len(t, offered, test.offered)
+		})
+	}
+}
+
+// TestEdgesOfASettledCopy has an endpoint with four places that are filled one after the other.
+func TestEdgesOfASettledCopy(t *testing.T) {
+	for name, test := range map[string]struct {
+		after   time.Duration
+		offered int
+	}{
+		"just before it is settled": {2*time.Second - 1, 4},
+		"settled":                   {2 * time.Second, 3},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newPlanner(1)
+			p.SetEndpoint(start, described("e"), nextRevision(), false)
+			for number := 1; number <= 4; number++ {
+				p.Report(start, "i", waiting(adapter(number)))
+				order, ok := p.Next(start)
+				require.True(t, ok)
+				require.Equal(t, loading.Load, order.Kind)
+				p.Done(start, answer(order, loading.Holds))
+			}
+			p.Report(start, "i", nil)
+			p.Next(start.Add(test.after))
+			_, offered := p.Offered("e")
+			assert.Len(t, offered, test.offered)
+		})
+	}
+}
+
+// TestEdgesOfAnOldDescription is about a copy that an own order brought and that a newer description lacks.
+func TestEdgesOfAnOldDescription(t *testing.T) {
+	for name, test := range map[string]struct {
+		after time.Duration
+		kept  bool
+	}{
+		"the description may lag":    {3*time.Second - 1, true},
+		"the description must be so": {3 * time.Second, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newPlanner(1)
+			p.SetEndpoint(start, described("e"), nextRevision(), false)
+			p.Report(start, "i", waiting(adapter(1)))
+			order, ok := p.Next(start)
+			require.True(t, ok)
+			p.Done(start, answer(order, loading.Holds))
+			p.SetEndpoint(start.Add(test.after), described("e"), nextRevision(), false)
+			_, offered := p.Offered("e")
+			assert.Equal(t, test.kept, len(offered) == 1)
+		})
+	}
+}
+
+// TestEdgesOfALoadThatTakesTooLong is about a load that was accepted: polls go on, and one too late is looked into.
+func TestEdgesOfALoadThatTakesTooLong(t *testing.T) {
+	for name, test := range map[string]struct {
+		after     time.Duration
+		inspected bool
+	}{
+		"at the limit":   {1200 * time.Millisecond, false},
+		"just after it":  {1200*time.Millisecond + 1, true},
+		"long before it": {300 * time.Millisecond, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newPlanner(1)
+			p.SetEndpoint(start, described("e"), nextRevision(), false)
+			p.Report(start, "i", waiting(adapter(1)))
+			load, ok := p.Next(start)
+			require.True(t, ok)
+			p.Done(start, answer(load, loading.Accepted))
+			now := start.Add(test.after)
+			poll, ok := p.Next(now)
+			require.True(t, ok)
+			require.True(t, poll.Poll)
+			p.Done(now, answer(poll, loading.Accepted))
+			next, ok := p.Next(now.Add(time.Second))
+			require.True(t, ok)
+			assert.Equal(t, test.inspected, next.Kind == loading.Inspect)
+		})
+	}
+}
+
+// TestEdgesOfAnEndpointThatLeavesOrdersUnanswered is about the rest after a lost answer.
+func TestEdgesOfAnEndpointThatLeavesOrdersUnanswered(t *testing.T) {
+	for name, test := range map[string]struct {
+		reply loading.Reply
+		after time.Duration
+		asked bool
+	}{
+		"unanswered, just before the rest ends": {loading.Unanswered, 150*time.Millisecond - 1, false},
+		"unanswered, the rest is over":          {loading.Unanswered, 150 * time.Millisecond, true},
+		"failed, just before the rest ends":     {loading.NotDelivered, 300*time.Millisecond - 1, false},
+		"failed, the rest is over":              {loading.NotDelivered, 300 * time.Millisecond, true},
+		"rejected, just before the rest ends":   {loading.Rejected, 300*time.Millisecond - 1, false},
+		"rejected, the rest is over":            {loading.Rejected, 300 * time.Millisecond, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newPlanner(1)
+			p.SetEndpoint(start, described("e"), nextRevision(), false)
+			p.Report(start, "i", waiting(adapter(1)))
+			order, ok := p.Next(start)
+			require.True(t, ok)
+			p.Done(start, answer(order, test.reply))
+			next, ok := p.Next(start.Add(test.after))
+			assert.Equal(t, test.asked, ok)
+			if ok {
+				assert.Equal(t, loading.Inspect, next.Kind, "the report tells what became of it")
+			}
+		})
+	}
+}
+
+// TestEdgesOfAPlaceKeptForAFormerPlannersOrder has three of four places taken; the fourth is kept for an order that a former
+// planner may have sent last.
+func TestEdgesOfAPlaceKeptForAFormerPlannersOrder(t *testing.T) {
+	for name, test := range map[string]struct {
+		after  time.Duration
+		loaded bool
+	}{
+		"it may still be carried out":    {13*time.Second - 1, false},
+		"it is not carried out any more": {13 * time.Second, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			p := newPlanner(1)
+			held := described("e", adapter(1), adapter(2), adapter(3))
+			p.SetEndpoint(start, held, nextRevision(), false)
+			inspect, ok := p.Next(start)
+			require.True(t, ok)
+			p.Done(start, loading.Result{Order: inspect, Reply: loading.Inspected, Report: &loading.Report{Sequence: 3, Adapters: held.Adapters}})
+			now := start.Add(test.after)
+			p.Report(now, "i", waiting(adapter(5)))
+			order, ok := p.Next(now)
+			assert.Equal(t, test.loaded, ok)
+			if ok {
+				assert.Equal(t, loading.Load, order.Kind)
+			}
+		})
+	}
+}
+
+func TestEdgesOfForecasts(t *testing.T) {
+	p := newPlanner(1)
+	list, backlog := p.Forecasts(start)
+	assert.Empty(t, list)
+	assert.Equal(t, 250*time.Millisecond, backlog, "without endpoints the usual time of one load is all that is known")
+
+	p.SetEndpoint(start, described("e"), nextRevision(), false)
+	p.Report(start, "i", waiting(adapter(1)))
+	order, ok := p.Next(start)
+	require.True(t, ok)
+	p.Done(start, answer(order, loading.Accepted))
+	list, _ = p.Forecasts(start.Add(249 * time.Millisecond))
+	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1), Until: time.Millisecond}}, list)
+	list, _ = p.Forecasts(start.Add(time.Second))
+	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1)}}, list, "an overdue load is expected at any time")
+}
--- a/services/loading/eviction.go
+++ b/services/loading/eviction.go
@@ -46,7 +46,12 @@
 
 // spare is how many places of an endpoint are kept free.
 func (p *Planner) spare(endpoint *deployment.Endpoint) int {
-	return max(1, min(mostSpare, int(spareShare*float64(p.capacity(endpoint)))))
+	return SparePlaces(p.capacity(endpoint))
+}
+
+// SparePlaces is how many of an endpoint's places for adapters are kept free.
+func SparePlaces(capacity int) int {
+	return max(1, min(mostSpare, int(spareShare*float64(capacity))))
 }
 
 // outgoing counts the copies that are withdrawn or being unloaded, and tells whether one of them is
@@ -73,8 +78,8 @@
 		if c.state != copyResident || now.Sub(c.settledSince) < settleTime || p.isWanted(now, adapter) || p.uses(id, adapter) > 0 {
 			continue
 		}
-		if worth := p.worth(now, adapter); worth < least {
-			victim, least = c, worth
+		if value := p.residentValue(now, adapter); value < least {
+			victim, least = c, value
 		}
 	}
 	return victim
@@ -90,6 +95,7 @@
 	return waiting > 0
 }
 
+// withdraw takes a copy off offer; it is unloaded once all instances have seen that and use it no more.
 func (p *Planner) withdraw(now time.Time, id deployment.EndpointID, c *copyPlan) {
 	p.withdrawals++
 	c.state, c.since, c.withdrawal = copyWithdrawn, now, p.withdrawals
--- a/services/loading/forecast.go
+++ b/services/loading/forecast.go
@@ -69,7 +69,7 @@
 			continue
 		}
 		known.decay(now)
-		values[adapter] = p.value(now, adapter, known, 0)
+		values[adapter] = p.need(now, adapter, known, 0).Value()
 		queued = append(queued, adapter)
 	}
 	slices.SortFunc(queued, func(a, b deployment.Adapter) int { return cmp.Compare(values[b], values[a]) })
--- a/services/loading/placement.go
+++ b/services/loading/placement.go
@@ -38,9 +38,16 @@
 // placement is a possible load.
 type placement struct {
 	adapter deployment.Adapter
-	plan    *endpointPlan
-	cold    bool
-	value   float64
+	destination
+	// value is in requests served.
+	value float64
+}
+
+// destination is the endpoint of a load.
+type destination struct {
+	plan *endpointPlan
+	// cold says that the adapter comes from the weight store.
+	cold bool
 }
 
 // nextLoad starts the most valuable load.
@@ -67,25 +74,27 @@
 	return order, true
 }
 
+// bestPlacement gives the most valuable load that can begin now; coldAllowed says whether it may come from the weight store.
 func (p *Planner) bestPlacement(now time.Time, coldAllowed bool) (placement, bool) {
 	loads := p.expectedLoads(now)
 	total := 0.0
 	for _, load := range loads {
 		total += load
 	}
+	evenRate := total / float64(max(1, p.readyEndpoints()))
 	var best placement
 	found := false
 	for adapter, known := range p.demand {
 		known.decay(now)
-		value := p.value(now, adapter, known, total)
+		value := p.need(now, adapter, known, evenRate).Value()
 		if value <= 0 || (found && value <= best.value) {
 			continue
 		}
-		plan, cold, ok := p.chooseEndpoint(now, adapter, loads, coldAllowed)
+		chosen, ok := p.chooseEndpoint(now, adapter, loads, coldAllowed)
 		if !ok {
 			continue
 		}
-		best = placement{adapter: adapter, plan: plan, cold: cold, value: value}
+		best = placement{adapter: adapter, destination: chosen, value: value}
 		found = true
 	}
 	return best, found
@@ -94,15 +103,15 @@
 // chooseEndpoint gives the endpoint with room that draws the fewest requests, preferably one
 // that held the adapter before: there it comes ten times as fast and not from the weight store, so that a
 // short wait for that endpoint is worth it.
-func (p *Planner) chooseEndpoint(now time.Time, adapter deployment.Adapter, loads map[deployment.EndpointID]float64, coldAllowed bool) (*endpointPlan, bool, bool) {
-	var best *endpointPlan
-	bestCost, bestCold, warmSoon := 0.0, false, false
+func (p *Planner) chooseEndpoint(now time.Time, adapter deployment.Adapter, loads map[deployment.EndpointID]float64, coldAllowed bool) (destination, bool) {
+	var best destination
+	bestCost, warmSoon := 0.0, false
 	for id, plan := range p.endpoints {
 		_, warm := plan.held[adapter]
 		if !plan.takesCopies(adapter, warm) {
 			continue
 		}
-		if !plan.available(now) || plan.inspect || plan.taken(now) >= p.capacity(&plan.endpoint) || plan.pending() >= maxPending || plan.unloading() {
+		if !p.takesLoad(now, plan) {
 			warmSoon = warmSoon || (warm && plan.soonAvailable(now))
 			continue
 		}
@@ -113,14 +122,20 @@
 		if warm {
 			cost -= warmBonus
 		}
-		if best == nil || cost < bestCost {
-			best, bestCost, bestCold = plan, cost, !warm
+		if best.plan == nil || cost < bestCost {
+			best, bestCost = destination{plan: plan, cold: !warm}, cost
 		}
 	}
-	if bestCold && warmSoon {
-		return nil, false, false
+	if best.cold && warmSoon {
+		return destination{}, false
 	}
-	return best, bestCold, best != nil
+	return best, best.plan != nil
+}
+
+// takesLoad tells whether a load may be ordered from an endpoint now: it takes orders, has a place, and neither too many
+// loads nor an unload under way.
+func (p *Planner) takesLoad(now time.Time, plan *endpointPlan) bool {
+	return plan.available(now) && !plan.inspect && plan.taken(now) < p.capacity(&plan.endpoint) && plan.pending() < maxPending && !plan.unloading()
 }
 
 // soonAvailable tells whether an endpoint that cannot take an order now probably can in a moment.
@@ -136,6 +151,7 @@
 	return !has && !e.suspect && !e.full && (warm || !e.crowded) && e.endpoint.State == deployment.Ready && e.endpoint.HasModel(adapter.Model)
 }
 
+// coldLoads counts the loads under way from the weight store.
 func (p *Planner) coldLoads() int {
 	count := 0
 	for _, plan := range p.endpoints {
--- a/services/loading/value.go
+++ b/services/loading/value.go
@@ -63,6 +63,7 @@
 	}
 }
 
+// versionOf is the version of an adapter that is to be served; 0 for any.
 func (p *Planner) versionOf(adapter deployment.Adapter) int64 {
 	if known, ok := p.demand[adapter]; ok {
 		return known.version
@@ -70,37 +71,68 @@
 	return 0
 }
 
-// value is the worth of one more copy, in requests served.
-func (p *Planner) value(now time.Time, adapter deployment.Adapter, known *adapterDemand, total float64) float64 {
-	usable, coming := p.counts[adapter].usable, p.counts[adapter].coming
-	waiting, inTime := known.waitingNow(now, p.pace.typical)
-	if coming == 0 && (usable == 0 || (waiting > 0 && p.counts[adapter].free == 0)) {
-		if waiting == 0 && known.rate*horizon.Seconds() < worthwhileUse {
+// CopyNeed is what the worth of one more copy of an adapter depends on.
+type CopyNeed struct {
+	// Usable, Coming and Free are counts of copies in the planner's own plan, on endpoints that take requests: resident at
+	// the version to be served, on their way, and usable on an endpoint that is not full.
+	Usable, Coming, Free int
+	// Waiting is how many requests wait for the adapter, by the instances' last reports.
+	Waiting int
+	// InTime is how many instances' newest waiting request could still be answered in time if a load began now.
+	InTime int
+	// Rate is the arrival rate at all instances, in requests a second, as of now; from their reports.
+	Rate float64
+	// EvenRate is what each endpoint would draw, in requests a second, if all requests were spread evenly; 0 if that is
+	// not known, and then no second copy is worth anything.
+	EvenRate float64
+}
+
+// Value is the worth of one more copy, in requests served: of the first one that can be used at once by all that wait and
+// are expected, of a second one by the relief that it brings. Zero is not worth a load.
+func (n CopyNeed) Value() float64 {
+	expected := n.Rate * horizon.Seconds()
+	if n.Coming == 0 && (n.Usable == 0 || (n.Waiting > 0 && n.Free == 0)) {
+		if n.Waiting == 0 && expected < worthwhileUse {
 			return 0
 		}
-		return float64(inTime)*inTimeValue + float64(waiting-min(waiting, inTime))*lateValue + known.rate*horizon.Seconds()
+		return float64(n.InTime)*inTimeValue + float64(n.Waiting-min(n.Waiting, n.InTime))*lateValue + expected
 	}
-	if coming > 0 || known.rate < leastExtraRate || total <= 0 {
+	if n.Coming > 0 || n.Rate < leastExtraRate || n.EvenRate <= 0 {
 		return 0
 	}
-	fair := total / float64(max(1, p.readyEndpoints())) * fullShare
-	excess := known.rate/float64(usable) - fair
+	excess := n.Rate/float64(n.Usable) - n.EvenRate*fullShare
 	if excess <= 0 {
 		return 0
 	}
 	return excess * horizon.Seconds() * extraCopyValue
 }
 
-// worth is what a resident copy is expected to serve.
-func (p *Planner) worth(now time.Time, adapter deployment.Adapter) float64 {
+// ResidentValue is what a resident copy is expected to serve within the horizon, in requests: its part of the adapter's
+// arrival rate (requests a second) among the copies that can be used.
+func ResidentValue(rate float64, usable int) float64 {
+	return rate * horizon.Seconds() / float64(max(1, usable))
+}
+
+// need gives what one more copy of an adapter depends on; its rate must be as of now.
+func (p *Planner) need(now time.Time, adapter deployment.Adapter, known *adapterDemand, evenRate float64) CopyNeed {
+	count := p.counts[adapter]
+	waiting, inTime := known.waitingNow(now, p.pace.typical)
+	return CopyNeed{
+		Usable: count.usable, Coming: count.coming, Free: count.free, Waiting: waiting, InTime: inTime, Rate: known.rate, EvenRate: evenRate,
+	}
+}
+
+// residentValue is the expected use of a copy in the plan, in requests.
+func (p *Planner) residentValue(now time.Time, adapter deployment.Adapter) float64 {
 	known, ok := p.demand[adapter]
 	if !ok {
 		return 0
 	}
 	known.decay(now)
-	return known.rate * horizon.Seconds() / float64(max(1, p.counts[adapter].usable))
+	return ResidentValue(known.rate, p.counts[adapter].usable)
 }
 
+// readyEndpoints counts the endpoints that take copies and requests.
 func (p *Planner) readyEndpoints() int {
 	count := 0
 	for _, plan := range p.endpoints {
