--- /dev/null
+++ b/services/admission/edges_test.go
@@ -0,0 +1,134 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package admission_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/services/admission"
+)
+
+const (
+	// longest is how long a stream with the targets of these tests waits: 0.7 of four targets of 0.8 s.
+	longest = 2240 * time.Millisecond
+	ample   = 15 * time.Second
+)
+
+// TestEdgesOfWaiting has a case for each bound of the wait, a nanosecond before it and at it.
+func TestEdgesOfWaiting(t *testing.T) {
+	for name, test := range map[string]struct {
+		situation admission.Situation
+		deadline  time.Duration
+		limit     time.Duration
+		reason    admission.Reason
+	}{
+		"stream, by its caller's silence":           {admission.Situation{Route: stream}, ample, longest, admission.AdapterNotLoaded},
+		"stream, by half of its time":               {admission.Situation{Route: stream}, 4 * time.Second, 2 * time.Second, admission.AdapterNotLoaded},
+		"stream, endpoints have too much to do":     {admission.Situation{Route: stream, Crowded: true}, ample, longest, admission.Crowded},
+		"stream, no endpoint, by the target":        {admission.Situation{Route: stream, NoEndpoint: true}, ample, 200 * time.Millisecond, admission.NoEndpoint},
+		"stream, no endpoint, by its time":          {admission.Situation{Route: stream, NoEndpoint: true}, 400 * time.Millisecond, 100 * time.Millisecond, admission.NoEndpoint},
+		"plain":                                     {admission.Situation{Route: plain, NoEndpoint: true}, ample, 100 * time.Millisecond, admission.NoEndpoint},
+		"plain, by a quarter of its time":           {admission.Situation{Route: plain, NoEndpoint: true}, 200 * time.Millisecond, 50 * time.Millisecond, admission.NoEndpoint},
+		"no endpoint goes before too much to do":    {admission.Situation{Route: plain, NoEndpoint: true, Crowded: true}, ample, 100 * time.Millisecond, admission.NoEndpoint},
+		"too much to do goes before a not resident": {admission.Situation{Route: plain, Crowded: true}, ample, 100 * time.Millisecond, admission.Crowded},
+	} {
+		t.Run(name, func(t *testing.T) {
+			situation := test.situation
+			situation.Arrived, situation.Deadline = start, start.Add(test.deadline)
+			assert.Equal(t, admission.Decision{Wait: true}, admission.Decide(start, situation), "on arrival")
+			assert.Equal(t, admission.Decision{Wait: true}, admission.Decide(start.Add(test.limit-1), situation), "just below")
+			for _, now := range []time.Time{start.Add(test.limit), start.Add(test.limit + 1), start.Add(time.Hour)} {
+				decision := admission.Decide(now, situation)
+				assert.False(t, decision.Wait, "at the limit and above")
+				assert.Equal(t, test.reason, decision.Reason)
+				assert.Positive(t, decision.RetryAfter)
+			}
+		})
+	}
+}
+
+func TestARequestWhoseTimeIsOverDoesNotWait(t *testing.T) {
+	for _, deadline := range []time.Time{start, start.Add(-time.Second), {}} {
+		assert.False(t, admission.Decide(start, admission.Situation{Route: stream, Arrived: start, Deadline: deadline}).Wait)
+	}
+}
+
+// TestEdgesOfAHopelessRequest: between 0.13 and 0.25 of the target of 0.8 s a request is refused whose adapter is expected
+// 0.15 s before the end of its wait or later.
+func TestEdgesOfAHopelessRequest(t *testing.T) {
+	const (
+		from, until = 104 * time.Millisecond, 200 * time.Millisecond
+		inTime      = longest - 150*time.Millisecond
+		late        = inTime + 1
+	)
+	for name, test := range map[string]struct {
+		waited, expected time.Duration
+		wait             bool
+	}{
+		"just before the span":                {from - 1, late, true},
+		"at its begin":                        {from, late, false},
+		"at its begin, expected in time":      {from, inTime, true},
+		"at its end":                          {until, late, false},
+		"at its end, expected in time":        {until, inTime, true},
+		"just after the span":                 {until + 1, late, true},
+		"expected much later":                 {from, time.Hour, false},
+		"expected earlier, an old forecast":   {until, -time.Second, true},
+		"expected by now":                     {until, until, true},
+		"expected late, but the span is over": {longest - 1, time.Hour, true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(ample), Expected: start.Add(test.expected)}
+			decision := admission.Decide(start.Add(test.waited), situation)
+			assert.Equal(t, test.wait, decision.Wait)
+			if !test.wait {
+				assert.Equal(t, admission.AdapterNotLoaded, decision.Reason)
+				assert.Equal(t, test.expected-test.waited+150*time.Millisecond, decision.RetryAfter)
+			}
+		})
+	}
+}
+
+func TestOnlyAStreamWhoseAdapterIsExpectedCanBeHopeless(t *testing.T) {
+	now := start.Add(20 * time.Millisecond)
+	late := start.Add(time.Hour)
+	for name, situation := range map[string]admission.Situation{
+		"plain":          {Route: plain, Expected: late},
+		"not known when": {Route: stream},
+		"no endpoint":    {Route: stream, Expected: late, NoEndpoint: true},
+		"too much to do": {Route: stream, Expected: late, Crowded: true},
+	} {
+		t.Run(name, func(t *testing.T) {
+			situation.Arrived, situation.Deadline = start, start.Add(ample)
+			assert.True(t, admission.Decide(now, situation).Wait)
+			if situation.Route == stream && !situation.NoEndpoint {
+				assert.True(t, admission.Decide(start.Add(150*time.Millisecond), situation).Wait)
+			}
+		})
+	}
+}
+
+func TestEdgesOfTheTimeToComeBack(t *testing.T) {
+	now := start.Add(longest)
+	for name, test := range map[string]struct {
+		expected   time.Time
+		retryAfter time.Duration
+	}{
+		"not known when":       {time.Time{}, 400 * time.Millisecond},
+		"long ago":             {start, 400 * time.Millisecond},
+		"now":                  {now, 400 * time.Millisecond},
+		"at the least":         {now.Add(250 * time.Millisecond), 400 * time.Millisecond},
+		"just above the least": {now.Add(250*time.Millisecond + 1), 400*time.Millisecond + 1},
+		"later":                {now.Add(3 * time.Second), 3150 * time.Millisecond},
+	} {
+		t.Run(name, func(t *testing.T) {
+			decision := admission.Decide(now, admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(ample), Expected: test.expected})
+			assert.Equal(t, test.retryAfter, decision.RetryAfter)
+		})
+	}
+	crowded := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(ample), Crowded: true}
+	assert.Equal(t, 1500*time.Millisecond, admission.Decide(now, crowded).RetryAfter)
+}
--- /dev/null
+++ b/services/balance/edges_test.go
@@ -0,0 +1,141 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package balance_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/services/balance"
+)
+
+func TestEdgesOfAFullEndpoint(t *testing.T) {
+	for name, test := range map[string]struct {
+		slots, smallBatch, load int
+		share                   float64
+		full                    bool
+	}{
+		"just below the share":              {100, 12, 64, 0.65, false},
+		"at the share":                      {100, 12, 65, 0.65, true},
+		"above the share":                   {100, 12, 66, 0.65, true},
+		"below a share that is no integer":  {64, 12, 41, 0.65, false},
+		"above a share that is no integer":  {64, 12, 42, 0.65, true},
+		"few slots, below the small batch":  {16, 12, 11, 0.65, false},
+		"few slots, at the small batch":     {16, 12, 12, 0.65, true},
+		"fewer slots than the small batch":  {8, 12, 7, 0.65, false},
+		"all of the few slots":              {8, 12, 8, 0.65, true},
+		"number of slots not known":         {0, 12, 1000, 0.65, false},
+		"no bound set, and nothing to do":   {4, 0, 0, 0, true},
+		"nothing to do":                     {100, 12, 0, 0.65, false},
+		"counts of others that are too low": {100, 12, -1, 0.65, false},
+	} {
+		t.Run(name, func(t *testing.T) {
+			endpoint := holder("e", "near")
+			endpoint.Slots = test.slots
+			d := build(endpoint)
+			d.Entry("e").Others = test.load
+			assert.Equal(t, test.full, balance.Full(d.Entry("e"), test.share, test.smallBatch))
+		})
+	}
+}
+
+// TestEdgesOfPreferringTheOwnHall: crossing halls weighs 1 request for models and 2.5 for plain services.
+func TestEdgesOfPreferringTheOwnHall(t *testing.T) {
+	model := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
+	plain := balance.Demand{Request: &deployment.Request{}}
+	for name, test := range map[string]struct {
+		demand    balance.Demand
+		near, far int
+		chosen    deployment.EndpointID
+	}{
+		"model, as much to do":      {model, 1, 1, "near"},
+		"model, one more here":      {model, 1, 0, "near"},
+		"model, two more here":      {model, 2, 0, "far"},
+		"plain, two more here":      {plain, 2, 0, "near"},
+		"plain, three more here":    {plain, 3, 0, "far"},
+		"plain, much to do in both": {plain, 102, 100, "near"},
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := build(holder("near", "near"), holder("far", "other"))
+			d.Entry("near").Others, d.Entry("far").Others = test.near, test.far
+			entry, verdict := choose(d, test.demand)
+			require.Equal(t, balance.Chosen, verdict)
+			assert.Equal(t, test.chosen, entry.ID)
+		})
+	}
+}
+
+func TestChanceBreaksOnlyTies(t *testing.T) {
+	chances := []float64{0.999, 0}
+	drawn := 0
+	chance := options
+	chance.Random = func() float64 { drawn++; return chances[(drawn-1)%len(chances)] }
+	d := build(holder("a", "near"), holder("b", "near"))
+	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
+	entry, _ := balance.Choose(start, d.Service("service"), demand, chance)
+	assert.Equal(t, deployment.EndpointID("b"), entry.ID)
+	d.Entry("b").Others = 1
+	entry, _ = balance.Choose(start, d.Service("service"), demand, chance)
+	assert.Equal(t, deployment.EndpointID("a"), entry.ID, "one request more always counts")
+}
+
+// TestEdgesOfWhatAnEndpointHolds goes through unknown, old and refuted copies.
+func TestEdgesOfWhatAnEndpointHolds(t *testing.T) {
+	unknown := deployment.Adapter{Model: "base", Name: "unknown"}
+	for name, test := range map[string]struct {
+		demand  balance.Demand
+		missing time.Duration
+		verdict balance.Verdict
+	}{
+		"any version":                     {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, -1, balance.Chosen},
+		"the version it holds":            {balance.Demand{Request: &deployment.Request{Adapter: adapter}, Version: 1}, -1, balance.Chosen},
+		"a newer version":                 {balance.Demand{Request: &deployment.Request{Adapter: adapter}, Version: 2}, -1, balance.NotResident},
+		"an unknown adapter":              {balance.Demand{Request: &deployment.Request{Adapter: unknown}}, -1, balance.NotResident},
+		"the base model alone":            {balance.Demand{Request: &deployment.Request{Adapter: deployment.Adapter{Model: "base"}}}, -1, balance.Chosen},
+		"another base model":              {balance.Demand{Request: &deployment.Request{Adapter: deployment.Adapter{Model: "other"}}}, -1, balance.NotResident},
+		"said just now that it lacks it":  {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, 0, balance.NotResident},
+		"said 1.5 s ago that it lacks it": {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, 1500 * time.Millisecond, balance.NotResident},
+		"said it longer ago":              {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, 1500*time.Millisecond + 1, balance.Chosen},
+		"a plain request asks for none":   {balance.Demand{Request: &deployment.Request{}}, 0, balance.Chosen},
+	} {
+		t.Run(name, func(t *testing.T) {
+			d := build(holder("e", "near"))
+			if test.missing >= 0 {
+				d.NoteMissing(start.Add(-test.missing), "e", adapter)
+			}
+			_, verdict := choose(d, test.demand)
+			assert.Equal(t, test.verdict, verdict)
+		})
+	}
+}
+
+// TestTheVerdictNamesWhatIsNearestToAChoice has one endpoint that lacks the adapter and one that is full.
+func TestTheVerdictNamesWhatIsNearestToAChoice(t *testing.T) {
+	full := holder("full", "near")
+	full.Slots = 4
+	bounded := options
+	bounded.FullShare = 0.5
+	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
+	for _, endpoints := range [][]deployment.Endpoint{
+		{full, {ID: "empty", Hall: "near", Models: []string{"base"}}}, {{ID: "empty", Hall: "near", Models: []string{"base"}}, full},
+	} {
+		d := build(endpoints...)
+		d.Entry("full").Others = 2
+		_, verdict := balance.Choose(start, d.Service("service"), demand, bounded)
+		assert.Equal(t, balance.Crowded, verdict)
+	}
+}
+
+func TestEdgesOfABackendsWeight(t *testing.T) {
+	route := &deployment.Route{Backends: []deployment.Backend{{Service: "a", Weight: 1}, {Service: "none", Weight: 0}, {Service: "b", Weight: 1}}}
+	assert.Equal(t, "a", balance.ChooseBackend(route, 0.4999))
+	assert.Equal(t, "b", balance.ChooseBackend(route, 0.5), "one without weight gets nothing")
+	assert.Equal(t, "b", balance.ChooseBackend(route, 0.5001))
+	weightless := &deployment.Route{Backends: []deployment.Backend{{Service: "a"}, {Service: "b"}}}
+	assert.Equal(t, "b", balance.ChooseBackend(weightless, 0))
+}
--- /dev/null
+++ b/services/retry/edges_test.go
@@ -0,0 +1,85 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package retry_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/services/retry"
+)
+
+// granted takes repeats until one is refused.
+func granted(budget *retry.Budget, now time.Time) int {
+	count := 0
+	for budget.Take(now, "service") {
+		count++
+	}
+	return count
+}
+
+// TestEdgesOfTheBudget: 0.85 of 0.2 repeats a request, and of the instance's part of 54 once a window has passed.
+func TestEdgesOfTheBudget(t *testing.T) {
+	for name, test := range map[string]struct {
+		requests, members int
+		age               time.Duration
+		granted           int
+	}{
+		"no request":                              {0, 1, 0, 0},
+		"just below one repeat":                   {5, 1, 0, 0},
+		"just above one repeat":                   {6, 1, 0, 1},
+		"just below two repeats":                  {11, 1, 0, 1},
+		"just above two repeats":                  {12, 1, 0, 2},
+		"just before the first window has passed": {0, 1, 10*time.Second - 1, 0},
+		"the first window has passed":             {0, 1, 10 * time.Second, 45},
+		"a tenth of the extra":                    {0, 10, time.Hour, 4},
+		"a part of the extra below one repeat":    {0, 46, time.Hour, 0},
+		"number of instances not known":           {0, 0, time.Hour, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			budget := retry.NewBudget(options, start)
+			budget.SetMembers(test.members)
+			now := start.Add(test.age)
+			for range test.requests {
+				budget.Request(now, "service")
+			}
+			assert.Equal(t, test.granted, granted(budget, now))
+		})
+	}
+}
+
+func TestEdgesOfTheWindow(t *testing.T) {
+	for name, test := range map[string]struct {
+		after   time.Duration
+		granted int
+	}{
+		"requests just within the window": {10*time.Second - 1, 1},
+		"requests at its edge":            {10 * time.Second, 1},
+		"requests that are older":         {10*time.Second + 1, 0},
+	} {
+		t.Run(name, func(t *testing.T) {
+			budget := retry.NewBudget(options, start)
+			for range 6 {
+				budget.Request(start, "service")
+			}
+			assert.Equal(t, test.granted, granted(budget, start.Add(test.after)))
+		})
+	}
+}
+
+func TestARepeatCountsForAWindow(t *testing.T) {
+	budget := retry.NewBudget(options, start)
+	for range 6 {
+		budget.Request(start, "service")
+	}
+	assert.True(t, budget.Take(start, "service"))
+	edge := start.Add(options.Window)
+	for range 6 {
+		budget.Request(edge, "service")
+	}
+	assert.Equal(t, 1, granted(budget, edge), "twelve requests within the window allow two, of which one was taken")
+	assert.Equal(t, 0, granted(budget, edge.Add(1)), "six requests allow one, which was taken")
+}
