--- a/tests/pinned/entry/program_test.go
+++ b/tests/pinned/entry/program_test.go
@@ -36,8 +36,8 @@
 	os.Exit(code)
 }
 
-// binary builds the program once.
-func binary(t *testing.T) string {
+// builtProgram builds the program once.
+func builtProgram(t *testing.T) string {
 	t.Helper()
 	directory := root(t)
 	buildOnce.Do(func() {
@@ -116,7 +116,7 @@
 	}
 	var all strings.Builder
 	for _, one := range cases {
-		command := exec.Command(binary(t), one.arguments...)
+		command := exec.Command(builtProgram(t), one.arguments...)
 		command.Env = append(os.Environ(), one.environment)
 		var stdout, stderr bytes.Buffer
 		command.Stdout, command.Stderr = &stdout, &stderr
@@ -135,7 +135,7 @@
 // TestVersion pins that the version is printed and no settings are needed; its text follows the build.
 func TestVersion(t *testing.T) {
 	t.Parallel()
-	output, err := exec.Command(binary(t), "--version").Output()
+	output, err := exec.Command(builtProgram(t), "--version").Output()
 	require.NoError(t, err)
 	require.NotEmpty(t, strings.TrimSpace(string(output)))
 }
--- a/tests/pinned/entry/run_test.go
+++ b/tests/pinned/entry/run_test.go
@@ -162,9 +162,11 @@
 		return r.saw("report of e-dear") && r.saw("order unload of e-model") && r.logged(`"pending":[{`)
 	})
 	metrics := r.metrics()
+	views := r.peerViews()
 	assert.Zero(t, r.end())
 
 	pin(t, "answers.txt", answers)
+	pin(t, "peer_views.txt", views)
 	pin(t, "store_calls.txt", sortedLines(r.storeCalls()))
 	pin(t, "endpoint_requests.txt", r.requests())
 	pin(t, "metrics.txt", metrics)
--- a/tests/pinned/entry/site_test.go
+++ b/tests/pinned/entry/site_test.go
@@ -75,7 +75,7 @@
 func (r *running) start() {
 	r.t.Helper()
 	settings := settingsFile(r.t, r.ports, r.proxy.Listener.Addr().String())
-	r.command = exec.Command(binary(r.t), "--settings="+settings, "--log-level=debug", "--metrics-port="+r.ports.metrics)
+	r.command = exec.Command(builtProgram(r.t), "--settings="+settings, "--log-level=debug", "--metrics-port="+r.ports.metrics)
 	output, err := r.command.StdoutPipe()
 	require.NoError(r.t, err)
 	require.NoError(r.t, r.command.Start())
@@ -247,7 +247,7 @@
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	case strings.HasPrefix(request.URL.Path, "/reset/"):
 		panic(http.ErrAbortHandler)
-	case strings.HasPrefix(request.URL.Path, "/hang/"):
+	case strings.HasPrefix(request.URL.Path, "/hang/"), request.URL.Path == "/chat/hold":
 		<-request.Context().Done()
 	case strings.HasPrefix(request.URL.Path, "/unsealed/"):
 		writer.Header().Del("X-Server-Seal")
--- /dev/null
+++ b/tests/pinned/entry/values_test.go
@@ -0,0 +1,117 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package entry_test
+
+import (
+	"fmt"
+	"net/netip"
+	"reflect"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/platform"
+)
+
+// scalars gives all values in a structure that are not zero, without the names of its fields.
+func scalars(value reflect.Value) []string {
+	if !value.IsValid() || value.IsZero() {
+		return nil
+	}
+	switch value.Type() {
+	case reflect.TypeFor[time.Duration]():
+		return []string{time.Duration(value.Int()).String()}
+	case reflect.TypeFor[netip.AddrPort]():
+		if value.CanInterface() {
+			return []string{fmt.Sprint(value.Interface())}
+		}
+	}
+	var found []string
+	switch value.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		return scalars(value.Elem())
+	case reflect.Struct:
+		for i := range value.NumField() {
+			found = append(found, scalars(value.Field(i))...)
+		}
+	case reflect.Slice, reflect.Array:
+		for i := range value.Len() {
+			found = append(found, scalars(value.Index(i))...)
+		}
+	case reflect.Map:
+		for _, key := range value.MapKeys() {
+			found = append(append(found, scalars(key)...), scalars(value.MapIndex(key))...)
+		}
+	case reflect.String:
+		found = append(found, value.String())
+	case reflect.Bool:
+		found = append(found, "true")
+	case reflect.Int, reflect.Int8, reflect.Int16, reflect.Int32, reflect.Int64:
+		found = append(found, fmt.Sprint(value.Int()))
+	case reflect.Uint, reflect.Uint8, reflect.Uint16, reflect.Uint32, reflect.Uint64:
+		found = append(found, fmt.Sprint(value.Uint()))
+	case reflect.Float32, reflect.Float64:
+		found = append(found, fmt.Sprint(value.Float()))
+	}
+	return found
+}
+
+// checkRead demands that each value of the pinned list has been read. All values of an input differ, so that
+// a tag that is renamed leaves one out; values that nothing uses are not listed.
+func checkRead(t *testing.T, name string, read ...any) {
+	t.Helper()
+	var found []string
+	for _, one := range read {
+		found = append(found, scalars(reflect.ValueOf(one))...)
+	}
+	for _, value := range strings.Split(string(input(t, name)), "\n") {
+		assert.Contains(t, found, value, "%s: a value that was read is read no more", name)
+	}
+}
+
+// TestSettingsAreRead pins which values of the settings file reach the process.
+func TestSettingsAreRead(t *testing.T) {
+	t.Parallel()
+	settings, err := platform.ParseSettings(input(t, "read_settings.json"))
+	require.NoError(t, err)
+	checkRead(t, "read_settings.txt", settings.Process(logrus.WarnLevel, 4321))
+	weak, err := platform.ParseSettings([]byte(strings.NewReplacer(`"cpu_share": 2`, `"cpu_share": 0.1`, `"link_mbps": 1000`, `"link_mbps": 10`).
+		Replace(string(input(t, "read_settings.json")))))
+	require.NoError(t, err)
+	// A weak processor and a weak link each leave the planner's work to others for a time.
+	checkRead(t, "read_weak_settings.txt", weak.Process(logrus.WarnLevel, 0))
+}
+
+// TestConfigurationIsRead pins which values of the operators' configuration are read.
+func TestConfigurationIsRead(t *testing.T) {
+	t.Parallel()
+	configuration, err := platform.ParseConfiguration(input(t, "read_configuration.json"))
+	require.NoError(t, err)
+	checkRead(t, "read_configuration.txt", configuration)
+}
+
+// TestNamedVersionIsRead pins how a version that operators name is read.
+func TestNamedVersionIsRead(t *testing.T) {
+	t.Parallel()
+	for _, text := range []string{`{"model": "base", "adapter": "a1", "version": 41}`, `{"model": "base", "adapter": "a1", "version": "41"}`} {
+		adapter, version, ok := platform.ParseVersion(store.Item{Key: "op/version/base.a1", Value: []byte(text)})
+		require.True(t, ok)
+		checkRead(t, "read_version.txt", adapter, version)
+	}
+	_, _, ok := platform.ParseVersion(store.Item{Key: "op/other", Value: []byte(`{"model": "base", "adapter": "a1", "version": 41}`)})
+	assert.False(t, ok)
+}
+
+// TestEndpointIsRead pins which values of an endpoint's own entry are read.
+func TestEndpointIsRead(t *testing.T) {
+	t.Parallel()
+	endpoint, err := platform.ParseEndpoint(store.Item{Key: "servers/e-1", Value: input(t, "read_endpoint.json")})
+	require.NoError(t, err)
+	checkRead(t, "read_endpoint.txt", endpoint)
+}
