--- a/modules/setting/decode.go
+++ b/modules/setting/decode.go
@@ -56,19 +56,6 @@
 	return d
 }
 
-// Decode fills into from JSON with comments. If its form is right, check may add problems of content by the names of
-// fields, such as "endpoints[0].slots". The error is an ErrBadSettings with the line of each problem.
-func Decode(file string, raw []byte, into any, check func(add func(name, format string, args ...any))) error {
-	d := decode(raw, into)
-	if len(d.problems) == 0 {
-		check(d.add)
-	}
-	if len(d.problems) > 0 {
-		return ErrBadSettings{File: file, Problems: d.problems}
-	}
-	return nil
-}
-
 func lineOf(message string) int {
 	line := 1
 	if at := strings.Index(message, "line "); at >= 0 {
@@ -144,7 +131,7 @@
 
 func fieldFor(into reflect.Value, key string) (reflect.Value, bool) {
 	for i := range into.NumField() {
-		if name, _, _ := strings.Cut(into.Type().Field(i).Tag.Get("json"), ","); name == key {
+		if into.Type().Field(i).Tag.Get("json") == key {
 			return into.Field(i), true
 		}
 	}
--- a/tools/replay/sim/fleet_file.go
+++ b/tools/replay/sim/fleet_file.go
@@ -4,13 +4,17 @@
 package sim
 
 import (
+	"bytes"
+	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
+	"strings"
 	"time"
 
+	"github.com/tailscale/hujson"
+
 	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/setting"
 )
 
 // FleetFile is the fleet that a trace is replayed on.
@@ -69,67 +73,123 @@
 	return fmt.Sprintf("%s:%d: field %q: %s", e.File, e.Line, e.Field, e.Reason)
 }
 
-const (
-	// patientPriority is the highest priority of classes whose work may be held back.
-	patientPriority = 2
-	// queueTokens bounds what waits in a class, in tokens; so many that a trace's deadlines decide instead.
-	queueTokens = 20_000_000
-)
+// patientPriority is the highest priority of classes whose work may be held back.
+const patientPriority = 2
 
-// ReadFleet reads and checks a fleet file, JSON with comments; its error is an ErrBadFile.
+// ReadFleet reads a fleet file, JSON with comments.
 func ReadFleet(file string) (*FleetFile, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
 		return nil, ErrBadFile{File: file, Reason: err.Error()}
 	}
+	plain, err := hujson.Standardize(bytes.Clone(raw))
+	if err != nil {
+		return nil, ErrBadFile{File: file, Line: lineIn(err.Error()), Reason: err.Error()}
+	}
 	f := &FleetFile{}
-	if err := setting.Decode(file, raw, f, f.check); err != nil {
-		return nil, badFile(file, 1, err)
+	if err := decodeStrict(plain, f); err != nil {
+		line, field := locate(plain, err)
+		return nil, ErrBadFile{File: file, Line: line, Field: field, Reason: err.Error()}
+	}
+	if err := f.check(file, plain); err != nil {
+		return nil, err
 	}
 	return f, nil
 }
 
-// badFile gives the first problem that the decoder found in a text that begins at a line of a file.
-func badFile(file string, line int, err error) error {
-	var bad setting.ErrBadSettings
-	if !errors.As(err, &bad) {
-		return ErrBadFile{File: file, Line: line, Reason: err.Error()}
+func decodeStrict(raw []byte, into any) error {
+	d := json.NewDecoder(bytes.NewReader(raw))
+	d.DisallowUnknownFields()
+	return d.Decode(into)
+}
+
+// lineIn finds the line number that hujson puts into its errors.
+func lineIn(message string) int {
+	var line int
+	if at := strings.Index(message, "line "); at >= 0 {
+		_, _ = fmt.Sscanf(message[at:], "line %d", &line)
 	}
-	p := bad.Problems[0]
-	return ErrBadFile{File: file, Line: line + p.Line - 1, Field: p.Name, Reason: p.Reason}
+	return max(1, line)
 }
 
-func (f *FleetFile) check(add func(name, format string, args ...any)) {
-	require := func(ok bool, name, rule string) {
-		if !ok {
-			add(name, "%s", rule)
-		}
+// locate finds the line and field of a decoding error.
+func locate(raw []byte, err error) (int, string) {
+	var typed *json.UnmarshalTypeError
+	if errors.As(err, &typed) {
+		return lineOfOffset(raw, int(typed.Offset)), typed.Field
+	}
+	var syntax *json.SyntaxError
+	if errors.As(err, &syntax) {
+		return lineOfOffset(raw, int(syntax.Offset)), ""
 	}
-	halls, endpoints := make(map[string]bool), make(map[string]bool)
-	for i, h := range f.Halls {
-		require(h.Name != "" && !halls[h.Name], fmt.Sprintf("halls[%d].name", i), "missing or given twice")
+	if name, ok := strings.CutPrefix(err.Error(), "json: unknown field "); ok {
+		name = strings.Trim(name, `"`)
+		return lineOfText(raw, `"`+name+`"`), name
+	}
+	return lineOfOffset(raw, len(raw)), ""
+}
+
+func lineOfOffset(raw []byte, offset int) int {
+	return 1 + bytes.Count(raw[:min(offset, len(raw))], []byte("\n"))
+}
+
+func lineOfText(raw []byte, text string) int {
+	return lineOfOffset(raw, max(0, bytes.Index(raw, []byte(text))))
+}
+
+func (f *FleetFile) check(file string, raw []byte) error {
+	bad := func(near, field, reason string) error {
+		return ErrBadFile{File: file, Line: lineOfText(raw, `"`+near+`"`), Field: field, Reason: reason}
+	}
+	halls := make(map[string]bool)
+	for _, h := range f.Halls {
+		if h.Name == "" || halls[h.Name] {
+			return bad("halls", "halls.name", "missing or given twice")
+		}
 		halls[h.Name] = true
 	}
-	for i, e := range f.Endpoints {
-		at := fmt.Sprintf("endpoints[%d].", i)
-		require(e.Name != "" && !endpoints[e.Name], at+"name", "missing or given twice")
-		endpoints[e.Name] = true
-		require(halls[e.Hall], at+"hall", "no such hall")
-		require(len(e.Bases) > 0, at+"bases", "must not be empty")
-		require(e.Slots >= 1, at+"slots", "must be 1 or more")
-		require(e.MaxBatch >= 1, at+"max_batch", "must be 1 or more")
-		require(e.StepMS > 0, at+"step_ms", "must be above 0")
-		require(e.PrefillTokensPerMS > 0, at+"prefill_tokens_per_ms", "must be above 0")
-		require(e.LoadMS > 0, at+"load_ms", "must be above 0")
+	seen := make(map[string]bool)
+	for _, e := range f.Endpoints {
+		field, reason := e.problem(halls, seen)
+		if field != "" {
+			return bad(e.Name, "endpoints."+field, reason)
+		}
+		seen[e.Name] = true
+	}
+	if len(f.Halls) == 0 || len(f.Endpoints) == 0 {
+		return bad("halls", "endpoints", "a fleet needs halls and endpoints")
 	}
-	require(len(f.Halls) > 0, "halls", "must not be empty")
-	require(len(f.Endpoints) > 0, "endpoints", "must not be empty")
-	require(f.WeightStore.LoadsPerSecond > 0, "weight_store.loads_per_second", "must be above 0")
-	require(f.WeightStore.AtFullSpeed >= 1, "weight_store.at_full_speed", "must be 1 or more")
-	for i, c := range f.Classes {
-		require(c.Name != "", fmt.Sprintf("classes[%d].name", i), "missing")
-		require(c.StallWeight >= 0, fmt.Sprintf("classes[%d].stall_weight", i), "must be 0 or more")
+	if f.WeightStore.LoadsPerSecond <= 0 || f.WeightStore.AtFullSpeed < 1 {
+		return bad("weight_store", "weight_store", "needs loads_per_second above 0 and at_full_speed of 1 or more")
 	}
+	for _, c := range f.Classes {
+		if c.Name == "" || c.StallWeight < 0 {
+			return bad("classes", "classes", "a class needs a name and a stall_weight of 0 or more")
+		}
+	}
+	return nil
+}
+
+func (e EndpointEntry) problem(halls, seen map[string]bool) (string, string) {
+	switch {
+	case e.Name == "" || seen[e.Name]:
+		return "name", "missing or given twice"
+	case !halls[e.Hall]:
+		return "hall", fmt.Sprintf("no hall %q", e.Hall)
+	case len(e.Bases) == 0:
+		return "bases", "must not be empty"
+	case e.Slots < 1:
+		return "slots", "must be 1 or more"
+	case e.MaxBatch < 1:
+		return "max_batch", "must be 1 or more"
+	case e.StepMS <= 0:
+		return "step_ms", "must be above 0"
+	case e.PrefillTokensPerMS <= 0:
+		return "prefill_tokens_per_ms", "must be above 0"
+	case e.LoadMS <= 0:
+		return "load_ms", "must be above 0"
+	}
+	return "", ""
 }
 
 func (e EndpointEntry) spec() fleet.Endpoint {
@@ -145,12 +205,14 @@
 	for _, c := range f.Classes {
 		out = append(out, fleet.Class{
 			Name: c.Name, Priority: c.Priority, StallWeight: c.StallWeight,
-			Patient: c.Priority <= patientPriority, MaxQueuedTokens: queueTokens,
+			Patient: c.Priority <= patientPriority, MaxQueuedTokens: replayQueueTokens,
 		})
 	}
 	return out
 }
 
+const replayQueueTokens = 20_000_000
+
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/tools/replay/sim/trace_file.go
+++ b/tools/replay/sim/trace_file.go
@@ -5,13 +5,11 @@
 
 import (
 	"bufio"
-	"bytes"
 	"encoding/json"
 	"errors"
 	"fmt"
 	"os"
-
-	"github.com/shelfledge/shelfledge/modules/setting"
+	"strings"
 )
 
 // EventName names what happens to the fleet in a trace.
@@ -50,143 +48,153 @@
 	Instance     string    `json:"instance,omitempty"`
 }
 
-// maxLineBytes bounds a line of a trace.
 const maxLineBytes = 1 << 20
 
-// ReadTrace reads a trace of JSON lines and checks it against the fleet; its error is an ErrBadFile.
+// ReadTrace reads a trace of JSON lines and checks it against the fleet.
 func ReadTrace(file string, f *FleetFile) ([]Line, error) {
 	in, err := os.Open(file)
 	if err != nil {
 		return nil, ErrBadFile{File: file, Reason: err.Error()}
 	}
 	defer func() { _ = in.Close() }()
-	c := newTraceChecker(f)
+	c := newTraceChecker(file, f)
 	scanner := bufio.NewScanner(in)
-	scanner.Buffer(nil, maxLineBytes)
+	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var lines []Line
-	number := 0
 	for scanner.Scan() {
-		number++
-		text := bytes.TrimSpace(scanner.Bytes())
-		if len(text) == 0 {
+		c.number++
+		text := strings.TrimSpace(scanner.Text())
+		if text == "" {
 			continue
 		}
-		var line Line
-		if err := decodeLine(file, text, &line); err != nil {
-			return nil, badFile(file, number, err)
-		}
-		if field, reason := c.problem(line); field != "" {
-			return nil, ErrBadFile{File: file, Line: number, Field: field, Reason: reason}
+		line, err := c.parse(text)
+		if err != nil {
+			return nil, err
 		}
 		lines = append(lines, line)
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, ErrBadFile{File: file, Line: number + 1, Reason: err.Error()}
+		return nil, ErrBadFile{File: file, Line: c.number + 1, Reason: err.Error()}
 	}
 	return lines, nil
 }
 
-// decodeLine reads one line; the product's decoder, which is slower, names the field of a bad one.
-func decodeLine(file string, text []byte, line *Line) error {
-	d := json.NewDecoder(bytes.NewReader(text))
-	d.DisallowUnknownFields()
-	err := d.Decode(line)
-	if err == nil && d.More() {
-		err = errors.New("more than one value on a line")
-	}
-	if err == nil {
-		return nil
-	}
-	if named := setting.Decode(file, text, &Line{}, func(func(string, string, ...any)) {}); named != nil {
-		return named
-	}
-	return err
-}
-
 // traceChecker checks the lines of one trace as they come.
 type traceChecker struct {
-	last float64
-	ids  map[string]bool
-	// known holds the names of the fleet by the field that names them.
-	known map[string]map[string]bool
+	file      string
+	number    int
+	last      float64
+	ids       map[string]bool
+	halls     map[string]bool
+	bases     map[string]bool
+	classes   map[string]bool
+	endpoints map[string]bool
+	instances map[string]bool
 }
 
-func newTraceChecker(f *FleetFile) *traceChecker {
-	c := &traceChecker{ids: make(map[string]bool), known: make(map[string]map[string]bool)}
-	add := func(field string, names ...string) {
-		if c.known[field] == nil {
-			c.known[field] = make(map[string]bool)
-		}
-		for _, name := range names {
-			c.known[field][name] = true
-		}
+func newTraceChecker(file string, f *FleetFile) *traceChecker {
+	c := &traceChecker{
+		file: file, ids: make(map[string]bool), halls: make(map[string]bool), bases: make(map[string]bool),
+		classes: make(map[string]bool), endpoints: make(map[string]bool), instances: make(map[string]bool),
 	}
 	for _, h := range f.Halls {
-		add("hall", h.Name)
-		add("instance", h.Instances...)
+		c.halls[h.Name] = true
+		for _, i := range h.Instances {
+			c.instances[i] = true
+		}
 	}
 	for _, e := range f.Endpoints {
-		add("endpoint", e.Name)
-		add("base", e.Bases...)
+		c.endpoints[e.Name] = true
+		for _, b := range e.Bases {
+			c.bases[b] = true
+		}
 	}
-	for _, one := range f.Classes {
-		add("class", one.Name)
+	for _, cl := range f.Classes {
+		c.classes[cl.Name] = true
 	}
 	return c
 }
 
-// problem gives the field of a line that is wrong and why, or empty texts.
-func (c *traceChecker) problem(l Line) (field, reason string) {
-	if l.AtMS < c.last {
-		return "at_ms", fmt.Sprintf("%g is before the line above, %g", l.AtMS, c.last)
+func (c *traceChecker) bad(field, reason string, args ...any) error {
+	return ErrBadFile{File: c.file, Line: c.number, Field: field, Reason: fmt.Sprintf(reason, args...)}
+}
+
+func (c *traceChecker) parse(text string) (Line, error) {
+	var line Line
+	if err := decodeStrict([]byte(text), &line); err != nil {
+		_, field := locate([]byte(text), err)
+		var typed *json.UnmarshalTypeError
+		if errors.As(err, &typed) {
+			return line, c.bad(field, "a %s does not fit here", typed.Value)
+		}
+		return line, c.bad(field, "%s", err)
 	}
-	c.last = l.AtMS
-	if l.Event != "" {
-		return c.eventProblem(l)
+	if line.AtMS < c.last {
+		return line, c.bad("at_ms", "%g is before the line above, %g", line.AtMS, c.last)
 	}
-	if c.ids[l.ID] {
-		return "id", fmt.Sprintf("%q stands twice", l.ID)
+	c.last = line.AtMS
+	if line.Event != "" {
+		return line, c.checkEvent(line)
 	}
-	c.ids[l.ID] = true
-	for _, one := range []struct{ field, name string }{{"hall", l.Hall}, {"base", l.Base}, {"class", l.Class}} {
-		if !c.known[one.field][one.name] {
-			return one.field, fmt.Sprintf("the fleet has no %q", one.name)
-		}
-	}
-	for _, one := range []struct {
-		field string
-		wrong bool
-		rule  string
-	}{
-		{"id", l.ID == "", "missing"}, {"adapter", l.Adapter == "", "missing"}, {"version", l.Version < 1, "must be 1 or more"},
-		{"prompt_tokens", l.PromptTokens < 0, "must be 0 or more"}, {"output_tokens", l.OutputTokens < 1, "must be 1 or more"},
-		{"deadline_ms", l.DeadlineMS < 0, "must be 0 or more"},
-	} {
-		if one.wrong {
-			return one.field, one.rule
-		}
+	return line, c.checkRequest(line)
+}
+
+func (c *traceChecker) checkRequest(l Line) error {
+	switch {
+	case l.ID == "":
+		return c.bad("id", "missing")
+	case c.ids[l.ID]:
+		return c.bad("id", "%q stands twice", l.ID)
+	case !c.halls[l.Hall]:
+		return c.bad("hall", "no hall %q in the fleet", l.Hall)
+	case !c.bases[l.Base]:
+		return c.bad("base", "no endpoint runs %q", l.Base)
+	case !c.classes[l.Class]:
+		return c.bad("class", "no class %q in the fleet", l.Class)
+	case l.Adapter == "":
+		return c.bad("adapter", "missing")
+	case l.Version < 1:
+		return c.bad("version", "must be 1 or more")
+	case l.PromptTokens < 0:
+		return c.bad("prompt_tokens", "must be 0 or more")
+	case l.OutputTokens < 1:
+		return c.bad("output_tokens", "must be 1 or more")
+	case l.DeadlineMS < 0:
+		return c.bad("deadline_ms", "must be 0 or more")
 	}
-	return "", ""
+	c.ids[l.ID] = true
+	return nil
 }
 
-func (c *traceChecker) eventProblem(l Line) (field, reason string) {
-	named := map[EventName]struct{ field, name string }{
-		EndpointRestart: {"endpoint", l.Endpoint}, EndpointLeaving: {"endpoint", l.Endpoint}, LoadFails: {"endpoint", l.Endpoint},
-		HallCut: {"hall", l.Hall}, InstanceLost: {"instance", l.Instance}, StoreRate: {}, KVDown: {},
+func (c *traceChecker) checkEvent(l Line) error {
+	switch l.Event {
+	case EndpointRestart, EndpointLeaving, LoadFails:
+		if !c.endpoints[l.Endpoint] {
+			return c.bad("endpoint", "no endpoint %q in the fleet", l.Endpoint)
+		}
+		if l.Event == LoadFails && l.Count < 1 {
+			return c.bad("count", "must be 1 or more")
+		}
+		return nil
+	case StoreRate:
+		if l.Rate <= 0 {
+			return c.bad("rate_per_second", "must be above 0")
+		}
+	case HallCut:
+		if !c.halls[l.Hall] {
+			return c.bad("hall", "no hall %q in the fleet", l.Hall)
+		}
+	case KVDown:
+	case InstanceLost:
+		if !c.instances[l.Instance] {
+			return c.bad("instance", "no instance %q in the fleet", l.Instance)
+		}
+		return nil
+	default:
+		return c.bad("event", "unknown event %q", l.Event)
 	}
-	one, ok := named[l.Event]
-	lasts := l.Event == StoreRate || l.Event == HallCut || l.Event == KVDown
-	switch {
-	case !ok:
-		return "event", fmt.Sprintf("unknown event %q", l.Event)
-	case one.field != "" && !c.known[one.field][one.name]:
-		return one.field, fmt.Sprintf("the fleet has no %q", one.name)
-	case l.Event == LoadFails && l.Count < 1:
-		return "count", "must be 1 or more"
-	case l.Event == StoreRate && l.Rate <= 0:
-		return "rate_per_second", "must be above 0"
-	case lasts && l.UntilMS <= l.AtMS:
-		return "until_ms", "must be after at_ms"
+	if l.UntilMS <= l.AtMS {
+		return c.bad("until_ms", "must be after at_ms")
 	}
-	return "", ""
+	return nil
 }
