--- a/services/coordinator/forecast/expect.go
+++ b/services/coordinator/forecast/expect.go
@@ -10,15 +10,15 @@
 )
 
 const (
-	// TakeoverTime, a duration, is the usual time until another instance orders when the planner is lost. It stands
+	// TakeoverTime is the usual time until another instance orders when the planner is lost. It stands
 	// for the silence, the order window and two order time-outs of "A hand-over" in docs/design/0006-measured.md;
 	// the figure itself was not measured.
 	TakeoverTime = 2500 * time.Millisecond
-	// HandOverTime, a duration, is the usual time until orders follow when there was no planner or it gave its work
+	// HandOverTime is the usual time until orders follow when there was no planner or it gave its work
 	// over. Without it tests/platform refused requests at once after a start (commit 344fc39); the figure itself
 	// was not measured.
 	HandOverTime = 400 * time.Millisecond
-	// Overdue, a duration, is added to the present for an adapter that should be resident already. Not measured.
+	// Overdue is added to the present for an adapter that should be resident already. Not measured.
 	Overdue = 50 * time.Millisecond
 )
 
--- a/services/coordinator/leadership.go
+++ b/services/coordinator/leadership.go
@@ -13,14 +13,14 @@
 )
 
 const (
-	// leadershipPace, a duration, is the pause between two steps of the leadership goroutine. Not measured.
+	// leadershipPace is the pause between two steps of the leadership goroutine. Not measured.
 	leadershipPace = 100 * time.Millisecond
-	// confirmPause, a duration, is the pause between two confirming reads of the holder: shorter trades store calls
+	// confirmPause is the pause between two confirming reads of the holder: shorter trades store calls
 	// for an earlier notice of trouble. Not measured.
 	confirmPause = 450 * time.Millisecond
-	// confirmRetry, a duration, is the pause after a failed confirming read. Not measured.
+	// confirmRetry is the pause after a failed confirming read. Not measured.
 	confirmRetry = 200 * time.Millisecond
-	// lookPause, a duration, is the usual pause between two looks at the record by an instance without planner.
+	// lookPause is the usual pause between two looks at the record by an instance without planner.
 	// Not measured.
 	lookPause = 300 * time.Millisecond
 )
@@ -218,7 +218,7 @@
 	}
 }
 
-// farewellTime, a duration, is how long the last message to a former planner may take. Not measured.
+// farewellTime is how long the last message to a former planner may take. Not measured.
 const farewellTime = 50 * time.Millisecond
 
 // noteRecord remembers who plans; a link to a former planner ends with the word on its successor.
--- a/services/ownership/candidate.go
+++ b/services/ownership/candidate.go
@@ -6,15 +6,15 @@
 import "time"
 
 const (
-	// TakeoverSilence, a duration, is after how long without a word of a planner that can prove its hold an instance
+	// TakeoverSilence is after how long without a word of a planner that can prove its hold an instance
 	// looks at the record and may replace the holder. Shorter trades false alarms, which cost store reads, for a
 	// quicker takeover. 1.2 s before; 0.9 s was scored with other changes ("eight loads at once from the start" in
 	// docs/design/0006-measured.md).
 	TakeoverSilence = 900 * time.Millisecond
-	// SettledRecord, a duration, is how long a record must have been seen unchanged before its holder is replaced, so
+	// SettledRecord is how long a record must have been seen unchanged before its holder is replaced, so
 	// that a holder who has just written it is left alone. Not measured.
 	SettledRecord = 300 * time.Millisecond
-	// ConfirmTrouble, a duration, is the age of the holder's last confirmation from which on it resigns to a member
+	// ConfirmTrouble is the age of the holder's last confirmation from which on it resigns to a member
 	// that the store answers, and from which on members look whether it answers them. 1.3 and 1 s before; with
 	// resignation a successor orders 1.6 s after a cut, without 5.1 s ("resignation" in docs/design/0006-measured.md).
 	ConfirmTrouble = 800 * time.Millisecond
