--- a/services/node/configuration.go
+++ b/services/node/configuration.go
@@ -11,59 +11,11 @@
 	"github.com/shelfledge/shelfledge/services/placement"
 )
 
-// configuration is the followed configuration with what is needed to pass it on.
-type configuration struct {
-	catalog  *catalog.Catalog
-	history  *catalog.History
-	head     int64
-	wantedAt time.Time
-}
-
-func newConfiguration() configuration {
-	return configuration{catalog: catalog.New(), history: catalog.NewHistory()}
-}
-
-func (c *configuration) revision() int64 {
-	return c.catalog.Revision
-}
-
-// heardHead notes the highest revision that anyone has named.
-func (c *configuration) heardHead(revision int64) {
-	c.head = max(c.head, revision)
-}
-
-func (c *configuration) classes(settings []fleet.Class) []fleet.Class {
-	return c.catalog.ClassList(settings)
-}
-
-// applyTo puts what the configuration says of adapters into a placer.
-func (c *configuration) applyTo(p *placement.Placer) {
-	pins := make([]fleet.AdapterRef, 0, len(c.catalog.Pins))
-	for ref := range c.catalog.Pins {
-		pins = append(pins, ref)
-	}
-	p.SetPinned(pins)
-	preloads := make([]fleet.AdapterRef, 0, len(c.catalog.Preloads))
-	for ref := range c.catalog.Preloads {
-		preloads = append(preloads, ref)
-	}
-	p.SetPreload(preloads, func(ref fleet.AdapterRef) string {
-		if a := c.catalog.Adapters[ref.Name]; a != nil {
-			return a.Base
-		}
-		return ""
-	})
-}
-
-const wantEvery = 100 * time.Millisecond
-
 // want asks a peer that is ahead for what is missing here.
 func (n *Node) want(now time.Time, from fleet.Instance) {
-	if now.Sub(n.config.wantedAt) < wantEvery {
-		return
+	if n.config.AskDue(now) {
+		n.send(from, fleet.Envelope{WantRecords: &fleet.WantRecords{After: n.config.Revision()}})
 	}
-	n.config.wantedAt = now
-	n.send(from, fleet.Envelope{WantRecords: &fleet.WantRecords{After: n.config.revision()}})
 }
 
 // wanted passes configuration on to a peer that is behind.
@@ -72,12 +24,12 @@
 	if !ok {
 		return
 	}
-	snapshot, records, err := n.config.history.After(n.config.catalog, e.WantRecords.After)
+	records, err := n.config.After(e.WantRecords.After)
 	if err != nil {
 		n.note(now, fleet.Event{Kind: fleet.EventRevisionBehind, Other: e.From, Cause: err.Error()})
 		return
 	}
-	n.send(to, fleet.Envelope{Records: &fleet.Records{Head: n.config.revision(), Snapshot: snapshot, Records: records}})
+	n.send(to, fleet.Envelope{Records: records})
 }
 
 // TakeRecords puts newer configuration in force, from a peer or the key-value service; older is never applied.
@@ -87,25 +39,22 @@
 }
 
 func (n *Node) takeRecords(now time.Time, r fleet.Records) {
-	before := n.config.revision()
-	n.config.heardHead(r.Head)
-	if r.Head < before {
+	outcome := n.config.Advance(r, n.options.Defects.AcceptLowerRevision)
+	if outcome.Older {
 		n.note(now, fleet.Event{Kind: fleet.EventRevisionBehind, Revision: r.Head, Cause: "an older configuration was offered and not applied"})
-		if !n.options.Defects.AcceptLowerRevision {
-			return
-		}
 	}
-	next, err := n.config.history.Advance(n.config.catalog, r.Snapshot, r.Records, n.options.Defects.AcceptLowerRevision)
-	if err != nil {
-		n.note(now, fleet.Event{Kind: fleet.EventRevisionBehind, Revision: r.Head, Cause: err.Error()})
+	if outcome.Err != nil {
+		n.note(now, fleet.Event{Kind: fleet.EventRevisionBehind, Revision: r.Head, Cause: outcome.Err.Error()})
 	}
-	if next == nil || next.Revision == before {
-		return
+	if outcome.Changed {
+		n.inForce(now, n.config.Catalog())
 	}
-	n.config.catalog = next
-	n.config.wantedAt = time.Time{}
-	n.note(now, fleet.Event{Kind: fleet.EventRevision, Revision: next.Revision, Cause: "the configuration came into force"})
-	n.emit(Publish{Catalog: next})
+}
+
+// inForce passes a new catalog on to the traffic, the placers and all peers.
+func (n *Node) inForce(now time.Time, c *catalog.Catalog) {
+	n.note(now, fleet.Event{Kind: fleet.EventRevision, Revision: c.Revision, Cause: "the configuration came into force"})
+	n.emit(Publish{Catalog: c})
 	n.applyConfiguration(now)
 	n.heartbeatAll(now)
 	n.digests.Hurry()
@@ -113,17 +62,36 @@
 }
 
 func (n *Node) applyConfiguration(now time.Time) {
-	classes := n.config.classes(n.options.Classes)
+	classes := n.config.Catalog().ClassList(n.options.Classes)
 	for _, ps := range n.order {
 		if !ps.mine {
 			continue
 		}
 		ps.placer.SetClasses(classes)
-		n.config.applyTo(ps.placer)
+		applyCatalog(ps.placer, n.config.Catalog())
 		n.applyDrains(now, ps)
 	}
 }
 
+// applyCatalog puts what the configuration says of adapters into a placer.
+func applyCatalog(p *placement.Placer, c *catalog.Catalog) {
+	pins := make([]fleet.AdapterRef, 0, len(c.Pins))
+	for ref := range c.Pins {
+		pins = append(pins, ref)
+	}
+	p.SetPinned(pins)
+	preloads := make([]fleet.AdapterRef, 0, len(c.Preloads))
+	for ref := range c.Preloads {
+		preloads = append(preloads, ref)
+	}
+	p.SetPreload(preloads, func(ref fleet.AdapterRef) string {
+		if a := c.Adapters[ref.Name]; a != nil {
+			return a.Base
+		}
+		return ""
+	})
+}
+
 // chooseWatcher makes the hall's speaker the one that reads the key-value service.
 func (n *Node) chooseWatcher() {
 	on := n.isSpeaker()
--- a/services/node/digests.go
+++ b/services/node/digests.go
@@ -65,7 +65,7 @@
 
 // news sums up what other halls must learn soon besides the slots.
 func (n *Node) news() digest.News {
-	out := digest.News{Revision: n.config.revision(), Lowest: n.hallRevision()}
+	out := digest.News{Revision: n.config.Revision(), Lowest: n.hallRevision()}
 	for _, ps := range n.order {
 		if p, ok := n.placerRecord(ps); ok && ps.own {
 			out.Terms += p.Term
@@ -76,7 +76,7 @@
 }
 
 func (n *Node) sendDigest(now time.Time, r *digest.Hall, full bool) {
-	d := &fleet.Digest{Hall: n.options.Self.Hall, Revision: n.hallRevision(), Highest: n.config.revision()}
+	d := &fleet.Digest{Hall: n.options.Self.Hall, Revision: n.hallRevision(), Highest: n.config.Revision()}
 	for _, ps := range n.order {
 		if !ps.own {
 			continue
@@ -137,8 +137,8 @@
 		r.SetGap(s.Pool, !n.router.Learn(now, s))
 	}
 	n.setCut(now, r, false)
-	n.config.heardHead(d.Highest)
-	if speaker, ok := r.Speaker(); ok && d.Highest > n.config.revision() {
+	n.config.Hear(d.Highest)
+	if speaker, ok := r.Speaker(); ok && d.Highest > n.config.Revision() {
 		n.want(now, speaker)
 	}
 	if !d.Relayed {
@@ -186,7 +186,7 @@
 
 // hallRevision is the lowest revision in force among this hall's live instances.
 func (n *Node) hallRevision() int64 {
-	lowest := n.config.revision()
+	lowest := n.config.Revision()
 	for _, m := range n.members.Alive() {
 		lowest = min(lowest, m.Revision)
 	}
--- a/services/node/endpoints.go
+++ b/services/node/endpoints.go
@@ -84,7 +84,7 @@
 	for _, e := range ps.pool.Endpoints {
 		leaving := !n.leavers[e.Name].IsZero() && !n.options.Defects.IgnoreLeaving
 		n.run(now, ps, ps.placer.SetLeaving(now, e.Name, leaving))
-		drained := n.config.catalog.Drained[e.Name] || n.config.catalog.Drained[ps.pool.Hall]
+		drained := n.config.Catalog().Drained[e.Name] || n.config.Catalog().Drained[ps.pool.Hall]
 		n.run(now, ps, ps.placer.SetDrained(now, e.Name, drained))
 	}
 }
--- a/services/node/entry.go
+++ b/services/node/entry.go
@@ -31,7 +31,7 @@
 	r.Entry = n.options.Self.ID
 	r.Hall = n.options.Self.Hall
 	p := &pendingRequest{request: r, since: now}
-	if rule, ok := n.config.catalog.Decide(now, r); ok {
+	if rule, ok := n.config.Catalog().Decide(now, r); ok {
 		if rule.Refuse {
 			n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonRule}})
 			return n.take()
--- /dev/null
+++ b/services/node/followed/configuration_test.go
@@ -0,0 +1,141 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package followed_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/catalog"
+	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/services/node/followed"
+)
+
+var begin = time.Unix(1000, 0)
+
+func after(d time.Duration) time.Time {
+	return begin.Add(d)
+}
+
+// records encodes the records of the given revisions, each of which creates one adapter.
+func records(t *testing.T, revisions ...int64) [][]byte {
+	t.Helper()
+	var out [][]byte
+	for _, r := range revisions {
+		data, err := catalog.EncodeRecord(catalog.Record{Revision: r, Changes: []catalog.Change{
+			{Kind: catalog.CreateAdapter, Name: fmt.Sprintf("a%d", r), Base: "base"},
+		}})
+		require.NoError(t, err)
+		out = append(out, data)
+	}
+	return out
+}
+
+// at gives a configuration at the given revision.
+func at(t *testing.T, revision int64) *followed.Configuration {
+	t.Helper()
+	c := followed.New()
+	var all []int64
+	for r := int64(1); r <= revision; r++ {
+		all = append(all, r)
+	}
+	out := c.Advance(fleet.Records{Head: revision, Records: records(t, all...)}, false)
+	require.NoError(t, out.Err)
+	require.Equal(t, revision, c.Revision())
+	return c
+}
+
+func TestRecordsUnderLossDelayAndRepetition(t *testing.T) {
+	for _, row := range []struct {
+		name      string
+		head      int64
+		revisions []int64
+		outcome   followed.Outcome
+		revision  int64
+	}{
+		{"the next record", 4, []int64{4}, followed.Outcome{Changed: true}, 4},
+		{"two at once", 5, []int64{4, 5}, followed.Outcome{Changed: true}, 5},
+		{"some known already", 4, []int64{2, 3, 4}, followed.Outcome{Changed: true}, 4},
+		{"repeated", 3, []int64{2, 3}, followed.Outcome{}, 3},
+		{"empty", 3, nil, followed.Outcome{}, 3},
+		{"a sender that is behind", 2, []int64{2}, followed.Outcome{Older: true}, 3},
+		{"a sender that is behind offers more", 2, []int64{4}, followed.Outcome{Older: true}, 3},
+		{"one was lost before", 5, []int64{5}, followed.Outcome{Err: catalog.ErrGap{Have: 3, Got: 5}}, 3},
+		{"one was lost between", 6, []int64{4, 6}, followed.Outcome{Err: catalog.ErrGap{Have: 4, Got: 6}, Changed: true}, 4},
+		{"the head alone", 9, nil, followed.Outcome{}, 3},
+	} {
+		c := at(t, 3)
+		require.Equal(t, row.outcome, c.Advance(fleet.Records{Head: row.head, Records: records(t, row.revisions...)}, false), row.name)
+		require.Equal(t, row.revision, c.Revision(), row.name)
+		require.Equal(t, max(row.head, 3), c.Head(), row.name)
+		require.Len(t, c.Catalog().Adapters, int(row.revision), row.name)
+	}
+}
+
+func TestMalformedRecordsLeaveTheConfigurationAsItIs(t *testing.T) {
+	c := at(t, 3)
+	for _, r := range []fleet.Records{{Head: 4, Records: [][]byte{{1}}}, {Head: 4, Snapshot: []byte("x")}} {
+		out := c.Advance(r, false)
+		require.Error(t, out.Err)
+		require.False(t, out.Changed)
+	}
+	require.EqualValues(t, 3, c.Revision())
+}
+
+func TestOlderSnapshotIsNotPutInForce(t *testing.T) {
+	old, err := catalog.EncodeSnapshot(at(t, 2).Catalog())
+	require.NoError(t, err)
+	c := at(t, 3)
+	require.Equal(t, followed.Outcome{}, c.Advance(fleet.Records{Head: 3, Snapshot: old}, false))
+	require.EqualValues(t, 3, c.Revision())
+	require.True(t, c.Advance(fleet.Records{Head: 2, Snapshot: old}, true).Changed, "the seeded fault goes back")
+	require.EqualValues(t, 2, c.Revision())
+}
+
+func TestPeerThatIsBehindGetsWhatItMisses(t *testing.T) {
+	c := at(t, 3)
+	for _, row := range []struct {
+		revision int64
+		records  int
+	}{{0, 3}, {2, 1}, {3, 0}, {9, 0}} {
+		out, err := c.After(row.revision)
+		require.NoError(t, err)
+		require.EqualValues(t, 3, out.Head)
+		require.Len(t, out.Records, row.records, "after revision %d", row.revision)
+		require.Empty(t, out.Snapshot)
+	}
+	bySnapshot := followed.New()
+	snapshot, err := catalog.EncodeSnapshot(c.Catalog())
+	require.NoError(t, err)
+	require.True(t, bySnapshot.Advance(fleet.Records{Head: 3, Snapshot: snapshot}, false).Changed)
+	out, err := bySnapshot.After(1)
+	require.NoError(t, err)
+	require.NotEmpty(t, out.Snapshot, "its kept records do not reach back to revision 1")
+	require.Len(t, c.Recent(), 3)
+	require.Empty(t, bySnapshot.Recent())
+}
+
+func TestMissingRecordsAreAskedForAtMostTenTimesASecond(t *testing.T) {
+	const every = 100 * time.Millisecond
+	c := at(t, 1)
+	require.True(t, c.AskDue(begin))
+	require.False(t, c.AskDue(after(every-1)))
+	require.True(t, c.AskDue(after(every)), "a lost answer is asked for again")
+	c.Advance(fleet.Records{Head: 2, Records: records(t, 2)}, false)
+	require.True(t, c.AskDue(after(every)), "after progress the next is asked for at once")
+	c.Advance(fleet.Records{Head: 2, Records: records(t, 2)}, false)
+	require.False(t, c.AskDue(after(every)), "a repeated answer is no progress")
+}
+
+func TestHeadIsTheHighestRevisionNamed(t *testing.T) {
+	c := at(t, 3)
+	for _, row := range []struct{ named, head int64 }{{2, 3}, {7, 7}, {5, 7}, {-1, 7}} {
+		c.Hear(row.named)
+		require.Equal(t, row.head, c.Head())
+	}
+	require.EqualValues(t, 3, c.Revision(), "to be named changes nothing")
+}
--- a/services/node/loads.go
+++ b/services/node/loads.go
@@ -8,20 +8,14 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/ring"
+	"github.com/shelfledge/shelfledge/services/node/loads"
 	"github.com/shelfledge/shelfledge/services/placement"
 )
 
-// heldPermit is a permit in use and the instance that gave it.
-type heldPermit struct {
-	from fleet.Instance
-	id   uint64
-}
-
 // budgetHolder finds the instance that shares out the weight store's rate among
 // the halls in sight: the speaker of the hall that the rate's name hashes to.
 func (n *Node) budgetHolder() (fleet.Instance, bool) {
-	hall := ring.Best("load-budget", n.visibleHalls())
+	hall := loads.Hall(n.visibleHalls())
 	if hall == n.options.Self.Hall {
 		return n.speaker()
 	}
@@ -47,7 +41,7 @@
 // tickBudget makes the bids of the held pools and, at the holder, grants permits.
 func (n *Node) tickBudget(now time.Time) {
 	limits := n.options.Budget
-	if b := n.config.catalog.Budget; b.LoadsPerSecond > 0 && b.AtFullSpeed > 0 {
+	if b := n.config.Catalog().Budget; b.LoadsPerSecond > 0 && b.AtFullSpeed > 0 {
 		limits.LoadsPerSecond, limits.AtFullSpeed = b.LoadsPerSecond, b.AtFullSpeed
 	}
 	n.ledger.SetLimits(now, limits.Part(len(n.visibleHalls()), len(n.remotes)+1))
@@ -62,10 +56,9 @@
 	}
 	self := holder.ID == n.options.Self.ID
 	for _, ps := range n.order {
-		if !ps.mine || now.Sub(ps.bidAt) < n.options.Timing.Bid {
-			continue
+		if ps.mine && ps.bids.Due(now) {
+			n.bid(now, ps, holder, self)
 		}
-		n.bid(now, ps, holder, self)
 	}
 	if self {
 		n.grantPermits(now)
@@ -73,15 +66,13 @@
 }
 
 func (n *Node) bid(now time.Time, ps *poolState, holder fleet.Instance, self bool) {
-	if n.recovering(now, ps) {
+	if loads.Recovering(ps.takeover.Age(now), ps.pool.Name, n.options.Self.ID, n.options.Timing.RecoveryDelay) {
 		return
 	}
 	b, wants := ps.placer.Bid(now)
-	if !wants && !ps.bidding {
+	if !ps.bids.Make(now, wants) {
 		return
 	}
-	ps.bidAt = now
-	ps.bidding = wants
 	if !wants {
 		b.Value = 0
 	}
@@ -89,26 +80,9 @@
 		n.ledger.Bid(now, ps.pool.Name, b.Value, b.Preload)
 		return
 	}
-	if now.Sub(ps.bidSent) < remoteBidEvery && b.Value <= ps.bidValue*bidRise && wants {
-		return
+	if ps.bids.Send(now, b.Value, wants) {
+		n.send(holder, fleet.Envelope{Bid: &fleet.Bid{Pool: ps.pool.Name, Value: b.Value, Preload: b.Preload}})
 	}
-	ps.bidSent, ps.bidValue = now, b.Value
-	n.send(holder, fleet.Envelope{Bid: &fleet.Bid{Pool: ps.pool.Name, Value: b.Value, Preload: b.Preload}})
-}
-
-const (
-	remoteBidEvery = 250 * time.Millisecond
-	bidRise        = 1.5
-)
-
-// recovering spreads the first loads after a takeover over the recovery delay.
-func (n *Node) recovering(now time.Time, ps *poolState) bool {
-	delay := n.options.Timing.RecoveryDelay
-	if delay <= 0 {
-		return false
-	}
-	part := float64(ring.Score(ps.pool.Name, n.options.Self.ID)%1000) / 1000
-	return ps.takeover.Age(now) < time.Duration(float64(delay)*part)
 }
 
 func (n *Node) bidFrom(now time.Time, e fleet.Envelope) {
@@ -127,7 +101,7 @@
 			continue
 		}
 		if ps.mine {
-			n.usePermit(now, ps, heldPermit{from: n.options.Self, id: permit.ID})
+			n.usePermit(now, ps, loads.Held{From: n.options.Self, ID: permit.ID})
 			continue
 		}
 		to, found := n.placerOf(ps)
@@ -135,18 +109,16 @@
 			n.ledger.Done(now, permit.ID, false)
 			continue
 		}
-		n.send(to, fleet.Envelope{Permit: &fleet.Permit{Pool: permit.Pool, ID: permit.ID, Within: permitWithin}})
+		n.send(to, fleet.Envelope{Permit: &fleet.Permit{Pool: permit.Pool, ID: permit.ID, Within: loads.PermitWithin}})
 	}
 }
 
-const permitWithin = 2 * time.Second
-
 func (n *Node) permitted(now time.Time, e fleet.Envelope) {
 	from, ok := n.instanceOf(e.From)
 	if !ok {
 		return
 	}
-	held := heldPermit{from: from, id: e.Permit.ID}
+	held := loads.Held{From: from, ID: e.Permit.ID}
 	ps := n.pools[e.Permit.Pool]
 	if ps == nil || !ps.mine {
 		n.permitDone(now, e.Permit.Pool, held, false)
@@ -156,7 +128,7 @@
 }
 
 // usePermit starts the load that is most valuable at this moment.
-func (n *Node) usePermit(now time.Time, ps *poolState, held heldPermit) {
+func (n *Node) usePermit(now time.Time, ps *poolState, held loads.Held) {
 	effects, used := ps.placer.UsePermit(now)
 	for _, effect := range effects {
 		if l, ok := effect.(placement.Load); ok {
@@ -164,19 +136,18 @@
 		}
 	}
 	n.run(now, ps, effects)
-	ps.bidAt = time.Time{}
-	ps.bidValue = 0
+	ps.bids.Spend()
 	if !used {
 		n.permitDone(now, ps.pool.Name, held, false)
 	}
 }
 
-func (n *Node) permitDone(now time.Time, pool string, held heldPermit, used bool) {
-	if held.from.ID == n.options.Self.ID {
-		n.ledger.Done(now, held.id, used)
+func (n *Node) permitDone(now time.Time, pool string, held loads.Held, used bool) {
+	if held.From.ID == n.options.Self.ID {
+		n.ledger.Done(now, held.ID, used)
 		return
 	}
-	n.send(held.from, fleet.Envelope{PermitDone: &fleet.PermitDone{Pool: pool, ID: held.id, Used: used}})
+	n.send(held.From, fleet.Envelope{PermitDone: &fleet.PermitDone{Pool: pool, ID: held.ID, Used: used}})
 }
 
 // instanceOf finds an instance by its identifier among peers, remote speakers and listed ones.
--- a/services/node/node.go
+++ b/services/node/node.go
@@ -12,6 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/budget"
 	"github.com/shelfledge/shelfledge/services/membership"
 	"github.com/shelfledge/shelfledge/services/node/digest"
+	"github.com/shelfledge/shelfledge/services/node/followed"
 	"github.com/shelfledge/shelfledge/services/node/lease"
 	"github.com/shelfledge/shelfledge/services/routing"
 )
@@ -30,7 +31,7 @@
 	entries  map[string]*entryPeer
 	peers    map[string]*peerState
 	ledger   *budget.Ledger
-	config   configuration
+	config   *followed.Configuration
 	lease    *lease.Lease
 	leaving  bool
 	watching bool
@@ -82,14 +83,14 @@
 		listed:  make(map[string]bool),
 		gone:    make(map[string]time.Time),
 		leavers: make(map[string]time.Time),
-		config:  newConfiguration(),
+		config:  followed.New(),
 		lease:   newLease(o),
 		digests: digest.NewSchedule(o.Timing.Digest, o.Timing.FullSummary),
 	}
 	pools := fleet.BuildPools(o.Endpoints)
 	n.router = routing.NewRouter(o.Self.Hall, pools, o.Routing)
 	for _, pool := range pools {
-		ps := newPoolState(pool, pool.Hall == o.Self.Hall)
+		ps := newPoolState(pool, pool.Hall == o.Self.Hall, o.Timing.Bid)
 		n.pools[pool.Name] = ps
 		n.order = append(n.order, ps)
 	}
@@ -285,8 +286,8 @@
 	}
 	n.learnHeld(now, m)
 	n.learnPools(now, hb)
-	n.config.heardHead(hb.Revision)
-	if hb.Revision > n.config.revision() {
+	n.config.Hear(hb.Revision)
+	if hb.Revision > n.config.Revision() {
 		n.want(now, hb.Instance)
 	}
 	p := n.peer(m.Instance.ID)
@@ -333,7 +334,7 @@
 func (n *Node) sendHeartbeat(now time.Time, m *membership.Member) {
 	peer := n.peer(m.Instance.ID)
 	hb := &fleet.Heartbeat{
-		Instance: n.options.Self, Stamp: n.stamp(now), Revision: n.config.revision(), Leaving: n.leaving, Members: n.members.Hash(),
+		Instance: n.options.Self, Stamp: n.stamp(now), Revision: n.config.Revision(), Leaving: n.leaving, Members: n.members.Hash(),
 	}
 	if peer.hash != hb.Members {
 		hb.Known = n.members.Known()
@@ -399,5 +400,5 @@
 
 // Catalog gives the configuration in force.
 func (n *Node) Catalog() *catalog.Catalog {
-	return n.config.catalog
+	return n.config.Catalog()
 }
--- a/services/node/ownership.go
+++ b/services/node/ownership.go
@@ -11,6 +11,7 @@
 	"github.com/shelfledge/shelfledge/modules/ring"
 	"github.com/shelfledge/shelfledge/services/membership"
 	"github.com/shelfledge/shelfledge/services/node/lease"
+	"github.com/shelfledge/shelfledge/services/node/loads"
 	"github.com/shelfledge/shelfledge/services/node/ownership"
 	"github.com/shelfledge/shelfledge/services/placement"
 	"github.com/shelfledge/shelfledge/services/routing"
@@ -34,11 +35,8 @@
 	handed    []fleet.TicketUse
 	handedBy  FormerOwner
 	former    lease.Succession
-	bidAt     time.Time
-	permits   map[fleet.AdapterRef]heldPermit
-	bidding   bool
-	bidSent   time.Time
-	bidValue  float64
+	bids      loads.Bidder
+	permits   map[fleet.AdapterRef]loads.Held
 	// dealt tells that this entry has asked the pool for a ticket.
 	dealt bool
 }
@@ -48,8 +46,8 @@
 // after a loss. Not measured.
 const maxWaitingTaken = 20000
 
-func newPoolState(pool fleet.Pool, own bool) *poolState {
-	return &poolState{pool: pool, own: own, permits: make(map[fleet.AdapterRef]heldPermit)}
+func newPoolState(pool fleet.Pool, own bool, bid time.Duration) *poolState {
+	return &poolState{pool: pool, own: own, bids: loads.NewBidder(bid), permits: make(map[fleet.AdapterRef]loads.Held)}
 }
 
 // unfenced lists the endpoints on which orders need the lease.
@@ -152,10 +150,10 @@
 	}
 	options := n.options.Placement
 	options.EvictInUse = n.options.Defects.UnloadWithoutTickets
-	options.Classes = n.config.classes(n.options.Classes)
+	options.Classes = n.config.Catalog().ClassList(n.options.Classes)
 	ps.placer = placement.NewPlacer(ps.pool.Name, n.options.Self.ID, ps.pool.Endpoints, options)
 	ps.placer.SetEpoch(n.options.Boot, ps.term)
-	n.config.applyTo(ps.placer)
+	applyCatalog(ps.placer, n.config.Catalog())
 	ps.publisher = routing.NewPublisher(ps.term)
 	clear(ps.permits)
 	n.note(now, fleet.Event{Kind: fleet.EventTakeover, Pool: ps.pool.Name, Fence: ps.term, Cause: cause})
--- a/services/node/view.go
+++ b/services/node/view.go
@@ -55,7 +55,7 @@
 
 // Instances lists the hall's instances, this one included.
 func (n *Node) Instances(now time.Time) []InstanceView {
-	self := InstanceView{Instance: n.options.Self, Alive: true, Leaving: n.leaving, Listed: n.listed[n.options.Self.ID], Revision: n.config.revision()}
+	self := InstanceView{Instance: n.options.Self, Alive: true, Leaving: n.leaving, Listed: n.listed[n.options.Self.ID], Revision: n.config.Revision()}
 	for _, ps := range n.order {
 		if ps.mine {
 			self.Pools = append(self.Pools, ps.pool.Name)
@@ -100,12 +100,12 @@
 
 // Revision gives the revision in force here and the highest that anyone has named.
 func (n *Node) Revision() (int64, int64) {
-	return n.config.revision(), n.config.head
+	return n.config.Revision(), n.config.Head()
 }
 
 // Records lists the recent records of the configuration, the oldest first.
 func (n *Node) Records() []catalog.Record {
-	return n.config.history.Records()
+	return n.config.Recent()
 }
 
 // Peers lists the live instances of the hall, without this one.
