--- a/tests/pinned/program/daemon_test.go
+++ b/tests/pinned/program/daemon_test.go
@@ -117,6 +117,7 @@
 }
 
 func TestRunningDaemon(t *testing.T) {
+	t.Parallel()
 	folder := temporary(t)
 	key := write(t, folder, "key", operatorKey+"\n")
 	d := startDaemon(t, folder)
--- a/tests/pinned/program/flags_test.go
+++ b/tests/pinned/program/flags_test.go
@@ -30,6 +30,7 @@
 func TestFlagsAndExitCodes(t *testing.T) {
 	for name, list := range calls {
 		t.Run(name, func(t *testing.T) {
+			t.Parallel()
 			folder := temporary(t)
 			write(t, folder, "bad.pem", "no certificate\n")
 			var out strings.Builder
@@ -42,6 +43,25 @@
 	}
 }
 
+// TestVariables pins the variables of the environment that stand for flags, and the entry's for its settings file.
+func TestVariables(t *testing.T) {
+	folder := temporary(t)
+	write(t, folder, "file.json", read(t, "settings/entry_full.json"))
+	var out strings.Builder
+	for _, call := range []struct{ variable, line string }{
+		{"SHELFCTL_ADDRESS=here", "shelfctl run x"},
+		{"SHELFCTL_KEY_FILE=none.key", "shelfctl run x"},
+		{"SHELFLEDGE_CONFIG=file.json", "shelfledge-entry --check-settings"},
+		{"SHELFLEDGE_CONFIG=none.json", "shelfledge-entry --check-settings"},
+		{"SHELFLEDGE_CONFIG=none.json", "shelfledge-entry --check-settings --settings file.json"},
+	} {
+		words := strings.Fields(call.line)
+		got := runWith(t, folder, []string{call.variable}, words[0], words[1:]...)
+		fmt.Fprintf(&out, "== %s %s\n%s", call.variable, call.line, got.text(folder))
+	}
+	pin(t, "flags/variables.txt", out.String())
+}
+
 func TestVersionIsPrinted(t *testing.T) {
 	for _, call := range [][]string{{"shelfledged", "--version"}, {"shelfctl", "version"}} {
 		got := run(t, temporary(t), call[0], call[1:]...)
--- a/tests/pinned/program/log_test.go
+++ b/tests/pinned/program/log_test.go
@@ -176,8 +176,9 @@
 }
 
 // TestLogLines pins the kinds of log lines that the code of shelfledged and shelfctl has, those that a run
-// cannot bring about among them. A line that moves changes nothing here; a new text or field does.
+// cannot bring about among them, and the label values that it sets on metrics. A line that moves changes nothing here; a new text or field does.
 func TestLogLines(t *testing.T) {
+	t.Parallel()
 	s := &logScan{source: loadSource(t, "./cmd/shelfledged", "./cmd/shelfctl"), kinds: make(map[string]bool), fields: make(map[string]bool)}
 	for _, file := range s.files {
 		ast.Inspect(file, s.visit)
@@ -188,4 +189,6 @@
 	pin(t, "log/events.txt", list(s.constantsLike("takeover")))
 	pin(t, "log/reasons.txt", list(s.constantsLike("queue_full")))
 	pin(t, "log/outcomes.txt", list(s.constantsLike("answered")))
+	pin(t, "log/claims.txt", list(s.constantsLike("impossible")))
+	pin(t, "metrics/label_values.txt", list(s.labelValues()))
 }
--- a/tests/pinned/program/main_test.go
+++ b/tests/pinned/program/main_test.go
@@ -120,10 +120,16 @@
 
 // run runs a built program in a folder, with an environment that changes nothing in its output.
 func run(t *testing.T, folder, name string, arguments ...string) outcome {
+	t.Helper()
+	return runWith(t, folder, nil, name, arguments...)
+}
+
+// runWith runs a built program with further variables of the environment.
+func runWith(t *testing.T, folder string, variables []string, name string, arguments ...string) outcome {
 	t.Helper()
 	command := exec.Command(filepath.Join(programs, name), arguments...)
 	command.Dir = folder
-	command.Env = []string{"COLUMNS=100", "LANG=C"}
+	command.Env = append([]string{"COLUMNS=100", "LANG=C"}, variables...)
 	var stdout, stderr bytes.Buffer
 	command.Stdout, command.Stderr = &stdout, &stderr
 	err := command.Run()
--- a/tests/pinned/program/metrics_test.go
+++ b/tests/pinned/program/metrics_test.go
@@ -118,3 +118,25 @@
 	}
 	pin(t, "metrics/named.txt", out.String())
 }
+
+var matcher = regexp.MustCompile(`=~?\\?"([a-z_|]+)\\?"`)
+
+// TestAlertsMatchLabelValues holds that each label value that an alert or a board asks for is one that can come.
+func TestAlertsMatchLabelValues(t *testing.T) {
+	var known string
+	for _, file := range []string{"log/events.txt", "log/reasons.txt", "log/outcomes.txt", "log/claims.txt", "daemon/samples.txt"} {
+		known += read(t, file)
+	}
+	seen := 0
+	for _, file := range []string{"conf/alerts.yml", "conf/grafana.json"} {
+		raw, err := os.ReadFile(filepath.Join(root, file))
+		require.NoError(t, err)
+		for _, found := range matcher.FindAllStringSubmatch(string(raw), -1) {
+			for value := range strings.SplitSeq(found[1], "|") {
+				require.Regexp(t, `(?m)(^|")`+value+`("|$)`, known, "%s asks for a label value that never comes", file)
+				seen++
+			}
+		}
+	}
+	require.Positive(t, seen)
+}
--- a/tests/pinned/program/replay_test.go
+++ b/tests/pinned/program/replay_test.go
@@ -84,6 +84,7 @@
 }
 
 func TestReplayRejectsTraces(t *testing.T) {
+	t.Parallel()
 	fleet, trace := read(t, "replay/fleet.json"), read(t, "replay/trace.jsonl")
 	good, _, _ := strings.Cut(trace, "\n")
 	bad := []string{good}
@@ -100,6 +101,7 @@
 }
 
 func TestReplayRejectsFleets(t *testing.T) {
+	t.Parallel()
 	trace := read(t, "replay/trace.jsonl")
 	plain := regexp.MustCompile(`(?m)^//.*$`).ReplaceAllString(read(t, "replay/fleet.json"), "")
 	folder := temporary(t)
