--- a/models/deployment/request.go
+++ b/models/deployment/request.go
@@ -5,24 +5,18 @@
 
 import "time"
 
-// PromptPart is a piece of a prompt that other requests may share.
-type PromptPart struct {
-	ID     string
-	Tokens int
-}
-
 // Request holds the facts of one caller's attempt that decisions need.
 type Request struct {
-	ID      string
-	Route   *Route
+	// ID is the caller's own name of the attempt, from its header; it need not be unique.
+	ID string
+	// Route is the route that host and path match; from the settings in force.
+	Route *Route
+	// Service is the one of the route's services that was drawn for the request.
 	Service string
-	// Model is empty for plain services.
+	// Adapter is what the caller's header names; its Model is empty for plain services.
 	Adapter Adapter
-	Prompt  []PromptPart
-	// PromptTokens and MaxTokens are the prompt's size and the most it may generate.
-	PromptTokens int
-	MaxTokens    int
-	Arrived      time.Time
+	// Arrived is when this instance began to serve the request; own clock.
+	Arrived time.Time
 	// Deadline is the earlier of the caller's own deadline and the route's timeout.
 	Deadline time.Time
 }
--- a/services/entry/dialect.go
+++ b/services/entry/dialect.go
@@ -15,10 +15,7 @@
 	ID      string
 	Adapter deployment.Adapter
 	// Patience is how long the caller waits; 0 if it did not say.
-	Patience     time.Duration
-	Prompt       []deployment.PromptPart
-	PromptTokens int
-	MaxTokens    int
+	Patience time.Duration
 	// ResumeAfter is the last event the caller has; empty for a new stream.
 	ResumeAfter string
 }
--- a/services/entry/service.go
+++ b/services/entry/service.go
@@ -132,8 +132,7 @@
 	facts := s.dialect.ReadRequest(incoming.Header)
 	request := &deployment.Request{
 		ID: facts.ID, Route: route, Service: balance.ChooseBackend(route, s.options.Random()), Adapter: facts.Adapter,
-		Prompt: facts.Prompt, PromptTokens: facts.PromptTokens, MaxTokens: facts.MaxTokens, Arrived: arrived,
-		Deadline: deadline(arrived, route, facts),
+		Arrived: arrived, Deadline: deadline(arrived, route, facts),
 	}
 	if service := configuration.Services[request.Service]; service == nil || service.Engine == nil {
 		request.Adapter = deployment.Adapter{}
