--- a/models/deployment/configuration.go
+++ b/models/deployment/configuration.go
@@ -24,22 +24,29 @@
 // Backend is a service that takes a share of a route's requests.
 type Backend struct {
 	Service string
-	Weight  float64
+	// Weight is its share, in any unit that all backends of the route have in common.
+	Weight float64
 }
 
 // Route maps a host and a path prefix to services.
 type Route struct {
-	Name        string
-	Host        string
-	PathPrefix  string
-	Kind        RouteKind
-	Timeout     time.Duration
-	Target      time.Duration
+	Name       string
+	Host       string
+	PathPrefix string
+	Kind       RouteKind
+	// Timeout is how long a request may take from its arrival on, unless the caller's own deadline is earlier.
+	Timeout time.Duration
+	// Target is the time until an answer, for streams until its first event, that counts as in time.
+	Target time.Duration
+	// PauseTarget is the longest pause between two events of a stream that counts as in time; zero for other kinds.
 	PauseTarget time.Duration
-	Priority    int
+	// Priority is the rank among requests that wait; the lowest is served first.
+	Priority int
+	// MaxAttempts is how many endpoints a request may be sent to, the first one included.
 	MaxAttempts int
-	Resumable   bool
-	Backends    []Backend
+	// Resumable says that a stream that broke off can go on at another endpoint after its last event.
+	Resumable bool
+	Backends  []Backend
 }
 
 // Repeatable tells whether a request that may have run can be sent again.
@@ -49,26 +56,35 @@
 
 // Model is a base model with numbered adapters.
 type Model struct {
-	Name      string
+	Name string
+	// WeightsMB is the memory that it takes on an engine.
 	WeightsMB float64
-	Adapters  int
+	// Adapters is how many adapters there are.
+	Adapters int
+	// AdapterMB is the memory that each of them takes on an engine.
 	AdapterMB float64
 }
 
 // Engine describes the batching engines of a service.
 type Engine struct {
-	Slots           int
-	KVTokens        int
-	WeightsMB       float64
+	// Slots is how many requests run at once.
+	Slots int
+	// KVTokens is how many tokens its prompt memory holds.
+	KVTokens int
+	// WeightsMB is the memory for base models and adapters together.
+	WeightsMB float64
+	// AdapterCapacity is the most adapters that it holds, whatever their size.
 	AdapterCapacity int
-	LoadsPerSecond  float64
-	Models          []Model
+	// LoadsPerSecond is the weight store's bound on loads of base models begun, over all engines.
+	LoadsPerSecond float64
+	Models         []Model
 }
 
 // Service is a group of endpoints that serve the same requests.
 type Service struct {
-	Name           string
-	HealthPath     string
+	Name       string
+	HealthPath string
+	// MaxConnections is how many connections each endpoint accepts, from all instances together; 0 sets no bound.
 	MaxConnections int
 	// Engine is nil for a plain service.
 	Engine *Engine
@@ -78,12 +94,15 @@
 type Limits struct {
 	MaxHeaderBytes int
 	MaxBodyBytes   int64
-	HeaderTimeout  time.Duration
-	IdleTimeout    time.Duration
+	// HeaderTimeout is how long a caller may take for the head of a request.
+	HeaderTimeout time.Duration
+	// IdleTimeout is how long a caller's connection may stay without a request.
+	IdleTimeout time.Duration
 }
 
 // Configuration is one accepted version of routes and services.
 type Configuration struct {
+	// Version is the number under which the users' system accepted it; it only grows.
 	Version  int64
 	Services map[string]*Service
 	Limits   Limits
--- a/models/deployment/endpoint.go
+++ b/models/deployment/endpoint.go
@@ -5,6 +5,7 @@
 
 import (
 	"net/netip"
+	"slices"
 	"time"
 )
 
@@ -44,9 +45,11 @@
 	ID      EndpointID
 	Service string
 	Address netip.AddrPort
-	Hall    string
-	Slots   int
-	State   EndpointState
+	// Hall is the part of the site that it stands in.
+	Hall string
+	// Slots is how many requests it runs at once; 0 if it did not say.
+	Slots int
+	State EndpointState
 	// Models are the base models it holds.
 	Models []string
 	// CachedModels are the base models of which it has a copy in its memory or on its disk, so that
@@ -60,10 +63,5 @@
 
 // HasModel tells whether the endpoint holds a base model.
 func (e *Endpoint) HasModel(model string) bool {
-	for _, held := range e.Models {
-		if held == model {
-			return true
-		}
-	}
-	return false
+	return slices.Contains(e.Models, model)
 }
