--- a/services/node/digests.go
+++ b/services/node/digests.go
@@ -93,7 +93,7 @@
 		d.Instances = append(d.Instances, n.members.Known()...)
 	}
 	d.Wants = r.Gaps()
-	for _, to := range r.Targets(n.known) {
+	for _, to := range r.Targets(n.list.Instances()) {
 		n.send(to, fleet.Envelope{Digest: d})
 	}
 }
--- a/services/node/endpoints.go
+++ b/services/node/endpoints.go
@@ -78,13 +78,3 @@
 	ps.takeover.LoseFence(now, endpoint)
 	ps.placer.LoseFence(endpoint)
 }
-
-// applyDrains passes on what leaves by the platform's list or an operator's command.
-func (n *Node) applyDrains(now time.Time, ps *poolState) {
-	for _, e := range ps.pool.Endpoints {
-		leaving := !n.leavers[e.Name].IsZero() && !n.options.Defects.IgnoreLeaving
-		n.run(now, ps, ps.placer.SetLeaving(now, e.Name, leaving))
-		drained := n.config.Catalog().Drained[e.Name] || n.config.Catalog().Drained[ps.pool.Hall]
-		n.run(now, ps, ps.placer.SetDrained(now, e.Name, drained))
-	}
-}
--- a/services/node/lease.go
+++ b/services/node/lease.go
@@ -125,7 +125,7 @@
 }
 
 func (n *Node) evidence(ps *poolState, f FormerOwner) lease.Evidence {
-	e := lease.Evidence{Self: f.ID == n.options.Self.ID, GoneSince: n.gone[f.ID]}
+	e := lease.Evidence{Self: f.ID == n.options.Self.ID, GoneSince: n.list.GoneSince(f.ID)}
 	if m := n.members.Member(f.ID); m != nil && m.Alive {
 		e.Alive, e.Boot, e.Holds = true, m.Boot, heldTerm(m, ps.pool.Name) != 0
 	}
--- a/services/node/loads.go
+++ b/services/node/loads.go
@@ -163,6 +163,5 @@
 			return i, true
 		}
 	}
-	i, ok := n.known[id]
-	return i, ok
+	return n.list.Instance(id)
 }
--- a/services/node/ownership.go
+++ b/services/node/ownership.go
@@ -210,7 +210,7 @@
 			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
 		}
 	}
-	for _, u := range n.ownUses(ps.pool.Name) {
+	for _, u := range n.uses.OfPool(ps.pool.Name) {
 		if u.Ticket.Endpoint == endpoint {
 			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
 		}
--- a/services/node/placing.go
+++ b/services/node/placing.go
@@ -14,11 +14,11 @@
 func (n *Node) submitted(now time.Time, e fleet.Envelope) {
 	ps := n.pools[e.Submit.Pool]
 	if ps == nil || !ps.mine {
-		n.learnReply(now, e)
+		n.learnReply(e)
 		n.elsewhere(e, e.Submit.Pool)
 		return
 	}
-	n.learnReply(now, e)
+	n.learnReply(e)
 	if ps.takeover.Holds(now) && len(ps.waiting) < maxWaitingTaken {
 		ps.waiting = append(ps.waiting, e)
 		return
@@ -27,9 +27,9 @@
 }
 
 // learnReply remembers where a request's entry is and the latest of its stamps.
-func (n *Node) learnReply(now time.Time, e fleet.Envelope) {
+func (n *Node) learnReply(e fleet.Envelope) {
 	hall := e.Submit.Request.Hall
-	n.learnEntry(now, fleet.Instance{ID: e.From, Hall: hall, Address: e.Submit.Reply}, e.Submit.Stamp)
+	n.learnEntry(fleet.Instance{ID: e.From, Hall: hall, Address: e.Submit.Reply}, e.Submit.Stamp)
 }
 
 // place puts a request before the placer; its deadline is counted from now by this node's clock.
@@ -128,15 +128,15 @@
 }
 
 func (n *Node) grantSelf(now time.Time, ps *poolState, g placement.Grant) {
-	p, ok := n.pending[g.Ticket.RequestID]
-	if !ok || p.request.Attempt != g.Request.Attempt {
-		if _, used := n.uses[g.Ticket.ID]; !used {
+	p, ok := n.pending.FindAttempt(g.Ticket.RequestID, g.Request.Attempt)
+	if !ok {
+		if !n.uses.Has(g.Ticket.ID) {
 			n.run(now, ps, ps.placer.Return(now, g.Ticket.ID))
 		}
 		return
 	}
-	delete(n.pending, g.Ticket.RequestID)
-	n.deliver(now, g.Ticket, p.request)
+	n.pending.Remove(g.Ticket.RequestID)
+	n.deliver(now, g.Ticket, p.Request)
 }
 
 func (n *Node) refuse(now time.Time, ps *poolState, r placement.Refuse) {
@@ -153,14 +153,14 @@
 }
 
 func (n *Node) refuseSelf(now time.Time, r placement.Refuse, elsewhere bool) {
-	p, ok := n.pending[r.Request.ID]
-	if !ok || p.request.Attempt != r.Request.Attempt {
+	p, ok := n.pending.FindAttempt(r.Request.ID, r.Request.Attempt)
+	if !ok {
 		return
 	}
 	if elsewhere {
-		p.resendAt = now.Add(elsewhereDelay)
+		p.Elsewhere(now)
 		return
 	}
-	delete(n.pending, r.Request.ID)
+	n.pending.Remove(r.Request.ID)
 	n.emit(Reject{RequestID: r.Request.ID, Refusal: r.Refusal})
 }
--- a/services/node/entry.go
+++ b/services/node/requests.go
@@ -4,42 +4,43 @@
 package node
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/services/node/waiting"
 )
 
-// pendingRequest is a request of this entry that waits for a ticket.
-type pendingRequest struct {
-	request  fleet.Request
-	halls    []string
-	pool     string
-	asked    fleet.Instance
-	since    time.Time
-	resendAt time.Time
-	lostAt   time.Time
-}
+const (
+	// retryStopping is when to send a request again that a stopping instance refuses; the
+	// next try goes to another instance. Not measured.
+	retryStopping = time.Second
+	// retryNoEndpoint is when to send a request again that no endpoint or placer can take.
+	// Not measured; a pool's loss stalls its hall for about 2 s (docs/design/0002).
+	retryNoEndpoint = 2 * time.Second
+	// oldGrants is by how many times the greatest age of a usable grant, with the time to
+	// start, a grant must be older before its entry's silence about it counts. Higher keeps
+	// a slot in use longer after a lost return. Not measured.
+	oldGrants = 2
+)
 
 // Submit takes a caller's request; the answer is a Deliver or a Reject, now or later.
 func (n *Node) Submit(now time.Time, r fleet.Request) []Effect {
 	if n.leaving && r.Attempt == 0 {
-		n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonStopping, RetryAfter: time.Second}})
+		n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonStopping, RetryAfter: retryStopping}})
 		return n.take()
 	}
 	r.Entry = n.options.Self.ID
 	r.Hall = n.options.Self.Hall
-	p := &pendingRequest{request: r, since: now}
+	p := &waiting.Request{Request: r}
 	if rule, ok := n.config.Catalog().Decide(now, r); ok {
 		if rule.Refuse {
 			n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonRule}})
 			return n.take()
 		}
-		p.halls = rule.Halls
-		p.request.Priority = rule.Priority
+		p.Halls = rule.Halls
+		p.Request.Priority = rule.Priority
 	}
-	n.pending[r.ID] = p
+	n.pending.Add(p)
 	n.route(now, p)
 	n.spend(now)
 	return n.take()
@@ -47,11 +48,11 @@
 
 // Abandon withdraws a request whose caller has gone before a ticket came.
 func (n *Node) Abandon(now time.Time, requestID string) []Effect {
-	p, ok := n.pending[requestID]
+	p, ok := n.pending.Find(requestID)
 	if !ok {
 		return nil
 	}
-	delete(n.pending, requestID)
+	n.pending.Remove(requestID)
 	n.withdraw(now, p)
 	n.spend(now)
 	return n.take()
@@ -59,12 +60,11 @@
 
 // Finish gives a ticket back after its request has ended on the endpoint, or never started.
 func (n *Node) Finish(now time.Time, ticketID string) []Effect {
-	u, ok := n.uses[ticketID]
+	t, ok := n.uses.Remove(ticketID)
 	if !ok {
 		return nil
 	}
-	delete(n.uses, ticketID)
-	n.giveBack(now, u.Ticket)
+	n.giveBack(now, t)
 	n.spend(now)
 	return n.take()
 }
@@ -99,33 +99,32 @@
 }
 
 // route chooses a pool for a waiting request and asks its placer.
-func (n *Node) route(now time.Time, p *pendingRequest) {
-	name, ok := n.router.Choose(now, p.request, p.halls)
+func (n *Node) route(now time.Time, p *waiting.Request) {
+	name, ok := n.router.Choose(now, p.Request, p.Halls)
 	if !ok {
-		delete(n.pending, p.request.ID)
-		n.emit(Reject{RequestID: p.request.ID, Refusal: fleet.Refusal{RequestID: p.request.ID, Reason: fleet.ReasonNoEndpoint, RetryAfter: 2 * time.Second}})
+		n.pending.Remove(p.Request.ID)
+		n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonNoEndpoint, RetryAfter: retryNoEndpoint}})
 		return
 	}
-	if p.pool != "" && p.pool != name {
+	if p.Pool != "" && p.Pool != name {
 		n.withdraw(now, p)
 	}
-	p.pool = name
+	p.Pool = name
 	n.ask(now, p)
 }
 
 // ask submits a waiting request to its pool's placer, if there is one.
-func (n *Node) ask(now time.Time, p *pendingRequest) {
-	ps := n.pools[p.pool]
+func (n *Node) ask(now time.Time, p *waiting.Request) {
+	ps := n.pools[p.Pool]
 	ps.dealt = true
-	p.resendAt = now.Add(n.options.Timing.Resubmit)
-	submit := &fleet.Submit{Pool: p.pool, Request: p.request, Reply: n.options.Self.Address, Stamp: n.stamp(now)}
-	if !p.request.Deadline.IsZero() {
-		submit.Wait = p.request.Deadline.Sub(now)
+	p.Ask(now, n.options.Timing.Resubmit)
+	submit := &fleet.Submit{Pool: p.Pool, Request: p.Request, Reply: n.options.Self.Address, Stamp: n.stamp(now)}
+	if !p.Request.Deadline.IsZero() {
+		submit.Wait = p.Request.Deadline.Sub(now)
 	}
 	envelope := fleet.Envelope{From: n.options.Self.ID, Boot: n.options.Boot, Submit: submit}
 	if ps.mine {
-		p.lostAt = time.Time{}
-		p.asked = n.options.Self
+		p.AskedOf(n.options.Self)
 		n.submitted(now, envelope)
 		return
 	}
@@ -134,45 +133,41 @@
 		n.noPlacer(now, p)
 		return
 	}
-	p.lostAt = time.Time{}
-	p.asked = to
+	p.AskedOf(to)
 	n.send(to, envelope)
 }
 
 // noPlacer lets a request wait a while for a pool without a placer.
-func (n *Node) noPlacer(now time.Time, p *pendingRequest) {
-	if p.lostAt.IsZero() {
-		p.lostAt = now
-	}
-	if now.Sub(p.lostAt) < n.options.Timing.NoPlacer {
+func (n *Node) noPlacer(now time.Time, p *waiting.Request) {
+	if !p.NoPlacer(now, n.options.Timing.NoPlacer) {
 		return
 	}
-	delete(n.pending, p.request.ID)
-	n.emit(Reject{RequestID: p.request.ID, Refusal: fleet.Refusal{RequestID: p.request.ID, Reason: fleet.ReasonNoPlacer, RetryAfter: 2 * time.Second}})
+	n.pending.Remove(p.Request.ID)
+	n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonNoPlacer, RetryAfter: retryNoEndpoint}})
 }
 
-func (n *Node) withdraw(now time.Time, p *pendingRequest) {
-	ps := n.pools[p.pool]
-	if ps == nil || p.asked.ID == "" {
+func (n *Node) withdraw(now time.Time, p *waiting.Request) {
+	ps := n.pools[p.Pool]
+	if ps == nil || p.Asked.ID == "" {
 		return
 	}
 	if ps.mine {
-		n.run(now, ps, ps.placer.Cancel(now, p.request.ID))
+		n.run(now, ps, ps.placer.Cancel(now, p.Request.ID))
 		return
 	}
-	n.send(p.asked, fleet.Envelope{Withdraw: &fleet.Withdraw{Pool: p.pool, RequestID: p.request.ID}})
+	n.send(p.Asked, fleet.Envelope{Withdraw: &fleet.Withdraw{Pool: p.Pool, RequestID: p.Request.ID}})
 }
 
 // tickPending refuses what has expired and asks again for what got no answer.
 func (n *Node) tickPending(now time.Time) {
-	for _, p := range n.sortedPending() {
-		if p.request.Expired(now) {
-			delete(n.pending, p.request.ID)
+	for _, p := range n.pending.Sorted() {
+		if p.Request.Expired(now) {
+			n.pending.Remove(p.Request.ID)
 			n.withdraw(now, p)
-			n.emit(Reject{RequestID: p.request.ID, Refusal: fleet.Refusal{RequestID: p.request.ID, Reason: fleet.ReasonExpired}})
+			n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonExpired}})
 			continue
 		}
-		if now.Before(p.resendAt) {
+		if !p.AskDue(now) {
 			continue
 		}
 		if n.placeable(p) {
@@ -184,8 +179,8 @@
 }
 
 // placeable tells whether the pool chosen for a request can still be asked.
-func (n *Node) placeable(p *pendingRequest) bool {
-	ps := n.pools[p.pool]
+func (n *Node) placeable(p *waiting.Request) bool {
+	ps := n.pools[p.Pool]
 	if ps == nil {
 		return false
 	}
@@ -197,19 +192,10 @@
 	return ok && !r.Cut()
 }
 
-func (n *Node) sortedPending() []*pendingRequest {
-	out := make([]*pendingRequest, 0, len(n.pending))
-	for _, p := range n.pending {
-		out = append(out, p)
-	}
-	slices.SortFunc(out, func(a, b *pendingRequest) int { return cmp.Compare(a.request.ID, b.request.ID) })
-	return out
-}
-
 // resubmitPool asks a pool's new placer for everything that waits for the pool.
 func (n *Node) resubmitPool(now time.Time, ps *poolState) {
-	for _, p := range n.sortedPending() {
-		if p.pool == ps.pool.Name {
+	for _, p := range n.pending.Sorted() {
+		if p.Pool == ps.pool.Name {
 			n.ask(now, p)
 		}
 	}
@@ -218,29 +204,25 @@
 // granted takes a ticket, unless the request needs none or the grant is too old to be used.
 func (n *Node) granted(now time.Time, e fleet.Envelope) {
 	g := e.Granted
-	p, ok := n.pending[g.Ticket.RequestID]
-	if _, used := n.uses[g.Ticket.ID]; used {
-		return
-	}
-	if !ok || p.request.Attempt != g.Attempt {
-		if !n.options.Defects.AcceptOldGrants {
-			n.returnTo(e, g.Ticket)
-			return
+	p, awaited := n.pending.FindAttempt(g.Ticket.RequestID, g.Attempt)
+	verdict := waiting.Judge(waiting.Grant{
+		InUse: n.uses.Has(g.Ticket.ID), Awaited: awaited, Age: n.stamp(now) - g.Stamp, Limit: n.options.Timing.GrantAge,
+		AcceptOld: n.options.Defects.AcceptOldGrants,
+	})
+	switch verdict {
+	case waiting.Return:
+		n.returnTo(e, g.Ticket)
+	case waiting.TooOld:
+		p.Hurry(now)
+	case waiting.Use:
+		var request fleet.Request
+		if p != nil {
+			request = p.Request
 		}
+		n.pending.Remove(g.Ticket.RequestID)
+		n.deliver(now, g.Ticket, request)
+	case waiting.Repeated:
 	}
-	age := n.stamp(now) - g.Stamp
-	if age > n.options.Timing.GrantAge && !n.options.Defects.AcceptOldGrants {
-		if ok {
-			p.resendAt = now
-		}
-		return
-	}
-	var request fleet.Request
-	if ok {
-		request = p.request
-	}
-	delete(n.pending, g.Ticket.RequestID)
-	n.deliver(now, g.Ticket, request)
 }
 
 func (n *Node) returnTo(e fleet.Envelope, t fleet.Ticket) {
@@ -256,40 +238,26 @@
 }
 
 func (n *Node) deliver(now time.Time, t fleet.Ticket, r fleet.Request) {
-	n.uses[t.ID] = fleet.TicketUse{Ticket: t, Request: r}
+	n.uses.Add(t, r)
 	n.emit(Deliver{RequestID: t.RequestID, Ticket: t, NotAfter: now.Add(t.StartWithin)})
 }
 
 // refused takes a placer's refusal, or its word that it is not the placer.
 func (n *Node) refused(now time.Time, e fleet.Envelope) {
-	p, ok := n.pending[e.Refused.Refusal.RequestID]
-	if !ok || p.pool != e.Refused.Pool || e.Refused.Attempt != p.request.Attempt {
+	p, ok := n.pending.FindAttempt(e.Refused.Refusal.RequestID, e.Refused.Attempt)
+	if !ok || p.Pool != e.Refused.Pool {
 		return
 	}
 	if e.Refused.Elsewhere {
-		p.resendAt = now.Add(elsewhereDelay)
+		p.Elsewhere(now)
 		return
 	}
-	delete(n.pending, p.request.ID)
-	n.emit(Reject{RequestID: p.request.ID, Refusal: e.Refused.Refusal})
-}
-
-const elsewhereDelay = 50 * time.Millisecond
-
-// ownUses lists the tickets of a pool that this entry uses.
-func (n *Node) ownUses(pool string) []fleet.TicketUse {
-	var out []fleet.TicketUse
-	for _, u := range n.uses {
-		if u.Ticket.Pool == pool {
-			out = append(out, u)
-		}
-	}
-	slices.SortFunc(out, func(a, b fleet.TicketUse) int { return cmp.Compare(a.Ticket.ID, b.Ticket.ID) })
-	return out
+	n.pending.Remove(p.Request.ID)
+	n.emit(Reject{RequestID: p.Request.ID, Refusal: e.Refused.Refusal})
 }
 
 func (n *Node) declareUses(ps *poolState, to fleet.Instance) {
-	n.send(to, fleet.Envelope{Redeclare: &fleet.Redeclare{Pool: ps.pool.Name, Uses: n.ownUses(ps.pool.Name)}})
+	n.send(to, fleet.Envelope{Redeclare: &fleet.Redeclare{Pool: ps.pool.Name, Uses: n.uses.OfPool(ps.pool.Name)}})
 }
 
 // tickReconfirm tells the placers now and then which tickets are in use, so that a lost return does no lasting harm.
@@ -300,7 +268,7 @@
 	n.redo = now
 	for _, ps := range n.order {
 		if ps.mine {
-			n.run(now, ps, ps.placer.Reconfirm(now, n.options.Self.ID, n.ownUses(ps.pool.Name), n.tooOld()))
+			n.run(now, ps, ps.placer.Reconfirm(now, n.options.Self.ID, n.uses.OfPool(ps.pool.Name), n.tooOld()))
 			continue
 		}
 		to, ok := n.placerOf(ps)
@@ -312,5 +280,5 @@
 
 // tooOld is the age at which a grant that its entry does not know cannot be on its way any more.
 func (n *Node) tooOld() time.Duration {
-	return 2 * (n.options.Timing.GrantAge + n.options.Placement.StartWithin)
+	return oldGrants * (n.options.Timing.GrantAge + n.options.Placement.StartWithin)
 }
--- a/services/node/view.go
+++ b/services/node/view.go
@@ -55,7 +55,7 @@
 
 // Instances lists the hall's instances, this one included.
 func (n *Node) Instances(now time.Time) []InstanceView {
-	self := InstanceView{Instance: n.options.Self, Alive: true, Leaving: n.leaving, Listed: n.listed[n.options.Self.ID], Revision: n.config.Revision()}
+	self := InstanceView{Instance: n.options.Self, Alive: true, Leaving: n.leaving, Listed: n.list.Listed(n.options.Self.ID), Revision: n.config.Revision()}
 	for _, ps := range n.order {
 		if ps.mine {
 			self.Pools = append(self.Pools, ps.pool.Name)
--- /dev/null
+++ b/services/node/waiting/waiting_test.go
@@ -0,0 +1,126 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package waiting_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/services/node/waiting"
+)
+
+const limit = 3 * time.Second
+
+var begin = time.Unix(1000, 0)
+
+func after(d time.Duration) time.Time {
+	return begin.Add(d)
+}
+
+func request(id string, attempt int) *waiting.Request {
+	return &waiting.Request{Request: fleet.Request{ID: id, Attempt: attempt}}
+}
+
+func TestGrantUnderLossDelayAndRepetition(t *testing.T) {
+	for _, row := range []struct {
+		name  string
+		grant waiting.Grant
+		want  waiting.Verdict
+	}{
+		{"awaited and fresh", waiting.Grant{Awaited: true}, waiting.Use},
+		{"awaited, as old as allowed", waiting.Grant{Awaited: true, Age: limit}, waiting.Use},
+		{"awaited, too old", waiting.Grant{Awaited: true, Age: limit + 1}, waiting.TooOld},
+		{"repeated while in use", waiting.Grant{InUse: true}, waiting.Repeated},
+		{"repeated and old", waiting.Grant{InUse: true, Age: time.Hour}, waiting.Repeated},
+		{"for a request that waits no more", waiting.Grant{}, waiting.Return},
+		{"the same, late", waiting.Grant{Age: time.Hour}, waiting.Return},
+		{"seeded fault: too old", waiting.Grant{Awaited: true, Age: time.Hour, AcceptOld: true}, waiting.Use},
+		{"seeded fault: nobody waits", waiting.Grant{AcceptOld: true}, waiting.Use},
+		{"seeded fault: in use", waiting.Grant{InUse: true, AcceptOld: true}, waiting.Repeated},
+	} {
+		row.grant.Limit = limit
+		require.Equal(t, row.want, waiting.Judge(row.grant), row.name)
+	}
+}
+
+func TestRequestIsAskedForAgain(t *testing.T) {
+	const retry = time.Second
+	r := request("q", 0)
+	require.True(t, r.AskDue(begin), "at once, the first time")
+	r.Ask(begin, retry)
+	require.False(t, r.AskDue(after(retry-1)))
+	require.True(t, r.AskDue(after(retry)), "the question or its answer may be lost")
+	r.Ask(begin, retry)
+	r.Elsewhere(begin)
+	require.False(t, r.AskDue(after(50*time.Millisecond-1)))
+	require.True(t, r.AskDue(after(50*time.Millisecond)), "the placer has changed")
+	r.Ask(begin, retry)
+	r.Hurry(after(1))
+	require.True(t, r.AskDue(after(1)), "the grant came too late")
+}
+
+func TestPatienceWithAPoolWithoutPlacer(t *testing.T) {
+	const longest = 5 * time.Second
+	r := request("q", 0)
+	require.False(t, r.NoPlacer(begin, longest))
+	require.False(t, r.NoPlacer(after(longest-1), longest))
+	require.True(t, r.NoPlacer(after(longest), longest))
+	r.AskedOf(fleet.Instance{ID: "i2"})
+	require.Equal(t, "i2", r.Asked.ID)
+	require.False(t, r.NoPlacer(after(longest), longest), "the time counts anew once a placer was known")
+	require.True(t, r.NoPlacer(after(2*longest), longest))
+}
+
+func TestOnlyTheWaitingAttemptIsFound(t *testing.T) {
+	q := waiting.NewRequests()
+	require.True(t, q.Empty())
+	for _, r := range []*waiting.Request{request("b", 1), request("a", 0), request("c", 0)} {
+		q.Add(r)
+	}
+	for _, row := range []struct {
+		id      string
+		attempt int
+		found   bool
+	}{{"b", 1, true}, {"b", 0, false}, {"b", 2, false}, {"a", 0, true}, {"x", 0, false}} {
+		_, found := q.FindAttempt(row.id, row.attempt)
+		require.Equal(t, row.found, found, "%+v", row)
+	}
+	_, found := q.Find("b")
+	require.True(t, found)
+	var ids []string
+	for _, r := range q.Sorted() {
+		ids = append(ids, r.Request.ID)
+	}
+	require.Equal(t, []string{"a", "b", "c"}, ids)
+	for _, id := range []string{"a", "a", "b", "c"} {
+		q.Remove(id)
+	}
+	require.True(t, q.Empty())
+}
+
+func TestTicketIsGivenBackOnce(t *testing.T) {
+	u := waiting.NewUses()
+	u.Add(fleet.Ticket{ID: "t2", Pool: "p"}, fleet.Request{ID: "q2"})
+	u.Add(fleet.Ticket{ID: "t1", Pool: "p"}, fleet.Request{ID: "q1"})
+	u.Add(fleet.Ticket{ID: "t3", Pool: "other"}, fleet.Request{ID: "q3"})
+	require.True(t, u.Has("t1"))
+	uses := u.OfPool("p")
+	require.Len(t, uses, 2)
+	require.Equal(t, "t1", uses[0].Ticket.ID)
+	require.Equal(t, "q1", uses[0].Request.ID)
+	ticket, ok := u.Remove("t1")
+	require.True(t, ok)
+	require.Equal(t, "p", ticket.Pool)
+	_, ok = u.Remove("t1")
+	require.False(t, ok, "a repeated end of a request gives nothing back")
+	require.False(t, u.Has("t1"))
+	require.False(t, u.Empty())
+	u.Remove("t2")
+	u.Remove("t3")
+	require.True(t, u.Empty())
+	require.Empty(t, u.OfPool("p"))
+}
