--- a/tests/pinned/daemon/peer_test.go
+++ b/tests/pinned/daemon/peer_test.go
@@ -7,6 +7,7 @@
 	"context"
 	"encoding/hex"
 	"encoding/json"
+	"errors"
 	"io"
 	"net"
 	"net/netip"
@@ -173,7 +174,7 @@
 		for {
 			var data []byte
 			if err := stream.RecvMsg(&data); err != nil {
-				if err == io.EOF {
+				if errors.Is(err, io.EOF) {
 					return nil
 				}
 				return err
