--- a/services/node/doc.go
+++ b/services/node/doc.go
@@ -1,10 +1,31 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package node is the control state of one daemon: membership, ownership of
-// pools, tickets, the load budget, routing and the followed configuration.
+// Package node is the control state of one daemon (shelfledged): membership, ownership of
+// pools, tickets, the load budget, routing and the followed configuration. The entry
+// program's control state is the coordinator's: there one planner decides for all halls,
+// here each pool has a holder of its own.
 //
-// A Node is a plain state machine. Every call takes the present time and gives
-// effects, which the control service carries out and answers by further calls.
-// The fuzz test joins several nodes by a list of messages and drives the same code.
+// A Node is a plain state machine. Every call takes the present time and gives effects,
+// which the control service carries out and answers by further calls; a message that is
+// lost, late or repeated is one of these calls that does not come, comes late or comes
+// again. The fuzz test joins several nodes by a list of messages and drives the same code.
+//
+// The rules are in packages of their own, and the node carries messages, notes and
+// effects between them:
+//
+//   - ownership: who holds a pool; progress of a takeover (ownership.go, endpoints.go)
+//   - lease: the right to order on endpoints without fences; former owners (lease.go)
+//   - waiting: requests that wait, grants, tickets in use (requests.go)
+//   - digest: other halls (digests.go)
+//   - loads: bids for load permits (loads.go)
+//   - followed: the configuration (configuration.go)
+//   - listing: the platform's list (listed.go)
+//
+// members.go has the heartbeats, placing.go what a pool's holder does for other
+// instances, view.go what operators see.
+//
+// It owns this state and relies on services/placement (the decisions for one pool),
+// services/membership, services/routing and services/budget. It starts no goroutines,
+// reads no clock and is not safe for concurrent use.
 package node
--- a/services/node/node_test.go
+++ b/services/node/node_test.go
@@ -25,9 +25,9 @@
 	return fleet.Instance{ID: id, Hall: "h1", Address: netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), port)}
 }
 
-func newNode(boot uint64) *node.Node {
+func newNode() *node.Node {
 	return node.New(begin, node.Options{
-		Self: instance("i1", 1), Boot: boot, Halls: []string{"h1", "h2"},
+		Self: instance("i1", 1), Boot: 5, Halls: []string{"h1", "h2"},
 		Endpoints: []fleet.Endpoint{
 			{Name: "e1", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: 2, MaxBatch: 4, ChecksFence: true},
 			{Name: "e2", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: 2, MaxBatch: 4},
@@ -49,27 +49,28 @@
 
 // alone lets the node settle as its hall's only instance and take its pool over.
 func alone(t *testing.T) (*node.Node, time.Time, node.Take) {
-	n := newNode(5)
+	n := newNode()
 	now := begin.Add(2 * time.Second)
 	takes := only[node.Take](n.Tick(now))
 	require.Len(t, takes, 2)
 	return n, now, takes[0]
 }
 
-func heartbeat(id string, boot uint64, stamp time.Duration, held ...fleet.HeldPool) fleet.Envelope {
-	return fleet.Envelope{From: id, Boot: boot, Heartbeat: &fleet.Heartbeat{Instance: instance(id, 2), Stamp: stamp, Held: held}}
+// heartbeat makes the heartbeat of the other instance of the hall, in its first life.
+func heartbeat(held ...fleet.HeldPool) fleet.Envelope {
+	return fleet.Envelope{From: "i2", Boot: 1, Heartbeat: &fleet.Heartbeat{Instance: instance("i2", 2), Stamp: 1, Held: held}}
 }
 
 func TestNothingIsTakenOverBeforeTheNodeHasListened(t *testing.T) {
-	n := newNode(5)
+	n := newNode()
 	require.Empty(t, only[node.Take](n.Tick(begin.Add(time.Second))))
-	n.Handle(begin.Add(1200*time.Millisecond), heartbeat("i2", 1, 1, fleet.HeldPool{Pool: "h1/base", Term: 9}))
+	n.Handle(begin.Add(1200*time.Millisecond), heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
 	require.Empty(t, only[node.Take](n.Tick(begin.Add(2*time.Second))), "another instance holds the pool")
 }
 
 func TestLowerTermYieldsAndHandsItsTicketsOver(t *testing.T) {
 	n, now, _ := alone(t)
-	effects := n.Handle(now.Add(time.Millisecond), heartbeat("i2", 1, 1, fleet.HeldPool{Pool: "h1/base", Term: 1 << 40}))
+	effects := n.Handle(now.Add(time.Millisecond), heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 1 << 40}))
 	var released []*fleet.Release
 	for _, s := range only[node.Send](effects) {
 		if s.Envelope.Release != nil {
@@ -82,9 +83,9 @@
 }
 
 func TestOldGrantIsNotUsed(t *testing.T) {
-	n := newNode(5)
+	n := newNode()
 	now := begin.Add(2 * time.Second)
-	n.Handle(now, heartbeat("i2", 1, 1, fleet.HeldPool{Pool: "h1/base", Term: 9}))
+	n.Handle(now, heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
 	n.Submit(now, fleet.Request{ID: "q", Base: "base", Adapter: fleet.AdapterRef{Name: "a", Version: 1}, Deadline: now.Add(time.Minute)})
 	ticket := fleet.Ticket{ID: "t", RequestID: "q", Pool: "h1/base", Endpoint: "e1", StartWithin: time.Second}
 	late := now.Add(10 * time.Second)
@@ -98,7 +99,7 @@
 }
 
 func TestOlderConfigurationIsAnAlarmAndNothingElse(t *testing.T) {
-	n := newNode(5)
+	n := newNode()
 	effects := n.TakeRecords(begin, fleet.Records{Head: -1})
 	require.Empty(t, only[node.Publish](effects))
 	notes := only[node.Note](effects)
@@ -109,7 +110,7 @@
 // FuzzHandle feeds a node whatever a peer might send.
 func FuzzHandle(f *testing.F) {
 	for _, e := range []fleet.Envelope{
-		heartbeat("i2", 1, 1, fleet.HeldPool{Pool: "h1/base", Term: 9}),
+		heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}),
 		{From: "i2", Submit: &fleet.Submit{Pool: "h1/base", Request: fleet.Request{ID: "q", Base: "base"}}},
 		{From: "i2", Granted: &fleet.Granted{Ticket: fleet.Ticket{ID: "t"}}},
 		{From: "i2", Digest: &fleet.Digest{Hall: "h2", Pools: []fleet.PoolSummary{{Pool: "h1/base", Full: true}}}},
@@ -125,7 +126,7 @@
 		if msgpack.Unmarshal(data, &e) != nil {
 			return
 		}
-		n := newNode(5)
+		n := newNode()
 		now := begin.Add(2 * time.Second)
 		n.Tick(now)
 		n.Handle(now, e)
@@ -134,9 +135,9 @@
 }
 
 func TestHandOverCountsOnlyForTheLifeThatMadeIt(t *testing.T) {
-	n := newNode(5)
+	n := newNode()
 	now := begin.Add(2 * time.Second)
-	n.Handle(now, heartbeat("i2", 1, 1, fleet.HeldPool{Pool: "h1/base", Term: 9}))
+	n.Handle(now, heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
 	n.Handle(now, fleet.Envelope{From: "i2", Boot: 1, Release: &fleet.Release{Pool: "h1/base", Term: 9}})
 	require.Len(t, n.Pools(now), 1)
 	owned := func(at time.Time, formers ...node.FormerOwner) bool {
--- a/services/node/ownership/takeover.go
+++ b/services/node/ownership/takeover.go
@@ -94,7 +94,9 @@
 	t.lostAt = now
 	t.losses = min(t.losses+1, maxFenceLosses)
 	t.adopted[endpoint] = false
-	t.asked[endpoint] = now.Add(t.retry * (1<<t.losses - 2))
+	// The endpoint is asked a retry time after this: after 1, 3, 7, 15 and 31 of them.
+	pause := t.retry * (1<<t.losses - 1)
+	t.asked[endpoint] = now.Add(pause - t.retry)
 }
 
 // Answered tells whether every endpoint has answered this takeover at least once.
