--- a/services/coordinator/acquire.go
+++ b/services/coordinator/acquire.go
@@ -4,17 +4,16 @@
 package coordinator
 
 import (
-	"cmp"
 	"context"
 	"errors"
 	"fmt"
-	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/services/admission"
 	"github.com/shelfledge/shelfledge/services/balance"
 	"github.com/shelfledge/shelfledge/services/coordinator/forecast"
+	"github.com/shelfledge/shelfledge/services/coordinator/waiting"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/directory"
 )
@@ -46,31 +45,30 @@
 }
 
 // waiter is a request that waits for an endpoint.
-type waiter struct {
-	request *deployment.Request
-	tried   []deployment.EndpointID
-	since   time.Time
-	verdict balance.Verdict
-	result  chan acquired
-}
+type waiter = waiting.Request[acquired]
 
+// acquired is what a waiting request is told.
 type acquired struct {
 	assignment Assignment
 	err        error
 }
 
 const (
-	// hallPenalty and plainHallPenalty are what crossing between halls weighs, in requests in flight.
+	// hallPenalty and plainHallPenalty are what crossing between halls weighs, for model and plain services, in
+	// requests in flight: higher trades a longer queue for a shorter way. Not measured.
 	hallPenalty      = 1.0
 	plainHallPenalty = 2.5
-	// crowdedShare is the part of a model endpoint's slots from which on it gets no new copies, and
-	// fullShare the part from which on it gets no requests; between the two it serves what only it holds.
-	crowdedShare = 0.5
-	fullShare    = 0.65
-	// crowdedBatch and fullBatch are the least such bounds, for endpoints with few slots.
-	crowdedBatch = 10
-	fullBatch    = 12
-	// assumedMembers shares connections while the number of instances is not known.
+	// noCopySlotShare is the share of a model endpoint's slots in flight from which on it gets no new copies, and
+	// noRequestSlotShare the share from which on it gets no requests; between the two it serves what only it holds.
+	// Higher serves more at once, each more slowly. Measured: docs/design/0006-measured.md, "0.5 of the slots" and
+	// "new copies up to 0.5, requests up to 0.65".
+	noCopySlotShare    = 0.5
+	noRequestSlotShare = 0.65
+	// noCopySlots and noRequestSlots are the least such bounds, in requests in flight, for endpoints with few slots.
+	// Measured with others: docs/design/0006-measured.md, "at least 10 and 12 in flight".
+	noCopySlots    = 10
+	noRequestSlots = 12
+	// assumedMembers is the number of instances that share connections while it is not known. Not measured.
 	assumedMembers = 8
 )
 
@@ -89,10 +87,10 @@
 // Acquire gives an endpoint for a request, waiting for one where that makes sense. Its errors
 // are a Refusal, the context's error or ErrStopped.
 func (c *Coordinator) Acquire(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (Assignment, error) {
-	w := &waiter{request: request, tried: tried, result: make(chan acquired, 1)}
+	w := waiting.New[acquired](request, tried)
 	c.loop.post(func(now time.Time) { c.admit(now, w) })
 	select {
-	case result := <-w.result:
+	case result := <-w.Result:
 		return result.assignment, result.err
 	case <-ctx.Done():
 		c.abandon(w)
@@ -106,51 +104,51 @@
 func (c *Coordinator) abandon(w *waiter) {
 	c.loop.post(func(now time.Time) {
 		select {
-		case result := <-w.result:
+		case result := <-w.Result:
 			if result.err == nil {
-				c.directory.End(now, result.assignment.Endpoint.ID, w.request.Adapter, directory.Neutral)
+				c.directory.End(now, result.assignment.Endpoint.ID, w.Adapter, directory.Neutral)
 			}
 		default:
-			c.dropWaiter(w)
+			c.waiters.Drop(w)
 		}
 	})
 }
 
 func (c *Coordinator) admit(now time.Time, w *waiter) {
-	w.since = now
-	if w.request.UsesModel() && len(w.tried) == 0 {
-		c.arrivals[deployment.ServiceAdapter{Service: w.request.Service, Adapter: w.request.Adapter}]++
+	w.Since = now
+	if w.UsesModel() && len(w.Tried) == 0 {
+		c.demand.Arrived(w.Key())
 	}
 	if c.serve(now, w) {
 		return
 	}
-	c.waiters = append(c.waiters, w)
+	c.waiters.Add(w)
 	if !c.decideWaiter(now, w) {
-		c.dropWaiter(w)
+		c.waiters.Drop(w)
 		return
 	}
-	if w.verdict == balance.NotResident || w.verdict == balance.Crowded {
+	if w.Verdict == balance.NotResident || w.Verdict == balance.Crowded {
 		c.reportSoon(now)
 	}
 }
 
 // serve assigns an endpoint if one can take the request now.
 func (c *Coordinator) serve(now time.Time, w *waiter) bool {
-	demand := balance.Demand{Request: w.request, Version: c.demandedVersion(now, w.request.Adapter), Tried: w.tried}
+	demand := balance.Demand{Request: w.Request, Version: c.demandedVersion(now, w.Adapter), Tried: w.Tried}
 	options := balance.Options{
-		Hall: c.options.Hall, HallPenalty: hallPenalty, PlainHallPenalty: plainHallPenalty, FullShare: fullShare, SmallBatch: fullBatch, Random: c.options.Random,
+		Hall: c.options.Hall, HallPenalty: hallPenalty, PlainHallPenalty: plainHallPenalty, FullShare: noRequestSlotShare, SmallBatch: noRequestSlots, Random: c.options.Random,
 	}
-	entry, verdict := balance.Choose(now, c.directory.Service(w.request.Service), demand, options)
-	w.verdict = verdict
+	entry, verdict := balance.Choose(now, c.directory.Service(w.Service), demand, options)
+	w.Verdict = verdict
 	if verdict != balance.Chosen {
 		return false
 	}
-	c.directory.Begin(now, entry.ID, w.request.Adapter)
-	assignment := Assignment{Endpoint: entry.Endpoint, MaxConnections: c.connectionShare(w.request.Service), Waited: now.Sub(w.since)}
-	if named, ok := c.versions[w.request.Adapter]; ok && entry.Offered[w.request.Adapter] >= named.version {
+	c.directory.Begin(now, entry.ID, w.Adapter)
+	assignment := Assignment{Endpoint: entry.Endpoint, MaxConnections: c.connectionShare(w.Service), Waited: now.Sub(w.Since)}
+	if named, ok := c.versions[w.Adapter]; ok && entry.Offered[w.Adapter] >= named.version {
 		assignment.Version = named.version
 	}
-	w.result <- acquired{assignment: assignment}
+	w.Result <- acquired{assignment: assignment}
 	return true
 }
 
@@ -179,10 +177,10 @@
 // decideWaiter tells whether a request goes on waiting; otherwise it was refused.
 func (c *Coordinator) decideWaiter(now time.Time, w *waiter) bool {
 	situation := admission.Situation{
-		Route: w.request.Route, Arrived: w.request.Arrived, Deadline: w.request.Deadline,
-		NoEndpoint: w.verdict == balance.NoEndpoint, Crowded: w.verdict == balance.Crowded,
+		Route: w.Route, Arrived: w.Arrived, Deadline: w.Deadline,
+		NoEndpoint: w.Verdict == balance.NoEndpoint, Crowded: w.Verdict == balance.Crowded,
 	}
-	if w.verdict == balance.NotResident {
+	if w.Verdict == balance.NotResident {
 		situation.Expected = c.expectedAt(now, w)
 	}
 	decision := admission.Decide(now, situation)
@@ -190,36 +188,15 @@
 		return true
 	}
 	if decision.Reason == admission.AdapterNotLoaded {
-		c.returns = append(c.returns, expectedReturn{
-			key: deployment.ServiceAdapter{Service: w.request.Service, Adapter: w.request.Adapter}, at: now.Add(decision.RetryAfter), target: w.request.Route.Target,
-		})
+		c.demand.ExpectBack(w.Key(), now.Add(decision.RetryAfter), w.Route.Target)
 	}
-	w.result <- acquired{err: &Refusal{Reason: decision.Reason, RetryAfter: decision.RetryAfter}}
+	w.Result <- acquired{err: &Refusal{Reason: decision.Reason, RetryAfter: decision.RetryAfter}}
 	return false
 }
 
-// expectedReturn is a refused caller that was told when to come back; its adapter is asked for until then.
-type expectedReturn struct {
-	key    deployment.ServiceAdapter
-	at     time.Time
-	target time.Duration
-}
-
-const (
-	// returnNotice is how long before its time a refused caller's adapter is asked for.
-	returnNotice = time.Second
-	// returnPatience is how long after its time a refused caller is still expected.
-	returnPatience = 300 * time.Millisecond
-)
-
-// dropReturned forgets the callers that have come back, or will not.
-func (c *Coordinator) dropReturned(now time.Time) {
-	c.returns = slices.DeleteFunc(c.returns, func(one expectedReturn) bool { return now.Sub(one.at) > returnPatience })
-}
-
 // expectedAt gives when the adapter that a request waits for will be resident, by the planner's last word.
 func (c *Coordinator) expectedAt(now time.Time, w *waiter) time.Time {
-	load := c.forecasts.Load(deployment.ServiceAdapter{Service: w.request.Service, Adapter: w.request.Adapter})
+	load := c.forecasts.Load(w.Key())
 	return forecast.Expect(now, c.knownPlanner(now), load).At
 }
 
@@ -240,28 +217,7 @@
 
 // reviewWaiters serves or refuses the requests that wait, the most urgent first.
 func (c *Coordinator) reviewWaiters(now time.Time) {
-	if len(c.waiters) == 0 {
-		return
-	}
-	slices.SortStableFunc(c.waiters, func(a, b *waiter) int { return cmp.Compare(a.request.Route.Priority, b.request.Route.Priority) })
-	kept := c.waiters[:0]
-	for _, w := range c.waiters {
-		if c.serve(now, w) || !c.decideWaiter(now, w) {
-			continue
-		}
-		kept = append(kept, w)
-	}
-	clear(c.waiters[len(kept):])
-	c.waiters = kept
-}
-
-func (c *Coordinator) dropWaiter(w *waiter) {
-	for i, other := range c.waiters {
-		if other == w {
-			c.waiters = append(c.waiters[:i], c.waiters[i+1:]...)
-			return
-		}
-	}
+	c.waiters.Review(func(w *waiter) bool { return !c.serve(now, w) && c.decideWaiter(now, w) })
 }
 
 // Finish takes a request out of flight; missing tells that the endpoint did not hold the adapter.
--- a/services/coordinator/coordinator.go
+++ b/services/coordinator/coordinator.go
@@ -13,9 +13,10 @@
 	"github.com/shelfledge/shelfledge/modules/store"
 	"github.com/shelfledge/shelfledge/services/coordinator/forecast"
 	"github.com/shelfledge/shelfledge/services/coordinator/lease"
+	"github.com/shelfledge/shelfledge/services/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/coordinator/waiting"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/directory"
-	"github.com/shelfledge/shelfledge/services/loading"
 	"github.com/shelfledge/shelfledge/services/ownership"
 	"github.com/shelfledge/shelfledge/services/retry"
 )
@@ -23,14 +24,6 @@
 const (
 	// tickPace is how often time-bound decisions are looked at.
 	tickPace = 25 * time.Millisecond
-	// reportPace is the longest pause between two reports, and between two views.
-	reportPace = 250 * time.Millisecond
-	// urgentPace is the least pause between two reports about requests that wait.
-	urgentPace = 2 * time.Millisecond
-	// acknowledgePace is the least pause between two reports that only acknowledge withdrawals.
-	acknowledgePace = 5 * time.Millisecond
-	// membersAtPace is the number of instances up to which no pause is stretched.
-	membersAtPace = 16
 	// sweepPace is how often old state is forgotten.
 	sweepPace = time.Second
 	// plannerSilence is after how long without a view the planner counts as silent.
@@ -69,26 +62,20 @@
 	configurationAt int64
 	versions        map[deployment.Adapter]namedVersion
 	budget          *retry.Budget
-	waiters         []*waiter
-	arrivals        map[deployment.ServiceAdapter]int
+	waiters         waiting.Queue[acquired]
+	demand          *report.Demand
+	reports         report.Schedule
 	forecasts       *forecast.Book
-	rates           map[deployment.ServiceAdapter]*loading.Rate
-	// returns are refused callers that are expected to come back.
-	returns   []expectedReturn
-	sweptAt   time.Time
-	missing   []wire.Copy
-	following following
-	planning  *planning
+	sweptAt         time.Time
+	missing         []wire.Copy
+	following       following
+	planning        *planning
 	// knownRecord is the ownership's record as last read.
 	knownRecord ownership.Record
 	// storeReadAt is when the store last answered a read of the record.
 	storeReadAt time.Time
 	// endLongWatch ends the waiting watch of the configuration; nil if it is a short one.
 	endLongWatch context.CancelFunc
-	// reportDue asks for a report as soon as the last one is old enough.
-	reportDue bool
-	// acknowledgeDue asks for a report that says which withdrawals are acted on.
-	acknowledgeDue bool
 	// leadershipDue asks for a look at the record without delay.
 	leadershipDue bool
 }
@@ -106,9 +93,8 @@
 		items:       make(map[string]store.Item),
 		versions:    make(map[deployment.Adapter]namedVersion),
 		budget:      retry.NewBudget(options.Retry, options.Now()),
-		arrivals:    make(map[deployment.ServiceAdapter]int),
+		demand:      report.NewDemand(),
 		forecasts:   forecast.NewBook(),
-		rates:       make(map[deployment.ServiceAdapter]*loading.Rate),
 	}
 	c.lease = &lease.Store{
 		Client: environment.Store, Instance: options.Instance, Address: options.PeerAddress,
@@ -163,7 +149,7 @@
 		c.resignIfOthersCan(now)
 		c.plan(now)
 	}
-	if c.reportIsDue(now) {
+	if c.reports.Due(now, c.following.members) {
 		c.sendReport(now)
 	}
 	if now.Sub(c.sweptAt) >= sweepPace {
@@ -171,31 +157,16 @@
 	}
 }
 
-func (c *Coordinator) reportIsDue(now time.Time) bool {
-	age := now.Sub(c.following.reported)
-	switch {
-	case c.reportDue && age >= c.pace(urgentPace):
-		return true
-	case c.acknowledgeDue && age >= c.pace(acknowledgePace):
-		return true
-	default:
-		return age >= c.pace(reportPace)
-	}
-}
-
-// pace stretches a pause with the number of instances, so that what the planner sends and
-// receives grows more slowly than the fleet.
+// pace stretches a pause with the number of instances.
 func (c *Coordinator) pace(pause time.Duration) time.Duration {
-	return pause * time.Duration(max(membersAtPace, c.following.members)) / membersAtPace
+	return report.Stretch(pause, c.following.members)
 }
 
 // reportSoon asks for a report without delay, as far as the last one is not too recent.
 func (c *Coordinator) reportSoon(now time.Time) {
-	if now.Sub(c.following.reported) >= c.pace(urgentPace) {
+	if c.reports.Ask(now, c.following.members) {
 		c.sendReport(now)
-		return
 	}
-	c.reportDue = true
 }
 
 // silence is after how long without a view the planner counts as silent.
@@ -207,11 +178,7 @@
 func (c *Coordinator) sweep(now time.Time) {
 	c.sweptAt = now
 	c.directory.RememberHeld(now)
-	for key, rate := range c.rates {
-		if rate.PerSecond(now) < leastRate {
-			delete(c.rates, key)
-		}
-	}
+	c.demand.Sweep(now)
 	if c.planning == nil {
 		return
 	}
--- a/services/coordinator/leadership.go
+++ b/services/coordinator/leadership.go
@@ -106,6 +106,7 @@
 	}
 	c.planning = nil
 	c.following = following{members: c.following.members, term: c.following.term}
+	c.reports.Restart()
 }
 
 // beginOrdering writes into the record that orders may follow, once the former holder's time is surely over.
--- a/services/coordinator/planning.go
+++ b/services/coordinator/planning.go
@@ -11,6 +11,7 @@
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/modules/peerstream"
 	"github.com/shelfledge/shelfledge/services/balance"
+	"github.com/shelfledge/shelfledge/services/coordinator/report"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/loading"
 	"github.com/shelfledge/shelfledge/services/ownership"
@@ -76,7 +77,7 @@
 
 // memberSilence is after how long without a report an instance counts as lost.
 func (c *Coordinator) memberSilence() time.Duration {
-	return max(memberSilence, 3*c.pace(reportPace))
+	return max(memberSilence, 3*report.Stretch(report.Pace, c.following.members))
 }
 
 func newPlanning(c *Coordinator, now time.Time, tenure *ownership.Tenure, startRecent int) *planning {
@@ -222,7 +223,7 @@
 			p.publishCopies(id, planner)
 		}
 	}
-	p.broadcast(now, now.Sub(p.told) >= c.pace(reportPace))
+	p.broadcast(now, now.Sub(p.told) >= report.Stretch(report.Pace, c.following.members))
 	c.reviewWaiters(now)
 	c.wakeForPoll(now)
 }
@@ -324,7 +325,7 @@
 func (p *planning) noteCrowds() {
 	for id, entry := range p.coordinator.directory.Entries() {
 		if planner, ok := p.planners[entry.Service]; ok {
-			planner.SetLoad(id, balance.Full(entry, crowdedShare, crowdedBatch), balance.Full(entry, fullShare, fullBatch))
+			planner.SetLoad(id, balance.Full(entry, noCopySlotShare, noCopySlots), balance.Full(entry, noRequestSlotShare, noRequestSlots))
 		}
 	}
 }
--- /dev/null
+++ b/services/coordinator/report/demand.go
@@ -0,0 +1,147 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package report
+
+import (
+	"slices"
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/loading"
+)
+
+const (
+	// ReturnNotice is how long before its time a refused caller's adapter is asked for again: longer competes with
+	// the loads of fresh requests (docs/design/0006-measured.md, "only those refused at once that would be refused
+	// anyway").
+	ReturnNotice = time.Second
+	// ReturnWait is how long after its time a refused caller is still expected. Not measured; 500 ms was, in another
+	// form (commit 54811a2).
+	ReturnWait = 300 * time.Millisecond
+	// LeastRate is the arrival rate, in requests a second, that is worth telling a new planner. Not measured.
+	LeastRate = 0.005
+)
+
+// Demand counts what is asked for at this instance; it is not safe for concurrent use.
+type Demand struct {
+	// arrivals are the requests since the last report.
+	arrivals map[deployment.ServiceAdapter]int
+	rates    map[deployment.ServiceAdapter]*loading.Rate
+	// returns are refused callers that are expected to come back.
+	returns []expectedReturn
+}
+
+// expectedReturn is a refused caller that was told when to come back; its adapter is asked for until then.
+type expectedReturn struct {
+	key    deployment.ServiceAdapter
+	at     time.Time
+	target time.Duration
+}
+
+// NewDemand makes a demand of nothing.
+func NewDemand() *Demand {
+	return &Demand{arrivals: make(map[deployment.ServiceAdapter]int), rates: make(map[deployment.ServiceAdapter]*loading.Rate)}
+}
+
+// Arrived counts a request that came in.
+func (d *Demand) Arrived(key deployment.ServiceAdapter) {
+	d.arrivals[key]++
+}
+
+// ExpectBack notes that a refused caller was told to come back at a time; its answer is in time for as long as its
+// route's target after that.
+func (d *Demand) ExpectBack(key deployment.ServiceAdapter, at time.Time, target time.Duration) {
+	d.returns = append(d.returns, expectedReturn{key: key, at: at, target: target})
+}
+
+// Collection is the demand that one report tells.
+type Collection struct {
+	demand  *Demand
+	now     time.Time
+	entries map[deployment.ServiceAdapter]*wire.Demand
+}
+
+// Collect begins a report's demand with the arrivals since the last one, which begin anew. waiting is the number of
+// requests that will be added.
+func (d *Demand) Collect(now time.Time, waiting int) *Collection {
+	c := &Collection{demand: d, now: now, entries: make(map[deployment.ServiceAdapter]*wire.Demand, len(d.arrivals)+waiting)}
+	for key, count := range d.arrivals {
+		if !key.Adapter.IsZero() {
+			c.entry(key).Arrivals = count
+			d.rate(key).Add(now, count)
+		}
+	}
+	clear(d.arrivals)
+	return c
+}
+
+// AddWaiting counts a request that waits now.
+func (c *Collection) AddWaiting(key deployment.ServiceAdapter, request *deployment.Request) {
+	if !key.Adapter.IsZero() {
+		c.wait(key, request.Arrived.Add(request.Route.Target).Sub(c.now))
+	}
+}
+
+// List adds the refused callers that will come back soon, forgets those that have or will not, and gives it all.
+func (c *Collection) List() []wire.Demand {
+	d := c.demand
+	d.returns = slices.DeleteFunc(d.returns, func(one expectedReturn) bool { return c.now.Sub(one.at) > ReturnWait })
+	for _, one := range d.returns {
+		if one.at.Sub(c.now) <= ReturnNotice {
+			c.wait(one.key, one.at.Add(one.target).Sub(c.now))
+		}
+	}
+	list := make([]wire.Demand, 0, len(c.entries))
+	for _, one := range c.entries {
+		list = append(list, *one)
+	}
+	return list
+}
+
+// wait counts a request that waits and can be answered in time for a span from now; the longest one is told.
+func (c *Collection) wait(key deployment.ServiceAdapter, inTime time.Duration) {
+	one := c.entry(key)
+	one.Waiting++
+	if one.Waiting == 1 || inTime > one.InTime {
+		one.InTime = inTime
+	}
+}
+
+func (c *Collection) entry(key deployment.ServiceAdapter) *wire.Demand {
+	one, ok := c.entries[key]
+	if !ok {
+		one = &wire.Demand{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name}
+		c.entries[key] = one
+	}
+	return one
+}
+
+func (d *Demand) rate(key deployment.ServiceAdapter) *loading.Rate {
+	rate, ok := d.rates[key]
+	if !ok {
+		rate = &loading.Rate{}
+		d.rates[key] = rate
+	}
+	return rate
+}
+
+// Rates gives this instance's arrival rates, for a new planner.
+func (d *Demand) Rates(now time.Time) []wire.Rate {
+	d.Sweep(now)
+	var list []wire.Rate
+	for key, rate := range d.rates {
+		list = append(list, wire.Rate{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, PerSecond: rate.PerSecond(now)})
+	}
+	return list
+}
+
+// Sweep forgets rates that have become too small.
+func (d *Demand) Sweep(now time.Time) {
+	for key, rate := range d.rates {
+		if rate.PerSecond(now) < LeastRate {
+			delete(d.rates, key)
+		}
+	}
+}
--- a/services/coordinator/reporting.go
+++ b/services/coordinator/reporting.go
@@ -11,7 +11,6 @@
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/modules/peerstream"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/loading"
 	"github.com/shelfledge/shelfledge/services/ownership"
 )
 
@@ -32,9 +31,8 @@
 	ratesDue bool
 	// withdrawals is the last announcement taken in.
 	withdrawals uint64
-	// reported is when the last report went out, and own what it said was in flight.
-	reported time.Time
-	own      map[deployment.EndpointID]int
+	// own is what the last report said was in flight.
+	own map[deployment.EndpointID]int
 	// behindSince is when the planner was first seen to lack newer configuration keys.
 	behindSince time.Time
 	plannerAt   int64
@@ -111,13 +109,11 @@
 // sendReport tells the planner, or this instance's own plan, what is asked here.
 func (c *Coordinator) sendReport(now time.Time) {
 	if c.planning == nil && c.following.stream == nil {
-		c.following.reported = now
+		c.reports.Skip(now)
 		return
 	}
 	built := c.buildReport(now)
-	c.following.reported = now
-	c.reportDue = false
-	c.acknowledgeDue = false
+	c.reports.Sent(now)
 	if c.planning != nil {
 		c.planning.takeReport(now, built)
 		c.plan(now)
@@ -149,7 +145,7 @@
 		}
 	}
 	if c.following.ratesDue {
-		built.Rates = c.arrivalRates(now)
+		built.Rates = c.demand.Rates(now)
 		c.following.ratesDue = false
 	}
 	if c.plannerLags(now) {
@@ -158,23 +154,6 @@
 	return built
 }
 
-// leastRate is the arrival rate, in requests a second, that is worth telling a new planner.
-const leastRate = 0.005
-
-// arrivalRates gives this instance's rates and forgets those that have become too small.
-func (c *Coordinator) arrivalRates(now time.Time) []wire.Rate {
-	var list []wire.Rate
-	for key, rate := range c.rates {
-		perSecond := rate.PerSecond(now)
-		if perSecond < leastRate {
-			delete(c.rates, key)
-			continue
-		}
-		list = append(list, wire.Rate{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, PerSecond: perSecond})
-	}
-	return list
-}
-
 // relayAfter is how long a peer may lack newer configuration keys before they are sent to it.
 const relayAfter = 120 * time.Millisecond
 
@@ -191,55 +170,11 @@
 }
 
 func (c *Coordinator) buildDemands(now time.Time) []wire.Demand {
-	demands := make(map[deployment.ServiceAdapter]*wire.Demand, len(c.arrivals)+len(c.waiters))
-	demandOf := func(key deployment.ServiceAdapter) *wire.Demand {
-		one, ok := demands[key]
-		if !ok {
-			one = &wire.Demand{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name}
-			demands[key] = one
-		}
-		return one
-	}
-	for key, count := range c.arrivals {
-		if !key.Adapter.IsZero() {
-			demandOf(key).Arrivals = count
-			c.rateOf(key).Add(now, count)
-		}
-	}
-	clear(c.arrivals)
-	wait := func(key deployment.ServiceAdapter, inTime time.Duration) {
-		one := demandOf(key)
-		one.Waiting++
-		if one.Waiting == 1 || inTime > one.InTime {
-			one.InTime = inTime
-		}
-	}
-	for _, w := range c.waiters {
-		if !w.request.Adapter.IsZero() {
-			wait(deployment.ServiceAdapter{Service: w.request.Service, Adapter: w.request.Adapter}, w.request.Arrived.Add(w.request.Route.Target).Sub(now))
-		}
-	}
-	c.dropReturned(now)
-	for _, one := range c.returns {
-		if one.at.Sub(now) > returnNotice {
-			continue
-		}
-		wait(one.key, one.at.Add(one.target).Sub(now))
-	}
-	list := make([]wire.Demand, 0, len(demands))
-	for _, one := range demands {
-		list = append(list, *one)
-	}
-	return list
-}
-
-func (c *Coordinator) rateOf(key deployment.ServiceAdapter) *loading.Rate {
-	rate, ok := c.rates[key]
-	if !ok {
-		rate = &loading.Rate{}
-		c.rates[key] = rate
+	collection := c.demand.Collect(now, c.waiters.Len())
+	for _, w := range c.waiters.All() {
+		collection.AddWaiting(w.Key(), w.Request)
 	}
-	return rate
+	return collection.List()
 }
 
 // applyView takes in the planner's word.
@@ -290,8 +225,7 @@
 
 // acknowledge reports that an announcement was taken in, at once where the last report is old enough.
 func (c *Coordinator) acknowledge(now time.Time) {
-	c.acknowledgeDue = true
-	if now.Sub(c.following.reported) >= c.pace(acknowledgePace) {
+	if c.reports.AskAcknowledge(now, c.following.members) {
 		c.sendReport(now)
 	}
 }
--- a/services/coordinator/status.go
+++ b/services/coordinator/status.go
@@ -24,7 +24,7 @@
 	var status Status
 	c.loop.call(func(now time.Time) {
 		status = Status{
-			Endpoints: c.directory.Size(), Waiting: len(c.waiters), Planning: c.planning != nil,
+			Endpoints: c.directory.Size(), Waiting: c.waiters.Len(), Planning: c.planning != nil,
 			Planner: c.following.planner, Term: c.following.term, Members: c.following.members,
 		}
 		if configuration := c.current.Load(); configuration != nil {
--- /dev/null
+++ b/services/coordinator/waiting/queue_test.go
@@ -0,0 +1,68 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package waiting_test
+
+import (
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/services/coordinator/waiting"
+)
+
+type queue = waiting.Queue[string]
+
+func request(id string, priority int) *waiting.Request[string] {
+	return waiting.New[string](&deployment.Request{ID: id, Route: &deployment.Route{Priority: priority}}, nil)
+}
+
+// review gives the order of a review that keeps the requests named.
+func review(q *queue, kept ...string) []string {
+	var order []string
+	q.Review(func(r *waiting.Request[string]) bool {
+		order = append(order, r.ID)
+		for _, id := range kept {
+			if id == r.ID {
+				return true
+			}
+		}
+		return false
+	})
+	return order
+}
+
+func TestTheMostUrgentIsReviewedFirstAndEqualsInOrderOfArrival(t *testing.T) {
+	var q queue
+	for _, one := range []*waiting.Request[string]{request("late", 2), request("a", 1), request("first", 0), request("b", 1), request("c", 1)} {
+		q.Add(one)
+	}
+	all := []string{"first", "a", "b", "c", "late"}
+	assert.Equal(t, all, review(&q, all...))
+	assert.Equal(t, all, review(&q, "a", "late"), "a second review has the same order")
+	assert.Equal(t, []string{"a", "late"}, review(&q))
+	assert.Zero(t, q.Len())
+	assert.Empty(t, review(&q), "nothing waits")
+}
+
+func TestACallerThatLeavesIsDroppedOnce(t *testing.T) {
+	var q queue
+	one, other := request("one", 1), request("other", 1)
+	q.Add(one)
+	q.Add(other)
+	q.Drop(one)
+	q.Drop(one)
+	q.Drop(request("one", 1))
+	assert.Equal(t, []*waiting.Request[string]{other}, q.All())
+	q.Drop(other)
+	assert.Zero(t, q.Len())
+	q.Drop(other)
+}
+
+func TestAnAnswerIsKeptForACallerThatIsSlow(t *testing.T) {
+	one := request("one", 1)
+	one.Result <- "refused"
+	assert.Equal(t, "refused", <-one.Result)
+	assert.Equal(t, deployment.ServiceAdapter{Service: one.Service, Adapter: one.Adapter}, one.Key())
+}
