--- a/services/coordinator/handover.go
+++ b/services/coordinator/handover.go
@@ -20,12 +20,7 @@
 	if p.leaving || !ownership.InTrouble(p.tenure.Age(now)) {
 		return
 	}
-	for _, m := range p.members {
-		known := ownership.Member{Lost: !m.lost.IsZero(), ReportAge: now.Sub(m.heard), StoreReadAge: m.storeReadAge}
-		if known.ReachesStore() {
-			p.leaving = true
-		}
-	}
+	p.leaving = p.members.ReachStore(now)
 	if p.leaving {
 		c.run(func() { c.resign(p) })
 	}
--- a/services/coordinator/leadership.go
+++ b/services/coordinator/leadership.go
@@ -99,11 +99,7 @@
 		return
 	}
 	c.options.Log.WithField("term", c.planning.tenure.Record().Term).Warn("planning ends: the ownership is lost")
-	for _, m := range c.planning.members {
-		if m.stream != nil {
-			m.stream.Close()
-		}
-	}
+	c.planning.members.CloseLinks()
 	c.planning = nil
 	c.following = following{members: c.following.members, term: c.following.term}
 	c.reports.Restart()
--- /dev/null
+++ b/services/coordinator/member/member.go
@@ -0,0 +1,127 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package member
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/modules/peerstream"
+	"github.com/shelfledge/shelfledge/services/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/ownership"
+)
+
+const (
+	// LeastSilence is after how long without a report an instance of a small fleet counts as lost: shorter trades
+	// false losses for an earlier release of what a lost instance used. Not measured.
+	LeastSilence = 1500 * time.Millisecond
+	// silentReports is how many pauses between reports, a count, an instance of a large fleet may stay silent. Not
+	// measured.
+	silentReports = 3
+	// Memory is how long a lost instance still counts in the fleet's shares. Not measured.
+	Memory = 20 * time.Second
+	// RelayAfter is how long a peer may lack newer keys of the configuration before they are sent to it: shorter
+	// trades messages that its own watch makes needless for an earlier change. 0.4 and 0.25 s before; shortened
+	// with the watches (docs/design/0006-measured.md, "0.55 s in place of 0.9").
+	RelayAfter = 120 * time.Millisecond
+)
+
+// Silence is after how long without a report an instance counts as lost in a fleet of members.
+func Silence(members int) time.Duration {
+	return max(LeastSilence, silentReports*report.Stretch(report.Pace, members))
+}
+
+// Link is the connection over which a member reports and is told.
+type Link = peerstream.Stream[wire.Message]
+
+// Member is one instance that reports.
+type Member struct {
+	// Link is nil while the instance is not connected.
+	Link *Link
+	// NeedsFull tells that the next view to it has to be a whole one.
+	NeedsFull bool
+	// ConfigurationAt is the newest revision of the configuration's keys that it knows, by its last report.
+	ConfigurationAt int64
+	// Lag is how long it has lacked newer ones.
+	Lag Lag
+
+	heard time.Time
+	// lost is since when it counts as lost; zero if it does not.
+	lost            time.Time
+	leaving         bool
+	withdrawalsSeen uint64
+	// storeReadAge is how long before its last report it read the store.
+	storeReadAge time.Duration
+	inUse        map[wire.Copy]int
+	inFlight     map[deployment.EndpointID]int
+	suspects     map[deployment.EndpointID]bool
+}
+
+// Lag measures for how long a peer has lacked newer keys of the configuration.
+type Lag struct {
+	since time.Time
+}
+
+// Behind takes in the newest revision that the peer knows and the newest one known here. It gives for how long the
+// peer has been behind, and false if it is not.
+func (l *Lag) Behind(now time.Time, theirs, ours int64) (time.Duration, bool) {
+	if theirs >= ours {
+		l.since = time.Time{}
+		return 0, false
+	}
+	if l.since.IsZero() {
+		l.since = now
+	}
+	return now.Sub(l.since), true
+}
+
+func (m *Member) isLost() bool {
+	return !m.lost.IsZero()
+}
+
+// take takes in a report.
+func (m *Member) take(now time.Time, r *wire.Report) {
+	m.heard = now
+	m.lost = time.Time{}
+	m.withdrawalsSeen = r.WithdrawalsSeen
+	m.ConfigurationAt = r.ConfigurationAt
+	m.leaving = r.Leaving
+	m.storeReadAge = r.StoreReadAge
+	m.inUse = make(map[wire.Copy]int, len(r.InUse))
+	for _, used := range r.InUse {
+		m.inUse[used.Copy()] = used.Count
+	}
+	m.inFlight = make(map[deployment.EndpointID]int, len(r.InFlight))
+	for _, one := range r.InFlight {
+		m.inFlight[one.ID] = one.Count
+	}
+}
+
+// suspect takes in which endpoints the member finds bad and gives those of which it changed its mind.
+func (m *Member) suspect(ids []deployment.EndpointID) []deployment.EndpointID {
+	var changed []deployment.EndpointID
+	former := m.suspects
+	m.suspects = make(map[deployment.EndpointID]bool, len(ids))
+	for _, id := range ids {
+		m.suspects[id] = true
+	}
+	for id := range former {
+		if !m.suspects[id] {
+			changed = append(changed, id)
+		}
+	}
+	for id := range m.suspects {
+		if !former[id] {
+			changed = append(changed, id)
+		}
+	}
+	return changed
+}
+
+// reachesStore tells whether the store lately answered the member.
+func (m *Member) reachesStore(now time.Time) bool {
+	known := ownership.Member{Lost: m.isLost(), ReportAge: now.Sub(m.heard), StoreReadAge: m.storeReadAge}
+	return known.ReachesStore()
+}
--- /dev/null
+++ b/services/coordinator/member/table.go
@@ -0,0 +1,168 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package member
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+)
+
+// suspectVotes is the number of instances that must find an endpoint bad, if there are as many. Not measured.
+const suspectVotes = 2
+
+// Table holds the members by instance; it is not safe for concurrent use.
+type Table struct {
+	members map[string]*Member
+	// uses sums the members' requests in flight by copy.
+	uses map[wire.Copy]int
+}
+
+// NewTable makes a table without members.
+func NewTable() *Table {
+	return &Table{members: make(map[string]*Member), uses: make(map[wire.Copy]int)}
+}
+
+// All gives the members by instance, the lost ones included; the caller must not change the map.
+func (t *Table) All() map[string]*Member {
+	return t.members
+}
+
+// Fleet is the number of instances that share the fleet's bounds, the planner included.
+func (t *Table) Fleet() int {
+	return len(t.members) + 1
+}
+
+// Join notes over which link an instance reports; a new link makes the next view a whole one.
+func (t *Table) Join(instance string, link *Link) {
+	m, ok := t.members[instance]
+	if !ok {
+		m = &Member{}
+		t.members[instance] = m
+	}
+	if m.Link != link {
+		m.Link = link
+		m.NeedsFull = true
+	}
+}
+
+// Take takes in a report and gives the endpoints of which the member changed its mind whether they are bad. The
+// planner's own report, which is no member's, changes nothing.
+func (t *Table) Take(now time.Time, r *wire.Report) []deployment.EndpointID {
+	m, ok := t.members[r.Instance]
+	if !ok {
+		return nil
+	}
+	t.addUses(m, -1)
+	m.take(now, r)
+	t.addUses(m, 1)
+	return m.suspect(r.Suspects)
+}
+
+// Unlink notes that a link has ended: without a new one its member counts as lost at the next look.
+func (t *Table) Unlink(now time.Time, link *Link, silence time.Duration) {
+	for _, m := range t.members {
+		if m.Link == link {
+			m.Link = nil
+			m.heard = now.Add(-silence)
+		}
+	}
+}
+
+// CloseLinks ends all links.
+func (t *Table) CloseLinks() {
+	for _, m := range t.members {
+		if m.Link != nil {
+			m.Link.Close()
+		}
+	}
+}
+
+// DropLost tells lost of each member that counts as lost from now on, and forgets those that said that they leave
+// or that were lost long ago.
+func (t *Table) DropLost(now time.Time, silence time.Duration, lost func(instance string)) {
+	for instance, m := range t.members {
+		if !m.isLost() && now.Sub(m.heard) > silence {
+			m.lost = now
+			lost(instance)
+		}
+		if m.isLost() && (m.leaving || now.Sub(m.lost) > Memory) {
+			t.addUses(m, -1)
+			delete(t.members, instance)
+		}
+	}
+}
+
+// addUses adds a member's requests in flight to the sums, or takes them out.
+func (t *Table) addUses(m *Member, sign int) {
+	for name, count := range m.inUse {
+		t.uses[name] += sign * count
+		if t.uses[name] <= 0 {
+			delete(t.uses, name)
+		}
+	}
+}
+
+// Uses is the number of the members' requests in flight that use a copy, by their last reports.
+func (t *Table) Uses(name wire.Copy) int {
+	return t.uses[name]
+}
+
+// Unused tells whether all members act on a withdrawal and none uses the copy. Members that are lost are not asked:
+// the endpoint itself keeps an adapter that a lost instance's request uses.
+func (t *Table) Unused(name wire.Copy, withdrawal uint64) bool {
+	for _, m := range t.members {
+		if !m.isLost() && (m.withdrawalsSeen < withdrawal || m.inUse[name] > 0) {
+			return false
+		}
+	}
+	return true
+}
+
+// AddInFlight adds the requests in flight of all members that are not lost.
+func (t *Table) AddInFlight(sums map[deployment.EndpointID]int) {
+	for _, m := range t.members {
+		if m.isLost() {
+			continue
+		}
+		for id, count := range m.inFlight {
+			sums[id] += count
+		}
+	}
+}
+
+// Bad tells whether an endpoint is bad for two instances, or for the only one; own tells that it is for the planner.
+func (t *Table) Bad(id deployment.EndpointID, own bool) bool {
+	votes := 0
+	if own {
+		votes++
+	}
+	for _, m := range t.members {
+		if m.suspects[id] {
+			votes++
+		}
+	}
+	return votes >= min(suspectVotes, t.Fleet())
+}
+
+// ReachStore tells whether the store lately answered any member, so that it can take the planner's work.
+func (t *Table) ReachStore(now time.Time) bool {
+	for _, m := range t.members {
+		if m.reachesStore(now) {
+			return true
+		}
+	}
+	return false
+}
+
+// NeedFull tells whether any member waits for a whole view.
+func (t *Table) NeedFull() bool {
+	for _, m := range t.members {
+		if m.NeedsFull && m.Link != nil {
+			return true
+		}
+	}
+	return false
+}
--- a/services/coordinator/planning.go
+++ b/services/coordinator/planning.go
@@ -9,8 +9,8 @@
 	"github.com/sirupsen/logrus"
 
 	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/peerstream"
 	"github.com/shelfledge/shelfledge/services/balance"
+	"github.com/shelfledge/shelfledge/services/coordinator/member"
 	"github.com/shelfledge/shelfledge/services/coordinator/report"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/loading"
@@ -24,13 +24,11 @@
 	// at is the revision up to which the endpoints' keys were read.
 	at       int64
 	planners map[string]*loading.Planner
-	members  map[string]*member
+	members  *member.Table
 	removed  []wire.Gone
 	changed  map[deployment.EndpointID]bool
 	// begun are the loads that began since the last view.
 	begun []wire.Forecast
-	// uses sums the members' requests in flight by copy.
-	uses map[wire.Copy]int
 	// told is when the last heartbeat went to all, changesTold when the last view did.
 	told        time.Time
 	changesTold time.Time
@@ -45,39 +43,17 @@
 	wakeAt time.Time
 }
 
-// member is an instance that reports to this one.
-type member struct {
-	instance        string
-	stream          *peerstream.Stream[wire.Message]
-	heard           time.Time
-	lost            time.Time
-	withdrawalsSeen uint64
-	inUse           map[wire.Copy]int
-	inFlight        map[deployment.EndpointID]int
-	suspects        map[deployment.EndpointID]bool
-	configurationAt int64
-	behindSince     time.Time
-	needsFull       bool
-	// storeReadAge is how long ago it read the store, by its last report.
-	storeReadAge time.Duration
-	leaving      bool
-}
-
 const (
-	// memberSilence is after how long without a report an instance counts as lost.
-	memberSilence = 1500 * time.Millisecond
 	// signPace is the longest pause between two views, also those that carry no news; it is not
 	// stretched, since members must notice a lost planner as soon in a large fleet.
 	signPace = 400 * time.Millisecond
 	// changePace is the least pause between two views of changes.
 	changePace = 4 * time.Millisecond
-	// memberMemory is how long a lost instance still counts in the fleet's shares.
-	memberMemory = 20 * time.Second
 )
 
 // memberSilence is after how long without a report an instance counts as lost.
 func (c *Coordinator) memberSilence() time.Duration {
-	return max(memberSilence, 3*report.Stretch(report.Pace, c.following.members))
+	return member.Silence(c.following.members)
 }
 
 func newPlanning(c *Coordinator, now time.Time, tenure *ownership.Tenure, startRecent int) *planning {
@@ -85,8 +61,7 @@
 		coordinator: c,
 		tenure:      tenure,
 		planners:    make(map[string]*loading.Planner),
-		members:     make(map[string]*member),
-		uses:        make(map[wire.Copy]int),
+		members:     member.NewTable(),
 		changed:     make(map[deployment.EndpointID]bool),
 		startRecent: startRecent,
 	}
@@ -189,16 +164,8 @@
 
 // suspect tells whether an endpoint is bad for more than one instance, or for the only one.
 func (p *planning) suspect(now time.Time, id deployment.EndpointID) bool {
-	votes := 0
-	if entry := p.coordinator.directory.Entry(id); entry != nil && entry.Health.Ejected(now) {
-		votes++
-	}
-	for _, m := range p.members {
-		if m.suspects[id] {
-			votes++
-		}
-	}
-	return votes >= min(2, len(p.members)+1)
+	entry := p.coordinator.directory.Entry(id)
+	return p.members.Bad(id, entry != nil && entry.Health.Ejected(now))
 }
 
 // plan starts all orders that may be sent now and tells the members what changed.
@@ -331,18 +298,11 @@
 }
 
 func (p *planning) dropLost(now time.Time) {
-	for name, m := range p.members {
-		if m.lost.IsZero() && now.Sub(m.heard) > p.coordinator.memberSilence() {
-			m.lost = now
-			for _, planner := range p.planners {
-				planner.ForgetInstance(name)
-			}
-		}
-		if !m.lost.IsZero() && (m.leaving || now.Sub(m.lost) > memberMemory) {
-			p.addUses(m, -1)
-			delete(p.members, name)
+	p.members.DropLost(now, p.coordinator.memberSilence(), func(instance string) {
+		for _, planner := range p.planners {
+			planner.ForgetInstance(instance)
 		}
-	}
+	})
 }
 
 // confirmWithdrawals lets copies be unloaded that no instance uses any more.
@@ -352,24 +312,18 @@
 			if entry := p.coordinator.directory.Entry(id); entry != nil && entry.OwnByAdapter[adapter] > 0 {
 				return false
 			}
-			for _, m := range p.members {
-				if !m.lost.IsZero() {
-					// The endpoint itself keeps an adapter that a lost instance's request uses.
-					continue
-				}
-				if m.withdrawalsSeen < withdrawal || m.inUse[wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name}] > 0 {
-					return false
-				}
-			}
-			return true
+			return p.members.Unused(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name}, withdrawal)
 		})
 	}
 }
 
 // takeReport takes in one instance's report; this instance's own has no member.
 func (p *planning) takeReport(now time.Time, r *wire.Report) {
-	if m, ok := p.members[r.Instance]; ok {
-		p.updateMember(now, m, r)
+	for _, id := range p.members.Take(now, r) {
+		p.refreshSuspicion(now, id)
+	}
+	if _, reports := p.members.All()[r.Instance]; reports {
+		p.coordinator.applyItems(now, r.Items)
 	}
 	byService := make(map[string][]loading.Demand)
 	for _, one := range r.Demands {
@@ -406,54 +360,9 @@
 	return byService
 }
 
-func (p *planning) updateMember(now time.Time, m *member, r *wire.Report) {
-	m.heard = now
-	m.lost = time.Time{}
-	m.withdrawalsSeen = r.WithdrawalsSeen
-	m.configurationAt = r.ConfigurationAt
-	m.leaving = r.Leaving
-	m.storeReadAge = r.StoreReadAge
-	p.addUses(m, -1)
-	m.inUse = make(map[wire.Copy]int, len(r.InUse))
-	for _, used := range r.InUse {
-		m.inUse[used.Copy()] = used.Count
-	}
-	p.addUses(m, 1)
-	m.inFlight = make(map[deployment.EndpointID]int, len(r.InFlight))
-	for _, one := range r.InFlight {
-		m.inFlight[one.ID] = one.Count
-	}
-	former := m.suspects
-	m.suspects = make(map[deployment.EndpointID]bool, len(r.Suspects))
-	for _, id := range r.Suspects {
-		m.suspects[id] = true
-	}
-	for id := range former {
-		if !m.suspects[id] {
-			p.refreshSuspicion(now, id)
-		}
-	}
-	for id := range m.suspects {
-		if !former[id] {
-			p.refreshSuspicion(now, id)
-		}
-	}
-	p.coordinator.applyItems(now, r.Items)
-}
-
-// addUses adds a member's requests in flight to the sums over all members, or takes them out.
-func (p *planning) addUses(m *member, sign int) {
-	for name, count := range m.inUse {
-		p.uses[name] += sign * count
-		if p.uses[name] <= 0 {
-			delete(p.uses, name)
-		}
-	}
-}
-
 // copyUses gives the requests in flight that use a copy, by all instances' last reports.
 func (p *planning) copyUses(id deployment.EndpointID, adapter deployment.Adapter) int {
-	uses := p.uses[wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name}]
+	uses := p.members.Uses(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name})
 	if entry := p.coordinator.directory.Entry(id); entry != nil {
 		uses += entry.OwnByAdapter[adapter]
 	}
--- a/services/coordinator/reporting.go
+++ b/services/coordinator/reporting.go
@@ -10,6 +10,7 @@
 
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/modules/peerstream"
+	"github.com/shelfledge/shelfledge/services/coordinator/member"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/ownership"
 )
@@ -33,9 +34,10 @@
 	withdrawals uint64
 	// own is what the last report said was in flight.
 	own map[deployment.EndpointID]int
-	// behindSince is when the planner was first seen to lack newer configuration keys.
-	behindSince time.Time
-	plannerAt   int64
+	// plannerAt is the newest revision of the configuration's keys that the planner knows, by its last view, and
+	// plannerLag how long it has lacked newer ones.
+	plannerAt  int64
+	plannerLag member.Lag
 }
 
 // fresh tells whether the planner's word on endpoints can be relied on.
@@ -154,19 +156,14 @@
 	return built
 }
 
-// relayAfter is how long a peer may lack newer configuration keys before they are sent to it.
-const relayAfter = 120 * time.Millisecond
-
 // plannerLags tells whether the planner has lacked newer configuration keys for long enough.
 func (c *Coordinator) plannerLags(now time.Time) bool {
-	if c.following.plannerAt >= c.configurationAt || c.following.stream == nil {
-		c.following.behindSince = time.Time{}
+	if c.following.stream == nil {
+		c.following.plannerLag = member.Lag{}
 		return false
 	}
-	if c.following.behindSince.IsZero() {
-		c.following.behindSince = now
-	}
-	return now.Sub(c.following.behindSince) > relayAfter
+	lag, behind := c.following.plannerLag.Behind(now, c.following.plannerAt, c.configurationAt)
+	return behind && lag > member.RelayAfter
 }
 
 func (c *Coordinator) buildDemands(now time.Time) []wire.Demand {
--- a/services/coordinator/viewing.go
+++ b/services/coordinator/viewing.go
@@ -10,6 +10,7 @@
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/modules/peerstream"
 	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/services/coordinator/member"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 )
 
@@ -46,7 +47,7 @@
 		stream.Close()
 	}()
 	for {
-		silence := memberSilence
+		silence := member.LeastSilence
 		c.loop.call(func(time.Time) { silence = c.memberSilence() })
 		received, err := stream.Receive(silence, c.options.Now)
 		if err != nil {
@@ -74,15 +75,7 @@
 	if c.planning == nil {
 		return false
 	}
-	m, ok := c.planning.members[r.Instance]
-	if !ok {
-		m = &member{instance: r.Instance}
-		c.planning.members[r.Instance] = m
-	}
-	if m.stream != stream {
-		m.stream = stream
-		m.needsFull = true
-	}
+	c.planning.members.Join(r.Instance, stream)
 	c.planning.takeReport(now, r)
 	c.plan(now)
 	return true
@@ -112,12 +105,7 @@
 	if c.planning == nil {
 		return
 	}
-	for _, m := range c.planning.members {
-		if m.stream == stream {
-			m.stream = nil
-			m.heard = now.Add(-c.memberSilence())
-		}
-	}
+	c.planning.members.Unlink(now, stream, c.memberSilence())
 }
 
 // broadcast tells all members what changed; with everything due, also those it changed nothing for.
@@ -151,8 +139,8 @@
 	if err != nil {
 		return
 	}
-	for _, m := range p.members {
-		if m.stream != nil {
+	for _, m := range p.members.All() {
+		if m.Link != nil {
 			p.tell(now, m, changes, frame)
 		}
 	}
@@ -161,52 +149,37 @@
 }
 
 // tell sends a member the changes, whose frame serves all, or a view of its own where it needs more.
-func (p *planning) tell(now time.Time, m *member, changes *wire.View, frame peerstream.Frame) {
+func (p *planning) tell(now time.Time, m *member.Member, changes *wire.View, frame peerstream.Frame) {
 	items := p.itemsFor(now, m)
-	if !m.needsFull && len(items) == 0 {
-		if err := m.stream.SendFrame(frame); err != nil {
-			m.stream = nil
+	if !m.NeedsFull && len(items) == 0 {
+		if err := m.Link.SendFrame(frame); err != nil {
+			m.Link = nil
 		}
 		return
 	}
 	told := *changes
-	if m.needsFull {
+	if m.NeedsFull {
 		told = *p.fullView(now)
-		m.needsFull = false
+		m.NeedsFull = false
 	}
 	told.Items = items
-	if err := m.stream.Send(wire.Message{View: &told}); err != nil {
-		m.stream = nil
+	if err := m.Link.Send(wire.Message{View: &told}); err != nil {
+		m.Link = nil
 	}
 }
 
 // nothingToTell tells whether all members have the plan's last state.
 func (p *planning) nothingToTell() bool {
-	return len(p.changed) == 0 && len(p.removed) == 0 && len(p.begun) == 0 && !p.anyNeedsFull()
+	return len(p.changed) == 0 && len(p.removed) == 0 && len(p.begun) == 0 && !p.members.NeedFull()
 }
 
 // itemsFor gives the operators' keys that a member has lacked for long enough.
-func (p *planning) itemsFor(now time.Time, m *member) []store.Item {
-	if m.configurationAt >= p.coordinator.configurationAt {
-		m.behindSince = time.Time{}
+func (p *planning) itemsFor(now time.Time, m *member.Member) []store.Item {
+	lag, behind := m.Lag.Behind(now, m.ConfigurationAt, p.coordinator.configurationAt)
+	if !behind || lag < member.RelayAfter {
 		return nil
 	}
-	if m.behindSince.IsZero() {
-		m.behindSince = now
-	}
-	if now.Sub(m.behindSince) < relayAfter {
-		return nil
-	}
-	return p.coordinator.newerItems(m.configurationAt)
-}
-
-func (p *planning) anyNeedsFull() bool {
-	for _, m := range p.members {
-		if m.needsFull && m.stream != nil {
-			return true
-		}
-	}
-	return false
+	return p.coordinator.newerItems(m.ConfigurationAt)
 }
 
 func (p *planning) baseView(now time.Time, totals []wire.EndpointCount) *wire.View {
@@ -248,7 +221,7 @@
 
 // memberCount is the number of instances that share the fleet's bounds, this one included.
 func (p *planning) memberCount() int {
-	return len(p.members) + 1
+	return p.members.Fleet()
 }
 
 // totals sums the requests in flight over all instances.
@@ -257,14 +230,7 @@
 	for id, entry := range p.coordinator.directory.Entries() {
 		sums[id] += entry.Own
 	}
-	for _, m := range p.members {
-		if !m.lost.IsZero() {
-			continue
-		}
-		for id, count := range m.inFlight {
-			sums[id] += count
-		}
-	}
+	p.members.AddInFlight(sums)
 	list := make([]wire.EndpointCount, 0, len(sums))
 	for id, count := range sums {
 		if count > 0 {
