--- a/services/coordinator/acquire.go
+++ b/services/coordinator/acquire.go
@@ -171,7 +171,7 @@
 	if !ok || description.MaxConnections == 0 {
 		return 0
 	}
-	return max(1, description.MaxConnections/max(c.following.members, assumedMembers))
+	return max(1, description.MaxConnections/max(c.following.Members, assumedMembers))
 }
 
 // decideWaiter tells whether a request goes on waiting; otherwise it was refused.
@@ -203,8 +203,8 @@
 // knownPlanner is what this instance knows of whoever orders loads.
 func (c *Coordinator) knownPlanner(now time.Time) forecast.Planner {
 	known := forecast.Planner{
-		ViewAge: now.Sub(c.following.heard), ConfirmedAge: c.following.confirmedAge, OrderWindow: c.options.Ownership.Window,
-		ViewTerm: c.following.term, ResignedTerm: c.following.resignedTerm,
+		ViewAge: now.Sub(c.following.Heard), ConfirmedAge: c.following.ConfirmedAge, OrderWindow: c.options.Ownership.Window,
+		ViewTerm: c.following.Term, ResignedTerm: c.following.ResignedTerm,
 		RecordTerm: c.knownRecord.Term, RecordReleased: c.knownRecord.Released,
 	}
 	if c.planning != nil {
--- a/services/coordinator/configuration.go
+++ b/services/coordinator/configuration.go
@@ -86,7 +86,7 @@
 
 // reliesOnPlanner tells whether another instance watches the store for this one.
 func (c *Coordinator) reliesOnPlanner(now time.Time) bool {
-	return c.planning == nil && c.following.fresh(now, c.silence())
+	return c.planning == nil && c.following.Fresh(now)
 }
 
 // checkWatch ends a long watch that cannot be relied on any more.
--- a/services/coordinator/coordinator.go
+++ b/services/coordinator/coordinator.go
@@ -26,11 +26,6 @@
 	tickPace = 25 * time.Millisecond
 	// sweepPace is how often old state is forgotten.
 	sweepPace = time.Second
-	// plannerSilence is after how long without a view the planner counts as silent.
-	plannerSilence = 1200 * time.Millisecond
-	// readAgeLimit is the age of the planner's reading of endpoints beyond which an
-	// instance reads them itself.
-	readAgeLimit = 2500 * time.Millisecond
 )
 
 // namedVersion is a version that operators named.
@@ -149,7 +144,7 @@
 		c.resignIfOthersCan(now)
 		c.plan(now)
 	}
-	if c.reports.Due(now, c.following.members) {
+	if c.reports.Due(now, c.following.Members) {
 		c.sendReport(now)
 	}
 	if now.Sub(c.sweptAt) >= sweepPace {
@@ -159,21 +154,16 @@
 
 // pace stretches a pause with the number of instances.
 func (c *Coordinator) pace(pause time.Duration) time.Duration {
-	return report.Stretch(pause, c.following.members)
+	return report.Stretch(pause, c.following.Members)
 }
 
 // reportSoon asks for a report without delay, as far as the last one is not too recent.
 func (c *Coordinator) reportSoon(now time.Time) {
-	if c.reports.Ask(now, c.following.members) {
+	if c.reports.Ask(now, c.following.Members) {
 		c.sendReport(now)
 	}
 }
 
-// silence is after how long without a view the planner counts as silent.
-func (c *Coordinator) silence() time.Duration {
-	return max(plannerSilence, 3*signPace)
-}
-
 // sweep forgets what is too old to matter.
 func (c *Coordinator) sweep(now time.Time) {
 	c.sweptAt = now
--- a/services/coordinator/endpoints.go
+++ b/services/coordinator/endpoints.go
@@ -68,7 +68,7 @@
 		switch {
 		case c.planning != nil:
 			mode = readByWatching
-		case c.endpointsKnown && c.following.fresh(now, c.silence()):
+		case c.endpointsKnown && c.following.Fresh(now):
 			mode = readByPlanner
 		}
 	})
--- a/services/coordinator/leadership.go
+++ b/services/coordinator/leadership.go
@@ -101,7 +101,7 @@
 	c.options.Log.WithField("term", c.planning.tenure.Record().Term).Warn("planning ends: the ownership is lost")
 	c.planning.members.CloseLinks()
 	c.planning = nil
-	c.following = following{members: c.following.members, term: c.following.term}
+	c.following = following{Followed: c.following.Restarted()}
 	c.reports.Restart()
 }
 
@@ -183,7 +183,7 @@
 	c.loop.call(func(now time.Time) {
 		c.storeReadAt = now
 		c.noteRecord(stored.Record)
-		resigned = stored.Found && stored.Record.Term == c.following.resignedTerm
+		resigned = stored.Found && stored.Record.Term == c.following.ResignedTerm
 		if asked {
 			c.sendReport(now)
 		}
@@ -196,7 +196,7 @@
 func (c *Coordinator) plannerSilence(now, started time.Time) (silence time.Duration, asked bool) {
 	heard := ownership.Heard{Started: started}
 	c.loop.call(func(time.Time) {
-		heard.View, heard.ConfirmedAge = c.following.heard, c.following.confirmedAge
+		heard.View, heard.ConfirmedAge = c.following.Heard, c.following.ConfirmedAge
 		asked, c.leadershipDue = c.leadershipDue, false
 	})
 	return c.options.Ownership.Silence(now, heard), asked
@@ -222,7 +222,7 @@
 // noteRecord remembers who plans; a link to a former planner ends with the word on its successor.
 func (c *Coordinator) noteRecord(record ownership.Record) {
 	c.knownRecord = record
-	if stream := c.following.stream; stream != nil && record.Term > c.following.term {
+	if stream := c.following.stream; stream != nil && record.Term > c.following.Term {
 		_ = stream.Send(wire.Message{Successor: &wire.Successor{Term: record.Term, Address: record.Address}})
 		time.AfterFunc(farewellTime, stream.Close)
 		c.following.stream = nil
--- a/services/coordinator/planning.go
+++ b/services/coordinator/planning.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/services/balance"
 	"github.com/shelfledge/shelfledge/services/coordinator/member"
-	"github.com/shelfledge/shelfledge/services/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/loading"
 	"github.com/shelfledge/shelfledge/services/ownership"
@@ -29,9 +29,7 @@
 	changed  map[deployment.EndpointID]bool
 	// begun are the loads that began since the last view.
 	begun []wire.Forecast
-	// told is when the last heartbeat went to all, changesTold when the last view did.
-	told        time.Time
-	changesTold time.Time
+	views view.Schedule
 	// startRecent is what the former holder said of its loads.
 	startRecent int
 	// leaving is set before the ownership is given up: no order is started any more.
@@ -43,17 +41,9 @@
 	wakeAt time.Time
 }
 
-const (
-	// signPace is the longest pause between two views, also those that carry no news; it is not
-	// stretched, since members must notice a lost planner as soon in a large fleet.
-	signPace = 400 * time.Millisecond
-	// changePace is the least pause between two views of changes.
-	changePace = 4 * time.Millisecond
-)
-
 // memberSilence is after how long without a report an instance counts as lost.
 func (c *Coordinator) memberSilence() time.Duration {
-	return member.Silence(c.following.members)
+	return member.Silence(c.following.Members)
 }
 
 func newPlanning(c *Coordinator, now time.Time, tenure *ownership.Tenure, startRecent int) *planning {
@@ -190,7 +180,7 @@
 			p.publishCopies(id, planner)
 		}
 	}
-	p.broadcast(now, now.Sub(p.told) >= report.Stretch(report.Pace, c.following.members))
+	p.broadcast(now, p.views.TotalsDue(now, c.following.Members))
 	c.reviewWaiters(now)
 	c.wakeForPoll(now)
 }
--- a/services/coordinator/reporting.go
+++ b/services/coordinator/reporting.go
@@ -11,40 +11,24 @@
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/modules/peerstream"
 	"github.com/shelfledge/shelfledge/services/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/ownership"
 )
 
 // following is what an instance keeps of its link to the planner.
 type following struct {
-	stream  *peerstream.Stream[wire.Message]
-	planner string
-	term    int64
-	// heard is when the last view came, and readAge how old its reading of endpoints was.
-	heard   time.Time
-	readAge time.Duration
-	// confirmedAge is how long before that the planner's ownership was confirmed.
-	confirmedAge time.Duration
-	members      int
-	// resignedTerm is the last term whose holder said that it gives no more orders.
-	resignedTerm int64
+	view.Followed
+	// stream is the link; nil if there is none.
+	stream *peerstream.Stream[wire.Message]
 	// ratesDue asks for the arrival rates in the next report.
 	ratesDue bool
-	// withdrawals is the last announcement taken in.
-	withdrawals uint64
 	// own is what the last report said was in flight.
 	own map[deployment.EndpointID]int
-	// plannerAt is the newest revision of the configuration's keys that the planner knows, by its last view, and
-	// plannerLag how long it has lacked newer ones.
-	plannerAt  int64
+	// plannerLag is how long the planner has lacked newer keys of the configuration.
 	plannerLag member.Lag
 }
 
-// fresh tells whether the planner's word on endpoints can be relied on.
-func (f *following) fresh(now time.Time, silence time.Duration) bool {
-	return now.Sub(f.heard) < silence && f.readAge+now.Sub(f.heard) < readAgeLimit
-}
-
 // dialPause is the pause before the planner is looked for again.
 const dialPause = 150 * time.Millisecond
 
@@ -74,7 +58,7 @@
 
 // followAt holds one link until it fails or falls silent.
 func (c *Coordinator) followAt(address netip.AddrPort) {
-	ctx, cancel := context.WithTimeout(c.context, plannerSilence)
+	ctx, cancel := context.WithTimeout(c.context, view.Silence)
 	conn, err := c.environment.Dial(ctx, address)
 	cancel()
 	if err != nil {
@@ -91,9 +75,9 @@
 		c.sendReport(now)
 	})
 	for {
-		silence := plannerSilence
-		c.loop.call(func(time.Time) { silence = c.silence() })
-		received, err := stream.Receive(max(plannerSilence, silence), c.options.Now)
+		// One view is taken in before the next is read, so that views do not pile up before the control goroutine.
+		c.loop.call(func(time.Time) {})
+		received, err := stream.Receive(view.Silence, c.options.Now)
 		if err != nil {
 			break
 		}
@@ -128,7 +112,7 @@
 
 func (c *Coordinator) buildReport(now time.Time) *wire.Report {
 	built := &wire.Report{
-		Instance: c.options.Instance, WithdrawalsSeen: c.following.withdrawals, ConfigurationAt: c.configurationAt,
+		Instance: c.options.Instance, WithdrawalsSeen: c.following.Withdrawals, ConfigurationAt: c.configurationAt,
 		Demands: c.buildDemands(now), Missing: c.missing, Leaving: c.leaving.Load(),
 		StoreReadAge: now.Sub(c.storeReadAt),
 	}
@@ -151,7 +135,7 @@
 		c.following.ratesDue = false
 	}
 	if c.plannerLags(now) {
-		built.Items = c.newerItems(c.following.plannerAt)
+		built.Items = c.newerItems(c.following.PlannerAt)
 	}
 	return built
 }
@@ -162,7 +146,7 @@
 		c.following.plannerLag = member.Lag{}
 		return false
 	}
-	lag, behind := c.following.plannerLag.Behind(now, c.following.plannerAt, c.configurationAt)
+	lag, behind := c.following.plannerLag.Behind(now, c.following.PlannerAt, c.configurationAt)
 	return behind && lag > member.RelayAfter
 }
 
@@ -176,16 +160,11 @@
 
 // applyView takes in the planner's word.
 func (c *Coordinator) applyView(now time.Time, stream *peerstream.Stream[wire.Message], v *wire.View) {
-	if c.following.stream != stream || v.Term < c.following.term || c.planning != nil {
+	arrival := view.Arrival{PresentLink: c.following.stream == stream, Planning: c.planning != nil}
+	if c.following.Judge(v, arrival) != view.Keep {
 		return
 	}
-	c.following.planner = v.Planner
-	c.following.term = v.Term
-	c.following.heard = now
-	c.following.readAge = v.ReadAge
-	c.following.confirmedAge = v.ConfirmedAge
-	c.following.members = v.Members
-	c.following.plannerAt = v.ConfigurationAt
+	news := c.following.Take(now, v)
 	c.budget.SetMembers(v.Members)
 	c.applyItems(now, v.Items)
 	c.applyViewEndpoints(v)
@@ -205,13 +184,10 @@
 	for _, one := range v.Forecasts {
 		c.forecasts.Note(one.Key(), now.Add(one.Until))
 	}
-	announced := v.Withdrawals > c.following.withdrawals || v.Full
-	c.following.withdrawals = v.Withdrawals
-	if announced {
+	if news.Acknowledge {
 		c.acknowledge(now)
 	}
-	if v.Resigned && c.following.resignedTerm < v.Term {
-		c.following.resignedTerm = v.Term
+	if news.Resigned {
 		c.leadershipDue = true
 	}
 	if v.ConfirmedAge > ownership.ConfirmTrouble && now.Sub(c.storeReadAt) > ownership.ConfirmTrouble {
@@ -222,7 +198,7 @@
 
 // acknowledge reports that an announcement was taken in, at once where the last report is old enough.
 func (c *Coordinator) acknowledge(now time.Time) {
-	if c.reports.AskAcknowledge(now, c.following.members) {
+	if c.reports.AskAcknowledge(now, c.following.Members) {
 		c.sendReport(now)
 	}
 }
--- a/services/coordinator/status.go
+++ b/services/coordinator/status.go
@@ -25,7 +25,7 @@
 	c.loop.call(func(now time.Time) {
 		status = Status{
 			Endpoints: c.directory.Size(), Waiting: c.waiters.Len(), Planning: c.planning != nil,
-			Planner: c.following.planner, Term: c.following.term, Members: c.following.members,
+			Planner: c.following.Planner, Term: c.following.Term, Members: c.following.Members,
 		}
 		if configuration := c.current.Load(); configuration != nil {
 			status.Configuration = configuration.Version
--- /dev/null
+++ b/services/coordinator/view/followed.go
@@ -0,0 +1,115 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package view
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+)
+
+const (
+	// silentHeartbeats is how many pauses between heartbeats, a count, a planner may at least stay silent. Not
+	// measured.
+	silentHeartbeats = 3
+	// Silence is after how long without a view the planner counts as silent, so that an instance reads the store
+	// itself: shorter trades store calls for fresher endpoints. Not measured.
+	Silence = max(1200*time.Millisecond, silentHeartbeats*HeartbeatPace)
+	// ReadAgeLimit is the age of the planner's reading of endpoints beyond which an instance reads them itself.
+	// Not measured.
+	ReadAgeLimit = 2500 * time.Millisecond
+)
+
+// Verdict says whether a view is kept.
+type Verdict int
+
+// The verdicts on a view.
+const (
+	// Keep: the view is taken in.
+	Keep Verdict = iota
+	// OtherLink: it came over a link that was given up since.
+	OtherLink
+	// EarlierTerm: it is of an earlier term than the last one, so that a later planner is known.
+	EarlierTerm
+	// PlansItself: this instance plans and knows better.
+	PlansItself
+)
+
+// String names the verdict.
+func (v Verdict) String() string {
+	return [...]string{"keep", "other link", "earlier term", "plans itself"}[v]
+}
+
+// Arrival is how a view came.
+type Arrival struct {
+	// PresentLink tells that it came over the link that is in use now.
+	PresentLink bool
+	// Planning tells that this instance plans.
+	Planning bool
+}
+
+// Followed is what an instance keeps of the planner's views; the zero value has heard none.
+type Followed struct {
+	// Planner and Term are whom the last view came from.
+	Planner string
+	Term    int64
+	// Heard is when it came, on the own clock; ReadAge is how long before the planner knew the endpoints to be
+	// complete, ConfirmedAge how long before its lease was confirmed.
+	Heard        time.Time
+	ReadAge      time.Duration
+	ConfirmedAge time.Duration
+	// Members is the number of instances that share the fleet's bounds; 0 if it is not known.
+	Members int
+	// PlannerAt is the newest revision of the configuration's keys that the planner knows.
+	PlannerAt int64
+	// Withdrawals is the last announcement of a withdrawal that was taken in.
+	Withdrawals uint64
+	// ResignedTerm is the last term whose holder said that it gives no more orders.
+	ResignedTerm int64
+}
+
+// Judge decides whether a view is kept. A view may repeat the last one: it is kept, and heard anew.
+func (f *Followed) Judge(v *wire.View, arrival Arrival) Verdict {
+	switch {
+	case !arrival.PresentLink:
+		return OtherLink
+	case v.Term < f.Term:
+		return EarlierTerm
+	case arrival.Planning:
+		return PlansItself
+	default:
+		return Keep
+	}
+}
+
+// News is what a view asks of the instance that keeps it.
+type News struct {
+	// Acknowledge wants a report, since withdrawals were announced or the view is a whole one.
+	Acknowledge bool
+	// Resigned tells that the planner said for the first time that it gives no more orders.
+	Resigned bool
+}
+
+// Take keeps a view that came now.
+func (f *Followed) Take(now time.Time, v *wire.View) News {
+	news := News{Acknowledge: v.Withdrawals > f.Withdrawals || v.Full, Resigned: v.Resigned && f.ResignedTerm < v.Term}
+	f.Planner, f.Term = v.Planner, v.Term
+	f.Heard, f.ReadAge, f.ConfirmedAge = now, v.ReadAge, v.ConfirmedAge
+	f.Members, f.PlannerAt, f.Withdrawals = v.Members, v.ConfigurationAt, v.Withdrawals
+	if news.Resigned {
+		f.ResignedTerm = v.Term
+	}
+	return news
+}
+
+// Fresh tells whether the planner's word on endpoints can be relied on.
+func (f *Followed) Fresh(now time.Time) bool {
+	age := now.Sub(f.Heard)
+	return age < Silence && f.ReadAge+age < ReadAgeLimit
+}
+
+// Restarted is what is kept when this instance ends to plan and has to find the planner anew.
+func (f *Followed) Restarted() Followed {
+	return Followed{Members: f.Members, Term: f.Term}
+}
--- /dev/null
+++ b/services/coordinator/view/schedule.go
@@ -0,0 +1,67 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package view
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/services/coordinator/report"
+)
+
+const (
+	// HeartbeatPace is the longest pause between two views, also those that carry no news. It is not stretched,
+	// since members must notice a lost planner as soon in a large fleet. Measured: docs/design/0006-measured.md,
+	// "heartbeats stretched to 1.4 s".
+	HeartbeatPace = 400 * time.Millisecond
+	// ChangePace is the least pause between two views of changes in a small fleet: shorter trades the planner's
+	// processor time and link for earlier news. Set with the stretching of pauses (docs/design/0006-measured.md, "one
+	// frame for all members"); the figure itself was not measured.
+	ChangePace = 4 * time.Millisecond
+)
+
+// Due says whether a view is sent.
+type Due int
+
+// Whether a view is sent.
+const (
+	// NotYet: the last one is too recent.
+	NotYet Due = iota
+	// WithNews: only if something changed.
+	WithNews
+	// Now: whatever there is to tell.
+	Now
+)
+
+// Schedule decides when the planner sends views. The zero value has sent none.
+type Schedule struct {
+	// told is when the last view went out, totalsTold when the last one that carries all totals did.
+	told       time.Time
+	totalsTold time.Time
+}
+
+// TotalsDue tells whether a view that carries all totals is due in a fleet of members.
+func (s *Schedule) TotalsDue(now time.Time, members int) bool {
+	return now.Sub(s.totalsTold) >= report.Stretch(report.Pace, members)
+}
+
+// Due tells whether a view without totals is due in a fleet of members.
+func (s *Schedule) Due(now time.Time, members int) Due {
+	age := now.Sub(s.told)
+	switch {
+	case age >= HeartbeatPace:
+		return Now
+	case age < report.Stretch(ChangePace, members):
+		return NotYet
+	default:
+		return WithNews
+	}
+}
+
+// Told notes that a view goes out now.
+func (s *Schedule) Told(now time.Time, totals bool) {
+	s.told = now
+	if totals {
+		s.totalsTold = now
+	}
+}
--- /dev/null
+++ b/services/coordinator/view/view_test.go
@@ -0,0 +1,124 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package view_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/services/coordinator/view"
+	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+)
+
+const (
+	step      = time.Microsecond
+	silence   = 1200 * time.Millisecond
+	readAge   = 2500 * time.Millisecond
+	heartbeat = 400 * time.Millisecond
+	change    = 4 * time.Millisecond
+	totals    = 250 * time.Millisecond
+)
+
+var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+
+func TestWhichViewsAreKept(t *testing.T) {
+	present := view.Arrival{PresentLink: true}
+	cases := map[string]struct {
+		term    int64
+		arrival view.Arrival
+		verdict view.Verdict
+	}{
+		"of the known term":              {4, present, view.Keep},
+		"of a later term":                {5, present, view.Keep},
+		"of the term just before":        {3, present, view.EarlierTerm},
+		"over a link given up since":     {5, view.Arrival{}, view.OtherLink},
+		"while this instance plans":      {5, view.Arrival{PresentLink: true, Planning: true}, view.PlansItself},
+		"earlier, while it plans itself": {3, view.Arrival{PresentLink: true, Planning: true}, view.EarlierTerm},
+	}
+	for name, one := range cases {
+		t.Run(name, func(t *testing.T) {
+			followed := view.Followed{Term: 4}
+			assert.Equal(t, one.verdict, followed.Judge(&wire.View{Term: one.term}, one.arrival), one.verdict.String())
+		})
+	}
+	var unheard view.Followed
+	assert.Equal(t, view.Keep, unheard.Judge(&wire.View{Term: 1}, present), "the first view")
+}
+
+func TestAViewIsKeptWithItsAges(t *testing.T) {
+	var followed view.Followed
+	followed.Take(start, &wire.View{Planner: "p", Term: 4, ReadAge: 2, ConfirmedAge: 3, Members: 5, ConfigurationAt: 6, Withdrawals: 7})
+	expected := view.Followed{Planner: "p", Term: 4, Heard: start, ReadAge: 2, ConfirmedAge: 3, Members: 5, PlannerAt: 6, Withdrawals: 7}
+	assert.Equal(t, expected, followed)
+	assert.Equal(t, view.Followed{Members: 5, Term: 4}, followed.Restarted())
+}
+
+func TestWithdrawalsAreAcknowledgedOnceAndWholeViewsEachTime(t *testing.T) {
+	var followed view.Followed
+	assert.False(t, followed.Take(start, &wire.View{Term: 4}).Acknowledge)
+	assert.True(t, followed.Take(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge)
+	assert.False(t, followed.Take(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge, "a repeated view")
+	assert.True(t, followed.Take(start, &wire.View{Term: 4, Withdrawals: 1, Full: true}).Acknowledge)
+	assert.False(t, followed.Take(start, &wire.View{Term: 5}).Acknowledge, "a new planner counts anew")
+	assert.True(t, followed.Take(start, &wire.View{Term: 5, Withdrawals: 1}).Acknowledge)
+}
+
+func TestAResignationIsNewsOnceInEachTerm(t *testing.T) {
+	followed := view.Followed{}
+	assert.True(t, followed.Take(start, &wire.View{Term: 4, Resigned: true}).Resigned)
+	assert.False(t, followed.Take(start, &wire.View{Term: 4, Resigned: true}).Resigned, "a repeated view")
+	assert.False(t, followed.Take(start, &wire.View{Term: 5}).Resigned)
+	assert.Equal(t, int64(4), followed.ResignedTerm, "a lost word of the new planner brings no old resignation back")
+	assert.True(t, followed.Take(start, &wire.View{Term: 5, Resigned: true}).Resigned)
+}
+
+func TestAPlannerIsReliedOnWhileItIsHeardAndSees(t *testing.T) {
+	cases := map[string]struct {
+		age, read time.Duration
+		fresh     bool
+	}{
+		"just heard":                     {0, 0, true},
+		"just below the silence":         {silence - step, 0, true},
+		"at the silence":                 {silence, 0, false},
+		"a reading just young enough":    {0, readAge - step, true},
+		"a reading too old when it came": {0, readAge, false},
+		"a reading that has become old":  {time.Second, readAge - time.Second, false},
+		"one that is about to":           {time.Second, readAge - time.Second - step, true},
+	}
+	for name, one := range cases {
+		t.Run(name, func(t *testing.T) {
+			followed := view.Followed{Heard: start, ReadAge: one.read}
+			assert.Equal(t, one.fresh, followed.Fresh(start.Add(one.age)))
+		})
+	}
+	var unheard view.Followed
+	assert.False(t, unheard.Fresh(start))
+}
+
+func TestViewsFollowTheirPaces(t *testing.T) {
+	for _, members := range []int{1, 32} {
+		scale := time.Duration(max(1, members/16))
+		var schedule view.Schedule
+		assert.Equal(t, view.Now, schedule.Due(start, members), "the first one")
+		schedule.Told(start, false)
+		assert.Equal(t, view.NotYet, schedule.Due(start.Add(scale*change-step), members))
+		assert.Equal(t, view.WithNews, schedule.Due(start.Add(scale*change), members))
+		assert.Equal(t, view.WithNews, schedule.Due(start.Add(heartbeat-step), members))
+		assert.Equal(t, view.Now, schedule.Due(start.Add(heartbeat), members), "not stretched with the fleet")
+	}
+}
+
+func TestTotalsFollowTheStretchedPaceOfReports(t *testing.T) {
+	var schedule view.Schedule
+	assert.True(t, schedule.TotalsDue(start, 1))
+	schedule.Told(start, true)
+	assert.False(t, schedule.TotalsDue(start.Add(totals-step), 1))
+	assert.True(t, schedule.TotalsDue(start.Add(totals), 1))
+	assert.False(t, schedule.TotalsDue(start.Add(2*totals-step), 32))
+	assert.True(t, schedule.TotalsDue(start.Add(2*totals), 32))
+	schedule.Told(start.Add(totals), false)
+	assert.True(t, schedule.TotalsDue(start.Add(totals), 1), "a view without totals puts them off no further")
+}
--- a/services/coordinator/viewing.go
+++ b/services/coordinator/viewing.go
@@ -11,6 +11,7 @@
 	"github.com/shelfledge/shelfledge/modules/peerstream"
 	"github.com/shelfledge/shelfledge/modules/store"
 	"github.com/shelfledge/shelfledge/services/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 )
 
@@ -89,7 +90,7 @@
 		return
 	}
 	told := &wire.View{
-		Planner: c.following.planner, Term: c.knownRecord.Term, Items: c.newerItems(0), ConfigurationAt: c.configurationAt,
+		Planner: c.following.Planner, Term: c.knownRecord.Term, Items: c.newerItems(0), ConfigurationAt: c.configurationAt,
 		ReadAge: now.Sub(c.endpointsReadAt), Address: c.knownRecord.Address,
 	}
 	if c.planning != nil {
@@ -110,14 +111,12 @@
 
 // broadcast tells all members what changed; with everything due, also those it changed nothing for.
 func (p *planning) broadcast(now time.Time, due bool) {
-	sinceTold := now.Sub(p.changesTold)
-	if !due && sinceTold < signPace && (sinceTold < p.coordinator.pace(changePace) || p.nothingToTell()) {
+	if !due && !p.viewDue(now) {
 		return
 	}
-	p.changesTold = now
+	p.views.Told(now, due)
 	var totals []wire.EndpointCount
 	if due {
-		p.told = now
 		totals = p.totals()
 		p.applyTotals(totals)
 	}
@@ -148,6 +147,18 @@
 	p.removed = nil
 }
 
+// viewDue tells whether a view without totals goes out now.
+func (p *planning) viewDue(now time.Time) bool {
+	switch p.views.Due(now, p.coordinator.following.Members) {
+	case view.Now:
+		return true
+	case view.WithNews:
+		return !p.nothingToTell()
+	default:
+		return false
+	}
+}
+
 // tell sends a member the changes, whose frame serves all, or a view of its own where it needs more.
 func (p *planning) tell(now time.Time, m *member.Member, changes *wire.View, frame peerstream.Frame) {
 	items := p.itemsFor(now, m)
@@ -250,6 +261,6 @@
 			entry.Others = max(0, total.Count-entry.Own)
 		}
 	}
-	c.following.members = p.memberCount()
+	c.following.Members = p.memberCount()
 	c.budget.SetMembers(p.memberCount())
 }
