--- a/tests/platform/explain_test.go
+++ b/tests/platform/explain_test.go
@@ -139,6 +139,7 @@
 		"../../services/coordinator/planning.go", "../../services/coordinator/leadership.go", "../../services/coordinator/status.go",
 		"../../services/coordinator/configuration.go", "../../services/coordinator/endpoints.go", "../../services/process/process.go",
 		"../../services/coordinator/coordinator.go", "../../services/coordinator/handover.go", "../../services/loading/order.go",
+		"../../services/coordinator/seeds.go", "../../services/coordinator/reporting.go", "../../routers/gateway/server.go",
 	} {
 		content, err := os.ReadFile(path)
 		require.NoError(t, err)
