--- a/tests/pinned/daemon/daemon_test.go
+++ b/tests/pinned/daemon/daemon_test.go
@@ -416,3 +416,24 @@
 	}
 	pin(t, "stored_owners_and_claims.json", out)
 }
+
+func TestRowsOfALoadedAdapter(t *testing.T) {
+	parallel(t)
+	r := run(t, 0, nil)
+	r.waitReady()
+	a := r.say("admin", "loaded", "create adapter fare-1 base base-a version 1; pin fare-1@1; preload fare-1@1")
+	require.Equal(t, http.StatusOK, a.Status, a.Body)
+	for _, wanted := range []string{
+		"slots where adapter = fare-1@1 and state = resident and pinned = true and running = 0 and hall = h1 and endpoint like 'h1-e?'",
+		"endpoints where pool = h1/base-a and placer = h1-i1 and up = true and leaving = false and drained = false and frozen = false " +
+			"and fence > 0 and slots = 4 and max_batch = 16",
+		"instances where instance = h1-i1 and hall = h1 and alive = true and leaving = false and listed = true",
+		"halls where hall = h1 and cut = false and speaker = h1-i1",
+		"events where kind = loaded and adapter = fare-1@1 and pool = h1/base-a and instance = h1-i1",
+	} {
+		r.waitFor(func() bool {
+			a := r.say("reader", "", "show count of "+wanted)
+			return a.Status == http.StatusOK && !strings.Contains(string(indented(t, a.Body)), " 0\n")
+		}, "no row of "+wanted)
+	}
+}
