--- a/tests/pinned/entry/run_test.go
+++ b/tests/pinned/entry/run_test.go
@@ -123,6 +123,7 @@
 	r.waitFor("the program listens", func() bool { return r.ready() == http.StatusServiceUnavailable })
 	answers := r.raw("not ready yet", r.ports.ready, readyQuestion)
 	answers += r.ask("no configuration yet", http.MethodGet, "/ok/x", "", nil)
+	r.waitFor("it misses the store", func() bool { return r.logged("the store did not answer") })
 	r.store.SetFaults(standin.StoreFaults{})
 	r.waitFor("the program is ready", func() bool { return r.ready() == http.StatusOK })
 	r.waitFor("it plans", func() bool { return r.logged("planning begins") })
@@ -199,6 +200,9 @@
 	r.waitFor("orders of each kind arrived", func() bool {
 		return r.saw("report of e-dear") && r.saw("order unload of e-resume-1") && r.logged(`"pending":[{`)
 	})
+	r.waitFor("a lost sign of life is written anew", func() bool {
+		return strings.Contains(strings.Join(r.storeCalls(), "\n"), `{"expected_count":[],"put":[{"lease":"LEASE"`)
+	})
 	metrics := r.metrics()
 	views := r.peerViews()
 	last, code := r.end()
--- a/tests/pinned/entry/site_test.go
+++ b/tests/pinned/entry/site_test.go
@@ -64,6 +64,7 @@
 	// loaded are the adapters that endpoints hold.
 	loaded    map[string][]string
 	endpoints *httptest.Server
+	keeps     atomic.Int64
 	repeats   atomic.Int64
 	resumed   atomic.Int64
 }
@@ -79,6 +80,11 @@
 	forward.ErrorHandler = func(writer http.ResponseWriter, _ *http.Request, _ error) { writer.WriteHeader(http.StatusBadGateway) }
 	r.proxy = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		r.noteCall(request)
+		if strings.HasPrefix(request.URL.Path, "/-/kv-keep/") && r.keeps.Add(1) == 1 {
+			// The lease is over, as it is when the program was held up for long: the sign of life is written anew.
+			writer.WriteHeader(http.StatusNotFound)
+			return
+		}
 		forward.ServeHTTP(writer, request)
 	}))
 	r.endpoints = httptest.NewServer(http.HandlerFunc(r.serveEndpoint))
