--- a/services/balance/edges_test.go
+++ b/services/balance/edges_test.go
@@ -84,6 +84,22 @@
 	assert.Equal(t, deployment.EndpointID("a"), entry.ID, "one request more always counts")
 }
 
+// TestChanceWeighsHalfARequest: crossing halls for a plain service weighs 2.5 requests, so that two requests and the greatest chance
+// here weigh as much as none there.
+func TestChanceWeighsHalfARequest(t *testing.T) {
+	plain := balance.Demand{Request: &deployment.Request{}}
+	for _, endpoints := range [][]deployment.Endpoint{{holder("near", "near"), holder("far", "other")}, {holder("far", "other"), holder("near", "near")}} {
+		chance := options
+		chances := map[deployment.EndpointID]float64{"near": 1, "far": 0}
+		drawn := 0
+		chance.Random = func() float64 { drawn++; return chances[endpoints[drawn-1].ID] }
+		d := build(endpoints...)
+		d.Entry("near").Others = 2
+		entry, _ := balance.Choose(start, d.Service("service"), plain, chance)
+		assert.Equal(t, endpoints[0].ID, entry.ID, "the first one of a tie")
+	}
+}
+
 // TestEdgesOfWhatAnEndpointHolds goes through unknown, old and refuted copies.
 func TestEdgesOfWhatAnEndpointHolds(t *testing.T) {
 	unknown := deployment.Adapter{Model: "base", Name: "unknown"}
--- a/services/directory/edges_test.go
+++ b/services/directory/edges_test.go
@@ -39,6 +39,8 @@
 		"five errors":                           {[]directory.Outcome{failed, failed, failed, failed, failed}, true},
 		"rate of 0.2 after five":                {[]directory.Outcome{ok, ok, ok, ok, failed}, false},
 		"rate of 0.288 after five":              {[]directory.Outcome{ok, ok, failed, failed, ok}, false},
+		"rate of 0.299 after nine":              {[]directory.Outcome{failed, ok, ok, failed, ok, ok, ok, ok, failed}, false},
+		"rate of 0.302 after five":              {[]directory.Outcome{ok, failed, ok, ok, failed}, true},
 		"rate of 0.328 after five":              {[]directory.Outcome{ok, ok, failed, ok, failed}, true},
 		"refusals and callers that left do not": {[]directory.Outcome{refused, neutral, refused, neutral, refused, neutral}, false},
 	} {
@@ -59,11 +61,13 @@
 		others  []directory.Outcome
 		ejected bool
 	}{
-		"the other has not been asked":               {nil, true},
-		"the other failed once, too little to count": {[]directory.Outcome{failed}, true},
-		"the other's rate is 0.16":                   {[]directory.Outcome{failed, ok}, true},
-		"the other's rate is 0.36":                   {[]directory.Outcome{failed, failed}, false},
-		"the other is sound":                         {[]directory.Outcome{ok, ok}, true},
+		"the other has not been asked":                    {nil, true},
+		"the other failed once, too little to count":      {[]directory.Outcome{failed}, true},
+		"the other's rate is 0.16":                        {[]directory.Outcome{failed, ok}, true},
+		"the other's rate is 0.36":                        {[]directory.Outcome{failed, failed}, false},
+		"the other's rate is 0.267, 2.5 times just below": {[]directory.Outcome{failed, ok, failed, ok, ok, ok, failed, ok}, true},
+		"the other's rate is 0.272, 2.5 times just above": {[]directory.Outcome{failed, ok, ok, ok, failed, failed, ok, ok}, false},
+		"the other is sound":                              {[]directory.Outcome{ok, ok}, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
@@ -170,6 +174,17 @@
 	}
 }
 
+// TestEdgesOfALackingAdapter: what an endpoint said outweighs its description for 1.5 s.
+func TestEdgesOfALackingAdapter(t *testing.T) {
+	d := directory.New()
+	d.Put(endpoint("e", deployment.Ready), 1)
+	d.NoteMissing(start, "e", one)
+	end := start.Add(1500 * time.Millisecond)
+	assert.False(t, d.Entry("e").Holds(end.Add(-1), one, 0), "just before")
+	assert.False(t, d.Entry("e").Holds(end, one, 0), "at the end")
+	assert.True(t, d.Entry("e").Holds(end.Add(1), one, 0), "just after")
+}
+
 // TestEdgesOfRevisions has an endpoint known as of revision 5.
 func TestEdgesOfRevisions(t *testing.T) {
 	for revision, taken := range map[int64]bool{0: false, 4: false, 5: true, 6: true} {
--- a/services/loading/export_test.go
+++ b/services/loading/export_test.go
@@ -54,3 +54,8 @@
 func (l ModelLoads) Begin(now time.Time) {
 	l.ledger.begin(now)
 }
+
+// LoadTime is the usual time of a load.
+func (p *Pace) LoadTime() time.Duration {
+	return p.pace.typical
+}
