--- a/services/coordinator/acquire.go
+++ b/services/coordinator/acquire.go
@@ -134,7 +134,7 @@
 
 // serve assigns an endpoint if one can take the request now.
 func (c *Coordinator) serve(now time.Time, w *waiter) bool {
-	demand := balance.Demand{Request: w.Request, Version: c.demandedVersion(now, w.Adapter), Tried: w.Tried}
+	demand := balance.Demand{Request: w.Request, Version: c.versions.Demanded(now, w.Adapter, c.options.VersionLimit), Tried: w.Tried}
 	options := balance.Options{
 		Hall: c.options.Hall, HallPenalty: hallPenalty, PlainHallPenalty: plainHallPenalty, FullShare: noRequestSlotShare, SmallBatch: noRequestSlots, Random: c.options.Random,
 	}
@@ -145,22 +145,13 @@
 	}
 	c.directory.Begin(now, entry.ID, w.Adapter)
 	assignment := Assignment{Endpoint: entry.Endpoint, MaxConnections: c.connectionShare(w.Service), Waited: now.Sub(w.Since)}
-	if named, ok := c.versions[w.Adapter]; ok && entry.Offered[w.Adapter] >= named.version {
-		assignment.Version = named.version
+	if named := c.versions.Named(w.Adapter); entry.Offered[w.Adapter] >= named {
+		assignment.Version = named
 	}
 	w.Result <- acquired{assignment: assignment}
 	return true
 }
 
-// demandedVersion is the lowest version that a new request may begin on.
-func (c *Coordinator) demandedVersion(now time.Time, adapter deployment.Adapter) int64 {
-	named, ok := c.versions[adapter]
-	if !ok || now.Sub(named.learned) < c.options.VersionLimit/2 {
-		return 0
-	}
-	return named.version
-}
-
 // connectionShare is this instance's part of the connections that an endpoint accepts.
 func (c *Coordinator) connectionShare(service string) int {
 	configuration := c.current.Load()
--- a/services/coordinator/configuration.go
+++ b/services/coordinator/configuration.go
@@ -9,21 +9,11 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/services/coordinator/follow"
 )
 
-const (
-	// longWatch is how long a watch may wait in the store while the planner watches too and
-	// tells what this instance lacks.
-	longWatch = 20 * time.Second
-	// shortWatch is how long a watch may wait otherwise: a store that drops its history may
-	// leave waiting watches deaf for a second without ending them, and two deaf watches in a
-	// row must stay well below the time in which a change has to be in force.
-	shortWatch = 550 * time.Millisecond
-	// watchSlack is how much later than its wait a watch must have answered.
-	watchSlack = time.Second
-	// storeRetry is the pause after a failed call to the store.
-	storeRetry = 250 * time.Millisecond
-)
+// storeRetry is the pause after a failed call to the store. Not measured.
+const storeRetry = 250 * time.Millisecond
 
 // followConfiguration reads the operators' keys, then watches them.
 func (c *Coordinator) followConfiguration() {
@@ -44,21 +34,19 @@
 
 // watchConfiguration returns when the keys have to be read anew.
 func (c *Coordinator) watchConfiguration(after int64) {
-	failures := 0
+	var watch follow.Watch
 	for c.context.Err() == nil {
 		events, next, err := c.watchConfigurationOnce(after)
-		switch {
-		case errors.Is(err, store.ErrCompacted):
-			return
-		case err != nil:
+		step := watch.Answered(err)
+		if err != nil && !errors.Is(err, store.ErrCompacted) {
 			c.noteStore("watch configuration", err)
-			failures++
-			if failures > 1 {
-				return
-			}
+		}
+		switch step {
+		case follow.ReadAnew:
+			return
+		case follow.WatchAgain:
 			c.sleep(c.jitter(storeRetry))
-		default:
-			failures = 0
+		case follow.Apply:
 			after = next
 			c.loop.post(func(now time.Time) { c.applyItems(now, eventItems(events)) })
 		}
@@ -70,10 +58,11 @@
 func (c *Coordinator) watchConfigurationOnce(after int64) ([]store.Event, int64, error) {
 	ctx, cancel := context.WithCancel(c.context)
 	defer cancel()
-	wait := shortWatch
+	wait := follow.ShortWatch
 	c.loop.call(func(now time.Time) {
-		if c.reliesOnPlanner(now) {
-			wait = longWatch
+		situation := c.situation(now)
+		wait = situation.ConfigurationWait()
+		if situation.ReliesOnPlanner() {
 			c.endLongWatch = cancel
 		}
 	})
@@ -84,14 +73,16 @@
 	return events, next, err
 }
 
-// reliesOnPlanner tells whether another instance watches the store for this one.
-func (c *Coordinator) reliesOnPlanner(now time.Time) bool {
-	return c.planning == nil && c.following.Fresh(now)
+// situation is what decides who reads the store for this instance.
+func (c *Coordinator) situation(now time.Time) follow.Situation {
+	return follow.Situation{
+		Planning: c.planning != nil, PlannerFresh: c.following.Fresh(now), EndpointsKnown: c.endpointsKnown,
+	}
 }
 
 // checkWatch ends a long watch that cannot be relied on any more.
 func (c *Coordinator) checkWatch(now time.Time) {
-	if c.endLongWatch != nil && !c.reliesOnPlanner(now) {
+	if c.endLongWatch != nil && !c.situation(now).ReliesOnPlanner() {
 		c.endLongWatch()
 		c.endLongWatch = nil
 	}
@@ -111,11 +102,9 @@
 // passed over, so that nothing ever reverts.
 func (c *Coordinator) applyItems(now time.Time, items []store.Item) {
 	for _, item := range items {
-		if known, ok := c.items[item.Key]; ok && known.Revision >= item.Revision {
+		if !c.keys.Take(item) {
 			continue
 		}
-		c.items[item.Key] = item
-		c.configurationAt = max(c.configurationAt, item.Revision)
 		if item.Key == c.environment.ConfigurationKey {
 			c.applyConfiguration(now, item)
 			continue
@@ -143,23 +132,11 @@
 
 func (c *Coordinator) applyVersion(now time.Time, item store.Item) {
 	adapter, version, ok := c.environment.ParseVersion(item)
-	if !ok || version <= c.versions[adapter].version {
+	if !ok || !c.versions.Name(now, adapter, version) {
 		return
 	}
-	c.versions[adapter] = namedVersion{version: version, learned: now}
 	c.options.Log.WithFields(map[string]any{"adapter": adapter.String(), "version": version}).Info("version named")
 	if c.planning != nil {
 		c.planning.setVersion(now, adapter, version)
 	}
 }
-
-// newerItems gives the operators' keys changed after a revision.
-func (c *Coordinator) newerItems(after int64) []store.Item {
-	var items []store.Item
-	for _, item := range c.items {
-		if item.Revision > after {
-			items = append(items, item)
-		}
-	}
-	return items
-}
--- a/services/coordinator/coordinator.go
+++ b/services/coordinator/coordinator.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/services/coordinator/follow"
 	"github.com/shelfledge/shelfledge/services/coordinator/forecast"
 	"github.com/shelfledge/shelfledge/services/coordinator/lease"
 	"github.com/shelfledge/shelfledge/services/coordinator/report"
@@ -28,12 +28,6 @@
 	sweepPace = time.Second
 )
 
-// namedVersion is a version that operators named.
-type namedVersion struct {
-	version int64
-	learned time.Time
-}
-
 // Coordinator is the control part of one process.
 type Coordinator struct {
 	options     Options
@@ -53,9 +47,8 @@
 	directory       *directory.Directory
 	endpointsKnown  bool
 	endpointsReadAt time.Time
-	items           map[string]store.Item
-	configurationAt int64
-	versions        map[deployment.Adapter]namedVersion
+	keys            *follow.Keys
+	versions        *follow.Versions
 	budget          *retry.Budget
 	waiters         waiting.Queue[acquired]
 	demand          *report.Demand
@@ -85,8 +78,8 @@
 		context:     ctx,
 		cancel:      cancel,
 		directory:   directory.New(),
-		items:       make(map[string]store.Item),
-		versions:    make(map[deployment.Adapter]namedVersion),
+		keys:        follow.NewKeys(),
+		versions:    follow.NewVersions(),
 		budget:      retry.NewBudget(options.Retry, options.Now()),
 		demand:      report.NewDemand(),
 		forecasts:   forecast.NewBook(),
--- a/services/coordinator/endpoints.go
+++ b/services/coordinator/endpoints.go
@@ -10,45 +10,37 @@
 
 	"github.com/shelfledge/shelfledge/models/deployment"
 	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/services/coordinator/follow"
 )
 
 const (
-	// endpointWatchPause gathers changes into fewer calls.
+	// endpointWatchPause is the planner's pause after a watch that told changes, so that more of them come in one
+	// answer: longer trades later news for fewer calls. Not measured.
 	endpointWatchPause = 450 * time.Millisecond
-	// endpointPollPause is the pause between readings while the planner is silent.
+	// endpointPollPause is the pause between readings while the planner is silent. Not measured.
 	endpointPollPause = time.Second
-	// idlePause is how often an instance that follows looks whether the planner is silent.
+	// mostStretch is how many times longer an instance's own pause gets, at most, in a large fleet. Not measured.
+	mostStretch = 2
+	// idlePause is how often an instance that follows looks whether the planner is silent. Not measured.
 	idlePause = 200 * time.Millisecond
 )
 
-// readingMode is who reads the endpoints' keys for this instance.
-type readingMode int
-
-const (
-	// readByPlanner: the planner tells.
-	readByPlanner readingMode = iota
-	// readByPolling: the planner is silent or blind, so this instance reads by itself.
-	readByPolling
-	// readByWatching: this instance is the planner.
-	readByWatching
-)
-
 // followEndpoints reads the endpoints' keys once, and later as its mode demands.
 func (c *Coordinator) followEndpoints() {
 	watched := int64(0)
 	for c.context.Err() == nil {
-		switch c.readingMode() {
-		case readByPlanner:
+		switch c.endpointReader() {
+		case follow.ReadByPlanner:
 			watched = 0
 			c.sleep(idlePause)
-		case readByPolling:
+		case follow.ReadByPolling:
 			watched = 0
 			if _, err := c.readEndpoints(); err != nil {
 				c.sleep(c.jitter(storeRetry))
 				continue
 			}
 			c.sleep(c.alonePause(endpointPollPause))
-		case readByWatching:
+		case follow.ReadByWatching:
 			watched = c.watchEndpoints(watched)
 		}
 	}
@@ -58,21 +50,14 @@
 // a large fleet it is up to twice as long, since all instances call at once then.
 func (c *Coordinator) alonePause(pause time.Duration) time.Duration {
 	stretched := pause
-	c.loop.call(func(time.Time) { stretched = min(c.pace(pause), 2*pause) })
+	c.loop.call(func(time.Time) { stretched = min(c.pace(pause), mostStretch*pause) })
 	return stretched
 }
 
-func (c *Coordinator) readingMode() readingMode {
-	mode := readByPolling
-	c.loop.call(func(now time.Time) {
-		switch {
-		case c.planning != nil:
-			mode = readByWatching
-		case c.endpointsKnown && c.following.Fresh(now):
-			mode = readByPlanner
-		}
-	})
-	return mode
+func (c *Coordinator) endpointReader() follow.Reader {
+	reader := follow.ReadByPolling
+	c.loop.call(func(now time.Time) { reader = c.situation(now).Endpoints() })
+	return reader
 }
 
 // readEndpoints reads all endpoints' keys and gives the revision to watch from.
@@ -100,7 +85,7 @@
 		return at
 	}
 	sent := c.options.Now()
-	events, next, err := c.watch(c.context, c.environment.EndpointPrefix, after, shortWatch)
+	events, next, err := c.watch(c.context, c.environment.EndpointPrefix, after, follow.ShortWatch)
 	if err != nil {
 		if !errors.Is(err, store.ErrCompacted) {
 			c.noteStore("watch endpoints", err)
@@ -117,7 +102,7 @@
 
 // watch is one waiting call to the store.
 func (c *Coordinator) watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]store.Event, int64, error) {
-	ctx, cancel := context.WithTimeout(ctx, wait+watchSlack)
+	ctx, cancel := context.WithTimeout(ctx, wait+follow.WatchSlack)
 	defer cancel()
 	return c.environment.Store.Watch(ctx, prefix, after, wait)
 }
--- /dev/null
+++ b/services/coordinator/follow/keys.go
@@ -0,0 +1,102 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package follow
+
+import (
+	"iter"
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/modules/store"
+)
+
+// Keys holds the operators' keys at their newest revision, whoever told them; it is not safe for concurrent use.
+type Keys struct {
+	items map[string]store.Item
+	at    int64
+}
+
+// NewKeys makes a set that knows no key.
+func NewKeys() *Keys {
+	return &Keys{items: make(map[string]store.Item)}
+}
+
+// Take takes in a key from the store or from a peer. It tells whether it is news: older ones, and the same one told
+// again, are passed over, so that nothing ever reverts.
+func (k *Keys) Take(item store.Item) bool {
+	if known, ok := k.items[item.Key]; ok && known.Revision >= item.Revision {
+		return false
+	}
+	k.items[item.Key] = item
+	k.at = max(k.at, item.Revision)
+	return true
+}
+
+// At is the newest revision of the store that is known; 0 if there is none.
+func (k *Keys) At() int64 {
+	return k.at
+}
+
+// After gives the keys that changed after a revision.
+func (k *Keys) After(revision int64) []store.Item {
+	var items []store.Item
+	for _, item := range k.items {
+		if item.Revision > revision {
+			items = append(items, item)
+		}
+	}
+	return items
+}
+
+// Versions holds the versions of adapters that operators named; it is not safe for concurrent use.
+type Versions struct {
+	named map[deployment.Adapter]namedVersion
+}
+
+// namedVersion is a version that operators named, and when this instance learned it.
+type namedVersion struct {
+	version int64
+	learned time.Time
+}
+
+// NewVersions makes a set in which no version is named.
+func NewVersions() *Versions {
+	return &Versions{named: make(map[deployment.Adapter]namedVersion)}
+}
+
+// Name takes in a version that was named. It tells whether it is news: versions only grow.
+func (v *Versions) Name(now time.Time, adapter deployment.Adapter, version int64) bool {
+	if version <= v.named[adapter].version {
+		return false
+	}
+	v.named[adapter] = namedVersion{version: version, learned: now}
+	return true
+}
+
+// Named gives the version that was named last; 0 if none was.
+func (v *Versions) Named(adapter deployment.Adapter) int64 {
+	return v.named[adapter].version
+}
+
+// Demanded gives the lowest version that a new request may begin on, where it may begin on an older one for a limit
+// after the new one was named; 0 allows any. Half of the limit is kept for what happens after the choice. The
+// half was not measured.
+func (v *Versions) Demanded(now time.Time, adapter deployment.Adapter, limit time.Duration) int64 {
+	named, ok := v.named[adapter]
+	if !ok || now.Sub(named.learned) < limit/2 {
+		return 0
+	}
+	return named.version
+}
+
+// All gives each adapter with its named version.
+func (v *Versions) All() iter.Seq2[deployment.Adapter, int64] {
+	return func(yield func(deployment.Adapter, int64) bool) {
+		for adapter, named := range v.named {
+			if !yield(adapter, named.version) {
+				return
+			}
+		}
+	}
+}
--- /dev/null
+++ b/services/coordinator/follow/source.go
@@ -0,0 +1,109 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package follow
+
+import (
+	"errors"
+	"time"
+
+	"github.com/shelfledge/shelfledge/modules/store"
+)
+
+const (
+	// LongWatch is how long a watch may wait in the store while the planner watches too and tells what this instance
+	// lacks: longer trades a later notice of a store that is gone for fewer calls. Not measured.
+	LongWatch = 20 * time.Second
+	// ShortWatch is how long a watch may wait otherwise: a store that drops its history may leave waiting watches
+	// deaf for a second without ending them, and two deaf watches in a row must stay well below the time in which a
+	// change has to be in force. Measured: docs/design/0006-measured.md, "0.55 s in place of 0.9".
+	ShortWatch = 550 * time.Millisecond
+	// WatchSlack is how much later than its wait a watch must have answered. Not measured.
+	WatchSlack = time.Second
+	// watchFailures is how many failed watches in a row, a count, are made again before all keys are read anew. Not
+	// measured.
+	watchFailures = 1
+)
+
+// Reader is who reads the endpoints' keys for an instance.
+type Reader int
+
+// Who reads the endpoints' keys.
+const (
+	// ReadByPlanner: the planner tells.
+	ReadByPlanner Reader = iota
+	// ReadByPolling: the planner is silent or blind, so this instance reads by itself.
+	ReadByPolling
+	// ReadByWatching: this instance is the planner.
+	ReadByWatching
+)
+
+// Situation is what decides who reads the store for an instance.
+type Situation struct {
+	// Planning tells that this instance plans.
+	Planning bool
+	// PlannerFresh tells that another instance's word can be relied on, by its views.
+	PlannerFresh bool
+	// EndpointsKnown tells that all endpoints were told or read once.
+	EndpointsKnown bool
+}
+
+// ReliesOnPlanner tells whether another instance watches the store for this one.
+func (s Situation) ReliesOnPlanner() bool {
+	return !s.Planning && s.PlannerFresh
+}
+
+// Endpoints tells who reads the endpoints' keys.
+func (s Situation) Endpoints() Reader {
+	switch {
+	case s.Planning:
+		return ReadByWatching
+	case s.EndpointsKnown && s.PlannerFresh:
+		return ReadByPlanner
+	default:
+		return ReadByPolling
+	}
+}
+
+// ConfigurationWait is how long a watch of the operators' keys waits in the store.
+func (s Situation) ConfigurationWait() time.Duration {
+	if s.ReliesOnPlanner() {
+		return LongWatch
+	}
+	return ShortWatch
+}
+
+// Step is what follows a watch.
+type Step int
+
+// What follows a watch.
+const (
+	// Apply: the watch was answered; its events are taken in and the next one goes on from there.
+	Apply Step = iota
+	// WatchAgain: it failed; the same one is made again after a pause.
+	WatchAgain
+	// ReadAnew: all keys have to be read, since changes may have been missed.
+	ReadAnew
+)
+
+// Watch counts the failures of one watch; the zero value has none.
+type Watch struct {
+	failures int
+}
+
+// Answered takes in how a watch ended and tells what follows.
+func (w *Watch) Answered(err error) Step {
+	switch {
+	case errors.Is(err, store.ErrCompacted):
+		return ReadAnew
+	case err != nil:
+		w.failures++
+		if w.failures > watchFailures {
+			return ReadAnew
+		}
+		return WatchAgain
+	default:
+		w.failures = 0
+		return Apply
+	}
+}
--- a/services/coordinator/planning.go
+++ b/services/coordinator/planning.go
@@ -79,8 +79,8 @@
 			delete(p.planners, name)
 		}
 	}
-	for adapter, named := range p.coordinator.versions {
-		p.setVersion(now, adapter, named.version)
+	for adapter, version := range p.coordinator.versions.All() {
+		p.setVersion(now, adapter, version)
 	}
 }
 
--- a/services/coordinator/reporting.go
+++ b/services/coordinator/reporting.go
@@ -112,7 +112,7 @@
 
 func (c *Coordinator) buildReport(now time.Time) *wire.Report {
 	built := &wire.Report{
-		Instance: c.options.Instance, WithdrawalsSeen: c.following.Withdrawals, ConfigurationAt: c.configurationAt,
+		Instance: c.options.Instance, WithdrawalsSeen: c.following.Withdrawals, ConfigurationAt: c.keys.At(),
 		Demands: c.buildDemands(now), Missing: c.missing, Leaving: c.leaving.Load(),
 		StoreReadAge: now.Sub(c.storeReadAt),
 	}
@@ -135,7 +135,7 @@
 		c.following.ratesDue = false
 	}
 	if c.plannerLags(now) {
-		built.Items = c.newerItems(c.following.PlannerAt)
+		built.Items = c.keys.After(c.following.PlannerAt)
 	}
 	return built
 }
@@ -146,7 +146,7 @@
 		c.following.plannerLag = member.Lag{}
 		return false
 	}
-	lag, behind := c.following.plannerLag.Behind(now, c.following.PlannerAt, c.configurationAt)
+	lag, behind := c.following.plannerLag.Behind(now, c.following.PlannerAt, c.keys.At())
 	return behind && lag > member.RelayAfter
 }
 
--- a/services/coordinator/viewing.go
+++ b/services/coordinator/viewing.go
@@ -90,7 +90,7 @@
 		return
 	}
 	told := &wire.View{
-		Planner: c.following.Planner, Term: c.knownRecord.Term, Items: c.newerItems(0), ConfigurationAt: c.configurationAt,
+		Planner: c.following.Planner, Term: c.knownRecord.Term, Items: c.keys.After(0), ConfigurationAt: c.keys.At(),
 		ReadAge: now.Sub(c.endpointsReadAt), Address: c.knownRecord.Address,
 	}
 	if c.planning != nil {
@@ -186,17 +186,17 @@
 
 // itemsFor gives the operators' keys that a member has lacked for long enough.
 func (p *planning) itemsFor(now time.Time, m *member.Member) []store.Item {
-	lag, behind := m.Lag.Behind(now, m.ConfigurationAt, p.coordinator.configurationAt)
+	lag, behind := m.Lag.Behind(now, m.ConfigurationAt, p.coordinator.keys.At())
 	if !behind || lag < member.RelayAfter {
 		return nil
 	}
-	return p.coordinator.newerItems(m.ConfigurationAt)
+	return p.coordinator.keys.After(m.ConfigurationAt)
 }
 
 func (p *planning) baseView(now time.Time, totals []wire.EndpointCount) *wire.View {
 	v := &wire.View{
 		Planner: p.coordinator.options.Instance, Term: p.tenure.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
-		Totals: totals, Members: p.memberCount(), ConfigurationAt: p.coordinator.configurationAt, Resigned: p.resigned,
+		Totals: totals, Members: p.memberCount(), ConfigurationAt: p.coordinator.keys.At(), Resigned: p.resigned,
 		ConfirmedAge: p.tenure.Age(now),
 	}
 	for _, planner := range p.planners {
