--- a/services/coordinator/coordinator.go
+++ b/services/coordinator/coordinator.go
@@ -14,6 +14,7 @@
 	"github.com/shelfledge/shelfledge/services/coordinator/forecast"
 	"github.com/shelfledge/shelfledge/services/coordinator/lease"
 	"github.com/shelfledge/shelfledge/services/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/coordinator/seed"
 	"github.com/shelfledge/shelfledge/services/coordinator/waiting"
 	"github.com/shelfledge/shelfledge/services/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/directory"
@@ -33,8 +34,9 @@
 	options     Options
 	environment Environment
 	loop        *loop
-	// lease belongs to the goroutines of leadership and Release.
+	// lease belongs to the goroutines of leadership and Release; seeds may be asked by any.
 	lease   *lease.Store
+	seeds   *seed.Asker
 	context context.Context
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
@@ -88,6 +90,9 @@
 		Client: environment.Store, Instance: options.Instance, Address: options.PeerAddress,
 		Timeout: options.StoreTimeout, Now: options.Now, Failed: c.noteStore,
 	}
+	c.seeds = &seed.Asker{
+		Instance: options.Instance, Own: options.PeerAddress, Seeds: options.Seeds, Dial: environment.Dial, Now: options.Now,
+	}
 	return c
 }
 
--- /dev/null
+++ b/services/coordinator/seed/seed.go
@@ -0,0 +1,74 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+// Package seed asks peers that are named in the settings, the seeds, for what they know, so that an instance that
+// the store does not answer learns the configuration, the endpoints and the planner. Each call dials, asks once and
+// hangs up; nothing is kept and no goroutine outlives a call.
+package seed
+
+import (
+	"context"
+	"net"
+	"net/netip"
+	"time"
+
+	"github.com/shelfledge/shelfledge/modules/peerstream"
+	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+)
+
+// Timeout bounds the call to one seed: longer trades a later try of the next one for slow peers. Not measured.
+const Timeout = 600 * time.Millisecond
+
+// Asker asks the seeds in the order of the settings; it may be used by several goroutines at once.
+type Asker struct {
+	// Instance names this instance to its peers; Own is its own address, which is passed over among the seeds.
+	Instance string
+	Own      netip.AddrPort
+	Seeds    []netip.AddrPort
+	// Dial connects a peer; Now gives the present time.
+	Dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
+	Now  func() time.Time
+}
+
+// Ask asks one seed after the other and hands each answer to take, until enough says so or the context ends. A seed
+// that does not answer is passed over.
+func (a *Asker) Ask(ctx context.Context, enough func() bool, take func(*wire.View)) {
+	for _, seed := range a.Seeds {
+		if enough() || ctx.Err() != nil {
+			return
+		}
+		if seed == a.Own {
+			continue
+		}
+		if answer := a.askOne(ctx, seed); answer != nil {
+			take(answer)
+		}
+	}
+}
+
+// First gives the first answer; nil if no seed answers.
+func (a *Asker) First(ctx context.Context) *wire.View {
+	var first *wire.View
+	a.Ask(ctx, func() bool { return first != nil }, func(answer *wire.View) { first = answer })
+	return first
+}
+
+// askOne asks a peer for what it knows; nil if it does not answer, whatever the reason.
+func (a *Asker) askOne(ctx context.Context, address netip.AddrPort) *wire.View {
+	ctx, cancel := context.WithTimeout(ctx, Timeout)
+	defer cancel()
+	conn, err := a.Dial(ctx, address)
+	if err != nil {
+		return nil
+	}
+	stream := peerstream.New[wire.Message](conn)
+	defer stream.Close()
+	if err := stream.Send(wire.Message{Request: &wire.Request{Instance: a.Instance}}); err != nil {
+		return nil
+	}
+	received, err := stream.Receive(Timeout, a.Now)
+	if err != nil {
+		return nil
+	}
+	return received.View
+}
