--- a/models/deployment/configuration.go
+++ b/models/deployment/configuration.go
@@ -49,7 +49,7 @@
 	Backends  []Backend
 }
 
-// Repeatable tells whether a request that may have run can be sent again.
+// Repeatable reports whether a request that may have run can be sent again.
 func (r *Route) Repeatable() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
--- a/models/deployment/endpoint.go
+++ b/models/deployment/endpoint.go
@@ -27,7 +27,7 @@
 	Name  string
 }
 
-// IsZero tells whether no adapter is named.
+// IsZero reports whether no adapter is named.
 func (a Adapter) IsZero() bool {
 	return a.Name == ""
 }
@@ -61,7 +61,7 @@
 	Remaining time.Duration
 }
 
-// HasModel tells whether the endpoint holds a base model.
+// HasModel reports whether the endpoint holds a base model.
 func (e *Endpoint) HasModel(model string) bool {
 	return slices.Contains(e.Models, model)
 }
--- a/models/deployment/request.go
+++ b/models/deployment/request.go
@@ -21,7 +21,7 @@
 	Deadline time.Time
 }
 
-// UsesModel tells whether the request runs on a base model.
+// UsesModel reports whether the request runs on a base model.
 func (r *Request) UsesModel() bool {
 	return r.Adapter.Model != ""
 }
--- a/services/admission/decide.go
+++ b/services/admission/decide.go
@@ -90,7 +90,7 @@
 	returnMargin = 150 * time.Millisecond
 )
 
-// Decide tells whether a request goes on waiting or is refused now, with the reason and the time to come back.
+// Decide reports whether a request goes on waiting or is refused now, with the reason and the time to come back.
 func Decide(now time.Time, situation Situation) Decision {
 	waited := now.Sub(situation.Arrived)
 	if waited < waitLimit(situation) && !hopeless(waited, situation) {
@@ -105,7 +105,7 @@
 	return Decision{Reason: AdapterNotLoaded, RetryAfter: retryAfter(now, situation)}
 }
 
-// hopeless tells whether the adapter is expected after the request would be refused anyway, while a
+// hopeless reports whether the adapter is expected after the request would be refused anyway, while a
 // refusal is still prompt: a caller that comes back when the adapter is there is served in time by that
 // attempt. The bound is not the target: forecasts are often too late, and a request that is
 // refused though its adapter would have come in time loses more than one that is served late.
--- a/services/balance/choose.go
+++ b/services/balance/choose.go
@@ -96,7 +96,7 @@
 	return best, Chosen
 }
 
-// Full tells whether a model endpoint has as many requests in flight as it should.
+// Full reports whether a model endpoint has as many requests in flight as it should.
 func Full(entry *directory.Entry, share float64, smallBatch int) bool {
 	limit := max(share*float64(entry.Slots), float64(min(entry.Slots, smallBatch)))
 	return entry.Slots > 0 && float64(entry.Load()) >= limit
@@ -114,7 +114,7 @@
 	return cost + options.PlainHallPenalty
 }
 
-// tried tells whether an endpoint was sent the request before.
+// tried reports whether an endpoint was sent the request before.
 func tried(list []deployment.EndpointID, id deployment.EndpointID) bool {
 	for _, other := range list {
 		if other == id {
--- a/services/directory/directory.go
+++ b/services/directory/directory.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// Put takes in a description, unless a newer one or a later removal is known. It tells
+// Put takes in a description, unless a newer one or a later removal is known. It reports
 // whether anything changed.
 func (d *Directory) Put(endpoint deployment.Endpoint, revision int64) bool {
 	if d.gone[endpoint.ID] >= revision && revision > 0 {
@@ -184,7 +184,7 @@
 	}
 }
 
-// SetOffered takes the planner's word on what an endpoint holds for new requests.
+// SetOffered takes in which models and adapters of an endpoint new requests may use, as the planner's view lists them.
 func (d *Directory) SetOffered(id deployment.EndpointID, models []string, adapters map[deployment.Adapter]int64) {
 	if entry, ok := d.entries[id]; ok {
 		entry.OfferedModels, entry.Offered = models, adapters
--- a/services/directory/entry.go
+++ b/services/directory/entry.go
@@ -21,7 +21,7 @@
 	Offered       map[deployment.Adapter]int64
 	// Own is the number of this instance's requests in flight there.
 	Own int
-	// Others is the number of the other instances' requests, as last told.
+	// Others is the number of the other instances' requests, as of the planner's last view.
 	Others int
 	// OwnByAdapter counts this instance's requests by adapter.
 	OwnByAdapter map[deployment.Adapter]int
@@ -52,7 +52,7 @@
 	}
 }
 
-// Holds tells whether a request for an adapter, or for its base model alone, can run here,
+// Holds reports whether a request for an adapter, or for its base model alone, can run here,
 // at a version of at least the one given.
 func (e *Entry) Holds(now time.Time, adapter deployment.Adapter, version int64) bool {
 	if adapter.IsZero() {
@@ -66,7 +66,7 @@
 	return !gone || now.Sub(at) > missingFor
 }
 
-// Avoided tells whether the endpoint gets requests only where no other can run them: it behaved badly,
+// Avoided reports whether the endpoint gets requests only where no other can run them: it behaved badly,
 // or its hall cannot be reached.
 func (e *Entry) Avoided(now time.Time) bool {
 	return e.Health.Ejected(now) || e.hall.cut(now)
--- a/services/directory/health.go
+++ b/services/directory/health.go
@@ -66,12 +66,12 @@
 	trial bool
 }
 
-// Ejected tells whether the endpoint gets no requests for now.
+// Ejected reports whether the endpoint gets no requests for now.
 func (h *Health) Ejected(now time.Time) bool {
 	return now.Before(h.until) || h.trial
 }
 
-// TrialDue tells whether one request may try an ejected endpoint again.
+// TrialDue reports whether one request may try an ejected endpoint again.
 func (h *Health) TrialDue(now time.Time) bool {
 	return !h.until.IsZero() && !now.Before(h.until) && !h.trial
 }
@@ -112,7 +112,7 @@
 	h.rate += failureWeight * (failure - h.rate)
 }
 
-// bad tells whether the endpoint is to be ejected; serviceRate is the mean failure rate of the others.
+// bad reports whether the endpoint is to be ejected; serviceRate is the mean failure rate of the others.
 func (h *Health) bad(serviceRate float64) bool {
 	if h.broken >= consecutiveBroken {
 		return true
--- a/services/directory/reach.go
+++ b/services/directory/reach.go
@@ -29,7 +29,7 @@
 	span  time.Duration
 }
 
-// cut tells whether the hall is taken for cut off.
+// cut reports whether the hall is taken for cut off.
 func (r *reach) cut(now time.Time) bool {
 	return now.Before(r.until)
 }
--- a/services/loading/copy.go
+++ b/services/loading/copy.go
@@ -132,7 +132,7 @@
 	return count
 }
 
-// unloading tells whether an unload was ordered that has not ended.
+// unloading reports whether an unload was ordered that has not ended.
 func (e *endpointPlan) unloading() bool {
 	for _, c := range e.copies {
 		if c.state == copyUnloading && c.accepted {
@@ -143,7 +143,7 @@
 }
 
 // adopt takes in what the endpoint itself says it holds; recent results of own orders
-// outweigh it.
+// go before it.
 func (e *endpointPlan) adopt(now time.Time, adapters map[deployment.Adapter]int64, lag time.Duration) {
 	for adapter, version := range adapters {
 		known, ok := e.copies[adapter]
--- a/services/loading/demand.go
+++ b/services/loading/demand.go
@@ -17,7 +17,7 @@
 	Waiting int
 	// InTime is how long from now the newest of them can wait and still be answered in time.
 	InTime time.Duration
-	// Arrivals are the requests since the instance's last word.
+	// Arrivals are the requests since the instance's last report.
 	Arrivals int
 }
 
--- a/services/loading/eviction.go
+++ b/services/loading/eviction.go
@@ -54,7 +54,7 @@
 	return max(1, min(mostSpare, int(spareShare*float64(capacity))))
 }
 
-// outgoing counts the copies that are withdrawn or being unloaded, and tells whether one of them is
+// outgoing counts the copies that are withdrawn or being unloaded, and reports whether one of them is
 // not confirmed as unused yet.
 func (e *endpointPlan) outgoing() (count int, unconfirmed bool) {
 	for _, c := range e.copies {
@@ -85,7 +85,7 @@
 	return victim
 }
 
-// isWanted tells whether requests wait for an adapter.
+// isWanted reports whether requests wait for an adapter.
 func (p *Planner) isWanted(now time.Time, adapter deployment.Adapter) bool {
 	known, ok := p.demand[adapter]
 	if !ok {
@@ -118,7 +118,7 @@
 	}
 }
 
-// ConfirmUnused lets withdrawn copies be unloaded; unused tells whether every instance has
+// ConfirmUnused lets withdrawn copies be unloaded; unused reports whether every instance has
 // seen the announcement and uses the copy no more. A copy that stays in use is offered again, unless
 // it is outdated, so that another one can make room.
 func (p *Planner) ConfirmUnused(now time.Time, unused func(id deployment.EndpointID, adapter deployment.Adapter, withdrawal uint64) bool) {
--- a/services/loading/export_test.go
+++ b/services/loading/export_test.go
@@ -45,7 +45,7 @@
 	l.ledger.assume(now, count)
 }
 
-// Allows tells whether one more load may begin.
+// Allows reports whether one more load may begin.
 func (l ModelLoads) Allows(now time.Time) bool {
 	return l.ledger.allows(now)
 }
--- a/services/loading/next.go
+++ b/services/loading/next.go
@@ -37,7 +37,7 @@
 	return Order{Kind: kind, Endpoint: plan.endpoint, Adapter: adapter, ExpectedSequence: plan.sequence}
 }
 
-// available tells whether an order may be sent to an endpoint now.
+// available reports whether an order may be sent to an endpoint now.
 func (e *endpointPlan) available(now time.Time) bool {
 	return !e.busy && !now.Before(e.restUntil) && e.endpoint.State == deployment.Ready
 }
--- a/services/loading/order.go
+++ b/services/loading/order.go
@@ -64,7 +64,7 @@
 	return [...]string{"holds", "accepted", "conflict", "rejected", "unanswered", "not delivered", "inspected"}[r]
 }
 
-// Report is an endpoint's own word on what it holds.
+// Report is what an endpoint itself says that it holds.
 type Report struct {
 	Sequence int64
 	// Models are the base models that it holds.
--- a/services/loading/placement.go
+++ b/services/loading/placement.go
@@ -132,19 +132,19 @@
 	return best, best.plan != nil
 }
 
-// takesLoad tells whether a load may be ordered from an endpoint now: it takes orders, has a place, and neither too many
+// takesLoad reports whether a load may be ordered from an endpoint now: it takes orders, has a place, and neither too many
 // loads nor an unload under way.
 func (p *Planner) takesLoad(now time.Time, plan *endpointPlan) bool {
 	return plan.available(now) && !plan.inspect && plan.taken(now) < p.capacity(&plan.endpoint) && plan.pending() < maxPending && !plan.unloading()
 }
 
-// soonAvailable tells whether an endpoint that cannot take an order now probably can in a moment.
+// soonAvailable reports whether an endpoint that cannot take an order now probably can in a moment.
 func (e *endpointPlan) soonAvailable(now time.Time) bool {
 	outgoing, _ := e.outgoing()
 	return !now.Before(e.silentUntil) && (outgoing > 0 || e.busy || e.pending() > 0)
 }
 
-// takesCopies tells whether a copy of an adapter may be brought to an endpoint; a crowded one takes
+// takesCopies reports whether a copy of an adapter may be brought to an endpoint; a crowded one takes
 // only what it held before, which costs the weight store nothing.
 func (e *endpointPlan) takesCopies(adapter deployment.Adapter, warm bool) bool {
 	_, has := e.copies[adapter]
--- a/services/loading/planner.go
+++ b/services/loading/planner.go
@@ -93,14 +93,14 @@
 	}
 }
 
-// SetSuspect tells whether an endpoint behaves badly; then its copies do not count.
+// SetSuspect reports whether an endpoint behaves badly; then its copies do not count.
 func (p *Planner) SetSuspect(id deployment.EndpointID, suspect bool) {
 	if plan, ok := p.endpoints[id]; ok {
 		plan.suspect = suspect
 	}
 }
 
-// SetLoad tells whether an endpoint has so many requests in flight that it should get no new copies,
+// SetLoad reports whether an endpoint has so many requests in flight that it should get no new copies,
 // and whether it has so many that its copies do not help requests that wait.
 func (p *Planner) SetLoad(id deployment.EndpointID, crowded, full bool) {
 	if plan, ok := p.endpoints[id]; ok {
@@ -120,7 +120,7 @@
 	delete(p.endpoints, id)
 }
 
-// RememberHeld tells that an endpoint held adapters before, so that it loads them fast.
+// RememberHeld notes that an endpoint held adapters before, so that it loads them fast.
 func (p *Planner) RememberHeld(id deployment.EndpointID, held map[deployment.Adapter]time.Time) {
 	plan, ok := p.endpoints[id]
 	if !ok {
--- a/services/loading/rate.go
+++ b/services/loading/rate.go
@@ -47,7 +47,7 @@
 	l.assumedCount = count
 }
 
-// allows tells whether one more load may begin.
+// allows reports whether one more load may begin.
 func (l *rateLedger) allows(now time.Time) bool {
 	oldest := now.Add(-l.window)
 	kept := 0
--- a/services/loading/result.go
+++ b/services/loading/result.go
@@ -109,7 +109,7 @@
 		plan.inspect = true
 		c.pollAt = now.Add(answerRest)
 		if !result.Order.Poll {
-			// Its place is kept; if it was taken, the report tells. Until then it may be brought elsewhere.
+			// Its place is kept; if it was taken, the report lists it. Until then it may be brought elsewhere.
 			delete(plan.copies, adapter)
 		}
 	}
--- a/services/retry/budget.go
+++ b/services/retry/budget.go
@@ -40,7 +40,7 @@
 	return &Budget{options: options, started: started, services: make(map[string]*window)}
 }
 
-// SetMembers tells how many instances share the extra repeats; 0 means that it is not known.
+// SetMembers sets how many instances share the extra repeats, by the planner's view; 0 means that it is not known.
 func (b *Budget) SetMembers(members int) {
 	b.members = members
 }
