--- a/Makefile
+++ b/Makefile
@@ -6,7 +6,7 @@
 PACKAGES := ./...
 TRACES   := testdata/traces
 
-.PHONY: all build demo test unit lint fmt replay traces fuzz bench capacity clean
+.PHONY: all build demo test unit lint fmt programs replay traces fuzz bench capacity clean
 
 all: build
 
@@ -26,6 +26,10 @@
 lint: ## Vet and lint.
 	$(GO) vet $(PACKAGES)
 	$(GO) run $(LINT) run $(PACKAGES)
+	@.ci/programs > /dev/null
+
+programs: ## Which program reaches which package; fails if a path tells otherwise.
+	@.ci/programs
 
 unit: ## All tests; those of KNOWN-RED.txt must fail, all others pass.
 	@mkdir -p $(BIN)
--- a/cmd/shelfctl/main.go
+++ b/cmd/shelfctl/main.go
@@ -20,9 +20,9 @@
 
 	"github.com/alecthomas/kong"
 
-	"github.com/shelfledge/shelfledge/modules/operatorclient"
+	"github.com/shelfledge/shelfledge/modules/shelfctl/operatorclient"
 	"github.com/shelfledge/shelfledge/modules/version"
-	"github.com/shelfledge/shelfledge/services/shell"
+	"github.com/shelfledge/shelfledge/services/shelfctl/shell"
 )
 
 type arguments struct {
--- a/cmd/shelfledge-entry/main.go
+++ b/cmd/shelfledge-entry/main.go
@@ -14,7 +14,7 @@
 
 	"github.com/shelfledge/shelfledge/modules/version"
 	"github.com/shelfledge/shelfledge/platform"
-	"github.com/shelfledge/shelfledge/services/process"
+	"github.com/shelfledge/shelfledge/services/entry/process"
 )
 
 const (
--- a/cmd/shelfledged/main.go
+++ b/cmd/shelfledged/main.go
@@ -13,10 +13,10 @@
 	"github.com/alecthomas/kong"
 	"github.com/sirupsen/logrus"
 
-	"github.com/shelfledge/shelfledge/modules/log"
-	"github.com/shelfledge/shelfledge/modules/setting"
+	"github.com/shelfledge/shelfledge/modules/daemon/log"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 	"github.com/shelfledge/shelfledge/modules/version"
-	"github.com/shelfledge/shelfledge/services/daemon"
+	"github.com/shelfledge/shelfledge/services/daemon/process"
 )
 
 const (
@@ -64,7 +64,7 @@
 func serve(settings *setting.Settings, entry *logrus.Entry) int {
 	signals := make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT)
-	d, err := daemon.Start(daemon.Options{Settings: settings, Log: entry})
+	d, err := process.Start(process.Options{Settings: settings, Log: entry})
 	if err != nil {
 		entry.WithError(err).Error("the daemon could not start")
 		return exitFailed
--- a/models/catalog/catalog.go
+++ b/models/daemon/catalog/catalog.go
@@ -7,7 +7,7 @@
 	"maps"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Version is one immutable set of weights of an adapter.
--- a/models/catalog/catalog_test.go
+++ b/models/daemon/catalog/catalog_test.go
@@ -13,8 +13,8 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // TestMain fixes the seed, so that the verdict is the same every time.
--- a/models/catalog/change.go
+++ b/models/daemon/catalog/change.go
@@ -9,7 +9,7 @@
 	"strings"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // ChangeKind names what a change does.
--- a/models/catalog/codec.go
+++ b/models/daemon/catalog/codec.go
@@ -10,7 +10,7 @@
 
 	"github.com/klauspost/compress/zstd"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // ErrBadEncoding reports stored configuration that cannot be read.
--- a/models/catalog/error.go
+++ b/models/daemon/catalog/error.go
@@ -7,7 +7,7 @@
 	"errors"
 	"fmt"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // ErrModelNotExist reports a model name that no adapter or service has.
--- a/models/catalog/rule.go
+++ b/models/daemon/catalog/rule.go
@@ -7,7 +7,7 @@
 	"path"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Rule says where matching work runs and at what priority; empty conditions match all.
--- a/models/deployment/configuration_test.go
+++ b/models/entry/deployment/configuration_test.go
@@ -8,7 +8,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
--- a/modules/engine/dialect.go
+++ b/modules/daemon/engine/dialect.go
@@ -10,7 +10,7 @@
 	"net/http"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Status is an endpoint's own account of itself.
--- a/modules/engine/vllm.go
+++ b/modules/daemon/engine/vllm.go
@@ -18,7 +18,7 @@
 	"github.com/zeromicro/go-zero/core/breaker"
 	"github.com/zeromicro/go-zero/rest/httpc"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // The headers beyond vLLM's published form; docs/protocols.md describes them.
--- a/modules/instancelist/list.go
+++ b/modules/daemon/instancelist/list.go
@@ -12,7 +12,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // The states of an entry in the list.
--- a/modules/language/language_test.go
+++ b/modules/daemon/language/language_test.go
@@ -11,12 +11,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/language"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
 // forms gives the lines of the reference page's blocks.
 func forms(t testing.TB) []string {
-	raw, err := os.ReadFile("../../docs/language.md")
+	raw, err := os.ReadFile("../../../docs/language.md")
 	require.NoError(t, err)
 	var out []string
 	inside := false
--- a/modules/metric/metric.go
+++ b/modules/daemon/metric/metric.go
@@ -12,7 +12,7 @@
 	"github.com/prometheus/client_golang/prometheus/collectors"
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
-	"github.com/shelfledge/shelfledge/modules/kv"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
 // Metrics are a daemon's metrics in a registry of their own.
--- a/modules/metric/metric_test.go
+++ b/modules/daemon/metric/metric_test.go
@@ -12,8 +12,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/kv"
-	"github.com/shelfledge/shelfledge/modules/metric"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
 )
 
 // full gives metrics of which each has a value.
@@ -38,7 +38,7 @@
 		known[f.GetName()] = true
 	}
 	used := make(map[string]bool)
-	for _, file := range []string{"../../conf/grafana.json", "../../conf/alerts.yml"} {
+	for _, file := range []string{"../../../conf/grafana.json", "../../../conf/alerts.yml"} {
 		raw, err := os.ReadFile(file)
 		require.NoError(t, err)
 		names := regexp.MustCompile(`shelfledge_[a-z_]+`).FindAllString(string(raw), -1)
--- a/modules/peerlink/link.go
+++ b/modules/daemon/peerlink/link.go
@@ -18,7 +18,7 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/keepalive"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Options are the settings of the links.
--- a/modules/peerlink/service.go
+++ b/modules/daemon/peerlink/service.go
@@ -8,7 +8,7 @@
 
 	"google.golang.org/grpc"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 const (
--- a/modules/setting/endpoint.go
+++ b/modules/daemon/setting/endpoint.go
@@ -8,7 +8,7 @@
 	"net/netip"
 	"strings"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Endpoint is one back end.
--- a/modules/setting/instance.go
+++ b/modules/daemon/setting/instance.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"net/netip"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Instance says which instance this is.
--- a/modules/setting/settings_test.go
+++ b/modules/daemon/setting/settings_test.go
@@ -11,10 +11,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/setting"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 )
 
-const sample = "../../conf/shelfledged.sample.json"
+const sample = "../../../conf/shelfledged.sample.json"
 
 func TestSampleIsValid(t *testing.T) {
 	s, err := setting.Load(sample)
--- a/modules/asynclog/writer_test.go
+++ b/modules/entry/asynclog/writer_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/modules/asynclog"
+	"github.com/shelfledge/shelfledge/modules/entry/asynclog"
 )
 
 func summary(_ time.Time, suppressed uint64) string {
--- a/modules/peerstream/stream_test.go
+++ b/modules/entry/peerstream/stream_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/peerstream"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
 )
 
 type letter struct {
--- a/modules/tcp/dialer_test.go
+++ b/modules/entry/tcp/dialer_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/require"
 	"golang.org/x/sys/unix"
 
-	"github.com/shelfledge/shelfledge/modules/tcp"
+	"github.com/shelfledge/shelfledge/modules/entry/tcp"
 )
 
 // TestAClosedConnectionIsReset is about an order that a cut link held up: closed by its
--- a/modules/upstream/client.go
+++ b/modules/entry/upstream/client.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/tcp"
+	"github.com/shelfledge/shelfledge/modules/entry/tcp"
 )
 
 // Options are the settings of a Client.
--- a/modules/upstream/upstream_test.go
+++ b/modules/entry/upstream/upstream_test.go
@@ -20,7 +20,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/upstream"
+	"github.com/shelfledge/shelfledge/modules/entry/upstream"
 )
 
 // endpoint is a listener whose answers a test writes byte by byte.
--- a/modules/entrymetric/doc.go
+++ /dev/null
@@ -1,5 +0,0 @@
-// Copyright 2026 The shelfledge Authors. All rights reserved.
-// SPDX-License-Identifier: MIT
-
-// Package entrymetric holds the figures of one entry process, in a registry of its own.
-package entrymetric
--- a/modules/operatorclient/client.go
+++ b/modules/shelfctl/operatorclient/client.go
@@ -15,7 +15,7 @@
 
 	"github.com/google/uuid"
 
-	"github.com/shelfledge/shelfledge/routers/operator"
+	"github.com/shelfledge/shelfledge/routers/daemon/operator"
 )
 
 // Options are the settings of a client.
--- a/routers/caller/error_body.go
+++ b/routers/daemon/caller/error_body.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/relay"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
 // errorBody is the OpenAI error object with this system's outcome.
--- a/routers/caller/request.go
+++ b/routers/daemon/caller/request.go
@@ -15,8 +15,8 @@
 	"github.com/cespare/xxhash/v2"
 	"github.com/google/uuid"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // The headers by which callers say more than the OpenAI form lets them.
--- a/routers/caller/request_test.go
+++ b/routers/daemon/caller/request_test.go
@@ -14,14 +14,14 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/engine"
-	"github.com/shelfledge/shelfledge/modules/metric"
-	"github.com/shelfledge/shelfledge/routers/caller"
-	"github.com/shelfledge/shelfledge/services/control"
-	"github.com/shelfledge/shelfledge/services/once"
-	"github.com/shelfledge/shelfledge/services/relay"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
+	"github.com/shelfledge/shelfledge/routers/daemon/caller"
+	"github.com/shelfledge/shelfledge/services/daemon/control"
+	"github.com/shelfledge/shelfledge/services/daemon/once"
+	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
 // router refuses every request that gets as far as a placer.
--- a/routers/caller/router.go
+++ b/routers/daemon/caller/router.go
@@ -14,9 +14,9 @@
 	"github.com/zeromicro/go-zero/rest"
 	"github.com/zeromicro/go-zero/rest/httpx"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/relay"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
 // Options are what the callers' router works with.
--- a/routers/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -17,13 +17,13 @@
 	"github.com/zeromicro/go-zero/rest"
 	"github.com/zeromicro/go-zero/rest/httpx"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/modules/language"
-	"github.com/shelfledge/shelfledge/modules/metric"
-	"github.com/shelfledge/shelfledge/services/access"
-	"github.com/shelfledge/shelfledge/services/command"
-	"github.com/shelfledge/shelfledge/services/configuration"
-	"github.com/shelfledge/shelfledge/services/query"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
+	"github.com/shelfledge/shelfledge/services/daemon/access"
+	"github.com/shelfledge/shelfledge/services/daemon/command"
+	"github.com/shelfledge/shelfledge/services/daemon/configuration"
+	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
 // Options are what the operators' router works with.
--- a/routers/operator/wire.go
+++ b/routers/daemon/operator/wire.go
@@ -4,9 +4,9 @@
 package operator
 
 import (
-	"github.com/shelfledge/shelfledge/models/table"
-	"github.com/shelfledge/shelfledge/services/command"
-	"github.com/shelfledge/shelfledge/services/query"
+	"github.com/shelfledge/shelfledge/models/daemon/table"
+	"github.com/shelfledge/shelfledge/services/daemon/command"
+	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
 // RunRequest asks for statements to be carried out.
--- a/routers/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -15,7 +15,7 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Options are the settings of a Server.
--- a/services/command/service.go
+++ b/services/daemon/command/service.go
@@ -8,10 +8,10 @@
 	"fmt"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/language"
-	"github.com/shelfledge/shelfledge/services/configuration"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
+	"github.com/shelfledge/shelfledge/services/daemon/configuration"
 )
 
 // Options are what the service works with.
--- a/services/command/translate.go
+++ b/services/daemon/command/translate.go
@@ -8,9 +8,9 @@
 	"strconv"
 	"strings"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/language"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
 // ErrMeaning reports a command that is well formed and makes no sense.
--- a/services/configuration/follower.go
+++ b/services/daemon/configuration/follower.go
@@ -11,8 +11,8 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/kv"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
 // Follower watches the head for its hall and offers what is new; one instance of a hall watches at a time.
--- a/services/configuration/reader.go
+++ b/services/daemon/configuration/reader.go
@@ -6,8 +6,8 @@
 import (
 	"context"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/kv"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
 // reader reads what leads from a revision in hand to the head.
--- a/services/configuration/store.go
+++ b/services/daemon/configuration/store.go
@@ -11,8 +11,8 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/modules/kv"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
 // Store commits changes; it is safe for concurrent use and commits one at a time.
--- a/services/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -7,10 +7,10 @@
 	"context"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/engine"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // carryOut does what the node asked for; nothing in it may wait.
--- a/services/control/input.go
+++ b/services/daemon/control/input.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // input is one thing that the control goroutine is told.
--- a/services/control/owner.go
+++ b/services/daemon/control/owner.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/kv"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // owner keeps this instance's one lease and the pools owned under it, for endpoints
--- a/services/control/service.go
+++ b/services/daemon/control/service.go
@@ -11,15 +11,15 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/engine"
-	"github.com/shelfledge/shelfledge/modules/instancelist"
-	"github.com/shelfledge/shelfledge/modules/kv"
-	"github.com/shelfledge/shelfledge/modules/metric"
-	"github.com/shelfledge/shelfledge/services/configuration"
-	"github.com/shelfledge/shelfledge/services/journal"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
+	"github.com/shelfledge/shelfledge/services/daemon/configuration"
+	"github.com/shelfledge/shelfledge/services/daemon/journal"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // Options are what a control service works with.
--- a/services/journal/journal.go
+++ b/services/daemon/journal/journal.go
@@ -7,7 +7,7 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Journal is the ring; it is safe for concurrent use.
--- a/services/membership/members.go
+++ b/services/daemon/membership/members.go
@@ -9,7 +9,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Options are the timings of membership.
--- a/services/node/digest/doc.go
+++ b/services/daemon/node/digest/doc.go
@@ -5,6 +5,6 @@
 // hall's speaker (Hall), and when its own hall's speaker sends digests (Schedule).
 //
 // It owns each other hall's last account and the times of the own digests. It relies on
-// modules/ring for the choice of a speaker; the node makes, sends and routes the
+// modules/daemon/ring for the choice of a speaker; the node makes, sends and routes the
 // messages. It starts no goroutines and reads no clock.
 package digest
--- a/services/node/digest/hall.go
+++ b/services/daemon/node/digest/hall.go
@@ -8,8 +8,8 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/ring"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
 // Speaker names the instance that speaks for a hall, among the hall's live instances
--- a/services/node/digest/hall_test.go
+++ b/services/daemon/node/digest/hall_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node/digest"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node/digest"
 )
 
 const pool = "h2/base"
--- a/services/node/digest/schedule_test.go
+++ b/services/daemon/node/digest/schedule_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/services/node/digest"
+	"github.com/shelfledge/shelfledge/services/daemon/node/digest"
 )
 
 const (
--- a/services/node/doc.go
+++ b/services/daemon/node/doc.go
@@ -25,7 +25,7 @@
 // members.go has the heartbeats, placing.go what a pool's holder does for other
 // instances, view.go what operators see.
 //
-// It owns this state and relies on services/placement (the decisions for one pool),
-// services/membership, services/routing and services/budget. It starts no goroutines,
+// It owns this state and relies on services/daemon/placement (the decisions for one pool),
+// services/daemon/membership, services/daemon/routing and services/daemon/budget. It starts no goroutines,
 // reads no clock and is not safe for concurrent use.
 package node
--- a/services/node/effect.go
+++ b/services/daemon/node/effect.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // Effect is something that a node asks the control service to carry out.
--- a/services/node/followed/configuration.go
+++ b/services/daemon/node/followed/configuration.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // askEvery is the least time between two requests for missing records, whoever is asked.
--- a/services/node/followed/configuration_test.go
+++ b/services/daemon/node/followed/configuration_test.go
@@ -10,9 +10,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node/followed"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node/followed"
 )
 
 var begin = time.Unix(1000, 0)
--- a/services/node/followed/doc.go
+++ b/services/daemon/node/followed/doc.go
@@ -5,7 +5,7 @@
 // the records that led to it, the highest revision that anyone has named, and when to
 // ask a peer for what is missing.
 //
-// It owns the catalog in force and relies on models/catalog, which applies records. The
+// It owns the catalog in force and relies on models/daemon/catalog, which applies records. The
 // node sends the messages and puts a new catalog in force for traffic and placement. It
 // starts no goroutines and reads no clock.
 package followed
--- a/services/node/lease.go
+++ b/services/daemon/node/lease.go
@@ -6,9 +6,9 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node/lease"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // FormerOwner is one life of an instance that owned a pool and may still grant.
--- a/services/node/lease/lease_test.go
+++ b/services/daemon/node/lease/lease_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/services/node/lease"
+	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
 )
 
 const pool = "h1/base"
--- a/services/node/listed.go
+++ b/services/daemon/node/listed.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // SetListed takes the platform's lagging list of instances and of leaving endpoints.
--- a/services/node/listing/list.go
+++ b/services/daemon/node/listing/list.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // leavingMemory is how long an endpoint counts as leaving after it was last shown so: the
--- a/services/node/listing/list_test.go
+++ b/services/daemon/node/listing/list_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node/listing"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node/listing"
 )
 
 var begin = time.Unix(1000, 0)
--- a/services/node/loads.go
+++ b/services/daemon/node/loads.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node/loads"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node/loads"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // budgetHolder finds the instance that shares out the weight store's rate among
--- a/services/node/loads/bidder.go
+++ b/services/daemon/node/loads/bidder.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/ring"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
 const (
--- a/services/node/loads/bidder_test.go
+++ b/services/daemon/node/loads/bidder_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/services/node/loads"
+	"github.com/shelfledge/shelfledge/services/daemon/node/loads"
 )
 
 const (
--- a/services/node/members.go
+++ b/services/daemon/node/members.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/membership"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
 )
 
 // entryPeer is what a placer knows of an instance that submits requests.
--- a/services/node/node.go
+++ b/services/daemon/node/node.go
@@ -6,16 +6,16 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/budget"
-	"github.com/shelfledge/shelfledge/services/membership"
-	"github.com/shelfledge/shelfledge/services/node/digest"
-	"github.com/shelfledge/shelfledge/services/node/followed"
-	"github.com/shelfledge/shelfledge/services/node/lease"
-	"github.com/shelfledge/shelfledge/services/node/listing"
-	"github.com/shelfledge/shelfledge/services/node/waiting"
-	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/budget"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
+	"github.com/shelfledge/shelfledge/services/daemon/node/digest"
+	"github.com/shelfledge/shelfledge/services/daemon/node/followed"
+	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
+	"github.com/shelfledge/shelfledge/services/daemon/node/listing"
+	"github.com/shelfledge/shelfledge/services/daemon/node/waiting"
+	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
 // Node is the control state of one daemon; one goroutine owns it.
--- a/services/node/node_test.go
+++ b/services/daemon/node/node_test.go
@@ -11,12 +11,12 @@
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/budget"
-	"github.com/shelfledge/shelfledge/services/membership"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/placement"
-	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/budget"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
 var begin = time.Unix(1000, 0)
--- a/services/node/options.go
+++ b/services/daemon/node/options.go
@@ -6,11 +6,11 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/budget"
-	"github.com/shelfledge/shelfledge/services/membership"
-	"github.com/shelfledge/shelfledge/services/placement"
-	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/budget"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
 // Options are the settings of a node.
--- a/services/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -7,14 +7,14 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/ring"
-	"github.com/shelfledge/shelfledge/services/membership"
-	"github.com/shelfledge/shelfledge/services/node/lease"
-	"github.com/shelfledge/shelfledge/services/node/loads"
-	"github.com/shelfledge/shelfledge/services/node/ownership"
-	"github.com/shelfledge/shelfledge/services/placement"
-	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/ring"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
+	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
+	"github.com/shelfledge/shelfledge/services/daemon/node/loads"
+	"github.com/shelfledge/shelfledge/services/daemon/node/ownership"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
 // poolState is what a node knows of one pool, and its own part in it.
--- a/services/node/ownership/decide.go
+++ b/services/daemon/node/ownership/decide.go
@@ -3,7 +3,7 @@
 
 package ownership
 
-import "github.com/shelfledge/shelfledge/modules/ring"
+import "github.com/shelfledge/shelfledge/modules/daemon/ring"
 
 // Claim is an instance's announcement that it holds a pool under a term.
 type Claim struct {
--- a/services/node/ownership/decide_test.go
+++ b/services/daemon/node/ownership/decide_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/ring"
-	"github.com/shelfledge/shelfledge/services/node/ownership"
+	"github.com/shelfledge/shelfledge/modules/daemon/ring"
+	"github.com/shelfledge/shelfledge/services/daemon/node/ownership"
 )
 
 const pool = "h1/base"
--- a/services/node/ownership/takeover.go
+++ b/services/daemon/node/ownership/takeover.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 const (
--- a/services/node/placing.go
+++ b/services/daemon/node/placing.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // submitted takes a request for a ticket.
--- a/services/node/placing_test.go
+++ b/services/daemon/node/placing_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 func TestRequestForATicketAtWhoeverDoesNotHoldThePool(t *testing.T) {
--- a/services/node/view.go
+++ b/services/daemon/node/view.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // HallView tells how a hall stands, as far as this instance knows.
--- a/services/node/view_test.go
+++ b/services/daemon/node/view_test.go
@@ -9,9 +9,9 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // held is the announcement of the hall's pool under a term above that of a first takeover.
--- a/services/node/waiting/request.go
+++ b/services/daemon/node/waiting/request.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // elsewhereDelay is the wait before a request is asked for again whose placer said that it
--- a/services/node/waiting/ticket.go
+++ b/services/daemon/node/waiting/ticket.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Verdict is what to do with a grant.
--- a/services/once/claimer.go
+++ b/services/daemon/once/claimer.go
@@ -11,7 +11,7 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/kv"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
 // Result is the end of a claim.
--- a/services/once/claimer_test.go
+++ b/services/daemon/once/claimer_test.go
@@ -11,8 +11,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/kv"
-	"github.com/shelfledge/shelfledge/services/once"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/services/daemon/once"
 )
 
 // memory is a key-value service that can lose answers and be down.
--- a/services/placement/bid.go
+++ b/services/daemon/placement/bid.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Bid is the most valuable load that a pool asks a permit for.
--- a/services/placement/effect.go
+++ b/services/daemon/placement/effect.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Effect is something that a decision asks its caller to carry out.
--- a/services/placement/inspection.go
+++ b/services/daemon/placement/inspection.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Inspection is an endpoint's own account of itself, newer than any order before Began.
--- a/services/placement/load.go
+++ b/services/daemon/placement/load.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // placeFor is where a load would go and what it would displace.
--- a/services/placement/place.go
+++ b/services/daemon/placement/place.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // findPlace finds the slot whose loss costs least, below the given worth.
--- a/services/placement/placer.go
+++ b/services/daemon/placement/placer.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Placer decides for the endpoints of one pool; it is not safe for concurrent use.
--- a/services/placement/placer_test.go
+++ b/services/daemon/placement/placer_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 var begin = time.Unix(1000, 0)
--- a/services/placement/popularity.go
+++ b/services/daemon/placement/popularity.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // popularity keeps a fast and a slow arrival rate for each adapter, weighted by stall weight.
--- a/services/placement/queue.go
+++ b/services/daemon/placement/queue.go
@@ -7,7 +7,7 @@
 	"container/heap"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // waiter is one queued request.
--- a/services/placement/restriction.go
+++ b/services/daemon/placement/restriction.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // SetLeaving stops or allows new work on an endpoint that the platform lists as leaving.
--- a/services/placement/submit.go
+++ b/services/daemon/placement/submit.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Submit admits a request: it is granted, queued or refused at once.
--- a/services/placement/ticket.go
+++ b/services/daemon/placement/ticket.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // heldTicket is a granted ticket that has not come back.
--- a/services/placement/view.go
+++ b/services/daemon/placement/view.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // Summary is what other instances need to know of a pool to route requests to it.
--- a/services/daemon/daemon.go
+++ b/services/daemon/process/daemon.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package daemon
+package process
 
 import (
 	"context"
@@ -17,26 +17,26 @@
 	"github.com/sirupsen/logrus"
 	"google.golang.org/grpc/credentials"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/certificate"
-	"github.com/shelfledge/shelfledge/modules/engine"
-	"github.com/shelfledge/shelfledge/modules/httpserver"
-	"github.com/shelfledge/shelfledge/modules/instancelist"
-	"github.com/shelfledge/shelfledge/modules/kv"
-	"github.com/shelfledge/shelfledge/modules/metric"
-	"github.com/shelfledge/shelfledge/modules/peerlink"
-	"github.com/shelfledge/shelfledge/modules/setting"
-	"github.com/shelfledge/shelfledge/routers/caller"
-	"github.com/shelfledge/shelfledge/routers/operator"
-	"github.com/shelfledge/shelfledge/services/access"
-	"github.com/shelfledge/shelfledge/services/command"
-	"github.com/shelfledge/shelfledge/services/configuration"
-	"github.com/shelfledge/shelfledge/services/control"
-	"github.com/shelfledge/shelfledge/services/journal"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/once"
-	"github.com/shelfledge/shelfledge/services/query"
-	"github.com/shelfledge/shelfledge/services/relay"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/certificate"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/httpserver"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
+	"github.com/shelfledge/shelfledge/modules/daemon/peerlink"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
+	"github.com/shelfledge/shelfledge/routers/daemon/caller"
+	"github.com/shelfledge/shelfledge/routers/daemon/operator"
+	"github.com/shelfledge/shelfledge/services/daemon/access"
+	"github.com/shelfledge/shelfledge/services/daemon/command"
+	"github.com/shelfledge/shelfledge/services/daemon/configuration"
+	"github.com/shelfledge/shelfledge/services/daemon/control"
+	"github.com/shelfledge/shelfledge/services/daemon/journal"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/once"
+	"github.com/shelfledge/shelfledge/services/daemon/query"
+	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
 // Options are what a daemon is made of besides its settings.
--- a/services/daemon/options.go
+++ b/services/daemon/process/options.go
@@ -1,18 +1,18 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package daemon
+package process
 
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/setting"
-	"github.com/shelfledge/shelfledge/services/budget"
-	"github.com/shelfledge/shelfledge/services/membership"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/placement"
-	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
+	"github.com/shelfledge/shelfledge/services/daemon/budget"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
 // nodeOptions turns settings into the options of the control state.
--- a/services/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -10,8 +10,8 @@
 	"strconv"
 	"strings"
 
-	"github.com/shelfledge/shelfledge/models/table"
-	"github.com/shelfledge/shelfledge/modules/language"
+	"github.com/shelfledge/shelfledge/models/daemon/table"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
 // ErrNoColumn reports a column that a table does not have.
--- a/services/query/explain.go
+++ b/services/daemon/query/explain.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/table"
-	"github.com/shelfledge/shelfledge/modules/language"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/table"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // Explanation is an account in plain sentences.
--- a/services/query/service.go
+++ b/services/daemon/query/service.go
@@ -11,13 +11,13 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/models/table"
-	"github.com/shelfledge/shelfledge/modules/language"
-	"github.com/shelfledge/shelfledge/modules/peerlink"
-	"github.com/shelfledge/shelfledge/services/journal"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/table"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
+	"github.com/shelfledge/shelfledge/modules/daemon/peerlink"
+	"github.com/shelfledge/shelfledge/services/daemon/journal"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // Options are what the service works with.
--- a/services/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -11,11 +11,11 @@
 	"strings"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/models/table"
-	"github.com/shelfledge/shelfledge/services/journal"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/table"
+	"github.com/shelfledge/shelfledge/services/daemon/journal"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // definition is one table: its columns, and how its rows are made here.
--- a/services/relay/error.go
+++ b/services/daemon/relay/error.go
@@ -8,7 +8,7 @@
 	"fmt"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // ErrNotRun tells a caller that its request was surely not run.
--- a/services/relay/relay_test.go
+++ b/services/daemon/relay/relay_test.go
@@ -16,12 +16,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/engine"
-	"github.com/shelfledge/shelfledge/modules/metric"
-	"github.com/shelfledge/shelfledge/services/control"
-	"github.com/shelfledge/shelfledge/services/once"
-	"github.com/shelfledge/shelfledge/services/relay"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
+	"github.com/shelfledge/shelfledge/services/daemon/control"
+	"github.com/shelfledge/shelfledge/services/daemon/once"
+	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
 // attempt is what the fake endpoint does with one try.
--- a/services/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -9,11 +9,11 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/engine"
-	"github.com/shelfledge/shelfledge/modules/metric"
-	"github.com/shelfledge/shelfledge/services/control"
-	"github.com/shelfledge/shelfledge/services/once"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
+	"github.com/shelfledge/shelfledge/services/daemon/control"
+	"github.com/shelfledge/shelfledge/services/daemon/once"
 )
 
 // Control is what the relay needs of the control service.
--- a/services/routing/publisher.go
+++ b/services/daemon/routing/publisher.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // Publisher turns a pool's successive states into full and partial summaries.
--- a/services/routing/recent_log.go
+++ b/services/daemon/routing/recent_log.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // recentSpan is how far back a partial summary reaches, so that a few lost ones do no harm.
--- a/services/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -8,8 +8,8 @@
 	"sort"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/ring"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
 // Options are the settings of the choice between pools.
--- a/services/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Reason says why a request is refused.
--- a/services/admission/decide_test.go
+++ b/services/entry/admission/decide_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/admission"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/admission"
 )
 
 var (
--- a/services/admission/edges_test.go
+++ b/services/entry/admission/edges_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/services/admission"
+	"github.com/shelfledge/shelfledge/services/entry/admission"
 )
 
 const (
--- a/services/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 // Options are the settings of a choice.
--- a/services/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -9,13 +9,13 @@
 	"fmt"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/admission"
-	"github.com/shelfledge/shelfledge/services/balance"
-	"github.com/shelfledge/shelfledge/services/coordinator/forecast"
-	"github.com/shelfledge/shelfledge/services/coordinator/waiting"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/admission"
+	"github.com/shelfledge/shelfledge/services/entry/balance"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/forecast"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/waiting"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 // ErrStopped reports that the process is ending.
--- a/services/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -8,8 +8,8 @@
 	"errors"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/coordinator/follow"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 )
 
 // storeRetry is the pause after a failed call to the store. Not measured.
--- a/services/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -9,17 +9,17 @@
 	"sync/atomic"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/coordinator/follow"
-	"github.com/shelfledge/shelfledge/services/coordinator/forecast"
-	"github.com/shelfledge/shelfledge/services/coordinator/lease"
-	"github.com/shelfledge/shelfledge/services/coordinator/report"
-	"github.com/shelfledge/shelfledge/services/coordinator/seed"
-	"github.com/shelfledge/shelfledge/services/coordinator/waiting"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/directory"
-	"github.com/shelfledge/shelfledge/services/ownership"
-	"github.com/shelfledge/shelfledge/services/retry"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/forecast"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/lease"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/seed"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/waiting"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
 const (
--- a/services/coordinator/coordinator_test.go
+++ b/services/entry/coordinator/coordinator_test.go
@@ -13,11 +13,11 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/peerstream"
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/admission"
-	"github.com/shelfledge/shelfledge/services/coordinator"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/admission"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 // The messages between instances, written once more with their encoded names: a change of these breaks a
--- a/services/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -8,9 +8,9 @@
 	"errors"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/coordinator/follow"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 )
 
 const (
--- a/services/coordinator/follow/follow_test.go
+++ b/services/entry/coordinator/follow/follow_test.go
@@ -12,9 +12,9 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/coordinator/follow"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 )
 
 var (
--- a/services/coordinator/follow/keys.go
+++ b/services/entry/coordinator/follow/keys.go
@@ -7,8 +7,8 @@
 	"iter"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
 )
 
 // Keys holds the operators' keys at their newest revision, whoever told them; it is not safe for concurrent use.
--- a/services/coordinator/follow/source.go
+++ b/services/entry/coordinator/follow/source.go
@@ -7,7 +7,7 @@
 	"errors"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
 )
 
 const (
--- a/services/coordinator/forecast/book.go
+++ b/services/entry/coordinator/forecast/book.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Book keeps the planner's last word on its loads; it is not safe for concurrent use.
--- a/services/coordinator/forecast/expect.go
+++ b/services/entry/coordinator/forecast/expect.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 const (
--- a/services/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -7,7 +7,7 @@
 	"context"
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 // releasePause is how often a holder that gives up looks whether its orders have ended.
--- a/services/coordinator/leadership.go
+++ b/services/entry/coordinator/leadership.go
@@ -8,9 +8,9 @@
 	"errors"
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/coordinator/lease"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/lease"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 const (
--- a/services/coordinator/lease/record.go
+++ b/services/entry/coordinator/lease/record.go
@@ -9,8 +9,8 @@
 	"net/netip"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 // The product's own keys in the store.
--- a/services/coordinator/lease/record_test.go
+++ b/services/entry/coordinator/lease/record_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/coordinator/lease"
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/lease"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 var (
--- a/services/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -6,11 +6,11 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/peerstream"
-	"github.com/shelfledge/shelfledge/services/coordinator/report"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 const (
--- a/services/coordinator/member/member_test.go
+++ b/services/entry/coordinator/member/member_test.go
@@ -11,10 +11,10 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/peerstream"
-	"github.com/shelfledge/shelfledge/services/coordinator/member"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 const (
--- a/services/coordinator/member/table.go
+++ b/services/entry/coordinator/member/table.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 // suspectVotes is the number of instances that must find an endpoint bad, if there are as many. Not measured.
--- a/services/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -8,13 +8,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/balance"
-	"github.com/shelfledge/shelfledge/services/coordinator/member"
-	"github.com/shelfledge/shelfledge/services/coordinator/view"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/loading"
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/balance"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 // planning is the state of the instance that holds the ownership.
--- a/services/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/loading"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
 const (
--- a/services/coordinator/report/report_test.go
+++ b/services/entry/coordinator/report/report_test.go
@@ -10,9 +10,9 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/coordinator/report"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 const (
--- a/services/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -8,12 +8,12 @@
 	"net/netip"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/peerstream"
-	"github.com/shelfledge/shelfledge/services/coordinator/member"
-	"github.com/shelfledge/shelfledge/services/coordinator/view"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 // following is what an instance keeps of its link to the planner.
--- a/services/coordinator/seed/seed.go
+++ b/services/entry/coordinator/seed/seed.go
@@ -12,8 +12,8 @@
 	"net/netip"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/peerstream"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 // Timeout bounds the call to one seed: longer trades a later try of the next one for slow peers. Not measured.
--- a/services/coordinator/seed/seed_test.go
+++ b/services/entry/coordinator/seed/seed_test.go
@@ -13,9 +13,9 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/modules/peerstream"
-	"github.com/shelfledge/shelfledge/services/coordinator/seed"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/seed"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 var (
--- a/services/coordinator/seeds.go
+++ b/services/entry/coordinator/seeds.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 // askSeeds lets an instance that has just started learn from its peers what the store does not
--- a/services/coordinator/site_test.go
+++ b/services/entry/coordinator/site_test.go
@@ -17,11 +17,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/coordinator"
-	"github.com/shelfledge/shelfledge/services/loading"
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 const (
--- a/services/coordinator/view/followed.go
+++ b/services/entry/coordinator/view/followed.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 const (
--- a/services/coordinator/view/schedule.go
+++ b/services/entry/coordinator/view/schedule.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/coordinator/report"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
 )
 
 const (
--- a/services/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -9,8 +9,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/services/coordinator/view"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 const (
--- a/services/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -7,12 +7,12 @@
 	"net"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/peerstream"
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/coordinator/member"
-	"github.com/shelfledge/shelfledge/services/coordinator/view"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
 // servePeers takes the links of instances that follow this one.
--- a/services/coordinator/waiting/queue.go
+++ b/services/entry/coordinator/waiting/queue.go
@@ -10,8 +10,8 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/balance"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/balance"
 )
 
 // Request is a request that waits for an endpoint. Answer is what its caller is told.
--- a/services/coordinator/waiting/queue_test.go
+++ b/services/entry/coordinator/waiting/queue_test.go
@@ -8,8 +8,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/coordinator/waiting"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/waiting"
 )
 
 type queue = waiting.Queue[string]
--- a/services/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -7,9 +7,9 @@
 	"net/netip"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 // Message is what peers send each other; one field is set.
--- a/services/coordinator/wire/message_test.go
+++ b/services/entry/coordinator/wire/message_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 	"github.com/vmihailenco/msgpack/v5"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
-	"github.com/shelfledge/shelfledge/services/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 var address = netip.MustParseAddrPort("10.0.0.1:7000")
--- a/services/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Directory holds all endpoints; it is not safe for concurrent use.
--- a/services/directory/entry.go
+++ b/services/entry/directory/entry.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Entry is one endpoint as this instance sees it.
--- a/services/loading/demand.go
+++ b/services/entry/loading/demand.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Demand is what one instance says of one adapter.
--- a/services/loading/endpoint_model_test.go
+++ b/services/entry/loading/endpoint_model_test.go
@@ -10,8 +10,8 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/loading"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
 // modelEndpoint follows the endpoints' rules: an order counts when it is taken, a wrong count is
--- a/services/loading/eviction_test.go
+++ b/services/entry/loading/eviction_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/loading"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
 // copyUse counts requests in flight by copy for the planner under test.
--- a/services/loading/forecast.go
+++ b/services/entry/loading/forecast.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // mostQueued is how many adapters whose load has not begun get a forecast of their own; all others get the backlog's. More
--- a/services/loading/model.go
+++ b/services/entry/loading/model.go
@@ -7,7 +7,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // modelPoll is when to ask first whether a base model has come. Sooner wastes calls on loads that take longer, later
--- a/services/loading/next.go
+++ b/services/entry/loading/next.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // loadPoll is the pause between two questions whether a load has ended. Shorter notices the end of a load sooner and
--- a/services/loading/order.go
+++ b/services/entry/loading/order.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // OrderKind is what an order asks of an endpoint.
--- a/services/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Options are the settings of a Planner.
--- a/services/ownership/candidate_test.go
+++ b/services/entry/ownership/candidate_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 const (
--- a/services/ownership/ownership_test.go
+++ b/services/entry/ownership/ownership_test.go
@@ -10,7 +10,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/services/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 var (
--- a/services/process/process.go
+++ b/services/entry/process/process.go
@@ -17,13 +17,13 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/asynclog"
-	"github.com/shelfledge/shelfledge/modules/entrymetric"
-	"github.com/shelfledge/shelfledge/modules/upstream"
-	"github.com/shelfledge/shelfledge/routers/gateway"
-	"github.com/shelfledge/shelfledge/services/coordinator"
-	"github.com/shelfledge/shelfledge/services/entry"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/asynclog"
+	"github.com/shelfledge/shelfledge/modules/entry/metric"
+	"github.com/shelfledge/shelfledge/modules/entry/upstream"
+	"github.com/shelfledge/shelfledge/routers/entry/gateway"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/proxy"
 )
 
 // Options are the settings of a process.
@@ -32,7 +32,7 @@
 	// Environment makes the world around the coordinator; retire is called for endpoints
 	// that are gone.
 	Environment func(retire func(deployment.EndpointID)) coordinator.Environment
-	Dialect     entry.Dialect
+	Dialect     proxy.Dialect
 	Callers     netip.AddrPort
 	Ready       netip.AddrPort
 	Metrics     netip.AddrPort
@@ -81,7 +81,7 @@
 	options.Coordinator.Now = time.Now
 	options.Coordinator.Random = rand.Float64
 	options.Coordinator.Log = log
-	var metrics *entrymetric.Metrics
+	var metrics *metric.Metrics
 	options.Coordinator.ObserveOrder = func(kind, reply string) { metrics.ObserveOrder(kind, reply) }
 	options.Coordinator.ObserveStoreFailure = func(call string) { metrics.ObserveStoreFailure(call) }
 	control := coordinator.New(options.Coordinator, options.Environment(func(id deployment.EndpointID) { client.Retire(string(id)) }))
@@ -187,10 +187,10 @@
 }
 
 // newMetrics gives the metrics of a process.
-func newMetrics(control *coordinator.Coordinator, client *upstream.Client, writer *asynclog.Writer) *entrymetric.Metrics {
-	return entrymetric.New(func() entrymetric.Gauges {
+func newMetrics(control *coordinator.Coordinator, client *upstream.Client, writer *asynclog.Writer) *metric.Metrics {
+	return metric.New(func() metric.Gauges {
 		status := control.Status()
-		gauges := entrymetric.Gauges{
+		gauges := metric.Gauges{
 			ConfigurationVersion: float64(status.Configuration), Endpoints: float64(status.Endpoints), Ejected: float64(status.Ejected),
 			ResidentCopies: float64(status.ResidentCopies), Waiting: float64(status.Waiting), InFlight: float64(status.InFlight),
 			Term: float64(status.Term), Members: float64(status.Members),
@@ -203,14 +203,14 @@
 	})
 }
 
-func newServer(options Options, log *logrus.Entry, control *coordinator.Coordinator, client *upstream.Client, metrics *entrymetric.Metrics) *gateway.Server {
+func newServer(options Options, log *logrus.Entry, control *coordinator.Coordinator, client *upstream.Client, metrics *metric.Metrics) *gateway.Server {
 	var server *gateway.Server
-	service := entry.New(entry.Options{
+	service := proxy.New(proxy.Options{
 		Now: time.Now, Random: rand.Float64, Log: log,
 		Refusing: func(kind deployment.RouteKind) bool { return server.Refusing(kind) },
 		Leaving:  func() bool { return server.Leaving() },
-		Observe:  func(o entry.Observation) { metrics.ObserveRequest(toMetric(o)) },
-	}, entry.Control{
+		Observe:  func(o proxy.Observation) { metrics.ObserveRequest(toMetric(o)) },
+	}, proxy.Control{
 		Configuration: control.Configuration, Acquire: control.Acquire, Finish: control.Finish,
 		CountRequest: control.CountRequest, TakeRepeat: control.TakeRepeat,
 	}, client, options.Dialect)
@@ -228,8 +228,8 @@
 	return server
 }
 
-func toMetric(o entry.Observation) entrymetric.Request {
-	return entrymetric.Request{
+func toMetric(o proxy.Observation) metric.Request {
+	return metric.Request{
 		Class: o.Route, Status: o.Status, Reason: o.Reason, Repeats: max(0, len(o.Attempts)-1),
 		Waited: o.Waited(), First: o.First, Whole: o.Whole,
 	}
--- a/services/entry/dialect.go
+++ b/services/entry/proxy/dialect.go
@@ -1,13 +1,13 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package entry
+package proxy
 
 import (
 	"net/http"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
 // Facts are what a caller's headers say of its request.
--- a/services/entry/passing.go
+++ b/services/entry/proxy/passing.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package entry
+package proxy
 
 import (
 	"errors"
@@ -9,9 +9,9 @@
 	"net/http"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/services/admission"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/admission"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 const (
--- a/services/entry/run.go
+++ b/services/entry/proxy/run.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package entry
+package proxy
 
 import (
 	"bytes"
@@ -13,10 +13,10 @@
 	"strings"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/upstream"
-	"github.com/shelfledge/shelfledge/services/coordinator"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/upstream"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 // run is one request on its way through the entry.
--- a/services/entry/service.go
+++ b/services/entry/proxy/service.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package entry
+package proxy
 
 import (
 	"context"
@@ -13,11 +13,11 @@
 
 	"github.com/sirupsen/logrus"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/upstream"
-	"github.com/shelfledge/shelfledge/services/balance"
-	"github.com/shelfledge/shelfledge/services/coordinator"
-	"github.com/shelfledge/shelfledge/services/directory"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/upstream"
+	"github.com/shelfledge/shelfledge/services/entry/balance"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 // Control is the part of the coordinator that requests need, as function fields.
--- a/services/retry/budget_test.go
+++ b/services/entry/retry/budget_test.go
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/services/retry"
+	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
 var (
--- a/services/retry/edges_test.go
+++ b/services/entry/retry/edges_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/services/retry"
+	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
 // granted takes repeats until one is refused.
--- a/services/shell/print.go
+++ b/services/shelfctl/shell/print.go
@@ -11,11 +11,11 @@
 	"time"
 	"unicode/utf8"
 
-	"github.com/shelfledge/shelfledge/models/table"
-	"github.com/shelfledge/shelfledge/modules/operatorclient"
-	"github.com/shelfledge/shelfledge/routers/operator"
-	"github.com/shelfledge/shelfledge/services/command"
-	"github.com/shelfledge/shelfledge/services/query"
+	"github.com/shelfledge/shelfledge/models/daemon/table"
+	"github.com/shelfledge/shelfledge/modules/shelfctl/operatorclient"
+	"github.com/shelfledge/shelfledge/routers/daemon/operator"
+	"github.com/shelfledge/shelfledge/services/daemon/command"
+	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
 // The exit codes of shelfctl; docs/operators.md explains them.
--- a/services/shell/prompt.go
+++ b/services/shelfctl/shell/prompt.go
@@ -14,8 +14,8 @@
 
 	"github.com/peterh/liner"
 
-	"github.com/shelfledge/shelfledge/modules/operatorclient"
-	"github.com/shelfledge/shelfledge/services/query"
+	"github.com/shelfledge/shelfledge/modules/shelfctl/operatorclient"
+	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
 var words = []string{
--- a/services/shell/top.go
+++ b/services/shelfctl/shell/top.go
@@ -9,7 +9,7 @@
 	"io"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/operatorclient"
+	"github.com/shelfledge/shelfledge/modules/shelfctl/operatorclient"
 )
 
 // topQuery is what the watch mode shows, a table under the other.
--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/language"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
 // TestPagesNameOnlyWhatExists resolves each name in backticks: a path, a test, a symbol, a flag, a make target, a
--- a/tests/fuzz/defects_test.go
+++ b/tests/fuzz/defects_test.go
@@ -13,7 +13,7 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // recorder takes a failure without failing the test around it.
--- a/tests/fuzz/endpoint_test.go
+++ b/tests/fuzz/endpoint_test.go
@@ -8,8 +8,8 @@
 	"sort"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // fakeEndpoint acts out an engine with slots, fences, restarts and failing loads.
--- a/tests/fuzz/fuzz_test.go
+++ b/tests/fuzz/fuzz_test.go
@@ -15,9 +15,9 @@
 	"github.com/stretchr/testify/require"
 	"pgregory.net/rapid"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 const adapters = 5
--- a/tests/fuzz/kv_test.go
+++ b/tests/fuzz/kv_test.go
@@ -7,9 +7,9 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // fakeKV acts out the key-value service as far as nodes use it: leases with owners,
--- a/tests/fuzz/list_test.go
+++ b/tests/fuzz/list_test.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // listState is the platform's list from some moment on.
--- a/tests/fuzz/network_test.go
+++ b/tests/fuzz/network_test.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // delay draws the time that a message takes; a few take very long.
--- a/tests/fuzz/node_test.go
+++ b/tests/fuzz/node_test.go
@@ -8,12 +8,12 @@
 	"net/netip"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/budget"
-	"github.com/shelfledge/shelfledge/services/membership"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/placement"
-	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/budget"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
 // fakeNode is one instance: a real node with a clock of its own.
--- a/tests/fuzz/order_test.go
+++ b/tests/fuzz/order_test.go
@@ -6,8 +6,8 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // toEndpoint carries something to an endpoint and its answer back; either may be lost.
--- a/tests/fuzz/traffic_test.go
+++ b/tests/fuzz/traffic_test.go
@@ -7,8 +7,8 @@
 	"fmt"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // fakeRequest is one caller's request on its way.
--- a/tests/fuzz/world_test.go
+++ b/tests/fuzz/world_test.go
@@ -9,8 +9,8 @@
 	"sort"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 	"github.com/shelfledge/shelfledge/tools/timeline"
 )
 
--- a/tests/integration/bench_test.go
+++ b/tests/integration/bench_test.go
@@ -22,7 +22,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
--- a/tests/integration/caller_test.go
+++ b/tests/integration/caller_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
 // openTickets counts the tickets that are out at a daemon's pools.
--- a/tests/integration/figures_test.go
+++ b/tests/integration/figures_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/services/node"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
--- a/tests/integration/fleet_test.go
+++ b/tests/integration/fleet_test.go
@@ -17,11 +17,11 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/instancelist"
-	"github.com/shelfledge/shelfledge/modules/log"
-	"github.com/shelfledge/shelfledge/modules/setting"
-	"github.com/shelfledge/shelfledge/routers/operator"
-	"github.com/shelfledge/shelfledge/services/daemon"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/log"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
+	"github.com/shelfledge/shelfledge/routers/daemon/operator"
+	"github.com/shelfledge/shelfledge/services/daemon/process"
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
@@ -29,7 +29,7 @@
 type testFleet struct {
 	t       testing.TB
 	cluster *standin.Cluster
-	daemons map[string]*daemon.Daemon
+	daemons map[string]*process.Daemon
 	places  map[string]standin.InstancePlace
 	changes map[string]any
 }
@@ -40,7 +40,7 @@
 func newFleet(t testing.TB, o standin.ClusterOptions, changes map[string]any, ids ...string) *testFleet {
 	c, err := standin.StartCluster(o)
 	require.NoError(t, err)
-	f := &testFleet{t: t, cluster: c, daemons: make(map[string]*daemon.Daemon), places: make(map[string]standin.InstancePlace), changes: changes}
+	f := &testFleet{t: t, cluster: c, daemons: make(map[string]*process.Daemon), places: make(map[string]standin.InstancePlace), changes: changes}
 	t.Cleanup(f.close)
 	for _, id := range ids {
 		f.start(id)
@@ -60,7 +60,7 @@
 	require.NoError(f.t, err)
 	entry, err := log.New(log.Options{Level: "error", Format: "text", Output: io.Discard})
 	require.NoError(f.t, err)
-	d, err := daemon.Start(daemon.Options{Settings: s, Log: entry})
+	d, err := process.Start(process.Options{Settings: s, Log: entry})
 	require.NoError(f.t, err)
 	a := d.Addresses()
 	place.Callers, place.Operators, place.Peers = a.Callers, a.Operators, a.Peers
--- a/tests/integration/operators_test.go
+++ b/tests/integration/operators_test.go
@@ -26,7 +26,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/routers/operator"
+	"github.com/shelfledge/shelfledge/routers/daemon/operator"
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
--- a/tests/pinned/daemon/calls_test.go
+++ b/tests/pinned/daemon/calls_test.go
@@ -18,10 +18,10 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/engine"
-	"github.com/shelfledge/shelfledge/modules/instancelist"
-	"github.com/shelfledge/shelfledge/modules/kv"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
 // request is an HTTP request as the other side reads it.
--- a/tests/pinned/daemon/daemon_test.go
+++ b/tests/pinned/daemon/daemon_test.go
@@ -19,10 +19,10 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/instancelist"
-	"github.com/shelfledge/shelfledge/modules/kv"
-	"github.com/shelfledge/shelfledge/modules/setting"
-	"github.com/shelfledge/shelfledge/services/daemon"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
+	"github.com/shelfledge/shelfledge/services/daemon/process"
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
@@ -67,7 +67,7 @@
 	// A logger of this test's own, since the program's sets gRPC's for the whole process, which may be done once only.
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
-	d, err := daemon.Start(daemon.Options{Settings: s, Log: logrus.NewEntry(quiet)})
+	d, err := process.Start(process.Options{Settings: s, Log: logrus.NewEntry(quiet)})
 	require.NoError(t, err)
 	t.Cleanup(d.Kill)
 	at := d.Addresses()
--- a/tests/pinned/daemon/peer_test.go
+++ b/tests/pinned/daemon/peer_test.go
@@ -22,8 +22,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/metadata"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/peerlink"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/peerlink"
 )
 
 // message is a pinned message: its bytes, and the same read without any type of the program.
--- a/tests/pinned/daemon/query_test.go
+++ b/tests/pinned/daemon/query_test.go
@@ -11,12 +11,12 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/language"
-	"github.com/shelfledge/shelfledge/services/journal"
-	"github.com/shelfledge/shelfledge/services/node"
-	"github.com/shelfledge/shelfledge/services/query"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/language"
+	"github.com/shelfledge/shelfledge/services/daemon/journal"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
 // events gives one event of each kind.
--- a/tests/pinned/daemon/stored_test.go
+++ b/tests/pinned/daemon/stored_test.go
@@ -11,10 +11,10 @@
 	"github.com/klauspost/compress/zstd"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/catalog"
-	"github.com/shelfledge/shelfledge/modules/instancelist"
-	"github.com/shelfledge/shelfledge/modules/kv"
-	"github.com/shelfledge/shelfledge/routers/operator"
+	"github.com/shelfledge/shelfledge/models/daemon/catalog"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/routers/daemon/operator"
 )
 
 func TestWireTypes(t *testing.T) {
--- a/tests/pinned/entry/values_test.go
+++ b/tests/pinned/entry/values_test.go
@@ -15,7 +15,7 @@
 	"github.com/stretchr/testify/assert"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
 	"github.com/shelfledge/shelfledge/platform"
 )
 
--- a/tests/pinned/program/metrics_test.go
+++ b/tests/pinned/program/metrics_test.go
@@ -17,7 +17,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/metric"
+	"github.com/shelfledge/shelfledge/modules/daemon/metric"
 )
 
 const ownPrefix = "shelfledge_"
--- a/tests/pinned/program/settings_test.go
+++ b/tests/pinned/program/settings_test.go
@@ -13,7 +13,7 @@
 
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/modules/setting"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 )
 
 // daemonRejected makes a rejected file of daemon_least.json with each line.
--- a/tests/platform/explain_test.go
+++ b/tests/platform/explain_test.go
@@ -135,11 +135,11 @@
 	require.NoError(t, err)
 	sources := ""
 	for _, path := range []string{
-		"../../modules/entrymetric/metrics.go", "../../services/entry/service.go", "../../services/entry/run.go", "../../services/admission/decide.go",
-		"../../services/coordinator/planning.go", "../../services/coordinator/leadership.go", "../../services/coordinator/status.go",
-		"../../services/coordinator/configuration.go", "../../services/coordinator/endpoints.go", "../../services/process/process.go",
-		"../../services/coordinator/coordinator.go", "../../services/coordinator/handover.go", "../../services/loading/order.go",
-		"../../services/coordinator/seeds.go", "../../services/coordinator/reporting.go", "../../routers/gateway/server.go",
+		"../../modules/entry/metric/metrics.go", "../../services/entry/proxy/service.go", "../../services/entry/proxy/run.go", "../../services/entry/admission/decide.go",
+		"../../services/entry/coordinator/planning.go", "../../services/entry/coordinator/leadership.go", "../../services/entry/coordinator/status.go",
+		"../../services/entry/coordinator/configuration.go", "../../services/entry/coordinator/endpoints.go", "../../services/entry/process/process.go",
+		"../../services/entry/coordinator/coordinator.go", "../../services/entry/coordinator/handover.go", "../../services/entry/loading/order.go",
+		"../../services/entry/coordinator/seeds.go", "../../services/entry/coordinator/reporting.go", "../../routers/entry/gateway/server.go",
 	} {
 		content, err := os.ReadFile(path)
 		require.NoError(t, err)
--- a/tests/platform/site_test.go
+++ b/tests/platform/site_test.go
@@ -22,11 +22,11 @@
 	"github.com/sirupsen/logrus"
 	"github.com/stretchr/testify/require"
 
-	"github.com/shelfledge/shelfledge/models/deployment"
-	"github.com/shelfledge/shelfledge/modules/store"
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/modules/entry/store"
 	"github.com/shelfledge/shelfledge/platform"
-	"github.com/shelfledge/shelfledge/services/coordinator"
-	"github.com/shelfledge/shelfledge/services/process"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/process"
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
--- a/tests/standin/cluster.go
+++ b/tests/standin/cluster.go
@@ -14,7 +14,7 @@
 	"net/netip"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
 )
 
 // ClusterOptions say what a cluster of stand-ins holds.
--- a/tests/standin/engine.go
+++ b/tests/standin/engine.go
@@ -13,7 +13,7 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
 )
 
 // EngineOptions are the size and speed of an engine.
--- a/tests/standin/engine_stream.go
+++ b/tests/standin/engine_stream.go
@@ -11,7 +11,7 @@
 	"strings"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
 )
 
 // completionBody is what the engine reads of a request.
--- a/tests/standin/kv.go
+++ b/tests/standin/kv.go
@@ -10,7 +10,7 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/kv"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
 // KVFaults are the faults of a key-value service.
--- a/tests/standin/platform.go
+++ b/tests/standin/platform.go
@@ -11,7 +11,7 @@
 	"sync"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
 )
 
 // List is the platform's list of instances and endpoints, which shows an older state.
--- a/tools/demo/demo.go
+++ b/tools/demo/demo.go
@@ -20,7 +20,7 @@
 	"syscall"
 	"time"
 
-	"github.com/shelfledge/shelfledge/modules/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
--- a/tools/replay/sim/bound.go
+++ b/tools/replay/sim/bound.go
@@ -8,7 +8,7 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // boundCalc gives lower bounds on the load stalls of any online policy that refuses
--- a/tools/replay/sim/event.go
+++ b/tools/replay/sim/event.go
@@ -7,7 +7,7 @@
 	"fmt"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 func (w *world) event(l Line) {
--- a/tools/replay/sim/fleet_file.go
+++ b/tools/replay/sim/fleet_file.go
@@ -14,7 +14,7 @@
 
 	"github.com/tailscale/hujson"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // FleetFile is the fleet that a trace is replayed on.
--- a/tools/replay/sim/model.go
+++ b/tools/replay/sim/model.go
@@ -7,7 +7,7 @@
 	"math"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // engine is the model of one endpoint.
--- a/tools/replay/sim/policy.go
+++ b/tools/replay/sim/policy.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
 // policy is one way to decide. The world calls it; it calls the world's start, refuse and load.
--- a/tools/replay/sim/policy_baseline.go
+++ b/tools/replay/sim/policy_baseline.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/ring"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
 // baseline binds each request to an endpoint on arrival, serves each endpoint's
--- a/tools/replay/sim/policy_budget.go
+++ b/tools/replay/sim/policy_budget.go
@@ -8,9 +8,9 @@
 	"slices"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/services/budget"
-	"github.com/shelfledge/shelfledge/services/placement"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/budget"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
 // budgets shares the weight store among the pools: one ledger for each group of halls that see
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -9,10 +9,10 @@
 	"strings"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
-	"github.com/shelfledge/shelfledge/modules/ring"
-	"github.com/shelfledge/shelfledge/services/placement"
-	"github.com/shelfledge/shelfledge/services/routing"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/ring"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
 const (
--- a/tools/replay/sim/world.go
+++ b/tools/replay/sim/world.go
@@ -8,7 +8,7 @@
 	"math"
 	"time"
 
-	"github.com/shelfledge/shelfledge/models/fleet"
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 	"github.com/shelfledge/shelfledge/tools/timeline"
 )
 
