--- a/tests/docs/page_test.go
+++ b/tests/docs/page_test.go
@@ -80,9 +80,9 @@
 	linkForm = regexp.MustCompile(`\]\(([^)#]+)(?:#[^)]*)?\)`)
 	// entryForm is a list in square brackets of journal ids, such as [7b2058df, ea90d98f].
 	entryForm = regexp.MustCompile(`\[([0-9a-f]{8}(?:[,;] [0-9a-f]{8})*)[\],]`)
-	// spanAfter and spanBefore are a constant beside its value, such as `upstreamDial`, 0.5 s.
-	spanAfter  = regexp.MustCompile("`([A-Za-z]+)`, ([0-9.]+) (ms|s|min)\\b")
-	spanBefore = regexp.MustCompile("([0-9.]+) (ms|s|min) \\(`([A-Za-z]+)`\\)")
+	// spanAfter and spanBefore are a constant beside its value, such as `upstreamDial`, 0.5 s, or `seed.Timeout`.
+	spanAfter  = regexp.MustCompile("`([A-Za-z.]+)`, ([0-9.]+) (ms|s|min)\\b")
+	spanBefore = regexp.MustCompile("([0-9.]+) (ms|s|min) \\(`([A-Za-z.]+)`\\)")
 )
 
 // mentions gives what a page names in backticks.
--- a/tests/docs/tree_test.go
+++ b/tests/docs/tree_test.go
@@ -39,7 +39,7 @@
 	flags map[string]bool
 	// metrics are the names of metrics without their common beginning.
 	metrics map[string]bool
-	// spans are the values of constants that are durations, by name.
+	// spans are the values of constants that are durations, by name, and by package and name.
 	spans map[string][]time.Duration
 	// targets are the Makefile's targets and its variables.
 	targets map[string]bool
@@ -128,7 +128,7 @@
 			for _, ident := range node.Names {
 				declare(ident)
 			}
-			all.addSpans(node)
+			all.addSpans(name, node)
 		case *ast.Field:
 			for _, ident := range node.Names {
 				declare(ident)
@@ -207,7 +207,7 @@
 }
 
 // addSpans evaluates constants that are durations.
-func (all *tree) addSpans(spec *ast.ValueSpec) {
+func (all *tree) addSpans(pkg string, spec *ast.ValueSpec) {
 	for i, ident := range spec.Names {
 		if i >= len(spec.Values) {
 			return
@@ -217,8 +217,11 @@
 			continue
 		}
 		span, exact := constant.Int64Val(constant.ToInt(value))
-		if exact && span >= int64(time.Microsecond) {
-			all.spans[ident.Name] = append(all.spans[ident.Name], time.Duration(span))
+		if !exact || span < int64(time.Microsecond) {
+			continue
+		}
+		for _, name := range []string{ident.Name, pkg + "." + ident.Name} {
+			all.spans[name] = append(all.spans[name], time.Duration(span))
 		}
 	}
 }
