--- a/modules/entry/store/store.go
+++ b/modules/entry/store/store.go
@@ -65,8 +65,6 @@
 	GrantLease func(ctx context.Context, ttl time.Duration) (int64, error)
 	// KeepLease renews a lease.
 	KeepLease func(ctx context.Context, lease int64) error
-	// EndLease ends a lease and removes its keys.
-	EndLease func(ctx context.Context, lease int64) error
 }
 
 // ReadAll reads all pages of a prefix and gives the revision of the first page, from
--- a/services/entry/coordinator/site_test.go
+++ b/services/entry/coordinator/site_test.go
@@ -179,7 +179,6 @@
 func (m *memoryStore) client() store.Client {
 	return store.Client{
 		Get: m.get, Range: m.rangeOf, Watch: m.watch, Commit: m.commit, GrantLease: m.grant, KeepLease: m.keep,
-		EndLease: func(context.Context, int64) error { return nil },
 	}
 }
 
