--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/edges_test.go
@@ -110,7 +110,7 @@
 
 func TestEdgesOfTheBoundOfModelLoads(t *testing.T) {
 	// floor(3 x 5 x 1.1 + 3) - 2 = 17.
-	loads := loading.NewModelLoads(rate)
+	loads := loading.NewModelLimiter(rate)
 	for range 16 {
 		loads.Begin(start)
 	}
@@ -120,12 +120,12 @@
 	assert.False(t, loads.Allows(start.Add(rate.Window-1)), "just within the window")
 	assert.True(t, loads.Allows(start.Add(rate.Window)), "the window is over")
 
-	tiny := loading.NewModelLoads(loading.RateOptions{Window: time.Second})
+	tiny := loading.NewModelLimiter(loading.RateOptions{Window: time.Second})
 	assert.True(t, tiny.Allows(start), "one load is always allowed")
 	tiny.Begin(start)
 	assert.False(t, tiny.Allows(start))
 
-	after := loading.NewModelLoads(rate)
+	after := loading.NewModelLimiter(rate)
 	after.Assume(start, 17)
 	assert.False(t, after.Allows(start.Add(rate.Window-1)), "a former planner's loads count for a window")
 	assert.True(t, after.Allows(start.Add(rate.Window)))
--- a/services/entry/loading/export_test.go
+++ b/services/entry/loading/export_test.go
@@ -30,29 +30,29 @@
 	return p.pace.firstLook()
 }
 
-// ModelLoads gives the tests of edges the bound of loads of base models without a planner.
-type ModelLoads struct {
-	ledger *rateLedger
+// ModelLimiter gives the tests of edges the bound of loads of base models without a planner.
+type ModelLimiter struct {
+	limiter *windowLimiter
 }
 
-// NewModelLoads makes the bound.
-func NewModelLoads(options RateOptions) ModelLoads {
-	return ModelLoads{ledger: newRateLedger(options)}
+// NewModelLimiter makes the bound.
+func NewModelLimiter(options RateOptions) ModelLimiter {
+	return ModelLimiter{limiter: newWindowLimiter(options)}
 }
 
 // Assume counts loads of a former planner.
-func (l ModelLoads) Assume(now time.Time, count int) {
-	l.ledger.assume(now, count)
+func (l ModelLimiter) Assume(now time.Time, count int) {
+	l.limiter.assume(now, count)
 }
 
 // Allows reports whether one more load may begin.
-func (l ModelLoads) Allows(now time.Time) bool {
-	return l.ledger.allows(now)
+func (l ModelLimiter) Allows(now time.Time) bool {
+	return l.limiter.allows(now)
 }
 
 // Begin counts a load.
-func (l ModelLoads) Begin(now time.Time) {
-	l.ledger.begin(now)
+func (l ModelLimiter) Begin(now time.Time) {
+	l.limiter.begin(now)
 }
 
 // LoadTime is the usual time of a load.
--- a/services/entry/loading/rate.go
+++ b/services/entry/loading/limiter.go
@@ -8,13 +8,15 @@
 	"time"
 )
 
-// rateLedger keeps the loads that begin within every sliding window under the weight
+// windowLimiter keeps the loads that begin within every sliding window under the weight
 // store's bound.
-type rateLedger struct {
+type windowLimiter struct {
+	// limit is the most loads that may begin within a window.
 	limit  int
 	window time.Duration
-	begun  []time.Time
-	// assumed is when the window is free of loads that a former planner may have begun.
+	// begun are the own loads that began within the last window, the oldest first.
+	begun []time.Time
+	// assumed is when the window is free of loads that a former planner may have begun, by its last view.
 	assumed      time.Time
 	assumedCount int
 }
@@ -22,33 +24,38 @@
 // RateOptions are the weight store's bound: loads begun in any window stay at or below
 // rate x window x tolerance + slack.
 type RateOptions struct {
+	// PerSecond is the service's bound on loads of base models, in loads a second; from its configuration.
 	PerSecond float64
-	Window    time.Duration
+	// Window is the length of every span in which the bound holds; from the settings.
+	Window time.Duration
+	// Tolerance is the factor by which a window may exceed the rate; from the settings.
 	Tolerance float64
-	Slack     float64
+	// Slack is how many loads a window may have beyond that; from package platform.
+	Slack float64
 }
 
 // reserve is how many loads of the weight store's bound are kept free for loads whose beginning was not seen, such as orders
 // that are carried out late. More is safer and brings base models more slowly. Not measured.
 const reserve = 2
 
+// limit is the most loads that may begin within a window.
 func (o RateOptions) limit() int {
 	allowed := math.Floor(o.PerSecond*o.Window.Seconds()*o.Tolerance + o.Slack)
 	return max(1, int(allowed)-reserve)
 }
 
-func newRateLedger(options RateOptions) *rateLedger {
-	return &rateLedger{limit: options.limit(), window: options.Window}
+func newWindowLimiter(options RateOptions) *windowLimiter {
+	return &windowLimiter{limit: options.limit(), window: options.Window}
 }
 
 // assume counts loads that a former planner may have begun in the window before now.
-func (l *rateLedger) assume(now time.Time, count int) {
+func (l *windowLimiter) assume(now time.Time, count int) {
 	l.assumed = now.Add(l.window)
 	l.assumedCount = count
 }
 
 // allows reports whether one more load may begin.
-func (l *rateLedger) allows(now time.Time) bool {
+func (l *windowLimiter) allows(now time.Time) bool {
 	oldest := now.Add(-l.window)
 	kept := 0
 	for kept < len(l.begun) && !l.begun[kept].After(oldest) {
@@ -62,12 +69,13 @@
 	return count < l.limit
 }
 
-func (l *rateLedger) begin(now time.Time) {
+// begin counts a load.
+func (l *windowLimiter) begin(now time.Time) {
 	l.begun = append(l.begun, now)
 }
 
 // recent gives the number of loads begun in the last window.
-func (l *rateLedger) recent(now time.Time) int {
+func (l *windowLimiter) recent(now time.Time) int {
 	l.allows(now)
 	return len(l.begun)
 }
--- a/services/entry/loading/model.go
+++ b/services/entry/loading/model.go
@@ -17,7 +17,7 @@
 // nextModel brings a base model to an endpoint that holds none, as after its restart. Copies that
 // endpoints have themselves come at once; from the weight store they come one after the other.
 func (p *Planner) nextModel(now time.Time) (Order, bool) {
-	storeAllowed := p.coldModelLoads() == 0 && p.ledger.allows(now)
+	storeAllowed := p.coldModelLoads() == 0 && p.modelLimiter.allows(now)
 	for _, plan := range p.endpoints {
 		if len(plan.endpoint.Models) > 0 || len(plan.copies) > 0 || !plan.available(now) || plan.inspect {
 			continue
@@ -31,7 +31,7 @@
 				continue
 			}
 			if !cached {
-				p.ledger.begin(now)
+				p.modelLimiter.begin(now)
 			}
 			adapter := deployment.Adapter{Model: model.Name}
 			plan.copies[adapter] = &copyPlan{state: copyLoading, since: now, cold: !cached, pollAt: now.Add(modelPoll)}
--- a/services/entry/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -25,8 +25,9 @@
 	engine    deployment.Engine
 	endpoints map[deployment.EndpointID]*endpointPlan
 	demand    map[deployment.Adapter]*adapterDemand
-	ledger    *rateLedger
-	// ledger bounds loads of base models; pace bounds loads of adapters.
+	// modelLimiter bounds loads of base models.
+	modelLimiter *windowLimiter
+	// pace bounds loads of adapters.
 	pace pace
 	// withdrawals counts announcements of withdrawals.
 	withdrawals uint64
@@ -41,14 +42,14 @@
 // NewPlanner makes a planner for a service's engines.
 func NewPlanner(engine deployment.Engine, options Options) *Planner {
 	return &Planner{
-		options:   options,
-		engine:    engine,
-		endpoints: make(map[deployment.EndpointID]*endpointPlan),
-		demand:    make(map[deployment.Adapter]*adapterDemand),
-		ledger:    newRateLedger(options.Rate),
-		pace:      newPace(),
-		changed:   make(map[deployment.EndpointID]bool),
-		counts:    make(map[deployment.Adapter]copyCount),
+		options:      options,
+		engine:       engine,
+		endpoints:    make(map[deployment.EndpointID]*endpointPlan),
+		demand:       make(map[deployment.Adapter]*adapterDemand),
+		modelLimiter: newWindowLimiter(options.Rate),
+		pace:         newPace(),
+		changed:      make(map[deployment.EndpointID]bool),
+		counts:       make(map[deployment.Adapter]copyCount),
 	}
 }
 
@@ -59,12 +60,12 @@
 
 // AssumeLoads counts loads that a former planner may have begun in the last window.
 func (p *Planner) AssumeLoads(now time.Time, count int) {
-	p.ledger.assume(now, count)
+	p.modelLimiter.assume(now, count)
 }
 
 // RecentLoads gives the loads begun in the last window, for a successor.
 func (p *Planner) RecentLoads(now time.Time) int {
-	return p.ledger.recent(now)
+	return p.modelLimiter.recent(now)
 }
 
 // SetEndpoint takes in a description at a revision of the store; suspect endpoints get no new
