--- a/tools/tracegen/main.go
+++ b/tools/tracegen/main.go
@@ -4,19 +4,17 @@
 package main
 
 import (
-	"bufio"
+	"bytes"
 	"encoding/json"
 	"fmt"
 	"os"
 	"path/filepath"
 
 	"github.com/alecthomas/kong"
-
-	"github.com/shelfledge/shelfledge/tools/tracegen/gen"
 )
 
 type arguments struct {
-	Scenario string `arg:"" help:"Scenario to draw."`
+	Scenario string `arg:"" help:"Scenario to draw: dakar, plovdiv, storm, quiet, flood, or large (200,000 requests)." enum:"dakar,plovdiv,storm,quiet,flood,large"`
 	Out      string `help:"Folder for NAME.fleet.json and NAME.trace.jsonl." default:"."`
 	Seed     uint64 `help:"Seed of the random draws." default:"1"`
 }
@@ -27,42 +25,24 @@
 	ctx.FatalIfErrorf(run(args))
 }
 
+// run writes the fleet and the trace of a scenario.
 func run(args arguments) error {
-	s, err := gen.Make(args.Scenario, args.Seed)
-	if err != nil {
-		return err
-	}
-	if err := writeFleet(filepath.Join(args.Out, args.Scenario+".fleet.json"), s, args); err != nil {
-		return err
-	}
-	return writeTrace(filepath.Join(args.Out, args.Scenario+".trace.jsonl"), s)
-}
-
-func writeFleet(file string, s gen.Scenario, args arguments) error {
-	body, err := json.MarshalIndent(s.Fleet, "", "  ")
+	b := newBuilder(args.Seed)
+	fleet := scenarios[args.Scenario](b)
+	body, err := json.MarshalIndent(fleet, "", "  ")
 	if err != nil {
 		return err
 	}
 	text := fmt.Sprintf("// Made by: go run ./tools/tracegen %s --seed %d\n%s\n", args.Scenario, args.Seed, body)
-	return os.WriteFile(file, []byte(text), 0o644)
-}
-
-func writeTrace(file string, s gen.Scenario) error {
-	out, err := os.Create(file)
-	if err != nil {
+	if err := os.WriteFile(filepath.Join(args.Out, args.Scenario+".fleet.json"), []byte(text), 0o644); err != nil {
 		return err
 	}
-	w := bufio.NewWriter(out)
-	e := json.NewEncoder(w)
-	for _, line := range s.Lines {
-		if err := e.Encode(line); err != nil {
-			_ = out.Close()
+	var trace bytes.Buffer
+	lines := json.NewEncoder(&trace)
+	for _, line := range b.sorted() {
+		if err := lines.Encode(line); err != nil {
 			return err
 		}
 	}
-	if err := w.Flush(); err != nil {
-		_ = out.Close()
-		return err
-	}
-	return out.Close()
+	return os.WriteFile(filepath.Join(args.Out, args.Scenario+".trace.jsonl"), trace.Bytes(), 0o644)
 }
