--- a/Makefile
+++ b/Makefile
@@ -11,11 +11,10 @@
 all: build
 
 build: ## Build all programs into bin.
-	$(GO) build -o $(BIN)/ ./cmd/... ./tools/... ./tests/entrydemo
+	$(GO) build -o $(BIN)/ ./cmd/... ./tools/...
 
 demo: build ## Show the main job, with every answer checked.
 	$(BIN)/demo --bin $(BIN)
-	$(BIN)/entrydemo --bin $(BIN)
 
 test: fmt lint unit ## Formatter, linter and tests.
 
--- a/tests/integration/caller_test.go
+++ b/tests/integration/caller_test.go
@@ -15,6 +15,7 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
 // openTickets counts the tickets that are out at a daemon's pools.
@@ -32,14 +33,14 @@
 	f := newFleet(t, oneHall(), nil, "h1-i1")
 	f.createAdapters("h1-i1", 1)
 	ctx, cancel := context.WithCancel(context.Background())
-	ended := make(chan answer)
+	ended := make(chan standin.Answer)
 	go func() {
-		ended <- f.send(ctx, "h1-i1", call{id: "long", model: "a-0@1", class: "kiosk", caller: "test", tokens: 1_000_000})
+		ended <- f.send(ctx, "h1-i1", standin.Call{ID: "long", Model: "a-0@1", Class: "kiosk", Caller: "test", Tokens: 1_000_000})
 	}()
 	f.eventually(func() bool { return f.openTickets("h1-i1") == 1 }, "the request does not start")
 	f.eventually(func() bool { return len(f.cluster.Runs()) == 1 }, "the request does not run")
 	cancel()
-	require.False(t, (<-ended).done)
+	require.False(t, (<-ended).Done)
 	f.eventually(func() bool { return f.openTickets("h1-i1") == 0 }, "the ticket does not come back")
 	for _, e := range f.cluster.Engines {
 		require.Zero(t, e.Engine.Running(), "the endpoint still runs a request that nobody reads")
@@ -79,8 +80,8 @@
 	f := newFleet(t, threeHalls(), nil, instanceNames(6)...)
 	f.createAdapters("h1-i1", 30)
 	for i := range 60 {
-		c := call{id: fmt.Sprintf("x-%d", i), model: fmt.Sprintf("a-%d@1", i%30), class: "kiosk", caller: "test", tokens: 2}
-		require.True(t, f.send(context.Background(), instanceNames(6)[i%6], c).done)
+		c := standin.Call{ID: fmt.Sprintf("x-%d", i), Model: fmt.Sprintf("a-%d@1", i%30), Class: "kiosk", Caller: "test", Tokens: 2}
+		require.True(t, f.send(context.Background(), instanceNames(6)[i%6], c).Done)
 	}
 	f.eventually(func() bool { return len(f.run("h3-i2", "show instances").Answers[0].Table.Rows) == 6 }, "the fleet is not seen whole")
 	lines := strings.Join(f.run("h2-i1", "explain request x-7").Answers[0].Explain.Lines, "\n")
--- a/tests/integration/figures_test.go
+++ b/tests/integration/figures_test.go
@@ -126,9 +126,9 @@
 					default:
 					}
 					sent := time.Now()
-					a := f.send(context.Background(), []string{"h1-i1", "h1-i2"}[worker%2], call{id: fmt.Sprintf("l-%d-%d", worker, i), model: fmt.Sprintf("a-%d@1", i%4), class: "kiosk", caller: "test", tokens: 2})
+					a := f.send(context.Background(), []string{"h1-i1", "h1-i2"}[worker%2], standin.Call{ID: fmt.Sprintf("l-%d-%d", worker, i), Model: fmt.Sprintf("a-%d@1", i%4), Class: "kiosk", Caller: "test", Tokens: 2})
 					mutex.Lock()
-					if a.endpoint == "h1-e1" && sent.After(last) {
+					if a.Endpoint == "h1-e1" && sent.After(last) {
 						last = sent
 					}
 					mutex.Unlock()
@@ -157,7 +157,7 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				c := call{id: fmt.Sprintf("k-%d", i), model: fmt.Sprintf("a-%d@1", i%12), class: "traveller", caller: "test", tokens: 60}
+				c := standin.Call{ID: fmt.Sprintf("k-%d", i), Model: fmt.Sprintf("a-%d@1", i%12), Class: "traveller", Caller: "test", Tokens: 60}
 				a := f.send(context.Background(), ids[i%6], c)
 				if i%6 == 1 {
 					through.add(c, a)
@@ -198,7 +198,7 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				f.send(context.Background(), "h1-i1", call{id: fmt.Sprintf("c-%d", i), model: "a-0@1", class: "kiosk", caller: "test", tokens: 2, once: true})
+				f.send(context.Background(), "h1-i1", standin.Call{ID: fmt.Sprintf("c-%d", i), Model: "a-0@1", Class: "kiosk", Caller: "test", Tokens: 2, Once: true})
 			}()
 		}
 		group.Wait()
--- a/tests/integration/fleet_test.go
+++ b/tests/integration/fleet_test.go
@@ -4,7 +4,6 @@
 package integration_test
 
 import (
-	"bufio"
 	"bytes"
 	"context"
 	"encoding/json"
@@ -127,104 +126,7 @@
 	require.True(f.t, out.Answers[0].Change.InForce(), "not in force: %+v", out.Answers[0].Change.Halls)
 }
 
-// call is one request of a test and its answer.
-type call struct {
-	id, model, class, caller string
-	tokens                   int
-	once, whole              bool
-}
-
-type answer struct {
-	status   int
-	model    string
-	endpoint string
-	text     string
-	done     bool
-	failure  string
-	outcome  string
-	err      error
-}
-
-// expected gives the text of a whole answer.
-func expected(nonce string, tokens int) string {
-	var text strings.Builder
-	for i := range tokens {
-		text.WriteString(standin.Token(nonce, i))
-	}
-	return text.String()
-}
-
-type chunk struct {
-	Model   string `json:"model"`
-	Choices []struct {
-		Delta   struct{ Content string } `json:"delta"`
-		Message struct{ Content string } `json:"message"`
-	} `json:"choices"`
-	Error *struct {
-		Code    string `json:"code"`
-		Outcome string `json:"outcome"`
-	} `json:"error"`
-}
-
-func (f *testFleet) send(ctx context.Context, instance string, c call) answer {
-	body, err := json.Marshal(map[string]any{
-		"model": c.model, "stream": !c.whole, "max_tokens": c.tokens, "messages": []map[string]string{{"role": "user", "content": "please answer " + c.id}},
-	})
-	require.NoError(f.t, err)
-	q, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+f.places[instance].Callers.String()+"/v1/chat/completions", bytes.NewReader(body))
-	require.NoError(f.t, err)
-	q.Header.Set("X-Request-Id", c.id)
-	q.Header.Set("X-Class", c.class)
-	q.Header.Set("X-Caller", c.caller)
-	if c.once {
-		q.Header.Set("X-Once", "true")
-	}
-	resp, err := http.DefaultClient.Do(q)
-	if err != nil {
-		return answer{err: err}
-	}
-	defer func() { _ = resp.Body.Close() }()
-	a := answer{status: resp.StatusCode, model: resp.Header.Get("X-Model"), endpoint: resp.Header.Get("X-Endpoint")}
-	if c.whole || resp.StatusCode != http.StatusOK {
-		return readWhole(resp.Body, a)
-	}
-	return readStream(resp.Body, a)
-}
-
-func readWhole(in io.Reader, a answer) answer {
-	var one chunk
-	a.err = json.NewDecoder(in).Decode(&one)
-	if one.Error != nil {
-		a.failure, a.outcome = one.Error.Code, one.Error.Outcome
-		return a
-	}
-	if len(one.Choices) > 0 {
-		a.text, a.done = one.Choices[0].Message.Content, true
-	}
-	return a
-}
-
-func readStream(in io.Reader, a answer) answer {
-	lines := bufio.NewScanner(in)
-	for lines.Scan() {
-		data, ok := strings.CutPrefix(lines.Text(), "data: ")
-		if !ok {
-			continue
-		}
-		if data == "[DONE]" {
-			a.done = true
-			return a
-		}
-		var one chunk
-		if a.err = json.Unmarshal([]byte(data), &one); a.err != nil {
-			return a
-		}
-		if one.Error != nil {
-			a.failure, a.outcome = one.Error.Code, one.Error.Outcome
-			return a
-		}
-		a.text += one.Choices[0].Delta.Content
-	}
-	a.err = lines.Err()
-	return a
+// send sends a call to an instance and gives the answer.
+func (f *testFleet) send(ctx context.Context, instance string, c standin.Call) standin.Answer {
+	return c.Send(ctx, f.places[instance].Callers.String())
 }
--- a/tests/integration/loss_test.go
+++ b/tests/integration/loss_test.go
@@ -25,17 +25,17 @@
 	wrong    []string
 }
 
-func (y *tally) add(c call, a answer) {
+func (y *tally) add(c standin.Call, a standin.Answer) {
 	y.mutex.Lock()
 	defer y.mutex.Unlock()
 	switch {
-	case a.done && a.text == expected(c.id, c.tokens) && (c.model == a.model || a.model == ""):
+	case a.Done && a.Text == c.Expected() && (c.Model == a.Model || a.Model == ""):
 		y.answered++
-	case a.done:
-		y.wrong = append(y.wrong, fmt.Sprintf("%s: %q from %s", c.id, a.text, a.model))
-	case a.outcome == "not_run":
+	case a.Done:
+		y.wrong = append(y.wrong, fmt.Sprintf("%s: %q from %s", c.ID, a.Text, a.Model))
+	case a.Outcome == "not_run":
 		y.notRun++
-	case a.outcome == "unknown":
+	case a.Outcome == "unknown":
 		y.unknown++
 	default:
 		y.dropped++
@@ -58,7 +58,7 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				c := call{id: fmt.Sprintf("s-%d", from+i), model: fmt.Sprintf("a-%d@1", i%10), class: "traveller", caller: "test", tokens: 60}
+				c := standin.Call{ID: fmt.Sprintf("s-%d", from+i), Model: fmt.Sprintf("a-%d@1", i%10), Class: "traveller", Caller: "test", Tokens: 60}
 				y.add(c, f.send(context.Background(), instance, c))
 			}()
 		}
@@ -88,7 +88,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			c := call{id: fmt.Sprintf("k-%d", i), model: fmt.Sprintf("a-%d@2", i%20), class: "traveller", caller: "test", tokens: 40}
+			c := standin.Call{ID: fmt.Sprintf("k-%d", i), Model: fmt.Sprintf("a-%d@2", i%20), Class: "traveller", Caller: "test", Tokens: 40}
 			y.add(c, f.send(context.Background(), []string{"h1-i1", "h1-i2", "h1-i3"}[i%3], c))
 		}()
 	}
@@ -114,7 +114,7 @@
 		group.Add(1)
 		go func() {
 			defer group.Done()
-			c := call{id: fmt.Sprintf("e-%d", i), model: fmt.Sprintf("a-%d@1", i%8), class: "kiosk", caller: "test", tokens: 30}
+			c := standin.Call{ID: fmt.Sprintf("e-%d", i), Model: fmt.Sprintf("a-%d@1", i%8), Class: "kiosk", Caller: "test", Tokens: 30}
 			y.add(c, f.send(context.Background(), []string{"h1-i1", "h2-i1"}[i%2], c))
 		}()
 	}
@@ -139,15 +139,15 @@
 			group.Add(1)
 			go func() {
 				defer group.Done()
-				c := call{id: fmt.Sprintf("o-%d", i), model: fmt.Sprintf("a-%d@1", i%4), class: "kiosk", caller: "test", tokens: 4, once: true}
+				c := standin.Call{ID: fmt.Sprintf("o-%d", i), Model: fmt.Sprintf("a-%d@1", i%4), Class: "kiosk", Caller: "test", Tokens: 4, Once: true}
 				a := f.send(context.Background(), instance, c)
 				mutex.Lock()
 				defer mutex.Unlock()
-				if a.done {
+				if a.Done {
 					answered++
 					return
 				}
-				require.Equal(t, "unknown", a.outcome, a.failure)
+				require.Equal(t, "unknown", a.Outcome, a.Failure)
 				told++
 			}()
 		}
@@ -167,18 +167,18 @@
 	f.createAdapters("h1-i1", 6)
 	warm := func(prefix string) {
 		for i := range 6 {
-			c := call{id: fmt.Sprintf("%s-%d", prefix, i), model: fmt.Sprintf("a-%d@1", i), class: "kiosk", caller: "test", tokens: 3}
+			c := standin.Call{ID: fmt.Sprintf("%s-%d", prefix, i), Model: fmt.Sprintf("a-%d@1", i), Class: "kiosk", Caller: "test", Tokens: 3}
 			a := f.send(context.Background(), "h1-i2", c)
-			require.True(t, a.done, "%+v", a)
+			require.True(t, a.Done, "%+v", a)
 		}
 	}
 	warm("before")
 	f.cluster.KV.SetFaults(standin.KVFaults{Down: true})
 	warm("during")
-	c := call{id: "once", model: "a-1@1", class: "kiosk", caller: "test", tokens: 3, once: true}
+	c := standin.Call{ID: "once", Model: "a-1@1", Class: "kiosk", Caller: "test", Tokens: 3, Once: true}
 	a := f.send(context.Background(), "h1-i2", c)
-	require.Equal(t, "not_run", a.outcome)
-	require.Equal(t, "claim_impossible", a.failure)
+	require.Equal(t, "not_run", a.Outcome)
+	require.Equal(t, "claim_impossible", a.Failure)
 	out := f.run("h1-i1", "create adapter late base base-a")
 	require.NotNil(t, out.Error)
 	f.cluster.KV.SetFaults(standin.KVFaults{})
--- a/tools/demo/main.go
+++ b/tools/demo/main.go
@@ -4,6 +4,7 @@
 package main
 
 import (
+	"errors"
 	"fmt"
 	"os"
 
@@ -11,30 +12,42 @@
 )
 
 type arguments struct {
-	Bin      string `help:"Folder of the programs." default:"bin"`
-	Requests int    `help:"Requests in all." default:"600"`
-	Adapters int    `help:"Adapters in all." default:"120"`
-	Parallel int    `help:"Requests at once." default:"80"`
-	Verbose  bool   `help:"Show the daemons' logs."`
+	Bin      string `help:"Folder with the built programs." default:"bin" type:"path"`
+	Part     string `help:"Part to show: daemons, entries, or all." enum:"all,daemons,entries" default:"all"`
+	Requests int    `help:"Requests of each part." default:"600"`
 }
 
 func main() {
 	var args arguments
-	kong.Parse(&args, kong.Name("demo"), kong.Description("Shows the main job with every answer checked."))
-	os.Exit(run(args))
+	kong.Parse(&args, kong.Name("demo"), kong.Description("Shows the main job of both programs with every answer checked."))
+	if err := run(args); err != nil {
+		fmt.Fprintln(os.Stderr, "demo:", err)
+		os.Exit(1)
+	}
+	fmt.Println("every answer was whole, its own, and from the adapter and version named")
 }
 
-func run(args arguments) int {
-	d := &demo{arguments: args}
-	defer d.close()
-	if err := d.play(); err != nil {
-		fmt.Fprintln(os.Stderr, "demo:", err)
-		return 1
+// run shows the parts asked for, also the second one if the first one fails.
+func run(args arguments) error {
+	var failed []error
+	if args.Part != "entries" {
+		failed = append(failed, show("daemons", args, showDaemons))
+	}
+	if args.Part != "daemons" {
+		failed = append(failed, show("entries", args, showEntries))
+	}
+	return errors.Join(failed...)
+}
+
+// show runs one part in a folder of its own, which is kept if the part fails.
+func show(name string, args arguments, part func(args arguments, folder string) error) error {
+	folder, err := os.MkdirTemp("", "shelfledge-demo-"+name+"-")
+	if err != nil {
+		return err
 	}
-	if d.judge() {
-		fmt.Println("every answer was whole, its own, and from the version named")
-		return 0
+	fmt.Printf("== %s\n", name)
+	if err := part(args, folder); err != nil {
+		return fmt.Errorf("%s: %w; settings and logs are in %s", name, err, folder)
 	}
-	fmt.Println("the demo FAILED")
-	return 1
+	return os.RemoveAll(folder)
 }
