--- a/tests/standin/cluster.go
+++ b/tests/standin/cluster.go
@@ -43,12 +43,10 @@
 
 // EngineEntry is one engine with its place.
 type EngineEntry struct {
-	Name        string         `json:"name"`
-	Hall        string         `json:"hall"`
-	Base        string         `json:"base"`
-	Address     netip.AddrPort `json:"address"`
-	ChecksFence bool           `json:"checks_fence"`
-	Engine      *Engine        `json:"-"`
+	Name, Hall, Base string
+	Address          netip.AddrPort
+	ChecksFence      bool
+	Engine           *Engine
 }
 
 // Cluster is everything around the product, on loopback.
@@ -225,8 +223,8 @@
 func (c *Cluster) Runs() map[string]int {
 	out := make(map[string]int)
 	for _, e := range c.Engines {
-		for _, r := range e.Engine.Ran() {
-			out[r.RequestID] += r.Count
+		for id, count := range e.Engine.Runs() {
+			out[id] += count
 		}
 	}
 	return out
--- a/tests/standin/engine.go
+++ b/tests/standin/engine.go
@@ -6,6 +6,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"maps"
 	"net/http"
 	"slices"
 	"strconv"
@@ -23,19 +24,11 @@
 	Slots       int
 	MaxBatch    int
 	Step        time.Duration
-	Load        time.Duration
 	ChecksFence bool
-	// Fetch takes the weights from the weight store; nil loads without it.
+	// Fetch takes the weights from the weight store.
 	Fetch func(name string) error
 }
 
-// RunRecord is one run of a request, for oracles.
-type RunRecord struct {
-	RequestID string
-	Model     string
-	Count     int
-}
-
 // Engine is a model engine with continuous batches and adapter slots.
 type Engine struct {
 	options     EngineOptions
@@ -48,14 +41,10 @@
 	runs        map[string]*run
 	queue       []*run
 	running     int
-	ran         map[string]*RunRecord
-	failLoads   int
-	stopPart    int
-	leaving     bool
+	ran         map[string]int
 	violations  []string
 	loads       int
 	evictions   int
-	down        bool
 }
 
 // run is one request on the engine.
@@ -68,11 +57,9 @@
 	started bool
 	ended   bool
 	broken  bool
-	chat    bool
 	changed chan struct{}
 	readers int
 	idle    time.Time
-	stream  bool
 }
 
 // resumeLife is how long a run without a reader goes on before it counts as cancelled.
@@ -80,7 +67,7 @@
 
 // NewEngine makes an empty engine; Run makes it work.
 func NewEngine(o EngineOptions) *Engine {
-	e := &Engine{options: o, ran: make(map[string]*RunRecord)}
+	e := &Engine{options: o, ran: make(map[string]int)}
 	e.reset()
 	return e
 }
@@ -106,27 +93,6 @@
 	e.reset()
 }
 
-// FailLoads makes the coming loads fail; StopPartway makes them end without an answer, after their effect.
-func (e *Engine) FailLoads(count int) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.failLoads = count
-}
-
-// StopPartway makes the coming loads take effect and never answer.
-func (e *Engine) StopPartway(count int) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.stopPart = count
-}
-
-// SetLeaving makes the engine say that it is leaving.
-func (e *Engine) SetLeaving(leaving bool) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.leaving = leaving
-}
-
 // Violations lists promises that this engine saw broken.
 func (e *Engine) Violations() []string {
 	e.mutex.Lock()
@@ -134,15 +100,11 @@
 	return slices.Clone(e.violations)
 }
 
-// Ran lists every request that ever began to run here.
-func (e *Engine) Ran() []RunRecord {
+// Runs counts how often each request began to run here.
+func (e *Engine) Runs() map[string]int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	out := make([]RunRecord, 0, len(e.ran))
-	for _, r := range e.ran {
-		out = append(out, *r)
-	}
-	return out
+	return maps.Clone(e.ran)
 }
 
 // Counts gives the loads and evictions so far.
@@ -215,12 +177,7 @@
 		}
 		r.started = true
 		e.running++
-		record := e.ran[r.id]
-		if record == nil {
-			record = &RunRecord{RequestID: r.id, Model: r.model}
-			e.ran[r.id] = record
-		}
-		record.Count++
+		e.ran[r.id]++
 	}
 }
 
@@ -234,28 +191,8 @@
 	mux.HandleFunc("POST /v1/load_lora_adapter", e.load)
 	mux.HandleFunc("POST /v1/unload_lora_adapter", e.unload)
 	mux.HandleFunc("POST /v1/chat/completions", e.complete)
-	mux.HandleFunc("POST /v1/completions", e.complete)
 	mux.HandleFunc("DELETE /v1/requests/{id...}", e.cancel)
-	return e.reachable(mux)
-}
-
-// SetDown makes the engine drop every connection.
-func (e *Engine) SetDown(down bool) {
-	e.mutex.Lock()
-	defer e.mutex.Unlock()
-	e.down = down
-}
-
-func (e *Engine) reachable(next http.Handler) http.Handler {
-	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		e.mutex.Lock()
-		down := e.down
-		e.mutex.Unlock()
-		if down {
-			panic(http.ErrAbortHandler)
-		}
-		next.ServeHTTP(w, q)
-	})
+	return mux
 }
 
 func (e *Engine) headers(w http.ResponseWriter) {
@@ -263,9 +200,6 @@
 	h.Set(engine.HeaderIncarnation, e.incarnationName())
 	h.Set(engine.HeaderFence, strconv.FormatUint(e.fence, 10))
 	h.Set(engine.HeaderHolder, e.holder)
-	if e.leaving {
-		h.Set(engine.HeaderLeaving, "true")
-	}
 }
 
 func (e *Engine) incarnationName() string {
@@ -309,12 +243,7 @@
 }
 
 func joined(names map[string]bool) string {
-	out := make([]string, 0, len(names))
-	for name := range names {
-		out = append(out, name)
-	}
-	slices.Sort(out)
-	return strings.Join(out, ",")
+	return strings.Join(slices.Sorted(maps.Keys(names)), ",")
 }
 
 // allowed checks an order's fence and incarnation; the mutex is held.
@@ -363,25 +292,17 @@
 	if !ok || !e.beginLoad(w, q, b.Name) {
 		return
 	}
-	err := e.fetch(b.Path)
-	time.Sleep(e.options.Load)
+	err := e.options.Fetch(b.Path)
 	e.mutex.Lock()
+	defer e.mutex.Unlock()
 	delete(e.loading, b.Name)
-	if e.failLoads > 0 || err != nil {
-		e.failLoads = max(0, e.failLoads-1)
-		e.mutex.Unlock()
-		http.Error(w, "the load failed", http.StatusBadRequest)
+	if err != nil {
+		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	e.resident[b.Name] = true
 	e.loads++
-	lost := e.stopPart > 0
-	e.stopPart = max(0, e.stopPart-1)
 	e.headers(w)
-	e.mutex.Unlock()
-	if lost {
-		panic(http.ErrAbortHandler)
-	}
 }
 
 func (e *Engine) beginLoad(w http.ResponseWriter, q *http.Request, name string) bool {
@@ -402,13 +323,6 @@
 	return true
 }
 
-func (e *Engine) fetch(path string) error {
-	if e.options.Fetch == nil {
-		return nil
-	}
-	return e.options.Fetch(path)
-}
-
 func (e *Engine) unload(w http.ResponseWriter, q *http.Request) {
 	b, ok := readLora(w, q)
 	if !ok {
--- a/tests/standin/engine_stream.go
+++ b/tests/standin/engine_stream.go
@@ -16,13 +16,10 @@
 
 // completionBody is what the engine reads of a request.
 type completionBody struct {
-	Model     string          `json:"model"`
-	Stream    bool            `json:"stream"`
-	MaxTokens int             `json:"max_tokens"`
-	Prompt    string          `json:"prompt"`
-	Messages  []chatMessage   `json:"messages"`
-	Priority  int             `json:"priority"`
-	Metadata  json.RawMessage `json:"metadata"`
+	Model     string        `json:"model"`
+	Stream    bool          `json:"stream"`
+	MaxTokens int           `json:"max_tokens"`
+	Messages  []chatMessage `json:"messages"`
 }
 
 type chatMessage struct {
@@ -32,9 +29,9 @@
 
 const usualTokens = 16
 
-// Nonce gives the part of a prompt that every token repeats, so that a caller can
+// nonce gives the part of a prompt that every token repeats, so that a caller can
 // tell its own answer from any other.
-func Nonce(prompt string) string {
+func nonce(prompt string) string {
 	fields := strings.Fields(prompt)
 	if len(fields) == 0 {
 		return "none"
@@ -77,13 +74,13 @@
 	if !e.allowed(w, q, false) {
 		return nil, false
 	}
-	if !e.resident[b.Model] || e.leaving {
+	if !e.resident[b.Model] {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		e.headers(w)
 		http.Error(w, "the model is not loaded", http.StatusNotFound)
 		return nil, false
 	}
-	r := newRun(id, b, strings.Contains(q.URL.Path, "chat"))
+	r := newRun(id, b)
 	e.runs[id] = r
 	e.queue = append(e.queue, r)
 	e.headers(w)
@@ -92,16 +89,15 @@
 	return r, true
 }
 
-func newRun(id string, b completionBody, chat bool) *run {
-	prompt := b.Prompt
-	if len(b.Messages) > 0 {
-		prompt = b.Messages[len(b.Messages)-1].Content
+func newRun(id string, b completionBody) *run {
+	r := &run{id: id, model: b.Model, nonce: "none", tokens: b.MaxTokens, changed: make(chan struct{}), readers: 1}
+	if r.tokens <= 0 {
+		r.tokens = usualTokens
 	}
-	tokens := b.MaxTokens
-	if tokens <= 0 {
-		tokens = usualTokens
+	if len(b.Messages) > 0 {
+		r.nonce = nonce(b.Messages[len(b.Messages)-1].Content)
 	}
-	return &run{id: id, model: b.Model, nonce: Nonce(prompt), tokens: tokens, changed: make(chan struct{}), readers: 1, chat: chat, stream: b.Stream}
+	return r
 }
 
 func (e *Engine) resume(w http.ResponseWriter, id string) (*run, bool) {
@@ -164,27 +160,10 @@
 }
 
 func event(r *run, index int) []byte {
-	if r.chat {
-		return fmt.Appendf(nil, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n",
-			r.id, r.model, Token(r.nonce, index))
-	}
-	return fmt.Appendf(nil, "data: {\"id\":%q,\"object\":\"text_completion\",\"model\":%q,\"choices\":[{\"index\":0,\"text\":%q}]}\n\n",
+	return fmt.Appendf(nil, "data: {\"id\":%q,\"object\":\"chat.completion.chunk\",\"model\":%q,\"choices\":[{\"index\":0,\"delta\":{\"content\":%q}}]}\n\n",
 		r.id, r.model, Token(r.nonce, index))
 }
 
-// wholeBody is an answer that is not streamed.
-type wholeBody struct {
-	ID      string        `json:"id"`
-	Model   string        `json:"model"`
-	Choices []wholeChoice `json:"choices"`
-}
-
-type wholeChoice struct {
-	Index   int         `json:"index"`
-	Text    string      `json:"text,omitempty"`
-	Message chatMessage `json:"message"`
-}
-
 func (e *Engine) whole(w http.ResponseWriter, q *http.Request, r *run) {
 	for {
 		_, ended, broken, changed := e.progress(r)
@@ -200,15 +179,12 @@
 			return
 		}
 	}
-	var text strings.Builder
+	text := ""
 	for i := range r.tokens {
-		text.WriteString(Token(r.nonce, i))
-	}
-	body := wholeBody{ID: r.id, Model: r.model, Choices: []wholeChoice{{}}}
-	body.Choices[0].Message = chatMessage{Role: "assistant", Content: text.String()}
-	if !r.chat {
-		body.Choices[0].Text = text.String()
+		text += Token(r.nonce, i)
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(body)
+	_ = json.NewEncoder(w).Encode(map[string]any{
+		"id": r.id, "model": r.model, "choices": []map[string]any{{"index": 0, "message": chatMessage{Role: "assistant", Content: text}}},
+	})
 }
--- a/tests/standin/kv.go
+++ b/tests/standin/kv.go
@@ -5,6 +5,7 @@
 
 import (
 	"encoding/json"
+	"maps"
 	"net/http"
 	"sort"
 	"sync"
@@ -16,11 +17,9 @@
 // KVFaults are the faults of a key-value service.
 type KVFaults struct {
 	// Down refuses every call before it is done.
-	Down bool `json:"down"`
+	Down bool
 	// LoseAnswers is the number of coming writes that are done and never answered.
-	LoseAnswers int `json:"lose_answers"`
-	// Delay holds every answer back.
-	Delay time.Duration `json:"delay"`
+	LoseAnswers int
 }
 
 // KV is a key-value service in etcd v3's HTTP/JSON form, held in memory.
@@ -36,7 +35,6 @@
 	writes   int64
 	bytes    int64
 	largest  int
-	now      func() time.Time
 }
 
 type kvLease struct {
@@ -53,7 +51,7 @@
 // NewKV makes an empty service.
 func NewKV() *KV {
 	return &KV{
-		pairs: make(map[string]kv.Pair), leases: make(map[int64]*kvLease), watchers: make(map[*kvWatcher]bool), now: time.Now,
+		pairs: make(map[string]kv.Pair), leases: make(map[int64]*kvLease), watchers: make(map[*kvWatcher]bool),
 		nextID: 1000,
 	}
 }
@@ -79,26 +77,22 @@
 	return s.reads, s.writes, s.bytes, s.largest
 }
 
-// Dump copies all pairs, for tests that bring an older state back.
+// Dump copies all pairs.
 func (s *KV) Dump() map[string]kv.Pair {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	out := make(map[string]kv.Pair, len(s.pairs))
-	for k, v := range s.pairs {
-		out[k] = v
-	}
-	return out
+	return maps.Clone(s.pairs)
 }
 
-// Restore replaces all pairs, as a service does that was recovered from an old copy.
+// Restore replaces all pairs by older ones.
 func (s *KV) Restore(pairs map[string]kv.Pair) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.pairs = make(map[string]kv.Pair, len(pairs))
-	for k, v := range pairs {
-		s.pairs[k] = v
+	for key, pair := range pairs {
+		s.pairs[key] = pair
 		s.revision++
-		s.notify(kv.WatchEvent{KV: v}, k)
+		s.notify(kv.WatchEvent{KV: pair}, key)
 	}
 }
 
@@ -123,8 +117,7 @@
 			return
 		}
 		s.mutex.Lock()
-		faults := s.faults
-		if faults.Down {
+		if s.faults.Down {
 			s.mutex.Unlock()
 			http.Error(w, "the service is down", http.StatusServiceUnavailable)
 			return
@@ -137,7 +130,6 @@
 			s.faults.LoseAnswers--
 		}
 		s.mutex.Unlock()
-		time.Sleep(faults.Delay)
 		if lose {
 			panic(http.ErrAbortHandler)
 		}
@@ -156,7 +148,7 @@
 
 // expire ends the leases whose time has come.
 func (s *KV) expire() {
-	now := s.now()
+	now := time.Now()
 	for id, l := range s.leases {
 		if now.After(l.expires) {
 			s.endLease(id)
@@ -303,7 +295,7 @@
 func (s *KV) grant(r kv.LeaseGrantRequest) kv.LeaseResponse {
 	s.nextID++
 	ttl := time.Duration(r.TTL) * time.Second
-	s.leases[s.nextID] = &kvLease{ttl: ttl, expires: s.now().Add(ttl), keys: make(map[string]bool)}
+	s.leases[s.nextID] = &kvLease{ttl: ttl, expires: time.Now().Add(ttl), keys: make(map[string]bool)}
 	return kv.LeaseResponse{Header: s.header(), ID: s.nextID, TTL: r.TTL}
 }
 
@@ -312,7 +304,7 @@
 	if l == nil {
 		return kv.KeepAliveResponse{Result: kv.LeaseResponse{Header: s.header(), ID: r.ID}}
 	}
-	l.expires = s.now().Add(l.ttl)
+	l.expires = time.Now().Add(l.ttl)
 	return kv.KeepAliveResponse{Result: kv.LeaseResponse{Header: s.header(), ID: r.ID, TTL: int64(l.ttl / time.Second)}}
 }
 
--- a/tests/standin/platform.go
+++ b/tests/standin/platform.go
@@ -56,14 +56,6 @@
 	mux.HandleFunc("GET /instances", func(w http.ResponseWriter, _ *http.Request) {
 		_ = json.NewEncoder(w).Encode(l.visible(time.Now()))
 	})
-	mux.HandleFunc("PUT /instances", func(w http.ResponseWriter, q *http.Request) {
-		var in instancelist.List
-		if err := json.NewDecoder(q.Body).Decode(&in); err != nil {
-			http.Error(w, err.Error(), http.StatusBadRequest)
-			return
-		}
-		l.Set(in.Entries)
-	})
 	return mux
 }
 
@@ -75,7 +67,6 @@
 	time   time.Duration
 	next   time.Time
 	active int
-	count  int
 }
 
 // NewStore makes a weight store whose fetches take so long at full speed.
@@ -96,7 +87,6 @@
 	}
 	s.next = begin.Add(time.Duration(float64(time.Second) / s.rate))
 	s.active++
-	s.count++
 	slow := max(1, float64(s.active)/float64(s.atFull))
 	s.mutex.Unlock()
 	time.Sleep(begin.Sub(now) + time.Duration(float64(s.time)*slow))
@@ -106,17 +96,6 @@
 	return nil
 }
 
-// Handler serves the weights; the bytes themselves are of no interest here.
-func (s *Store) Handler() http.Handler {
-	mux := http.NewServeMux()
-	mux.HandleFunc("GET /weights/{name...}", func(w http.ResponseWriter, q *http.Request) {
-		if err := s.Fetch(q.PathValue("name")); err != nil {
-			http.Error(w, err.Error(), http.StatusNotFound)
-		}
-	})
-	return mux
-}
-
 // Plain is a plain service that counts the calls by their identifier.
 type Plain struct {
 	mutex sync.Mutex
