--- a/models/daemon/fleet/event.go
+++ b/models/daemon/fleet/event.go
@@ -36,7 +36,6 @@
 	EventEndpointDown   EventKind = "endpoint_down"
 	EventEndpointUp     EventKind = "endpoint_up"
 	EventDrain          EventKind = "drain"
-	EventClaim          EventKind = "claim"
 	EventResume         EventKind = "resume"
 )
 
--- a/models/daemon/fleet/request.go
+++ b/models/daemon/fleet/request.go
@@ -82,7 +82,7 @@
 // The reasons of a refusal.
 const (
 	ReasonQueueFull     Reason = "queue_full"
-	ReasonTenantLimit   Reason = "tenant_limit"
+	ReasonCustomerLimit Reason = "tenant_limit"
 	ReasonDeadline      Reason = "deadline"
 	ReasonExpired       Reason = "expired"
 	ReasonNoEndpoint    Reason = "no_endpoint"
--- a/routers/daemon/caller/error_body.go
+++ b/routers/daemon/caller/error_body.go
@@ -62,7 +62,7 @@
 		outcome: fleet.OutcomeNotRun, retryAfter: e.RetryAfter,
 	}
 	switch e.Reason {
-	case fleet.ReasonQueueFull, fleet.ReasonTenantLimit:
+	case fleet.ReasonQueueFull, fleet.ReasonCustomerLimit:
 		f.status, f.kind = http.StatusTooManyRequests, "rate_limit_error"
 	case fleet.ReasonExpired, fleet.ReasonDeadline:
 		f.status, f.kind = http.StatusGatewayTimeout, "timeout_error"
--- a/services/daemon/placement/submit.go
+++ b/services/daemon/placement/submit.go
@@ -74,7 +74,7 @@
 	}
 	own := p.queue.byCustomer[customerKey{class: class.Name, customer: r.Caller}]
 	if own > 0 && float64(own+r.Tokens()) > p.options.TenantShare*float64(class.MaxQueuedTokens) {
-		return fleet.Refusal{Reason: fleet.ReasonTenantLimit, RetryAfter: p.retryAfter(own)}, true
+		return fleet.Refusal{Reason: fleet.ReasonCustomerLimit, RetryAfter: p.retryAfter(own)}, true
 	}
 	if wait, refused := p.failures.Refuses(now, r.Adapter); refused && len(p.copies[r.Adapter]) == 0 {
 		return fleet.Refusal{Reason: fleet.ReasonLoadFailing, RetryAfter: wait}, true
--- a/tests/pinned/daemon/caller_test.go
+++ b/tests/pinned/daemon/caller_test.go
@@ -205,7 +205,7 @@
 // reasons lists the reasons of a refusal.
 func reasons() []fleet.Reason {
 	return []fleet.Reason{
-		fleet.ReasonQueueFull, fleet.ReasonTenantLimit, fleet.ReasonDeadline, fleet.ReasonExpired, fleet.ReasonNoEndpoint, fleet.ReasonLoadFailing,
+		fleet.ReasonQueueFull, fleet.ReasonCustomerLimit, fleet.ReasonDeadline, fleet.ReasonExpired, fleet.ReasonNoEndpoint, fleet.ReasonLoadFailing,
 		fleet.ReasonStopping, fleet.ReasonNoPlacer, fleet.ReasonCancelled, fleet.ReasonClaimed, fleet.ReasonClaimImpossib, fleet.ReasonRule,
 	}
 }
