--- a/models/daemon/catalog/catalog.go
+++ b/models/daemon/catalog/catalog.go
@@ -25,7 +25,10 @@
 	Versions []Version `json:"versions"`
 }
 
-// Share is one adapter version's part of a service's requests.
+// WholePercent is what the shares of a service add up to, in percent.
+const WholePercent = 100
+
+// Share is one adapter version's part of a service's requests, in percent.
 type Share struct {
 	Adapter string `json:"adapter"`
 	// Version zero means the adapter's live version.
@@ -83,14 +86,14 @@
 	return &out
 }
 
-// version finds a version that is not retired.
-func (a *Adapter) version(number int) (Version, bool) {
+// inService tells whether the adapter has the version and it is not retired.
+func (a *Adapter) inService(number int) bool {
 	for _, v := range a.Versions {
 		if v.Number == number && !v.Retired {
-			return v, true
+			return true
 		}
 	}
-	return Version{}, false
+	return false
 }
 
 // Target is what a caller's model name stands for.
@@ -121,7 +124,7 @@
 	if !ok {
 		return Target{}, ErrModelNotExist{Name: ref.Name}
 	}
-	if _, ok := a.version(ref.Version); !ok {
+	if !a.inService(ref.Version) {
 		return Target{}, ErrVersionNotExist{Ref: ref}
 	}
 	return Target{Ref: ref, Base: a.Base}, nil
--- a/models/daemon/catalog/codec.go
+++ b/models/daemon/catalog/codec.go
@@ -24,9 +24,10 @@
 	return fmt.Sprintf("the stored %s cannot be read: %s", e.What, e.Reason)
 }
 
-// maxDecoded bounds what a stored value may unfold to, in bytes.
+// maxDecoded bounds what a stored value may unfold to, in bytes, so that a damaged one cannot exhaust the memory; not measured.
 const maxDecoded = 64 << 20
 
+// The errors are of options that do not fit together, and these are constant.
 var (
 	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
 	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoded))
--- a/models/daemon/catalog/history.go
+++ b/models/daemon/catalog/history.go
@@ -3,9 +3,7 @@
 
 package catalog
 
-import (
-	"fmt"
-)
+import "fmt"
 
 // ErrGap reports records that do not follow on the revision in hand.
 type ErrGap struct {
@@ -19,8 +17,12 @@
 }
 
 const (
+	// maxHistory and maxHistoryBytes bound the records kept, by number and by bytes of their stored form: they trade
+	// memory for snapshots sent to instances that were away. Not measured.
 	maxHistory      = 512
 	maxHistoryBytes = 2 << 20
+	// maxKeptChanges bounds the changes of a kept record that are held decoded; not measured.
+	maxKeptChanges = 64
 )
 
 // History keeps the recent records in their stored form, to pass them on.
@@ -115,5 +117,3 @@
 		h.records = h.records[1:]
 	}
 }
-
-const maxKeptChanges = 64
--- a/models/daemon/catalog/rule.go
+++ b/models/daemon/catalog/rule.go
@@ -18,7 +18,7 @@
 	Base    string `json:"base,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Hall    string `json:"hall,omitempty"`
-	// From and To bound the time of day, in minutes after midnight in Zone.
+	// From and To bound the time of day, in minutes after midnight in the time zone Zone.
 	From int    `json:"from,omitempty"`
 	To   int    `json:"to,omitempty"`
 	Zone string `json:"zone,omitempty"`
@@ -28,6 +28,9 @@
 	Refuse   bool     `json:"refuse,omitempty"`
 }
 
+// minutesPerHour turns the time of day into From's and To's unit.
+const minutesPerHour = int(time.Hour / time.Minute)
+
 // Matches tells whether the rule applies to the request at the time.
 func (r Rule) Matches(now time.Time, q fleet.Request) bool {
 	if !glob(r.Class, q.Class) || !glob(r.Caller, q.Caller) || !glob(r.Base, q.Base) {
@@ -43,12 +46,13 @@
 	if r.From == r.To {
 		return true
 	}
-	zone, err := time.LoadLocation(r.Zone)
+	location, err := time.LoadLocation(r.Zone)
 	if err != nil {
-		zone = time.UTC
+		// A time zone is checked when the rule is set; one that this instance's tables lack is taken as UTC.
+		location = time.UTC
 	}
-	local := now.In(zone)
-	minute := local.Hour()*60 + local.Minute()
+	local := now.In(location)
+	minute := local.Hour()*minutesPerHour + local.Minute()
 	if r.From < r.To {
 		return minute >= r.From && minute < r.To
 	}
