--- a/services/entry/loading/copy.go
+++ b/services/entry/loading/copy.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// ghostLife is how much later than its sending an unanswered order may be carried out; so long a place is kept for it.
+	// deliveryLimit is how much later than its sending an unanswered order may be carried out; so long a place is kept for it.
 	// Longer wastes places, shorter lets a late order overfill the endpoint. Measured: docs/design/0006-measured.md,
 	// "places kept for unanswered loads"; the length itself was not varied.
-	ghostLife = 13 * time.Second
+	deliveryLimit = 13 * time.Second
 	// descriptionLag is how long the description of an endpoint in the store may lag behind what it holds. Longer trusts
 	// the plan's own orders for longer, shorter takes in sooner what the endpoint dropped by itself. Not measured.
 	descriptionLag = 3 * time.Second
@@ -72,10 +72,10 @@
 	busy bool
 	// inspect asks for its report before the next order.
 	inspect bool
-	// ghosts are loads that were not answered and may still be carried out.
-	ghosts []ghost
-	// introduced is set once the endpoint's own report was read.
-	introduced bool
+	// unanswered are loads without an answer, which may still be carried out.
+	unanswered []unansweredLoad
+	// reportRead is set once the endpoint's own report was read.
+	reportRead bool
 	// silentUntil is until when orders are expected to stay unanswered.
 	silentUntil time.Time
 	// restUntil keeps orders away after one failed.
@@ -86,28 +86,28 @@
 	suspect bool
 }
 
-// ghost is an unanswered load. The endpoint takes it, up to ghostLife later, if it still has the
+// unansweredLoad is a load without an answer. The endpoint takes it, up to deliveryLimit later, if it still has the
 // sequence that the order named; until it has taken another order, a place must be kept for it.
-type ghost struct {
+type unansweredLoad struct {
 	sequence int64
 	until    time.Time
 }
 
-// addGhost keeps a place for an order at a sequence.
-func (e *endpointPlan) addGhost(now time.Time, sequence int64) {
-	e.ghosts = append(e.ghosts, ghost{sequence: sequence, until: now.Add(ghostLife)})
+// addUnanswered keeps a place for an order at a sequence.
+func (e *endpointPlan) addUnanswered(now time.Time, sequence int64) {
+	e.unanswered = append(e.unanswered, unansweredLoad{sequence: sequence, until: now.Add(deliveryLimit)})
 }
 
 // taken is the number of places that are taken or must be kept.
 func (e *endpointPlan) taken(now time.Time) int {
-	kept := e.ghosts[:0]
-	for _, one := range e.ghosts {
+	kept := e.unanswered[:0]
+	for _, one := range e.unanswered {
 		if one.sequence >= e.sequence && now.Before(one.until) {
 			kept = append(kept, one)
 		}
 	}
-	e.ghosts = kept
-	return len(e.copies) + len(e.ghosts)
+	e.unanswered = kept
+	return len(e.copies) + len(e.unanswered)
 }
 
 func newEndpointPlan(endpoint deployment.Endpoint) *endpointPlan {
@@ -176,10 +176,10 @@
 		return false
 	}
 	e.sequence = report.Sequence
-	if !e.introduced {
+	if !e.reportRead {
 		// A former planner's last order may still be carried out.
-		e.introduced = true
-		e.addGhost(now, report.Sequence)
+		e.reportRead = true
+		e.addUnanswered(now, report.Sequence)
 	}
 	e.adopt(now, report.Adapters, reportLag)
 	pending := make(map[deployment.Adapter]bool, len(report.Pending))
--- a/services/entry/loading/pace.go
+++ b/services/entry/loading/pace.go
@@ -27,7 +27,7 @@
 	// store idle. Not measured.
 	backOff = 0.85
 	// forgetting is the factor by which the shortest load time grows with each load, so that it follows a store that became
-	// slower for good. Higher follows sooner and mistakes a crowd for a slower store. Not measured.
+	// slower for good. Higher follows sooner and mistakes too many loads at once for a slower store. Not measured.
 	forgetting = 1.01
 	// smoothing is the weight of the newest load in the typical load time. Higher follows changes sooner, with more noise.
 	// Not measured.
--- a/services/entry/loading/result.go
+++ b/services/entry/loading/result.go
@@ -103,7 +103,7 @@
 		plan.restUntil = now.Add(restAfterFailure)
 		plan.inspect = true
 	case Unanswered, Inspected:
-		plan.addGhost(now, result.Order.ExpectedSequence)
+		plan.addUnanswered(now, result.Order.ExpectedSequence)
 		plan.silentUntil = now.Add(silenceMemory)
 		plan.restUntil = now.Add(answerRest)
 		plan.inspect = true
