--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -282,7 +282,7 @@
 func (p *planning) noteCrowds() {
 	for id, entry := range p.coordinator.directory.Entries() {
 		if planner, ok := p.planners[entry.Service]; ok {
-			planner.SetLoad(id, balance.Full(entry, noCopySlotShare, noCopySlots), balance.Full(entry, noRequestSlotShare, noRequestSlots))
+			planner.SetSaturation(id, balance.Full(entry, noCopySlotShare, noCopySlots), balance.Full(entry, noRequestSlotShare, noRequestSlots))
 		}
 	}
 }
--- a/services/entry/loading/copy.go
+++ b/services/entry/loading/copy.go
@@ -80,8 +80,9 @@
 	silentUntil time.Time
 	// restUntil keeps orders away after one failed.
 	restUntil time.Time
-	// crowded endpoints have as many requests in flight as they should, full ones as many as they may.
-	crowded, full bool
+	// saturated endpoints have so many requests in flight that they get no more; nearly saturated ones get no copies that they
+	// did not hold before. Both are verdicts of package balance.
+	nearlySaturated, saturated bool
 	// suspect endpoints get no new copies.
 	suspect bool
 }
--- a/services/entry/loading/forecast.go
+++ b/services/entry/loading/forecast.go
@@ -50,7 +50,7 @@
 func (p *Planner) parallelLoads() int {
 	open := 0
 	for _, plan := range p.endpoints {
-		if plan.endpoint.State == deployment.Ready && !plan.suspect && !plan.crowded && len(plan.endpoint.Models) > 0 {
+		if plan.endpoint.State == deployment.Ready && !plan.suspect && !plan.nearlySaturated && len(plan.endpoint.Models) > 0 {
 			open++
 		}
 	}
--- a/services/entry/loading/placement.go
+++ b/services/entry/loading/placement.go
@@ -144,11 +144,11 @@
 	return !now.Before(e.silentUntil) && (outgoing > 0 || e.busy || e.pending() > 0)
 }
 
-// takesCopies reports whether a copy of an adapter may be brought to an endpoint; a crowded one takes
+// takesCopies reports whether a copy of an adapter may be brought to an endpoint; one that is nearly saturated takes
 // only what it held before, which costs the weight store nothing.
 func (e *endpointPlan) takesCopies(adapter deployment.Adapter, warm bool) bool {
 	_, has := e.copies[adapter]
-	return !has && !e.suspect && !e.full && (warm || !e.crowded) && e.endpoint.State == deployment.Ready && e.endpoint.HasModel(adapter.Model)
+	return !has && !e.suspect && !e.saturated && (warm || !e.nearlySaturated) && e.endpoint.State == deployment.Ready && e.endpoint.HasModel(adapter.Model)
 }
 
 // coldLoads counts the loads under way from the weight store.
--- a/services/entry/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -101,11 +101,11 @@
 	}
 }
 
-// SetLoad reports whether an endpoint has so many requests in flight that it should get no new copies,
-// and whether it has so many that its copies do not help requests that wait.
-func (p *Planner) SetLoad(id deployment.EndpointID, crowded, full bool) {
+// SetSaturation takes in whether an endpoint has so many requests in flight that it gets no new copies, and whether it
+// has so many that it gets no requests, so that its copies do not help those that wait.
+func (p *Planner) SetSaturation(id deployment.EndpointID, nearlySaturated, saturated bool) {
 	if plan, ok := p.endpoints[id]; ok {
-		plan.crowded, plan.full = crowded, full
+		plan.nearlySaturated, plan.saturated = nearlySaturated, saturated
 	}
 }
 
--- a/services/entry/loading/planner_test.go
+++ b/services/entry/loading/planner_test.go
@@ -273,9 +273,9 @@
 	assert.False(t, ok)
 }
 
-func TestRequestsThatWaitForACrowdedCopyGetAnotherOne(t *testing.T) {
+func TestRequestsThatWaitForASaturatedCopyGetAnotherOne(t *testing.T) {
 	p := newPlanner(1)
-	p.SetEndpoint(start, described("crowded", adapter(1)), nextRevision(), false)
+	p.SetEndpoint(start, described("saturated", adapter(1)), nextRevision(), false)
 	p.SetEndpoint(start, described("free"), nextRevision(), false)
 	inspect, _ := p.Next(start)
 	p.Done(start, loading.Result{Order: inspect, Reply: loading.Inspected, Report: &loading.Report{Adapters: described("", adapter(1)).Adapters}})
@@ -283,12 +283,12 @@
 	_, ok := p.Next(start)
 	assert.False(t, ok, "the copy has room")
 
-	p.SetLoad("crowded", true, false)
+	p.SetSaturation("saturated", true, false)
 	p.Report(start, "i", waiting(adapter(1)))
 	_, ok = p.Next(start.Add(100 * time.Millisecond))
-	assert.False(t, ok, "a crowded endpoint serves what only it holds; a second copy would cost a load and a place")
+	assert.False(t, ok, "a nearly saturated endpoint serves what only it holds; a second copy would cost a load and a place")
 
-	p.SetLoad("crowded", true, true)
+	p.SetSaturation("saturated", true, true)
 	later := start.Add(time.Second)
 	p.Report(later, "i", waiting(adapter(1)))
 	order, ok := p.Next(later)
--- a/services/entry/loading/value.go
+++ b/services/entry/loading/value.go
@@ -22,9 +22,10 @@
 	// worthwhileUse is the expected use within the horizon, in requests, below which no copy is brought or kept up to date
 	// for an adapter that nobody waits for. Lower spends loads on adapters that may not be asked for again. Not measured.
 	worthwhileUse = 1.0
-	// fullShare is the part of an endpoint's fair share of requests that one copy may take before it gets a second copy.
+	// evenRateShare is the share of the rate that each endpoint would draw if all requests were spread evenly (EvenRate) that one
+	// copy may draw before there is a second one.
 	// Lower spreads hot adapters sooner and costs loads and places. Not measured.
-	fullShare = 0.7
+	evenRateShare = 0.7
 	// extraCopyValue weighs the relief of a hot copy against a first copy. Higher spends more loads on second copies.
 	// Not measured.
 	extraCopyValue = 0.4
@@ -36,7 +37,7 @@
 // copyCount is how many copies of an adapter there are.
 type copyCount struct {
 	// usable copies are resident at the version to be served; coming ones are on their way;
-	// free ones are usable and not on a full endpoint.
+	// free ones are usable and not on a saturated endpoint.
 	usable, coming, free int
 }
 
@@ -54,7 +55,7 @@
 				count.coming++
 			case c.state == copyResident && c.version >= p.versionOf(adapter):
 				count.usable++
-				if !plan.full {
+				if !plan.saturated {
 					count.free++
 				}
 			}
@@ -74,7 +75,7 @@
 // CopyNeed is what the worth of one more copy of an adapter depends on.
 type CopyNeed struct {
 	// Usable, Coming and Free are counts of copies in the planner's own plan, on endpoints that take requests: resident at
-	// the version to be served, on their way, and usable on an endpoint that is not full.
+	// the version to be served, on their way, and usable on an endpoint that is not saturated.
 	Usable, Coming, Free int
 	// Waiting is how many requests wait for the adapter, by the instances' last reports.
 	Waiting int
@@ -100,7 +101,7 @@
 	if n.Coming > 0 || n.Rate < leastExtraRate || n.EvenRate <= 0 {
 		return 0
 	}
-	excess := n.Rate/float64(n.Usable) - n.EvenRate*fullShare
+	excess := n.Rate/float64(n.Usable) - n.EvenRate*evenRateShare
 	if excess <= 0 {
 		return 0
 	}
