--- a/tests/pinned/program/entry_settings_test.go
+++ b/tests/pinned/program/entry_settings_test.go
@@ -89,8 +89,8 @@
 		"bounds.ceiling_window_s":     node.LoadWindow,
 		"bounds.origin_rate_cap":      node.LoadTolerance,
 		"bounds.version_ms":           node.VersionLimit,
-		"platform.address":            settings.Platform.Address,
-		"platform.form":               settings.Platform.Form,
+		"platform.address":            settings.Store,
+		"platform.form":               settings.StoreForm,
 	}
 	out := make(map[string]string)
 	for path, value := range values {
