--- a/tests/platformstandin/site.go
+++ b/tests/platformstandin/site.go
@@ -9,6 +9,13 @@
 	"net/netip"
 )
 
+// Names on the wire that callers and operators of the example site use.
+const (
+	ConfigurationKey = "op/config"
+	HeaderRequestID  = "X-Attempt-Id"
+	HeaderSeal       = "X-Server-Seal"
+)
+
 // Names of the example site.
 const (
 	Host          = "site.example"
--- a/tests/platformstandin/worker.go
+++ b/tests/platformstandin/worker.go
@@ -362,7 +362,7 @@
 		return
 	}
 	run := &Run{
-		ID: request.Header.Get("X-Attempt-Id"), Adapter: adapter, Version: version,
+		ID: request.Header.Get(HeaderRequestID), Adapter: adapter, Version: version,
 		Deadline: request.Header.Get("X-Deadline-Ms"), Resumed: request.Header.Get("Last-Event-Id"),
 	}
 	w.runs = append(w.runs, run)
@@ -390,9 +390,9 @@
 	w.faults.Extras -= boolCount(extra)
 	w.faults.Unsealed -= boolCount(unsealed)
 	w.mutex.Unlock()
-	writer.Header().Set("X-Attempt-Id", run.ID)
+	writer.Header().Set(HeaderRequestID, run.ID)
 	if !unsealed {
-		writer.Header().Set("X-Server-Seal", w.options.ID+"."+run.ID)
+		writer.Header().Set(HeaderSeal, w.options.ID+"."+run.ID)
 	}
 	if trouble == faultError {
 		writer.WriteHeader(http.StatusInternalServerError)
--- a/tools/demo/entries.go
+++ b/tools/demo/entries.go
@@ -63,7 +63,7 @@
 		},
 		args.Requests * 3 / 4: func() error {
 			fmt.Println("a configuration with one more route is put")
-			e.store.Put("op/config", platformstandin.Configuration(2, map[string]string{"/new/": platformstandin.PlainService}))
+			e.store.Put(platformstandin.ConfigurationKey, platformstandin.Configuration(2, map[string]string{"/new/": platformstandin.PlainService}))
 			return nil
 		},
 	}}.run()
@@ -71,7 +71,7 @@
 }
 
 func (e *entries) startWorkers() {
-	e.store.Put("op/config", platformstandin.Configuration(1, nil))
+	e.store.Put(platformstandin.ConfigurationKey, platformstandin.Configuration(1, nil))
 	for i := range workers {
 		e.models = append(e.models, platformstandin.NewWorker(e.store, platformstandin.WorkerOptions{
 			ID: fmt.Sprintf("i-model-%d", i), Service: platformstandin.ModelService, Zone: "h1", Slots: 16, Model: platformstandin.Model,
@@ -136,7 +136,7 @@
 		return reply{outcome: wrong, detail: err.Error()}
 	}
 	post.Host = platformstandin.Host
-	post.Header.Set("X-Attempt-Id", id)
+	post.Header.Set(platformstandin.HeaderRequestID, id)
 	post.Header.Set("X-Deadline-Ms", "5000")
 	if adapter != "" {
 		post.Header.Set("X-Model", platformstandin.Model+"/"+adapter)
@@ -160,7 +160,7 @@
 	case response.StatusCode == http.StatusServiceUnavailable:
 		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
 		return reply{outcome: refused, detail: detail, wait: time.Duration(seconds * float64(time.Second))}
-	case response.StatusCode != http.StatusOK || response.Header.Get("X-Attempt-Id") != id || response.Header.Get("X-Server-Seal") == "":
+	case response.StatusCode != http.StatusOK || response.Header.Get(platformstandin.HeaderRequestID) != id || response.Header.Get(platformstandin.HeaderSeal) == "":
 		return reply{outcome: wrong, detail: detail}
 	}
 	for event := 1; adapter != "" && event <= streamEvents; event++ {
