--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -126,7 +126,7 @@
 	c.current.Store(configuration)
 	c.options.Log.WithFields(map[string]any{"version": configuration.Version, "revision": item.Revision}).Info("configuration in force")
 	if c.planning != nil {
-		c.planning.setConfiguration(now, configuration)
+		c.planning.plans.SetConfiguration(now, configuration, c.versions.All())
 	}
 }
 
@@ -137,6 +137,6 @@
 	}
 	c.options.Log.WithFields(map[string]any{"adapter": adapter.String(), "version": version}).Info("version named")
 	if c.planning != nil {
-		c.planning.setVersion(now, adapter, version)
+		c.planning.plans.SetVersion(now, adapter, version)
 	}
 }
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -167,11 +167,8 @@
 	c.sweptAt = now
 	c.directory.RememberHeld(now)
 	c.demand.Sweep(now)
-	if c.planning == nil {
-		return
-	}
-	for _, planner := range c.planning.planners {
-		planner.Sweep(now)
+	if c.planning != nil {
+		c.planning.plans.Sweep(now)
 	}
 }
 
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -128,7 +128,7 @@
 	}
 	for id := range before {
 		if c.planning != nil && c.directory.Entry(id) == nil {
-			c.planning.removeEndpoint(id, at)
+			c.planning.plans.RemoveEndpoint(id, at)
 		}
 	}
 	for _, endpoint := range endpoints {
@@ -174,7 +174,7 @@
 	if c.planning == nil || entry == nil {
 		return
 	}
-	c.planning.setEndpoint(now, entry.Endpoint, entry.Revision)
+	c.planning.plans.SetEndpoint(now, entry.Endpoint, entry.Revision)
 }
 
 func (c *Coordinator) removeEndpoint(id deployment.EndpointID, revision int64) {
@@ -184,7 +184,7 @@
 	c.options.Log.WithField("endpoint", id).Info("endpoint gone")
 	c.environment.Retire(id)
 	if c.planning != nil {
-		c.planning.removeEndpoint(id, revision)
+		c.planning.plans.RemoveEndpoint(id, revision)
 	}
 }
 
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -57,7 +57,7 @@
 	}
 	record := p.tenure.Record()
 	record.Released = record.Ordering && !c.ordersUnderWay(p)
-	c.loop.call(func(now time.Time) { record.RecentLoads = p.recentLoads(now) })
+	c.loop.call(func(now time.Time) { record.RecentLoads = p.plans.RecentLoads(now) })
 	if record.Released {
 		c.rewriteRecord(p.tenure, record)
 	}
--- /dev/null
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -0,0 +1,221 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package plan_test
+
+import (
+	"maps"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/plan"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
+)
+
+const (
+	service = "chat"
+	silence = 1500 * time.Millisecond
+)
+
+var (
+	start   = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+	adapter = deployment.Adapter{Model: "base", Name: "a1"}
+	key     = deployment.ServiceAdapter{Service: service, Adapter: adapter}
+)
+
+// fixture is the plan of one service over one endpoint.
+type fixture struct {
+	plans     *plan.Plans
+	directory *directory.Directory
+	members   *member.Table
+	// ordered are the orders that were started, begun the loads that were told.
+	ordered []loading.Order
+	begun   map[deployment.ServiceAdapter]time.Duration
+	may     bool
+}
+
+func configuration(models ...string) *deployment.Configuration {
+	engine := &deployment.Engine{Slots: 16, AdapterCapacity: 4, LoadsPerSecond: 50}
+	for _, name := range models {
+		engine.Models = append(engine.Models, deployment.Model{Name: name, Adapters: 4})
+	}
+	return deployment.NewConfiguration(1, nil, map[string]*deployment.Service{
+		service: {Name: service, Engine: engine}, "plain": {Name: "plain"},
+	}, deployment.Limits{})
+}
+
+func newFixture() *fixture {
+	f := &fixture{directory: directory.New(), members: member.NewTable(), begun: make(map[deployment.ServiceAdapter]time.Duration), may: true}
+	f.plans = plan.New(plan.Options{
+		LoadWindow: time.Second, LoadTolerance: 1, LoadSlack: 10, Random: func() float64 { return 0.5 },
+		Copies: plan.Bound{Share: 0.5, Least: 10}, Requests: plan.Bound{Share: 0.65, Least: 12},
+	}, f.directory, f.members, 0)
+	f.directory.Put(deployment.Endpoint{
+		ID: "e1", Service: service, Slots: 16, Models: []string{"base"}, CachedModels: []string{"base"}, Adapters: map[deployment.Adapter]int64{},
+	}, 5)
+	f.plans.SetConfiguration(start, configuration("base"), maps.All(map[deployment.Adapter]int64{}))
+	return f
+}
+
+// order plans until nothing more is ordered; an endpoint answers inspections and takes loads at once.
+func (f *fixture) order(now time.Time) {
+	for {
+		var started []loading.Order
+		f.plans.Order(now, func() bool { return f.may }, func(order loading.Order) { started = append(started, order) },
+			func(key deployment.ServiceAdapter, until time.Duration) { f.begun[key] = until })
+		if len(started) == 0 {
+			return
+		}
+		f.ordered = append(f.ordered, started...)
+		for _, order := range started {
+			result := loading.Result{Order: order, Reply: loading.Holds, Took: time.Millisecond}
+			if order.Kind == loading.Inspect {
+				result.Reply = loading.Inspected
+				result.Report = &loading.Report{Models: []string{"base"}, Adapters: map[deployment.Adapter]int64{}}
+			}
+			f.plans.Done(now, result)
+		}
+	}
+}
+
+func (f *fixture) loads() (list []deployment.Adapter) {
+	for _, order := range f.ordered {
+		if order.Kind == loading.Load && !order.Adapter.IsZero() {
+			list = append(list, order.Adapter)
+		}
+	}
+	return list
+}
+
+func asks(instance string, waiting int) *wire.Report {
+	return &wire.Report{Instance: instance, Demands: []wire.Demand{{Service: service, Model: "base", Name: "a1", Waiting: waiting, InTime: time.Second}}}
+}
+
+func TestWhatIsAskedForIsLoadedToldAndOffered(t *testing.T) {
+	f := newFixture()
+	assert.True(t, f.plans.Has(service))
+	assert.False(t, f.plans.Has("plain"), "a service without engines needs no plan")
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.order(start)
+	assert.Equal(t, []deployment.Adapter{adapter}, f.loads())
+	assert.Contains(t, f.begun, key)
+	assert.Contains(t, f.directory.Entry("e1").Offered, adapter)
+
+	news := f.plans.News()
+	assert.False(t, news.Empty())
+	assert.True(t, news.Changed["e1"])
+	begun := f.plans.TakeBegun()
+	require.Len(t, begun, 1)
+	assert.Equal(t, key, begun[0].Key())
+	assert.Equal(t, f.begun[key], begun[0].Until)
+	assert.Empty(t, f.plans.TakeBegun(), "told once")
+	f.plans.Told()
+	assert.True(t, f.plans.News().Empty())
+	assert.Zero(t, f.plans.RecentLoads(start), "only base models count")
+}
+
+func TestARepeatedReportAsksForNothingMore(t *testing.T) {
+	f := newFixture()
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.order(start)
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.order(start)
+	assert.Len(t, f.loads(), 1)
+}
+
+func TestNothingIsOrderedWithoutTheLease(t *testing.T) {
+	f := newFixture()
+	f.may = false
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.order(start)
+	assert.Empty(t, f.ordered)
+	f.may = true
+	f.order(start)
+	assert.NotEmpty(t, f.loads())
+}
+
+func TestWhatOnlyALostInstanceAskedForIsNotLoaded(t *testing.T) {
+	f := newFixture()
+	f.members.Join("a", nil)
+	f.plans.TakeMember(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.Review(start.Add(silence+time.Millisecond), silence)
+	f.order(start.Add(silence + time.Millisecond))
+	assert.Empty(t, f.loads())
+}
+
+func TestAnOrderThatArrivesLateChangesNothingOfAServiceThatIsGone(t *testing.T) {
+	f := newFixture()
+	f.plans.TakeDemand(start, asks("a", 1))
+	var started []loading.Order
+	f.plans.Order(start, func() bool { return true }, func(order loading.Order) { started = append(started, order) }, func(deployment.ServiceAdapter, time.Duration) {})
+	require.NotEmpty(t, started)
+	none := deployment.NewConfiguration(2, nil, map[string]*deployment.Service{}, deployment.Limits{})
+	f.plans.SetConfiguration(start, none, maps.All(map[deployment.Adapter]int64{}))
+	assert.False(t, f.plans.Has(service))
+	f.plans.Done(start, loading.Result{Order: started[0], Reply: loading.Holds})
+	f.order(start)
+	assert.Empty(t, f.loads())
+}
+
+func TestAnEndpointThatLeavesIsToldAsGone(t *testing.T) {
+	f := newFixture()
+	f.plans.Told()
+	f.plans.SetEndpoint(start, f.directory.Entry("e1").Endpoint, 6)
+	f.directory.Remove("e1", 7)
+	f.plans.RemoveEndpoint("e1", 7)
+	news := f.plans.News()
+	assert.Empty(t, news.Changed)
+	assert.Equal(t, []wire.Gone{{ID: "e1", Revision: 7}}, news.Removed)
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.order(start)
+	assert.Empty(t, f.ordered)
+}
+
+func TestAnEndpointThatIsBadForTwoGetsNoLoads(t *testing.T) {
+	f := newFixture()
+	bad := []deployment.EndpointID{"e1"}
+	f.members.Join("a", nil)
+	f.members.Join("b", nil)
+	assert.True(t, f.plans.TakeMember(start, &wire.Report{Instance: "a", Suspects: bad}))
+	assert.True(t, f.plans.TakeMember(start, &wire.Report{Instance: "b", Suspects: bad}))
+	assert.False(t, f.plans.TakeMember(start, &wire.Report{Instance: "self", Suspects: bad}), "the planner itself is no member")
+	f.plans.TakeDemand(start, asks("a", 1))
+	f.order(start)
+	assert.Empty(t, f.loads())
+	later := start.Add(500 * time.Millisecond)
+	f.plans.TakeMember(later, &wire.Report{Instance: "b"})
+	f.order(later)
+	assert.Len(t, f.loads(), 1, "one vote of three is not enough")
+}
+
+func TestAFullEndpointGetsNoColdCopies(t *testing.T) {
+	for inFlight, loads := range map[int]int{9: 1, 10: 0, 11: 0} {
+		f := newFixture()
+		for range inFlight {
+			f.directory.Begin(start, "e1", deployment.Adapter{Model: "base"})
+		}
+		f.plans.TakeDemand(start, asks("a", 1))
+		f.plans.Review(start, silence)
+		f.order(start)
+		assert.Len(t, f.loads(), loads, "%d of 16 slots", inFlight)
+	}
+}
+
+func TestForecastsNameBacklogsOfEachService(t *testing.T) {
+	f := newFixture()
+	loads, backlogs := f.plans.Forecasts(start)
+	assert.Empty(t, loads)
+	assert.Contains(t, backlogs, service)
+	_, waits := f.plans.NextPoll(start, time.Hour)
+	assert.False(t, waits, "no load is under way")
+	assert.Zero(t, f.plans.Withdrawals())
+}
--- /dev/null
+++ b/services/entry/coordinator/plan/plans.go
@@ -0,0 +1,272 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package plan
+
+import (
+	"iter"
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/balance"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
+)
+
+// Bound is how many requests an endpoint may have in flight before something is kept from it.
+type Bound struct {
+	// Share is the part of its slots, Least the number of requests that it may have whatever its share.
+	Share float64
+	Least int
+}
+
+// Options are the settings of Plans.
+type Options struct {
+	// LoadWindow, LoadTolerance and LoadSlack bound loads from the weight store.
+	LoadWindow    time.Duration
+	LoadTolerance float64
+	LoadSlack     float64
+	// Copies is from which load on an endpoint gets no new copies, Requests from which on it gets no requests.
+	Copies   Bound
+	Requests Bound
+	// Random gives a number from 0 up to 1.
+	Random func() float64
+}
+
+// Plans holds a plan for each service with engines; it is not safe for concurrent use.
+type Plans struct {
+	options       Options
+	directory     *directory.Directory
+	members       *member.Table
+	configuration *deployment.Configuration
+	planners      map[string]*loading.Planner
+	// startRecent is what the former holder said of the loads it began in the last window.
+	startRecent int
+	news        News
+}
+
+// New makes plans over a directory and members, whose changes it sees; startRecent is the number of loads that a
+// former holder began in the last window.
+func New(options Options, known *directory.Directory, members *member.Table, startRecent int) *Plans {
+	return &Plans{
+		options: options, directory: known, members: members, startRecent: startRecent,
+		planners: make(map[string]*loading.Planner), news: News{Changed: make(map[deployment.EndpointID]bool)},
+	}
+}
+
+// SetConfiguration makes a plan for each service with engines, which begins with the endpoints that are known, and
+// ends those of services that are gone.
+func (p *Plans) SetConfiguration(now time.Time, configuration *deployment.Configuration, versions iter.Seq2[deployment.Adapter, int64]) {
+	p.configuration = configuration
+	for name, service := range configuration.Services {
+		if service.Engine == nil {
+			continue
+		}
+		if planner, ok := p.planners[name]; ok {
+			planner.SetEngine(*service.Engine)
+			continue
+		}
+		p.planners[name] = p.newPlanner(now, *service.Engine)
+		p.introduceEndpoints(now, name)
+	}
+	for name := range p.planners {
+		if _, ok := configuration.Services[name]; !ok {
+			delete(p.planners, name)
+		}
+	}
+	for adapter, version := range versions {
+		p.SetVersion(now, adapter, version)
+	}
+}
+
+// introduceEndpoints tells a new plan of its endpoints and of what they held before.
+func (p *Plans) introduceEndpoints(now time.Time, service string) {
+	for _, entry := range p.directory.Service(service) {
+		p.SetEndpoint(now, entry.Endpoint, entry.Revision)
+		p.planners[service].RememberHeld(entry.ID, entry.Held)
+	}
+}
+
+func (p *Plans) newPlanner(now time.Time, engine deployment.Engine) *loading.Planner {
+	planner := loading.NewPlanner(engine, loading.Options{
+		Rate: loading.RateOptions{
+			PerSecond: engine.LoadsPerSecond, Window: p.options.LoadWindow, Tolerance: p.options.LoadTolerance, Slack: p.options.LoadSlack,
+		},
+		Random: p.options.Random,
+		Uses:   p.uses,
+	})
+	planner.AssumeLoads(now, p.startRecent)
+	return planner
+}
+
+// uses gives the requests in flight that use a copy, by all instances' last reports.
+func (p *Plans) uses(id deployment.EndpointID, adapter deployment.Adapter) int {
+	uses := p.members.Uses(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name})
+	if entry := p.directory.Entry(id); entry != nil {
+		uses += entry.OwnByAdapter[adapter]
+	}
+	return uses
+}
+
+// SetVersion takes in the version of an adapter that operators named.
+func (p *Plans) SetVersion(now time.Time, adapter deployment.Adapter, version int64) {
+	for name, planner := range p.planners {
+		if p.hasModel(name, adapter.Model) {
+			planner.SetVersion(now, adapter, version)
+		}
+	}
+}
+
+func (p *Plans) hasModel(service, model string) bool {
+	if p.configuration == nil || p.configuration.Services[service] == nil || p.configuration.Services[service].Engine == nil {
+		return false
+	}
+	for _, one := range p.configuration.Services[service].Engine.Models {
+		if one.Name == model {
+			return true
+		}
+	}
+	return false
+}
+
+// SetEndpoint passes a description on to its service's plan and marks it for the next view.
+func (p *Plans) SetEndpoint(now time.Time, endpoint deployment.Endpoint, revision int64) {
+	p.news.Changed[endpoint.ID] = true
+	planner, ok := p.planners[endpoint.Service]
+	if !ok {
+		return
+	}
+	planner.SetEndpoint(now, endpoint, revision, p.bad(now, endpoint.ID))
+	p.publish(endpoint.ID, planner)
+}
+
+// RemoveEndpoint ends what is planned for an endpoint that was gone at a revision.
+func (p *Plans) RemoveEndpoint(id deployment.EndpointID, revision int64) {
+	for _, planner := range p.planners {
+		planner.RemoveEndpoint(id)
+	}
+	delete(p.news.Changed, id)
+	p.news.Removed = append(p.news.Removed, wire.Gone{ID: id, Revision: revision})
+}
+
+// publish makes the plan's copies this instance's own view of an endpoint.
+func (p *Plans) publish(id deployment.EndpointID, planner *loading.Planner) {
+	models, adapters := planner.Offered(id)
+	p.directory.SetOffered(id, models, adapters)
+	p.news.Changed[id] = true
+}
+
+// bad tells whether an endpoint is bad for more than one instance, or for the only one.
+func (p *Plans) bad(now time.Time, id deployment.EndpointID) bool {
+	entry := p.directory.Entry(id)
+	return p.members.Bad(id, entry != nil && entry.Health.Ejected(now))
+}
+
+// Sweep forgets what is too old to matter.
+func (p *Plans) Sweep(now time.Time) {
+	for _, planner := range p.planners {
+		planner.Sweep(now)
+	}
+}
+
+// Review looks again at what each endpoint has to do, which members are lost, and which copies nobody uses any
+// more. silence is after how long a member counts as lost.
+func (p *Plans) Review(now time.Time, silence time.Duration) {
+	p.members.DropLost(now, silence, p.forgetInstance)
+	for _, planner := range p.planners {
+		planner.ConfirmUnused(now, p.unused)
+	}
+	for id, entry := range p.directory.Entries() {
+		if planner, ok := p.planners[entry.Service]; ok {
+			planner.SetSaturation(id, p.options.Copies.reached(entry), p.options.Requests.reached(entry))
+		}
+	}
+}
+
+func (b Bound) reached(entry *directory.Entry) bool {
+	return balance.Full(entry, b.Share, b.Least)
+}
+
+func (p *Plans) forgetInstance(instance string) {
+	for _, planner := range p.planners {
+		planner.ForgetInstance(instance)
+	}
+}
+
+// unused tells whether no instance uses a copy whose withdrawal was announced.
+func (p *Plans) unused(id deployment.EndpointID, adapter deployment.Adapter, withdrawal uint64) bool {
+	if entry := p.directory.Entry(id); entry != nil && entry.OwnByAdapter[adapter] > 0 {
+		return false
+	}
+	return p.members.Unused(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name}, withdrawal)
+}
+
+// Order gives what is to be ordered now to start, as long as mayOrder says so, and publishes what changed. begun
+// is told of each adapter whose load starts, and how long it is expected to take.
+func (p *Plans) Order(now time.Time, mayOrder func() bool, start func(loading.Order), begun func(deployment.ServiceAdapter, time.Duration)) {
+	for _, planner := range p.planners {
+		for mayOrder() {
+			order, ok := planner.Next(now)
+			if !ok {
+				break
+			}
+			if order.Kind == loading.Load && !order.Poll && !order.Adapter.IsZero() {
+				p.noteBegun(order, planner.LoadTime(), begun)
+			}
+			start(order)
+		}
+		for _, id := range planner.TakeChanges() {
+			p.publish(id, planner)
+		}
+	}
+}
+
+// noteBegun lets the next view tell that a load has begun.
+func (p *Plans) noteBegun(order loading.Order, until time.Duration, begun func(deployment.ServiceAdapter, time.Duration)) {
+	key := deployment.ServiceAdapter{Service: order.Endpoint.Service, Adapter: order.Adapter}
+	begun(key, until)
+	p.news.Begun = append(p.news.Begun, wire.Forecast{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, Until: until})
+}
+
+// Done takes in the end of an order of a service that is planned.
+func (p *Plans) Done(now time.Time, result loading.Result) {
+	if planner, ok := p.planners[result.Order.Endpoint.Service]; ok {
+		planner.Done(now, result)
+	}
+}
+
+// Has tells whether a service is planned.
+func (p *Plans) Has(service string) bool {
+	return p.planners[service] != nil
+}
+
+// NextPoll is when a load under way is expected to have ended, at most a limit after now; false if none is. With
+// several services it is any one of theirs.
+func (p *Plans) NextPoll(now time.Time, limit time.Duration) (time.Time, bool) {
+	for _, planner := range p.planners {
+		if next := planner.NextPoll(); !next.IsZero() && next.Sub(now) <= limit {
+			return next, true
+		}
+	}
+	return time.Time{}, false
+}
+
+// RecentLoads gives the base models' loads begun in the last window, by the service that began most.
+func (p *Plans) RecentLoads(now time.Time) int {
+	count := 0
+	for _, planner := range p.planners {
+		count = max(count, planner.RecentLoads(now))
+	}
+	return count
+}
+
+// Withdrawals is the number of the last announcement of a withdrawal.
+func (p *Plans) Withdrawals() uint64 {
+	last := uint64(0)
+	for _, planner := range p.planners {
+		last = max(last, planner.Withdrawals())
+	}
+	return last
+}
--- /dev/null
+++ b/services/entry/coordinator/plan/reports.go
@@ -0,0 +1,73 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package plan
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/loading"
+)
+
+// TakeMember takes in what a report says of its instance, and tells whether that is a member; the planner itself
+// is none.
+func (p *Plans) TakeMember(now time.Time, r *wire.Report) bool {
+	for _, id := range p.members.Take(now, r) {
+		p.refreshSuspicion(now, id)
+	}
+	return p.members.All()[r.Instance] != nil
+}
+
+func (p *Plans) refreshSuspicion(now time.Time, id deployment.EndpointID) {
+	entry := p.directory.Entry(id)
+	if entry == nil {
+		return
+	}
+	if planner, ok := p.planners[entry.Service]; ok {
+		planner.SetSuspect(id, p.bad(now, id))
+	}
+}
+
+// TakeDemand takes in what a report asks for. It replaces what the instance asked for before.
+func (p *Plans) TakeDemand(now time.Time, r *wire.Report) {
+	demands := demandsByService(r.Demands)
+	for name, planner := range p.planners {
+		planner.Report(now, r.Instance, demands[name])
+	}
+	for name, rates := range ratesByService(r.Rates) {
+		if planner, ok := p.planners[name]; ok {
+			planner.AddRates(now, rates)
+		}
+	}
+	for _, copied := range r.Missing {
+		for _, planner := range p.planners {
+			planner.NoteMissing(copied.ID)
+		}
+	}
+}
+
+func demandsByService(list []wire.Demand) map[string][]loading.Demand {
+	byService := make(map[string][]loading.Demand)
+	for _, one := range list {
+		byService[one.Service] = append(byService[one.Service], loading.Demand{
+			Adapter: deployment.Adapter{Model: one.Model, Name: one.Name},
+			Waiting: one.Waiting, InTime: one.InTime, Arrivals: one.Arrivals,
+		})
+	}
+	return byService
+}
+
+func ratesByService(list []wire.Rate) map[string]map[deployment.Adapter]float64 {
+	byService := make(map[string]map[deployment.Adapter]float64)
+	for _, one := range list {
+		rates, ok := byService[one.Service]
+		if !ok {
+			rates = make(map[deployment.Adapter]float64)
+			byService[one.Service] = rates
+		}
+		rates[deployment.Adapter{Model: one.Model, Name: one.Name}] = one.PerSecond
+	}
+	return byService
+}
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -121,19 +121,20 @@
 		p.applyTotals(totals)
 	}
 	changes := p.baseView(now, totals)
+	begun := p.plans.TakeBegun()
 	if due {
 		changes.Heartbeat = true
 		p.addForecasts(now, changes)
 	} else {
-		changes.Forecasts = p.begun
+		changes.Forecasts = begun
 	}
-	p.begun = nil
-	for id := range p.changed {
+	news := p.plans.News()
+	for id := range news.Changed {
 		if entry := p.coordinator.directory.Entry(id); entry != nil {
 			changes.Endpoints = append(changes.Endpoints, wire.FromEntry(entry))
 		}
 	}
-	changes.Removed = p.removed
+	changes.Removed = news.Removed
 	frame, err := peerstream.Encode(wire.Message{View: changes})
 	if err != nil {
 		return
@@ -143,8 +144,7 @@
 			p.tell(now, m, changes, frame)
 		}
 	}
-	clear(p.changed)
-	p.removed = nil
+	p.plans.Told()
 }
 
 // viewDue tells whether a view without totals goes out now.
@@ -181,7 +181,7 @@
 
 // nothingToTell tells whether all members have the plan's last state.
 func (p *planning) nothingToTell() bool {
-	return len(p.changed) == 0 && len(p.removed) == 0 && len(p.begun) == 0 && !p.members.NeedFull()
+	return p.plans.News().Empty() && !p.members.NeedFull()
 }
 
 // itemsFor gives the operators' keys that a member has lacked for long enough.
@@ -197,25 +197,17 @@
 	v := &wire.View{
 		Planner: p.coordinator.options.Instance, Term: p.tenure.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
 		Totals: totals, Members: p.memberCount(), ConfigurationAt: p.coordinator.keys.At(), Resigned: p.resigned,
-		ConfirmedAge: p.tenure.Age(now),
-	}
-	for _, planner := range p.planners {
-		v.Withdrawals = max(v.Withdrawals, planner.Withdrawals())
+		ConfirmedAge: p.tenure.Age(now), Withdrawals: p.plans.Withdrawals(),
 	}
 	return v
 }
 
 // addForecasts tells which adapters are on their way; heartbeats carry them.
 func (p *planning) addForecasts(now time.Time, v *wire.View) {
-	v.Backlogs = make(map[string]time.Duration, len(p.planners))
+	v.Forecasts, v.Backlogs = p.plans.Forecasts(now)
 	p.coordinator.forecasts.Renew(v.Backlogs)
-	for name, planner := range p.planners {
-		forecasts, backlog := planner.Forecasts(now)
-		v.Backlogs[name] = backlog
-		for _, one := range forecasts {
-			v.Forecasts = append(v.Forecasts, wire.Forecast{Service: name, Model: one.Adapter.Model, Name: one.Adapter.Name, Until: one.Until})
-			p.coordinator.forecasts.Note(deployment.ServiceAdapter{Service: name, Adapter: one.Adapter}, now.Add(one.Until))
-		}
+	for _, one := range v.Forecasts {
+		p.coordinator.forecasts.Note(one.Key(), now.Add(one.Until))
 	}
 }
 
