--- a/services/entry/coordinator/coordinator_test.go
+++ b/services/entry/coordinator/coordinator_test.go
@@ -214,6 +214,69 @@
 	assert.False(t, s.control.Ready())
 }
 
+func TestAPlannedStopWaitsForOrdersUnderWay(t *testing.T) {
+	s := newSite()
+	s.start(t)
+	require.Eventually(t, func() bool { record, found := s.store.record(t); return found && record.Ordering }, waitLimit, lookPace)
+	release := s.engines.hold()
+	defer release()
+	_, _, err := s.acquire("a1", 100*time.Millisecond)
+	require.ErrorIs(t, err, context.DeadlineExceeded)
+	released := make(chan struct{})
+	go func() { s.control.Release(context.Background()); close(released) }()
+	time.Sleep(150 * time.Millisecond)
+	record, _ := s.store.record(t)
+	assert.False(t, record.Released, "an order is under way")
+	release()
+	<-released
+	record, _ = s.store.record(t)
+	assert.True(t, record.Released)
+}
+
+func TestAStopThatCannotWaitReleasesNothing(t *testing.T) {
+	s := newSite()
+	s.start(t)
+	require.Eventually(t, func() bool { record, found := s.store.record(t); return found && record.Ordering }, waitLimit, lookPace)
+	release := s.engines.hold()
+	defer release()
+	_, _, err := s.acquire("a1", 100*time.Millisecond)
+	require.ErrorIs(t, err, context.DeadlineExceeded)
+	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
+	defer cancel()
+	s.control.Release(ctx)
+	record, _ := s.store.record(t)
+	assert.False(t, record.Released, "the order may still arrive")
+}
+
+func TestAPlannerCutFromTheStoreResignsToAMemberThatReachesIt(t *testing.T) {
+	s := newSite()
+	s.start(t)
+	require.Eventually(t, func() bool { record, found := s.store.record(t); return found && record.Ordering }, waitLimit, lookPace)
+	member := s.join(t)
+	stop := make(chan struct{})
+	defer close(stop)
+	go func() {
+		for {
+			_ = member.Send(wireMessage{Report: &wireReport{Instance: "peer"}})
+			select {
+			case <-stop:
+				return
+			case <-time.After(100 * time.Millisecond):
+			}
+		}
+	}()
+	sound := receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Heartbeat })
+	assert.False(t, sound.View.Resigned)
+	s.store.setDown(true)
+	told := receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Resigned })
+	assert.GreaterOrEqual(t, told.View.ConfirmedAge, 800*time.Millisecond)
+	assert.EqualValues(t, 1, told.View.Term)
+	go drain(member)
+	assert.True(t, s.control.Status().Planning, "it still tells what it knows")
+	s.store.setDown(false)
+	s.waitForStatus(t, "a new term", func(status coordinator.Status) bool { return status.Planning && status.Term == 2 })
+}
+
 func TestAMemberGetsAWholeViewOnceThenChangesAndHeartbeats(t *testing.T) {
 	s := newSite()
 	s.start(t)
--- a/services/entry/coordinator/site_test.go
+++ b/services/entry/coordinator/site_test.go
@@ -203,9 +203,17 @@
 	adapters map[deployment.Adapter]int64
 	loads    int
 	silent   bool
+	// held, if not nil, keeps loads under way until it is closed.
+	held chan struct{}
 }
 
 func (e *engines) send(_ context.Context, order loading.Order, _ string, _ int64) loading.Result {
+	e.mutex.Lock()
+	under := e.held
+	e.mutex.Unlock()
+	if under != nil && order.Kind == loading.Load {
+		<-under
+	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	result := loading.Result{Order: order, Reply: loading.Inspected}
@@ -234,6 +242,14 @@
 	return result
 }
 
+func (e *engines) hold() (release func()) {
+	held := make(chan struct{})
+	e.mutex.Lock()
+	defer e.mutex.Unlock()
+	e.held = held
+	return sync.OnceFunc(func() { close(held) })
+}
+
 func (e *engines) loadCount() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
