--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -74,13 +74,13 @@
 
 // CountRequest counts a caller's request for the budget of repeats.
 func (c *Coordinator) CountRequest(service string) {
-	c.loop.post(func(now time.Time) { c.budget.Request(now, service) })
+	c.loop.Post(func(now time.Time) { c.budget.Request(now, service) })
 }
 
 // TakeRepeat asks for one repeat of a request under the fleet's budget.
 func (c *Coordinator) TakeRepeat(service string) bool {
 	granted := false
-	c.loop.call(func(now time.Time) { granted = c.budget.Take(now, service) })
+	c.loop.Call(func(now time.Time) { granted = c.budget.Take(now, service) })
 	return granted
 }
 
@@ -88,21 +88,21 @@
 // are a Refusal, the context's error or ErrStopped.
 func (c *Coordinator) Acquire(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (Assignment, error) {
 	w := waiting.New[acquired](request, tried)
-	c.loop.post(func(now time.Time) { c.admit(now, w) })
+	c.loop.Post(func(now time.Time) { c.admit(now, w) })
 	select {
 	case result := <-w.Result:
 		return result.assignment, result.err
 	case <-ctx.Done():
 		c.abandon(w)
 		return Assignment{}, ctx.Err()
-	case <-c.loop.done:
+	case <-c.loop.Done():
 		return Assignment{}, ErrStopped
 	}
 }
 
 // abandon takes a request that nobody waits for out of the control state.
 func (c *Coordinator) abandon(w *waiter) {
-	c.loop.post(func(now time.Time) {
+	c.loop.Post(func(now time.Time) {
 		select {
 		case result := <-w.Result:
 			if result.err == nil {
@@ -213,7 +213,7 @@
 
 // Finish takes a request out of flight; missing tells that the endpoint did not hold the adapter.
 func (c *Coordinator) Finish(request *deployment.Request, assignment Assignment, outcome directory.Outcome, missing bool) {
-	c.loop.post(func(now time.Time) {
+	c.loop.Post(func(now time.Time) {
 		c.directory.End(now, assignment.Endpoint.ID, request.Adapter, outcome)
 		if missing {
 			c.directory.NoteMissing(now, assignment.Endpoint.ID, request.Adapter)
--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -27,7 +27,7 @@
 			c.sleep(c.jitter(storeRetry))
 			continue
 		}
-		c.loop.post(func(now time.Time) { c.applyItems(now, items) })
+		c.loop.Post(func(now time.Time) { c.applyItems(now, items) })
 		c.watchConfiguration(at)
 	}
 }
@@ -48,7 +48,7 @@
 			c.sleep(c.jitter(storeRetry))
 		case follow.Apply:
 			after = next
-			c.loop.post(func(now time.Time) { c.applyItems(now, eventItems(events)) })
+			c.loop.Post(func(now time.Time) { c.applyItems(now, eventItems(events)) })
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	ctx, cancel := context.WithCancel(c.context)
 	defer cancel()
 	wait := follow.ShortWatch
-	c.loop.call(func(now time.Time) {
+	c.loop.Call(func(now time.Time) {
 		situation := c.situation(now)
 		wait = situation.ConfigurationWait()
 		if situation.ReliesOnPlanner() {
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -13,6 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/forecast"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/lease"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/loop"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/seed"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/waiting"
@@ -23,9 +24,10 @@
 )
 
 const (
-	// tickPace is how often time-bound decisions are looked at.
+	// tickPace is the pause between two looks at time-bound decisions: shorter trades processor time for earlier
+	// ones. Not measured.
 	tickPace = 25 * time.Millisecond
-	// sweepPace is how often old state is forgotten.
+	// sweepPace is the pause between two sweeps of old state. Not measured.
 	sweepPace = time.Second
 )
 
@@ -33,7 +35,7 @@
 type Coordinator struct {
 	options     Options
 	environment Environment
-	loop        *loop
+	loop        *loop.Loop
 	// lease belongs to the goroutines of leadership and Release; seeds may be asked by any.
 	lease   *lease.Store
 	seeds   *seed.Asker
@@ -76,7 +78,7 @@
 	c := &Coordinator{
 		options:     options,
 		environment: environment,
-		loop:        newLoop(options.Now),
+		loop:        loop.New(options.Now),
 		context:     ctx,
 		cancel:      cancel,
 		directory:   directory.New(),
@@ -102,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	c.run(func() { c.loop.run(c.context.Done(), tickPace, c.tick) })
+	c.run(func() { c.loop.Run(c.context.Done(), tickPace, c.tick) })
 	c.run(func() { c.servePeers(listener) })
 	c.run(c.followConfiguration)
 	c.run(c.followEndpoints)
--- a/services/entry/coordinator/doc.go
+++ b/services/entry/coordinator/doc.go
@@ -1,10 +1,18 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package coordinator is the control part of one entry process. One goroutine owns all
-// control state: the endpoints, the configuration, requests that wait for an endpoint, the
-// link to the planner, and, while this process holds the ownership, the plan itself.
+// Package coordinator is the control part of one entry process. One goroutine, the control loop, owns all control
+// state: the endpoints, the configuration, requests that wait for an endpoint, the link to the planner, and, while
+// this process holds the planner's lease, the plan itself. Requests come in by Acquire and Finish.
 //
-// Other goroutines read the store, talk to peers and send orders; they hand what they learn to
-// the control goroutine and keep no state of their own. Requests come in by Acquire and Finish.
+// The loop calls rules and carries out effects. The rules are in packages without I/O that are given the present time:
+// waiting (the queue of requests), forecast (when an adapter is expected), report (what is asked for, and when that is
+// told), view (which views are kept and when they are sent), follow (which keys are news and who reads the store),
+// member (what the planner knows of other instances), plan (loads of all services), and services/entry/ownership (who may
+// take and use the lease). The packages lease and seed do I/O for a caller that waits, wire has the messages, loop the
+// control loop itself.
+//
+// Start starts these goroutines, which hand what they learn to the loop and keep no control state: the loop, one that
+// accepts peers and one for each peer, one each to follow the configuration, the endpoints and the planner, and one for
+// the lease. One more is started for each order, and one for a resignation. All end with Stop.
 package coordinator
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -50,13 +50,13 @@
 // a large fleet it is up to twice as long, since all instances call at once then.
 func (c *Coordinator) alonePause(pause time.Duration) time.Duration {
 	stretched := pause
-	c.loop.call(func(time.Time) { stretched = min(c.pace(pause), mostStretch*pause) })
+	c.loop.Call(func(time.Time) { stretched = min(c.pace(pause), mostStretch*pause) })
 	return stretched
 }
 
 func (c *Coordinator) endpointReader() follow.Reader {
 	reader := follow.ReadByPolling
-	c.loop.call(func(now time.Time) { reader = c.situation(now).Endpoints() })
+	c.loop.Call(func(now time.Time) { reader = c.situation(now).Endpoints() })
 	return reader
 }
 
@@ -70,7 +70,7 @@
 		c.noteStore("read endpoints", err)
 		return 0, err
 	}
-	c.loop.post(func(now time.Time) { c.replaceEndpoints(now, sent, items, at) })
+	c.loop.Post(func(now time.Time) { c.replaceEndpoints(now, sent, items, at) })
 	return at, nil
 }
 
@@ -93,7 +93,7 @@
 		}
 		return 0
 	}
-	c.loop.post(func(now time.Time) { c.applyEndpointEvents(now, sent, events, next) })
+	c.loop.Post(func(now time.Time) { c.applyEndpointEvents(now, sent, events, next) })
 	if len(events) > 0 {
 		c.sleep(endpointWatchPause)
 	}
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -10,7 +10,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
-// releasePause is how often a holder that gives up looks whether its orders have ended.
+// releasePause is the pause between two looks of a holder that gives up whether its orders have ended. Not measured.
 const releasePause = 10 * time.Millisecond
 
 // resignIfOthersCan gives the ownership up while the store does not answer this instance but
@@ -32,7 +32,7 @@
 		c.sleep(releasePause)
 	}
 	c.options.Log.WithField("term", p.tenure.Record().Term).Warn("planning resigned: the store answers others only")
-	c.loop.call(func(now time.Time) {
+	c.loop.Call(func(now time.Time) {
 		p.resigned = true
 		p.broadcast(now, true)
 	})
@@ -43,7 +43,7 @@
 func (c *Coordinator) Release(ctx context.Context) {
 	c.leaving.Store(true)
 	var p *planning
-	c.loop.call(func(now time.Time) {
+	c.loop.Call(func(now time.Time) {
 		c.sendReport(now)
 		if p = c.planning; p != nil {
 			p.leaving = true
@@ -57,11 +57,11 @@
 	}
 	record := p.tenure.Record()
 	record.Released = record.Ordering && !c.ordersUnderWay(p)
-	c.loop.call(func(now time.Time) { record.RecentLoads = p.plans.RecentLoads(now) })
+	c.loop.Call(func(now time.Time) { record.RecentLoads = p.plans.RecentLoads(now) })
 	if record.Released {
 		c.rewriteRecord(p.tenure, record)
 	}
-	c.loop.call(func(now time.Time) {
+	c.loop.Call(func(now time.Time) {
 		p.resigned = record.Released
 		p.broadcast(now, true)
 		p.tenure.End()
@@ -70,6 +70,6 @@
 
 func (c *Coordinator) ordersUnderWay(p *planning) bool {
 	underWay := false
-	c.loop.call(func(time.Time) { underWay = p.orders > 0 })
+	c.loop.Call(func(time.Time) { underWay = p.orders > 0 })
 	return underWay
 }
--- a/services/entry/coordinator/leadership.go
+++ b/services/entry/coordinator/leadership.go
@@ -43,7 +43,7 @@
 
 func (c *Coordinator) holds() bool {
 	holds := false
-	c.loop.call(func(time.Time) { holds = c.planning != nil })
+	c.loop.Call(func(time.Time) { holds = c.planning != nil })
 	return holds
 }
 
@@ -76,7 +76,7 @@
 // confirm proves that the record is still this holder's; false if the store did not answer.
 func (c *Coordinator) confirm() bool {
 	confirmation, err := c.lease.Confirm(c.context)
-	c.loop.call(func(time.Time) {
+	c.loop.Call(func(time.Time) {
 		if c.planning == nil {
 			return
 		}
@@ -108,7 +108,7 @@
 // beginOrdering writes into the record that orders may follow, once the former holder's time is surely over.
 func (c *Coordinator) beginOrdering() {
 	var tenure *ownership.Tenure
-	c.loop.call(func(now time.Time) {
+	c.loop.Call(func(now time.Time) {
 		if c.planning != nil && c.planning.tenure.Waited(now) && !c.planning.tenure.Record().Ordering {
 			tenure = c.planning.tenure
 		}
@@ -126,9 +126,9 @@
 	taken, end := c.lease.Rewrite(c.context, tenure.Revision(), record)
 	switch end {
 	case lease.Done, lease.Settled:
-		c.loop.call(func(time.Time) { tenure.Rewrite(taken.Sent, taken.Record, taken.Revision) })
+		c.loop.Call(func(time.Time) { tenure.Rewrite(taken.Sent, taken.Record, taken.Revision) })
 	case lease.Lost:
-		c.loop.call(func(time.Time) {
+		c.loop.Call(func(time.Time) {
 			tenure.End()
 			c.endIfOver()
 		})
@@ -180,7 +180,7 @@
 // was asked for, a report says at once that the store answers this instance.
 func (c *Coordinator) learnRecord(stored lease.Stored, asked bool) bool {
 	resigned := false
-	c.loop.call(func(now time.Time) {
+	c.loop.Call(func(now time.Time) {
 		c.storeReadAt = now
 		c.noteRecord(stored.Record)
 		resigned = stored.Found && stored.Record.Term == c.following.ResignedTerm
@@ -195,7 +195,7 @@
 // record was asked for.
 func (c *Coordinator) plannerSilence(now, started time.Time) (silence time.Duration, asked bool) {
 	heard := ownership.Heard{Started: started}
-	c.loop.call(func(time.Time) {
+	c.loop.Call(func(time.Time) {
 		heard.View, heard.ConfirmedAge = c.following.Heard, c.following.ConfirmedAge
 		asked, c.leadershipDue = c.leadershipDue, false
 	})
@@ -210,9 +210,9 @@
 	var lost *lease.LostRaceError
 	switch {
 	case err == nil:
-		c.loop.call(func(now time.Time) { c.beginPlanning(now, taken, wait, replaced.Record) })
+		c.loop.Call(func(now time.Time) { c.beginPlanning(now, taken, wait, replaced.Record) })
 	case errors.As(err, &lost) && lost.Now != nil:
-		c.loop.call(func(time.Time) { c.noteRecord(*lost.Now) })
+		c.loop.Call(func(time.Time) { c.noteRecord(*lost.Now) })
 	}
 }
 
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -83,7 +83,7 @@
 	}
 	span := max(next.Sub(now), leastWake)
 	p.wakeAt = now.Add(span)
-	time.AfterFunc(span, func() { c.loop.post(c.plan) })
+	time.AfterFunc(span, func() { c.loop.Post(c.plan) })
 }
 
 // leastWake is the least pause before a plan for a load that ends. Not measured.
@@ -98,14 +98,14 @@
 		started := c.options.Now()
 		result := c.sendOrder(order, p, term)
 		result.Took = c.options.Now().Sub(started)
-		c.loop.post(func(now time.Time) { c.orderDone(now, p, result) })
+		c.loop.Post(func(now time.Time) { c.orderDone(now, p, result) })
 	})
 }
 
 // sendOrder looks at the tenure once more right before the order goes out.
 func (c *Coordinator) sendOrder(order loading.Order, p *planning, term int64) loading.Result {
 	allowed := false
-	c.loop.call(func(now time.Time) { allowed = c.planning == p && p.tenure.MayOrder(now) })
+	c.loop.Call(func(now time.Time) { allowed = c.planning == p && p.tenure.MayOrder(now) })
 	if !allowed {
 		return loading.Result{Order: order, Reply: loading.NotDelivered}
 	}
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -4,94 +4,13 @@
 package coordinator
 
 import (
-	"context"
-	"net/netip"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
-	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
-// following is what an instance keeps of its link to the planner.
-type following struct {
-	view.Followed
-	// stream is the link; nil if there is none.
-	stream *peerstream.Stream[wire.Message]
-	// ratesDue asks for the arrival rates in the next report.
-	ratesDue bool
-	// own is what the last report said was in flight.
-	own map[deployment.EndpointID]int
-	// plannerLag is how long the planner has lacked newer keys of the configuration.
-	plannerLag member.Lag
-}
-
-// dialPause is the pause before the planner is looked for again.
-const dialPause = 150 * time.Millisecond
-
-// followPlanner keeps the link to the planner.
-func (c *Coordinator) followPlanner() {
-	for c.context.Err() == nil {
-		address, ok := c.plannerAddress()
-		if !ok {
-			c.sleep(dialPause)
-			continue
-		}
-		c.followAt(address)
-		c.sleep(c.jitter(dialPause))
-	}
-}
-
-// plannerAddress gives where another instance plans; false if none is known.
-func (c *Coordinator) plannerAddress() (netip.AddrPort, bool) {
-	var address netip.AddrPort
-	c.loop.call(func(time.Time) {
-		if c.planning == nil {
-			address = c.knownRecord.Address
-		}
-	})
-	return address, address.IsValid() && address != c.options.PeerAddress
-}
-
-// followAt holds one link until it fails or falls silent.
-func (c *Coordinator) followAt(address netip.AddrPort) {
-	ctx, cancel := context.WithTimeout(c.context, view.Silence)
-	conn, err := c.environment.Dial(ctx, address)
-	cancel()
-	if err != nil {
-		return
-	}
-	stream := peerstream.New[wire.Message](conn)
-	defer stream.Close()
-	stopped := context.AfterFunc(c.context, stream.Close)
-	defer stopped()
-	c.loop.call(func(now time.Time) {
-		c.following.stream = stream
-		c.following.own = nil
-		c.following.ratesDue = true
-		c.sendReport(now)
-	})
-	for {
-		// One view is taken in before the next is read, so that views do not pile up before the control goroutine.
-		c.loop.call(func(time.Time) {})
-		received, err := stream.Receive(view.Silence, c.options.Now)
-		if err != nil {
-			break
-		}
-		if received.View != nil {
-			c.loop.post(func(now time.Time) { c.applyView(now, stream, received.View) })
-		}
-	}
-	c.loop.call(func(time.Time) {
-		if c.following.stream == stream {
-			c.following.stream = nil
-		}
-	})
-}
-
 // sendReport tells the planner, or this instance's own plan, what is asked here.
 func (c *Coordinator) sendReport(now time.Time) {
 	if c.planning == nil && c.following.stream == nil {
@@ -157,72 +76,3 @@
 	}
 	return collection.List()
 }
-
-// applyView takes in the planner's word.
-func (c *Coordinator) applyView(now time.Time, stream *peerstream.Stream[wire.Message], v *wire.View) {
-	arrival := view.Arrival{PresentLink: c.following.stream == stream, Planning: c.planning != nil}
-	if c.following.Judge(v, arrival) != view.Keep {
-		return
-	}
-	news := c.following.Take(now, v)
-	c.budget.SetMembers(v.Members)
-	c.applyItems(now, v.Items)
-	c.applyViewEndpoints(v)
-	for _, entry := range c.directory.Entries() {
-		if v.Heartbeat {
-			entry.Others = 0
-		}
-	}
-	for _, total := range v.Totals {
-		if entry := c.directory.Entry(total.ID); entry != nil {
-			entry.Others = max(0, total.Count-c.following.own[total.ID])
-		}
-	}
-	if v.Heartbeat {
-		c.forecasts.Renew(v.Backlogs)
-	}
-	for _, one := range v.Forecasts {
-		c.forecasts.Note(one.Key(), now.Add(one.Until))
-	}
-	if news.Acknowledge {
-		c.acknowledge(now)
-	}
-	if news.Resigned {
-		c.leadershipDue = true
-	}
-	if v.ConfirmedAge > ownership.ConfirmTrouble && now.Sub(c.storeReadAt) > ownership.ConfirmTrouble {
-		c.leadershipDue = true
-	}
-	c.reviewWaiters(now)
-}
-
-// acknowledge reports that an announcement was taken in, at once where the last report is old enough.
-func (c *Coordinator) acknowledge(now time.Time) {
-	if c.reports.AskAcknowledge(now, c.following.Members) {
-		c.sendReport(now)
-	}
-}
-
-func (c *Coordinator) applyViewEndpoints(v *wire.View) {
-	listed := make(map[deployment.EndpointID]bool, len(v.Endpoints))
-	for i := range v.Endpoints {
-		one := &v.Endpoints[i]
-		listed[one.ID] = true
-		c.directory.Put(one.Endpoint(), one.Revision)
-	}
-	for _, gone := range v.Removed {
-		c.removeEndpoint(gone.ID, gone.Revision)
-	}
-	if !v.Full {
-		return
-	}
-	for id := range c.endpointIDs() {
-		if !listed[id] {
-			c.removeEndpoint(id, v.At)
-		}
-	}
-	if v.At > 0 {
-		c.endpointsKnown = true
-		c.updateReady()
-	}
-}
--- a/services/entry/coordinator/seeds.go
+++ b/services/entry/coordinator/seeds.go
@@ -13,14 +13,14 @@
 // tell it, so that it can serve while the store is down or turns it away.
 func (c *Coordinator) askSeeds() {
 	c.seeds.Ask(c.context, c.ready.Load, func(told *wire.View) {
-		c.loop.call(func(now time.Time) { c.learnFromSeed(now, told) })
+		c.loop.Call(func(now time.Time) { c.learnFromSeed(now, told) })
 	})
 }
 
 // askSeedsForPlanner lets an instance that the store does not answer learn from a peer who plans.
 func (c *Coordinator) askSeedsForPlanner() {
 	if told := c.seeds.First(c.context); told != nil {
-		c.loop.call(func(time.Time) { c.learnSuccessor(wire.Successor{Term: told.Term, Address: told.Address}) })
+		c.loop.Call(func(time.Time) { c.learnSuccessor(wire.Successor{Term: told.Term, Address: told.Address}) })
 	}
 }
 
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -22,7 +22,7 @@
 // Status gives the present state; it is zero once the coordinator has stopped.
 func (c *Coordinator) Status() Status {
 	var status Status
-	c.loop.call(func(now time.Time) {
+	c.loop.Call(func(now time.Time) {
 		status = Status{
 			Endpoints: c.directory.Size(), Waiting: c.waiters.Len(), Planning: c.planning != nil,
 			Planner: c.following.Planner, Term: c.following.Term, Members: c.following.Members,
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -4,7 +4,6 @@
 package coordinator
 
 import (
-	"net"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
@@ -15,100 +14,6 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// servePeers takes the links of instances that follow this one.
-func (c *Coordinator) servePeers(listener net.Listener) {
-	stop := make(chan struct{})
-	defer close(stop)
-	go func() {
-		select {
-		case <-c.context.Done():
-		case <-stop:
-		}
-		_ = listener.Close()
-	}()
-	for {
-		conn, err := listener.Accept()
-		if err != nil {
-			if c.context.Err() != nil {
-				return
-			}
-			c.sleep(dialPause)
-			continue
-		}
-		c.run(func() { c.servePeer(conn) })
-	}
-}
-
-// servePeer reads one instance's reports until it falls silent.
-func (c *Coordinator) servePeer(conn net.Conn) {
-	stream := peerstream.New[wire.Message](conn)
-	defer stream.Close()
-	go func() {
-		<-c.context.Done()
-		stream.Close()
-	}()
-	for {
-		silence := member.LeastSilence
-		c.loop.call(func(time.Time) { silence = c.memberSilence() })
-		received, err := stream.Receive(silence, c.options.Now)
-		if err != nil {
-			break
-		}
-		planning := true
-		if received.Report != nil {
-			c.loop.call(func(now time.Time) { planning = c.takePeerReport(now, stream, received.Report) })
-		}
-		if received.Successor != nil {
-			c.loop.call(func(time.Time) { c.learnSuccessor(*received.Successor) })
-		}
-		if received.Request != nil {
-			c.loop.call(func(now time.Time) { c.answerRequest(now, stream) })
-		}
-		if !planning {
-			break
-		}
-	}
-	c.loop.post(func(now time.Time) { c.peerLost(now, stream) })
-}
-
-// takePeerReport takes a report in if this instance plans.
-func (c *Coordinator) takePeerReport(now time.Time, stream *peerstream.Stream[wire.Message], r *wire.Report) bool {
-	if c.planning == nil {
-		return false
-	}
-	c.planning.members.Join(r.Instance, stream)
-	c.planning.takeReport(now, r)
-	c.plan(now)
-	return true
-}
-
-// answerRequest tells a peer that cannot read the store what is known here; an instance that
-// is not ready itself tells nothing.
-func (c *Coordinator) answerRequest(now time.Time, stream *peerstream.Stream[wire.Message]) {
-	if !c.ready.Load() {
-		stream.Close()
-		return
-	}
-	told := &wire.View{
-		Planner: c.following.Planner, Term: c.knownRecord.Term, Items: c.keys.After(0), ConfigurationAt: c.keys.At(),
-		ReadAge: now.Sub(c.endpointsReadAt), Address: c.knownRecord.Address,
-	}
-	if c.planning != nil {
-		told.Planner, told.Term, told.Address = c.options.Instance, c.planning.tenure.Record().Term, c.options.PeerAddress
-	}
-	for _, entry := range c.directory.Entries() {
-		told.Endpoints = append(told.Endpoints, wire.FromEntry(entry))
-	}
-	_ = stream.Send(wire.Message{View: told})
-}
-
-func (c *Coordinator) peerLost(now time.Time, stream *peerstream.Stream[wire.Message]) {
-	if c.planning == nil {
-		return
-	}
-	c.planning.members.Unlink(now, stream, c.memberSilence())
-}
-
 // broadcast tells all members what changed; with everything due, also those it changed nothing for.
 func (p *planning) broadcast(now time.Time, due bool) {
 	if !due && !p.viewDue(now) {
