--- a/services/entry/ownership/record.go
+++ b/services/entry/ownership/record.go
@@ -48,9 +48,19 @@
 	Turn time.Duration
 }
 
+const (
+	// lateOrders is how many order time-outs, a count, a new holder waits beyond the former one's window. The last order
+	// arrives within one; why two is not recorded. Not measured; what a late order does is told in
+	// docs/incidents/2026-12-02-late-order.md.
+	lateOrders = 2
+	// deadDivisor divides the order time-out where the former process is surely dead, so that only bytes on their way
+	// are waited for. Not measured.
+	deadDivisor = 2
+)
+
 // Wait is how long a new holder gives no orders, judged by the record it replaced.
 func (o Options) Wait(self string, replaced Record, found bool) time.Duration {
-	full := o.Window + 2*o.OrderTimeout
+	full := o.Window + lateOrders*o.OrderTimeout
 	switch {
 	case !found:
 		return 0
@@ -60,10 +70,10 @@
 		return 0
 	case replaced.Holder == self && replaced.Ordering:
 		// The former process on this machine is dead; its last bytes may still travel.
-		return o.OrderTimeout / 2
+		return o.OrderTimeout / deadDivisor
 	case !replaced.Ordering && replaced.Former == self:
 		// Nobody gave orders since this machine did.
-		return o.OrderTimeout / 2
+		return o.OrderTimeout / deadDivisor
 	default:
 		return full
 	}
