--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -5,6 +5,7 @@
 
 import (
 	"context"
+	"hash/fnv"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
@@ -80,12 +81,13 @@
 	return uint16(o.Boot) ^ uint16(hash32(o.Self.ID))
 }
 
+// foldBits folds a hash of 32 bits into the 16 bits that a fence has for its holder.
+const foldBits = 16
+
 func hash32(text string) uint32 {
-	h := uint32(2166136261)
-	for i := range len(text) {
-		h = (h ^ uint32(text[i])) * 16777619
-	}
-	return h ^ h>>16
+	h := fnv.New32a()
+	_, _ = h.Write([]byte(text)) // A hash never fails.
+	return h.Sum32() ^ h.Sum32()>>foldBits
 }
 
 func (s *Service) holderName() string {
--- a/services/daemon/control/owner.go
+++ b/services/daemon/control/owner.go
@@ -52,6 +52,8 @@
 	return append(slices.Clone(r.Formers), node.FormerOwner{ID: r.Holder, Boot: r.Boot})
 }
 
+// ownerQueue bounds the calls that wait for the key-value service; one that finds no place
+// is dropped, and the node asks again. Longer queues answers that come too late. Not measured.
 const ownerQueue = 64
 
 func newOwner(s *Service) *owner {
--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -55,7 +55,12 @@
 }
 
 const (
-	inputQueue   = 8192
+	// inputQueue bounds the inputs that wait for the control goroutine; whoever finds no
+	// place waits. Longer holds more of a rush, and answers it later. Not measured.
+	inputQueue = 8192
+	// tickInterval is the time between two ticks of the node, the least time in which it acts
+	// without an input. Longer acts later, shorter spends processor time: at this value a node
+	// of a hall of 40 uses 3.74 ms a second (docs/CAPACITY.md, slopes).
 	tickInterval = 20 * time.Millisecond
 )
 
--- a/services/daemon/placement/backoff/failures.go
+++ b/services/daemon/placement/backoff/failures.go
@@ -5,7 +5,6 @@
 
 import (
 	"hash/fnv"
-	"math"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
@@ -53,7 +52,7 @@
 	failure := f.byRef[ref]
 	failure.Count++
 	doublings := min(failure.Count-1, maxDoublings)
-	wait := float64(f.options.Base) * math.Pow(2, float64(doublings)) * jitter(ref, failure.Count)
+	wait := float64(f.options.Base) * float64(int64(1)<<doublings) * jitter(ref, failure.Count)
 	failure.Until = now.Add(min(time.Duration(wait), f.options.Max))
 	f.byRef[ref] = failure
 	return failure
--- a/services/daemon/placement/dispatch.go
+++ b/services/daemon/placement/dispatch.go
@@ -9,38 +9,23 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
+// None of these was measured by itself; together they gave the figures of docs/design/0003.
 const (
-	prefixBonus        = 0.3
-	crowdedFill        = 0.85
-	maxPrefixHints     = 4096
-	quietInterval      = 10 * time.Minute
+	// prefixBonus is what a prompt prefix that ran on an endpoint adds to its score, against
+	// a filled part of the batch of 1. Higher keeps prefixes together and batches uneven.
+	prefixBonus = 0.3
+	// crowdedFill is the filled part of a batch above which an emptier endpoint is better for
+	// interactive work. Higher makes fuller batches, lower shorter steps.
+	crowdedFill = 0.85
+	// quietInterval is the time without interactive work after which patient work may have
+	// the places that are kept for it. Longer leaves places idle, shorter makes the first
+	// interactive request wait.
+	quietInterval = 10 * time.Minute
+	// leastCustomerSeats is the number of places in a batch that one customer may always
+	// have, so that a small batch is of use to a single customer.
 	leastCustomerSeats = 2
 )
 
-// prefixHints remembers where a prompt prefix was last run; a hint, never a promise.
-type prefixHints struct {
-	place map[uint64]string
-	order []uint64
-}
-
-func newPrefixHints() prefixHints {
-	return prefixHints{place: make(map[uint64]string)}
-}
-
-func (h *prefixHints) set(prefix uint64, endpoint string) {
-	if prefix == 0 {
-		return
-	}
-	if _, ok := h.place[prefix]; !ok {
-		h.order = append(h.order, prefix)
-	}
-	h.place[prefix] = endpoint
-	if len(h.order) > maxPrefixHints {
-		delete(h.place, h.order[0])
-		h.order = h.order[1:]
-	}
-}
-
 // choose picks the endpoint for a request among those where its adapter is resident.
 func (p *Placer) choose(now time.Time, r fleet.Request, class fleet.Class) *endpointState {
 	var best *endpointState
@@ -90,7 +75,7 @@
 
 // customerFits keeps one customer from taking a whole batch while others may come.
 func (p *Placer) customerFits(e *endpointState, r fleet.Request) bool {
-	limit := int(p.options.TenantBatchShare * float64(e.spec.MaxBatch))
+	limit := int(p.options.CustomerBatchShare * float64(e.spec.MaxBatch))
 	limit = max(limit, leastCustomerSeats)
 	return e.customers[r.Caller] < limit
 }
--- a/services/daemon/placement/placer.go
+++ b/services/daemon/placement/placer.go
@@ -99,13 +99,19 @@
 	for _, w := range p.queue.expired(now) {
 		p.refuse(now, w.request, fleet.Refusal{Reason: fleet.ReasonExpired})
 	}
-	if now.Sub(p.lastSweep) >= time.Second {
+	if now.Sub(p.lastSweep) >= sweepEvery {
 		p.lastSweep = now
 		p.sweep(now)
 	}
 	return p.take()
 }
 
+// sweepEvery is the time between two sweeps. Longer starts held-back patient work later,
+// shorter looks at every endpoint more often. Not measured.
+const sweepEvery = time.Second
+
+// forgetEvery is the number of ticket names and sweeps between two scans for forgotten
+// adapters; it bounds the cost of the scan. Not measured.
 const forgetEvery = 256
 
 // sweep does the work of once a second.
@@ -129,7 +135,7 @@
 func (p *Placer) NextWake() time.Time {
 	next := p.queue.nextDeadline()
 	if len(p.queue.byID) > 0 {
-		sweep := p.lastSweep.Add(time.Second)
+		sweep := p.lastSweep.Add(sweepEvery)
 		if next.IsZero() || sweep.Before(next) {
 			next = sweep
 		}
--- a/services/daemon/placement/placer_test.go
+++ b/services/daemon/placement/placer_test.go
@@ -23,9 +23,9 @@
 	return fleet.AdapterRef{Name: name, Version: 1}
 }
 
-func endpoint(name string, slots, batch int) fleet.Endpoint {
+func endpoint(slots int) fleet.Endpoint {
 	return fleet.Endpoint{
-		Name: name, Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: slots, MaxBatch: batch,
+		Name: "e1", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: slots, MaxBatch: 4,
 		Step: 20 * time.Millisecond, Load: 300 * time.Millisecond, ChecksFence: true,
 	}
 }
@@ -66,7 +66,7 @@
 }
 
 func TestTicketDeclaredBeforeItsSlotIsKnown(t *testing.T) {
-	p := newPlacer(endpoint("e1", 1, 4))
+	p := newPlacer(endpoint(1))
 	held := fleet.Ticket{ID: "t1", RequestID: "q1", Endpoint: "e1", Incarnation: "e1-1", Adapter: ref("a"), Entry: "i2"}
 	p.Redeclare(at(1), held, request("q1", "a"))
 	p.Inspected(at(2), placement.Inspection{
@@ -80,24 +80,24 @@
 }
 
 func TestOwnTicketDoesNotHideAFormerPlacersRequest(t *testing.T) {
-	p := newPlacer(endpoint("e1", 1, 4))
-	listed := func(began, now int, running ...fleet.AdapterRef) placement.Inspection {
+	p := newPlacer(endpoint(1))
+	listed := func(began int, running ...fleet.AdapterRef) placement.Inspection {
 		return placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(began), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: running}
 	}
-	p.Adopt(at(2), listed(1, 2, ref("a")), 2, at(2))
+	p.Adopt(at(2), listed(1, ref("a")), 2, at(2))
 	granted := only[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	require.Len(t, granted, 1)
-	p.Inspected(at(5), listed(4, 5, ref("a")))
+	p.Inspected(at(5), listed(4, ref("a")))
 	p.Return(at(6), granted[0].Ticket.ID)
 	p.Submit(at(7), request("q2", "b"))
 	_, used := p.UsePermit(at(8))
 	require.False(t, used, "a request of the former placer may still run on the adapter")
-	p.Inspected(at(10), listed(9, 10))
+	p.Inspected(at(10), listed(9))
 	require.Equal(t, ref("a"), load(t, p, at(11)).Evict)
 }
 
 func TestOlderListIsNotTakenIn(t *testing.T) {
-	p := newPlacer(endpoint("e1", 1, 4))
+	p := newPlacer(endpoint(1))
 	young := placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(5), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")}}
 	p.Inspected(at(6), young)
 	p.Inspected(at(7), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(3), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
@@ -107,7 +107,7 @@
 }
 
 func TestRestartedEndpointIsTakenAgainBeforeUse(t *testing.T) {
-	p := newPlacer(endpoint("e1", 2, 4))
+	p := newPlacer(endpoint(2))
 	effects := p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", Began: at(1), Up: true})
 	require.Len(t, only[placement.Retake](effects), 1)
 	p.Submit(at(3), request("q1", "a"))
@@ -119,7 +119,7 @@
 }
 
 func TestNoGrantWithoutFencesBeforeTheLeaseWasHeld(t *testing.T) {
-	e := endpoint("e1", 1, 4)
+	e := endpoint(1)
 	e.ChecksFence = false
 	p := newPlacer(e)
 	p.AllowOrders("e1", time.Time{})
@@ -134,7 +134,7 @@
 }
 
 func TestRepeatedGrantIsYoungAgain(t *testing.T) {
-	p := newPlacer(endpoint("e1", 1, 4))
+	p := newPlacer(endpoint(1))
 	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	first := only[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	again := only[placement.Grant](p.Submit(at(20000), request("q1", "a")))
--- a/services/daemon/placement/queue.go
+++ b/services/daemon/placement/queue.go
@@ -142,7 +142,7 @@
 	a.weight += w.class.StallWeight
 	if w.class.Patient {
 		a.patient++
-		a.holdAtMost(now.Add(w.patience(now, hold)))
+		a.holdAtMost(now.Add(w.holdLimit(now, hold)))
 	}
 }
 
@@ -152,11 +152,14 @@
 	}
 }
 
-// holdShare is the part of a caller's wait that patient work may be held back.
+// holdShare is the part of a caller's wait that patient work may be held back. Higher fills
+// batches better and leaves less time to run. Before it came, with other changes, 28
+// overnight requests of the demo expired, and none after (commit 33c3f89); other values were
+// not measured.
 const holdShare = 0.2
 
-// patience is how long a request may be held back to fill a batch.
-func (w *waiter) patience(now time.Time, hold time.Duration) time.Duration {
+// holdLimit is how long a request may be held back to fill a batch.
+func (w *waiter) holdLimit(now time.Time, hold time.Duration) time.Duration {
 	if w.request.Deadline.IsZero() {
 		return hold
 	}
--- a/services/daemon/placement/submit.go
+++ b/services/daemon/placement/submit.go
@@ -11,6 +11,15 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
+const (
+	// retryUnknown is when to send a request again where nothing tells how long the reason
+	// lasts: no endpoint takes work, or none says how fast it works. Not measured.
+	retryUnknown = 2 * time.Second
+	// retryLeast is the least time after which a refused request is sent again, so that a
+	// short queue is not asked for again and again. Not measured.
+	retryLeast = time.Second
+)
+
 // Submit admits a request: it is granted, queued or refused at once.
 func (p *Placer) Submit(now time.Time, r fleet.Request) []Effect {
 	class := classOf(p.classes, r.Class)
@@ -66,14 +75,14 @@
 		return fleet.Refusal{Reason: fleet.ReasonExpired}, true
 	}
 	if !p.anyServes(r) {
-		return fleet.Refusal{Reason: fleet.ReasonNoEndpoint, RetryAfter: 2 * time.Second}, true
+		return fleet.Refusal{Reason: fleet.ReasonNoEndpoint, RetryAfter: retryUnknown}, true
 	}
 	waiting := p.queue.tokens[class.Name]
 	if waiting+r.Tokens() > class.MaxQueuedTokens && waiting > 0 {
 		return fleet.Refusal{Reason: fleet.ReasonQueueFull, RetryAfter: p.retryAfter(waiting)}, true
 	}
 	own := p.queue.byCustomer[customerKey{class: class.Name, customer: r.Caller}]
-	if own > 0 && float64(own+r.Tokens()) > p.options.TenantShare*float64(class.MaxQueuedTokens) {
+	if own > 0 && float64(own+r.Tokens()) > p.options.CustomerShare*float64(class.MaxQueuedTokens) {
 		return fleet.Refusal{Reason: fleet.ReasonCustomerLimit, RetryAfter: p.retryAfter(own)}, true
 	}
 	if wait, refused := p.failures.Refuses(now, r.Adapter); refused && len(p.copies[r.Adapter]) == 0 {
@@ -116,10 +125,10 @@
 		}
 	}
 	if perSecond == 0 {
-		return 2 * time.Second
+		return retryUnknown
 	}
 	wait := time.Duration(float64(tokens) / perSecond * float64(time.Second))
-	return max(time.Second, wait)
+	return max(retryLeast, wait)
 }
 
 // Cancel withdraws a waiting request whose caller has gone.
--- a/services/daemon/process/options.go
+++ b/services/daemon/process/options.go
@@ -28,8 +28,8 @@
 	o := placement.DefaultOptions()
 	c := s.Decision
 	o.AgingStep = c.AgingStep.Duration()
-	o.TenantShare = c.CustomerShare
-	o.TenantBatchShare = c.CustomerBatchShare
+	o.CustomerShare = c.CustomerShare
+	o.CustomerBatchShare = c.CustomerBatchShare
 	o.FastHalfLife = c.FastHalfLife.Duration()
 	o.SlowHalfLife = c.SlowHalfLife.Duration()
 	o.GatherShare = c.GatherShare
