--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -44,7 +44,7 @@
 func configuration(models ...string) *deployment.Configuration {
 	engine := &deployment.Engine{Slots: 16, AdapterCapacity: 4, LoadsPerSecond: 50}
 	for _, name := range models {
-		engine.Models = append(engine.Models, deployment.Model{Name: name, Adapters: 4})
+		engine.Models = append(engine.Models, deployment.Model{Name: name})
 	}
 	return deployment.NewConfiguration(1, nil, map[string]*deployment.Service{
 		service: {Name: service, Engine: engine}, "plain": {Name: "plain"},
