--- /dev/null
+++ b/services/daemon/access/access_test.go
@@ -0,0 +1,133 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package access_test
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"net/netip"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/services/daemon/access"
+)
+
+var (
+	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	here  = netip.MustParseAddr("127.0.0.1")
+	there = netip.MustParseAddr("127.0.0.2")
+)
+
+const allowedFailures = 3
+
+func hashOf(key string) string {
+	sum := sha256.Sum256([]byte(key))
+	return hex.EncodeToString(sum[:])
+}
+
+func newService(t *testing.T) *access.Service {
+	t.Helper()
+	s, err := access.New([]access.Key{
+		{Operator: access.Operator{Name: "ana", Role: access.RoleAdmin}, SHA256: hashOf("key-a")},
+		{Operator: access.Operator{Name: "ben", Role: access.RoleRead}, SHA256: hashOf("key-b")},
+		{Operator: access.Operator{Name: "nil", Role: access.RoleNone}, SHA256: hashOf("key-n")},
+		{Operator: access.Operator{Name: "empty", Role: access.RoleAdmin}, SHA256: hashOf("")},
+	}, allowedFailures)
+	require.NoError(t, err)
+	return s
+}
+
+func fail(t *testing.T, s *access.Service, now time.Time, from netip.Addr, times int) {
+	t.Helper()
+	for range times {
+		_, err := s.Check(now, from, "wrong", access.RoleRead)
+		require.True(t, access.IsErrDenied(err))
+	}
+}
+
+func TestARoleIncludesThoseBelowIt(t *testing.T) {
+	s := newService(t)
+	for _, need := range []access.Role{access.RoleRead, access.RoleChange, access.RoleAdmin} {
+		found, err := s.Check(start, here, "key-a", need)
+		require.NoError(t, err)
+		require.Equal(t, "ana", found.Name)
+	}
+	_, err := s.Check(start, here, "key-b", access.RoleRead)
+	require.NoError(t, err)
+}
+
+func TestTooLowARoleIsDeniedByNameAndIsNoFailure(t *testing.T) {
+	s := newService(t)
+	for range allowedFailures + 1 {
+		found, err := s.Check(start, here, "key-b", access.RoleChange)
+		require.True(t, access.IsErrDenied(err))
+		require.Equal(t, "ben", found.Name)
+	}
+	_, err := s.Check(start, here, "key-b", access.RoleRead)
+	require.NoError(t, err)
+}
+
+func TestUnknownEmptyAndRolelessKeysAreDeniedWithoutAnOperator(t *testing.T) {
+	for _, key := range []string{"wrong", "", "key-n", "key-a "} {
+		found, err := newService(t).Check(start, here, key, access.RoleNone)
+		require.True(t, access.IsErrDenied(err), "%q", key)
+		require.Zero(t, found)
+	}
+}
+
+func TestAnAddressWithTooManyFailuresWaitsEvenWithTheRightKey(t *testing.T) {
+	s := newService(t)
+	fail(t, s, start, here, allowedFailures-1)
+	_, err := s.Check(start, here, "key-a", access.RoleRead)
+	require.NoError(t, err, "one failure fewer than allowed")
+	fail(t, s, start.Add(10*time.Second), here, 1)
+	_, err = s.Check(start.Add(20*time.Second), here, "key-a", access.RoleRead)
+	require.Equal(t, access.ErrTooMany{RetryAfter: 40 * time.Second}, err)
+	_, err = s.Check(start.Add(20*time.Second), there, "key-a", access.RoleRead)
+	require.NoError(t, err, "another address")
+}
+
+func TestFailuresAreForgottenAMinuteAfterTheFirst(t *testing.T) {
+	s := newService(t)
+	fail(t, s, start, here, allowedFailures)
+	_, err := s.Check(start.Add(time.Minute-1), here, "key-a", access.RoleRead)
+	require.True(t, access.IsErrTooMany(err))
+	after := start.Add(time.Minute + 1)
+	fail(t, s, after, here, allowedFailures-1)
+	_, err = s.Check(after, here, "key-a", access.RoleRead)
+	require.NoError(t, err, "the count began anew")
+}
+
+func TestAFloodFromManyAddressesForgetsOldFailuresFirst(t *testing.T) {
+	s := newService(t)
+	fail(t, s, start, here, allowedFailures)
+	now := start.Add(time.Minute + 1)
+	fail(t, s, now, there, allowedFailures)
+	address := netip.MustParseAddr("10.0.0.0")
+	for range 9998 {
+		address = address.Next()
+		fail(t, s, now, address, 1)
+	}
+	fail(t, s, now, address.Next(), 1)
+	_, err := s.Check(now, there, "key-a", access.RoleRead)
+	require.True(t, access.IsErrTooMany(err), "only what was older than a minute is forgotten")
+}
+
+func TestAHashThatIsNotValidIsRefused(t *testing.T) {
+	for _, hash := range []string{"", "zz", hashOf("x")[:62]} {
+		_, err := access.New([]access.Key{{SHA256: hash}}, allowedFailures)
+		require.True(t, access.IsErrDenied(err), "%q", hash)
+	}
+}
+
+func TestRolesAreReadByName(t *testing.T) {
+	for _, role := range []access.Role{access.RoleRead, access.RoleChange, access.RoleAdmin} {
+		require.Equal(t, role, access.ParseRole(role.String()))
+	}
+	for _, name := range []string{"", "none", "Admin", "root"} {
+		require.Equal(t, access.RoleNone, access.ParseRole(name), "%q", name)
+	}
+}
--- /dev/null
+++ b/services/daemon/membership/members_test.go
@@ -0,0 +1,170 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package membership_test
+
+import (
+	"fmt"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/membership"
+)
+
+var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+
+const hall = "h1"
+
+func instance(id string) fleet.Instance { return fleet.Instance{ID: id, Hall: hall} }
+
+func newState() *membership.State {
+	return membership.New(instance("self"), membership.DefaultOptions())
+}
+
+func heartbeat(id string, stamp time.Duration) *fleet.Heartbeat {
+	return &fleet.Heartbeat{Instance: instance(id), Stamp: stamp}
+}
+
+func kinds(changes []membership.Change) []membership.ChangeKind {
+	var out []membership.ChangeKind
+	for _, c := range changes {
+		out = append(out, c.Kind)
+	}
+	return out
+}
+
+// sweepUntil sweeps as often as the control thread does, so that no pause is seen.
+func sweepUntil(s *membership.State, from, to time.Time) []membership.Change {
+	var changes []membership.Change
+	for now := from; !now.After(to); now = now.Add(100 * time.Millisecond) {
+		changes = append(changes, s.Sweep(now)...)
+	}
+	return changes
+}
+
+func TestAFirstHeartbeatJoinsAndARepeatedOneChangesNothing(t *testing.T) {
+	s := newState()
+	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Heard(start, 1, heartbeat("a", time.Second))))
+	require.Empty(t, s.Heard(start, 1, heartbeat("a", time.Second)))
+	require.Equal(t, []string{"a", "self"}, s.Candidates(false))
+}
+
+func TestADelayedHeartbeatDoesNotTakeNewsBack(t *testing.T) {
+	s := newState()
+	newer := heartbeat("a", 2*time.Second)
+	newer.Leaving = true
+	s.Heard(start, 1, newer)
+	require.Empty(t, s.Heard(start.Add(time.Second), 1, heartbeat("a", time.Second)))
+	require.True(t, s.Member("a").Leaving)
+	require.Equal(t, start, s.Member("a").Heard, "a late message shows nothing of the sender's present life")
+}
+
+func TestARestartIsToldOnceAndItsFormerLifeIsIgnored(t *testing.T) {
+	s := newState()
+	before := heartbeat("a", time.Hour)
+	before.Revision = 9
+	s.Heard(start, 7, before)
+	// The clock was set back: the boot is lower, its stamp starts anew, and its revision too.
+	require.Equal(t, []membership.ChangeKind{membership.Restarted}, kinds(s.Heard(start, 5, heartbeat("a", 0))))
+	require.Zero(t, s.Member("a").Revision)
+	require.Empty(t, s.Heard(start, 7, before), "late, of the former life")
+	require.Equal(t, uint64(5), s.Member("a").Boot)
+}
+
+func TestLeavingIsToldOnceAndEndsTheCandidacy(t *testing.T) {
+	s := newState()
+	s.Heard(start, 1, heartbeat("a", 1))
+	leaving := heartbeat("a", 2)
+	leaving.Leaving = true
+	require.Equal(t, []membership.ChangeKind{membership.Left}, kinds(s.Heard(start, 1, leaving)))
+	require.Empty(t, s.Heard(start, 1, leaving))
+	require.Equal(t, []string{"self"}, s.Candidates(false))
+	require.Empty(t, s.Candidates(true))
+}
+
+func TestAMemberIsLostJustAfterTheSilenceAndOnlyOnce(t *testing.T) {
+	s := newState()
+	o := membership.DefaultOptions()
+	s.Heard(start, 1, heartbeat("a", 1))
+	require.Empty(t, sweepUntil(s, start, start.Add(o.LostAfter)))
+	lost := s.Sweep(start.Add(o.LostAfter + 1))
+	require.Equal(t, []membership.ChangeKind{membership.Lost}, kinds(lost))
+	require.Empty(t, s.Alive())
+	require.Empty(t, s.Sweep(start.Add(o.LostAfter+2)))
+	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Heard(start.Add(o.LostAfter+3), 1, heartbeat("a", 2))))
+}
+
+func TestAPauseOfThisInstanceLosesNobody(t *testing.T) {
+	s := newState()
+	s.Heard(start, 1, heartbeat("a", 1))
+	s.Sweep(start)
+	require.Empty(t, s.Sweep(start.Add(time.Hour)))
+	require.Len(t, s.Alive(), 1)
+}
+
+func TestTheSilenceGrowsWithTheHallAboveTenInstances(t *testing.T) {
+	lostAfter := membership.DefaultOptions().LostAfter
+	for count, silence := range map[int]time.Duration{9: lostAfter, 10: lostAfter * 11 / 10, 39: 4 * lostAfter} {
+		s := newState()
+		for i := range count {
+			s.Heard(start, 1, heartbeat(fmt.Sprintf("i%02d", i), 1))
+		}
+		require.Empty(t, sweepUntil(s, start, start.Add(silence)), "%d others", count)
+		require.Len(t, s.Sweep(start.Add(silence+1)), count, "%d others", count)
+	}
+}
+
+func TestHeartbeatsAreDueByIntervalAndProbesMoreRarely(t *testing.T) {
+	s := newState()
+	o := membership.DefaultOptions()
+	s.Heard(start, 1, heartbeat("alive", 1))
+	s.Know(start, instance("silent"))
+	require.Len(t, s.Due(start), 2)
+	require.Empty(t, s.Due(start.Add(o.Interval-1)))
+	due := s.Due(start.Add(o.Interval))
+	require.Len(t, due, 1)
+	require.Equal(t, "alive", due[0].Instance.ID)
+	require.Len(t, s.Due(start.Add(o.ProbeEvery)), 2)
+}
+
+func TestOnlyUnlistedInstancesAreForgotten(t *testing.T) {
+	s := newState()
+	o := membership.DefaultOptions()
+	s.SetListed(start, []fleet.Instance{instance("listed"), instance("self")})
+	s.Know(start, instance("named"))
+	end := start.Add(o.ForgetAfter)
+	sweepUntil(s, start, end)
+	require.Len(t, s.Known(), 3)
+	s.Sweep(end.Add(1))
+	require.Equal(t, []fleet.Instance{instance("self"), instance("listed")}, s.Known())
+	s.SetListed(end, nil)
+	s.Sweep(end.Add(2))
+	require.Equal(t, []fleet.Instance{instance("self")}, s.Known())
+}
+
+func TestOtherHallsAndTheInstanceItselfAreNoMembers(t *testing.T) {
+	s := newState()
+	other := heartbeat("b", 1)
+	other.Instance.Hall = "h2"
+	require.Empty(t, s.Heard(start, 1, other))
+	require.Empty(t, s.Heard(start, 1, heartbeat("self", 1)))
+	require.Len(t, s.Known(), 1)
+}
+
+func TestNamesArePassedOnWithoutAClaimOfLifeAndChangeTheHash(t *testing.T) {
+	s := newState()
+	before := s.Hash()
+	hb := heartbeat("a", 1)
+	hb.Known = []fleet.Instance{instance("b"), instance("self")}
+	s.Heard(start, 1, hb)
+	require.Equal(t, []string{"a", "self"}, s.Candidates(false), "b is only known")
+	require.Len(t, s.Known(), 3)
+	require.NotEqual(t, before, s.Hash())
+	same := newState()
+	same.Know(start, instance("b"))
+	same.Know(start, instance("a"))
+	require.Equal(t, s.Hash(), same.Hash(), "whatever the order")
+}
