--- a/services/daemon/access/access.go
+++ b/services/daemon/access/access.go
@@ -97,11 +97,14 @@
 }
 
 const (
-	window       = time.Minute
+	// window is how long failures of an address count, from its first one on; the setting failures_per_minute names its unit.
+	window = time.Minute
+	// maxAddresses bounds the addresses with failures that are remembered, so that a flood from many of them cannot exhaust
+	// the memory: more remember a longer flood. Not measured.
 	maxAddresses = 10000
 )
 
-// New makes a service that allows so many failures of one address in a minute.
+// New makes a service that allows so many failures of one address in a minute; it gives ErrDenied for a hash that is not valid.
 func New(keys []Key, failuresPerMinute int) (*Service, error) {
 	s := &Service{most: failuresPerMinute, failures: make(map[netip.Addr]*failures)}
 	for _, k := range keys {
@@ -114,7 +117,8 @@
 	return s, nil
 }
 
-// Check finds the operator of a key and makes sure of the role.
+// Check finds the operator of a key and makes sure of the role. It gives ErrTooMany for an address with too many failures,
+// whatever its key, and ErrDenied for an unknown key or too low a role; only an unknown key counts as a failure.
 func (s *Service) Check(now time.Time, from netip.Addr, key string, need Role) (Operator, error) {
 	if wait := s.blocked(now, from); wait > 0 {
 		return Operator{}, ErrTooMany{RetryAfter: wait}
@@ -136,6 +140,7 @@
 	return found, nil
 }
 
+// blocked tells how long an address must wait, or zero.
 func (s *Service) blocked(now time.Time, from netip.Addr) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -146,6 +151,7 @@
 	return window - now.Sub(f.since)
 }
 
+// failed counts a failure of an address.
 func (s *Service) failed(now time.Time, from netip.Addr) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/services/daemon/configuration/follower.go
+++ b/services/daemon/configuration/follower.go
@@ -63,10 +63,17 @@
 }
 
 const (
+	// retryLeast and retryMost bound the wait before the watch is tried again: longer spares the service after an outage,
+	// shorter has changes in force sooner. Not measured.
 	retryLeast = 200 * time.Millisecond
 	retryMost  = 3 * time.Second
+	// retryGrowth is the factor of one wait to the next.
+	retryGrowth = 2
+	// retryFloor is the part of a wait, one over this, that its jitter leaves certain.
+	retryFloor = 2
 )
 
+// follow makes rounds until ctx ends.
 func (f *Follower) follow(ctx context.Context) {
 	defer f.done.Done()
 	wait := retryLeast
@@ -83,8 +90,8 @@
 			wait = retryLeast
 		}
 		// The jitter keeps the halls from coming back all at once after an outage.
-		sleep := wait/2 + rand.N(wait)
-		wait = min(2*wait, retryMost)
+		sleep := wait/retryFloor + rand.N(wait)
+		wait = min(retryGrowth*wait, retryMost)
 		select {
 		case <-time.After(sleep):
 		case <-ctx.Done():
--- a/services/daemon/configuration/keys.go
+++ b/services/daemon/configuration/keys.go
@@ -19,13 +19,16 @@
 }
 
 const (
-	// partBytes is the largest value written, well below the service's limit of a megabyte.
+	// partBytes is the largest value written, in bytes, well below the service's limit of a megabyte; other values were not
+	// measured.
 	partBytes = 700 << 10
-	// inlineBytes is the largest record that rides along in the head.
+	// inlineBytes is the largest record that rides along in the head, in bytes: it saves each reader a call for each change, and
+	// makes the head that all watch larger. Not measured.
 	inlineBytes = 16 << 10
-	// snapshotEvery is the number of records after which a new snapshot is written.
+	// snapshotEvery is the number of records after which a new snapshot is written: fewer cost writes, more cost an instance
+	// that starts a longer read. Not measured.
 	snapshotEvery = 200
-	// keepRecords is how many records before the snapshot stay, for history and undo.
+	// keepRecords is how many records before the latest stay, for history and undo; not measured.
 	keepRecords = 512
 )
 
@@ -53,6 +56,7 @@
 	return "the configuration's head cannot be read: " + e.Reason
 }
 
+// parseHead reads the head's value, or gives ErrBadHead.
 func parseHead(value []byte) (head, error) {
 	var h head
 	if err := json.Unmarshal(value, &h); err != nil {
--- a/services/daemon/configuration/store.go
+++ b/services/daemon/configuration/store.go
@@ -91,9 +91,12 @@
 	Repeated bool
 }
 
+// commitTries bounds the tries of one commit, of which each loses to another operator's change or has an unknown end;
+// not measured.
 const commitTries = 8
 
-// Commit stores a proposal as the next revision.
+// Commit stores a proposal as the next revision. It gives ErrUnsettled where it may or may not have been stored, and for what
+// surely was not: ErrUnavailable, ErrTooLarge, catalog.ErrRevisionConflict or catalog.ErrBadChange.
 func (s *Store) Commit(ctx context.Context, p Proposal) (Committed, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
--- a/services/daemon/membership/doc.go
+++ b/services/daemon/membership/doc.go
@@ -1,6 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package membership keeps an instance's picture of the instances of its hall:
-// who is known, who is alive, who is leaving and what each of them holds.
+// Package membership keeps an instance's picture of the instances of its hall: who is known, who is alive, who is
+// leaving and what each of them holds.
+//
+// A State owns that picture; it decides from heartbeats, the platform's list and the present time, all of which its
+// caller gives, and does no I/O. It is the control thread's alone (services/daemon/node) and starts no goroutines.
 package membership
--- a/services/daemon/membership/members.go
+++ b/services/daemon/membership/members.go
@@ -26,11 +26,28 @@
 	ForgetAfter time.Duration
 }
 
-// DefaultOptions gives the settings in use where the settings file is silent.
+const (
+	// defaultInterval trades traffic for how soon a change is known: 10.1 KB/s are sent by an instance in a large hall
+	// (docs/CAPACITY.md); other values were not measured.
+	defaultInterval = 250 * time.Millisecond
+	// defaultLostAfter trades sooner takeovers for takeovers from instances that were only slow. Takeover measured 1.2 s
+	// (median of 5) after a loss (docs/design/0004-data-path.md); other values were not measured.
+	defaultLostAfter = 1200 * time.Millisecond
+	// defaultSettle is above defaultLostAfter, so that a new instance has heard every live one before it takes a pool over;
+	// not measured.
+	defaultSettle = 1500 * time.Millisecond
+	// defaultProbeEvery trades traffic to instances that are gone for how soon one that came back is noticed; not measured.
+	defaultProbeEvery = time.Second
+	// defaultForgetAfter trades memory and probes for instances that were cut off that long; not measured.
+	defaultForgetAfter = 10 * time.Minute
+)
+
+// DefaultOptions gives the timings for where no settings file is read. In the daemon the settings' own defaults of
+// Interval, LostAfter and Settle, which are equal, replace these three.
 func DefaultOptions() Options {
 	return Options{
-		Interval: 250 * time.Millisecond, LostAfter: 1200 * time.Millisecond, Settle: 1500 * time.Millisecond,
-		ProbeEvery: time.Second, ForgetAfter: 10 * time.Minute,
+		Interval: defaultInterval, LostAfter: defaultLostAfter, Settle: defaultSettle,
+		ProbeEvery: defaultProbeEvery, ForgetAfter: defaultForgetAfter,
 	}
 }
 
@@ -101,7 +118,8 @@
 	s.members[i.ID] = &Member{Instance: i, Heard: now}
 }
 
-// Heard takes a heartbeat.
+// Heard takes a heartbeat and gives what it changed. One of a former life of its sender, one older than the last that was
+// heard, and one of another hall or of the instance itself change nothing.
 func (s *State) Heard(now time.Time, boot uint64, hb *fleet.Heartbeat) []Change {
 	if hb.Instance.ID == s.self.ID || hb.Instance.Hall != s.self.Hall {
 		return nil
@@ -129,6 +147,8 @@
 	return changes
 }
 
+// formerLives is how many earlier boots of a member are remembered, so that their late messages are told from a new
+// life's; messages of a life that many restarts ago are taken as long gone. Not measured.
 const formerLives = 8
 
 // retire remembers the present life as a former one; the clock may have been
@@ -144,6 +164,7 @@
 	m.Stamp = 0
 }
 
+// note gives the changes that a heartbeat brings, before the member takes its content.
 func (s *State) note(m *Member, boot uint64, hb *fleet.Heartbeat) []Change {
 	var changes []Change
 	switch {
@@ -159,8 +180,9 @@
 	return changes
 }
 
-// crowd is the number of known members up to which the timings hold as set; above it
-// they grow with the hall, so that a member's traffic does not.
+// crowd is the number of instances of a hall, this one among them, up to which the timings hold as set; above it they grow
+// with the hall, so that an instance's traffic does not: bytes sent are flat above 10 (docs/CAPACITY.md), at the price of a
+// loss that is noticed after 4.8 s in a hall of 40. Other values were not measured.
 const crowd = 10
 
 // scaled stretches a time in a large hall.
@@ -254,12 +276,14 @@
 	var sum uint64
 	for _, i := range s.Known() {
 		h := fnv.New64a()
+		// Write of a hash.Hash never gives an error.
 		_, _ = h.Write([]byte(i.ID))
 		sum += h.Sum64()
 	}
 	return sum
 }
 
+// sorted lists the members by identifier, so that equal pictures act alike.
 func (s *State) sorted() []*Member {
 	out := make([]*Member, 0, len(s.members))
 	for _, m := range s.members {
--- a/services/daemon/once/claimer.go
+++ b/services/daemon/once/claimer.go
@@ -51,11 +51,33 @@
 	Timeout time.Duration
 }
 
-// DefaultOptions gives the settings in use where the settings file is silent.
+const (
+	// defaultTTL trades keys in the service for how late a repeated request is still recognised; not measured.
+	defaultTTL = 24 * time.Hour
+	// defaultGather trades a claim's delay for fewer writes: 27 claims a write with 300 requests at once
+	// (docs/design/0004-data-path.md); other values were not measured.
+	defaultGather = 5 * time.Millisecond
+	// defaultMaxBatch bounds one transaction, in claims; 1 to 32 at once share one write each (docs/CAPACITY.md).
+	defaultMaxBatch = 32
+	// defaultMaxWaiting trades memory for claims that are refused while the service is slow; not measured.
+	defaultMaxWaiting = 1024
+	// defaultTimeout holds a lost write and the read that settles it, at the client's 2 s for each call; not measured.
+	defaultTimeout = 4 * time.Second
+
+	// leaseTTLs is the life of a lease in TTLs. A lease takes new claims for a TTL at most, so that each lasts a TTL at least.
+	leaseTTLs = 2
+	// leaseParts divides the TTL in which a lease takes claims: it is renewed after the first part, and goes on through the
+	// second only where no new one is granted.
+	leaseParts = 2
+	// serialBase writes serial numbers with letters and digits.
+	serialBase = 36
+)
+
+// DefaultOptions gives the settings for where no settings file is read; in the daemon the setting claim_ttl replaces TTL.
 func DefaultOptions(prefix, owner string) Options {
 	return Options{
-		Prefix: prefix, Owner: owner, TTL: 24 * time.Hour, Gather: 5 * time.Millisecond, MaxBatch: 32, MaxWaiting: 1024,
-		Timeout: 4 * time.Second,
+		Prefix: prefix, Owner: owner, TTL: defaultTTL, Gather: defaultGather, MaxBatch: defaultMaxBatch, MaxWaiting: defaultMaxWaiting,
+		Timeout: defaultTimeout,
 	}
 }
 
@@ -128,8 +150,9 @@
 	return fmt.Sprintf("%s/once/%s/%s", c.options.Prefix, strconv.Quote(caller), requestID)
 }
 
+// token gives a value that no other claim has, by which a write with an unknown end is recognised.
 func (c *Claimer) token() []byte {
-	return []byte(c.options.Owner + "/" + strconv.FormatUint(c.serial.Add(1), 36))
+	return []byte(c.options.Owner + "/" + strconv.FormatUint(c.serial.Add(1), serialBase))
 }
 
 // Run makes the claims until ctx ends.
@@ -193,12 +216,14 @@
 	}
 }
 
+// finish ends all claims of a batch alike.
 func finish(batch []*claim, r Result) {
 	for _, x := range batch {
 		x.done <- r
 	}
 }
 
+// put writes claims in one transaction that succeeds only if none of their keys exists.
 func (c *Claimer) put(ctx context.Context, batch []*claim) (kv.TxnResponse, error) {
 	var r kv.TxnRequest
 	for _, x := range batch {
@@ -213,6 +238,7 @@
 	return resp, err
 }
 
+// single makes one claim of a batch that failed as a whole since some key of it exists.
 func (c *Claimer) single(x *claim) Result {
 	resp, err := c.put(x.ctx, []*claim{x})
 	switch {
@@ -243,13 +269,13 @@
 	if c.lease.id != 0 && now.Before(c.lease.renewAt) {
 		return nil
 	}
-	id, err := c.store.Grant(ctx, 2*c.options.TTL)
+	id, err := c.store.Grant(ctx, leaseTTLs*c.options.TTL)
 	if err != nil {
-		if c.lease.id != 0 && now.Before(c.lease.renewAt.Add(c.options.TTL/2)) {
+		if c.lease.id != 0 && now.Before(c.lease.renewAt.Add(c.options.TTL/leaseParts)) {
 			return nil
 		}
 		return err
 	}
-	c.lease = lease{id: id, renewAt: now.Add(c.options.TTL / 2)}
+	c.lease = lease{id: id, renewAt: now.Add(c.options.TTL / leaseParts)}
 	return nil
 }
--- a/services/daemon/query/explain.go
+++ b/services/daemon/query/explain.go
@@ -76,7 +76,8 @@
 	if err != nil {
 		return out, err
 	}
-	a := s.options.Catalog().Adapters[strings.SplitN(name, "@", 2)[0]]
+	bare, _, _ := strings.Cut(name, "@")
+	a := s.options.Catalog().Adapters[bare]
 	if a == nil {
 		out.Lines = append([]string{"The configuration in force has no adapter " + name + "."}, out.Lines...)
 		return out, nil
--- a/services/daemon/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -122,8 +122,11 @@
 	}
 }
 
+// minutesPerHour turns minutes after midnight into a time of day.
+const minutesPerHour = int(time.Hour / time.Minute)
+
 func clock(minute int) string {
-	return fmt.Sprintf("%02d:%02d", minute/60, minute%60)
+	return fmt.Sprintf("%02d:%02d", minute/minutesPerHour, minute%minutesPerHour)
 }
 
 func classes(s *Service, t *table.Table) {
@@ -150,7 +153,7 @@
 	})
 }
 
-// instances gives only this instance's own line, so that the sum over all shows each once, by its own word.
+// instances gives only this instance's own line, so that the sum over all shows each once, as it sees itself.
 func instances(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		i := n.Instances(now)[0]
--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -22,9 +22,23 @@
 	LocalOnly bool
 }
 
-// DefaultOptions gives the settings in use where the settings file is silent.
+const (
+	// defaultFresh trades requests sent on old news for requests kept from a hall that is slow to tell; twenty digests fit
+	// into it at their default pace. Not measured.
+	defaultFresh = 5 * time.Second
+	// defaultBoundedLoad trades an even load for adapters that stay in one hall; not measured.
+	defaultBoundedLoad = 1.25
+	// boundSlack is added to the bound, in requests for each place, so that an idle fleet's first requests do not exceed the
+	// bound of a mean near zero. Not measured.
+	boundSlack = 0.1
+	// fullLoad is the load of a pool without places: above that of every pool with some.
+	fullLoad = 1e9
+)
+
+// DefaultOptions gives the settings for where no settings file is read; in the daemon the setting bounded_load, with an
+// equal default, replaces BoundedLoad.
 func DefaultOptions() Options {
-	return Options{Fresh: 5 * time.Second, BoundedLoad: 1.25}
+	return Options{Fresh: defaultFresh, BoundedLoad: defaultBoundedLoad}
 }
 
 // Router holds the summaries of all pools; it is not safe for concurrent use.
@@ -186,7 +200,7 @@
 // load gives the waiting and running work for each place.
 func (v *view) load() float64 {
 	if v.places == 0 {
-		return 1e9
+		return fullLoad
 	}
 	return float64(v.places-v.free+v.waiting+v.sent) / float64(v.places)
 }
@@ -199,7 +213,7 @@
 		mean += v.load()
 	}
 	mean /= float64(len(usable))
-	limit := r.options.BoundedLoad*mean + 0.1
+	limit := r.options.BoundedLoad*mean + boundSlack
 	var best, light *view
 	var bestScore uint64
 	for _, v := range usable {
