--- a/modules/entry/upstream/client.go
+++ b/modules/entry/upstream/client.go
@@ -50,7 +50,7 @@
 	MaxConnections int
 }
 
-// unacknowledged is how long an endpoint's machine may leave sent bytes without acknowledgement: a link
+// unacknowledged is how long an endpoint's kernel may leave sent bytes without acknowledgement: a link
 // that loses packets needs some tries, a cut one never answers.
 const unacknowledged = 1200 * time.Millisecond
 
--- a/services/entry/coordinator/options.go
+++ b/services/entry/coordinator/options.go
@@ -20,7 +20,7 @@
 
 // Options are the settings of a Coordinator.
 type Options struct {
-	// Instance and Hall name this process's machine and its hall.
+	// Instance names this process, Hall the part of the site that it stands in.
 	Instance string
 	Hall     string
 	// PeerAddress is where this process listens for its peers.
@@ -35,8 +35,8 @@
 	LoadWindow    time.Duration
 	LoadTolerance float64
 	LoadSlack     float64
-	// Reluctance is how much longer than others this machine leaves the planner's work to them;
-	// a machine with a weak link or processor takes it only if nobody else does.
+	// Reluctance is how much longer than others this instance leaves the planner's work to them;
+	// an instance with a weak link or processor takes it only if nobody else does.
 	Reluctance time.Duration
 	// VersionLimit is how long a request may still begin on an older version than named.
 	VersionLimit time.Duration
--- a/services/entry/ownership/doc.go
+++ b/services/entry/ownership/doc.go
@@ -7,6 +7,6 @@
 // linearizable reads that the record is still its own; it may give orders until a fixed time
 // after such a read was sent. A successor takes the record by compare-and-swap and waits until
 // the former holder's time is surely over, unless that holder released the record or was an
-// earlier process on the same machine. No two clocks are compared: each instance measures
+// earlier process of the same instance. No two clocks are compared: each instance measures
 // spans on its own monotonic clock.
 package ownership
--- a/services/entry/ownership/record.go
+++ b/services/entry/ownership/record.go
@@ -69,10 +69,10 @@
 	case replaced.Released:
 		return 0
 	case replaced.Holder == self && replaced.Ordering:
-		// The former process on this machine is dead; its last bytes may still travel.
+		// The former process of this instance is dead; its last bytes may still travel.
 		return o.OrderTimeout / deadDivisor
 	case !replaced.Ordering && replaced.Former == self:
-		// Nobody gave orders since this machine did.
+		// Nobody gave orders since this instance did.
 		return o.OrderTimeout / deadDivisor
 	default:
 		return full
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// Kill ends the process's work at once, as the loss of its machine does.
+// Kill ends the process's work at once, as the loss of its host does.
 func (p *Process) Kill() {
 	p.server.Close()
 	p.control.Stop()
