--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -47,7 +47,7 @@
 // waiter is a request that waits for an endpoint.
 type waiter = waiting.Request[acquired]
 
-// acquired is what a waiting request is told.
+// acquired is the answer to a waiting request.
 type acquired struct {
 	assignment Assignment
 	err        error
@@ -185,7 +185,7 @@
 	return false
 }
 
-// expectedAt gives when the adapter that a request waits for will be resident, by the planner's last word.
+// expectedAt gives when the adapter that a request waits for will be resident, by the planner's last view.
 func (c *Coordinator) expectedAt(now time.Time, w *waiter) time.Time {
 	load := c.forecasts.Load(w.Key())
 	return forecast.Expect(now, c.knownPlanner(now), load).At
@@ -194,7 +194,7 @@
 // knownPlanner is what this instance knows of whoever orders loads.
 func (c *Coordinator) knownPlanner(now time.Time) forecast.Planner {
 	known := forecast.Planner{
-		ViewAge: now.Sub(c.following.Heard), ConfirmedAge: c.following.ConfirmedAge, OrderWindow: c.options.Ownership.Window,
+		ViewAge: now.Sub(c.following.ReceivedAt), ConfirmedAge: c.following.ConfirmedAge, OrderWindow: c.options.Ownership.Window,
 		ViewTerm: c.following.Term, ResignedTerm: c.following.ResignedTerm,
 		RecordTerm: c.knownRecord.Term, RecordReleased: c.knownRecord.Released,
 	}
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -36,7 +36,7 @@
 	options     Options
 	environment Environment
 	loop        *loop.Loop
-	// lease belongs to the goroutines of leadership and Release; seeds may be asked by any.
+	// lease is used by the goroutines of leadership and Release only; seeds may be asked by any.
 	lease   *lease.Store
 	seeds   *seed.Asker
 	context context.Context
@@ -47,7 +47,7 @@
 	ready   atomic.Bool
 	leaving atomic.Bool
 
-	// What follows belongs to the control goroutine.
+	// The fields below are used by the control goroutine only.
 	directory       *directory.Directory
 	endpointsKnown  bool
 	endpointsReadAt time.Time
--- a/services/entry/coordinator/doc.go
+++ b/services/entry/coordinator/doc.go
@@ -7,7 +7,7 @@
 //
 // The loop calls rules and carries out effects. The rules are in packages without I/O that are given the present time:
 // waiting (the queue of requests), forecast (when an adapter is expected), report (what is asked for, and when that is
-// told), view (which views are kept and when they are sent), follow (which keys are news and who reads the store),
+// reported), view (which views are kept and when they are sent), follow (which keys are newer and who reads the store),
 // member (what the planner knows of other instances), plan (loads of all services), and services/entry/ownership (who may
 // take and use the lease). The packages lease and seed do I/O for a caller that waits, wire has the messages, loop the
 // control loop itself.
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	// endpointWatchPause is the planner's pause after a watch that told changes, so that more of them come in one
+	// endpointWatchPause is the planner's pause after a watch that returned changes, so that more of them come in one
 	// answer: longer trades later news for fewer calls. Not measured.
 	endpointWatchPause = 450 * time.Millisecond
 	// endpointPollPause is the pause between readings while the planner is silent. Not measured.
@@ -136,7 +136,7 @@
 	}
 }
 
-// applyEndpointEvents takes in what a watch told, up to a revision.
+// applyEndpointEvents takes in the events of a watch, up to a revision.
 func (c *Coordinator) applyEndpointEvents(now, sent time.Time, events []store.Event, upTo int64) {
 	if c.planning != nil {
 		c.planning.at = max(c.planning.at, upTo)
--- a/services/entry/coordinator/follow/keys.go
+++ b/services/entry/coordinator/follow/keys.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/modules/entry/store"
 )
 
-// Keys holds the operators' keys at their newest revision, whoever told them; it is not safe for concurrent use.
+// Keys holds the operators' keys at their newest revision, wherever they came from; it is not safe for concurrent use.
 type Keys struct {
 	items map[string]store.Item
 	at    int64
@@ -22,7 +22,7 @@
 	return &Keys{items: make(map[string]store.Item)}
 }
 
-// Take takes in a key from the store or from a peer. It tells whether it is news: older ones, and the same one told
+// Take takes in a key from the store or from a peer. It tells whether the key is newer than what is known: older ones, and the same one
 // again, are passed over, so that nothing ever reverts.
 func (k *Keys) Take(item store.Item) bool {
 	if known, ok := k.items[item.Key]; ok && known.Revision >= item.Revision {
@@ -65,7 +65,7 @@
 	return &Versions{named: make(map[deployment.Adapter]namedVersion)}
 }
 
-// Name takes in a version that was named. It tells whether it is news: versions only grow.
+// Name takes in a version that was named. It tells whether the version is newer: versions only grow.
 func (v *Versions) Name(now time.Time, adapter deployment.Adapter, version int64) bool {
 	if version <= v.named[adapter].version {
 		return false
--- a/services/entry/coordinator/follow/source.go
+++ b/services/entry/coordinator/follow/source.go
@@ -42,9 +42,9 @@
 type Situation struct {
 	// Planning tells that this instance plans.
 	Planning bool
-	// PlannerFresh tells that another instance's word can be relied on, by its views.
+	// PlannerFresh tells that another instance's views can be relied on.
 	PlannerFresh bool
-	// EndpointsKnown tells that all endpoints were told or read once.
+	// EndpointsKnown tells that all endpoints were received or read once.
 	EndpointsKnown bool
 }
 
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -93,22 +93,22 @@
 	})
 }
 
-// applyView takes in the planner's word.
+// applyView takes in a view of the planner.
 func (c *Coordinator) applyView(now time.Time, stream *peerstream.Stream[wire.Message], v *wire.View) {
 	arrival := view.Arrival{PresentLink: c.following.stream == stream, Planning: c.planning != nil}
 	if c.following.Judge(v, arrival) != view.Keep {
 		return
 	}
-	news := c.following.Take(now, v)
+	effects := c.following.Take(now, v)
 	c.budget.SetMembers(v.Members)
 	c.applyItems(now, v.Items)
 	c.applyViewEndpoints(v)
 	c.applyTotals(v)
 	c.applyForecasts(now, v)
-	if news.Acknowledge {
+	if effects.Acknowledge {
 		c.acknowledge(now)
 	}
-	if news.Resigned {
+	if effects.Resigned {
 		c.leadershipDue = true
 	}
 	if v.ConfirmedAge > ownership.ConfirmTrouble && now.Sub(c.storeReadAt) > ownership.ConfirmTrouble {
--- a/services/entry/coordinator/forecast/book.go
+++ b/services/entry/coordinator/forecast/book.go
@@ -9,7 +9,7 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Book keeps the planner's last word on its loads; it is not safe for concurrent use.
+// Book keeps the loads that the planner last named; it is not safe for concurrent use.
 type Book struct {
 	loads    map[deployment.ServiceAdapter]time.Time
 	backlogs map[string]time.Duration
--- a/services/entry/coordinator/leadership.go
+++ b/services/entry/coordinator/leadership.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// lookForPlanner reads the record when no planner is heard, and takes the lease where its holder is gone.
+// lookForPlanner reads the record while no planner sends views, and takes the lease where its holder is gone.
 func (l *leaseLoop) lookForPlanner() {
 	c := l.coordinator
 	if c.leaving.Load() || !c.ready.Load() {
@@ -191,15 +191,15 @@
 	return resigned
 }
 
-// plannerSilence tells for how long no planner was heard that could prove its lease, and whether a look at the
+// plannerSilence gives for how long no view came of a planner that could prove its lease, and whether a look at the
 // record was asked for.
 func (c *Coordinator) plannerSilence(now, started time.Time) (silence time.Duration, asked bool) {
-	heard := ownership.Heard{Started: started}
+	last := ownership.LastView{Started: started}
 	c.loop.Call(func(time.Time) {
-		heard.View, heard.ConfirmedAge = c.following.Heard, c.following.ConfirmedAge
+		last.ReceivedAt, last.ConfirmedAge = c.following.ReceivedAt, c.following.ConfirmedAge
 		asked, c.leadershipDue = c.leadershipDue, false
 	})
-	return c.options.Ownership.Silence(now, heard), asked
+	return c.options.Ownership.Silence(now, last), asked
 }
 
 // takeLease writes this instance into the record and begins to plan. If another instance was quicker, it is
@@ -219,7 +219,7 @@
 // farewellTime is how long the last message to a former planner may take. Not measured.
 const farewellTime = 50 * time.Millisecond
 
-// noteRecord remembers who plans; a link to a former planner ends with the word on its successor.
+// noteRecord remembers who plans; a link to a former planner ends with a message that names its successor.
 func (c *Coordinator) noteRecord(record ownership.Record) {
 	c.knownRecord = record
 	if stream := c.following.stream; stream != nil && record.Term > c.following.Term {
@@ -229,15 +229,15 @@
 	}
 }
 
-// learnSuccessor takes in a peer's word on who plans; this instance's own term, if it has one, is over
+// learnSuccessor takes in who plans, by a peer; this instance's own term, if it has one, is over
 // when a later one has begun.
-func (c *Coordinator) learnSuccessor(told wire.Successor) {
-	if told.Term <= c.knownRecord.Term || !told.Address.IsValid() {
+func (c *Coordinator) learnSuccessor(successor wire.Successor) {
+	if successor.Term <= c.knownRecord.Term || !successor.Address.IsValid() {
 		return
 	}
-	c.options.Log.WithFields(map[string]any{"term": told.Term, "address": told.Address.String()}).Info("planner learned from a peer")
-	c.knownRecord = ownership.Record{Term: told.Term, Address: told.Address}
-	if c.planning != nil && told.Term > c.planning.tenure.Record().Term {
+	c.options.Log.WithFields(map[string]any{"term": successor.Term, "address": successor.Address.String()}).Info("planner learned from a peer")
+	c.knownRecord = ownership.Record{Term: successor.Term, Address: successor.Address}
+	if c.planning != nil && successor.Term > c.planning.tenure.Record().Term {
 		c.planning.tenure.End()
 		c.endIfOver()
 	}
--- a/services/entry/coordinator/lease/record.go
+++ b/services/entry/coordinator/lease/record.go
@@ -49,7 +49,7 @@
 	Address  netip.AddrPort
 	// Timeout bounds one call, apart from confirming reads.
 	Timeout time.Duration
-	// Now gives the present time; Failed is told of calls that the store did not answer as it should.
+	// Now gives the present time; Failed is called for each call that the store did not answer as it should.
 	Now    func() time.Time
 	Failed func(call string, err error)
 	// heartbeat is the lease under this instance's heartbeat; 0 before the first.
@@ -129,7 +129,7 @@
 }
 
 // Take writes this instance into the record, with its heartbeat, if nobody changed the record since it was read.
-// It returns a LostRaceError if somebody did; all other errors were told to Failed.
+// It returns a LostRaceError if somebody did; all other errors were passed to Failed.
 func (s *Store) Take(ctx context.Context, replaced Stored) (Taken, error) {
 	if err := s.grant(ctx); err != nil {
 		return Taken{}, err
@@ -152,7 +152,7 @@
 	return Taken{Record: record, Revision: revision, Sent: sent}, nil
 }
 
-// takeError turns a conflict into a LostRaceError with the record that the store told.
+// takeError turns a conflict into a LostRaceError with the record that the store named.
 func (s *Store) takeError(err error) error {
 	var conflict *store.ConflictError
 	if !errors.As(err, &conflict) {
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -33,7 +33,7 @@
 	return max(LeastSilence, silentReports*report.Stretch(report.Pace, members))
 }
 
-// Link is the connection over which a member reports and is told.
+// Link is the connection over which a member reports and gets views.
 type Link = peerstream.Stream[wire.Message]
 
 // Member is one instance that reports.
@@ -47,7 +47,7 @@
 	// Lag is how long it has lacked newer ones.
 	Lag Lag
 
-	heard time.Time
+	reportedAt time.Time
 	// lost is since when it counts as lost; zero if it does not.
 	lost            time.Time
 	leaving         bool
@@ -83,7 +83,7 @@
 
 // take takes in a report.
 func (m *Member) take(now time.Time, r *wire.Report) {
-	m.heard = now
+	m.reportedAt = now
 	m.lost = time.Time{}
 	m.withdrawalsSeen = r.WithdrawalsSeen
 	m.ConfigurationAt = r.ConfigurationAt
@@ -122,6 +122,6 @@
 
 // reachesStore tells whether the store lately answered the member.
 func (m *Member) reachesStore(now time.Time) bool {
-	known := ownership.Member{Lost: m.isLost(), ReportAge: now.Sub(m.heard), StoreReadAge: m.storeReadAge}
+	known := ownership.Member{Lost: m.isLost(), ReportAge: now.Sub(m.reportedAt), StoreReadAge: m.storeReadAge}
 	return known.ReachesStore()
 }
--- a/services/entry/coordinator/member/table.go
+++ b/services/entry/coordinator/member/table.go
@@ -66,7 +66,7 @@
 	for _, m := range t.members {
 		if m.Link == link {
 			m.Link = nil
-			m.heard = now.Add(-silence)
+			m.reportedAt = now.Add(-silence)
 		}
 	}
 }
@@ -84,7 +84,7 @@
 // or that were lost long ago.
 func (t *Table) DropLost(now time.Time, silence time.Duration, lost func(instance string)) {
 	for instance, m := range t.members {
-		if !m.isLost() && now.Sub(m.heard) > silence {
+		if !m.isLost() && now.Sub(m.reportedAt) > silence {
 			m.lost = now
 			lost(instance)
 		}
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -86,17 +86,17 @@
 		stream.Close()
 		return
 	}
-	told := &wire.View{
+	answer := &wire.View{
 		Planner: c.following.Planner, Term: c.knownRecord.Term, Items: c.keys.After(0), ConfigurationAt: c.keys.At(),
 		ReadAge: now.Sub(c.endpointsReadAt), Address: c.knownRecord.Address,
 	}
 	if c.planning != nil {
-		told.Planner, told.Term, told.Address = c.options.Instance, c.planning.tenure.Record().Term, c.options.PeerAddress
+		answer.Planner, answer.Term, answer.Address = c.options.Instance, c.planning.tenure.Record().Term, c.options.PeerAddress
 	}
 	for _, entry := range c.directory.Entries() {
-		told.Endpoints = append(told.Endpoints, wire.FromEntry(entry))
+		answer.Endpoints = append(answer.Endpoints, wire.FromEntry(entry))
 	}
-	_ = stream.Send(wire.Message{View: told})
+	_ = stream.Send(wire.Message{View: answer})
 }
 
 func (c *Coordinator) peerLost(now time.Time, stream *peerstream.Stream[wire.Message]) {
--- a/services/entry/coordinator/plan/news.go
+++ b/services/entry/coordinator/plan/changes.go
@@ -10,36 +10,36 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// News is what changed since the last view.
-type News struct {
-	// Changed are endpoints whose description or copies changed, Removed those that left.
-	Changed map[deployment.EndpointID]bool
-	Removed []wire.Gone
+// Changes is what changed since the last view.
+type Changes struct {
+	// Endpoints are those whose description or copies changed, Removed those that left.
+	Endpoints map[deployment.EndpointID]bool
+	Removed   []wire.Gone
 	// Begun are the loads that began.
 	Begun []wire.Forecast
 }
 
-// News gives what changed since the last view; the caller must not change it.
-func (p *Plans) News() *News {
-	return &p.news
+// Changes gives what changed since the last view; the caller must not change it.
+func (p *Plans) Changes() *Changes {
+	return &p.changes
 }
 
 // Empty tells whether nothing changed.
-func (n *News) Empty() bool {
-	return len(n.Changed) == 0 && len(n.Removed) == 0 && len(n.Begun) == 0
+func (c *Changes) Empty() bool {
+	return len(c.Endpoints) == 0 && len(c.Removed) == 0 && len(c.Begun) == 0
 }
 
 // TakeBegun gives the loads that began and forgets them.
 func (p *Plans) TakeBegun() []wire.Forecast {
-	begun := p.news.Begun
-	p.news.Begun = nil
+	begun := p.changes.Begun
+	p.changes.Begun = nil
 	return begun
 }
 
-// Told forgets the changes of endpoints, since a view with them went out.
-func (p *Plans) Told() {
-	clear(p.news.Changed)
-	p.news.Removed = nil
+// Sent forgets the changes of endpoints, since a view with them went out.
+func (p *Plans) Sent() {
+	clear(p.changes.Endpoints)
+	p.changes.Removed = nil
 }
 
 // Forecasts gives the loads under way and, by service, when an adapter would be resident that nobody has asked for
--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -35,7 +35,7 @@
 	plans     *plan.Plans
 	directory *directory.Directory
 	members   *member.Table
-	// ordered are the orders that were started, begun the loads that were told.
+	// ordered are the orders that were started, begun the loads that were announced.
 	ordered []loading.Order
 	begun   map[deployment.ServiceAdapter]time.Duration
 	may     bool
@@ -98,7 +98,7 @@
 	return &wire.Report{Instance: instance, Demands: []wire.Demand{{Service: service, Model: "base", Name: "a1", Waiting: waiting, InTime: time.Second}}}
 }
 
-func TestWhatIsAskedForIsLoadedToldAndOffered(t *testing.T) {
+func TestWhatIsAskedForIsLoadedAnnouncedAndOffered(t *testing.T) {
 	f := newFixture()
 	assert.True(t, f.plans.Has(service))
 	assert.False(t, f.plans.Has("plain"), "a service without engines needs no plan")
@@ -108,16 +108,16 @@
 	assert.Contains(t, f.begun, key)
 	assert.Contains(t, f.directory.Entry("e1").Offered, adapter)
 
-	news := f.plans.News()
-	assert.False(t, news.Empty())
-	assert.True(t, news.Changed["e1"])
+	changes := f.plans.Changes()
+	assert.False(t, changes.Empty())
+	assert.True(t, changes.Endpoints["e1"])
 	begun := f.plans.TakeBegun()
 	require.Len(t, begun, 1)
 	assert.Equal(t, key, begun[0].Key())
 	assert.Equal(t, f.begun[key], begun[0].Until)
-	assert.Empty(t, f.plans.TakeBegun(), "told once")
-	f.plans.Told()
-	assert.True(t, f.plans.News().Empty())
+	assert.Empty(t, f.plans.TakeBegun(), "given once")
+	f.plans.Sent()
+	assert.True(t, f.plans.Changes().Empty())
 	assert.Zero(t, f.plans.RecentLoads(start), "only base models count")
 }
 
@@ -166,15 +166,15 @@
 	assert.Empty(t, f.loads())
 }
 
-func TestAnEndpointThatLeavesIsToldAsGone(t *testing.T) {
+func TestAnEndpointThatLeavesIsAnnouncedAsGone(t *testing.T) {
 	f := newFixture()
-	f.plans.Told()
+	f.plans.Sent()
 	f.plans.SetEndpoint(start, f.directory.Entry("e1").Endpoint, 6)
 	f.directory.Remove("e1", 7)
 	f.plans.RemoveEndpoint("e1", 7)
-	news := f.plans.News()
-	assert.Empty(t, news.Changed)
-	assert.Equal(t, []wire.Gone{{ID: "e1", Revision: 7}}, news.Removed)
+	changes := f.plans.Changes()
+	assert.Empty(t, changes.Endpoints)
+	assert.Equal(t, []wire.Gone{{ID: "e1", Revision: 7}}, changes.Removed)
 	f.plans.TakeDemand(start, asks("a", 1))
 	f.order(start)
 	assert.Empty(t, f.ordered)
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -44,7 +44,7 @@
 	planners      map[string]*loading.Planner
 	// startRecent is what the former holder said of the loads it began in the last window.
 	startRecent int
-	news        News
+	changes     Changes
 }
 
 // New makes plans over a directory and members, whose changes it sees; startRecent is the number of loads that a
@@ -52,7 +52,7 @@
 func New(options Options, known *directory.Directory, members *member.Table, startRecent int) *Plans {
 	return &Plans{
 		options: options, directory: known, members: members, startRecent: startRecent,
-		planners: make(map[string]*loading.Planner), news: News{Changed: make(map[deployment.EndpointID]bool)},
+		planners: make(map[string]*loading.Planner), changes: Changes{Endpoints: make(map[deployment.EndpointID]bool)},
 	}
 }
 
@@ -133,7 +133,7 @@
 
 // SetEndpoint passes a description on to its service's plan and marks it for the next view.
 func (p *Plans) SetEndpoint(now time.Time, endpoint deployment.Endpoint, revision int64) {
-	p.news.Changed[endpoint.ID] = true
+	p.changes.Endpoints[endpoint.ID] = true
 	planner, ok := p.planners[endpoint.Service]
 	if !ok {
 		return
@@ -147,15 +147,15 @@
 	for _, planner := range p.planners {
 		planner.RemoveEndpoint(id)
 	}
-	delete(p.news.Changed, id)
-	p.news.Removed = append(p.news.Removed, wire.Gone{ID: id, Revision: revision})
+	delete(p.changes.Endpoints, id)
+	p.changes.Removed = append(p.changes.Removed, wire.Gone{ID: id, Revision: revision})
 }
 
 // publish makes the plan's copies this instance's own view of an endpoint.
 func (p *Plans) publish(id deployment.EndpointID, planner *loading.Planner) {
 	models, adapters := planner.Offered(id)
 	p.directory.SetOffered(id, models, adapters)
-	p.news.Changed[id] = true
+	p.changes.Endpoints[id] = true
 }
 
 // bad tells whether an endpoint is bad for more than one instance, or for the only one.
@@ -204,7 +204,7 @@
 }
 
 // Order gives what is to be ordered now to start, as long as mayOrder says so, and publishes what changed. begun
-// is told of each adapter whose load starts, and how long it is expected to take.
+// is called for each adapter whose load starts, and how long it is expected to take.
 func (p *Plans) Order(now time.Time, mayOrder func() bool, start func(loading.Order), begun func(deployment.ServiceAdapter, time.Duration)) {
 	for _, planner := range p.planners {
 		for mayOrder() {
@@ -227,7 +227,7 @@
 func (p *Plans) noteBegun(order loading.Order, until time.Duration, begun func(deployment.ServiceAdapter, time.Duration)) {
 	key := deployment.ServiceAdapter{Service: order.Endpoint.Service, Adapter: order.Adapter}
 	begun(key, until)
-	p.news.Begun = append(p.news.Begun, wire.Forecast{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, Until: until})
+	p.changes.Begun = append(p.changes.Begun, wire.Forecast{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, Until: until})
 }
 
 // Done takes in the end of an order of a service that is planned.
--- a/services/entry/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -20,7 +20,7 @@
 	// ReturnWait is how long after its time a refused caller is still expected. Not measured; 500 ms was, in another
 	// form (commit 54811a2).
 	ReturnWait = 300 * time.Millisecond
-	// LeastRate is the arrival rate, in requests a second, that is worth telling a new planner. Not measured.
+	// LeastRate is the arrival rate, in requests a second, that is worth reporting to a new planner. Not measured.
 	LeastRate = 0.005
 )
 
@@ -33,7 +33,7 @@
 	returns []expectedReturn
 }
 
-// expectedReturn is a refused caller that was told when to come back; its adapter is asked for until then.
+// expectedReturn is a refused caller whose answer said when to come back; its adapter is asked for until then.
 type expectedReturn struct {
 	key    deployment.ServiceAdapter
 	at     time.Time
@@ -50,7 +50,7 @@
 	d.arrivals[key]++
 }
 
-// ExpectBack notes that a refused caller was told to come back at a time; its answer is in time for as long as its
+// ExpectBack notes that a refused caller was asked to come back at a time; its answer is in time for as long as its
 // route's target after that.
 func (d *Demand) ExpectBack(key deployment.ServiceAdapter, at time.Time, target time.Duration) {
 	d.returns = append(d.returns, expectedReturn{key: key, at: at, target: target})
@@ -100,7 +100,7 @@
 	return list
 }
 
-// wait counts a request that waits and can be answered in time for a span from now; the longest one is told.
+// wait counts a request that waits and can be answered in time for a span from now; the longest span is reported.
 func (c *Collection) wait(key deployment.ServiceAdapter, inTime time.Duration) {
 	one := c.entry(key)
 	one.Waiting++
--- a/services/entry/coordinator/report/schedule.go
+++ b/services/entry/coordinator/report/schedule.go
@@ -63,7 +63,7 @@
 	}
 }
 
-// Skip notes that a report was due but nobody was there to be told; what was asked for still is.
+// Skip notes that a report was due but there was no planner to send it to; what was asked for still is.
 func (s *Schedule) Skip(now time.Time) {
 	s.sent = now
 }
--- a/services/entry/coordinator/seeds.go
+++ b/services/entry/coordinator/seeds.go
@@ -12,19 +12,19 @@
 // askSeeds lets an instance that has just started learn from its peers what the store does not
 // tell it, so that it can serve while the store is down or turns it away.
 func (c *Coordinator) askSeeds() {
-	c.seeds.Ask(c.context, c.ready.Load, func(told *wire.View) {
-		c.loop.Call(func(now time.Time) { c.learnFromSeed(now, told) })
+	c.seeds.Ask(c.context, c.ready.Load, func(answer *wire.View) {
+		c.loop.Call(func(now time.Time) { c.learnFromSeed(now, answer) })
 	})
 }
 
 // askSeedsForPlanner lets an instance that the store does not answer learn from a peer who plans.
 func (c *Coordinator) askSeedsForPlanner() {
-	if told := c.seeds.First(c.context); told != nil {
-		c.loop.Call(func(time.Time) { c.learnSuccessor(wire.Successor{Term: told.Term, Address: told.Address}) })
+	if answer := c.seeds.First(c.context); answer != nil {
+		c.loop.Call(func(time.Time) { c.learnSuccessor(wire.Successor{Term: answer.Term, Address: answer.Address}) })
 	}
 }
 
-// learnFromSeed takes in a peer's word; what the store tells later replaces it.
+// learnFromSeed takes in a peer's answer; what is read from the store later replaces it.
 func (c *Coordinator) learnFromSeed(now time.Time, v *wire.View) {
 	if c.ready.Load() {
 		return
--- a/services/entry/coordinator/view/followed.go
+++ b/services/entry/coordinator/view/followed.go
@@ -49,14 +49,14 @@
 	Planning bool
 }
 
-// Followed is what an instance keeps of the planner's views; the zero value has heard none.
+// Followed is what an instance keeps of the planner's views; the zero value has received none.
 type Followed struct {
 	// Planner and Term are whom the last view came from.
 	Planner string
 	Term    int64
-	// Heard is when it came, on the own clock; ReadAge is how long before the planner knew the endpoints to be
+	// ReceivedAt is when it came, on the own clock; ReadAge is how long before the planner knew the endpoints to be
 	// complete, ConfirmedAge how long before its lease was confirmed.
-	Heard        time.Time
+	ReceivedAt   time.Time
 	ReadAge      time.Duration
 	ConfirmedAge time.Duration
 	// Members is the number of instances that share the fleet's bounds; 0 if it is not known.
@@ -69,7 +69,7 @@
 	ResignedTerm int64
 }
 
-// Judge decides whether a view is kept. A view may repeat the last one: it is kept, and heard anew.
+// Judge decides whether a view is kept. A view may repeat the last one: it is kept, and counts as received anew.
 func (f *Followed) Judge(v *wire.View, arrival Arrival) Verdict {
 	switch {
 	case !arrival.PresentLink:
@@ -83,8 +83,8 @@
 	}
 }
 
-// News is what a view asks of the instance that keeps it.
-type News struct {
+// Effects is what a view asks of the instance that keeps it.
+type Effects struct {
 	// Acknowledge wants a report, since withdrawals were announced or the view is a whole one.
 	Acknowledge bool
 	// Resigned tells that the planner said for the first time that it gives no more orders.
@@ -92,20 +92,20 @@
 }
 
 // Take keeps a view that came now.
-func (f *Followed) Take(now time.Time, v *wire.View) News {
-	news := News{Acknowledge: v.Withdrawals > f.Withdrawals || v.Full, Resigned: v.Resigned && f.ResignedTerm < v.Term}
+func (f *Followed) Take(now time.Time, v *wire.View) Effects {
+	effects := Effects{Acknowledge: v.Withdrawals > f.Withdrawals || v.Full, Resigned: v.Resigned && f.ResignedTerm < v.Term}
 	f.Planner, f.Term = v.Planner, v.Term
-	f.Heard, f.ReadAge, f.ConfirmedAge = now, v.ReadAge, v.ConfirmedAge
+	f.ReceivedAt, f.ReadAge, f.ConfirmedAge = now, v.ReadAge, v.ConfirmedAge
 	f.Members, f.PlannerAt, f.Withdrawals = v.Members, v.ConfigurationAt, v.Withdrawals
-	if news.Resigned {
+	if effects.Resigned {
 		f.ResignedTerm = v.Term
 	}
-	return news
+	return effects
 }
 
-// Fresh tells whether the planner's word on endpoints can be relied on.
+// Fresh tells whether the planner's views of endpoints can be relied on.
 func (f *Followed) Fresh(now time.Time) bool {
-	age := now.Sub(f.Heard)
+	age := now.Sub(f.ReceivedAt)
 	return age < Silence && f.ReadAge+age < ReadAgeLimit
 }
 
--- a/services/entry/coordinator/view/schedule.go
+++ b/services/entry/coordinator/view/schedule.go
@@ -29,25 +29,25 @@
 	NotYet Due = iota
 	// WithNews: only if something changed.
 	WithNews
-	// Now: whatever there is to tell.
+	// Now: even without news.
 	Now
 )
 
 // Schedule decides when the planner sends views. The zero value has sent none.
 type Schedule struct {
-	// told is when the last view went out, totalsTold when the last one that carries all totals did.
-	told       time.Time
-	totalsTold time.Time
+	// sent is when the last view went out, totalsSent when the last one that carries all totals did.
+	sent       time.Time
+	totalsSent time.Time
 }
 
 // TotalsDue tells whether a view that carries all totals is due in a fleet of members.
 func (s *Schedule) TotalsDue(now time.Time, members int) bool {
-	return now.Sub(s.totalsTold) >= report.Stretch(report.Pace, members)
+	return now.Sub(s.totalsSent) >= report.Stretch(report.Pace, members)
 }
 
 // Due tells whether a view without totals is due in a fleet of members.
 func (s *Schedule) Due(now time.Time, members int) Due {
-	age := now.Sub(s.told)
+	age := now.Sub(s.sent)
 	switch {
 	case age >= HeartbeatPace:
 		return Now
@@ -58,10 +58,10 @@
 	}
 }
 
-// Told notes that a view goes out now.
-func (s *Schedule) Told(now time.Time, totals bool) {
-	s.told = now
+// Sent notes that a view goes out now.
+func (s *Schedule) Sent(now time.Time, totals bool) {
+	s.sent = now
 	if totals {
-		s.totalsTold = now
+		s.totalsSent = now
 	}
 }
--- a/services/entry/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -51,7 +51,7 @@
 func TestAViewIsKeptWithItsAges(t *testing.T) {
 	var followed view.Followed
 	followed.Take(start, &wire.View{Planner: "p", Term: 4, ReadAge: 2, ConfirmedAge: 3, Members: 5, ConfigurationAt: 6, Withdrawals: 7})
-	expected := view.Followed{Planner: "p", Term: 4, Heard: start, ReadAge: 2, ConfirmedAge: 3, Members: 5, PlannerAt: 6, Withdrawals: 7}
+	expected := view.Followed{Planner: "p", Term: 4, ReceivedAt: start, ReadAge: 2, ConfirmedAge: 3, Members: 5, PlannerAt: 6, Withdrawals: 7}
 	assert.Equal(t, expected, followed)
 	assert.Equal(t, view.Followed{Members: 5, Term: 4}, followed.Restarted())
 }
@@ -90,7 +90,7 @@
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			followed := view.Followed{Heard: start, ReadAge: one.read}
+			followed := view.Followed{ReceivedAt: start, ReadAge: one.read}
 			assert.Equal(t, one.fresh, followed.Fresh(start.Add(one.age)))
 		})
 	}
@@ -103,7 +103,7 @@
 		scale := time.Duration(max(1, members/16))
 		var schedule view.Schedule
 		assert.Equal(t, view.Now, schedule.Due(start, members), "the first one")
-		schedule.Told(start, false)
+		schedule.Sent(start, false)
 		assert.Equal(t, view.NotYet, schedule.Due(start.Add(scale*change-step), members))
 		assert.Equal(t, view.WithNews, schedule.Due(start.Add(scale*change), members))
 		assert.Equal(t, view.WithNews, schedule.Due(start.Add(heartbeat-step), members))
@@ -114,11 +114,11 @@
 func TestTotalsFollowTheStretchedPaceOfReports(t *testing.T) {
 	var schedule view.Schedule
 	assert.True(t, schedule.TotalsDue(start, 1))
-	schedule.Told(start, true)
+	schedule.Sent(start, true)
 	assert.False(t, schedule.TotalsDue(start.Add(totals-step), 1))
 	assert.True(t, schedule.TotalsDue(start.Add(totals), 1))
 	assert.False(t, schedule.TotalsDue(start.Add(2*totals-step), 32))
 	assert.True(t, schedule.TotalsDue(start.Add(2*totals), 32))
-	schedule.Told(start.Add(totals), false)
+	schedule.Sent(start.Add(totals), false)
 	assert.True(t, schedule.TotalsDue(start.Add(totals), 1), "a view without totals puts them off no further")
 }
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -19,7 +19,7 @@
 	if !due && !p.viewDue(now) {
 		return
 	}
-	p.views.Told(now, due)
+	p.views.Sent(now, due)
 	var totals []wire.EndpointCount
 	if due {
 		totals = p.totals()
@@ -33,13 +33,13 @@
 	} else {
 		changes.Forecasts = begun
 	}
-	news := p.plans.News()
-	for id := range news.Changed {
+	changed := p.plans.Changes()
+	for id := range changed.Endpoints {
 		if entry := p.coordinator.directory.Entry(id); entry != nil {
 			changes.Endpoints = append(changes.Endpoints, wire.FromEntry(entry))
 		}
 	}
-	changes.Removed = news.Removed
+	changes.Removed = changed.Removed
 	frame, err := peerstream.Encode(wire.Message{View: changes})
 	if err != nil {
 		return
@@ -49,7 +49,7 @@
 			p.tell(now, m, changes, frame)
 		}
 	}
-	p.plans.Told()
+	p.plans.Sent()
 }
 
 // viewDue tells whether a view without totals goes out now.
@@ -73,20 +73,20 @@
 		}
 		return
 	}
-	told := *changes
+	own := *changes
 	if m.NeedsFull {
-		told = *p.fullView(now)
+		own = *p.fullView(now)
 		m.NeedsFull = false
 	}
-	told.Items = items
-	if err := m.Link.Send(wire.Message{View: &told}); err != nil {
+	own.Items = items
+	if err := m.Link.Send(wire.Message{View: &own}); err != nil {
 		m.Link = nil
 	}
 }
 
 // nothingToTell tells whether all members have the plan's last state.
 func (p *planning) nothingToTell() bool {
-	return p.plans.News().Empty() && !p.members.NeedFull()
+	return p.plans.Changes().Empty() && !p.members.NeedFull()
 }
 
 // itemsFor gives the operators' keys that a member has lacked for long enough.
--- a/services/entry/coordinator/waiting/queue.go
+++ b/services/entry/coordinator/waiting/queue.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/balance"
 )
 
-// Request is a request that waits for an endpoint. Answer is what its caller is told.
+// Request is a request that waits for an endpoint. Answer is the type of the answer to it.
 type Request[Answer any] struct {
 	*deployment.Request
 	// Tried are endpoints that were sent the request already.
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -28,7 +28,7 @@
 	Address netip.AddrPort `msgpack:"z"`
 }
 
-// Request asks a peer for the configuration and for its word on the planner.
+// Request asks a peer for the configuration and for who plans.
 type Request struct {
 	Instance string `msgpack:"i"`
 }
@@ -48,7 +48,7 @@
 	Suspects []deployment.EndpointID `msgpack:"s,omitempty"`
 	Items    []store.Item            `msgpack:"o,omitempty"`
 	Leaving  bool                    `msgpack:"l,omitempty"`
-	// Rates are the instance's arrival rates, told once to each new planner.
+	// Rates are the instance's arrival rates, sent once to each new planner.
 	Rates []Rate `msgpack:"a,omitempty"`
 	// StoreReadAge is how long ago the instance last read from the store.
 	StoreReadAge time.Duration `msgpack:"k"`
--- a/services/entry/ownership/candidate.go
+++ b/services/entry/ownership/candidate.go
@@ -6,7 +6,7 @@
 import "time"
 
 const (
-	// TakeoverSilence is after how long without a word of a planner that can prove its hold an instance
+	// TakeoverSilence is after how long without a view of a planner that can prove its hold an instance
 	// looks at the record and may replace the holder. Shorter trades false alarms, which cost store reads, for a
 	// quicker takeover. 1.2 s before; 0.9 s was scored with other changes ("eight loads at once from the start" in
 	// docs/design/0006-measured.md).
@@ -31,15 +31,15 @@
 	TakeWithoutHeartbeat
 	// LeaveToOthers: this instance is a weak one, and others still have time to take the record.
 	LeaveToOthers
-	// HolderHeard: the holder was heard lately.
-	HolderHeard
+	// HolderActive: a view of the holder came lately.
+	HolderActive
 	// Unsettled: the record changed a moment ago.
 	Unsettled
 )
 
 // String names the verdict.
 func (v Verdict) String() string {
-	return [...]string{"take", "take without heartbeat", "leave to others", "holder heard", "unsettled"}[v]
+	return [...]string{"take", "take without heartbeat", "leave to others", "holder active", "unsettled"}[v]
 }
 
 // Sighting is the record as it was just read, with what else is known of its holder.
@@ -52,7 +52,7 @@
 	Found    bool
 	// Resigned tells that the holder said, in a view, that it gives no more orders in the record's term.
 	Resigned bool
-	// Silence is for how long no planner was heard that could prove its hold, on the own clock.
+	// Silence is for how long no view came of a planner that could prove its hold, on the own clock.
 	Silence time.Duration
 	// Reluctance is how much longer than others this instance leaves the record to them, from the settings.
 	Reluctance time.Duration
@@ -88,7 +88,7 @@
 	case sighting.vacant(), own:
 		return Take
 	case sighting.Silence < TakeoverSilence:
-		return HolderHeard
+		return HolderActive
 	case now.Sub(c.since) < SettledRecord:
 		return Unsettled
 	default:
@@ -117,24 +117,24 @@
 	return silence >= TakeoverSilence && !now.Before(next)
 }
 
-// Heard is what an instance last heard of the planner.
-type Heard struct {
-	// Started is when this instance began to look; before that nobody could be heard.
+// LastView is the last view that an instance received.
+type LastView struct {
+	// Started is when this instance began to look; no silence is longer.
 	Started time.Time
-	// View is when the last view came, on the own clock.
-	View time.Time
+	// ReceivedAt is when the view came, on the own clock; zero if there was none.
+	ReceivedAt time.Time
 	// ConfirmedAge is how long before that view the planner's hold was confirmed, by the view.
 	ConfirmedAge time.Duration
 }
 
-// Silence is for how long no planner was heard that could prove its hold.
-func (o Options) Silence(now time.Time, heard Heard) time.Duration {
-	since := heard.View
-	if heard.ConfirmedAge > o.Window {
-		since = since.Add(-heard.ConfirmedAge)
+// Silence is for how long no view came of a planner that could prove its hold.
+func (o Options) Silence(now time.Time, last LastView) time.Duration {
+	since := last.ReceivedAt
+	if last.ConfirmedAge > o.Window {
+		since = since.Add(-last.ConfirmedAge)
 	}
-	if !since.After(heard.Started) {
-		since = heard.Started
+	if !since.After(last.Started) {
+		since = last.Started
 	}
 	return now.Sub(since)
 }
--- a/services/entry/ownership/candidate_test.go
+++ b/services/entry/ownership/candidate_test.go
@@ -37,11 +37,11 @@
 	}{
 		"silent and settled":      {silence, settled, ownership.TakeWithoutHeartbeat},
 		"longer than needed":      {silence + step, settled + step, ownership.TakeWithoutHeartbeat},
-		"heard a moment ago":      {0, settled, ownership.HolderHeard},
-		"just below the silence":  {silence - step, settled, ownership.HolderHeard},
+		"heard a moment ago":      {0, settled, ownership.HolderActive},
+		"just below the silence":  {silence - step, settled, ownership.HolderActive},
 		"changed a moment ago":    {silence, 0, ownership.Unsettled},
 		"just not yet settled":    {silence, settled - step, ownership.Unsettled},
-		"neither":                 {silence - step, settled - step, ownership.HolderHeard},
+		"neither":                 {silence - step, settled - step, ownership.HolderActive},
 		"silent for a whole hour": {time.Hour, settled - step, ownership.Unsettled},
 	}
 	for name, one := range cases {
@@ -149,21 +149,21 @@
 func TestSilenceCountsFromTheLastWordThatProvedTheHold(t *testing.T) {
 	now := start.Add(10 * time.Second)
 	cases := map[string]struct {
-		heard ownership.Heard
-		span  time.Duration
+		last ownership.LastView
+		span time.Duration
 	}{
-		"never heard":               {ownership.Heard{Started: start}, 10 * time.Second},
-		"heard before it looked":    {ownership.Heard{Started: start, View: start.Add(-time.Hour)}, 10 * time.Second},
-		"heard since":               {ownership.Heard{Started: start, View: now.Add(-time.Second)}, time.Second},
-		"confirmed in the window":   {ownership.Heard{Started: start, View: now, ConfirmedAge: options.Window}, 0},
-		"confirmed too long before": {ownership.Heard{Started: start, View: now, ConfirmedAge: options.Window + step}, options.Window + step},
+		"never heard":               {ownership.LastView{Started: start}, 10 * time.Second},
+		"heard before it looked":    {ownership.LastView{Started: start, ReceivedAt: start.Add(-time.Hour)}, 10 * time.Second},
+		"heard since":               {ownership.LastView{Started: start, ReceivedAt: now.Add(-time.Second)}, time.Second},
+		"confirmed in the window":   {ownership.LastView{Started: start, ReceivedAt: now, ConfirmedAge: options.Window}, 0},
+		"confirmed too long before": {ownership.LastView{Started: start, ReceivedAt: now, ConfirmedAge: options.Window + step}, options.Window + step},
 		"confirmed before it looked": {
-			ownership.Heard{Started: now.Add(-time.Second), View: now, ConfirmedAge: time.Hour}, time.Second,
+			ownership.LastView{Started: now.Add(-time.Second), ReceivedAt: now, ConfirmedAge: time.Hour}, time.Second,
 		},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, one.span, options.Silence(now, one.heard))
+			assert.Equal(t, one.span, options.Silence(now, one.last))
 		})
 	}
 }
--- a/services/entry/ownership/record.go
+++ b/services/entry/ownership/record.go
@@ -10,7 +10,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Record is the store's word on who holds the ownership.
+// Record is the stored record of who holds the planner's lease.
 type Record struct {
 	Holder  string
 	Address netip.AddrPort
@@ -50,7 +50,7 @@
 
 const (
 	// lateOrders is how many order time-outs, a count, a new holder waits beyond the former one's window. The last order
-	// arrives within one; why two is not recorded. Not measured; what a late order does is told in
+	// arrives within one; why two is not recorded. Not measured; what a late order does:
 	// docs/incidents/2026-12-02-late-order.md.
 	lateOrders = 2
 	// deadDivisor divides the order time-out where the former process is surely dead, so that only bytes on their way
