--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -18,8 +18,9 @@
 	AdapterNotLoaded Reason = "adapter not loaded"
 	// NoEndpoint: no endpoint of the service takes work.
 	NoEndpoint Reason = "no endpoint"
-	// Crowded: the endpoints that hold the adapter have too much to do.
-	Crowded Reason = "endpoints crowded"
+	// Saturated: the endpoints that hold the adapter have too many requests in flight. The text keeps the form that operators
+	// know.
+	Saturated Reason = "endpoints crowded"
 )
 
 // Situation is what is known of a request that waits.
@@ -33,9 +34,9 @@
 	// NoEndpoint says that no endpoint of the service takes work at all; verdict of package balance on this instance's
 	// directory at the present time.
 	NoEndpoint bool
-	// Crowded says that the adapter is there, but its endpoints have too much to do; verdict of package balance, from own
+	// Saturated says that the adapter is there, but its endpoints have too many requests in flight; verdict of package balance, from own
 	// counts and the other instances' as of the planner's last view.
-	Crowded bool
+	Saturated bool
 	// Expected is when the adapter is expected to be resident; zero if that is not known. It comes from the planner's last
 	// view (forecasts come with its heartbeats), or, while no planner orders, from the usual time of a hand-over.
 	Expected time.Time
@@ -70,9 +71,9 @@
 	// shortWaitParts bounds waits that seldom help (plain requests, and streams without any endpoint) by one part in so many
 	// of the time to the deadline, and of a stream's target. More parts refuse sooner. Not measured.
 	shortWaitParts = 4
-	// crowdedPause is when a caller refused for crowded endpoints should come back: a stream takes seconds. Longer spares
+	// saturatedPause is when a caller refused for saturated endpoints should come back: a stream takes seconds. Longer spares
 	// the endpoints, shorter serves sooner. Not measured.
-	crowdedPause = 1500 * time.Millisecond
+	saturatedPause = 1500 * time.Millisecond
 	// retryPause is the least time after which a refused caller should come back. Longer spares the instances, shorter
 	// serves sooner. Not measured.
 	retryPause = 400 * time.Millisecond
@@ -99,8 +100,8 @@
 	if situation.NoEndpoint {
 		return Decision{Reason: NoEndpoint, RetryAfter: retryPause}
 	}
-	if situation.Crowded {
-		return Decision{Reason: Crowded, RetryAfter: crowdedPause}
+	if situation.Saturated {
+		return Decision{Reason: Saturated, RetryAfter: saturatedPause}
 	}
 	return Decision{Reason: AdapterNotLoaded, RetryAfter: retryAfter(now, situation)}
 }
@@ -110,7 +111,7 @@
 // attempt. The bound is not the target: forecasts are often too late, and a request that is
 // refused though its adapter would have come in time loses more than one that is served late.
 func hopeless(waited time.Duration, situation Situation) bool {
-	if situation.Route.Kind != deployment.Streaming || situation.Expected.IsZero() || situation.NoEndpoint || situation.Crowded {
+	if situation.Route.Kind != deployment.Streaming || situation.Expected.IsZero() || situation.NoEndpoint || situation.Saturated {
 		return false
 	}
 	target := float64(situation.Route.Target)
--- a/services/entry/admission/edges_test.go
+++ b/services/entry/admission/edges_test.go
@@ -28,13 +28,13 @@
 	}{
 		"stream, by its caller's silence":           {admission.Situation{Route: stream}, ample, longest, admission.AdapterNotLoaded},
 		"stream, by half of its time":               {admission.Situation{Route: stream}, 4 * time.Second, 2 * time.Second, admission.AdapterNotLoaded},
-		"stream, endpoints have too much to do":     {admission.Situation{Route: stream, Crowded: true}, ample, longest, admission.Crowded},
+		"stream, endpoints have too much to do":     {admission.Situation{Route: stream, Saturated: true}, ample, longest, admission.Saturated},
 		"stream, no endpoint, by the target":        {admission.Situation{Route: stream, NoEndpoint: true}, ample, 200 * time.Millisecond, admission.NoEndpoint},
 		"stream, no endpoint, by its time":          {admission.Situation{Route: stream, NoEndpoint: true}, 400 * time.Millisecond, 100 * time.Millisecond, admission.NoEndpoint},
 		"plain":                                     {admission.Situation{Route: plain, NoEndpoint: true}, ample, 100 * time.Millisecond, admission.NoEndpoint},
 		"plain, by a quarter of its time":           {admission.Situation{Route: plain, NoEndpoint: true}, 200 * time.Millisecond, 50 * time.Millisecond, admission.NoEndpoint},
-		"no endpoint goes before too much to do":    {admission.Situation{Route: plain, NoEndpoint: true, Crowded: true}, ample, 100 * time.Millisecond, admission.NoEndpoint},
-		"too much to do goes before a not resident": {admission.Situation{Route: plain, Crowded: true}, ample, 100 * time.Millisecond, admission.Crowded},
+		"no endpoint goes before too much to do":    {admission.Situation{Route: plain, NoEndpoint: true, Saturated: true}, ample, 100 * time.Millisecond, admission.NoEndpoint},
+		"too much to do goes before a not resident": {admission.Situation{Route: plain, Saturated: true}, ample, 100 * time.Millisecond, admission.Saturated},
 	} {
 		t.Run(name, func(t *testing.T) {
 			situation := test.situation
@@ -99,7 +99,7 @@
 		"plain":          {Route: plain, Expected: late},
 		"not known when": {Route: stream},
 		"no endpoint":    {Route: stream, Expected: late, NoEndpoint: true},
-		"too much to do": {Route: stream, Expected: late, Crowded: true},
+		"too much to do": {Route: stream, Expected: late, Saturated: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			situation.Arrived, situation.Deadline = start, start.Add(ample)
@@ -129,6 +129,6 @@
 			assert.Equal(t, test.retryAfter, decision.RetryAfter)
 		})
 	}
-	crowded := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(ample), Crowded: true}
+	crowded := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(ample), Saturated: true}
 	assert.Equal(t, 1500*time.Millisecond, admission.Decide(now, crowded).RetryAfter)
 }
--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -10,24 +10,36 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
+const (
+	// hallPenalty and plainHallPenalty are what crossing between halls weighs, for model and plain services, in
+	// requests in flight: higher trades a longer queue for a shorter way. Not measured.
+	hallPenalty      = 1.0
+	plainHallPenalty = 2.5
+	// tieSpread is the width of the random number that breaks ties between endpoints, in requests in flight. It stays below
+	// one, so that a request more always counts, and above zero, so that instances with the same view do not choose alike.
+	// Not measured.
+	tieSpread = 0.5
+)
+
 // Options are the settings of a choice.
 type Options struct {
-	// Hall is this instance's own.
+	// Hall is this instance's own; from the settings.
 	Hall string
 	// HallPenalty is how many requests in flight a crossing of halls weighs for services with models.
 	HallPenalty float64
 	// PlainHallPenalty is the same for plain services.
 	PlainHallPenalty float64
-	// FullShare is the part of a model endpoint's slots beyond which it gets no more requests;
-	// with more in flight, all of them take longer than their callers wait.
-	FullShare float64
-	// SmallBatch is how many requests an endpoint may have in flight whatever its share, as far as it
-	// has slots: batches this small do not slow each other down much.
-	SmallBatch int
+	// Limit is the bound from which on an endpoint with models is saturated.
+	Limit SlotLimit
 	// Random gives a number from 0 up to 1, to break ties.
 	Random func() float64
 }
 
+// NewOptions gives the settings of an instance's choices.
+func NewOptions(hall string, random func() float64) Options {
+	return Options{Hall: hall, HallPenalty: hallPenalty, PlainHallPenalty: plainHallPenalty, Limit: RequestLimit(), Random: random}
+}
+
 // Demand is what a request asks of an endpoint.
 type Demand struct {
 	// Request is the caller's request, decoded from its head.
@@ -38,11 +50,6 @@
 	Tried []deployment.EndpointID
 }
 
-// tieSpread is the width of the random number that breaks ties between endpoints, in requests in flight. It stays below one, so
-// that a request more always counts, and above zero, so that instances with the same view do not choose alike. Not
-// measured.
-const tieSpread = 0.5
-
 // Verdict says why no endpoint was chosen.
 type Verdict int
 
@@ -54,8 +61,8 @@
 	NoEndpoint
 	// NotResident: endpoints take work, but none holds the adapter.
 	NotResident
-	// Crowded: an endpoint holds the adapter, but has too many requests in flight.
-	Crowded
+	// Saturated: an endpoint holds the adapter, but has too many requests in flight.
+	Saturated
 )
 
 // Choose gives the endpoint for a request. Ejected endpoints are taken only where nothing
@@ -72,8 +79,8 @@
 		if demand.Request.UsesModel() && !entry.Holds(now, demand.Request.Adapter, demand.Version) {
 			continue
 		}
-		if demand.Request.UsesModel() && Full(entry, options.FullShare, options.SmallBatch) {
-			verdict = Crowded
+		if demand.Request.UsesModel() && options.Limit.Reached(entry) {
+			verdict = Saturated
 			continue
 		}
 		cost := cost(entry, demand.Request, options)
@@ -96,12 +103,6 @@
 	return best, Chosen
 }
 
-// Full reports whether a model endpoint has as many requests in flight as it should.
-func Full(entry *directory.Entry, share float64, smallBatch int) bool {
-	limit := max(share*float64(entry.Slots), float64(min(entry.Slots, smallBatch)))
-	return entry.Slots > 0 && float64(entry.Load()) >= limit
-}
-
 // cost is what a request adds to at an endpoint, in requests in flight; the lowest is chosen.
 func cost(entry *directory.Entry, request *deployment.Request, options Options) float64 {
 	cost := float64(entry.Load()) + tieSpread*options.Random()
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -110,20 +110,20 @@
 	full.Slots = 4
 	d := build(full)
 	bounded := options
-	bounded.FullShare = 0.5
+	bounded.Limit.Share = 0.5
 	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
 	d.Entry("full").Others = 1
 	_, verdict := balance.Choose(start, d.Service("service"), demand, bounded)
 	assert.Equal(t, balance.Chosen, verdict)
 	d.Entry("full").Others = 2
 	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
-	assert.Equal(t, balance.Crowded, verdict)
-	bounded.SmallBatch = 3
+	assert.Equal(t, balance.Saturated, verdict)
+	bounded.Limit.Least = 3
 	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "a batch this small is fast enough")
 	d.Entry("full").Others = 3
 	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
-	assert.Equal(t, balance.Crowded, verdict)
+	assert.Equal(t, balance.Saturated, verdict)
 	plain := balance.Demand{Request: &deployment.Request{}}
 	_, verdict = balance.Choose(start, d.Service("service"), plain, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "a plain service has a queue of its own")
--- a/services/entry/balance/edges_test.go
+++ b/services/entry/balance/edges_test.go
@@ -39,11 +39,46 @@
 			endpoint.Slots = test.slots
 			d := build(endpoint)
 			d.Entry("e").Others = test.load
-			assert.Equal(t, test.full, balance.Full(d.Entry("e"), test.share, test.smallBatch))
+			assert.Equal(t, test.full, balance.SlotLimit{Share: test.share, Least: test.smallBatch}.Reached(d.Entry("e")))
 		})
 	}
 }
 
+// TestEdgesOfTheBoundsInForce: 0.5 of the slots and 10 for copies, 0.65 and 12 for requests.
+func TestEdgesOfTheBoundsInForce(t *testing.T) {
+	for name, test := range map[string]struct {
+		limit        balance.SlotLimit
+		slots, bound int
+	}{
+		"copies":                 {balance.CopyLimit(), 100, 50},
+		"copies, few slots":      {balance.CopyLimit(), 16, 10},
+		"copies, fewer slots":    {balance.CopyLimit(), 8, 8},
+		"requests":               {balance.RequestLimit(), 100, 65},
+		"requests, few slots":    {balance.RequestLimit(), 16, 12},
+		"requests, fewer slots":  {balance.RequestLimit(), 8, 8},
+		"requests, of a choice":  {balance.NewOptions("near", nil).Limit, 100, 65},
+		"requests, share counts": {balance.RequestLimit(), 20, 13},
+	} {
+		t.Run(name, func(t *testing.T) {
+			endpoint := holder("e", "near")
+			endpoint.Slots = test.slots
+			d := build(endpoint)
+			for load, reached := range map[int]bool{test.bound - 1: false, test.bound: true, test.bound + 1: true} {
+				d.Entry("e").Others = load
+				assert.Equal(t, reached, test.limit.Reached(d.Entry("e")), "%d in flight", load)
+			}
+		})
+	}
+}
+
+func TestTheWeightsOfHallsInForce(t *testing.T) {
+	inForce := balance.NewOptions("near", options.Random)
+	inForce.Limit = options.Limit
+	assert.Equal(t, options.HallPenalty, inForce.HallPenalty)
+	assert.Equal(t, options.PlainHallPenalty, inForce.PlainHallPenalty)
+	assert.Equal(t, "near", inForce.Hall)
+}
+
 // TestEdgesOfPreferringTheOwnHall: crossing halls weighs 1 request for models and 2.5 for plain services.
 func TestEdgesOfPreferringTheOwnHall(t *testing.T) {
 	model := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
@@ -135,7 +170,7 @@
 	full := holder("full", "near")
 	full.Slots = 4
 	bounded := options
-	bounded.FullShare = 0.5
+	bounded.Limit.Share = 0.5
 	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
 	for _, endpoints := range [][]deployment.Endpoint{
 		{full, {ID: "empty", Hall: "near", Models: []string{"base"}}}, {{ID: "empty", Hall: "near", Models: []string{"base"}}, full},
@@ -143,7 +178,7 @@
 		d := build(endpoints...)
 		d.Entry("full").Others = 2
 		_, verdict := balance.Choose(start, d.Service("service"), demand, bounded)
-		assert.Equal(t, balance.Crowded, verdict)
+		assert.Equal(t, balance.Saturated, verdict)
 	}
 }
 
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -53,24 +53,8 @@
 	err        error
 }
 
-const (
-	// hallPenalty and plainHallPenalty are what crossing between halls weighs, for model and plain services, in
-	// requests in flight: higher trades a longer queue for a shorter way. Not measured.
-	hallPenalty      = 1.0
-	plainHallPenalty = 2.5
-	// noCopySlotShare is the share of a model endpoint's slots in flight from which on it gets no new copies, and
-	// noRequestSlotShare the share from which on it gets no requests; between the two it serves what only it holds.
-	// Higher serves more at once, each more slowly. Measured: docs/design/0006-measured.md, "0.5 of the slots" and
-	// "new copies up to 0.5, requests up to 0.65".
-	noCopySlotShare    = 0.5
-	noRequestSlotShare = 0.65
-	// noCopySlots and noRequestSlots are the least such bounds, in requests in flight, for endpoints with few slots.
-	// Measured with others: docs/design/0006-measured.md, "at least 10 and 12 in flight".
-	noCopySlots    = 10
-	noRequestSlots = 12
-	// assumedMembers is the number of instances that share connections while it is not known. Not measured.
-	assumedMembers = 8
-)
+// assumedMembers is the number of instances that share connections while it is not known. Not measured.
+const assumedMembers = 8
 
 // CountRequest counts a caller's request for the budget of repeats.
 func (c *Coordinator) CountRequest(service string) {
@@ -127,7 +111,7 @@
 		c.waiters.Drop(w)
 		return
 	}
-	if w.Verdict == balance.NotResident || w.Verdict == balance.Crowded {
+	if w.Verdict == balance.NotResident || w.Verdict == balance.Saturated {
 		c.reportSoon(now)
 	}
 }
@@ -135,10 +119,7 @@
 // serve assigns an endpoint if one can take the request now.
 func (c *Coordinator) serve(now time.Time, w *waiter) bool {
 	demand := balance.Demand{Request: w.Request, Version: c.versions.Demanded(now, w.Adapter, c.options.VersionLimit), Tried: w.Tried}
-	options := balance.Options{
-		Hall: c.options.Hall, HallPenalty: hallPenalty, PlainHallPenalty: plainHallPenalty, FullShare: noRequestSlotShare, SmallBatch: noRequestSlots, Random: c.options.Random,
-	}
-	entry, verdict := balance.Choose(now, c.directory.Service(w.Service), demand, options)
+	entry, verdict := balance.Choose(now, c.directory.Service(w.Service), demand, balance.NewOptions(c.options.Hall, c.options.Random))
 	w.Verdict = verdict
 	if verdict != balance.Chosen {
 		return false
@@ -169,7 +150,7 @@
 func (c *Coordinator) decideWaiter(now time.Time, w *waiter) bool {
 	situation := admission.Situation{
 		Route: w.Route, Arrived: w.Arrived, Deadline: w.Deadline,
-		NoEndpoint: w.Verdict == balance.NoEndpoint, Crowded: w.Verdict == balance.Crowded,
+		NoEndpoint: w.Verdict == balance.NoEndpoint, Saturated: w.Verdict == balance.Saturated,
 	}
 	if w.Verdict == balance.NotResident {
 		situation.Expected = c.expectedAt(now, w)
--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -55,7 +55,6 @@
 	f := &fixture{directory: directory.New(), members: member.NewTable(), begun: make(map[deployment.ServiceAdapter]time.Duration), may: true}
 	f.plans = plan.New(plan.Options{
 		LoadWindow: time.Second, LoadTolerance: 1, LoadSlack: 10, Random: func() float64 { return 0.5 },
-		Copies: plan.Bound{Share: 0.5, Least: 10}, Requests: plan.Bound{Share: 0.65, Least: 12},
 	}, f.directory, f.members, 0)
 	f.directory.Put(deployment.Endpoint{
 		ID: "e1", Service: service, Slots: 16, Models: []string{"base"}, CachedModels: []string{"base"}, Adapters: map[deployment.Adapter]int64{},
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -15,22 +15,12 @@
 	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
-// Bound is how many requests an endpoint may have in flight before something is kept from it.
-type Bound struct {
-	// Share is the part of its slots, Least the number of requests that it may have whatever its share.
-	Share float64
-	Least int
-}
-
 // Options are the settings of Plans.
 type Options struct {
 	// LoadWindow, LoadTolerance and LoadSlack bound loads from the weight store.
 	LoadWindow    time.Duration
 	LoadTolerance float64
 	LoadSlack     float64
-	// Copies is from which load on an endpoint gets no new copies, Requests from which on it gets no requests.
-	Copies   Bound
-	Requests Bound
 	// Random gives a number from 0 up to 1.
 	Random func() float64
 }
@@ -180,15 +170,11 @@
 	}
 	for id, entry := range p.directory.Entries() {
 		if planner, ok := p.planners[entry.Service]; ok {
-			planner.SetSaturation(id, p.options.Copies.reached(entry), p.options.Requests.reached(entry))
+			planner.SetSaturation(id, balance.CopyLimit().Reached(entry), balance.RequestLimit().Reached(entry))
 		}
 	}
 }
 
-func (b Bound) reached(entry *directory.Entry) bool {
-	return balance.Full(entry, b.Share, b.Least)
-}
-
 func (p *Plans) forgetInstance(instance string) {
 	for _, planner := range p.planners {
 		planner.ForgetInstance(instance)
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -45,9 +45,7 @@
 	members := member.NewTable()
 	options := plan.Options{
 		LoadWindow: c.options.LoadWindow, LoadTolerance: c.options.LoadTolerance, LoadSlack: c.options.LoadSlack,
-		Copies:   plan.Bound{Share: noCopySlotShare, Least: noCopySlots},
-		Requests: plan.Bound{Share: noRequestSlotShare, Least: noRequestSlots},
-		Random:   c.options.Random,
+		Random: c.options.Random,
 	}
 	p := &planning{coordinator: c, tenure: tenure, members: members, plans: plan.New(options, c.directory, members, startRecent)}
 	if configuration := c.current.Load(); configuration != nil {
