--- a/services/daemon/control/doc.go
+++ b/services/daemon/control/doc.go
@@ -1,7 +1,15 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package control runs a daemon's control state: one goroutine owns the node and
-// takes typed inputs; others carry out its effects towards peers, endpoints and
-// the platform, and answer by further inputs.
+// Package control runs a daemon's control state: one goroutine owns the node and takes
+// typed inputs (input.go); others carry out its effects towards peers, endpoints, the
+// key-value service and the platform (executor.go, owner.go), and answer by further inputs.
+//
+// It owns the node, the channels on which requests wait for their tickets, and the
+// catalog that the traffic reads. It relies on services/daemon/node for every decision.
+//
+// Goroutines: Run is the control goroutine, on the caller's own. It starts one that polls
+// the platform's list, one that makes the calls for leases at the key-value service, from
+// the first such call on, and a short one for each order to an endpoint and each reading
+// of its list. The follower of the configuration starts its own. Stop ends and awaits them.
 package control
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -44,7 +44,7 @@
 		case node.Watch:
 			s.follower.SetWatching(e.On)
 		case node.Note:
-			s.record(e.Event)
+			s.noteEvent(e.Event)
 		}
 	}
 }
--- a/services/daemon/control/owner.go
+++ b/services/daemon/control/owner.go
@@ -5,11 +5,11 @@
 
 import (
 	"encoding/json"
-	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
 )
 
 // owner keeps this instance's one lease and the pools owned under it, for endpoints
@@ -35,23 +35,6 @@
 	jobSettle
 )
 
-// ownerRecord is what the key-value service holds of a pool's last owner; it outlives the lease.
-type ownerRecord struct {
-	Holder string `json:"holder"`
-	Boot   uint64 `json:"boot"`
-	// Formers are the owners before this one that nobody has seen end; each successor
-	// must wait for all of them, since any may still serve what was resident.
-	Formers []node.FormerOwner `json:"formers,omitempty"`
-}
-
-// formersFor gives the owners that the given life must wait for if it follows this record.
-func (r ownerRecord) formersFor(id string, boot uint64) []node.FormerOwner {
-	if r.Holder == "" || (r.Holder == id && r.Boot == boot) {
-		return r.Formers
-	}
-	return append(slices.Clone(r.Formers), node.FormerOwner{ID: r.Holder, Boot: r.Boot})
-}
-
 // ownerQueue bounds the calls that wait for the key-value service; one that finds no place
 // is dropped, and the node asks again. Longer queues answers that come too late. Not measured.
 const ownerQueue = 64
@@ -101,8 +84,8 @@
 	}
 }
 
-func (o *owner) leaseKey(pool string) string  { return o.service.options.Prefix + "/lease/" + pool }
-func (o *owner) recordKey(pool string) string { return o.service.options.Prefix + "/owner/" + pool }
+func (o *owner) leaseKey(pool string) string { return o.service.options.Prefix + "/lease/" + pool }
+func (o *owner) ownerKey(pool string) string { return o.service.options.Prefix + "/owner/" + pool }
 
 func (o *owner) ensureLease() (time.Time, bool) {
 	sent := o.service.options.Now()
@@ -131,22 +114,22 @@
 	if !ok {
 		return result
 	}
-	former, mod, ok := o.readRecord(pool)
+	former, mod, ok := o.readOwner(pool)
 	if !ok {
 		return result
 	}
 	self := o.service.options.Node
-	formers := former.formersFor(self.Self.ID, self.Boot)
-	value, _ := json.Marshal(ownerRecord{Holder: self.Self.ID, Boot: self.Boot, Formers: formers})
-	leaseKey, recordKey := []byte(o.leaseKey(pool)), []byte(o.recordKey(pool))
+	next := former.Successor(self.Self.ID, self.Boot)
+	value, _ := json.Marshal(next) // Names and numbers always have a JSON form.
+	leaseKey, ownerKey := []byte(o.leaseKey(pool)), []byte(o.ownerKey(pool))
 	resp, err := o.service.options.KV.Txn(o.service.ctx, kv.TxnRequest{
 		Compare: []kv.Compare{
 			{Key: leaseKey, Target: kv.TargetCreate, Result: kv.ResultEqual},
-			{Key: recordKey, Target: kv.TargetMod, Result: kv.ResultEqual, ModRevision: mod},
+			{Key: ownerKey, Target: kv.TargetMod, Result: kv.ResultEqual, ModRevision: mod},
 		},
 		Success: []kv.Op{
 			{Put: &kv.PutRequest{Key: leaseKey, Value: value, Lease: o.lease}},
-			{Put: &kv.PutRequest{Key: recordKey, Value: value}},
+			{Put: &kv.PutRequest{Key: ownerKey, Value: value}},
 		},
 		Failure: []kv.Op{{Range: &kv.RangeRequest{Key: leaseKey}}},
 	})
@@ -156,7 +139,7 @@
 	if !resp.Succeeded && !o.heldHere(resp) {
 		return result
 	}
-	result.OK, result.SentAt, result.Formers = true, sent, formers
+	result.OK, result.SentAt, result.Formers = true, sent, next.Formers
 	return result
 }
 
@@ -168,9 +151,9 @@
 	return resp.Responses[0].Range.KVs[0].Lease == o.lease
 }
 
-func (o *owner) readRecord(pool string) (ownerRecord, int64, bool) {
-	var r ownerRecord
-	pair, found, err := o.service.options.KV.Get(o.service.ctx, o.recordKey(pool))
+func (o *owner) readOwner(pool string) (lease.StoredOwner, int64, bool) {
+	var r lease.StoredOwner
+	pair, found, err := o.service.options.KV.Get(o.service.ctx, o.ownerKey(pool))
 	if err != nil {
 		return r, 0, false
 	}
@@ -199,12 +182,12 @@
 // trySettle writes that the former owners have ended; a failure only makes successors wait for them again.
 func (o *owner) trySettle(pool string) {
 	self := o.service.options.Node
-	record, mod, ok := o.readRecord(pool)
-	if !ok || record.Holder != self.Self.ID || record.Boot != self.Boot || len(record.Formers) == 0 {
+	stored, mod, ok := o.readOwner(pool)
+	if !ok || !stored.Is(self.Self.ID, self.Boot) || len(stored.Formers) == 0 {
 		return
 	}
-	key := []byte(o.recordKey(pool))
-	value, _ := json.Marshal(ownerRecord{Holder: self.Self.ID, Boot: self.Boot})
+	key := []byte(o.ownerKey(pool))
+	value, _ := json.Marshal(stored.Settled()) // Names and numbers always have a JSON form.
 	_, _ = o.service.options.KV.Txn(o.service.ctx, kv.TxnRequest{
 		Compare: []kv.Compare{{Key: key, Target: kv.TargetMod, Result: kv.ResultEqual, ModRevision: mod}},
 		Success: []kv.Op{{Put: &kv.PutRequest{Key: key, Value: value}}},
--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -175,10 +175,11 @@
 // Note records an event of the traffic.
 func (s *Service) Note(e fleet.Event) {
 	e.Instance = s.options.Node.Self.ID
-	s.record(e)
+	s.noteEvent(e)
 }
 
-func (s *Service) record(e fleet.Event) {
+// noteEvent enters an event in the journal and the metrics, and in the log if it belongs there.
+func (s *Service) noteEvent(e fleet.Event) {
 	s.options.Journal.Add(e)
 	s.options.Metrics.Events.WithLabelValues(string(e.Kind)).Inc()
 	if s.options.Log.Logger.IsLevelEnabled(logrus.DebugLevel) || important(e.Kind) {
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -67,7 +67,7 @@
 func (n *Node) news() digest.News {
 	out := digest.News{Revision: n.config.Revision(), Lowest: n.hallRevision()}
 	for _, ps := range n.order {
-		if p, ok := n.placerRecord(ps); ok && ps.own {
+		if p, ok := n.announcedPlacer(ps); ok && ps.own {
 			out.Terms += p.Term
 			out.Placed++
 		}
@@ -81,7 +81,7 @@
 		if !ps.own {
 			continue
 		}
-		if p, ok := n.placerRecord(ps); ok {
+		if p, ok := n.announcedPlacer(ps); ok {
 			d.Placers = append(d.Placers, p)
 		}
 		if s, ok := n.summaryOf(now, ps, full || r.Wants(ps.pool.Name)); ok {
@@ -109,11 +109,12 @@
 	return ps.publisher.Recent(now), true
 }
 
-func (n *Node) placerRecord(ps *poolState) (fleet.PlacerOf, bool) {
+// announcedPlacer gives what to tell other halls of a pool's placer, if one is known.
+func (n *Node) announcedPlacer(ps *poolState) (fleet.PlacerOf, bool) {
 	if ps.mine {
 		return fleet.PlacerOf{Pool: ps.pool.Name, Term: ps.term, Instance: n.options.Self}, true
 	}
-	m := n.members.Member(ps.holder)
+	m := n.members.Member(ps.placedBy)
 	if m == nil || !m.Alive {
 		return fleet.PlacerOf{}, false
 	}
--- a/services/daemon/node/doc.go
+++ b/services/daemon/node/doc.go
@@ -4,7 +4,7 @@
 // Package node is the control state of one daemon (shelfledged): membership, ownership of
 // pools, tickets, the load budget, routing and the followed configuration. The entry
 // program's control state is the coordinator's: there one planner decides for all halls,
-// here each pool has a holder of its own.
+// here each pool has a placer of its own.
 //
 // A Node is a plain state machine. Every call takes the present time and gives effects,
 // which the control service carries out and answers by further calls; a message that is
@@ -14,7 +14,7 @@
 // The rules are in packages of their own, and the node carries messages, notes and
 // effects between them:
 //
-//   - ownership: who holds a pool; progress of a takeover (ownership.go, endpoints.go)
+//   - ownership: which instance places a pool; progress of a takeover (ownership.go, endpoints.go)
 //   - lease: the right to order on endpoints without fences; former owners (lease.go)
 //   - waiting: requests that wait, grants, tickets in use (requests.go)
 //   - digest: other halls (digests.go)
@@ -22,10 +22,10 @@
 //   - followed: the configuration (configuration.go)
 //   - listing: the platform's list (listed.go)
 //
-// members.go has the heartbeats, placing.go what a pool's holder does for other
-// instances, view.go what operators see.
+// members.go has the heartbeats, placing.go what a pool's placer does for other instances,
+// view.go what operators see.
 //
 // It owns this state and relies on services/daemon/placement (the decisions for one pool),
-// services/daemon/membership, services/daemon/routing and services/daemon/budget. It starts no goroutines,
-// reads no clock and is not safe for concurrent use.
+// services/daemon/membership, services/daemon/routing and services/daemon/budget. It starts
+// no goroutines, reads no clock and is not safe for concurrent use.
 package node
--- a/services/daemon/node/endpoints.go
+++ b/services/daemon/node/endpoints.go
@@ -73,7 +73,7 @@
 	return n.take()
 }
 
-// loseFence stops the use of an endpoint that obeys another holder.
+// loseFence stops the use of an endpoint that obeys another instance.
 func (n *Node) loseFence(now time.Time, ps *poolState, endpoint string) {
 	ps.takeover.LoseFence(now, endpoint)
 	ps.placer.LoseFence(endpoint)
--- /dev/null
+++ b/services/daemon/node/lease/stored_test.go
@@ -0,0 +1,45 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package lease_test
+
+import (
+	"encoding/json"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
+)
+
+func TestEachOwnerWaitsForAllBeforeItThatNobodySawEnd(t *testing.T) {
+	var s lease.StoredOwner
+	for _, row := range []struct {
+		name    string
+		id      string
+		boot    uint64
+		formers []lease.FormerOwner
+	}{
+		{"nobody before", "i1", 4, nil},
+		{"its answer was lost, and it asks again", "i1", 4, nil},
+		{"another", "i2", 7, []lease.FormerOwner{first}},
+		{"a later life of the same", "i2", 8, []lease.FormerOwner{first, second}},
+	} {
+		s = s.Successor(row.id, row.boot)
+		require.Equal(t, lease.StoredOwner{Holder: row.id, Boot: row.boot, Formers: row.formers}, s, row.name)
+	}
+	require.True(t, s.Is("i2", 8))
+	require.False(t, s.Is("i2", 7))
+	require.False(t, s.Is("i1", 8))
+	require.Equal(t, lease.StoredOwner{Holder: "i2", Boot: 8}, s.Settled())
+}
+
+func TestStoredFormOfAnOwner(t *testing.T) {
+	const stored = `{"holder":"i2","boot":7,"formers":[{"ID":"i1","Boot":4}]}`
+	data, err := json.Marshal(lease.StoredOwner{Holder: "i2", Boot: 7, Formers: []lease.FormerOwner{first}})
+	require.NoError(t, err)
+	require.Equal(t, stored, string(data), "other versions of the program read it")
+	data, err = json.Marshal(lease.StoredOwner{Holder: "i2", Boot: 7})
+	require.NoError(t, err)
+	require.Equal(t, `{"holder":"i2","boot":7}`, string(data))
+}
--- a/services/daemon/node/lease/succession.go
+++ b/services/daemon/node/lease/succession.go
@@ -6,7 +6,7 @@
 import "time"
 
 // FormerOwner is one life of an instance that owned a pool and may still grant. It is
-// stored with the pool's record under the names of its fields, which must not change.
+// stored with the pool's owner under the names of its fields, which must not change.
 type FormerOwner struct {
 	ID   string
 	Boot uint64
@@ -52,16 +52,16 @@
 	settled bool
 }
 
-// Unknown is the succession before the pool's record was read: nothing may be unloaded.
+// Unknown is the succession before the pool's stored owner was read: nothing may be unloaded.
 func Unknown() Succession {
 	return Succession{frozen: true}
 }
 
-// Follow is the succession after the former owners in a pool's record, save the life
+// Follow is the succession after the former owners that are stored for a pool, save the life
 // that handed the pool over itself.
-func Follow(record []FormerOwner, handedBy FormerOwner) Succession {
+func Follow(stored []FormerOwner, handedBy FormerOwner) Succession {
 	var s Succession
-	for _, f := range record {
+	for _, f := range stored {
 		if f != handedBy && f.ID != "" {
 			s.waiting = append(s.waiting, f)
 		}
@@ -110,7 +110,7 @@
 	return !began.Before(s.ended.Add(grantLife))
 }
 
-// Settle reports true once: the first time that the end of the former owners is put on record.
+// Settle reports true once: the first time that the end of the former owners is to be stored.
 func (s *Succession) Settle() bool {
 	if s.settled {
 		return false
--- a/services/daemon/node/loads.go
+++ b/services/daemon/node/loads.go
@@ -12,9 +12,9 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// budgetHolder finds the instance that shares out the weight store's rate among
+// ledgerHost finds the instance that shares out the weight store's rate among
 // the halls in sight: the speaker of the hall that the rate's name hashes to.
-func (n *Node) budgetHolder() (fleet.Instance, bool) {
+func (n *Node) ledgerHost() (fleet.Instance, bool) {
 	hall := loads.Hall(n.visibleHalls())
 	if hall == n.options.Self.Hall {
 		return n.speaker()
@@ -38,7 +38,7 @@
 	return halls
 }
 
-// tickBudget makes the bids of the held pools and, at the holder, grants permits.
+// tickBudget makes the bids of the held pools and, where the ledger is, grants permits.
 func (n *Node) tickBudget(now time.Time) {
 	limits := n.options.Budget
 	if b := n.config.Catalog().Budget; b.LoadsPerSecond > 0 && b.AtFullSpeed > 0 {
@@ -50,14 +50,14 @@
 
 // spend bids for the pools whose turn has come and grants what the rate allows.
 func (n *Node) spend(now time.Time) {
-	holder, ok := n.budgetHolder()
+	host, ok := n.ledgerHost()
 	if !ok {
 		return
 	}
-	self := holder.ID == n.options.Self.ID
+	self := host.ID == n.options.Self.ID
 	for _, ps := range n.order {
 		if ps.mine && ps.bids.Due(now) {
-			n.bid(now, ps, holder, self)
+			n.bid(now, ps, host, self)
 		}
 	}
 	if self {
@@ -65,7 +65,7 @@
 	}
 }
 
-func (n *Node) bid(now time.Time, ps *poolState, holder fleet.Instance, self bool) {
+func (n *Node) bid(now time.Time, ps *poolState, host fleet.Instance, self bool) {
 	if loads.Recovering(ps.takeover.Age(now), ps.pool.Name, n.options.Self.ID, n.options.Timing.RecoveryDelay) {
 		return
 	}
@@ -81,7 +81,7 @@
 		return
 	}
 	if ps.bids.Send(now, b.Value, wants) {
-		n.send(holder, fleet.Envelope{Bid: &fleet.Bid{Pool: ps.pool.Name, Value: b.Value, Preload: b.Preload}})
+		n.send(host, fleet.Envelope{Bid: &fleet.Bid{Pool: ps.pool.Name, Value: b.Value, Preload: b.Preload}})
 	}
 }
 
--- a/services/daemon/node/loads/bidder.go
+++ b/services/daemon/node/loads/bidder.go
@@ -14,7 +14,7 @@
 	// resendAfter is the time after which a bid that has not risen is sent again to another
 	// instance. Longer sends less and lets a lost bid rest longer; it must be well below the
 	// five seconds after which the receiver forgets a bid. It sets the 11 KB/s that the
-	// holder of the budget receives at the size to come (docs/CAPACITY.md, by role); the
+	// instance with the ledger receives at the size to come (docs/CAPACITY.md, by role); the
 	// effect on loads was not measured.
 	resendAfter = 250 * time.Millisecond
 	// resendRise is the factor by which a bid must have risen to be sent again earlier.
@@ -38,11 +38,11 @@
 
 // Recovering tells whether a pool that was taken over the given time ago still waits for
 // its own part of the time over which the first loads after a takeover are spread.
-func Recovering(age time.Duration, pool, holder string, spread time.Duration) bool {
+func Recovering(age time.Duration, pool, instance string, spread time.Duration) bool {
 	if spread <= 0 {
 		return false
 	}
-	part := float64(ring.Score(pool, holder)%recoverySteps) / recoverySteps
+	part := float64(ring.Score(pool, instance)%recoverySteps) / recoverySteps
 	return age < time.Duration(float64(spread)*part)
 }
 
--- a/services/daemon/node/options.go
+++ b/services/daemon/node/options.go
@@ -78,7 +78,7 @@
 	defaultReconfirm = 2 * time.Second
 	// defaultInspect: longer asks an endpoint less, shorter sees its restart and its slots sooner.
 	defaultInspect = 500 * time.Millisecond
-	// defaultTakeRetry: longer leaves an endpoint without a holder after a lost order,
+	// defaultTakeRetry: longer leaves an endpoint without a placer after a lost order,
 	// shorter asks more of one that is slow.
 	defaultTakeRetry = time.Second
 	// defaultDigest: longer sends less, shorter shows other halls the slots sooner; bytes at
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -23,10 +23,11 @@
 	// own tells whether the pool is in the node's hall.
 	own bool
 	// mine tells whether the node is, to its own belief, the pool's placer.
-	mine      bool
-	term      uint64
-	maxTerm   uint64
-	holder    string
+	mine    bool
+	term    uint64
+	maxTerm uint64
+	// placedBy names the instance that places the pool, as far as is known; empty for none.
+	placedBy  string
 	placer    *placement.Placer
 	publisher *routing.Publisher
 	gap       bool
@@ -69,16 +70,16 @@
 		Candidates: func() []string { return n.members.Candidates(n.leaving) },
 	}
 	situation.Announced, situation.Claimed = n.announced(ps)
-	holder := n.members.Member(situation.Announced.Instance)
+	announced := n.members.Member(situation.Announced.Instance)
 	switch ownership.Decide(situation) {
 	case ownership.Keep:
 		n.retryTakes(now, ps)
 	case ownership.StepDown:
-		n.stepDown(now, ps, holder.Instance, "another instance holds the pool under a higher term")
+		n.stepDown(now, ps, announced.Instance, "another instance holds the pool under a higher term")
 	case ownership.Follow:
-		n.setHolder(now, ps, holder)
+		n.setPlacer(now, ps, announced)
 	case ownership.TakeOver:
-		n.setHolder(now, ps, nil)
+		n.setPlacer(now, ps, nil)
 		n.takeOver(now, ps, nil, "no live instance of the hall holds the pool")
 	}
 }
@@ -116,16 +117,16 @@
 	}
 }
 
-// setHolder follows a change of placer: tickets are declared to it and waiting requests asked for anew.
-func (n *Node) setHolder(now time.Time, ps *poolState, m *membership.Member) {
+// setPlacer follows a change of placer: tickets are declared to it and waiting requests asked for anew.
+func (n *Node) setPlacer(now time.Time, ps *poolState, m *membership.Member) {
 	id := ""
 	if m != nil {
 		id = m.Instance.ID
 	}
-	if id == ps.holder {
+	if id == ps.placedBy {
 		return
 	}
-	ps.holder = id
+	ps.placedBy = id
 	if id == "" {
 		return
 	}
@@ -138,7 +139,7 @@
 	ps.mine = true
 	ps.maxTerm = ownership.NextTerm(ps.maxTerm, n.options.Boot)
 	ps.term = ps.maxTerm
-	ps.holder = n.options.Self.ID
+	ps.placedBy = n.options.Self.ID
 	ps.takeover = ownership.NewTakeover(now, ps.pool.Endpoints, n.options.Timing.TakeRetry, n.options.Timing.Inspect)
 	ps.handed = handed
 	if handed == nil {
@@ -236,11 +237,11 @@
 	}
 }
 
-// stepDown lets a pool go to another holder.
+// stepDown lets a pool go to another placer.
 func (n *Node) stepDown(now time.Time, ps *poolState, to fleet.Instance, cause string) {
 	n.note(now, fleet.Event{Kind: fleet.EventRelease, Pool: ps.pool.Name, Other: to.ID, Fence: ps.term, Cause: cause})
 	n.letGo(now, ps, to)
-	ps.holder = to.ID
+	ps.placedBy = to.ID
 	n.declareUses(ps, to)
 	n.resubmitPool(now, ps)
 }
@@ -254,7 +255,7 @@
 	}
 	n.note(now, fleet.Event{Kind: fleet.EventRelease, Pool: ps.pool.Name, Other: next, Fence: ps.term, Cause: "a planned stop"})
 	n.letGo(now, ps, m.Instance)
-	ps.holder = ""
+	ps.placedBy = ""
 }
 
 // letGo sends the tickets to the successor and the waiting requests back to their entries.
--- a/services/daemon/node/ownership/decide.go
+++ b/services/daemon/node/ownership/decide.go
@@ -26,7 +26,7 @@
 	return best, true
 }
 
-// Yields tells whether the holder of one claim on a pool lets it go to another's. Two
+// Yields tells whether the instance with one claim on a pool lets it go to another's. Two
 // instances that hold the same two claims never both yield, nor both stay.
 func Yields(pool string, own, other Claim) bool {
 	if own.Term != other.Term {
@@ -42,11 +42,11 @@
 const (
 	// Keep goes on holding the pool.
 	Keep Action = "keep"
-	// StepDown lets the pool go to the announced holder.
+	// StepDown lets the pool go to the announced placer.
 	StepDown Action = "step down"
-	// Follow takes the announced holder, or nobody, as the pool's holder.
+	// Follow takes the announced placer, or nobody, as the pool's placer.
 	Follow Action = "follow"
-	// TakeOver makes this node the pool's holder under a new term.
+	// TakeOver makes this node the pool's placer under a new term.
 	TakeOver Action = "take over"
 )
 
--- a/services/daemon/node/ownership/takeover.go
+++ b/services/daemon/node/ownership/takeover.go
@@ -15,7 +15,7 @@
 	// measured.
 	HoldRequests = 400 * time.Millisecond
 	// maxFenceLosses bounds the doubling of the pause after an endpoint has obeyed another
-	// holder: 31 retry times at most. Two instances that cannot hear each other spend the
+	// instance: 31 retry times at most. Two instances that cannot hear each other spend the
 	// endpoint's time on their quarrel without it. Not measured.
 	maxFenceLosses = 5
 	// forgetLosses is the time without such a loss after which the pause is short again.
@@ -84,7 +84,7 @@
 	t.asked[endpoint] = time.Time{}
 }
 
-// LoseFence makes an endpoint that obeys another holder be asked again later. Two
+// LoseFence makes an endpoint that obeys another instance be asked again later. Two
 // instances that cannot hear each other may both believe that they hold the pool; each
 // comes back more slowly every time.
 func (t *Takeover) LoseFence(now time.Time, endpoint string) {
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -92,7 +92,7 @@
 		}
 		return r.Placer(ps.pool.Name)
 	}
-	if m := n.members.Member(ps.holder); m != nil && m.Alive {
+	if m := n.members.Member(ps.placedBy); m != nil && m.Alive {
 		return m.Instance, true
 	}
 	return fleet.Instance{}, false
--- a/services/daemon/placement/inspection.go
+++ b/services/daemon/placement/inspection.go
@@ -61,7 +61,7 @@
 	if e.incarnation != in.Incarnation {
 		p.restart(now, e, in.Incarnation)
 		if e.spec.ChecksFence {
-			// It has forgotten the fence, so that a former holder's orders would count as well as ours.
+			// It has forgotten the fence, so that a former placer's orders would count as well as ours.
 			e.fenceLost = true
 			p.effects = append(p.effects, Retake{Endpoint: e.spec.Name})
 			return p.take()
--- a/services/daemon/placement/popularity/doc.go
+++ b/services/daemon/placement/popularity/doc.go
@@ -4,6 +4,6 @@
 // Package popularity estimates how often each adapter is asked for, by two rates that
 // fade with different half-lives.
 //
-// It owns the estimates of one pool's holder and relies on nothing. It starts no
+// It owns the estimates of one pool's placer and relies on nothing. It starts no
 // goroutines, reads no clock and is not safe for concurrent use.
 package popularity
--- a/services/daemon/placement/restriction.go
+++ b/services/daemon/placement/restriction.go
@@ -74,7 +74,7 @@
 	e.ordersUntil = until
 }
 
-// LoseFence stops all use of an endpoint that obeys another holder, until it is adopted again.
+// LoseFence stops all use of an endpoint that obeys another instance, until it is adopted again.
 func (p *Placer) LoseFence(endpoint string) {
 	if e := p.byName[endpoint]; e != nil {
 		e.fenceLost = true
