--- a/services/entry/proxy/answer.go
+++ b/services/entry/proxy/answer.go
@@ -9,6 +9,8 @@
 	"strconv"
 	"strings"
 	"time"
+
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
 // answerWriter writes one answer to a caller.
@@ -21,28 +23,32 @@
 	headAt time.Time
 }
 
-// refuse answers with an error of this process's own; after is when to come back, 0 for never.
-func (a *answerWriter) refuse(status int, reason string, after time.Duration) {
+// refuse answers with an error of this process's own.
+func (a *answerWriter) refuse(ending attempt.Ending) {
 	header := a.writer.Header()
 	header.Set("Content-Type", "text/plain; charset=utf-8")
 	header["Date"] = nil
-	if after > 0 {
-		header.Set("Retry-After", strconv.FormatFloat(after.Seconds(), 'f', 2, 64))
+	if ending.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(ending.RetryAfter.Seconds(), 'f', 2, 64))
 	}
-	header.Set("Content-Length", strconv.Itoa(len(reason)+1))
-	a.begin(status)
-	_, _ = a.writer.Write([]byte(reason + "\n"))
+	text := string(ending.Reason) + "\n"
+	header.Set("Content-Length", strconv.Itoa(len(text)))
+	a.begin(ending.Status)
+	// A caller that left takes no answer, and there is nothing else to do for it.
+	_, _ = io.WriteString(a.writer, text)
 }
 
 const (
-	// lingerTime and lingerBytes bound how long a caller is read that is still sending what
-	// was refused; without that the reset would take the answer with it.
+	// lingerTime and lingerBytes bound how long, and up to how many bytes, a caller is read that is still sending what was
+	// refused; without that the reset would take the answer with it. More lets slower and larger callers read their
+	// answer, less frees their connections sooner. Not measured.
 	lingerTime  = time.Second
 	lingerBytes = 16 << 20
 )
 
 // letReadAnswer reads on while a caller may still be sending, so that it gets its answer.
 func (a *answerWriter) letReadAnswer(body io.Reader) {
+	// The connection closes afterwards in any case: where one of these fails, it does so without having been read.
 	_ = a.flush()
 	_ = a.controller.SetReadDeadline(a.now().Add(lingerTime))
 	_, _ = io.CopyN(io.Discard, body, lingerBytes)
--- /dev/null
+++ b/services/entry/proxy/attempt/ending.go
@@ -0,0 +1,121 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package attempt
+
+import (
+	"net/http"
+	"time"
+
+	"github.com/shelfledge/shelfledge/services/entry/admission"
+)
+
+// Reason says why a request had no success: the log line's "reason", and the text of the answer where there is one. Where no
+// endpoint took the request, it is one of admission.Reason.
+type Reason string
+
+// The reasons for which End and EndWithoutEndpoint end a request.
+const (
+	// EndpointError: the endpoint answered with a server error, and no retry was allowed.
+	EndpointError Reason = "error of the endpoint"
+	// CallerLeft: the caller closed its connection.
+	CallerLeft Reason = "caller left"
+	// StreamBrokeOff: the endpoint ended a stream, or was silent for too long, and it could not be resumed.
+	StreamBrokeOff Reason = "stream broke off"
+	// RefusedByEndpoint: the request surely did not run: the endpoint said so, or nothing could be sent.
+	RefusedByEndpoint Reason = "refused by the endpoint"
+	// TimedOut: the request may have run, and its deadline has passed.
+	TimedOut Reason = "timed out"
+	// NoAnswer: the request may have run, the endpoint gave no answer, and no retry was allowed.
+	NoAnswer Reason = "no answer from the endpoint"
+	// StreamNotResumed: a stream broke off, and no other endpoint could go on with it.
+	StreamNotResumed Reason = "stream not resumed"
+	// NoEndpointForRetry: the request may have run, and no other endpoint could take it.
+	NoEndpointForRetry Reason = "no endpoint for a repeat"
+	// NotSentInTime: the deadline came while the request waited for an endpoint.
+	NotSentInTime Reason = "not sent in time"
+)
+
+// Closing is how the caller's connection learns that a request ends without success.
+type Closing int
+
+// The ways to end a request.
+const (
+	// Refuse: answer with a status of this instance's own.
+	Refuse Closing = iota
+	// PassError: pass on the endpoint's own error, which was read whole.
+	PassError
+	// Abort: close the connection, so that what was passed on cannot be taken for a whole answer.
+	Abort
+)
+
+// Ending is how a request ends without success.
+type Ending struct {
+	Closing Closing
+	Reason  Reason
+	// Status is the answer's; 0 where the answer is not of this instance's own.
+	Status int
+	// RetryAfter is when the caller should come back; 0 where it is not told.
+	RetryAfter time.Duration
+}
+
+// Pauses after which refused callers should come back.
+const (
+	// unknownPause is for an instance that knows no configuration yet. Longer spares the instances, shorter serves sooner.
+	// Not measured.
+	unknownPause = 500 * time.Millisecond
+	// stoppingPause is for an instance that ends: another one can serve at once. Longer spares the instances, shorter
+	// serves sooner. Not measured.
+	stoppingPause = 100 * time.Millisecond
+	// busyPause is for requests that no endpoint ran. Longer spares the instances, shorter serves sooner. Not measured.
+	busyPause = 250 * time.Millisecond
+)
+
+// Refusals of requests for which no endpoint is asked. They are answered and not logged.
+var (
+	// NoConfiguration: this instance knows no configuration yet.
+	NoConfiguration = Ending{Status: http.StatusServiceUnavailable, Reason: "no configuration yet", RetryAfter: unknownPause}
+	// NoRoute: no route has the request's host and path.
+	NoRoute = Ending{Status: http.StatusNotFound, Reason: "no such route"}
+	// HeaderTooLarge: the head is larger than the settings allow.
+	HeaderTooLarge = Ending{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "header too large"}
+	// BodyTooLarge: the body is larger than the settings allow.
+	BodyTooLarge = Ending{Status: http.StatusRequestEntityTooLarge, Reason: "body too large"}
+	// Stopping: the process ends before it could answer whole.
+	Stopping = Ending{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stoppingPause}
+)
+
+// End decides how a request ends after its last attempt.
+func End(now time.Time, last Result, s Situation) Ending {
+	switch {
+	case last == ServerError:
+		return Ending{Closing: PassError, Reason: EndpointError}
+	case s.CallerLeft:
+		return Ending{Closing: Abort, Reason: CallerLeft}
+	case s.HeadPassed:
+		return Ending{Closing: Abort, Reason: StreamBrokeOff}
+	case !s.MayHaveRun:
+		return Ending{Status: http.StatusServiceUnavailable, Reason: RefusedByEndpoint, RetryAfter: busyPause}
+	case s.timedOut(now):
+		return Ending{Status: http.StatusGatewayTimeout, Reason: TimedOut}
+	default:
+		return Ending{Status: http.StatusBadGateway, Reason: NoAnswer}
+	}
+}
+
+// EndWithoutEndpoint decides how a request ends that no endpoint takes. The refusal is what package admission decided, nil
+// where the wait ended otherwise.
+func EndWithoutEndpoint(s Situation, refusal *admission.Decision) Ending {
+	switch {
+	case s.HeadPassed:
+		return Ending{Closing: Abort, Reason: StreamNotResumed}
+	case s.CallerLeft:
+		return Ending{Closing: Abort, Reason: CallerLeft}
+	case s.MayHaveRun:
+		return Ending{Status: http.StatusBadGateway, Reason: NoEndpointForRetry}
+	case refusal != nil:
+		return Ending{Status: http.StatusServiceUnavailable, Reason: Reason(refusal.Reason), RetryAfter: refusal.RetryAfter}
+	default:
+		return Ending{Status: http.StatusServiceUnavailable, Reason: NotSentInTime, RetryAfter: busyPause}
+	}
+}
--- /dev/null
+++ b/services/entry/proxy/attempt/retry.go
@@ -0,0 +1,58 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package attempt
+
+import "time"
+
+// Step is what follows from the end of an attempt.
+type Step int
+
+// The steps after an attempt.
+const (
+	// Done: the caller has its answer.
+	Done Step = iota
+	// TryNext: ask for another endpoint; nothing was sent, so that it is no retry.
+	TryNext
+	// RetryWithinBudget: ask for another endpoint if the fleet's budget grants a retry, else end the request.
+	RetryWithinBudget
+	// GiveUp: end the request, see the function End.
+	GiveUp
+)
+
+// maxUnreached is how many endpoints are tried to which nothing can be sent. More find a reachable one after many
+// endpoints have gone at once, fewer answer sooner. Not measured.
+const maxUnreached = 3
+
+// Next decides what follows from the end of an attempt.
+func Next(now time.Time, result Result, s Situation) Step {
+	switch result {
+	case Finished:
+		return Done
+	case NotSent:
+		if s.Unreached < maxUnreached && !s.ContextEnded {
+			return TryNext
+		}
+		return GiveUp
+	}
+	if mayRetry(now, result, s) {
+		return RetryWithinBudget
+	}
+	return GiveUp
+}
+
+// mayRetry reports whether another endpoint may be sent the request, the fleet's budget apart.
+func mayRetry(now time.Time, result Result, s Situation) bool {
+	if s.timedOut(now) || s.Sent >= s.Route.MaxAttempts || !s.BodyHeld {
+		return false
+	}
+	if s.MayHaveRun && !s.Route.Repeatable() {
+		return false
+	}
+	return result != BrokenOff || s.EventPassed
+}
+
+// ProvesNotRun reports whether the request surely had no effect by an attempt that ended so.
+func ProvesNotRun(result Result) bool {
+	return result == NotSent || result == NotRun
+}
--- /dev/null
+++ b/services/entry/proxy/attempt/retry_test.go
@@ -0,0 +1,120 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package attempt_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
+)
+
+var (
+	now      = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+	deadline = now.Add(10 * time.Second)
+
+	safe      = &deployment.Route{Kind: deployment.Safe, MaxAttempts: 2, Target: 100 * time.Millisecond}
+	unsafe    = &deployment.Route{Kind: deployment.Unsafe, MaxAttempts: 2, Target: 100 * time.Millisecond}
+	stream    = &deployment.Route{Kind: deployment.Streaming, MaxAttempts: 2, Target: 800 * time.Millisecond, PauseTarget: 250 * time.Millisecond}
+	resumable = &deployment.Route{
+		Kind: deployment.Streaming, MaxAttempts: 2, Target: 800 * time.Millisecond, PauseTarget: 250 * time.Millisecond, Resumable: true,
+	}
+)
+
+// after gives the situation after the first endpoint was sent a request of a route, with changes.
+func after(route *deployment.Route, changes ...func(*attempt.Situation)) attempt.Situation {
+	s := attempt.Situation{Route: route, Deadline: deadline, Sent: 1, BodyHeld: true}
+	for _, change := range changes {
+		change(&s)
+	}
+	return s
+}
+
+func mayHaveRun(s *attempt.Situation)   { s.MayHaveRun = true }
+func headPassed(s *attempt.Situation)   { s.HeadPassed = true }
+func eventPassed(s *attempt.Situation)  { s.EventPassed = true }
+func contextEnded(s *attempt.Situation) { s.ContextEnded = true }
+func bodyNotHeld(s *attempt.Situation)  { s.BodyHeld = false }
+
+// callerLeft ends the request's context, too.
+func callerLeft(s *attempt.Situation) {
+	s.CallerLeft = true
+	s.ContextEnded = true
+}
+
+func sent(count int) func(*attempt.Situation) {
+	return func(s *attempt.Situation) { s.Sent = count }
+}
+
+func unreached(count int) func(*attempt.Situation) {
+	return func(s *attempt.Situation) { s.Unreached = count }
+}
+
+func until(end time.Time) func(*attempt.Situation) {
+	return func(s *attempt.Situation) { s.Deadline = end }
+}
+
+func TestNext(t *testing.T) {
+	noAttempts := &deployment.Route{Kind: deployment.Safe}
+	for name, test := range map[string]struct {
+		result    attempt.Result
+		situation attempt.Situation
+		step      attempt.Step
+	}{
+		"an answer":                                    {attempt.Finished, after(safe), attempt.Done},
+		"an answer at the deadline":                    {attempt.Finished, after(safe, until(now), contextEnded), attempt.Done},
+		"nothing sent, one endpoint":                   {attempt.NotSent, after(unsafe, sent(0), unreached(1)), attempt.TryNext},
+		"nothing sent, two endpoints":                  {attempt.NotSent, after(unsafe, sent(0), unreached(2)), attempt.TryNext},
+		"nothing sent, three endpoints":                {attempt.NotSent, after(unsafe, sent(0), unreached(3)), attempt.GiveUp},
+		"nothing sent, four endpoints":                 {attempt.NotSent, after(unsafe, sent(0), unreached(4)), attempt.GiveUp},
+		"nothing sent, and the time over":              {attempt.NotSent, after(unsafe, sent(0), unreached(1), contextEnded), attempt.GiveUp},
+		"nothing sent, and the caller gone":            {attempt.NotSent, after(unsafe, sent(0), unreached(1), callerLeft), attempt.GiveUp},
+		"nothing sent, the deadline by the clock only": {attempt.NotSent, after(unsafe, sent(0), unreached(1), until(now)), attempt.TryNext},
+		"nothing sent, all attempts used before":       {attempt.NotSent, after(unsafe, sent(2), unreached(1)), attempt.TryNext},
+		"nothing sent of a large body":                 {attempt.NotSent, after(unsafe, sent(0), unreached(1), bodyNotHeld), attempt.TryNext},
+
+		"not run":                                    {attempt.NotRun, after(unsafe), attempt.RetryWithinBudget},
+		"not run, no attempt left":                   {attempt.NotRun, after(unsafe, sent(2)), attempt.GiveUp},
+		"not run, more attempts than allowed":        {attempt.NotRun, after(unsafe, sent(3)), attempt.GiveUp},
+		"not run, a route without attempts":          {attempt.NotRun, after(noAttempts), attempt.GiveUp},
+		"not run, the body not held":                 {attempt.NotRun, after(unsafe, bodyNotHeld), attempt.GiveUp},
+		"not run, just before the deadline":          {attempt.NotRun, after(unsafe, until(now.Add(1))), attempt.RetryWithinBudget},
+		"not run, at the deadline":                   {attempt.NotRun, after(unsafe, until(now)), attempt.GiveUp},
+		"not run, after the deadline":                {attempt.NotRun, after(unsafe, until(now.Add(-1))), attempt.GiveUp},
+		"not run, the caller gone":                   {attempt.NotRun, after(unsafe, callerLeft), attempt.GiveUp},
+		"not run, but an attempt before it may have": {attempt.NotRun, after(unsafe, mayHaveRun), attempt.GiveUp},
+		"not run, a safe attempt before it may have": {attempt.NotRun, after(safe, mayHaveRun), attempt.RetryWithinBudget},
+
+		"uncertain, safe":                     {attempt.Uncertain, after(safe, mayHaveRun), attempt.RetryWithinBudget},
+		"uncertain, unsafe":                   {attempt.Uncertain, after(unsafe, mayHaveRun), attempt.GiveUp},
+		"uncertain, a stream":                 {attempt.Uncertain, after(stream, mayHaveRun), attempt.GiveUp},
+		"uncertain, a resumable stream":       {attempt.Uncertain, after(resumable, mayHaveRun), attempt.RetryWithinBudget},
+		"server error, safe":                  {attempt.ServerError, after(safe, mayHaveRun), attempt.RetryWithinBudget},
+		"server error, unsafe":                {attempt.ServerError, after(unsafe, mayHaveRun), attempt.GiveUp},
+		"broken off, safe":                    {attempt.BrokenOff, after(safe, mayHaveRun, headPassed), attempt.GiveUp},
+		"broken off, a stream":                {attempt.BrokenOff, after(stream, mayHaveRun, headPassed, eventPassed), attempt.GiveUp},
+		"broken off, a resumable stream":      {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed), attempt.RetryWithinBudget},
+		"broken off before the first event":   {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed), attempt.GiveUp},
+		"broken off, no attempt left":         {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, sent(2)), attempt.GiveUp},
+		"broken off since the caller left":    {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, callerLeft), attempt.GiveUp},
+		"broken off with the body not held":   {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, bodyNotHeld), attempt.GiveUp},
+		"broken off, the deadline has passed": {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, until(now)), attempt.GiveUp},
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.Equal(t, test.step, attempt.Next(now, test.result, test.situation))
+		})
+	}
+}
+
+func TestWhichResultsProveThatARequestDidNotRun(t *testing.T) {
+	for result, proves := range map[attempt.Result]bool{
+		attempt.NotSent: true, attempt.NotRun: true, attempt.Uncertain: false, attempt.ServerError: false, attempt.BrokenOff: false,
+		attempt.Finished: false, "": false,
+	} {
+		assert.Equal(t, proves, attempt.ProvesNotRun(result), "%q", result)
+	}
+}
--- /dev/null
+++ b/services/entry/proxy/attempt/timeout.go
@@ -0,0 +1,65 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package attempt
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/admission"
+)
+
+const (
+	// longestRequest bounds requests whose route and caller set no limit. Longer lets slow answers end, shorter frees what
+	// forgotten requests hold. Not measured.
+	longestRequest = 10 * time.Minute
+	// retryTimeParts is in how many parts the time to the deadline is cut where another endpoint could still be tried: the
+	// head of the answer gets one. More parts leave more time for the retry, fewer give up less work that would have been
+	// answered. Not measured.
+	retryTimeParts = 2
+	// resumePauses is after how many of the route's pause targets without an event a stream goes on elsewhere, where it
+	// can. More wait for a slow endpoint, fewer resume streams that would have gone on. Not measured.
+	resumePauses = 4
+)
+
+// Deadline is when a request ends whatever happens: after the shorter of the route's time-out (settings) and the caller's own
+// (its header; 0 where it did not say).
+func Deadline(arrived time.Time, route *deployment.Route, callerTimeout time.Duration) time.Time {
+	limit := route.Timeout
+	if callerTimeout > 0 && (limit <= 0 || callerTimeout < limit) {
+		limit = callerTimeout
+	}
+	if limit <= 0 {
+		limit = longestRequest
+	}
+	return arrived.Add(limit)
+}
+
+// HeadTimeout is how long the head of the answer may take. Without a bound of its own, it may take all the time that is
+// left: the deadline ends it then, and tells the reason.
+func HeadTimeout(now time.Time, s Situation) (timeout time.Duration, bounded bool) {
+	left := s.Deadline.Sub(now)
+	switch {
+	case s.Route.Kind == deployment.Streaming:
+		timeout = FirstEventTimeout(s.Route)
+	case s.Route.Repeatable() && s.Sent < s.Route.MaxAttempts:
+		timeout = left / retryTimeParts
+	default:
+		return 0, false
+	}
+	return timeout, timeout < left
+}
+
+// FirstEventTimeout is how long the first bytes of a stream may take after its head: as long as callers listen to silence.
+func FirstEventTimeout(route *deployment.Route) time.Duration {
+	return admission.Patience(route)
+}
+
+// PauseTimeout is how long a stream may pause between two readings before its endpoint is given up.
+func PauseTimeout(s Situation) time.Duration {
+	if s.Route.Resumable && s.Sent < s.Route.MaxAttempts && s.Route.PauseTarget > 0 {
+		return resumePauses * s.Route.PauseTarget
+	}
+	return admission.Patience(s.Route)
+}
--- /dev/null
+++ b/services/entry/proxy/attempt/verdict.go
@@ -0,0 +1,125 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package attempt
+
+import (
+	"net/http"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
+)
+
+// Verdict is what the end of an attempt says of the request and of its endpoint.
+type Verdict struct {
+	Result Result
+	// Outcome is how the exchange counts for the endpoint's health.
+	Outcome directory.Outcome
+	// Missing says that the endpoint does not hold the adapter, or not at the demanded version.
+	Missing bool
+}
+
+// Failure is how an exchange failed before the head of an answer came.
+type Failure int
+
+// The failures of exchanges, from package upstream.
+const (
+	// NoConnectionFree: all connections that are allowed to the endpoint are in use.
+	NoConnectionFree Failure = iota
+	// NothingWritten: no connection came about, or no byte of the request was written.
+	NothingWritten
+	// NoHead: some or all of the request was written, and no head of an answer came.
+	NoHead
+)
+
+// JudgeFailure judges an exchange that ended without the head of an answer. The endpoint is not blamed where the caller left.
+func JudgeFailure(failure Failure, callerLeft bool) Verdict {
+	verdict := Verdict{Result: NotSent, Outcome: directory.Broken}
+	if failure == NoHead {
+		verdict.Result = Uncertain
+	}
+	if failure == NoConnectionFree || callerLeft {
+		verdict.Outcome = directory.Neutral
+	}
+	return verdict
+}
+
+// Head is the head of an endpoint's answer.
+type Head struct {
+	// Status is the endpoint's own.
+	Status int
+	// NotRun says that the answer proves that the request did not run and will not; from its header or status.
+	NotRun bool
+	// FromEndpoint says that it bears the endpoint's own mark; from its header.
+	FromEndpoint bool
+	// Resumes says that the caller has the head and some events of another endpoint's answer; own record.
+	Resumes bool
+	// Kind is that of the route; from the settings.
+	Kind deployment.RouteKind
+}
+
+// Handling is what to do with an answer after its head.
+type Handling int
+
+// The ways to handle an answer.
+const (
+	// Reject: pass nothing on; the verdict stands.
+	Reject Handling = iota
+	// PassStream: pass the head and the events on as they come.
+	PassStream
+	// ResumeStream: pass on the events only.
+	ResumeStream
+	// PassWhole: pass on an answer that is no stream.
+	PassWhole
+)
+
+// JudgeHead decides what to do with an answer. The verdict is that of rejected ones.
+func JudgeHead(head Head) (Handling, Verdict) {
+	success := head.Status < http.StatusMultipleChoices
+	switch {
+	case head.NotRun && head.Status != http.StatusBadRequest:
+		// A request that is wrong in itself would get the same answer everywhere: the caller gets it.
+		return Reject, Verdict{Result: NotRun, Outcome: directory.Refused, Missing: head.Status == http.StatusMisdirectedRequest}
+	case success && !head.FromEndpoint:
+		// Something on the way answered in the endpoint's place.
+		return Reject, Verdict{Result: Uncertain, Outcome: directory.Broken}
+	case head.Resumes && !success:
+		return Reject, Verdict{Result: BrokenOff, Outcome: directory.Errored}
+	case head.Resumes:
+		return ResumeStream, Verdict{}
+	case head.Kind == deployment.Streaming && success:
+		return PassStream, Verdict{}
+	default:
+		return PassWhole, Verdict{}
+	}
+}
+
+// JudgeWhole judges an answer that was read whole before anything was passed on.
+func JudgeWhole(status int) Verdict {
+	if status >= http.StatusInternalServerError {
+		return Verdict{Result: ServerError, Outcome: directory.Errored}
+	}
+	return Passed()
+}
+
+// Passed is the verdict on an answer that the caller has whole.
+func Passed() Verdict {
+	return Verdict{Result: Finished, Outcome: directory.Succeeded}
+}
+
+// NotTaken is the verdict on an answer that its caller takes no more.
+func NotTaken() Verdict {
+	return Verdict{Result: BrokenOff, Outcome: directory.Neutral}
+}
+
+// JudgeBroken judges an answer whose body broke off. The endpoint is not blamed where the caller left.
+func JudgeBroken(s Situation) Verdict {
+	verdict := Verdict{Result: Uncertain, Outcome: directory.Broken}
+	if s.HeadPassed {
+		verdict.Result = BrokenOff
+	}
+	if s.CallerLeft {
+		verdict.Outcome = directory.Neutral
+	}
+	return verdict
+}
--- /dev/null
+++ b/services/entry/proxy/attempt/verdict_test.go
@@ -0,0 +1,96 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package attempt_test
+
+import (
+	"net/http"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
+)
+
+func TestJudgeFailure(t *testing.T) {
+	for name, test := range map[string]struct {
+		failure    attempt.Failure
+		callerLeft bool
+		verdict    attempt.Verdict
+	}{
+		"no connection free":                  {attempt.NoConnectionFree, false, attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"no connection free, the caller gone": {attempt.NoConnectionFree, true, attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"nothing written":                     {attempt.NothingWritten, false, attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Broken}},
+		"nothing written, the caller gone":    {attempt.NothingWritten, true, attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"no head":                             {attempt.NoHead, false, attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
+		"no head, the caller gone":            {attempt.NoHead, true, attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.Equal(t, test.verdict, attempt.JudgeFailure(test.failure, test.callerLeft))
+		})
+	}
+}
+
+func TestJudgeHead(t *testing.T) {
+	notRun := attempt.Verdict{Result: attempt.NotRun, Outcome: directory.Refused}
+	missing := attempt.Verdict{Result: attempt.NotRun, Outcome: directory.Refused, Missing: true}
+	distrusted := attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}
+	notResumed := attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Errored}
+	for name, test := range map[string]struct {
+		head     attempt.Head
+		handling attempt.Handling
+		verdict  attempt.Verdict
+	}{
+		"not run":                         {attempt.Head{Status: http.StatusServiceUnavailable, NotRun: true}, attempt.Reject, notRun},
+		"not run, the adapter missing":    {attempt.Head{Status: http.StatusMisdirectedRequest, NotRun: true}, attempt.Reject, missing},
+		"not run, a resumed stream":       {attempt.Head{Status: http.StatusConflict, NotRun: true, Resumes: true}, attempt.Reject, notRun},
+		"a wrong request":                 {attempt.Head{Status: http.StatusBadRequest, NotRun: true}, attempt.PassWhole, attempt.Verdict{}},
+		"a success without the mark":      {attempt.Head{Status: http.StatusOK}, attempt.Reject, distrusted},
+		"the last success, without it":    {attempt.Head{Status: 299}, attempt.Reject, distrusted},
+		"the first other, without it":     {attempt.Head{Status: http.StatusMultipleChoices}, attempt.PassWhole, attempt.Verdict{}},
+		"an error without the mark":       {attempt.Head{Status: http.StatusInternalServerError}, attempt.PassWhole, attempt.Verdict{}},
+		"a plain answer":                  {attempt.Head{Status: http.StatusOK, FromEndpoint: true}, attempt.PassWhole, attempt.Verdict{}},
+		"an unsafe route's answer":        {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Unsafe}, attempt.PassWhole, attempt.Verdict{}},
+		"a stream":                        {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
+		"a stream's last success":         {attempt.Head{Status: 299, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
+		"a stream's error":                {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassWhole, attempt.Verdict{}},
+		"a resumed stream":                {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.ResumeStream, attempt.Verdict{}},
+		"a resumed stream's error":        {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, notResumed},
+		"a resumed stream without a mark": {attempt.Head{Status: http.StatusOK, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, distrusted},
+	} {
+		t.Run(name, func(t *testing.T) {
+			handling, verdict := attempt.JudgeHead(test.head)
+			assert.Equal(t, test.handling, handling)
+			assert.Equal(t, test.verdict, verdict)
+		})
+	}
+}
+
+func TestJudgeWhole(t *testing.T) {
+	failed := attempt.Verdict{Result: attempt.ServerError, Outcome: directory.Errored}
+	for status, verdict := range map[int]attempt.Verdict{
+		http.StatusOK: attempt.Passed(), http.StatusNotFound: attempt.Passed(), 499: attempt.Passed(),
+		http.StatusInternalServerError: failed, http.StatusNotImplemented: failed, 599: failed,
+	} {
+		assert.Equal(t, verdict, attempt.JudgeWhole(status), "%d", status)
+	}
+}
+
+func TestJudgeBroken(t *testing.T) {
+	for name, test := range map[string]struct {
+		situation attempt.Situation
+		verdict   attempt.Verdict
+	}{
+		"nothing passed on":                   {after(safe), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
+		"nothing passed on, the caller gone":  {after(safe, callerLeft), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
+		"the head passed on":                  {after(stream, headPassed), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Broken}},
+		"the head passed on, the caller gone": {after(stream, headPassed, callerLeft), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
+		"the deadline has passed":             {after(safe, contextEnded), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
+	} {
+		t.Run(name, func(t *testing.T) {
+			assert.Equal(t, test.verdict, attempt.JudgeBroken(test.situation))
+		})
+	}
+}
--- /dev/null
+++ b/services/entry/proxy/exchange.go
@@ -0,0 +1,127 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package proxy
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net/http"
+	"time"
+
+	"github.com/shelfledge/shelfledge/modules/entry/upstream"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
+)
+
+// exchange is one attempt at one endpoint.
+type exchange struct {
+	run        *run
+	assignment coordinator.Assignment
+	answer     *upstream.Answer
+	cancel     context.CancelFunc
+	// held is a whole body that was read before anything was passed on.
+	held []byte
+	// status is the endpoint's own; 0 for none.
+	status int
+}
+
+// do sends the request, passes the answer on and tells the coordinator how it ended.
+func (e *exchange) do() attempt.Result {
+	started := e.run.service.options.Now()
+	verdict := e.send()
+	e.run.records = append(e.run.records, AttemptRecord{
+		Endpoint: e.assignment.Endpoint.ID, WaitedMS: e.assignment.Waited.Milliseconds(), Result: verdict.Result,
+		TookMS: e.run.service.options.Now().Sub(started).Milliseconds(), Status: e.status,
+	})
+	e.run.service.control.Finish(e.run.request, e.assignment, verdict.Outcome, verdict.Missing)
+	return verdict.Result
+}
+
+// send sends the request and passes the answer on.
+func (e *exchange) send() attempt.Verdict {
+	r := e.run
+	ctx, cancel := context.WithCancel(r.context)
+	e.cancel = cancel
+	headTimer := e.startHeadTimer(cancel)
+	answer, err := r.service.upstream.Do(ctx, upstream.Call{
+		Target: upstream.Target{
+			Key: string(e.assignment.Endpoint.ID), Address: e.assignment.Endpoint.Address, MaxConnections: e.assignment.MaxConnections,
+		},
+		Request: r.forward(e.assignment, r.service.options.Now()),
+		Belongs: func(header http.Header) bool { return r.service.dialect.Belongs(r.facts.ID, header) },
+	})
+	if headTimer != nil {
+		headTimer.Stop()
+	}
+	if err != nil {
+		cancel()
+		return attempt.JudgeFailure(failure(err), r.callerLeft())
+	}
+	e.answer = answer
+	return e.pass()
+}
+
+// failure translates an error of package upstream.
+func failure(err error) attempt.Failure {
+	switch {
+	case errors.Is(err, upstream.ErrNoConnection):
+		return attempt.NoConnectionFree
+	case upstream.NotSent(err):
+		return attempt.NothingWritten
+	default:
+		return attempt.NoHead
+	}
+}
+
+// pass judges the head of an answer and passes it on.
+func (e *exchange) pass() attempt.Verdict {
+	response := e.answer.Response
+	dialect := e.run.service.dialect
+	e.status = response.StatusCode
+	handling, verdict := attempt.JudgeHead(attempt.Head{
+		Status: e.status, NotRun: dialect.NotRun(e.status, response.Header), FromEndpoint: dialect.Genuine(response.Header),
+		Resumes: e.run.answer.status != 0, Kind: e.run.request.Route.Kind,
+	})
+	switch handling {
+	case attempt.ResumeStream:
+		return e.passStream(false)
+	case attempt.PassStream:
+		return e.passStream(true)
+	case attempt.PassWhole:
+		return e.passWhole()
+	}
+	if verdict.Result == attempt.NotRun {
+		e.readRest()
+	}
+	e.discard()
+	return verdict
+}
+
+// startHeadTimer starts the timer that gives the endpoint up when the head of the answer takes too long; nil for none.
+func (e *exchange) startHeadTimer(giveUp func()) *time.Timer {
+	timeout, bounded := attempt.HeadTimeout(e.run.service.options.Now(), e.run.situation())
+	if !bounded {
+		return nil
+	}
+	return time.AfterFunc(timeout, giveUp)
+}
+
+// readRest reads a small refusal to its end, so that its connection can be used again.
+func (e *exchange) readRest() {
+	// Where that fails, the connection is closed with the exchange, and nothing else is lost.
+	_, _ = io.CopyN(io.Discard, e.answer, smallBody)
+}
+
+// discard ends the exchange.
+func (e *exchange) discard() {
+	if e.answer != nil {
+		e.answer.Close()
+		e.answer = nil
+	}
+	if e.cancel != nil {
+		e.cancel()
+		e.cancel = nil
+	}
+}
--- a/services/entry/proxy/run.go
+++ b/services/entry/proxy/run.go
@@ -14,9 +14,9 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
-	"github.com/shelfledge/shelfledge/modules/entry/upstream"
+	"github.com/shelfledge/shelfledge/services/entry/admission"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
-	"github.com/shelfledge/shelfledge/services/entry/directory"
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
 // run is one request on its way through the entry.
@@ -29,149 +29,106 @@
 	body     requestBody
 	context  context.Context
 	tried    []deployment.EndpointID
-	attempts int
-	dials    int
+	// sent is how many endpoints the request was sent to; unreached how many nothing could be sent to.
+	sent      int
+	unreached int
 	// mayHaveRun is set once an attempt ended without proof that it did not run.
 	mayHaveRun bool
 	// lastEvent is the last whole event passed on.
 	lastEvent string
-	reason    string
+	reason    attempt.Reason
 	records   []AttemptRecord
 }
 
-// verdict is what follows from one attempt.
-type verdict int
-
-const (
-	// finished: the caller has its answer.
-	finished verdict = iota
-	// notSent: nothing arrived at the endpoint.
-	notSent
-	// notRun: the endpoint proved that the request did not run.
-	notRun
-	// uncertain: the request may have run, and nothing was answered yet.
-	uncertain
-	// serverError: the endpoint answered with an error that may be worth a repeat.
-	serverError
-	// brokenOff: the answer broke off after its head was passed on.
-	brokenOff
-)
-
-// String names the verdict in logs.
-func (v verdict) String() string {
-	return [...]string{"finished", "not sent", "not run", "uncertain", "server error", "broken off"}[v]
-}
-
-// maxDials is how many endpoints are tried that cannot be connected to.
-const maxDials = 3
-
+// serve tries endpoints until the request has an answer or package attempt gives it up.
 func (r *run) serve() {
 	for {
 		assignment, err := r.service.control.Acquire(r.context, r.request, r.tried)
 		if err != nil {
-			r.endWithoutEndpoint(err)
+			r.end(attempt.EndWithoutEndpoint(r.situation(), refusal(err)), nil)
 			return
 		}
-		r.attempts++
-		attempt := &attempt{run: r, assignment: assignment}
-		result := attempt.do()
-		switch result {
-		case finished:
-			return
-		case notSent:
-			r.attempts--
-			r.dials++
-			if r.dials < maxDials && r.context.Err() == nil {
-				r.tried = append(r.tried, assignment.Endpoint.ID)
-				continue
-			}
-			r.end(result, attempt)
+		r.sent++
+		exchange := &exchange{run: r, assignment: assignment}
+		result := exchange.do()
+		r.count(result)
+		switch attempt.Next(r.service.options.Now(), result, r.situation()) {
+		case attempt.Done:
 			return
-		case uncertain, serverError, brokenOff:
-			r.mayHaveRun = true
-		}
-		if !r.mayRepeat(result) {
-			r.end(result, attempt)
+		case attempt.GiveUp:
+			r.giveUp(result, exchange)
 			return
+		case attempt.RetryWithinBudget:
+			if !r.service.control.TakeRepeat(r.request.Service) {
+				r.giveUp(result, exchange)
+				return
+			}
+		case attempt.TryNext:
 		}
-		attempt.discard()
+		exchange.discard()
 		r.tried = append(r.tried, assignment.Endpoint.ID)
 	}
 }
 
-// mayRepeat tells whether another endpoint may be sent the request.
-func (r *run) mayRepeat(result verdict) bool {
-	if r.timedOut() || r.attempts >= r.request.Route.MaxAttempts || r.body.rest != nil {
-		return false
-	}
-	if r.mayHaveRun && !r.request.Route.Repeatable() {
-		return false
+// count notes what an attempt's result says of the request.
+func (r *run) count(result attempt.Result) {
+	if result == attempt.NotSent {
+		r.sent--
+		r.unreached++
 	}
-	if result == brokenOff && r.lastEvent == "" {
-		return false
+	if !attempt.ProvesNotRun(result) {
+		r.mayHaveRun = true
 	}
-	return r.service.control.TakeRepeat(r.request.Service)
 }
 
-// endWithoutEndpoint answers a request that no endpoint takes.
-func (r *run) endWithoutEndpoint(err error) {
-	var refusal *coordinator.Refusal
-	switch {
-	case r.answer.status != 0:
-		r.reason = "stream not resumed"
-		panic(http.ErrAbortHandler)
-	case r.incoming.Context().Err() != nil:
-		r.reason = "caller left"
-		panic(http.ErrAbortHandler)
-	case r.mayHaveRun:
-		r.reason = "no endpoint for a repeat"
-		r.answer.refuse(http.StatusBadGateway, r.reason, 0)
-	case errors.As(err, &refusal):
-		r.reason = string(refusal.Reason)
-		r.answer.refuse(http.StatusServiceUnavailable, r.reason, refusal.RetryAfter)
-	default:
-		r.reason = "not sent in time"
-		r.answer.refuse(http.StatusServiceUnavailable, r.reason, busyPause)
+// situation gives what decisions need to know of the request.
+func (r *run) situation() attempt.Situation {
+	return attempt.Situation{
+		Route: r.request.Route, Deadline: r.request.Deadline, Sent: r.sent, Unreached: r.unreached, MayHaveRun: r.mayHaveRun,
+		BodyHeld: r.body.rest == nil, HeadPassed: r.answer.status != 0, EventPassed: r.lastEvent != "",
+		CallerLeft: r.callerLeft(), ContextEnded: r.context.Err() != nil,
 	}
 }
 
-// end answers a request after its last attempt.
-func (r *run) end(result verdict, last *attempt) {
-	if result == serverError {
-		last.passError()
-		return
-	}
-	if r.incoming.Context().Err() != nil {
-		r.reason = "caller left"
-		panic(http.ErrAbortHandler)
+// callerLeft tells whether the caller closed its connection.
+func (r *run) callerLeft() bool {
+	return r.incoming.Context().Err() != nil
+}
+
+// refusal gives the decision of package admission that an error of the coordinator holds, nil for others.
+func refusal(err error) *admission.Decision {
+	var refused *coordinator.Refusal
+	if !errors.As(err, &refused) {
+		return nil
 	}
-	if r.answer.status != 0 {
-		r.reason = "stream broke off"
+	return &admission.Decision{Reason: refused.Reason, RetryAfter: refused.RetryAfter}
+}
+
+// giveUp ends a request after its last attempt.
+func (r *run) giveUp(result attempt.Result, last *exchange) {
+	r.end(attempt.End(r.service.options.Now(), result, r.situation()), last)
+}
+
+// end carries out how a request ends; last is the attempt whose error may be passed on.
+func (r *run) end(ending attempt.Ending, last *exchange) {
+	r.reason = ending.Reason
+	switch ending.Closing {
+	case attempt.PassError:
+		last.passHeld()
+	case attempt.Abort:
+		// net/http takes this panic for closing the connection.
 		panic(http.ErrAbortHandler)
+	case attempt.Refuse:
+		r.answer.refuse(ending)
 	}
-	if !r.mayHaveRun {
-		r.reason = "refused by the endpoint"
-		r.answer.refuse(http.StatusServiceUnavailable, r.reason, busyPause)
-		return
-	}
-	if r.timedOut() {
-		r.reason = "timed out"
-		r.answer.refuse(http.StatusGatewayTimeout, r.reason, 0)
-		return
-	}
-	r.reason = "no answer from the endpoint"
-	r.answer.refuse(http.StatusBadGateway, r.reason, 0)
 }
 
-// timedOut tells whether the request's time is over. The connection's own deadline is the same and may end
-// the exchange a moment before the context says so.
-func (r *run) timedOut() bool {
-	return r.context.Err() != nil || !r.service.options.Now().Before(r.request.Deadline)
-}
+// addedHeaders is room for the headers that the dialect adds, so that the map need not grow.
+const addedHeaders = 4
 
 // forward builds the request that goes to an endpoint.
 func (r *run) forward(assignment coordinator.Assignment, now time.Time) *http.Request {
-	header := make(http.Header, len(r.incoming.Header)+4)
+	header := make(http.Header, len(r.incoming.Header)+addedHeaders)
 	copyHeader(header, r.incoming.Header)
 	if _, ok := header["User-Agent"]; !ok {
 		// An empty value keeps net/http from adding its own.
@@ -205,131 +162,3 @@
 	}
 	return incoming.URL
 }
-
-// attempt is one exchange with one endpoint.
-type attempt struct {
-	run        *run
-	assignment coordinator.Assignment
-	answer     *upstream.Answer
-	cancel     context.CancelFunc
-	// held is a whole body that was read before anything was passed on.
-	held []byte
-	// status is the endpoint's own; 0 for none.
-	status int
-}
-
-func (a *attempt) do() verdict {
-	started := a.run.service.options.Now()
-	outcome, missing, result := a.exchange()
-	a.run.records = append(a.run.records, AttemptRecord{
-		Endpoint: a.assignment.Endpoint.ID, WaitedMS: a.assignment.Waited.Milliseconds(), Result: result.String(),
-		TookMS: a.run.service.options.Now().Sub(started).Milliseconds(), Status: a.status,
-	})
-	a.run.service.control.Finish(a.run.request, a.assignment, outcome, missing)
-	return result
-}
-
-// exchange sends the request and passes the answer on.
-func (a *attempt) exchange() (directory.Outcome, bool, verdict) {
-	r := a.run
-	ctx, cancel := context.WithCancel(r.context)
-	a.cancel = cancel
-	headTimer := a.startHeadTimer(cancel)
-	answer, err := r.service.upstream.Do(ctx, upstream.Call{
-		Target: upstream.Target{
-			Key: string(a.assignment.Endpoint.ID), Address: a.assignment.Endpoint.Address, MaxConnections: a.assignment.MaxConnections,
-		},
-		Request: r.forward(a.assignment, r.service.options.Now()),
-		Belongs: func(header http.Header) bool { return r.service.dialect.Belongs(r.facts.ID, header) },
-	})
-	headTimer.Stop()
-	if err != nil {
-		cancel()
-		return a.failed(err)
-	}
-	a.answer = answer
-	return a.answered()
-}
-
-// failed judges an exchange that ended without an answer.
-func (a *attempt) failed(err error) (directory.Outcome, bool, verdict) {
-	switch {
-	case errors.Is(err, upstream.ErrNoConnection):
-		return directory.Neutral, false, notSent
-	case upstream.NotSent(err):
-		if a.run.incoming.Context().Err() != nil {
-			return directory.Neutral, false, notSent
-		}
-		return directory.Broken, false, notSent
-	case a.run.incoming.Context().Err() != nil:
-		return directory.Neutral, false, uncertain
-	default:
-		return directory.Broken, false, uncertain
-	}
-}
-
-// answered judges the head of an answer and passes it on.
-func (a *attempt) answered() (directory.Outcome, bool, verdict) {
-	response := a.answer.Response
-	dialect := a.run.service.dialect
-	status := response.StatusCode
-	a.status = status
-	switch {
-	case dialect.NotRun(status, response.Header) && status != http.StatusBadRequest:
-		missing := status == http.StatusMisdirectedRequest
-		a.drain()
-		return directory.Refused, missing, notRun
-	case status < http.StatusMultipleChoices && !dialect.Genuine(response.Header):
-		a.discard()
-		return directory.Broken, false, uncertain
-	case a.run.answer.status != 0:
-		return a.resumeStream()
-	case a.run.request.Route.Kind == deployment.Streaming && status < http.StatusMultipleChoices:
-		return a.passStream()
-	default:
-		return a.passWhole()
-	}
-}
-
-// startHeadTimer gives the endpoint up when the head of the answer takes too long. A head that may take
-// all the time there is needs no timer: the request's own deadline ends it, and tells the reason.
-func (a *attempt) startHeadTimer(giveUp func()) *time.Timer {
-	left := a.run.request.Deadline.Sub(a.run.service.options.Now())
-	limit := a.headLimit(left)
-	timer := time.AfterFunc(max(limit, 0), giveUp)
-	if limit >= left {
-		timer.Stop()
-	}
-	return timer
-}
-
-// headLimit is how long the head of the answer may take: all the time that is left, unless another
-// endpoint could still be tried.
-func (a *attempt) headLimit(left time.Duration) time.Duration {
-	r := a.run
-	if r.request.Route.Kind == deployment.Streaming {
-		return min(left, streamHeadLimit(r.request.Route))
-	}
-	if r.request.Route.Repeatable() && r.attempts < r.request.Route.MaxAttempts {
-		return left / 2
-	}
-	return left
-}
-
-// drain reads a small refusal to its end, so that its connection can be used again.
-func (a *attempt) drain() {
-	_, _ = io.CopyN(io.Discard, a.answer, smallBody)
-	a.discard()
-}
-
-// discard ends the exchange.
-func (a *attempt) discard() {
-	if a.answer != nil {
-		a.answer.Close()
-		a.answer = nil
-	}
-	if a.cancel != nil {
-		a.cancel()
-		a.cancel = nil
-	}
-}
--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -18,6 +18,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/balance"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
 	"github.com/shelfledge/shelfledge/services/entry/directory"
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
 // Control is the part of the coordinator that requests need, as function fields.
@@ -73,8 +74,8 @@
 	WaitedMS int64 `json:"waited_ms"`
 	TookMS   int64 `json:"took_ms"`
 	// Result is how the exchange ended; Status the endpoint's own, 0 for none.
-	Result string `json:"result"`
-	Status int    `json:"status,omitempty"`
+	Result attempt.Result `json:"result"`
+	Status int            `json:"status,omitempty"`
 }
 
 // Service serves callers' requests.
@@ -102,44 +103,37 @@
 	answer := &answerWriter{writer: writer, controller: http.NewResponseController(writer), now: s.options.Now}
 	configuration := s.control.Configuration()
 	if configuration == nil {
-		answer.refuse(http.StatusServiceUnavailable, "no configuration yet", unknownPause)
+		answer.refuse(attempt.NoConfiguration)
 		return
 	}
 	route := configuration.Match(incoming.Host, rawPath(incoming))
 	if route == nil {
-		answer.refuse(http.StatusNotFound, "no such route", 0)
+		answer.refuse(attempt.NoRoute)
 		return
 	}
 	if limit := configuration.Limits.MaxHeaderBytes; limit > 0 && headerBytes(incoming) > limit {
-		answer.refuse(http.StatusRequestHeaderFieldsTooLarge, "header too large", 0)
+		answer.refuse(attempt.HeaderTooLarge)
 		return
 	}
 	if s.options.Refusing(route.Kind) {
-		answer.refuse(http.StatusServiceUnavailable, "stopping", stoppingPause)
+		answer.refuse(attempt.Stopping)
 		return
 	}
 	s.serveRoute(answer, incoming, configuration, route, arrived)
 }
 
-// Pauses that refused callers are asked to make.
-const (
-	unknownPause  = 500 * time.Millisecond
-	stoppingPause = 100 * time.Millisecond
-	busyPause     = 250 * time.Millisecond
-)
-
 func (s *Service) serveRoute(answer *answerWriter, incoming *http.Request, configuration *deployment.Configuration, route *deployment.Route, arrived time.Time) {
 	facts := s.dialect.ReadRequest(incoming.Header)
 	request := &deployment.Request{
 		ID: facts.ID, Route: route, Service: balance.ChooseBackend(route, s.options.Random()), Adapter: facts.Adapter,
-		Arrived: arrived, Deadline: deadline(arrived, route, facts),
+		Arrived: arrived, Deadline: attempt.Deadline(arrived, route, facts.Patience),
 	}
 	if service := configuration.Services[request.Service]; service == nil || service.Engine == nil {
 		request.Adapter = deployment.Adapter{}
 	}
 	body, err := readBody(incoming, configuration.Limits.MaxBodyBytes)
 	if errors.Is(err, errBodyTooLarge) {
-		answer.refuse(http.StatusRequestEntityTooLarge, "body too large", 0)
+		answer.refuse(attempt.BodyTooLarge)
 		answer.letReadAnswer(incoming.Body)
 		return
 	}
@@ -158,7 +152,7 @@
 func (s *Service) observe(r *run) {
 	observation := Observation{
 		ID: r.request.ID, Route: r.request.Route.Name, Service: r.request.Service, Adapter: r.request.Adapter.String(),
-		Status: r.answer.status, Reason: r.reason, Attempts: r.records, Whole: s.options.Now().Sub(r.request.Arrived),
+		Status: r.answer.status, Reason: string(r.reason), Attempts: r.records, Whole: s.options.Now().Sub(r.request.Arrived),
 	}
 	if !r.answer.headAt.IsZero() {
 		observation.First = r.answer.headAt.Sub(r.request.Arrived)
@@ -193,20 +187,6 @@
 	return size
 }
 
-func deadline(arrived time.Time, route *deployment.Route, facts Facts) time.Time {
-	limit := route.Timeout
-	if facts.Patience > 0 && (limit <= 0 || facts.Patience < limit) {
-		limit = facts.Patience
-	}
-	if limit <= 0 {
-		limit = longestRequest
-	}
-	return arrived.Add(limit)
-}
-
-// longestRequest bounds requests whose route and caller set no limit.
-const longestRequest = 10 * time.Minute
-
 // rawPath is the path as the caller wrote it.
 func rawPath(incoming *http.Request) string {
 	path, _, _ := strings.Cut(incoming.RequestURI, "?")
--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -28,7 +28,8 @@
 
 // decidingPackages are the folders whose constants the page must list.
 var decidingPackages = []string{
-	"services/entry/admission", "services/entry/balance", "services/entry/retry", "services/entry/directory", "services/entry/loading",
+	"services/entry/admission", "services/entry/balance", "services/entry/retry", "services/entry/proxy/attempt",
+	"services/entry/directory", "services/entry/loading",
 }
 
 // constant is one numeric constant as the code declares it.
