--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -34,8 +34,8 @@
 	// NoEndpoint says that no endpoint of the service takes work at all; verdict of package balance on this instance's
 	// directory at the present time.
 	NoEndpoint bool
-	// Saturated says that the adapter is there, but its endpoints have too many requests in flight; verdict of package balance, from own
-	// counts and the other instances' as of the planner's last view.
+	// Saturated says that the adapter is there, but its endpoints have too many requests in flight; verdict of package balance,
+	// from own counts and the other instances' as of the planner's last view.
 	Saturated bool
 	// Expected is when the adapter is expected to be resident; zero if that is not known. It comes from the planner's last
 	// view (forecasts come with its heartbeats), or, while no planner orders, from the usual time of a hand-over.
@@ -53,12 +53,12 @@
 }
 
 const (
-	// patienceGap and the two factors (counts of the route's targets and pause targets) are after which silence callers give
-	// a stream up: the longest of the three. Longer waits for endpoints that may answer when nobody listens any more,
+	// leastSilenceTimeout and the two factors (counts of the route's targets and pause targets) are after which silence callers
+	// give a stream up: the longest of the three. Longer waits for endpoints that may answer when nobody listens any more,
 	// shorter gives up answers that would have come. Not measured: it is what the users say of their callers.
-	patienceGap     = 2 * time.Second
-	patienceTargets = 4
-	patiencePauses  = 8
+	leastSilenceTimeout = 2 * time.Second
+	silenceTargets      = 4
+	silencePauses       = 8
 	// waitShare is the part of that silence that a request may spend on waiting for an endpoint; the rest is for its answer.
 	// Higher serves more requests late, lower refuses more that would have been served. Not measured.
 	waitShare = 0.7
@@ -130,12 +130,12 @@
 	if situation.NoEndpoint {
 		return min(situation.Route.Target/shortWaitParts, remaining/shortWaitParts)
 	}
-	return min(time.Duration(float64(Patience(situation.Route))*waitShare), remaining/streamWaitParts)
+	return min(time.Duration(float64(SilenceTimeout(situation.Route))*waitShare), remaining/streamWaitParts)
 }
 
-// Patience is after how long a silence a caller gives a stream up.
-func Patience(route *deployment.Route) time.Duration {
-	return max(patienceGap, patienceTargets*route.Target, patiencePauses*route.PauseTarget)
+// SilenceTimeout is after how long a silence callers give a stream of a route up.
+func SilenceTimeout(route *deployment.Route) time.Duration {
+	return max(leastSilenceTimeout, silenceTargets*route.Target, silencePauses*route.PauseTarget)
 }
 
 // retryAfter is when a caller whose adapter is not there should come back: when it is expected.
--- a/services/entry/admission/decide_test.go
+++ b/services/entry/admission/decide_test.go
@@ -19,10 +19,10 @@
 	plain  = &deployment.Route{Kind: deployment.Unsafe, Target: 150 * time.Millisecond}
 )
 
-func TestARequestWaitsForItsAdapterOnlyWhileItsCallerHasPatience(t *testing.T) {
+func TestARequestWaitsForItsAdapterOnlyWithinItsCallersSilenceTimeout(t *testing.T) {
 	situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(15 * time.Second)}
 	assert.True(t, admission.Decide(start.Add(time.Second), situation).Wait)
-	late := admission.Decide(start.Add(admission.Patience(stream)), situation)
+	late := admission.Decide(start.Add(admission.SilenceTimeout(stream)), situation)
 	assert.False(t, late.Wait)
 	assert.Equal(t, admission.AdapterNotLoaded, late.Reason)
 	assert.Positive(t, late.RetryAfter, "a refused caller is told when to come back")
@@ -69,9 +69,9 @@
 	assert.True(t, admission.Decide(start.Add(300*time.Millisecond), situation).Wait, "too late for a prompt refusal: a late answer is worth more")
 }
 
-func TestPatienceIsTheLongestOfItsThreeBounds(t *testing.T) {
-	assert.Equal(t, 3200*time.Millisecond, admission.Patience(stream))
-	assert.Equal(t, 2*time.Second, admission.Patience(plain))
+func TestTheSilenceTimeoutIsTheLongestOfItsThreeBounds(t *testing.T) {
+	assert.Equal(t, 3200*time.Millisecond, admission.SilenceTimeout(stream))
+	assert.Equal(t, 2*time.Second, admission.SilenceTimeout(plain))
 	slow := &deployment.Route{PauseTarget: time.Second}
-	assert.Equal(t, 8*time.Second, admission.Patience(slow))
+	assert.Equal(t, 8*time.Second, admission.SilenceTimeout(slow))
 }
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -53,7 +53,7 @@
 
 // FirstEventTimeout is how long the first bytes of a stream may take after its head: as long as callers listen to silence.
 func FirstEventTimeout(route *deployment.Route) time.Duration {
-	return admission.Patience(route)
+	return admission.SilenceTimeout(route)
 }
 
 // PauseTimeout is how long a stream may pause between two readings before its endpoint is given up.
@@ -61,5 +61,5 @@
 	if s.Route.Resumable && s.Sent < s.Route.MaxAttempts && s.Route.PauseTarget > 0 {
 		return resumePauses * s.Route.PauseTarget
 	}
-	return admission.Patience(s.Route)
+	return admission.SilenceTimeout(s.Route)
 }
