--- a/services/entry/proxy/dialect.go
+++ b/services/entry/proxy/dialect.go
@@ -10,18 +10,16 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Facts are what a caller's headers say of its request.
-type Facts struct {
+// CallerHeader is what a caller's headers say of its request.
+type CallerHeader struct {
 	ID      string
 	Adapter deployment.Adapter
-	// Patience is how long the caller waits; 0 if it did not say.
-	Patience time.Duration
-	// ResumeAfter is the last event the caller has; empty for a new stream.
-	ResumeAfter string
+	// Timeout is how long the caller waits, from the arrival on; 0 if it did not say.
+	Timeout time.Duration
 }
 
-// Forward is what an endpoint must know beside the caller's own headers.
-type Forward struct {
+// ForwardHeader is what an endpoint must know beside the caller's own headers.
+type ForwardHeader struct {
 	Endpoint    deployment.EndpointID
 	HasDeadline bool
 	Remaining   time.Duration
@@ -29,14 +27,14 @@
 	Priority    int
 	// Version is the version that the adapter must have; 0 demands none.
 	Version int64
-	// ResumeAfter asks to go on after an event; empty leaves the caller's own word.
+	// ResumeAfter asks to go on after an event; empty leaves what the caller sent.
 	ResumeAfter string
 }
 
 // Dialect is how requests and answers say what the entry must know, as function fields.
 type Dialect struct {
-	ReadRequest  func(header http.Header) Facts
-	WriteForward func(header http.Header, forward Forward)
+	ReadRequest  func(header http.Header) CallerHeader
+	WriteForward func(header http.Header, forward ForwardHeader)
 	// Belongs tells whether an answer belongs to the request with an id.
 	Belongs func(id string, header http.Header) bool
 	// NotRun tells whether an answer proves that the request did not run and will not.
--- a/services/entry/proxy/exchange.go
+++ b/services/entry/proxy/exchange.go
@@ -50,7 +50,7 @@
 			Key: string(e.assignment.Endpoint.ID), Address: e.assignment.Endpoint.Address, MaxConnections: e.assignment.MaxConnections,
 		},
 		Request: r.forward(e.assignment, r.service.options.Now()),
-		Belongs: func(header http.Header) bool { return r.service.dialect.Belongs(r.facts.ID, header) },
+		Belongs: func(header http.Header) bool { return r.service.dialect.Belongs(r.caller.ID, header) },
 	})
 	if headTimer != nil {
 		headTimer.Stop()
--- a/services/entry/proxy/run.go
+++ b/services/entry/proxy/run.go
@@ -25,7 +25,7 @@
 	answer   *answerWriter
 	incoming *http.Request
 	request  *deployment.Request
-	facts    Facts
+	caller   CallerHeader
 	body     requestBody
 	context  context.Context
 	tried    []deployment.EndpointID
@@ -134,8 +134,8 @@
 		// An empty value keeps net/http from adding its own.
 		header.Set("User-Agent", "")
 	}
-	r.service.dialect.WriteForward(header, Forward{
-		Endpoint: assignment.Endpoint.ID, HasDeadline: r.facts.Patience > 0, Remaining: r.remaining(now),
+	r.service.dialect.WriteForward(header, ForwardHeader{
+		Endpoint: assignment.Endpoint.ID, HasDeadline: r.caller.Timeout > 0, Remaining: r.remaining(now),
 		UsesModel: r.request.UsesModel(), Priority: r.request.Route.Priority, Version: assignment.Version, ResumeAfter: r.lastEvent,
 	})
 	outgoing := &http.Request{
@@ -150,9 +150,9 @@
 	return outgoing
 }
 
-// remaining is how much longer the caller waits, by its own word.
+// remaining is how much longer the caller waits, by its own header.
 func (r *run) remaining(now time.Time) time.Duration {
-	return r.request.Arrived.Add(r.facts.Patience).Sub(now)
+	return r.request.Arrived.Add(r.caller.Timeout).Sub(now)
 }
 
 // requestURL keeps path and query as the caller wrote them.
--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -123,10 +123,10 @@
 }
 
 func (s *Service) serveRoute(answer *answerWriter, incoming *http.Request, configuration *deployment.Configuration, route *deployment.Route, arrived time.Time) {
-	facts := s.dialect.ReadRequest(incoming.Header)
+	caller := s.dialect.ReadRequest(incoming.Header)
 	request := &deployment.Request{
-		ID: facts.ID, Route: route, Service: balance.ChooseBackend(route, s.options.Random()), Adapter: facts.Adapter,
-		Arrived: arrived, Deadline: attempt.Deadline(arrived, route, facts.Patience),
+		ID: caller.ID, Route: route, Service: balance.ChooseBackend(route, s.options.Random()), Adapter: caller.Adapter,
+		Arrived: arrived, Deadline: attempt.Deadline(arrived, route, caller.Timeout),
 	}
 	if service := configuration.Services[request.Service]; service == nil || service.Engine == nil {
 		request.Adapter = deployment.Adapter{}
@@ -143,7 +143,7 @@
 	s.control.CountRequest(request.Service)
 	ctx, cancel := context.WithDeadline(incoming.Context(), request.Deadline)
 	defer cancel()
-	run := &run{service: s, answer: answer, incoming: incoming, request: request, facts: facts, body: body, context: ctx}
+	run := &run{service: s, answer: answer, incoming: incoming, request: request, caller: caller, body: body, context: ctx}
 	// An answer that breaks off ends by a panic, which net/http takes for closing the connection.
 	defer s.observe(run)
 	run.serve()
