--- a/services/daemon/placement/bid.go
+++ b/services/daemon/placement/bid.go
@@ -84,7 +84,9 @@
 		if place, ok := p.findPlace(now, d.ref, math.Inf(1)); ok {
 			return Bid{Adapter: d.ref, Value: d.value}, place
 		}
-		p.makeRoom(now, d.ref, p.queue.adapters[d.ref])
+		if a, ok := p.queue.Adapter(d.ref); ok {
+			p.makeRoom(now, d.ref, a)
+		}
 		demands[best] = demands[len(demands)-1]
 		demands = demands[:len(demands)-1]
 		if p.full(now) {
@@ -109,7 +111,7 @@
 
 func (p *Placer) demands(now time.Time) []demand {
 	out := p.scratch[:0]
-	for ref, a := range p.queue.adapters {
+	for ref, a := range p.queue.Adapters() {
 		if ref.IsZero() {
 			continue
 		}
--- a/services/daemon/placement/demand.go
+++ b/services/daemon/placement/demand.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
 const (
@@ -28,12 +29,12 @@
 
 // demandValue is the waiting that a load would remove: waiters by weight and the
 // arrivals to expect, raised with the wait so that no one starves.
-func (p *Placer) demandValue(now time.Time, ref fleet.AdapterRef, a *adapterQueue) float64 {
+func (p *Placer) demandValue(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) float64 {
 	if p.failures.Waiting(now, ref) {
 		return 0
 	}
-	wait := now.Sub(a.oldest)
-	value := a.weight + p.popular.Rate(now, ref)*horizon.Seconds()
+	wait := now.Sub(a.Since())
+	value := a.Weight() + p.popular.Rate(now, ref)*horizon.Seconds()
 	value *= 1 + wait.Seconds()/waitGrowth.Seconds()
 	value /= 1 + p.leastLoads(now, a)
 	if len(p.copies[ref]) == 0 {
@@ -47,11 +48,11 @@
 
 // wantsCopy tells whether an adapter with copies deserves one more: its queue
 // waits for a place, and no copy is on its way.
-func (p *Placer) wantsCopy(now time.Time, ref fleet.AdapterRef, a *adapterQueue) bool {
-	if a.count <= a.patient && now.Before(a.holdUntil) {
+func (p *Placer) wantsCopy(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) bool {
+	if !a.Urgent() && now.Before(a.HoldUntil()) {
 		return false
 	}
-	if now.Sub(a.oldest) < p.options.SecondCopyWait {
+	if now.Sub(a.Since()) < p.options.SecondCopyWait {
 		return false
 	}
 	for _, e := range p.copies[ref] {
@@ -64,10 +65,10 @@
 }
 
 // leastLoads gives the recent loads made for the customers that wait, the least of them.
-func (p *Placer) leastLoads(now time.Time, a *adapterQueue) float64 {
+func (p *Placer) leastLoads(now time.Time, a *queue.Adapter) float64 {
 	least := math.Inf(1)
-	for key := range a.lanes {
-		least = math.Min(least, p.loadsOf.recent(now, key.customer))
+	for customer := range a.Customers() {
+		least = math.Min(least, p.loadsOf.recent(now, customer))
 	}
 	if math.IsInf(least, 1) {
 		return 0
@@ -77,11 +78,11 @@
 
 // countLoad shares a load among the customers that wait for it.
 func (p *Placer) countLoad(now time.Time, ref fleet.AdapterRef) {
-	a, ok := p.queue.adapters[ref]
+	a, ok := p.queue.Adapter(ref)
 	if !ok {
 		return
 	}
-	for key := range a.lanes {
-		p.loadsOf.add(now, key.customer, 1/float64(len(a.lanes)))
+	for customer := range a.Customers() {
+		p.loadsOf.add(now, customer, 1/float64(a.Lanes()))
 	}
 }
--- a/services/daemon/placement/dispatch.go
+++ b/services/daemon/placement/dispatch.go
@@ -7,6 +7,7 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
 // None of these was measured by itself; together they gave the figures of docs/design/0003.
@@ -97,12 +98,12 @@
 func (p *Placer) gathered(now time.Time, e *endpointState) bool {
 	waiting := 0
 	for ref, s := range e.slots {
-		a := p.queue.adapters[ref]
-		if a == nil || s.state != slotResident {
+		a, ok := p.queue.Adapter(ref)
+		if !ok || s.state != slotResident {
 			continue
 		}
-		waiting += a.patient
-		if now.After(a.holdUntil) {
+		waiting += a.Patient()
+		if now.After(a.HoldUntil()) {
 			return true
 		}
 	}
@@ -170,24 +171,24 @@
 		if w == nil {
 			return
 		}
-		p.queue.dispatched(w)
-		p.grant(now, e, w.request, w.queued, p.stallOf(now, e, w))
+		p.queue.Dispatch(w)
+		p.grant(now, e, w.Request, w.Queued, p.stallOf(now, e, w))
 	}
 }
 
 // stallOf splits a wait into the part that a load caused and the rest.
-func (p *Placer) stallOf(now time.Time, e *endpointState, w *waiter) time.Duration {
-	s, ok := e.slots[w.request.Adapter]
-	if !ok || !s.since.After(w.queued) {
+func (p *Placer) stallOf(now time.Time, e *endpointState, w *queue.Waiter) time.Duration {
+	s, ok := e.slots[w.Request.Adapter]
+	if !ok || !s.since.After(w.Queued) {
 		return 0
 	}
-	return min(s.since.Sub(w.queued), now.Sub(w.queued))
+	return min(s.since.Sub(w.Queued), now.Sub(w.Queued))
 }
 
 // next finds the waiter that should have the endpoint's next free place.
-func (p *Placer) next(now time.Time, e *endpointState) *waiter {
-	var best *waiter
-	if len(p.queue.byID) == 0 {
+func (p *Placer) next(now time.Time, e *endpointState) *queue.Waiter {
+	var best *queue.Waiter
+	if p.queue.Len() == 0 {
 		return nil
 	}
 	if e.spec.Kind == fleet.KindPlain {
@@ -199,21 +200,16 @@
 	return best
 }
 
-func (p *Placer) nextFor(now time.Time, e *endpointState, ref fleet.AdapterRef, best *waiter) *waiter {
-	a, ok := p.queue.adapters[ref]
+func (p *Placer) nextFor(now time.Time, e *endpointState, ref fleet.AdapterRef, best *queue.Waiter) *queue.Waiter {
+	a, ok := p.queue.Adapter(ref)
 	if !ok {
 		return best
 	}
-	for key, l := range a.lanes {
-		w := l.head()
-		if w == nil {
-			delete(a.lanes, key)
-			continue
-		}
-		if !w.before(best, now, p.options.AgingStep) {
+	for w := range a.Heads() {
+		if !w.Before(best, now, p.options.AgingStep) {
 			continue
 		}
-		if w.request.Expired(now) || !p.mayStart(now, e, w.request, w.class) {
+		if w.Request.Expired(now) || !p.mayStart(now, e, w.Request, w.Class) {
 			continue
 		}
 		best = w
--- a/services/daemon/placement/doc.go
+++ b/services/daemon/placement/doc.go
@@ -10,7 +10,7 @@
 // A Placer is a plain state machine: each call takes the present time and returns typed
 // effects, so that the daemon, the replay tool and the fuzz test drive the same code.
 //
-//   - submit.go, queue.go: admission, and the order of what waits
+//   - submit.go: admission
 //   - dispatch.go, prefix.go: which endpoint a request gets
 //   - ticket.go: what was granted, and to whom
 //   - demand.go, preload.go, bid.go: which load is worth how much
@@ -19,7 +19,7 @@
 //   - restriction.go: what may not be done on an endpoint, and until when
 //   - view.go: what other instances and operators see
 //
-// It owns this state for one pool and relies on its packages popularity (arrival rates) and
-// backoff (failed loads). It starts no goroutines, reads no clock and is not safe for
+// It owns this state for one pool and relies on its packages queue (what waits, and in which
+// order), popularity (arrival rates) and backoff (failed loads). It starts no goroutines, reads no clock and is not safe for
 // concurrent use.
 package placement
--- a/services/daemon/placement/load.go
+++ b/services/daemon/placement/load.go
@@ -94,18 +94,13 @@
 }
 
 func (p *Placer) refuseAdapter(now time.Time, ref fleet.AdapterRef, refusal fleet.Refusal) {
-	a, ok := p.queue.adapters[ref]
+	a, ok := p.queue.Adapter(ref)
 	if !ok {
 		return
 	}
-	for _, l := range a.lanes {
-		for _, w := range l.waiters {
-			if w == nil || w.gone {
-				continue
-			}
-			p.queue.remove(w)
-			p.refuse(now, w.request, refusal)
-		}
+	for w := range a.All() {
+		p.queue.Remove(w)
+		p.refuse(now, w.Request, refusal)
 	}
 }
 
--- a/services/daemon/placement/place.go
+++ b/services/daemon/placement/place.go
@@ -8,6 +8,7 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
 // findPlace finds the slot whose loss costs least, below the given worth.
@@ -63,7 +64,7 @@
 	if s.state != slotResident || (e.inUse(s) && !p.options.EvictInUse) || p.pinned[s.adapter] {
 		return 0, false
 	}
-	if a, ok := p.queue.adapters[s.adapter]; ok && !s.closing && (a.count > a.patient || e.takesWork()) {
+	if a, ok := p.queue.Adapter(s.adapter); ok && !s.closing && (a.Urgent() || e.takesWork()) {
 		return 0, false
 	}
 	rate := p.popular.Rate(now, s.adapter)
@@ -74,7 +75,7 @@
 }
 
 // makeRoom closes the least valuable busy slot to new work, so that it becomes free for ref.
-func (p *Placer) makeRoom(now time.Time, ref fleet.AdapterRef, a *adapterQueue) {
+func (p *Placer) makeRoom(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) {
 	if len(p.copies[ref]) > 0 || p.hasClosing() {
 		return
 	}
@@ -94,7 +95,7 @@
 			}
 		}
 	}
-	if least != nil && a.count > a.patient {
+	if least != nil && a.Urgent() {
 		least.closing = true
 	}
 }
@@ -112,7 +113,7 @@
 
 // reopen takes back closings that nobody needs any more.
 func (p *Placer) reopen(e *endpointState) {
-	for ref := range p.queue.adapters {
+	for ref := range p.queue.Adapters() {
 		if len(p.copies[ref]) == 0 {
 			return
 		}
--- a/services/daemon/placement/placer.go
+++ b/services/daemon/placement/placer.go
@@ -12,6 +12,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 	"github.com/shelfledge/shelfledge/services/daemon/placement/backoff"
 	"github.com/shelfledge/shelfledge/services/daemon/placement/popularity"
+	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
 // Placer decides for the endpoints of one pool; it is not safe for concurrent use.
@@ -24,7 +25,7 @@
 	endpoints []*endpointState
 	byName    map[string]*endpointState
 	copies    map[fleet.AdapterRef][]*endpointState
-	queue     *fairQueue
+	queue     *queue.Queue
 	popular   *popularity.Estimates
 	tickets   map[string]*heldTicket
 	byRequest map[string]*heldTicket
@@ -54,7 +55,7 @@
 		classes:   indexClasses(o.Classes),
 		byName:    make(map[string]*endpointState, len(endpoints)),
 		copies:    make(map[fleet.AdapterRef][]*endpointState),
-		queue:     newFairQueue(o.PlainQueue),
+		queue:     queue.New(o.PlainQueue),
 		popular:   popularity.New(popularity.Options{FastHalfLife: o.FastHalfLife, SlowHalfLife: o.SlowHalfLife, SlowWeight: o.SlowWeight}),
 		tickets:   make(map[string]*heldTicket),
 		byRequest: make(map[string]*heldTicket),
@@ -96,8 +97,8 @@
 
 // Tick refuses what has expired, forgets old estimates and starts held-back work.
 func (p *Placer) Tick(now time.Time) []Effect {
-	for _, w := range p.queue.expired(now) {
-		p.refuse(now, w.request, fleet.Refusal{Reason: fleet.ReasonExpired})
+	for _, w := range p.queue.Expired(now) {
+		p.refuse(now, w.Request, fleet.Refusal{Reason: fleet.ReasonExpired})
 	}
 	if now.Sub(p.lastSweep) >= sweepEvery {
 		p.lastSweep = now
@@ -133,8 +134,8 @@
 
 // NextWake gives the next time at which Tick has something to do, or the zero time.
 func (p *Placer) NextWake() time.Time {
-	next := p.queue.nextDeadline()
-	if len(p.queue.byID) > 0 {
+	next := p.queue.NextDeadline()
+	if p.queue.Len() > 0 {
 		sweep := p.lastSweep.Add(sweepEvery)
 		if next.IsZero() || sweep.Before(next) {
 			next = sweep
--- /dev/null
+++ b/services/daemon/placement/queue/queue.go
@@ -0,0 +1,197 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package queue
+
+import (
+	"cmp"
+	"container/heap"
+	"iter"
+	"maps"
+	"slices"
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+)
+
+// Queue holds all waiting requests of a pool.
+type Queue struct {
+	adapters  map[fleet.AdapterRef]*Adapter
+	byID      map[string]*Waiter
+	deadlines deadlineHeap
+	// virtual is each class's virtual time, and finish where a customer's last request ends
+	// in it, both in tokens.
+	virtual    map[string]float64
+	finish     map[customerKey]float64
+	byClass    map[string]int
+	byCustomer map[customerKey]int
+	sequence   uint64
+	plain      bool
+}
+
+// customerKey names one customer inside one class.
+type customerKey struct {
+	class    string
+	customer string
+}
+
+func keyOf(w *Waiter) customerKey {
+	return customerKey{class: w.Class.Name, customer: w.Request.Caller}
+}
+
+// New makes an empty queue; a plain one skips the fair order inside a class, for
+// comparison only.
+func New(plain bool) *Queue {
+	return &Queue{
+		adapters:   make(map[fleet.AdapterRef]*Adapter),
+		byID:       make(map[string]*Waiter),
+		virtual:    make(map[string]float64),
+		finish:     make(map[customerKey]float64),
+		byClass:    make(map[string]int),
+		byCustomer: make(map[customerKey]int),
+		plain:      plain,
+	}
+}
+
+// Push queues a request under its start tag: a customer's next request starts
+// where its last one ended in virtual time, so a flood queues behind itself. Patient work
+// is held back for hold at most.
+func (q *Queue) Push(now time.Time, r fleet.Request, c fleet.Class, hold time.Duration) {
+	q.sequence++
+	w := &Waiter{Request: r, Class: c, Queued: now, sequence: q.sequence}
+	key := keyOf(w)
+	if !q.plain {
+		w.tag = max(q.virtual[c.Name], q.finish[key])
+		q.finish[key] = w.tag + float64(r.Tokens())
+	}
+	q.byClass[c.Name] += r.Tokens()
+	q.byCustomer[key] += r.Tokens()
+	q.byID[r.ID] = w
+	a, ok := q.adapters[r.Adapter]
+	if !ok {
+		a = &Adapter{lanes: make(map[customerKey]*lane), since: now}
+		q.adapters[r.Adapter] = a
+	}
+	a.add(w, key)
+	if c.Patient {
+		a.patient++
+		a.holdAtMost(now.Add(w.holdLimit(now, hold)))
+	}
+	if !r.Deadline.IsZero() {
+		heap.Push(&q.deadlines, w)
+	}
+}
+
+// Remove takes a waiter out, once; its lane drops the entry when it comes to the front.
+func (q *Queue) Remove(w *Waiter) {
+	if w.gone {
+		return
+	}
+	w.gone = true
+	r := w.Request
+	delete(q.byID, r.ID)
+	key := keyOf(w)
+	q.byClass[w.Class.Name] -= r.Tokens()
+	q.byCustomer[key] -= r.Tokens()
+	if q.byCustomer[key] <= 0 {
+		delete(q.byCustomer, key)
+	}
+	a := q.adapters[r.Adapter]
+	a.count--
+	a.weight -= w.Class.StallWeight
+	if w.Class.Patient {
+		a.patient--
+	}
+	if a.count == 0 {
+		delete(q.adapters, r.Adapter)
+	}
+	q.trim(key)
+}
+
+// Dispatch takes a waiter out that starts, and moves its class's virtual time on.
+func (q *Queue) Dispatch(w *Waiter) {
+	q.virtual[w.Class.Name] = max(q.virtual[w.Class.Name], w.tag)
+	q.Remove(w)
+}
+
+// trim forgets a customer's last tag once virtual time has passed it.
+func (q *Queue) trim(key customerKey) {
+	if q.byCustomer[key] == 0 && q.finish[key] <= q.virtual[key.class] {
+		delete(q.finish, key)
+	}
+}
+
+// Expired takes out and returns the waiters whose callers have stopped waiting.
+func (q *Queue) Expired(now time.Time) []*Waiter {
+	var out []*Waiter
+	for len(q.deadlines) > 0 {
+		w := q.deadlines[0]
+		if !w.gone && !w.Request.Expired(now) {
+			break
+		}
+		heap.Pop(&q.deadlines)
+		if w.gone {
+			continue
+		}
+		q.Remove(w)
+		out = append(out, w)
+	}
+	return out
+}
+
+// NextDeadline gives the earliest deadline of a waiter, or the zero time.
+func (q *Queue) NextDeadline() time.Time {
+	for len(q.deadlines) > 0 {
+		if !q.deadlines[0].gone {
+			return q.deadlines[0].Request.Deadline
+		}
+		heap.Pop(&q.deadlines)
+	}
+	return time.Time{}
+}
+
+// Len gives the number of waiters.
+func (q *Queue) Len() int {
+	return len(q.byID)
+}
+
+// Find finds the waiter of a request.
+func (q *Queue) Find(requestID string) (*Waiter, bool) {
+	w, ok := q.byID[requestID]
+	return w, ok
+}
+
+// Sorted lists the waiters, the first queued first.
+func (q *Queue) Sorted() []*Waiter {
+	return slices.SortedFunc(maps.Values(q.byID), func(a, b *Waiter) int { return cmp.Compare(a.sequence, b.sequence) })
+}
+
+// Adapter gives what waits for an adapter, and false where nothing does.
+func (q *Queue) Adapter(ref fleet.AdapterRef) (*Adapter, bool) {
+	a, ok := q.adapters[ref]
+	return a, ok
+}
+
+// Adapters gives every adapter that something waits for, in no order.
+func (q *Queue) Adapters() iter.Seq2[fleet.AdapterRef, *Adapter] {
+	return maps.All(q.adapters)
+}
+
+// Tokens gives the tokens of all that waits.
+func (q *Queue) Tokens() int {
+	sum := 0
+	for _, n := range q.byClass {
+		sum += n
+	}
+	return sum
+}
+
+// ClassTokens gives the tokens that wait in a class.
+func (q *Queue) ClassTokens(class string) int {
+	return q.byClass[class]
+}
+
+// CustomerTokens gives the tokens of one customer that wait in a class.
+func (q *Queue) CustomerTokens(class, customer string) int {
+	return q.byCustomer[customerKey{class: class, customer: customer}]
+}
--- a/services/daemon/placement/submit.go
+++ b/services/daemon/placement/submit.go
@@ -4,8 +4,6 @@
 package placement
 
 import (
-	"cmp"
-	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
@@ -31,7 +29,7 @@
 		held.granted = now
 		return []Effect{Grant{Request: r, Ticket: held.ticket}}
 	}
-	if _, ok := p.queue.byID[r.ID]; ok {
+	if _, ok := p.queue.Find(r.ID); ok {
 		return nil
 	}
 	if !r.Adapter.IsZero() && r.Attempt == 0 {
@@ -51,7 +49,7 @@
 			return p.take()
 		}
 	}
-	p.queue.push(now, r, class, p.options.GatherLimit)
+	p.queue.Push(now, r, class, p.options.GatherLimit)
 	p.note(now, fleet.Event{Kind: fleet.EventQueued, Request: r.ID, Adapter: r.Adapter.String(), Cause: p.waitCause(r)})
 	p.dispatchAdapter(now, r.Adapter)
 	return p.take()
@@ -62,11 +60,11 @@
 	if class.Patient {
 		return true
 	}
-	a, ok := p.queue.adapters[r.Adapter]
+	a, ok := p.queue.Adapter(r.Adapter)
 	if !ok {
 		return false
 	}
-	return a.count > a.patient
+	return a.Urgent()
 }
 
 // admission bounds the queue by class and customer, and refuses what cannot be met.
@@ -77,11 +75,11 @@
 	if !p.anyServes(r) {
 		return fleet.Refusal{Reason: fleet.ReasonNoEndpoint, RetryAfter: retryUnknown}, true
 	}
-	waiting := p.queue.tokens[class.Name]
+	waiting := p.queue.ClassTokens(class.Name)
 	if waiting+r.Tokens() > class.MaxQueuedTokens && waiting > 0 {
 		return fleet.Refusal{Reason: fleet.ReasonQueueFull, RetryAfter: p.retryAfter(waiting)}, true
 	}
-	own := p.queue.byCustomer[customerKey{class: class.Name, customer: r.Caller}]
+	own := p.queue.CustomerTokens(class.Name, r.Caller)
 	if own > 0 && float64(own+r.Tokens()) > p.options.CustomerShare*float64(class.MaxQueuedTokens) {
 		return fleet.Refusal{Reason: fleet.ReasonCustomerLimit, RetryAfter: p.retryAfter(own)}, true
 	}
@@ -133,28 +131,23 @@
 
 // Cancel withdraws a waiting request whose caller has gone.
 func (p *Placer) Cancel(now time.Time, requestID string) []Effect {
-	w, ok := p.queue.byID[requestID]
+	w, ok := p.queue.Find(requestID)
 	if !ok {
 		return nil
 	}
-	p.queue.remove(w)
+	p.queue.Remove(w)
 	p.bid.fresh = false
-	if _, still := p.queue.adapters[w.request.Adapter]; !still {
-		p.note(now, fleet.Event{Kind: fleet.EventLoadGivenUp, Adapter: w.request.Adapter.String(), Cause: "nobody waits any more"})
+	if _, still := p.queue.Adapter(w.Request.Adapter); !still {
+		p.note(now, fleet.Event{Kind: fleet.EventLoadGivenUp, Adapter: w.Request.Adapter.String(), Cause: "nobody waits any more"})
 	}
 	return p.take()
 }
 
 // RefuseAll refuses everything that waits, for a planned stop or a lost pool.
 func (p *Placer) RefuseAll(now time.Time, reason fleet.Reason, retryAfter time.Duration) []Effect {
-	waiting := make([]*waiter, 0, len(p.queue.byID))
-	for _, w := range p.queue.byID {
-		waiting = append(waiting, w)
-	}
-	slices.SortFunc(waiting, func(a, b *waiter) int { return cmp.Compare(a.sequence, b.sequence) })
-	for _, w := range waiting {
-		p.queue.remove(w)
-		p.refuse(now, w.request, fleet.Refusal{Reason: reason, RetryAfter: retryAfter})
+	for _, w := range p.queue.Sorted() {
+		p.queue.Remove(w)
+		p.refuse(now, w.Request, fleet.Refusal{Reason: reason, RetryAfter: retryAfter})
 	}
 	return p.take()
 }
--- a/services/daemon/placement/ticket.go
+++ b/services/daemon/placement/ticket.go
@@ -10,6 +10,7 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
 // heldTicket is a granted ticket that has not come back.
@@ -87,15 +88,15 @@
 		}
 	}
 	for _, w := range p.waitersOf(entry) {
-		p.queue.remove(w)
+		p.queue.Remove(w)
 	}
 	return p.take()
 }
 
-func (p *Placer) waitersOf(entry string) []*waiter {
-	var out []*waiter
-	for _, w := range p.queue.byID {
-		if w.request.Entry == entry {
+func (p *Placer) waitersOf(entry string) []*queue.Waiter {
+	var out []*queue.Waiter
+	for _, w := range p.queue.Sorted() {
+		if w.Request.Entry == entry {
 			out = append(out, w)
 		}
 	}
--- a/services/daemon/placement/view.go
+++ b/services/daemon/placement/view.go
@@ -34,10 +34,7 @@
 
 // Summary gives the pool's state for routing.
 func (p *Placer) Summary() Summary {
-	s := Summary{Pool: p.pool, Waiting: len(p.queue.byID)}
-	for _, n := range p.queue.tokens {
-		s.Tokens += n
-	}
+	s := Summary{Pool: p.pool, Waiting: p.queue.Len(), Tokens: p.queue.Tokens()}
 	for _, e := range p.endpoints {
 		if !e.takesWork() {
 			continue
@@ -171,12 +168,12 @@
 
 // Waiting lists the queued requests, the oldest first.
 func (p *Placer) Waiting() []WaitingView {
-	out := make([]WaitingView, 0, len(p.queue.byID))
-	for _, w := range p.queue.byID {
-		r := w.request
+	out := make([]WaitingView, 0, p.queue.Len())
+	for _, w := range p.queue.Sorted() {
+		r := w.Request
 		out = append(out, WaitingView{
 			Request: r.ID, Caller: r.Caller, Class: r.Class, Adapter: r.Adapter.String(),
-			Tokens: r.Tokens(), Queued: w.queued, Cause: p.waitCause(r),
+			Tokens: r.Tokens(), Queued: w.Queued, Cause: p.waitCause(r),
 		})
 	}
 	slices.SortFunc(out, func(a, b WaitingView) int { return a.Queued.Compare(b.Queued) })
