--- a/services/entry/proxy/attempt/situation.go
+++ b/services/entry/proxy/attempt/situation.go
@@ -46,7 +46,7 @@
 	HeadPassed bool
 	// EventPassed says that the caller has a whole event with an id, after which its stream can go on; own record.
 	EventPassed bool
-	// CallerLeft says that the caller closed its connection; from the server's context of the request.
+	// CallerLeft says that the caller closed its connection; from the request's own context.
 	CallerLeft bool
 	// ContextEnded says that the request's own context is over: the caller left or the deadline has passed.
 	ContextEnded bool
