--- a/modules/entry/upstream/doc.go
+++ b/modules/entry/upstream/doc.go
@@ -3,6 +3,6 @@
 
 // Package upstream keeps HTTP/1.1 connections to endpoints and sends one request at a time
 // over each. Unlike net/http's transport it never sends a request twice, tells whether any
-// byte was written, bounds the connections of each endpoint, and recognises an answer that
-// belongs to an earlier request.
+// byte was written, bounds the connections of each endpoint, and recognises an answer to
+// an earlier request.
 package upstream
--- a/modules/entry/upstream/exchange.go
+++ b/modules/entry/upstream/exchange.go
@@ -20,8 +20,8 @@
 type Call struct {
 	Target  Target
 	Request *http.Request
-	// Belongs tells whether the head of an answer belongs to this request; nil accepts all.
-	Belongs func(http.Header) bool
+	// AnswersRequest reports whether the head of an answer is one to this request; nil accepts all.
+	AnswersRequest func(http.Header) bool
 }
 
 // Answer is the head of an endpoint's answer; its body must be closed.
@@ -83,7 +83,7 @@
 	return written
 }
 
-// readHead reads up to the head that belongs to the call.
+// readHead reads up to the head that answers the call.
 func readHead(conn *connection, call Call) (*http.Response, error) {
 	for range maxForeignAnswers {
 		response, err := http.ReadResponse(conn.reader, call.Request)
@@ -93,7 +93,7 @@
 		if response.StatusCode < http.StatusOK {
 			continue
 		}
-		if call.Belongs == nil || call.Belongs(response.Header) {
+		if call.AnswersRequest == nil || call.AnswersRequest(response.Header) {
 			conn.noteKeepAlive(response.Header)
 			return response, nil
 		}
--- a/modules/entry/upstream/upstream_test.go
+++ b/modules/entry/upstream/upstream_test.go
@@ -175,14 +175,14 @@
 
 func TestAnAnswerToAnotherRequestIsPassedOver(t *testing.T) {
 	e := newEndpoint(t, func(int64) string { return whole("old", "foreign") + whole("mine", "own") })
-	belongs := func(header http.Header) bool { return header.Get("Id") == "mine" }
-	got := exchange(t, newClient(), upstream.Call{Target: e.target(), Request: request(""), Belongs: belongs})
+	answersMine := func(header http.Header) bool { return header.Get("Id") == "mine" }
+	got := exchange(t, newClient(), upstream.Call{Target: e.target(), Request: request(""), AnswersRequest: answersMine})
 	assert.Equal(t, "own", got)
 }
 
 func TestOnlyForeignAnswersAreNoAnswer(t *testing.T) {
 	e := newEndpoint(t, func(int64) string { return strings.Repeat(whole("old", "foreign"), 5) })
-	call := upstream.Call{Target: e.target(), Request: request(""), Belongs: func(http.Header) bool { return false }}
+	call := upstream.Call{Target: e.target(), Request: request(""), AnswersRequest: func(http.Header) bool { return false }}
 	_, err := newClient().Do(context.Background(), call)
 	assert.ErrorIs(t, err, upstream.ErrForeignAnswer)
 }
--- a/services/entry/proxy/dialect.go
+++ b/services/entry/proxy/dialect.go
@@ -35,10 +35,11 @@
 type Dialect struct {
 	ReadRequest  func(header http.Header) CallerHeader
 	WriteForward func(header http.Header, forward ForwardHeader)
-	// Belongs tells whether an answer belongs to the request with an id.
-	Belongs func(id string, header http.Header) bool
-	// NotRun tells whether an answer proves that the request did not run and will not.
+	// AnswersRequest reports whether an answer is one to the request with an id; a connection may still bring that of an
+	// earlier one.
+	AnswersRequest func(id string, header http.Header) bool
+	// NotRun reports whether an answer proves that the request did not run and will not.
 	NotRun func(status int, header http.Header) bool
-	// Genuine tells whether a success bears the endpoint's own mark.
-	Genuine func(header http.Header) bool
+	// FromEndpoint reports whether a success bears the endpoint's own mark; without it, something on the way answered.
+	FromEndpoint func(header http.Header) bool
 }
--- a/services/entry/proxy/exchange.go
+++ b/services/entry/proxy/exchange.go
@@ -50,7 +50,9 @@
 			Key: string(e.assignment.Endpoint.ID), Address: e.assignment.Endpoint.Address, MaxConnections: e.assignment.MaxConnections,
 		},
 		Request: r.forward(e.assignment, r.service.options.Now()),
-		Belongs: func(header http.Header) bool { return r.service.dialect.Belongs(r.caller.ID, header) },
+		AnswersRequest: func(header http.Header) bool {
+			return r.service.dialect.AnswersRequest(r.caller.ID, header)
+		},
 	})
 	if headTimer != nil {
 		headTimer.Stop()
@@ -81,7 +83,7 @@
 	dialect := e.run.service.dialect
 	e.status = response.StatusCode
 	handling, verdict := attempt.JudgeHead(attempt.Head{
-		Status: e.status, NotRun: dialect.NotRun(e.status, response.Header), FromEndpoint: dialect.Genuine(response.Header),
+		Status: e.status, NotRun: dialect.NotRun(e.status, response.Header), FromEndpoint: dialect.FromEndpoint(response.Header),
 		Resumes: e.run.answer.status != 0, Kind: e.run.request.Route.Kind,
 	})
 	switch handling {
