--- a/models/entry/deployment/configuration.go
+++ b/models/entry/deployment/configuration.go
@@ -49,8 +49,8 @@
 	Backends  []Backend
 }
 
-// Repeatable reports whether a request that may have run can be sent again.
-func (r *Route) Repeatable() bool {
+// Retryable reports whether a request that may have run may be sent again.
+func (r *Route) Retryable() bool {
 	return r.Kind == Safe || (r.Kind == Streaming && r.Resumable)
 }
 
--- a/models/entry/deployment/configuration_test.go
+++ b/models/entry/deployment/configuration_test.go
@@ -25,8 +25,8 @@
 }
 
 func TestOnlySafeAndResumableRoutesMayRepeat(t *testing.T) {
-	assert.True(t, (&deployment.Route{Kind: deployment.Safe}).Repeatable())
-	assert.False(t, (&deployment.Route{Kind: deployment.Unsafe}).Repeatable())
-	assert.False(t, (&deployment.Route{Kind: deployment.Streaming}).Repeatable())
-	assert.True(t, (&deployment.Route{Kind: deployment.Streaming, Resumable: true}).Repeatable())
+	assert.True(t, (&deployment.Route{Kind: deployment.Safe}).Retryable())
+	assert.False(t, (&deployment.Route{Kind: deployment.Unsafe}).Retryable())
+	assert.False(t, (&deployment.Route{Kind: deployment.Streaming}).Retryable())
+	assert.True(t, (&deployment.Route{Kind: deployment.Streaming, Resumable: true}).Retryable())
 }
--- a/modules/entry/metric/metrics.go
+++ b/modules/entry/metric/metrics.go
@@ -17,8 +17,8 @@
 	Class  string
 	Status int
 	Reason string
-	// Repeats is how many further endpoints it was sent to.
-	Repeats int
+	// Retries is how many further endpoints it was sent to.
+	Retries int
 	Waited  time.Duration
 	First   time.Duration
 	Whole   time.Duration
@@ -44,7 +44,7 @@
 	registry *prometheus.Registry
 	requests *prometheus.CounterVec
 	refusals *prometheus.CounterVec
-	repeats  *prometheus.CounterVec
+	retries  *prometheus.CounterVec
 	orders   *prometheus.CounterVec
 	store    *prometheus.CounterVec
 	waited   *prometheus.HistogramVec
@@ -67,14 +67,14 @@
 		registry: prometheus.NewRegistry(),
 		requests: counter("requests_total", "Requests by class and answered status; 0 is a connection closed without a whole answer.", "class", "status"),
 		refusals: counter("failures_total", "Requests without success, by reason.", "class", "reason"),
-		repeats:  counter("repeats_total", "Repeated sends to further endpoints.", "class"),
+		retries:  counter("repeats_total", "Repeated sends to further endpoints.", "class"),
 		orders:   counter("orders_total", "Orders to endpoints, by kind and reply.", "kind", "reply"),
 		store:    counter("store_failures_total", "Calls to the store that failed, by call.", "call"),
 		waited:   histogram("wait_seconds", "Wait for an endpoint."),
 		first:    histogram("first_byte_seconds", "Time to the head of the answer."),
 		whole:    histogram("request_seconds", "Time to the end of the answer."),
 	}
-	m.registry.MustRegister(m.requests, m.refusals, m.repeats, m.orders, m.store, m.waited, m.first, m.whole, &gaugeCollector{read: gauges})
+	m.registry.MustRegister(m.requests, m.refusals, m.retries, m.orders, m.store, m.waited, m.first, m.whole, &gaugeCollector{read: gauges})
 	return m
 }
 
@@ -89,8 +89,8 @@
 	if r.Reason != "" {
 		m.refusals.WithLabelValues(r.Class, r.Reason).Inc()
 	}
-	if r.Repeats > 0 {
-		m.repeats.WithLabelValues(r.Class).Add(float64(r.Repeats))
+	if r.Retries > 0 {
+		m.retries.WithLabelValues(r.Class).Add(float64(r.Retries))
 	}
 	m.waited.WithLabelValues(r.Class).Observe(r.Waited.Seconds())
 	if r.First > 0 {
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -56,13 +56,13 @@
 // assumedMembers is the number of instances that share connections while it is not known. Not measured.
 const assumedMembers = 8
 
-// CountRequest counts a caller's request for the budget of repeats.
+// CountRequest counts a caller's request for the budget of retries.
 func (c *Coordinator) CountRequest(service string) {
 	c.loop.Post(func(now time.Time) { c.budget.Request(now, service) })
 }
 
-// TakeRepeat asks for one repeat of a request under the fleet's budget.
-func (c *Coordinator) TakeRepeat(service string) bool {
+// TakeRetry asks for one retry of a request under the fleet's budget.
+func (c *Coordinator) TakeRetry(service string) bool {
 	granted := false
 	c.loop.Call(func(now time.Time) { granted = c.budget.Take(now, service) })
 	return granted
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -212,7 +212,7 @@
 		Observe:  func(o proxy.Observation) { metrics.ObserveRequest(toMetric(o)) },
 	}, proxy.Control{
 		Configuration: control.Configuration, Acquire: control.Acquire, Finish: control.Finish,
-		CountRequest: control.CountRequest, TakeRepeat: control.TakeRepeat,
+		CountRequest: control.CountRequest, TakeRetry: control.TakeRetry,
 	}, client, options.Dialect)
 	server = gateway.New(gateway.Options{
 		Callers: options.Callers, Ready: options.Ready, Metrics: options.Metrics, Handler: service,
@@ -230,7 +230,7 @@
 
 func toMetric(o proxy.Observation) metric.Request {
 	return metric.Request{
-		Class: o.Route, Status: o.Status, Reason: o.Reason, Repeats: max(0, len(o.Attempts)-1),
+		Class: o.Route, Status: o.Status, Reason: o.Reason, Retries: max(0, len(o.Attempts)-1),
 		Waited: o.Waited(), First: o.First, Whole: o.Whole,
 	}
 }
--- a/services/entry/proxy/attempt/retry.go
+++ b/services/entry/proxy/attempt/retry.go
@@ -46,7 +46,7 @@
 	if s.timedOut(now) || s.Sent >= s.Route.MaxAttempts || !s.BodyHeld {
 		return false
 	}
-	if s.MayHaveRun && !s.Route.Repeatable() {
+	if s.MayHaveRun && !s.Route.Retryable() {
 		return false
 	}
 	return result != BrokenOff || s.EventPassed
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -43,7 +43,7 @@
 	switch {
 	case s.Route.Kind == deployment.Streaming:
 		timeout = FirstEventTimeout(s.Route)
-	case s.Route.Repeatable() && s.Sent < s.Route.MaxAttempts:
+	case s.Route.Retryable() && s.Sent < s.Route.MaxAttempts:
 		timeout = left / retryTimeParts
 	default:
 		return 0, false
--- a/services/entry/proxy/run.go
+++ b/services/entry/proxy/run.go
@@ -59,7 +59,7 @@
 			r.giveUp(result, exchange)
 			return
 		case attempt.RetryWithinBudget:
-			if !r.service.control.TakeRepeat(r.request.Service) {
+			if !r.service.control.TakeRetry(r.request.Service) {
 				r.giveUp(result, exchange)
 				return
 			}
