--- a/Makefile
+++ b/Makefile
@@ -36,7 +36,7 @@
 	$(GO) run ./tools/knownred --status $$status $(BIN)/test.json
 
 traces: ## Make the committed traces again from their seeds.
-	@for s in dakar plovdiv storm; do $(GO) run ./tools/tracegen $$s --seed 1 --out $(TRACES); done
+	DRAW_TRACES=dakar,plovdiv,storm $(GO) test -count=1 -run CommittedTraces ./tools/replay/sim
 
 replay: ## All policies over all committed traces.
 	@for s in dakar plovdiv storm; do echo "== $$s"; $(GO) run ./tools/replay --fleet $(TRACES)/$$s.fleet.json --trace $(TRACES)/$$s.trace.jsonl --policy all; done
--- a/tools/tracegen/scenario.go
+++ b/tools/replay/sim/scenario_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package main
+package sim_test
 
 import (
 	"fmt"
@@ -16,7 +16,8 @@
 
 var bases = []string{"base-a", "base-b"}
 
-// scenarios draw a trace and give the fleet that it is replayed on.
+// scenarios draw a trace from a seed: Zipf popularity over thousands of adapters, daily tides, popularity flips, overnight
+// volume and faults. Each draws a trace and gives the fleet that it is replayed on.
 var scenarios = map[string]func(b *builder) sim.FleetFile{
 	"dakar": dakar, "plovdiv": plovdiv, "storm": storm, "quiet": quiet, "flood": flood, "large": large,
 }
--- /dev/null
+++ b/tools/replay/sim/traces_test.go
@@ -0,0 +1,81 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package sim_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/tools/replay/sim"
+)
+
+const (
+	// committedSeed is the seed of the committed traces.
+	committedSeed = 1
+	// envDraw names scenarios to draw into the folder of the traces, such as "dakar,plovdiv,storm".
+	envDraw = "DRAW_TRACES"
+)
+
+// drawn gives the text of a scenario's fleet file and trace.
+func drawn(t testing.TB, scenario string, seed uint64) (fleetText, trace []byte) {
+	t.Helper()
+	b := newBuilder(seed)
+	f, err := json.MarshalIndent(scenarios[scenario](b), "", "  ")
+	require.NoError(t, err)
+	var lines bytes.Buffer
+	encoder := json.NewEncoder(&lines)
+	for _, line := range b.sorted() {
+		require.NoError(t, encoder.Encode(line))
+	}
+	header := fmt.Sprintf("// Made by: make traces (scenario %s, seed %d)\n", scenario, seed)
+	return append([]byte(header), append(f, '\n')...), lines.Bytes()
+}
+
+func writeScenario(t testing.TB, folder, scenario string, seed uint64) (fleetFile, traceFile string) {
+	t.Helper()
+	fleetText, trace := drawn(t, scenario, seed)
+	fleetFile, traceFile = filepath.Join(folder, scenario+".fleet.json"), filepath.Join(folder, scenario+".trace.jsonl")
+	require.NoError(t, os.WriteFile(fleetFile, fleetText, 0o600))
+	require.NoError(t, os.WriteFile(traceFile, trace, 0o600))
+	return fleetFile, traceFile
+}
+
+// TestCommittedTracesAreDrawnFromTheirSeed compares the committed traces with those of the
+// scenarios; `make traces` writes them anew first.
+func TestCommittedTracesAreDrawnFromTheirSeed(t *testing.T) {
+	if names := os.Getenv(envDraw); names != "" {
+		for _, scenario := range strings.Split(names, ",") {
+			writeScenario(t, traces, scenario, committedSeed)
+		}
+	}
+	for _, scenario := range []string{"dakar", "plovdiv", "storm"} {
+		fleetText, trace := drawn(t, scenario, committedSeed)
+		committed, err := os.ReadFile(filepath.Join(traces, scenario+".fleet.json"))
+		require.NoError(t, err)
+		require.Equal(t, string(committed), string(fleetText), scenario)
+		committed, err = os.ReadFile(filepath.Join(traces, scenario+".trace.jsonl"))
+		require.NoError(t, err)
+		require.True(t, bytes.Equal(committed, trace), "%s is not what its seed draws", scenario)
+	}
+}
+
+// BenchmarkReplayOf200000Requests is for the tool's promise to take less than 60 s.
+func BenchmarkReplayOf200000Requests(b *testing.B) {
+	fleetFile, traceFile := writeScenario(b, b.TempDir(), "large", committedSeed)
+	for b.Loop() {
+		f, err := sim.ReadFleet(fleetFile)
+		require.NoError(b, err)
+		lines, err := sim.ReadTrace(traceFile, f)
+		require.NoError(b, err)
+		_, err = sim.Run(f, lines, "shelfledge")
+		require.NoError(b, err)
+	}
+}
