--- a/tests/platform/explain_test.go
+++ b/tests/platform/explain_test.go
@@ -49,7 +49,7 @@
 		paths := []call{{path: "/hold/x"}, {path: "/status/x", method: http.MethodGet}, {path: "/chat/x", adapter: "a1"}}
 		one := paths[i%len(paths)]
 		one.entry = i % 2
-		seen[strconv.Itoa(s.do(one).status)]++
+		seen[strconv.Itoa(s.do(one).Status)]++
 	}
 	s.waitFor("the metrics agree", func() bool {
 		counts := s.counted(0)
@@ -101,19 +101,19 @@
 		worker.Drain()
 	}
 	s.waitFor("no endpoint takes work", func() bool {
-		return s.do(call{path: "/chat/x", adapter: "a1"}).status == http.StatusServiceUnavailable
+		return s.do(call{path: "/chat/x", adapter: "a1"}).Status == http.StatusServiceUnavailable
 	})
 	refused := s.do(call{path: "/chat/x", adapter: "a1"})
-	got := s.lineOf(0, refused.id)
+	got := s.lineOf(0, refused.ID)
 	assert.Equal(t, "no endpoint", got.Reason)
 	assert.Empty(t, got.Attempts, "it was sent nowhere")
 	assert.Contains(t, string(page), "\"reason\":\"no endpoint\"")
 
 	s = newSite(t, 1)
-	require.Equal(t, http.StatusOK, s.do(call{path: "/chat/x", adapter: "a1"}).status)
+	require.Equal(t, http.StatusOK, s.do(call{path: "/chat/x", adapter: "a1"}).Status)
 	s.eachModel(standin.WorkerFaults{Breaks: 1, BreakAfter: 2})
 	cut := s.do(call{path: "/chat/x", adapter: "a1"})
-	got = s.lineOf(0, cut.id)
+	got = s.lineOf(0, cut.ID)
 	assert.Equal(t, "stream broke off", got.Reason)
 	require.Len(t, got.Attempts, 1)
 	assert.Equal(t, "broken off", got.Attempts[0].Result)
@@ -121,7 +121,7 @@
 
 	s.eachPlain(standin.WorkerFaults{Hangs: 1})
 	late := s.do(call{path: "/hold/x", header: map[string]string{"X-Deadline-Ms": "300"}})
-	got = s.lineOf(0, late.id)
+	got = s.lineOf(0, late.ID)
 	assert.Equal(t, "timed out", got.Reason)
 	require.Len(t, got.Attempts, 1)
 	assert.Equal(t, "uncertain", got.Attempts[0].Result)
--- a/tests/platform/failure_test.go
+++ b/tests/platform/failure_test.go
@@ -41,7 +41,7 @@
 
 // serves tells whether an adapter that was never asked for gets loaded and served.
 func (s *site) serves(entry int, adapter string) bool {
-	return s.do(call{entry: entry, path: "/chat/x", adapter: adapter}).status == http.StatusOK
+	return s.do(call{entry: entry, path: "/chat/x", adapter: adapter}).Status == http.StatusOK
 }
 
 // checkOrders checks, over all workers, that the fencing token never falls, belongs to one
@@ -86,15 +86,15 @@
 	s := newSite(t, 1)
 	require.True(t, s.serves(0, "a1"))
 	var callers sync.WaitGroup
-	results := make(chan outcome, 100)
+	results := make(chan standin.Answer, 100)
 	for range 20 {
 		callers.Go(func() { results <- s.do(call{path: "/chat/x", adapter: "a1"}) })
 	}
-	time.Sleep(5 * time.Millisecond)
+	s.waitFor("a stream runs", func() bool { return len(standin.RunCounts(s.models...)) > 1 })
 	var stopping sync.WaitGroup
 	stopping.Go(s.entries[0].process.Stop)
 	s.entries[0].ended = true
-	time.Sleep(300 * time.Millisecond)
+	s.waitAtMost(300*time.Millisecond, "it is no longer ready", func() bool { return !s.isReady(0) })
 	assert.False(t, s.isReady(0))
 	for range 20 {
 		callers.Go(func() { results <- s.do(call{path: "/chat/x", adapter: "a1"}) })
@@ -103,8 +103,8 @@
 	stopping.Wait()
 	close(results)
 	for got := range results {
-		assert.NoError(t, got.broken)
-		assert.Equal(t, http.StatusOK, got.status)
+		assert.NoError(t, got.Broken)
+		assert.Equal(t, http.StatusOK, got.Status)
 	}
 }
 
@@ -207,15 +207,23 @@
 		trouble()
 		path := fmt.Sprintf("/new%d/", version)
 		s.store.Put("op/config", standin.Configuration(version, map[string]string{path: standin.PlainService}))
-		time.Sleep(2 * time.Second)
+		deadline := time.Now().Add(2 * time.Second)
 		for i := range s.entries {
-			assert.Equal(t, http.StatusOK, s.do(call{entry: i, path: path, method: http.MethodGet}).status, "%s, entry %d", name, i)
+			inForce := func() bool { return s.do(call{entry: i, path: path, method: http.MethodGet}).Status == http.StatusOK }
+			s.waitAtMost(time.Until(deadline), fmt.Sprintf("%s, entry %d", name, i), inForce)
+			assert.True(t, inForce(), "%s, entry %d", name, i)
 		}
 	}
 }
 
 func TestALeavingWorkerGetsNoNewWorkWithinItsTime(t *testing.T) {
 	s := newSite(t, 2)
+	fresh := standin.NewWorker(s.store, standin.WorkerOptions{ID: "i-plain-new", Service: standin.PlainService, Zone: "h1", Slots: 8})
+	s.plain = append(s.plain, fresh)
+	s.waitFor("each entry uses the new worker", func() bool {
+		s.do(call{entry: len(fresh.Runs()) % 2, path: "/hold/x"})
+		return len(fresh.Runs()) > 1
+	})
 	for _, leave := range []func(*standin.Worker){(*standin.Worker).Drain, (*standin.Worker).Vanish} {
 		worker := s.plain[0]
 		s.plain = s.plain[1:]
@@ -226,10 +234,6 @@
 			s.do(call{entry: i % 2, path: "/hold/x"})
 		}
 		assert.Len(t, worker.Runs(), before)
-		if len(s.plain) == 1 {
-			s.plain = append(s.plain, standin.NewWorker(s.store, standin.WorkerOptions{ID: "i-plain-new", Service: standin.PlainService, Zone: "h1", Slots: 8}))
-			time.Sleep(time.Second)
-		}
 		worker.Close()
 	}
 }
@@ -271,10 +275,10 @@
 	time.Sleep(4 * time.Second)
 	for i := range 10 {
 		got := s.do(call{entry: i % 2, path: "/chat/x", adapter: "a1"})
-		require.Equal(t, http.StatusOK, got.status)
+		require.Equal(t, http.StatusOK, got.Status)
 		for _, worker := range s.models {
 			for _, run := range worker.Runs() {
-				if run.ID == got.id {
+				if run.ID == got.ID {
 					assert.Equal(t, 2, run.Version)
 				}
 			}
@@ -341,7 +345,7 @@
 	s.store.Put("op/config", standin.Configuration(2, map[string]string{"/late/": standin.PlainService}))
 	for i := range s.entries {
 		s.waitFor("the configuration is in force", func() bool {
-			return s.do(call{entry: i, path: "/late/x", method: http.MethodGet}).status == http.StatusOK
+			return s.do(call{entry: i, path: "/late/x", method: http.MethodGet}).Status == http.StatusOK
 		})
 	}
 	s.store.SetFaults(standin.StoreFaults{})
--- a/tests/platform/site_test.go
+++ b/tests/platform/site_test.go
@@ -8,7 +8,6 @@
 	"context"
 	"encoding/json"
 	"fmt"
-	"io"
 	"net"
 	"net/http"
 	"net/netip"
@@ -39,8 +38,6 @@
 	entries []*entryProcess
 	ports   standin.Ports
 	ips     []string
-	next    int
-	mutex   sync.Mutex
 }
 
 type entryProcess struct {
@@ -243,7 +240,13 @@
 
 func (s *site) waitFor(what string, condition func() bool) {
 	s.t.Helper()
-	deadline := time.Now().Add(patience)
+	s.waitAtMost(patience, what, condition)
+}
+
+// waitAtMost is for what must come true within a time of its own.
+func (s *site) waitAtMost(limit time.Duration, what string, condition func() bool) {
+	s.t.Helper()
+	deadline := time.Now().Add(limit)
 	for !condition() {
 		if time.Now().After(deadline) {
 			require.FailNow(s.t, "waited in vain", "%s", what)
@@ -252,7 +255,7 @@
 	}
 }
 
-// call is one request of a caller.
+// call is one request of a caller to one of the entries.
 type call struct {
 	entry   int
 	method  string
@@ -262,71 +265,18 @@
 	header  map[string]string
 }
 
-// outcome is what the caller got.
-type outcome struct {
-	id     string
-	status int
-	header http.Header
-	body   string
-	// broken is set if the answer did not end as a whole one.
-	broken error
-}
-
-func (s *site) newID() string {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.next++
-	return fmt.Sprintf("id-%d", s.next)
+func (s *site) do(c call) standin.Answer {
+	return s.send(context.Background(), c)
 }
 
-func (s *site) request(c call) (*http.Request, string) {
-	s.t.Helper()
-	method := c.method
-	if method == "" {
-		method = http.MethodPost
-	}
-	request, err := http.NewRequest(method, fmt.Sprintf("http://%s:%d%s", s.ips[c.entry], s.ports.Callers, c.path), strings.NewReader(c.body))
-	require.NoError(s.t, err)
-	id := s.newID()
-	request.Host = standin.Host
-	request.Header.Set("X-Attempt-Id", id)
-	request.Header.Set("X-Deadline-Ms", "5000")
-	if c.adapter != "" {
-		request.Header.Set("X-Model", standin.Model+"/"+c.adapter)
-		request.Header.Set("X-Token-Usage", "100,20")
-	}
-	for name, value := range c.header {
-		request.Header.Set(name, value)
-	}
-	return request, id
-}
-
-// callersClient never repeats and uses a new connection for each request.
-var callersClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
-
-func (s *site) do(c call) outcome {
-	s.t.Helper()
-	request, id := s.request(c)
-	response, err := callersClient.Do(request)
-	if err != nil {
-		return outcome{id: id, broken: err}
-	}
-	defer func() { _ = response.Body.Close() }()
-	body, err := io.ReadAll(response.Body)
-	return outcome{id: id, status: response.StatusCode, header: response.Header, body: string(body), broken: err}
+func (s *site) send(ctx context.Context, c call) standin.Answer {
+	one := standin.Call{Method: c.method, Path: c.path, Adapter: c.adapter, Body: c.body, Header: c.header}
+	return one.Send(ctx, fmt.Sprintf("%s:%d", s.ips[c.entry], s.ports.Callers))
 }
 
 // runsOf gives how often a request ran, over all workers.
 func (s *site) runsOf(id string) int {
-	count := 0
-	for _, worker := range append(append([]*standin.Worker(nil), s.models...), s.plain...) {
-		for _, run := range worker.Runs() {
-			if run.ID == id {
-				count++
-			}
-		}
-	}
-	return count
+	return standin.RunCounts(append(append([]*standin.Worker(nil), s.models...), s.plain...)...)[id]
 }
 
 func (s *site) eachPlain(faults standin.WorkerFaults) {
--- a/tests/platformstandin/store.go
+++ b/tests/platformstandin/store.go
@@ -8,7 +8,7 @@
 	"net"
 	"net/http"
 	"net/http/httptest"
-	"sort"
+	"slices"
 	"strconv"
 	"strings"
 	"sync"
@@ -39,6 +39,7 @@
 // Store is a key-value store in memory that speaks the platform's protocol.
 type Store struct {
 	server    *httptest.Server
+	mux       *http.ServeMux
 	mutex     sync.Mutex
 	revision  int64
 	compacted int64
@@ -51,7 +52,6 @@
 	// second is the second that rated calls are counted in, and rated how many it has seen.
 	second int64
 	rated  int
-	calls  map[string]int
 	closed chan struct{}
 }
 
@@ -76,8 +76,9 @@
 func NewStore() *Store {
 	s := &Store{
 		items: make(map[string]item), leases: make(map[int64]*lease), changed: make(chan struct{}), nextLease: 100,
-		calls: make(map[string]int), closed: make(chan struct{}),
+		closed: make(chan struct{}),
 	}
+	s.mux = s.routes()
 	s.server = httptest.NewServer(s)
 	go s.expireLeases()
 	return s
@@ -155,17 +156,6 @@
 	return one.Value, ok
 }
 
-// Calls gives the number of calls by path.
-func (s *Store) Calls() map[string]int {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	copied := make(map[string]int, len(s.calls))
-	for path, count := range s.calls {
-		copied[path] = count
-	}
-	return copied
-}
-
 // put writes a key at the present revision, which the caller has raised.
 func (s *Store) put(key string, value []byte, leaseID int64) {
 	made := s.revision
@@ -232,85 +222,82 @@
 	return s.rated > s.faults.PerSecond
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP serves one call, or fails as the faults say.
 func (s *Store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
-	s.calls[request.URL.Path]++
-	faults := s.faults
-	limited := s.overRate()
+	faults, limited := s.faults, s.overRate()
 	s.mutex.Unlock()
 	caller, _, _ := net.SplitHostPort(request.RemoteAddr)
 	switch {
 	case faults.Silent:
 		<-request.Context().Done()
-		return
 	case faults.Down || faults.TurnAway[caller]:
 		writer.WriteHeader(http.StatusServiceUnavailable)
-		return
 	case limited:
 		writer.WriteHeader(http.StatusTooManyRequests)
-		return
-	case faults.Delay > 0:
+	default:
 		time.Sleep(faults.Delay)
+		s.mux.ServeHTTP(writer, request)
 	}
-	path := request.URL.Path
-	switch {
-	case path == "/-/kv-key":
-		s.serveKey(writer, request)
-	case path == "/-/kv-range":
-		s.serveRange(writer, request)
-	case path == "/-/kv-watch":
-		s.serveWatch(writer, request)
-	case path == "/-/kv-txn":
-		s.serveCommit(writer, request)
-	case path == "/-/kv-lease":
-		s.serveGrant(writer, request)
-	case strings.HasPrefix(path, "/-/kv-keep/"):
-		s.serveKeep(writer, strings.TrimPrefix(path, "/-/kv-keep/"))
-	case strings.HasPrefix(path, "/-/kv-lease-end/"):
-		s.serveLeaseEnd(writer, strings.TrimPrefix(path, "/-/kv-lease-end/"))
-	default:
-		writer.WriteHeader(http.StatusNotFound)
+}
+
+func (s *Store) routes() *http.ServeMux {
+	mux := http.NewServeMux()
+	mux.HandleFunc("/-/kv-key", s.answer(s.key))
+	mux.HandleFunc("/-/kv-range", s.answer(s.rangePage))
+	mux.HandleFunc("/-/kv-watch", s.serveWatch)
+	mux.HandleFunc("/-/kv-txn", s.answer(s.serveCommit))
+	mux.HandleFunc("/-/kv-lease", s.answer(s.grant))
+	mux.HandleFunc("/-/kv-keep/{id}", s.answer(s.keep))
+	mux.HandleFunc("/-/kv-lease-end/{id}", s.answer(s.release))
+	return mux
+}
+
+// answer makes a handler of a call that gives a status and, with 200 or 412, a body. The mutex is held.
+func (s *Store) answer(call func(request *http.Request) (int, any)) http.HandlerFunc {
+	return func(writer http.ResponseWriter, request *http.Request) {
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		status, body := call(request)
+		reply(writer, status, body)
 	}
 }
 
 func reply(writer http.ResponseWriter, status int, body any) {
+	if body == nil {
+		writer.WriteHeader(status)
+		return
+	}
 	writer.Header().Set("Content-Type", "application/json")
 	writer.WriteHeader(status)
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-func (s *Store) serveKey(writer http.ResponseWriter, request *http.Request) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (s *Store) key(request *http.Request) (int, any) {
 	one, ok := s.items[request.URL.Query().Get("private_key")]
 	if !ok {
-		writer.WriteHeader(http.StatusNotFound)
-		return
+		return http.StatusNotFound, nil
 	}
-	reply(writer, http.StatusOK, one)
+	return http.StatusOK, one
 }
 
-// rangePage is how many items a page holds; small, so that paging is tried.
-const rangePage = 5
+// itemsAPage is how many items a page holds; small, so that paging is tried.
+const itemsAPage = 5
 
-func (s *Store) serveRange(writer http.ResponseWriter, request *http.Request) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
+func (s *Store) rangePage(request *http.Request) (int, any) {
 	query := request.URL.Query()
-	keys := make([]string, 0, len(s.items))
+	var keys []string
 	for key := range s.items {
 		if strings.HasPrefix(key, query.Get("path_prefix")) && key > query.Get("after") {
 			keys = append(keys, key)
 		}
 	}
-	sort.Strings(keys)
-	page := keys[:min(len(keys), rangePage)]
-	items := make([]item, 0, len(page))
-	for _, key := range page {
+	slices.Sort(keys)
+	items := []item{}
+	for _, key := range keys[:min(len(keys), itemsAPage)] {
 		items = append(items, s.items[key])
 	}
-	reply(writer, http.StatusOK, map[string]any{"items": items, "more": len(keys) > len(page), "at": s.revision})
+	return http.StatusOK, map[string]any{"items": items, "more": len(keys) > len(items), "at": s.revision}
 }
 
 func (s *Store) serveWatch(writer http.ResponseWriter, request *http.Request) {
@@ -369,14 +356,11 @@
 	Remove []string `json:"remove"`
 }
 
-func (s *Store) serveCommit(writer http.ResponseWriter, request *http.Request) {
+func (s *Store) serveCommit(request *http.Request) (int, any) {
 	var body transaction
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
-		writer.WriteHeader(http.StatusBadRequest)
-		return
+		return http.StatusBadRequest, nil
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
 	if s.faults.LateWrites > 0 {
 		s.faults.LateWrites--
 		time.AfterFunc(s.faults.LateBy, func() {
@@ -391,7 +375,7 @@
 		s.faults.LoseAnswers--
 		panic(http.ErrAbortHandler)
 	}
-	reply(writer, status, answer)
+	return status, answer
 }
 
 // commit does a transaction whole or not at all.
@@ -425,43 +409,34 @@
 	return http.StatusOK, map[string]any{"revision": s.revision}
 }
 
-func (s *Store) serveGrant(writer http.ResponseWriter, request *http.Request) {
+func (s *Store) grant(request *http.Request) (int, any) {
 	var body struct {
 		TTL int64 `json:"ttl_ms"`
 	}
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
-		writer.WriteHeader(http.StatusBadRequest)
-		return
+		return http.StatusBadRequest, nil
 	}
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
 	s.nextLease++
 	ttl := time.Duration(body.TTL) * time.Millisecond
 	s.leases[s.nextLease] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
-	reply(writer, http.StatusOK, map[string]any{"lease": s.nextLease, "ttl_ms": body.TTL})
+	return http.StatusOK, map[string]any{"lease": s.nextLease, "ttl_ms": body.TTL}
 }
 
-func (s *Store) serveKeep(writer http.ResponseWriter, name string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	id, _ := strconv.ParseInt(name, 10, 64)
+func (s *Store) keep(request *http.Request) (int, any) {
+	id, _ := strconv.ParseInt(request.PathValue("id"), 10, 64)
 	one, ok := s.leases[id]
 	if !ok {
-		writer.WriteHeader(http.StatusNotFound)
-		return
+		return http.StatusNotFound, nil
 	}
 	one.expires = time.Now().Add(one.ttl)
-	reply(writer, http.StatusOK, map[string]any{"ttl_ms": one.ttl.Milliseconds()})
+	return http.StatusOK, map[string]any{"ttl_ms": one.ttl.Milliseconds()}
 }
 
-func (s *Store) serveLeaseEnd(writer http.ResponseWriter, name string) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	id, _ := strconv.ParseInt(name, 10, 64)
+func (s *Store) release(request *http.Request) (int, any) {
+	id, _ := strconv.ParseInt(request.PathValue("id"), 10, 64)
 	if _, ok := s.leases[id]; !ok {
-		writer.WriteHeader(http.StatusNotFound)
-		return
+		return http.StatusNotFound, nil
 	}
 	s.endLease(id)
-	reply(writer, http.StatusOK, map[string]any{})
+	return http.StatusOK, map[string]any{}
 }
--- a/tests/platformstandin/worker.go
+++ b/tests/platformstandin/worker.go
@@ -450,7 +450,7 @@
 			_ = http.NewResponseController(writer).Flush()
 			panic(http.ErrAbortHandler)
 		}
-		_, _ = fmt.Fprintf(writer, "id: %d\ndata: %s.%s.%d\n\n", id, run.ID, run.Adapter, id)
+		_, _ = io.WriteString(writer, Event(id, run.ID, run.Adapter))
 		_ = http.NewResponseController(writer).Flush()
 		select {
 		case <-request.Context().Done():
--- a/tools/demo/entries.go
+++ b/tools/demo/entries.go
@@ -4,15 +4,14 @@
 package main
 
 import (
+	"context"
 	"encoding/json"
 	"errors"
 	"fmt"
-	"io"
 	"math/rand/v2"
 	"net/http"
 	"strconv"
 	"strings"
-	"sync/atomic"
 	"syscall"
 	"time"
 
@@ -25,7 +24,7 @@
 	entryTries    = 5
 	entryAdapters = 60
 	entryIPBase   = 21
-	workers       = 4
+	workerCount   = 4
 	streamEvents  = 8
 	// inForceLimit bounds the time from the end of the traffic until a new route answers at each entry.
 	inForceLimit = 2 * time.Second
@@ -37,13 +36,11 @@
 	store  *platformstandin.Store
 	models []*platformstandin.Worker
 	plain  []*platformstandin.Worker
-	client *http.Client
-	sent   atomic.Int64
 }
 
 // showEntries sends requests through three entries while a worker drains, an entry stops and a route is added.
 func showEntries(args arguments, folder string) error {
-	e := &entries{store: platformstandin.NewStore(), client: &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}}
+	e := &entries{store: platformstandin.NewStore()}
 	defer e.store.Close()
 	e.startWorkers()
 	defer e.closeWorkers()
@@ -72,7 +69,7 @@
 
 func (e *entries) startWorkers() {
 	e.store.Put(platformstandin.ConfigurationKey, platformstandin.Configuration(1, nil))
-	for i := range workers {
+	for i := range workerCount {
 		e.models = append(e.models, platformstandin.NewWorker(e.store, platformstandin.WorkerOptions{
 			ID: fmt.Sprintf("i-model-%d", i), Service: platformstandin.ModelService, Zone: "h1", Slots: 16, Model: platformstandin.Model,
 			Capacity: 8, LoadTime: 60 * time.Millisecond, Events: streamEvents, Pause: 4 * time.Millisecond,
@@ -130,45 +127,25 @@
 
 // send makes one attempt and checks the answer.
 func (e *entries) send(to *process, path, adapter string) reply {
-	id := fmt.Sprintf("demo-%d", e.sent.Add(1))
-	post, err := http.NewRequest(http.MethodPost, "http://"+to.callers+path, strings.NewReader("prompt"))
-	if err != nil {
-		return reply{outcome: wrong, detail: err.Error()}
-	}
-	post.Host = platformstandin.Host
-	post.Header.Set(platformstandin.HeaderRequestID, id)
-	post.Header.Set("X-Deadline-Ms", "5000")
-	if adapter != "" {
-		post.Header.Set("X-Model", platformstandin.Model+"/"+adapter)
-	}
 	began := time.Now()
-	response, err := e.client.Do(post)
-	if errors.Is(err, syscall.ECONNREFUSED) {
-		// An entry that has ended took nothing; the balancer goes to another one.
-		return reply{outcome: refused, detail: err.Error()}
-	}
-	if err != nil {
-		return reply{outcome: wrong, detail: err.Error()}
-	}
-	defer func() { _ = response.Body.Close() }()
-	first := time.Since(began)
-	body, err := io.ReadAll(response.Body)
-	detail := fmt.Sprintf("%s at %s: status %d, header %v, body %q", id, to.name, response.StatusCode, response.Header, body)
+	a := platformstandin.Call{Path: path, Adapter: adapter, Body: "prompt"}.Send(context.Background(), to.callers)
+	r := reply{detail: fmt.Sprintf("%+v at %s", a, to.name), first: time.Since(began), attempt: a.ID}
 	switch {
-	case err != nil:
-		return reply{outcome: wrong, detail: "the answer broke off: " + detail}
-	case response.StatusCode == http.StatusServiceUnavailable:
-		seconds, _ := strconv.ParseFloat(response.Header.Get("Retry-After"), 64)
-		return reply{outcome: refused, detail: detail, wait: time.Duration(seconds * float64(time.Second))}
-	case response.StatusCode != http.StatusOK || response.Header.Get(platformstandin.HeaderRequestID) != id || response.Header.Get(platformstandin.HeaderSeal) == "":
-		return reply{outcome: wrong, detail: detail}
-	}
-	for event := 1; adapter != "" && event <= streamEvents; event++ {
-		if !strings.Contains(string(body), fmt.Sprintf("id: %d\ndata: %s.%s.%d\n\n", event, id, adapter, event)) {
-			return reply{outcome: wrong, detail: fmt.Sprintf("event %d of %s is missing: %s", event, adapter, detail)}
+	case errors.Is(a.Broken, syscall.ECONNREFUSED):
+		// An entry that has ended took nothing; the balancer goes to another one.
+		r.outcome = refused
+	case a.Broken == nil && a.Status == http.StatusServiceUnavailable:
+		seconds, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
+		r.outcome, r.wait = refused, time.Duration(seconds*float64(time.Second))
+	case a.Broken != nil || a.Status != http.StatusOK || a.Header.Get(platformstandin.HeaderRequestID) != a.ID || a.Header.Get(platformstandin.HeaderSeal) == "":
+		r.outcome = wrong
+	}
+	for event := 1; r.outcome == answered && adapter != "" && event <= streamEvents; event++ {
+		if !strings.Contains(a.Body, platformstandin.Event(event, a.ID, adapter)) {
+			r.outcome = wrong
 		}
 	}
-	return reply{detail: id, first: first}
+	return r
 }
 
 // refusals gives an error for each request that was refused at every attempt.
@@ -200,12 +177,10 @@
 // checkWorkers checks by the workers' own account that each answered attempt ran once, that no
 // attempt ran twice, and that no load went beyond a worker's places.
 func (e *entries) checkWorkers(results []result) error {
-	runs := make(map[string]int)
+	workers := append(append([]*platformstandin.Worker(nil), e.models...), e.plain...)
+	runs := platformstandin.RunCounts(workers...)
 	var failed []error
-	for _, worker := range append(append([]*platformstandin.Worker(nil), e.models...), e.plain...) {
-		for _, run := range worker.Runs() {
-			runs[run.ID]++
-		}
+	for _, worker := range workers {
 		if count := worker.Overfull(); count > 0 {
 			failed = append(failed, fmt.Errorf("%d orders went beyond a worker's places", count))
 		}
@@ -216,8 +191,8 @@
 		}
 	}
 	for _, r := range results {
-		if r.outcome == answered && runs[r.detail] != 1 {
-			failed = append(failed, fmt.Errorf("%s was answered as %s, which ran %d times", r.id, r.detail, runs[r.detail]))
+		if r.outcome == answered && runs[r.attempt] != 1 {
+			failed = append(failed, fmt.Errorf("%s was answered as %s, which ran %d times", r.id, r.attempt, runs[r.attempt]))
 		}
 	}
 	return errors.Join(failed...)
--- a/tools/demo/load.go
+++ b/tools/demo/load.go
@@ -30,9 +30,11 @@
 type reply struct {
 	outcome outcome
 	detail  string
+	// attempt is the id that the endpoints know it by, if not that of its request.
+	attempt string
 	// wait is how long the caller waits before it sends a refused request again.
 	wait time.Duration
-	// stalled is the wait for a load that the answer tells, first the time to its first byte.
+	// stalled is the wait for a load that the answer tells, first the time until the answer begins, or ends where that is all that is known.
 	stalled, first time.Duration
 }
 
@@ -98,7 +100,7 @@
 // report prints a line for each class and gives an error for each answer that was wrong.
 func report(results []result, classes ...string) error {
 	fmt.Printf("%-10s %8s %8s %8s %8s %8s %6s %26s %32s\n", "class", "requests", "answered", "refused", "unknown", "repeated", "wrong",
-		"load stall p50/p95/p99 ms", "first byte p50/p95/p99 ms")
+		"load stall p50/p95/p99 ms", "first or whole p50/p95/p99 ms")
 	var failed []error
 	for _, class := range classes {
 		counts := make(map[outcome]int)
