--- a/tests/integration/bench_test.go
+++ b/tests/integration/bench_test.go
@@ -13,7 +13,6 @@
 	"net/http/httptest"
 	"net/netip"
 	"runtime"
-	"slices"
 	"strings"
 	"sync"
 	"syscall"
@@ -24,6 +23,7 @@
 
 	"github.com/shelfledge/shelfledge/modules/daemon/engine"
 	"github.com/shelfledge/shelfledge/tests/standin"
+	"github.com/shelfledge/shelfledge/tools/stats"
 )
 
 // benchCluster has one hall with room for many streams of one adapter.
@@ -98,8 +98,7 @@
 }
 
 func median(list []time.Duration) time.Duration {
-	slices.Sort(list)
-	return list[len(list)/2]
+	return stats.Percentile(list, 0.5)
 }
 
 // freeEndpoint is an engine of the cluster that no daemon knows.
--- a/tests/integration/loss_test.go
+++ b/tests/integration/loss_test.go
@@ -6,9 +6,9 @@
 import (
 	"context"
 	"fmt"
+	"strings"
 	"sync"
 	"testing"
-	"time"
 
 	"github.com/stretchr/testify/require"
 
@@ -42,6 +42,16 @@
 	}
 }
 
+// ran tells whether an engine has begun to run a caller's request.
+func (f *testFleet) ran(id string) bool {
+	for run := range f.cluster.Runs() {
+		if callerID, _, _ := strings.Cut(run, "~"); callerID == id {
+			return true
+		}
+	}
+	return false
+}
+
 func oneHall() standin.ClusterOptions {
 	o := standin.DefaultClusterOptions()
 	o.Halls = []string{"h1"}
@@ -65,8 +75,9 @@
 	}
 	for round, leaving := range []string{"h1-i1", "h1-i2"} {
 		send(leaving, round*100, 20)
+		begun := len(f.cluster.Runs())
 		send("h1-i3", round*100+50, 10)
-		time.Sleep(100 * time.Millisecond)
+		f.eventually(func() bool { return len(f.cluster.Runs()) > begun }, "no request runs")
 		f.daemons[leaving].Stop()
 		delete(f.daemons, leaving)
 	}
@@ -92,7 +103,7 @@
 			y.add(c, f.send(context.Background(), []string{"h1-i1", "h1-i2", "h1-i3"}[i%3], c))
 		}()
 	}
-	time.Sleep(300 * time.Millisecond)
+	f.eventually(func() bool { return f.ran("k-1") }, "no request runs through the instance")
 	f.kill("h1-i2")
 	group.Wait()
 	require.Empty(t, y.wrong)
@@ -118,7 +129,7 @@
 			y.add(c, f.send(context.Background(), []string{"h1-i1", "h2-i1"}[i%2], c))
 		}()
 	}
-	time.Sleep(200 * time.Millisecond)
+	f.eventually(func() bool { return f.cluster.Engine("h1-e1").Running() > 0 }, "the engine runs nothing")
 	f.cluster.Engine("h1-e1").Restart()
 	group.Wait()
 	require.Empty(t, y.wrong)
