--- /dev/null
+++ b/modules/daemon/engine/vllm_call.go
@@ -0,0 +1,84 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package engine
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+)
+
+// start sends a request. An error is ErrNotRun only where no byte was written or
+// the endpoint said so; other answers are for the caller to judge.
+func (v *vllm) start(ctx context.Context, c Call) (*http.Response, error) {
+	probe := &writeProbe{}
+	req, err := newRequest(probe.trace(ctx), c.Method, url(c.Endpoint, c.Path), c.Body)
+	if err != nil {
+		return nil, ErrNotRun{What: "request", Reason: err.Error()}
+	}
+	for name, values := range c.Header {
+		req.Header[name] = values
+	}
+	setFence(req.Header, c.Fence, c.Incarnation)
+	req.Header.Set(HeaderRequestID, c.RequestID)
+	if c.Attempt > 0 {
+		req.Header.Set(HeaderAttempt, strconv.Itoa(c.Attempt))
+	}
+	if c.ResumeFrom > 0 {
+		req.Header.Set(HeaderResumeFrom, strconv.Itoa(c.ResumeFrom))
+	}
+	resp, err := v.service.DoRequest(req)
+	if err != nil {
+		return nil, brokenOff("request", probe, err)
+	}
+	if refusedUnrun(c.Endpoint, resp) {
+		defer func() { _ = resp.Body.Close() }()
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
+		return nil, ErrNotRun{
+			What: "request", Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode,
+			RetryAfter: retryAfter(resp.Header),
+		}
+	}
+	return resp, nil
+}
+
+// refusedUnrun tells whether the endpoint itself says that the request was not run.
+func refusedUnrun(e fleet.Endpoint, resp *http.Response) bool {
+	if resp.Header.Get(HeaderNotRun) != "" || resp.StatusCode == http.StatusPreconditionFailed {
+		return true
+	}
+	if e.Kind == fleet.KindPlain {
+		return false
+	}
+	// An engine's published answers to a model that it does not hold, and to a full queue.
+	return resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusTooManyRequests
+}
+
+func retryAfter(h http.Header) time.Duration {
+	seconds, err := strconv.Atoi(h.Get("Retry-After"))
+	if err != nil || seconds < 0 {
+		return 0
+	}
+	return time.Duration(seconds) * time.Second
+}
+
+func (v *vllm) cancel(ctx context.Context, e fleet.Endpoint, requestID string) error {
+	ctx, cancel := context.WithTimeout(ctx, v.timeout)
+	defer cancel()
+	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, url(e, "/v1/requests/"+requestID), nil)
+	if err != nil {
+		return ErrNotRun{What: "cancel", Reason: err.Error()}
+	}
+	resp, err := v.control.Do(req)
+	if err != nil {
+		return ErrUnknown{What: "cancel", Reason: err.Error()}
+	}
+	return resp.Body.Close()
+}
--- /dev/null
+++ b/modules/daemon/setting/timing.go
@@ -0,0 +1,48 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package setting
+
+import "time"
+
+// Timing holds the intervals and limits of the joint action of instances.
+type Timing struct {
+	Heartbeat     Duration `json:"heartbeat"`
+	LostAfter     Duration `json:"lost_after"`
+	Settle        Duration `json:"settle"`
+	Digest        Duration `json:"digest"`
+	HallSilence   Duration `json:"hall_silence"`
+	Inspect       Duration `json:"inspect"`
+	GrantAge      Duration `json:"grant_age"`
+	StartWithin   Duration `json:"start_within"`
+	LeaseTTL      Duration `json:"lease_ttl"`
+	LeaseMargin   Duration `json:"lease_margin"`
+	LeaseRenew    Duration `json:"lease_renew"`
+	RecoveryDelay Duration `json:"recovery_delay"`
+}
+
+func defaultTiming() Timing {
+	return Timing{
+		Heartbeat: Duration(250 * time.Millisecond), LostAfter: Duration(1200 * time.Millisecond), Settle: Duration(1500 * time.Millisecond),
+		Digest: Duration(250 * time.Millisecond), HallSilence: Duration(3 * time.Second), Inspect: Duration(500 * time.Millisecond),
+		GrantAge: Duration(3 * time.Second), StartWithin: Duration(2 * time.Second), LeaseTTL: Duration(10 * time.Second),
+		LeaseMargin: Duration(3 * time.Second), LeaseRenew: Duration(3 * time.Second),
+	}
+}
+
+func (t Timing) check(d *document) {
+	checkDurations(d, "timing", map[string]Duration{
+		"heartbeat": t.Heartbeat, "lost_after": t.LostAfter, "settle": t.Settle, "digest": t.Digest, "hall_silence": t.HallSilence,
+		"inspect": t.Inspect, "grant_age": t.GrantAge, "start_within": t.StartWithin, "lease_ttl": t.LeaseTTL,
+		"lease_margin": t.LeaseMargin, "lease_renew": t.LeaseRenew,
+	})
+	if t.LostAfter < 3*t.Heartbeat {
+		d.add("timing.lost_after", "must be at least three heartbeats")
+	}
+	if t.LeaseMargin+t.LeaseRenew >= t.LeaseTTL {
+		d.add("timing.lease_renew", "lease_margin and lease_renew together must be below lease_ttl")
+	}
+	if t.LeaseTTL.Duration()%time.Second != 0 {
+		d.add("timing.lease_ttl", "must be whole seconds")
+	}
+}
--- /dev/null
+++ b/services/daemon/process/build.go
@@ -0,0 +1,207 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package process
+
+import (
+	"context"
+	"crypto/tls"
+	"fmt"
+	"net"
+	"net/http"
+	"net/netip"
+	"time"
+
+	"google.golang.org/grpc/credentials"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/certificate"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+	"github.com/shelfledge/shelfledge/modules/daemon/httpserver"
+	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
+	"github.com/shelfledge/shelfledge/modules/daemon/peerlink"
+	"github.com/shelfledge/shelfledge/modules/daemon/setting"
+	"github.com/shelfledge/shelfledge/routers/daemon/caller"
+	"github.com/shelfledge/shelfledge/routers/daemon/operator"
+	"github.com/shelfledge/shelfledge/services/daemon/access"
+	"github.com/shelfledge/shelfledge/services/daemon/command"
+	"github.com/shelfledge/shelfledge/services/daemon/configuration"
+	"github.com/shelfledge/shelfledge/services/daemon/control"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+	"github.com/shelfledge/shelfledge/services/daemon/once"
+	"github.com/shelfledge/shelfledge/services/daemon/query"
+	"github.com/shelfledge/shelfledge/services/daemon/relay"
+)
+
+// listeners are the three open listeners.
+type listeners struct {
+	callers, operators, peers net.Listener
+}
+
+func (l listeners) close() {
+	for _, x := range []net.Listener{l.callers, l.operators, l.peers} {
+		if x != nil {
+			_ = x.Close()
+		}
+	}
+}
+
+func (d *Daemon) listen() (listeners, error) {
+	var l listeners
+	for _, x := range []struct {
+		name string
+		at   netip.AddrPort
+		into *net.Listener
+		real *netip.AddrPort
+	}{
+		{"callers' listener", d.settings.Listen.Callers.Address, &l.callers, &d.addresses.Callers},
+		{"operators' listener", d.settings.Listen.Operators.Address, &l.operators, &d.addresses.Operators},
+		{"peers' listener", d.settings.Listen.Peers.Address, &l.peers, &d.addresses.Peers},
+	} {
+		opened, err := net.Listen("tcp", x.at.String())
+		if err != nil {
+			l.close()
+			return l, ErrNotStarted{Part: x.name, Reason: err.Error()}
+		}
+		*x.into = opened
+		*x.real = opened.Addr().(*net.TCPAddr).AddrPort()
+	}
+	d.self = fleet.Instance{ID: d.settings.Instance.ID, Hall: d.settings.Instance.Hall, Address: d.addresses.Peers, Operator: d.addresses.Operators}
+	return l, nil
+}
+
+func (d *Daemon) build(ctx context.Context, o Options, l listeners) error {
+	dialect := engine.NewVLLM(engine.VLLMOptions{
+		Transport: engine.NewTransport(engine.TransportOptions{
+			DialTimeout: dialTimeout, HeaderTimeout: d.settings.Limits.EndpointSilent.Duration(), IdleTimeout: time.Minute, MaxIdlePerHost: idlePerHost,
+		}),
+		Timeout: statusTimeout, LoadTimeout: d.settings.Decision.LoadTimeout.Duration() - loadMargin,
+	})
+	if err := d.buildControl(o, l, dialect); err != nil {
+		return err
+	}
+	d.buildRelay(ctx, dialect)
+	if err := d.buildCallers(l); err != nil {
+		return err
+	}
+	return d.buildOperators(l)
+}
+
+func (d *Daemon) buildControl(o Options, l listeners, dialect engine.Dialect) error {
+	links := peerlink.Options{
+		Receive: func(e fleet.Envelope) { d.control.Receive(e) },
+		Answer:  func(ctx context.Context, q peerlink.Question) (peerlink.Answer, error) { return d.query.Answer(ctx, q) },
+		Blocked: o.Blocked,
+	}
+	if t := d.settings.Listen.Peers.TLS; t.Enabled() {
+		r, err := reloader(t)
+		if err != nil {
+			return err
+		}
+		links.ServerCredentials = credentials.NewTLS(r.Server())
+		links.ClientCredentials = credentials.NewTLS(r.Client())
+	}
+	list := instancelist.Reader{Address: d.settings.Platform.List, Timeout: d.settings.Platform.Timeout.Duration(), Client: &http.Client{}}
+	readList := list.Read
+	if !d.settings.Platform.List.IsValid() {
+		readList = nil
+	}
+	d.control = control.New(control.Options{
+		Node: nodeOptions(d.settings, d.self, uint64(time.Now().UnixMilli())), Seeds: d.settings.SeedInstances(), Dialect: dialect, KV: d.kv,
+		Prefix: d.settings.KV.Prefix, List: readList, ListEach: d.settings.Platform.Every.Duration(), Send: func(e fleet.Envelope) { d.links.Send(e) },
+		Log: d.log, Metrics: d.metrics, Journal: d.journal, Now: time.Now,
+	})
+	d.query = query.New(query.Options{
+		Self: d.self, Classes: d.settings.FleetClasses(), Catalog: d.control.Catalog, View: d.control.View,
+		Ask: func(ctx context.Context, to netip.AddrPort, q peerlink.Question) (peerlink.Answer, error) {
+			return d.links.Ask(ctx, to, q)
+		},
+		Journal: d.journal, Timeout: queryTimeout, Now: time.Now,
+	})
+	d.links = peerlink.New(l.peers, links)
+	return nil
+}
+
+func reloader(t setting.TLS) (*certificate.Reloader, error) {
+	r, err := certificate.New(certificate.Files{Cert: t.Cert, Key: t.Key, CA: t.ClientCA}, time.Now)
+	if err != nil {
+		return nil, ErrNotStarted{Part: "certificate", Reason: err.Error()}
+	}
+	return r, nil
+}
+
+func serverTLS(t setting.TLS) (*tls.Config, error) {
+	if !t.Enabled() {
+		return nil, nil
+	}
+	r, err := reloader(t)
+	if err != nil {
+		return nil, err
+	}
+	return r.Server(), nil
+}
+
+func (d *Daemon) buildRelay(ctx context.Context, dialect engine.Dialect) {
+	s := d.settings
+	owner := fmt.Sprintf("%s.%d", d.self.ID, time.Now().UnixNano())
+	options := once.DefaultOptions(s.KV.Prefix, owner)
+	options.TTL = s.KV.ClaimTTL.Duration()
+	d.claimer = once.New(once.Store{Txn: d.kv.Txn, Get: d.kv.Get, Grant: d.kv.Grant}, options, time.Now)
+	go d.claimer.Run(ctx)
+	d.relay = relay.New(relay.Options{
+		Control: relay.Control{Submit: d.control.Submit, Abandon: d.control.Abandon, Finish: d.control.Finish, Note: d.control.Note},
+		Claims:  relay.Claims{Claim: d.claimer.Claim, Release: d.claimer.Release},
+		Dialect: dialect, Endpoints: s.FleetEndpoints(), Metrics: d.metrics, MaxAttempts: s.Limits.MaxAttempts, RetryShare: s.Limits.RetryShare,
+		SlowReader: s.Limits.SlowReader.Duration(), EndpointSilent: s.Limits.EndpointSilent.Duration(), CancelLife: cancelLife, Now: time.Now,
+	})
+}
+
+func (d *Daemon) buildCallers(l listeners) error {
+	s := d.settings
+	router := caller.New(caller.Options{
+		Relay: d.relay, Catalog: d.control.Catalog, Ready: d.Ready, Alive: func() bool { return true }, Classes: s.FleetClasses(),
+		Endpoints: s.FleetEndpoints(), Now: time.Now, MaxBodyBytes: s.Limits.MaxBodyBytes, MaxRequests: int64(s.Limits.MaxRequests),
+		BytesPerToken: s.Limits.BytesPerToken, OutputTokens: s.Limits.OutputTokens, DefaultWait: s.Limits.DefaultWait.Duration(),
+	})
+	config, err := serverTLS(s.Listen.Callers.TLS)
+	if err != nil {
+		return err
+	}
+	d.callers, err = httpserver.New(httpserver.Options{
+		Name: "callers", Listener: l.callers, Routes: router.Routes(), NotFound: router.NotFound(), TLS: config,
+	})
+	return err
+}
+
+func (d *Daemon) buildOperators(l listeners) error {
+	s := d.settings
+	var keys []access.Key
+	for _, k := range s.Operators.Keys {
+		keys = append(keys, access.Key{Operator: access.Operator{Name: k.Name, Role: access.ParseRole(k.Role)}, SHA256: k.SHA256})
+	}
+	checker, err := access.New(keys, s.Operators.FailuresPerMinute)
+	if err != nil {
+		return err
+	}
+	store := configuration.NewStore(d.kv, s.KV.Prefix, time.Now)
+	router := operator.New(operator.Options{
+		Access: checker, Metrics: d.metrics, Refresh: d.refresh, Ready: d.Ready, Now: time.Now, Query: d.query,
+		Command: command.New(command.Options{Store: store, Current: d.control.Catalog, Offer: d.control.Offer, Halls: d.hallStates, Now: time.Now}),
+	})
+	config, err := serverTLS(s.Listen.Operators.TLS)
+	if err != nil {
+		return err
+	}
+	d.operators, err = httpserver.New(httpserver.Options{Name: "operators", Listener: l.operators, Routes: router.Routes(), TLS: config})
+	return err
+}
+
+func (d *Daemon) hallStates() []command.HallState {
+	var out []command.HallState
+	d.control.View(func(now time.Time, n *node.Node) {
+		for _, h := range n.Halls(now) {
+			out = append(out, command.HallState{Hall: h.Hall, Revision: h.Revision, Age: h.Age, Silent: h.Cut})
+		}
+	})
+	return out
+}
