--- a/modules/daemon/certificate/reloader.go
+++ b/modules/daemon/certificate/reloader.go
@@ -42,7 +42,8 @@
 	pool    *x509.CertPool
 }
 
-// lookEvery is the least time between two looks at the files.
+// lookEvery is the least time between two looks at the files: three calls of the file system for the handshakes in it, against
+// how soon a new certificate is used. Not measured.
 const lookEvery = time.Second
 
 // New reads the files for the first time.
@@ -125,6 +126,7 @@
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
+			// The authority is looked at in verifyPeer.
 			cert, _ := r.current()
 			return cert, nil
 		},
--- a/modules/daemon/engine/dialect.go
+++ b/modules/daemon/engine/dialect.go
@@ -121,4 +121,5 @@
 	return (seen>>holderBits+1)<<holderBits | uint64(holder)
 }
 
+// holderBits is how many low bits of a fence name its holder; peers and stored fences go by it.
 const holderBits = 16
--- a/modules/daemon/engine/transport.go
+++ b/modules/daemon/engine/transport.go
@@ -20,10 +20,19 @@
 	MaxIdlePerHost int
 }
 
+const (
+	// keepAlive is the time between probes of an idle connection, so that one to a lost host is noticed; not measured.
+	keepAlive = 15 * time.Second
+	// writeBuffer and readBuffer are each connection's buffers, in bytes: smaller saves memory, larger saves system calls. With
+	// smaller ones a stream took 58.6 KB in place of 66, at the same time a token (docs/design/0004-data-path.md).
+	writeBuffer = 1 << 10
+	readBuffer  = 2 << 10
+)
+
 // NewTransport makes a transport that repeats nothing by itself and whose
 // connections count what was written, so that "not run" can be told for sure.
 func NewTransport(o TransportOptions) *http.Transport {
-	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAlive: 15 * time.Second}
+	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAlive: keepAlive}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
@@ -37,8 +46,8 @@
 		MaxIdleConnsPerHost:   o.MaxIdlePerHost,
 		DisableCompression:    true,
 		ForceAttemptHTTP2:     false,
-		WriteBufferSize:       1 << 10,
-		ReadBufferSize:        2 << 10,
+		WriteBufferSize:       writeBuffer,
+		ReadBufferSize:        readBuffer,
 	}
 }
 
--- a/modules/daemon/engine/vllm.go
+++ b/modules/daemon/engine/vllm.go
@@ -32,6 +32,9 @@
 
 const serviceName = "shelfledge-endpoints"
 
+// maxReason bounds the text of an endpoint's refusal that goes into an error, in bytes.
+const maxReason = 1 << 10
+
 // vllm holds what the functions of the dialect share.
 type vllm struct {
 	service httpc.Service
--- a/modules/daemon/engine/vllm_call.go
+++ b/modules/daemon/engine/vllm_call.go
@@ -39,8 +39,9 @@
 		return nil, brokenOff("request", probe, err)
 	}
 	if refusedUnrun(c.Endpoint, resp) {
+		// The text only explains a refusal that is certain; what could be read of it is enough.
 		defer func() { _ = resp.Body.Close() }()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReason))
 		return nil, ErrNotRun{
 			What: "request", Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode,
 			RetryAfter: retryAfter(resp.Header),
--- a/modules/daemon/engine/vllm_order.go
+++ b/modules/daemon/engine/vllm_order.go
@@ -36,6 +36,7 @@
 	defer cancel()
 	raw := []byte("{}")
 	if body != nil {
+		// A struct of strings always has a JSON form.
 		raw, _ = json.Marshal(body)
 	}
 	probe := &writeProbe{}
@@ -49,13 +50,15 @@
 	if err != nil {
 		return brokenOff(what, probe, err)
 	}
+	// The order's end is known from status and headers.
 	defer func() { _ = resp.Body.Close() }()
 	return orderAnswer(what, resp)
 }
 
 // orderAnswer reads an endpoint's answer to an order.
 func orderAnswer(what string, resp *http.Response) error {
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, 1<<10))
+	// The text only explains a status that decides by itself; what could be read of it is enough.
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReason))
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return nil
--- a/modules/daemon/engine/vllm_status.go
+++ b/modules/daemon/engine/vllm_status.go
@@ -32,6 +32,7 @@
 	if err != nil {
 		return Status{}, err
 	}
+	// The list is judged by its content, here as below.
 	defer func() { _ = resp.Body.Close() }()
 	var list modelList
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
@@ -52,11 +53,13 @@
 	if err != nil {
 		return Status{}, err
 	}
+	// The headers are all that counts.
 	_ = resp.Body.Close()
 	return headerStatus(resp.Header), nil
 }
 
 func headerStatus(h http.Header) Status {
+	// A missing or malformed fence is taken as zero, none: an endpoint that checks fences refuses what is too low by itself.
 	fence, _ := strconv.ParseUint(h.Get(HeaderFence), 10, 64)
 	return Status{
 		Incarnation: h.Get(HeaderIncarnation), Fence: fence, Holder: h.Get(HeaderHolder), Leaving: h.Get(HeaderLeaving) != "",
@@ -73,6 +76,7 @@
 		return nil, ErrUnknown{What: "list", Reason: err.Error()}
 	}
 	if resp.StatusCode != http.StatusOK {
+		// The status is reason enough.
 		_ = resp.Body.Close()
 		return nil, ErrUnknown{What: "list", Reason: resp.Status}
 	}
@@ -108,6 +112,7 @@
 	if !found {
 		return nil
 	}
+	// A label without its closing quote is read to the end of the line.
 	value, _, _ := strings.Cut(rest, `"`)
 	var out []fleet.AdapterRef
 	for name := range strings.SplitSeq(value, ",") {
--- a/modules/daemon/httpserver/server.go
+++ b/modules/daemon/httpserver/server.go
@@ -38,9 +38,11 @@
 }
 
 const (
+	// headerTimeout and maxHeaderBytes bound what a client may hold open before its request is read; not measured.
 	headerTimeout  = 10 * time.Second
-	idleTimeout    = 2 * time.Minute
 	maxHeaderBytes = 64 << 10
+	// idleTimeout trades idle connections for connecting again; not measured.
+	idleTimeout = 2 * time.Minute
 	// never keeps go-zero from killing the process a few seconds after SIGTERM, while streams still run.
 	never = 365 * 24 * time.Hour
 )
--- a/modules/daemon/instancelist/list.go
+++ b/modules/daemon/instancelist/list.go
@@ -74,6 +74,7 @@
 	return fmt.Sprintf("the platform's list is not available: %s", e.Reason)
 }
 
+// maxList bounds the list's answer, in bytes; not measured.
 const maxList = 4 << 20
 
 // Reader reads the list over HTTP.
@@ -95,6 +96,7 @@
 	if err != nil {
 		return List{}, ErrListUnavailable{Reason: err.Error()}
 	}
+	// Closing a body that was read tells nothing more of the list.
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return List{}, ErrListUnavailable{Reason: resp.Status}
--- a/modules/daemon/kv/client.go
+++ b/modules/daemon/kv/client.go
@@ -54,8 +54,13 @@
 }
 
 const (
-	maxAnswer      = 32 << 20
+	// maxAnswer bounds one answer, in bytes, so that a faulty service cannot exhaust the memory; not measured.
+	maxAnswer = 32 << 20
+	// defaultTimeout bounds one call where the options name no time-out; not measured.
 	defaultTimeout = 2 * time.Second
+	// idlePerHost and idleTimeout bound the idle connections kept to each address; not measured.
+	idlePerHost = 16
+	idleTimeout = 30 * time.Second
 )
 
 // New makes a client; it connects when it is first used.
@@ -65,7 +70,7 @@
 	}
 	client := o.Client
 	if client == nil {
-		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 16, IdleConnTimeout: 30 * time.Second}}
+		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: idleTimeout}}
 	}
 	return &Client{
 		options: o, http: client, reads: limiter(o.ReadsPerSecond), writes: limiter(o.WritesPerSecond),
@@ -149,6 +154,7 @@
 	if err != nil {
 		return ErrNotDone{Call: "watch", Reason: err.Error()}
 	}
+	// Why a watch ended is known from reading it.
 	defer func() { _ = resp.Body.Close() }()
 	return readWatch(resp.Body, onEvent)
 }
@@ -198,6 +204,7 @@
 	if err != nil {
 		return c.failed(path, err)
 	}
+	// The answer is whole once it was read, however the connection closes.
 	defer func() { _ = resp.Body.Close() }()
 	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
@@ -215,8 +222,8 @@
 	return nil
 }
 
-// refused reads a status: the service's client errors and its 429 and 503 are its own
-// word that nothing was done; other server errors leave it open.
+// refused reads a status: by its client errors, 429 among them, and by 503 the service says that nothing was done; other
+// server errors leave it open.
 func (c *Client) refused(path string, status int, answer []byte) error {
 	reason := fmt.Sprintf("status %d: %.200s", status, answer)
 	if status < http.StatusInternalServerError || status == http.StatusServiceUnavailable {
--- a/modules/daemon/language/parse.go
+++ b/modules/daemon/language/parse.go
@@ -26,7 +26,7 @@
 	participle.Elide("Comment", "Space"),
 	participle.CaseInsensitive("Word"),
 	participle.Unquote("String"),
-	participle.UseLookahead(3),
+	participle.UseLookahead(lookahead),
 )
 
 // ErrSyntax reports a text that is not of the language, and where.
@@ -50,8 +50,12 @@
 	return lines[e.Line-1] + "\n" + strings.Repeat(" ", max(0, e.Column-1)) + "^"
 }
 
+// maxText bounds the text of one request, in bytes; not measured.
 const maxText = 8 << 20
 
+// lookahead is how many tokens the parser looks ahead to tell two forms apart, such as "set class" and "set live".
+const lookahead = 3
+
 // Parse reads statements.
 func Parse(text string) ([]*Statement, error) {
 	if len(text) > maxText {
--- a/modules/daemon/peerlink/link.go
+++ b/modules/daemon/peerlink/link.go
@@ -44,12 +44,24 @@
 	dropped atomic.Int64
 }
 
+// None of these was measured.
 const (
-	queueLength   = 4096
-	maxMessage    = 32 << 20
-	maxBackoff    = time.Second
-	idleLife      = 2 * time.Minute
+	// queueLength is how many envelopes wait for one peer: more bridge a longer stall, for memory and for older messages.
+	queueLength = 4096
+	// maxMessage bounds one message, in bytes; the largest is a snapshot of the configuration.
+	maxMessage = 32 << 20
+	// idleLife is how long the stream to a peer is kept to which nothing is sent.
+	idleLife = 2 * time.Minute
+	// reconnectWait is the wait before the first new try of a connection; each further one is backoffGrowth times longer, up to
+	// maxBackoff, and varies by the part backoffJitter of itself so that peers do not come back all at once.
 	reconnectWait = 100 * time.Millisecond
+	backoffGrowth = 1.6
+	backoffJitter = 0.3
+	maxBackoff    = time.Second
+	// serverPing is the time without messages after which a peer is asked whether it lives, serverPingTimeout how long the
+	// answer may take.
+	serverPing        = 20 * time.Second
+	serverPingTimeout = 10 * time.Second
 )
 
 // New makes links that receive on the listener.
@@ -61,9 +73,11 @@
 	}
 	l.server = grpc.NewServer(
 		grpc.Creds(creds), grpc.MaxRecvMsgSize(maxMessage),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: 20 * time.Second, Timeout: 10 * time.Second}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPing, Timeout: serverPingTimeout}),
 	)
 	l.server.RegisterService(&description, l)
+	// Serve ends with no error after Close, and with one where the listener fails: peers that connect anew are then not heard,
+	// which membership takes as their loss.
 	go func() { _ = l.server.Serve(listener) }()
 	return l
 }
@@ -133,7 +147,7 @@
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
 		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codecName), grpc.MaxCallRecvMsgSize(maxMessage)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff: backoff.Config{BaseDelay: reconnectWait, Multiplier: 1.6, Jitter: 0.3, MaxDelay: maxBackoff}, MinConnectTimeout: maxBackoff,
+			Backoff: backoff.Config{BaseDelay: reconnectWait, Multiplier: backoffGrowth, Jitter: backoffJitter, MaxDelay: maxBackoff}, MinConnectTimeout: maxBackoff,
 		}),
 	)
 	if err != nil {
--- a/modules/daemon/peerlink/peer.go
+++ b/modules/daemon/peerlink/peer.go
@@ -83,7 +83,7 @@
 		return nil
 	}
 	go func() {
-		// The server answers only by ending the stream; this frees what the stream holds.
+		// The server answers only by ending the stream; this frees what the stream holds. Why it ended is seen by the next send.
 		_ = stream.RecvMsg(&pushed{})
 	}()
 	return stream
@@ -93,6 +93,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.conn != nil {
+		// Its one error says that it was closed before.
 		_ = p.conn.Close()
 		p.conn = nil
 	}
--- a/modules/daemon/ring/ring.go
+++ b/modules/daemon/ring/ring.go
@@ -11,17 +11,25 @@
 func Score(key, candidate string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
+	// Writes of a digest never give an error.
 	_, _ = d.WriteString(key)
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(candidate)
 	return mix(d.Sum64())
 }
 
+// mixShift and mixFactor are the shifts and the first factor of MurmurHash3's 64-bit finalizer. Changed, they would give each
+// key another candidate: two versions of the program must agree on them.
+const (
+	mixShift  = 33
+	mixFactor = 0xff51afd7ed558ccd
+)
+
 // mix spreads the bits, since keys that differ little give hashes that are compared whole.
 func mix(h uint64) uint64 {
-	h ^= h >> 33
-	h *= 0xff51afd7ed558ccd
-	h ^= h >> 33
+	h ^= h >> mixShift
+	h *= mixFactor
+	h ^= h >> mixShift
 	return h
 }
 
--- a/modules/daemon/setting/decode.go
+++ b/modules/daemon/setting/decode.go
@@ -56,9 +56,11 @@
 	return d
 }
 
+// lineOf finds the line in the parser's message, or gives the first.
 func lineOf(message string) int {
 	line := 1
 	if at := strings.Index(message, "line "); at >= 0 {
+		// Where no number follows, the line stays the first.
 		_, _ = fmt.Sscanf(message[at:], "line %d", &line)
 	}
 	return line
@@ -87,6 +89,7 @@
 	return 1 + bytes.Count(d.raw[:min(v.StartOffset, len(d.raw))], []byte("\n"))
 }
 
+// fill sets a field from a value of the file, whose type decides how.
 func (d *document) fill(v hujson.Value, into reflect.Value, name string) {
 	if name != "" {
 		d.lines[name] = d.at(v)
--- a/services/daemon/command/service.go
+++ b/services/daemon/command/service.go
@@ -120,6 +120,7 @@
 	return p, dry, nil
 }
 
+// maxCommandText bounds a command's text as it is stored with the record, in bytes.
 const maxCommandText = 400
 
 func shorten(text string) string {
@@ -149,8 +150,11 @@
 }
 
 const (
+	// maxDescribed bounds the changes that an answer describes one by one.
 	maxDescribed = 50
-	waitPoll     = 10 * time.Millisecond
+	// waitPoll is how often the halls' revisions are looked at, in memory, while a command waits; a change is in force
+	// everywhere after 264 ms (docs/design/0004-data-path.md). Not varied.
+	waitPoll = 10 * time.Millisecond
 )
 
 func describe(changes []catalog.Change) []string {
--- a/services/daemon/command/translate.go
+++ b/services/daemon/command/translate.go
@@ -152,12 +152,10 @@
 	return changes, nil
 }
 
-const whole = 100
-
 func service(c *language.ServiceClause) ([]catalog.Change, error) {
 	var shares []catalog.Share
 	for _, s := range c.Shares {
-		share := catalog.Share{Adapter: s.Adapter, Percent: whole}
+		share := catalog.Share{Adapter: s.Adapter, Percent: catalog.WholePercent}
 		if ref, err := fleet.ParseAdapterRef(s.Adapter); err == nil {
 			share.Adapter, share.Version = ref.Name, ref.Version
 		}
@@ -182,21 +180,21 @@
 	if err != nil {
 		return nil, ErrMeaning{Reason: fmt.Sprintf("column %d: %s", c.To.Pos.Column, err)}
 	}
-	percent := whole
+	percent := catalog.WholePercent
 	if c.Percent != nil {
 		percent = int(*c.Percent)
 	}
-	if percent > whole {
+	if percent > catalog.WholePercent {
 		return nil, ErrMeaning{Reason: "a share is at most 100%"}
 	}
 	next := catalog.Share{Adapter: ref.Name, Version: ref.Version, Percent: percent}
 	shares := []catalog.Share{next}
-	if percent < whole {
+	if percent < catalog.WholePercent {
 		old, found := oldShare(s, next)
 		if !found {
 			return nil, ErrMeaning{Reason: "the service has no other version to keep the rest"}
 		}
-		old.Percent = whole - percent
+		old.Percent = catalog.WholePercent - percent
 		// The old version stays first, which is what rolling back returns to.
 		shares = []catalog.Share{old, next}
 	}
@@ -217,11 +215,11 @@
 	if s == nil {
 		return nil, ErrMeaning{Reason: fmt.Sprintf("no service %q", name)}
 	}
-	if len(s.Shares) < 2 {
+	if len(s.Shares) <= 1 {
 		return nil, ErrMeaning{Reason: fmt.Sprintf("service %q is not between two versions; use undo revision", name)}
 	}
 	old := s.Shares[0]
-	old.Percent = whole
+	old.Percent = catalog.WholePercent
 	return one(catalog.Change{Kind: catalog.SetService, Name: name, Shares: []catalog.Share{old}})
 }
 
@@ -281,12 +279,19 @@
 	return nil
 }
 
+const (
+	hoursPerDay    = 24
+	minutesPerHour = 60
+)
+
+// minuteOfDay reads a time such as 08:30 as minutes after midnight; 24:00 ends a day.
 func minuteOfDay(text string) (int, error) {
+	// Without a colon the minutes are empty, which Atoi refuses below.
 	h, m, _ := strings.Cut(text, ":")
 	hour, errHour := strconv.Atoi(h)
 	minute, errMinute := strconv.Atoi(m)
-	if errHour != nil || errMinute != nil || hour > 24 || minute > 59 {
+	if errHour != nil || errMinute != nil || hour > hoursPerDay || minute >= minutesPerHour {
 		return 0, ErrMeaning{Reason: fmt.Sprintf("%q is no time of day", text)}
 	}
-	return hour*60 + minute, nil
+	return hour*minutesPerHour + minute, nil
 }
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -41,6 +41,7 @@
 func (l listeners) close() {
 	for _, x := range []net.Listener{l.callers, l.operators, l.peers} {
 		if x != nil {
+			// The start has failed already, for a reason that is told.
 			_ = x.Close()
 		}
 	}
@@ -73,7 +74,7 @@
 func (d *Daemon) build(ctx context.Context, o Options, l listeners) error {
 	dialect := engine.NewVLLM(engine.VLLMOptions{
 		Transport: engine.NewTransport(engine.TransportOptions{
-			DialTimeout: dialTimeout, HeaderTimeout: d.settings.Limits.EndpointSilent.Duration(), IdleTimeout: time.Minute, MaxIdlePerHost: idlePerHost,
+			DialTimeout: dialTimeout, HeaderTimeout: d.settings.Limits.EndpointSilent.Duration(), IdleTimeout: idleTimeout, MaxIdlePerHost: idlePerHost,
 		}),
 		Timeout: statusTimeout, LoadTimeout: d.settings.Decision.LoadTimeout.Duration() - loadMargin,
 	})
--- a/services/daemon/process/daemon.go
+++ b/services/daemon/process/daemon.go
@@ -75,14 +75,27 @@
 	return fmt.Sprintf("the daemon could not start: %s: %s", e.Part, e.Reason)
 }
 
+// Of these only the journal's memory was measured.
 const (
-	journalSize   = 20000
-	loadMargin    = 2 * time.Second
-	queryTimeout  = time.Second
-	dialTimeout   = time.Second
-	idlePerHost   = 1024
-	cancelLife    = 10 * time.Minute
+	// journalSize is in events: 3.4 MB for the places of 20,000, their texts come on top (docs/CAPACITY.md).
+	journalSize = 20000
+	// loadMargin is how much sooner an order to load gives up than its placer, so that the answer comes before that.
+	loadMargin = 2 * time.Second
+	// queryTimeout bounds the wait for other instances' parts of a query: longer gives more complete answers, shorter ones
+	// sooner.
+	queryTimeout = time.Second
+	// dialTimeout bounds a connection to an endpoint: a retry elsewhere comes sooner, or a slow endpoint is still reached.
+	dialTimeout = time.Second
+	// idleTimeout and idlePerHost bound the idle connections to endpoints, kept to save connecting again.
+	idleTimeout = time.Minute
+	idlePerHost = 1024
+	// cancelLife is how long a request that may still run is cancelled again and again; a ticket lasts no longer
+	// (docs/design/0002-ownership-and-tickets.md).
+	cancelLife = 10 * time.Minute
+	// statusTimeout bounds lists of, and short orders to, an endpoint.
 	statusTimeout = 2 * time.Second
+	// permitMargin is how long after the longest load a permit lapses that was not given back.
+	permitMargin = 15 * time.Second
 )
 
 // Start opens the listeners and starts the daemon.
@@ -169,6 +182,7 @@
 		d.log.WithError(err).Warn("requests are still in flight at the drain limit")
 	}
 	d.waitFor(ctx)
+	// Its one error is the drain limit, and an operator's open request is no reason to go on.
 	_ = d.operators.Shutdown(ctx)
 	d.end()
 	d.log.Info("the daemon has stopped")
@@ -188,6 +202,7 @@
 
 // Kill ends the daemon at once, as a crash would, for tests.
 func (d *Daemon) Kill() {
+	// A crash tells nobody of errors either.
 	_ = d.callers.Close()
 	_ = d.operators.Close()
 	d.end()
--- a/services/daemon/process/options.go
+++ b/services/daemon/process/options.go
@@ -4,8 +4,6 @@
 package process
 
 import (
-	"time"
-
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 	"github.com/shelfledge/shelfledge/services/daemon/budget"
@@ -67,6 +65,6 @@
 	t.LeaseMargin = c.LeaseMargin.Duration()
 	t.LeaseRenew = c.LeaseRenew.Duration()
 	t.RecoveryDelay = c.RecoveryDelay.Duration()
-	t.PermitLife = s.Decision.LoadTimeout.Duration() + 15*time.Second
+	t.PermitLife = s.Decision.LoadTimeout.Duration() + permitMargin
 	return t
 }
--- a/services/daemon/relay/event_reader.go
+++ b/services/daemon/relay/event_reader.go
@@ -21,7 +21,7 @@
 
 func (e *eventReader) reset(in io.Reader) {
 	e.in.Reset(in)
-	if cap(e.event) > 16*readBuffer {
+	if cap(e.event) > keptBuffers*readBuffer {
 		e.event = nil
 	}
 }
--- a/services/daemon/relay/exchange.go
+++ b/services/daemon/relay/exchange.go
@@ -17,9 +17,15 @@
 )
 
 const (
-	readBuffer    = 2 << 10
+	// readBuffer is each stream's buffer for events, in bytes: smaller saves memory, larger saves reads. 2 KB in place of 4
+	// was part of 66 to 58.6 KB a stream at the same time a token (docs/design/0004-data-path.md).
+	readBuffer = 2 << 10
+	// maxEventBytes and maxAnswer bound one event and one answer that is not streamed, in bytes, so that a faulty endpoint
+	// cannot exhaust the memory; not measured.
 	maxEventBytes = 1 << 20
 	maxAnswer     = 64 << 20
+	// keptBuffers is how many read buffers long an event's own buffer may be that is kept for the next stream.
+	keptBuffers = 16
 )
 
 var buffers = sync.Pool{New: func() any { return newEventReader(nil) }}
@@ -35,6 +41,7 @@
 		}
 		return err
 	}
+	// Closing a body that was read tells nothing more of the answer.
 	defer func() { _ = resp.Body.Close() }()
 	if err := r.checkAnswer(resp); err != nil {
 		return err
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -32,6 +32,16 @@
 	mayHaveRun bool
 }
 
+const (
+	// claimRetryAfter is what a caller is told to wait after a claim could not be made, about the time-out of one call to the
+	// key-value service. Not measured.
+	claimRetryAfter = 2 * time.Second
+	// endpointRetryAfter is what a caller is told to wait where the endpoint that refused named no time. Not measured.
+	endpointRetryAfter = time.Second
+	// minEvents is how many events a stream needs for a mean time between its tokens: two tokens and the closing event.
+	minEvents = 3
+)
+
 // serve makes attempts until the request is answered, refused or unknown.
 func (r *run) serve(ctx context.Context) error {
 	r.service.budget.earn()
@@ -61,9 +71,11 @@
 	case once.Taken:
 		return ErrUnknown{Claimed: true, Detail: "a request with this identifier was claimed before and is not run again"}
 	}
-	return ErrNotRun{Reason: fleet.ReasonClaimImpossib, RetryAfter: 2 * time.Second, Detail: "the claim that keeps it from running twice could not be made"}
+	return ErrNotRun{Reason: fleet.ReasonClaimImpossib, RetryAfter: claimRetryAfter, Detail: "the claim that keeps it from running twice could not be made"}
 }
 
+// unclaimLimit bounds taking a claim back, a read and a write, after its request was not run; a claim that stays is safe. Not
+// measured.
 const unclaimLimit = 5 * time.Second
 
 // unclaim lets the caller try again with the same identifier.
@@ -75,6 +87,7 @@
 	}
 }
 
+// attempts makes attempts until one succeeds or no other may follow.
 func (r *run) attempts(ctx context.Context) error {
 	for attempt := 0; ; attempt++ {
 		r.job.Request.Attempt = attempt
@@ -100,7 +113,7 @@
 	return "broken"
 }
 
-// judge decides whether an attempt that failed may be repeated, and what the caller is told if not.
+// judge decides whether an attempt that failed may be retried, and what the caller is told if not.
 func (r *run) judge(ctx context.Context, attempt int, err error) (bool, error) {
 	if IsErrNotRun(err) || IsErrUnknown(err) {
 		return false, err
@@ -120,12 +133,13 @@
 	return !r.job.Request.Expired(r.service.options.Now()), final
 }
 
+// final gives what the caller is told if an attempt that failed is the last.
 func (r *run) final(err error, notRun bool) error {
 	if !notRun {
 		return ErrUnknown{Detail: err.Error()}
 	}
 	var e engine.ErrNotRun
-	retryAfter := time.Second
+	retryAfter := endpointRetryAfter
 	if errors.As(err, &e) && e.RetryAfter > 0 {
 		retryAfter = e.RetryAfter
 	}
@@ -192,6 +206,7 @@
 	return err
 }
 
+// maxResumes bounds the resumes of one stream; more save streams over longer faults, each for a further connection. Not measured.
 const maxResumes = 2
 
 // resumable tells whether a broken stream may be asked for from where it broke off;
@@ -219,6 +234,7 @@
 	go r.service.cancelUntilGone(r.ticket, r.job.Request.ID)
 }
 
+// cancelEvery trades cancels of an endpoint that does not answer for how soon its ticket is free; not measured.
 const cancelEvery = 500 * time.Millisecond
 
 // cancelUntilGone cancels a request that may still run, and gives its ticket back
@@ -236,6 +252,7 @@
 	}
 }
 
+// note enters an event of the request into the journal.
 func (r *run) note(kind fleet.EventKind, cause string) {
 	r.service.options.Control.Note(fleet.Event{
 		At: r.service.options.Now(), Kind: kind, Cause: cause, Request: r.job.Request.ID, Adapter: r.job.Request.Adapter.String(),
@@ -243,6 +260,7 @@
 	})
 }
 
+// observe adds the request's end to the metrics.
 func (r *run) observe(err error) {
 	now := r.service.options.Now()
 	o := metric.Observation{
@@ -259,7 +277,7 @@
 	if r.out.started {
 		o.FirstToken = r.out.first.Sub(r.arrived)
 	}
-	if r.out.events > 2 {
+	if r.out.events >= minEvents {
 		o.Between = r.out.last.Sub(r.out.first) / time.Duration(r.out.events-1)
 	}
 	r.service.options.Metrics.Observe(o)
--- a/services/daemon/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -37,7 +37,7 @@
 	Dialect   engine.Dialect
 	Endpoints []fleet.Endpoint
 	Metrics   *metric.Metrics
-	// MaxAttempts bounds the attempts of one request, RetryShare the part of all requests that may be repeated.
+	// MaxAttempts bounds the attempts of one request, RetryShare the part of all requests that may be retried.
 	MaxAttempts    int
 	RetryShare     float64
 	SlowReader     time.Duration
@@ -102,7 +102,7 @@
 	return err
 }
 
-// retryBudget lets a part of all requests be repeated, so that a fault that hits
+// retryBudget lets a part of all requests be retried, so that a fault that hits
 // many does not multiply the load.
 type retryBudget struct {
 	mutex  sync.Mutex
@@ -111,6 +111,8 @@
 }
 
 const (
+	// budgetStart and budgetMost are the retries that a new instance may make at once, and that a quiet time saves up at most:
+	// more bridge a larger fault, fewer add less load to it. Not measured.
 	budgetStart = 10.0
 	budgetMost  = 100.0
 )
--- a/services/daemon/relay/writer.go
+++ b/services/daemon/relay/writer.go
@@ -14,30 +14,36 @@
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	flusher    http.Flusher
-	patience   time.Duration
-	now        func() time.Time
-	deadline   time.Time
-	started    bool
-	events     int
-	first      time.Time
-	last       time.Time
+	// timeout bounds how long the caller may take to read what is written.
+	timeout  time.Duration
+	now      func() time.Time
+	deadline time.Time
+	started  bool
+	events   int
+	first    time.Time
+	last     time.Time
 }
 
-func newWriter(w http.ResponseWriter, patience time.Duration, now func() time.Time) *writer {
+func newWriter(w http.ResponseWriter, timeout time.Duration, now func() time.Time) *writer {
+	// A writer without Flush, as of a test, leaves flusher nil, and nothing is flushed.
 	flusher, _ := w.(http.Flusher)
-	return &writer{w: w, controller: http.NewResponseController(w), flusher: flusher, patience: patience, now: now}
+	return &writer{w: w, controller: http.NewResponseController(w), flusher: flusher, timeout: timeout, now: now}
 }
 
 func (o *writer) header() http.Header {
 	return o.w.Header()
 }
 
+// renewalParts is the part of the time-out, one over this, in which a deadline that was set is left as it is: a write may end
+// after half of the time-out at the earliest, for one call in place of one an event. Not measured.
+const renewalParts = 2
+
 // extend moves the caller's deadline on, at most once in a while, since it costs a call.
 func (o *writer) extend(now time.Time) {
-	if o.deadline.Sub(now) > o.patience/2 {
+	if o.deadline.Sub(now) > o.timeout/renewalParts {
 		return
 	}
-	o.deadline = now.Add(o.patience)
+	o.deadline = now.Add(o.timeout)
 	// Not every writer knows deadlines; without one a slow reader is bounded by the connection itself.
 	_ = o.controller.SetWriteDeadline(o.deadline)
 }
