--- a/modules/daemon/setting/kv.go
+++ b/modules/daemon/setting/kv.go
@@ -19,6 +19,10 @@
 	ClaimTTL Duration `json:"claim_ttl"`
 }
 
+// defaultKV is the table of defaults; none was measured. The rates are this instance's own part of the service's, which the
+// capacity page counts (docs/CAPACITY.md).
+//
+//nolint:mnd // The fields name the numbers.
 func defaultKV() KV {
 	return KV{
 		Prefix: "/shelfledge", Timeout: Duration(2 * time.Second), ReadsPerSecond: 100, WritesPerSecond: 15,
--- a/modules/daemon/setting/limits.go
+++ b/modules/daemon/setting/limits.go
@@ -7,27 +7,48 @@
 
 // Limits bound what callers may ask of one instance.
 type Limits struct {
-	MaxBodyBytes   int64    `json:"max_body_bytes"`
-	MaxRequests    int      `json:"max_requests"`
-	RetryShare     float64  `json:"retry_share"`
-	MaxAttempts    int      `json:"max_attempts"`
-	DefaultWait    Duration `json:"default_wait"`
+	// MaxBodyBytes bounds the body of one request, MaxRequests the requests open at once.
+	MaxBodyBytes int64 `json:"max_body_bytes"`
+	MaxRequests  int   `json:"max_requests"`
+	// RetryShare is the part of all requests that may be retried, from 0 to 1, and MaxAttempts bounds those of one request.
+	RetryShare  float64 `json:"retry_share"`
+	MaxAttempts int     `json:"max_attempts"`
+	// DefaultWait is the longest wait for the start where the caller names no deadline.
+	DefaultWait Duration `json:"default_wait"`
+	// SlowReader is how long a caller may take nothing, and EndpointSilent how long an endpoint may send nothing.
 	SlowReader     Duration `json:"slow_reader"`
 	EndpointSilent Duration `json:"endpoint_silent"`
-	DrainLimit     Duration `json:"drain_limit"`
-	LeaveNotice    Duration `json:"leave_notice"`
-	OutputTokens   int      `json:"output_tokens"`
-	BytesPerToken  int      `json:"bytes_per_token"`
+	// DrainLimit bounds a planned stop; before it, the instance is not ready for LeaveNotice, so that the balancer sees it.
+	DrainLimit  Duration `json:"drain_limit"`
+	LeaveNotice Duration `json:"leave_notice"`
+	// OutputTokens are assumed where a request names no limit, and BytesPerToken estimates the prompt's tokens.
+	OutputTokens  int `json:"output_tokens"`
+	BytesPerToken int `json:"bytes_per_token"`
 }
 
+// defaultLimits is the table of defaults. 4,000 streams at once were measured (docs/design/0004-data-path.md), half of
+// MaxRequests; the other values were not measured.
+//
+//nolint:mnd // The fields name the numbers.
 func defaultLimits() Limits {
 	return Limits{
-		MaxBodyBytes: 4 << 20, MaxRequests: 8000, RetryShare: 0.1, MaxAttempts: 3, DefaultWait: Duration(60 * time.Second),
-		SlowReader: Duration(30 * time.Second), EndpointSilent: Duration(60 * time.Second), DrainLimit: Duration(10 * time.Minute),
-		LeaveNotice: Duration(2 * time.Second), OutputTokens: 256, BytesPerToken: 4,
+		MaxBodyBytes:   4 << 20,
+		MaxRequests:    8000,
+		RetryShare:     0.1,
+		MaxAttempts:    3,
+		DefaultWait:    Duration(60 * time.Second),
+		SlowReader:     Duration(30 * time.Second),
+		EndpointSilent: Duration(60 * time.Second),
+		DrainLimit:     Duration(10 * time.Minute),
+		LeaveNotice:    Duration(2 * time.Second),
+		OutputTokens:   256,
+		BytesPerToken:  4,
 	}
 }
 
+// check reports values out of bounds; the bounds were not measured.
+//
+//nolint:mnd // The settings' names say what the bounds are of.
 func (l Limits) check(d *document) {
 	between(d, "limits.max_body_bytes", int(l.MaxBodyBytes), 1<<10, 64<<20)
 	between(d, "limits.max_requests", l.MaxRequests, 1, 1_000_000)
--- a/modules/daemon/setting/log.go
+++ b/modules/daemon/setting/log.go
@@ -30,6 +30,9 @@
 	MaxClasses int `json:"max_classes"`
 }
 
+// defaultMetrics trades series at the metrics' reader for callers and classes shown by name; not measured.
+//
+//nolint:mnd // The fields name the numbers.
 func defaultMetrics() Metrics {
 	return Metrics{MaxCallers: 100, MaxClasses: 20}
 }
--- a/modules/daemon/setting/operator.go
+++ b/modules/daemon/setting/operator.go
@@ -30,6 +30,7 @@
 	FailuresPerMinute int `json:"failures_per_minute"`
 }
 
+// sha256Length is the length of a key's hash, in bytes.
 const sha256Length = 32
 
 func (o Operators) check(d *document) {
--- a/modules/daemon/setting/platform.go
+++ b/modules/daemon/setting/platform.go
@@ -15,6 +15,9 @@
 	Timeout Duration       `json:"timeout"`
 }
 
+// defaultPlatform is the table of defaults; none was measured.
+//
+//nolint:mnd // The fields name the numbers.
 func defaultPlatform() Platform {
 	return Platform{Every: Duration(500 * time.Millisecond), Timeout: Duration(2 * time.Second)}
 }
--- a/modules/daemon/setting/settings.go
+++ b/modules/daemon/setting/settings.go
@@ -3,9 +3,7 @@
 
 package setting
 
-import (
-	"os"
-)
+import "os"
 
 // Settings are all settings of a daemon.
 type Settings struct {
@@ -48,6 +46,9 @@
 	return s, nil
 }
 
+// defaults gives the settings in use where the file is silent; the weight store's rate and the operators' limit were not measured.
+//
+//nolint:mnd // The fields name the numbers.
 func defaults() *Settings {
 	return &Settings{
 		KV:        defaultKV(),
