--- a/routers/daemon/operator/wire.go
+++ b/routers/daemon/operator/wire.go
@@ -45,7 +45,6 @@
 	KindUnsettled   ErrorKind = "unsettled"
 	KindDenied      ErrorKind = "denied"
 	KindTooMany     ErrorKind = "too_many"
-	KindInternal    ErrorKind = "internal"
 )
 
 // Error tells why a statement was not carried out.
--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -18,8 +18,6 @@
 	Fresh time.Duration
 	// BoundedLoad is how far above the mean a pool may be loaded before cold adapters go elsewhere.
 	BoundedLoad float64
-	// LocalOnly keeps every request in its own hall, for comparison only.
-	LocalOnly bool
 }
 
 const (
@@ -153,7 +151,7 @@
 			continue
 		}
 		stale := now.Sub(v.heard) > r.options.Fresh
-		if v.cut || stale || r.options.LocalOnly || v.places == 0 {
+		if v.cut || stale || v.places == 0 {
 			continue
 		}
 		out = append(out, v)
