--- a/cmd/shelfctl/main.go
+++ b/cmd/shelfctl/main.go
@@ -122,6 +122,7 @@
 		if err != nil {
 			return "", fmt.Errorf("statements: %w", err)
 		}
+		// A file that was read whole has nothing left to lose.
 		defer func() { _ = f.Close() }()
 		in = f
 	}
@@ -132,8 +133,15 @@
 	return string(raw), nil
 }
 
+const (
+	// rounds is how often all addresses are tried.
+	rounds = 3
+	// answerMargin is how much longer than a change's wait an answer may take.
+	answerMargin = 30 * time.Second
+)
+
 func newClient(args *arguments) (*operatorclient.Client, error) {
-	o := operatorclient.Options{Wait: args.Wait, Rounds: 3, TLS: args.CA != "", HTTP: &http.Client{Timeout: args.Wait + 30*time.Second}}
+	o := operatorclient.Options{Wait: args.Wait, Rounds: rounds, TLS: args.CA != "", HTTP: &http.Client{Timeout: args.Wait + answerMargin}}
 	for _, text := range args.Address {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
--- a/modules/shelfctl/operatorclient/client.go
+++ b/modules/shelfctl/operatorclient/client.go
@@ -59,9 +59,11 @@
 	return &Client{options: o}
 }
 
+// roundPause is the wait before all addresses are tried again; not measured.
 const roundPause = 300 * time.Millisecond
 
-// Run sends a text under one identifier, so that a repeat at another daemon changes nothing twice.
+// Run sends a text under one identifier, so that a repeat at another daemon changes nothing twice. It gives ErrNoDaemon where no
+// address gave an answer; what a daemon refused is in the answer.
 func (c *Client) Run(ctx context.Context, text string) (operator.RunResponse, error) {
 	in := operator.RunRequest{Text: text, ID: uuid.NewString(), WaitMS: c.options.Wait.Milliseconds()}
 	last := ErrNoDaemon{Reason: "no address is given"}
@@ -115,6 +117,7 @@
 	if err != nil {
 		return out, fmt.Errorf("send: %w", err)
 	}
+	// The answer is whole once it was read.
 	defer func() { _ = resp.Body.Close() }()
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
 		return out, fmt.Errorf("answer %s: %w", resp.Status, err)
--- a/routers/daemon/caller/error_body.go
+++ b/routers/daemon/caller/error_body.go
@@ -91,6 +91,7 @@
 		h.Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.WriteHeader(f.status)
+	// A caller that is gone reads no failure; the same holds for writeEvent.
 	_, _ = w.Write(f.body(requestID))
 }
 
--- a/routers/daemon/caller/request.go
+++ b/routers/daemon/caller/request.go
@@ -34,10 +34,12 @@
 )
 
 const (
-	maxIDLength  = 128
-	prefixBytes  = 512
-	anonymous    = "anonymous"
-	percentDraws = 100
+	// maxIDLength bounds identifiers of callers, in bytes: they become keys of the key-value service and labels of metrics.
+	maxIDLength = 128
+	// prefixBytes is how much of a prompt's beginning tells prompts apart that were run before; not measured.
+	prefixBytes = 512
+	// anonymous is the caller of requests that name none.
+	anonymous = "anonymous"
 )
 
 // metadata is the body's own way to say what the headers say.
@@ -173,6 +175,7 @@
 	return m
 }
 
+// validID tells whether an identifier is short and has only printable ASCII without spaces; none at all is valid.
 func validID(text string) bool {
 	if len(text) > maxIDLength {
 		return false
@@ -225,7 +228,7 @@
 	if id == "" {
 		id = p.requestID
 	}
-	return int(xxhash.Sum64String(id) % percentDraws)
+	return int(xxhash.Sum64String(id) % catalog.WholePercent)
 }
 
 // forEndpoint gives the body that the endpoint gets: the model by its immutable name.
--- a/routers/daemon/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -49,7 +49,10 @@
 }
 
 const (
-	maxBody     = 9 << 20
+	// maxBody bounds the body of one request, in bytes: the language's longest text, escaped a little, fits in. Not measured.
+	maxBody = 9 << 20
+	// defaultWait is how long a change is waited for until it is in force, where the request names no time; 264 ms are usual
+	// (docs/design/0004-data-path.md). maxWait bounds what a request may name. Neither was varied.
 	defaultWait = 4 * time.Second
 	maxWait     = time.Minute
 )
@@ -106,8 +109,11 @@
 	httpx.WriteJsonCtx(q.Context(), w, statusOf(err), out)
 }
 
+// check finds who asks, by the key in the Authorization header, and counts the log-in.
 func (r *Router) check(q *http.Request, need access.Role) (access.Operator, error) {
+	// A header of another form is taken as the key itself, which no key's hash matches.
 	key, _ := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
+	// The server gives an address and port; any other text would share the failures of the zero address.
 	from, _ := netip.ParseAddrPort(q.RemoteAddr)
 	who, err := r.options.Access.Check(r.options.Now(), from.Addr(), key, need)
 	result := "ok"
@@ -139,34 +145,40 @@
 func (r *Router) carryOut(ctx context.Context, statements []*language.Statement, in RunRequest, who access.Operator) ([]Answer, error) {
 	var answers []Answer
 	batches := 0
-	for i := 0; i < len(statements); {
-		s := statements[i]
-		if s.Change == nil {
-			a, err := r.ask(ctx, s)
+	for len(statements) > 0 {
+		changes := leadingChanges(statements)
+		if len(changes) == 0 {
+			a, err := r.ask(ctx, statements[0])
 			if err != nil {
 				return answers, err
 			}
 			answers = append(answers, a)
-			i++
+			statements = statements[1:]
 			continue
 		}
-		end := i
-		var changes []*language.Change
-		for end < len(statements) && statements[end].Change != nil {
-			changes = append(changes, statements[end].Change)
-			end++
-		}
 		result, err := r.options.Command.Execute(ctx, batchOf(changes, in, who, batches))
 		if err != nil {
 			return answers, err
 		}
 		answers = append(answers, Answer{Change: &result})
 		batches++
-		i = end
+		statements = statements[len(changes):]
 	}
 	return answers, nil
 }
 
+// leadingChanges gives the changes up to the first statement that is none.
+func leadingChanges(statements []*language.Statement) []*language.Change {
+	var changes []*language.Change
+	for _, s := range statements {
+		if s.Change == nil {
+			break
+		}
+		changes = append(changes, s.Change)
+	}
+	return changes
+}
+
 func batchOf(changes []*language.Change, in RunRequest, who access.Operator, number int) command.Request {
 	id := in.ID
 	if id == "" {
--- a/services/shelfctl/shell/print.go
+++ b/services/shelfctl/shell/print.go
@@ -79,11 +79,18 @@
 
 // Print prints an answer for people.
 func Print(w io.Writer, out operator.RunResponse) {
+	var text strings.Builder
+	printAnswers(&text, out)
+	// The exit code tells what became of the statements, also where nobody reads the answer.
+	_, _ = io.WriteString(w, text.String())
+}
+
+func printAnswers(w *strings.Builder, out operator.RunResponse) {
 	for _, a := range out.Answers {
 		switch {
 		case a.Explain != nil:
 			for _, line := range a.Explain.Lines {
-				_, _ = fmt.Fprintln(w, line)
+				fmt.Fprintln(w, line)
 			}
 		case a.Change != nil:
 			printChange(w, *a.Change)
@@ -97,14 +104,14 @@
 	}
 }
 
-func printError(w io.Writer, e operator.Error) {
+func printError(w *strings.Builder, e operator.Error) {
 	if e.Point != "" {
-		_, _ = fmt.Fprintf(w, "%s\nline %d, column %d: ", e.Point, e.Line, e.Column)
+		fmt.Fprintf(w, "%s\nline %d, column %d: ", e.Point, e.Line, e.Column)
 	}
-	_, _ = fmt.Fprintf(w, "%s: %s\n", strings.ReplaceAll(string(e.Kind), "_", " "), e.Message)
+	fmt.Fprintf(w, "%s: %s\n", strings.ReplaceAll(string(e.Kind), "_", " "), e.Message)
 }
 
-func printChange(w io.Writer, c command.Result) {
+func printChange(w *strings.Builder, c command.Result) {
 	verb := "accepted as revision"
 	if c.DryRun {
 		verb = "dry run: would become revision"
@@ -112,12 +119,12 @@
 	if c.Repeated {
 		verb = "had been accepted before as revision"
 	}
-	_, _ = fmt.Fprintf(w, "%s %d\n", verb, c.Revision)
+	fmt.Fprintf(w, "%s %d\n", verb, c.Revision)
 	for _, line := range c.Changes {
-		_, _ = fmt.Fprintf(w, "  %s\n", line)
+		fmt.Fprintf(w, "  %s\n", line)
 	}
 	for _, h := range c.Halls {
-		_, _ = fmt.Fprintf(w, "  %-8s %s\n", h.Hall, hallWords(h))
+		fmt.Fprintf(w, "  %-8s %s\n", h.Hall, hallWords(h))
 	}
 }
 
@@ -132,22 +139,23 @@
 }
 
 // printParts names what is missing from an answer, or how old its parts are.
-func printParts(w io.Writer, parts []query.Part) {
+func printParts(w *strings.Builder, parts []query.Part) {
 	for _, p := range parts {
 		switch {
 		case p.Silent:
-			_, _ = fmt.Fprintf(w, "-- hall %s did not answer: its part is missing\n", p.Hall)
+			fmt.Fprintf(w, "-- hall %s did not answer: its part is missing\n", p.Hall)
 		case len(p.Missing) > 0:
-			_, _ = fmt.Fprintf(w, "-- hall %s: no answer from %s\n", p.Hall, strings.Join(p.Missing, ", "))
+			fmt.Fprintf(w, "-- hall %s: no answer from %s\n", p.Hall, strings.Join(p.Missing, ", "))
 		default:
-			_, _ = fmt.Fprintf(w, "-- hall %s: %d ms old\n", p.Hall, p.Age.Round(time.Millisecond).Milliseconds())
+			fmt.Fprintf(w, "-- hall %s: %d ms old\n", p.Hall, p.Age.Round(time.Millisecond).Milliseconds())
 		}
 	}
 }
 
+// maxCell is the widest that a cell is shown, in characters; longer ones are cut.
 const maxCell = 60
 
-func printTable(w io.Writer, t table.Table) {
+func printTable(w *strings.Builder, t table.Table) {
 	widths := make([]int, len(t.Columns))
 	for i, c := range t.Columns {
 		widths[i] = utf8.RuneCountInString(c.Name)
@@ -167,7 +175,7 @@
 		}
 		printRow(w, cells, widths, t.Columns)
 	}
-	_, _ = fmt.Fprintf(w, "(%d rows)\n", len(t.Rows))
+	fmt.Fprintf(w, "(%d rows)\n", len(t.Rows))
 }
 
 func cut(text string) string {
@@ -177,7 +185,7 @@
 	return string([]rune(text)[:maxCell-1]) + "…"
 }
 
-func printRow(w io.Writer, cells []string, widths []int, columns []table.Column) {
+func printRow(w *strings.Builder, cells []string, widths []int, columns []table.Column) {
 	var line strings.Builder
 	for i, cell := range cells {
 		pad := strings.Repeat(" ", widths[i]-utf8.RuneCountInString(cell))
@@ -187,5 +195,5 @@
 		}
 		line.WriteString(cell + pad + "  ")
 	}
-	_, _ = fmt.Fprintln(w, strings.TrimRight(line.String(), " "))
+	fmt.Fprintln(w, strings.TrimRight(line.String(), " "))
 }
--- a/services/shelfctl/shell/prompt.go
+++ b/services/shelfctl/shell/prompt.go
@@ -41,10 +41,12 @@
 // Prompt reads statements from a terminal until its end; history is kept in the named file, if any.
 func Prompt(ctx context.Context, client *operatorclient.Client, out io.Writer, history string) error {
 	line := liner.NewLiner()
+	// Closing gives the terminal its mode back; nothing can be done where that fails.
 	defer func() { _ = line.Close() }()
 	line.SetCtrlCAborts(true)
 	line.SetCompleter(Complete)
 	if f, err := os.Open(history); err == nil {
+		// A prompt without its history is as good a prompt.
 		_, _ = line.ReadHistory(f)
 		_ = f.Close()
 	}
@@ -72,17 +74,22 @@
 func answer(ctx context.Context, client *operatorclient.Client, out io.Writer, text string) {
 	r, err := client.Run(ctx, text)
 	if err != nil {
+		// Nobody can be told where the terminal is gone.
 		_, _ = fmt.Fprintln(out, err)
 		return
 	}
 	Print(out, r)
 }
 
+// historyMode keeps the history its owner's alone, since commands may name what others need not know.
+const historyMode = 0o600
+
+// saveHistory keeps the history for the next prompt; one that cannot be written is given up.
 func saveHistory(line *liner.State, history string) {
 	if history == "" {
 		return
 	}
-	f, err := os.OpenFile(history, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
+	f, err := os.OpenFile(history, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, historyMode)
 	if err != nil {
 		return
 	}
--- a/services/shelfctl/shell/top.go
+++ b/services/shelfctl/shell/top.go
@@ -7,6 +7,7 @@
 	"context"
 	"fmt"
 	"io"
+	"strings"
 	"time"
 
 	"github.com/shelfledge/shelfledge/modules/shelfctl/operatorclient"
@@ -20,6 +21,7 @@
 show waiting order by age desc limit 10;
 show loads order by age desc limit 10`
 
+// clearScreen moves to the first place of the terminal and clears all of it.
 const clearScreen = "\x1b[H\x1b[2J"
 
 // Top shows halls, endpoints, slots and queues again and again until ctx ends.
@@ -29,11 +31,13 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		_, _ = fmt.Fprint(out, clearScreen)
-		_, _ = fmt.Fprintln(out, now().Format(time.TimeOnly))
+		var head strings.Builder
+		fmt.Fprintln(&head, clearScreen+now().Format(time.TimeOnly))
 		if err != nil {
-			_, _ = fmt.Fprintln(out, err)
+			fmt.Fprintln(&head, err)
 		}
+		// Where the terminal is gone, the watch ends by its signal.
+		_, _ = io.WriteString(out, head.String())
 		Print(out, r)
 		select {
 		case <-ctx.Done():
