--- a/modules/entry/store/error.go
+++ b/modules/entry/store/error.go
@@ -31,6 +31,7 @@
 
 // RefusedError reports a call that surely had no effect.
 type RefusedError struct {
+	// Status is that of the store's answer, as HTTP counts.
 	Status int
 }
 
@@ -41,6 +42,7 @@
 
 // UnknownError reports a call that may have been done, or may be done later.
 type UnknownError struct {
+	// Cause is why there is no answer that can be read.
 	Cause error
 }
 
--- a/modules/entry/store/store.go
+++ b/modules/entry/store/store.go
@@ -10,16 +10,19 @@
 
 // Item is one stored key.
 type Item struct {
-	Key      string
-	Value    []byte
+	Key   string
+	Value []byte
+	// Revision is the store's revision at the key's last change; it grows with every change of any key.
 	Revision int64
-	Lease    int64
+	// Lease is the lease that the key ends with; 0 if it is bound to none.
+	Lease int64
 }
 
 // Page is a part of a range in order of keys.
 type Page struct {
 	Items []Item
-	More  bool
+	// More says that further keys follow the last one.
+	More bool
 	// At is the store's revision when the page was read.
 	At int64
 }
@@ -53,17 +56,19 @@
 
 // Client is one store. Every call returns one of this package's typed errors.
 type Client struct {
-	// Get reads one key, linearizably.
+	// Get reads one key, linearizably; ErrNotFound if it is absent.
 	Get func(ctx context.Context, key string) (Item, error)
 	// Range reads keys with a prefix that follow the key after.
 	Range func(ctx context.Context, prefix, after string) (Page, error)
-	// Watch waits for changes of a prefix after a revision and gives the revision to go on from.
+	// Watch waits up to a time for changes of a prefix after a revision and gives the revision to go on from. It fails with
+	// ErrCompacted when changes after the revision are no longer known.
 	Watch func(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Event, int64, error)
-	// Commit does a transaction and gives its revision.
+	// Commit does a transaction and gives its revision. It fails with a ConflictError when a condition does not hold, and with
+	// ErrLeaseGone when a write names a lease that is over.
 	Commit func(ctx context.Context, transaction Transaction) (int64, error)
-	// GrantLease makes a lease.
+	// GrantLease makes a lease that lasts for a time, unless it is renewed.
 	GrantLease func(ctx context.Context, ttl time.Duration) (int64, error)
-	// KeepLease renews a lease.
+	// KeepLease renews a lease for its whole time; ErrLeaseGone if it is over.
 	KeepLease func(ctx context.Context, lease int64) error
 }
 
