--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -175,14 +175,14 @@
 // knownPlanner is what this instance knows of whoever orders loads.
 func (c *Coordinator) knownPlanner(now time.Time) forecast.Planner {
 	known := forecast.Planner{
-		ViewAge: now.Sub(c.following.ReceivedAt), ConfirmedAge: c.following.ConfirmedAge, OrderWindow: c.options.Ownership.Window,
+		ViewAge: now.Sub(c.following.ReceivedAt), ConfirmedAge: c.following.ConfirmedAge, OrderWindow: c.options.Lease.Window,
 		ViewTerm: c.following.Term, ResignedTerm: c.following.ResignedTerm,
 		RecordTerm: c.knownRecord.Term, RecordReleased: c.knownRecord.Released,
 	}
 	if c.planning != nil {
 		known.Holds, known.Gone = !c.planning.leaving, c.planning.leaving
-		known.MayOrder = c.planning.tenure.MayOrder(now)
-		known.FormerHolderTime = c.planning.tenure.Remaining(now)
+		known.MayOrder = c.planning.lease.MayOrder(now)
+		known.FormerHolderTime = c.planning.lease.Remaining(now)
 	}
 	return known
 }
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -12,14 +12,14 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/forecast"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/lease"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/leasestore"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/loop"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/seed"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/waiting"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/entry/directory"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
@@ -36,8 +36,8 @@
 	options     Options
 	environment Environment
 	loop        *loop.Loop
-	// lease is used by the goroutines of leadership and Release only; seeds may be asked by any.
-	lease   *lease.Store
+	// leases is used by the goroutines of holdLease and Release only; seeds may be asked by any.
+	leases  *leasestore.Store
 	seeds   *seed.Asker
 	context context.Context
 	cancel  context.CancelFunc
@@ -62,14 +62,14 @@
 	missing         []wire.Copy
 	following       following
 	planning        *planning
-	// knownRecord is the ownership's record as last read.
-	knownRecord ownership.Record
+	// knownRecord is the planner's record as last read.
+	knownRecord lease.Record
 	// storeReadAt is when the store last answered a read of the record.
 	storeReadAt time.Time
 	// endLongWatch ends the waiting watch of the configuration; nil if it is a short one.
 	endLongWatch context.CancelFunc
-	// leadershipDue asks for a look at the record without delay.
-	leadershipDue bool
+	// lookDue asks for a look at the record without delay.
+	lookDue bool
 }
 
 // New makes a coordinator; Start begins its work.
@@ -88,7 +88,7 @@
 		demand:      report.NewDemand(),
 		forecasts:   forecast.NewBook(),
 	}
-	c.lease = &lease.Store{
+	c.leases = &leasestore.Store{
 		Client: environment.Store, Instance: options.Instance, Address: options.PeerAddress,
 		Timeout: options.StoreTimeout, Now: options.Now, Failed: c.noteStore,
 	}
@@ -109,7 +109,7 @@
 	c.run(c.followConfiguration)
 	c.run(c.followEndpoints)
 	c.run(c.followPlanner)
-	c.run(c.leadership)
+	c.run(c.holdLease)
 	return nil
 }
 
--- a/services/entry/coordinator/doc.go
+++ b/services/entry/coordinator/doc.go
@@ -8,8 +8,8 @@
 // The loop calls rules and carries out effects. The rules are in packages without I/O that are given the present time:
 // waiting (the queue of requests), forecast (when an adapter is expected), report (what is asked for, and when that is
 // reported), view (which views are kept and when they are sent), follow (which keys are newer and who reads the store),
-// member (what the planner knows of other instances), plan (loads of all services), and services/entry/ownership (who may
-// take and use the lease). The packages lease and seed do I/O for a caller that waits, wire has the messages, loop the
+// member (what the planner knows of other instances), plan (loads of all services), and services/entry/lease (who may
+// take and use the lease). The packages leasestore and seed do I/O for a caller that waits, wire has the messages, loop the
 // control loop itself.
 //
 // Start starts these goroutines, which hand what they learn to the loop and keep no control state: the loop, one that
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -13,7 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
 // following is what an instance keeps of its link to the planner.
@@ -109,10 +109,10 @@
 		c.acknowledge(now)
 	}
 	if effects.Resigned {
-		c.leadershipDue = true
+		c.lookDue = true
 	}
-	if v.ConfirmedAge > ownership.ConfirmTrouble && now.Sub(c.storeReadAt) > ownership.ConfirmTrouble {
-		c.leadershipDue = true
+	if v.ConfirmedAge > lease.ConfirmTrouble && now.Sub(c.storeReadAt) > lease.ConfirmTrouble {
+		c.lookDue = true
 	}
 	c.reviewWaiters(now)
 }
--- a/services/entry/coordinator/forecast/expect.go
+++ b/services/entry/coordinator/forecast/expect.go
@@ -6,7 +6,7 @@
 import (
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
 const (
@@ -108,7 +108,7 @@
 	if p.Holds || p.Gone {
 		return p.MayOrder && !p.Gone
 	}
-	return p.ViewAge < ownership.TakeoverSilence && p.ViewAge+p.ConfirmedAge < p.OrderWindow
+	return p.ViewAge < lease.TakeoverSilence && p.ViewAge+p.ConfirmedAge < p.OrderWindow
 }
 
 // absence is how long it usually takes until a planner orders again.
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -7,17 +7,17 @@
 	"context"
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
 // releasePause is the pause between two looks of a holder that gives up whether its orders have ended. Not measured.
 const releasePause = 10 * time.Millisecond
 
-// resignIfOthersCan gives the ownership up while the store does not answer this instance but
+// resignIfOthersCan gives the lease up while the store does not answer this instance but
 // answers a member, so that the member need not wait until this holder's time is over.
 func (c *Coordinator) resignIfOthersCan(now time.Time) {
 	p := c.planning
-	if p.leaving || !ownership.InTrouble(p.tenure.Age(now)) {
+	if p.leaving || !lease.InTrouble(p.lease.Age(now)) {
 		return
 	}
 	p.leaving = p.members.ReachStore(now)
@@ -31,14 +31,14 @@
 	for c.ordersUnderWay(p) && c.context.Err() == nil {
 		c.sleep(releasePause)
 	}
-	c.options.Log.WithField("term", p.tenure.Record().Term).Warn("planning resigned: the store answers others only")
+	c.options.Log.WithField("term", p.lease.Record().Term).Warn("planning resigned: the store answers others only")
 	c.loop.Call(func(now time.Time) {
 		p.resigned = true
 		p.broadcast(now, true)
 	})
 }
 
-// Release hands the ownership over, if this instance has it: no more orders are sent, those
+// Release hands the lease over, if this instance has it: no more orders are sent, those
 // under way are awaited, and the record says that a successor need not wait.
 func (c *Coordinator) Release(ctx context.Context) {
 	c.leaving.Store(true)
@@ -55,16 +55,16 @@
 	for c.ordersUnderWay(p) && ctx.Err() == nil {
 		c.sleep(releasePause)
 	}
-	record := p.tenure.Record()
+	record := p.lease.Record()
 	record.Released = record.Ordering && !c.ordersUnderWay(p)
 	c.loop.Call(func(now time.Time) { record.RecentLoads = p.plans.RecentLoads(now) })
 	if record.Released {
-		c.rewriteRecord(p.tenure, record)
+		c.rewriteRecord(p.lease, record)
 	}
 	c.loop.Call(func(now time.Time) {
 		p.resigned = record.Released
 		p.broadcast(now, true)
-		p.tenure.End()
+		p.lease.End()
 	})
 }
 
--- a/services/entry/coordinator/leadership.go
+++ b/services/entry/coordinator/lease.go
@@ -8,14 +8,14 @@
 	"errors"
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/lease"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/leasestore"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
 const (
-	// leadershipPace is the pause between two steps of the leadership goroutine. Not measured.
-	leadershipPace = 100 * time.Millisecond
+	// leasePace is the pause between two steps of the goroutine that holds the lease. Not measured.
+	leasePace = 100 * time.Millisecond
 	// confirmPause is the pause between two confirming reads of the holder: shorter trades store calls
 	// for an earlier notice of trouble. Not measured.
 	confirmPause = 450 * time.Millisecond
@@ -26,9 +26,9 @@
 	lookPause = 300 * time.Millisecond
 )
 
-// leadership runs beside the control goroutine: it keeps this instance's lease on the record, or looks for a
+// holdLease runs beside the control goroutine: it keeps this instance's lease on the record, or looks for a
 // planner and takes the lease where there is none.
-func (c *Coordinator) leadership() {
+func (c *Coordinator) holdLease() {
 	l := &leaseLoop{coordinator: c}
 	for c.context.Err() == nil {
 		if c.holds() {
@@ -37,7 +37,7 @@
 			l.nextConfirm = time.Time{}
 			l.lookForPlanner()
 		}
-		c.sleep(leadershipPace)
+		c.sleep(leasePace)
 	}
 }
 
@@ -47,10 +47,10 @@
 	return holds
 }
 
-// leaseLoop is what the leadership goroutine remembers between two steps.
+// leaseLoop is what the goroutine of holdLease remembers between two steps.
 type leaseLoop struct {
 	coordinator *Coordinator
-	candidate   ownership.Candidate
+	candidate   lease.Candidate
 	started     time.Time
 	nextLook    time.Time
 	nextConfirm time.Time
@@ -69,23 +69,23 @@
 		l.nextConfirm = c.options.Now().Add(confirmRetry)
 		return
 	}
-	c.lease.KeepHeartbeat(c.context)
+	c.leases.KeepHeartbeat(c.context)
 	c.beginOrdering()
 }
 
 // confirm proves that the record is still this holder's; false if the store did not answer.
 func (c *Coordinator) confirm() bool {
-	confirmation, err := c.lease.Confirm(c.context)
+	confirmation, err := c.leases.Confirm(c.context)
 	c.loop.Call(func(time.Time) {
 		if c.planning == nil {
 			return
 		}
 		if err == nil {
-			c.planning.tenure.Confirm(confirmation.Sent, confirmation.Revision)
+			c.planning.lease.Confirm(confirmation.Sent, confirmation.Revision)
 		}
 		if err == nil && c.planning.resigned {
 			// The promise holds for the whole term; a new one has to be taken.
-			c.planning.tenure.End()
+			c.planning.lease.End()
 		}
 		c.endIfOver()
 	})
@@ -95,10 +95,10 @@
 // endIfOver stops planning when another instance has the record. While the record only cannot
 // be confirmed, this instance orders nothing but still tells its members what it knows.
 func (c *Coordinator) endIfOver() {
-	if c.planning == nil || !c.planning.tenure.Over() {
+	if c.planning == nil || !c.planning.lease.Over() {
 		return
 	}
-	c.options.Log.WithField("term", c.planning.tenure.Record().Term).Warn("planning ends: the ownership is lost")
+	c.options.Log.WithField("term", c.planning.lease.Record().Term).Warn("planning ends: the ownership is lost")
 	c.planning.members.CloseLinks()
 	c.planning = nil
 	c.following = following{Followed: c.following.Restarted()}
@@ -107,32 +107,32 @@
 
 // beginOrdering writes into the record that orders may follow, once the former holder's time is surely over.
 func (c *Coordinator) beginOrdering() {
-	var tenure *ownership.Tenure
+	var held *lease.Lease
 	c.loop.Call(func(now time.Time) {
-		if c.planning != nil && c.planning.tenure.Waited(now) && !c.planning.tenure.Record().Ordering {
-			tenure = c.planning.tenure
+		if c.planning != nil && c.planning.lease.Waited(now) && !c.planning.lease.Record().Ordering {
+			held = c.planning.lease
 		}
 	})
-	if tenure == nil {
+	if held == nil {
 		return
 	}
-	record := tenure.Record()
+	record := held.Record()
 	record.Ordering = true
-	c.rewriteRecord(tenure, record)
+	c.rewriteRecord(held, record)
 }
 
 // rewriteRecord changes this holder's own record.
-func (c *Coordinator) rewriteRecord(tenure *ownership.Tenure, record ownership.Record) {
-	taken, end := c.lease.Rewrite(c.context, tenure.Revision(), record)
+func (c *Coordinator) rewriteRecord(held *lease.Lease, record lease.Record) {
+	taken, end := c.leases.Rewrite(c.context, held.Revision(), record)
 	switch end {
-	case lease.Done, lease.Settled:
-		c.loop.Call(func(time.Time) { tenure.Rewrite(taken.Sent, taken.Record, taken.Revision) })
-	case lease.Lost:
+	case leasestore.Done, leasestore.Settled:
+		c.loop.Call(func(time.Time) { held.Rewrite(taken.Sent, taken.Record, taken.Revision) })
+	case leasestore.Lost:
 		c.loop.Call(func(time.Time) {
-			tenure.End()
+			held.End()
 			c.endIfOver()
 		})
-	case lease.Unknown:
+	case leasestore.Unknown:
 	}
 }
 
@@ -147,26 +147,26 @@
 		l.started = now
 	}
 	silence, asked := c.plannerSilence(now, l.started)
-	if !ownership.LookDue(now, asked, silence, l.nextLook) {
+	if !lease.LookDue(now, asked, silence, l.nextLook) {
 		return
 	}
 	l.nextLook = now.Add(c.jitter(lookPause))
-	stored, err := c.lease.Read(c.context)
+	stored, err := c.leases.Read(c.context)
 	if err != nil {
-		if silence >= ownership.TakeoverSilence {
+		if silence >= lease.TakeoverSilence {
 			c.askSeedsForPlanner()
 		}
 		return
 	}
 	resigned := c.learnRecord(stored, asked)
-	verdict := l.candidate.Decide(now, ownership.Sighting{
+	verdict := l.candidate.Decide(now, lease.Sighting{
 		Self: c.options.Instance, Record: stored.Record, Revision: stored.Revision, Found: stored.Found,
 		Resigned: resigned, Silence: silence, Reluctance: c.options.Reluctance,
 	})
 	switch verdict {
-	case ownership.Take:
-	case ownership.TakeWithoutHeartbeat:
-		if c.lease.HolderAlive(c.context) {
+	case lease.Take:
+	case lease.TakeWithoutHeartbeat:
+		if c.leases.HolderAlive(c.context) {
 			return
 		}
 	default:
@@ -178,7 +178,7 @@
 
 // learnRecord takes in the record as read from the store and tells whether its holder resigned. Where the look
 // was asked for, a report says at once that the store answers this instance.
-func (c *Coordinator) learnRecord(stored lease.Stored, asked bool) bool {
+func (c *Coordinator) learnRecord(stored leasestore.Stored, asked bool) bool {
 	resigned := false
 	c.loop.Call(func(now time.Time) {
 		c.storeReadAt = now
@@ -194,20 +194,20 @@
 // plannerSilence gives for how long no view came of a planner that could prove its lease, and whether a look at the
 // record was asked for.
 func (c *Coordinator) plannerSilence(now, started time.Time) (silence time.Duration, asked bool) {
-	last := ownership.LastView{Started: started}
+	last := lease.LastView{Started: started}
 	c.loop.Call(func(time.Time) {
 		last.ReceivedAt, last.ConfirmedAge = c.following.ReceivedAt, c.following.ConfirmedAge
-		asked, c.leadershipDue = c.leadershipDue, false
+		asked, c.lookDue = c.lookDue, false
 	})
-	return c.options.Ownership.Silence(now, last), asked
+	return c.options.Lease.Silence(now, last), asked
 }
 
 // takeLease writes this instance into the record and begins to plan. If another instance was quicker, it is
 // learned from the conflict; without that the planner would be unknown until the next look.
-func (c *Coordinator) takeLease(replaced lease.Stored) {
-	wait := c.options.Ownership.Wait(c.options.Instance, replaced.Record, replaced.Found)
-	taken, err := c.lease.Take(c.context, replaced)
-	var lost *lease.LostRaceError
+func (c *Coordinator) takeLease(replaced leasestore.Stored) {
+	wait := c.options.Lease.Wait(c.options.Instance, replaced.Record, replaced.Found)
+	taken, err := c.leases.Take(c.context, replaced)
+	var lost *leasestore.LostRaceError
 	switch {
 	case err == nil:
 		c.loop.Call(func(now time.Time) { c.beginPlanning(now, taken, wait, replaced.Record) })
@@ -220,7 +220,7 @@
 const farewellTime = 50 * time.Millisecond
 
 // noteRecord remembers who plans; a link to a former planner ends with a message that names its successor.
-func (c *Coordinator) noteRecord(record ownership.Record) {
+func (c *Coordinator) noteRecord(record lease.Record) {
 	c.knownRecord = record
 	if stream := c.following.stream; stream != nil && record.Term > c.following.Term {
 		_ = stream.Send(wire.Message{Successor: &wire.Successor{Term: record.Term, Address: record.Address}})
@@ -236,28 +236,28 @@
 		return
 	}
 	c.options.Log.WithFields(map[string]any{"term": successor.Term, "address": successor.Address.String()}).Info("planner learned from a peer")
-	c.knownRecord = ownership.Record{Term: successor.Term, Address: successor.Address}
-	if c.planning != nil && successor.Term > c.planning.tenure.Record().Term {
-		c.planning.tenure.End()
+	c.knownRecord = lease.Record{Term: successor.Term, Address: successor.Address}
+	if c.planning != nil && successor.Term > c.planning.lease.Record().Term {
+		c.planning.lease.End()
 		c.endIfOver()
 	}
 }
 
-func (c *Coordinator) beginPlanning(now time.Time, taken lease.Taken, wait time.Duration, replaced ownership.Record) {
+func (c *Coordinator) beginPlanning(now time.Time, taken leasestore.Taken, wait time.Duration, replaced lease.Record) {
 	c.options.Log.WithFields(map[string]any{
 		"term": taken.Record.Term, "wait": wait.String(), "replaced": replaced.Holder, "released": replaced.Released,
 	}).Info("planning begins")
-	tenure := ownership.Begin(c.options.Ownership, taken.Record, taken.Revision, taken.Sent, now, wait)
+	held := lease.Begin(c.options.Lease, taken.Record, taken.Revision, taken.Sent, now, wait)
 	if c.following.stream != nil {
 		c.following.stream.Close()
 		c.following.stream = nil
 	}
-	c.planning = newPlanning(c, now, tenure, replaced.RecentLoads)
+	c.planning = newPlanning(c, now, held, replaced.RecentLoads)
 	c.following.ratesDue = true
 	c.sendReport(now)
 }
 
 // orderCall bounds one order, so that a later holder knows when the last one has arrived.
 func (c *Coordinator) orderCall() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(c.context, c.options.Ownership.OrderTimeout)
+	return context.WithTimeout(c.context, c.options.Lease.OrderTimeout)
 }
--- a/services/entry/coordinator/lease/record.go
+++ b/services/entry/coordinator/leasestore/store.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package lease
+package leasestore
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/modules/entry/store"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
 // The product's own keys in the store.
@@ -58,7 +58,7 @@
 
 // Stored is the record as read; Found is false if there is none.
 type Stored struct {
-	Record   ownership.Record
+	Record   lease.Record
 	Revision int64
 	Found    bool
 }
@@ -82,7 +82,7 @@
 	if err != nil {
 		return Stored{}, err
 	}
-	record, err := ownership.DecodeRecord(item.Value)
+	record, err := lease.DecodeRecord(item.Value)
 	return Stored{Record: record, Revision: item.Revision, Found: true}, err
 }
 
@@ -106,7 +106,7 @@
 
 // Taken is a record that this instance has written, by a call sent at a time.
 type Taken struct {
-	Record   ownership.Record
+	Record   lease.Record
 	Revision int64
 	Sent     time.Time
 }
@@ -114,13 +114,13 @@
 // LostRaceError reports that another instance changed the record first. Now is the record since then, nil if the
 // store did not tell it.
 type LostRaceError struct {
-	Now   *ownership.Record
+	Now   *lease.Record
 	cause error
 }
 
 // Error implements error.
 func (e *LostRaceError) Error() string {
-	return "lease: another instance was quicker: " + e.cause.Error()
+	return "leasestore: another instance was quicker: " + e.cause.Error()
 }
 
 // Unwrap gives the store's error.
@@ -134,7 +134,7 @@
 	if err := s.grant(ctx); err != nil {
 		return Taken{}, err
 	}
-	record := ownership.Successor(ownership.Record{Holder: s.Instance, Address: s.Address}, replaced.Record)
+	record := lease.Successor(lease.Record{Holder: s.Instance, Address: s.Address}, replaced.Record)
 	value, err := record.Encode()
 	if err != nil {
 		return Taken{}, err
@@ -164,7 +164,7 @@
 		if item.Key != RecordKey {
 			continue
 		}
-		if record, err := ownership.DecodeRecord(item.Value); err == nil {
+		if record, err := lease.DecodeRecord(item.Value); err == nil {
 			lost.Now = &record
 		}
 	}
@@ -187,7 +187,7 @@
 )
 
 // Rewrite changes this holder's own record at a revision, and reads it if the write was not answered.
-func (s *Store) Rewrite(ctx context.Context, revision int64, record ownership.Record) (Taken, Rewritten) {
+func (s *Store) Rewrite(ctx context.Context, revision int64, record lease.Record) (Taken, Rewritten) {
 	value, err := record.Encode()
 	if err != nil {
 		return Taken{}, Unknown
@@ -211,7 +211,7 @@
 }
 
 // settle finds out whether a rewrite without an answer was done.
-func (s *Store) settle(ctx context.Context, record ownership.Record, cause error) (Taken, Rewritten) {
+func (s *Store) settle(ctx context.Context, record lease.Record, cause error) (Taken, Rewritten) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	sent := s.Now()
@@ -219,7 +219,7 @@
 	if err != nil {
 		return Taken{}, Unknown
 	}
-	stored, err := ownership.DecodeRecord(item.Value)
+	stored, err := lease.DecodeRecord(item.Value)
 	if err != nil {
 		return Taken{}, Unknown
 	}
--- a/services/entry/coordinator/lease/record_test.go
+++ b/services/entry/coordinator/leasestore/store_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package lease_test
+package leasestore_test
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 	"github.com/stretchr/testify/require"
 
 	"github.com/shelfledge/shelfledge/modules/entry/store"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/lease"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/leasestore"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
 var (
@@ -65,13 +65,13 @@
 	return f.revision, f.commitErr
 }
 
-func newFixture(t *testing.T, stored *ownership.Record) (*fixture, *lease.Store) {
+func newFixture(t *testing.T, stored *lease.Record) (*fixture, *leasestore.Store) {
 	t.Helper()
 	f := &fixture{items: make(map[string]store.Item), revision: 7}
 	if stored != nil {
-		f.items[lease.RecordKey] = store.Item{Key: lease.RecordKey, Value: encode(t, *stored), Revision: 7}
+		f.items[leasestore.RecordKey] = store.Item{Key: leasestore.RecordKey, Value: encode(t, *stored), Revision: 7}
 	}
-	return f, &lease.Store{
+	return f, &leasestore.Store{
 		Client: store.Client{
 			Get: f.get, Commit: f.commit,
 			GrantLease: func(_ context.Context, life time.Duration) (int64, error) {
@@ -87,7 +87,7 @@
 	}
 }
 
-func encode(t *testing.T, record ownership.Record) []byte {
+func encode(t *testing.T, record lease.Record) []byte {
 	t.Helper()
 	value, err := record.Encode()
 	require.NoError(t, err)
@@ -98,7 +98,7 @@
 	f, records := newFixture(t, nil)
 	stored, err := records.Read(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, lease.Stored{}, stored)
+	assert.Equal(t, leasestore.Stored{}, stored)
 	assert.Empty(t, f.failed)
 }
 
@@ -108,29 +108,29 @@
 	_, err := records.Read(t.Context())
 	assert.ErrorIs(t, err, errLost)
 	f.getErr = nil
-	f.items[lease.RecordKey] = store.Item{Value: []byte("nonsense")}
+	f.items[leasestore.RecordKey] = store.Item{Value: []byte("nonsense")}
 	_, err = records.Read(t.Context())
 	assert.Error(t, err)
 	assert.Equal(t, []string{"read ownership", "read ownership"}, f.failed)
 }
 
 func TestAConfirmationCountsFromWhenItWasSent(t *testing.T) {
-	f, records := newFixture(t, &ownership.Record{Holder: "self", Term: 4})
+	f, records := newFixture(t, &lease.Record{Holder: "self", Term: 4})
 	confirmation, err := records.Confirm(t.Context())
 	require.NoError(t, err)
-	assert.Equal(t, lease.Confirmation{Sent: now, Revision: 7}, confirmation)
-	delete(f.items, lease.RecordKey)
+	assert.Equal(t, leasestore.Confirmation{Sent: now, Revision: 7}, confirmation)
+	delete(f.items, leasestore.RecordKey)
 	_, err = records.Confirm(t.Context())
 	assert.ErrorIs(t, err, store.ErrNotFound, "a record that is gone confirms nothing")
 	assert.Equal(t, []string{"confirm ownership"}, f.failed)
 }
 
 func TestTheRecordIsTakenTogetherWithTheHeartbeat(t *testing.T) {
-	replaced := ownership.Record{Holder: "peer", Term: 4, Ordering: true}
+	replaced := lease.Record{Holder: "peer", Term: 4, Ordering: true}
 	f, records := newFixture(t, &replaced)
-	taken, err := records.Take(t.Context(), lease.Stored{Record: replaced, Revision: 7, Found: true})
+	taken, err := records.Take(t.Context(), leasestore.Stored{Record: replaced, Revision: 7, Found: true})
 	require.NoError(t, err)
-	assert.Equal(t, ownership.Record{Holder: "self", Address: address, Term: 5, Former: "peer"}, taken.Record)
+	assert.Equal(t, lease.Record{Holder: "self", Address: address, Term: 5, Former: "peer"}, taken.Record)
 	assert.Equal(t, int64(8), taken.Revision)
 	assert.Equal(t, now, taken.Sent)
 	require.Len(t, f.commits, 1)
@@ -140,19 +140,19 @@
 
 func TestALostRaceTellsTheQuickerInstance(t *testing.T) {
 	f, records := newFixture(t, nil)
-	winner := ownership.Record{Holder: "peer", Term: 1}
+	winner := lease.Record{Holder: "peer", Term: 1}
 	f.commitErr = &store.ConflictError{Current: []store.Item{
-		{Key: "other", Value: encode(t, ownership.Record{Holder: "nobody"})}, {Key: lease.RecordKey, Value: encode(t, winner)},
+		{Key: "other", Value: encode(t, lease.Record{Holder: "nobody"})}, {Key: leasestore.RecordKey, Value: encode(t, winner)},
 	}}
-	_, err := records.Take(t.Context(), lease.Stored{})
-	var lost *lease.LostRaceError
+	_, err := records.Take(t.Context(), leasestore.Stored{})
+	var lost *leasestore.LostRaceError
 	require.ErrorAs(t, err, &lost)
 	assert.Equal(t, &winner, lost.Now)
 	assert.True(t, store.IsConflict(err))
 	assert.Empty(t, f.failed, "a lost race is no failure of the store")
 
 	f.commitErr = &store.ConflictError{}
-	_, err = records.Take(t.Context(), lease.Stored{})
+	_, err = records.Take(t.Context(), leasestore.Stored{})
 	require.ErrorAs(t, err, &lost)
 	assert.Nil(t, lost.Now, "the store did not tell the record")
 }
@@ -160,39 +160,39 @@
 func TestATakeWithoutAnswerIsTold(t *testing.T) {
 	f, records := newFixture(t, nil)
 	f.commitErr = errLost
-	_, err := records.Take(t.Context(), lease.Stored{})
+	_, err := records.Take(t.Context(), leasestore.Stored{})
 	assert.ErrorIs(t, err, errLost)
 	f.grantErr = errLost
-	_, err = records.Take(t.Context(), lease.Stored{})
+	_, err = records.Take(t.Context(), leasestore.Stored{})
 	assert.ErrorIs(t, err, errLost)
 	assert.Equal(t, []string{"take ownership", "grant lease"}, f.failed)
 	assert.Len(t, f.commits, 1, "without a lease nothing is written")
 }
 
 func TestHowARewriteEnds(t *testing.T) {
-	own := ownership.Record{Holder: "self", Address: address, Term: 4}
+	own := lease.Record{Holder: "self", Address: address, Term: 4}
 	wanted := own
 	wanted.Ordering = true
-	later := ownership.Record{Holder: "peer", Term: 5}
+	later := lease.Record{Holder: "peer", Term: 5}
 	cases := map[string]struct {
-		stored    *ownership.Record
+		stored    *lease.Record
 		commitErr error
 		lateWrite bool
 		getErr    error
-		end       lease.Rewritten
-		record    ownership.Record
+		end       leasestore.Rewritten
+		record    lease.Record
 		failed    []string
 	}{
-		"answered":                           {&own, nil, false, nil, lease.Done, wanted, nil},
-		"done, but the answer was lost":      {&own, errLost, true, nil, lease.Settled, wanted, []string{"rewrite ownership"}},
-		"neither done nor answered":          {&own, errLost, false, nil, lease.Settled, own, []string{"rewrite ownership"}},
-		"a later term won":                   {&later, &store.ConflictError{}, false, nil, lease.Lost, ownership.Record{}, []string{"rewrite ownership"}},
-		"a later term, the answer was lost":  {&later, errLost, false, nil, lease.Lost, ownership.Record{}, []string{"rewrite ownership"}},
-		"the store stays silent":             {&own, errLost, false, errLost, lease.Unknown, ownership.Record{}, []string{"rewrite ownership"}},
-		"the record is gone":                 {nil, errLost, false, nil, lease.Unknown, ownership.Record{}, []string{"rewrite ownership"}},
-		"another's record of the same term":  {&ownership.Record{Holder: "peer", Term: 4}, errLost, false, nil, lease.Unknown, ownership.Record{}, []string{"rewrite ownership"}},
-		"the same, told by a conflict":       {&ownership.Record{Holder: "peer", Term: 4}, &store.ConflictError{}, false, nil, lease.Lost, ownership.Record{}, []string{"rewrite ownership"}},
-		"its own record, changed by itself ": {&own, &store.ConflictError{}, false, nil, lease.Settled, own, []string{"rewrite ownership"}},
+		"answered":                           {&own, nil, false, nil, leasestore.Done, wanted, nil},
+		"done, but the answer was lost":      {&own, errLost, true, nil, leasestore.Settled, wanted, []string{"rewrite ownership"}},
+		"neither done nor answered":          {&own, errLost, false, nil, leasestore.Settled, own, []string{"rewrite ownership"}},
+		"a later term won":                   {&later, &store.ConflictError{}, false, nil, leasestore.Lost, lease.Record{}, []string{"rewrite ownership"}},
+		"a later term, the answer was lost":  {&later, errLost, false, nil, leasestore.Lost, lease.Record{}, []string{"rewrite ownership"}},
+		"the store stays silent":             {&own, errLost, false, errLost, leasestore.Unknown, lease.Record{}, []string{"rewrite ownership"}},
+		"the record is gone":                 {nil, errLost, false, nil, leasestore.Unknown, lease.Record{}, []string{"rewrite ownership"}},
+		"another's record of the same term":  {&lease.Record{Holder: "peer", Term: 4}, errLost, false, nil, leasestore.Unknown, lease.Record{}, []string{"rewrite ownership"}},
+		"the same, told by a conflict":       {&lease.Record{Holder: "peer", Term: 4}, &store.ConflictError{}, false, nil, leasestore.Lost, lease.Record{}, []string{"rewrite ownership"}},
+		"its own record, changed by itself ": {&own, &store.ConflictError{}, false, nil, leasestore.Settled, own, []string{"rewrite ownership"}},
 	}
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -219,7 +219,7 @@
 	f.keepErr = store.ErrLeaseGone
 	records.KeepHeartbeat(t.Context())
 	assert.Equal(t, 2, f.grants)
-	assert.Equal(t, int64(2), f.items[lease.HeartbeatKey].Lease)
+	assert.Equal(t, int64(2), f.items[leasestore.HeartbeatKey].Lease)
 	f.commitErr = errLost
 	records.KeepHeartbeat(t.Context())
 	assert.Equal(t, []string{"write sign of life"}, f.failed)
@@ -228,7 +228,7 @@
 func TestAHolderIsTakenForAliveUnlessTheStoreSaysOtherwise(t *testing.T) {
 	f, records := newFixture(t, nil)
 	assert.False(t, records.HolderAlive(t.Context()))
-	f.items[lease.HeartbeatKey] = store.Item{Key: lease.HeartbeatKey}
+	f.items[leasestore.HeartbeatKey] = store.Item{Key: leasestore.HeartbeatKey}
 	assert.True(t, records.HolderAlive(t.Context()))
 	f.getErr = errLost
 	assert.True(t, records.HolderAlive(t.Context()), "a store that does not answer proves no end")
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -10,7 +10,7 @@
 	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
 const (
@@ -122,6 +122,6 @@
 
 // reachesStore tells whether the store lately answered the member.
 func (m *Member) reachesStore(now time.Time) bool {
-	known := ownership.Member{Lost: m.isLost(), ReportAge: now.Sub(m.reportedAt), StoreReadAge: m.storeReadAge}
+	known := lease.Member{Lost: m.isLost(), ReportAge: now.Sub(m.reportedAt), StoreReadAge: m.storeReadAge}
 	return known.ReachesStore()
 }
--- a/services/entry/coordinator/options.go
+++ b/services/entry/coordinator/options.go
@@ -13,8 +13,8 @@
 
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 	"github.com/shelfledge/shelfledge/modules/entry/store"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 	"github.com/shelfledge/shelfledge/services/entry/loading"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
 	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
@@ -29,8 +29,8 @@
 	Seeds []netip.AddrPort
 	// Retry is the budget of repeats.
 	Retry retry.Options
-	// Ownership bounds who may order.
-	Ownership ownership.Options
+	// Lease bounds who may order.
+	Lease lease.Options
 	// LoadWindow, LoadTolerance and LoadSlack bound loads from the weight store.
 	LoadWindow    time.Duration
 	LoadTolerance float64
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -91,7 +91,7 @@
 		ReadAge: now.Sub(c.endpointsReadAt), Address: c.knownRecord.Address,
 	}
 	if c.planning != nil {
-		answer.Planner, answer.Term, answer.Address = c.options.Instance, c.planning.tenure.Record().Term, c.options.PeerAddress
+		answer.Planner, answer.Term, answer.Address = c.options.Instance, c.planning.lease.Record().Term, c.options.PeerAddress
 	}
 	for _, entry := range c.directory.Entries() {
 		answer.Endpoints = append(answer.Endpoints, wire.FromEntry(entry))
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -13,14 +13,14 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/plan"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 	"github.com/shelfledge/shelfledge/services/entry/loading"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 // planning is the state of the instance that holds the planner's lease.
 type planning struct {
 	coordinator *Coordinator
-	tenure      *ownership.Tenure
+	lease       *lease.Lease
 	// at is the revision up to which the endpoints' keys were read.
 	at      int64
 	plans   *plan.Plans
@@ -41,13 +41,13 @@
 	return member.Silence(c.following.Members)
 }
 
-func newPlanning(c *Coordinator, now time.Time, tenure *ownership.Tenure, startRecent int) *planning {
+func newPlanning(c *Coordinator, now time.Time, held *lease.Lease, startRecent int) *planning {
 	members := member.NewTable()
 	options := plan.Options{
 		LoadWindow: c.options.LoadWindow, LoadTolerance: c.options.LoadTolerance, LoadSlack: c.options.LoadSlack,
 		Random: c.options.Random,
 	}
-	p := &planning{coordinator: c, tenure: tenure, members: members, plans: plan.New(options, c.directory, members, startRecent)}
+	p := &planning{coordinator: c, lease: held, members: members, plans: plan.New(options, c.directory, members, startRecent)}
 	if configuration := c.current.Load(); configuration != nil {
 		p.plans.SetConfiguration(now, configuration, c.versions.All())
 	}
@@ -61,7 +61,7 @@
 		return
 	}
 	p.plans.Review(now, c.memberSilence())
-	p.plans.Order(now, func() bool { return !p.leaving && p.tenure.MayOrder(now) }, c.startOrder, func(key deployment.ServiceAdapter, until time.Duration) {
+	p.plans.Order(now, func() bool { return !p.leaving && p.lease.MayOrder(now) }, c.startOrder, func(key deployment.ServiceAdapter, until time.Duration) {
 		c.forecasts.Note(key, now.Add(until))
 	})
 	p.broadcast(now, p.views.TotalsDue(now, c.following.Members))
@@ -91,7 +91,7 @@
 func (c *Coordinator) startOrder(order loading.Order) {
 	p := c.planning
 	p.orders++
-	term := p.tenure.Record().Term
+	term := p.lease.Record().Term
 	c.run(func() {
 		started := c.options.Now()
 		result := c.sendOrder(order, p, term)
@@ -100,10 +100,10 @@
 	})
 }
 
-// sendOrder looks at the tenure once more right before the order goes out.
+// sendOrder looks at the lease once more right before the order goes out.
 func (c *Coordinator) sendOrder(order loading.Order, p *planning, term int64) loading.Result {
 	allowed := false
-	c.loop.Call(func(now time.Time) { allowed = c.planning == p && p.tenure.MayOrder(now) })
+	c.loop.Call(func(now time.Time) { allowed = c.planning == p && p.lease.MayOrder(now) })
 	if !allowed {
 		return loading.Result{Order: order, Reply: loading.NotDelivered}
 	}
--- a/services/entry/coordinator/site_test.go
+++ b/services/entry/coordinator/site_test.go
@@ -20,8 +20,8 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 	"github.com/shelfledge/shelfledge/modules/entry/store"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
+	"github.com/shelfledge/shelfledge/services/entry/lease"
 	"github.com/shelfledge/shelfledge/services/entry/loading"
-	"github.com/shelfledge/shelfledge/services/entry/ownership"
 )
 
 const (
@@ -183,15 +183,15 @@
 }
 
 // record gives the record as stored, and whether there is one.
-func (m *memoryStore) record(t *testing.T) (ownership.Record, bool) {
+func (m *memoryStore) record(t *testing.T) (lease.Record, bool) {
 	t.Helper()
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	item, ok := m.items[recordKey]
 	if !ok {
-		return ownership.Record{}, false
+		return lease.Record{}, false
 	}
-	record, err := ownership.DecodeRecord(item.Value)
+	record, err := lease.DecodeRecord(item.Value)
 	require.NoError(t, err)
 	return record, true
 }
@@ -336,7 +336,7 @@
 	log.SetOutput(io.Discard)
 	options := coordinator.Options{
 		Instance: selfName, Hall: "hall", PeerAddress: selfAddress, Seeds: seeds,
-		Ownership:  ownership.Options{Window: 1300 * time.Millisecond, OrderTimeout: 200 * time.Millisecond, Turn: 300 * time.Millisecond},
+		Lease:      lease.Options{Window: 1300 * time.Millisecond, OrderTimeout: 200 * time.Millisecond, Turn: 300 * time.Millisecond},
 		LoadWindow: time.Second, LoadTolerance: 1, LoadSlack: 10, VersionLimit: time.Second, StoreTimeout: 300 * time.Millisecond,
 		Now: time.Now, Random: func() float64 { return 0.5 }, Log: logrus.NewEntry(log),
 	}
@@ -360,7 +360,7 @@
 // planElsewhere puts a record into the store by which another instance plans.
 func (s *site) planElsewhere(t *testing.T, term int64) {
 	t.Helper()
-	value, err := ownership.Record{Holder: "peer", Address: peerAddress, Term: term, Ordering: true}.Encode()
+	value, err := lease.Record{Holder: "peer", Address: peerAddress, Term: term, Ordering: true}.Encode()
 	require.NoError(t, err)
 	s.store.put(recordKey, string(value))
 	s.store.put(heartbeatKey, "peer")
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -31,7 +31,7 @@
 			status.Configuration = configuration.Version
 		}
 		if c.planning != nil {
-			status.Planner, status.Term = c.options.Instance, c.planning.tenure.Record().Term
+			status.Planner, status.Term = c.options.Instance, c.planning.lease.Record().Term
 		}
 		for _, entry := range c.directory.Entries() {
 			status.InFlight += entry.Own
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -100,9 +100,9 @@
 
 func (p *planning) baseView(now time.Time, totals []wire.EndpointCount) *wire.View {
 	v := &wire.View{
-		Planner: p.coordinator.options.Instance, Term: p.tenure.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
+		Planner: p.coordinator.options.Instance, Term: p.lease.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
 		Totals: totals, Members: p.memberCount(), ConfigurationAt: p.coordinator.keys.At(), Resigned: p.resigned,
-		ConfirmedAge: p.tenure.Age(now), Withdrawals: p.plans.Withdrawals(),
+		ConfirmedAge: p.lease.Age(now), Withdrawals: p.plans.Withdrawals(),
 	}
 	return v
 }
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -103,7 +103,7 @@
 	ReadAge time.Duration `msgpack:"g"`
 	// Address is where the planner is reached; only answers to requests name it.
 	Address netip.AddrPort `msgpack:"z,omitempty"`
-	// ConfirmedAge is how long ago the planner's ownership was confirmed.
+	// ConfirmedAge is how long ago the planner's lease was confirmed.
 	ConfirmedAge time.Duration `msgpack:"k"`
 	// Full says that endpoints which are not listed are gone, as of revision At.
 	Full      bool       `msgpack:"x,omitempty"`
--- a/services/entry/ownership/doc.go
+++ b/services/entry/lease/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package ownership decides which instance may give orders to endpoints.
+// Package lease decides which instance may give orders to endpoints.
 //
 // One record in the store names the holder and a term that only grows. The holder proves by
 // linearizable reads that the record is still its own; it may give orders until a fixed time
@@ -9,4 +9,4 @@
 // the former holder's time is surely over, unless that holder released the record or was an
 // earlier process of the same instance. No two clocks are compared: each instance measures
 // spans on its own monotonic clock.
-package ownership
+package lease
--- /dev/null
+++ b/services/entry/lease/holder_test.go
@@ -0,0 +1,57 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package lease_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/services/entry/lease"
+)
+
+var ordering = lease.Record{Holder: "a", Term: 1, Ordering: true}
+
+func TestANewHolderWaitsForTheFormerOnesTime(t *testing.T) {
+	const wait = 2 * time.Second
+	answered := start.Add(50 * time.Millisecond)
+	held := lease.Begin(options, lease.Record{Holder: "a", Term: 1}, 10, start, answered, wait)
+	over := answered.Add(wait)
+	assert.False(t, held.Waited(over.Add(-step)))
+	assert.Equal(t, step, held.Remaining(over.Add(-step)))
+	assert.True(t, held.Waited(over))
+	assert.Zero(t, held.Remaining(over.Add(step)))
+	assert.False(t, held.MayOrder(over), "the record does not say yet that orders may follow")
+	held.Rewrite(over, ordering, 11)
+	assert.True(t, held.MayOrder(over))
+	assert.Equal(t, ordering, held.Record())
+	assert.EqualValues(t, 11, held.Revision())
+}
+
+func TestTheOrderWindowCountsFromWhenTheLastConfirmationWasSent(t *testing.T) {
+	held := lease.Begin(options, ordering, 10, start, start, 0)
+	confirmed := start.Add(time.Second)
+	held.Confirm(confirmed, 10)
+	held.Confirm(start.Add(500*time.Millisecond), 10)
+	assert.Equal(t, time.Second, held.Age(confirmed.Add(time.Second)), "one that was answered late takes nothing back")
+	end := confirmed.Add(options.Window)
+	assert.True(t, held.MayOrder(end.Add(-step)))
+	assert.False(t, held.MayOrder(end))
+	assert.False(t, held.MayOrder(end.Add(step)))
+	held.Rewrite(confirmed.Add(time.Second), ordering, 11)
+	assert.True(t, held.MayOrder(end), "a write that was answered confirms, too")
+	held.Rewrite(start, ordering, 12)
+	assert.True(t, held.MayOrder(end), "a late answer takes nothing back")
+}
+
+func TestAnEndedLeaseNeverOrdersAgain(t *testing.T) {
+	held := lease.Begin(options, ordering, 10, start, start, 0)
+	held.End()
+	assert.True(t, held.Over())
+	held.Confirm(start.Add(step), 10)
+	held.Rewrite(start.Add(step), ordering, 11)
+	assert.False(t, held.Waited(start.Add(step)))
+	assert.False(t, held.MayOrder(start.Add(step)))
+}
--- a/services/entry/ownership/record.go
+++ b/services/entry/lease/record.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package ownership
+package lease
 
 import (
 	"net/netip"
@@ -37,14 +37,14 @@
 	return record, err
 }
 
-// Options are the settings of ownership.
+// Options are the settings of lease.
 type Options struct {
 	// Window is how long after a confirming read was sent orders may be given.
 	Window time.Duration
 	// OrderTimeout bounds the time an order may take to arrive.
 	OrderTimeout time.Duration
 	// Turn is the least time between the orders of two holders where the second one held
-	// the ownership before the first.
+	// the lease before the first.
 	Turn time.Duration
 }
 
--- a/tests/pinned/program/entry_settings_test.go
+++ b/tests/pinned/program/entry_settings_test.go
@@ -85,7 +85,7 @@
 		"bounds.retry_budget_ratio":   node.Retry.Ratio,
 		"bounds.budget_window_s":      node.Retry.Window,
 		"bounds.budget_extra_retries": node.Retry.Extra,
-		"bounds.lease_ms":             node.Ownership.Turn,
+		"bounds.lease_ms":             node.Lease.Turn,
 		"bounds.ceiling_window_s":     node.LoadWindow,
 		"bounds.origin_rate_cap":      node.LoadTolerance,
 		"bounds.version_ms":           node.VersionLimit,
--- a/tests/platform/explain_test.go
+++ b/tests/platform/explain_test.go
@@ -137,7 +137,7 @@
 	for _, path := range []string{
 		"../../modules/entry/metric/metrics.go", "../../services/entry/proxy/service.go", "../../services/entry/proxy/attempt/ending.go",
 		"../../services/entry/proxy/attempt/situation.go", "../../services/entry/admission/decide.go",
-		"../../services/entry/coordinator/planning.go", "../../services/entry/coordinator/leadership.go", "../../services/entry/coordinator/status.go",
+		"../../services/entry/coordinator/planning.go", "../../services/entry/coordinator/lease.go", "../../services/entry/coordinator/status.go",
 		"../../services/entry/coordinator/configuration.go", "../../services/entry/coordinator/endpoints.go", "../../services/entry/process/process.go",
 		"../../services/entry/coordinator/coordinator.go", "../../services/entry/coordinator/handover.go", "../../services/entry/loading/order.go",
 		"../../services/entry/coordinator/seeds.go", "../../services/entry/coordinator/reporting.go", "../../routers/entry/gateway/server.go",
