--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -30,6 +30,8 @@
 var decidingPackages = []string{
 	"services/entry/admission", "services/entry/balance", "services/entry/retry", "services/entry/proxy/attempt",
 	"services/entry/directory", "services/entry/loading",
+	"services/entry/lease", "services/entry/coordinator/forecast", "services/entry/coordinator/report", "services/entry/coordinator/view",
+	"services/entry/coordinator/follow", "services/entry/coordinator/member",
 }
 
 // constant is one numeric constant as the code declares it.
