--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -184,15 +184,13 @@
 	}
 }
 
-// sleep waits for a span; false if the coordinator stops.
-func (c *Coordinator) sleep(span time.Duration) bool {
+// sleep waits for a span, or until the coordinator stops.
+func (c *Coordinator) sleep(span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
-		return true
 	case <-c.context.Done():
-		return false
 	}
 }
 
@@ -201,6 +199,10 @@
 	return context.WithTimeout(c.context, c.options.StoreTimeout)
 }
 
+// leastJitter is the least part of a span that a jittered pause takes; the most is one span more. Not measured.
+const leastJitter = 0.5
+
+// jitter spreads a pause, so that instances that fail together do not call together again.
 func (c *Coordinator) jitter(span time.Duration) time.Duration {
-	return time.Duration(float64(span) * (0.5 + c.options.Random()))
+	return time.Duration(float64(span) * (leastJitter + c.options.Random()))
 }
--- a/services/entry/coordinator/coordinator_test.go
+++ b/services/entry/coordinator/coordinator_test.go
@@ -322,7 +322,7 @@
 
 func TestAFollowerReportsWhatItAsksForAndServesWhatTheViewOffers(t *testing.T) {
 	s := newSite()
-	s.planElsewhere(t, 4)
+	s.planElsewhere(t)
 	s.start(t)
 	planner := s.link(t)
 	first := receive(t, planner, func(m wireMessage) bool { return m.Report != nil })
@@ -346,7 +346,7 @@
 
 func TestAFollowerRefusesAtOnceWhatIsExpectedTooLate(t *testing.T) {
 	s := newSite()
-	s.planElsewhere(t, 4)
+	s.planElsewhere(t)
 	s.start(t)
 	planner := s.link(t)
 	told := fullView(4)
@@ -366,7 +366,7 @@
 
 func TestASilentPlannerIsReplacedOnceItsHeartbeatHasEnded(t *testing.T) {
 	s := newSite()
-	s.planElsewhere(t, 4)
+	s.planElsewhere(t)
 	s.start(t)
 	planner := s.link(t)
 	require.NoError(t, planner.Send(wireMessage{View: fullView(4, "a1")}))
@@ -387,7 +387,7 @@
 
 func TestAResignedPlannerIsReplacedWithoutItsTime(t *testing.T) {
 	s := newSite()
-	s.planElsewhere(t, 4)
+	s.planElsewhere(t)
 	s.start(t)
 	planner := s.link(t)
 	told := fullView(4, "a1")
@@ -418,7 +418,7 @@
 
 func TestACallerThatLeavesTakesNoPlace(t *testing.T) {
 	s := newSite()
-	s.planElsewhere(t, 4)
+	s.planElsewhere(t)
 	s.start(t)
 	planner := s.link(t)
 	require.NoError(t, planner.Send(wireMessage{View: fullView(4)}))
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -223,6 +223,7 @@
 func (c *Coordinator) noteRecord(record lease.Record) {
 	c.knownRecord = record
 	if stream := c.following.stream; stream != nil && record.Term > c.following.Term {
+		// A former planner that cannot take the message is left all the same; it learns its successor from another.
 		_ = stream.Send(wire.Message{Successor: &wire.Successor{Term: record.Term, Address: record.Address}})
 		time.AfterFunc(farewellTime, stream.Close)
 		c.following.stream = nil
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -96,6 +96,7 @@
 	for _, entry := range c.directory.Entries() {
 		answer.Endpoints = append(answer.Endpoints, wire.FromEntry(entry))
 	}
+	// A peer that does not read loses the stream and asks another.
 	_ = stream.Send(wire.Message{View: answer})
 }
 
--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -93,15 +93,15 @@
 	return list
 }
 
-func asks(instance string, waiting int) *wire.Report {
-	return &wire.Report{Instance: instance, Demands: []wire.Demand{{Service: service, Model: "base", Name: "a1", Waiting: waiting, InTime: time.Second}}}
+func asks() *wire.Report {
+	return &wire.Report{Instance: "a", Demands: []wire.Demand{{Service: service, Model: "base", Name: "a1", Waiting: 1, InTime: time.Second}}}
 }
 
 func TestWhatIsAskedForIsLoadedAnnouncedAndOffered(t *testing.T) {
 	f := newFixture()
 	assert.True(t, f.plans.Has(service))
 	assert.False(t, f.plans.Has("plain"), "a service without engines needs no plan")
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks())
 	f.order(start)
 	assert.Equal(t, []deployment.Adapter{adapter}, f.loads())
 	assert.Contains(t, f.begun, key)
@@ -122,10 +122,10 @@
 
 func TestARepeatedReportAsksForNothingMore(t *testing.T) {
 	f := newFixture()
-	f.plans.TakeDemand(start, asks("a", 1))
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, asks())
 	f.order(start)
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks())
 	f.order(start)
 	assert.Len(t, f.loads(), 1)
 }
@@ -133,7 +133,7 @@
 func TestNothingIsOrderedWithoutTheLease(t *testing.T) {
 	f := newFixture()
 	f.may = false
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks())
 	f.order(start)
 	assert.Empty(t, f.ordered)
 	f.may = true
@@ -144,8 +144,8 @@
 func TestWhatOnlyALostInstanceAskedForIsNotLoaded(t *testing.T) {
 	f := newFixture()
 	f.members.Join("a", nil)
-	f.plans.TakeMember(start, asks("a", 1))
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeMember(start, asks())
+	f.plans.TakeDemand(start, asks())
 	f.plans.Review(start.Add(silence+time.Millisecond), silence)
 	f.order(start.Add(silence + time.Millisecond))
 	assert.Empty(t, f.loads())
@@ -153,7 +153,7 @@
 
 func TestAnOrderThatArrivesLateChangesNothingOfAServiceThatIsGone(t *testing.T) {
 	f := newFixture()
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks())
 	var started []loading.Order
 	f.plans.Order(start, func() bool { return true }, func(order loading.Order) { started = append(started, order) }, func(deployment.ServiceAdapter, time.Duration) {})
 	require.NotEmpty(t, started)
@@ -174,7 +174,7 @@
 	changes := f.plans.Changes()
 	assert.Empty(t, changes.Endpoints)
 	assert.Equal(t, []wire.Gone{{ID: "e1", Revision: 7}}, changes.Removed)
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks())
 	f.order(start)
 	assert.Empty(t, f.ordered)
 }
@@ -187,7 +187,7 @@
 	assert.True(t, f.plans.TakeMember(start, &wire.Report{Instance: "a", Suspects: bad}))
 	assert.True(t, f.plans.TakeMember(start, &wire.Report{Instance: "b", Suspects: bad}))
 	assert.False(t, f.plans.TakeMember(start, &wire.Report{Instance: "self", Suspects: bad}), "the planner itself is no member")
-	f.plans.TakeDemand(start, asks("a", 1))
+	f.plans.TakeDemand(start, asks())
 	f.order(start)
 	assert.Empty(t, f.loads())
 	later := start.Add(500 * time.Millisecond)
@@ -202,7 +202,7 @@
 		for range inFlight {
 			f.directory.Begin(start, "e1", deployment.Adapter{Model: "base"})
 		}
-		f.plans.TakeDemand(start, asks("a", 1))
+		f.plans.TakeDemand(start, asks())
 		f.plans.Review(start, silence)
 		f.order(start)
 		assert.Len(t, f.loads(), loads, "%d of 16 slots", inFlight)
--- a/services/entry/coordinator/site_test.go
+++ b/services/entry/coordinator/site_test.go
@@ -66,12 +66,11 @@
 	m.down = down
 }
 
-func (m *memoryStore) put(key, value string) int64 {
+func (m *memoryStore) put(key, value string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	m.revision++
 	m.write(store.Write{Key: key, Value: []byte(value)})
-	return m.revision
 }
 
 // write sets a key; the mutex is held.
@@ -357,10 +356,10 @@
 	t.Cleanup(s.control.Stop)
 }
 
-// planElsewhere puts a record into the store by which another instance plans.
-func (s *site) planElsewhere(t *testing.T, term int64) {
+// planElsewhere puts a record into the store by which another instance plans in term 4.
+func (s *site) planElsewhere(t *testing.T) {
 	t.Helper()
-	value, err := lease.Record{Holder: "peer", Address: peerAddress, Term: term, Ordering: true}.Encode()
+	value, err := lease.Record{Holder: "peer", Address: peerAddress, Term: 4, Ordering: true}.Encode()
 	require.NoError(t, err)
 	s.store.put(recordKey, string(value))
 	s.store.put(heartbeatKey, "peer")
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -42,6 +42,7 @@
 	changes.Removed = changed.Removed
 	frame, err := peerstream.Encode(wire.Message{View: changes})
 	if err != nil {
+		// No value of a view makes its encoding fail; if one did, changed endpoints would stay for the next one.
 		return
 	}
 	for _, m := range p.members.All() {
