--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -4,6 +4,7 @@
 package balance
 
 import (
+	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
@@ -67,31 +68,31 @@
 
 // Choose gives the endpoint for a request. Ejected endpoints are taken only where nothing
 // else can run it, or for a trial.
-func Choose(now time.Time, entries []*directory.Entry, demand Demand, options Options) (*directory.Entry, Verdict) {
+func Choose(now time.Time, endpoints []*directory.EndpointStatus, demand Demand, options Options) (*directory.EndpointStatus, Verdict) {
 	verdict := NoEndpoint
-	var best, fallback *directory.Entry
+	var best, fallback *directory.EndpointStatus
 	bestCost, fallbackCost := 0.0, 0.0
-	for _, entry := range entries {
-		if entry.State != deployment.Ready || tried(demand.Tried, entry.ID) {
+	for _, endpoint := range endpoints {
+		if endpoint.State != deployment.Ready || slices.Contains(demand.Tried, endpoint.ID) {
 			continue
 		}
 		verdict = max(verdict, NotResident)
-		if demand.Request.UsesModel() && !entry.Holds(now, demand.Request.Adapter, demand.Version) {
+		if demand.Request.UsesModel() && !endpoint.Holds(now, demand.Request.Adapter, demand.Version) {
 			continue
 		}
-		if demand.Request.UsesModel() && options.Limit.Reached(entry) {
+		if demand.Request.UsesModel() && options.Limit.Reached(endpoint) {
 			verdict = Saturated
 			continue
 		}
-		cost := cost(entry, demand.Request, options)
-		if entry.Avoided(now) {
+		cost := cost(endpoint, demand.Request, options)
+		if endpoint.Avoided(now) {
 			if fallback == nil || cost < fallbackCost {
-				fallback, fallbackCost = entry, cost
+				fallback, fallbackCost = endpoint, cost
 			}
 			continue
 		}
 		if best == nil || cost < bestCost {
-			best, bestCost = entry, cost
+			best, bestCost = endpoint, cost
 		}
 	}
 	if best == nil {
@@ -104,9 +105,9 @@
 }
 
 // cost is what a request adds to at an endpoint, in requests in flight; the lowest is chosen.
-func cost(entry *directory.Entry, request *deployment.Request, options Options) float64 {
-	cost := float64(entry.Load()) + tieSpread*options.Random()
-	if entry.Hall == options.Hall {
+func cost(endpoint *directory.EndpointStatus, request *deployment.Request, options Options) float64 {
+	cost := float64(endpoint.Load()) + tieSpread*options.Random()
+	if endpoint.Hall == options.Hall {
 		return cost
 	}
 	if request.UsesModel() {
@@ -115,16 +116,6 @@
 	return cost + options.PlainHallPenalty
 }
 
-// tried reports whether an endpoint was sent the request before.
-func tried(list []deployment.EndpointID, id deployment.EndpointID) bool {
-	for _, other := range list {
-		if other == id {
-			return true
-		}
-	}
-	return false
-}
-
 // ChooseBackend picks a service of a route by weight; random is from 0 up to 1.
 func ChooseBackend(route *deployment.Route, random float64) string {
 	total := 0.0
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -36,15 +36,15 @@
 	}
 }
 
-func choose(d *directory.Directory, demand balance.Demand) (*directory.Entry, balance.Verdict) {
+func choose(d *directory.Directory, demand balance.Demand) (*directory.EndpointStatus, balance.Verdict) {
 	return balance.Choose(start, d.Service("service"), demand, options)
 }
 
 func TestOnlyEndpointsThatHoldTheAdapterAreChosen(t *testing.T) {
 	d := build(holder("far", "other"), deployment.Endpoint{ID: "empty", Hall: "near", Models: []string{"base"}})
-	entry, verdict := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}})
+	endpoint, verdict := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}})
 	require.Equal(t, balance.Chosen, verdict)
-	assert.Equal(t, deployment.EndpointID("far"), entry.ID)
+	assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 }
 
 func TestVerdictsTellWhyNoneWasChosen(t *testing.T) {
@@ -60,26 +60,26 @@
 
 func TestTheLeastLoadedIsChosenAndOthersRequestsCount(t *testing.T) {
 	d := build(holder("a", "near"), holder("b", "near"))
-	d.Entry("a").Others = 3
+	d.Endpoint("a").Others = 3
 	d.Begin(start, "b", adapter)
-	entry, _ := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}})
-	assert.Equal(t, deployment.EndpointID("b"), entry.ID)
+	endpoint, _ := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}})
+	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
 }
 
 func TestTheOwnZoneIsPreferredUntilItIsBusier(t *testing.T) {
 	d := build(holder("near", "near"), holder("far", "other"))
 	request := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
-	entry, _ := choose(d, request)
-	assert.Equal(t, deployment.EndpointID("near"), entry.ID)
-	d.Entry("near").Others = 2
-	entry, _ = choose(d, request)
-	assert.Equal(t, deployment.EndpointID("far"), entry.ID)
+	endpoint, _ := choose(d, request)
+	assert.Equal(t, deployment.EndpointID("near"), endpoint.ID)
+	d.Endpoint("near").Others = 2
+	endpoint, _ = choose(d, request)
+	assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 }
 
 func TestTriedEndpointsAreNotChosenAgain(t *testing.T) {
 	d := build(holder("a", "near"))
-	entry, _ := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}, Tried: []deployment.EndpointID{"a"}})
-	assert.Nil(t, entry)
+	endpoint, _ := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}, Tried: []deployment.EndpointID{"a"}})
+	assert.Nil(t, endpoint)
 }
 
 func TestEjectedEndpointsServeOnlyWhereNothingElseCan(t *testing.T) {
@@ -89,11 +89,11 @@
 		d.End(start, "bad", adapter, directory.Broken)
 	}
 	request := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
-	entry, _ := choose(d, request)
-	assert.Equal(t, deployment.EndpointID("good"), entry.ID)
+	endpoint, _ := choose(d, request)
+	assert.Equal(t, deployment.EndpointID("good"), endpoint.ID)
 	d.Remove("good", 2)
-	entry, _ = choose(d, request)
-	assert.Equal(t, deployment.EndpointID("bad"), entry.ID)
+	endpoint, _ = choose(d, request)
+	assert.Equal(t, deployment.EndpointID("bad"), endpoint.ID)
 }
 
 func TestBackendsAreChosenByWeight(t *testing.T) {
@@ -112,16 +112,16 @@
 	bounded := options
 	bounded.Limit.Share = 0.5
 	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
-	d.Entry("full").Others = 1
+	d.Endpoint("full").Others = 1
 	_, verdict := balance.Choose(start, d.Service("service"), demand, bounded)
 	assert.Equal(t, balance.Chosen, verdict)
-	d.Entry("full").Others = 2
+	d.Endpoint("full").Others = 2
 	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	bounded.Limit.Least = 3
 	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "a batch this small is fast enough")
-	d.Entry("full").Others = 3
+	d.Endpoint("full").Others = 3
 	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	plain := balance.Demand{Request: &deployment.Request{}}
--- a/services/entry/balance/edges_test.go
+++ b/services/entry/balance/edges_test.go
@@ -38,8 +38,8 @@
 			endpoint := holder("e", "near")
 			endpoint.Slots = test.slots
 			d := build(endpoint)
-			d.Entry("e").Others = test.load
-			assert.Equal(t, test.full, balance.SlotLimit{Share: test.share, Least: test.smallBatch}.Reached(d.Entry("e")))
+			d.Endpoint("e").Others = test.load
+			assert.Equal(t, test.full, balance.SlotLimit{Share: test.share, Least: test.smallBatch}.Reached(d.Endpoint("e")))
 		})
 	}
 }
@@ -64,8 +64,8 @@
 			endpoint.Slots = test.slots
 			d := build(endpoint)
 			for load, reached := range map[int]bool{test.bound - 1: false, test.bound: true, test.bound + 1: true} {
-				d.Entry("e").Others = load
-				assert.Equal(t, reached, test.limit.Reached(d.Entry("e")), "%d in flight", load)
+				d.Endpoint("e").Others = load
+				assert.Equal(t, reached, test.limit.Reached(d.Endpoint("e")), "%d in flight", load)
 			}
 		})
 	}
@@ -97,10 +97,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := build(holder("near", "near"), holder("far", "other"))
-			d.Entry("near").Others, d.Entry("far").Others = test.near, test.far
-			entry, verdict := choose(d, test.demand)
+			d.Endpoint("near").Others, d.Endpoint("far").Others = test.near, test.far
+			endpoint, verdict := choose(d, test.demand)
 			require.Equal(t, balance.Chosen, verdict)
-			assert.Equal(t, test.chosen, entry.ID)
+			assert.Equal(t, test.chosen, endpoint.ID)
 		})
 	}
 }
@@ -112,11 +112,11 @@
 	chance.Random = func() float64 { drawn++; return chances[(drawn-1)%len(chances)] }
 	d := build(holder("a", "near"), holder("b", "near"))
 	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
-	entry, _ := balance.Choose(start, d.Service("service"), demand, chance)
-	assert.Equal(t, deployment.EndpointID("b"), entry.ID)
-	d.Entry("b").Others = 1
-	entry, _ = balance.Choose(start, d.Service("service"), demand, chance)
-	assert.Equal(t, deployment.EndpointID("a"), entry.ID, "one request more always counts")
+	endpoint, _ := balance.Choose(start, d.Service("service"), demand, chance)
+	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
+	d.Endpoint("b").Others = 1
+	endpoint, _ = balance.Choose(start, d.Service("service"), demand, chance)
+	assert.Equal(t, deployment.EndpointID("a"), endpoint.ID, "one request more always counts")
 }
 
 // TestChanceWeighsHalfARequest: crossing halls for a plain service weighs 2.5 requests, so that two requests and the greatest chance
@@ -129,9 +129,9 @@
 		drawn := 0
 		chance.Random = func() float64 { drawn++; return chances[endpoints[drawn-1].ID] }
 		d := build(endpoints...)
-		d.Entry("near").Others = 2
-		entry, _ := balance.Choose(start, d.Service("service"), plain, chance)
-		assert.Equal(t, endpoints[0].ID, entry.ID, "the first one of a tie")
+		d.Endpoint("near").Others = 2
+		endpoint, _ := balance.Choose(start, d.Service("service"), plain, chance)
+		assert.Equal(t, endpoints[0].ID, endpoint.ID, "the first one of a tie")
 	}
 }
 
@@ -176,7 +176,7 @@
 		{full, {ID: "empty", Hall: "near", Models: []string{"base"}}}, {{ID: "empty", Hall: "near", Models: []string{"base"}}, full},
 	} {
 		d := build(endpoints...)
-		d.Entry("full").Others = 2
+		d.Endpoint("full").Others = 2
 		_, verdict := balance.Choose(start, d.Service("service"), demand, bounded)
 		assert.Equal(t, balance.Saturated, verdict)
 	}
--- a/services/entry/balance/limit.go
+++ b/services/entry/balance/limit.go
@@ -40,7 +40,7 @@
 
 // Reached reports whether an endpoint has as many requests in flight as the bound allows, by this instance's own count and
 // the others' as of the planner's last view. An endpoint whose number of slots is not known has no bound.
-func (l SlotLimit) Reached(endpoint *directory.Entry) bool {
+func (l SlotLimit) Reached(endpoint *directory.EndpointStatus) bool {
 	limit := max(l.Share*float64(endpoint.Slots), float64(min(endpoint.Slots, l.Least)))
 	return endpoint.Slots > 0 && float64(endpoint.Load()) >= limit
 }
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -127,7 +127,7 @@
 		c.planning.at = max(c.planning.at, at)
 	}
 	for id := range before {
-		if c.planning != nil && c.directory.Entry(id) == nil {
+		if c.planning != nil && c.directory.Endpoint(id) == nil {
 			c.planning.plans.RemoveEndpoint(id, at)
 		}
 	}
@@ -170,7 +170,7 @@
 
 // endpointChanged passes a changed description on to the plan.
 func (c *Coordinator) endpointChanged(now time.Time, id deployment.EndpointID) {
-	entry := c.directory.Entry(id)
+	entry := c.directory.Endpoint(id)
 	if c.planning == nil || entry == nil {
 		return
 	}
@@ -190,7 +190,7 @@
 
 func (c *Coordinator) endpointIDs() map[deployment.EndpointID]bool {
 	ids := make(map[deployment.EndpointID]bool, c.directory.Size())
-	for id := range c.directory.Entries() {
+	for id := range c.directory.Endpoints() {
 		ids[id] = true
 	}
 	return ids
@@ -198,7 +198,7 @@
 
 func (c *Coordinator) retireGone(before map[deployment.EndpointID]bool) {
 	for id := range before {
-		if c.directory.Entry(id) == nil {
+		if c.directory.Endpoint(id) == nil {
 			c.options.Log.WithField("endpoint", id).Info("endpoint gone")
 			c.environment.Retire(id)
 		}
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -120,12 +120,12 @@
 // applyTotals takes in what the other instances have in flight; a heartbeat names all of it.
 func (c *Coordinator) applyTotals(v *wire.View) {
 	if v.Heartbeat {
-		for _, entry := range c.directory.Entries() {
+		for _, entry := range c.directory.Endpoints() {
 			entry.Others = 0
 		}
 	}
 	for _, total := range v.Totals {
-		if entry := c.directory.Entry(total.ID); entry != nil {
+		if entry := c.directory.Endpoint(total.ID); entry != nil {
 			entry.Others = max(0, total.Count-c.following.own[total.ID])
 		}
 	}
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -93,7 +93,7 @@
 	if c.planning != nil {
 		answer.Planner, answer.Term, answer.Address = c.options.Instance, c.planning.lease.Record().Term, c.options.PeerAddress
 	}
-	for _, entry := range c.directory.Entries() {
+	for _, entry := range c.directory.Endpoints() {
 		answer.Endpoints = append(answer.Endpoints, wire.FromEntry(entry))
 	}
 	// A peer that does not read loses the stream and asks another.
--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -105,7 +105,7 @@
 	f.order(start)
 	assert.Equal(t, []deployment.Adapter{adapter}, f.loads())
 	assert.Contains(t, f.begun, key)
-	assert.Contains(t, f.directory.Entry("e1").Offered, adapter)
+	assert.Contains(t, f.directory.Endpoint("e1").Offered, adapter)
 
 	changes := f.plans.Changes()
 	assert.False(t, changes.Empty())
@@ -168,7 +168,7 @@
 func TestAnEndpointThatLeavesIsAnnouncedAsGone(t *testing.T) {
 	f := newFixture()
 	f.plans.Sent()
-	f.plans.SetEndpoint(start, f.directory.Entry("e1").Endpoint, 6)
+	f.plans.SetEndpoint(start, f.directory.Endpoint("e1").Endpoint, 6)
 	f.directory.Remove("e1", 7)
 	f.plans.RemoveEndpoint("e1", 7)
 	changes := f.plans.Changes()
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -94,7 +94,7 @@
 // uses gives the requests in flight that use a copy, by all instances' last reports.
 func (p *Plans) uses(id deployment.EndpointID, adapter deployment.Adapter) int {
 	uses := p.members.Uses(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name})
-	if entry := p.directory.Entry(id); entry != nil {
+	if entry := p.directory.Endpoint(id); entry != nil {
 		uses += entry.OwnByAdapter[adapter]
 	}
 	return uses
@@ -150,7 +150,7 @@
 
 // bad tells whether an endpoint is bad for more than one instance, or for the only one.
 func (p *Plans) bad(now time.Time, id deployment.EndpointID) bool {
-	entry := p.directory.Entry(id)
+	entry := p.directory.Endpoint(id)
 	return p.members.Bad(id, entry != nil && entry.Health.Ejected(now))
 }
 
@@ -168,7 +168,7 @@
 	for _, planner := range p.planners {
 		planner.ConfirmUnused(now, p.unused)
 	}
-	for id, entry := range p.directory.Entries() {
+	for id, entry := range p.directory.Endpoints() {
 		if planner, ok := p.planners[entry.Service]; ok {
 			planner.SetSaturation(id, balance.CopyLimit().Reached(entry), balance.RequestLimit().Reached(entry))
 		}
@@ -183,7 +183,7 @@
 
 // unused tells whether no instance uses a copy whose withdrawal was announced.
 func (p *Plans) unused(id deployment.EndpointID, adapter deployment.Adapter, withdrawal uint64) bool {
-	if entry := p.directory.Entry(id); entry != nil && entry.OwnByAdapter[adapter] > 0 {
+	if entry := p.directory.Endpoint(id); entry != nil && entry.OwnByAdapter[adapter] > 0 {
 		return false
 	}
 	return p.members.Unused(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name}, withdrawal)
--- a/services/entry/coordinator/plan/reports.go
+++ b/services/entry/coordinator/plan/reports.go
@@ -21,7 +21,7 @@
 }
 
 func (p *Plans) refreshSuspicion(now time.Time, id deployment.EndpointID) {
-	entry := p.directory.Entry(id)
+	entry := p.directory.Endpoint(id)
 	if entry == nil {
 		return
 	}
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -37,7 +37,7 @@
 	}
 	c.missing = nil
 	c.following.own = make(map[deployment.EndpointID]int, c.directory.Size())
-	for id, entry := range c.directory.Entries() {
+	for id, entry := range c.directory.Endpoints() {
 		if entry.Own > 0 {
 			built.InFlight = append(built.InFlight, wire.EndpointCount{ID: id, Count: entry.Own})
 			c.following.own[id] = entry.Own
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -33,7 +33,7 @@
 		if c.planning != nil {
 			status.Planner, status.Term = c.options.Instance, c.planning.lease.Record().Term
 		}
-		for _, entry := range c.directory.Entries() {
+		for _, entry := range c.directory.Endpoints() {
 			status.InFlight += entry.Own
 			status.ResidentCopies += len(entry.Offered)
 			if entry.Health.Ejected(now) {
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -35,7 +35,7 @@
 	}
 	changed := p.plans.Changes()
 	for id := range changed.Endpoints {
-		if entry := p.coordinator.directory.Entry(id); entry != nil {
+		if entry := p.coordinator.directory.Endpoint(id); entry != nil {
 			changes.Endpoints = append(changes.Endpoints, wire.FromEntry(entry))
 		}
 	}
@@ -122,7 +122,7 @@
 	v.Heartbeat = true
 	v.Full = p.coordinator.endpointsKnown
 	v.At = p.at
-	for _, entry := range p.coordinator.directory.Entries() {
+	for _, entry := range p.coordinator.directory.Endpoints() {
 		v.Endpoints = append(v.Endpoints, wire.FromEntry(entry))
 	}
 	return v
@@ -136,7 +136,7 @@
 // totals sums the requests in flight over all instances.
 func (p *planning) totals() []wire.EndpointCount {
 	sums := make(map[deployment.EndpointID]int, p.coordinator.directory.Size())
-	for id, entry := range p.coordinator.directory.Entries() {
+	for id, entry := range p.coordinator.directory.Endpoints() {
 		sums[id] += entry.Own
 	}
 	p.members.AddInFlight(sums)
@@ -151,11 +151,11 @@
 
 func (p *planning) applyTotals(totals []wire.EndpointCount) {
 	c := p.coordinator
-	for _, entry := range c.directory.Entries() {
+	for _, entry := range c.directory.Endpoints() {
 		entry.Others = 0
 	}
 	for _, total := range totals {
-		if entry := c.directory.Entry(total.ID); entry != nil {
+		if entry := c.directory.Endpoint(total.ID); entry != nil {
 			entry.Others = max(0, total.Count-entry.Own)
 		}
 	}
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -181,7 +181,7 @@
 }
 
 // FromEntry gives an endpoint as the planner tells it: with the models and adapters that are on offer.
-func FromEntry(entry *directory.Entry) Endpoint {
+func FromEntry(entry *directory.EndpointStatus) Endpoint {
 	models := make([]Model, 0, len(entry.OfferedModels))
 	for _, name := range entry.OfferedModels {
 		model := Model{Name: name}
--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -11,8 +11,8 @@
 
 // Directory holds all endpoints; it is not safe for concurrent use.
 type Directory struct {
-	entries   map[deployment.EndpointID]*Entry
-	byService map[string][]*Entry
+	endpoints map[deployment.EndpointID]*EndpointStatus
+	byService map[string][]*EndpointStatus
 	// gone remembers removed endpoints' revisions, so that an older description does not
 	// bring them back.
 	gone map[deployment.EndpointID]int64
@@ -25,8 +25,8 @@
 // New makes an empty directory.
 func New() *Directory {
 	return &Directory{
-		entries:   make(map[deployment.EndpointID]*Entry),
-		byService: make(map[string][]*Entry),
+		endpoints: make(map[deployment.EndpointID]*EndpointStatus),
+		byService: make(map[string][]*EndpointStatus),
 		gone:      make(map[deployment.EndpointID]int64),
 		draining:  make(map[deployment.EndpointID]bool),
 		halls:     make(map[string]*reach),
@@ -45,41 +45,41 @@
 	if d.draining[endpoint.ID] {
 		endpoint.State = deployment.Draining
 	}
-	entry, ok := d.entries[endpoint.ID]
+	status, ok := d.endpoints[endpoint.ID]
 	if !ok {
-		entry = newEntry(endpoint, revision, d.reachOf(endpoint.Hall))
-		d.entries[endpoint.ID] = entry
-		d.byService[endpoint.Service] = append(d.byService[endpoint.Service], entry)
+		status = newEndpointStatus(endpoint, revision, d.reachOf(endpoint.Hall))
+		d.endpoints[endpoint.ID] = status
+		d.byService[endpoint.Service] = append(d.byService[endpoint.Service], status)
 		return true
 	}
-	if revision < entry.Revision {
-		if endpoint.State == deployment.Draining && entry.State != deployment.Draining {
-			entry.State = deployment.Draining
+	if revision < status.Revision {
+		if endpoint.State == deployment.Draining && status.State != deployment.Draining {
+			status.State = deployment.Draining
 			return true
 		}
 		return false
 	}
-	entry.Endpoint = endpoint
-	entry.Revision = revision
-	entry.OfferedModels, entry.Offered = endpoint.Models, endpoint.Adapters
+	status.Endpoint = endpoint
+	status.Revision = revision
+	status.OfferedModels, status.Offered = endpoint.Models, endpoint.Adapters
 	return true
 }
 
 // Remove forgets an endpoint that was gone at a revision.
 func (d *Directory) Remove(id deployment.EndpointID, revision int64) bool {
-	entry, ok := d.entries[id]
-	if ok && entry.Revision > revision {
+	status, ok := d.endpoints[id]
+	if ok && status.Revision > revision {
 		return false
 	}
 	d.gone[id] = max(d.gone[id], revision)
 	if !ok {
 		return false
 	}
-	delete(d.entries, id)
-	list := d.byService[entry.Service]
+	delete(d.endpoints, id)
+	list := d.byService[status.Service]
 	for i, other := range list {
-		if other == entry {
-			d.byService[entry.Service] = append(list[:i:i], list[i+1:]...)
+		if other == status {
+			d.byService[status.Service] = append(list[:i:i], list[i+1:]...)
 			break
 		}
 	}
@@ -93,7 +93,7 @@
 		listed[endpoint.ID] = true
 		d.Put(endpoint, revisions[i])
 	}
-	for id := range d.entries {
+	for id := range d.endpoints {
 		if !listed[id] {
 			d.Remove(id, at)
 		}
@@ -109,66 +109,66 @@
 	return known
 }
 
-// Entry gives one endpoint, or nil.
-func (d *Directory) Entry(id deployment.EndpointID) *Entry {
-	return d.entries[id]
+// Endpoint gives one endpoint, or nil.
+func (d *Directory) Endpoint(id deployment.EndpointID) *EndpointStatus {
+	return d.endpoints[id]
 }
 
 // Service gives the endpoints of a service.
-func (d *Directory) Service(service string) []*Entry {
+func (d *Directory) Service(service string) []*EndpointStatus {
 	return d.byService[service]
 }
 
-// Entries gives all endpoints by name; the caller must not change the map.
-func (d *Directory) Entries() map[deployment.EndpointID]*Entry {
-	return d.entries
+// Endpoints gives all endpoints by name; the caller must not change the map.
+func (d *Directory) Endpoints() map[deployment.EndpointID]*EndpointStatus {
+	return d.endpoints
 }
 
 // Size gives the number of endpoints.
 func (d *Directory) Size() int {
-	return len(d.entries)
+	return len(d.endpoints)
 }
 
 // Begin counts a request in flight.
 func (d *Directory) Begin(now time.Time, id deployment.EndpointID, adapter deployment.Adapter) {
-	entry, ok := d.entries[id]
+	status, ok := d.endpoints[id]
 	if !ok {
 		return
 	}
-	entry.Own++
+	status.Own++
 	if !adapter.IsZero() {
-		entry.OwnByAdapter[adapter]++
+		status.OwnByAdapter[adapter]++
 	}
-	if entry.Health.TrialDue(now) {
-		entry.Health.beginTrial()
+	if status.Health.TrialDue(now) {
+		status.Health.beginTrial()
 	}
 }
 
 // End takes a request out of flight and notes how its exchange ended.
 func (d *Directory) End(now time.Time, id deployment.EndpointID, adapter deployment.Adapter, outcome Outcome) {
-	entry, ok := d.entries[id]
+	status, ok := d.endpoints[id]
 	if !ok {
 		return
 	}
-	entry.Own--
+	status.Own--
 	if !adapter.IsZero() {
-		entry.OwnByAdapter[adapter]--
-		if entry.OwnByAdapter[adapter] <= 0 {
-			delete(entry.OwnByAdapter, adapter)
+		status.OwnByAdapter[adapter]--
+		if status.OwnByAdapter[adapter] <= 0 {
+			delete(status.OwnByAdapter, adapter)
 		}
 	}
-	entry.Health.note(now, outcome, d.failureRate(entry))
-	entry.hall.note(now, outcome)
+	status.Health.note(now, outcome, d.failureRate(status))
+	status.hall.note(now, outcome)
 }
 
 // failureRate is the mean failure rate of the other endpoints of a service.
-func (d *Directory) failureRate(except *Entry) float64 {
+func (d *Directory) failureRate(except *EndpointStatus) float64 {
 	sum, count := 0.0, 0
-	for _, entry := range d.byService[except.Service] {
-		if entry == except || entry.Health.exchanges < comparedExchanges {
+	for _, status := range d.byService[except.Service] {
+		if status == except || status.Health.exchanges < comparedExchanges {
 			continue
 		}
-		sum += entry.Health.rate
+		sum += status.Health.rate
 		count++
 	}
 	if count == 0 {
@@ -179,15 +179,15 @@
 
 // NoteMissing remembers that an endpoint said it does not hold an adapter.
 func (d *Directory) NoteMissing(now time.Time, id deployment.EndpointID, adapter deployment.Adapter) {
-	if entry, ok := d.entries[id]; ok {
-		entry.missing[adapter] = now
+	if status, ok := d.endpoints[id]; ok {
+		status.missing[adapter] = now
 	}
 }
 
 // SetOffered takes in which models and adapters of an endpoint new requests may use, as the planner's view lists them.
 func (d *Directory) SetOffered(id deployment.EndpointID, models []string, adapters map[deployment.Adapter]int64) {
-	if entry, ok := d.entries[id]; ok {
-		entry.OfferedModels, entry.Offered = models, adapters
+	if status, ok := d.endpoints[id]; ok {
+		status.OfferedModels, status.Offered = models, adapters
 	}
 }
 
@@ -197,13 +197,13 @@
 
 // RememberHeld notes what each endpoint holds now, and forgets what it held long ago.
 func (d *Directory) RememberHeld(now time.Time) {
-	for _, entry := range d.entries {
-		for adapter := range entry.Offered {
-			entry.Held[adapter] = now
+	for _, status := range d.endpoints {
+		for adapter := range status.Offered {
+			status.Held[adapter] = now
 		}
-		for adapter, at := range entry.Held {
+		for adapter, at := range status.Held {
 			if now.Sub(at) > heldMemory {
-				delete(entry.Held, adapter)
+				delete(status.Held, adapter)
 			}
 		}
 	}
--- a/services/entry/directory/directory_test.go
+++ b/services/entry/directory/directory_test.go
@@ -30,14 +30,14 @@
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Draining), 5)
 	d.Put(endpoint("e", deployment.Ready), 9)
-	assert.Equal(t, deployment.Draining, d.Entry("e").State)
+	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
 }
 
 func TestAnOlderWordOfDrainingStillCounts(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 9)
 	assert.True(t, d.Put(endpoint("e", deployment.Draining), 5))
-	assert.Equal(t, deployment.Draining, d.Entry("e").State)
+	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
 }
 
 func TestAnOlderDescriptionDoesNotBringBackWhatIsGone(t *testing.T) {
@@ -45,7 +45,7 @@
 	d.Put(endpoint("e", deployment.Ready), 5)
 	require.True(t, d.Remove("e", 7))
 	assert.False(t, d.Put(endpoint("e", deployment.Ready), 6))
-	assert.Nil(t, d.Entry("e"))
+	assert.Nil(t, d.Endpoint("e"))
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 8))
 }
 
@@ -54,30 +54,30 @@
 	d.Put(endpoint("new", deployment.Ready), 9)
 	d.Put(endpoint("old", deployment.Ready), 3)
 	d.Replace([]deployment.Endpoint{}, nil, 5)
-	assert.NotNil(t, d.Entry("new"))
-	assert.Nil(t, d.Entry("old"))
+	assert.NotNil(t, d.Endpoint("new"))
+	assert.Nil(t, d.Endpoint("old"))
 }
 
 func TestOfferedCopiesDoNotChangeTheDescription(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	d.SetOffered("e", []string{"base"}, map[deployment.Adapter]int64{})
-	entry := d.Entry("e")
-	assert.False(t, entry.Holds(start, one, 0))
-	assert.Contains(t, entry.Adapters, one, "the endpoint's own word stays")
+	status := d.Endpoint("e")
+	assert.False(t, status.Holds(start, one, 0))
+	assert.Contains(t, status.Adapters, one, "the endpoint's own word stays")
 }
 
 func TestHoldsLooksAtTheVersionAndAtTheEndpointsOwnWord(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
-	entry := d.Entry("e")
-	assert.True(t, entry.Holds(start, one, 2))
-	assert.False(t, entry.Holds(start, one, 3))
+	status := d.Endpoint("e")
+	assert.True(t, status.Holds(start, one, 2))
+	assert.False(t, status.Holds(start, one, 3))
 	d.NoteMissing(start, "e", one)
-	assert.False(t, entry.Holds(start.Add(time.Second), one, 2))
-	assert.True(t, entry.Holds(start.Add(2*time.Second), one, 2))
-	assert.True(t, entry.Holds(start, deployment.Adapter{Model: "base"}, 0))
-	assert.False(t, entry.Holds(start, deployment.Adapter{Model: "other"}, 0))
+	assert.False(t, status.Holds(start.Add(time.Second), one, 2))
+	assert.True(t, status.Holds(start.Add(2*time.Second), one, 2))
+	assert.True(t, status.Holds(start, deployment.Adapter{Model: "base"}, 0))
+	assert.False(t, status.Holds(start, deployment.Adapter{Model: "other"}, 0))
 }
 
 func finish(d *directory.Directory, now time.Time, id string, outcome directory.Outcome) {
@@ -89,16 +89,16 @@
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	finish(d, start, "e", directory.Broken)
-	assert.False(t, d.Entry("e").Health.Ejected(start))
+	assert.False(t, d.Endpoint("e").Health.Ejected(start))
 	finish(d, start, "e", directory.Broken)
-	require.True(t, d.Entry("e").Health.Ejected(start))
+	require.True(t, d.Endpoint("e").Health.Ejected(start))
 
 	later := start.Add(time.Second)
-	require.False(t, d.Entry("e").Health.Ejected(later))
+	require.False(t, d.Endpoint("e").Health.Ejected(later))
 	d.Begin(later, "e", one)
-	assert.True(t, d.Entry("e").Health.Ejected(later), "only one request tries")
+	assert.True(t, d.Endpoint("e").Health.Ejected(later), "only one request tries")
 	d.End(later, "e", one, directory.Succeeded)
-	assert.False(t, d.Entry("e").Health.Ejected(later))
+	assert.False(t, d.Endpoint("e").Health.Ejected(later))
 }
 
 func TestAFailedTrialEjectsForLonger(t *testing.T) {
@@ -108,8 +108,8 @@
 	finish(d, start, "e", directory.Broken)
 	later := start.Add(time.Second)
 	finish(d, later, "e", directory.Broken)
-	assert.True(t, d.Entry("e").Health.Ejected(later.Add(time.Second)))
-	assert.False(t, d.Entry("e").Health.Ejected(later.Add(1700*time.Millisecond)))
+	assert.True(t, d.Endpoint("e").Health.Ejected(later.Add(time.Second)))
+	assert.False(t, d.Endpoint("e").Health.Ejected(later.Add(1700*time.Millisecond)))
 }
 
 func TestErrorsThatAllEndpointsMakeEjectNone(t *testing.T) {
@@ -122,7 +122,7 @@
 			finish(d, start, id, directory.Errored)
 		}
 	}
-	assert.False(t, d.Entry("a").Health.Ejected(start))
+	assert.False(t, d.Endpoint("a").Health.Ejected(start))
 }
 
 func TestErrorsOfOneEndpointEjectIt(t *testing.T) {
@@ -135,8 +135,8 @@
 		finish(d, start, "b", directory.Succeeded)
 		finish(d, start, "c", directory.Succeeded)
 	}
-	assert.True(t, d.Entry("a").Health.Ejected(start))
-	assert.False(t, d.Entry("b").Health.Ejected(start))
+	assert.True(t, d.Endpoint("a").Health.Ejected(start))
+	assert.False(t, d.Endpoint("b").Health.Ejected(start))
 }
 
 func TestCallersThatLeaveAreNotTheEndpointsFault(t *testing.T) {
@@ -145,9 +145,9 @@
 	for range 10 {
 		finish(d, start, "e", directory.Neutral)
 	}
-	assert.False(t, d.Entry("e").Health.Ejected(start))
-	assert.Zero(t, d.Entry("e").Load())
-	assert.Empty(t, d.Entry("e").OwnByAdapter)
+	assert.False(t, d.Endpoint("e").Health.Ejected(start))
+	assert.Zero(t, d.Endpoint("e").Load())
+	assert.Empty(t, d.Endpoint("e").OwnByAdapter)
 }
 
 // TestAHallThatCannotBeReachedIsAvoided is about a cut between halls: each endpoint behind it had to
@@ -171,19 +171,19 @@
 	exchange("far-2", directory.Broken)
 	exchange("far-2", directory.Refused)
 	exchange("far-3", directory.Broken)
-	assert.False(t, d.Entry("far-4").Avoided(now), "an answer in between shows that the hall is reached")
+	assert.False(t, d.Endpoint("far-4").Avoided(now), "an answer in between shows that the hall is reached")
 
 	exchange("far-1", directory.Broken)
 	exchange("far-2", directory.Broken)
-	assert.True(t, d.Entry("far-4").Avoided(now))
-	assert.False(t, d.Entry("near").Avoided(now))
+	assert.True(t, d.Endpoint("far-4").Avoided(now))
+	assert.False(t, d.Endpoint("near").Avoided(now))
 
 	now = now.Add(700 * time.Millisecond)
-	assert.False(t, d.Entry("far-4").Avoided(now), "it is tried again")
+	assert.False(t, d.Endpoint("far-4").Avoided(now), "it is tried again")
 	exchange("far-4", directory.Broken)
-	assert.True(t, d.Entry("far-4").Avoided(now.Add(time.Second)), "for longer each time")
+	assert.True(t, d.Endpoint("far-4").Avoided(now.Add(time.Second)), "for longer each time")
 
 	now = now.Add(2 * time.Second)
 	exchange("far-4", directory.Succeeded)
-	assert.False(t, d.Entry("far-4").Avoided(now))
+	assert.False(t, d.Endpoint("far-4").Avoided(now))
 }
--- a/services/entry/directory/doc.go
+++ b/services/entry/directory/doc.go
@@ -5,7 +5,7 @@
 // adapters they hold, the requests in flight at each, and how they have behaved.
 //
 // It owns the rules of ejection (health.go) and of avoiding a hall that cannot be reached (reach.go), and decides whether an
-// endpoint holds an adapter (entry.go). Descriptions come from the store or the planner's view, offered copies and the
+// endpoint holds an adapter (status.go). Descriptions come from the store or the planner's view, offered copies and the
 // others' counts from the planner's view, outcomes from this instance's own exchanges. It is a plain state machine of the
 // coordinator's control goroutine: it does no I/O, starts no goroutine, and the present time is an argument.
 package directory
--- a/services/entry/directory/edges_test.go
+++ b/services/entry/directory/edges_test.go
@@ -50,7 +50,7 @@
 			for _, outcome := range test.outcomes {
 				finish(d, start, "e", outcome)
 			}
-			assert.Equal(t, test.ejected, d.Entry("e").Health.Ejected(start))
+			assert.Equal(t, test.ejected, d.Endpoint("e").Health.Ejected(start))
 		})
 	}
 }
@@ -79,7 +79,7 @@
 			for range 5 {
 				finish(d, start, "e", failed)
 			}
-			assert.Equal(t, test.ejected, d.Entry("e").Health.Ejected(start))
+			assert.Equal(t, test.ejected, d.Endpoint("e").Health.Ejected(start))
 		})
 	}
 }
@@ -91,7 +91,7 @@
 	now := start
 	finish(d, now, "e", broken)
 	finish(d, now, "e", broken)
-	health := func() *directory.Health { return &d.Entry("e").Health }
+	health := func() *directory.Health { return &d.Endpoint("e").Health }
 	for _, length := range []time.Duration{800, 1600, 3200, 6000, 6000} {
 		end := now.Add(length * time.Millisecond)
 		assert.True(t, health().Ejected(end.Add(-1)), "just before its end")
@@ -126,7 +126,7 @@
 			for i, outcome := range test.outcomes {
 				finish(d, start, []string{"a", "b", "c"}[i%3], outcome)
 			}
-			assert.Equal(t, test.avoided, d.Entry("unused").Avoided(start))
+			assert.Equal(t, test.avoided, d.Endpoint("unused").Avoided(start))
 		})
 	}
 	d := hall()
@@ -136,8 +136,8 @@
 	for _, length := range []time.Duration{600, 1200, 2400, 2400} {
 		finish(d, now, "c", broken)
 		end := now.Add(length * time.Millisecond)
-		assert.True(t, d.Entry("unused").Avoided(end.Add(-1)), "just before the end of %d ms", length)
-		assert.False(t, d.Entry("unused").Avoided(end), "at the end of %d ms", length)
+		assert.True(t, d.Endpoint("unused").Avoided(end.Add(-1)), "just before the end of %d ms", length)
+		assert.False(t, d.Endpoint("unused").Avoided(end), "at the end of %d ms", length)
 		now = end
 	}
 }
@@ -168,7 +168,7 @@
 			d.RememberHeld(start)
 			d.SetOffered("e", nil, nil)
 			d.RememberHeld(start.Add(test.after))
-			_, held := d.Entry("e").Held[one]
+			_, held := d.Endpoint("e").Held[one]
 			assert.Equal(t, test.held, held)
 		})
 	}
@@ -180,9 +180,9 @@
 	d.Put(endpoint("e", deployment.Ready), 1)
 	d.NoteMissing(start, "e", one)
 	end := start.Add(1500 * time.Millisecond)
-	assert.False(t, d.Entry("e").Holds(end.Add(-1), one, 0), "just before")
-	assert.False(t, d.Entry("e").Holds(end, one, 0), "at the end")
-	assert.True(t, d.Entry("e").Holds(end.Add(1), one, 0), "just after")
+	assert.False(t, d.Endpoint("e").Holds(end.Add(-1), one, 0), "just before")
+	assert.False(t, d.Endpoint("e").Holds(end, one, 0), "at the end")
+	assert.True(t, d.Endpoint("e").Holds(end.Add(1), one, 0), "just after")
 }
 
 // TestEdgesOfRevisions has an endpoint known as of revision 5.
@@ -193,7 +193,7 @@
 		newer := endpoint("e", deployment.Ready)
 		newer.Slots = 7
 		assert.Equal(t, taken, d.Put(newer, revision), "description of revision %d", revision)
-		assert.Equal(t, taken, d.Entry("e").Slots == 7, "description of revision %d", revision)
+		assert.Equal(t, taken, d.Endpoint("e").Slots == 7, "description of revision %d", revision)
 	}
 	for revision, removed := range map[int64]bool{0: false, 4: false, 5: true, 6: true} {
 		d := directory.New()
@@ -213,6 +213,6 @@
 	d.NoteMissing(start, "unknown", one)
 	d.SetOffered("unknown", []string{"base"}, nil)
 	assert.False(t, d.Remove("unknown", 3))
-	assert.Nil(t, d.Entry("unknown"))
+	assert.Nil(t, d.Endpoint("unknown"))
 	assert.Zero(t, d.Size())
 }
--- a/services/entry/directory/entry.go
+++ b/services/entry/directory/status.go
@@ -10,8 +10,8 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Entry is one endpoint as this instance sees it.
-type Entry struct {
+// EndpointStatus is the state of one endpoint as this instance sees it.
+type EndpointStatus struct {
 	deployment.Endpoint
 	// Revision is the store's revision of the description.
 	Revision int64
@@ -39,8 +39,8 @@
 // requests from a copy that was just brought, shorter sends them to one that is not there. Not measured.
 const missingFor = 1500 * time.Millisecond
 
-func newEntry(endpoint deployment.Endpoint, revision int64, hall *reach) *Entry {
-	return &Entry{
+func newEndpointStatus(endpoint deployment.Endpoint, revision int64, hall *reach) *EndpointStatus {
+	return &EndpointStatus{
 		Endpoint:      endpoint,
 		hall:          hall,
 		Revision:      revision,
@@ -54,25 +54,25 @@
 
 // Holds reports whether a request for an adapter, or for its base model alone, can run here,
 // at a version of at least the one given.
-func (e *Entry) Holds(now time.Time, adapter deployment.Adapter, version int64) bool {
+func (s *EndpointStatus) Holds(now time.Time, adapter deployment.Adapter, version int64) bool {
 	if adapter.IsZero() {
-		return slices.Contains(e.OfferedModels, adapter.Model)
+		return slices.Contains(s.OfferedModels, adapter.Model)
 	}
-	resident, ok := e.Offered[adapter]
+	resident, ok := s.Offered[adapter]
 	if !ok || resident < version {
 		return false
 	}
-	at, gone := e.missing[adapter]
+	at, gone := s.missing[adapter]
 	return !gone || now.Sub(at) > missingFor
 }
 
 // Avoided reports whether the endpoint gets requests only where no other can run them: it behaved badly,
 // or its hall cannot be reached.
-func (e *Entry) Avoided(now time.Time) bool {
-	return e.Health.Ejected(now) || e.hall.cut(now)
+func (s *EndpointStatus) Avoided(now time.Time) bool {
+	return s.Health.Ejected(now) || s.hall.cut(now)
 }
 
 // Load is the number of requests known to be in flight.
-func (e *Entry) Load() int {
-	return e.Own + e.Others
+func (s *EndpointStatus) Load() int {
+	return s.Own + s.Others
 }
