--- a/tests/integration/caller_test.go
+++ b/tests/integration/caller_test.go
@@ -76,7 +76,7 @@
 	require.Equal(t, http.StatusOK, status)
 }
 
-func TestExplainAndFleetWideQueries(t *testing.T) {
+func TestQueriesCoverTheFleetAndNameAMissingInstance(t *testing.T) {
 	f := newFleet(t, threeHalls(), nil, instanceNames(6)...)
 	f.createAdapters("h1-i1", 30)
 	for i := range 60 {
--- a/tests/integration/path_test.go
+++ b/tests/integration/path_test.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
-func TestManyAdaptersOnFewSlots(t *testing.T) {
+func TestManyAdaptersAreServedFromFewSlots(t *testing.T) {
 	f := newFleet(t, standin.DefaultClusterOptions(), nil, "h1-i1", "h1-i2", "h2-i1")
 	f.createAdapters("h1-i1", 40)
 	instances := []string{"h1-i1", "h1-i2", "h2-i1"}
--- a/tools/replay/sim/replay_test.go
+++ b/tools/replay/sim/replay_test.go
@@ -106,9 +106,9 @@
 	}
 }
 
-// TestStatedOutcomes holds every policy to the outcomes stated beside the traces. Who
+// TestPoliciesGiveTheStatedOutcomes holds every policy to the outcomes stated beside the traces. Who
 // changes a decision states the new ones with `UPDATE_OUTCOMES=1 go test ./tools/replay/sim`.
-func TestStatedOutcomes(t *testing.T) {
+func TestPoliciesGiveTheStatedOutcomes(t *testing.T) {
 	file := filepath.Join(traces, "outcomes.json")
 	got := make(map[string]map[string]outcome)
 	for _, scenario := range []string{"dakar", "plovdiv", "storm"} {
--- a/tools/replay/sim/trace_file.go
+++ b/tools/replay/sim/trace_file.go
@@ -81,38 +81,32 @@
 
 // traceChecker checks the lines of one trace as they come.
 type traceChecker struct {
-	file      string
-	number    int
-	last      float64
-	ids       map[string]bool
-	halls     map[string]bool
-	bases     map[string]bool
-	classes   map[string]bool
-	endpoints map[string]bool
-	instances map[string]bool
+	file   string
+	number int
+	last   float64
+	ids    map[string]bool
+	// known holds the names that the fleet gives to what a field names.
+	known map[string]map[string]bool
 }
 
 func newTraceChecker(file string, f *FleetFile) *traceChecker {
-	c := &traceChecker{
-		file: file, ids: make(map[string]bool), halls: make(map[string]bool), bases: make(map[string]bool),
-		classes: make(map[string]bool), endpoints: make(map[string]bool), instances: make(map[string]bool),
-	}
+	known := map[string]map[string]bool{"hall": {}, "instance": {}, "endpoint": {}, "base": {}, "class": {}}
 	for _, h := range f.Halls {
-		c.halls[h.Name] = true
+		known["hall"][h.Name] = true
 		for _, i := range h.Instances {
-			c.instances[i] = true
+			known["instance"][i] = true
 		}
 	}
 	for _, e := range f.Endpoints {
-		c.endpoints[e.Name] = true
+		known["endpoint"][e.Name] = true
 		for _, b := range e.Bases {
-			c.bases[b] = true
+			known["base"][b] = true
 		}
 	}
-	for _, cl := range f.Classes {
-		c.classes[cl.Name] = true
+	for _, class := range f.Classes {
+		known["class"][class.Name] = true
 	}
-	return c
+	return &traceChecker{file: file, ids: make(map[string]bool), known: known}
 }
 
 func (c *traceChecker) bad(field, reason string, args ...any) error {
@@ -145,11 +139,11 @@
 		return c.bad("id", "missing")
 	case c.ids[l.ID]:
 		return c.bad("id", "%q stands twice", l.ID)
-	case !c.halls[l.Hall]:
+	case !c.known["hall"][l.Hall]:
 		return c.bad("hall", "no hall %q in the fleet", l.Hall)
-	case !c.bases[l.Base]:
+	case !c.known["base"][l.Base]:
 		return c.bad("base", "no endpoint runs %q", l.Base)
-	case !c.classes[l.Class]:
+	case !c.known["class"][l.Class]:
 		return c.bad("class", "no class %q in the fleet", l.Class)
 	case l.Adapter == "":
 		return c.bad("adapter", "missing")
@@ -167,33 +161,23 @@
 }
 
 func (c *traceChecker) checkEvent(l Line) error {
-	switch l.Event {
-	case EndpointRestart, EndpointLeaving, LoadFails:
-		if !c.endpoints[l.Endpoint] {
-			return c.bad("endpoint", "no endpoint %q in the fleet", l.Endpoint)
-		}
-		if l.Event == LoadFails && l.Count < 1 {
-			return c.bad("count", "must be 1 or more")
-		}
-		return nil
-	case StoreRate:
-		if l.Rate <= 0 {
-			return c.bad("rate_per_second", "must be above 0")
-		}
-	case HallCut:
-		if !c.halls[l.Hall] {
-			return c.bad("hall", "no hall %q in the fleet", l.Hall)
-		}
-	case KVDown:
-	case InstanceLost:
-		if !c.instances[l.Instance] {
-			return c.bad("instance", "no instance %q in the fleet", l.Instance)
-		}
-		return nil
-	default:
-		return c.bad("event", "unknown event %q", l.Event)
+	// What an event names, by its field.
+	named := map[EventName][2]string{
+		EndpointRestart: {"endpoint", l.Endpoint}, EndpointLeaving: {"endpoint", l.Endpoint}, LoadFails: {"endpoint", l.Endpoint},
+		HallCut: {"hall", l.Hall}, InstanceLost: {"instance", l.Instance}, StoreRate: {}, KVDown: {},
 	}
-	if l.UntilMS <= l.AtMS {
+	name, known := named[l.Event]
+	lasts := l.Event == StoreRate || l.Event == HallCut || l.Event == KVDown
+	switch {
+	case !known:
+		return c.bad("event", "unknown event %q", l.Event)
+	case name[0] != "" && !c.known[name[0]][name[1]]:
+		return c.bad(name[0], "no %s %q in the fleet", name[0], name[1])
+	case l.Event == LoadFails && l.Count < 1:
+		return c.bad("count", "must be 1 or more")
+	case l.Event == StoreRate && l.Rate <= 0:
+		return c.bad("rate_per_second", "must be above 0")
+	case lasts && l.UntilMS <= l.AtMS:
 		return c.bad("until_ms", "must be after at_ms")
 	}
 	return nil
