--- a/models/entry/deployment/configuration_test.go
+++ b/models/entry/deployment/configuration_test.go
@@ -24,7 +24,7 @@
 	assert.Nil(t, configuration.Match("c.example", "/x/"))
 }
 
-func TestOnlySafeAndResumableRoutesMayRepeat(t *testing.T) {
+func TestOnlySafeAndResumableRoutesMayBeRetried(t *testing.T) {
 	assert.True(t, (&deployment.Route{Kind: deployment.Safe}).Retryable())
 	assert.False(t, (&deployment.Route{Kind: deployment.Unsafe}).Retryable())
 	assert.False(t, (&deployment.Route{Kind: deployment.Streaming}).Retryable())
--- a/services/entry/retry/budget.go
+++ b/services/entry/retry/budget.go
@@ -7,20 +7,20 @@
 
 // Options are the settings of a Budget.
 type Options struct {
-	// Ratio is how many repeats each request allows; from the settings.
+	// Ratio is how many retries each request allows; from the settings.
 	Ratio float64
-	// Extra is how many more repeats the whole fleet may make in a window; from the settings.
+	// Extra is how many more retries the whole fleet may make in a window; from the settings.
 	Extra float64
 	// Window is the length of every span in which the budget must hold; from the settings.
 	Window time.Duration
 }
 
 // safetyShare is the part of the budget that is used, against requests that are counted at
-// the edge of a window. Higher repeats more and may break the bound of the whole fleet, which counts windows by
+// the edge of a window. Higher retries more and may break the bound of the whole fleet, which counts windows by
 // its own clock. Not measured.
 const safetyShare = 0.85
 
-// Budget counts requests and repeats for each service over a sliding window. It is not safe
+// Budget counts requests and retries for each service over a sliding window. It is not safe
 // for concurrent use.
 type Budget struct {
 	options  Options
@@ -31,16 +31,16 @@
 
 type window struct {
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 }
 
 // NewBudget makes a budget for a process that started at a time. For one window after that
-// only its own requests count, since the repeats of the process before it are not known.
+// only its own requests count, since the retries of the process before it are not known.
 func NewBudget(options Options, started time.Time) *Budget {
 	return &Budget{options: options, started: started, services: make(map[string]*window)}
 }
 
-// SetMembers sets how many instances share the extra repeats, by the planner's view; 0 means that it is not known.
+// SetMembers sets how many instances share the extra retries, by the planner's view; 0 means that it is not known.
 func (b *Budget) SetMembers(members int) {
 	b.members = members
 }
@@ -51,13 +51,13 @@
 	w.requests = append(w.requests, now)
 }
 
-// Take asks for one repeat and counts it if it is granted.
+// Take asks for one retry and counts it if it is granted.
 func (b *Budget) Take(now time.Time, service string) bool {
 	w := b.window(now, service)
-	if float64(len(w.repeats)+1) > b.allowance(now, w) {
+	if float64(len(w.retries)+1) > b.allowance(now, w) {
 		return false
 	}
-	w.repeats = append(w.repeats, now)
+	w.retries = append(w.retries, now)
 	return true
 }
 
@@ -77,7 +77,7 @@
 	}
 	oldest := now.Add(-b.options.Window)
 	w.requests = dropBefore(w.requests, oldest)
-	w.repeats = dropBefore(w.repeats, oldest)
+	w.retries = dropBefore(w.retries, oldest)
 	return w
 }
 
--- a/services/entry/retry/budget_test.go
+++ b/services/entry/retry/budget_test.go
@@ -19,7 +19,7 @@
 )
 
 // TestFleetStaysWithinTheBudgetInEverySlidingWindow drives seven instances that all want to
-// repeat everything, one of which restarts, and counts what all of them were granted.
+// retry everything, one of which restarts, and counts what all of them were granted.
 func TestFleetStaysWithinTheBudgetInEverySlidingWindow(t *testing.T) {
 	const instances = 7
 	random := rand.New(rand.NewPCG(1, 2))
@@ -28,7 +28,7 @@
 		budgets[i] = retry.NewBudget(options, start)
 		budgets[i].SetMembers(instances)
 	}
-	var requests, repeats []time.Time
+	var requests, retries []time.Time
 	for step := range 6000 {
 		now := start.Add(time.Duration(step) * 10 * time.Millisecond)
 		i := random.IntN(instances)
@@ -39,14 +39,14 @@
 		budgets[i].Request(now, "service")
 		requests = append(requests, now)
 		for budgets[i].Take(now, "service") {
-			repeats = append(repeats, now)
+			retries = append(retries, now)
 		}
 	}
-	assert.NotEmpty(t, repeats)
-	for _, end := range repeats {
+	assert.NotEmpty(t, retries)
+	for _, end := range retries {
 		from := end.Add(-options.Window)
 		allowed := options.Ratio*float64(countBetween(requests, from, end)) + options.Extra
-		assert.LessOrEqual(t, float64(countBetween(repeats, from, end)), allowed, "window that ends at %s", end.Sub(start))
+		assert.LessOrEqual(t, float64(countBetween(retries, from, end)), allowed, "window that ends at %s", end.Sub(start))
 	}
 }
 
--- a/services/entry/retry/edges_test.go
+++ b/services/entry/retry/edges_test.go
@@ -12,7 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
-// granted takes repeats until one is refused.
+// granted takes retries until one is refused.
 func granted(budget *retry.Budget, now time.Time) int {
 	count := 0
 	for budget.Take(now, "service") {
@@ -21,7 +21,7 @@
 	return count
 }
 
-// TestEdgesOfTheBudget: 0.85 of 0.2 repeats a request, and of the instance's part of 54 once a window has passed.
+// TestEdgesOfTheBudget: 0.85 of 0.2 retries a request, and of the instance's part of 54 once a window has passed.
 func TestEdgesOfTheBudget(t *testing.T) {
 	for name, test := range map[string]struct {
 		requests, members int
@@ -29,14 +29,14 @@
 		granted           int
 	}{
 		"no request":                              {0, 1, 0, 0},
-		"just below one repeat":                   {5, 1, 0, 0},
-		"just above one repeat":                   {6, 1, 0, 1},
-		"just below two repeats":                  {11, 1, 0, 1},
-		"just above two repeats":                  {12, 1, 0, 2},
+		"just below one retry":                    {5, 1, 0, 0},
+		"just above one retry":                    {6, 1, 0, 1},
+		"just below two retries":                  {11, 1, 0, 1},
+		"just above two retries":                  {12, 1, 0, 2},
 		"just before the first window has passed": {0, 1, 10*time.Second - 1, 0},
 		"the first window has passed":             {0, 1, 10 * time.Second, 45},
 		"a tenth of the extra":                    {0, 10, time.Hour, 4},
-		"a part of the extra below one repeat":    {0, 46, time.Hour, 0},
+		"a part of the extra below one retry":     {0, 46, time.Hour, 0},
 		"number of instances not known":           {0, 0, time.Hour, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
