--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -111,11 +111,17 @@
 		}
 		name := strings.Trim(cells[0], "`")
 		require.NotContains(t, rows, name, "listed twice")
-		rows[name] = row{value: strings.Trim(cells[1], "`"), unit: cells[2], trades: cells[3], measured: cells[4]}
+		rows[name] = row{value: readValue(cells[1]), unit: cells[2], trades: cells[3], measured: cells[4]}
 	}
 	return sections
 }
 
+// readValue gives the expression of a cell. One that is no number stands without backticks, which are for names that exist
+// elsewhere in the code, and with its stars escaped.
+func readValue(cell string) string {
+	return strings.ReplaceAll(strings.Trim(cell, "`"), `\*`, "*")
+}
+
 // readConstants gives the numeric constants that the files of a folder declare outside functions, tests excepted.
 func readConstants(t *testing.T, folder string) map[string]constant {
 	t.Helper()
