--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -178,7 +178,7 @@
 	s.noteEvent(e)
 }
 
-// noteEvent enters an event in the journal and the metrics, and in the log if it belongs there.
+// noteEvent enters an event in the journal and the metrics, and in the log if it is of a kind for an ordinary day.
 func (s *Service) noteEvent(e fleet.Event) {
 	s.options.Journal.Add(e)
 	s.options.Metrics.Events.WithLabelValues(string(e.Kind)).Inc()
--- a/services/daemon/node/endpoints.go
+++ b/services/daemon/node/endpoints.go
@@ -28,7 +28,7 @@
 	}
 }
 
-// Inspected takes an endpoint's own list, which corrects the placer's books and may lift a freeze.
+// Inspected takes an endpoint's own list, which corrects what the placer knows and may lift a freeze.
 func (n *Node) Inspected(now time.Time, pool string, term uint64, in placement.Inspection) []Effect {
 	ps := n.pools[pool]
 	if ps == nil || !ps.mine || ps.term != term {
--- a/services/daemon/node/listed.go
+++ b/services/daemon/node/listed.go
@@ -35,7 +35,7 @@
 	return out
 }
 
-// EndpointLeaving takes an endpoint's own word that it is leaving, ahead of the list.
+// EndpointLeaving takes an endpoint's own report that it is leaving, ahead of the list.
 func (n *Node) EndpointLeaving(now time.Time, endpoint string) []Effect {
 	n.list.EndpointLeaving(now, endpoint)
 	n.applyAllDrains(now)
--- a/services/daemon/node/ownership/takeover.go
+++ b/services/daemon/node/ownership/takeover.go
@@ -16,7 +16,7 @@
 	HoldRequests = 400 * time.Millisecond
 	// maxFenceLosses bounds the doubling of the pause after an endpoint has obeyed another
 	// instance: 31 retry times at most. Two instances that cannot hear each other spend the
-	// endpoint's time on their quarrel without it. Not measured.
+	// endpoint's time on taking it from each other without it. Not measured.
 	maxFenceLosses = 5
 	// forgetLosses is the time without such a loss after which the pause is short again.
 	// Not measured.
@@ -85,7 +85,7 @@
 }
 
 // LoseFence makes an endpoint that obeys another instance be asked again later. Two
-// instances that cannot hear each other may both believe that they hold the pool; each
+// instances that cannot hear each other may both take themselves for the pool's placer; each
 // comes back more slowly every time.
 func (t *Takeover) LoseFence(now time.Time, endpoint string) {
 	if now.Sub(t.lostAt) > forgetLosses {
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -242,7 +242,7 @@
 	n.emit(Deliver{RequestID: t.RequestID, Ticket: t, NotAfter: now.Add(t.StartWithin)})
 }
 
-// refused takes a placer's refusal, or its word that it is not the placer.
+// refused takes a placer's refusal, or its answer that another instance is the placer.
 func (n *Node) refused(now time.Time, e fleet.Envelope) {
 	p, ok := n.pending.FindAttempt(e.Refused.Refusal.RequestID, e.Refused.Attempt)
 	if !ok || p.Pool != e.Refused.Pool {
--- a/services/daemon/node/waiting/waiting_test.go
+++ b/services/daemon/node/waiting/waiting_test.go
@@ -63,7 +63,7 @@
 	require.True(t, r.AskDue(after(1)), "the grant came too late")
 }
 
-func TestPatienceWithAPoolWithoutPlacer(t *testing.T) {
+func TestTimeoutOfAPoolWithoutPlacer(t *testing.T) {
 	const longest = 5 * time.Second
 	r := request("q", 0)
 	require.False(t, r.NoPlacer(begin, longest))
--- a/services/daemon/placement/doc.go
+++ b/services/daemon/placement/doc.go
@@ -15,7 +15,7 @@
 //   - ticket.go: what was granted, and to whom
 //   - demand.go, preload.go, bid.go: which load is worth how much
 //   - place.go, load.go: where a load goes, what it evicts, and how it ends
-//   - inspection.go, endpoint_state.go: an endpoint's own list against the books
+//   - inspection.go, endpoint_state.go: an endpoint's own list against what is known of it
 //   - restriction.go: what may not be done on an endpoint, and until when
 //   - view.go: what other instances and operators see
 //
--- a/services/daemon/placement/inspection.go
+++ b/services/daemon/placement/inspection.go
@@ -39,7 +39,7 @@
 	return p.takeIn(now, in, true)
 }
 
-// Inspected corrects the books by the endpoint's own list.
+// Inspected corrects what is known by the endpoint's own list.
 func (p *Placer) Inspected(now time.Time, in Inspection) []Effect {
 	return p.takeIn(now, in, false)
 }
@@ -124,7 +124,7 @@
 	}
 }
 
-// adoptSlot enters an adapter that the endpoint holds and the books do not.
+// adoptSlot enters an adapter that the endpoint holds and that was not known.
 func (p *Placer) adoptSlot(now time.Time, e *endpointState, ref fleet.AdapterRef) {
 	if e.slots[ref] != nil {
 		return
--- a/services/daemon/placement/load.go
+++ b/services/daemon/placement/load.go
@@ -17,7 +17,7 @@
 	cost     float64
 }
 
-// startLoad orders the load and takes the victim out of the books first.
+// startLoad orders the load and forgets the slot's adapter first.
 func (p *Placer) startLoad(now time.Time, bid Bid, place placeFor) {
 	e := place.endpoint
 	order := Load{Pool: p.pool, Endpoint: e.spec.Name, Incarnation: e.incarnation, Fence: e.fence, Adapter: bid.Adapter, NotAfter: e.ordersUntil}
--- a/services/daemon/placement/ticket.go
+++ b/services/daemon/placement/ticket.go
@@ -103,7 +103,7 @@
 	return out
 }
 
-// Reconfirm compares the books with the tickets that an entry says it uses: one that
+// Reconfirm compares what was granted with the tickets that an entry says it uses: one that
 // the entry does not know, and whose grant is too old to be on its way, has ended.
 func (p *Placer) Reconfirm(now time.Time, entry string, uses []fleet.TicketUse, tooOld time.Duration) []Effect {
 	known := make(map[string]bool, len(uses))
