--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -4,6 +4,8 @@
 package docs_test
 
 import (
+	"go/ast"
+	"go/parser"
 	"os"
 	"path/filepath"
 	"regexp"
@@ -139,7 +141,6 @@
 	settingForm = regexp.MustCompile(`^[a-z_]+(\.[a-z_]+)+$`)
 	fileForm    = regexp.MustCompile(`\.(go|md|json|yml|toml|jsonl)$`)
 	fieldForm   = regexp.MustCompile(`^"(msg|reason|result|wait)":"([^"]+)"$`)
-	valueForm   = regexp.MustCompile(`^[0-9][0-9.e-]*(?: \* time\.[A-Z][a-z]+)?$`)
 	numberForm  = regexp.MustCompile(`\bN\b`)
 	holderForm  = regexp.MustCompile(`\b[A-Z]{2,}\b`)
 	callForm    = regexp.MustCompile(`^(GET|POST|DELETE|HEAD|OPTIONS|PUT) (/\S*)$`)
@@ -149,8 +150,7 @@
 func (all *tree) knows(named mention) bool {
 	text := named.text
 	switch {
-	case valueForm.MatchString(text):
-		// A value is no name.
+	case all.isValue(text):
 		return true
 	case callForm.MatchString(text):
 		return all.knowsURL(callForm.FindStringSubmatch(text)[2])
@@ -175,6 +175,38 @@
 	}
 }
 
+// isValue tells whether a text is no name but a value: a number, a span, or the greater or lesser of values and constants.
+func (all *tree) isValue(text string) bool {
+	expression, err := parser.ParseExpr(text)
+	return err == nil && all.isValueExpression(expression)
+}
+
+func (all *tree) isValueExpression(expression ast.Expr) bool {
+	switch node := expression.(type) {
+	case *ast.CallExpr:
+		called, ok := node.Fun.(*ast.Ident)
+		if !ok || (called.Name != "max" && called.Name != "min") {
+			return false
+		}
+		return !slices.ContainsFunc(node.Args, func(argument ast.Expr) bool { return !all.isOperand(argument) })
+	default:
+		_, ok := evaluate(expression)
+		return ok
+	}
+}
+
+// isOperand tells whether a part of a value is a value itself, a constant, or a product of these.
+func (all *tree) isOperand(expression ast.Expr) bool {
+	switch node := expression.(type) {
+	case *ast.Ident:
+		return all.declared[node.Name]
+	case *ast.BinaryExpr:
+		return all.isOperand(node.X) && all.isOperand(node.Y)
+	default:
+		return all.isValueExpression(expression)
+	}
+}
+
 // knowsPhrase resolves what has spaces: a command, a statement of the operators' language or a text of the code.
 func (all *tree) knowsPhrase(text string) bool {
 	if isCommand(text) {
