--- a/cmd/shelfledge-entry/main.go
+++ b/cmd/shelfledge-entry/main.go
@@ -17,6 +17,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/process"
 )
 
+// Exit codes of the program, beside 0; operators' scripts go by them.
 const (
 	exitFailed      = 1
 	exitBadSettings = 2
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -35,12 +35,15 @@
 }
 
 const (
-	// headerTimeout and headerBytes hold until a configuration is known.
+	// headerTimeout and headerBytes bound the time and the size of a request's head, whatever the configuration says. More
+	// admits slower and larger heads, less bounds what idle or hostile callers hold. Not measured.
 	headerTimeout = 5 * time.Second
 	headerBytes   = 32 << 10
-	// noticeTime is how long the balancer needs to see that this instance is not ready.
+	// noticeTime is how long the balancer needs to see that this instance is not ready. Longer is surer that no caller meets a
+	// closed listener, shorter leaves more of the grace to requests under way. Not measured.
 	noticeTime = 2500 * time.Millisecond
-	// streamRefusalAfter is how long after the begin of a stop streams are still taken.
+	// streamRefusalAfter is how long after the begin of a stop streams are still taken. Longer serves callers that the
+	// balancer still sends, shorter cuts off fewer streams at the end of the grace. Not measured.
 	streamRefusalAfter = 2700 * time.Millisecond
 )
 
@@ -134,15 +137,20 @@
 	case <-time.After(noticeTime):
 	case <-ctx.Done():
 	}
+	// Its error says that the context ended first: the process logs how many requests are cut off.
 	_ = s.callers.Shutdown(ctx)
-	for _, other := range s.others {
-		_ = other.Close()
-	}
+	s.closeOthers()
 }
 
 // Close ends all listeners and connections at once.
 func (s *Server) Close() {
+	// An error of closing a listener changes nothing: the process ends.
 	_ = s.callers.Close()
+	s.closeOthers()
+}
+
+// closeOthers ends the listeners for the balancer and for metrics; as in Close, their errors change nothing.
+func (s *Server) closeOthers() {
 	for _, other := range s.others {
 		_ = other.Close()
 	}
@@ -153,7 +161,7 @@
 	return s.inFlight.Load()
 }
 
-// idleCloser closes callers' connections that rest longer than the configuration allows.
+// idleCloser closes callers' connections that are idle for longer than the configuration allows.
 type idleCloser struct {
 	limits func() *deployment.Limits
 	mutex  sync.Mutex
@@ -164,7 +172,8 @@
 	return &idleCloser{limits: limits, timers: make(map[net.Conn]*time.Timer)}
 }
 
-// idleDefault holds until a configuration is known.
+// idleDefault is how long a caller's connection may be idle until a configuration is known, or where it sets no limit. Longer
+// lets callers use connections again, shorter holds fewer open. Not measured.
 const idleDefault = 60 * time.Second
 
 func (c *idleCloser) stateChanged(conn net.Conn, state http.ConnState) {
@@ -191,6 +200,7 @@
 	delete(c.timers, conn)
 	c.mutex.Unlock()
 	if idle {
+		// The connection is given up: an error of closing changes nothing.
 		_ = conn.Close()
 	}
 }
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -44,23 +44,31 @@
 }
 
 const (
-	// graceMargin is kept free at the end of the grace.
+	// graceMargin is kept free at the end of the grace. Longer is surer to end before the kill, shorter serves the last
+	// requests longer. Not measured.
 	graceMargin = 600 * time.Millisecond
-	// upstreamIdle is the longest rest of a connection to an endpoint.
+	// upstreamIdle is how long a connection to an endpoint may be idle. Longer opens fewer connections anew, shorter holds
+	// fewer open. Not measured.
 	upstreamIdle = 20 * time.Second
-	// upstreamDial bounds the set-up of a connection to an endpoint.
+	// upstreamDial bounds the set-up of a connection to an endpoint. Longer bears a lossy link, shorter tries another
+	// endpoint sooner. Not measured.
 	upstreamDial = 500 * time.Millisecond
-	// idlePause is how often idle connections are looked at.
-	idlePause = time.Second
-	// logLinesPerSecond, logBurst and logQueue bound the log: some five times a busy instance's
-	// requests.
+	// idleCheckInterval is how often idle connections are looked at. Longer costs less, shorter closes them sooner. Not
+	// measured.
+	idleCheckInterval = time.Second
+	// logLinesPerSecond, logBurst and logQueue (lines) bound the log: some five times a busy instance's requests. Higher
+	// loses fewer lines, lower bounds the processor time and memory that failures cost. Not measured.
 	logLinesPerSecond = 300
 	logBurst          = 1500
 	logQueue          = 512
-	// logPatience bounds the wait for the log's reader at the end.
-	logPatience = 200 * time.Millisecond
-	// collectorPercent trades processor time for memory, which is dearer.
+	// logTimeout bounds the wait for the log's reader at the end. Longer loses fewer of the last lines, shorter ends sooner.
+	// Not measured.
+	logTimeout = 200 * time.Millisecond
+	// collectorPercent is by how much the heap may grow until it is collected, in percent. Higher costs less processor time,
+	// lower less memory, which is dearer. Not measured.
 	collectorPercent = 50
+	// pendingSignals is how many signals may wait while one is handled: a hang-up must not displace a stop.
+	pendingSignals = 2
 )
 
 // Process is one entry process.
@@ -110,10 +118,10 @@
 	p.server.Close()
 	p.control.Stop()
 	close(p.stopping)
-	p.writer.Close(logPatience)
+	p.writer.Close(logTimeout)
 }
 
-// Stop hands the ownership over at once and returns after the last request, or when the
+// Stop hands the lease over at once and returns after the last request, or when the
 // grace is nearly over.
 func (p *Process) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.Grace-graceMargin)
@@ -128,12 +136,12 @@
 	p.log.WithField("in_flight", p.server.InFlight()).Info("stopped")
 	p.control.Stop()
 	close(p.stopping)
-	p.writer.Close(logPatience)
+	p.writer.Close(logTimeout)
 }
 
-// closeIdle closes connections to endpoints that rest too long.
+// closeIdle closes connections to endpoints that have been idle for too long.
 func (p *Process) closeIdle() {
-	ticker := time.NewTicker(idlePause)
+	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -145,11 +153,11 @@
 	}
 }
 
-// Run serves until the process is told to stop. A hang-up changes nothing: what may change
+// Run serves until a signal ends the process. A hang-up changes nothing: what may change
 // while a process runs comes from the store.
 func Run(options Options) error {
 	debug.SetGCPercent(collectorPercent)
-	signals := make(chan os.Signal, 2)
+	signals := make(chan os.Signal, pendingSignals)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	process := New(options)
 	if err := process.Start(); err != nil {
--- a/services/entry/proxy/dialect.go
+++ b/services/entry/proxy/dialect.go
@@ -12,7 +12,9 @@
 
 // CallerHeader is what a caller's headers say of its request.
 type CallerHeader struct {
-	ID      string
+	// ID is the caller's own name of the request; it need not be unique.
+	ID string
+	// Adapter is what the request asks for; its Model is empty for plain services.
 	Adapter deployment.Adapter
 	// Timeout is how long the caller waits, from the arrival on; 0 if it did not say.
 	Timeout time.Duration
@@ -20,11 +22,13 @@
 
 // ForwardHeader is what an endpoint must know beside the caller's own headers.
 type ForwardHeader struct {
-	Endpoint    deployment.EndpointID
+	Endpoint deployment.EndpointID
+	// HasDeadline says that the caller named a time-out, and Remaining what is left of it.
 	HasDeadline bool
 	Remaining   time.Duration
-	UsesModel   bool
-	Priority    int
+	// UsesModel says that the request runs on a base model; Priority is its route's rank then, the lowest first.
+	UsesModel bool
+	Priority  int
 	// Version is the version that the adapter must have; 0 demands none.
 	Version int64
 	// ResumeAfter asks to go on after an event; empty leaves what the caller sent.
--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -24,10 +24,12 @@
 // Control is the part of the coordinator that requests need, as function fields.
 type Control struct {
 	Configuration func() *deployment.Configuration
+	// Acquire waits for an endpoint; Finish must follow the exchange with it.
 	Acquire       func(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error)
 	Finish        func(request *deployment.Request, assignment coordinator.Assignment, outcome directory.Outcome, missing bool)
-	CountRequest  func(service string)
-	TakeRetry     func(service string) bool
+	// CountRequest counts a request for the budget of retries; TakeRetry asks it for one.
+	CountRequest func(service string)
+	TakeRetry    func(service string) bool
 }
 
 // Options are the settings of a Service.
@@ -39,7 +41,7 @@
 	Refusing func(kind deployment.RouteKind) bool
 	// Leaving tells whether connections are closed after their answer.
 	Leaving func() bool
-	// Observe is told the end of each request.
+	// Observe gets the end of each request.
 	Observe func(Observation)
 }
 
@@ -54,15 +56,16 @@
 	// Reason says why there was no success; empty for a success.
 	Reason   string
 	Attempts []AttemptRecord
-	First    time.Duration
-	Whole    time.Duration
+	// First is the time from the arrival to the head of the answer, 0 for none; Whole that to its end.
+	First time.Duration
+	Whole time.Duration
 }
 
 // Waited is the wait for endpoints, over all attempts.
 func (o Observation) Waited() time.Duration {
 	waited := int64(0)
-	for _, attempt := range o.Attempts {
-		waited += attempt.WaitedMS
+	for _, record := range o.Attempts {
+		waited += record.WaitedMS
 	}
 	return time.Duration(waited) * time.Millisecond
 }
@@ -91,7 +94,8 @@
 	return &Service{options: options, control: control, upstream: client, dialect: dialect}
 }
 
-// bufferedBody is the size up to which a body is held, so that it can be sent again.
+// bufferedBody is the size in bytes up to which a body is held, so that it can be sent again. Larger lets more requests be
+// retried, smaller takes less memory for each of them. Not measured.
 const bufferedBody = 256 << 10
 
 // ServeHTTP serves one request.
@@ -138,6 +142,7 @@
 		return
 	}
 	if err != nil {
+		// The caller left, or its body cannot be read: there is nothing to answer.
 		panic(http.ErrAbortHandler)
 	}
 	s.control.CountRequest(request.Service)
@@ -178,7 +183,8 @@
 // headerBytes is the size of a request's head as it was sent, but for spaces that were dropped.
 func headerBytes(incoming *http.Request) int {
 	const separators = len(": \r\n")
-	size := len(incoming.Method) + len(incoming.RequestURI) + len("Host") + len(incoming.Host) + 2*separators
+	size := len(incoming.Method) + len(incoming.RequestURI) + separators
+	size += len("Host") + len(incoming.Host) + separators
 	for name, values := range incoming.Header {
 		for _, value := range values {
 			size += len(name) + len(value) + separators
