--- a/services/daemon/node/doc.go
+++ b/services/daemon/node/doc.go
@@ -14,7 +14,8 @@
 // The rules are in packages of their own, and the node carries messages, notes and
 // effects between them:
 //
-//   - ownership: which instance places a pool; progress of a takeover (ownership.go, endpoints.go)
+//   - ownership: which instance places a pool; progress of a takeover (ownership.go,
+//     handover.go, endpoints.go)
 //   - lease: the right to order on endpoints without fences; former owners (lease.go)
 //   - waiting: requests that wait, grants, tickets in use (requests.go)
 //   - digest: other halls (digests.go)
@@ -22,8 +23,8 @@
 //   - followed: the configuration (configuration.go)
 //   - listing: the platform's list (listed.go)
 //
-// members.go has the heartbeats, placing.go what a pool's placer does for other instances,
-// view.go what operators see.
+// pool.go has the state of one pool, members.go the heartbeats, placing.go what a pool's
+// placer does for other instances, view.go what operators see.
 //
 // It owns this state and relies on services/daemon/placement (the decisions for one pool),
 // services/daemon/membership, services/daemon/routing and services/daemon/budget. It starts
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -8,60 +8,13 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
-	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 	"github.com/shelfledge/shelfledge/services/daemon/membership"
 	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
-	"github.com/shelfledge/shelfledge/services/daemon/node/loads"
 	"github.com/shelfledge/shelfledge/services/daemon/node/ownership"
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// poolState is what a node knows of one pool, and its own part in it.
-type poolState struct {
-	pool fleet.Pool
-	// own tells whether the pool is in the node's hall.
-	own bool
-	// mine tells whether the node is, to its own belief, the pool's placer.
-	mine    bool
-	term    uint64
-	maxTerm uint64
-	// placedBy names the instance that places the pool, as far as is known; empty for none.
-	placedBy  string
-	placer    *placement.Placer
-	publisher *routing.Publisher
-	gap       bool
-	takeover  *ownership.Takeover
-	waiting   []fleet.Envelope
-	handed    []fleet.TicketUse
-	handedBy  FormerOwner
-	former    lease.Succession
-	bids      loads.Bidder
-	permits   map[fleet.AdapterRef]loads.Held
-	// dealt tells that this entry has asked the pool for a ticket.
-	dealt bool
-}
-
-// maxWaitingTaken bounds the requests of a pool that wait for its takeover; one above it is
-// placed at once, and refused if no endpoint has answered. It bounds the memory in a rush
-// after a loss. Not measured.
-const maxWaitingTaken = 20000
-
-func newPoolState(pool fleet.Pool, own bool, bid time.Duration) *poolState {
-	return &poolState{pool: pool, own: own, bids: loads.NewBidder(bid), permits: make(map[fleet.AdapterRef]loads.Held)}
-}
-
-// unfenced lists the endpoints on which orders need the lease.
-func (ps *poolState) unfenced() []fleet.Endpoint {
-	var out []fleet.Endpoint
-	for _, e := range ps.pool.Endpoints {
-		if !e.ChecksFence && e.Kind != fleet.KindPlain {
-			out = append(out, e)
-		}
-	}
-	return out
-}
-
 // evaluate decides whether to take a pool over, to keep it or to let it go.
 func (n *Node) evaluate(now time.Time, ps *poolState) {
 	situation := ownership.Situation{
@@ -236,72 +189,3 @@
 		n.place(now, ps, e)
 	}
 }
-
-// stepDown lets a pool go to another placer.
-func (n *Node) stepDown(now time.Time, ps *poolState, to fleet.Instance, cause string) {
-	n.note(now, fleet.Event{Kind: fleet.EventRelease, Pool: ps.pool.Name, Other: to.ID, Fence: ps.term, Cause: cause})
-	n.letGo(now, ps, to)
-	ps.placedBy = to.ID
-	n.declareUses(ps, to)
-	n.resubmitPool(now, ps)
-}
-
-// handOver gives a pool to a successor before a planned stop.
-func (n *Node) handOver(now time.Time, ps *poolState) {
-	next := ring.Best(ps.pool.Name, n.members.Candidates(true))
-	m := n.members.Member(next)
-	if m == nil {
-		return
-	}
-	n.note(now, fleet.Event{Kind: fleet.EventRelease, Pool: ps.pool.Name, Other: next, Fence: ps.term, Cause: "a planned stop"})
-	n.letGo(now, ps, m.Instance)
-	ps.placedBy = ""
-}
-
-// letGo sends the tickets to the successor and the waiting requests back to their entries.
-func (n *Node) letGo(now time.Time, ps *poolState, to fleet.Instance) {
-	n.send(to, fleet.Envelope{Release: &fleet.Release{Pool: ps.pool.Name, Term: ps.term, Uses: ps.placer.Uses()}})
-	effects := ps.placer.RefuseAll(now, fleet.ReasonNoPlacer, 0)
-	ps.mine = false
-	n.run(now, ps, effects)
-	for _, e := range ps.waiting {
-		n.elsewhere(e, ps.pool.Name)
-	}
-	ps.waiting = nil
-	ps.placer = nil
-	for _, held := range ps.permits {
-		n.permitDone(now, ps.pool.Name, held, true)
-	}
-	clear(ps.permits)
-	if len(ps.unfenced()) > 0 {
-		n.lease.Forget(ps.pool.Name)
-		n.emit(ReleaseOwner{Pool: ps.pool.Name})
-	}
-}
-
-// released takes a pool that its placer hands over, or the tickets of one who stepped down.
-func (n *Node) released(now time.Time, e fleet.Envelope) {
-	ps := n.pools[e.Release.Pool]
-	if ps == nil || !ps.own {
-		return
-	}
-	ps.maxTerm = max(ps.maxTerm, e.Release.Term)
-	if ps.mine {
-		for _, u := range e.Release.Uses {
-			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
-		}
-		return
-	}
-	if n.leaving || e.Release.Term < ps.maxTerm {
-		return
-	}
-	uses := e.Release.Uses
-	if uses == nil {
-		uses = []fleet.TicketUse{}
-	}
-	if m := n.members.Member(e.From); m != nil {
-		m.Held = slices.DeleteFunc(m.Held, func(h fleet.HeldPool) bool { return h.Pool == ps.pool.Name })
-	}
-	ps.handedBy = FormerOwner{ID: e.From, Boot: e.Boot}
-	n.takeOver(now, ps, uses, "handed over by "+e.From)
-}
--- a/services/daemon/node/placing.go
+++ b/services/daemon/node/placing.go
@@ -10,6 +10,11 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
+// maxWaitingTaken bounds the requests of a pool that wait for its takeover; one above it is
+// placed at once, and refused if no endpoint has answered. It bounds the memory in a rush
+// after a loss. Not measured.
+const maxWaitingTaken = 20000
+
 // submitted takes a request for a ticket.
 func (n *Node) submitted(now time.Time, e fleet.Envelope) {
 	ps := n.pools[e.Submit.Pool]
