--- a/models/entry/deployment/configuration.go
+++ b/models/entry/deployment/configuration.go
@@ -59,7 +59,7 @@
 	Name string
 	// WeightsMB is the memory that it takes on an engine.
 	WeightsMB float64
-	// AdapterMB is the memory that each of them takes on an engine.
+	// AdapterMB is the memory that each of its adapters takes on an engine.
 	AdapterMB float64
 }
 
