--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -115,22 +115,3 @@
 	}
 	return cost + options.PlainHallPenalty
 }
-
-// ChooseBackend picks a service of a route by weight; random is from 0 up to 1.
-func ChooseBackend(route *deployment.Route, random float64) string {
-	total := 0.0
-	for _, backend := range route.Backends {
-		total += backend.Weight
-	}
-	rest := random * total
-	for _, backend := range route.Backends {
-		rest -= backend.Weight
-		if rest < 0 {
-			return backend.Service
-		}
-	}
-	if len(route.Backends) == 0 {
-		return ""
-	}
-	return route.Backends[len(route.Backends)-1].Service
-}
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -66,7 +66,7 @@
 	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
 }
 
-func TestTheOwnZoneIsPreferredUntilItIsBusier(t *testing.T) {
+func TestTheOwnHallIsPreferredUntilItIsBusier(t *testing.T) {
 	d := build(holder("near", "near"), holder("far", "other"))
 	request := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
 	endpoint, _ := choose(d, request)
--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/edges_test.go
@@ -56,6 +56,19 @@
 	assert.Zero(t, loading.ResidentValue(0, 1))
 }
 
+func TestEdgesOfChoosingAnEndpoint(t *testing.T) {
+	cost := func(rate float64, copies int, held bool, chance float64) float64 {
+		return loading.Candidate{Rate: rate, Copies: copies, Held: held, Chance: chance}.Cost()
+	}
+	assert.Zero(t, cost(0, 0, false, 0), "nothing to do and nothing held")
+	assert.InDelta(t, 0.02, cost(0, 1, false, 0), 1e-12, "a copy weighs a fiftieth of a request a second")
+	assert.Less(t, cost(0, 1, false, 1), cost(0, 2, false, 0), "chance weighs less than a copy")
+	assert.InDelta(t, 0.01, cost(0, 0, false, 1), 1e-12)
+	assert.Less(t, cost(2.97, 0, true, 0), cost(0, 0, false, 0), "held before, and just below three requests a second more")
+	assert.InDelta(t, cost(0, 0, false, 0), cost(3, 0, true, 0), 1e-12, "at three requests a second more")
+	assert.Greater(t, cost(3.01, 0, true, 0), cost(0, 0, false, 0))
+}
+
 func TestEdgesOfSparePlaces(t *testing.T) {
 	for capacity, spare := range map[int]int{0: 1, 1: 1, 6: 1, 13: 1, 14: 2, 20: 2, 100: 2} {
 		assert.Equal(t, spare, loading.SparePlaces(capacity), "capacity %d", capacity)
--- a/services/entry/loading/placement.go
+++ b/services/entry/loading/placement.go
@@ -118,10 +118,7 @@
 		if !warm && !coldAllowed {
 			continue
 		}
-		cost := loads[id] + copyWeight*float64(len(plan.copies)) + tieSpread*p.options.Random()
-		if warm {
-			cost -= warmBonus
-		}
+		cost := Candidate{Rate: loads[id], Copies: len(plan.copies), Held: warm, Chance: p.options.Random()}.Cost()
 		if best.plan == nil || cost < bestCost {
 			best, bestCost = destination{plan: plan, cold: !warm}, cost
 		}
@@ -132,6 +129,27 @@
 	return best, best.plan != nil
 }
 
+// Candidate is an endpoint that can take a load, with what the choice among several depends on.
+type Candidate struct {
+	// Rate is what its copies draw, in requests a second, by the instances' reports.
+	Rate float64
+	// Copies is how many adapters it holds or is to hold, by the plan.
+	Copies int
+	// Held says that it held the adapter before, by the plan or the directory's memory.
+	Held bool
+	// Chance is a random number from 0 up to 1.
+	Chance float64
+}
+
+// Cost is what a load to the endpoint costs, in requests a second that it draws; the lowest is chosen.
+func (c Candidate) Cost() float64 {
+	cost := c.Rate + copyWeight*float64(c.Copies) + tieSpread*c.Chance
+	if c.Held {
+		cost -= warmBonus
+	}
+	return cost
+}
+
 // takesLoad reports whether a load may be ordered from an endpoint now: it takes orders, has a place, and neither too many
 // loads nor an unload under way.
 func (p *Planner) takesLoad(now time.Time, plan *endpointPlan) bool {
