--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -25,8 +25,8 @@
 type Control struct {
 	Configuration func() *deployment.Configuration
 	// Acquire waits for an endpoint; Finish must follow the exchange with it.
-	Acquire       func(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error)
-	Finish        func(request *deployment.Request, assignment coordinator.Assignment, outcome directory.Outcome, missing bool)
+	Acquire func(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error)
+	Finish  func(request *deployment.Request, assignment coordinator.Assignment, outcome directory.Outcome, missing bool)
 	// CountRequest counts a request for the budget of retries; TakeRetry asks it for one.
 	CountRequest func(service string)
 	TakeRetry    func(service string) bool
