--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -43,39 +43,43 @@
 type Router struct {
 	hall    string
 	options Options
-	pools   []*view
-	byName  map[string]*view
+	pools   []*knownPool
+	byName  map[string]*knownPool
 }
 
-// view is what is known of one pool.
-type view struct {
-	pool    fleet.Pool
+// knownPool is what is known of one pool, from summaries and from what was sent there since.
+type knownPool struct {
+	pool fleet.Pool
+	// epoch and seq are the numbers of the latest summary's publisher and state; present names its adapters.
 	epoch   uint64
 	seq     uint64
 	present map[string]bool
-	heard   time.Time
+	// heard is when the latest summary came, or was vouched for.
+	heard time.Time
+	// free, places, slots and waiting are as the summary counts them, sent is what was sent there since.
 	free    int
 	places  int
 	slots   int
 	waiting int
 	sent    int
-	cut     bool
-	gap     bool
-	recent  recentLog
+	// cut is true while the pool's hall cannot be reached, gap while a change between two summaries is missing.
+	cut    bool
+	gap    bool
+	recent recentLog
 }
 
 // NewRouter makes the router of an entry in the given hall over the fleet's pools.
 func NewRouter(hall string, pools []fleet.Pool, o Options) *Router {
-	r := &Router{hall: hall, options: o, byName: make(map[string]*view, len(pools))}
+	r := &Router{hall: hall, options: o, byName: make(map[string]*knownPool, len(pools))}
 	for _, p := range pools {
-		v := &view{pool: p, present: make(map[string]bool)}
+		k := &knownPool{pool: p, present: make(map[string]bool)}
 		for _, e := range p.Endpoints {
-			v.places += e.MaxBatch
-			v.slots += e.Slots
+			k.places += e.MaxBatch
+			k.slots += e.Slots
 		}
-		v.free = v.places
-		r.pools = append(r.pools, v)
-		r.byName[p.Name] = v
+		k.free = k.places
+		r.pools = append(r.pools, k)
+		r.byName[p.Name] = k
 	}
 	sort.Slice(r.pools, func(i, j int) bool { return r.pools[i].pool.Name < r.pools[j].pool.Name })
 	return r
@@ -83,47 +87,47 @@
 
 // Learn takes a summary; it reports false where a part is missing and the whole is needed.
 func (r *Router) Learn(now time.Time, s fleet.PoolSummary) bool {
-	v := r.byName[s.Pool]
-	if v == nil {
+	k := r.byName[s.Pool]
+	if k == nil {
 		return true
 	}
-	stale := now.Sub(v.heard) > r.options.Fresh
-	if !stale && (s.Epoch < v.epoch || (s.Epoch == v.epoch && s.Seq < v.seq)) {
+	stale := now.Sub(k.heard) > r.options.Fresh
+	if !stale && (s.Epoch < k.epoch || (s.Epoch == k.epoch && s.Seq < k.seq)) {
 		return true
 	}
-	v.heard = now
-	v.free, v.places, v.slots, v.waiting, v.sent = s.Free, s.Places, s.Slots, s.Waiting, 0
+	k.heard = now
+	k.free, k.places, k.slots, k.waiting, k.sent = s.Free, s.Places, s.Slots, s.Waiting, 0
 	if s.Full {
-		v.present = make(map[string]bool, len(s.Added))
-		v.gap = false
+		k.present = make(map[string]bool, len(s.Added))
+		k.gap = false
 	}
-	if !s.Full && (s.Epoch != v.epoch || s.Base > v.seq) {
-		v.gap = true
+	if !s.Full && (s.Epoch != k.epoch || s.Base > k.seq) {
+		k.gap = true
 	}
-	v.epoch, v.seq = s.Epoch, s.Seq
+	k.epoch, k.seq = s.Epoch, s.Seq
 	if s.Full {
-		v.recent.reset(s.Seq)
+		k.recent.reset(s.Seq)
 	}
 	for _, name := range s.Added {
-		if !v.present[name] {
-			v.recent.add(now, name, s.Seq)
+		if !k.present[name] {
+			k.recent.add(now, name, s.Seq)
 		}
-		v.present[name] = true
+		k.present[name] = true
 	}
 	for _, name := range s.Removed {
-		if v.present[name] {
-			v.recent.add(now, name, s.Seq)
+		if k.present[name] {
+			k.recent.add(now, name, s.Seq)
 		}
-		delete(v.present, name)
+		delete(k.present, name)
 	}
-	return !v.gap
+	return !k.gap
 }
 
 // SetCut marks a hall that cannot be reached, or can again.
 func (r *Router) SetCut(hall string, cut bool) {
-	for _, v := range r.pools {
-		if v.pool.Hall == hall {
-			v.cut = cut
+	for _, k := range r.pools {
+		if k.pool.Hall == hall {
+			k.cut = cut
 		}
 	}
 }
@@ -134,41 +138,41 @@
 	if len(usable) == 0 {
 		return "", false
 	}
-	v := r.pick(q, usable)
-	v.sent++
-	return v.pool.Name, true
+	k := r.pick(q, usable)
+	k.sent++
+	return k.pool.Name, true
 }
 
 // usable lists the pools that run the base and can be reached.
-func (r *Router) usable(now time.Time, q fleet.Request, halls []string) []*view {
-	var out []*view
-	for _, v := range r.pools {
-		if !v.pool.Serves(q.Base) || (len(halls) > 0 && !slices.Contains(halls, v.pool.Hall)) {
+func (r *Router) usable(now time.Time, q fleet.Request, halls []string) []*knownPool {
+	var out []*knownPool
+	for _, k := range r.pools {
+		if !k.pool.Serves(q.Base) || (len(halls) > 0 && !slices.Contains(halls, k.pool.Hall)) {
 			continue
 		}
-		if v.pool.Hall == r.hall {
-			out = append(out, v)
+		if k.pool.Hall == r.hall {
+			out = append(out, k)
 			continue
 		}
-		stale := now.Sub(v.heard) > r.options.Fresh
-		if v.cut || stale || v.places == 0 {
+		stale := now.Sub(k.heard) > r.options.Fresh
+		if k.cut || stale || k.places == 0 {
 			continue
 		}
-		out = append(out, v)
+		out = append(out, k)
 	}
 	return out
 }
 
 // pick prefers where the adapter is, the own hall among equals, and else the adapter's home.
-func (r *Router) pick(q fleet.Request, usable []*view) *view {
+func (r *Router) pick(q fleet.Request, usable []*knownPool) *knownPool {
 	if q.Adapter.IsZero() {
 		return r.nearest(usable)
 	}
 	name := q.Adapter.String()
-	var holding []*view
-	for _, v := range usable {
-		if v.present[name] {
-			holding = append(holding, v)
+	var holding []*knownPool
+	for _, k := range usable {
+		if k.present[name] {
+			holding = append(holding, k)
 		}
 	}
 	if len(holding) > 0 {
@@ -178,52 +182,53 @@
 }
 
 // nearest takes the own hall while it has room, and else the pool with the lightest load.
-func (r *Router) nearest(list []*view) *view {
+func (r *Router) nearest(list []*knownPool) *knownPool {
 	best := list[0]
-	for _, v := range list {
-		if v.pool.Hall == r.hall && v.room() > 0 {
-			return v
+	for _, k := range list {
+		if k.pool.Hall == r.hall && k.room() > 0 {
+			return k
 		}
-		if v.load() < best.load() || (v.load() == best.load() && v.pool.Hall == r.hall) {
-			best = v
+		if k.load() < best.load() || (k.load() == best.load() && k.pool.Hall == r.hall) {
+			best = k
 		}
 	}
 	return best
 }
 
-func (v *view) room() int {
-	return v.free - v.sent - v.waiting
+// room is how many more requests find a place at once.
+func (k *knownPool) room() int {
+	return k.free - k.sent - k.waiting
 }
 
 // load gives the waiting and running work for each place.
-func (v *view) load() float64 {
-	if v.places == 0 {
+func (k *knownPool) load() float64 {
+	if k.places == 0 {
 		return fullLoad
 	}
-	return float64(v.places-v.free+v.waiting+v.sent) / float64(v.places)
+	return float64(k.places-k.free+k.waiting+k.sent) / float64(k.places)
 }
 
 // home gives a cold adapter one pool over all halls, so that two halls do not both
 // load it; a pool far above the mean load is passed over.
-func (r *Router) home(adapter string, usable []*view) *view {
+func (r *Router) home(adapter string, usable []*knownPool) *knownPool {
 	mean := 0.0
-	for _, v := range usable {
-		mean += v.load()
+	for _, k := range usable {
+		mean += k.load()
 	}
 	mean /= float64(len(usable))
 	limit := r.options.BoundedLoad*mean + boundSlack
-	var best, light *view
+	var best, light *knownPool
 	var bestScore uint64
-	for _, v := range usable {
-		if light == nil || v.load() < light.load() {
-			light = v
+	for _, k := range usable {
+		if light == nil || k.load() < light.load() {
+			light = k
 		}
-		if v.load() > limit {
+		if k.load() > limit {
 			continue
 		}
-		s := v.weighted(adapter)
+		s := k.weighted(adapter)
 		if best == nil || s > bestScore {
-			best, bestScore = v, s
+			best, bestScore = k, s
 		}
 	}
 	if best == nil {
@@ -234,9 +239,9 @@
 
 // weighted gives the pool's best score with one draw for each endpoint, so that
 // pools take cold adapters in proportion to their size.
-func (v *view) weighted(adapter string) uint64 {
+func (k *knownPool) weighted(adapter string) uint64 {
 	var best uint64
-	for _, e := range v.pool.Endpoints {
+	for _, e := range k.pool.Endpoints {
 		best = max(best, ring.Score(adapter, e.Name))
 	}
 	return best
@@ -245,41 +250,41 @@
 // Heard renews the age of every summary that is not cut off, where the carrier
 // vouches that nothing has changed since.
 func (r *Router) Heard(now time.Time) {
-	for _, v := range r.pools {
-		if !v.cut {
-			v.heard = now
+	for _, k := range r.pools {
+		if !k.cut {
+			k.heard = now
 		}
 	}
 }
 
 // Changing tells whether adapters came to a pool or left it in the last seconds.
 func (r *Router) Changing(now time.Time, pool string) bool {
-	v := r.byName[pool]
-	if v == nil {
+	k := r.byName[pool]
+	if k == nil {
 		return false
 	}
-	v.recent.forget(now)
-	return len(v.recent.changes) > 0
+	k.recent.forget(now)
+	return len(k.recent.changes) > 0
 }
 
 // Export passes on what this router knows of a pool, whole or only with the
 // latest part, under the numbers of its source.
 func (r *Router) Export(now time.Time, pool string, whole bool) (fleet.PoolSummary, bool) {
-	v := r.byName[pool]
-	if v == nil || v.epoch == 0 || v.gap {
+	k := r.byName[pool]
+	if k == nil || k.epoch == 0 || k.gap {
 		return fleet.PoolSummary{}, false
 	}
 	out := fleet.PoolSummary{
-		Pool: pool, Epoch: v.epoch, Seq: v.seq, Free: v.free, Places: v.places, Slots: v.slots, Waiting: v.waiting,
+		Pool: pool, Epoch: k.epoch, Seq: k.seq, Free: k.free, Places: k.places, Slots: k.slots, Waiting: k.waiting,
 	}
 	if whole {
 		out.Full = true
-		for name := range v.present {
+		for name := range k.present {
 			out.Added = append(out.Added, name)
 		}
 		slices.Sort(out.Added)
 		return out, true
 	}
-	v.recent.fill(now, v.present, &out)
+	k.recent.fill(now, k.present, &out)
 	return out, true
 }
