--- /dev/null
+++ b/tests/platformstandin/store_calls.go
@@ -0,0 +1,233 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package platformstandin
+
+import (
+	"encoding/json"
+	"net"
+	"net/http"
+	"slices"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// ServeHTTP serves one call, or fails as the faults say.
+func (s *Store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
+	s.mutex.Lock()
+	faults, limited := s.faults, s.overRate()
+	s.mutex.Unlock()
+	caller, _, _ := net.SplitHostPort(request.RemoteAddr)
+	switch {
+	case faults.Silent:
+		<-request.Context().Done()
+	case faults.Down || faults.TurnAway[caller]:
+		writer.WriteHeader(http.StatusServiceUnavailable)
+	case limited:
+		writer.WriteHeader(http.StatusTooManyRequests)
+	default:
+		time.Sleep(faults.Delay)
+		s.mux.ServeHTTP(writer, request)
+	}
+}
+
+func (s *Store) routes() *http.ServeMux {
+	mux := http.NewServeMux()
+	mux.HandleFunc("/-/kv-key", s.answer(s.key))
+	mux.HandleFunc("/-/kv-range", s.answer(s.rangePage))
+	mux.HandleFunc("/-/kv-watch", s.serveWatch)
+	mux.HandleFunc("/-/kv-txn", s.answer(s.serveCommit))
+	mux.HandleFunc("/-/kv-lease", s.answer(s.grant))
+	mux.HandleFunc("/-/kv-keep/{id}", s.answer(s.keep))
+	mux.HandleFunc("/-/kv-lease-end/{id}", s.answer(s.release))
+	return mux
+}
+
+// answer makes a handler of a call that gives a status and, with 200 or 412, a body. The mutex is held.
+func (s *Store) answer(call func(request *http.Request) (int, any)) http.HandlerFunc {
+	return func(writer http.ResponseWriter, request *http.Request) {
+		s.mutex.Lock()
+		defer s.mutex.Unlock()
+		status, body := call(request)
+		reply(writer, status, body)
+	}
+}
+
+func reply(writer http.ResponseWriter, status int, body any) {
+	if body == nil {
+		writer.WriteHeader(status)
+		return
+	}
+	writer.Header().Set("Content-Type", "application/json")
+	writer.WriteHeader(status)
+	_ = json.NewEncoder(writer).Encode(body)
+}
+
+func (s *Store) key(request *http.Request) (int, any) {
+	one, ok := s.items[request.URL.Query().Get("private_key")]
+	if !ok {
+		return http.StatusNotFound, nil
+	}
+	return http.StatusOK, one
+}
+
+// itemsAPage is how many items a page holds; small, so that paging is tried.
+const itemsAPage = 5
+
+func (s *Store) rangePage(request *http.Request) (int, any) {
+	query := request.URL.Query()
+	var keys []string
+	for key := range s.items {
+		if strings.HasPrefix(key, query.Get("path_prefix")) && key > query.Get("after") {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	items := []item{}
+	for _, key := range keys[:min(len(keys), itemsAPage)] {
+		items = append(items, s.items[key])
+	}
+	return http.StatusOK, map[string]any{"items": items, "more": len(keys) > len(items), "at": s.revision}
+}
+
+func (s *Store) serveWatch(writer http.ResponseWriter, request *http.Request) {
+	query := request.URL.Query()
+	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
+	wait, _ := strconv.Atoi(query.Get("wait_ms"))
+	timeout := time.After(time.Duration(wait) * time.Millisecond)
+	for {
+		s.mutex.Lock()
+		if after < s.compacted && !s.faults.Deaf {
+			s.mutex.Unlock()
+			writer.WriteHeader(http.StatusGone)
+			return
+		}
+		events := s.eventsAfter(query.Get("path_prefix"), after)
+		at, changed := s.revision, s.changed
+		s.mutex.Unlock()
+		if len(events) > 0 {
+			reply(writer, http.StatusOK, map[string]any{"events": events, "at": at})
+			return
+		}
+		select {
+		case <-changed:
+		case <-timeout:
+			reply(writer, http.StatusOK, map[string]any{"events": []item{}, "at": at})
+			return
+		case <-request.Context().Done():
+			return
+		}
+	}
+}
+
+func (s *Store) eventsAfter(prefix string, after int64) []item {
+	var events []item
+	if s.faults.Deaf {
+		return nil
+	}
+	for _, one := range s.history {
+		if one.Revision > after && strings.HasPrefix(one.Key, prefix) {
+			events = append(events, one)
+		}
+	}
+	return events
+}
+
+type transaction struct {
+	Expected []struct {
+		Key      string `json:"private_key"`
+		Revision int64  `json:"revision"`
+	} `json:"expected_count"`
+	Put []struct {
+		Key   string `json:"private_key"`
+		Value []byte `json:"value"`
+		Lease int64  `json:"lease"`
+	} `json:"put"`
+	Remove []string `json:"remove"`
+}
+
+func (s *Store) serveCommit(request *http.Request) (int, any) {
+	var body transaction
+	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
+		return http.StatusBadRequest, nil
+	}
+	if s.faults.LateWrites > 0 {
+		s.faults.LateWrites--
+		time.AfterFunc(s.faults.LateBy, func() {
+			s.mutex.Lock()
+			defer s.mutex.Unlock()
+			s.commit(body)
+		})
+		panic(http.ErrAbortHandler)
+	}
+	status, answer := s.commit(body)
+	if s.faults.LoseAnswers > 0 {
+		s.faults.LoseAnswers--
+		panic(http.ErrAbortHandler)
+	}
+	return status, answer
+}
+
+// commit does a transaction whole or not at all.
+func (s *Store) commit(body transaction) (int, any) {
+	var differ []item
+	for _, one := range body.Expected {
+		if s.items[one.Key].Revision != one.Revision {
+			differ = append(differ, s.items[one.Key])
+		}
+	}
+	if len(differ) > 0 {
+		return http.StatusPreconditionFailed, map[string]any{"items": differ}
+	}
+	for _, one := range body.Put {
+		if _, ok := s.leases[one.Lease]; one.Lease != 0 && !ok {
+			return http.StatusNotFound, map[string]any{}
+		}
+		if strings.HasPrefix(one.Key, "op/") || strings.HasPrefix(one.Key, "servers/") {
+			return http.StatusForbidden, map[string]any{}
+		}
+	}
+	// All changes of a transaction have one revision.
+	s.revision++
+	for _, one := range body.Put {
+		s.put(one.Key, one.Value, one.Lease)
+	}
+	for _, key := range body.Remove {
+		s.remove(key)
+	}
+	s.wake()
+	return http.StatusOK, map[string]any{"revision": s.revision}
+}
+
+func (s *Store) grant(request *http.Request) (int, any) {
+	var body struct {
+		TTL int64 `json:"ttl_ms"`
+	}
+	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
+		return http.StatusBadRequest, nil
+	}
+	s.nextLease++
+	ttl := time.Duration(body.TTL) * time.Millisecond
+	s.leases[s.nextLease] = &lease{ttl: ttl, expires: time.Now().Add(ttl)}
+	return http.StatusOK, map[string]any{"lease": s.nextLease, "ttl_ms": body.TTL}
+}
+
+func (s *Store) keep(request *http.Request) (int, any) {
+	id, _ := strconv.ParseInt(request.PathValue("id"), 10, 64)
+	one, ok := s.leases[id]
+	if !ok {
+		return http.StatusNotFound, nil
+	}
+	one.expires = time.Now().Add(one.ttl)
+	return http.StatusOK, map[string]any{"ttl_ms": one.ttl.Milliseconds()}
+}
+
+func (s *Store) release(request *http.Request) (int, any) {
+	id, _ := strconv.ParseInt(request.PathValue("id"), 10, 64)
+	if _, ok := s.leases[id]; !ok {
+		return http.StatusNotFound, nil
+	}
+	s.endLease(id)
+	return http.StatusOK, map[string]any{}
+}
--- /dev/null
+++ b/tests/platformstandin/worker_requests.go
@@ -0,0 +1,160 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package platformstandin
+
+import (
+	"fmt"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+)
+
+// fault is the trouble of one request.
+type fault int
+
+const (
+	faultNone fault = iota
+	faultError
+	faultReset
+	faultShed
+	faultHang
+)
+
+func (w *Worker) nextFault() fault {
+	for _, one := range []struct {
+		count *int
+		fault fault
+	}{{&w.faults.Errors, faultError}, {&w.faults.Resets, faultReset}, {&w.faults.Sheds, faultShed}, {&w.faults.Hangs, faultHang}} {
+		if *one.count > 0 {
+			*one.count--
+			return one.fault
+		}
+	}
+	return faultNone
+}
+
+func (w *Worker) serveRequest(writer http.ResponseWriter, request *http.Request) {
+	body, err := io.ReadAll(request.Body)
+	if err != nil {
+		return
+	}
+	model, adapter, _ := strings.Cut(request.Header.Get("X-Model"), "/")
+	w.mutex.Lock()
+	w.settle()
+	version, resident := w.adapters[adapter]
+	trouble := w.nextFault()
+	wrong := w.options.Model != "" && (model != w.options.Model || (adapter != "" && !resident))
+	if expected := request.Header.Get("X-Expect-Version"); expected != "" && expected != strconv.Itoa(version) {
+		wrong = true
+	}
+	if trouble == faultShed || wrong {
+		w.mutex.Unlock()
+		writer.Header().Set("X-Not-Executed", "1")
+		if wrong {
+			writer.WriteHeader(http.StatusMisdirectedRequest)
+			return
+		}
+		writer.WriteHeader(http.StatusServiceUnavailable)
+		return
+	}
+	run := &Run{
+		ID: request.Header.Get(HeaderRequestID), Adapter: adapter, Version: version,
+		Deadline: request.Header.Get("X-Deadline-Ms"), Resumed: request.Header.Get("Last-Event-Id"),
+	}
+	w.runs = append(w.runs, run)
+	w.inUse[adapter]++
+	w.mutex.Unlock()
+	defer func() {
+		w.mutex.Lock()
+		defer w.mutex.Unlock()
+		w.inUse[adapter]--
+		run.Canceled = request.Context().Err() != nil
+	}()
+	w.answer(writer, request, trouble, run, body)
+}
+
+func (w *Worker) answer(writer http.ResponseWriter, request *http.Request, trouble fault, run *Run, body []byte) {
+	switch trouble {
+	case faultHang:
+		<-request.Context().Done()
+		return
+	case faultReset:
+		panic(http.ErrAbortHandler)
+	}
+	w.mutex.Lock()
+	extra, unsealed := w.faults.Extras > 0, w.faults.Unsealed > 0
+	w.faults.Extras -= boolCount(extra)
+	w.faults.Unsealed -= boolCount(unsealed)
+	w.mutex.Unlock()
+	writer.Header().Set(HeaderRequestID, run.ID)
+	if !unsealed {
+		writer.Header().Set(HeaderSeal, w.options.ID+"."+run.ID)
+	}
+	if trouble == faultError {
+		writer.WriteHeader(http.StatusInternalServerError)
+		return
+	}
+	if extra {
+		w.answerTwice(writer, run)
+		return
+	}
+	if w.options.Model != "" {
+		w.stream(writer, request, run)
+		return
+	}
+	_, _ = fmt.Fprintf(writer, "%s answers %s %s %s %q", w.options.ID, run.ID, request.Method, request.RequestURI, body)
+}
+
+func boolCount(yes bool) int {
+	if yes {
+		return 1
+	}
+	return 0
+}
+
+// answerTwice sends a whole answer and the same once more on the same connection.
+func (w *Worker) answerTwice(writer http.ResponseWriter, run *Run) {
+	conn, _, err := writer.(http.Hijacker).Hijack()
+	if err != nil {
+		return
+	}
+	text := "twice"
+	one := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: %s\r\nContent-Length: %d\r\n\r\n%s", run.ID, w.options.ID, len(text), text)
+	_, _ = conn.Write([]byte(one + one))
+	time.Sleep(200 * time.Millisecond)
+	_ = conn.Close()
+}
+
+// stream makes events with rising ids, after the one that the caller has.
+func (w *Worker) stream(writer http.ResponseWriter, request *http.Request, run *Run) {
+	first := 1
+	if run.Resumed != "" {
+		last, _ := strconv.Atoi(run.Resumed)
+		first = last + 1
+	}
+	w.mutex.Lock()
+	breakAfter := 0
+	if w.faults.Breaks > 0 {
+		w.faults.Breaks--
+		breakAfter = w.faults.BreakAfter
+	}
+	w.mutex.Unlock()
+	writer.Header().Set("Content-Type", "text/event-stream")
+	for id := first; id <= w.options.Events; id++ {
+		if breakAfter > 0 && id > breakAfter {
+			_, _ = fmt.Fprintf(writer, "id: %d\ndata: half", id)
+			_ = http.NewResponseController(writer).Flush()
+			panic(http.ErrAbortHandler)
+		}
+		_, _ = io.WriteString(writer, Event(id, run.ID, run.Adapter))
+		_ = http.NewResponseController(writer).Flush()
+		select {
+		case <-request.Context().Done():
+			return
+		case <-time.After(w.options.Pause):
+		}
+	}
+}
--- a/tools/demo/main.go
+++ b/tools/demo/main.go
@@ -9,6 +9,7 @@
 	"os"
 
 	"github.com/alecthomas/kong"
+	"github.com/zeromicro/go-zero/core/logx"
 )
 
 type arguments struct {
@@ -20,6 +21,8 @@
 func main() {
 	var args arguments
 	kong.Parse(&args, kong.Name("demo"), kong.Description("Shows the main job of both programs with every answer checked."))
+	// A library of the stand-ins would print the demo's own use of the machine among its tables.
+	logx.DisableStat()
 	if err := run(args); err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
 		os.Exit(1)
