--- a/models/daemon/fleet/message.go
+++ b/models/daemon/fleet/message.go
@@ -97,7 +97,7 @@
 	Request Request        `msgpack:"r"`
 	Reply   netip.AddrPort `msgpack:"rp"`
 	Stamp   time.Duration  `msgpack:"s"`
-	// Wait is what remains of the caller's patience; zero means no limit.
+	// Wait is what remains until the caller's deadline; zero means no limit.
 	Wait time.Duration `msgpack:"w"`
 }
 
@@ -156,10 +156,11 @@
 	Preload bool `msgpack:"pr,omitempty"`
 }
 
-// Permit allows one load, to be started within the given time.
+// Permit allows one load.
 type Permit struct {
-	Pool   string        `msgpack:"p"`
-	ID     uint64        `msgpack:"i"`
+	Pool string `msgpack:"p"`
+	ID   uint64 `msgpack:"i"`
+	// Within is sent and not read; the budget's holder forgets a permit that is not given back after node.Timing.PermitLife.
 	Within time.Duration `msgpack:"w"`
 }
 
--- a/modules/daemon/engine/transport.go
+++ b/modules/daemon/engine/transport.go
@@ -29,8 +29,9 @@
 	readBuffer  = 2 << 10
 )
 
-// NewTransport makes a transport that repeats nothing by itself and whose
-// connections count what was written, so that "not run" can be told for sure.
+// NewTransport makes a transport whose connections count what was written, so that "not run" can be told for sure. By itself it
+// sends nothing twice but a GET, HEAD or OPTIONS without a body, which net/http sends again where a kept connection breaks
+// before the answer.
 func NewTransport(o TransportOptions) *http.Transport {
 	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAlive: keepAlive}
 	return &http.Transport{
--- /dev/null
+++ b/modules/daemon/engine/vllm_test.go
@@ -0,0 +1,210 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package engine_test
+
+import (
+	"context"
+	"errors"
+	"io"
+	"net"
+	"net/http"
+	"net/http/httptest"
+	"net/netip"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/engine"
+)
+
+var a1 = fleet.AdapterRef{Name: "a", Version: 1}
+
+func dialect() engine.Dialect {
+	return engine.NewVLLM(engine.VLLMOptions{
+		Transport: engine.NewTransport(engine.TransportOptions{DialTimeout: time.Second, HeaderTimeout: 5 * time.Second, MaxIdlePerHost: 1}),
+		Timeout:   5 * time.Second, LoadTimeout: 5 * time.Second,
+	})
+}
+
+func endpoint(t *testing.T, kind fleet.EndpointKind, handler http.HandlerFunc) fleet.Endpoint {
+	t.Helper()
+	server := httptest.NewServer(handler)
+	t.Cleanup(server.Close)
+	return fleet.Endpoint{Kind: kind, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
+}
+
+// gone is an endpoint at whose address nobody listens.
+func gone(t *testing.T) fleet.Endpoint {
+	t.Helper()
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	require.NoError(t, err)
+	address := netip.MustParseAddrPort(l.Addr().String())
+	require.NoError(t, l.Close())
+	return fleet.Endpoint{Kind: fleet.KindEngine, Address: address}
+}
+
+func answer(status int, headers map[string]string) http.HandlerFunc {
+	return func(w http.ResponseWriter, _ *http.Request) {
+		for name, value := range headers {
+			w.Header().Set(name, value)
+		}
+		w.WriteHeader(status)
+		_, _ = io.WriteString(w, "because\n")
+	}
+}
+
+func breakOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+
+func isUnknown(err error) bool {
+	var e engine.ErrUnknown
+	return errors.As(err, &e)
+}
+
+func TestAnOrderEndsAsTheEndpointSays(t *testing.T) {
+	notRun := map[string]string{engine.HeaderNotRun: "true"}
+	for _, c := range []struct {
+		status  int
+		headers map[string]string
+		is      func(error) bool
+	}{
+		{http.StatusOK, nil, func(err error) bool { return err == nil }},
+		{http.StatusPreconditionFailed, map[string]string{engine.HeaderFence: "9"}, engine.IsErrFenced},
+		{http.StatusBadRequest, nil, engine.IsErrNotRun},
+		{http.StatusNotFound, nil, engine.IsErrNotRun},
+		{http.StatusInternalServerError, nil, isUnknown},
+		{http.StatusInternalServerError, notRun, engine.IsErrNotRun},
+		{http.StatusServiceUnavailable, nil, isUnknown},
+	} {
+		e := endpoint(t, fleet.KindEngine, answer(c.status, c.headers))
+		err := dialect().Load(context.Background(), engine.Order{Endpoint: e, Adapter: a1})
+		require.True(t, c.is(err), "%d: %v", c.status, err)
+	}
+	err := dialect().Unload(context.Background(), engine.Order{Endpoint: endpoint(t, fleet.KindEngine, breakOff), Adapter: a1})
+	require.True(t, isUnknown(err), "%v", err)
+	err = dialect().Take(context.Background(), engine.Order{Endpoint: gone(t)})
+	require.True(t, engine.IsErrNotRun(err), "nothing was written: %v", err)
+}
+
+func TestARefusedOrderNamesTheFenceInForce(t *testing.T) {
+	e := endpoint(t, fleet.KindEngine, answer(http.StatusPreconditionFailed, map[string]string{engine.HeaderFence: "9"}))
+	err := dialect().Take(context.Background(), engine.Order{Endpoint: e, Fence: 8})
+	require.Equal(t, engine.ErrFenced{What: "take", Fence: 9}, err)
+}
+
+func TestARequestIsNotRunOnlyWhereTheEndpointSaysSoOrGotNothing(t *testing.T) {
+	notRun := map[string]string{engine.HeaderNotRun: "true", "Retry-After": "3"}
+	for _, c := range []struct {
+		kind    fleet.EndpointKind
+		status  int
+		headers map[string]string
+		refused bool
+	}{
+		{fleet.KindEngine, http.StatusOK, nil, false},
+		{fleet.KindEngine, http.StatusNotFound, nil, true},
+		{fleet.KindEngine, http.StatusTooManyRequests, nil, true},
+		{fleet.KindEngine, http.StatusPreconditionFailed, nil, true},
+		{fleet.KindEngine, http.StatusBadRequest, nil, false},
+		{fleet.KindEngine, http.StatusServiceUnavailable, nil, false},
+		{fleet.KindEngine, http.StatusServiceUnavailable, notRun, true},
+		{fleet.KindPlain, http.StatusNotFound, nil, false},
+		{fleet.KindPlain, http.StatusTooManyRequests, nil, false},
+		{fleet.KindPlain, http.StatusServiceUnavailable, notRun, true},
+	} {
+		e := endpoint(t, c.kind, answer(c.status, c.headers))
+		resp, err := dialect().Start(context.Background(), engine.Call{Endpoint: e, Method: http.MethodPost, Path: "/v1/completions", Body: []byte("{}")})
+		if !c.refused {
+			require.NoError(t, err, "%s %d", c.kind, c.status)
+			require.NoError(t, resp.Body.Close())
+			continue
+		}
+		var refusal engine.ErrNotRun
+		require.ErrorAs(t, err, &refusal, "%s %d", c.kind, c.status)
+		require.Equal(t, c.status, refusal.Status)
+		require.Contains(t, refusal.Reason, "because")
+		if c.headers != nil {
+			require.Equal(t, 3*time.Second, refusal.RetryAfter)
+		}
+	}
+	call := engine.Call{Endpoint: gone(t), Method: http.MethodPost, Path: "/", Body: []byte("{}")}
+	_, err := dialect().Start(context.Background(), call)
+	require.True(t, engine.IsErrNotRun(err), "%v", err)
+	call.Endpoint = endpoint(t, fleet.KindEngine, breakOff)
+	_, err = dialect().Start(context.Background(), call)
+	require.True(t, isUnknown(err), "%v", err)
+}
+
+func TestARequestThatMayChangeSomethingIsSentOnceThoughItsConnectionBreaks(t *testing.T) {
+	for _, body := range [][]byte{[]byte("{}"), nil} {
+		var requests atomic.Int64
+		e := endpoint(t, fleet.KindPlain, func(w http.ResponseWriter, q *http.Request) {
+			if requests.Add(1) > 1 {
+				breakOff(w, q)
+			}
+		})
+		d := dialect()
+		call := engine.Call{Endpoint: e, Method: http.MethodPost, Path: "/", Body: body}
+		resp, err := d.Start(context.Background(), call)
+		require.NoError(t, err)
+		require.NoError(t, resp.Body.Close())
+		_, err = d.Start(context.Background(), call)
+		require.True(t, isUnknown(err), "%v", err)
+		require.Equal(t, int64(2), requests.Load(), "the second broke on a kept connection and was not sent again")
+	}
+}
+
+func TestTheHeadersSayWhichTicketIsUsed(t *testing.T) {
+	var got http.Header
+	e := endpoint(t, fleet.KindEngine, func(_ http.ResponseWriter, q *http.Request) { got = q.Header.Clone() })
+	call := engine.Call{Endpoint: e, Method: http.MethodPost, Path: "/", Body: []byte("{}"), RequestID: "r", Incarnation: "i", Fence: 7}
+	resp, err := dialect().Start(context.Background(), call)
+	require.NoError(t, err)
+	require.NoError(t, resp.Body.Close())
+	require.Equal(t, []string{"r", "7", "i", "", ""}, []string{
+		got.Get(engine.HeaderRequestID), got.Get(engine.HeaderFence), got.Get(engine.HeaderIncarnation), got.Get(engine.HeaderAttempt),
+		got.Get(engine.HeaderResumeFrom),
+	})
+	call.Attempt, call.ResumeFrom = 2, 30
+	resp, err = dialect().Start(context.Background(), call)
+	require.NoError(t, err)
+	require.NoError(t, resp.Body.Close())
+	require.Equal(t, []string{"2", "30"}, []string{got.Get(engine.HeaderAttempt), got.Get(engine.HeaderResumeFrom)})
+}
+
+func TestTheStatusJoinsListHeadersAndMetrics(t *testing.T) {
+	pages := map[string]string{
+		"/v1/models": `{"data": [{"id": "base"}, {"id": "a@1", "parent": "base"}, {"id": "odd", "parent": "base"}]}`,
+		"/metrics": "# HELP x\nvllm:lora_requests_info{max_lora=\"4\",running_lora_adapters=\"a@1,b@2\",waiting_lora_adapters=\"\"} 1\n" +
+			"vllm:other{running_lora_adapters=\"z@1\"} 1\n",
+	}
+	e := endpoint(t, fleet.KindEngine, func(w http.ResponseWriter, q *http.Request) {
+		w.Header().Set(engine.HeaderIncarnation, "i")
+		w.Header().Set(engine.HeaderFence, "65537")
+		w.Header().Set(engine.HeaderHolder, "h")
+		w.Header().Set(engine.HeaderLeaving, "true")
+		_, _ = io.WriteString(w, pages[q.URL.Path])
+	})
+	s, err := dialect().Status(context.Background(), e)
+	require.NoError(t, err)
+	require.Equal(t, engine.Status{
+		Incarnation: "i", Fence: 65537, Holder: "h", Leaving: true, Resident: []fleet.AdapterRef{a1},
+		Running: []fleet.AdapterRef{a1, {Name: "b", Version: 2}},
+	}, s)
+	_, err = dialect().Status(context.Background(), endpoint(t, fleet.KindEngine, answer(http.StatusServiceUnavailable, nil)))
+	require.Error(t, err)
+	_, err = dialect().Status(context.Background(), endpoint(t, fleet.KindEngine, answer(http.StatusOK, nil)))
+	require.True(t, isUnknown(err), "a list that is no JSON")
+}
+
+func TestTheNextFenceIsAboveAllSeenAndItsHoldersOwn(t *testing.T) {
+	for _, seen := range []uint64{0, 1, 1<<16 - 1, 1 << 16, 5<<16 | 9} {
+		one, other := engine.NextFence(seen, 3), engine.NextFence(seen, 4)
+		require.Greater(t, one, seen)
+		require.Greater(t, other, seen)
+		require.NotEqual(t, one, other)
+		require.Equal(t, uint64(3), one&0xffff)
+	}
+}
