--- a/services/entry/coordinator/forecast/expect.go
+++ b/services/entry/coordinator/forecast/expect.go
@@ -41,11 +41,6 @@
 	LostPlanner
 )
 
-// String names the case.
-func (r Reason) String() string {
-	return [...]string{"under way", "queued", "late", "former holder", "new planner", "lost planner"}[r]
-}
-
 // Planner is what an instance knows of whoever orders loads. Spans are measured on the own clock.
 type Planner struct {
 	// Holds tells that this instance holds the planner's lease and is not giving it up.
--- a/services/entry/coordinator/forecast/forecast_test.go
+++ b/services/entry/coordinator/forecast/forecast_test.go
@@ -108,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			expected := forecast.Expect(now, one.planner, one.load)
 			assert.Equal(t, one.after, expected.At.Sub(now))
-			assert.Equal(t, one.reason, expected.Reason, expected.Reason.String())
+			assert.Equal(t, one.reason, expected.Reason)
 		})
 	}
 }
--- a/services/entry/coordinator/view/followed.go
+++ b/services/entry/coordinator/view/followed.go
@@ -36,11 +36,6 @@
 	PlansItself
 )
 
-// String names the verdict.
-func (v Verdict) String() string {
-	return [...]string{"keep", "other link", "earlier term", "plans itself"}[v]
-}
-
 // Arrival is how a view came.
 type Arrival struct {
 	// PresentLink tells that it came over the link that is in use now.
--- a/services/entry/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -41,7 +41,7 @@
 	for name, one := range cases {
 		t.Run(name, func(t *testing.T) {
 			followed := view.Followed{Term: 4}
-			assert.Equal(t, one.verdict, followed.Judge(&wire.View{Term: one.term}, one.arrival), one.verdict.String())
+			assert.Equal(t, one.verdict, followed.Judge(&wire.View{Term: one.term}, one.arrival))
 		})
 	}
 	var unheard view.Followed
--- a/services/entry/lease/candidate.go
+++ b/services/entry/lease/candidate.go
@@ -37,11 +37,6 @@
 	Unsettled
 )
 
-// String names the verdict.
-func (v Verdict) String() string {
-	return [...]string{"take", "take without heartbeat", "leave to others", "holder active", "unsettled"}[v]
-}
-
 // Sighting is the record as it was just read, with what else is known of its holder.
 type Sighting struct {
 	// Self names this instance.
