--- a/services/entry/coordinator/leasestore/store_test.go
+++ b/services/entry/coordinator/leasestore/store_test.go
@@ -38,12 +38,16 @@
 	// lateWrite does a transaction although its answer is lost.
 	lateWrite bool
 	revision  int64
+	// limit is how long the last read might have taken.
+	limit time.Duration
 }
 
 func (f *fixture) get(ctx context.Context, key string) (store.Item, error) {
-	if _, bounded := ctx.Deadline(); !bounded {
+	deadline, bounded := ctx.Deadline()
+	if !bounded {
 		return store.Item{}, errors.New("an unbounded call")
 	}
+	f.limit = time.Until(deadline)
 	item, ok := f.items[key]
 	switch {
 	case f.getErr != nil:
@@ -119,6 +123,8 @@
 	confirmation, err := records.Confirm(t.Context())
 	require.NoError(t, err)
 	assert.Equal(t, leasestore.Confirmation{Sent: now, Revision: 7}, confirmation)
+	assert.Greater(t, f.limit, 400*time.Millisecond)
+	assert.LessOrEqual(t, f.limit, 500*time.Millisecond)
 	delete(f.items, leasestore.RecordKey)
 	_, err = records.Confirm(t.Context())
 	assert.ErrorIs(t, err, store.ErrNotFound, "a record that is gone confirms nothing")
--- a/services/entry/coordinator/member/member_test.go
+++ b/services/entry/coordinator/member/member_test.go
@@ -225,6 +225,7 @@
 	span, behind := lag.Behind(start, 6, 7)
 	require.True(t, behind)
 	assert.Zero(t, span)
+	assert.Equal(t, 120*time.Millisecond, member.RelayAfter)
 	span, _ = lag.Behind(start.Add(member.RelayAfter), 6, 8)
 	assert.Equal(t, member.RelayAfter, span, "a further change does not begin it anew")
 	_, behind = lag.Behind(start.Add(time.Second), 9, 8)
