--- a/services/entry/admission/decide_test.go
+++ b/services/entry/admission/decide_test.go
@@ -25,7 +25,7 @@
 	late := admission.Decide(start.Add(admission.SilenceTimeout(stream)), situation)
 	assert.False(t, late.Wait)
 	assert.Equal(t, admission.AdapterNotLoaded, late.Reason)
-	assert.Positive(t, late.RetryAfter, "a refused caller is told when to come back")
+	assert.Positive(t, late.RetryAfter, "a refused caller learns when to come back")
 }
 
 func TestWithoutAnyEndpointTheRefusalComesSoon(t *testing.T) {
@@ -65,7 +65,7 @@
 	assert.Greater(t, decision.RetryAfter, 2350*time.Millisecond, "the caller comes back when the adapter is there")
 	assert.Less(t, decision.RetryAfter, 2700*time.Millisecond)
 
-	assert.True(t, admission.Decide(start.Add(50*time.Millisecond), situation).Wait, "the planner may not have heard of it yet")
+	assert.True(t, admission.Decide(start.Add(50*time.Millisecond), situation).Wait, "no report may have reached the planner yet")
 	assert.True(t, admission.Decide(start.Add(300*time.Millisecond), situation).Wait, "too late for a prompt refusal: a late answer is worth more")
 }
 
--- a/services/entry/admission/edges_test.go
+++ b/services/entry/admission/edges_test.go
@@ -129,6 +129,6 @@
 			assert.Equal(t, test.retryAfter, decision.RetryAfter)
 		})
 	}
-	crowded := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(ample), Saturated: true}
-	assert.Equal(t, 1500*time.Millisecond, admission.Decide(now, crowded).RetryAfter)
+	saturated := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(ample), Saturated: true}
+	assert.Equal(t, 1500*time.Millisecond, admission.Decide(now, saturated).RetryAfter)
 }
--- a/services/entry/directory/directory_test.go
+++ b/services/entry/directory/directory_test.go
@@ -64,7 +64,7 @@
 	d.SetOffered("e", []string{"base"}, map[deployment.Adapter]int64{})
 	status := d.Endpoint("e")
 	assert.False(t, status.Holds(start, one, 0))
-	assert.Contains(t, status.Adapters, one, "the endpoint's own word stays")
+	assert.Contains(t, status.Adapters, one, "the endpoint's own description stays")
 }
 
 func TestHoldsLooksAtTheVersionAndAtTheEndpointsOwnWord(t *testing.T) {
--- a/services/entry/loading/doc.go
+++ b/services/entry/loading/doc.go
@@ -11,6 +11,6 @@
 // starts no goroutine.
 //
 // The rules, a file each: which order goes first (next.go), base models (model.go), what a copy is worth (value.go), where it
-// is loaded (placement.go), what makes room (eviction.go), what instances are told of adapters on their way (forecast.go),
+// is loaded (placement.go), what makes room (eviction.go), when adapters on their way are expected (forecast.go),
 // and what follows from an endpoint's answer (result.go).
 package loading
--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/edges_test.go
@@ -301,7 +301,7 @@
 			next, ok := p.Next(start.Add(test.after))
 			assert.Equal(t, test.asked, ok)
 			if ok {
-				assert.Equal(t, loading.Inspect, next.Kind, "the report tells what became of it")
+				assert.Equal(t, loading.Inspect, next.Kind, "the report shows what became of it")
 			}
 		})
 	}
--- a/services/entry/loading/eviction_test.go
+++ b/services/entry/loading/eviction_test.go
@@ -177,7 +177,7 @@
 
 // TestAFormerPlannersLoadsSayNothingOfTheStore is about a takeover on scale-2 of teranga: loads that were
 // nearly done when the new planner first saw them were taken for very short ones, all others then
-// for crowded, and one load at a time was allowed for the rest of the day.
+// for too many at once, and one load at a time was allowed for the rest of the day.
 func TestAFormerPlannersLoadsSayNothingOfTheStore(t *testing.T) {
 	p := newPlanner(1)
 	for i := range 12 {
--- a/services/entry/loading/planner_test.go
+++ b/services/entry/loading/planner_test.go
@@ -107,7 +107,7 @@
 	assert.Contains(t, adapters, adapter(9))
 }
 
-// TestALostAnswerIsSettledByTheReport is about a load that was taken though nobody heard of it:
+// TestALostAnswerIsSettledByTheReport is about a load that was taken though its answer was lost:
 // it must be counted before another one is ordered.
 func TestALostAnswerIsSettledByTheReport(t *testing.T) {
 	p := newPlanner(1)
--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -166,7 +166,7 @@
 	}
 }
 
-// numeric tells whether an expression is a number that somebody chose: neither a text nor a running count of kinds.
+// numeric reports whether an expression is a number that somebody chose: neither a text nor a running count of kinds.
 func numeric(expression ast.Expr) bool {
 	result := true
 	ast.Inspect(expression, func(node ast.Node) bool {
