--- /dev/null
+++ b/services/daemon/control/lease_test.go
@@ -0,0 +1,85 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package control_test
+
+import (
+	"context"
+	"net/http"
+	"net/http/httptest"
+	"net/netip"
+	"strings"
+	"sync/atomic"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/modules/daemon/kv"
+	"github.com/shelfledge/shelfledge/tests/standin"
+)
+
+const (
+	leaseOfX = "/test/lease/h1/x"
+	leaseOfY = "/test/lease/h1/y"
+)
+
+// unfenced gives two pools of one endpoint each that checks no fences.
+func unfenced() []fleet.Endpoint {
+	return []fleet.Endpoint{
+		{Name: "e1", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"x"}, Slots: 1, MaxBatch: 4},
+		{Name: "e2", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"y"}, Slots: 1, MaxBatch: 4},
+	}
+}
+
+// TestNewLeaseGivesNoRightToOrderInPoolsOfTheLapsedOne fails as listed in KNOWN-RED.txt: the
+// lease under which the service owned pool x has lapsed; the one that it gets to own pool y
+// is taken for a renewal, and pool x is ordered in without its key.
+func TestNewLeaseGivesNoRightToOrderInPoolsOfTheLapsedOne(t *testing.T) {
+	store := standin.NewKV()
+	var renewals atomic.Int64
+	handler := store.Handler()
+	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		handler.ServeHTTP(w, r)
+		if r.URL.Path == "/v3/lease/keepalive" {
+			renewals.Add(1)
+		}
+	}))
+	t.Cleanup(server.Close)
+	address := netip.MustParseAddrPort(strings.TrimPrefix(server.URL, "http://"))
+	client := kv.New(kv.Options{Addresses: []netip.AddrPort{address}, ReadsPerSecond: 1000, WritesPerSecond: 1000})
+	ctx := context.Background()
+	others, err := client.Grant(ctx, time.Minute)
+	require.NoError(t, err)
+	_, err = client.Txn(ctx, kv.TxnRequest{Success: []kv.Op{{Put: &kv.PutRequest{Key: []byte(leaseOfY), Value: []byte("{}"), Lease: others}}}})
+	require.NoError(t, err)
+
+	w := newWorldOf(t, unfenced(), client)
+	owned := func(key string) bool {
+		pair, found, err := client.Get(ctx, key)
+		return err == nil && found && pair.Lease != others
+	}
+	w.advance(settled)
+	// One renewal comes with the vain call for pool y, one of the lease itself; the next is due in 3 s.
+	require.Eventually(t, func() bool { return owned(leaseOfX) && renewals.Load() == 2 }, timeout, time.Millisecond)
+	first, _, err := client.Get(ctx, leaseOfX)
+	require.NoError(t, err)
+	require.NoError(t, client.Revoke(ctx, first.Lease))
+	require.NoError(t, client.Revoke(ctx, others))
+	w.advance(time.Second)
+	require.Eventually(t, func() bool { return owned(leaseOfY) }, timeout, time.Millisecond)
+
+	w.Submit(fleet.Request{ID: "q", Base: "x", Adapter: a})
+	for {
+		select {
+		case c := <-w.calls:
+			if c.name == "load" {
+				require.True(t, owned(leaseOfX), "an order in pool x without its key")
+				return
+			}
+		case <-time.After(timeout):
+			require.Fail(t, "no load")
+		}
+	}
+}
--- a/services/daemon/control/service_test.go
+++ b/services/daemon/control/service_test.go
@@ -112,7 +112,16 @@
 	return nil, errors.New("the key-value service is not there")
 }
 
+// newWorld makes a world with one endpoint that checks fences, and no key-value service.
 func newWorld(t *testing.T, resident ...fleet.AdapterRef) *world {
+	endpoints := []fleet.Endpoint{
+		{Name: "e1", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: 1, MaxBatch: 4, ChecksFence: true},
+	}
+	nobody := kv.Options{Addresses: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Client: &http.Client{Transport: noTransport{}}}
+	return newWorldOf(t, endpoints, kv.New(nobody), resident...)
+}
+
+func newWorldOf(t *testing.T, endpoints []fleet.Endpoint, client *kv.Client, resident ...fleet.AdapterRef) *world {
 	w := &world{
 		t: t, calls: make(chan call, 64), journal: journal.New(1000), fail: make(map[string]error),
 		status: engine.Status{Incarnation: "e1-1", Fence: 7 << 16, Resident: resident},
@@ -123,13 +132,11 @@
 	w.Service = control.New(control.Options{
 		Node: node.Options{
 			Self: fleet.Instance{ID: "i1", Hall: "h1", Address: address}, Boot: 5, Halls: []string{"h1"},
-			Endpoints: []fleet.Endpoint{
-				{Name: "e1", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: 1, MaxBatch: 4, ChecksFence: true},
-			},
+			Endpoints: endpoints,
 			Placement: placement.DefaultOptions(), Routing: routing.DefaultOptions(), Membership: membership.DefaultOptions(),
 			Budget: budget.Limits{LoadsPerSecond: 100, AtFullSpeed: 4}, Timing: node.DefaultTiming(),
 		},
-		Dialect: w.dialect(), KV: kv.New(kv.Options{Addresses: []netip.AddrPort{address}, Client: &http.Client{Transport: noTransport{}}}),
+		Dialect: w.dialect(), KV: client,
 		Prefix: "/test", Send: func(fleet.Envelope) {}, Log: logrus.NewEntry(log), Metrics: metric.New(metric.Options{}), Journal: w.journal, Now: w.now,
 	})
 	ran := make(chan struct{})
