--- a/modules/entry/upstream/connection.go
+++ b/modules/entry/upstream/connection.go
@@ -46,7 +46,7 @@
 	_ = c.Close()
 }
 
-// usable tells whether an idle connection may carry another request: it is young enough,
+// usable reports whether an idle connection may carry another request: it is young enough,
 // still open, and no surplus bytes have arrived on it.
 func (c *connection) usable(now time.Time, maxIdle time.Duration) bool {
 	idle := now.Sub(c.idleSince)
--- a/modules/entry/upstream/doc.go
+++ b/modules/entry/upstream/doc.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package upstream keeps HTTP/1.1 connections to endpoints and sends one request at a time
-// over each. Unlike net/http's transport it never sends a request twice, tells whether any
+// over each. Unlike net/http's transport it never sends a request twice, reports whether any
 // byte was written, bounds the connections of each endpoint, and recognises an answer to
 // an earlier request.
 //
--- a/modules/entry/upstream/error.go
+++ b/modules/entry/upstream/error.go
@@ -14,7 +14,7 @@
 // ErrForeignAnswer reports that only answers to other requests arrived.
 var ErrForeignAnswer = errors.New("upstream: the answer belongs to another request")
 
-// Stage tells how far an exchange had come when it failed.
+// Stage is how far an exchange had come when it failed.
 type Stage int
 
 // The stages of an exchange.
@@ -44,7 +44,7 @@
 	return e.Cause
 }
 
-// NotSent tells whether an error proves that no byte of the request was written.
+// NotSent reports whether an error proves that no byte of the request was written.
 func NotSent(err error) bool {
 	var failed *ExchangeError
 	return errors.As(err, &failed) && failed.Stage == Connecting
--- a/modules/entry/upstream/exchange.go
+++ b/modules/entry/upstream/exchange.go
@@ -110,7 +110,7 @@
 	return nil, ErrForeignAnswer
 }
 
-// Read reads the body; io.EOF tells that it was whole.
+// Read reads the body; io.EOF says that it was whole.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	n, err := a.Response.Body.Read(buffer)
 	if err == io.EOF {
@@ -119,7 +119,7 @@
 	return n, err
 }
 
-// Buffered tells whether more of the answer has arrived than was read.
+// Buffered reports whether more of the answer has arrived than was read.
 func (a *Answer) Buffered() bool {
 	return a.conn.reader.Buffered() > 0
 }
@@ -154,7 +154,7 @@
 // (commit d0310d5: connections are kept, scores differ by noise); its length was not varied.
 const writerTimeout = 10 * time.Millisecond
 
-// wroteWhole tells whether the whole request was written.
+// wroteWhole reports whether the whole request was written.
 func (a *Answer) wroteWhole() bool {
 	timer := time.NewTimer(writerTimeout)
 	defer timer.Stop()
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -115,12 +115,12 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// Leaving tells whether a stop has begun: connections close after their answer.
+// Leaving reports whether a stop has begun: connections close after their answer.
 func (s *Server) Leaving() bool {
 	return s.stopping.Load() != 0
 }
 
-// Refusing tells whether a new request could not be answered whole before the process ends.
+// Refusing reports whether a new request could not be answered whole before the process ends.
 func (s *Server) Refusing(kind deployment.RouteKind) bool {
 	began := s.stopping.Load()
 	if began == 0 || kind != deployment.Streaming {
--- a/services/entry/proxy/attempt/ending.go
+++ b/services/entry/proxy/attempt/ending.go
@@ -55,7 +55,7 @@
 	Reason  Reason
 	// Status is the answer's; 0 where the answer is not of this instance's own.
 	Status int
-	// RetryAfter is when the caller should come back; 0 where it is not told.
+	// RetryAfter is when the caller should come back; 0 where it gets no such time.
 	RetryAfter time.Duration
 }
 
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -37,7 +37,7 @@
 }
 
 // HeadTimeout is how long the head of the answer may take. Without a bound of its own, it may take all the time that is
-// left: the deadline ends it then, and tells the reason.
+// left: the deadline ends it then, and is the reason.
 func HeadTimeout(now time.Time, s Situation) (timeout time.Duration, bounded bool) {
 	left := s.Deadline.Sub(now)
 	switch {
--- a/services/entry/proxy/exchange.go
+++ b/services/entry/proxy/exchange.go
@@ -27,7 +27,7 @@
 	status int
 }
 
-// do sends the request, passes the answer on and tells the coordinator how it ended.
+// do sends the request, passes the answer on and reports to the coordinator how it ended.
 func (e *exchange) do() attempt.Result {
 	started := e.run.service.options.Now()
 	verdict := e.send()
--- a/services/entry/proxy/run.go
+++ b/services/entry/proxy/run.go
@@ -90,7 +90,7 @@
 	}
 }
 
-// callerLeft tells whether the caller closed its connection.
+// callerLeft reports whether the caller closed its connection.
 func (r *run) callerLeft() bool {
 	return r.incoming.Context().Err() != nil
 }
--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -37,9 +37,9 @@
 	Now    func() time.Time
 	Random func() float64
 	Log    *logrus.Entry
-	// Refusing tells whether new requests are refused because the process ends.
+	// Refusing reports whether new requests are refused because the process ends.
 	Refusing func(kind deployment.RouteKind) bool
-	// Leaving tells whether connections are closed after their answer.
+	// Leaving reports whether connections are closed after their answer.
 	Leaving func() bool
 	// Observe gets the end of each request.
 	Observe func(Observation)
