--- a/services/daemon/command/service_test.go
+++ b/services/daemon/command/service_test.go
@@ -82,9 +82,10 @@
 
 const setUp = "create adapter a base b version 1; create version a@2; create service s as a@1"
 
-func (o *operator) shares(service string) string {
+// shares gives the shares of service s.
+func (o *operator) shares() string {
 	var out []string
-	for _, s := range o.catalog.Services[service].Shares {
+	for _, s := range o.catalog.Services["s"].Shares {
 		out = append(out, fmt.Sprintf("%s@%d %d", s.Adapter, s.Version, s.Percent))
 	}
 	return strings.Join(out, ", ")
@@ -106,13 +107,13 @@
 	o := newOperator(t)
 	o.must(t, setUp)
 	o.must(t, "roll service s to a@2 at 10%")
-	require.Equal(t, "a@1 90, a@2 10", o.shares("s"))
+	require.Equal(t, "a@1 90, a@2 10", o.shares())
 	o.must(t, "roll service s to a@2 at 50%")
-	require.Equal(t, "a@1 50, a@2 50", o.shares("s"))
+	require.Equal(t, "a@1 50, a@2 50", o.shares())
 	o.must(t, "roll back service s")
-	require.Equal(t, "a@1 100", o.shares("s"))
+	require.Equal(t, "a@1 100", o.shares())
 	o.must(t, "roll service s to a@2")
-	require.Equal(t, "a@2 100", o.shares("s"))
+	require.Equal(t, "a@2 100", o.shares())
 }
 
 func TestRollsThatCannotBeMeantAreRefused(t *testing.T) {
@@ -139,7 +140,7 @@
 	o.must(t, setUp)
 	r := o.must(t, "change service s as a@2; pin a@2")
 	o.must(t, fmt.Sprintf("undo revision %d", r.Revision))
-	require.Equal(t, "a@1 100", o.shares("s"))
+	require.Equal(t, "a@1 100", o.shares())
 	require.Empty(t, o.catalog.Pins)
 	_, err := o.do(t, "undo revision 99")
 	require.EqualError(t, err, "revision 99 is not stored any more, or never was")
