--- a/modules/daemon/engine/vllm_status.go
+++ b/modules/daemon/engine/vllm_status.go
@@ -91,6 +91,7 @@
 	if err != nil {
 		return nil, err
 	}
+	// The page is judged by its content, as the list is.
 	defer func() { _ = resp.Body.Close() }()
 	lines := bufio.NewScanner(resp.Body)
 	var out []fleet.AdapterRef
--- a/modules/daemon/metric/metric.go
+++ b/modules/daemon/metric/metric.go
@@ -48,6 +48,8 @@
 	MaxClasses int
 }
 
+// The buckets are in seconds. Waits reach from a millisecond to the default wait of a minute, the time between tokens from a
+// fast step to a stall. The bounds 1.2 and 0.041 are thresholds of conf/alerts.yml, which are exact only at a bucket's bound.
 var (
 	waitBuckets  = []float64{.001, .005, .01, .025, .05, .1, .25, .5, 1, 1.2, 2.5, 5, 10, 30, 60}
 	tokenBuckets = []float64{.005, .01, .02, .03, .041, .06, .1, .25, 1}
--- a/services/daemon/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -108,6 +108,7 @@
 			return nil, fmt.Errorf("%q is no pattern", c.Value)
 		}
 		return func(row []table.Value) bool {
+			// The pattern was found good above.
 			ok, _ := path.Match(c.Value, row[at].String())
 			return ok
 		}, nil
--- a/services/daemon/query/explain.go
+++ b/services/daemon/query/explain.go
@@ -59,6 +59,7 @@
 	if err != nil {
 		return out, err
 	}
+	// A name without a version is the adapter's own.
 	bare, _, _ := strings.Cut(name, "@")
 	a := s.options.Catalog().Adapters[bare]
 	if a == nil {
--- a/services/shelfctl/shell/prompt.go
+++ b/services/shelfctl/shell/prompt.go
@@ -93,6 +93,7 @@
 	if err != nil {
 		return
 	}
+	// As for a file that cannot be opened.
 	_, _ = line.WriteHistory(f)
 	_ = f.Close()
 }
