--- /dev/null
+++ b/services/entry/coordinator/plan/engine_test.go
@@ -0,0 +1,25 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package plan_test
+
+import (
+	"maps"
+	"testing"
+
+	"github.com/stretchr/testify/assert"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+)
+
+// TestAServiceThatLosesItsEngineIsPlannedNoMore fails as listed in KNOWN-RED.txt: only services that are gone lose their
+// plan, so that the endpoints of one that is still configured, now without engine, go on getting orders.
+func TestAServiceThatLosesItsEngineIsPlannedNoMore(t *testing.T) {
+	f := newFixture()
+	plain := deployment.NewConfiguration(2, nil, map[string]*deployment.Service{service: {Name: service}}, deployment.Limits{})
+	f.plans.SetConfiguration(start, plain, maps.All(map[deployment.Adapter]int64{}))
+	assert.False(t, f.plans.Has(service))
+	f.plans.TakeDemand(start, asks())
+	f.order(start)
+	assert.Empty(t, f.ordered)
+}
