--- /dev/null
+++ b/services/entry/coordinator/loop/doc.go
@@ -0,0 +1,6 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+// Package loop runs functions one after the other on one goroutine, so that what they share needs no lock. It
+// starts no goroutine itself: Run is the loop.
+package loop
