--- /dev/null
+++ b/services/daemon/placement/forgotten_test.go
@@ -0,0 +1,147 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package placement_test
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
+)
+
+// many is the number of customers or adapters that come once and never again.
+const many = 200
+
+// retained counts the entries of all maps, slices and arrays that are reachable from v.
+func retained(v any) int {
+	seen := make(map[uintptr]bool)
+	return count(reflect.ValueOf(v), seen)
+}
+
+func count(v reflect.Value, seen map[uintptr]bool) int {
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Map:
+		if v.IsNil() || seen[v.Pointer()] {
+			return 0
+		}
+		seen[v.Pointer()] = true
+	default:
+	}
+	sum := 0
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		return count(v.Elem(), seen)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			sum += count(v.Field(i), seen)
+		}
+	case reflect.Map:
+		for entries := v.MapRange(); entries.Next(); {
+			sum += 1 + count(entries.Value(), seen)
+		}
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			sum += 1 + count(v.Index(i), seen)
+		}
+	default:
+	}
+	return sum
+}
+
+// quiet lets a day pass in which nobody asks for anything.
+func quiet(p *placement.Placer, now time.Time) {
+	for end := now.Add(24 * time.Hour); now.Before(end); now = now.Add(time.Second) {
+		p.Tick(now)
+	}
+}
+
+// served loads adapter a once for so many customers that wait for it, and runs their requests.
+func served(t *testing.T, customers int, o placement.Options) *placement.Placer {
+	t.Helper()
+	e := endpoint(1)
+	e.MaxBatch = many
+	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{e}, o)
+	p.Adopt(begin, list(0), 1, begin)
+	for i := range many {
+		r := request(fmt.Sprint("q", i), "a")
+		r.Caller = fmt.Sprint("customer", i%customers)
+		p.Submit(at(1), r)
+	}
+	load(t, p, at(2))
+	granted := only[placement.Grant](p.Loaded(at(3), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
+	require.NotEmpty(t, granted)
+	for len(granted) > 0 {
+		next := p.Return(at(4), granted[0].Ticket.ID)
+		granted = append(granted[1:], only[placement.Grant](next)...)
+	}
+	require.Zero(t, p.Summary().Waiting)
+	quiet(p, at(5))
+	return p
+}
+
+// TestLoadsOfCustomersLongGoneAreForgotten fails as listed in KNOWN-RED.txt: the placer
+// keeps the fading count of loads of every customer for whom it ever loaded an adapter.
+func TestLoadsOfCustomersLongGoneAreForgotten(t *testing.T) {
+	o := placement.DefaultOptions()
+	// The plain queue keeps nothing of a customer that does not wait.
+	o.PlainQueue = true
+	require.Less(t, retained(served(t, many, o))-retained(served(t, 1, o)), many/2)
+}
+
+// TestFailuresOfAdaptersLongGoneAreForgotten fails as listed in KNOWN-RED.txt: the placer
+// keeps the failures of every adapter whose last load failed. Other state of the adapters is
+// the same where the loads succeed.
+func TestFailuresOfAdaptersLongGoneAreForgotten(t *testing.T) {
+	after := func(result placement.LoadResult) int {
+		p := newPlacer(endpoint(1))
+		for i := range many {
+			now, name := at(100*i+1), fmt.Sprint("a", i)
+			id := "q" + name
+			p.Submit(now, request(id, name))
+			order := load(t, p, now)
+			for _, g := range only[placement.Grant](p.Loaded(now, "e1", "e1-1", order.Adapter, result, "no such file")) {
+				p.Return(now, g.Ticket.ID)
+			}
+			p.Cancel(now, id)
+			var resident []fleet.AdapterRef
+			if result == placement.LoadDone {
+				resident = append(resident, order.Adapter)
+			}
+			p.Inspected(now.Add(2*time.Millisecond), list(100*i+2, resident...))
+		}
+		quiet(p, at(100*many))
+		return retained(p)
+	}
+	require.Less(t, after(placement.LoadFailed)-after(placement.LoadDone), many/2)
+}
+
+// TestTagsOfCustomersLongGoneAreForgotten fails as listed in KNOWN-RED.txt: a customer's
+// last tag is dropped only when a request of the same customer leaves the queue after virtual
+// time has passed the tag.
+func TestTagsOfCustomersLongGoneAreForgotten(t *testing.T) {
+	q := queue.New(false)
+	class := fleet.Class{Name: "c"}
+	serve := func(r fleet.Request) {
+		q.Push(begin, r, class, 0)
+		w, ok := q.Find(r.ID)
+		require.True(t, ok)
+		q.Dispatch(w)
+	}
+	for i := range many {
+		r := request(fmt.Sprint("q", i), "a")
+		r.Caller = fmt.Sprint("customer", i)
+		serve(r)
+	}
+	for i := range many {
+		serve(request(fmt.Sprint("later", i), "a"))
+	}
+	require.Zero(t, q.Len())
+	require.Less(t, retained(q), many/2, "virtual time has passed every tag")
+}
