--- a/services/daemon/process/daemon.go
+++ b/services/daemon/process/daemon.go
@@ -154,11 +154,6 @@
 	return d.control
 }
 
-// KVCounts gives the calls made to the key-value service.
-func (d *Daemon) KVCounts() kv.Counts {
-	return d.kv.Counts()
-}
-
 // Ready tells whether callers may be sent here.
 func (d *Daemon) Ready() bool {
 	if d.stopping.Load() {
