--- a/modules/entry/metric/metrics.go
+++ b/modules/entry/metric/metrics.go
@@ -73,12 +73,13 @@
 		registry: prometheus.NewRegistry(),
 		requests: counter("requests_total", "Requests by class and answered status; 0 is a connection closed without a whole answer.", "class", "status"),
 		refusals: counter("failures_total", "Requests without success, by reason.", "class", "reason"),
-		retries:  counter("repeats_total", "Repeated sends to further endpoints.", "class"),
-		orders:   counter("orders_total", "Orders to endpoints, by kind and reply.", "kind", "reply"),
-		store:    counter("store_failures_total", "Calls to the store that failed, by call.", "call"),
-		waited:   histogram("wait_seconds", "Wait for an endpoint."),
-		first:    histogram("first_byte_seconds", "Time to the head of the answer."),
-		whole:    histogram("request_seconds", "Time to the end of the answer."),
+		// The text keeps its former word.
+		retries: counter("repeats_total", "Repeated sends to further endpoints.", "class"),
+		orders:  counter("orders_total", "Orders to endpoints, by kind and reply.", "kind", "reply"),
+		store:   counter("store_failures_total", "Calls to the store that failed, by call.", "call"),
+		waited:  histogram("wait_seconds", "Wait for an endpoint."),
+		first:   histogram("first_byte_seconds", "Time to the head of the answer."),
+		whole:   histogram("request_seconds", "Time to the end of the answer."),
 	}
 	m.registry.MustRegister(m.requests, m.refusals, m.retries, m.orders, m.store, m.waited, m.first, m.whole, &gaugeCollector{read: gauges})
 	return m
--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -65,10 +65,11 @@
 	// streamWaitParts bounds the wait of a stream by one part in so many of its time to the deadline. Fewer parts leave less
 	// time for the answer. Not measured.
 	streamWaitParts = 2
-	// plainWait is how long a plain request waits for an endpoint: it needs no adapter, so that waiting seldom helps. Longer
-	// bridges the replacement of endpoints, shorter refuses in time for another attempt. Not measured.
+	// plainWait is how long a request of a route that does not stream waits for an endpoint, with an adapter or without, and
+	// at most a quarter of its time to the deadline (shortWaitParts): waiting seldom helps it. Longer bridges the
+	// replacement of endpoints, shorter refuses in time for another attempt. Not measured.
 	plainWait = 100 * time.Millisecond
-	// shortWaitParts bounds waits that seldom help (plain requests, and streams without any endpoint) by one part in so many
+	// shortWaitParts bounds waits that seldom help (requests that do not stream, and streams without any endpoint) by one part in so many
 	// of the time to the deadline, and of a stream's target. More parts refuse sooner. Not measured.
 	shortWaitParts = 4
 	// saturatedPause is when a caller refused for saturated endpoints should come back: a stream takes seconds. Longer spares
--- a/services/entry/loading/copy.go
+++ b/services/entry/loading/copy.go
@@ -26,9 +26,13 @@
 type copyState int
 
 const (
+	// copyLoading: its load was ordered and has not ended.
 	copyLoading copyState = iota
+	// copyResident: the endpoint holds it, and requests may use it.
 	copyResident
+	// copyWithdrawn: it is announced as withdrawn, and its use may not have ended everywhere.
 	copyWithdrawn
+	// copyUnloading: it is confirmed as unused; its unload is to be ordered, or was ordered and has not ended.
 	copyUnloading
 )
 
--- a/services/entry/loading/limiter.go
+++ b/services/entry/loading/limiter.go
@@ -8,15 +8,15 @@
 	"time"
 )
 
-// windowLimiter keeps the loads that begin within every sliding window under the weight
-// store's bound.
+// windowLimiter keeps the loads of base models that begin within every sliding window under the weight store's bound.
+// Loads of adapters are not counted.
 type windowLimiter struct {
 	// limit is the most loads that may begin within a window.
 	limit  int
 	window time.Duration
 	// begun are the own loads that began within the last window, the oldest first.
 	begun []time.Time
-	// assumed is when the window is free of loads that a former planner may have begun, by its last view.
+	// assumed is when the window is free of loads that a former planner may have begun, by its record.
 	assumed      time.Time
 	assumedCount int
 }
--- a/services/entry/loading/order.go
+++ b/services/entry/loading/order.go
@@ -14,7 +14,7 @@
 
 // The kinds of orders.
 const (
-	// Load brings an adapter, or asks whether a load has ended.
+	// Load brings an adapter; as a poll, it asks whether its load has ended.
 	Load OrderKind = iota
 	// Unload drops an adapter.
 	Unload
@@ -34,7 +34,7 @@
 	Adapter  deployment.Adapter
 	// ExpectedSequence makes the endpoint refuse the order if it took another since.
 	ExpectedSequence int64
-	// Poll marks a repetition that asks whether a load has ended.
+	// Poll marks a repetition that asks whether a load or unload has ended.
 	Poll bool
 }
 
@@ -53,7 +53,8 @@
 	Rejected
 	// Unanswered: the order may have been taken, or may be taken later.
 	Unanswered
-	// NotDelivered: the order surely did not arrive.
+	// NotDelivered: the order surely did not arrive. A report changes nothing at the endpoint, so that every failure to read
+	// one counts as not delivered.
 	NotDelivered
 	// Inspected: the report was read.
 	Inspected
--- a/services/entry/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -58,12 +58,12 @@
 	p.engine = engine
 }
 
-// AssumeLoads counts loads that a former planner may have begun in the last window.
+// AssumeLoads counts loads of base models that a former planner may have begun in the last window.
 func (p *Planner) AssumeLoads(now time.Time, count int) {
 	p.modelLimiter.assume(now, count)
 }
 
-// RecentLoads gives the loads begun in the last window, for a successor.
+// RecentLoads gives the loads of base models begun in the last window, for a successor.
 func (p *Planner) RecentLoads(now time.Time) int {
 	return p.modelLimiter.recent(now)
 }
@@ -94,7 +94,7 @@
 	}
 }
 
-// SetSuspect reports whether an endpoint behaves badly; then its copies do not count.
+// SetSuspect notes whether an endpoint is suspect; its copies then do not count.
 func (p *Planner) SetSuspect(id deployment.EndpointID, suspect bool) {
 	if plan, ok := p.endpoints[id]; ok {
 		plan.suspect = suspect
--- a/services/entry/loading/result.go
+++ b/services/entry/loading/result.go
@@ -46,6 +46,8 @@
 	}
 }
 
+// inspected takes in the end of an inspection: with a report, what the endpoint holds; without one, or with one older than
+// the results of own orders, it is asked again after a pause.
 func (p *Planner) inspected(now time.Time, plan *endpointPlan, result Result) {
 	if result.Report == nil {
 		plan.restUntil = now.Add(restAfterFailure)
@@ -77,6 +79,7 @@
 	p.changed[plan.endpoint.ID] = true
 }
 
+// loaded takes in the reply to an order to load, or to a poll of one. What the reply leaves open is settled by a report.
 func (p *Planner) loaded(now time.Time, plan *endpointPlan, result Result) {
 	adapter := result.Order.Adapter
 	c, ok := plan.copies[adapter]
@@ -153,6 +156,7 @@
 	p.changed[plan.endpoint.ID] = true
 }
 
+// unloaded takes in the reply to an order to unload, or to a poll of one. What the reply leaves open is settled by a report.
 func (p *Planner) unloaded(now time.Time, plan *endpointPlan, result Result) {
 	c, ok := plan.copies[result.Order.Adapter]
 	if !ok || c.state != copyUnloading {
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -29,7 +29,7 @@
 // Options are the settings of a process.
 type Options struct {
 	Coordinator coordinator.Options
-	// Environment makes the world around the coordinator; retire is called for endpoints
+	// Environment makes the outside calls of the coordinator; retire is called for endpoints
 	// that are gone.
 	Environment func(retire func(deployment.EndpointID)) coordinator.Environment
 	Dialect     proxy.Dialect
--- a/services/entry/proxy/attempt/ending.go
+++ b/services/entry/proxy/attempt/ending.go
@@ -20,7 +20,9 @@
 	EndpointError Reason = "error of the endpoint"
 	// CallerLeft: the caller closed its connection.
 	CallerLeft Reason = "caller left"
-	// StreamBrokeOff: the endpoint ended a stream, or was silent for too long, and it could not be resumed.
+	// StreamBrokeOff: the endpoint ended an answer of which a part was passed on, or was silent for too long, and it could not
+	// be resumed. It also stands for a deadline that passes in a stream, a plain answer that breaks off after its beginning
+	// was passed on, and the retry of a resumable stream that the fleet's budget refused.
 	StreamBrokeOff Reason = "stream broke off"
 	// RefusedByEndpoint: the request surely did not run: the endpoint said so, or nothing could be sent.
 	RefusedByEndpoint Reason = "refused by the endpoint"
@@ -28,11 +30,13 @@
 	TimedOut Reason = "timed out"
 	// NoAnswer: the request may have run, the endpoint gave no answer, and no retry was allowed.
 	NoAnswer Reason = "no answer from the endpoint"
-	// StreamNotResumed: a stream broke off, and no other endpoint could go on with it.
+	// StreamNotResumed: a stream broke off, and no other endpoint could go on with it, or its caller left while it waited
+	// for one.
 	StreamNotResumed Reason = "stream not resumed"
-	// NoEndpointForRetry: the request may have run, and no other endpoint could take it.
+	// NoEndpointForRetry: the request may have run, and no other endpoint could take it before its wait or its deadline
+	// ended. The text keeps its former word.
 	NoEndpointForRetry Reason = "no endpoint for a repeat"
-	// NotSentInTime: the deadline came while the request waited for an endpoint.
+	// NotSentInTime: the deadline came, or the process stopped, while the request waited for an endpoint.
 	NotSentInTime Reason = "not sent in time"
 )
 
@@ -85,7 +89,8 @@
 	Stopping = Ending{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stoppingPause}
 )
 
-// End decides how a request ends after its last attempt.
+// End decides how a request ends after its last attempt. A caller that left goes before a head that was passed on, other
+// than in EndWithoutEndpoint.
 func End(now time.Time, last Result, s Situation) Ending {
 	switch {
 	case last == ServerError:
@@ -104,7 +109,7 @@
 }
 
 // EndWithoutEndpoint decides how a request ends that no endpoint takes. The refusal is what package admission decided, nil
-// where the wait ended otherwise.
+// where the wait ended otherwise. A head that was passed on goes before a caller that left, other than in End.
 func EndWithoutEndpoint(s Situation, refusal *admission.Decision) Ending {
 	switch {
 	case s.HeadPassed:
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -51,7 +51,7 @@
 	return timeout, timeout < left
 }
 
-// FirstEventTimeout is how long the first bytes of a stream may take after its head: as long as callers listen to silence.
+// FirstEventTimeout is how long the first bytes of a stream may take after its head: as long as callers wait without data.
 func FirstEventTimeout(route *deployment.Route) time.Duration {
 	return admission.SilenceTimeout(route)
 }
