--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -119,14 +119,14 @@
 // serve assigns an endpoint if one can take the request now.
 func (c *Coordinator) serve(now time.Time, w *waiter) bool {
 	demand := balance.Demand{Request: w.Request, Version: c.versions.Demanded(now, w.Adapter, c.options.VersionLimit), Tried: w.Tried}
-	entry, verdict := balance.Choose(now, c.directory.Service(w.Service), demand, balance.NewOptions(c.options.Hall, c.options.Random))
+	status, verdict := balance.Choose(now, c.directory.Service(w.Service), demand, balance.NewOptions(c.options.Hall, c.options.Random))
 	w.Verdict = verdict
 	if verdict != balance.Chosen {
 		return false
 	}
-	c.directory.Begin(now, entry.ID, w.Adapter)
-	assignment := Assignment{Endpoint: entry.Endpoint, MaxConnections: c.connectionShare(w.Service), Waited: now.Sub(w.Since)}
-	if named := c.versions.Named(w.Adapter); entry.Offered[w.Adapter] >= named {
+	c.directory.Begin(now, status.ID, w.Adapter)
+	assignment := Assignment{Endpoint: status.Endpoint, MaxConnections: c.connectionShare(w.Service), Waited: now.Sub(w.Since)}
+	if named := c.versions.Named(w.Adapter); status.Offered[w.Adapter] >= named {
 		assignment.Version = named
 	}
 	w.Result <- acquired{assignment: assignment}
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -170,11 +170,11 @@
 
 // endpointChanged passes a changed description on to the plan.
 func (c *Coordinator) endpointChanged(now time.Time, id deployment.EndpointID) {
-	entry := c.directory.Endpoint(id)
-	if c.planning == nil || entry == nil {
+	status := c.directory.Endpoint(id)
+	if c.planning == nil || status == nil {
 		return
 	}
-	c.planning.plans.SetEndpoint(now, entry.Endpoint, entry.Revision)
+	c.planning.plans.SetEndpoint(now, status.Endpoint, status.Revision)
 }
 
 func (c *Coordinator) removeEndpoint(id deployment.EndpointID, revision int64) {
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -120,13 +120,13 @@
 // applyTotals takes in what the other instances have in flight; a heartbeat names all of it.
 func (c *Coordinator) applyTotals(v *wire.View) {
 	if v.Heartbeat {
-		for _, entry := range c.directory.Endpoints() {
-			entry.Others = 0
+		for _, status := range c.directory.Endpoints() {
+			status.Others = 0
 		}
 	}
 	for _, total := range v.Totals {
-		if entry := c.directory.Endpoint(total.ID); entry != nil {
-			entry.Others = max(0, total.Count-c.following.own[total.ID])
+		if status := c.directory.Endpoint(total.ID); status != nil {
+			status.Others = max(0, total.Count-c.following.own[total.ID])
 		}
 	}
 }
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -93,8 +93,8 @@
 	if c.planning != nil {
 		answer.Planner, answer.Term, answer.Address = c.options.Instance, c.planning.lease.Record().Term, c.options.PeerAddress
 	}
-	for _, entry := range c.directory.Endpoints() {
-		answer.Endpoints = append(answer.Endpoints, wire.FromEntry(entry))
+	for _, status := range c.directory.Endpoints() {
+		answer.Endpoints = append(answer.Endpoints, wire.FromStatus(status))
 	}
 	// A peer that does not read loses the stream and asks another.
 	_ = stream.Send(wire.Message{View: answer})
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -73,9 +73,9 @@
 
 // introduceEndpoints tells a new plan of its endpoints and of what they held before.
 func (p *Plans) introduceEndpoints(now time.Time, service string) {
-	for _, entry := range p.directory.Service(service) {
-		p.SetEndpoint(now, entry.Endpoint, entry.Revision)
-		p.planners[service].RememberHeld(entry.ID, entry.Held)
+	for _, status := range p.directory.Service(service) {
+		p.SetEndpoint(now, status.Endpoint, status.Revision)
+		p.planners[service].RememberHeld(status.ID, status.Held)
 	}
 }
 
@@ -94,8 +94,8 @@
 // uses gives the requests in flight that use a copy, by all instances' last reports.
 func (p *Plans) uses(id deployment.EndpointID, adapter deployment.Adapter) int {
 	uses := p.members.Uses(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name})
-	if entry := p.directory.Endpoint(id); entry != nil {
-		uses += entry.OwnByAdapter[adapter]
+	if status := p.directory.Endpoint(id); status != nil {
+		uses += status.OwnByAdapter[adapter]
 	}
 	return uses
 }
@@ -150,8 +150,8 @@
 
 // bad tells whether an endpoint is bad for more than one instance, or for the only one.
 func (p *Plans) bad(now time.Time, id deployment.EndpointID) bool {
-	entry := p.directory.Endpoint(id)
-	return p.members.Bad(id, entry != nil && entry.Health.Ejected(now))
+	status := p.directory.Endpoint(id)
+	return p.members.Bad(id, status != nil && status.Health.Ejected(now))
 }
 
 // Sweep forgets what is too old to matter.
@@ -168,9 +168,9 @@
 	for _, planner := range p.planners {
 		planner.ConfirmUnused(now, p.unused)
 	}
-	for id, entry := range p.directory.Endpoints() {
-		if planner, ok := p.planners[entry.Service]; ok {
-			planner.SetSaturation(id, balance.CopyLimit().Reached(entry), balance.RequestLimit().Reached(entry))
+	for id, status := range p.directory.Endpoints() {
+		if planner, ok := p.planners[status.Service]; ok {
+			planner.SetSaturation(id, balance.CopyLimit().Reached(status), balance.RequestLimit().Reached(status))
 		}
 	}
 }
@@ -183,7 +183,7 @@
 
 // unused tells whether no instance uses a copy whose withdrawal was announced.
 func (p *Plans) unused(id deployment.EndpointID, adapter deployment.Adapter, withdrawal uint64) bool {
-	if entry := p.directory.Endpoint(id); entry != nil && entry.OwnByAdapter[adapter] > 0 {
+	if status := p.directory.Endpoint(id); status != nil && status.OwnByAdapter[adapter] > 0 {
 		return false
 	}
 	return p.members.Unused(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name}, withdrawal)
--- a/services/entry/coordinator/plan/reports.go
+++ b/services/entry/coordinator/plan/reports.go
@@ -21,11 +21,11 @@
 }
 
 func (p *Plans) refreshSuspicion(now time.Time, id deployment.EndpointID) {
-	entry := p.directory.Endpoint(id)
-	if entry == nil {
+	status := p.directory.Endpoint(id)
+	if status == nil {
 		return
 	}
-	if planner, ok := p.planners[entry.Service]; ok {
+	if planner, ok := p.planners[status.Service]; ok {
 		planner.SetSuspect(id, p.bad(now, id))
 	}
 }
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -37,15 +37,15 @@
 	}
 	c.missing = nil
 	c.following.own = make(map[deployment.EndpointID]int, c.directory.Size())
-	for id, entry := range c.directory.Endpoints() {
-		if entry.Own > 0 {
-			built.InFlight = append(built.InFlight, wire.EndpointCount{ID: id, Count: entry.Own})
-			c.following.own[id] = entry.Own
+	for id, status := range c.directory.Endpoints() {
+		if status.Own > 0 {
+			built.InFlight = append(built.InFlight, wire.EndpointCount{ID: id, Count: status.Own})
+			c.following.own[id] = status.Own
 		}
-		if entry.Health.Ejected(now) {
+		if status.Health.Ejected(now) {
 			built.Suspects = append(built.Suspects, id)
 		}
-		for adapter, count := range entry.OwnByAdapter {
+		for adapter, count := range status.OwnByAdapter {
 			built.InUse = append(built.InUse, wire.CopyCount{ID: id, Model: adapter.Model, Name: adapter.Name, Count: count})
 		}
 	}
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -33,10 +33,10 @@
 		if c.planning != nil {
 			status.Planner, status.Term = c.options.Instance, c.planning.lease.Record().Term
 		}
-		for _, entry := range c.directory.Endpoints() {
-			status.InFlight += entry.Own
-			status.ResidentCopies += len(entry.Offered)
-			if entry.Health.Ejected(now) {
+		for _, endpoint := range c.directory.Endpoints() {
+			status.InFlight += endpoint.Own
+			status.ResidentCopies += len(endpoint.Offered)
+			if endpoint.Health.Ejected(now) {
 				status.Ejected++
 			}
 		}
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -35,8 +35,8 @@
 	}
 	changed := p.plans.Changes()
 	for id := range changed.Endpoints {
-		if entry := p.coordinator.directory.Endpoint(id); entry != nil {
-			changes.Endpoints = append(changes.Endpoints, wire.FromEntry(entry))
+		if status := p.coordinator.directory.Endpoint(id); status != nil {
+			changes.Endpoints = append(changes.Endpoints, wire.FromStatus(status))
 		}
 	}
 	changes.Removed = changed.Removed
@@ -122,8 +122,8 @@
 	v.Heartbeat = true
 	v.Full = p.coordinator.endpointsKnown
 	v.At = p.at
-	for _, entry := range p.coordinator.directory.Endpoints() {
-		v.Endpoints = append(v.Endpoints, wire.FromEntry(entry))
+	for _, status := range p.coordinator.directory.Endpoints() {
+		v.Endpoints = append(v.Endpoints, wire.FromStatus(status))
 	}
 	return v
 }
@@ -136,8 +136,8 @@
 // totals sums the requests in flight over all instances.
 func (p *planning) totals() []wire.EndpointCount {
 	sums := make(map[deployment.EndpointID]int, p.coordinator.directory.Size())
-	for id, entry := range p.coordinator.directory.Endpoints() {
-		sums[id] += entry.Own
+	for id, status := range p.coordinator.directory.Endpoints() {
+		sums[id] += status.Own
 	}
 	p.members.AddInFlight(sums)
 	list := make([]wire.EndpointCount, 0, len(sums))
@@ -151,12 +151,12 @@
 
 func (p *planning) applyTotals(totals []wire.EndpointCount) {
 	c := p.coordinator
-	for _, entry := range c.directory.Endpoints() {
-		entry.Others = 0
+	for _, status := range c.directory.Endpoints() {
+		status.Others = 0
 	}
 	for _, total := range totals {
-		if entry := c.directory.Endpoint(total.ID); entry != nil {
-			entry.Others = max(0, total.Count-entry.Own)
+		if status := c.directory.Endpoint(total.ID); status != nil {
+			status.Others = max(0, total.Count-status.Own)
 		}
 	}
 	c.following.Members = p.memberCount()
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -180,12 +180,12 @@
 	return deployment.ServiceAdapter{Service: f.Service, Adapter: deployment.Adapter{Model: f.Model, Name: f.Name}}
 }
 
-// FromEntry gives an endpoint as the planner tells it: with the models and adapters that are on offer.
-func FromEntry(entry *directory.EndpointStatus) Endpoint {
-	models := make([]Model, 0, len(entry.OfferedModels))
-	for _, name := range entry.OfferedModels {
+// FromStatus gives an endpoint as the planner tells it: with the models and adapters that are on offer.
+func FromStatus(status *directory.EndpointStatus) Endpoint {
+	models := make([]Model, 0, len(status.OfferedModels))
+	for _, name := range status.OfferedModels {
 		model := Model{Name: name}
-		for adapter, version := range entry.Offered {
+		for adapter, version := range status.Offered {
 			if adapter.Model == name {
 				model.Adapters = append(model.Adapters, AdapterVersion{Name: adapter.Name, Version: version})
 			}
@@ -193,8 +193,8 @@
 		models = append(models, model)
 	}
 	return Endpoint{
-		ID: entry.ID, Revision: entry.Revision, Service: entry.Service, Address: entry.Address, Hall: entry.Hall,
-		Slots: entry.Slots, State: entry.State, Models: models,
+		ID: status.ID, Revision: status.Revision, Service: status.Service, Address: status.Address, Hall: status.Hall,
+		Slots: status.Slots, State: status.State, Models: models,
 	}
 }
 
--- a/services/entry/coordinator/wire/message_test.go
+++ b/services/entry/coordinator/wire/message_test.go
@@ -108,7 +108,7 @@
 	book.Put(deployment.Endpoint{ID: "e", Service: "s", Address: address, Hall: "h", Slots: 8, Models: []string{"m", "n"}, Adapters: described}, 6)
 	offered := map[deployment.Adapter]int64{{Model: "m", Name: "a"}: 3, {Model: "n", Name: "b"}: 4, {Model: "withdrawn", Name: "c"}: 5}
 	book.SetOffered("e", []string{"m", "n"}, offered)
-	told := wire.FromEntry(book.Endpoint("e"))
+	told := wire.FromStatus(book.Endpoint("e"))
 	assert.EqualValues(t, 6, told.Revision)
 
 	endpoint := told.Endpoint()
