--- a/tools/replay/sim/policy_budget.go
+++ b/tools/replay/sim/policy_budget.go
@@ -20,7 +20,7 @@
 	limits  budget.Limits
 	ledgers map[string]*budget.Ledger
 	permits map[loadKey]heldPermit
-	wake    time.Time
+	wake    alarm
 }
 
 // loadKey names one load on one endpoint.
@@ -50,23 +50,17 @@
 	return ""
 }
 
-// renew makes the ledgers of new groups and shares the limits out among all.
-func (b *budgets) renew(now time.Time) {
-	for _, h := range b.product.world.fleet.Halls {
+// share makes the ledgers of new groups and shares the limits out among all.
+func (b *budgets) share(now time.Time) {
+	halls := b.product.world.fleet.Halls
+	sizes := make(map[string]int)
+	for _, h := range halls {
 		group := b.groupOf(h.Name)
+		sizes[group]++
 		if b.ledgers[group] == nil {
 			b.ledgers[group] = budget.NewLedger(now, b.limits, permitLife)
 		}
 	}
-	b.setLimits(now)
-}
-
-func (b *budgets) setLimits(now time.Time) {
-	halls := b.product.world.fleet.Halls
-	sizes := make(map[string]int)
-	for _, h := range halls {
-		sizes[b.groupOf(h.Name)]++
-	}
 	for group, l := range b.ledgers {
 		l.SetLimits(now, b.limits.Part(sizes[group], len(halls)))
 	}
@@ -105,16 +99,7 @@
 		}
 		b.use(now, l, permit)
 	}
-	next := l.NextWake(now)
-	if next.IsZero() || b.wake.After(now) && !next.Before(b.wake) {
-		return
-	}
-	b.wake = next
-	b.product.world.agenda.Add(next, func(at time.Time) {
-		if b.wake.Equal(at) {
-			b.spend(at)
-		}
-	})
+	b.wake.plan(now, l.NextWake(now), &b.product.world.agenda, b.spend)
 }
 
 func (b *budgets) use(now time.Time, l *budget.Ledger, permit budget.Permit) {
@@ -134,9 +119,7 @@
 		l.Done(now, permit.ID, false)
 		return
 	}
-	if wanted, ok := pl.placer.Bid(now); ok {
-		l.Bid(now, pl.Name, wanted.Value, wanted.Preload)
-	}
+	bid(now, l, pl)
 }
 
 // loadEnded gives the permit of a load back.
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -4,6 +4,7 @@
 package sim
 
 import (
+	"maps"
 	"slices"
 	"strconv"
 	"strings"
@@ -13,6 +14,7 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
+	"github.com/shelfledge/shelfledge/tools/timeline"
 )
 
 const (
@@ -48,7 +50,7 @@
 	placer    *placement.Placer
 	publisher *routing.Publisher
 	changed   bool
-	wake      time.Time
+	wake      alarm
 }
 
 func newProduct(w *world) *product {
@@ -76,7 +78,7 @@
 		p.routers[h.Name] = routing.NewRouter(h.Name, built, routing.DefaultOptions())
 	}
 	p.publish(start)
-	p.budget.renew(start)
+	p.budget.share(start)
 	return p
 }
 
@@ -95,13 +97,8 @@
 func (p *product) inspect(now time.Time, endpoint string) placement.Inspection {
 	e := p.world.engines[endpoint]
 	in := placement.Inspection{Endpoint: endpoint, Incarnation: strconv.Itoa(e.incarnation), Began: now, Up: true}
-	for ref := range e.resident {
-		in.Resident = append(in.Resident, ref)
-	}
-	slices.SortFunc(in.Resident, func(a, b fleet.AdapterRef) int { return strings.Compare(a.String(), b.String()) })
-	for ref := range e.using {
-		in.Running = append(in.Running, ref)
-	}
+	in.Resident = slices.SortedFunc(maps.Keys(e.resident), func(a, b fleet.AdapterRef) int { return strings.Compare(a.String(), b.String()) })
+	in.Running = slices.Collect(maps.Keys(e.using))
 	return in
 }
 
@@ -123,20 +120,17 @@
 	}
 	r.pool = name
 	if p.byName[name].placer == nil {
-		// The pool is between two placers; the entry asks again.
-		p.world.agenda.Add(now.Add(takeoverDelay), func(at time.Time) { p.again(at, r) })
+		// The pool is between two placers; the entry asks again, if no placer got the request meanwhile.
+		p.world.agenda.Add(now.Add(takeoverDelay), func(at time.Time) {
+			if !r.done && r.run == nil {
+				p.arrive(at, r)
+			}
+		})
 		return
 	}
 	p.decide(now, p.byName[name], func(placer *placement.Placer) []placement.Effect { return placer.Submit(now, r.Request) })
 }
 
-// again resubmits a request that no placer holds.
-func (p *product) again(now time.Time, r *request) {
-	if !r.done && r.run == nil {
-		p.arrive(now, r)
-	}
-}
-
 func (p *product) ended(now time.Time, r *request, _ *engine) {
 	pl, ticket := p.byName[r.pool], r.ticket
 	r.pool, r.ticket = "", ""
@@ -185,12 +179,12 @@
 			r.SetCut(h.Name, h.Name != own && (p.cutHalls[h.Name] || p.cutHalls[own]))
 		}
 	}
-	p.budget.renew(now)
+	p.budget.share(now)
 }
 
 func (p *product) storeRate(now time.Time, rate float64) {
 	p.budget.limits.LoadsPerSecond = rate
-	p.budget.setLimits(now)
+	p.budget.share(now)
 	p.budget.spend(now)
 }
 
@@ -288,17 +282,11 @@
 		return
 	}
 	next := pl.placer.NextWake()
-	if next.IsZero() || (pl.wake.After(now) && !next.Before(pl.wake)) {
-		return
-	}
-	if !next.After(now) {
+	if !next.IsZero() && !next.After(now) {
 		next = now.Add(time.Millisecond)
 	}
-	pl.wake = next
-	p.world.agenda.Add(next, func(at time.Time) {
-		if pl.wake.Equal(at) {
-			p.decide(at, pl, func(placer *placement.Placer) []placement.Effect { return placer.Tick(at) })
-		}
+	pl.wake.plan(now, next, &p.world.agenda, func(at time.Time) {
+		p.decide(at, pl, func(placer *placement.Placer) []placement.Effect { return placer.Tick(at) })
 	})
 }
 
@@ -331,3 +319,20 @@
 		r.Heard(now)
 	}
 }
+
+// alarm is the next time that something is woken at; an earlier one replaces it.
+type alarm time.Time
+
+// plan has act called at the next time, unless it is zero or an alarm before it is still to come.
+func (a *alarm) plan(now, next time.Time, agenda *timeline.Timeline, act func(now time.Time)) {
+	planned := time.Time(*a)
+	if next.IsZero() || planned.After(now) && !next.Before(planned) {
+		return
+	}
+	*a = alarm(next)
+	agenda.Add(next, func(at time.Time) {
+		if time.Time(*a).Equal(at) {
+			act(at)
+		}
+	})
+}
