--- a/tools/replay/sim/attempt.go
+++ b/tools/replay/sim/attempt.go
@@ -12,7 +12,7 @@
 
 // start begins an attempt; the request joins the batch at the endpoint's next step.
 func (w *world) start(now time.Time, r *request, e *engine) {
-	if r.done {
+	if r.done() {
 		return
 	}
 	w.checkStart(now, r, e)
@@ -28,22 +28,22 @@
 	prefill := milliseconds(float64(r.PromptTokens) / e.entry.PrefillTokensPerMS)
 	steps := int(math.Ceil(float64(prefill) / float64(step)))
 	first := join.Add(time.Duration(steps+1) * step)
-	a := &attempt{request: r, engine: e, first: first}
+	a := &attempt{request: r, engine: e}
 	r.run = a
 	r.runs++
 	e.running[a] = true
 	e.using[r.Adapter]++
-	w.account(now, r, a)
+	w.account(now, r, e, first)
 	w.agenda.Add(first.Add(time.Duration(r.OutputTokens-1)*step), func(at time.Time) { w.end(at, a) })
 }
 
-func (w *world) account(now time.Time, r *request, a *attempt) {
+func (w *world) account(now time.Time, r *request, e *engine, first time.Time) {
 	if r.runs > 1 {
 		return
 	}
 	r.wait = now.Sub(r.Arrived)
-	r.first = a.first.Sub(r.Arrived)
-	since := a.engine.resident[r.Adapter]
+	r.first = first.Sub(r.Arrived)
+	since := e.resident[r.Adapter]
 	r.stall = min(max(0, since.Sub(r.Arrived)), r.wait)
 }
 
--- a/tools/replay/sim/bound.go
+++ b/tools/replay/sim/bound.go
@@ -14,10 +14,7 @@
 // first call in the trace, and nobody can have the adapter resident sooner than the fastest load
 // after that: each call within that time waits for the rest of it, or until its caller stops waiting.
 func bound(f *FleetFile, lines []Line) Result {
-	weights := make(map[string]float64)
-	for _, c := range f.Classes {
-		weights[c.Name] = c.StallWeight
-	}
+	weights := f.stallWeights()
 	fastest := math.Inf(1)
 	for _, e := range f.Endpoints {
 		fastest = math.Min(fastest, e.LoadMS)
--- a/tools/replay/sim/event.go
+++ b/tools/replay/sim/event.go
@@ -24,8 +24,8 @@
 		w.setRate(now, l.Rate)
 		w.agenda.Add(until, func(now time.Time) { w.setRate(now, w.fleet.WeightStore.LoadsPerSecond) })
 	case HallCut:
-		w.policy.cut(now, l.Hall, true)
-		w.agenda.Add(until, func(now time.Time) { w.policy.cut(now, l.Hall, false) })
+		w.cut(now, l.Hall, true)
+		w.agenda.Add(until, func(now time.Time) { w.cut(now, l.Hall, false) })
 	case KVDown:
 		w.policy.kvDown(now, until)
 	case InstanceLost:
@@ -35,6 +35,11 @@
 	}
 }
 
+func (w *world) cut(now time.Time, hall string, cut bool) {
+	w.cutHalls[hall] = cut
+	w.policy.cut(now)
+}
+
 func (w *world) setRate(now time.Time, rate float64) {
 	w.moveStore(now)
 	w.store.rate = rate
@@ -89,7 +94,7 @@
 	w.lost[instance] = true
 	var moved []*request
 	for _, r := range w.list {
-		if r.done || r.instance != instance {
+		if r.done() || r.Entry != instance {
 			continue
 		}
 		if r.run == nil {
@@ -104,9 +109,8 @@
 	}
 	w.policy.instanceLost(now, instance)
 	for _, r := range moved {
-		r.instance = w.entryFor(r.ID, r.Hall)
-		r.Entry = r.instance
-		if r.instance == "" {
+		r.Entry = w.entryFor(r.ID, r.Hall)
+		if r.Entry == "" {
 			w.refuse(now, r)
 			continue
 		}
--- a/tools/replay/sim/fleet_file.go
+++ b/tools/replay/sim/fleet_file.go
@@ -213,6 +213,15 @@
 
 const replayQueueTokens = 20_000_000
 
+// stallWeights gives each class's weight of a stall.
+func (f *FleetFile) stallWeights() map[string]float64 {
+	weights := make(map[string]float64)
+	for _, c := range f.Classes {
+		weights[c.Name] = c.StallWeight
+	}
+	return weights
+}
+
 func milliseconds(ms float64) time.Duration {
 	return time.Duration(ms * float64(time.Millisecond))
 }
--- a/tools/replay/sim/model.go
+++ b/tools/replay/sim/model.go
@@ -34,7 +34,6 @@
 type attempt struct {
 	request *request
 	engine  *engine
-	first   time.Time
 	dead    bool
 }
 
--- a/tools/replay/sim/policy.go
+++ b/tools/replay/sim/policy.go
@@ -22,7 +22,7 @@
 	// leaving says that an endpoint is to get no new work.
 	leaving(now time.Time, e *engine)
 	// cut says that a hall was cut off, or is back.
-	cut(now time.Time, hall string, cut bool)
+	cut(now time.Time)
 	// expired says that a caller has stopped waiting.
 	expired(now time.Time, r *request)
 	// storeRate gives the weight store's rate, in loads a second.
@@ -33,9 +33,10 @@
 	instanceLost(now time.Time, instance string)
 }
 
-// withoutPlatform is the part of a policy that needs no key-value service, budget or instances.
+// withoutPlatform is the part of a policy that keeps no state of the key-value service, cuts, budget or instances.
 type withoutPlatform struct{}
 
+func (withoutPlatform) cut(time.Time)                  {}
 func (withoutPlatform) storeRate(time.Time, float64)   {}
 func (withoutPlatform) kvDown(time.Time, time.Time)    {}
 func (withoutPlatform) instanceLost(time.Time, string) {}
--- a/tools/replay/sim/policy_baseline.go
+++ b/tools/replay/sim/policy_baseline.go
@@ -19,19 +19,17 @@
 	choose    func(r *request, usable []*baseEndpoint) *baseEndpoint
 	endpoints []*baseEndpoint
 	byEngine  map[*engine]*baseEndpoint
-	cutHalls  map[string]bool
 }
 
 // baseEndpoint is one endpoint's queue and its use of adapters.
 type baseEndpoint struct {
 	*engine
-	queue   []*request
-	used    map[fleet.AdapterRef]time.Time
-	leaving bool
+	queue []*request
+	used  map[fleet.AdapterRef]time.Time
 }
 
 func newBaseline(w *world, choose func(*request, []*baseEndpoint) *baseEndpoint) *baseline {
-	b := &baseline{world: w, choose: choose, byEngine: make(map[*engine]*baseEndpoint), cutHalls: make(map[string]bool)}
+	b := &baseline{world: w, choose: choose, byEngine: make(map[*engine]*baseEndpoint)}
 	for _, e := range w.order {
 		one := &baseEndpoint{engine: e, used: make(map[fleet.AdapterRef]time.Time)}
 		b.byEngine[e] = one
@@ -68,9 +66,7 @@
 func (b *baseline) usable(r *request) []*baseEndpoint {
 	var out []*baseEndpoint
 	for _, e := range b.endpoints {
-		hall := e.entry.Hall
-		apart := hall != r.Hall && (b.cutHalls[hall] || b.cutHalls[r.Hall])
-		if !e.leaving && !apart && slices.Contains(e.entry.Bases, r.Base) {
+		if e.leavingAt.IsZero() && !b.world.apart(e.entry.Hall, r.Hall) && slices.Contains(e.entry.Bases, r.Base) {
 			out = append(out, e)
 		}
 	}
@@ -92,7 +88,7 @@
 func (b *baseline) serve(now time.Time, e *baseEndpoint) {
 	kept := e.queue[:0]
 	for _, r := range e.queue {
-		if r.done {
+		if r.done() {
 			continue
 		}
 		if _, ok := e.resident[r.Adapter]; ok && len(e.running) < e.entry.MaxBatch {
@@ -140,7 +136,6 @@
 }
 
 func (b *baseline) ended(now time.Time, r *request, e *engine) {
-	b.expired(now, r)
 	b.loaded(now, e, r.Adapter, true)
 }
 
@@ -159,7 +154,6 @@
 // leaving moves what waits on a leaving endpoint to others.
 func (b *baseline) leaving(now time.Time, e *engine) {
 	one := b.byEngine[e]
-	one.leaving = true
 	waiting := one.queue
 	one.queue = nil
 	for _, r := range waiting {
@@ -167,10 +161,6 @@
 	}
 }
 
-func (b *baseline) cut(_ time.Time, hall string, cut bool) {
-	b.cutHalls[hall] = cut
-}
-
 // expired takes a request out of the queue that it waits in, if any.
 func (b *baseline) expired(_ time.Time, r *request) {
 	for _, e := range b.endpoints {
--- a/tools/replay/sim/policy_budget.go
+++ b/tools/replay/sim/policy_budget.go
@@ -44,7 +44,7 @@
 }
 
 func (b *budgets) groupOf(hall string) string {
-	if b.product.cutHalls[hall] {
+	if b.product.world.cutHalls[hall] {
 		return hall
 	}
 	return ""
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -37,9 +37,7 @@
 	routers  map[string]*routing.Router
 	epoch    uint64
 	planned  bool
-	cutHalls map[string]bool
 	budget   *budgets
-	away     map[*engine]bool
 }
 
 // pool is one pool of endpoints with the placer that decides for it and the instance that runs
@@ -56,7 +54,7 @@
 func newProduct(w *world) *product {
 	p := &product{
 		world: w, options: placement.DefaultOptions(), byName: make(map[string]*pool), byEngine: make(map[*engine]*pool),
-		routers: make(map[string]*routing.Router), cutHalls: make(map[string]bool), away: make(map[*engine]bool),
+		routers: make(map[string]*routing.Router),
 	}
 	p.options.Classes = w.fleet.productClasses()
 	p.budget = newBudgets(p)
@@ -89,7 +87,7 @@
 	pl.publisher = routing.NewPublisher(p.epoch)
 	for _, spec := range pl.Endpoints {
 		p.run(now, pl, pl.placer.Adopt(now, p.inspect(now, spec.Name), p.epoch, now))
-		p.run(now, pl, pl.placer.SetLeaving(now, spec.Name, p.away[p.world.engines[spec.Name]]))
+		p.run(now, pl, pl.placer.SetLeaving(now, spec.Name, !p.world.engines[spec.Name].leavingAt.IsZero()))
 	}
 	pl.changed = true
 }
@@ -122,7 +120,7 @@
 	if p.byName[name].placer == nil {
 		// The pool is between two placers; the entry asks again, if no placer got the request meanwhile.
 		p.world.agenda.Add(now.Add(takeoverDelay), func(at time.Time) {
-			if !r.done && r.run == nil {
+			if !r.done() && r.run == nil {
 				p.arrive(at, r)
 			}
 		})
@@ -165,18 +163,16 @@
 }
 
 func (p *product) leaving(now time.Time, e *engine) {
-	p.away[e] = true
 	pl := p.byEngine[e]
 	if pl.placer != nil {
 		p.run(now, pl, pl.placer.SetLeaving(now, e.entry.Name, true))
 	}
 }
 
-func (p *product) cut(now time.Time, hall string, cut bool) {
-	p.cutHalls[hall] = cut
+func (p *product) cut(now time.Time) {
 	for own, r := range p.routers {
 		for _, h := range p.world.fleet.Halls {
-			r.SetCut(h.Name, h.Name != own && (p.cutHalls[h.Name] || p.cutHalls[own]))
+			r.SetCut(h.Name, p.world.apart(h.Name, own))
 		}
 	}
 	p.budget.share(now)
@@ -309,8 +305,7 @@
 		pl.publisher.Update(now, pl.placer.Summary())
 		recent := pl.publisher.Recent(now)
 		for hall, r := range p.routers {
-			apart := hall != pl.Hall && (p.cutHalls[hall] || p.cutHalls[pl.Hall])
-			if !apart && !r.Learn(now, recent) {
+			if !p.world.apart(hall, pl.Hall) && !r.Learn(now, recent) {
 				r.Learn(now, pl.publisher.Full())
 			}
 		}
--- a/tools/replay/sim/result.go
+++ b/tools/replay/sim/result.go
@@ -59,10 +59,7 @@
 const perMillisecond = float64(time.Millisecond)
 
 func (w *world) result(policy string) Result {
-	weights := make(map[string]float64)
-	for _, c := range w.fleet.Classes {
-		weights[c.Name] = c.StallWeight
-	}
+	weights := w.fleet.stallWeights()
 	byClass := make(map[string][]*request)
 	for _, r := range w.list {
 		byClass[r.Class] = append(byClass[r.Class], r)
@@ -104,7 +101,7 @@
 		switch {
 		case r.expired:
 			g.Expired++
-		case r.refused:
+		case r.outcome == fleet.OutcomeNotRun:
 			g.RefusedNot++
 		case r.outcome == fleet.OutcomeUnknown:
 			g.Unknown++
--- a/tools/replay/sim/world.go
+++ b/tools/replay/sim/world.go
@@ -14,20 +14,20 @@
 // request is one request of the trace and what became of it.
 type request struct {
 	fleet.Request
-	instance string
-	run      *attempt
-	runs     int
-	done     bool
-	outcome  fleet.Outcome
-	expired  bool
-	refused  bool
-	stall    time.Duration
-	wait     time.Duration
-	first    time.Duration
+	run     *attempt
+	runs    int
+	outcome fleet.Outcome
+	expired bool
+	stall   time.Duration
+	wait    time.Duration
+	first   time.Duration
 	// pool and ticket are what the product's policy placed it with.
 	pool, ticket string
 }
 
+// done tells whether the request has come to an outcome.
+func (r *request) done() bool { return r.outcome != "" }
+
 // world is the model that a policy acts on.
 type world struct {
 	fleet      *FleetFile
@@ -40,6 +40,7 @@
 	list       []*request
 	policy     policy
 	lost       map[string]bool
+	cutHalls   map[string]bool
 	violations map[string]int
 	loads      int
 	failed     int
@@ -75,6 +76,7 @@
 		engines:  make(map[string]*engine),
 		requests: make(map[string]*request),
 		lost:     make(map[string]bool),
+		cutHalls: make(map[string]bool),
 		store:    store{rate: f.WeightStore.LoadsPerSecond, atFull: f.WeightStore.AtFullSpeed, tokens: 1, moved: start},
 		violations: map[string]int{
 			wrongVersion: 0, unloadInUse: 0, onceRunTwice: 0, notRunButRan: 0,
@@ -107,7 +109,7 @@
 	for w.openCount > 0 && w.agenda.Step(&w.now) {
 	}
 	for _, r := range w.list {
-		if !r.done {
+		if !r.done() {
 			w.violations[withoutEnd]++
 		}
 	}
@@ -132,12 +134,11 @@
 		r.Deadline = w.now.Add(milliseconds(l.DeadlineMS))
 		w.agenda.Add(r.Deadline, func(now time.Time) { w.expire(now, r) })
 	}
-	r.instance = w.entryFor(r.ID, r.Hall)
-	r.Entry = r.instance
+	r.Entry = w.entryFor(r.ID, r.Hall)
 	w.requests[r.ID] = r
 	w.list = append(w.list, r)
 	w.openCount++
-	if r.instance == "" {
+	if r.Entry == "" {
 		w.refuse(w.now, r)
 		return
 	}
@@ -185,8 +186,13 @@
 	return live
 }
 
+// apart tells whether a cut lies between two halls.
+func (w *world) apart(one, other string) bool {
+	return one != other && (w.cutHalls[one] || w.cutHalls[other])
+}
+
 func (w *world) expire(now time.Time, r *request) {
-	if r.done || r.run != nil {
+	if r.done() || r.run != nil {
 		return
 	}
 	r.expired = true
@@ -208,24 +214,22 @@
 }
 
 func (w *world) refuse(now time.Time, r *request) {
-	if r.done {
+	if r.done() {
 		return
 	}
 	if r.runs > 0 && r.Once {
 		w.violations[notRunButRan]++
 	}
-	r.refused = true
 	r.wait = now.Sub(r.Arrived)
 	r.stall = w.stalled(r, now)
 	w.finish(now, r, fleet.OutcomeNotRun)
 }
 
 func (w *world) finish(now time.Time, r *request, o fleet.Outcome) {
-	if r.done {
+	if r.done() {
 		w.violations[answeredTwice]++
 		return
 	}
-	r.done = true
 	r.outcome = o
 	w.lastEnd = now
 	w.openCount--
