--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -191,9 +191,9 @@
 	}
 }
 
-// heldMemory is how long an adapter that was dropped is expected to load fast. Longer prefers endpoints that may have
+// heldRetention is how long an adapter that was dropped is expected to load fast. Longer prefers endpoints that may have
 // lost it since, shorter loads from the weight store what an endpoint still has. Not measured.
-const heldMemory = 10 * time.Minute
+const heldRetention = 10 * time.Minute
 
 // RememberHeld notes what each endpoint holds now, and forgets what it held long ago.
 func (d *Directory) RememberHeld(now time.Time) {
@@ -202,7 +202,7 @@
 			status.Held[adapter] = now
 		}
 		for adapter, at := range status.Held {
-			if now.Sub(at) > heldMemory {
+			if now.Sub(at) > heldRetention {
 				delete(status.Held, adapter)
 			}
 		}
--- a/services/entry/loading/result.go
+++ b/services/entry/loading/result.go
@@ -10,10 +10,10 @@
 )
 
 const (
-	// silenceMemory is for how long after an unanswered order the loads of an endpoint are followed by its reports in
+	// inspectAfterSilence is for how long after an unanswered order the loads of an endpoint are followed by its reports in
 	// place of polls. Longer avoids polls that stay unanswered and notices the end of loads later. Not measured on its
 	// own; it came with the scores of 36d17b2.
-	silenceMemory = 4 * time.Second
+	inspectAfterSilence = 4 * time.Second
 	// answerRest is the pause before an endpoint is inspected whose answer was lost or whose report was old. Shorter asks
 	// again sooner, before the endpoint may have carried the order out. Not measured.
 	answerRest = 150 * time.Millisecond
@@ -107,7 +107,7 @@
 		plan.inspect = true
 	case Unanswered, Inspected:
 		plan.addUnanswered(now, result.Order.ExpectedSequence)
-		plan.silentUntil = now.Add(silenceMemory)
+		plan.silentUntil = now.Add(inspectAfterSilence)
 		plan.restUntil = now.Add(answerRest)
 		plan.inspect = true
 		c.pollAt = now.Add(answerRest)
