--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/edges_test.go
@@ -58,7 +58,7 @@
 
 func TestEdgesOfChoosingAnEndpoint(t *testing.T) {
 	cost := func(rate float64, copies int, held bool, chance float64) float64 {
-		return loading.Candidate{Rate: rate, Copies: copies, Held: held, Chance: chance}.Cost()
+		return loading.DestinationFactors{Rate: rate, Copies: copies, Held: held, Chance: chance}.Cost()
 	}
 	assert.Zero(t, cost(0, 0, false, 0), "nothing to do and nothing held")
 	assert.InDelta(t, 0.02, cost(0, 1, false, 0), 1e-12, "a copy weighs a fiftieth of a request a second")
--- a/services/entry/loading/placement.go
+++ b/services/entry/loading/placement.go
@@ -118,7 +118,7 @@
 		if !warm && !coldAllowed {
 			continue
 		}
-		cost := Candidate{Rate: loads[id], Copies: len(plan.copies), Held: warm, Chance: p.options.Random()}.Cost()
+		cost := DestinationFactors{Rate: loads[id], Copies: len(plan.copies), Held: warm, Chance: p.options.Random()}.Cost()
 		if best.plan == nil || cost < bestCost {
 			best, bestCost = destination{plan: plan, cold: !warm}, cost
 		}
@@ -129,8 +129,8 @@
 	return best, best.plan != nil
 }
 
-// Candidate is an endpoint that can take a load, with what the choice among several depends on.
-type Candidate struct {
+// DestinationFactors are what the choice of an endpoint for a load depends on, of one that can take it.
+type DestinationFactors struct {
 	// Rate is what its copies draw, in requests a second, by the instances' reports.
 	Rate float64
 	// Copies is how many adapters it holds or is to hold, by the plan.
@@ -142,9 +142,9 @@
 }
 
 // Cost is what a load to the endpoint costs, in requests a second that it draws; the lowest is chosen.
-func (c Candidate) Cost() float64 {
-	cost := c.Rate + copyWeight*float64(c.Copies) + tieSpread*c.Chance
-	if c.Held {
+func (f DestinationFactors) Cost() float64 {
+	cost := f.Rate + copyWeight*float64(f.Copies) + tieSpread*f.Chance
+	if f.Held {
 		cost -= warmBonus
 	}
 	return cost
