--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/edges_test.go
@@ -347,7 +347,7 @@
 	require.True(t, ok)
 	p.Done(start, answer(order, loading.Accepted))
 	list, _ = p.Forecasts(start.Add(249 * time.Millisecond))
-	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1), Until: time.Millisecond}}, list)
+	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1), Remaining: time.Millisecond}}, list)
 	list, _ = p.Forecasts(start.Add(time.Second))
 	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1)}}, list, "an overdue load is expected at any time")
 }
--- a/services/entry/loading/forecast.go
+++ b/services/entry/loading/forecast.go
@@ -18,7 +18,8 @@
 // Forecast is when an adapter that is not resident will be.
 type Forecast struct {
 	Adapter deployment.Adapter
-	Until   time.Duration
+	// Remaining is the time from now until it will be resident.
+	Remaining time.Duration
 }
 
 // LoadTime is the usual time of a load of an adapter.
@@ -34,7 +35,7 @@
 	parallel := p.parallelLoads()
 	for i, adapter := range queued {
 		if i < mostQueued {
-			list = append(list, Forecast{Adapter: adapter, Until: p.queueTime(i, parallel)})
+			list = append(list, Forecast{Adapter: adapter, Remaining: p.queueTime(i, parallel)})
 		}
 	}
 	return list, p.queueTime(len(queued), parallel)
@@ -81,7 +82,7 @@
 	for _, plan := range p.endpoints {
 		for adapter, c := range plan.copies {
 			if c.state == copyLoading {
-				list = append(list, Forecast{Adapter: adapter, Until: max(0, c.since.Add(p.pace.typical).Sub(now))})
+				list = append(list, Forecast{Adapter: adapter, Remaining: max(0, c.since.Add(p.pace.typical).Sub(now))})
 			}
 		}
 	}
