--- a/modules/entry/metric/metrics.go
+++ b/modules/entry/metric/metrics.go
@@ -14,8 +14,8 @@
 
 // Request is the end of one request.
 type Request struct {
-	// Class is the route's name.
-	Class string
+	// Route is the name of the route; the label "class" keeps its former name.
+	Route string
 	// Status is what was answered; 0 where the connection was closed without an answer.
 	Status int
 	// Reason says why there was no success; empty for a success.
@@ -92,18 +92,18 @@
 
 // ObserveRequest counts one request.
 func (m *Metrics) ObserveRequest(r Request) {
-	m.requests.WithLabelValues(r.Class, strconv.Itoa(r.Status)).Inc()
+	m.requests.WithLabelValues(r.Route, strconv.Itoa(r.Status)).Inc()
 	if r.Reason != "" {
-		m.refusals.WithLabelValues(r.Class, r.Reason).Inc()
+		m.refusals.WithLabelValues(r.Route, r.Reason).Inc()
 	}
 	if r.Retries > 0 {
-		m.retries.WithLabelValues(r.Class).Add(float64(r.Retries))
+		m.retries.WithLabelValues(r.Route).Add(float64(r.Retries))
 	}
-	m.waited.WithLabelValues(r.Class).Observe(r.Waited.Seconds())
+	m.waited.WithLabelValues(r.Route).Observe(r.Waited.Seconds())
 	if r.First > 0 {
-		m.first.WithLabelValues(r.Class).Observe(r.First.Seconds())
+		m.first.WithLabelValues(r.Route).Observe(r.First.Seconds())
 	}
-	m.whole.WithLabelValues(r.Class).Observe(r.Whole.Seconds())
+	m.whole.WithLabelValues(r.Route).Observe(r.Whole.Seconds())
 }
 
 // ObserveOrder counts one order to an endpoint.
