--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -202,7 +202,7 @@
 	return incoming.URL.EscapedPath()
 }
 
-var errBodyTooLarge = errors.New("entry: body too large")
+var errBodyTooLarge = errors.New("proxy: body too large")
 
 // requestBody is a body held in memory, or its beginning and the rest still to be read.
 type requestBody struct {
