--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -61,6 +61,19 @@
 	assert.NotZero(t, count)
 }
 
+func TestLinkedSectionsExist(t *testing.T) {
+	count := 0
+	for _, one := range readPages(t) {
+		for _, linked := range one.sections() {
+			count++
+			content, err := os.ReadFile(filepath.Join(root, linked.path))
+			require.NoError(t, err, "%s links to %s", one.path, linked.path)
+			assert.Contains(t, anchors(string(content)), linked.anchor, "%s links to %s", one.path, linked.path)
+		}
+	}
+	assert.NotZero(t, count)
+}
+
 func TestNamedJournalEntriesExist(t *testing.T) {
 	files, err := os.ReadDir(filepath.Join(root, "journal"))
 	require.NoError(t, err)
--- a/tests/docs/operations_test.go
+++ b/tests/docs/operations_test.go
@@ -41,6 +41,27 @@
 	}
 }
 
+// TestOperationsLeadsFromEachLineToItsPackage wants a package of the code in each row of the two tables that lead from a reason
+// or a line to what decided it.
+func TestOperationsLeadsFromEachLineToItsPackage(t *testing.T) {
+	content, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
+	require.NoError(t, err)
+	rows := 0
+	for _, heading := range []string{"From a reason to its rule", "What the process believes"} {
+		_, section, found := strings.Cut(string(content), "\n## "+heading+"\n")
+		require.True(t, found, heading)
+		section, _, _ = strings.Cut(section, "\n## ")
+		for line := range strings.SplitSeq(section, "\n") {
+			if !strings.HasPrefix(line, "| `") {
+				continue
+			}
+			rows++
+			assert.Regexp(t, "`(platform|(services|routers|modules)/entry/[a-z/]+)`", line)
+		}
+	}
+	assert.Greater(t, rows, leastLines+leastReasons)
+}
+
 const (
 	// leastLines and leastReasons guard against a scan that finds nothing.
 	leastLines   = 15
--- a/tests/docs/page_test.go
+++ b/tests/docs/page_test.go
@@ -78,6 +78,10 @@
 var (
 	spanForm = regexp.MustCompile("`([^`]+)`")
 	linkForm = regexp.MustCompile(`\]\(([^)#]+)(?:#[^)]*)?\)`)
+	// sectionForm is a link to a heading of another page.
+	sectionForm = regexp.MustCompile(`\]\(([^)#]+)#([^)]+)\)`)
+	headingForm = regexp.MustCompile(`(?m)^#+ (.+)$`)
+	signForm    = regexp.MustCompile(`[^a-z0-9 _-]`)
 	// entryForm is a list in square brackets of journal ids, such as [7b2058df, ea90d98f].
 	entryForm = regexp.MustCompile(`\[([0-9a-f]{8}(?:[,;] [0-9a-f]{8})*)[\],]`)
 	// spanAfter and spanBefore are a constant beside its value, such as `upstreamDial`, 0.5 s, or `seed.Timeout`.
@@ -115,6 +119,32 @@
 	return found
 }
 
+// section is a heading of a page that another page links to.
+type section struct {
+	path   string
+	anchor string
+}
+
+// sections gives the headings that a page links to.
+func (p page) sections() []section {
+	var found []section
+	for _, match := range sectionForm.FindAllStringSubmatch(p.prose, -1) {
+		if !strings.Contains(match[1], "://") {
+			found = append(found, section{path: filepath.Join(filepath.Dir(p.path), match[1]), anchor: match[2]})
+		}
+	}
+	return found
+}
+
+// anchors gives what links to a page's headings end with: lower case, blanks as hyphens, without other signs.
+func anchors(content string) []string {
+	var found []string
+	for _, match := range headingForm.FindAllStringSubmatch(content, -1) {
+		found = append(found, strings.ReplaceAll(signForm.ReplaceAllString(strings.ToLower(match[1]), ""), " ", "-"))
+	}
+	return found
+}
+
 // journalEntries gives the ids of the journal that a page names.
 func (p page) journalEntries() []string {
 	var found []string
