--- a/services/entry/directory/directory_test.go
+++ b/services/entry/directory/directory_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
 }
 
-func TestAnOlderWordOfDrainingStillCounts(t *testing.T) {
+func TestAnOlderDescriptionOfDrainingStillCounts(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 9)
 	assert.True(t, d.Put(endpoint("e", deployment.Draining), 5))
@@ -67,7 +67,7 @@
 	assert.Contains(t, status.Adapters, one, "the endpoint's own description stays")
 }
 
-func TestHoldsLooksAtTheVersionAndAtTheEndpointsOwnWord(t *testing.T) {
+func TestHoldsLooksAtTheVersionAndAtTheEndpointsOwnReport(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	status := d.Endpoint("e")
--- a/tests/platform/failure_test.go
+++ b/tests/platform/failure_test.go
@@ -216,7 +216,7 @@
 	}
 }
 
-func TestALeavingWorkerGetsNoNewWorkWithinItsTime(t *testing.T) {
+func TestALeavingEndpointGetsNoNewWorkWithinItsTime(t *testing.T) {
 	s := newSite(t, 2)
 	fresh := standin.NewWorker(s.store, standin.WorkerOptions{ID: "i-plain-new", Service: standin.PlainService, Zone: "h1", Slots: 8})
 	s.plain = append(s.plain, fresh)
--- a/tests/platform/path_test.go
+++ b/tests/platform/path_test.go
@@ -150,7 +150,7 @@
 	assert.True(t, broke, "one stream was resumed")
 }
 
-func TestACallersLeavingReachesTheWorker(t *testing.T) {
+func TestACallersLeavingReachesTheEndpoint(t *testing.T) {
 	s := newSite(t, 1)
 	s.eachPlain(standin.WorkerFaults{Hangs: 1})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -172,7 +172,7 @@
 	})
 }
 
-func TestAHangingWorkerIsAnsweredAtTheDeadline(t *testing.T) {
+func TestAHangingEndpointIsAnsweredAtTheDeadline(t *testing.T) {
 	s := newSite(t, 1)
 	s.eachPlain(standin.WorkerFaults{Hangs: 1})
 	began := time.Now()
@@ -182,9 +182,9 @@
 	assert.Equal(t, 1, s.runsOf(got.ID))
 }
 
-// TestAHangingWorkerNeverLooksLikeABrokenOne is about CI beside load: the bound on an answer's head fell together with
+// TestAHangingEndpointNeverLooksLikeABrokenOne is about CI beside load: the bound on an answer's head fell together with
 // the request's deadline, and the one that fired first decided between 504 and 502.
-func TestAHangingWorkerNeverLooksLikeABrokenOne(t *testing.T) {
+func TestAHangingEndpointNeverLooksLikeABrokenOne(t *testing.T) {
 	s := newSite(t, 1)
 	s.eachPlain(standin.WorkerFaults{Hangs: 200})
 	results := make(chan int, 160)
