--- a/services/entry/loading/copy.go
+++ b/services/entry/loading/copy.go
@@ -103,8 +103,8 @@
 	e.unanswered = append(e.unanswered, unansweredLoad{sequence: sequence, until: now.Add(deliveryLimit)})
 }
 
-// taken is the number of places that are taken or must be kept.
-func (e *endpointPlan) taken(now time.Time) int {
+// pruneUnanswered forgets the orders without an answer that cannot be carried out any more.
+func (e *endpointPlan) pruneUnanswered(now time.Time) {
 	kept := e.unanswered[:0]
 	for _, one := range e.unanswered {
 		if one.sequence >= e.sequence && now.Before(one.until) {
@@ -112,6 +112,10 @@
 		}
 	}
 	e.unanswered = kept
+}
+
+// taken is the number of places that are taken or must be kept, as of the last pruneUnanswered.
+func (e *endpointPlan) taken() int {
 	return len(e.copies) + len(e.unanswered)
 }
 
--- a/services/entry/loading/eviction.go
+++ b/services/entry/loading/eviction.go
@@ -35,7 +35,8 @@
 			continue
 		}
 		outgoing, unconfirmed := plan.outgoing()
-		if p.capacity(&plan.endpoint)-plan.taken(now)+outgoing >= p.spare(&plan.endpoint) || unconfirmed {
+		plan.pruneUnanswered(now)
+		if p.capacity(&plan.endpoint)-plan.taken()+outgoing >= p.spare(&plan.endpoint) || unconfirmed {
 			continue
 		}
 		if victim := p.leastValuable(now, id, plan); victim != nil {
--- a/services/entry/loading/limiter.go
+++ b/services/entry/loading/limiter.go
@@ -56,13 +56,7 @@
 
 // allows reports whether one more load may begin.
 func (l *windowLimiter) allows(now time.Time) bool {
-	oldest := now.Add(-l.window)
-	kept := 0
-	for kept < len(l.begun) && !l.begun[kept].After(oldest) {
-		kept++
-	}
-	l.begun = append(l.begun[:0], l.begun[kept:]...)
-	count := len(l.begun)
+	count := l.recent(now)
 	if now.Before(l.assumed) {
 		count += l.assumedCount
 	}
@@ -71,11 +65,26 @@
 
 // begin counts a load.
 func (l *windowLimiter) begin(now time.Time) {
+	l.prune(now)
 	l.begun = append(l.begun, now)
 }
 
 // recent gives the number of loads begun in the last window.
 func (l *windowLimiter) recent(now time.Time) int {
-	l.allows(now)
-	return len(l.begun)
+	return len(l.begun) - l.ended(now)
+}
+
+// ended gives how many of the loads counted began before the last window.
+func (l *windowLimiter) ended(now time.Time) int {
+	oldest := now.Add(-l.window)
+	count := 0
+	for count < len(l.begun) && !l.begun[count].After(oldest) {
+		count++
+	}
+	return count
+}
+
+// prune forgets the loads that began before the last window.
+func (l *windowLimiter) prune(now time.Time) {
+	l.begun = append(l.begun[:0], l.begun[l.ended(now):]...)
 }
--- a/services/entry/loading/placement.go
+++ b/services/entry/loading/placement.go
@@ -153,7 +153,11 @@
 // takesLoad reports whether a load may be ordered from an endpoint now: it takes orders, has a place, and neither too many
 // loads nor an unload under way.
 func (p *Planner) takesLoad(now time.Time, plan *endpointPlan) bool {
-	return plan.available(now) && !plan.inspect && plan.taken(now) < p.capacity(&plan.endpoint) && plan.pending() < maxPending && !plan.unloading()
+	if !plan.available(now) || plan.inspect {
+		return false
+	}
+	plan.pruneUnanswered(now)
+	return plan.taken() < p.capacity(&plan.endpoint) && plan.pending() < maxPending && !plan.unloading()
 }
 
 // soonAvailable reports whether an endpoint that cannot take an order now probably can in a moment.
