--- a/tests/docs/operations_test.go
+++ b/tests/docs/operations_test.go
@@ -68,7 +68,7 @@
 	leastReasons = 10
 )
 
-// readLines gives the texts of the entry program's log lines, and its reasons of failed requests.
+// readLines returns the texts of the entry program's log lines, and its reasons of failed requests.
 func readLines(t *testing.T) (lines, reasons map[string]bool) {
 	t.Helper()
 	lines, reasons = make(map[string]bool), make(map[string]bool)
--- a/tests/docs/page_test.go
+++ b/tests/docs/page_test.go
@@ -89,7 +89,7 @@
 	spanBefore = regexp.MustCompile("([0-9.]+) (ms|s|min) \\(`([A-Za-z.]+)`\\)")
 )
 
-// mentions gives what a page names in backticks.
+// mentions returns what a page names in backticks.
 func (p page) mentions() []mention {
 	var found []mention
 	for _, match := range spanForm.FindAllStringSubmatch(p.prose, -1) {
@@ -108,7 +108,7 @@
 	return strings.HasPrefix(m.text, "Test") || strings.Contains(m.text, "/")
 }
 
-// links gives the files that a page links to, relative to root.
+// links returns the files that a page links to, relative to root.
 func (p page) links() []string {
 	var found []string
 	for _, match := range linkForm.FindAllStringSubmatch(p.prose, -1) {
@@ -125,7 +125,7 @@
 	anchor string
 }
 
-// sections gives the headings that a page links to.
+// sections returns the headings that a page links to.
 func (p page) sections() []section {
 	var found []section
 	for _, match := range sectionForm.FindAllStringSubmatch(p.prose, -1) {
@@ -136,7 +136,7 @@
 	return found
 }
 
-// anchors gives what links to a page's headings end with: lower case, blanks as hyphens, without other signs.
+// anchors returns what links to a page's headings end with: lower case, blanks as hyphens, without other signs.
 func anchors(content string) []string {
 	var found []string
 	for _, match := range headingForm.FindAllStringSubmatch(content, -1) {
@@ -145,7 +145,7 @@
 	return found
 }
 
-// journalEntries gives the ids of the journal that a page names.
+// journalEntries returns the ids of the journal that a page names.
 func (p page) journalEntries() []string {
 	var found []string
 	for _, match := range entryForm.FindAllStringSubmatch(p.prose, -1) {
@@ -160,7 +160,7 @@
 	value    time.Duration
 }
 
-// statedSpans gives the constants whose values a page states.
+// statedSpans returns the constants whose values a page states.
 func (p page) statedSpans(t *testing.T) []statedSpan {
 	t.Helper()
 	if p.isRecord() {
--- a/tests/docs/tree_test.go
+++ b/tests/docs/tree_test.go
@@ -226,7 +226,7 @@
 	}
 }
 
-// evaluate gives the value of an expression of numbers and units of time.
+// evaluate returns the value of an expression of numbers and units of time.
 func evaluate(expression ast.Expr) (constant.Value, bool) {
 	switch node := expression.(type) {
 	case *ast.BasicLit:
