--- a/services/entry/loading/demand.go
+++ b/services/entry/loading/demand.go
@@ -51,11 +51,18 @@
 	return r.perSecond * math.Exp(-elapsed.Seconds()/rateMemory.Seconds())
 }
 
+// decay brings the rate forward to now; a clock that went back forgets nothing.
+func (r *Rate) decay(now time.Time) {
+	if now.After(r.updated) {
+		r.perSecond = r.PerSecond(now)
+		r.updated = now
+	}
+}
+
 // adapterDemand is what all instances together ask of one adapter.
 type adapterDemand struct {
-	// rate is the arrival rate in requests a second.
-	rate    float64
-	updated time.Time
+	// Rate is the arrival rate at all instances; perSecond is as of the last Add or decay.
+	Rate
 	waiting map[string]waitingPart
 	version int64
 }
@@ -65,19 +72,6 @@
 	until time.Time
 }
 
-func (d *adapterDemand) decay(now time.Time) {
-	elapsed := now.Sub(d.updated)
-	if elapsed > 0 {
-		d.rate *= math.Exp(-elapsed.Seconds() / rateMemory.Seconds())
-		d.updated = now
-	}
-}
-
-func (d *adapterDemand) arrive(now time.Time, count int) {
-	d.decay(now)
-	d.rate += float64(count) / rateMemory.Seconds()
-}
-
 // waitingNow gives the waiting requests and how many instances' newest can still be in time.
 func (d *adapterDemand) waitingNow(now time.Time, loadTime time.Duration) (waiting, inTime int) {
 	for _, part := range d.waiting {
@@ -94,7 +88,7 @@
 	for adapter, rate := range rates {
 		known := p.demandOf(now, adapter)
 		known.decay(now)
-		known.rate += rate
+		known.perSecond += rate
 	}
 }
 
@@ -105,7 +99,7 @@
 	}
 	for _, one := range demands {
 		known := p.demandOf(now, one.Adapter)
-		known.arrive(now, one.Arrivals)
+		known.Add(now, one.Arrivals)
 		if one.Waiting > 0 {
 			known.waiting[instance] = waitingPart{count: one.Waiting, until: now.Add(one.InTime)}
 		}
@@ -128,7 +122,7 @@
 func (p *Planner) demandOf(now time.Time, adapter deployment.Adapter) *adapterDemand {
 	known, ok := p.demand[adapter]
 	if !ok {
-		known = &adapterDemand{updated: now, waiting: make(map[string]waitingPart)}
+		known = &adapterDemand{Rate: Rate{updated: now}, waiting: make(map[string]waitingPart)}
 		p.demand[adapter] = known
 	}
 	return known
--- a/services/entry/loading/eviction.go
+++ b/services/entry/loading/eviction.go
@@ -112,7 +112,7 @@
 			if !ok || c.state != copyResident || c.version >= known.version {
 				continue
 			}
-			if p.counts[adapter].usable > 0 || known.rate*horizon.Seconds() < worthwhileUse {
+			if p.counts[adapter].usable > 0 || known.perSecond*horizon.Seconds() < worthwhileUse {
 				p.withdraw(now, id, c)
 			}
 		}
--- a/services/entry/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -136,7 +136,7 @@
 func (p *Planner) Sweep(now time.Time) {
 	for adapter, known := range p.demand {
 		known.decay(now)
-		if known.rate < forgetBelow && len(known.waiting) == 0 && known.version == 0 {
+		if known.perSecond < forgetBelow && len(known.waiting) == 0 && known.version == 0 {
 			delete(p.demand, adapter)
 		}
 	}
--- a/services/entry/loading/value.go
+++ b/services/entry/loading/value.go
@@ -119,7 +119,7 @@
 	count := p.counts[adapter]
 	waiting, inTime := known.waitingNow(now, p.pace.typical)
 	return CopyNeed{
-		Usable: count.usable, Coming: count.coming, Free: count.free, Waiting: waiting, InTime: inTime, Rate: known.rate, EvenRate: evenRate,
+		Usable: count.usable, Coming: count.coming, Free: count.free, Waiting: waiting, InTime: inTime, Rate: known.perSecond, EvenRate: evenRate,
 	}
 }
 
@@ -130,7 +130,7 @@
 		return 0
 	}
 	known.decay(now)
-	return ResidentValue(known.rate, p.counts[adapter].usable)
+	return ResidentValue(known.perSecond, p.counts[adapter].usable)
 }
 
 // readyEndpoints counts the endpoints that take copies and requests.
@@ -155,7 +155,7 @@
 			}
 			known.decay(now)
 			count := p.counts[adapter]
-			loads[id] += known.rate / float64(max(1, count.usable+count.coming))
+			loads[id] += known.perSecond / float64(max(1, count.usable+count.coming))
 		}
 	}
 	return loads
