--- a/services/daemon/control/doc.go
+++ b/services/daemon/control/doc.go
@@ -3,10 +3,11 @@
 
 // Package control runs a daemon's control state: one goroutine owns the node and takes
 // typed inputs (input.go); others carry out its effects towards peers, endpoints, the
-// key-value service and the platform (executor.go, owner.go), and answer by further inputs.
+// key-value service and the platform (executor.go, owner*.go), and answer by further inputs.
 //
 // It owns the node, the channels on which requests wait for their tickets, and the
-// catalog that the traffic reads. It relies on services/daemon/node for every decision.
+// catalog that the traffic reads. It relies on services/daemon/node for every decision,
+// and on claim for what the calls that own pools write and what their answers mean.
 //
 // Goroutines: Run is the control goroutine, on the caller's own. It starts one that polls
 // the platform's list, one that makes the calls for leases at the key-value service, from
--- /dev/null
+++ b/services/daemon/control/owner_pool.go
@@ -0,0 +1,66 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package control
+
+import (
+	"github.com/shelfledge/shelfledge/services/daemon/control/claim"
+	"github.com/shelfledge/shelfledge/services/daemon/node"
+)
+
+func (o *owner) keys(pool string) claim.Keys {
+	return claim.KeysOf(o.service.options.Prefix, pool)
+}
+
+// tryAcquire claims a pool under the lease. Where anything fails the result is not OK, and the node asks again.
+func (o *owner) tryAcquire(pool string) node.OwnerResult {
+	result := node.OwnerResult{Pool: pool}
+	sent, ok := o.ensureLease()
+	if !ok {
+		return result
+	}
+	last, ok := o.readLast(pool)
+	if !ok {
+		return result
+	}
+	self := o.service.options.Node
+	next := last.Owner.Successor(self.Self.ID, self.Boot)
+	attempt := claim.Attempt{Keys: o.keys(pool), Lease: o.lease, Revision: last.Revision, Owner: next}
+	answer, err := o.service.options.KV.Txn(o.service.ctx, claim.Acquire(attempt))
+	if err != nil || !claim.Holds(answer, o.lease) {
+		return result
+	}
+	result.OK, result.SentAt, result.Formers = true, sent, next.Formers
+	return result
+}
+
+// readLast reads a pool's last owner; it gives false where the service does not answer or holds what cannot be read.
+func (o *owner) readLast(pool string) (claim.Last, bool) {
+	pair, found, err := o.service.options.KV.Get(o.service.ctx, o.keys(pool).Owner)
+	if err != nil {
+		return claim.Last{}, false
+	}
+	last, err := claim.Decode(pair, found)
+	return last, err == nil
+}
+
+// tryRelease gives a pool up.
+func (o *owner) tryRelease(pool string) {
+	keys := o.keys(pool)
+	pair, found, err := o.service.options.KV.Get(o.service.ctx, keys.Lease)
+	if err != nil || !found || pair.Lease != o.lease {
+		return
+	}
+	// A failure leaves the key to lapse with the lease.
+	_, _ = o.service.options.KV.Txn(o.service.ctx, claim.Release(keys, pair.ModRevision))
+}
+
+// trySettle writes that the former owners have ended; a failure only makes successors wait for them again.
+func (o *owner) trySettle(pool string) {
+	self := o.service.options.Node
+	last, ok := o.readLast(pool)
+	if !ok || !last.Owner.Is(self.Self.ID, self.Boot) || len(last.Owner.Formers) == 0 {
+		return
+	}
+	_, _ = o.service.options.KV.Txn(o.service.ctx, claim.Settle(o.keys(pool), last.Revision, last.Owner))
+}
