--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -41,8 +41,8 @@
 	return Options{Hall: hall, HallPenalty: hallPenalty, PlainHallPenalty: plainHallPenalty, Limit: RequestLimit(), Random: random}
 }
 
-// Demand is what a request asks of an endpoint.
-type Demand struct {
+// Requirement is what a request asks of an endpoint.
+type Requirement struct {
 	// Request is the caller's request, decoded from its head.
 	Request *deployment.Request
 	// Version is the lowest version of the adapter that may run the request, as named in the store; 0 allows any.
@@ -68,23 +68,23 @@
 
 // Choose gives the endpoint for a request. Ejected endpoints are taken only where nothing
 // else can run it, or for a trial.
-func Choose(now time.Time, endpoints []*directory.EndpointStatus, demand Demand, options Options) (*directory.EndpointStatus, Verdict) {
+func Choose(now time.Time, endpoints []*directory.EndpointStatus, required Requirement, options Options) (*directory.EndpointStatus, Verdict) {
 	verdict := NoEndpoint
 	var best, fallback *directory.EndpointStatus
 	bestCost, fallbackCost := 0.0, 0.0
 	for _, endpoint := range endpoints {
-		if endpoint.State != deployment.Ready || slices.Contains(demand.Tried, endpoint.ID) {
+		if endpoint.State != deployment.Ready || slices.Contains(required.Tried, endpoint.ID) {
 			continue
 		}
 		verdict = max(verdict, NotResident)
-		if demand.Request.UsesModel() && !endpoint.Holds(now, demand.Request.Adapter, demand.Version) {
+		if required.Request.UsesModel() && !endpoint.Holds(now, required.Request.Adapter, required.Version) {
 			continue
 		}
-		if demand.Request.UsesModel() && options.Limit.Reached(endpoint) {
+		if required.Request.UsesModel() && options.Limit.Reached(endpoint) {
 			verdict = Saturated
 			continue
 		}
-		cost := cost(endpoint, demand.Request, options)
+		cost := cost(endpoint, required.Request, options)
 		if endpoint.Avoided(now) {
 			if fallback == nil || cost < fallbackCost {
 				fallback, fallbackCost = endpoint, cost
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -36,25 +36,25 @@
 	}
 }
 
-func choose(d *directory.Directory, demand balance.Demand) (*directory.EndpointStatus, balance.Verdict) {
-	return balance.Choose(start, d.Service("service"), demand, options)
+func choose(d *directory.Directory, required balance.Requirement) (*directory.EndpointStatus, balance.Verdict) {
+	return balance.Choose(start, d.Service("service"), required, options)
 }
 
 func TestOnlyEndpointsThatHoldTheAdapterAreChosen(t *testing.T) {
 	d := build(holder("far", "other"), deployment.Endpoint{ID: "empty", Hall: "near", Models: []string{"base"}})
-	endpoint, verdict := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}})
+	endpoint, verdict := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	require.Equal(t, balance.Chosen, verdict)
 	assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 }
 
 func TestVerdictsTellWhyNoneWasChosen(t *testing.T) {
-	_, verdict := choose(build(), balance.Demand{Request: &deployment.Request{}})
+	_, verdict := choose(build(), balance.Requirement{Request: &deployment.Request{}})
 	assert.Equal(t, balance.NoEndpoint, verdict)
 	leaving := holder("leaving", "near")
 	leaving.State = deployment.Draining
-	_, verdict = choose(build(leaving), balance.Demand{Request: &deployment.Request{Adapter: adapter}})
+	_, verdict = choose(build(leaving), balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	assert.Equal(t, balance.NoEndpoint, verdict)
-	_, verdict = choose(build(holder("old", "near")), balance.Demand{Request: &deployment.Request{Adapter: adapter}, Version: 2})
+	_, verdict = choose(build(holder("old", "near")), balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Version: 2})
 	assert.Equal(t, balance.NotResident, verdict)
 }
 
@@ -62,13 +62,13 @@
 	d := build(holder("a", "near"), holder("b", "near"))
 	d.Endpoint("a").Others = 3
 	d.Begin(start, "b", adapter)
-	endpoint, _ := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}})
+	endpoint, _ := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
 }
 
 func TestTheOwnHallIsPreferredUntilItIsBusier(t *testing.T) {
 	d := build(holder("near", "near"), holder("far", "other"))
-	request := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
+	request := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
 	endpoint, _ := choose(d, request)
 	assert.Equal(t, deployment.EndpointID("near"), endpoint.ID)
 	d.Endpoint("near").Others = 2
@@ -78,7 +78,7 @@
 
 func TestTriedEndpointsAreNotChosenAgain(t *testing.T) {
 	d := build(holder("a", "near"))
-	endpoint, _ := choose(d, balance.Demand{Request: &deployment.Request{Adapter: adapter}, Tried: []deployment.EndpointID{"a"}})
+	endpoint, _ := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Tried: []deployment.EndpointID{"a"}})
 	assert.Nil(t, endpoint)
 }
 
@@ -88,7 +88,7 @@
 		d.Begin(start, "bad", adapter)
 		d.End(start, "bad", adapter, directory.Broken)
 	}
-	request := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
+	request := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
 	endpoint, _ := choose(d, request)
 	assert.Equal(t, deployment.EndpointID("good"), endpoint.ID)
 	d.Remove("good", 2)
@@ -111,20 +111,20 @@
 	d := build(full)
 	bounded := options
 	bounded.Limit.Share = 0.5
-	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
+	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
 	d.Endpoint("full").Others = 1
-	_, verdict := balance.Choose(start, d.Service("service"), demand, bounded)
+	_, verdict := balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Chosen, verdict)
 	d.Endpoint("full").Others = 2
-	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
+	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	bounded.Limit.Least = 3
-	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
+	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "a batch this small is fast enough")
 	d.Endpoint("full").Others = 3
-	_, verdict = balance.Choose(start, d.Service("service"), demand, bounded)
+	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
-	plain := balance.Demand{Request: &deployment.Request{}}
+	plain := balance.Requirement{Request: &deployment.Request{}}
 	_, verdict = balance.Choose(start, d.Service("service"), plain, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "a plain service has a queue of its own")
 }
--- a/services/entry/balance/edges_test.go
+++ b/services/entry/balance/edges_test.go
@@ -81,10 +81,10 @@
 
 // TestEdgesOfPreferringTheOwnHall: crossing halls weighs 1 request for models and 2.5 for plain services.
 func TestEdgesOfPreferringTheOwnHall(t *testing.T) {
-	model := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
-	plain := balance.Demand{Request: &deployment.Request{}}
+	model := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
+	plain := balance.Requirement{Request: &deployment.Request{}}
 	for name, test := range map[string]struct {
-		demand    balance.Demand
+		required  balance.Requirement
 		near, far int
 		chosen    deployment.EndpointID
 	}{
@@ -98,7 +98,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := build(holder("near", "near"), holder("far", "other"))
 			d.Endpoint("near").Others, d.Endpoint("far").Others = test.near, test.far
-			endpoint, verdict := choose(d, test.demand)
+			endpoint, verdict := choose(d, test.required)
 			require.Equal(t, balance.Chosen, verdict)
 			assert.Equal(t, test.chosen, endpoint.ID)
 		})
@@ -111,18 +111,18 @@
 	chance := options
 	chance.Random = func() float64 { drawn++; return chances[(drawn-1)%len(chances)] }
 	d := build(holder("a", "near"), holder("b", "near"))
-	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
-	endpoint, _ := balance.Choose(start, d.Service("service"), demand, chance)
+	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
+	endpoint, _ := balance.Choose(start, d.Service("service"), required, chance)
 	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
 	d.Endpoint("b").Others = 1
-	endpoint, _ = balance.Choose(start, d.Service("service"), demand, chance)
+	endpoint, _ = balance.Choose(start, d.Service("service"), required, chance)
 	assert.Equal(t, deployment.EndpointID("a"), endpoint.ID, "one request more always counts")
 }
 
 // TestChanceWeighsHalfARequest: crossing halls for a plain service weighs 2.5 requests, so that two requests and the greatest chance
 // here weigh as much as none there.
 func TestChanceWeighsHalfARequest(t *testing.T) {
-	plain := balance.Demand{Request: &deployment.Request{}}
+	plain := balance.Requirement{Request: &deployment.Request{}}
 	for _, endpoints := range [][]deployment.Endpoint{{holder("near", "near"), holder("far", "other")}, {holder("far", "other"), holder("near", "near")}} {
 		chance := options
 		chances := map[deployment.EndpointID]float64{"near": 1, "far": 0}
@@ -139,27 +139,27 @@
 func TestEdgesOfWhatAnEndpointHolds(t *testing.T) {
 	unknown := deployment.Adapter{Model: "base", Name: "unknown"}
 	for name, test := range map[string]struct {
-		demand  balance.Demand
-		missing time.Duration
-		verdict balance.Verdict
+		required balance.Requirement
+		missing  time.Duration
+		verdict  balance.Verdict
 	}{
-		"any version":                     {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, -1, balance.Chosen},
-		"the version it holds":            {balance.Demand{Request: &deployment.Request{Adapter: adapter}, Version: 1}, -1, balance.Chosen},
-		"a newer version":                 {balance.Demand{Request: &deployment.Request{Adapter: adapter}, Version: 2}, -1, balance.NotResident},
-		"an unknown adapter":              {balance.Demand{Request: &deployment.Request{Adapter: unknown}}, -1, balance.NotResident},
-		"the base model alone":            {balance.Demand{Request: &deployment.Request{Adapter: deployment.Adapter{Model: "base"}}}, -1, balance.Chosen},
-		"another base model":              {balance.Demand{Request: &deployment.Request{Adapter: deployment.Adapter{Model: "other"}}}, -1, balance.NotResident},
-		"said just now that it lacks it":  {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, 0, balance.NotResident},
-		"said 1.5 s ago that it lacks it": {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, 1500 * time.Millisecond, balance.NotResident},
-		"said it longer ago":              {balance.Demand{Request: &deployment.Request{Adapter: adapter}}, 1500*time.Millisecond + 1, balance.Chosen},
-		"a plain request asks for none":   {balance.Demand{Request: &deployment.Request{}}, 0, balance.Chosen},
+		"any version":                     {balance.Requirement{Request: &deployment.Request{Adapter: adapter}}, -1, balance.Chosen},
+		"the version it holds":            {balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Version: 1}, -1, balance.Chosen},
+		"a newer version":                 {balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Version: 2}, -1, balance.NotResident},
+		"an unknown adapter":              {balance.Requirement{Request: &deployment.Request{Adapter: unknown}}, -1, balance.NotResident},
+		"the base model alone":            {balance.Requirement{Request: &deployment.Request{Adapter: deployment.Adapter{Model: "base"}}}, -1, balance.Chosen},
+		"another base model":              {balance.Requirement{Request: &deployment.Request{Adapter: deployment.Adapter{Model: "other"}}}, -1, balance.NotResident},
+		"said just now that it lacks it":  {balance.Requirement{Request: &deployment.Request{Adapter: adapter}}, 0, balance.NotResident},
+		"said 1.5 s ago that it lacks it": {balance.Requirement{Request: &deployment.Request{Adapter: adapter}}, 1500 * time.Millisecond, balance.NotResident},
+		"said it longer ago":              {balance.Requirement{Request: &deployment.Request{Adapter: adapter}}, 1500*time.Millisecond + 1, balance.Chosen},
+		"a plain request asks for none":   {balance.Requirement{Request: &deployment.Request{}}, 0, balance.Chosen},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := build(holder("e", "near"))
 			if test.missing >= 0 {
 				d.NoteMissing(start.Add(-test.missing), "e", adapter)
 			}
-			_, verdict := choose(d, test.demand)
+			_, verdict := choose(d, test.required)
 			assert.Equal(t, test.verdict, verdict)
 		})
 	}
@@ -171,13 +171,13 @@
 	full.Slots = 4
 	bounded := options
 	bounded.Limit.Share = 0.5
-	demand := balance.Demand{Request: &deployment.Request{Adapter: adapter}}
+	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
 	for _, endpoints := range [][]deployment.Endpoint{
 		{full, {ID: "empty", Hall: "near", Models: []string{"base"}}}, {{ID: "empty", Hall: "near", Models: []string{"base"}}, full},
 	} {
 		d := build(endpoints...)
 		d.Endpoint("full").Others = 2
-		_, verdict := balance.Choose(start, d.Service("service"), demand, bounded)
+		_, verdict := balance.Choose(start, d.Service("service"), required, bounded)
 		assert.Equal(t, balance.Saturated, verdict)
 	}
 }
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -118,8 +118,8 @@
 
 // serve assigns an endpoint if one can take the request now.
 func (c *Coordinator) serve(now time.Time, w *waiter) bool {
-	demand := balance.Demand{Request: w.Request, Version: c.versions.Demanded(now, w.Adapter, c.options.VersionLimit), Tried: w.Tried}
-	status, verdict := balance.Choose(now, c.directory.Service(w.Service), demand, balance.NewOptions(c.options.Hall, c.options.Random))
+	required := balance.Requirement{Request: w.Request, Version: c.versions.Demanded(now, w.Adapter, c.options.VersionLimit), Tried: w.Tried}
+	status, verdict := balance.Choose(now, c.directory.Service(w.Service), required, balance.NewOptions(c.options.Hall, c.options.Random))
 	w.Verdict = verdict
 	if verdict != balance.Chosen {
 		return false
