--- a/services/daemon/node/loads/bidder.go
+++ b/services/daemon/node/loads/bidder.go
@@ -33,7 +33,7 @@
 }
 
 // recoverySteps is the number of different waits after a takeover; it only has to exceed
-// the number of pools by far.
+// the number of pools by far. Not measured.
 const recoverySteps = 1000
 
 // Recovering tells whether a pool that was taken over the given time ago still waits for
--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -30,6 +30,7 @@
 	// bound of a mean near zero. Not measured.
 	boundSlack = 0.1
 	// fullLoad is the load of a pool without places: above that of every pool with some.
+	// Not measured: any number above every real load will do.
 	fullLoad = 1e9
 )
 
--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -32,6 +32,11 @@
 	"services/entry/directory", "services/entry/loading",
 	"services/entry/lease", "services/entry/coordinator/forecast", "services/entry/coordinator/report", "services/entry/coordinator/view",
 	"services/entry/coordinator/follow", "services/entry/coordinator/member",
+	"services/daemon/placement", "services/daemon/placement/backoff", "services/daemon/placement/popularity",
+	"services/daemon/placement/queue", "services/daemon/routing", "services/daemon/membership", "services/daemon/budget",
+	"services/daemon/node", "services/daemon/node/digest", "services/daemon/node/followed", "services/daemon/node/lease",
+	"services/daemon/node/listing", "services/daemon/node/loads", "services/daemon/node/ownership",
+	"services/daemon/node/waiting",
 }
 
 // constant is one numeric constant as the code declares it.
