--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -114,6 +114,8 @@
 	c.updateReady()
 }
 
+// applyConfiguration puts a configuration in force. One that cannot be read is logged; one of a lower version than that
+// in force is passed over without a log line.
 func (c *Coordinator) applyConfiguration(now time.Time, item store.Item) {
 	configuration, err := c.environment.ParseConfiguration(item.Value)
 	if err != nil {
@@ -130,6 +132,8 @@
 	}
 }
 
+// applyVersion takes in a key that names an adapter's version. One that cannot be read, or names an older version, is
+// passed over without a log line.
 func (c *Coordinator) applyVersion(now time.Time, item store.Item) {
 	adapter, version, ok := c.environment.ParseVersion(item)
 	if !ok || !c.versions.Name(now, adapter, version) {
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -177,6 +177,7 @@
 	c.planning.plans.SetEndpoint(now, status.Endpoint, status.Revision)
 }
 
+// removeEndpoint forgets an endpoint that was gone at a revision, unless a later description of it is known.
 func (c *Coordinator) removeEndpoint(id deployment.EndpointID, revision int64) {
 	if !c.directory.Remove(id, revision) {
 		return
@@ -196,6 +197,8 @@
 	return ids
 }
 
+// retireGone logs and retires the endpoints that a whole reading no longer names. It is for a directory that was replaced;
+// removeEndpoint does the same for one endpoint.
 func (c *Coordinator) retireGone(before map[deployment.EndpointID]bool) {
 	for id := range before {
 		if c.directory.Endpoint(id) == nil {
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -63,6 +63,7 @@
 	conn, err := c.environment.Dial(ctx, address)
 	cancel()
 	if err != nil {
+		// Not logged: the planner's silence is noticed by the age of its views, and the planner is dialed again.
 		return
 	}
 	stream := peerstream.New[wire.Message](conn)
@@ -80,6 +81,7 @@
 		c.loop.Call(func(time.Time) {})
 		received, err := stream.Receive(view.Silence, c.options.Now)
 		if err != nil {
+			// Not logged, as with the dial.
 			break
 		}
 		if received.View != nil {
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -26,7 +26,8 @@
 	}
 }
 
-// resign tells the members that no more orders follow, once those under way have ended.
+// resign tells the members that no more orders follow, once those under way have ended. It logs so also if the
+// process stops or the term ends before that.
 func (c *Coordinator) resign(p *planning) {
 	for c.ordersUnderWay(p) && c.context.Err() == nil {
 		c.sleep(releasePause)
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -73,7 +73,8 @@
 	c.beginOrdering()
 }
 
-// confirm proves that the record is still this holder's; false if the store did not answer.
+// confirm reads the record; false if the store did not answer. It may end planning: if the record is found to be
+// another's, or if this instance resigned in its term.
 func (c *Coordinator) confirm() bool {
 	confirmation, err := c.leases.Confirm(c.context)
 	c.loop.Call(func(time.Time) {
@@ -92,8 +93,9 @@
 	return err == nil
 }
 
-// endIfOver stops planning when another instance has the record. While the record only cannot
-// be confirmed, this instance orders nothing but still tells its members what it knows.
+// endIfOver stops planning when the term is over: another instance has the record, or this one released it or resigned.
+// The log line is the same for all three; a resignation has logged its own before. While the record only cannot be
+// confirmed, this instance orders nothing but still tells its members what it knows.
 func (c *Coordinator) endIfOver() {
 	if c.planning == nil || !c.planning.lease.Over() {
 		return
@@ -244,6 +246,8 @@
 	}
 }
 
+// beginPlanning makes this instance the planner, by a record that it wrote in place of another. It gives no order before
+// wait is over.
 func (c *Coordinator) beginPlanning(now time.Time, taken leasestore.Taken, wait time.Duration, replaced lease.Record) {
 	c.options.Log.WithFields(map[string]any{
 		"term": taken.Record.Term, "wait": wait.String(), "replaced": replaced.Holder, "released": replaced.Released,
--- a/services/entry/coordinator/leasestore/store.go
+++ b/services/entry/coordinator/leasestore/store.go
@@ -112,7 +112,7 @@
 }
 
 // LostRaceError reports that another instance changed the record first. Now is the record since then, nil if the
-// store did not tell it.
+// store did not tell it or it cannot be decoded.
 type LostRaceError struct {
 	Now   *lease.Record
 	cause error
@@ -129,7 +129,8 @@
 }
 
 // Take writes this instance into the record, with its heartbeat, if nobody changed the record since it was read.
-// It returns a LostRaceError if somebody did; all other errors were passed to Failed.
+// It returns a LostRaceError if somebody did; all other errors of the store were passed to Failed, one of the encoder
+// was not.
 func (s *Store) Take(ctx context.Context, replaced Stored) (Taken, error) {
 	if err := s.grant(ctx); err != nil {
 		return Taken{}, err
@@ -164,6 +165,7 @@
 		if item.Key != RecordKey {
 			continue
 		}
+		// One that cannot be decoded is left out; the next look at the record reports it.
 		if record, err := lease.DecodeRecord(item.Value); err == nil {
 			lost.Now = &record
 		}
@@ -190,6 +192,7 @@
 func (s *Store) Rewrite(ctx context.Context, revision int64, record lease.Record) (Taken, Rewritten) {
 	value, err := record.Encode()
 	if err != nil {
+		// Not reported: no value of a record makes its encoding fail.
 		return Taken{}, Unknown
 	}
 	sent := s.Now()
@@ -217,6 +220,7 @@
 	sent := s.Now()
 	item, err := s.Client.Get(ctx, RecordKey)
 	if err != nil {
+		// Not reported: the write's failure was, and the next confirmation reports a store that stays silent.
 		return Taken{}, Unknown
 	}
 	stored, err := lease.DecodeRecord(item.Value)
@@ -233,7 +237,8 @@
 	}
 }
 
-// HolderAlive tells whether the holder's heartbeat is in the store, or cannot be looked for.
+// HolderAlive tells whether the holder's heartbeat is in the store, or cannot be looked for. An error is not reported:
+// the holder counts as alive, and the next look reads the record, whose failure is reported.
 func (s *Store) HolderAlive(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
@@ -241,7 +246,8 @@
 	return !errors.Is(err, store.ErrNotFound)
 }
 
-// KeepHeartbeat renews the lease of this holder's heartbeat, or writes the heartbeat anew if the lease is gone.
+// KeepHeartbeat renews the lease of this holder's heartbeat, or writes the heartbeat anew if the lease is gone. Another
+// error of the renewal is not reported: it is tried again after the next confirmation, whose failure is reported.
 func (s *Store) KeepHeartbeat(ctx context.Context) {
 	call, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -29,6 +29,8 @@
 			if c.context.Err() != nil {
 				return
 			}
+			// Not logged: the kinds of log lines are pinned. A peer that is not taken in dials again, and reads the store
+			// itself meanwhile.
 			c.sleep(dialPause)
 			continue
 		}
@@ -49,6 +51,7 @@
 		c.loop.Call(func(time.Time) { silence = c.memberSilence() })
 		received, err := stream.Receive(silence, c.options.Now)
 		if err != nil {
+			// Not logged: a peer that leaves ends its link too. One that is lost is dropped by the age of its reports.
 			break
 		}
 		planning := true
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -112,6 +112,8 @@
 	return c.environment.SendOrder(ctx, order, c.options.Instance, term)
 }
 
+// orderDone takes in the end of an order. One of an earlier term, or of a service that is planned no more, is neither
+// logged nor counted.
 func (c *Coordinator) orderDone(now time.Time, p *planning, result loading.Result) {
 	p.orders--
 	if c.planning != p {
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -70,6 +70,7 @@
 	items := p.itemsFor(now, m)
 	if !m.NeedsFull && len(items) == 0 {
 		if err := m.Link.SendFrame(frame); err != nil {
+			// The member dials again and gets a full view.
 			m.Link = nil
 		}
 		return
@@ -81,6 +82,7 @@
 	}
 	own.Items = items
 	if err := m.Link.Send(wire.Message{View: &own}); err != nil {
+		// As above: the member dials again.
 		m.Link = nil
 	}
 }
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -39,15 +39,20 @@
 	// WithdrawalsSeen is the last announcement of a withdrawal that the instance acts on.
 	WithdrawalsSeen uint64 `msgpack:"w"`
 	// ConfigurationAt is the newest revision of the configuration's keys that it knows.
-	ConfigurationAt int64           `msgpack:"c"`
-	InFlight        []EndpointCount `msgpack:"f,omitempty"`
-	Demands         []Demand        `msgpack:"d,omitempty"`
+	ConfigurationAt int64 `msgpack:"c"`
+	// InFlight counts its requests in flight, Demands is what it asks for; each report names all of them.
+	InFlight []EndpointCount `msgpack:"f,omitempty"`
+	Demands  []Demand        `msgpack:"d,omitempty"`
 	// InUse are the copies that its requests in flight use.
-	InUse    []CopyCount             `msgpack:"u,omitempty"`
-	Missing  []Copy                  `msgpack:"m,omitempty"`
+	InUse []CopyCount `msgpack:"u,omitempty"`
+	// Missing are the copies that an endpoint answered it does not hold, though they were on offer.
+	Missing []Copy `msgpack:"m,omitempty"`
+	// Suspects are the endpoints that the instance has ejected.
 	Suspects []deployment.EndpointID `msgpack:"s,omitempty"`
-	Items    []store.Item            `msgpack:"o,omitempty"`
-	Leaving  bool                    `msgpack:"l,omitempty"`
+	// Items are keys of the configuration that the planner has lacked for too long, by its last view.
+	Items []store.Item `msgpack:"o,omitempty"`
+	// Leaving tells that the process stops.
+	Leaving bool `msgpack:"l,omitempty"`
 	// Rates are the instance's arrival rates, sent once to each new planner.
 	Rates []Rate `msgpack:"a,omitempty"`
 	// StoreReadAge is how long ago the instance last read from the store.
@@ -62,12 +67,17 @@
 
 // Demand is what an instance asks of one adapter of a service.
 type Demand struct {
-	Service  string        `msgpack:"s"`
-	Model    string        `msgpack:"m"`
-	Name     string        `msgpack:"a"`
-	Waiting  int           `msgpack:"w,omitempty"`
-	InTime   time.Duration `msgpack:"t,omitempty"`
-	Arrivals int           `msgpack:"n,omitempty"`
+	// Service, Model and Name are the service, the base model and the adapter that is asked for.
+	Service string `msgpack:"s"`
+	Model   string `msgpack:"m"`
+	Name    string `msgpack:"a"`
+	// Waiting counts requests that wait for it, and refused callers that are expected back soon.
+	Waiting int `msgpack:"w,omitempty"`
+	// InTime is for how long after the report was built the last of those can still be answered in time: a span, so
+	// that the clocks of the two instances need not agree. Below zero, all are late.
+	InTime time.Duration `msgpack:"t,omitempty"`
+	// Arrivals counts the requests since the last report.
+	Arrivals int `msgpack:"n,omitempty"`
 }
 
 // Copy names an adapter on an endpoint.
@@ -106,19 +116,27 @@
 	// ConfirmedAge is how long ago the planner's lease was confirmed.
 	ConfirmedAge time.Duration `msgpack:"k"`
 	// Full says that endpoints which are not listed are gone, as of revision At.
-	Full      bool       `msgpack:"x,omitempty"`
-	At        int64      `msgpack:"y,omitempty"`
+	Full bool  `msgpack:"x,omitempty"`
+	At   int64 `msgpack:"y,omitempty"`
+	// Endpoints are those that changed, or all in a full view; Removed are those that are gone.
 	Endpoints []Endpoint `msgpack:"e,omitempty"`
 	Removed   []Gone     `msgpack:"d,omitempty"`
 	// Heartbeat marks a view that carries all totals; others carry none.
-	Heartbeat bool            `msgpack:"h,omitempty"`
-	Totals    []EndpointCount `msgpack:"f,omitempty"`
-	Forecasts []Forecast      `msgpack:"l,omitempty"`
-	// Backlogs are when an adapter would be there that nobody has asked for yet, by service.
-	Backlogs        map[string]time.Duration `msgpack:"j,omitempty"`
-	Members         int                      `msgpack:"n"`
-	ConfigurationAt int64                    `msgpack:"c"`
-	Items           []store.Item             `msgpack:"o,omitempty"`
+	Heartbeat bool `msgpack:"h,omitempty"`
+	// Totals count the requests in flight of all instances.
+	Totals []EndpointCount `msgpack:"f,omitempty"`
+	// Forecasts are the loads that began since the last view, or all under way in a heartbeat; a full view has
+	// none.
+	Forecasts []Forecast `msgpack:"l,omitempty"`
+	// Backlogs are when an adapter would be there that nobody has asked for yet, by service, from now.
+	Backlogs map[string]time.Duration `msgpack:"j,omitempty"`
+	// Members is the number of instances that share the fleet's bounds.
+	Members int `msgpack:"n"`
+	// ConfigurationAt is the newest revision of the configuration's keys that the planner knows.
+	ConfigurationAt int64 `msgpack:"c"`
+	// Items are keys of the configuration that the instance has lacked for too long, by its last report, or all in the
+	// answer to a request.
+	Items []store.Item `msgpack:"o,omitempty"`
 	// Resigned says that the planner gives no more orders in its term.
 	Resigned bool `msgpack:"b,omitempty"`
 }
