--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -17,7 +17,7 @@
 // answers a member, so that the member need not wait until this holder's time is over.
 func (c *Coordinator) resignIfOthersCan(now time.Time) {
 	p := c.planning
-	if p.leaving || !lease.InTrouble(p.lease.Age(now)) {
+	if p.leaving || !lease.InTrouble(p.lease.ConfirmedAge(now)) {
 		return
 	}
 	p.leaving = p.members.ReachStore(now)
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -128,7 +128,7 @@
 	taken, end := c.leases.Rewrite(c.context, held.Revision(), record)
 	switch end {
 	case leasestore.Done, leasestore.Settled:
-		c.loop.Call(func(time.Time) { held.Rewrite(taken.Sent, taken.Record, taken.Revision) })
+		c.loop.Call(func(time.Time) { held.NoteRewritten(taken.Sent, taken.Record, taken.Revision) })
 	case leasestore.Lost:
 		c.loop.Call(func(time.Time) {
 			held.End()
@@ -213,13 +213,13 @@
 	switch {
 	case err == nil:
 		c.loop.Call(func(now time.Time) { c.beginPlanning(now, taken, wait, replaced.Record) })
-	case errors.As(err, &lost) && lost.Now != nil:
-		c.loop.Call(func(time.Time) { c.noteRecord(*lost.Now) })
+	case errors.As(err, &lost) && lost.Current != nil:
+		c.loop.Call(func(time.Time) { c.noteRecord(*lost.Current) })
 	}
 }
 
-// farewellTime is how long the last message to a former planner may take. Not measured.
-const farewellTime = 50 * time.Millisecond
+// successorNoticeTimeout is how long the last message to a former planner may take. Not measured.
+const successorNoticeTimeout = 50 * time.Millisecond
 
 // noteRecord remembers who plans; a link to a former planner ends with a message that names its successor.
 func (c *Coordinator) noteRecord(record lease.Record) {
@@ -227,7 +227,7 @@
 	if stream := c.following.stream; stream != nil && record.Term > c.following.Term {
 		// A former planner that cannot take the message is left all the same; it learns its successor from another.
 		_ = stream.Send(wire.Message{Successor: &wire.Successor{Term: record.Term, Address: record.Address}})
-		time.AfterFunc(farewellTime, stream.Close)
+		time.AfterFunc(successorNoticeTimeout, stream.Close)
 		c.following.stream = nil
 	}
 }
--- a/services/entry/coordinator/leasestore/store.go
+++ b/services/entry/coordinator/leasestore/store.go
@@ -111,11 +111,11 @@
 	Sent     time.Time
 }
 
-// LostRaceError reports that another instance changed the record first. Now is the record since then, nil if the
+// LostRaceError reports that another instance changed the record first. Current is the record since then, nil if the
 // store did not tell it or it cannot be decoded.
 type LostRaceError struct {
-	Now   *lease.Record
-	cause error
+	Current *lease.Record
+	cause   error
 }
 
 // Error implements error.
@@ -167,19 +167,19 @@
 		}
 		// One that cannot be decoded is left out; the next look at the record reports it.
 		if record, err := lease.DecodeRecord(item.Value); err == nil {
-			lost.Now = &record
+			lost.Current = &record
 		}
 	}
 	return lost
 }
 
-// Rewritten is how a change of this holder's own record ended.
-type Rewritten int
+// RewriteOutcome is how a change of this holder's own record ended.
+type RewriteOutcome int
 
 // The ends of a rewrite.
 const (
 	// Done: the record is as wanted, by the answer to the write.
-	Done Rewritten = iota
+	Done RewriteOutcome = iota
 	// Settled: the write was not answered, but the record is still this holder's; Taken tells how it stands now.
 	Settled
 	// Lost: another instance has the record.
@@ -189,7 +189,7 @@
 )
 
 // Rewrite changes this holder's own record at a revision, and reads it if the write was not answered.
-func (s *Store) Rewrite(ctx context.Context, revision int64, record lease.Record) (Taken, Rewritten) {
+func (s *Store) Rewrite(ctx context.Context, revision int64, record lease.Record) (Taken, RewriteOutcome) {
 	value, err := record.Encode()
 	if err != nil {
 		// Not reported: no value of a record makes its encoding fail.
@@ -214,7 +214,7 @@
 }
 
 // settle finds out whether a rewrite without an answer was done.
-func (s *Store) settle(ctx context.Context, record lease.Record, cause error) (Taken, Rewritten) {
+func (s *Store) settle(ctx context.Context, record lease.Record, cause error) (Taken, RewriteOutcome) {
 	ctx, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	sent := s.Now()
--- a/services/entry/coordinator/leasestore/store_test.go
+++ b/services/entry/coordinator/leasestore/store_test.go
@@ -153,14 +153,14 @@
 	_, err := records.Take(t.Context(), leasestore.Stored{})
 	var lost *leasestore.LostRaceError
 	require.ErrorAs(t, err, &lost)
-	assert.Equal(t, &winner, lost.Now)
+	assert.Equal(t, &winner, lost.Current)
 	assert.True(t, store.IsConflict(err))
 	assert.Empty(t, f.failed, "a lost race is no failure of the store")
 
 	f.commitErr = &store.ConflictError{}
 	_, err = records.Take(t.Context(), leasestore.Stored{})
 	require.ErrorAs(t, err, &lost)
-	assert.Nil(t, lost.Now, "the store did not tell the record")
+	assert.Nil(t, lost.Current, "the store did not tell the record")
 }
 
 func TestATakeWithoutAnswerIsTold(t *testing.T) {
@@ -185,7 +185,7 @@
 		commitErr error
 		lateWrite bool
 		getErr    error
-		end       leasestore.Rewritten
+		end       leasestore.RewriteOutcome
 		record    lease.Record
 		failed    []string
 	}{
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -105,7 +105,7 @@
 	v := &wire.View{
 		Planner: p.coordinator.options.Instance, Term: p.lease.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
 		Totals: totals, Members: p.memberCount(), ConfigurationAt: p.coordinator.keys.At(), Resigned: p.resigned,
-		ConfirmedAge: p.lease.Age(now), Withdrawals: p.plans.Withdrawals(),
+		ConfirmedAge: p.lease.ConfirmedAge(now), Withdrawals: p.plans.Withdrawals(),
 	}
 	return v
 }
--- a/services/entry/lease/candidate.go
+++ b/services/entry/lease/candidate.go
@@ -6,7 +6,7 @@
 import "time"
 
 const (
-	// TakeoverSilence is after how long without a view of a planner that can prove its hold an instance
+	// TakeoverSilence is after how long without a view of a planner that can prove its lease an instance
 	// looks at the record and may replace the holder. Shorter trades false alarms, which cost store reads, for a
 	// quicker takeover. 1.2 s before; 0.9 s was scored with other changes ("eight loads at once from the start" in
 	// docs/design/0006-measured.md).
@@ -47,7 +47,7 @@
 	Found    bool
 	// Resigned tells that the holder said, in a view, that it gives no more orders in the record's term.
 	Resigned bool
-	// Silence is for how long no view came of a planner that could prove its hold, on the own clock.
+	// Silence is for how long no view came of a planner that could prove its lease, on the own clock.
 	Silence time.Duration
 	// Reluctance is how much longer than others this instance leaves the record to them, from the settings.
 	Reluctance time.Duration
@@ -118,11 +118,11 @@
 	Started time.Time
 	// ReceivedAt is when the view came, on the own clock; zero if there was none.
 	ReceivedAt time.Time
-	// ConfirmedAge is how long before that view the planner's hold was confirmed, by the view.
+	// ConfirmedAge is how long before that view the planner's lease was confirmed, by the view.
 	ConfirmedAge time.Duration
 }
 
-// Silence is for how long no view came of a planner that could prove its hold.
+// Silence is for how long no view came of a planner that could prove its lease.
 func (o Options) Silence(now time.Time, last LastView) time.Duration {
 	since := last.ReceivedAt
 	if last.ConfirmedAge > o.Window {
--- a/services/entry/lease/lease.go
+++ b/services/entry/lease/lease.go
@@ -22,62 +22,62 @@
 }
 
 // Record gives the record as this holder last wrote it.
-func (t *Lease) Record() Record {
-	return t.record
+func (l *Lease) Record() Record {
+	return l.record
 }
 
 // Revision gives the revision of the record as this holder last wrote it.
-func (t *Lease) Revision() int64 {
-	return t.revision
+func (l *Lease) Revision() int64 {
+	return l.revision
 }
 
 // Waited tells whether the former holder's time is surely over.
-func (t *Lease) Waited(now time.Time) bool {
-	return !t.over && !now.Before(t.ordersAt)
+func (l *Lease) Waited(now time.Time) bool {
+	return !l.over && !now.Before(l.ordersAt)
 }
 
 // Remaining is how long the former holder's time still has to be waited for.
-func (t *Lease) Remaining(now time.Time) time.Duration {
-	return max(0, t.ordersAt.Sub(now))
+func (l *Lease) Remaining(now time.Time) time.Duration {
+	return max(0, l.ordersAt.Sub(now))
 }
 
 // Confirm takes in a linearizable read sent at a time: the record is still this holder's if
 // its revision is unchanged.
-func (t *Lease) Confirm(sent time.Time, revision int64) {
-	if revision != t.revision {
-		t.over = true
+func (l *Lease) Confirm(sent time.Time, revision int64) {
+	if revision != l.revision {
+		l.over = true
 		return
 	}
-	if sent.After(t.confirmed) {
-		t.confirmed = sent
+	if sent.After(l.confirmed) {
+		l.confirmed = sent
 	}
 }
 
-// Rewrite takes in that this holder changed its own record by a call sent at a time.
-func (t *Lease) Rewrite(sent time.Time, record Record, revision int64) {
-	t.record = record
-	t.revision = revision
-	if sent.After(t.confirmed) {
-		t.confirmed = sent
+// NoteRewritten takes in that this holder changed its own record by a call sent at a time.
+func (l *Lease) NoteRewritten(sent time.Time, record Record, revision int64) {
+	l.record = record
+	l.revision = revision
+	if sent.After(l.confirmed) {
+		l.confirmed = sent
 	}
 }
 
 // End gives the lease up for good.
-func (t *Lease) End() {
-	t.over = true
+func (l *Lease) End() {
+	l.over = true
 }
 
 // Over tells whether another instance is known to have the record, or it was given up.
-func (t *Lease) Over() bool {
-	return t.over
+func (l *Lease) Over() bool {
+	return l.over
 }
 
 // MayOrder tells whether an order may be sent now.
-func (t *Lease) MayOrder(now time.Time) bool {
-	return t.Waited(now) && t.record.Ordering && now.Sub(t.confirmed) < t.options.Window
+func (l *Lease) MayOrder(now time.Time) bool {
+	return l.Waited(now) && l.record.Ordering && now.Sub(l.confirmed) < l.options.Window
 }
 
-// Age is how long ago the read was sent that last confirmed the record.
-func (t *Lease) Age(now time.Time) time.Duration {
-	return now.Sub(t.confirmed)
+// ConfirmedAge is how long ago the read was sent that last confirmed the record.
+func (l *Lease) ConfirmedAge(now time.Time) time.Duration {
+	return now.Sub(l.confirmed)
 }
--- a/services/entry/lease/lease_test.go
+++ b/services/entry/lease/lease_test.go
@@ -54,7 +54,7 @@
 			now := taken.Add(time.Duration(step) * 10 * time.Millisecond)
 			if successor.Waited(now) && !successor.Record().Ordering {
 				record.Ordering = true
-				successor.Rewrite(now, record, 12)
+				successor.NoteRewritten(now, record, 12)
 			}
 			if former.MayOrder(now) {
 				// An order may arrive as late as its time-out.
