--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -15,7 +15,7 @@
 
 const (
 	// endpointWatchPause is the planner's pause after a watch that returned changes, so that more of them come in one
-	// answer: longer trades later news for fewer calls. Not measured.
+	// answer: longer trades later changes for fewer calls. Not measured.
 	endpointWatchPause = 450 * time.Millisecond
 	// endpointPollPause is the pause between readings while the planner is silent. Not measured.
 	endpointPollPause = time.Second
--- a/services/entry/coordinator/follow/source.go
+++ b/services/entry/coordinator/follow/source.go
@@ -14,9 +14,9 @@
 	// LongWatch is how long a watch may wait in the store while the planner watches too and tells what this instance
 	// lacks: longer trades a later notice of a store that is gone for fewer calls. Not measured.
 	LongWatch = 20 * time.Second
-	// ShortWatch is how long a watch may wait otherwise: a store that drops its history may leave waiting watches
-	// deaf for a second without ending them, and two deaf watches in a row must stay well below the time in which a
-	// change has to be in force. Measured: docs/design/0006-measured.md, "0.55 s in place of 0.9".
+	// ShortWatch is how long a watch may wait otherwise: in a store that drops its history a waiting watch may miss
+	// changes for a second without being ended, and two such watches in a row must stay well below the time in which
+	// a change has to be in force. Measured: docs/design/0006-measured.md, "0.55 s in place of 0.9".
 	ShortWatch = 550 * time.Millisecond
 	// WatchSlack is how much later than its wait a watch must have answered. Not measured.
 	WatchSlack = time.Second
@@ -32,7 +32,7 @@
 const (
 	// ReadByPlanner: the planner tells.
 	ReadByPlanner Reader = iota
-	// ReadByPolling: the planner is silent or blind, so this instance reads by itself.
+	// ReadByPolling: the planner is silent, or its reading is too old, so this instance reads by itself.
 	ReadByPolling
 	// ReadByWatching: this instance is the planner.
 	ReadByWatching
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// suspect takes in which endpoints the member finds bad and gives those of which it changed its mind.
+// suspect takes in which endpoints the member finds bad and gives those of which it changed its verdict.
 func (m *Member) suspect(ids []deployment.EndpointID) []deployment.EndpointID {
 	var changed []deployment.EndpointID
 	former := m.suspects
--- a/services/entry/coordinator/member/table.go
+++ b/services/entry/coordinator/member/table.go
@@ -48,7 +48,7 @@
 	}
 }
 
-// Take takes in a report and gives the endpoints of which the member changed its mind whether they are bad. The
+// Take takes in a report and gives the endpoints of which the member changed its verdict whether they are bad. The
 // planner's own report, which is no member's, changes nothing.
 func (t *Table) Take(now time.Time, r *wire.Report) []deployment.EndpointID {
 	m, ok := t.members[r.Instance]
--- a/services/entry/coordinator/options.go
+++ b/services/entry/coordinator/options.go
@@ -27,7 +27,7 @@
 	PeerAddress netip.AddrPort
 	// Seeds are peers that may know the configuration when the store does not answer.
 	Seeds []netip.AddrPort
-	// Retry is the budget of repeats.
+	// Retry is the budget of retries.
 	Retry retry.Options
 	// Lease bounds who may order.
 	Lease lease.Options
@@ -51,7 +51,7 @@
 	ObserveStoreFailure func(call string)
 }
 
-// Environment is the world around a Coordinator, as function fields.
+// Environment is the outside calls of a Coordinator, as function fields.
 type Environment struct {
 	Store store.Client
 	// ConfigurationPrefix and EndpointPrefix are where the store keeps what operators and
--- a/services/entry/coordinator/view/schedule.go
+++ b/services/entry/coordinator/view/schedule.go
@@ -10,12 +10,12 @@
 )
 
 const (
-	// HeartbeatPace is the longest pause between two views, also those that carry no news. It is not stretched,
+	// HeartbeatPace is the longest pause between two views, also those that carry no changes. It is not stretched,
 	// since members must notice a lost planner as soon in a large fleet. Measured: docs/design/0006-measured.md,
 	// "heartbeats stretched to 1.4 s".
 	HeartbeatPace = 400 * time.Millisecond
 	// ChangePace is the least pause between two views of changes in a small fleet: shorter trades the planner's
-	// processor time and link for earlier news. Set with the stretching of pauses (docs/design/0006-measured.md, "one
+	// processor time and link for earlier changes. Set with the stretching of pauses (docs/design/0006-measured.md, "one
 	// frame for all members"); the figure itself was not measured.
 	ChangePace = 4 * time.Millisecond
 )
@@ -27,9 +27,9 @@
 const (
 	// NotYet: the last one is too recent.
 	NotYet Due = iota
-	// WithNews: only if something changed.
-	WithNews
-	// Now: even without news.
+	// OnlyChanges: only if something changed.
+	OnlyChanges
+	// Now: even without changes.
 	Now
 )
 
@@ -54,7 +54,7 @@
 	case age < report.Stretch(ChangePace, members):
 		return NotYet
 	default:
-		return WithNews
+		return OnlyChanges
 	}
 }
 
--- a/services/entry/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -105,8 +105,8 @@
 		assert.Equal(t, view.Now, schedule.Due(start, members), "the first one")
 		schedule.Sent(start, false)
 		assert.Equal(t, view.NotYet, schedule.Due(start.Add(scale*change-step), members))
-		assert.Equal(t, view.WithNews, schedule.Due(start.Add(scale*change), members))
-		assert.Equal(t, view.WithNews, schedule.Due(start.Add(heartbeat-step), members))
+		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(scale*change), members))
+		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(heartbeat-step), members))
 		assert.Equal(t, view.Now, schedule.Due(start.Add(heartbeat), members), "not stretched with the fleet")
 	}
 }
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -47,7 +47,7 @@
 	}
 	for _, m := range p.members.All() {
 		if m.Link != nil {
-			p.tell(now, m, changes, frame)
+			p.sendView(now, m, changes, frame)
 		}
 	}
 	p.plans.Sent()
@@ -58,15 +58,15 @@
 	switch p.views.Due(now, p.coordinator.following.Members) {
 	case view.Now:
 		return true
-	case view.WithNews:
-		return !p.nothingToTell()
+	case view.OnlyChanges:
+		return !p.noChanges()
 	default:
 		return false
 	}
 }
 
-// tell sends a member the changes, whose frame serves all, or a view of its own where it needs more.
-func (p *planning) tell(now time.Time, m *member.Member, changes *wire.View, frame peerstream.Frame) {
+// sendView sends a member the changes, whose frame serves all, or a view of its own where it needs more.
+func (p *planning) sendView(now time.Time, m *member.Member, changes *wire.View, frame peerstream.Frame) {
 	items := p.itemsFor(now, m)
 	if !m.NeedsFull && len(items) == 0 {
 		if err := m.Link.SendFrame(frame); err != nil {
@@ -87,8 +87,8 @@
 	}
 }
 
-// nothingToTell tells whether all members have the plan's last state.
-func (p *planning) nothingToTell() bool {
+// noChanges tells whether all members have the plan's last state.
+func (p *planning) noChanges() bool {
 	return p.plans.Changes().Empty() && !p.members.NeedFull()
 }
 
