--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -19,7 +19,7 @@
 func (c *Coordinator) followConfiguration() {
 	for c.context.Err() == nil {
 		ctx, cancel := c.storeCall()
-		items, at, err := c.environment.Store.ReadAll(ctx, c.environment.ConfigurationPrefix)
+		items, revision, err := c.environment.Store.ReadAll(ctx, c.environment.ConfigurationPrefix)
 		cancel()
 		if err != nil {
 			c.noteStore("read configuration", err)
@@ -28,7 +28,7 @@
 			continue
 		}
 		c.loop.Post(func(now time.Time) { c.applyItems(now, items) })
-		c.watchConfiguration(at)
+		c.watchConfiguration(revision)
 	}
 }
 
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -65,24 +65,24 @@
 	ctx, cancel := c.storeCall()
 	defer cancel()
 	sent := c.options.Now()
-	items, at, err := c.environment.Store.ReadAll(ctx, c.environment.EndpointPrefix)
+	items, revision, err := c.environment.Store.ReadAll(ctx, c.environment.EndpointPrefix)
 	if err != nil {
 		c.noteStore("read endpoints", err)
 		return 0, err
 	}
-	c.loop.Post(func(now time.Time) { c.replaceEndpoints(now, sent, items, at) })
-	return at, nil
+	c.loop.Post(func(now time.Time) { c.replaceEndpoints(now, sent, items, revision) })
+	return revision, nil
 }
 
 // watchEndpoints does one step of the planner's watch and gives the revision to go on from.
 func (c *Coordinator) watchEndpoints(after int64) int64 {
 	if after == 0 {
-		at, err := c.readEndpoints()
+		revision, err := c.readEndpoints()
 		if err != nil {
 			c.sleep(c.jitter(storeRetry))
 			return 0
 		}
-		return at
+		return revision
 	}
 	sent := c.options.Now()
 	events, next, err := c.watch(c.context, c.environment.EndpointPrefix, after, follow.ShortWatch)
@@ -107,7 +107,7 @@
 	return c.environment.Store.Watch(ctx, prefix, after, wait)
 }
 
-func (c *Coordinator) replaceEndpoints(now, sent time.Time, items []store.Item, at int64) {
+func (c *Coordinator) replaceEndpoints(now, sent time.Time, items []store.Item, revision int64) {
 	endpoints := make([]deployment.Endpoint, 0, len(items))
 	revisions := make([]int64, 0, len(items))
 	for _, item := range items {
@@ -120,15 +120,15 @@
 		revisions = append(revisions, item.Revision)
 	}
 	before := c.endpointIDs()
-	c.directory.Replace(endpoints, revisions, at)
+	c.directory.Replace(endpoints, revisions, revision)
 	c.retireGone(before)
 	c.endpointsRead(now, sent)
 	if c.planning != nil {
-		c.planning.at = max(c.planning.at, at)
+		c.planning.endpointsRevision = max(c.planning.endpointsRevision, revision)
 	}
 	for id := range before {
 		if c.planning != nil && c.directory.Endpoint(id) == nil {
-			c.planning.plans.RemoveEndpoint(id, at)
+			c.planning.plans.RemoveEndpoint(id, revision)
 		}
 	}
 	for _, endpoint := range endpoints {
@@ -139,7 +139,7 @@
 // applyEndpointEvents takes in the events of a watch, up to a revision.
 func (c *Coordinator) applyEndpointEvents(now, sent time.Time, events []store.Event, upTo int64) {
 	if c.planning != nil {
-		c.planning.at = max(c.planning.at, upTo)
+		c.planning.endpointsRevision = max(c.planning.endpointsRevision, upTo)
 	}
 	for _, event := range events {
 		if event.Gone {
--- a/services/entry/coordinator/follow/follow_test.go
+++ b/services/entry/coordinator/follow/follow_test.go
@@ -29,14 +29,14 @@
 
 func TestOnlyNewerKeysAreNews(t *testing.T) {
 	keys := follow.NewKeys()
-	assert.Zero(t, keys.At())
+	assert.Zero(t, keys.Revision())
 	assert.True(t, keys.Take(item("k", 5)))
 	assert.False(t, keys.Take(item("k", 5)), "told again")
 	assert.False(t, keys.Take(item("k", 4)), "an older one that was delayed")
 	assert.True(t, keys.Take(item("other", 3)), "another key may be older")
-	assert.EqualValues(t, 5, keys.At())
+	assert.EqualValues(t, 5, keys.Revision())
 	assert.True(t, keys.Take(item("k", 6)))
-	assert.EqualValues(t, 6, keys.At())
+	assert.EqualValues(t, 6, keys.Revision())
 
 	assert.ElementsMatch(t, []store.Item{item("k", 6), item("other", 3)}, keys.After(2))
 	assert.ElementsMatch(t, []store.Item{item("k", 6)}, keys.After(3))
--- a/services/entry/coordinator/follow/keys.go
+++ b/services/entry/coordinator/follow/keys.go
@@ -13,8 +13,8 @@
 
 // Keys holds the operators' keys at their newest revision, wherever they came from; it is not safe for concurrent use.
 type Keys struct {
-	items map[string]store.Item
-	at    int64
+	items    map[string]store.Item
+	revision int64
 }
 
 // NewKeys makes a set that knows no key.
@@ -29,13 +29,13 @@
 		return false
 	}
 	k.items[item.Key] = item
-	k.at = max(k.at, item.Revision)
+	k.revision = max(k.revision, item.Revision)
 	return true
 }
 
-// At is the newest revision of the store that is known; 0 if there is none.
-func (k *Keys) At() int64 {
-	return k.at
+// Revision is the newest revision of the store that is known; 0 if there is none.
+func (k *Keys) Revision() int64 {
+	return k.revision
 }
 
 // After gives the keys that changed after a revision.
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -165,10 +165,10 @@
 	}
 	for id := range c.endpointIDs() {
 		if !listed[id] {
-			c.removeEndpoint(id, v.At)
+			c.removeEndpoint(id, v.EndpointsRevision)
 		}
 	}
-	if v.At > 0 {
+	if v.EndpointsRevision > 0 {
 		c.endpointsKnown = true
 		c.updateReady()
 	}
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -42,8 +42,8 @@
 	Link *Link
 	// NeedsFull tells that the next view to it has to be a whole one.
 	NeedsFull bool
-	// ConfigurationAt is the newest revision of the configuration's keys that it knows, by its last report.
-	ConfigurationAt int64
+	// ConfigurationRevision is the newest revision of the configuration's keys that it knows, by its last report.
+	ConfigurationRevision int64
 	// Lag is how long it has lacked newer ones.
 	Lag Lag
 
@@ -86,7 +86,7 @@
 	m.reportedAt = now
 	m.lost = time.Time{}
 	m.withdrawalsSeen = r.WithdrawalsSeen
-	m.ConfigurationAt = r.ConfigurationAt
+	m.ConfigurationRevision = r.ConfigurationRevision
 	m.leaving = r.Leaving
 	m.storeReadAge = r.StoreReadAge
 	m.inUse = make(map[wire.Copy]int, len(r.InUse))
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -90,7 +90,7 @@
 		return
 	}
 	answer := &wire.View{
-		Planner: c.following.Planner, Term: c.knownRecord.Term, Items: c.keys.After(0), ConfigurationAt: c.keys.At(),
+		Planner: c.following.Planner, Term: c.knownRecord.Term, Items: c.keys.After(0), ConfigurationRevision: c.keys.Revision(),
 		ReadAge: now.Sub(c.endpointsReadAt), Address: c.knownRecord.Address,
 	}
 	if c.planning != nil {
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -21,11 +21,11 @@
 type planning struct {
 	coordinator *Coordinator
 	lease       *lease.Lease
-	// at is the revision up to which the endpoints' keys were read.
-	at      int64
-	plans   *plan.Plans
-	members *member.Table
-	views   view.Schedule
+	// endpointsRevision is the revision up to which the endpoints' keys were read.
+	endpointsRevision int64
+	plans             *plan.Plans
+	members           *member.Table
+	views             view.Schedule
 	// leaving is set before the lease is given up: no order is started any more.
 	leaving bool
 	// resigned tells the members that no order follows in this term.
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -31,7 +31,7 @@
 
 func (c *Coordinator) buildReport(now time.Time) *wire.Report {
 	built := &wire.Report{
-		Instance: c.options.Instance, WithdrawalsSeen: c.following.Withdrawals, ConfigurationAt: c.keys.At(),
+		Instance: c.options.Instance, WithdrawalsSeen: c.following.Withdrawals, ConfigurationRevision: c.keys.Revision(),
 		Demands: c.buildDemands(now), Missing: c.missing, Leaving: c.leaving.Load(),
 		StoreReadAge: now.Sub(c.storeReadAt),
 	}
@@ -54,7 +54,7 @@
 		c.following.ratesDue = false
 	}
 	if c.plannerLags(now) {
-		built.Items = c.keys.After(c.following.PlannerAt)
+		built.Items = c.keys.After(c.following.PlannerRevision)
 	}
 	return built
 }
@@ -65,7 +65,7 @@
 		c.following.plannerLag = member.Lag{}
 		return false
 	}
-	lag, behind := c.following.plannerLag.Behind(now, c.following.PlannerAt, c.keys.At())
+	lag, behind := c.following.plannerLag.Behind(now, c.following.PlannerRevision, c.keys.Revision())
 	return behind && lag > member.RelayAfter
 }
 
--- a/services/entry/coordinator/view/followed.go
+++ b/services/entry/coordinator/view/followed.go
@@ -56,8 +56,8 @@
 	ConfirmedAge time.Duration
 	// Members is the number of instances that share the fleet's bounds; 0 if it is not known.
 	Members int
-	// PlannerAt is the newest revision of the configuration's keys that the planner knows.
-	PlannerAt int64
+	// PlannerRevision is the newest revision of the configuration's keys that the planner knows.
+	PlannerRevision int64
 	// Withdrawals is the last announcement of a withdrawal that was taken in.
 	Withdrawals uint64
 	// ResignedTerm is the last term whose holder said that it gives no more orders.
@@ -91,7 +91,7 @@
 	effects := Effects{Acknowledge: v.Withdrawals > f.Withdrawals || v.Full, Resigned: v.Resigned && f.ResignedTerm < v.Term}
 	f.Planner, f.Term = v.Planner, v.Term
 	f.ReceivedAt, f.ReadAge, f.ConfirmedAge = now, v.ReadAge, v.ConfirmedAge
-	f.Members, f.PlannerAt, f.Withdrawals = v.Members, v.ConfigurationAt, v.Withdrawals
+	f.Members, f.PlannerRevision, f.Withdrawals = v.Members, v.ConfigurationRevision, v.Withdrawals
 	if effects.Resigned {
 		f.ResignedTerm = v.Term
 	}
--- a/services/entry/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -50,8 +50,8 @@
 
 func TestAViewIsKeptWithItsAges(t *testing.T) {
 	var followed view.Followed
-	followed.Take(start, &wire.View{Planner: "p", Term: 4, ReadAge: 2, ConfirmedAge: 3, Members: 5, ConfigurationAt: 6, Withdrawals: 7})
-	expected := view.Followed{Planner: "p", Term: 4, ReceivedAt: start, ReadAge: 2, ConfirmedAge: 3, Members: 5, PlannerAt: 6, Withdrawals: 7}
+	followed.Take(start, &wire.View{Planner: "p", Term: 4, ReadAge: 2, ConfirmedAge: 3, Members: 5, ConfigurationRevision: 6, Withdrawals: 7})
+	expected := view.Followed{Planner: "p", Term: 4, ReceivedAt: start, ReadAge: 2, ConfirmedAge: 3, Members: 5, PlannerRevision: 6, Withdrawals: 7}
 	assert.Equal(t, expected, followed)
 	assert.Equal(t, view.Followed{Members: 5, Term: 4}, followed.Restarted())
 }
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -94,17 +94,17 @@
 
 // itemsFor gives the operators' keys that a member has lacked for long enough.
 func (p *planning) itemsFor(now time.Time, m *member.Member) []store.Item {
-	lag, behind := m.Lag.Behind(now, m.ConfigurationAt, p.coordinator.keys.At())
+	lag, behind := m.Lag.Behind(now, m.ConfigurationRevision, p.coordinator.keys.Revision())
 	if !behind || lag < member.RelayAfter {
 		return nil
 	}
-	return p.coordinator.keys.After(m.ConfigurationAt)
+	return p.coordinator.keys.After(m.ConfigurationRevision)
 }
 
 func (p *planning) baseView(now time.Time, totals []wire.EndpointCount) *wire.View {
 	v := &wire.View{
 		Planner: p.coordinator.options.Instance, Term: p.lease.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
-		Totals: totals, Members: p.memberCount(), ConfigurationAt: p.coordinator.keys.At(), Resigned: p.resigned,
+		Totals: totals, Members: p.memberCount(), ConfigurationRevision: p.coordinator.keys.Revision(), Resigned: p.resigned,
 		ConfirmedAge: p.lease.ConfirmedAge(now), Withdrawals: p.plans.Withdrawals(),
 	}
 	return v
@@ -123,7 +123,7 @@
 	v := p.baseView(now, p.totals())
 	v.Heartbeat = true
 	v.Full = p.coordinator.endpointsKnown
-	v.At = p.at
+	v.EndpointsRevision = p.endpointsRevision
 	for _, status := range p.coordinator.directory.Endpoints() {
 		v.Endpoints = append(v.Endpoints, wire.FromStatus(status))
 	}
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -38,8 +38,8 @@
 	Instance string `msgpack:"i"`
 	// WithdrawalsSeen is the last announcement of a withdrawal that the instance acts on.
 	WithdrawalsSeen uint64 `msgpack:"w"`
-	// ConfigurationAt is the newest revision of the configuration's keys that it knows.
-	ConfigurationAt int64 `msgpack:"c"`
+	// ConfigurationRevision is the newest revision of the configuration's keys that it knows.
+	ConfigurationRevision int64 `msgpack:"c"`
 	// InFlight counts its requests in flight, Demands is what it asks for; each report names all of them.
 	InFlight []EndpointCount `msgpack:"f,omitempty"`
 	Demands  []Demand        `msgpack:"d,omitempty"`
@@ -115,9 +115,9 @@
 	Address netip.AddrPort `msgpack:"z,omitempty"`
 	// ConfirmedAge is how long ago the planner's lease was confirmed.
 	ConfirmedAge time.Duration `msgpack:"k"`
-	// Full says that endpoints which are not listed are gone, as of revision At.
-	Full bool  `msgpack:"x,omitempty"`
-	At   int64 `msgpack:"y,omitempty"`
+	// Full says that endpoints which are not listed are gone, as of EndpointsRevision.
+	Full              bool  `msgpack:"x,omitempty"`
+	EndpointsRevision int64 `msgpack:"y,omitempty"`
 	// Endpoints are those that changed, or all in a full view; Removed are those that are gone.
 	Endpoints []Endpoint `msgpack:"e,omitempty"`
 	Removed   []Gone     `msgpack:"d,omitempty"`
@@ -132,8 +132,8 @@
 	Backlogs map[string]time.Duration `msgpack:"j,omitempty"`
 	// Members is the number of instances that share the fleet's bounds.
 	Members int `msgpack:"n"`
-	// ConfigurationAt is the newest revision of the configuration's keys that the planner knows.
-	ConfigurationAt int64 `msgpack:"c"`
+	// ConfigurationRevision is the newest revision of the configuration's keys that the planner knows.
+	ConfigurationRevision int64 `msgpack:"c"`
 	// Items are keys of the configuration that the instance has lacked for too long, by its last report, or all in the
 	// answer to a request.
 	Items []store.Item `msgpack:"o,omitempty"`
--- a/services/entry/coordinator/wire/message_test.go
+++ b/services/entry/coordinator/wire/message_test.go
@@ -40,7 +40,7 @@
 
 func TestEncodedNamesOfReports(t *testing.T) {
 	full := wire.Report{
-		Instance: "i", WithdrawalsSeen: 1, ConfigurationAt: 2, InFlight: []wire.EndpointCount{{ID: "e", Count: 1}},
+		Instance: "i", WithdrawalsSeen: 1, ConfigurationRevision: 2, InFlight: []wire.EndpointCount{{ID: "e", Count: 1}},
 		Demands: []wire.Demand{{Service: "s", Model: "m", Name: "a", Waiting: 1, InTime: 1, Arrivals: 1}},
 		InUse:   []wire.CopyCount{{ID: "e", Model: "m", Name: "a", Count: 3}}, Missing: []wire.Copy{{ID: "e", Model: "m", Name: "a"}},
 		Suspects: []deployment.EndpointID{"e"}, Items: []store.Item{{Key: "k"}}, Leaving: true,
@@ -60,14 +60,14 @@
 
 func TestEncodedNamesOfViews(t *testing.T) {
 	full := wire.View{
-		Planner: "p", Term: 1, Withdrawals: 1, ReadAge: 1, Address: address, ConfirmedAge: 1, Full: true, At: 1,
+		Planner: "p", Term: 1, Withdrawals: 1, ReadAge: 1, Address: address, ConfirmedAge: 1, Full: true, EndpointsRevision: 1,
 		Endpoints: []wire.Endpoint{{
 			ID: "e", Revision: 2, Service: "s", Address: address, Hall: "h", Slots: 8, State: deployment.Draining,
 			Models: []wire.Model{{Name: "m", Adapters: []wire.AdapterVersion{{Name: "a", Version: 5}}}},
 		}},
 		Removed: []wire.Gone{{ID: "e", Revision: 1}}, Heartbeat: true, Totals: []wire.EndpointCount{{ID: "e"}},
 		Forecasts: []wire.Forecast{{Service: "s", Model: "m", Name: "a", Until: time.Second}},
-		Backlogs:  map[string]time.Duration{"s": 1}, Members: 1, ConfigurationAt: 1, Items: []store.Item{{Key: "k"}}, Resigned: true,
+		Backlogs:  map[string]time.Duration{"s": 1}, Members: 1, ConfigurationRevision: 1, Items: []store.Item{{Key: "k"}}, Resigned: true,
 	}
 	message := names(t, wire.Message{View: &full})
 	require.Equal(t, []string{"v"}, keys(message))
