--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -180,7 +180,7 @@
 		RecordTerm: c.knownRecord.Term, RecordReleased: c.knownRecord.Released,
 	}
 	if c.planning != nil {
-		known.Holds, known.Gone = !c.planning.leaving, c.planning.leaving
+		known.Holds, known.GivingUp = !c.planning.givingUp, c.planning.givingUp
 		known.MayOrder = c.planning.lease.MayOrder(now)
 		known.FormerHolderTime = c.planning.lease.Remaining(now)
 	}
--- a/services/entry/coordinator/forecast/expect.go
+++ b/services/entry/coordinator/forecast/expect.go
@@ -49,8 +49,8 @@
 	MayOrder bool
 	// FormerHolderTime is how long the former holder's time still has to be waited for, by the own lease.
 	FormerHolderTime time.Duration
-	// Gone tells that this instance holds the lease but gives it up, so that no view counts.
-	Gone bool
+	// GivingUp tells that this instance holds the lease but gives it up, so that no view counts.
+	GivingUp bool
 	// ViewAge is how long ago the last view came.
 	ViewAge time.Duration
 	// ConfirmedAge is how long before that view the planner's lease was confirmed, by the view.
@@ -100,8 +100,8 @@
 
 // Orders tells whether the planner can give orders now, as far as this instance knows.
 func (p Planner) Orders() bool {
-	if p.Holds || p.Gone {
-		return p.MayOrder && !p.Gone
+	if p.Holds || p.GivingUp {
+		return p.MayOrder && !p.GivingUp
 	}
 	return p.ViewAge < lease.TakeoverSilence && p.ViewAge+p.ConfirmedAge < p.OrderWindow
 }
--- a/services/entry/coordinator/forecast/forecast_test.go
+++ b/services/entry/coordinator/forecast/forecast_test.go
@@ -60,7 +60,7 @@
 func TestTheHolderCountsOnItsOwnLease(t *testing.T) {
 	assert.True(t, forecast.Planner{Holds: true, MayOrder: true}.Orders())
 	assert.False(t, forecast.Planner{Holds: true}.Orders(), "the former holder's time is not over")
-	assert.False(t, forecast.Planner{Gone: true, MayOrder: true}.Orders(), "it gives the lease up")
+	assert.False(t, forecast.Planner{GivingUp: true, MayOrder: true}.Orders(), "it gives the lease up")
 }
 
 func TestExpectedTimes(t *testing.T) {
@@ -101,7 +101,7 @@
 			forecast.Planner{Holds: true}, forecast.Load{}, 400 * time.Millisecond, forecast.FormerHolder,
 		},
 		"a holder that gives the lease up": {
-			follower(func(p *forecast.Planner) { p.Gone, p.MayOrder = true, true }), forecast.Load{}, 2500 * time.Millisecond, forecast.LostPlanner,
+			follower(func(p *forecast.Planner) { p.GivingUp, p.MayOrder = true, true }), forecast.Load{}, 2500 * time.Millisecond, forecast.LostPlanner,
 		},
 	}
 	for name, one := range cases {
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -17,11 +17,11 @@
 // answers a member, so that the member need not wait until this holder's time is over.
 func (c *Coordinator) resignIfOthersCan(now time.Time) {
 	p := c.planning
-	if p.leaving || !lease.InTrouble(p.lease.ConfirmedAge(now)) {
+	if p.givingUp || !lease.InTrouble(p.lease.ConfirmedAge(now)) {
 		return
 	}
-	p.leaving = p.members.ReachStore(now)
-	if p.leaving {
+	p.givingUp = p.members.ReachStore(now)
+	if p.givingUp {
 		c.run(func() { c.resign(p) })
 	}
 }
@@ -47,7 +47,7 @@
 	c.loop.Call(func(now time.Time) {
 		c.sendReport(now)
 		if p = c.planning; p != nil {
-			p.leaving = true
+			p.givingUp = true
 		}
 	})
 	if p == nil {
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -26,8 +26,8 @@
 	plans             *plan.Plans
 	members           *member.Table
 	views             view.Schedule
-	// leaving is set before the lease is given up: no order is started any more.
-	leaving bool
+	// givingUp is set before the lease is given up: no order is started any more.
+	givingUp bool
 	// resigned tells the members that no order follows in this term.
 	resigned bool
 	// orders is the number of orders under way.
@@ -61,7 +61,7 @@
 		return
 	}
 	p.plans.Review(now, c.memberSilence())
-	p.plans.Order(now, func() bool { return !p.leaving && p.lease.MayOrder(now) }, c.startOrder, func(key deployment.ServiceAdapter, until time.Duration) {
+	p.plans.Order(now, func() bool { return !p.givingUp && p.lease.MayOrder(now) }, c.startOrder, func(key deployment.ServiceAdapter, until time.Duration) {
 		c.forecasts.Note(key, now.Add(until))
 	})
 	p.broadcast(now, p.views.TotalsDue(now, c.following.Members))
