--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -59,7 +59,7 @@
 
 // followAt holds one link until it fails or falls silent.
 func (c *Coordinator) followAt(address netip.AddrPort) {
-	ctx, cancel := context.WithTimeout(c.context, view.Silence)
+	ctx, cancel := context.WithTimeout(c.context, view.SilenceLimit)
 	conn, err := c.environment.Dial(ctx, address)
 	cancel()
 	if err != nil {
@@ -79,7 +79,7 @@
 	for {
 		// One view is taken in before the next is read, so that views do not pile up before the control goroutine.
 		c.loop.Call(func(time.Time) {})
-		received, err := stream.Receive(view.Silence, c.options.Now)
+		received, err := stream.Receive(view.SilenceLimit, c.options.Now)
 		if err != nil {
 			// Not logged, as with the dial.
 			break
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -20,16 +20,16 @@
 	// silentReports is how many pauses between reports, a count, an instance of a large fleet may stay silent. Not
 	// measured.
 	silentReports = 3
-	// Memory is how long a lost instance still counts in the fleet's shares. Not measured.
-	Memory = 20 * time.Second
+	// ForgetAfter is how long a lost instance still counts in the fleet's shares. Not measured.
+	ForgetAfter = 20 * time.Second
 	// RelayAfter is how long a peer may lack newer keys of the configuration before they are sent to it: shorter
 	// trades messages that its own watch makes needless for an earlier change. 0.4 and 0.25 s before; shortened
 	// with the watches (docs/design/0006-measured.md, "0.55 s in place of 0.9").
 	RelayAfter = 120 * time.Millisecond
 )
 
-// Silence is after how long without a report an instance counts as lost in a fleet of members.
-func Silence(members int) time.Duration {
+// SilenceLimit is after how long without a report an instance counts as lost in a fleet of members.
+func SilenceLimit(members int) time.Duration {
 	return max(LeastSilence, silentReports*report.Stretch(report.Pace, members))
 }
 
--- a/services/entry/coordinator/member/member_test.go
+++ b/services/entry/coordinator/member/member_test.go
@@ -62,7 +62,7 @@
 func TestSilenceGrowsWithReportsOfLargeFleets(t *testing.T) {
 	cases := map[int]time.Duration{0: silence, 16: silence, 32: silence, 33: 3 * 515625 * time.Microsecond, 64: 3 * time.Second}
 	for members, expected := range cases {
-		assert.Equal(t, expected, member.Silence(members), "%d members", members)
+		assert.Equal(t, expected, member.SilenceLimit(members), "%d members", members)
 	}
 }
 
--- a/services/entry/coordinator/member/table.go
+++ b/services/entry/coordinator/member/table.go
@@ -88,7 +88,7 @@
 			m.lost = now
 			lost(instance)
 		}
-		if m.isLost() && (m.leaving || now.Sub(m.lost) > Memory) {
+		if m.isLost() && (m.leaving || now.Sub(m.lost) > ForgetAfter) {
 			t.addUses(m, -1)
 			delete(t.members, instance)
 		}
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -38,7 +38,7 @@
 
 // memberSilence is after how long without a report an instance counts as lost.
 func (c *Coordinator) memberSilence() time.Duration {
-	return member.Silence(c.following.Members)
+	return member.SilenceLimit(c.following.Members)
 }
 
 func newPlanning(c *Coordinator, now time.Time, held *lease.Lease, startRecent int) *planning {
--- a/services/entry/coordinator/view/followed.go
+++ b/services/entry/coordinator/view/followed.go
@@ -13,9 +13,9 @@
 	// silentHeartbeats is how many pauses between heartbeats, a count, a planner may at least stay silent. Not
 	// measured.
 	silentHeartbeats = 3
-	// Silence is after how long without a view the planner counts as silent, so that an instance reads the store
+	// SilenceLimit is after how long without a view the planner counts as silent, so that an instance reads the store
 	// itself: shorter trades store calls for fresher endpoints. Not measured.
-	Silence = max(1200*time.Millisecond, silentHeartbeats*HeartbeatPace)
+	SilenceLimit = max(1200*time.Millisecond, silentHeartbeats*HeartbeatPace)
 	// ReadAgeLimit is the age of the planner's reading of endpoints beyond which an instance reads them itself.
 	// Not measured.
 	ReadAgeLimit = 2500 * time.Millisecond
@@ -101,7 +101,7 @@
 // Fresh tells whether the planner's views of endpoints can be relied on.
 func (f *Followed) Fresh(now time.Time) bool {
 	age := now.Sub(f.ReceivedAt)
-	return age < Silence && f.ReadAge+age < ReadAgeLimit
+	return age < SilenceLimit && f.ReadAge+age < ReadAgeLimit
 }
 
 // Restarted is what is kept when this instance ends to plan and has to find the planner anew.
