--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -139,7 +139,7 @@
 		c.forecasts.Renew(v.Backlogs)
 	}
 	for _, one := range v.Forecasts {
-		c.forecasts.Note(one.Key(), now.Add(one.Until))
+		c.forecasts.Note(one.Key(), now.Add(one.Remaining))
 	}
 }
 
--- a/services/entry/coordinator/plan/changes.go
+++ b/services/entry/coordinator/plan/changes.go
@@ -50,7 +50,7 @@
 		forecasts, backlog := planner.Forecasts(now)
 		backlogs[name] = backlog
 		for _, one := range forecasts {
-			loads = append(loads, wire.Forecast{Service: name, Model: one.Adapter.Model, Name: one.Adapter.Name, Until: one.Remaining})
+			loads = append(loads, wire.Forecast{Service: name, Model: one.Adapter.Model, Name: one.Adapter.Name, Remaining: one.Remaining})
 		}
 	}
 	return loads, backlogs
--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -113,7 +113,7 @@
 	begun := f.plans.TakeBegun()
 	require.Len(t, begun, 1)
 	assert.Equal(t, key, begun[0].Key())
-	assert.Equal(t, f.begun[key], begun[0].Until)
+	assert.Equal(t, f.begun[key], begun[0].Remaining)
 	assert.Empty(t, f.plans.TakeBegun(), "given once")
 	f.plans.Sent()
 	assert.True(t, f.plans.Changes().Empty())
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -210,10 +210,10 @@
 }
 
 // noteBegun lets the next view tell that a load has begun.
-func (p *Plans) noteBegun(order loading.Order, until time.Duration, begun func(deployment.ServiceAdapter, time.Duration)) {
+func (p *Plans) noteBegun(order loading.Order, remaining time.Duration, begun func(deployment.ServiceAdapter, time.Duration)) {
 	key := deployment.ServiceAdapter{Service: order.Endpoint.Service, Adapter: order.Adapter}
-	begun(key, until)
-	p.changes.Begun = append(p.changes.Begun, wire.Forecast{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, Until: until})
+	begun(key, remaining)
+	p.changes.Begun = append(p.changes.Begun, wire.Forecast{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, Remaining: remaining})
 }
 
 // Done takes in the end of an order of a service that is planned.
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -61,9 +61,11 @@
 		return
 	}
 	p.plans.Review(now, c.memberSilence())
-	p.plans.Order(now, func() bool { return !p.givingUp && p.lease.MayOrder(now) }, c.startOrder, func(key deployment.ServiceAdapter, until time.Duration) {
-		c.forecasts.Note(key, now.Add(until))
-	})
+	mayOrder := func() bool { return !p.givingUp && p.lease.MayOrder(now) }
+	begun := func(key deployment.ServiceAdapter, remaining time.Duration) {
+		c.forecasts.Note(key, now.Add(remaining))
+	}
+	p.plans.Order(now, mayOrder, c.startOrder, begun)
 	p.broadcast(now, p.views.TotalsDue(now, c.following.Members))
 	c.reviewWaiters(now)
 	c.wakeForPoll(now)
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -115,7 +115,7 @@
 	v.Forecasts, v.Backlogs = p.plans.Forecasts(now)
 	p.coordinator.forecasts.Renew(v.Backlogs)
 	for _, one := range v.Forecasts {
-		p.coordinator.forecasts.Note(one.Key(), now.Add(one.Until))
+		p.coordinator.forecasts.Note(one.Key(), now.Add(one.Remaining))
 	}
 }
 
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -187,10 +187,10 @@
 
 // Forecast says how long from now a load under way is expected to take.
 type Forecast struct {
-	Service string        `msgpack:"s"`
-	Model   string        `msgpack:"m"`
-	Name    string        `msgpack:"a"`
-	Until   time.Duration `msgpack:"u"`
+	Service   string        `msgpack:"s"`
+	Model     string        `msgpack:"m"`
+	Name      string        `msgpack:"a"`
+	Remaining time.Duration `msgpack:"u"`
 }
 
 // Key names the adapter whose load is forecast.
--- a/services/entry/coordinator/wire/message_test.go
+++ b/services/entry/coordinator/wire/message_test.go
@@ -66,7 +66,7 @@
 			Models: []wire.Model{{Name: "m", Adapters: []wire.AdapterVersion{{Name: "a", Version: 5}}}},
 		}},
 		Removed: []wire.Gone{{ID: "e", Revision: 1}}, Heartbeat: true, Totals: []wire.EndpointCount{{ID: "e"}},
-		Forecasts: []wire.Forecast{{Service: "s", Model: "m", Name: "a", Until: time.Second}},
+		Forecasts: []wire.Forecast{{Service: "s", Model: "m", Name: "a", Remaining: time.Second}},
 		Backlogs:  map[string]time.Duration{"s": 1}, Members: 1, ConfigurationRevision: 1, Items: []store.Item{{Key: "k"}}, Resigned: true,
 	}
 	message := names(t, wire.Message{View: &full})
