--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -32,16 +32,16 @@
 	members       *member.Table
 	configuration *deployment.Configuration
 	planners      map[string]*loading.Planner
-	// startRecent is what the former holder said of the loads it began in the last window.
-	startRecent int
-	changes     Changes
+	// assumedLoads is how many base models' loads the former holder said it began in the last window.
+	assumedLoads int
+	changes      Changes
 }
 
-// New makes plans over a directory and members, whose changes it sees; startRecent is the number of loads that a
-// former holder began in the last window.
-func New(options Options, known *directory.Directory, members *member.Table, startRecent int) *Plans {
+// New makes plans over a directory and members, whose changes it sees; assumedLoads is the number of base models' loads
+// that a former holder began in the last window.
+func New(options Options, known *directory.Directory, members *member.Table, assumedLoads int) *Plans {
 	return &Plans{
-		options: options, directory: known, members: members, startRecent: startRecent,
+		options: options, directory: known, members: members, assumedLoads: assumedLoads,
 		planners: make(map[string]*loading.Planner), changes: Changes{Endpoints: make(map[deployment.EndpointID]bool)},
 	}
 }
@@ -87,7 +87,7 @@
 		Random: p.options.Random,
 		Uses:   p.uses,
 	})
-	planner.AssumeLoads(now, p.startRecent)
+	planner.AssumeLoads(now, p.assumedLoads)
 	return planner
 }
 
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -41,13 +41,13 @@
 	return member.SilenceLimit(c.following.Members)
 }
 
-func newPlanning(c *Coordinator, now time.Time, held *lease.Lease, startRecent int) *planning {
+func newPlanning(c *Coordinator, now time.Time, held *lease.Lease, assumedLoads int) *planning {
 	members := member.NewTable()
 	options := plan.Options{
 		LoadWindow: c.options.LoadWindow, LoadTolerance: c.options.LoadTolerance, LoadSlack: c.options.LoadSlack,
 		Random: c.options.Random,
 	}
-	p := &planning{coordinator: c, lease: held, members: members, plans: plan.New(options, c.directory, members, startRecent)}
+	p := &planning{coordinator: c, lease: held, members: members, plans: plan.New(options, c.directory, members, assumedLoads)}
 	if configuration := c.current.Load(); configuration != nil {
 		p.plans.SetConfiguration(now, configuration, c.versions.All())
 	}
--- a/services/entry/lease/record.go
+++ b/services/entry/lease/record.go
@@ -21,7 +21,8 @@
 	Released bool
 	// Former is the last holder that may have given orders, if the present one has not yet.
 	Former string
-	// RecentLoads is what a releasing holder says of loads it began in the last window.
+	// RecentLoads is what a releasing holder says of base models' loads it began in the last window; those of adapters
+	// are not counted.
 	RecentLoads int
 }
 
