--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -68,8 +68,8 @@
 	}
 	stream := peerstream.New[wire.Message](conn)
 	defer stream.Close()
-	stopped := context.AfterFunc(c.context, stream.Close)
-	defer stopped()
+	stop := context.AfterFunc(c.context, stream.Close)
+	defer stop()
 	c.loop.Call(func(now time.Time) {
 		c.following.stream = stream
 		c.following.own = nil
