--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -55,7 +55,7 @@
 	versions        *follow.Versions
 	budget          *retry.Budget
 	waiters         waiting.Queue[acquired]
-	demand          *report.Demand
+	demand          *report.Counter
 	reports         report.Schedule
 	forecasts       *forecast.Book
 	sweptAt         time.Time
@@ -85,7 +85,7 @@
 		keys:        follow.NewKeys(),
 		versions:    follow.NewVersions(),
 		budget:      retry.NewBudget(options.Retry, options.Now()),
-		demand:      report.NewDemand(),
+		demand:      report.NewCounter(),
 		forecasts:   forecast.NewBook(),
 	}
 	c.leases = &leasestore.Store{
--- a/services/entry/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -24,8 +24,8 @@
 	LeastRate = 0.005
 )
 
-// Demand counts what is asked for at this instance; it is not safe for concurrent use.
-type Demand struct {
+// Counter counts what is asked for at this instance; it is not safe for concurrent use.
+type Counter struct {
 	// arrivals are the requests since the last report.
 	arrivals map[deployment.ServiceAdapter]int
 	rates    map[deployment.ServiceAdapter]*loading.Rate
@@ -40,40 +40,40 @@
 	target time.Duration
 }
 
-// NewDemand makes a demand of nothing.
-func NewDemand() *Demand {
-	return &Demand{arrivals: make(map[deployment.ServiceAdapter]int), rates: make(map[deployment.ServiceAdapter]*loading.Rate)}
+// NewCounter makes a counter of nothing.
+func NewCounter() *Counter {
+	return &Counter{arrivals: make(map[deployment.ServiceAdapter]int), rates: make(map[deployment.ServiceAdapter]*loading.Rate)}
 }
 
 // Arrived counts a request that came in.
-func (d *Demand) Arrived(key deployment.ServiceAdapter) {
-	d.arrivals[key]++
+func (ct *Counter) Arrived(key deployment.ServiceAdapter) {
+	ct.arrivals[key]++
 }
 
 // ExpectBack notes that a refused caller was asked to come back at a time; its answer is in time for as long as its
 // route's target after that.
-func (d *Demand) ExpectBack(key deployment.ServiceAdapter, at time.Time, target time.Duration) {
-	d.returns = append(d.returns, expectedReturn{key: key, at: at, target: target})
+func (ct *Counter) ExpectBack(key deployment.ServiceAdapter, at time.Time, target time.Duration) {
+	ct.returns = append(ct.returns, expectedReturn{key: key, at: at, target: target})
 }
 
 // Collection is the demand that one report tells.
 type Collection struct {
-	demand  *Demand
+	counter *Counter
 	now     time.Time
-	entries map[deployment.ServiceAdapter]*wire.Demand
+	demands map[deployment.ServiceAdapter]*wire.Demand
 }
 
 // Collect begins a report's demand with the arrivals since the last one, which begin anew. waiting is the number of
 // requests that will be added.
-func (d *Demand) Collect(now time.Time, waiting int) *Collection {
-	c := &Collection{demand: d, now: now, entries: make(map[deployment.ServiceAdapter]*wire.Demand, len(d.arrivals)+waiting)}
-	for key, count := range d.arrivals {
+func (ct *Counter) Collect(now time.Time, waiting int) *Collection {
+	c := &Collection{counter: ct, now: now, demands: make(map[deployment.ServiceAdapter]*wire.Demand, len(ct.arrivals)+waiting)}
+	for key, count := range ct.arrivals {
 		if !key.Adapter.IsZero() {
-			c.entry(key).Arrivals = count
-			d.rate(key).Add(now, count)
+			c.demandOf(key).Arrivals = count
+			ct.rate(key).Add(now, count)
 		}
 	}
-	clear(d.arrivals)
+	clear(ct.arrivals)
 	return c
 }
 
@@ -86,15 +86,15 @@
 
 // List adds the refused callers that will come back soon, forgets those that have or will not, and gives it all.
 func (c *Collection) List() []wire.Demand {
-	d := c.demand
-	d.returns = slices.DeleteFunc(d.returns, func(one expectedReturn) bool { return c.now.Sub(one.at) > ReturnWait })
-	for _, one := range d.returns {
+	ct := c.counter
+	ct.returns = slices.DeleteFunc(ct.returns, func(one expectedReturn) bool { return c.now.Sub(one.at) > ReturnWait })
+	for _, one := range ct.returns {
 		if one.at.Sub(c.now) <= ReturnNotice {
 			c.wait(one.key, one.at.Add(one.target).Sub(c.now))
 		}
 	}
-	list := make([]wire.Demand, 0, len(c.entries))
-	for _, one := range c.entries {
+	list := make([]wire.Demand, 0, len(c.demands))
+	for _, one := range c.demands {
 		list = append(list, *one)
 	}
 	return list
@@ -102,46 +102,46 @@
 
 // wait counts a request that waits and can be answered in time for a span from now; the longest span is reported.
 func (c *Collection) wait(key deployment.ServiceAdapter, inTime time.Duration) {
-	one := c.entry(key)
+	one := c.demandOf(key)
 	one.Waiting++
 	if one.Waiting == 1 || inTime > one.InTime {
 		one.InTime = inTime
 	}
 }
 
-func (c *Collection) entry(key deployment.ServiceAdapter) *wire.Demand {
-	one, ok := c.entries[key]
+func (c *Collection) demandOf(key deployment.ServiceAdapter) *wire.Demand {
+	one, ok := c.demands[key]
 	if !ok {
 		one = &wire.Demand{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name}
-		c.entries[key] = one
+		c.demands[key] = one
 	}
 	return one
 }
 
-func (d *Demand) rate(key deployment.ServiceAdapter) *loading.Rate {
-	rate, ok := d.rates[key]
+func (ct *Counter) rate(key deployment.ServiceAdapter) *loading.Rate {
+	rate, ok := ct.rates[key]
 	if !ok {
 		rate = &loading.Rate{}
-		d.rates[key] = rate
+		ct.rates[key] = rate
 	}
 	return rate
 }
 
 // Rates gives this instance's arrival rates, for a new planner.
-func (d *Demand) Rates(now time.Time) []wire.Rate {
-	d.Sweep(now)
+func (ct *Counter) Rates(now time.Time) []wire.Rate {
+	ct.Sweep(now)
 	var list []wire.Rate
-	for key, rate := range d.rates {
+	for key, rate := range ct.rates {
 		list = append(list, wire.Rate{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, PerSecond: rate.PerSecond(now)})
 	}
 	return list
 }
 
 // Sweep forgets rates that have become too small.
-func (d *Demand) Sweep(now time.Time) {
-	for key, rate := range d.rates {
+func (ct *Counter) Sweep(now time.Time) {
+	for key, rate := range ct.rates {
 		if rate.PerSecond(now) < LeastRate {
-			delete(d.rates, key)
+			delete(ct.rates, key)
 		}
 	}
 }
--- a/services/entry/coordinator/report/report_test.go
+++ b/services/entry/coordinator/report/report_test.go
@@ -96,7 +96,7 @@
 }
 
 func TestADemandTellsArrivalsOnceAndWaitingRequestsEachTime(t *testing.T) {
-	demand := report.NewDemand()
+	demand := report.NewCounter()
 	demand.Arrived(one)
 	demand.Arrived(one)
 	demand.Arrived(plain)
@@ -115,7 +115,7 @@
 }
 
 func TestTheLatestOfLateRequestsIsTold(t *testing.T) {
-	demand := report.NewDemand()
+	demand := report.NewCounter()
 	collection := demand.Collect(start, 2)
 	collection.AddWaiting(one, waits(start.Add(-time.Second)))
 	collection.AddWaiting(one, waits(start.Add(-2*time.Second)))
@@ -136,7 +136,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			demand := report.NewDemand()
+			demand := report.NewCounter()
 			demand.ExpectBack(one, back, route.Target)
 			list := demand.Collect(c.now, 0).List()
 			require.Equal(t, c.asked, len(list) == 1)
@@ -150,7 +150,7 @@
 }
 
 func TestAReturnThatIsOverIsForgotten(t *testing.T) {
-	demand := report.NewDemand()
+	demand := report.NewCounter()
 	demand.ExpectBack(one, start, route.Target)
 	demand.ExpectBack(other, start.Add(time.Hour), route.Target)
 	assert.Empty(t, demand.Collect(start.Add(time.Second), 0).List())
@@ -159,7 +159,7 @@
 }
 
 func TestOnlyRatesWorthTellingAreTold(t *testing.T) {
-	demand := report.NewDemand()
+	demand := report.NewCounter()
 	for range 12 {
 		demand.Arrived(one)
 	}
