--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -111,9 +111,8 @@
 	endpoints := make([]deployment.Endpoint, 0, len(items))
 	revisions := make([]int64, 0, len(items))
 	for _, item := range items {
-		endpoint, err := c.environment.ParseEndpoint(item)
-		if err != nil {
-			c.options.Log.WithError(err).WithField("key", item.Key).Warn("an endpoint's entry cannot be read")
+		endpoint, ok := c.parseEndpoint(item)
+		if !ok {
 			continue
 		}
 		endpoints = append(endpoints, endpoint)
@@ -146,9 +145,8 @@
 			c.removeEndpoint(c.environment.EndpointOf(event.Key), event.Revision)
 			continue
 		}
-		endpoint, err := c.environment.ParseEndpoint(event.Item)
-		if err != nil {
-			c.options.Log.WithError(err).WithField("key", event.Key).Warn("an endpoint's entry cannot be read")
+		endpoint, ok := c.parseEndpoint(event.Item)
+		if !ok {
 			continue
 		}
 		if c.directory.Put(endpoint, event.Revision) {
@@ -158,6 +156,15 @@
 	c.endpointsRead(now, sent)
 }
 
+// parseEndpoint reads a key that describes an endpoint; one that cannot be read is logged and passed over.
+func (c *Coordinator) parseEndpoint(item store.Item) (deployment.Endpoint, bool) {
+	endpoint, err := c.environment.ParseEndpoint(item)
+	if err != nil {
+		c.options.Log.WithError(err).WithField("key", item.Key).Warn("an endpoint's entry cannot be read")
+	}
+	return endpoint, err == nil
+}
+
 // endpointsRead notes that the endpoints are known as of the time a call was sent.
 func (c *Coordinator) endpointsRead(now, sent time.Time) {
 	c.endpointsKnown = true
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -13,6 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
@@ -105,7 +106,7 @@
 	c.budget.SetMembers(v.Members)
 	c.applyItems(now, v.Items)
 	c.applyViewEndpoints(v)
-	c.applyTotals(v)
+	c.applyViewTotals(v)
 	c.applyForecasts(now, v)
 	if effects.Acknowledge {
 		c.acknowledge(now)
@@ -119,16 +120,27 @@
 	c.reviewWaiters(now)
 }
 
-// applyTotals takes in what the other instances have in flight; a heartbeat names all of it.
-func (c *Coordinator) applyTotals(v *wire.View) {
+// applyViewTotals takes in what the other instances have in flight; a heartbeat names all of it.
+func (c *Coordinator) applyViewTotals(v *wire.View) {
 	if v.Heartbeat {
-		for _, status := range c.directory.Endpoints() {
-			status.Others = 0
-		}
+		c.resetOthers()
+	}
+	c.applyTotals(v.Totals, func(status *directory.EndpointStatus) int { return c.following.own[status.ID] })
+}
+
+// resetOthers forgets what the other instances have in flight.
+func (c *Coordinator) resetOthers() {
+	for _, status := range c.directory.Endpoints() {
+		status.Others = 0
 	}
-	for _, total := range v.Totals {
+}
+
+// applyTotals takes in what the other instances have in flight: the totals of all instances less what own says is this
+// one's part in them.
+func (c *Coordinator) applyTotals(totals []wire.EndpointCount, own func(*directory.EndpointStatus) int) {
+	for _, total := range totals {
 		if status := c.directory.Endpoint(total.ID); status != nil {
-			status.Others = max(0, total.Count-c.following.own[total.ID])
+			status.Others = max(0, total.Count-own(status))
 		}
 	}
 }
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -12,6 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/view"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
+	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
 // broadcast tells all members what changed; with everything due, also those it changed nothing for.
@@ -23,7 +24,7 @@
 	var totals []wire.EndpointCount
 	if due {
 		totals = p.totals()
-		p.applyTotals(totals)
+		p.applyOwnTotals(totals)
 	}
 	changes := p.baseView(now, totals)
 	begun := p.plans.TakeBegun()
@@ -104,7 +105,7 @@
 func (p *planning) baseView(now time.Time, totals []wire.EndpointCount) *wire.View {
 	v := &wire.View{
 		Planner: p.coordinator.options.Instance, Term: p.lease.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
-		Totals: totals, Members: p.memberCount(), ConfigurationRevision: p.coordinator.keys.Revision(), Resigned: p.resigned,
+		Totals: totals, Members: p.members.Fleet(), ConfigurationRevision: p.coordinator.keys.Revision(), Resigned: p.resigned,
 		ConfirmedAge: p.lease.ConfirmedAge(now), Withdrawals: p.plans.Withdrawals(),
 	}
 	return v
@@ -130,11 +131,6 @@
 	return v
 }
 
-// memberCount is the number of instances that share the fleet's bounds, this one included.
-func (p *planning) memberCount() int {
-	return p.members.Fleet()
-}
-
 // totals sums the requests in flight over all instances.
 func (p *planning) totals() []wire.EndpointCount {
 	sums := make(map[deployment.EndpointID]int, p.coordinator.directory.Size())
@@ -151,16 +147,11 @@
 	return list
 }
 
-func (p *planning) applyTotals(totals []wire.EndpointCount) {
+// applyOwnTotals makes the totals of this planner and the number of members known to its own requests.
+func (p *planning) applyOwnTotals(totals []wire.EndpointCount) {
 	c := p.coordinator
-	for _, status := range c.directory.Endpoints() {
-		status.Others = 0
-	}
-	for _, total := range totals {
-		if status := c.directory.Endpoint(total.ID); status != nil {
-			status.Others = max(0, total.Count-status.Own)
-		}
-	}
-	c.following.Members = p.memberCount()
-	c.budget.SetMembers(p.memberCount())
+	c.resetOthers()
+	c.applyTotals(totals, func(status *directory.EndpointStatus) int { return status.Own })
+	c.following.Members = p.members.Fleet()
+	c.budget.SetMembers(p.members.Fleet())
 }
