--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -194,11 +194,6 @@
 	}
 }
 
-// storeCall bounds one call to the store.
-func (c *Coordinator) storeCall() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(c.context, c.options.StoreTimeout)
-}
-
 // leastJitter is the least part of a span that a jittered pause takes; the most is one span more. Not measured.
 const leastJitter = 0.5
 
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -4,7 +4,6 @@
 package coordinator
 
 import (
-	"context"
 	"errors"
 	"time"
 
@@ -261,8 +260,3 @@
 	c.following.ratesDue = true
 	c.sendReport(now)
 }
-
-// orderCall bounds one order, so that a later holder knows when the last one has arrived.
-func (c *Coordinator) orderCall() (context.Context, context.CancelFunc) {
-	return context.WithTimeout(c.context, c.options.Lease.OrderTimeout)
-}
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -54,23 +54,28 @@
 			// Not logged: a peer that leaves ends its link too. One that is lost is dropped by the age of its reports.
 			break
 		}
-		planning := true
-		if received.Report != nil {
-			c.loop.Call(func(now time.Time) { planning = c.takePeerReport(now, stream, received.Report) })
-		}
-		if received.Successor != nil {
-			c.loop.Call(func(time.Time) { c.learnSuccessor(*received.Successor) })
-		}
-		if received.Request != nil {
-			c.loop.Call(func(now time.Time) { c.answerRequest(now, stream) })
-		}
-		if !planning {
+		if !c.handle(stream, received) {
 			break
 		}
 	}
 	c.loop.Post(func(now time.Time) { c.peerLost(now, stream) })
 }
 
+// handle takes in what a peer sent; false ends the link, since this instance does not plan.
+func (c *Coordinator) handle(stream *peerstream.Stream[wire.Message], received wire.Message) bool {
+	planning := true
+	if received.Report != nil {
+		c.loop.Call(func(now time.Time) { planning = c.takePeerReport(now, stream, received.Report) })
+	}
+	if received.Successor != nil {
+		c.loop.Call(func(time.Time) { c.learnSuccessor(*received.Successor) })
+	}
+	if received.Request != nil {
+		c.loop.Call(func(now time.Time) { c.answerRequest(now, stream) })
+	}
+	return planning
+}
+
 // takePeerReport takes a report in if this instance plans.
 func (c *Coordinator) takePeerReport(now time.Time, stream *peerstream.Stream[wire.Message], r *wire.Report) bool {
 	if c.planning == nil {
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -4,6 +4,7 @@
 package coordinator
 
 import (
+	"context"
 	"time"
 
 	"github.com/sirupsen/logrus"
@@ -114,6 +115,11 @@
 	return c.environment.SendOrder(ctx, order, c.options.Instance, term)
 }
 
+// orderCall bounds one order, so that a later holder knows when the last one has arrived.
+func (c *Coordinator) orderCall() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(c.context, c.options.Lease.OrderTimeout)
+}
+
 // orderDone takes in the end of an order. One of an earlier term, or of a service that is planned no more, is neither
 // logged nor counted.
 func (c *Coordinator) orderDone(now time.Time, p *planning, result loading.Result) {
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -43,14 +43,3 @@
 	})
 	return status
 }
-
-// noteStore logs and counts a failed call to the store.
-func (c *Coordinator) noteStore(call string, err error) {
-	if c.context.Err() != nil {
-		return
-	}
-	if c.options.ObserveStoreFailure != nil {
-		c.options.ObserveStoreFailure(call)
-	}
-	c.options.Log.WithError(err).WithField("call", call).Warn("the store did not answer as it should")
-}
