--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -15,20 +15,21 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// broadcast tells all members what changed; with everything due, also those it changed nothing for.
-func (p *planning) broadcast(now time.Time, due bool) {
-	if !due && !p.viewDue(now) {
+// broadcast tells all members what changed, if a view is due; with totals it goes out in any case and names all requests in
+// flight and all loads under way.
+func (p *planning) broadcast(now time.Time, withTotals bool) {
+	if !withTotals && !p.viewDue(now) {
 		return
 	}
-	p.views.Sent(now, due)
+	p.views.Sent(now, withTotals)
 	var totals []wire.EndpointCount
-	if due {
+	if withTotals {
 		totals = p.totals()
 		p.applyOwnTotals(totals)
 	}
 	changes := p.baseView(now, totals)
 	begun := p.plans.TakeBegun()
-	if due {
+	if withTotals {
 		changes.Heartbeat = true
 		p.addForecasts(now, changes)
 	} else {
