--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -147,7 +147,7 @@
 	if l.started.IsZero() {
 		l.started = now
 	}
-	silence, asked := c.plannerSilence(now, l.started)
+	silence, asked := c.takeLookReasons(now, l.started)
 	if !lease.LookDue(now, asked, silence, l.nextLook) {
 		return
 	}
@@ -192,17 +192,24 @@
 	return resigned
 }
 
-// plannerSilence gives for how long no view came of a planner that could prove its lease, and whether a look at the
-// record was asked for.
-func (c *Coordinator) plannerSilence(now, started time.Time) (silence time.Duration, asked bool) {
+// takeLookReasons gives for how long no view came of a planner that could prove its lease, and takes the request for a
+// look at the record, if there is one.
+func (c *Coordinator) takeLookReasons(now, started time.Time) (silence time.Duration, asked bool) {
 	last := lease.LastView{Started: started}
 	c.loop.Call(func(time.Time) {
 		last.ReceivedAt, last.ConfirmedAge = c.following.ReceivedAt, c.following.ConfirmedAge
-		asked, c.lookDue = c.lookDue, false
+		asked = c.takeLookRequest()
 	})
 	return c.options.Lease.Silence(now, last), asked
 }
 
+// takeLookRequest tells whether a look at the record was asked for, and forgets that it was.
+func (c *Coordinator) takeLookRequest() bool {
+	asked := c.lookDue
+	c.lookDue = false
+	return asked
+}
+
 // takeLease writes this instance into the record and begins to plan. If another instance was quicker, it is
 // learned from the conflict; without that the planner would be unknown until the next look.
 func (c *Coordinator) takeLease(replaced leasestore.Stored) {
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -64,9 +64,9 @@
 	since time.Time
 }
 
-// Behind takes in the newest revision that the peer knows and the newest one known here. It gives for how long the
+// Observe takes in the newest revision that the peer knows and the newest one known here. It gives for how long the
 // peer has been behind, and false if it is not.
-func (l *Lag) Behind(now time.Time, theirs, ours int64) (time.Duration, bool) {
+func (l *Lag) Observe(now time.Time, theirs, ours int64) (time.Duration, bool) {
 	if theirs >= ours {
 		l.since = time.Time{}
 		return 0, false
--- a/services/entry/coordinator/member/member_test.go
+++ b/services/entry/coordinator/member/member_test.go
@@ -220,17 +220,17 @@
 
 func TestALagCountsFromWhenItWasFirstSeen(t *testing.T) {
 	var lag member.Lag
-	_, behind := lag.Behind(start, 7, 7)
+	_, behind := lag.Observe(start, 7, 7)
 	assert.False(t, behind)
-	span, behind := lag.Behind(start, 6, 7)
+	span, behind := lag.Observe(start, 6, 7)
 	require.True(t, behind)
 	assert.Zero(t, span)
 	assert.Equal(t, 120*time.Millisecond, member.RelayAfter)
-	span, _ = lag.Behind(start.Add(member.RelayAfter), 6, 8)
+	span, _ = lag.Observe(start.Add(member.RelayAfter), 6, 8)
 	assert.Equal(t, member.RelayAfter, span, "a further change does not begin it anew")
-	_, behind = lag.Behind(start.Add(time.Second), 9, 8)
+	_, behind = lag.Observe(start.Add(time.Second), 9, 8)
 	assert.False(t, behind)
-	span, behind = lag.Behind(start.Add(time.Minute), 9, 10)
+	span, behind = lag.Observe(start.Add(time.Minute), 9, 10)
 	assert.True(t, behind)
 	assert.Zero(t, span)
 }
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -65,7 +65,7 @@
 		c.following.plannerLag = member.Lag{}
 		return false
 	}
-	lag, behind := c.following.plannerLag.Behind(now, c.following.PlannerRevision, c.keys.Revision())
+	lag, behind := c.following.plannerLag.Observe(now, c.following.PlannerRevision, c.keys.Revision())
 	return behind && lag > member.RelayAfter
 }
 
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -96,7 +96,7 @@
 
 // itemsFor gives the operators' keys that a member has lacked for long enough.
 func (p *planning) itemsFor(now time.Time, m *member.Member) []store.Item {
-	lag, behind := m.Lag.Behind(now, m.ConfigurationRevision, p.coordinator.keys.Revision())
+	lag, behind := m.Lag.Observe(now, m.ConfigurationRevision, p.coordinator.keys.Revision())
 	if !behind || lag < member.RelayAfter {
 		return nil
 	}
