--- a/tests/standin/kv.go
+++ b/tests/standin/kv.go
@@ -7,7 +7,7 @@
 	"encoding/json"
 	"maps"
 	"net/http"
-	"sort"
+	"slices"
 	"sync"
 	"time"
 
@@ -123,7 +123,11 @@
 			return
 		}
 		s.expire()
-		s.count(write)
+		if write {
+			s.writes++
+		} else {
+			s.reads++
+		}
 		out := do(in)
 		lose := write && s.faults.LoseAnswers > 0
 		if lose {
@@ -138,14 +142,6 @@
 	}
 }
 
-func (s *KV) count(write bool) {
-	if write {
-		s.writes++
-		return
-	}
-	s.reads++
-}
-
 // expire ends the leases whose time has come.
 func (s *KV) expire() {
 	now := time.Now()
@@ -193,7 +189,7 @@
 			keys = append(keys, k)
 		}
 	}
-	sort.Strings(keys)
+	slices.Sort(keys)
 	return keys
 }
 
@@ -206,7 +202,7 @@
 	if !ok {
 		ops = r.Failure
 	}
-	if ok && writes(ops) {
+	if ok && slices.ContainsFunc(ops, func(op kv.Op) bool { return op.Put != nil || op.Delete != nil }) {
 		s.revision++
 	}
 	out := kv.TxnResponse{Succeeded: ok}
@@ -217,15 +213,6 @@
 	return out
 }
 
-func writes(ops []kv.Op) bool {
-	for _, op := range ops {
-		if op.Put != nil || op.Delete != nil {
-			return true
-		}
-	}
-	return false
-}
-
 func (s *KV) holds(c kv.Compare) bool {
 	p := s.pairs[string(c.Key)]
 	switch c.Target {
