--- /dev/null
+++ b/models/daemon/fleet/fleet_test.go
@@ -0,0 +1,112 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package fleet_test
+
+import (
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+)
+
+var deadline = time.Unix(1000, 0)
+
+func TestAnAdapterIsReadAsItIsWritten(t *testing.T) {
+	for text, ref := range map[string]fleet.AdapterRef{
+		"a@1":                   {Name: "a", Version: 1},
+		"a@b@20":                {Name: "a@b", Version: 20},
+		"a@9223372036854775807": {Name: "a", Version: 1<<63 - 1},
+	} {
+		got, err := fleet.ParseAdapterRef(text)
+		require.NoError(t, err)
+		require.Equal(t, ref, got)
+		require.Equal(t, text, got.String())
+		require.False(t, got.IsZero())
+	}
+	for _, text := range []string{"", "a", "@1", "a@", "a@0", "a@-1", "a@1.5", "a@ 1", "a@9223372036854775808"} {
+		got, err := fleet.ParseAdapterRef(text)
+		require.Equal(t, fleet.ErrBadAdapterRef{Text: text}, err)
+		require.True(t, got.IsZero())
+	}
+}
+
+func TestARequestExpiresAtItsDeadlineAndNeverWithoutOne(t *testing.T) {
+	for _, row := range []struct {
+		deadline, now time.Time
+		expired       bool
+	}{
+		{deadline, deadline.Add(-1), false},
+		{deadline, deadline, true},
+		{deadline, deadline.Add(time.Hour), true},
+		{time.Time{}, deadline, false},
+	} {
+		require.Equal(t, row.expired, fleet.Request{Deadline: row.deadline}.Expired(row.now), "%s at %s", row.deadline, row.now)
+	}
+	require.Equal(t, 12, fleet.Request{PromptTokens: 5, OutputTokens: 7}.Tokens())
+}
+
+// endpoint is one with the given bases.
+func endpoint(name, hall string, bases ...string) fleet.Endpoint {
+	return fleet.Endpoint{Name: name, Hall: hall, Bases: bases}
+}
+
+// members names each pool with its endpoints.
+func members(pools []fleet.Pool) map[string][]string {
+	out := make(map[string][]string)
+	for _, p := range pools {
+		for _, e := range p.Endpoints {
+			out[p.Name] = append(out[p.Name], e.Name)
+		}
+	}
+	return out
+}
+
+func TestEndpointsOfAHallThatShareABaseFormOnePool(t *testing.T) {
+	for _, row := range []struct {
+		name      string
+		endpoints []fleet.Endpoint
+		pools     map[string][]string
+	}{
+		{"none", nil, map[string][]string{}},
+		{"apart", []fleet.Endpoint{endpoint("e1", "h1", "x"), endpoint("e2", "h1", "y")}, map[string][]string{"h1/x": {"e1"}, "h1/y": {"e2"}}},
+		{"in two halls", []fleet.Endpoint{endpoint("e1", "h1", "x"), endpoint("e2", "h2", "x")}, map[string][]string{"h1/x": {"e1"}, "h2/x": {"e2"}}},
+		{"a shared base", []fleet.Endpoint{endpoint("e1", "h1", "y", "x"), endpoint("e2", "h1", "x")}, map[string][]string{"h1/x+y": {"e1", "e2"}}},
+		{
+			"through a third, named last",
+			[]fleet.Endpoint{endpoint("e1", "h1", "x"), endpoint("e2", "h1", "z"), endpoint("e3", "h1", "z", "x")},
+			map[string][]string{"h1/x+z": {"e1", "e2", "e3"}},
+		},
+	} {
+		got := members(fleet.BuildPools(row.endpoints))
+		require.Len(t, got, len(row.pools), row.name)
+		for pool, endpoints := range row.pools {
+			require.ElementsMatch(t, endpoints, got[pool], "%s: %s", row.name, pool)
+		}
+	}
+}
+
+func TestPoolsAreOrderedByNameAndLeaveTheEndpointsAsTheyWere(t *testing.T) {
+	given := []fleet.Endpoint{endpoint("e1", "h2", "y", "x"), endpoint("e2", "h1", "x")}
+	pools := fleet.BuildPools(given)
+	require.Equal(t, "h1/x", pools[0].Name)
+	require.Equal(t, "h2/x+y", pools[1].Name)
+	require.Equal(t, []string{"y", "x"}, given[0].Bases)
+	require.True(t, pools[1].Serves("y"))
+	require.False(t, pools[0].Serves("y"))
+	require.True(t, given[0].Serves("x"))
+	require.False(t, given[1].Serves("y"))
+}
+
+func TestAPoolChecksFencesOnlyIfAllItsEndpointsDo(t *testing.T) {
+	checks, not := fleet.Endpoint{ChecksFence: true}, fleet.Endpoint{}
+	require.True(t, fleet.Pool{Endpoints: []fleet.Endpoint{checks, checks}}.ChecksFence())
+	require.False(t, fleet.Pool{Endpoints: []fleet.Endpoint{checks, not}}.ChecksFence())
+	require.True(t, fleet.Pool{}.ChecksFence())
+}
+
+func TestAPlainServicesBaseIsNoModels(t *testing.T) {
+	require.Equal(t, "plain:/search", fleet.PlainBase("/search"))
+}
--- a/modules/daemon/httpserver/server.go
+++ b/modules/daemon/httpserver/server.go
@@ -60,8 +60,9 @@
 	if o.NotFound != nil {
 		options = append(options, rest.WithNotFoundHandler(o.NotFound))
 	}
-	// All middlewares but the one against panics stay off: the others time out, shed or
-	// break on their own account, and an answer of theirs would claim what only the relay knows.
+	// All middlewares stay off: they time out, shed or break on their own account, and an answer of theirs would claim
+	// what only the relay knows. The one against panics is off too: net/http logs a handler's panic and breaks the
+	// connection off, without an answer.
 	built, err := rest.NewServer(rest.RestConf{ServiceConf: service.ServiceConf{Name: o.Name}}, options...)
 	if err != nil {
 		return nil, ErrNotBuilt{Name: o.Name, Reason: err.Error()}
--- /dev/null
+++ b/modules/daemon/log/log_test.go
@@ -0,0 +1,100 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package log_test
+
+import (
+	"bytes"
+	"encoding/json"
+	"testing"
+
+	"github.com/sirupsen/logrus"
+	"github.com/stretchr/testify/require"
+	"github.com/zeromicro/go-zero/core/logx"
+	"google.golang.org/grpc/grpclog"
+
+	"github.com/shelfledge/shelfledge/modules/daemon/log"
+)
+
+// made gives a logger of the level and what it writes, line by line as JSON.
+func made(t *testing.T, level string) (entry *logrus.Entry, lines func() []map[string]any) {
+	t.Helper()
+	var out bytes.Buffer
+	entry, err := log.New(log.Options{Level: level, Format: "json", Output: &out, Fields: logrus.Fields{"instance": "i1"}})
+	require.NoError(t, err)
+	return entry, func() []map[string]any {
+		var all []map[string]any
+		for decoder := json.NewDecoder(&out); decoder.More(); {
+			var line map[string]any
+			require.NoError(t, decoder.Decode(&line))
+			all = append(all, line)
+		}
+		return all
+	}
+}
+
+func TestEachLineHasTheLoggersFields(t *testing.T) {
+	entry, lines := made(t, "info")
+	entry.WithField("pool", "h1/x").Info("taken")
+	entry.Debug("not at this level")
+	got := lines()
+	require.Len(t, got, 1)
+	require.NotEmpty(t, got[0]["time"])
+	delete(got[0], "time")
+	require.Equal(t, map[string]any{"level": "info", "msg": "taken", "instance": "i1", "pool": "h1/x"}, got[0])
+}
+
+func TestAnUnknownLevelIsAnError(t *testing.T) {
+	_, err := log.New(log.Options{Level: "loud", Output: &bytes.Buffer{}})
+	require.ErrorContains(t, err, "loud")
+}
+
+func TestOtherFormatsAreText(t *testing.T) {
+	var out bytes.Buffer
+	entry, err := log.New(log.Options{Level: "info", Format: "text", Output: &out})
+	require.NoError(t, err)
+	entry.Info("taken")
+	require.Contains(t, out.String(), "msg=taken")
+}
+
+func TestLibrariesLinesGoToTheLogByTheirWeight(t *testing.T) {
+	for _, row := range []struct {
+		name  string
+		write func()
+		level string
+		debug bool
+	}{
+		{"go-zero's routine", func() { logx.Info("said") }, "debug", true},
+		{"go-zero's slow calls", func() { logx.Slow("said") }, "debug", true},
+		{"go-zero's errors", func() { logx.Error("said") }, "error", false},
+		{"go-zero's worst errors", func() { logx.Severe("said") }, "error", false},
+		{"gRPC's warnings", func() { grpclog.Warning("said") }, "debug", true},
+		{"gRPC's routine", func() { grpclog.Info("said") }, "", true},
+	} {
+		for _, level := range []string{"info", "debug"} {
+			_, lines := made(t, level)
+			row.write()
+			got := lines()
+			if row.level == "" || (row.debug && level != "debug") {
+				require.Empty(t, got, "%s at %s", row.name, level)
+				continue
+			}
+			require.NotEmpty(t, got, "%s at %s", row.name, level)
+			for _, line := range got {
+				require.Equal(t, row.level, line["level"], "%s at %s", row.name, level)
+				require.NotEmpty(t, line["library"], "%s at %s", row.name, level)
+				require.Contains(t, line["msg"], "said", "%s at %s", row.name, level)
+			}
+		}
+	}
+}
+
+func TestFieldsOfALibrarysLineAreKept(t *testing.T) {
+	_, lines := made(t, "info")
+	logx.Errorw("said", logx.Field("path", "/here"))
+	got := lines()
+	require.Len(t, got, 1)
+	require.Equal(t, "/here", got[0]["path"])
+	require.Equal(t, "go-zero", got[0]["library"])
+	require.Equal(t, "i1", got[0]["instance"])
+}
