--- a/tests/standin/engine.go
+++ b/tests/standin/engine.go
@@ -158,7 +158,9 @@
 
 func (e *Engine) end(r *run, broken bool) {
 	r.ended, r.broken = true, broken
-	e.running--
+	if r.started {
+		e.running--
+	}
 	r.wake()
 	if r.readers == 0 {
 		delete(e.runs, r.id)
--- a/tests/standin/engine_orders.go
+++ b/tests/standin/engine_orders.go
@@ -115,14 +115,8 @@
 func (e *Engine) cancel(w http.ResponseWriter, q *http.Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	r := e.runs[q.PathValue("id")]
-	if r != nil && !r.ended {
-		if r.started {
-			e.end(r, true)
-		} else {
-			r.ended, r.broken = true, true
-			r.wake()
-		}
+	if r := e.runs[q.PathValue("id")]; r != nil && !r.ended {
+		e.end(r, true)
 	}
 	e.headers(w)
 }
