--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -194,6 +194,22 @@
 	}
 }
 
+// storeCall bounds one call to the store.
+func (c *Coordinator) storeCall() (context.Context, context.CancelFunc) {
+	return context.WithTimeout(c.context, c.options.StoreTimeout)
+}
+
+// noteStore logs and counts a failed call to the store.
+func (c *Coordinator) noteStore(call string, err error) {
+	if c.context.Err() != nil {
+		return
+	}
+	if c.options.ObserveStoreFailure != nil {
+		c.options.ObserveStoreFailure(call)
+	}
+	c.options.Log.WithError(err).WithField("call", call).Warn("the store did not answer as it should")
+}
+
 // leastJitter is the least part of a span that a jittered pause takes; the most is one span more. Not measured.
 const leastJitter = 0.5
 
