--- a/tools/replay/sim/world.go
+++ b/tools/replay/sim/world.go
@@ -5,6 +5,7 @@
 
 import (
 	"hash/fnv"
+	"slices"
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
@@ -169,21 +170,12 @@
 
 // liveIn lists a hall's instances that were not lost; a hall without any counts as one itself.
 func (w *world) liveIn(hall string) []string {
-	var live []string
-	for _, h := range w.fleet.Halls {
-		if h.Name != hall {
-			continue
-		}
-		if len(h.Instances) == 0 {
-			return []string{hall}
-		}
-		for _, i := range h.Instances {
-			if !w.lost[i] {
-				live = append(live, i)
-			}
-		}
+	at := slices.IndexFunc(w.fleet.Halls, func(h HallEntry) bool { return h.Name == hall })
+	instances := w.fleet.Halls[at].Instances
+	if len(instances) == 0 {
+		return []string{hall}
 	}
-	return live
+	return slices.DeleteFunc(slices.Clone(instances), func(instance string) bool { return w.lost[instance] })
 }
 
 // apart tells whether a cut lies between two halls.
