--- a/services/daemon/membership/members.go
+++ b/services/daemon/membership/members.go
@@ -12,85 +12,12 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Options are the timings of membership.
-type Options struct {
-	// Interval is the time between two heartbeats to the same instance.
-	Interval time.Duration
-	// LostAfter is the silence after which an instance counts as lost.
-	LostAfter time.Duration
-	// Settle is how long a new instance listens before it takes anything over.
-	Settle time.Duration
-	// ProbeEvery is the time between two heartbeats to an instance that does not answer.
-	ProbeEvery time.Duration
-	// ForgetAfter is the silence after which an instance the platform does not list is forgotten.
-	ForgetAfter time.Duration
-}
-
-const (
-	// defaultInterval trades traffic for how soon a change is known: 10.1 KB/s are sent by an instance in a large hall
-	// (docs/CAPACITY.md); other values were not measured.
-	defaultInterval = 250 * time.Millisecond
-	// defaultLostAfter trades sooner takeovers for takeovers from instances that were only slow. Takeover measured 1.2 s
-	// (median of 5) after a loss (docs/design/0004-data-path.md); other values were not measured.
-	defaultLostAfter = 1200 * time.Millisecond
-	// defaultSettle is above defaultLostAfter, so that a new instance has heard every live one before it takes a pool over;
-	// not measured.
-	defaultSettle = 1500 * time.Millisecond
-	// defaultProbeEvery trades traffic to instances that are gone for how soon one that came back is noticed; not measured.
-	defaultProbeEvery = time.Second
-	// defaultForgetAfter trades memory and probes for instances that were cut off that long; not measured.
-	defaultForgetAfter = 10 * time.Minute
-)
-
-// DefaultOptions gives the timings for where no settings file is read. In the daemon the settings' own defaults of
-// Interval, LostAfter and Settle, which are equal, replace these three.
-func DefaultOptions() Options {
-	return Options{
-		Interval: defaultInterval, LostAfter: defaultLostAfter, Settle: defaultSettle,
-		ProbeEvery: defaultProbeEvery, ForgetAfter: defaultForgetAfter,
-	}
-}
-
-// Member is what is known of another instance.
-type Member struct {
-	Instance fleet.Instance
-	Boot     uint64
-	Alive    bool
-	Leaving  bool
-	Listed   bool
-	Heard    time.Time
-	Sent     time.Time
-	// Stamp is the member's own clock as last heard, for it to judge the age of grants.
-	Stamp    time.Duration
-	Revision int64
-	Held     []fleet.HeldPool
-	// former holds the boots of earlier lives, whose late messages are ignored.
-	former []uint64
-}
-
-// ChangeKind names what became known of a member.
-type ChangeKind string
-
-// The kinds of change.
-const (
-	Joined    ChangeKind = "joined"
-	Restarted ChangeKind = "restarted"
-	Lost      ChangeKind = "lost"
-	Left      ChangeKind = "left"
-)
-
-// Change tells that a member joined, restarted, was lost or is leaving.
-type Change struct {
-	Kind   ChangeKind
-	Member *Member
-}
-
 // State is the picture itself; it is not safe for concurrent use.
 type State struct {
-	self     fleet.Instance
-	options  Options
-	members  map[string]*Member
-	lastTick time.Time
+	self      fleet.Instance
+	options   Options
+	members   map[string]*Member
+	lastSweep time.Time
 }
 
 // New makes a picture that holds only the instance itself.
@@ -147,22 +74,6 @@
 	return changes
 }
 
-// formerLives is how many earlier boots of a member are remembered, so that their late messages are told from a new
-// life's; messages of a life that many restarts ago are taken as long gone. Not measured.
-const formerLives = 8
-
-// retire remembers the present life as a former one; the clock may have been
-// set back since, so that the order of boots tells nothing.
-func (m *Member) retire() {
-	if m.Boot == 0 {
-		return
-	}
-	m.former = append(m.former, m.Boot)
-	if len(m.former) > formerLives {
-		m.former = m.former[1:]
-	}
-}
-
 // note gives the changes that a heartbeat brings, before the member takes its content.
 func (s *State) note(m *Member, boot uint64, hb *fleet.Heartbeat) []Change {
 	var changes []Change
@@ -179,29 +90,24 @@
 	return changes
 }
 
-// crowd is the number of instances of a hall, this one among them, up to which the timings hold as set; above it they grow
-// with the hall, so that an instance's traffic does not: bytes sent are flat above 10 (docs/CAPACITY.md), at the price of a
-// loss that is noticed after 4.8 s in a hall of 40. Other values were not measured.
-const crowd = 10
-
-// scaled stretches a time in a large hall.
-func (s *State) scaled(d time.Duration) time.Duration {
-	return d * time.Duration(max(crowd, len(s.members)+1)) / crowd
+// instances is how many instances of the hall are known, this one among them.
+func (s *State) instances() int {
+	return len(s.members) + 1
 }
 
 // Sweep finds members that have gone silent. A pause of this instance itself is
 // not held against the others.
 func (s *State) Sweep(now time.Time) []Change {
-	if pause := now.Sub(s.lastTick); !s.lastTick.IsZero() && pause > s.options.LostAfter/2 {
+	if pause := s.options.ownPause(now, s.lastSweep); pause > 0 {
 		for _, m := range s.members {
 			m.Heard = m.Heard.Add(pause)
 		}
 	}
-	s.lastTick = now
+	s.lastSweep = now
 	var changes []Change
 	for _, m := range s.sorted() {
 		silent := now.Sub(m.Heard)
-		if m.Alive && silent > s.scaled(s.options.LostAfter) {
+		if m.Alive && s.options.lost(silent, s.instances()) {
 			m.Alive = false
 			m.Held = nil
 			changes = append(changes, Change{Kind: Lost, Member: m})
@@ -217,11 +123,7 @@
 func (s *State) Due(now time.Time) []*Member {
 	var due []*Member
 	for _, m := range s.sorted() {
-		every := s.scaled(s.options.Interval)
-		if !m.Alive {
-			every = s.scaled(s.options.ProbeEvery)
-		}
-		if !m.Sent.IsZero() && now.Sub(m.Sent) < every {
+		if !s.options.due(now, m.Sent, m.Alive, s.instances()) {
 			continue
 		}
 		m.Sent = now
