--- a/tests/integration/loss_test.go
+++ b/tests/integration/loss_test.go
@@ -129,8 +129,8 @@
 			y.add(c, f.send(context.Background(), []string{"h1-i1", "h2-i1"}[i%2], c))
 		}()
 	}
-	f.eventually(func() bool { return f.cluster.Engine("h1-e1").Running() > 0 }, "the engine runs nothing")
-	f.cluster.Engine("h1-e1").Restart()
+	f.eventually(func() bool { return f.cluster.Engines[0].Engine.Running() > 0 }, "the engine runs nothing")
+	f.cluster.Engines[0].Engine.Restart()
 	group.Wait()
 	require.Empty(t, y.wrong)
 	require.Zero(t, y.dropped)
--- a/tests/standin/cluster.go
+++ b/tests/standin/cluster.go
@@ -127,16 +127,6 @@
 	}
 }
 
-// Engine finds an engine by its name, or nil.
-func (c *Cluster) Engine(name string) *Engine {
-	for _, e := range c.Engines {
-		if e.Name == name {
-			return e.Engine
-		}
-	}
-	return nil
-}
-
 // InstancePlace is where an instance listens; zero ports are picked by the system.
 type InstancePlace struct {
 	ID        string
