--- a/services/daemon/routing/choose_test.go
+++ b/services/daemon/routing/choose_test.go
@@ -61,3 +61,12 @@
 		require.Equal(t, "h1/base", choose(r, begin, "a"), "%s has none", hall)
 	}
 }
+
+func TestOfTwoAlikeTheOwnHallIsChosenWhicheverItIs(t *testing.T) {
+	for _, own := range []string{"h1", "h2"} {
+		r := routing.NewRouter(own, pools(), routing.DefaultOptions())
+		r.Learn(begin, summary("h1", 1, 1, 0, "a@1"))
+		r.Learn(begin, summary("h2", 1, 1, 0, "a@1"))
+		require.Equal(t, own+"/base", choose(r, begin, "a"))
+	}
+}
