--- a/tests/platformstandin/store.go
+++ b/tests/platformstandin/store.go
@@ -24,12 +24,8 @@
 	LateBy     time.Duration
 	// Deaf keeps waiting watches from hearing anything.
 	Deaf bool
-	// Delay holds every answer back.
-	Delay time.Duration
 	// PerSecond is how many calls are answered in each second; the rest get 429. 0 sets no bound.
 	PerSecond int
-	// TurnAway refuses calls from these callers' addresses (IP) only.
-	TurnAway map[string]bool
 }
 
 // Store is a key-value store in memory that speaks the platform's protocol.
--- a/tests/platformstandin/store_calls.go
+++ b/tests/platformstandin/store_calls.go
@@ -5,7 +5,6 @@
 
 import (
 	"encoding/json"
-	"net"
 	"net/http"
 	"slices"
 	"strconv"
@@ -18,16 +17,14 @@
 	s.mutex.Lock()
 	faults, limited := s.faults, s.overRate()
 	s.mutex.Unlock()
-	caller, _, _ := net.SplitHostPort(request.RemoteAddr)
 	switch {
 	case faults.Silent:
 		<-request.Context().Done()
-	case faults.Down || faults.TurnAway[caller]:
+	case faults.Down:
 		writer.WriteHeader(http.StatusServiceUnavailable)
 	case limited:
 		writer.WriteHeader(http.StatusTooManyRequests)
 	default:
-		time.Sleep(faults.Delay)
 		s.mux.ServeHTTP(writer, request)
 	}
 }
@@ -152,8 +149,7 @@
 	if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
 		return http.StatusBadRequest, nil
 	}
-	if s.faults.LateWrites > 0 {
-		s.faults.LateWrites--
+	if take(&s.faults.LateWrites) {
 		time.AfterFunc(s.faults.LateBy, func() {
 			s.mutex.Lock()
 			defer s.mutex.Unlock()
@@ -162,8 +158,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	status, answer := s.commit(body)
-	if s.faults.LoseAnswers > 0 {
-		s.faults.LoseAnswers--
+	if take(&s.faults.LoseAnswers) {
 		panic(http.ErrAbortHandler)
 	}
 	return status, answer
--- a/tests/platformstandin/worker.go
+++ b/tests/platformstandin/worker.go
@@ -8,6 +8,7 @@
 	"fmt"
 	"net/http"
 	"net/http/httptest"
+	"slices"
 	"sync"
 	"time"
 )
@@ -193,7 +194,7 @@
 func (w *Worker) Orders() []OrderSeen {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return append([]OrderSeen(nil), w.orders...)
+	return slices.Clone(w.orders)
 }
 
 // Overfull is how many orders went beyond the worker's places.
@@ -274,8 +275,7 @@
 	if body.Expected == nil || *body.Expected == w.sequence {
 		status = w.take(body.Operation, body.Adapter)
 	}
-	if w.faults.LoseOrders > 0 {
-		w.faults.LoseOrders--
+	if take(&w.faults.LoseOrders) {
 		panic(http.ErrAbortHandler)
 	}
 	writer.WriteHeader(status)
--- a/tests/platformstandin/worker_requests.go
+++ b/tests/platformstandin/worker_requests.go
@@ -23,15 +23,25 @@
 	faultHang
 )
 
+// take uses one of a number of coming faults, if any is left.
+func take(count *int) bool {
+	if *count <= 0 {
+		return false
+	}
+	*count--
+	return true
+}
+
 func (w *Worker) nextFault() fault {
-	for _, one := range []struct {
-		count *int
-		fault fault
-	}{{&w.faults.Errors, faultError}, {&w.faults.Resets, faultReset}, {&w.faults.Sheds, faultShed}, {&w.faults.Hangs, faultHang}} {
-		if *one.count > 0 {
-			*one.count--
-			return one.fault
-		}
+	switch {
+	case take(&w.faults.Errors):
+		return faultError
+	case take(&w.faults.Resets):
+		return faultReset
+	case take(&w.faults.Sheds):
+		return faultShed
+	case take(&w.faults.Hangs):
+		return faultHang
 	}
 	return faultNone
 }
@@ -85,9 +95,7 @@
 		panic(http.ErrAbortHandler)
 	}
 	w.mutex.Lock()
-	extra, unsealed := w.faults.Extras > 0, w.faults.Unsealed > 0
-	w.faults.Extras -= boolCount(extra)
-	w.faults.Unsealed -= boolCount(unsealed)
+	extra, unsealed := take(&w.faults.Extras), take(&w.faults.Unsealed)
 	w.mutex.Unlock()
 	writer.Header().Set(HeaderRequestID, run.ID)
 	if !unsealed {
@@ -108,13 +116,6 @@
 	_, _ = fmt.Fprintf(writer, "%s answers %s %s %s %q", w.options.ID, run.ID, request.Method, request.RequestURI, body)
 }
 
-func boolCount(yes bool) int {
-	if yes {
-		return 1
-	}
-	return 0
-}
-
 // answerTwice sends a whole answer and the same once more on the same connection.
 func (w *Worker) answerTwice(writer http.ResponseWriter, run *Run) {
 	conn, _, err := writer.(http.Hijacker).Hijack()
@@ -137,8 +138,7 @@
 	}
 	w.mutex.Lock()
 	breakAfter := 0
-	if w.faults.Breaks > 0 {
-		w.faults.Breaks--
+	if take(&w.faults.Breaks) {
 		breakAfter = w.faults.BreakAfter
 	}
 	w.mutex.Unlock()
