--- a/tests/platformstandin/site.go
+++ b/tests/platformstandin/site.go
@@ -6,7 +6,7 @@
 import (
 	"fmt"
 	"net"
-	"net/netip"
+	"slices"
 )
 
 // Names on the wire that callers and operators of the example site use.
@@ -88,22 +88,21 @@
 	Callers, Ready, Peers, Metrics uint16
 }
 
+// portTries bounds the search for free ports, with 50 tries for each of four; not measured.
+const portTries = 200
+
 // FreePorts gives ports that are free on all the IPs.
 func FreePorts(ips []string) (Ports, error) {
-	for range 50 {
-		var ports [4]uint16
-		different := make(map[uint16]bool)
-		for i := range ports {
-			port, err := freePort(ips)
-			if err != nil {
-				return Ports{}, err
-			}
-			ports[i] = port
-			if port != 0 {
-				different[port] = true
-			}
+	var ports []uint16
+	for range portTries {
+		port, err := freePort(ips)
+		if err != nil {
+			return Ports{}, err
+		}
+		if port != 0 && !slices.Contains(ports, port) {
+			ports = append(ports, port)
 		}
-		if len(different) == len(ports) {
+		if len(ports) == 4 {
 			return Ports{Callers: ports[0], Ready: ports[1], Peers: ports[2], Metrics: ports[3]}, nil
 		}
 	}
@@ -119,11 +118,7 @@
 	defer func() { _ = first.Close() }()
 	port := first.Addr().(*net.TCPAddr).AddrPort().Port()
 	for _, ip := range ips[1:] {
-		address, err := netip.ParseAddr(ip)
-		if err != nil {
-			return 0, err
-		}
-		other, err := net.Listen("tcp4", netip.AddrPortFrom(address, port).String())
+		other, err := net.Listen("tcp4", fmt.Sprintf("%s:%d", ip, port))
 		if err != nil {
 			return 0, nil
 		}
