--- a/services/entry/loading/copy.go
+++ b/services/entry/loading/copy.go
@@ -11,159 +11,167 @@
 )
 
 const (
-	// deliveryLimit is how much later than its sending an unanswered order may be carried out; so long a place is kept for it, and an
-	// endpoint is remembered whose entry is gone. Longer wastes places, shorter lets a late order overfill the endpoint.
+	// deliveryLimit is the longest time after sending at which an unanswered order may still be carried out. A place
+	// is reserved for the order for this time, and an endpoint without an entry in the store is remembered for as
+	// long. A longer time wastes places; a shorter time lets a late order overfill the endpoint.
 	deliveryLimit = 13 * time.Second
-	// descriptionLag is how long the description of an endpoint in the store may lag behind what it holds. Longer trusts the plan's own
-	// orders for longer, shorter takes in sooner what the endpoint dropped by itself.
+	// descriptionLag is how long the description of an endpoint in the store may lag behind its state. A longer time
+	// trusts the results of this plan's orders for longer; a shorter time notices sooner what the endpoint dropped by
+	// itself.
 	descriptionLag = 3 * time.Second
-	// formerAhead is how far the sequence that a former planner's last load names may be ahead of the endpoint's report: by an unload that
-	// it counted and the endpoint did not. More keeps a place for longer after a takeover.
-	formerAhead = 1
-	// reportLag is how long an endpoint's own report may lag behind what it holds; some 100 ms were seen (docs/constants.md). Longer trusts
-	// own orders for longer.
+	// maxFormerSequenceLead is the largest difference between the sequence named by a former planner's last load and
+	// the sequence in the endpoint's report. It covers one unload that the former planner counted and the endpoint
+	// did not. A larger value reserves a place for longer after a takeover.
+	maxFormerSequenceLead = 1
+	// reportLag is how long an endpoint's own report may lag behind its state; lags of about 100 ms were observed
+	// (docs/constants.md). A longer time trusts the results of this plan's orders for longer.
 	reportLag = 500 * time.Millisecond
 )
 
-// copyState is how far a copy of an adapter has come on one endpoint.
+// copyState is the state of an adapter's copy on one endpoint.
 type copyState int
 
 const (
-	// copyLoading: its load was ordered and has not ended.
+	// copyLoading means that the load was ordered and has not ended.
 	copyLoading copyState = iota
-	// copyResident: the endpoint holds it, and requests may use it.
+	// copyResident means that the endpoint holds the copy and requests may use it.
 	copyResident
-	// copyWithdrawn: it is announced as withdrawn, and its use may not have ended everywhere.
+	// copyWithdrawn means that the withdrawal was announced and some instances may still use the copy.
 	copyWithdrawn
-	// copyUnloading: it is confirmed as unused; its unload is to be ordered, or was ordered and has not ended.
+	// copyUnloading means that the copy is confirmed as unused; its unload is yet to be ordered or has not ended.
 	copyUnloading
-	// copyDoubted: a description and the plan differ on it. It takes a place and gets no requests, until a report tells.
-	copyDoubted
+	// copyUnconfirmed means that a description and the plan disagree about the copy. It occupies a place and receives
+	// no requests until a report resolves the difference.
+	copyUnconfirmed
 )
 
-// copyPlan is one adapter on one endpoint.
+// copyPlan is the planned state of one adapter on one endpoint.
 type copyPlan struct {
 	state   copyState
 	version int64
 	since   time.Time
-	// settledSince is when an own load brought the copy; zero for one that was there before.
-	settledSince time.Time
-	// accepted is set once the endpoint has taken the order to unload, which waits for its runs.
-	accepted bool
-	// cold marks a load that comes from the weight store.
+	// loadedAt is when a load ordered by this plan finished; zero for a copy that existed before.
+	loadedAt time.Time
+	// unloadAccepted is set once the endpoint has accepted the unload order, which waits for the requests that use
+	// the copy.
+	unloadAccepted bool
+	// cold marks a load from the weight store.
 	cold bool
-	// timed marks a load whose begin is known, since it was ordered in this plan.
-	timed bool
-	// pollAt is when to ask next whether a load has ended.
+	// startKnown marks a load that this plan ordered, so its start time is known.
+	startKnown bool
+	// pollAt is the time of the next poll for the end of the load.
 	pollAt time.Time
-	// askedAt is when the endpoint was last asked whether the load has ended, loadingAt when it was last asked and said that it goes on;
-	// zero until then.
-	askedAt   time.Time
-	loadingAt time.Time
-	// inspected is when a load that takes too long was last looked into.
-	inspected time.Time
-	// withdrawal numbers the announcement of a withdrawal.
-	withdrawal uint64
+	// lastPollAt is when the load was last polled. lastSeenLoadingAt is when the last poll was sent that the endpoint
+	// answered with "still loading". Both are zero until then.
+	lastPollAt        time.Time
+	lastSeenLoadingAt time.Time
+	// lastInspectedAt is when a report was last requested because the load took too long.
+	lastInspectedAt time.Time
+	// withdrawalNumber identifies the announcement of the copy's withdrawal.
+	withdrawalNumber uint64
 }
 
-// endpointPlan is one endpoint.
+// endpointPlan is the planned state of one endpoint.
 type endpointPlan struct {
 	endpoint deployment.Endpoint
-	// formerBorn is the start of the incarnation before this one; zero if none was known.
-	formerBorn time.Time
-	// revision is the store's revision of the description last taken in.
+	// previousBorn is the start time of the endpoint's previous incarnation; zero if unknown.
+	previousBorn time.Time
+	// revision is the store revision of the last description that was applied.
 	revision int64
-	// count is what is known of the orders that it has taken.
-	count  orderCount
-	copies map[deployment.Adapter]*copyPlan
-	// modelSince is when a base model was brought by an order.
-	modelSince time.Time
-	// modelsDoubted is set while the store's description lacks a base model that the plan knows of.
-	modelsDoubted bool
-	// held are adapters it held before: they load fast.
-	held map[deployment.Adapter]time.Time
-	// dropped are adapters that were unloaded by own orders, and when: a description that
-	// still lists them is too old.
-	dropped map[deployment.Adapter]time.Time
-	// busy is set while an order to it is under way.
-	busy bool
-	// inspect asks for its report before the next order.
-	inspect bool
-	// refused is set when an order was refused, for its count or for another order under way, until the report is read.
-	refused bool
-	// unanswered are loads without an answer, which may still be carried out.
-	unanswered []unansweredLoad
-	// former is the last load of a former planner, which may still be carried out.
-	former unansweredLoad
-	// reportRead is set once the endpoint's own report was read.
+	// tracker holds the number of orders that the endpoint is known to have accepted.
+	tracker sequenceTracker
+	copies  map[deployment.Adapter]*copyPlan
+	// modelLoadedAt is when the last base model was found to be loaded.
+	modelLoadedAt time.Time
+	// modelsUnconfirmed is set while the description in the store lacks a base model that is in the plan.
+	modelsUnconfirmed bool
+	// previouslyHeld holds adapters that the endpoint held before and can therefore load fast.
+	previouslyHeld map[deployment.Adapter]time.Time
+	// unloaded records when orders of this plan unloaded an adapter. A description that still lists the adapter is
+	// outdated.
+	unloaded map[deployment.Adapter]time.Time
+	// orderInFlight is set while an order to the endpoint is in flight.
+	orderInFlight bool
+	// needsInspection requests the endpoint's report before the next order.
+	needsInspection bool
+	// orderRefused is set from the refusal of an order, because of its sequence or of another order in progress,
+	// until the next report is read.
+	orderRefused bool
+	// unansweredLoads are loads without a reply that may still be carried out.
+	unansweredLoads []unansweredLoad
+	// formerLoad is the last load of a former planner, which may still be carried out.
+	formerLoad unansweredLoad
+	// reportRead is set once a report of the endpoint was read.
 	reportRead bool
-	// silentUntil is until when orders are expected to stay unanswered.
-	silentUntil time.Time
-	// restUntil keeps orders away after one failed.
-	restUntil time.Time
-	// saturated endpoints have so many requests in flight that they get no more; nearly saturated ones get no copies that they
-	// did not hold before. Both are verdicts of package balance.
+	// unresponsiveUntil is the time until which orders are expected to stay unanswered.
+	unresponsiveUntil time.Time
+	// pausedUntil is the time before which no order is sent, after one failed.
+	pausedUntil time.Time
+	// saturated endpoints have so many requests in flight that they receive no more. Nearly saturated endpoints
+	// receive only copies that they held before. Package balance computes both flags.
 	nearlySaturated, saturated bool
-	// backlog is how long it will take to read the prompts that wait there, and speed how fast it reads.
+	// backlog is the time the endpoint needs to read the prompts queued there; speed is how fast it reads prompts.
 	backlog time.Duration
 	speed   work.Speed
-	// suspect endpoints get no new copies.
+	// suspect endpoints receive no new copies.
 	suspect bool
-	// lapsedAt is when the entry was first seen to be gone by Sweep; zero until then.
-	lapsedAt time.Time
-	// abandoned are the versions of adapters whose orders to load were left unanswered since the endpoint last answered one.
-	abandoned map[deployment.Adapter]int64
+	// unregisteredAt is when Sweep first found the endpoint's entry missing from the store; zero before that.
+	unregisteredAt time.Time
+	// unansweredVersions holds the adapter versions whose load orders were left unanswered since the endpoint last
+	// replied to a load order.
+	unansweredVersions map[deployment.Adapter]int64
 }
 
-// unansweredLoad is a load without an answer. The endpoint takes it, up to deliveryLimit later, if it still has the
-// sequence that the order named; until it has taken another order, a place must be kept for it.
+// unansweredLoad is a load order without a reply. The endpoint may accept it up to deliveryLimit later if its
+// sequence still equals the one in the order. A place must be reserved until the endpoint has accepted another order.
 type unansweredLoad struct {
 	sequence int64
 	until    time.Time
 }
 
-// addUnanswered keeps a place for an order at a sequence.
-func (e *endpointPlan) addUnanswered(now time.Time, sequence int64) {
-	e.unanswered = append(e.unanswered, unansweredLoad{sequence: sequence, until: now.Add(deliveryLimit)})
+// addUnansweredLoad reserves a place for a load order sent with the given sequence.
+func (e *endpointPlan) addUnansweredLoad(now time.Time, sequence int64) {
+	e.unansweredLoads = append(e.unansweredLoads, unansweredLoad{sequence: sequence, until: now.Add(deliveryLimit)})
 }
 
-// pruneUnanswered forgets the orders without an answer that cannot be carried out any more.
-func (e *endpointPlan) pruneUnanswered(now time.Time) {
-	kept := e.unanswered[:0]
-	for _, load := range e.unanswered {
-		if load.sequence >= e.count.before && now.Before(load.until) {
+// pruneUnansweredLoads removes the unanswered orders that can no longer be carried out.
+func (e *endpointPlan) pruneUnansweredLoads(now time.Time) {
+	kept := e.unansweredLoads[:0]
+	for _, load := range e.unansweredLoads {
+		if load.sequence >= e.tracker.beforeUnloads && now.Before(load.until) {
 			kept = append(kept, load)
 		}
 	}
-	e.unanswered = kept
-	if !now.Before(e.former.until) {
-		e.former = unansweredLoad{}
+	e.unansweredLoads = kept
+	if !now.Before(e.formerLoad.until) {
+		e.formerLoad = unansweredLoad{}
 	}
 }
 
-// taken is the number of places that are taken or must be kept, as of the last pruneUnanswered. A former planner's load at
-// the plan's own count needs no place: the endpoint takes only one order at it.
-func (e *endpointPlan) taken() int {
-	taken := len(e.copies) + len(e.unanswered)
-	if e.former.sequence > e.count.sequence {
-		taken++
+// occupiedPlaces returns the number of places that are occupied or reserved, as of the last pruneUnansweredLoads. A
+// former planner's load at the plan's own sequence needs no place, because the endpoint accepts only one order at
+// each sequence.
+func (e *endpointPlan) occupiedPlaces() int {
+	occupiedPlaces := len(e.copies) + len(e.unansweredLoads)
+	if e.formerLoad.sequence > e.tracker.sequence {
+		occupiedPlaces++
 	}
-	return taken
+	return occupiedPlaces
 }
 
 func newEndpointPlan(endpoint deployment.Endpoint) *endpointPlan {
 	return &endpointPlan{
-		endpoint: endpoint,
-		copies:   make(map[deployment.Adapter]*copyPlan),
-		held:     make(map[deployment.Adapter]time.Time),
-		dropped:  make(map[deployment.Adapter]time.Time),
-		// An endpoint that holds something has taken orders, so its sequence has to be read.
-		inspect: len(endpoint.Adapters) > 0,
+		endpoint:       endpoint,
+		copies:         make(map[deployment.Adapter]*copyPlan),
+		previouslyHeld: make(map[deployment.Adapter]time.Time),
+		unloaded:       make(map[deployment.Adapter]time.Time),
+		// An endpoint that holds adapters has accepted orders, so its sequence must be read.
+		needsInspection: len(endpoint.Adapters) > 0,
 	}
 }
 
-// pending counts the loads under way.
-func (e *endpointPlan) pending() int {
+// pendingLoads returns the number of loads in progress.
+func (e *endpointPlan) pendingLoads() int {
 	count := 0
 	for _, c := range e.copies {
 		if c.state == copyLoading {
@@ -173,10 +181,10 @@
 	return count
 }
 
-// unloading reports whether an unload was ordered that has not ended.
-func (e *endpointPlan) unloading() bool {
+// hasPendingUnload reports whether the endpoint has accepted an unload that has not ended.
+func (e *endpointPlan) hasPendingUnload() bool {
 	for _, c := range e.copies {
-		if c.state == copyUnloading && c.accepted {
+		if c.state == copyUnloading && c.unloadAccepted {
 			return true
 		}
 	}
--- a/services/entry/loading/demand.go
+++ b/services/entry/loading/demand.go
@@ -11,27 +11,29 @@
 	"github.com/shelfledge/shelfledge/services/entry/work"
 )
 
-// Demand is what one instance says of one adapter.
+// Demand is one instance's demand for one adapter.
 type Demand struct {
 	Adapter deployment.Adapter
-	// Waiting is the number of its requests that wait for the adapter now.
+	// Waiting is the number of requests that currently wait for the adapter.
 	Waiting int
-	// InTime is how long from now the newest of them can wait and still be answered in time.
+	// InTime is how much longer the newest waiting request can wait and still meet its deadline.
 	InTime time.Duration
-	// Arrivals are the requests since the instance's last report.
+	// Arrivals is the number of requests since the instance's last report.
 	Arrivals int
-	// Prompts sums the prompts of those arrivals, in tokens.
+	// Prompts is the total prompt length of those arrivals, in tokens.
 	Prompts int
 }
 
 const (
-	// rateMemory is the time constant of the arrival rates. Longer knows rare adapters better, shorter follows a change of demand sooner.
-	rateMemory = 12 * time.Second
-	// forgetBelow is the rate, in requests a second, below which an adapter is forgotten. Lower takes more memory and search time.
-	forgetBelow = 1e-4
+	// rateTimeConstant is the time constant of the exponentially decaying arrival rates. A longer time estimates
+	// rarely used adapters better; a shorter time follows changes of demand sooner.
+	rateTimeConstant = 12 * time.Second
+	// minTrackedRate is the rate, in requests a second, below which an adapter is no longer tracked. A lower rate
+	// takes more memory and search time.
+	minTrackedRate = 1e-4
 )
 
-// Rate is an arrival rate that forgets over time.
+// Rate is an exponentially decaying arrival rate.
 type Rate struct {
 	perSecond float64
 	updated   time.Time
@@ -39,20 +41,20 @@
 
 // Add counts arrivals.
 func (r *Rate) Add(now time.Time, count int) {
-	r.perSecond = r.PerSecond(now) + float64(count)/rateMemory.Seconds()
+	r.perSecond = r.PerSecond(now) + float64(count)/rateTimeConstant.Seconds()
 	r.updated = now
 }
 
-// PerSecond gives the rate in requests a second.
+// PerSecond returns the rate at the given time, in requests a second.
 func (r *Rate) PerSecond(now time.Time) float64 {
 	elapsed := now.Sub(r.updated)
 	if elapsed <= 0 || r.perSecond == 0 {
 		return r.perSecond
 	}
-	return r.perSecond * math.Exp(-elapsed.Seconds()/rateMemory.Seconds())
+	return r.perSecond * math.Exp(-elapsed.Seconds()/rateTimeConstant.Seconds())
 }
 
-// decay brings the rate forward to now; a clock that went back forgets nothing.
+// decay advances the rate to now. It changes nothing if the clock went back.
 func (r *Rate) decay(now time.Time) {
 	if now.After(r.updated) {
 		r.perSecond = r.PerSecond(now)
@@ -60,106 +62,109 @@
 	}
 }
 
-// adapterDemand is what all instances together ask of one adapter.
+// adapterDemand is the demand of all instances for one adapter.
 type adapterDemand struct {
-	// Rate is the arrival rate at all instances; perSecond is as of the last Add or decay.
+	// Rate is the arrival rate at all instances; its perSecond is as of the last Add or decay.
 	Rate
-	// prompts is how many tokens of prompts a second those requests bring.
-	prompts Rate
-	// surge is what was asked in the last moment.
-	surge   surge
-	waiting map[string]waitingPart
+	// promptTokens is the rate of prompt tokens in those requests, in tokens a second.
+	promptTokens Rate
+	// burst is the demand within the last second or so.
+	burst   burst
+	waiting map[string]waitingRequests
 	version int64
 }
 
-type waitingPart struct {
-	count int
-	until time.Time
+type waitingRequests struct {
+	count           int
+	answerableUntil time.Time
 }
 
-// rates gives the requests, and the tokens of their prompts, that come in a second: over rateMemory or, where it is more, in the last
-// moment.
+// rates returns the arrival rates of requests and of prompt tokens, a second: the average over rateTimeConstant or
+// the recent burst, whichever is higher.
 func (d *adapterDemand) rates(now time.Time) (requests, tokens float64) {
-	requests, tokens = d.surge.sure(now)
-	return max(requests, d.PerSecond(now)), max(tokens, d.prompts.PerSecond(now))
+	requests, tokens = d.burst.significantRates(now)
+	return max(requests, d.PerSecond(now)), max(tokens, d.promptTokens.PerSecond(now))
 }
 
-// work is how much of an endpoint's time the requests take, in seconds a second, at a speed of reading in tokens a second.
+// work returns the share of an endpoint's time that the requests take, in seconds a second; speed is the prompt
+// reading speed in tokens a second.
 func (d *adapterDemand) work(now time.Time, speed float64) float64 {
 	requests, tokens := d.rates(now)
 	return requests*work.RequestTime.Seconds() + tokens/speed
 }
 
-// readTime is how long the prompt of one request takes in the mean, at a speed of reading in tokens a second.
-func (d *adapterDemand) readTime(now time.Time, speed float64) time.Duration {
+// meanReadTime returns the mean time to read the prompt of one request; speed is the prompt reading speed in tokens a
+// second.
+func (d *adapterDemand) meanReadTime(now time.Time, speed float64) time.Duration {
 	rate := d.PerSecond(now)
 	if rate <= 0 {
 		return 0
 	}
-	return time.Duration(d.prompts.PerSecond(now) / speed / rate * float64(time.Second))
+	return time.Duration(d.promptTokens.PerSecond(now) / speed / rate * float64(time.Second))
 }
 
-// waitingNow gives the waiting requests and how many instances' newest can still be in time.
-func (d *adapterDemand) waitingNow(now time.Time, loadTime time.Duration) (waiting, inTime int) {
+// countWaiting returns the number of waiting requests, and the number of instances whose newest waiting request can
+// still meet its deadline after a load that takes loadTime.
+func (d *adapterDemand) countWaiting(now time.Time, loadTime time.Duration) (waiting, inTime int) {
 	for _, part := range d.waiting {
 		waiting += part.count
-		if part.until.Sub(now) > loadTime {
+		if part.answerableUntil.Sub(now) > loadTime {
 			inTime++
 		}
 	}
 	return waiting, inTime
 }
 
-// AddRates takes in one instance's arrival rates, in requests a second, from before this plan.
+// AddRates adds one instance's arrival rates from before this plan, in requests a second.
 func (p *Planner) AddRates(now time.Time, rates map[deployment.Adapter]float64) {
 	for adapter, rate := range rates {
-		known := p.demandOf(now, adapter)
+		known := p.demandFor(now, adapter)
 		known.decay(now)
 		known.perSecond += rate
 	}
 }
 
-// Report takes in one instance's whole demand.
+// Report replaces the waiting requests of one instance by those in its full demand report and adds its arrivals.
 func (p *Planner) Report(now time.Time, instance string, demands []Demand) {
 	p.ForgetInstance(instance)
 	p.AddArrivals(now, demands)
 	for _, demand := range demands {
 		if demand.Waiting > 0 {
-			p.demandOf(now, demand.Adapter).waiting[instance] = waitingPart{count: demand.Waiting, until: now.Add(demand.InTime)}
-			p.waitedFor[instance] = append(p.waitedFor[instance], demand.Adapter)
+			p.demandFor(now, demand.Adapter).waiting[instance] = waitingRequests{count: demand.Waiting, answerableUntil: now.Add(demand.InTime)}
+			p.waitingAdapters[instance] = append(p.waitingAdapters[instance], demand.Adapter)
 		}
 	}
 }
 
-// AddArrivals takes in arrivals alone, at whatever instances.
+// AddArrivals adds arrivals only, from any instances.
 func (p *Planner) AddArrivals(now time.Time, demands []Demand) {
 	for _, demand := range demands {
-		known := p.demandOf(now, demand.Adapter)
+		known := p.demandFor(now, demand.Adapter)
 		known.Add(now, demand.Arrivals)
-		known.prompts.Add(now, demand.Prompts)
-		known.surge.add(now, demand.Arrivals, demand.Prompts)
+		known.promptTokens.Add(now, demand.Prompts)
+		known.burst.add(now, demand.Arrivals, demand.Prompts)
 	}
 }
 
-// ForgetInstance drops the waiting requests of an instance that is gone.
+// ForgetInstance removes the waiting requests of an instance that is gone.
 func (p *Planner) ForgetInstance(instance string) {
-	for _, adapter := range p.waitedFor[instance] {
-		// An adapter is forgotten only while nobody waits for it.
+	for _, adapter := range p.waitingAdapters[instance] {
+		// The entry exists: Sweep removes an adapter only while no requests wait for it.
 		delete(p.demand[adapter].waiting, instance)
 	}
-	delete(p.waitedFor, instance)
+	delete(p.waitingAdapters, instance)
 }
 
-// SetVersion names the version of an adapter that is to be served.
+// SetVersion sets the version of an adapter that is to be served, unless a newer one was set before.
 func (p *Planner) SetVersion(now time.Time, adapter deployment.Adapter, version int64) {
-	known := p.demandOf(now, adapter)
+	known := p.demandFor(now, adapter)
 	known.version = max(known.version, version)
 }
 
-func (p *Planner) demandOf(now time.Time, adapter deployment.Adapter) *adapterDemand {
+func (p *Planner) demandFor(now time.Time, adapter deployment.Adapter) *adapterDemand {
 	known, ok := p.demand[adapter]
 	if !ok {
-		known = &adapterDemand{Rate: Rate{updated: now}, waiting: make(map[string]waitingPart)}
+		known = &adapterDemand{Rate: Rate{updated: now}, waiting: make(map[string]waitingRequests)}
 		p.demand[adapter] = known
 	}
 	return known
--- a/services/entry/loading/doc.go
+++ b/services/entry/loading/doc.go
@@ -1,20 +1,22 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package loading plans which adapters sit on which endpoints of one service: what to load
-// next and where, what to withdraw and unload, and how fast, under the weight store's rate.
+// Package loading plans which adapters the endpoints of one service hold: which adapter to load next and where, which
+// copy to withdraw and unload, and how many loads run at once within the weight store's rate limit.
 //
-// A Planner is a plain state machine. Its methods take in endpoints, demand and the results of
-// orders with the present time as an argument, and Next gives the next order. It owns the plan of copies (copy.go), what
-// endpoints say of themselves (adopt.go), how many orders they have taken (count.go), the demand of all instances
-// (demand.go, surge.go) and the pace of loads (pace.go, limiter.go); it relies on the coordinator to send its orders, one at a time for
-// an endpoint, and on the settings for the weight store's bound. It does no I/O and starts no goroutine.
+// A Planner is a plain state machine. Its methods take the current time as an argument and receive endpoints, demand
+// and the results of orders; Next returns the next order to send. The planner owns the planned copies (copy.go), the
+// state reported by endpoints (reconcile.go), the sequence of each endpoint (sequence.go), the demand of all
+// instances (demand.go, burst.go) and the limits on loads (concurrency.go, limiter.go). It relies on the coordinator
+// to send its orders, one at a time per endpoint, and on the settings for the rate limit of the weight store. It
+// performs no I/O and starts no goroutine.
 //
-// The invariant: what an endpoint holds and loads, and what it was ordered to load and has not refused, is never more than its
-// places and its memory, and nothing is unloaded that loads or is in use, whatever is late, lost or reordered between planners,
-// endpoints, their descriptions in the store and their reports. TestNoShortHistoryBreaksTheInvariant searches for what breaks it.
+// Invariant: the adapters that an endpoint holds, is loading, or was ordered to load without having refused never
+// exceed its places (a place is the room for one adapter) and its memory. No adapter is unloaded while it is loading
+// or in use. Both rules hold even if orders, endpoint descriptions in the store, reports or planner takeovers are
+// late, lost or reordered. TestInvariantHoldsInExhaustiveSearch searches for violations.
 //
-// The rules, a file each: which order goes first (next.go), base models (model.go), what a copy is worth (value.go), where it
-// is loaded (placement.go), what makes room (eviction.go), when adapters on their way are expected (forecast.go),
-// and what follows from an endpoint's answer (result.go).
+// Each rule has its own file: the priority of orders (next.go), base models (model.go), the value of a copy
+// (value.go), the choice of an endpoint for a load (placement.go), eviction (eviction.go), the expected end of loads
+// (forecast.go), and the handling of replies (result.go).
 package loading
--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/edges_test.go
@@ -15,34 +15,34 @@
 	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
-func TestEdgesOfTheWorthOfACopy(t *testing.T) {
+func TestCopyNeedValueBoundaries(t *testing.T) {
 	// A rate of 1/15 a second is one request within the horizon of 15 s.
 	const one = 1.0 / 15
 	for name, test := range map[string]struct {
 		need  loading.CopyNeed
 		worth float64
 	}{
-		"nothing known":                                {loading.CopyNeed{}, 0},
-		"no copy, used often, nobody waits":            {loading.CopyNeed{Rate: 9}, 0},
-		"an older version, use just below one request": {loading.CopyNeed{Outdated: 1, Rate: one * 0.999}, 0},
-		"an older version, use of one request":         {loading.CopyNeed{Outdated: 1, Rate: one}, 1},
-		"an older version, use above one request":      {loading.CopyNeed{Outdated: 1, Rate: 2 * one}, 2},
-		"no copy, one waits for it, used often":        {loading.CopyNeed{Waiting: 1, InTime: 1, Rate: 2 * one}, 3},
-		"no copy, a request too late":                  {loading.CopyNeed{Waiting: 1}, 0.15},
-		"no copy, a request in time":                   {loading.CopyNeed{Waiting: 1, InTime: 1}, 1},
-		"no copy, one of three in time":                {loading.CopyNeed{Waiting: 3, InTime: 1}, 1.3},
-		"more instances in time than waiting":          {loading.CopyNeed{Waiting: 1, InTime: 2}, 2},
-		"the first copy is coming":                     {loading.CopyNeed{Waiting: 9, InTime: 1, Coming: 1, Rate: 5}, 0},
-		"a copy with room":                             {loading.CopyNeed{Waiting: 9, InTime: 1, Usable: 1, Free: 1, Rate: 0.5}, 0},
-		"all copies saturated, nobody waits":           {loading.CopyNeed{Usable: 1, Rate: 0.5}, 0},
-		"all copies saturated, one waits":              {loading.CopyNeed{Usable: 1, Waiting: 1}, 0.15},
-		"hot, no relief":                               {loading.CopyNeed{Usable: 1, Free: 1, Rate: 9}, 0},
-		"hot, another copy takes half a request off":   {loading.CopyNeed{Usable: 1, Free: 1, Rate: 1, Relief: 0.5}, 0.5 * 15 * 0.4},
-		"hot, a second copy is coming, no relief":      {loading.CopyNeed{Usable: 1, Free: 1, Coming: 1, Rate: 9}, 0},
-		"hot, a third copy beside one that is coming":  {loading.CopyNeed{Usable: 1, Free: 1, Coming: 1, Rate: 9, Relief: 3}, 3 * 15 * 0.4},
-		"all copies saturated, another one is coming":  {loading.CopyNeed{Usable: 1, Coming: 1, Waiting: 3, Rate: 9}, 0},
-		"the first copy is coming, hot":                {loading.CopyNeed{Waiting: 9, InTime: 1, Coming: 1, Rate: 5, Relief: 2}, 2 * 15 * 0.4},
-		"all copies saturated, hot, nobody waits here": {loading.CopyNeed{Usable: 1, Rate: 1.5, Relief: 0.1}, 0.1 * 15 * 0.4},
+		"no demand":                                          {loading.CopyNeed{}, 0},
+		"no copy, high rate, no waiting request":             {loading.CopyNeed{Rate: 9}, 0},
+		"outdated copy, expected use just below one request": {loading.CopyNeed{Outdated: 1, Rate: one * 0.999}, 0},
+		"outdated copy, expected use of one request":         {loading.CopyNeed{Outdated: 1, Rate: one}, 1},
+		"outdated copy, expected use above one request":      {loading.CopyNeed{Outdated: 1, Rate: 2 * one}, 2},
+		"no copy, one waiting request, high rate":            {loading.CopyNeed{Waiting: 1, InTime: 1, Rate: 2 * one}, 3},
+		"no copy, one request too late":                      {loading.CopyNeed{Waiting: 1}, 0.15},
+		"no copy, one request in time":                       {loading.CopyNeed{Waiting: 1, InTime: 1}, 1},
+		"no copy, one of three requests in time":             {loading.CopyNeed{Waiting: 3, InTime: 1}, 1.3},
+		"more instances in time than waiting requests":       {loading.CopyNeed{Waiting: 1, InTime: 2}, 2},
+		"first copy loading":                                 {loading.CopyNeed{Waiting: 9, InTime: 1, Coming: 1, Rate: 5}, 0},
+		"copy on an endpoint that is not saturated":          {loading.CopyNeed{Waiting: 9, InTime: 1, Usable: 1, Free: 1, Rate: 0.5}, 0},
+		"all copies saturated, no waiting request":           {loading.CopyNeed{Usable: 1, Rate: 0.5}, 0},
+		"all copies saturated, one waiting request":          {loading.CopyNeed{Usable: 1, Waiting: 1}, 0.15},
+		"high rate, no relief":                               {loading.CopyNeed{Usable: 1, Free: 1, Rate: 9}, 0},
+		"high rate, relief of half a request a second":       {loading.CopyNeed{Usable: 1, Free: 1, Rate: 1, Relief: 0.5}, 0.5 * 15 * 0.4},
+		"high rate, second copy loading, no relief":          {loading.CopyNeed{Usable: 1, Free: 1, Coming: 1, Rate: 9}, 0},
+		"high rate, second copy loading, relief by a third":  {loading.CopyNeed{Usable: 1, Free: 1, Coming: 1, Rate: 9, Relief: 3}, 3 * 15 * 0.4},
+		"all copies saturated, another copy loading":         {loading.CopyNeed{Usable: 1, Coming: 1, Waiting: 3, Rate: 9}, 0},
+		"first copy loading, relief by another":              {loading.CopyNeed{Waiting: 9, InTime: 1, Coming: 1, Rate: 5, Relief: 2}, 2 * 15 * 0.4},
+		"all copies saturated, relief, no waiting request":   {loading.CopyNeed{Usable: 1, Rate: 1.5, Relief: 0.1}, 0.1 * 15 * 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.InDelta(t, test.worth, test.need.Value(), 1e-9)
@@ -50,35 +50,35 @@
 	}
 }
 
-func TestEdgesOfAResidentCopysUse(t *testing.T) {
+func TestResidentValueBoundaries(t *testing.T) {
 	assert.InDelta(t, 15.0, loading.ResidentValue(1, 1), 1e-9)
 	assert.InDelta(t, 7.5, loading.ResidentValue(1, 2), 1e-9)
-	assert.InDelta(t, 15.0, loading.ResidentValue(1, 0), 1e-9, "a copy that is not counted as usable yet stands for itself")
+	assert.InDelta(t, 15.0, loading.ResidentValue(1, 0), 1e-9, "a copy that is not counted as usable yet counts as one")
 	assert.Zero(t, loading.ResidentValue(0, 1))
 }
 
-func TestEdgesOfChoosingAnEndpoint(t *testing.T) {
+func TestDestinationCostBoundaries(t *testing.T) {
 	cost := func(work float64, copies int, held bool, chance float64) float64 {
 		return loading.DestinationFactors{Work: work, Copies: copies, Held: held, Chance: chance}.Cost()
 	}
-	assert.Zero(t, cost(0, 0, false, 0), "nothing to do and nothing held")
-	assert.InDelta(t, 0.005, cost(0, 1, false, 0), 1e-12, "a copy weighs five thousandths of a second")
-	assert.Less(t, cost(0, 1, false, 1), cost(0, 2, false, 0), "chance weighs less than a copy")
+	assert.Zero(t, cost(0, 0, false, 0), "no work and no copies")
+	assert.InDelta(t, 0.005, cost(0, 1, false, 0), 1e-12, "a copy costs 0.005 s")
+	assert.Less(t, cost(0, 1, false, 1), cost(0, 2, false, 0), "the random cost is less than the cost of a copy")
 	assert.InDelta(t, 0.002, cost(0, 0, false, 1), 1e-12)
-	assert.Less(t, cost(0.499, 0, true, 0), cost(0, 0, false, 0), "held before, and just below half a second of work a second more")
-	assert.InDelta(t, cost(0, 0, false, 0), cost(0.5, 0, true, 0), 1e-12, "at half a second of work a second more")
+	assert.Less(t, cost(0.499, 0, true, 0), cost(0, 0, false, 0), "held before, just below 0.5 s a second of additional work")
+	assert.InDelta(t, cost(0, 0, false, 0), cost(0.5, 0, true, 0), 1e-12, "held before, 0.5 s a second of additional work")
 	assert.Greater(t, cost(0.501, 0, true, 0), cost(0, 0, false, 0))
 	busy := loading.DestinationFactors{Backlog: 300 * time.Millisecond}.Cost()
-	assert.InDelta(t, cost(0.3, 0, false, 0), busy, 1e-12, "what waits to be read weighs as much as what a second will bring")
+	assert.InDelta(t, cost(0.3, 0, false, 0), busy, 1e-12, "backlog costs as much as the work of one second")
 }
 
-func TestEdgesOfSparePlaces(t *testing.T) {
+func TestSparePlacesBoundaries(t *testing.T) {
 	for capacity, spare := range map[int]int{0: 1, 1: 1, 6: 1, 13: 1, 14: 2, 20: 2, 100: 2} {
 		assert.Equal(t, spare, loading.SparePlaces(capacity), "capacity %d", capacity)
 	}
 }
 
-// steadyPace gives a pace after ten loads of 200 ms: 18 may run at once.
+// steadyPace returns the state after ten loads of 200 ms: 18 may run at once.
 func steadyPace() *loading.Pace {
 	pace := loading.NewPace()
 	for range 10 {
@@ -87,21 +87,21 @@
 	return pace
 }
 
-func TestEdgesOfThePaceOfLoads(t *testing.T) {
-	assert.Equal(t, 8, loading.NewPace().Concurrency(), "nothing measured")
+func TestConcurrencyLimitBoundaries(t *testing.T) {
+	assert.Equal(t, 8, loading.NewPace().Concurrency(), "initial limit")
 	const slow = 251 * time.Millisecond
 	for name, test := range map[string]struct {
 		slow        int
 		took        []time.Duration
 		concurrency int
 	}{
-		"at the shortest time":              {0, []time.Duration{200 * time.Millisecond}, 19},
-		"eight at 1.25 of it":               {0, slices.Repeat([]time.Duration{250 * time.Millisecond}, 8), 26},
-		"seven above 1.25 of it":            {7, nil, 25},
-		"eight above 1.25 of it":            {8, nil, 21},
-		"nine beside each other":            {9, nil, 21},
-		"eight, and a quick one among them": {7, []time.Duration{200 * time.Millisecond, slow}, 27},
-		"after eight it grows less":         {8, []time.Duration{200 * time.Millisecond}, 21},
+		"one load of the shortest time":                  {0, []time.Duration{200 * time.Millisecond}, 19},
+		"eight loads of 1.25 times the shortest time":    {0, slices.Repeat([]time.Duration{250 * time.Millisecond}, 8), 26},
+		"seven loads above 1.25 times the shortest time": {7, nil, 25},
+		"eight loads above 1.25 times the shortest time": {8, nil, 21},
+		"nine parallel slow loads":                       {9, nil, 21},
+		"seven slow loads, a fast one, a slow one":       {7, []time.Duration{200 * time.Millisecond, slow}, 27},
+		"a fast load after eight slow ones":              {8, []time.Duration{200 * time.Millisecond}, 21},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pace := steadyPace()
@@ -113,9 +113,10 @@
 	}
 }
 
-// TestLateEndpointsTellNothingOfTheWeightStore: each fourth load is seen late, since its endpoint left orders unanswered. By the mean of
-// all loads the pace fell to eight at once, a quarter of what the store brings at full speed.
-func TestLateEndpointsTellNothingOfTheWeightStore(t *testing.T) {
+// TestConcurrencyNotLoweredByLateEndpoints observes every fourth load late, because its endpoint left orders
+// unanswered. When the mean of all loads was used, the limit fell to eight, a quarter of what the store serves at
+// full speed.
+func TestConcurrencyNotLoweredByLateEndpoints(t *testing.T) {
 	pace := loading.NewPace()
 	now := start
 	for number := range 400 {
@@ -129,8 +130,9 @@
 	assert.Equal(t, 200, pace.Concurrency())
 }
 
-// TestALatePlannerIsNoSlowStore: it sees each load end 100 ms late, asked about 20 ms before its end.
-func TestALatePlannerIsNoSlowStore(t *testing.T) {
+// TestConcurrencyNotLoweredByLatePolls observes the end of each load 100 ms late, with the last poll before it 20 ms
+// before the end.
+func TestConcurrencyNotLoweredByLatePolls(t *testing.T) {
 	pace := steadyPace()
 	for range 100 {
 		pace.NoteBeside(start, 330*time.Millisecond, 230*time.Millisecond, pace.Concurrency())
@@ -138,27 +140,28 @@
 	assert.Equal(t, 118, pace.Concurrency())
 }
 
-func TestALimitThatNothingReachesDoesNotGrow(t *testing.T) {
+func TestConcurrencyLimitNotRaisedWhileHalfUnused(t *testing.T) {
 	for running, concurrency := range map[int]int{8: 18, 9: 19} {
 		pace := steadyPace()
 		pace.NoteBeside(start, 200*time.Millisecond, 200*time.Millisecond, running)
-		assert.Equal(t, concurrency, pace.Concurrency(), "%d of 18 ran", running)
+		assert.Equal(t, concurrency, pace.Concurrency(), "%d of 18 loads running", running)
 	}
 }
 
-func TestTheShortestLoadTimeGrowsWithTimeOnly(t *testing.T) {
+func TestShortestLoadTimeGrowsWithTimeOnly(t *testing.T) {
 	pace := steadyPace()
 	for range 500 {
 		pace.Note(start, 500*time.Millisecond)
 	}
-	assert.Equal(t, 160*time.Millisecond, pace.FirstLook(), "0.8 of 200 ms, whatever many loads at once take")
+	assert.Equal(t, 160*time.Millisecond, pace.FirstLook(), "0.8 of 200 ms, however long parallel loads take")
 	pace.Note(start.Add(10*time.Second), 500*time.Millisecond)
-	assert.Equal(t, 192*time.Millisecond, pace.FirstLook(), "a fiftieth a second")
+	assert.Equal(t, 192*time.Millisecond, pace.FirstLook(), "growth of one fiftieth a second")
 }
 
-// TestLoadsThatAnEndpointHadKeptTellNothingOfTheWeightStore: nobody knew after a restart of all instances what endpoints had kept,
-// and loads that took a tenth made all others look slow, until one load at a time was left.
-func TestLoadsThatAnEndpointHadKeptTellNothingOfTheWeightStore(t *testing.T) {
+// TestCachedLoadsDoNotAffectConcurrency: after a restart of all instances, the adapters cached by the endpoints were
+// unknown. Their loads took a tenth of the time and made all others appear slow, until the limit was one load at a
+// time.
+func TestCachedLoadsDoNotAffectConcurrency(t *testing.T) {
 	pace := loading.NewPace()
 	before := pace.FirstLook()
 	for range 20 {
@@ -167,19 +170,19 @@
 		}
 		pace.Note(start, 250*time.Millisecond)
 	}
-	assert.Equal(t, 28, pace.Concurrency(), "only the others count")
+	assert.Equal(t, 28, pace.Concurrency(), "only loads that did not end early count")
 	assert.GreaterOrEqual(t, pace.FirstLook(), before)
 	for range 1000 {
 		pace.NoteQuick(start, pace.FirstLook())
 	}
-	assert.Equal(t, 100*time.Millisecond, pace.FirstLook(), "0.4 of the shortest time at least")
+	assert.Equal(t, 100*time.Millisecond, pace.FirstLook(), "at least 0.4 of the shortest time")
 	for range 20 {
 		pace.Note(start, 300*time.Millisecond)
 	}
-	assert.Greater(t, pace.Concurrency(), 28, "and loads of the weight store's time are not slow after them")
+	assert.Greater(t, pace.Concurrency(), 28, "loads from the weight store do not count as slow after cached loads")
 }
 
-func TestAWeightStoreThatBecameFasterIsNoticed(t *testing.T) {
+func TestFirstPollDelayFollowsFasterStore(t *testing.T) {
 	pace := loading.NewPace()
 	const store = 120 * time.Millisecond
 	for range 200 {
@@ -194,7 +197,7 @@
 	assert.Equal(t, store, pace.LoadTime().Round(time.Millisecond))
 }
 
-func TestThePaceStaysWithinItsBounds(t *testing.T) {
+func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
 	pace := loading.NewPace()
 	for range 500 {
 		pace.Note(start, 250*time.Millisecond)
@@ -202,31 +205,31 @@
 	assert.Equal(t, 200, pace.Concurrency())
 	took := 500 * time.Millisecond
 	for i := range 500 {
-		// The shortest time grows by one fiftieth a second; each load stays at twice of it.
+		// The shortest time grows by one fiftieth a second; each load takes twice that time.
 		pace.Note(start.Add(time.Duration(i)*time.Second), took)
 		took += took / 50
 	}
-	assert.Equal(t, 8, pace.Concurrency(), "as many as before anything was measured")
+	assert.Equal(t, 8, pace.Concurrency(), "the minimum equals the initial limit")
 }
 
-func TestTheFirstLookIsBeforeTheShortestTime(t *testing.T) {
+func TestFirstPollBeforeShortestLoadTime(t *testing.T) {
 	pace := loading.NewPace()
 	assert.Equal(t, 200*time.Millisecond, pace.FirstLook())
 	pace.Note(start, 100*time.Millisecond)
 	assert.Equal(t, 80*time.Millisecond, pace.FirstLook())
 }
 
-func TestEdgesOfTheBoundOfModelLoads(t *testing.T) {
+func TestModelLimiterBoundaries(t *testing.T) {
 	// floor(3 x 5 x 1.1 + 3) - 2 = 17.
 	loads := loading.NewModelLimiter(rate)
 	for range 16 {
 		loads.Begin(start)
 	}
-	require.True(t, loads.Allows(start), "just below the bound")
+	require.True(t, loads.Allows(start), "one load below the limit")
 	loads.Begin(start)
-	assert.False(t, loads.Allows(start), "at the bound")
-	assert.False(t, loads.Allows(start.Add(rate.Window-1)), "just within the window")
-	assert.True(t, loads.Allows(start.Add(rate.Window)), "the window is over")
+	assert.False(t, loads.Allows(start), "limit reached")
+	assert.False(t, loads.Allows(start.Add(rate.Window-1)), "last moment of the window")
+	assert.True(t, loads.Allows(start.Add(rate.Window)), "window has passed")
 
 	tiny := loading.NewModelLimiter(loading.RateOptions{Window: time.Second})
 	assert.True(t, tiny.Allows(start), "one load is always allowed")
@@ -235,19 +238,19 @@
 
 	after := loading.NewModelLimiter(rate)
 	after.Assume(start, 17)
-	assert.False(t, after.Allows(start.Add(rate.Window-1)), "a former planner's loads count for a window")
+	assert.False(t, after.Allows(start.Add(rate.Window-1)), "loads of a former planner count for one window")
 	assert.True(t, after.Allows(start.Add(rate.Window)))
 }
 
-func TestEdgesOfOfferingAWithdrawnCopyAgain(t *testing.T) {
+func TestWithdrawalTimeoutBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   time.Duration
 		inUse   int
 		offered int
 	}{
-		"at the time-out":           {400 * time.Millisecond, 1, 3},
-		"just after it":             {400*time.Millisecond + 1, 1, 4},
-		"just after it, not in use": {400*time.Millisecond + 1, 0, 3},
+		"at the time-out":                     {400 * time.Millisecond, 1, 3},
+		"just after the time-out":             {400*time.Millisecond + 1, 1, 4},
+		"just after the time-out, not in use": {400*time.Millisecond + 1, 0, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			use := copyUse{}
@@ -268,16 +271,16 @@
 	}
 }
 
-// TestEdgesOfWhatIsNeverEvicted has one endpoint whose four copies are all as hot.
-func TestEdgesOfWhatIsNeverEvicted(t *testing.T) {
+// TestEvictionValueLimitBoundaries uses one endpoint whose four copies have the same request rate.
+func TestEvictionValueLimitBoundaries(t *testing.T) {
 	// 0.8 requests a second are 12 within the horizon of 15 s.
 	for name, test := range map[string]struct {
 		rate    float64
 		offered int
 	}{
-		"just below": {0.7999, 3},
-		"at":         {0.8, 4},
-		"above":      {0.9, 4},
+		"just below the limit": {0.7999, 3},
+		"at the limit":         {0.8, 4},
+		"above the limit":      {0.9, 4},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := fullPlanner(copyUse{})
@@ -293,24 +296,24 @@
 	}
 }
 
-// TestEdgesOfASettledCopy has an endpoint with four places that are filled one after the other.
-func TestEdgesOfASettledCopy(t *testing.T) {
+// TestEvictionProtectionBoundaries fills the four places of an endpoint one after the other.
+func TestEvictionProtectionBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   time.Duration
 		offered int
 	}{
-		"just before it is settled": {300*time.Millisecond - 1, 4},
-		"settled":                   {300 * time.Millisecond, 3},
+		"just before the protection ends": {300*time.Millisecond - 1, 4},
+		"protection has ended":            {300 * time.Millisecond, 3},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlanner(1)
 			p.SetEndpoint(start, described("e"), nextRevision(), false)
 			for number := 1; number <= 4; number++ {
-				p.Report(start, "i", waiting(adapter(number)))
+				p.Report(start, "i", waitingDemand(adapter(number)))
 				order, ok := p.Next(start)
 				require.True(t, ok)
 				require.Equal(t, loading.Load, order.Kind)
-				p.Done(start, answer(order, loading.Holds))
+				p.Done(start, resultOf(order, loading.Holds))
 			}
 			p.Report(start, "i", nil)
 			p.Next(start.Add(test.after))
@@ -320,18 +323,18 @@
 	}
 }
 
-// TestEdgesOfAnOldDescription is about a copy that an own order brought and that a newer description lacks.
-func TestEdgesOfAnOldDescription(t *testing.T) {
+// TestDescriptionLagBoundaries covers a copy loaded by this plan that a newer description lacks.
+func TestDescriptionLagBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		after time.Duration
 		kept  bool
 	}{
-		"the description may lag":    {3*time.Second - 1, true},
-		"the description must be so": {3 * time.Second, false},
+		"description may lag behind": {3*time.Second - 1, true},
+		"description is current":     {3 * time.Second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, load := firstLoad(t)
-			p.Done(start, answer(load, loading.Holds))
+			p, load := plannerWithLoadOrder(t)
+			p.Done(start, resultOf(load, loading.Holds))
 			p.SetEndpoint(start.Add(test.after), described("e"), nextRevision(), false)
 			_, offered := p.Offered("e")
 			assert.Equal(t, test.kept, len(offered) == 1)
@@ -339,24 +342,24 @@
 	}
 }
 
-// TestEdgesOfALoadThatTakesTooLong is about a load that was accepted: polls go on, and one too late is looked into.
-func TestEdgesOfALoadThatTakesTooLong(t *testing.T) {
+// TestSlowLoadLimitBoundaries covers an accepted load: it is polled, and inspected once it takes too long.
+func TestSlowLoadLimitBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		after     time.Duration
 		inspected bool
 	}{
-		"at the limit":   {1200 * time.Millisecond, false},
-		"just after it":  {1200*time.Millisecond + 1, true},
-		"long before it": {300 * time.Millisecond, false},
+		"at the limit":          {1200 * time.Millisecond, false},
+		"just after the limit":  {1200*time.Millisecond + 1, true},
+		"long before the limit": {300 * time.Millisecond, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, load := firstLoad(t)
-			p.Done(start, answer(load, loading.Accepted))
+			p, load := plannerWithLoadOrder(t)
+			p.Done(start, resultOf(load, loading.Accepted))
 			now := start.Add(test.after)
 			poll, ok := p.Next(now)
 			require.True(t, ok)
 			require.True(t, poll.Poll)
-			p.Done(now, answer(poll, loading.Accepted))
+			p.Done(now, resultOf(poll, loading.Accepted))
 			next, ok := p.Next(now.Add(time.Second))
 			require.True(t, ok)
 			assert.Equal(t, test.inspected, next.Kind == loading.Inspect)
@@ -364,49 +367,50 @@
 	}
 }
 
-// TestEdgesOfAnEndpointThatLeavesOrdersUnanswered is about the rest after a lost answer.
-func TestEdgesOfAnEndpointThatLeavesOrdersUnanswered(t *testing.T) {
+// TestPauseAfterFailedOrderBoundaries covers the pause before the inspection that follows a failed or unanswered
+// order.
+func TestPauseAfterFailedOrderBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		reply loading.Reply
 		after time.Duration
 		asked bool
 	}{
-		"unanswered, just before the rest ends": {loading.Unanswered, 150*time.Millisecond - 1, false},
-		"unanswered, the rest is over":          {loading.Unanswered, 150 * time.Millisecond, true},
-		"failed, just before the rest ends":     {loading.NotDelivered, 300*time.Millisecond - 1, false},
-		"failed, the rest is over":              {loading.NotDelivered, 300 * time.Millisecond, true},
-		"rejected, just before the rest ends":   {loading.Rejected, 300*time.Millisecond - 1, false},
-		"rejected, the rest is over":            {loading.Rejected, 300 * time.Millisecond, true},
+		"unanswered, just before the pause ends":    {loading.Unanswered, 150*time.Millisecond - 1, false},
+		"unanswered, after the pause":               {loading.Unanswered, 150 * time.Millisecond, true},
+		"not delivered, just before the pause ends": {loading.NotDelivered, 300*time.Millisecond - 1, false},
+		"not delivered, after the pause":            {loading.NotDelivered, 300 * time.Millisecond, true},
+		"rejected, just before the pause ends":      {loading.Rejected, 300*time.Millisecond - 1, false},
+		"rejected, after the pause":                 {loading.Rejected, 300 * time.Millisecond, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, load := firstLoad(t)
-			p.Done(start, answer(load, test.reply))
+			p, load := plannerWithLoadOrder(t)
+			p.Done(start, resultOf(load, test.reply))
 			next, ok := p.Next(start.Add(test.after))
 			assert.Equal(t, test.asked, ok)
 			if ok {
-				assert.Equal(t, loading.Inspect, next.Kind, "the report shows what became of it")
+				assert.Equal(t, loading.Inspect, next.Kind, "the report shows the effect of the order")
 			}
 		})
 	}
 }
 
-// TestEdgesOfAPlaceKeptForAFormerPlannersOrder has three of four places taken; the fourth is kept for an order that a former
-// planner may have sent last.
-func TestEdgesOfAPlaceKeptForAFormerPlannersOrder(t *testing.T) {
+// TestFormerPlannersReservationBoundaries fills three of four places; the fourth is reserved for the last order that
+// a former planner may have sent.
+func TestFormerPlannersReservationBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		after  time.Duration
 		loaded bool
 	}{
-		"it may still be carried out":    {13*time.Second - 1, false},
-		"it is not carried out any more": {13 * time.Second, true},
+		"order may still be carried out":     {13*time.Second - 1, false},
+		"order can no longer be carried out": {13 * time.Second, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newPlanner(1)
 			held := described("e", adapter(1), adapter(2), adapter(3))
 			p.SetEndpoint(start, held, nextRevision(), false)
-			inspected(t, p, start, &loading.Report{Sequence: 3, Adapters: held.Adapters})
+			answerInspection(t, p, start, &loading.Report{Sequence: 3, Adapters: held.Adapters})
 			now := start.Add(test.after)
-			p.Report(now, "i", waiting(adapter(5)))
+			p.Report(now, "i", waitingDemand(adapter(5)))
 			order, ok := p.Next(now)
 			assert.Equal(t, test.loaded, ok)
 			if ok {
@@ -416,19 +420,19 @@
 	}
 }
 
-func TestEdgesOfForecasts(t *testing.T) {
+func TestForecastBoundaries(t *testing.T) {
 	p := newPlanner(1)
 	list, backlog := p.Forecasts(start)
 	assert.Empty(t, list)
-	assert.Equal(t, 250*time.Millisecond, backlog, "without endpoints the usual time of one load is all that is known")
+	assert.Equal(t, 250*time.Millisecond, backlog, "without endpoints, the typical duration of one load")
 
 	p.SetEndpoint(start, described("e"), nextRevision(), false)
-	p.Report(start, "i", waiting(adapter(1)))
+	p.Report(start, "i", waitingDemand(adapter(1)))
 	order, ok := p.Next(start)
 	require.True(t, ok)
-	p.Done(start, answer(order, loading.Accepted))
+	p.Done(start, resultOf(order, loading.Accepted))
 	list, _ = p.Forecasts(start.Add(249 * time.Millisecond))
 	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1), Remaining: time.Millisecond}}, list)
 	list, _ = p.Forecasts(start.Add(time.Second))
-	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1)}}, list, "an overdue load is expected at any time")
+	assert.Equal(t, []loading.Forecast{{Adapter: adapter(1)}}, list, "an overdue load may end at any time")
 }
--- a/services/entry/loading/eviction.go
+++ b/services/entry/loading/eviction.go
@@ -10,51 +10,52 @@
 )
 
 const (
-	// spareShare is the part of an endpoint's places that is kept free for the next loads, of at least one and at most mostSpare places.
-	// More lets loads begin at once, at the cost of copies that could serve.
-	spareShare = 0.15
-	mostSpare  = 2
-	// mostEvicted is the expected use within the horizon, in requests, from which on a copy is never evicted. Higher frees places also from
-	// hot copies, which then have to be brought again.
-	mostEvicted = 12.0
-	// settleTime is how long a copy that was just brought is safe from eviction. Longer protects what its requests are about to use,
-	// shorter frees a place that was filled in vain. Its use is known to the planner a report (0.25 s) later.
-	settleTime = 300 * time.Millisecond
-	// withdrawalTimeout is after how long a withdrawn copy that is still in use is offered again. Longer waits for long streams, shorter
-	// looks for another copy sooner.
+	// spareShare is the share of an endpoint's places kept free for the next loads; at least one place and at most
+	// maxSparePlaces are kept free. More free places let loads start at once, at the cost of copies that could serve
+	// requests.
+	spareShare     = 0.15
+	maxSparePlaces = 2
+	// evictionValueLimit is the expected use within valueHorizon, in requests, from which a copy is never evicted. A
+	// higher limit also frees places held by hot copies, which then have to be loaded again.
+	evictionValueLimit = 12.0
+	// evictionProtection is how long a newly loaded copy is protected from eviction. A longer time protects copies
+	// that requests are about to use; a shorter time frees places that were filled in vain. The planner learns that a
+	// copy is used one report interval (0.25 s) later.
+	evictionProtection = 300 * time.Millisecond
+	// withdrawalTimeout is the time after which a withdrawn copy that is still in use is offered again. A longer time
+	// waits for long streams; a shorter time looks for another copy sooner.
 	withdrawalTimeout = 400 * time.Millisecond
 )
 
-// keepRoom withdraws the least valuable copy of each endpoint that is nearly full, so that a
-// load need not wait for an unload.
-func (p *Planner) keepRoom(now time.Time) {
+// ensureSparePlaces withdraws the least valuable copy of each endpoint with too few free places, so that a load need
+// not wait for an unload.
+func (p *Planner) ensureSparePlaces(now time.Time) {
 	for id, plan := range p.endpoints {
 		if plan.suspect || plan.endpoint.State != deployment.Ready {
 			continue
 		}
 		outgoing, unconfirmed := plan.outgoing()
-		plan.pruneUnanswered(now)
-		if p.capacity(&plan.endpoint)-plan.taken()+outgoing >= p.spare(&plan.endpoint) || unconfirmed {
+		plan.pruneUnansweredLoads(now)
+		if p.capacity(&plan.endpoint)-plan.occupiedPlaces()+outgoing >= p.sparePlaces(&plan.endpoint) || unconfirmed {
 			continue
 		}
-		if victim := p.leastValuable(now, id, plan); victim != nil {
+		if victim := p.evictionCandidate(now, id, plan); victim != nil {
 			p.withdraw(now, id, victim)
 		}
 	}
 }
 
-// spare is how many places of an endpoint are kept free.
-func (p *Planner) spare(endpoint *deployment.Endpoint) int {
+func (p *Planner) sparePlaces(endpoint *deployment.Endpoint) int {
 	return SparePlaces(p.capacity(endpoint))
 }
 
-// SparePlaces is how many of an endpoint's places for adapters are kept free.
+// SparePlaces returns how many of an endpoint's places for adapters are kept free.
 func SparePlaces(capacity int) int {
-	return max(1, min(mostSpare, int(spareShare*float64(capacity))))
+	return max(1, min(maxSparePlaces, int(spareShare*float64(capacity))))
 }
 
-// outgoing counts the copies that are withdrawn or being unloaded, and reports whether one of them is
-// not confirmed as unused yet.
+// outgoing returns the number of copies that are withdrawn or being unloaded, and whether one of them is not
+// yet confirmed as unused.
 func (e *endpointPlan) outgoing() (count int, unconfirmed bool) {
 	for _, c := range e.copies {
 		switch c.state {
@@ -68,13 +69,13 @@
 	return count, unconfirmed
 }
 
-// leastValuable gives the settled copy that no request uses and that is expected to serve the fewest
-// requests, if these are few enough.
-func (p *Planner) leastValuable(now time.Time, id deployment.EndpointID, plan *endpointPlan) *copyPlan {
+// evictionCandidate returns the copy with the lowest expected use that is past its eviction protection and not used
+// or waited for by any request. It returns nil if no such copy has an expected use below evictionValueLimit.
+func (p *Planner) evictionCandidate(now time.Time, id deployment.EndpointID, plan *endpointPlan) *copyPlan {
 	var victim *copyPlan
-	least := mostEvicted
+	least := evictionValueLimit
 	for adapter, c := range plan.copies {
-		if c.state != copyResident || now.Sub(c.settledSince) < settleTime || p.isWanted(now, adapter) || p.uses(id, adapter) > 0 {
+		if c.state != copyResident || now.Sub(c.loadedAt) < evictionProtection || p.hasWaitingRequests(now, adapter) || p.uses(id, adapter) > 0 {
 			continue
 		}
 		if value := p.residentValue(now, adapter); value < least {
@@ -84,33 +85,34 @@
 	return victim
 }
 
-// isWanted reports whether requests wait for an adapter.
-func (p *Planner) isWanted(now time.Time, adapter deployment.Adapter) bool {
+// hasWaitingRequests reports whether requests wait for an adapter.
+func (p *Planner) hasWaitingRequests(now time.Time, adapter deployment.Adapter) bool {
 	known, ok := p.demand[adapter]
 	if !ok {
 		return false
 	}
-	waiting, _ := known.waitingNow(now, 0)
+	waiting, _ := known.countWaiting(now, 0)
 	return waiting > 0
 }
 
-// withdraw takes a copy off offer; it is unloaded once all instances have seen that and use it no more.
+// withdraw stops offering a copy for requests. The copy is unloaded once all instances have seen the withdrawal and
+// no longer use the copy.
 func (p *Planner) withdraw(now time.Time, id deployment.EndpointID, c *copyPlan) {
-	p.withdrawals = p.nextWithdrawal()
-	c.state, c.since, c.withdrawal = copyWithdrawn, now, p.withdrawals
+	p.lastWithdrawal = p.nextWithdrawalNumber()
+	c.state, c.since, c.withdrawalNumber = copyWithdrawn, now, p.lastWithdrawal
 	p.changed[id] = true
 }
 
-// nextWithdrawal numbers an announcement, above all before.
-func (p *Planner) nextWithdrawal() uint64 {
+// nextWithdrawalNumber returns a number higher than that of every earlier withdrawal.
+func (p *Planner) nextWithdrawalNumber() uint64 {
 	if p.options.NextWithdrawal == nil {
-		return p.withdrawals + 1
+		return p.lastWithdrawal + 1
 	}
 	return p.options.NextWithdrawal()
 }
 
-// withdrawOutdated withdraws copies of an older version once a newer copy takes requests, or
-// when nobody asks for the adapter.
+// withdrawOutdated withdraws copies of an older version once a newer copy takes requests, or when the adapter is
+// rarely requested.
 func (p *Planner) withdrawOutdated(now time.Time) {
 	for id, plan := range p.endpoints {
 		for adapter, c := range plan.copies {
@@ -118,25 +120,25 @@
 			if !ok || c.state != copyResident || c.version >= known.version {
 				continue
 			}
-			if p.counts[adapter].usable > 0 || known.perSecond*horizon.Seconds() < worthwhileUse {
+			if p.copyCounts[adapter].usable > 0 || known.perSecond*valueHorizon.Seconds() < minWorthwhileUse {
 				p.withdraw(now, id, c)
 			}
 		}
 	}
 }
 
-// Withdrawal is a copy that was taken off offer.
+// Withdrawal is a copy that is no longer offered for requests.
 type Withdrawal struct {
 	Endpoint deployment.EndpointID
 	Adapter  deployment.Adapter
-	// Number is that of the announcement, Age how long ago it was made.
+	// Number identifies the announcement of the withdrawal; Age is the time since the announcement.
 	Number uint64
 	Age    time.Duration
 }
 
-// ConfirmUnused lets withdrawn copies be unloaded; unused reports whether the instances have
-// seen the announcement and use the copy no more. A copy that stays in use is offered again, unless
-// it is outdated, so that another one can make room.
+// ConfirmUnused releases withdrawn copies for unloading; unused reports whether all instances have seen the
+// withdrawal and no longer use the copy. A copy that is still in use after withdrawalTimeout is offered again, unless
+// it is outdated, so that another copy can be evicted instead.
 func (p *Planner) ConfirmUnused(now time.Time, unused func(Withdrawal) bool) {
 	for id, plan := range p.endpoints {
 		for adapter, c := range plan.copies {
@@ -144,9 +146,9 @@
 				continue
 			}
 			switch {
-			case unused(Withdrawal{Endpoint: id, Adapter: adapter, Number: c.withdrawal, Age: now.Sub(c.since)}):
+			case unused(Withdrawal{Endpoint: id, Adapter: adapter, Number: c.withdrawalNumber, Age: now.Sub(c.since)}):
 				c.state, c.since = copyUnloading, now
-			case now.Sub(c.since) > withdrawalTimeout && p.uses(id, adapter) > 0 && c.version >= p.versionOf(adapter):
+			case now.Sub(c.since) > withdrawalTimeout && p.uses(id, adapter) > 0 && c.version >= p.wantedVersion(adapter):
 				c.state, c.since = copyResident, now
 				p.changed[id] = true
 			}
@@ -154,7 +156,7 @@
 	}
 }
 
-// uses gives the requests in flight that use a copy, as last reported.
+// uses returns the last reported number of requests in flight that use a copy.
 func (p *Planner) uses(id deployment.EndpointID, adapter deployment.Adapter) int {
 	if p.options.Uses == nil {
 		return 0
@@ -162,7 +164,7 @@
 	return p.options.Uses(id, adapter)
 }
 
-// Withdrawals gives the number of the last announcement.
+// Withdrawals returns the number of the last withdrawal.
 func (p *Planner) Withdrawals() uint64 {
-	return p.withdrawals
+	return p.lastWithdrawal
 }
--- a/services/entry/loading/export_test.go
+++ b/services/entry/loading/export_test.go
@@ -5,67 +5,68 @@
 
 import "time"
 
-// Pace gives the tests of edges the pace of loads without a planner.
+// Pace exposes the concurrency limit of loads to tests without a planner.
 type Pace struct {
-	pace pace
+	loadLimiter loadLimiter
 }
 
-// NewPace makes a pace in its first state.
+// NewPace returns the limit in its initial state.
 func NewPace() *Pace {
-	return &Pace{pace: newPace()}
+	return &Pace{loadLimiter: newLoadLimiter()}
 }
 
-// Note takes in the time of one load that the endpoint was asked about before, of as many as may run at once.
+// Note records one load that was polled before its end, while as many loads ran as the limit allows.
 func (p *Pace) Note(now time.Time, took time.Duration) {
-	p.pace.note(now, loadEnd{took: took, atLeast: took, running: p.Concurrency()})
+	p.loadLimiter.record(now, loadMeasurement{took: took, minTook: took, parallelLoads: p.Concurrency()})
 }
 
-// NoteBeside takes in the end of one of so many loads that run, seen after a time, that took at least another one.
-func (p *Pace) NoteBeside(now time.Time, took, atLeast time.Duration, running int) {
-	p.pace.note(now, loadEnd{took: took, atLeast: atLeast, running: running})
+// NoteBeside records the end of a load observed after took and not before minTook, while the given number of loads
+// ran.
+func (p *Pace) NoteBeside(now time.Time, took, minTook time.Duration, parallelLoads int) {
+	p.loadLimiter.record(now, loadMeasurement{took: took, minTook: minTook, parallelLoads: parallelLoads})
 }
 
-// NoteQuick takes in the time of one load that had ended by the first look at it.
+// NoteQuick records one load that had ended by its first poll.
 func (p *Pace) NoteQuick(now time.Time, took time.Duration) {
-	p.pace.note(now, loadEnd{took: took, quick: true, running: p.Concurrency()})
+	p.loadLimiter.record(now, loadMeasurement{took: took, early: true, parallelLoads: p.Concurrency()})
 }
 
-// Concurrency is how many loads may run at once.
+// Concurrency returns how many loads may run at once.
 func (p *Pace) Concurrency() int {
-	return p.pace.concurrency()
+	return p.loadLimiter.maxLoads()
 }
 
-// FirstLook is after how long a load is asked about first.
+// FirstLook returns the delay before the first poll of a load.
 func (p *Pace) FirstLook() time.Duration {
-	return p.pace.firstLook()
+	return p.loadLimiter.firstPollDelay()
 }
 
-// ModelLimiter gives the tests of edges the bound of loads of base models without a planner.
+// ModelLimiter exposes the rate limit of base model loads to tests without a planner.
 type ModelLimiter struct {
 	limiter *windowLimiter
 }
 
-// NewModelLimiter makes the bound.
+// NewModelLimiter returns a limiter with the given options.
 func NewModelLimiter(options RateOptions) ModelLimiter {
 	return ModelLimiter{limiter: newWindowLimiter(options)}
 }
 
-// Assume counts loads of a former planner.
+// Assume sets the number of loads of former planners.
 func (l ModelLimiter) Assume(now time.Time, count int) {
 	l.limiter.assume(now, count)
 }
 
-// Allows reports whether one more load may begin.
+// Allows reports whether one more load may start.
 func (l ModelLimiter) Allows(now time.Time) bool {
 	return l.limiter.allows(now)
 }
 
-// Begin counts a load.
+// Begin records a load.
 func (l ModelLimiter) Begin(now time.Time) {
-	l.limiter.begin(now)
+	l.limiter.record(now)
 }
 
-// LoadTime is the usual time of a load.
+// LoadTime returns the typical duration of a load.
 func (p *Pace) LoadTime() time.Duration {
-	return p.pace.typical
+	return p.loadLimiter.typicalLoadTime
 }
--- a/services/entry/loading/failing.go
+++ b/services/entry/loading/failing.go
@@ -11,42 +11,49 @@
 )
 
 const (
-	// endsUnderLoad is how many endpoints in a row may end while they load a version of an adapter until it is held back. One or two end by
-	// chance; each further one takes what runs there with it.
-	endsUnderLoad = 3
-	// loadHold is for how long it is held back then; the next load finds out whether an endpoint bears it.
-	loadHold = 5 * time.Minute
-	// commonEnds is how many endpoints that are gone at once have a common cause.
-	commonEnds = 3
+	// lossesBeforeHold is the number of consecutive endpoints that may terminate while loading a version of an
+	// adapter before loads of that version are held back. One or two may terminate by chance; each further
+	// termination also ends the requests that run on the endpoint.
+	lossesBeforeHold = 3
+	// failingLoadHold is how long loads of such a version are held back. The next load after that tests whether an
+	// endpoint survives it.
+	failingLoadHold = 5 * time.Minute
+	// commonCauseLosses is the number of endpoints that disappear at the same time from which on a common cause is
+	// assumed.
+	commonCauseLosses = 3
 )
 
-// failingLoad is a version of an adapter under whose loads endpoints ended, without one that came to its end since.
+// failingLoad is a version of an adapter whose loads coincided with endpoint terminations, with no successful load
+// since.
 type failingLoad struct {
 	version int64
-	ends    int
-	// last is when the last one was found out.
-	last time.Time
+	losses  int
+	// lastLossAt is when the last termination was detected.
+	lastLossAt time.Time
 }
 
-// noteEnds takes in that endpoints are gone, as of one sweep: what one was loading may be what ended it, and would end the next endpoint as
-// well. Those that said that they leave were not ended by it, and many at once have a common cause, such as a store that is down.
-func (p *Planner) noteEnds(now time.Time, gone []*endpointPlan) {
-	if len(gone) >= commonEnds {
+// recordLostEndpoints records the endpoints that one sweep found gone. The load in progress may have terminated the
+// endpoint and would then terminate the next one as well. Draining endpoints are left out because they shut down on
+// purpose. Many endpoints that disappear at once are left out because they have a common cause, such as a store
+// outage.
+func (p *Planner) recordLostEndpoints(now time.Time, lost []*endpointPlan) {
+	if len(lost) >= commonCauseLosses {
 		return
 	}
-	for _, plan := range gone {
+	for _, plan := range lost {
 		if plan.endpoint.State == deployment.Draining {
 			continue
 		}
 		for adapter, version := range plan.loads() {
-			p.noteFailing(now, adapter, version)
+			p.recordFailingLoad(now, adapter, version)
 		}
 	}
 }
 
-// loads gives the versions of adapters that an endpoint loads, or may since it left the order unanswered.
+// loads returns the adapter versions that an endpoint is loading or may be loading because it left the load
+// order unanswered.
 func (e *endpointPlan) loads() map[deployment.Adapter]int64 {
-	loads := maps.Clone(e.abandoned)
+	loads := maps.Clone(e.unansweredVersions)
 	if loads == nil {
 		loads = make(map[deployment.Adapter]int64)
 	}
@@ -58,26 +65,27 @@
 	return loads
 }
 
-func (p *Planner) noteFailing(now time.Time, adapter deployment.Adapter, version int64) {
+func (p *Planner) recordFailingLoad(now time.Time, adapter deployment.Adapter, version int64) {
 	failing := p.failing[adapter]
 	if failing.version != version {
 		failing = failingLoad{version: version}
 	}
-	failing.ends++
-	failing.last = now
+	failing.losses++
+	failing.lastLossAt = now
 	p.failing[adapter] = failing
 }
 
-// heldBack reports whether an adapter is not loaded for now, since endpoints ended while they loaded the version that is wanted.
-func (p *Planner) heldBack(now time.Time, adapter deployment.Adapter, wanted int64) bool {
+// loadHeldBack reports whether loads of an adapter are suspended because endpoints terminated while loading the
+// wanted version.
+func (p *Planner) loadHeldBack(now time.Time, adapter deployment.Adapter, wanted int64) bool {
 	failing, ok := p.failing[adapter]
-	return ok && failing.version >= wanted && failing.ends >= endsUnderLoad && now.Sub(failing.last) < loadHold
+	return ok && failing.version >= wanted && failing.losses >= lossesBeforeHold && now.Sub(failing.lastLossAt) < failingLoadHold
 }
 
-// forgetFailing drops what no longer counts.
-func (p *Planner) forgetFailing(now time.Time) {
+// pruneFailingLoads removes entries whose hold has long ended.
+func (p *Planner) pruneFailingLoads(now time.Time) {
 	for adapter, failing := range p.failing {
-		if now.Sub(failing.last) > 2*loadHold {
+		if now.Sub(failing.lastLossAt) > 2*failingLoadHold {
 			delete(p.failing, adapter)
 		}
 	}
--- a/services/entry/loading/endpoint_model_test.go
+++ b/services/entry/loading/fake_endpoint_test.go
@@ -14,58 +14,58 @@
 	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
-// modelEndpoint follows the endpoints' rules: an order counts when it is taken, a wrong count is
-// refused, and an order beyond the places is a violation.
-type modelEndpoint struct {
-	sequence int64
-	resident map[deployment.Adapter]bool
-	pending  map[deployment.Adapter]time.Time
-	late     []lateOrder
-	overfull int
+// fakeEndpoint implements the endpoints' rules: it raises its sequence when it accepts an order and refuses an order
+// with a different sequence. overflows counts the loads beyond its places.
+type fakeEndpoint struct {
+	sequence  int64
+	resident  map[deployment.Adapter]bool
+	pending   map[deployment.Adapter]time.Time
+	delayed   []delayedOrder
+	overflows int
 }
 
-// lateOrder was not answered and is carried out later.
-type lateOrder struct {
+// delayedOrder is an order that was not answered and is carried out later.
+type delayedOrder struct {
 	order loading.Order
 	at    time.Time
 }
 
-const modelLoadTime = 250 * time.Millisecond
+const fakeLoadTime = 250 * time.Millisecond
 
-func (e *modelEndpoint) advance(now time.Time) {
+func (e *fakeEndpoint) advance(now time.Time) {
 	for one, at := range e.pending {
 		if !at.After(now) {
 			delete(e.pending, one)
 			e.resident[one] = true
 		}
 	}
-	kept := e.late[:0]
-	for _, late := range e.late {
-		if late.at.After(now) {
-			kept = append(kept, late)
+	kept := e.delayed[:0]
+	for _, delayed := range e.delayed {
+		if delayed.at.After(now) {
+			kept = append(kept, delayed)
 			continue
 		}
-		e.take(now, late.order)
+		e.execute(now, delayed.order)
 	}
-	e.late = kept
+	e.delayed = kept
 }
 
-func (e *modelEndpoint) take(now time.Time, order loading.Order) loading.Reply {
+func (e *fakeEndpoint) execute(now time.Time, order loading.Order) loading.Reply {
 	if order.ExpectedSequence != e.sequence {
 		return loading.Conflict
 	}
-	_, loading_ := e.pending[order.Adapter]
+	_, inProgress := e.pending[order.Adapter]
 	switch {
 	case order.Kind == loading.Load && e.resident[order.Adapter]:
 		return loading.Holds
-	case order.Kind == loading.Load && loading_:
+	case order.Kind == loading.Load && inProgress:
 		return loading.Accepted
 	case order.Kind == loading.Load:
 		if len(e.resident)+len(e.pending) >= engine.AdapterCapacity {
-			e.overfull++
+			e.overflows++
 		}
 		e.sequence++
-		e.pending[order.Adapter] = now.Add(modelLoadTime)
+		e.pending[order.Adapter] = now.Add(fakeLoadTime)
 		return loading.Accepted
 	}
 	if e.resident[order.Adapter] {
@@ -75,7 +75,7 @@
 	return loading.Holds
 }
 
-func (e *modelEndpoint) report() *loading.Report {
+func (e *fakeEndpoint) report() *loading.Report {
 	report := &loading.Report{Sequence: e.sequence, Adapters: make(map[deployment.Adapter]int64)}
 	for one := range e.resident {
 		report.Adapters[one] = 1
@@ -86,14 +86,14 @@
 	return report
 }
 
-// TestNoOrderExceedsAnEndpointsPlaces plays seeded demand against model endpoints whose answers
-// are lost, carried out late or refused, with takeovers in between.
-func TestNoOrderExceedsAnEndpointsPlaces(t *testing.T) {
+// TestPlannerNeverOverfillsEndpoints runs seeded random demand against fake endpoints whose replies are lost, delayed
+// or refusals, with planner takeovers in between.
+func TestPlannerNeverOverfillsEndpoints(t *testing.T) {
 	for seed := range uint64(60) {
 		random := rand.New(rand.NewPCG(seed, 7))
-		endpoints := map[deployment.EndpointID]*modelEndpoint{}
+		endpoints := map[deployment.EndpointID]*fakeEndpoint{}
 		for _, id := range []deployment.EndpointID{"x", "y", "z"} {
-			endpoints[id] = &modelEndpoint{resident: map[deployment.Adapter]bool{}, pending: map[deployment.Adapter]time.Time{}}
+			endpoints[id] = &fakeEndpoint{resident: map[deployment.Adapter]bool{}, pending: map[deployment.Adapter]time.Time{}}
 		}
 		planner := newPlanner(seed)
 		loads := 0
@@ -111,7 +111,7 @@
 				}
 			}
 			if step%5 == 0 {
-				planner.Report(now, "i", waiting(adapter(random.IntN(30))))
+				planner.Report(now, "i", waitingDemand(adapter(random.IntN(30))))
 			}
 			planner.ConfirmUnused(now, confirmAll)
 			for {
@@ -120,30 +120,30 @@
 					break
 				}
 				loads++
-				planner.Done(now, deliver(random, now, endpoints[order.Endpoint.ID], order))
+				planner.Done(now, deliverOrder(random, now, endpoints[order.Endpoint.ID], order))
 			}
 		}
 		assert.Greater(t, loads, 50, "seed %d", seed)
 		for id, endpoint := range endpoints {
-			assert.Zero(t, endpoint.overfull, "seed %d, endpoint %s", seed, id)
+			assert.Zero(t, endpoint.overflows, "seed %d, endpoint %s", seed, id)
 		}
 	}
 }
 
-func deliver(random *rand.Rand, now time.Time, endpoint *modelEndpoint, order loading.Order) loading.Result {
+func deliverOrder(random *rand.Rand, now time.Time, endpoint *fakeEndpoint, order loading.Order) loading.Result {
 	if order.Kind == loading.Inspect {
 		return loading.Result{Order: order, Reply: loading.Inspected, Report: endpoint.report()}
 	}
 	switch chance := random.Float64(); {
 	case chance < 0.1:
-		// Carried out, and the answer is lost.
-		endpoint.take(now, order)
-		return answer(order, loading.Unanswered)
+		// Carried out, but the reply is lost.
+		endpoint.execute(now, order)
+		return resultOf(order, loading.Unanswered)
 	case chance < 0.2:
-		endpoint.late = append(endpoint.late, lateOrder{order: order, at: now.Add(time.Duration(2000+random.IntN(8000)) * time.Millisecond)})
-		return answer(order, loading.Unanswered)
+		endpoint.delayed = append(endpoint.delayed, delayedOrder{order: order, at: now.Add(time.Duration(2000+random.IntN(8000)) * time.Millisecond)})
+		return resultOf(order, loading.Unanswered)
 	case chance < 0.25:
-		return answer(order, loading.NotDelivered)
+		return resultOf(order, loading.NotDelivered)
 	}
-	return answer(order, endpoint.take(now, order))
+	return resultOf(order, endpoint.execute(now, order))
 }
--- a/services/entry/loading/forecast.go
+++ b/services/entry/loading/forecast.go
@@ -11,81 +11,82 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// mostQueued is how many adapters whose load has not begun get a forecast of their own; all others get the backlog's. More makes refusals
-// more exact and heartbeats longer.
-const mostQueued = 100
+// maxQueuedForecasts is how many adapters whose load has not started get a forecast of their own; all others get the
+// backlog's. A higher number makes refusals more exact and heartbeats longer.
+const maxQueuedForecasts = 100
 
-// throughputSpan is the time in which the begins of loads are counted. Longer is steadier, shorter follows the endpoints' places sooner.
-const throughputSpan = time.Second
+// throughputWindow is the time window in which load starts are counted. A longer window gives steadier forecasts; a
+// shorter one follows changes in free places sooner.
+const throughputWindow = time.Second
 
-// Forecast is when an adapter that is not resident will be.
+// Forecast is the expected time until an adapter becomes resident.
 type Forecast struct {
 	Adapter deployment.Adapter
-	// Remaining is the time from now until it will be resident.
+	// Remaining is the time from now until the adapter is resident.
 	Remaining time.Duration
 }
 
-// LoadTime is the usual time of a load of an adapter.
+// LoadTime returns the typical duration of an adapter load.
 func (p *Planner) LoadTime() time.Duration {
-	return p.pace.typical
+	return p.loadLimiter.typicalLoadTime
 }
 
-// Forecasts gives the adapters on their way and, with the most valuable first, those that requests wait
-// for. Backlog is when an adapter would be there that nobody has asked for yet.
+// Forecasts returns forecasts for the adapters that are loading, followed by those that requests wait for, most
+// valuable first. backlog is the forecast for an adapter that has not been requested yet.
 func (p *Planner) Forecasts(now time.Time) (list []Forecast, backlog time.Duration) {
 	list = p.loadingForecasts(now)
 	queued := p.queuedAdapters(now)
-	turn := p.turnTime(now, len(queued))
+	interval := p.loadInterval(now, len(queued))
 	for i, adapter := range queued {
-		if i < mostQueued {
-			list = append(list, Forecast{Adapter: adapter, Remaining: p.pace.typical + time.Duration(i)*turn})
+		if i < maxQueuedForecasts {
+			list = append(list, Forecast{Adapter: adapter, Remaining: p.loadLimiter.typicalLoadTime + time.Duration(i)*interval})
 		}
 	}
-	return list, p.pace.typical + time.Duration(len(queued))*turn
+	return list, p.loadLimiter.typicalLoadTime + time.Duration(len(queued))*interval
 }
 
-// turnTime is the time between the begins of two loads while so many adapters wait for theirs: what the weight store allows, and,
-// where adapters have waited for throughputSpan, what was begun in that time, since places may be what they wait for.
-func (p *Planner) turnTime(now time.Time, queued int) time.Duration {
-	turn := p.pace.typical / time.Duration(p.parallelLoads())
+// loadInterval returns the expected time between the starts of two loads while the given number of adapters is
+// queued. It is the interval that the weight store allows. Once adapters have been queued for throughputWindow, it is
+// at least the interval observed in that window, because the adapters may be waiting for free places.
+func (p *Planner) loadInterval(now time.Time, queued int) time.Duration {
+	interval := p.loadLimiter.typicalLoadTime / time.Duration(p.maxParallelLoads())
 	if queued == 0 {
 		p.queuedSince = time.Time{}
-		return turn
+		return interval
 	}
 	if p.queuedSince.IsZero() {
 		p.queuedSince = now
 	}
-	if now.Sub(p.queuedSince) < throughputSpan {
-		return turn
+	if now.Sub(p.queuedSince) < throughputWindow {
+		return interval
 	}
-	p.begun = slices.DeleteFunc(p.begun, func(at time.Time) bool { return now.Sub(at) > throughputSpan })
-	return max(turn, throughputSpan/time.Duration(max(1, len(p.begun))))
+	p.recentLoadStarts = slices.DeleteFunc(p.recentLoadStarts, func(at time.Time) bool { return now.Sub(at) > throughputWindow })
+	return max(interval, throughputWindow/time.Duration(max(1, len(p.recentLoadStarts))))
 }
 
-// parallelLoads is how many loads can run at once.
-func (p *Planner) parallelLoads() int {
+// maxParallelLoads returns how many loads can run at once.
+func (p *Planner) maxParallelLoads() int {
 	open := 0
 	for _, plan := range p.endpoints {
 		if plan.endpoint.State == deployment.Ready && !plan.suspect && !plan.nearlySaturated && len(plan.endpoint.Models) > 0 {
 			open++
 		}
 	}
-	return max(1, min(open*maxPending, p.pace.concurrency()))
+	return max(1, min(open*maxPendingLoads, p.loadLimiter.maxLoads()))
 }
 
-// queuedAdapters gives the adapters that requests wait for and that are not on their way, the most
-// valuable first.
+// queuedAdapters returns the adapters that requests wait for and that are not being loaded, most valuable first.
 func (p *Planner) queuedAdapters(now time.Time) []deployment.Adapter {
-	p.indexCopies()
+	p.countCopies()
 	values := make(map[deployment.Adapter]float64)
 	var queued []deployment.Adapter
 	for adapter, known := range p.demand {
-		count := p.counts[adapter]
-		if len(known.waiting) == 0 || count.coming > 0 || count.free > 0 {
+		count := p.copyCounts[adapter]
+		if len(known.waiting) == 0 || count.loading > 0 || count.free > 0 {
 			continue
 		}
 		known.decay(now)
-		values[adapter] = p.need(now, adapter, known, &workSpread{speed: p.meanSpeed()}).Value()
+		values[adapter] = p.copyNeed(now, adapter, known, &workDistribution{speed: p.meanSpeed()}).Value()
 		queued = append(queued, adapter)
 	}
 	slices.SortFunc(queued, func(a, b deployment.Adapter) int { return cmp.Compare(values[b], values[a]) })
@@ -97,7 +98,7 @@
 	for _, plan := range p.endpoints {
 		for adapter, c := range plan.copies {
 			if c.state == copyLoading {
-				list = append(list, Forecast{Adapter: adapter, Remaining: max(0, c.since.Add(p.pace.typical).Sub(now))})
+				list = append(list, Forecast{Adapter: adapter, Remaining: max(0, c.since.Add(p.loadLimiter.typicalLoadTime).Sub(now))})
 			}
 		}
 	}
--- a/services/entry/loading/limiter.go
+++ b/services/entry/loading/limiter.go
@@ -8,83 +8,84 @@
 	"time"
 )
 
-// windowLimiter keeps the loads of base models that begin within every sliding window under the weight store's bound.
-// Loads of adapters are not counted.
+// windowLimiter keeps the number of base model loads that start within any sliding window below the rate limit of the
+// weight store. Adapter loads are not counted.
 type windowLimiter struct {
-	// limit is the most loads that may begin within a window.
+	// limit is the maximum number of loads that may start within a window.
 	limit  int
 	window time.Duration
-	// begun are the own loads that began within the last window, the oldest first.
-	begun []time.Time
-	// assumed is when the window is free of loads that former planners may have begun.
-	assumed      time.Time
+	// starts holds the start times of this planner's loads within the last window, oldest first.
+	starts []time.Time
+	// assumedUntil is when loads that former planners may have started have left the window; assumedCount is their
+	// number.
+	assumedUntil time.Time
 	assumedCount int
 }
 
-// RateOptions are the weight store's bound: loads begun in any window stay at or below
+// RateOptions configure the rate limit of the weight store: the number of loads started in any window must not exceed
 // rate x window x tolerance + slack.
 type RateOptions struct {
-	// PerSecond is the service's bound on loads of base models, in loads a second; from its configuration.
+	// PerSecond is the service's limit on base model loads, in loads a second, from its configuration.
 	PerSecond float64
-	// Window is the length of every span in which the bound holds; from the settings.
+	// Window is the length of the sliding window, from the settings.
 	Window time.Duration
-	// Tolerance is the factor by which a window may exceed the rate; from the settings.
+	// Tolerance is the factor by which the loads in a window may exceed the rate, from the settings.
 	Tolerance float64
-	// Slack is how many loads a window may have beyond that; from package platform.
+	// Slack is the number of additional loads allowed in a window, from package platform.
 	Slack float64
 }
 
-// reserve is how many loads of the weight store's bound are kept free for loads whose beginning was not seen, such as orders that are
-// carried out late. More is safer and brings base models more slowly.
-const reserve = 2
+// reservedLoads is the number of loads within the weight store's limit that are reserved for loads whose start was
+// not observed, such as orders carried out late. A higher number is safer and loads base models more slowly.
+const reservedLoads = 2
 
-// limit is the most loads that may begin within a window.
+// limit returns the maximum number of loads that may start within a window.
 func (o RateOptions) limit() int {
 	allowed := math.Floor(o.PerSecond*o.Window.Seconds()*o.Tolerance + o.Slack)
-	return max(1, int(allowed)-reserve)
+	return max(1, int(allowed)-reservedLoads)
 }
 
 func newWindowLimiter(options RateOptions) *windowLimiter {
 	return &windowLimiter{limit: options.limit(), window: options.Window}
 }
 
-// assume counts loads that former planners may have begun in the window before now.
+// assume sets the number of loads that former planners may have started in the window before now.
 func (l *windowLimiter) assume(now time.Time, count int) {
-	l.assumed = now.Add(l.window)
+	l.assumedUntil = now.Add(l.window)
 	l.assumedCount = count
 }
 
-// allows reports whether one more load may begin.
+// allows reports whether one more load may start.
 func (l *windowLimiter) allows(now time.Time) bool {
 	count := l.recent(now)
-	if now.Before(l.assumed) {
+	if now.Before(l.assumedUntil) {
 		count += l.assumedCount
 	}
 	return count < l.limit
 }
 
-// begin counts a load.
-func (l *windowLimiter) begin(now time.Time) {
+// record counts a load that starts now.
+func (l *windowLimiter) record(now time.Time) {
 	l.prune(now)
-	l.begun = append(l.begun, now)
+	l.starts = append(l.starts, now)
 }
 
-// recent gives the number of loads begun in the last window.
+// recent returns the number of loads started in the last window.
 func (l *windowLimiter) recent(now time.Time) int {
-	return len(l.begun) - l.ended(now)
+	return len(l.starts) - l.countExpired(now)
 }
 
-// ended gives how many of the loads counted began before the last window.
-func (l *windowLimiter) ended(now time.Time) int {
+// countExpired returns how many of the recorded loads started before the last window.
+func (l *windowLimiter) countExpired(now time.Time) int {
 	oldest := now.Add(-l.window)
 	count := 0
-	for count < len(l.begun) && !l.begun[count].After(oldest) {
+	for count < len(l.starts) && !l.starts[count].After(oldest) {
 		count++
 	}
 	return count
 }
 
-// prune forgets the loads that began before the last window.
+// prune removes the loads that started before the last window.
 func (l *windowLimiter) prune(now time.Time) {
-	l.begun = append(l.begun[:0], l.begun[l.ended(now):]...)
+	l.starts = append(l.starts[:0], l.starts[l.countExpired(now):]...)
 }
--- a/services/entry/loading/model.go
+++ b/services/entry/loading/model.go
@@ -10,16 +10,16 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// modelPoll is when to ask first whether a base model has come. Sooner wastes calls on loads that take longer, later leaves the endpoint
-// without work.
-const modelPoll = 400 * time.Millisecond
+// firstModelPollDelay is the delay before the first poll for the end of a base model load. A shorter delay wastes
+// calls on loads that take longer; a longer one leaves the endpoint idle.
+const firstModelPollDelay = 400 * time.Millisecond
 
-// nextModel brings a base model to an endpoint that holds none, as after its restart. Copies that
-// endpoints have themselves come at once; from the weight store they come one after the other.
-func (p *Planner) nextModel(now time.Time) (Order, bool) {
+// nextModelLoad orders a base model for an endpoint that holds none, for example after the endpoint restarted. Models
+// in the endpoint's own cache are loaded at once; loads from the weight store run one at a time.
+func (p *Planner) nextModelLoad(now time.Time) (Order, bool) {
 	storeAllowed := p.coldModelLoads() == 0 && p.modelLimiter.allows(now)
 	for _, plan := range p.endpoints {
-		if len(plan.endpoint.Models) > 0 || len(plan.copies) > 0 || !plan.takesOrders(now) {
+		if len(plan.endpoint.Models) > 0 || len(plan.copies) > 0 || !plan.availableWithoutInspection(now) {
 			continue
 		}
 		for _, model := range p.engine.Models {
@@ -31,46 +31,48 @@
 				continue
 			}
 			if !cached {
-				p.modelLimiter.begin(now)
+				p.modelLimiter.record(now)
 			}
 			adapter := deployment.Adapter{Model: model.Name}
-			plan.copies[adapter] = &copyPlan{state: copyLoading, since: now, cold: !cached, pollAt: now.Add(modelPoll)}
+			plan.copies[adapter] = &copyPlan{state: copyLoading, since: now, cold: !cached, pollAt: now.Add(firstModelPollDelay)}
 			return p.order(Load, plan, adapter), true
 		}
 	}
 	return Order{}, false
 }
 
-// keepModels gives the base models of a description with those that the plan knows of and that it lacks. A description may be
-// from before they came, so that only the endpoint's report makes them forgotten: another one beside them would not fit.
-func (e *endpointPlan) keepModels(now time.Time, described []string) []string {
+// mergeModels returns the base models of a description, plus those in the plan that the description lacks. The
+// description may predate their load, so only the endpoint's report can remove them; loading a second base model next
+// to an existing one would exceed the memory.
+func (e *endpointPlan) mergeModels(now time.Time, described []string) []string {
 	models := slices.Clone(described)
 	for _, model := range e.endpoint.Models {
 		if slices.Contains(described, model) {
 			continue
 		}
 		models = append(models, model)
-		if now.Sub(e.modelSince) >= descriptionLag {
-			e.modelsDoubted, e.inspect = true, true
+		if now.Sub(e.modelLoadedAt) >= descriptionLag {
+			e.modelsUnconfirmed, e.needsInspection = true, true
 		}
 	}
 	return models
 }
 
-// adoptModels takes in the base models that a report lists. While an order for one is under way, the list may be about to change.
-func (p *Planner) adoptModels(now time.Time, plan *endpointPlan, report *Report) {
-	if plan.modelsDoubted && !report.Busy {
+// applyReportedModels merges the base models that a report lists into the plan. While a base model order is in
+// progress, missing models are not removed, because the list may be about to change.
+func (p *Planner) applyReportedModels(now time.Time, plan *endpointPlan, report *Report) {
+	if plan.modelsUnconfirmed && !report.Busy {
 		plan.endpoint.Models = slices.Clone(report.Models)
-		plan.modelsDoubted = false
+		plan.modelsUnconfirmed = false
 	}
 	for _, model := range report.Models {
-		p.modelArrived(now, plan, model)
+		p.addModel(now, plan, model)
 	}
 }
 
-// awaitsModel reports whether an endpoint that holds no base model is bringing one that the plan did not order, or whose order
-// was not answered. A second one must not be ordered beside it.
-func (e *endpointPlan) awaitsModel(report *Report) bool {
+// isLoadingUnplannedModel reports whether an endpoint without a base model is loading one that the plan did not order
+// or whose order was not answered. A second base model must not be ordered in the meantime.
+func (e *endpointPlan) isLoadingUnplannedModel(report *Report) bool {
 	if !report.Busy || len(e.endpoint.Models) > 0 {
 		return false
 	}
@@ -82,7 +84,7 @@
 	return true
 }
 
-// coldModelLoads counts the base models on their way from the weight store.
+// coldModelLoads returns the number of base models being loaded from the weight store.
 func (p *Planner) coldModelLoads() int {
 	count := 0
 	for _, plan := range p.endpoints {
--- a/services/entry/loading/next.go
+++ b/services/entry/loading/next.go
@@ -9,22 +9,23 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// loadPoll is the pause between two questions whether a load has ended. Shorter notices the end of a load sooner and costs the planner and
-// the endpoint more calls.
-const loadPoll = 12 * time.Millisecond
+// loadPollInterval is the pause between two polls for the end of a load. A shorter pause notices the end sooner and
+// costs the planner and the endpoint more calls.
+const loadPollInterval = 12 * time.Millisecond
 
-// unloadPoll is the pause between two questions whether an unload has ended. Shorter frees a place sooner at the price of more calls.
-const unloadPoll = 100 * time.Millisecond
+// unloadPollInterval is the pause between two polls for the end of an unload. A shorter pause frees a place sooner at
+// the cost of more calls.
+const unloadPollInterval = 100 * time.Millisecond
 
-// reportPoll is the pause between two readings of the report of an endpoint that left orders unanswered. Shorter notices the end of its
-// loads sooner at the price of more calls.
-const reportPoll = 80 * time.Millisecond
+// reportInterval is the pause between two reads of the report of an endpoint that left orders unanswered. A shorter
+// pause notices the end of its loads sooner at the cost of more calls.
+const reportInterval = 80 * time.Millisecond
 
-// Next gives the next order to send, if there is one. Its endpoint is busy until Done.
+// Next returns the next order to send, if there is one. No other order is sent to the endpoint until Done.
 func (p *Planner) Next(now time.Time) (Order, bool) {
-	for _, decide := range []func(time.Time) (Order, bool){p.nextInspection, p.nextPoll, p.nextUnload, p.nextModel, p.nextLoad} {
+	for _, decide := range []func(time.Time) (Order, bool){p.nextInspection, p.nextPoll, p.nextUnload, p.nextModelLoad, p.nextLoad} {
 		if order, ok := decide(now); ok {
-			p.endpoints[order.Endpoint.ID].busy = true
+			p.endpoints[order.Endpoint.ID].orderInFlight = true
 			return order, true
 		}
 	}
@@ -32,22 +33,23 @@
 }
 
 func (p *Planner) order(kind OrderKind, plan *endpointPlan, adapter deployment.Adapter) Order {
-	return Order{Kind: kind, Endpoint: plan.endpoint, Adapter: adapter, ExpectedSequence: plan.count.sequence}
+	return Order{Kind: kind, Endpoint: plan.endpoint, Adapter: adapter, ExpectedSequence: plan.tracker.sequence}
 }
 
 // available reports whether an order may be sent to an endpoint now.
 func (e *endpointPlan) available(now time.Time) bool {
-	return !e.busy && !now.Before(e.restUntil) && e.endpoint.State == deployment.Ready
+	return !e.orderInFlight && !now.Before(e.pausedUntil) && e.endpoint.State == deployment.Ready
 }
 
-// takesOrders reports whether an order may be sent to an endpoint now without reading its report first.
-func (e *endpointPlan) takesOrders(now time.Time) bool {
-	return e.available(now) && !e.inspect
+// availableWithoutInspection reports whether an order may be sent to an endpoint now without reading its report
+// first.
+func (e *endpointPlan) availableWithoutInspection(now time.Time) bool {
+	return e.available(now) && !e.needsInspection
 }
 
 func (p *Planner) nextInspection(now time.Time) (Order, bool) {
 	for _, plan := range p.endpoints {
-		if plan.inspect && plan.available(now) {
+		if plan.needsInspection && plan.available(now) {
 			return p.order(Inspect, plan, deployment.Adapter{}), true
 		}
 	}
@@ -56,49 +58,50 @@
 
 func (p *Planner) nextPoll(now time.Time) (Order, bool) {
 	for _, plan := range p.endpoints {
-		if !plan.takesOrders(now) {
+		if !plan.availableWithoutInspection(now) {
 			continue
 		}
 		for adapter, c := range plan.copies {
 			if c.state != copyLoading || now.Before(c.pollAt) {
 				continue
 			}
-			if now.Before(plan.silentUntil) || len(plan.copies) > p.capacity(&plan.endpoint) {
-				// A poll is an order to load, if the endpoint knows nothing of it.
+			if now.Before(plan.unresponsiveUntil) || len(plan.copies) > p.capacity(&plan.endpoint) {
+				// If the endpoint does not know the load, it treats a poll as a new load order.
 				return p.order(Inspect, plan, deployment.Adapter{}), true
 			}
 			order := p.order(Load, plan, adapter)
 			order.Poll = true
-			c.askedAt = now
+			c.lastPollAt = now
 			return order, true
 		}
 	}
 	return Order{}, false
 }
 
-// nextUnload unloads what is withdrawn and confirmed as unused. While an unload waits for its runs, the endpoint refuses others.
+// nextUnload orders the unload of copies that are withdrawn and confirmed as unused. While one unload waits for the
+// requests that use its copy, the endpoint refuses other unloads.
 func (p *Planner) nextUnload(now time.Time) (Order, bool) {
 	for _, plan := range p.endpoints {
-		if !plan.takesOrders(now) {
+		if !plan.availableWithoutInspection(now) {
 			continue
 		}
 		for adapter, c := range plan.copies {
-			if c.state != copyUnloading || now.Before(c.pollAt) || (plan.unloading() && !c.accepted) {
+			if c.state != copyUnloading || now.Before(c.pollAt) || (plan.hasPendingUnload() && !c.unloadAccepted) {
 				continue
 			}
 			order := p.order(Unload, plan, adapter)
-			order.Poll = c.accepted
+			order.Poll = c.unloadAccepted
 			return order, true
 		}
 	}
 	return Order{}, false
 }
 
-// NextPoll gives the earliest time at which a load is to be asked about; zero if there is none.
+// NextPoll returns the earliest time at which a load is to be polled; zero if there is none.
 func (p *Planner) NextPoll() time.Time {
 	var next time.Time
 	for _, plan := range p.endpoints {
-		if plan.busy || plan.inspect {
+		if plan.orderInFlight || plan.needsInspection {
 			continue
 		}
 		for _, c := range plan.copies {
--- a/services/entry/loading/order.go
+++ b/services/entry/loading/order.go
@@ -9,76 +9,76 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// OrderKind is what an order asks of an endpoint.
+// OrderKind is the operation that an order requests.
 type OrderKind int
 
 // The kinds of orders.
 const (
-	// Load brings an adapter; as a poll, it asks whether its load has ended.
+	// Load loads an adapter; as a poll, it asks whether the load has ended.
 	Load OrderKind = iota
-	// Unload drops an adapter.
+	// Unload unloads an adapter.
 	Unload
 	// Inspect reads the endpoint's own report.
 	Inspect
 )
 
-// String names the kind in logs.
+// String returns the name of the kind used in logs.
 func (k OrderKind) String() string {
 	return [...]string{"load", "unload", "inspect"}[k]
 }
 
-// Order is one call to an endpoint. While it is under way, the endpoint gets no other.
+// Order is one call to an endpoint. No other order is sent to the endpoint while it is in flight.
 type Order struct {
 	Kind     OrderKind
 	Endpoint deployment.Endpoint
 	Adapter  deployment.Adapter
-	// ExpectedSequence makes the endpoint refuse the order if it took another since.
+	// ExpectedSequence makes the endpoint refuse the order if it has accepted another one since.
 	ExpectedSequence int64
-	// Poll marks a repetition that asks whether a load or unload has ended.
+	// Poll marks a repeated order that asks whether a load or unload has ended.
 	Poll bool
 }
 
-// Reply is how an endpoint took an order.
+// Reply is an endpoint's response to an order.
 type Reply int
 
 // The replies to an order.
 const (
-	// Holds: what was ordered is so already.
+	// Holds means that the ordered state already exists.
 	Holds Reply = iota
-	// Accepted: the order is under way.
+	// Accepted means that the order is in progress.
 	Accepted
-	// Conflict: another order is under way, or the sequence has moved on.
+	// Conflict means that another order is in progress or that the endpoint has a different sequence.
 	Conflict
-	// Rejected: the endpoint will not do it, now or later.
+	// Rejected means that the endpoint will never carry out the order.
 	Rejected
-	// Unanswered: the order may have been taken, or may be taken later.
+	// Unanswered means that the order may have been accepted or may be accepted later.
 	Unanswered
-	// NotDelivered: the order surely did not arrive. A report changes nothing at the endpoint, so that every failure to read
-	// one counts as not delivered.
+	// NotDelivered means that the order certainly did not reach the endpoint. Reading a report changes nothing at the
+	// endpoint, so every failure to read one counts as not delivered.
 	NotDelivered
-	// Inspected: the report was read.
+	// Inspected means that the report was read.
 	Inspected
 )
 
-// String names the reply in logs.
+// String returns the name of the reply used in logs.
 func (r Reply) String() string {
 	return [...]string{"holds", "accepted", "conflict", "rejected", "unanswered", "not delivered", "inspected"}[r]
 }
 
-// Report is what an endpoint itself says that it holds.
+// Report is the state that an endpoint itself reports.
 type Report struct {
-	// Born is when its process started; zero if it did not say.
+	// Born is the start time of the endpoint's process; zero if the report does not name one.
 	Born     time.Time
 	Sequence int64
-	// Models are the base models that it holds.
+	// Models are the base models that the endpoint holds.
 	Models   []string
 	Adapters map[deployment.Adapter]int64
 	Pending  []deployment.Adapter
-	// Busy says that an order for a base model is under way; adapters do not make an endpoint busy.
+	// Busy reports whether an order for a base model is in progress; adapter orders do not set it.
 	Busy bool
 }
 
-// Result is the end of an order.
+// Result is the outcome of an order.
 type Result struct {
 	Order  Order
 	Reply  Reply
--- a/services/entry/loading/placement.go
+++ b/services/entry/loading/placement.go
@@ -10,29 +10,29 @@
 )
 
 const (
-	// maxPending is how many loads may be under way to one endpoint at once. More fills a restarted endpoint sooner and keeps more places
-	// for loads.
-	maxPending = 2
-	// heldBonus is what an endpoint that held the adapter before is worth in the choice of an endpoint, in its time. Longer loads faster
-	// and spares the weight store, shorter spreads the work more evenly.
+	// maxPendingLoads is how many loads may be in progress on one endpoint at once. A higher number fills a restarted
+	// endpoint sooner and reserves more places for loads.
+	maxPendingLoads = 2
+	// heldBonus is the advantage, in endpoint time, of an endpoint that held the adapter before. A longer time loads
+	// faster and spares the weight store; a shorter time distributes the work more evenly.
 	heldBonus = 500 * time.Millisecond
-	// placementSpan is how far ahead the work of an endpoint's copies counts beside what waits there now. Longer evens out the rates,
-	// shorter the prompts that wait.
-	placementSpan = time.Second
-	// copyWeight is what each copy on an endpoint weighs in that choice, in seconds: among endpoints with the same work the emptier one is
-	// taken.
+	// placementHorizon is how far ahead the work of an endpoint's copies is counted in addition to its current
+	// backlog. A longer time evens out the request rates; a shorter one evens out the queued prompts.
+	placementHorizon = time.Second
+	// copyWeight is the cost of each copy on an endpoint, in seconds, so that the emptier one of two endpoints with
+	// the same work is chosen.
 	copyWeight = 0.005
-	// tieSpread is the width of the random number that breaks ties in that choice, in seconds.
+	// tieSpread is the upper bound of the random cost that breaks ties, in seconds.
 	tieSpread = 0.002
-	// searchPause is, for each endpoint, the pause after a search that found nothing to load, and longestSearchPause bounds it. Longer
-	// saves processor time in a large fleet and begins loads later.
-	searchPause        = 400 * time.Microsecond
-	longestSearchPause = 50 * time.Millisecond
-	// warmLoadTime is when to ask first about a load of an adapter that the endpoint held before. Sooner wastes a call, later leaves
-	// requests waiting.
-	warmLoadTime = 30 * time.Millisecond
-	// firstVersion is an adapter's version, a count, before another one is named by the configuration.
-	firstVersion = 1
+	// searchPause is the pause, for each endpoint, after a search that found nothing to load; maxSearchPause is its
+	// upper bound. A longer pause saves processor time in a large fleet and starts loads later.
+	searchPause    = 400 * time.Microsecond
+	maxSearchPause = 50 * time.Millisecond
+	// warmPollDelay is the delay before the first poll of a load of an adapter that the endpoint held before. A
+	// shorter delay wastes a call; a longer one leaves requests waiting.
+	warmPollDelay = 30 * time.Millisecond
+	// defaultVersion is the version number of an adapter until the configuration names another one.
+	defaultVersion = 1
 )
 
 // placement is a possible load.
@@ -46,46 +46,47 @@
 // destination is the endpoint of a load.
 type destination struct {
 	plan *endpointPlan
-	// cold says that the adapter comes from the weight store.
+	// cold is set if the adapter is loaded from the weight store.
 	cold bool
 }
 
-// nextLoad starts the most valuable load.
+// nextLoad orders the most valuable load.
 func (p *Planner) nextLoad(now time.Time) (Order, bool) {
-	if now.Before(p.searchAt) {
+	if now.Before(p.nextSearchAt) {
 		return Order{}, false
 	}
-	p.indexCopies()
-	best, found := p.bestPlacement(now, p.coldLoads() < p.pace.concurrency())
+	p.countCopies()
+	best, found := p.bestPlacement(now, p.coldLoads() < p.loadLimiter.maxLoads())
 	p.withdrawOutdated(now)
-	p.keepRoom(now)
+	p.ensureSparePlaces(now)
 	if !found {
-		p.searchAt = now.Add(min(longestSearchPause, time.Duration(len(p.endpoints))*searchPause))
+		p.nextSearchAt = now.Add(min(maxSearchPause, time.Duration(len(p.endpoints))*searchPause))
 		return Order{}, false
 	}
-	p.begun = append(p.begun, now)
+	p.recentLoadStarts = append(p.recentLoadStarts, now)
 	order := p.order(Load, best.plan, best.adapter)
-	duration := warmLoadTime
+	duration := warmPollDelay
 	if best.cold {
-		duration = p.pace.firstLook()
+		duration = p.loadLimiter.firstPollDelay()
 	}
 	best.plan.copies[best.adapter] = &copyPlan{
-		state: copyLoading, since: now, cold: best.cold, timed: true, pollAt: now.Add(duration), version: max(firstVersion, p.demandOf(now, best.adapter).version),
+		state: copyLoading, since: now, cold: best.cold, startKnown: true, pollAt: now.Add(duration), version: max(defaultVersion, p.demandFor(now, best.adapter).version),
 	}
 	return order, true
 }
 
-// bestPlacement gives the most valuable load that can begin now; coldAllowed says whether it may come from the weight store.
+// bestPlacement returns the most valuable load that can start now; coldAllowed reports whether it may come from the
+// weight store.
 func (p *Planner) bestPlacement(now time.Time, coldAllowed bool) (placement, bool) {
-	spread := p.spreadWork(now)
+	spread := p.distributeWork(now)
 	var best placement
 	found := false
 	for adapter, known := range p.demand {
 		known.decay(now)
-		if p.heldBack(now, adapter, known.version) {
+		if p.loadHeldBack(now, adapter, known.version) {
 			continue
 		}
-		value := p.need(now, adapter, known, spread).Value()
+		value := p.copyNeed(now, adapter, known, spread).Value()
 		if value <= 0 || (found && value <= best.value) {
 			continue
 		}
@@ -99,25 +100,25 @@
 	return best, found
 }
 
-// chooseEndpoint gives the endpoint with room that draws the fewest requests, preferably one
-// that held the adapter before: there it comes ten times as fast and not from the weight store, so that a
-// short wait for that endpoint is worth it.
-func (p *Planner) chooseEndpoint(now time.Time, adapter deployment.Adapter, spread *workSpread, coldAllowed bool) (destination, bool) {
+// chooseEndpoint returns the endpoint with a free place and the lowest cost. It prefers an endpoint that held the
+// adapter before, because the load takes a tenth of the time there and does not use the weight store. If such an
+// endpoint may become available soon, it returns none rather than an endpoint that would load from the weight store.
+func (p *Planner) chooseEndpoint(now time.Time, adapter deployment.Adapter, spread *workDistribution, coldAllowed bool) (destination, bool) {
 	var best destination
 	bestCost, warmSoon := 0.0, false
 	for id, plan := range p.endpoints {
-		_, warm := plan.held[adapter]
-		if !plan.takesCopies(adapter, warm) {
+		_, warm := plan.previouslyHeld[adapter]
+		if !plan.isEligibleFor(adapter, warm) {
 			continue
 		}
-		if !p.takesLoad(now, plan) {
-			warmSoon = warmSoon || (warm && plan.soonAvailable(now))
+		if !p.canOrderLoad(now, plan) {
+			warmSoon = warmSoon || (warm && plan.mayBecomeAvailableSoon(now))
 			continue
 		}
 		if !warm && !coldAllowed {
 			continue
 		}
-		promised := p.promisedWork(now, plan)
+		promised := p.pendingReadTime(now, plan)
 		cost := DestinationFactors{
 			Backlog: plan.backlog + promised, Work: spread.byEndpoint[id], Copies: len(plan.copies), Held: warm, Chance: p.options.Random(),
 		}.Cost()
@@ -131,65 +132,68 @@
 	return best, best.plan != nil
 }
 
-// DestinationFactors are what the choice of an endpoint for a load depends on, of one that can take it.
+// DestinationFactors describe an endpoint that can take a load, for the choice between endpoints.
 type DestinationFactors struct {
-	// Backlog is how long it will take to read the prompts that wait there, with those that wait for loads under way to it.
+	// Backlog is the time to read the prompts that are queued at the endpoint or wait for loads in progress there.
 	Backlog time.Duration
-	// Work is how much of its time the requests of its copies take, in seconds a second, by the instances' reports.
+	// Work is the share of the endpoint's time that the requests of its copies take, in seconds a second, from the
+	// instances' reports.
 	Work float64
-	// Copies is how many adapters it holds or is to hold, by the plan.
+	// Copies is the number of adapters that the endpoint holds or will hold according to the plan.
 	Copies int
-	// Held says that it held the adapter before, by the plan or the directory's memory.
+	// Held reports whether the endpoint held the adapter before, according to the plan or the directory.
 	Held bool
-	// Chance is a random number from 0 up to 1.
+	// Chance is a random number in [0, 1).
 	Chance float64
 }
 
-// Cost is what a load to the endpoint costs, in seconds of its time; the lowest is chosen.
+// Cost returns the cost of a load to the endpoint, in seconds of endpoint time. The endpoint with the lowest cost is
+// chosen.
 func (f DestinationFactors) Cost() float64 {
-	cost := f.Backlog.Seconds() + placementSpan.Seconds()*f.Work + copyWeight*float64(f.Copies) + tieSpread*f.Chance
+	cost := f.Backlog.Seconds() + placementHorizon.Seconds()*f.Work + copyWeight*float64(f.Copies) + tieSpread*f.Chance
 	if f.Held {
 		cost -= heldBonus.Seconds()
 	}
 	return cost
 }
 
-// promisedWork is how long an endpoint will take for the requests that wait for loads under way to it.
-func (p *Planner) promisedWork(now time.Time, plan *endpointPlan) time.Duration {
+// pendingReadTime returns the time an endpoint needs to read the prompts of the requests that wait for loads in
+// progress there.
+func (p *Planner) pendingReadTime(now time.Time, plan *endpointPlan) time.Duration {
 	seconds := 0.0
 	for adapter, c := range plan.copies {
 		if known, ok := p.demand[adapter]; ok && c.state == copyLoading {
-			waiting, _ := known.waitingNow(now, 0)
-			seconds += float64(waiting) * known.readTime(now, plan.speed.PerSecond()).Seconds()
+			waiting, _ := known.countWaiting(now, 0)
+			seconds += float64(waiting) * known.meanReadTime(now, plan.speed.PerSecond()).Seconds()
 		}
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// takesLoad reports whether a load may be ordered from an endpoint now: it takes orders, has a place, and neither too many
-// loads nor an unload under way.
-func (p *Planner) takesLoad(now time.Time, plan *endpointPlan) bool {
-	if !plan.takesOrders(now) {
+// canOrderLoad reports whether a load may be ordered from an endpoint now: it is available without inspection, has a
+// free place and fewer than maxPendingLoads loads, and no unload is in progress.
+func (p *Planner) canOrderLoad(now time.Time, plan *endpointPlan) bool {
+	if !plan.availableWithoutInspection(now) {
 		return false
 	}
-	plan.pruneUnanswered(now)
-	return plan.taken() < p.capacity(&plan.endpoint) && plan.pending() < maxPending && !plan.unloading()
+	plan.pruneUnansweredLoads(now)
+	return plan.occupiedPlaces() < p.capacity(&plan.endpoint) && plan.pendingLoads() < maxPendingLoads && !plan.hasPendingUnload()
 }
 
-// soonAvailable reports whether an endpoint that cannot take an order now probably can in a moment.
-func (e *endpointPlan) soonAvailable(now time.Time) bool {
+// mayBecomeAvailableSoon reports whether an endpoint that cannot accept a load now probably can shortly.
+func (e *endpointPlan) mayBecomeAvailableSoon(now time.Time) bool {
 	outgoing, _ := e.outgoing()
-	return !now.Before(e.silentUntil) && (outgoing > 0 || e.busy || e.pending() > 0)
+	return !now.Before(e.unresponsiveUntil) && (outgoing > 0 || e.orderInFlight || e.pendingLoads() > 0)
 }
 
-// takesCopies reports whether a copy of an adapter may be brought to an endpoint; one that is nearly saturated takes
-// only what it held before, which costs the weight store nothing.
-func (e *endpointPlan) takesCopies(adapter deployment.Adapter, warm bool) bool {
+// isEligibleFor reports whether a copy of an adapter may be loaded on an endpoint. A nearly saturated endpoint is
+// eligible only for adapters that it held before, because loading them does not use the weight store.
+func (e *endpointPlan) isEligibleFor(adapter deployment.Adapter, warm bool) bool {
 	_, has := e.copies[adapter]
 	return !has && !e.suspect && !e.saturated && (warm || !e.nearlySaturated) && e.endpoint.State == deployment.Ready && e.endpoint.HasModel(adapter.Model)
 }
 
-// coldLoads counts the loads under way from the weight store.
+// coldLoads returns the number of loads in progress from the weight store.
 func (p *Planner) coldLoads() int {
 	count := 0
 	for _, plan := range p.endpoints {
--- a/services/entry/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -12,161 +12,163 @@
 	"github.com/shelfledge/shelfledge/services/entry/work"
 )
 
-// Options are the settings of a Planner.
+// Options configure a Planner.
 type Options struct {
 	Rate RateOptions
-	// Random gives a number from 0 up to 1, to break ties.
+	// Random returns a random number in [0, 1) to break ties.
 	Random func() float64
-	// Uses gives the requests in flight that use a copy, as last reported; nil knows of none.
+	// Uses returns the last reported number of requests in flight that use a copy; nil means that there are none.
 	Uses func(id deployment.EndpointID, adapter deployment.Adapter) int
-	// NextWithdrawal numbers the announcements of withdrawals, each above the last; nil numbers them from 1. Planners whose
-	// announcements are acknowledged together share it.
+	// NextWithdrawal returns the number of the next withdrawal, higher than all before; nil numbers withdrawals from
+	// 1. Planners whose withdrawals are acknowledged together share this function.
 	NextWithdrawal func() uint64
 }
 
-// Planner plans for the endpoints of one service; it is not safe for concurrent use.
+// Planner plans the adapters of one service's endpoints. It is not safe for concurrent use.
 type Planner struct {
 	options   Options
 	engine    deployment.Engine
 	endpoints map[deployment.EndpointID]*endpointPlan
-	// lapsed are endpoints without an entry in the store; an entry can be back a little later.
-	lapsed map[deployment.EndpointID]*endpointPlan
-	demand map[deployment.Adapter]*adapterDemand
-	// waitedFor are the adapters for which each instance's requests wait, so that a report costs what it tells, however many adapters
-	// are asked for.
-	waitedFor map[string][]deployment.Adapter
-	// modelLimiter bounds loads of base models.
+	// unregistered holds endpoints without an entry in the store. The entry may reappear a little later.
+	unregistered map[deployment.EndpointID]*endpointPlan
+	demand       map[deployment.Adapter]*adapterDemand
+	// waitingAdapters holds, for each instance, the adapters that its requests wait for. With it, the cost of a
+	// demand report depends on its length and not on the number of adapters in demand.
+	waitingAdapters map[string][]deployment.Adapter
+	// modelLimiter limits the rate of base model loads.
 	modelLimiter *windowLimiter
-	// pace bounds loads of adapters.
-	pace pace
-	// withdrawals is the number of the last announcement of a withdrawal.
-	withdrawals uint64
-	// changed is set when a copy's state changed since TakeChanges.
+	// loadLimiter limits the number of adapter loads.
+	loadLimiter loadLimiter
+	// lastWithdrawal is the number of the last withdrawal.
+	lastWithdrawal uint64
+	// changed holds the endpoints whose copies changed since the last TakeChanges.
 	changed map[deployment.EndpointID]bool
-	// searchAt is when the next load is looked for after a search that found none.
-	searchAt time.Time
-	// begun are the begins of adapters' loads, the oldest first; those of throughputSpan count.
-	begun []time.Time
-	// queuedSince is since when adapters wait for the begin of their loads; zero while none does.
+	// nextSearchAt is the time of the next search for a load, after one that found none.
+	nextSearchAt time.Time
+	// recentLoadStarts holds the start times of adapter loads, oldest first; those within throughputWindow count.
+	recentLoadStarts []time.Time
+	// queuedSince is when adapters began to wait for their loads to start; zero while none waits.
 	queuedSince time.Time
-	// counts is the number of copies by adapter, as of the last decision.
-	counts map[deployment.Adapter]copyCount
-	// failing are the adapters under whose loads endpoints ended lately.
+	// copyCounts is the number of copies of each adapter, as of the last decision.
+	copyCounts map[deployment.Adapter]copyCount
+	// failing holds the adapters whose loads recently coincided with endpoint terminations.
 	failing map[deployment.Adapter]failingLoad
 }
 
-// NewPlanner makes a planner for a service's engines.
+// NewPlanner returns a planner for a service with the given engines.
 func NewPlanner(engine deployment.Engine, options Options) *Planner {
 	return &Planner{
-		options:      options,
-		engine:       engine,
-		endpoints:    make(map[deployment.EndpointID]*endpointPlan),
-		lapsed:       make(map[deployment.EndpointID]*endpointPlan),
-		demand:       make(map[deployment.Adapter]*adapterDemand),
-		waitedFor:    make(map[string][]deployment.Adapter),
-		modelLimiter: newWindowLimiter(options.Rate),
-		pace:         newPace(),
-		changed:      make(map[deployment.EndpointID]bool),
-		counts:       make(map[deployment.Adapter]copyCount),
-		failing:      make(map[deployment.Adapter]failingLoad),
+		options:         options,
+		engine:          engine,
+		endpoints:       make(map[deployment.EndpointID]*endpointPlan),
+		unregistered:    make(map[deployment.EndpointID]*endpointPlan),
+		demand:          make(map[deployment.Adapter]*adapterDemand),
+		waitingAdapters: make(map[string][]deployment.Adapter),
+		modelLimiter:    newWindowLimiter(options.Rate),
+		loadLimiter:     newLoadLimiter(),
+		changed:         make(map[deployment.EndpointID]bool),
+		copyCounts:      make(map[deployment.Adapter]copyCount),
+		failing:         make(map[deployment.Adapter]failingLoad),
 	}
 }
 
-// SetEngine takes a changed description of the engines.
+// SetEngine replaces the description of the engines.
 func (p *Planner) SetEngine(engine deployment.Engine) {
 	p.engine = engine
 }
 
-// AssumeLoads counts loads of base models that former planners may have begun in the window before a time, in place of what was
-// assumed before.
+// AssumeLoads sets the number of base model loads that former planners may have started in the window before now. It
+// replaces the number set before.
 func (p *Planner) AssumeLoads(now time.Time, count int) {
 	p.modelLimiter.assume(now, count)
 }
 
-// RecentLoads gives this planner's own loads of base models begun in the last window, without those that are assumed.
+// RecentLoads returns the number of base model loads that this planner started in the last window, without those
+// assumed of former planners.
 func (p *Planner) RecentLoads(now time.Time) int {
 	return p.modelLimiter.recent(now)
 }
 
-// SetEndpoint takes in a description at a revision of the store; suspect endpoints get no new
-// copies. One that is no newer than the last says nothing new of what the endpoint holds: while the
-// store is down, endpoints cannot describe what has been loaded since.
+// SetEndpoint applies the description of an endpoint at a store revision; suspect endpoints receive no new copies. A
+// revision that is not newer than the last one says nothing new about what the endpoint holds: while the store is
+// down, endpoints cannot write what they have loaded since.
 func (p *Planner) SetEndpoint(now time.Time, endpoint deployment.Endpoint, revision int64, suspect bool) {
-	plan := p.introduce(now, endpoint, revision)
-	if plan.isFormer(&endpoint) {
+	plan := p.planFor(now, endpoint, revision)
+	if plan.describesOtherStart(&endpoint) {
 		return
 	}
 	plan.suspect = suspect
-	endpoint.Models = plan.keepModels(now, endpoint.Models)
+	endpoint.Models = plan.mergeModels(now, endpoint.Models)
 	plan.endpoint = endpoint
 	for _, model := range endpoint.Models {
 		if _, loading := plan.copies[deployment.Adapter{Model: model}]; loading {
-			p.modelArrived(now, plan, model)
-			plan.inspect = true
+			p.addModel(now, plan, model)
+			plan.needsInspection = true
 		}
 	}
 	if revision > plan.revision {
 		plan.revision = revision
-		plan.adoptDescription(now, endpoint.Adapters)
+		plan.applyDescription(now, endpoint.Adapters)
 	}
 }
 
-// SetSuspect notes whether an endpoint is suspect; its copies then do not count.
+// SetSuspect sets whether an endpoint is suspect. Copies on a suspect endpoint do not count.
 func (p *Planner) SetSuspect(id deployment.EndpointID, suspect bool) {
 	if plan, ok := p.endpoints[id]; ok {
 		plan.suspect = suspect
 	}
 }
 
-// SetSaturation takes in whether an endpoint has so many requests in flight that it gets no new copies, and whether it
-// has so many that it gets no requests, so that its copies do not help those that wait.
+// SetSaturation sets whether an endpoint has so many requests in flight that it receives no new copies, and whether
+// it has so many that it receives no requests, in which case its copies cannot serve waiting requests.
 func (p *Planner) SetSaturation(id deployment.EndpointID, nearlySaturated, saturated bool) {
 	if plan, ok := p.endpoints[id]; ok {
 		plan.nearlySaturated, plan.saturated = nearlySaturated, saturated
 	}
 }
 
-// SetBacklog takes in how long an endpoint will take to read the prompts that wait there, and how fast it reads.
+// SetBacklog sets the time an endpoint needs to read the prompts queued there, and its reading speed.
 func (p *Planner) SetBacklog(id deployment.EndpointID, backlog time.Duration, speed work.Speed) {
 	if plan, ok := p.endpoints[id]; ok {
 		plan.backlog, plan.speed = backlog, speed
 	}
 }
 
-// NoteMissing asks for an endpoint's report, since it said that it lacks a copy.
+// NoteMissing requests an inspection of an endpoint that reported a copy as missing.
 func (p *Planner) NoteMissing(id deployment.EndpointID) {
 	if plan, ok := p.endpoints[id]; ok {
-		plan.inspect = true
+		plan.needsInspection = true
 	}
 }
 
-// RemoveEndpoint ends the plan of an endpoint whose entry is gone.
+// RemoveEndpoint removes an endpoint whose entry is gone from the store. Its plan is kept for deliveryLimit in case
+// the entry reappears.
 func (p *Planner) RemoveEndpoint(id deployment.EndpointID) {
 	plan, ok := p.endpoints[id]
 	if !ok {
 		return
 	}
 	delete(p.endpoints, id)
-	plan.lapsedAt = time.Time{}
-	p.lapsed[id] = plan
+	plan.unregisteredAt = time.Time{}
+	p.unregistered[id] = plan
 }
 
-// introduce gives the plan of a described endpoint. One whose entry had lapsed goes on where it was, since an order may be
-// under way to it or may still be carried out; its report is read first.
-func (p *Planner) introduce(now time.Time, endpoint deployment.Endpoint, revision int64) *endpointPlan {
+// planFor returns the plan of a described endpoint. If the entry had been missing, the former plan is continued,
+// because an order to the endpoint may be in flight or may still be carried out; the endpoint's report is read first.
+func (p *Planner) planFor(now time.Time, endpoint deployment.Endpoint, revision int64) *endpointPlan {
 	plan, ok := p.endpoints[endpoint.ID]
 	if ok {
-		if plan.startedAnew(&endpoint, revision) {
-			plan = p.restart(now, plan, endpoint.Born)
+		if plan.hasRestarted(&endpoint, revision) {
+			plan = p.replaceRestarted(now, plan, endpoint.Born)
 		}
 		return plan
 	}
-	plan, ok = p.lapsed[endpoint.ID]
+	plan, ok = p.unregistered[endpoint.ID]
 	if ok {
-		delete(p.lapsed, endpoint.ID)
-		plan.inspect = true
-		if plan.startedAnew(&endpoint, revision) {
-			plan = plan.successor(now, endpoint.Born)
+		delete(p.unregistered, endpoint.ID)
+		plan.needsInspection = true
+		if plan.hasRestarted(&endpoint, revision) {
+			plan = plan.planAfterRestart(now, endpoint.Born)
 		}
 	} else {
 		plan = newEndpointPlan(endpoint)
@@ -175,53 +177,54 @@
 	return plan
 }
 
-// forgetLapsed forgets the endpoints whose entries were gone for so long that no order to them is carried out any more.
-func (p *Planner) forgetLapsed(now time.Time) {
+// pruneUnregistered removes the endpoints whose entries have been missing for so long that no order to them can be
+// carried out any more.
+func (p *Planner) pruneUnregistered(now time.Time) {
 	var gone []*endpointPlan
-	for id, plan := range p.lapsed {
+	for id, plan := range p.unregistered {
 		switch {
-		case plan.lapsedAt.IsZero():
-			plan.lapsedAt = now
+		case plan.unregisteredAt.IsZero():
+			plan.unregisteredAt = now
 			gone = append(gone, plan)
-		case now.Sub(plan.lapsedAt) > deliveryLimit:
-			delete(p.lapsed, id)
+		case now.Sub(plan.unregisteredAt) > deliveryLimit:
+			delete(p.unregistered, id)
 		}
 	}
-	p.noteEnds(now, gone)
+	p.recordLostEndpoints(now, gone)
 }
 
-// RememberHeld notes that an endpoint held adapters before, so that it loads them fast.
-func (p *Planner) RememberHeld(id deployment.EndpointID, held map[deployment.Adapter]time.Time) {
+// RememberHeld records adapters that an endpoint held before and can therefore load fast.
+func (p *Planner) RememberHeld(id deployment.EndpointID, previouslyHeld map[deployment.Adapter]time.Time) {
 	plan, ok := p.endpoints[id]
 	if !ok {
 		return
 	}
-	for adapter, at := range held {
-		plan.held[adapter] = at
+	for adapter, at := range previouslyHeld {
+		plan.previouslyHeld[adapter] = at
 	}
 }
 
-// Sweep forgets adapters that nobody asks for and endpoints that are gone.
+// Sweep removes adapters that are no longer requested and endpoints that are gone.
 func (p *Planner) Sweep(now time.Time) {
-	p.forgetLapsed(now)
-	p.forgetFailing(now)
-	p.begun = slices.DeleteFunc(p.begun, func(at time.Time) bool { return now.Sub(at) > throughputSpan })
+	p.pruneUnregistered(now)
+	p.pruneFailingLoads(now)
+	p.recentLoadStarts = slices.DeleteFunc(p.recentLoadStarts, func(at time.Time) bool { return now.Sub(at) > throughputWindow })
 	for adapter, known := range p.demand {
 		known.decay(now)
-		if known.perSecond < forgetBelow && len(known.waiting) == 0 && known.version == 0 {
+		if known.perSecond < minTrackedRate && len(known.waiting) == 0 && known.version == 0 {
 			delete(p.demand, adapter)
 		}
 	}
 	for _, plan := range p.endpoints {
-		for adapter, at := range plan.dropped {
+		for adapter, at := range plan.unloaded {
 			if now.Sub(at) > descriptionLag {
-				delete(plan.dropped, adapter)
+				delete(plan.unloaded, adapter)
 			}
 		}
 	}
 }
 
-// capacity is the number of adapters that an endpoint can hold.
+// capacity returns the number of adapters that an endpoint can hold.
 func (p *Planner) capacity(endpoint *deployment.Endpoint) int {
 	capacity := p.engine.AdapterCapacity
 	free := p.engine.WeightsMB
@@ -238,7 +241,7 @@
 	return capacity
 }
 
-// TakeChanges gives the endpoints whose copies changed since the last call.
+// TakeChanges returns the endpoints whose copies changed since the last call.
 func (p *Planner) TakeChanges() []deployment.EndpointID {
 	ids := make([]deployment.EndpointID, 0, len(p.changed))
 	for id := range p.changed {
@@ -248,7 +251,7 @@
 	return ids
 }
 
-// Offered gives the models and adapters that an endpoint holds for new requests.
+// Offered returns the models and adapters that an endpoint holds for new requests.
 func (p *Planner) Offered(id deployment.EndpointID) (models []string, adapters map[deployment.Adapter]int64) {
 	plan, ok := p.endpoints[id]
 	if !ok {
--- a/services/entry/loading/planner_test.go
+++ b/services/entry/loading/planner_test.go
@@ -30,7 +30,7 @@
 	return deployment.Adapter{Model: "base", Name: fmt.Sprintf("a%d", number)}
 }
 
-// revisions numbers the descriptions of all tests.
+// revisions is the last revision used for a description in any test.
 var revisions atomic.Int64
 
 func nextRevision() int64 {
@@ -49,78 +49,78 @@
 	return deployment.Endpoint{ID: deployment.EndpointID(id), Service: "s", Models: []string{"base"}, Adapters: held}
 }
 
-func waiting(one deployment.Adapter) []loading.Demand {
+func waitingDemand(one deployment.Adapter) []loading.Demand {
 	return []loading.Demand{{Adapter: one, Waiting: 1, InTime: time.Second, Arrivals: 1}}
 }
 
-func answer(order loading.Order, reply loading.Reply) loading.Result {
+func resultOf(order loading.Order, reply loading.Reply) loading.Result {
 	return loading.Result{Order: order, Reply: reply}
 }
 
-func TestAWaitingAdapterIsLoadedAndPolledUntilItIsThere(t *testing.T) {
-	p, load := firstLoad(t)
+func TestRequestedAdapterLoadedAndPolledUntilResident(t *testing.T) {
+	p, load := plannerWithLoadOrder(t)
 	assert.Zero(t, load.ExpectedSequence)
 	_, ok := p.Next(start)
-	assert.False(t, ok, "one order at a time for an endpoint")
-	p.Done(start, answer(load, loading.Accepted))
+	assert.False(t, ok, "one order at a time per endpoint")
+	p.Done(start, resultOf(load, loading.Accepted))
 
 	later := p.NextPoll()
 	poll, ok := p.Next(later)
 	require.True(t, ok)
 	assert.True(t, poll.Poll)
-	assert.Equal(t, int64(1), poll.ExpectedSequence, "the endpoint counts a load when it takes it")
-	p.Done(later, answer(poll, loading.Conflict))
+	assert.Equal(t, int64(1), poll.ExpectedSequence, "the endpoint counts a load when it accepts it")
+	p.Done(later, resultOf(poll, loading.Conflict))
 	_, adapters := p.Offered("e")
 	assert.Empty(t, adapters)
 
 	later = p.NextPoll()
 	poll, ok = p.Next(later)
 	require.True(t, ok)
-	p.Done(later, answer(poll, loading.Holds))
+	p.Done(later, resultOf(poll, loading.Holds))
 	_, adapters = p.Offered("e")
 	assert.Contains(t, adapters, adapter(1))
 }
 
-func TestAnOrderAtAWrongCountAsksForTheReportFirst(t *testing.T) {
-	p, load := firstLoad(t)
-	p.Done(start, answer(load, loading.Conflict))
-	inspected(t, p, start, &loading.Report{Sequence: 7, Adapters: map[deployment.Adapter]int64{adapter(9): 1}})
+func TestInspectionFollowsSequenceConflict(t *testing.T) {
+	p, load := plannerWithLoadOrder(t)
+	p.Done(start, resultOf(load, loading.Conflict))
+	answerInspection(t, p, start, &loading.Report{Sequence: 7, Adapters: map[deployment.Adapter]int64{adapter(9): 1}})
 
-	assert.Equal(t, int64(7), order(t, p, start, loading.Load).ExpectedSequence)
+	assert.Equal(t, int64(7), nextOrder(t, p, start, loading.Load).ExpectedSequence)
 	_, adapters := p.Offered("e")
 	assert.Contains(t, adapters, adapter(9))
 }
 
-// TestALostAnswerIsSettledByTheReport is about a load that was taken though its answer was lost:
-// it must be counted before another one is ordered.
-func TestALostAnswerIsSettledByTheReport(t *testing.T) {
-	p, load := firstLoad(t)
-	p.Done(start, answer(load, loading.Unanswered))
+// TestReportResolvesUnansweredLoad covers a load that was accepted although its reply was lost: it must be counted
+// before another load is ordered.
+func TestReportResolvesUnansweredLoad(t *testing.T) {
+	p, load := plannerWithLoadOrder(t)
+	p.Done(start, resultOf(load, loading.Unanswered))
 	_, ok := p.Next(start)
-	assert.False(t, ok, "the endpoint is left alone at first")
+	assert.False(t, ok, "no order before the pause ends")
 
 	later := start.Add(200 * time.Millisecond)
-	inspected(t, p, later, &loading.Report{Pending: []deployment.Adapter{adapter(1)}})
+	answerInspection(t, p, later, &loading.Report{Pending: []deployment.Adapter{adapter(1)}})
 	// An endpoint that leaves orders unanswered is followed by its reports.
 	later = later.Add(200 * time.Millisecond)
-	inspected(t, p, later, &loading.Report{Sequence: 1, Adapters: map[deployment.Adapter]int64{adapter(1): 1}})
+	answerInspection(t, p, later, &loading.Report{Sequence: 1, Adapters: map[deployment.Adapter]int64{adapter(1): 1}})
 	_, offered := p.Offered("e")
 	assert.Contains(t, offered, adapter(1))
 	_, ok = p.Next(later)
-	assert.False(t, ok, "the load that was taken is not ordered again")
+	assert.False(t, ok, "the accepted load is not ordered again")
 }
 
-func TestAWithdrawnCopyIsUnloadedOnlyAfterAllInstancesAreDone(t *testing.T) {
+func TestWithdrawnCopyUnloadedOnlyAfterConfirmation(t *testing.T) {
 	p := newPlanner(1)
 	p.SetEndpoint(start, described("e", adapter(1), adapter(2), adapter(3), adapter(4)), nextRevision(), false)
-	inspected(t, p, start, &loading.Report{
+	answerInspection(t, p, start, &loading.Report{
 		Sequence: 4, Adapters: described("e", adapter(1), adapter(2), adapter(3), adapter(4)).Adapters,
 	})
 	later := start.Add(3 * time.Second)
 	_, ok := p.Next(later)
 	assert.False(t, ok, "nothing is unloaded before it is confirmed as unused")
 	_, offered := p.Offered("e")
-	assert.Len(t, offered, 3, "one copy is withdrawn to keep room")
+	assert.Len(t, offered, 3, "one copy is withdrawn to free a place")
 
 	p.ConfirmUnused(later, confirmNone)
 	_, ok = p.Next(later)
@@ -132,9 +132,9 @@
 	assert.NotContains(t, offered, unload.Adapter)
 }
 
-// TestCopiesSeenBeforeCountAfterATakeover is about a planner that takes over and remembers the copies as held before: taken for
-// dropped ones, they would let it overfill the endpoint.
-func TestCopiesSeenBeforeCountAfterATakeover(t *testing.T) {
+// TestPreviouslyHeldCopiesCountAfterTakeover covers a planner that takes over and has the copies recorded as held
+// before. If it treated them as unloaded, it would overfill the endpoint.
+func TestPreviouslyHeldCopiesCountAfterTakeover(t *testing.T) {
 	p := newPlanner(1)
 	full := described("e", adapter(1), adapter(2), adapter(3), adapter(4))
 	p.SetEndpoint(start, described("e"), nextRevision(), false)
@@ -144,34 +144,34 @@
 	}
 	p.RememberHeld("e", held)
 	p.SetEndpoint(start.Add(time.Millisecond), full, nextRevision(), false)
-	p.Report(start, "i", waiting(adapter(5)))
+	p.Report(start, "i", waitingDemand(adapter(5)))
 	for {
 		order, ok := p.Next(start.Add(2 * time.Millisecond))
 		if !ok {
 			break
 		}
-		require.NotEqual(t, loading.Load, order.Kind, "a full endpoint gets no load")
-		p.Done(start, answer(order, loading.NotDelivered))
+		require.NotEqual(t, loading.Load, order.Kind, "a full endpoint receives no load")
+		p.Done(start, resultOf(order, loading.NotDelivered))
 	}
 }
 
-func TestRatesOfAFormerPlannerKeepHotCopies(t *testing.T) {
+func TestFormerPlannersRatesProtectHotCopies(t *testing.T) {
 	p := newPlanner(1)
 	all := described("e", adapter(1), adapter(2), adapter(3), adapter(4))
 	p.SetEndpoint(start, all, nextRevision(), false)
 	p.AddRates(start, map[deployment.Adapter]float64{adapter(1): 5, adapter(2): 4, adapter(3): 3})
-	inspected(t, p, start, &loading.Report{Adapters: all.Adapters})
+	answerInspection(t, p, start, &loading.Report{Adapters: all.Adapters})
 	p.Next(start.Add(3 * time.Second))
 	_, offered := p.Offered("e")
-	assert.NotContains(t, offered, adapter(4), "the copy that nobody asks for goes")
+	assert.NotContains(t, offered, adapter(4), "the copy without requests is withdrawn")
 	assert.Len(t, offered, 3)
 }
 
-func TestANewVersionIsBroughtElsewhereBeforeTheOldCopyGoes(t *testing.T) {
+func TestNewVersionLoadedBeforeOldCopyWithdrawn(t *testing.T) {
 	p := newPlanner(1)
 	p.SetEndpoint(start, described("old", adapter(1)), nextRevision(), false)
 	p.SetEndpoint(start, described("free"), nextRevision(), false)
-	inspected(t, p, start, &loading.Report{Adapters: described("", adapter(1)).Adapters})
+	answerInspection(t, p, start, &loading.Report{Adapters: described("", adapter(1)).Adapters})
 	p.AddRates(start, map[deployment.Adapter]float64{adapter(1): 1})
 	p.SetVersion(start, adapter(1), 2)
 
@@ -179,11 +179,11 @@
 	require.True(t, ok)
 	assert.Equal(t, deployment.EndpointID("free"), order.Endpoint.ID)
 	_, offered := p.Offered("old")
-	assert.Contains(t, offered, adapter(1), "the old copy serves until the new one is there")
+	assert.Contains(t, offered, adapter(1), "the old copy serves until the new one is resident")
 
-	p.Done(start, answer(order, loading.Accepted))
+	p.Done(start, resultOf(order, loading.Accepted))
 	poll, _ := p.Next(p.NextPoll())
-	p.Done(start.Add(300*time.Millisecond), answer(poll, loading.Holds))
+	p.Done(start.Add(300*time.Millisecond), resultOf(poll, loading.Holds))
 	p.Next(start.Add(310 * time.Millisecond))
 	_, offered = p.Offered("old")
 	assert.NotContains(t, offered, adapter(1))
@@ -191,7 +191,7 @@
 	assert.Equal(t, int64(2), offered[adapter(1)])
 }
 
-func TestEndpointsWithoutABaseModelGetOneUnderTheRate(t *testing.T) {
+func TestBaseModelLoadsStayWithinRate(t *testing.T) {
 	p := newPlanner(1)
 	for i := range 40 {
 		p.SetEndpoint(start, deployment.Endpoint{ID: deployment.EndpointID(fmt.Sprint(i)), Service: "s"}, nextRevision(), false)
@@ -206,11 +206,11 @@
 			}
 			require.True(t, order.Adapter.IsZero())
 			if order.Poll {
-				p.Done(now, answer(order, loading.Holds))
+				p.Done(now, resultOf(order, loading.Holds))
 				continue
 			}
 			begun = append(begun, now)
-			p.Done(now, answer(order, loading.Accepted))
+			p.Done(now, resultOf(order, loading.Accepted))
 		}
 	}
 	require.Len(t, begun, 40)
@@ -225,18 +225,18 @@
 	}
 }
 
-func TestSuspectAndDrainingEndpointsGetNoCopies(t *testing.T) {
+func TestSuspectAndDrainingEndpointsReceiveNoCopies(t *testing.T) {
 	p := newPlanner(1)
 	p.SetEndpoint(start, described("suspect"), nextRevision(), true)
 	leaving := described("leaving")
 	leaving.State = deployment.Draining
 	p.SetEndpoint(start, leaving, nextRevision(), false)
-	p.Report(start, "i", waiting(adapter(1)))
+	p.Report(start, "i", waitingDemand(adapter(1)))
 	_, ok := p.Next(start)
 	assert.False(t, ok)
 }
 
-func TestAGoneInstancesWaitingRequestsLoadNothing(t *testing.T) {
+func TestForgottenInstanceCausesNoLoad(t *testing.T) {
 	p := newPlanner(1)
 	p.SetEndpoint(start, described("e"), nextRevision(), false)
 	p.Report(start, "i", []loading.Demand{{Adapter: adapter(1), Waiting: 1, InTime: time.Second}})
@@ -245,42 +245,42 @@
 	assert.False(t, ok)
 }
 
-func TestRequestsThatWaitForASaturatedCopyGetAnotherOne(t *testing.T) {
+func TestSaturatedCopyCausesAnotherLoad(t *testing.T) {
 	p := newPlanner(1)
 	p.SetEndpoint(start, described("saturated", adapter(1)), nextRevision(), false)
 	p.SetEndpoint(start, described("free"), nextRevision(), false)
-	inspected(t, p, start, &loading.Report{Adapters: described("", adapter(1)).Adapters})
-	p.Report(start, "i", waiting(adapter(1)))
+	answerInspection(t, p, start, &loading.Report{Adapters: described("", adapter(1)).Adapters})
+	p.Report(start, "i", waitingDemand(adapter(1)))
 	_, ok := p.Next(start)
-	assert.False(t, ok, "the copy has room")
+	assert.False(t, ok, "the copy is not on a saturated endpoint")
 
 	p.SetSaturation("saturated", true, false)
-	p.Report(start, "i", waiting(adapter(1)))
+	p.Report(start, "i", waitingDemand(adapter(1)))
 	_, ok = p.Next(start.Add(100 * time.Millisecond))
-	assert.False(t, ok, "a nearly saturated endpoint serves what only it holds; a second copy would cost a load and a place")
+	assert.False(t, ok, "a nearly saturated endpoint still serves its copies, so a second copy would waste a load and a place")
 
 	p.SetSaturation("saturated", true, true)
 	later := start.Add(time.Second)
-	p.Report(later, "i", waiting(adapter(1)))
+	p.Report(later, "i", waitingDemand(adapter(1)))
 	order, ok := p.Next(later)
 	require.True(t, ok)
 	assert.Equal(t, deployment.EndpointID("free"), order.Endpoint.ID)
 }
 
-// TestAnOldDescriptionReadAgainDropsNoCopy is about a store that was down: the endpoint could not
-// describe what was loaded meanwhile, and its description is read once more.
-func TestAnOldDescriptionReadAgainDropsNoCopy(t *testing.T) {
+// TestRereadDescriptionRemovesNoCopy covers a store outage: the endpoint could not describe what was loaded in the
+// meantime, and its old description is read again.
+func TestRereadDescriptionRemovesNoCopy(t *testing.T) {
 	p := newPlanner(1)
 	revision := nextRevision()
 	p.SetEndpoint(start, described("e"), revision, false)
-	p.Report(start, "i", waiting(adapter(1)))
+	p.Report(start, "i", waitingDemand(adapter(1)))
 	order, _ := p.Next(start)
-	p.Done(start, answer(order, loading.Holds))
+	p.Done(start, resultOf(order, loading.Holds))
 	later := start.Add(10 * time.Second)
 	p.SetEndpoint(later, described("e"), revision, false)
 	_, offered := p.Offered("e")
 	assert.Contains(t, offered, adapter(1))
 	p.SetEndpoint(later, described("e"), revision+1, false)
 	_, offered = p.Offered("e")
-	assert.NotContains(t, offered, adapter(1), "a newer description that lacks it counts")
+	assert.NotContains(t, offered, adapter(1), "a newer description without the copy applies")
 }
--- a/services/entry/loading/polls_test.go
+++ b/services/entry/loading/polls_test.go
@@ -16,8 +16,9 @@
 	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
-// TestWhenALoadIsAskedAbout: first at 0.8 of the shortest time, or at 30 ms where the adapter was held, then each 12 ms.
-func TestWhenALoadIsAskedAbout(t *testing.T) {
+// TestLoadPollTimes: the first poll is at 0.8 of the shortest time, or at 30 ms if the endpoint held the adapter
+// before; further polls follow every 12 ms.
+func TestLoadPollTimes(t *testing.T) {
 	for name, test := range map[string]struct {
 		held  map[deployment.Adapter]time.Time
 		first time.Duration
@@ -29,46 +30,46 @@
 			p := newPlanner(1)
 			p.SetEndpoint(start, described("e"), nextRevision(), false)
 			p.RememberHeld("e", test.held)
-			p.Report(start, "i", waiting(adapter(1)))
-			p.Done(start, answer(order(t, p, start, loading.Load), loading.Accepted))
+			p.Report(start, "i", waitingDemand(adapter(1)))
+			p.Done(start, resultOf(nextOrder(t, p, start, loading.Load), loading.Accepted))
 			now := start.Add(test.first)
 			assert.Equal(t, now, p.NextPoll())
 			_, ok := p.Next(now.Add(-1))
 			assert.False(t, ok, "just before")
-			p.Done(now, answer(order(t, p, now, loading.Load), loading.Conflict))
+			p.Done(now, resultOf(nextOrder(t, p, now, loading.Load), loading.Conflict))
 			assert.Equal(t, now.Add(12*time.Millisecond), p.NextPoll())
 		})
 	}
 }
 
-// TestWhenABaseModelIsAskedAbout: first at 400 ms; after 5 s it is looked into.
-func TestWhenABaseModelIsAskedAbout(t *testing.T) {
+// TestBaseModelPollAndInspectionTimes: the first poll is at 400 ms; after 5 s the endpoint is inspected.
+func TestBaseModelPollAndInspectionTimes(t *testing.T) {
 	for after, inspected := range map[time.Duration]bool{5 * time.Second: false, 5*time.Second + 1: true} {
 		p := newPlanner(1)
 		p.SetEndpoint(start, deployment.Endpoint{ID: "e", Service: "s"}, nextRevision(), false)
-		p.Done(start, answer(order(t, p, start, loading.Load), loading.Accepted))
+		p.Done(start, resultOf(nextOrder(t, p, start, loading.Load), loading.Accepted))
 		assert.Equal(t, start.Add(400*time.Millisecond), p.NextPoll())
 		now := start.Add(after)
-		p.Done(now, answer(order(t, p, now, loading.Load), loading.Accepted))
+		p.Done(now, resultOf(nextOrder(t, p, now, loading.Load), loading.Accepted))
 		next, ok := p.Next(now.Add(time.Second))
 		require.True(t, ok)
 		assert.Equal(t, inspected, next.Kind == loading.Inspect, "after %s", after)
 	}
 }
 
-func TestWhenAnUnloadIsAskedAbout(t *testing.T) {
+func TestUnloadPollInterval(t *testing.T) {
 	p := fullPlanner(copyUse{})
 	p.Next(start)
 	p.ConfirmUnused(start, confirmAll)
-	p.Done(start, answer(order(t, p, start, loading.Unload), loading.Accepted))
+	p.Done(start, resultOf(nextOrder(t, p, start, loading.Unload), loading.Accepted))
 	now := start.Add(100 * time.Millisecond)
 	_, ok := p.Next(now.Add(-1))
 	assert.False(t, ok, "just before")
-	assert.True(t, order(t, p, now, loading.Unload).Poll)
+	assert.True(t, nextOrder(t, p, now, loading.Unload).Poll)
 }
 
-// TestHowLongASilentEndpointIsFollowedByItsReports: each 80 ms, for 4 s after an unanswered order.
-func TestHowLongASilentEndpointIsFollowedByItsReports(t *testing.T) {
+// TestReportsReadForFourSecondsAfterUnansweredOrder: reports are read every 80 ms, for 4 s after an unanswered order.
+func TestReportsReadForFourSecondsAfterUnansweredOrder(t *testing.T) {
 	read := start.Add(150 * time.Millisecond)
 	for name, test := range map[string]struct {
 		now  time.Time
@@ -79,48 +80,49 @@
 		"after the 4 s":           {start.Add(4 * time.Second), loading.Load},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p, load := firstLoad(t)
-			p.Done(start, answer(load, loading.Unanswered))
+			p, load := plannerWithLoadOrder(t)
+			p.Done(start, resultOf(load, loading.Unanswered))
 			report := &loading.Report{Sequence: 1, Pending: []deployment.Adapter{adapter(1)}}
-			inspected(t, p, read, report)
+			answerInspection(t, p, read, report)
 			_, ok := p.Next(read.Add(80*time.Millisecond - 1))
 			assert.False(t, ok, "just before the pause ends")
-			order(t, p, test.now, test.kind)
+			nextOrder(t, p, test.now, test.kind)
 		})
 	}
 }
 
-// TestAReportMayLagBehindALoad: a load that the report does not list has ended without success once it is older than 0.5 s.
-func TestAReportMayLagBehindALoad(t *testing.T) {
+// TestUnlistedLoadRemovedAfterReportLag: a load that the report does not list counts as failed once it is older than
+// 0.5 s.
+func TestUnlistedLoadRemovedAfterReportLag(t *testing.T) {
 	for after, kept := range map[time.Duration]bool{500 * time.Millisecond: true, 500*time.Millisecond + 1: false} {
-		p, load := firstLoad(t)
-		p.Done(start, answer(load, loading.Accepted))
+		p, load := plannerWithLoadOrder(t)
+		p.Done(start, resultOf(load, loading.Accepted))
 		p.Report(start, "i", nil)
 		p.NoteMissing("e")
 		now := start.Add(after)
-		inspected(t, p, now, &loading.Report{Sequence: 1})
+		answerInspection(t, p, now, &loading.Report{Sequence: 1})
 		list, _ := p.Forecasts(now)
 		assert.Equal(t, kept, len(list) == 1, "after %s", after)
 	}
 }
 
-func TestAnEndpointGetsTwoLoadsAtOnce(t *testing.T) {
+func TestTwoPendingLoadsPerEndpoint(t *testing.T) {
 	p := newPlanner(1)
 	p.SetEndpoint(start, described("e"), nextRevision(), false)
 	var demands []loading.Demand
 	for number := range 4 {
-		demands = append(demands, waiting(adapter(number))...)
+		demands = append(demands, waitingDemand(adapter(number))...)
 	}
 	p.Report(start, "i", demands)
 	for range 2 {
-		p.Done(start, answer(order(t, p, start, loading.Load), loading.Accepted))
+		p.Done(start, resultOf(nextOrder(t, p, start, loading.Load), loading.Accepted))
 	}
 	_, ok := p.Next(start)
 	assert.False(t, ok)
 }
 
-// TestThePauseAfterASearchInVain is 0.4 ms for each endpoint, at most 50 ms.
-func TestThePauseAfterASearchInVain(t *testing.T) {
+// TestPauseAfterUnsuccessfulSearch: the pause is 0.4 ms for each endpoint, and at most 50 ms.
+func TestPauseAfterUnsuccessfulSearch(t *testing.T) {
 	for endpoints, pause := range map[int]time.Duration{1: 400 * time.Microsecond, 3: 1200 * time.Microsecond, 124: 49600 * time.Microsecond, 126: 50 * time.Millisecond} {
 		p := newPlanner(1)
 		for i := range endpoints {
@@ -128,87 +130,87 @@
 		}
 		_, ok := p.Next(start)
 		require.False(t, ok)
-		p.Report(start, "i", waiting(adapter(1)))
+		p.Report(start, "i", waitingDemand(adapter(1)))
 		_, ok = p.Next(start.Add(pause - 1))
 		assert.False(t, ok, "%d endpoints, just before", endpoints)
-		order(t, p, start.Add(pause), loading.Load)
+		nextOrder(t, p, start.Add(pause), loading.Load)
 	}
 }
 
-// TestWhatAnEndpointThatHeldTheAdapterMayDrawMore has one that draws requests and held the adapter, and an idle one that did not.
-func TestWhatAnEndpointThatHeldTheAdapterMayDrawMore(t *testing.T) {
+// TestHeldBonusBoundary compares a busy endpoint that held the adapter before with an idle one that did not.
+func TestHeldBonusBoundary(t *testing.T) {
 	for rate, chosen := range map[float64]deployment.EndpointID{19.7: "held", 19.9: "idle"} {
 		p := loading.NewPlanner(engine, loading.Options{Random: func() float64 { return 0 }})
 		p.SetEndpoint(start, described("held", adapter(9)), nextRevision(), false)
 		p.SetEndpoint(start, described("idle"), nextRevision(), false)
-		inspect := order(t, p, start, loading.Inspect)
+		inspect := nextOrder(t, p, start, loading.Inspect)
 		p.Done(start, loading.Result{Order: inspect, Reply: loading.Inspected, Report: &loading.Report{Adapters: inspect.Endpoint.Adapters}})
 		p.RememberHeld("held", map[deployment.Adapter]time.Time{adapter(1): start})
 		p.AddRates(start, map[deployment.Adapter]float64{adapter(9): rate})
 		p.Report(start, "i", []loading.Demand{{Adapter: adapter(1), Waiting: 2000, InTime: time.Second}})
-		load := order(t, p, start, loading.Load)
+		load := nextOrder(t, p, start, loading.Load)
 		assert.Equal(t, adapter(1), load.Adapter)
 		assert.Equal(t, chosen, load.Endpoint.ID, "%v requests a second", rate)
 	}
 }
 
-func TestTheFirstVersionOfAnAdapter(t *testing.T) {
-	p, load := firstLoad(t)
-	p.Done(start, answer(load, loading.Holds))
+func TestDefaultVersionOfAdapter(t *testing.T) {
+	p, load := plannerWithLoadOrder(t)
+	p.Done(start, resultOf(load, loading.Holds))
 	_, offered := p.Offered("e")
 	assert.Equal(t, map[deployment.Adapter]int64{adapter(1): 1}, offered)
 }
 
-func TestHowManyAdaptersGetAForecastOfTheirOwn(t *testing.T) {
+func TestMaxQueuedForecasts(t *testing.T) {
 	for queued, forecasts := range map[int]int{99: 99, 100: 100, 101: 100} {
 		p := newPlanner(1)
 		var demands []loading.Demand
 		for number := range queued {
-			demands = append(demands, waiting(adapter(number))...)
+			demands = append(demands, waitingDemand(adapter(number))...)
 		}
 		p.Report(start, "i", demands)
 		list, backlog := p.Forecasts(start)
 		assert.Len(t, list, forecasts)
-		assert.Equal(t, time.Duration(queued+1)*250*time.Millisecond, backlog, "one at a time without endpoints")
+		assert.Equal(t, time.Duration(queued+1)*250*time.Millisecond, backlog, "without endpoints, one load at a time")
 	}
 }
 
-func TestARateForgets(t *testing.T) {
+func TestRateDecays(t *testing.T) {
 	var rate loading.Rate
-	assert.Zero(t, rate.PerSecond(start), "nothing known")
+	assert.Zero(t, rate.PerSecond(start), "no arrivals")
 	rate.Add(start, 12)
 	assert.InDelta(t, 1, rate.PerSecond(start), 1e-12)
 	assert.InDelta(t, math.Exp(-1), rate.PerSecond(start.Add(12*time.Second)), 1e-12)
 	assert.InDelta(t, 1, rate.PerSecond(start.Add(-time.Second)), 1e-12, "a clock that went back forgets nothing")
 }
 
-func TestTheUsualLoadTimeFollowsLoads(t *testing.T) {
+func TestTypicalLoadTimeFollowsLoads(t *testing.T) {
 	pace := loading.NewPace()
 	assert.Equal(t, 250*time.Millisecond, pace.LoadTime())
 	pace.Note(start, 350*time.Millisecond)
 	assert.InDelta(t, float64(270*time.Millisecond), float64(pace.LoadTime()), 1)
 }
 
-func TestHowFastThePaceFalls(t *testing.T) {
+func TestConcurrencyLimitFallsToSustainableLoad(t *testing.T) {
 	pace := steadyPace()
 	for range 7 {
 		pace.Note(start, 600*time.Millisecond)
 	}
 	require.Equal(t, 25, pace.Concurrency())
-	// 600 ms are three times the shortest time: 25 x 1.25 / 3 are borne at once.
+	// 600 ms are three times the shortest time, so 25 x 1.25 / 3 loads are sustainable.
 	pace.Note(start.Add(time.Second), 600*time.Millisecond)
 	assert.Equal(t, 10, pace.Concurrency())
 	pace.Note(start.Add(2*time.Second), 600*time.Millisecond)
-	assert.Equal(t, 8, pace.Concurrency(), "8 at least")
+	assert.Equal(t, 8, pace.Concurrency(), "not below 8")
 }
 
-func TestThePaceFallsAtLeastByItsStep(t *testing.T) {
+func TestConcurrencyLimitFallsByBackOffFactor(t *testing.T) {
 	pace := steadyPace()
 	for range 7 {
 		pace.Note(start, 280*time.Millisecond)
 	}
 	for i, concurrency := range []int{21, 18, 15, 13, 11, 9, 8, 8} {
 		pace.NoteBeside(start.Add(time.Duration(i+1)*time.Millisecond*400), 280*time.Millisecond, 280*time.Millisecond, 100)
-		assert.Equal(t, concurrency, pace.Concurrency(), "25 x 0.85 to the power of %d, 8 at least", i+1)
+		assert.Equal(t, concurrency, pace.Concurrency(), "25 x 0.85 to the power of %d, not below 8", i+1)
 	}
 }
--- a/services/entry/loading/result.go
+++ b/services/entry/loading/result.go
@@ -10,205 +10,213 @@
 )
 
 const (
-	// inspectAfterSilence is for how long after an unanswered order the loads of an endpoint are followed by its reports in place of polls.
-	// Longer avoids polls that stay unanswered and notices the end of loads later.
-	inspectAfterSilence = 4 * time.Second
-	// answerRest is the pause before an endpoint is inspected whose answer was lost or whose report was old. Shorter asks again sooner,
-	// before the endpoint may have carried the order out.
-	answerRest = 150 * time.Millisecond
-	// restAfterFailure is the pause before the next order to an endpoint after one failed. Shorter tries again sooner and spends more
-	// orders on an endpoint that cannot take them.
-	restAfterFailure = 300 * time.Millisecond
-	// loadLimit is after how long a load or unload of an adapter that was accepted is looked into by a report, and the least pause between
-	// two such reports. Shorter notices a lost load sooner; a load takes 0.35 s at twelve at once and 0.57 s at nineteen, so that shorter
-	// would inspect sound ones.
-	loadLimit = 1200 * time.Millisecond
-	// modelLoadLimit is the same for a base model, which is larger.
-	modelLoadLimit = 5 * time.Second
+	// reportsAfterUnanswered is how long after an unanswered order the loads of an endpoint are followed by reading
+	// its reports instead of polling. A longer time avoids polls that stay unanswered and notices the end of loads
+	// later.
+	reportsAfterUnanswered = 4 * time.Second
+	// unansweredPause is the pause before an inspection of an endpoint that left an order unanswered or whose report
+	// was outdated. A shorter pause may ask before the endpoint has carried out the order.
+	unansweredPause = 150 * time.Millisecond
+	// failurePause is the pause before the next order to an endpoint after one failed. A shorter pause retries sooner
+	// and spends more orders on an endpoint that cannot accept them.
+	failurePause = 300 * time.Millisecond
+	// slowLoadLimit is the time after which an accepted load or unload of an adapter is checked by a report, and the
+	// minimum pause between two such reports. A shorter time notices a lost load sooner. A load takes 0.35 s with
+	// twelve in parallel and 0.57 s with nineteen, so a shorter time would inspect healthy loads.
+	slowLoadLimit = 1200 * time.Millisecond
+	// slowModelLoadLimit is the corresponding time for a base model, which is larger.
+	slowModelLoadLimit = 5 * time.Second
 )
 
-// Done takes in the end of an order.
+// Done handles the result of an order.
 func (p *Planner) Done(now time.Time, result Result) {
 	plan, ok := p.endpoints[result.Order.Endpoint.ID]
 	if !ok {
-		plan, ok = p.lapsed[result.Order.Endpoint.ID]
-		// Nobody is told of the copies of an endpoint without an entry.
+		plan, ok = p.unregistered[result.Order.Endpoint.ID]
+		// The copies of an endpoint without an entry are not announced.
 		defer delete(p.changed, result.Order.Endpoint.ID)
 	}
 	if !ok {
 		return
 	}
-	plan.busy = false
+	plan.orderInFlight = false
 	if plan.endpoint.IsAnotherStart(result.Order.Endpoint.Born) {
-		plan.doneWithFormer(now, result)
+		plan.handleResultFromBeforeRestart(now, result)
 		return
 	}
 	switch result.Order.Kind {
 	case Inspect:
-		p.inspected(now, plan, result)
+		p.handleInspection(now, plan, result)
 	case Load:
-		p.loaded(now, plan, result)
+		p.handleLoadReply(now, plan, result)
 	case Unload:
-		p.unloaded(now, plan, result)
+		p.handleUnloadReply(now, plan, result)
 	}
 }
 
-// inspected takes in the end of an inspection: with a report, what the endpoint holds; without one, or with one older than
-// the results of own orders, it is asked again after a pause.
-func (p *Planner) inspected(now time.Time, plan *endpointPlan, result Result) {
+// handleInspection handles the result of an inspection. If there is no report, or one older than the results of this
+// plan's orders, the endpoint is inspected again after a pause.
+func (p *Planner) handleInspection(now time.Time, plan *endpointPlan, result Result) {
 	if result.Report == nil {
-		plan.restUntil = now.Add(restAfterFailure)
+		plan.pausedUntil = now.Add(failurePause)
 		return
 	}
 	if plan.endpoint.IsAnotherStart(result.Report.Born) {
-		plan = p.restart(now, plan, result.Report.Born)
+		plan = p.replaceRestarted(now, plan, result.Report.Born)
 	}
-	before := plan.count.sequence
-	if !plan.adoptReport(now, result.Report) {
-		plan.restUntil = now.Add(answerRest)
+	before := plan.tracker.sequence
+	if !plan.applyReport(now, result.Report) {
+		plan.pausedUntil = now.Add(unansweredPause)
 		return
 	}
-	if plan.refused && plan.count.sequence == before {
-		// The count was right, so that the endpoint has another order under way; or the report is from before that order.
-		plan.restUntil = now.Add(restAfterFailure)
+	if plan.orderRefused && plan.tracker.sequence == before {
+		// The sequence was right, so either the endpoint has another order in progress or the report predates that
+		// order.
+		plan.pausedUntil = now.Add(failurePause)
 	}
-	plan.refused = false
-	p.adoptModels(now, plan, result.Report)
-	plan.inspect = false
+	plan.orderRefused = false
+	p.applyReportedModels(now, plan, result.Report)
+	plan.needsInspection = false
 	switch {
-	case plan.awaitsModel(result.Report):
-		plan.inspectAfter(now, modelPoll)
-	case plan.modelsDoubted || plan.doubts():
-		plan.inspectAfter(now, answerRest)
+	case plan.isLoadingUnplannedModel(result.Report):
+		plan.scheduleInspection(now, firstModelPollDelay)
+	case plan.modelsUnconfirmed || plan.hasUnconfirmedCopy():
+		plan.scheduleInspection(now, unansweredPause)
 	}
 	for _, c := range plan.copies {
 		if c.state == copyLoading {
-			c.pollAt = laterOf(c.pollAt, now.Add(reportPoll))
+			c.pollAt = laterOf(c.pollAt, now.Add(reportInterval))
 		}
 	}
 	p.changed[plan.endpoint.ID] = true
 }
 
-// inspectAfter has the endpoint's report read after a pause, and no order given before.
-func (e *endpointPlan) inspectAfter(now time.Time, pause time.Duration) {
-	e.inspect = true
-	e.restUntil = now.Add(pause)
+// scheduleInspection schedules an inspection after a pause, with no order sent before.
+func (e *endpointPlan) scheduleInspection(now time.Time, pause time.Duration) {
+	e.needsInspection = true
+	e.pausedUntil = now.Add(pause)
 }
 
-// modelArrived takes in that an endpoint holds a base model.
-func (p *Planner) modelArrived(now time.Time, plan *endpointPlan, model string) {
+// addModel records that an endpoint holds a base model.
+func (p *Planner) addModel(now time.Time, plan *endpointPlan, model string) {
 	delete(plan.copies, deployment.Adapter{Model: model})
 	if !plan.endpoint.HasModel(model) {
 		plan.endpoint.Models = append([]string{model}, plan.endpoint.Models...)
 	}
-	plan.modelSince = now
+	plan.modelLoadedAt = now
 	p.changed[plan.endpoint.ID] = true
 }
 
-// loaded takes in the reply to an order to load, or to a poll of one. What the reply leaves open is settled by a report.
-func (p *Planner) loaded(now time.Time, plan *endpointPlan, result Result) {
+// handleLoadReply handles the reply to a load order or to a poll of one. If the reply leaves the state of the load
+// open, a report resolves it.
+func (p *Planner) handleLoadReply(now time.Time, plan *endpointPlan, result Result) {
 	adapter := result.Order.Adapter
 	c, ok := plan.copies[adapter]
 	if !ok {
 		return
 	}
 	if result.Reply == Holds || result.Reply == Accepted {
-		plan.abandoned = nil
+		plan.unansweredVersions = nil
 	}
 	switch result.Reply {
 	case Holds:
-		p.becomeResident(now, plan, adapter, c)
+		p.finishLoad(now, plan, adapter, c)
 	case Accepted:
-		plan.noteTaken(now, result.Order)
-		p.stillLoading(now, plan, adapter, c, result.Order.Poll)
+		plan.recordAccepted(now, result.Order)
+		p.continueLoad(now, plan, adapter, c, result.Order.Poll)
 	case Conflict:
 		if result.Order.Poll {
-			p.stillLoading(now, plan, adapter, c, result.Order.Poll)
+			p.continueLoad(now, plan, adapter, c, result.Order.Poll)
 			return
 		}
 		delete(plan.copies, adapter)
-		plan.inspect, plan.refused = true, true
+		plan.needsInspection, plan.orderRefused = true, true
 	case NotDelivered, Rejected:
 		if !result.Order.Poll {
 			delete(plan.copies, adapter)
 		}
-		plan.restUntil = now.Add(restAfterFailure)
-		plan.inspect = true
+		plan.pausedUntil = now.Add(failurePause)
+		plan.needsInspection = true
 	case Unanswered, Inspected:
-		plan.addUnanswered(now, result.Order.ExpectedSequence)
-		plan.silentUntil = now.Add(inspectAfterSilence)
-		plan.restUntil = now.Add(answerRest)
-		plan.inspect = true
-		c.pollAt = now.Add(answerRest)
+		plan.addUnansweredLoad(now, result.Order.ExpectedSequence)
+		plan.unresponsiveUntil = now.Add(reportsAfterUnanswered)
+		plan.pausedUntil = now.Add(unansweredPause)
+		plan.needsInspection = true
+		c.pollAt = now.Add(unansweredPause)
 		if !result.Order.Poll {
-			// Its place is kept; if it was taken, the report lists it. Until then it may be brought elsewhere.
+			// A place is reserved for the load; if the endpoint accepted it, the report lists it. Until then the
+			// adapter may be loaded elsewhere.
 			delete(plan.copies, adapter)
-			plan.abandon(adapter, c.version)
+			plan.recordUnansweredVersion(adapter, c.version)
 		}
 	}
 }
 
-// abandon keeps that the endpoint may be loading a version though it left the order unanswered.
-func (e *endpointPlan) abandon(adapter deployment.Adapter, version int64) {
-	if e.abandoned == nil {
-		e.abandoned = make(map[deployment.Adapter]int64)
+// recordUnansweredVersion records that the endpoint may be loading a version although it left the order unanswered.
+func (e *endpointPlan) recordUnansweredVersion(adapter deployment.Adapter, version int64) {
+	if e.unansweredVersions == nil {
+		e.unansweredVersions = make(map[deployment.Adapter]int64)
 	}
-	e.abandoned[adapter] = version
+	e.unansweredVersions[adapter] = version
 }
 
-// noteTaken counts an order that the endpoint has taken; a poll asks about one that it took before.
-func (e *endpointPlan) noteTaken(now time.Time, order Order) {
+// recordAccepted raises the sequence for an accepted order. A poll does not raise it, because the order was accepted
+// before.
+func (e *endpointPlan) recordAccepted(now time.Time, order Order) {
 	if !order.Poll {
-		e.count.noteTaken(now, order)
+		e.tracker.recordAccepted(now, order)
 	}
 }
 
-// stillLoading asks again soon; a load that takes too long is looked into. poll says that the endpoint was asked about it.
-func (p *Planner) stillLoading(now time.Time, plan *endpointPlan, adapter deployment.Adapter, c *copyPlan, poll bool) {
-	limit := loadLimit
+// continueLoad schedules the next poll of a load and requests a report if the load takes too long; poll reports
+// whether the order was a poll.
+func (p *Planner) continueLoad(now time.Time, plan *endpointPlan, adapter deployment.Adapter, c *copyPlan, poll bool) {
+	limit := slowLoadLimit
 	if adapter.IsZero() {
-		limit = modelLoadLimit
+		limit = slowModelLoadLimit
 	}
 	if poll {
-		c.loadingAt = c.askedAt
+		c.lastSeenLoadingAt = c.lastPollAt
 	}
-	c.pollAt = laterOf(c.pollAt, now.Add(loadPoll))
-	if now.Sub(c.since) > limit && now.Sub(c.inspected) > loadLimit {
-		c.inspected = now
-		plan.inspect = true
-		plan.restUntil = now.Add(answerRest)
+	c.pollAt = laterOf(c.pollAt, now.Add(loadPollInterval))
+	if now.Sub(c.since) > limit && now.Sub(c.lastInspectedAt) > slowLoadLimit {
+		c.lastInspectedAt = now
+		plan.needsInspection = true
+		plan.pausedUntil = now.Add(unansweredPause)
 	}
 }
 
-func (p *Planner) becomeResident(now time.Time, plan *endpointPlan, adapter deployment.Adapter, c *copyPlan) {
+func (p *Planner) finishLoad(now time.Time, plan *endpointPlan, adapter deployment.Adapter, c *copyPlan) {
 	if c.state != copyLoading {
 		return
 	}
 	if adapter.IsZero() {
-		p.modelArrived(now, plan, adapter.Model)
+		p.addModel(now, plan, adapter.Model)
 		return
 	}
-	if c.cold && c.timed {
-		p.pace.note(now, c.loadEnd(now, p.coldLoads()))
+	if c.cold && c.startKnown {
+		p.loadLimiter.record(now, c.loadMeasurement(now, p.coldLoads()))
 	}
-	c.state, c.since, c.settledSince = copyResident, now, now
+	c.state, c.since, c.loadedAt = copyResident, now, now
 	delete(p.failing, adapter)
-	delete(plan.dropped, adapter)
-	plan.held[adapter] = now
+	delete(plan.unloaded, adapter)
+	plan.previouslyHeld[adapter] = now
 	p.changed[plan.endpoint.ID] = true
 }
 
-// loadEnd is what the end of a load tells that is seen now, beside so many that run.
-func (c *copyPlan) loadEnd(now time.Time, running int) loadEnd {
-	end := loadEnd{took: now.Sub(c.since), quick: c.loadingAt.IsZero(), running: running}
-	if !end.quick {
-		end.atLeast = c.loadingAt.Sub(c.since)
+// loadMeasurement returns what the end of a load, observed now, reveals about the weight store;
+// parallelLoads is the number of loads running.
+func (c *copyPlan) loadMeasurement(now time.Time, parallelLoads int) loadMeasurement {
+	end := loadMeasurement{took: now.Sub(c.since), early: c.lastSeenLoadingAt.IsZero(), parallelLoads: parallelLoads}
+	if !end.early {
+		end.minTook = c.lastSeenLoadingAt.Sub(c.since)
 	}
 	return end
 }
 
-// unloaded takes in the reply to an order to unload, or to a poll of one. What the reply leaves open is settled by a report.
-func (p *Planner) unloaded(now time.Time, plan *endpointPlan, result Result) {
+// handleUnloadReply handles the reply to an unload order or to a poll of one. If the reply leaves the state of the
+// unload open, a report resolves it.
+func (p *Planner) handleUnloadReply(now time.Time, plan *endpointPlan, result Result) {
 	c, ok := plan.copies[result.Order.Adapter]
 	if !ok || c.state != copyUnloading {
 		return
@@ -216,35 +224,35 @@
 	switch result.Reply {
 	case Holds:
 		if !result.Order.Poll {
-			plan.count.noteUnloaded(now, result.Order)
+			plan.tracker.recordUnload(now, result.Order)
 		}
-		plan.held[result.Order.Adapter] = now
-		plan.dropped[result.Order.Adapter] = now
+		plan.previouslyHeld[result.Order.Adapter] = now
+		plan.unloaded[result.Order.Adapter] = now
 		delete(plan.copies, result.Order.Adapter)
 		p.changed[plan.endpoint.ID] = true
 	case Accepted:
-		plan.noteTaken(now, result.Order)
-		c.accepted = true
-		c.pollAt = now.Add(unloadPoll)
+		plan.recordAccepted(now, result.Order)
+		c.unloadAccepted = true
+		c.pollAt = now.Add(unloadPollInterval)
 	case Conflict:
 		if !result.Order.Poll {
-			plan.inspect, plan.refused = true, true
+			plan.needsInspection, plan.orderRefused = true, true
 			return
 		}
-		p.stillUnloading(now, plan, c)
+		p.continueUnload(now, plan, c)
 	default:
-		plan.restUntil = now.Add(restAfterFailure)
-		plan.inspect = true
+		plan.pausedUntil = now.Add(failurePause)
+		plan.needsInspection = true
 	}
 }
 
-// stillUnloading asks again soon; an unload that takes too long is looked into.
-func (p *Planner) stillUnloading(now time.Time, plan *endpointPlan, c *copyPlan) {
-	c.pollAt = now.Add(unloadPoll)
-	if now.Sub(c.since) > loadLimit && now.Sub(c.inspected) > loadLimit {
-		c.inspected = now
-		c.accepted = false
-		plan.inspect = true
+// continueUnload schedules the next poll of an unload and requests a report if the unload takes too long.
+func (p *Planner) continueUnload(now time.Time, plan *endpointPlan, c *copyPlan) {
+	c.pollAt = now.Add(unloadPollInterval)
+	if now.Sub(c.since) > slowLoadLimit && now.Sub(c.lastInspectedAt) > slowLoadLimit {
+		c.lastInspectedAt = now
+		c.unloadAccepted = false
+		plan.needsInspection = true
 	}
 }
 
