--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -108,9 +108,9 @@
 		Rate: loading.RateOptions{
 			PerSecond: engine.LoadsPerSecond, Window: p.options.LoadWindow, Tolerance: p.options.LoadTolerance, Slack: p.options.LoadSlack,
 		},
-		Random:         p.options.Random,
-		Uses:           p.uses,
-		NextWithdrawal: p.nextWithdrawal,
+		Random:               p.options.Random,
+		Uses:                 p.uses,
+		NextWithdrawalNumber: p.nextWithdrawal,
 	})
 	planner.AssumeLoads(p.assumed.At, p.assumed.Count)
 	return planner
@@ -246,7 +246,7 @@
 				break
 			}
 			if order.Kind == loading.Load && !order.Poll {
-				p.noteBegun(order, planner.LoadTime(), begun)
+				p.noteBegun(order, planner.TypicalLoadTime(), begun)
 			}
 			start(order)
 		}
--- a/services/entry/coordinator/plan/reports.go
+++ b/services/entry/coordinator/plan/reports.go
@@ -40,7 +40,7 @@
 	p.takeRates(now, r)
 	for _, copied := range r.Missing {
 		for _, planner := range p.planners {
-			planner.NoteMissing(copied.ID)
+			planner.RequestInspection(copied.ID)
 		}
 	}
 }
--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/edges_test.go
@@ -32,16 +32,16 @@
 		"no copy, one request in time":                       {loading.CopyNeed{Waiting: 1, InTime: 1}, 1},
 		"no copy, one of three requests in time":             {loading.CopyNeed{Waiting: 3, InTime: 1}, 1.3},
 		"more instances in time than waiting requests":       {loading.CopyNeed{Waiting: 1, InTime: 2}, 2},
-		"first copy loading":                                 {loading.CopyNeed{Waiting: 9, InTime: 1, Coming: 1, Rate: 5}, 0},
+		"first copy loading":                                 {loading.CopyNeed{Waiting: 9, InTime: 1, Loading: 1, Rate: 5}, 0},
 		"copy on an endpoint that is not saturated":          {loading.CopyNeed{Waiting: 9, InTime: 1, Usable: 1, Free: 1, Rate: 0.5}, 0},
 		"all copies saturated, no waiting request":           {loading.CopyNeed{Usable: 1, Rate: 0.5}, 0},
 		"all copies saturated, one waiting request":          {loading.CopyNeed{Usable: 1, Waiting: 1}, 0.15},
 		"high rate, no relief":                               {loading.CopyNeed{Usable: 1, Free: 1, Rate: 9}, 0},
 		"high rate, relief of half a request a second":       {loading.CopyNeed{Usable: 1, Free: 1, Rate: 1, Relief: 0.5}, 0.5 * 15 * 0.4},
-		"high rate, second copy loading, no relief":          {loading.CopyNeed{Usable: 1, Free: 1, Coming: 1, Rate: 9}, 0},
-		"high rate, second copy loading, relief by a third":  {loading.CopyNeed{Usable: 1, Free: 1, Coming: 1, Rate: 9, Relief: 3}, 3 * 15 * 0.4},
-		"all copies saturated, another copy loading":         {loading.CopyNeed{Usable: 1, Coming: 1, Waiting: 3, Rate: 9}, 0},
-		"first copy loading, relief by another":              {loading.CopyNeed{Waiting: 9, InTime: 1, Coming: 1, Rate: 5, Relief: 2}, 2 * 15 * 0.4},
+		"high rate, second copy loading, no relief":          {loading.CopyNeed{Usable: 1, Free: 1, Loading: 1, Rate: 9}, 0},
+		"high rate, second copy loading, relief by a third":  {loading.CopyNeed{Usable: 1, Free: 1, Loading: 1, Rate: 9, Relief: 3}, 3 * 15 * 0.4},
+		"all copies saturated, another copy loading":         {loading.CopyNeed{Usable: 1, Loading: 1, Waiting: 3, Rate: 9}, 0},
+		"first copy loading, relief by another":              {loading.CopyNeed{Waiting: 9, InTime: 1, Loading: 1, Rate: 5, Relief: 2}, 2 * 15 * 0.4},
 		"all copies saturated, relief, no waiting request":   {loading.CopyNeed{Usable: 1, Rate: 1.5, Relief: 0.1}, 0.1 * 15 * 0.4},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -59,7 +59,7 @@
 
 func TestDestinationCostBoundaries(t *testing.T) {
 	cost := func(work float64, copies int, held bool, chance float64) float64 {
-		return loading.DestinationFactors{Work: work, Copies: copies, Held: held, Chance: chance}.Cost()
+		return loading.DestinationFactors{Work: work, Copies: copies, HeldBefore: held, TieBreak: chance}.Cost()
 	}
 	assert.Zero(t, cost(0, 0, false, 0), "no work and no copies")
 	assert.InDelta(t, 0.005, cost(0, 1, false, 0), 1e-12, "a copy costs 0.005 s")
@@ -78,17 +78,17 @@
 	}
 }
 
-// steadyPace returns the state after ten loads of 200 ms: 18 may run at once.
-func steadyPace() *loading.Pace {
-	pace := loading.NewPace()
+// steadyLoadLimiter returns the state after ten loads of 200 ms: 18 may run at once.
+func steadyLoadLimiter() *loading.LoadLimiter {
+	pace := loading.NewLoadLimiter()
 	for range 10 {
-		pace.Note(start, 200*time.Millisecond)
+		pace.Record(start, 200*time.Millisecond)
 	}
 	return pace
 }
 
 func TestConcurrencyLimitBoundaries(t *testing.T) {
-	assert.Equal(t, 8, loading.NewPace().Concurrency(), "initial limit")
+	assert.Equal(t, 8, loading.NewLoadLimiter().MaxLoads(), "initial limit")
 	const slow = 251 * time.Millisecond
 	for name, test := range map[string]struct {
 		slow        int
@@ -104,11 +104,11 @@
 		"a fast load after eight slow ones":              {8, []time.Duration{200 * time.Millisecond}, 21},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pace := steadyPace()
+			pace := steadyLoadLimiter()
 			for _, took := range append(slices.Repeat([]time.Duration{slow}, test.slow), test.took...) {
-				pace.Note(start, took)
+				pace.Record(start, took)
 			}
-			assert.Equal(t, test.concurrency, pace.Concurrency())
+			assert.Equal(t, test.concurrency, pace.MaxLoads())
 		})
 	}
 }
@@ -117,7 +117,7 @@
 // unanswered. When the mean of all loads was used, the limit fell to eight, a quarter of what the store serves at
 // full speed.
 func TestConcurrencyNotLoweredByLateEndpoints(t *testing.T) {
-	pace := loading.NewPace()
+	pace := loading.NewLoadLimiter()
 	now := start
 	for number := range 400 {
 		now = now.Add(10 * time.Millisecond)
@@ -125,115 +125,115 @@
 		if number%4 == 0 {
 			took = 900 * time.Millisecond
 		}
-		pace.Note(now, took)
+		pace.Record(now, took)
 	}
-	assert.Equal(t, 200, pace.Concurrency())
+	assert.Equal(t, 200, pace.MaxLoads())
 }
 
 // TestConcurrencyNotLoweredByLatePolls observes the end of each load 100 ms late, with the last poll before it 20 ms
 // before the end.
 func TestConcurrencyNotLoweredByLatePolls(t *testing.T) {
-	pace := steadyPace()
+	pace := steadyLoadLimiter()
 	for range 100 {
-		pace.NoteBeside(start, 330*time.Millisecond, 230*time.Millisecond, pace.Concurrency())
+		pace.RecordParallel(start, 330*time.Millisecond, 230*time.Millisecond, pace.MaxLoads())
 	}
-	assert.Equal(t, 118, pace.Concurrency())
+	assert.Equal(t, 118, pace.MaxLoads())
 }
 
 func TestConcurrencyLimitNotRaisedWhileHalfUnused(t *testing.T) {
 	for running, concurrency := range map[int]int{8: 18, 9: 19} {
-		pace := steadyPace()
-		pace.NoteBeside(start, 200*time.Millisecond, 200*time.Millisecond, running)
-		assert.Equal(t, concurrency, pace.Concurrency(), "%d of 18 loads running", running)
+		pace := steadyLoadLimiter()
+		pace.RecordParallel(start, 200*time.Millisecond, 200*time.Millisecond, running)
+		assert.Equal(t, concurrency, pace.MaxLoads(), "%d of 18 loads running", running)
 	}
 }
 
 func TestShortestLoadTimeGrowsWithTimeOnly(t *testing.T) {
-	pace := steadyPace()
+	pace := steadyLoadLimiter()
 	for range 500 {
-		pace.Note(start, 500*time.Millisecond)
+		pace.Record(start, 500*time.Millisecond)
 	}
-	assert.Equal(t, 160*time.Millisecond, pace.FirstLook(), "0.8 of 200 ms, however long parallel loads take")
-	pace.Note(start.Add(10*time.Second), 500*time.Millisecond)
-	assert.Equal(t, 192*time.Millisecond, pace.FirstLook(), "growth of one fiftieth a second")
+	assert.Equal(t, 160*time.Millisecond, pace.FirstPollDelay(), "0.8 of 200 ms, however long parallel loads take")
+	pace.Record(start.Add(10*time.Second), 500*time.Millisecond)
+	assert.Equal(t, 192*time.Millisecond, pace.FirstPollDelay(), "growth of one fiftieth a second")
 }
 
 // TestCachedLoadsDoNotAffectConcurrency: after a restart of all instances, the adapters cached by the endpoints were
 // unknown. Their loads took a tenth of the time and made all others appear slow, until the limit was one load at a
 // time.
 func TestCachedLoadsDoNotAffectConcurrency(t *testing.T) {
-	pace := loading.NewPace()
-	before := pace.FirstLook()
+	pace := loading.NewLoadLimiter()
+	before := pace.FirstPollDelay()
 	for range 20 {
 		for range 8 {
-			pace.NoteQuick(start, pace.FirstLook())
+			pace.RecordEarlyEnd(start, pace.FirstPollDelay())
 		}
-		pace.Note(start, 250*time.Millisecond)
+		pace.Record(start, 250*time.Millisecond)
 	}
-	assert.Equal(t, 28, pace.Concurrency(), "only loads that did not end early count")
-	assert.GreaterOrEqual(t, pace.FirstLook(), before)
+	assert.Equal(t, 28, pace.MaxLoads(), "only loads that did not end early count")
+	assert.GreaterOrEqual(t, pace.FirstPollDelay(), before)
 	for range 1000 {
-		pace.NoteQuick(start, pace.FirstLook())
+		pace.RecordEarlyEnd(start, pace.FirstPollDelay())
 	}
-	assert.Equal(t, 100*time.Millisecond, pace.FirstLook(), "at least 0.4 of the shortest time")
+	assert.Equal(t, 100*time.Millisecond, pace.FirstPollDelay(), "at least 0.4 of the shortest time")
 	for range 20 {
-		pace.Note(start, 300*time.Millisecond)
+		pace.Record(start, 300*time.Millisecond)
 	}
-	assert.Greater(t, pace.Concurrency(), 28, "loads from the weight store do not count as slow after cached loads")
+	assert.Greater(t, pace.MaxLoads(), 28, "loads from the weight store do not count as slow after cached loads")
 }
 
 func TestFirstPollDelayFollowsFasterStore(t *testing.T) {
-	pace := loading.NewPace()
+	pace := loading.NewLoadLimiter()
 	const store = 120 * time.Millisecond
 	for range 200 {
-		if look := pace.FirstLook(); look >= store {
-			pace.NoteQuick(start, look)
+		if look := pace.FirstPollDelay(); look >= store {
+			pace.RecordEarlyEnd(start, look)
 		} else {
-			pace.Note(start, store)
+			pace.Record(start, store)
 		}
 	}
-	assert.Less(t, pace.FirstLook(), store)
-	assert.Greater(t, pace.FirstLook(), store/2)
-	assert.Equal(t, store, pace.LoadTime().Round(time.Millisecond))
+	assert.Less(t, pace.FirstPollDelay(), store)
+	assert.Greater(t, pace.FirstPollDelay(), store/2)
+	assert.Equal(t, store, pace.TypicalLoadTime().Round(time.Millisecond))
 }
 
 func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
-	pace := loading.NewPace()
+	pace := loading.NewLoadLimiter()
 	for range 500 {
-		pace.Note(start, 250*time.Millisecond)
+		pace.Record(start, 250*time.Millisecond)
 	}
-	assert.Equal(t, 200, pace.Concurrency())
+	assert.Equal(t, 200, pace.MaxLoads())
 	took := 500 * time.Millisecond
 	for i := range 500 {
 		// The shortest time grows by one fiftieth a second; each load takes twice that time.
-		pace.Note(start.Add(time.Duration(i)*time.Second), took)
+		pace.Record(start.Add(time.Duration(i)*time.Second), took)
 		took += took / 50
 	}
-	assert.Equal(t, 8, pace.Concurrency(), "the minimum equals the initial limit")
+	assert.Equal(t, 8, pace.MaxLoads(), "the minimum equals the initial limit")
 }
 
 func TestFirstPollBeforeShortestLoadTime(t *testing.T) {
-	pace := loading.NewPace()
-	assert.Equal(t, 200*time.Millisecond, pace.FirstLook())
-	pace.Note(start, 100*time.Millisecond)
-	assert.Equal(t, 80*time.Millisecond, pace.FirstLook())
+	pace := loading.NewLoadLimiter()
+	assert.Equal(t, 200*time.Millisecond, pace.FirstPollDelay())
+	pace.Record(start, 100*time.Millisecond)
+	assert.Equal(t, 80*time.Millisecond, pace.FirstPollDelay())
 }
 
 func TestModelLimiterBoundaries(t *testing.T) {
 	// floor(3 x 5 x 1.1 + 3) - 2 = 17.
 	loads := loading.NewModelLimiter(rate)
 	for range 16 {
-		loads.Begin(start)
+		loads.Record(start)
 	}
 	require.True(t, loads.Allows(start), "one load below the limit")
-	loads.Begin(start)
+	loads.Record(start)
 	assert.False(t, loads.Allows(start), "limit reached")
 	assert.False(t, loads.Allows(start.Add(rate.Window-1)), "last moment of the window")
 	assert.True(t, loads.Allows(start.Add(rate.Window)), "window has passed")
 
 	tiny := loading.NewModelLimiter(loading.RateOptions{Window: time.Second})
 	assert.True(t, tiny.Allows(start), "one load is always allowed")
-	tiny.Begin(start)
+	tiny.Record(start)
 	assert.False(t, tiny.Allows(start))
 
 	after := loading.NewModelLimiter(rate)
--- a/services/entry/loading/eviction.go
+++ b/services/entry/loading/eviction.go
@@ -105,10 +105,10 @@
 
 // nextWithdrawalNumber returns a number higher than that of every earlier withdrawal.
 func (p *Planner) nextWithdrawalNumber() uint64 {
-	if p.options.NextWithdrawal == nil {
+	if p.options.NextWithdrawalNumber == nil {
 		return p.lastWithdrawal + 1
 	}
-	return p.options.NextWithdrawal()
+	return p.options.NextWithdrawalNumber()
 }
 
 // withdrawOutdated withdraws copies of an older version once a newer copy takes requests, or when the adapter is
@@ -164,7 +164,7 @@
 	return p.options.Uses(id, adapter)
 }
 
-// Withdrawals returns the number of the last withdrawal.
-func (p *Planner) Withdrawals() uint64 {
+// LastWithdrawal returns the number of the last withdrawal.
+func (p *Planner) LastWithdrawal() uint64 {
 	return p.lastWithdrawal
 }
--- a/services/entry/loading/eviction_test.go
+++ b/services/entry/loading/eviction_test.go
@@ -94,7 +94,7 @@
 	require.True(t, ok)
 	p.Done(now, resultOf(unload, loading.Holds))
 
-	p.NoteMissing("e")
+	p.RequestInspection("e")
 	stale := described("e", adapter(1), adapter(2), adapter(3), adapter(4))
 	answerInspection(t, p, now, &loading.Report{Sequence: 4, Adapters: stale.Adapters})
 	_, ok = p.Next(now)
@@ -116,7 +116,7 @@
 			answerInspection(t, p, now, &loading.Report{Sequence: 1})
 		},
 		"by its report": func(t *testing.T, p *loading.Planner, now time.Time) {
-			p.NoteMissing("e")
+			p.RequestInspection("e")
 			answerInspection(t, p, now, &loading.Report{Sequence: 1, Models: []string{"base"}})
 		},
 	} {
@@ -201,6 +201,6 @@
 		}
 		p.Done(now, resultOf(nextOrder, loading.Accepted))
 	}
-	assert.GreaterOrEqual(t, p.LoadTime(), 200*time.Millisecond)
+	assert.GreaterOrEqual(t, p.TypicalLoadTime(), 200*time.Millisecond)
 	assert.Greater(t, loads, 5, "several loads run in parallel")
 }
--- a/services/entry/loading/export_test.go
+++ b/services/entry/loading/export_test.go
@@ -5,39 +5,39 @@
 
 import "time"
 
-// Pace exposes the concurrency limit of loads to tests without a planner.
-type Pace struct {
+// LoadLimiter exposes the concurrency limit of loads to tests without a planner.
+type LoadLimiter struct {
 	loadLimiter loadLimiter
 }
 
-// NewPace returns the limit in its initial state.
-func NewPace() *Pace {
-	return &Pace{loadLimiter: newLoadLimiter()}
+// NewLoadLimiter returns the limit in its initial state.
+func NewLoadLimiter() *LoadLimiter {
+	return &LoadLimiter{loadLimiter: newLoadLimiter()}
 }
 
-// Note records one load that was polled before its end, while as many loads ran as the limit allows.
-func (p *Pace) Note(now time.Time, took time.Duration) {
-	p.loadLimiter.record(now, loadMeasurement{took: took, minTook: took, parallelLoads: p.Concurrency()})
+// Record records one load that was polled before its end, while as many loads ran as the limit allows.
+func (p *LoadLimiter) Record(now time.Time, took time.Duration) {
+	p.loadLimiter.record(now, loadMeasurement{took: took, minTook: took, parallelLoads: p.MaxLoads()})
 }
 
-// NoteBeside records the end of a load observed after took and not before minTook, while the given number of loads
+// RecordParallel records the end of a load observed after took and not before minTook, while the given number of loads
 // ran.
-func (p *Pace) NoteBeside(now time.Time, took, minTook time.Duration, parallelLoads int) {
+func (p *LoadLimiter) RecordParallel(now time.Time, took, minTook time.Duration, parallelLoads int) {
 	p.loadLimiter.record(now, loadMeasurement{took: took, minTook: minTook, parallelLoads: parallelLoads})
 }
 
-// NoteQuick records one load that had ended by its first poll.
-func (p *Pace) NoteQuick(now time.Time, took time.Duration) {
-	p.loadLimiter.record(now, loadMeasurement{took: took, early: true, parallelLoads: p.Concurrency()})
+// RecordEarlyEnd records one load that had ended by its first poll.
+func (p *LoadLimiter) RecordEarlyEnd(now time.Time, took time.Duration) {
+	p.loadLimiter.record(now, loadMeasurement{took: took, early: true, parallelLoads: p.MaxLoads()})
 }
 
-// Concurrency returns how many loads may run at once.
-func (p *Pace) Concurrency() int {
+// MaxLoads returns how many loads may run at once.
+func (p *LoadLimiter) MaxLoads() int {
 	return p.loadLimiter.maxLoads()
 }
 
-// FirstLook returns the delay before the first poll of a load.
-func (p *Pace) FirstLook() time.Duration {
+// FirstPollDelay returns the delay before the first poll of a load.
+func (p *LoadLimiter) FirstPollDelay() time.Duration {
 	return p.loadLimiter.firstPollDelay()
 }
 
@@ -61,12 +61,12 @@
 	return l.limiter.allows(now)
 }
 
-// Begin records a load.
-func (l ModelLimiter) Begin(now time.Time) {
+// Record records a load.
+func (l ModelLimiter) Record(now time.Time) {
 	l.limiter.record(now)
 }
 
-// LoadTime returns the typical duration of a load.
-func (p *Pace) LoadTime() time.Duration {
+// TypicalLoadTime returns the typical duration of a load.
+func (p *LoadLimiter) TypicalLoadTime() time.Duration {
 	return p.loadLimiter.typicalLoadTime
 }
--- a/services/entry/loading/forecast.go
+++ b/services/entry/loading/forecast.go
@@ -26,8 +26,8 @@
 	Remaining time.Duration
 }
 
-// LoadTime returns the typical duration of an adapter load.
-func (p *Planner) LoadTime() time.Duration {
+// TypicalLoadTime returns the typical duration of an adapter load.
+func (p *Planner) TypicalLoadTime() time.Duration {
 	return p.loadLimiter.typicalLoadTime
 }
 
--- a/services/entry/loading/placement.go
+++ b/services/entry/loading/placement.go
@@ -120,7 +120,7 @@
 		}
 		promised := p.pendingReadTime(now, plan)
 		cost := DestinationFactors{
-			Backlog: plan.backlog + promised, Work: spread.byEndpoint[id], Copies: len(plan.copies), Held: warm, Chance: p.options.Random(),
+			Backlog: plan.backlog + promised, Work: spread.byEndpoint[id], Copies: len(plan.copies), HeldBefore: warm, TieBreak: p.options.Random(),
 		}.Cost()
 		if best.plan == nil || cost < bestCost {
 			best, bestCost = destination{plan: plan, cold: !warm}, cost
@@ -141,17 +141,17 @@
 	Work float64
 	// Copies is the number of adapters that the endpoint holds or will hold according to the plan.
 	Copies int
-	// Held reports whether the endpoint held the adapter before, according to the plan or the directory.
-	Held bool
-	// Chance is a random number in [0, 1).
-	Chance float64
+	// HeldBefore reports whether the endpoint held the adapter before, according to the plan or the directory.
+	HeldBefore bool
+	// TieBreak is a random number in [0, 1).
+	TieBreak float64
 }
 
 // Cost returns the cost of a load to the endpoint, in seconds of endpoint time. The endpoint with the lowest cost is
 // chosen.
 func (f DestinationFactors) Cost() float64 {
-	cost := f.Backlog.Seconds() + placementHorizon.Seconds()*f.Work + copyWeight*float64(f.Copies) + tieSpread*f.Chance
-	if f.Held {
+	cost := f.Backlog.Seconds() + placementHorizon.Seconds()*f.Work + copyWeight*float64(f.Copies) + tieSpread*f.TieBreak
+	if f.HeldBefore {
 		cost -= heldBonus.Seconds()
 	}
 	return cost
--- a/services/entry/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -19,9 +19,9 @@
 	Random func() float64
 	// Uses returns the last reported number of requests in flight that use a copy; nil means that there are none.
 	Uses func(id deployment.EndpointID, adapter deployment.Adapter) int
-	// NextWithdrawal returns the number of the next withdrawal, higher than all before; nil numbers withdrawals from
+	// NextWithdrawalNumber returns the number of the next withdrawal, higher than all before; nil numbers withdrawals from
 	// 1. Planners whose withdrawals are acknowledged together share this function.
-	NextWithdrawal func() uint64
+	NextWithdrawalNumber func() uint64
 }
 
 // Planner plans the adapters of one service's endpoints. It is not safe for concurrent use.
@@ -134,8 +134,8 @@
 	}
 }
 
-// NoteMissing requests an inspection of an endpoint that reported a copy as missing.
-func (p *Planner) NoteMissing(id deployment.EndpointID) {
+// RequestInspection requests an inspection of an endpoint that reported a copy as missing.
+func (p *Planner) RequestInspection(id deployment.EndpointID) {
 	if plan, ok := p.endpoints[id]; ok {
 		plan.needsInspection = true
 	}
--- a/services/entry/loading/polls_test.go
+++ b/services/entry/loading/polls_test.go
@@ -98,7 +98,7 @@
 		p, load := plannerWithLoadOrder(t)
 		p.Done(start, resultOf(load, loading.Accepted))
 		p.Report(start, "i", nil)
-		p.NoteMissing("e")
+		p.RequestInspection("e")
 		now := start.Add(after)
 		answerInspection(t, p, now, &loading.Report{Sequence: 1})
 		list, _ := p.Forecasts(now)
@@ -185,32 +185,32 @@
 }
 
 func TestTypicalLoadTimeFollowsLoads(t *testing.T) {
-	pace := loading.NewPace()
-	assert.Equal(t, 250*time.Millisecond, pace.LoadTime())
-	pace.Note(start, 350*time.Millisecond)
-	assert.InDelta(t, float64(270*time.Millisecond), float64(pace.LoadTime()), 1)
+	pace := loading.NewLoadLimiter()
+	assert.Equal(t, 250*time.Millisecond, pace.TypicalLoadTime())
+	pace.Record(start, 350*time.Millisecond)
+	assert.InDelta(t, float64(270*time.Millisecond), float64(pace.TypicalLoadTime()), 1)
 }
 
 func TestConcurrencyLimitFallsToSustainableLoad(t *testing.T) {
-	pace := steadyPace()
+	pace := steadyLoadLimiter()
 	for range 7 {
-		pace.Note(start, 600*time.Millisecond)
+		pace.Record(start, 600*time.Millisecond)
 	}
-	require.Equal(t, 25, pace.Concurrency())
+	require.Equal(t, 25, pace.MaxLoads())
 	// 600 ms are three times the shortest time, so 25 x 1.25 / 3 loads are sustainable.
-	pace.Note(start.Add(time.Second), 600*time.Millisecond)
-	assert.Equal(t, 10, pace.Concurrency())
-	pace.Note(start.Add(2*time.Second), 600*time.Millisecond)
-	assert.Equal(t, 8, pace.Concurrency(), "not below 8")
+	pace.Record(start.Add(time.Second), 600*time.Millisecond)
+	assert.Equal(t, 10, pace.MaxLoads())
+	pace.Record(start.Add(2*time.Second), 600*time.Millisecond)
+	assert.Equal(t, 8, pace.MaxLoads(), "not below 8")
 }
 
 func TestConcurrencyLimitFallsByBackOffFactor(t *testing.T) {
-	pace := steadyPace()
+	pace := steadyLoadLimiter()
 	for range 7 {
-		pace.Note(start, 280*time.Millisecond)
+		pace.Record(start, 280*time.Millisecond)
 	}
 	for i, concurrency := range []int{21, 18, 15, 13, 11, 9, 8, 8} {
-		pace.NoteBeside(start.Add(time.Duration(i+1)*time.Millisecond*400), 280*time.Millisecond, 280*time.Millisecond, 100)
-		assert.Equal(t, concurrency, pace.Concurrency(), "25 x 0.85 to the power of %d, not below 8", i+1)
+		pace.RecordParallel(start.Add(time.Duration(i+1)*time.Millisecond*400), 280*time.Millisecond, 280*time.Millisecond, 100)
+		assert.Equal(t, concurrency, pace.MaxLoads(), "25 x 0.85 to the power of %d, not below 8", i+1)
 	}
 }
--- a/services/entry/loading/reconcile_test.go
+++ b/services/entry/loading/reconcile_test.go
@@ -23,7 +23,7 @@
 	p.ConfirmUnused(start.Add(time.Second), confirmAll)
 	now := start.Add(1100 * time.Millisecond)
 	p.Done(now, resultOf(nextOrder(t, p, now, loading.Unload), loading.Holds))
-	p.NoteMissing("e")
+	p.RequestInspection("e")
 	answerInspection(t, p, now, &loading.Report{Sequence: 4, Adapters: described("e", adapter(1), adapter(2), adapter(3)).Adapters})
 	p.Report(now, "i", waitingDemand(adapter(9)))
 	_, ok := p.Next(now.Add(100 * time.Millisecond))
@@ -37,7 +37,7 @@
 // former planner, whose last order may still be in flight.
 func TestReportWithHigherSequenceReservesPlaceForFormerPlannersLoad(t *testing.T) {
 	p := fullPlanner(copyUse{adapter(1): 1, adapter(2): 1, adapter(3): 1})
-	p.NoteMissing("e")
+	p.RequestInspection("e")
 	answerInspection(t, p, start, &loading.Report{Sequence: 6, Adapters: described("e", adapter(1), adapter(2), adapter(3)).Adapters})
 	p.Report(start, "i", waitingDemand(adapter(9)))
 	_, ok := p.Next(start.Add(100 * time.Millisecond))
@@ -63,7 +63,7 @@
 		p, load := plannerWithLoadOrder(t)
 		p.Done(start, resultOf(load, loading.Accepted))
 		p.Report(start, "i", nil)
-		p.NoteMissing("e")
+		p.RequestInspection("e")
 		answerInspection(t, p, start, &loading.Report{Sequence: sequence})
 		list, _ := p.Forecasts(start)
 		assert.Equal(t, kept, len(list) == 1, "sequence %d", sequence)
--- a/services/entry/loading/restart_test.go
+++ b/services/entry/loading/restart_test.go
@@ -66,7 +66,7 @@
 // content may still be read once.
 func TestReportRevealsRestartBeforeDescription(t *testing.T) {
 	p := plannerWithLoadedCopy(t)
-	p.NoteMissing("x")
+	p.RequestInspection("x")
 	order, ok := p.Next(start)
 	require.True(t, ok)
 	require.Equal(t, loading.Inspect, order.Kind)
--- a/services/entry/loading/sim_test.go
+++ b/services/entry/loading/sim_test.go
@@ -310,7 +310,7 @@
 		}
 		found = true
 		if !e.resident[one] {
-			s.planner.NoteMissing(e.id)
+			s.planner.RequestInspection(e.id)
 			continue
 		}
 		if !e.unloading[one] && e.uses[one] == 0 {
--- a/services/entry/loading/stale_test.go
+++ b/services/entry/loading/stale_test.go
@@ -29,7 +29,7 @@
 func TestSequenceAheadOfEndpointReplaced(t *testing.T) {
 	p, load := plannerWithLoadOrder(t)
 	p.Done(start, resultOf(load, loading.Accepted))
-	p.NoteMissing("e")
+	p.RequestInspection("e")
 	now := start
 	for now.Sub(start) < time.Minute {
 		now = now.Add(200 * time.Millisecond)
@@ -93,7 +93,7 @@
 			require.Equal(t, adapter(4), unload.Adapter)
 			p.Done(unloaded, resultOf(unload, loading.Holds))
 
-			p.NoteMissing("e")
+			p.RequestInspection("e")
 			now := unloaded.Add(test.after)
 			report := &loading.Report{Sequence: 4, Adapters: test.listed}
 			answerInspection(t, p, now, report)
--- a/services/entry/loading/value.go
+++ b/services/entry/loading/value.go
@@ -77,7 +77,7 @@
 type CopyNeed struct {
 	// Usable, Coming and Free are the planned numbers of copies on endpoints that accept requests: resident at the
 	// version to be served, being loaded, and usable on an endpoint that is not saturated.
-	Usable, Coming, Free int
+	Usable, Loading, Free int
 	// Waiting is the number of requests that wait for the adapter, from the instances' last reports.
 	Waiting int
 	// InTime is the number of instances whose newest waiting request could still meet its deadline if a load started
@@ -96,7 +96,7 @@
 // that it brings.
 func (n CopyNeed) Value() float64 {
 	expected := n.Rate * valueHorizon.Seconds()
-	if n.Coming == 0 && (n.Usable == 0 || (n.Waiting > 0 && n.Free == 0)) {
+	if n.Loading == 0 && (n.Usable == 0 || (n.Waiting > 0 && n.Free == 0)) {
 		if n.Waiting == 0 && (n.Outdated == 0 || expected < minWorthwhileUse) {
 			return 0
 		}
@@ -118,7 +118,7 @@
 	count := p.copyCounts[adapter]
 	waiting, inTime := known.countWaiting(now, p.loadLimiter.typicalLoadTime)
 	return CopyNeed{
-		Usable: count.usable, Coming: count.loading, Free: count.free, Outdated: count.outdated, Waiting: waiting, InTime: inTime,
+		Usable: count.usable, Loading: count.loading, Free: count.free, Outdated: count.outdated, Waiting: waiting, InTime: inTime,
 		Rate: known.perSecond, Relief: spread.relief(now, adapter, known, count),
 	}
 }
