--- a/services/entry/loading/edges_test.go
+++ b/services/entry/loading/boundaries_test.go
@@ -80,11 +80,11 @@
 
 // steadyLoadLimiter returns the state after ten loads of 200 ms: 18 may run at once.
 func steadyLoadLimiter() *loading.LoadLimiter {
-	pace := loading.NewLoadLimiter()
+	limiter := loading.NewLoadLimiter()
 	for range 10 {
-		pace.Record(start, 200*time.Millisecond)
+		limiter.Record(start, 200*time.Millisecond)
 	}
-	return pace
+	return limiter
 }
 
 func TestConcurrencyLimitBoundaries(t *testing.T) {
@@ -104,11 +104,11 @@
 		"a fast load after eight slow ones":              {8, []time.Duration{200 * time.Millisecond}, 21},
 	} {
 		t.Run(name, func(t *testing.T) {
-			pace := steadyLoadLimiter()
+			limiter := steadyLoadLimiter()
 			for _, took := range append(slices.Repeat([]time.Duration{slow}, test.slow), test.took...) {
-				pace.Record(start, took)
+				limiter.Record(start, took)
 			}
-			assert.Equal(t, test.concurrency, pace.MaxLoads())
+			assert.Equal(t, test.concurrency, limiter.MaxLoads())
 		})
 	}
 }
@@ -117,7 +117,7 @@
 // unanswered. When the mean of all loads was used, the limit fell to eight, a quarter of what the store serves at
 // full speed.
 func TestConcurrencyNotLoweredByLateEndpoints(t *testing.T) {
-	pace := loading.NewLoadLimiter()
+	limiter := loading.NewLoadLimiter()
 	now := start
 	for number := range 400 {
 		now = now.Add(10 * time.Millisecond)
@@ -125,98 +125,98 @@
 		if number%4 == 0 {
 			took = 900 * time.Millisecond
 		}
-		pace.Record(now, took)
+		limiter.Record(now, took)
 	}
-	assert.Equal(t, 200, pace.MaxLoads())
+	assert.Equal(t, 200, limiter.MaxLoads())
 }
 
 // TestConcurrencyNotLoweredByLatePolls observes the end of each load 100 ms late, with the last poll before it 20 ms
 // before the end.
 func TestConcurrencyNotLoweredByLatePolls(t *testing.T) {
-	pace := steadyLoadLimiter()
+	limiter := steadyLoadLimiter()
 	for range 100 {
-		pace.RecordParallel(start, 330*time.Millisecond, 230*time.Millisecond, pace.MaxLoads())
+		limiter.RecordParallel(start, 330*time.Millisecond, 230*time.Millisecond, limiter.MaxLoads())
 	}
-	assert.Equal(t, 118, pace.MaxLoads())
+	assert.Equal(t, 118, limiter.MaxLoads())
 }
 
 func TestConcurrencyLimitNotRaisedWhileHalfUnused(t *testing.T) {
 	for running, concurrency := range map[int]int{8: 18, 9: 19} {
-		pace := steadyLoadLimiter()
-		pace.RecordParallel(start, 200*time.Millisecond, 200*time.Millisecond, running)
-		assert.Equal(t, concurrency, pace.MaxLoads(), "%d of 18 loads running", running)
+		limiter := steadyLoadLimiter()
+		limiter.RecordParallel(start, 200*time.Millisecond, 200*time.Millisecond, running)
+		assert.Equal(t, concurrency, limiter.MaxLoads(), "%d of 18 loads running", running)
 	}
 }
 
 func TestShortestLoadTimeGrowsWithTimeOnly(t *testing.T) {
-	pace := steadyLoadLimiter()
+	limiter := steadyLoadLimiter()
 	for range 500 {
-		pace.Record(start, 500*time.Millisecond)
+		limiter.Record(start, 500*time.Millisecond)
 	}
-	assert.Equal(t, 160*time.Millisecond, pace.FirstPollDelay(), "0.8 of 200 ms, however long parallel loads take")
-	pace.Record(start.Add(10*time.Second), 500*time.Millisecond)
-	assert.Equal(t, 192*time.Millisecond, pace.FirstPollDelay(), "growth of one fiftieth a second")
+	assert.Equal(t, 160*time.Millisecond, limiter.FirstPollDelay(), "0.8 of 200 ms, however long parallel loads take")
+	limiter.Record(start.Add(10*time.Second), 500*time.Millisecond)
+	assert.Equal(t, 192*time.Millisecond, limiter.FirstPollDelay(), "growth of one fiftieth a second")
 }
 
 // TestCachedLoadsDoNotAffectConcurrency: after a restart of all instances, the adapters cached by the endpoints were
 // unknown. Their loads took a tenth of the time and made all others appear slow, until the limit was one load at a
 // time.
 func TestCachedLoadsDoNotAffectConcurrency(t *testing.T) {
-	pace := loading.NewLoadLimiter()
-	before := pace.FirstPollDelay()
+	limiter := loading.NewLoadLimiter()
+	before := limiter.FirstPollDelay()
 	for range 20 {
 		for range 8 {
-			pace.RecordEarlyEnd(start, pace.FirstPollDelay())
+			limiter.RecordEarlyEnd(start, limiter.FirstPollDelay())
 		}
-		pace.Record(start, 250*time.Millisecond)
+		limiter.Record(start, 250*time.Millisecond)
 	}
-	assert.Equal(t, 28, pace.MaxLoads(), "only loads that did not end early count")
-	assert.GreaterOrEqual(t, pace.FirstPollDelay(), before)
+	assert.Equal(t, 28, limiter.MaxLoads(), "only loads that did not end early count")
+	assert.GreaterOrEqual(t, limiter.FirstPollDelay(), before)
 	for range 1000 {
-		pace.RecordEarlyEnd(start, pace.FirstPollDelay())
+		limiter.RecordEarlyEnd(start, limiter.FirstPollDelay())
 	}
-	assert.Equal(t, 100*time.Millisecond, pace.FirstPollDelay(), "at least 0.4 of the shortest time")
+	assert.Equal(t, 100*time.Millisecond, limiter.FirstPollDelay(), "at least 0.4 of the shortest time")
 	for range 20 {
-		pace.Record(start, 300*time.Millisecond)
+		limiter.Record(start, 300*time.Millisecond)
 	}
-	assert.Greater(t, pace.MaxLoads(), 28, "loads from the weight store do not count as slow after cached loads")
+	assert.Greater(t, limiter.MaxLoads(), 28, "loads from the weight store do not count as slow after cached loads")
 }
 
 func TestFirstPollDelayFollowsFasterStore(t *testing.T) {
-	pace := loading.NewLoadLimiter()
+	limiter := loading.NewLoadLimiter()
 	const store = 120 * time.Millisecond
 	for range 200 {
-		if look := pace.FirstPollDelay(); look >= store {
-			pace.RecordEarlyEnd(start, look)
+		if delay := limiter.FirstPollDelay(); delay >= store {
+			limiter.RecordEarlyEnd(start, delay)
 		} else {
-			pace.Record(start, store)
+			limiter.Record(start, store)
 		}
 	}
-	assert.Less(t, pace.FirstPollDelay(), store)
-	assert.Greater(t, pace.FirstPollDelay(), store/2)
-	assert.Equal(t, store, pace.TypicalLoadTime().Round(time.Millisecond))
+	assert.Less(t, limiter.FirstPollDelay(), store)
+	assert.Greater(t, limiter.FirstPollDelay(), store/2)
+	assert.Equal(t, store, limiter.TypicalLoadTime().Round(time.Millisecond))
 }
 
 func TestConcurrencyLimitStaysWithinBounds(t *testing.T) {
-	pace := loading.NewLoadLimiter()
+	limiter := loading.NewLoadLimiter()
 	for range 500 {
-		pace.Record(start, 250*time.Millisecond)
+		limiter.Record(start, 250*time.Millisecond)
 	}
-	assert.Equal(t, 200, pace.MaxLoads())
+	assert.Equal(t, 200, limiter.MaxLoads())
 	took := 500 * time.Millisecond
 	for i := range 500 {
 		// The shortest time grows by one fiftieth a second; each load takes twice that time.
-		pace.Record(start.Add(time.Duration(i)*time.Second), took)
+		limiter.Record(start.Add(time.Duration(i)*time.Second), took)
 		took += took / 50
 	}
-	assert.Equal(t, 8, pace.MaxLoads(), "the minimum equals the initial limit")
+	assert.Equal(t, 8, limiter.MaxLoads(), "the minimum equals the initial limit")
 }
 
 func TestFirstPollBeforeShortestLoadTime(t *testing.T) {
-	pace := loading.NewLoadLimiter()
-	assert.Equal(t, 200*time.Millisecond, pace.FirstPollDelay())
-	pace.Record(start, 100*time.Millisecond)
-	assert.Equal(t, 80*time.Millisecond, pace.FirstPollDelay())
+	limiter := loading.NewLoadLimiter()
+	assert.Equal(t, 200*time.Millisecond, limiter.FirstPollDelay())
+	limiter.Record(start, 100*time.Millisecond)
+	assert.Equal(t, 80*time.Millisecond, limiter.FirstPollDelay())
 }
 
 func TestModelLimiterBoundaries(t *testing.T) {
--- a/services/entry/loading/burst_test.go
+++ b/services/entry/loading/burst_test.go
@@ -55,21 +55,21 @@
 // executeOrders carries out the planner's orders.
 func (f *burstFleet) executeOrders(now time.Time) {
 	for {
-		one, ok := f.planner.Next(now)
+		next, ok := f.planner.Next(now)
 		if !ok {
 			return
 		}
 		reply := loading.Accepted
-		end, underWay := f.loadEnds[one.Endpoint.ID]
+		end, underWay := f.loadEnds[next.Endpoint.ID]
 		switch {
 		case !underWay:
 			f.loads++
-			f.loadEnds[one.Endpoint.ID] = now.Add(burstLoadTime)
+			f.loadEnds[next.Endpoint.ID] = now.Add(burstLoadTime)
 		case !now.Before(end):
-			f.holders[one.Endpoint.ID] = true
+			f.holders[next.Endpoint.ID] = true
 			reply = loading.Holds
 		}
-		f.planner.Done(now, resultOf(one, reply))
+		f.planner.Done(now, resultOf(next, reply))
 	}
 }
 
--- a/services/entry/loading/concurrency_test.go
+++ b/services/entry/loading/concurrency_test.go
@@ -34,7 +34,7 @@
 
 // simulatedStore simulates a weight store whose loads start as the concurrency limit allows.
 type simulatedStore struct {
-	pace    *loading.LoadLimiter
+	limiter *loading.LoadLimiter
 	random  *rand.Rand
 	queue   []time.Time
 	running []simulatedLoad
@@ -51,8 +51,8 @@
 
 // step advances the simulation by storeStep.
 func (s *simulatedStore) step(now time.Time) {
-	for len(s.queue) > 0 && len(s.running) < s.pace.MaxLoads() {
-		s.running = append(s.running, simulatedLoad{startedAt: now, requestedAt: s.queue[0], nextPollAt: now.Add(s.pace.FirstPollDelay() + s.callDuration()), remaining: storeTime})
+	for len(s.queue) > 0 && len(s.running) < s.limiter.MaxLoads() {
+		s.running = append(s.running, simulatedLoad{startedAt: now, requestedAt: s.queue[0], nextPollAt: now.Add(s.limiter.FirstPollDelay() + s.callDuration()), remaining: storeTime})
 		s.queue = s.queue[1:]
 	}
 	progress := storeStep * storeParallelLoads / time.Duration(max(storeParallelLoads, len(s.running)))
@@ -72,9 +72,9 @@
 		s.took = append(s.took, now.Sub(load.startedAt))
 		s.waited = append(s.waited, now.Sub(load.requestedAt))
 		if !load.lastSeenLoadingAt.IsZero() {
-			s.pace.RecordParallel(now, now.Sub(load.startedAt), load.lastSeenLoadingAt.Sub(load.startedAt), ran)
+			s.limiter.RecordParallel(now, now.Sub(load.startedAt), load.lastSeenLoadingAt.Sub(load.startedAt), ran)
 		} else {
-			s.pace.RecordEarlyEnd(now, now.Sub(load.startedAt))
+			s.limiter.RecordEarlyEnd(now, now.Sub(load.startedAt))
 		}
 	}
 	s.running = still
@@ -106,7 +106,7 @@
 // mean time from the start of a load until its end was observed was 656 ms during the overload and 319 ms after it;
 // with a shortest time that grows with the clock, it is 382 and 268 ms.
 func TestLoadEndsDetectedPromptlyAfterOverload(t *testing.T) {
-	s := &simulatedStore{pace: loading.NewLoadLimiter(), random: rand.New(rand.NewPCG(1, 1))}
+	s := &simulatedStore{limiter: loading.NewLoadLimiter(), random: rand.New(rand.NewPCG(1, 1))}
 	now := s.run(start, 3*time.Second, 200)
 	rush := mean(s.took)
 	now = s.run(now, 4*time.Second, 50)
@@ -115,9 +115,9 @@
 		now = s.run(now, 400*time.Millisecond, 120)
 		now = s.run(now, 600*time.Millisecond, 50)
 	}
-	t.Logf("load time during the overload %s, after it %s, since the request %s, limit %d", rush, mean(s.took), mean(s.waited), s.pace.MaxLoads())
+	t.Logf("load time during the overload %s, after it %s, since the request %s, limit %d", rush, mean(s.took), mean(s.waited), s.limiter.MaxLoads())
 	assert.Less(t, rush, 400*time.Millisecond)
 	assert.Less(t, mean(s.took), 290*time.Millisecond)
 	assert.Less(t, mean(s.waited), 290*time.Millisecond)
-	assert.Less(t, s.pace.MaxLoads(), 2*storeParallelLoads)
+	assert.Less(t, s.limiter.MaxLoads(), 2*storeParallelLoads)
 }
--- a/services/entry/loading/distribution_test.go
+++ b/services/entry/loading/distribution_test.go
@@ -72,7 +72,7 @@
 			completeLoad(t, p, 1)
 			p.Report(start, "i", []loading.Demand{{Adapter: adapter(1), Arrivals: 30, Prompts: test.prompts}})
 			copies := 1
-			if one, ok := p.Next(start.Add(time.Second)); ok && one.Kind == loading.Load {
+			if next, ok := p.Next(start.Add(time.Second)); ok && next.Kind == loading.Load {
 				copies++
 			}
 			assert.Equal(t, test.copies, copies)
@@ -91,12 +91,12 @@
 	p.Report(start, "i", demands)
 	begun := 0
 	for {
-		one, ok := p.Next(start)
+		next, ok := p.Next(start)
 		if !ok {
 			break
 		}
 		begun++
-		p.Done(start, resultOf(one, loading.Holds))
+		p.Done(start, resultOf(next, loading.Holds))
 	}
 	require.Equal(t, 4, begun, "the endpoint has four places")
 	_, backlog := p.Forecasts(start.Add(time.Millisecond))
--- a/services/entry/loading/fake_endpoint_test.go
+++ b/services/entry/loading/fake_endpoint_test.go
@@ -33,10 +33,10 @@
 const fakeLoadTime = 250 * time.Millisecond
 
 func (e *fakeEndpoint) advance(now time.Time) {
-	for one, at := range e.pending {
+	for adapter, at := range e.pending {
 		if !at.After(now) {
-			delete(e.pending, one)
-			e.resident[one] = true
+			delete(e.pending, adapter)
+			e.resident[adapter] = true
 		}
 	}
 	kept := e.delayed[:0]
@@ -77,11 +77,11 @@
 
 func (e *fakeEndpoint) report() *loading.Report {
 	report := &loading.Report{Sequence: e.sequence, Adapters: make(map[deployment.Adapter]int64)}
-	for one := range e.resident {
-		report.Adapters[one] = 1
+	for adapter := range e.resident {
+		report.Adapters[adapter] = 1
 	}
-	for one := range e.pending {
-		report.Pending = append(report.Pending, one)
+	for adapter := range e.pending {
+		report.Pending = append(report.Pending, adapter)
 	}
 	return report
 }
--- a/services/entry/loading/planner_test.go
+++ b/services/entry/loading/planner_test.go
@@ -43,14 +43,14 @@
 
 func described(id string, adapters ...deployment.Adapter) deployment.Endpoint {
 	held := make(map[deployment.Adapter]int64)
-	for _, one := range adapters {
-		held[one] = 1
+	for _, adapter := range adapters {
+		held[adapter] = 1
 	}
 	return deployment.Endpoint{ID: deployment.EndpointID(id), Service: "s", Models: []string{"base"}, Adapters: held}
 }
 
-func waitingDemand(one deployment.Adapter) []loading.Demand {
-	return []loading.Demand{{Adapter: one, Waiting: 1, InTime: time.Second, Arrivals: 1}}
+func waitingDemand(adapter deployment.Adapter) []loading.Demand {
+	return []loading.Demand{{Adapter: adapter, Waiting: 1, InTime: time.Second, Arrivals: 1}}
 }
 
 func resultOf(order loading.Order, reply loading.Reply) loading.Result {
@@ -139,8 +139,8 @@
 	full := described("e", adapter(1), adapter(2), adapter(3), adapter(4))
 	p.SetEndpoint(start, described("e"), nextRevision(), false)
 	held := make(map[deployment.Adapter]time.Time)
-	for one := range full.Adapters {
-		held[one] = start
+	for resident := range full.Adapters {
+		held[resident] = start
 	}
 	p.RememberHeld("e", held)
 	p.SetEndpoint(start.Add(time.Millisecond), full, nextRevision(), false)
--- a/services/entry/loading/polls_test.go
+++ b/services/entry/loading/polls_test.go
@@ -185,32 +185,32 @@
 }
 
 func TestTypicalLoadTimeFollowsLoads(t *testing.T) {
-	pace := loading.NewLoadLimiter()
-	assert.Equal(t, 250*time.Millisecond, pace.TypicalLoadTime())
-	pace.Record(start, 350*time.Millisecond)
-	assert.InDelta(t, float64(270*time.Millisecond), float64(pace.TypicalLoadTime()), 1)
+	limiter := loading.NewLoadLimiter()
+	assert.Equal(t, 250*time.Millisecond, limiter.TypicalLoadTime())
+	limiter.Record(start, 350*time.Millisecond)
+	assert.InDelta(t, float64(270*time.Millisecond), float64(limiter.TypicalLoadTime()), 1)
 }
 
 func TestConcurrencyLimitFallsToSustainableLoad(t *testing.T) {
-	pace := steadyLoadLimiter()
+	limiter := steadyLoadLimiter()
 	for range 7 {
-		pace.Record(start, 600*time.Millisecond)
+		limiter.Record(start, 600*time.Millisecond)
 	}
-	require.Equal(t, 25, pace.MaxLoads())
+	require.Equal(t, 25, limiter.MaxLoads())
 	// 600 ms are three times the shortest time, so 25 x 1.25 / 3 loads are sustainable.
-	pace.Record(start.Add(time.Second), 600*time.Millisecond)
-	assert.Equal(t, 10, pace.MaxLoads())
-	pace.Record(start.Add(2*time.Second), 600*time.Millisecond)
-	assert.Equal(t, 8, pace.MaxLoads(), "not below 8")
+	limiter.Record(start.Add(time.Second), 600*time.Millisecond)
+	assert.Equal(t, 10, limiter.MaxLoads())
+	limiter.Record(start.Add(2*time.Second), 600*time.Millisecond)
+	assert.Equal(t, 8, limiter.MaxLoads(), "not below 8")
 }
 
 func TestConcurrencyLimitFallsByBackOffFactor(t *testing.T) {
-	pace := steadyLoadLimiter()
+	limiter := steadyLoadLimiter()
 	for range 7 {
-		pace.Record(start, 280*time.Millisecond)
+		limiter.Record(start, 280*time.Millisecond)
 	}
 	for i, concurrency := range []int{21, 18, 15, 13, 11, 9, 8, 8} {
-		pace.RecordParallel(start.Add(time.Duration(i+1)*time.Millisecond*400), 280*time.Millisecond, 280*time.Millisecond, 100)
-		assert.Equal(t, concurrency, pace.MaxLoads(), "25 x 0.85 to the power of %d, not below 8", i+1)
+		limiter.RecordParallel(start.Add(time.Duration(i+1)*time.Millisecond*400), 280*time.Millisecond, 280*time.Millisecond, 100)
+		assert.Equal(t, concurrency, limiter.MaxLoads(), "25 x 0.85 to the power of %d, not below 8", i+1)
 	}
 }
--- a/services/entry/loading/sim_endpoint_test.go
+++ b/services/entry/loading/sim_endpoint_test.go
@@ -62,11 +62,11 @@
 // takeSnapshot stores the current snapshot for later reports.
 func (e *simEndpoint) takeSnapshot(now time.Time) {
 	report := &loading.Report{Sequence: e.sequence, Models: slices.Clone(e.models), Busy: e.loadingModel != "", Adapters: make(map[deployment.Adapter]int64)}
-	for one := range e.resident {
-		report.Adapters[one] = 1
+	for adapter := range e.resident {
+		report.Adapters[adapter] = 1
 	}
-	for one := range e.pending {
-		report.Pending = append(report.Pending, one)
+	for adapter := range e.pending {
+		report.Pending = append(report.Pending, adapter)
 	}
 	e.snapshots = append(e.snapshots, reportSnapshot{at: now, report: report})
 }
@@ -87,17 +87,17 @@
 // advance ends the loads and unloads that are due.
 func (e *simEndpoint) advance(now time.Time) {
 	changed := false
-	for one, at := range e.pending {
+	for adapter, at := range e.pending {
 		if !at.After(now) {
-			delete(e.pending, one)
-			e.resident[one] = true
+			delete(e.pending, adapter)
+			e.resident[adapter] = true
 			changed = true
 		}
 	}
-	for one := range e.unloading {
-		if e.uses[one] == 0 {
-			delete(e.unloading, one)
-			delete(e.resident, one)
+	for adapter := range e.unloading {
+		if e.uses[adapter] == 0 {
+			delete(e.unloading, adapter)
+			delete(e.resident, adapter)
 			changed = true
 		}
 	}
@@ -167,8 +167,8 @@
 		return loading.Conflict
 	}
 	weights := e.modelWeight(model)
-	for _, one := range e.models {
-		weights += e.modelWeight(one)
+	for _, loaded := range e.models {
+		weights += e.modelWeight(loaded)
 	}
 	if weights > e.engine.WeightsMB {
 		e.addViolation("LIMIT: base models exceed the memory")
@@ -181,46 +181,46 @@
 }
 
 func (e *simEndpoint) modelWeight(model string) float64 {
-	for _, one := range e.engine.Models {
-		if one.Name == model {
-			return one.WeightsMB
+	for _, known := range e.engine.Models {
+		if known.Name == model {
+			return known.WeightsMB
 		}
 	}
 	return 0
 }
 
-func (e *simEndpoint) executeLoad(now time.Time, one deployment.Adapter) loading.Reply {
-	if !slices.Contains(e.models, one.Model) {
+func (e *simEndpoint) executeLoad(now time.Time, adapter deployment.Adapter) loading.Reply {
+	if !slices.Contains(e.models, adapter.Model) {
 		return loading.Rejected
 	}
-	if _, pending := e.pending[one]; pending {
+	if _, pending := e.pending[adapter]; pending {
 		return loading.Accepted
 	}
 	if len(e.resident)+len(e.pending) >= e.engine.AdapterCapacity {
 		e.addViolation("LIMIT: adapters exceed the places")
 	}
 	e.sequence++
-	e.pending[one] = now.Add(simAdapterLoadTime)
+	e.pending[adapter] = now.Add(simAdapterLoadTime)
 	return loading.Accepted
 }
 
-func (e *simEndpoint) executeUnload(one deployment.Adapter, former bool) loading.Reply {
-	if _, pending := e.pending[one]; pending {
+func (e *simEndpoint) executeUnload(adapter deployment.Adapter, former bool) loading.Reply {
+	if _, pending := e.pending[adapter]; pending {
 		e.addViolation("unload of a loading adapter")
 		return loading.Conflict
 	}
-	if e.unloading[one] {
+	if e.unloading[adapter] {
 		return loading.Accepted
 	}
 	e.sequence++
-	if e.uses[one] == 0 {
-		delete(e.resident, one)
+	if e.uses[adapter] == 0 {
+		delete(e.resident, adapter)
 		return loading.Holds
 	}
 	if !former {
 		e.addViolation("unload of an adapter in use")
 	}
-	e.unloading[one] = true
+	e.unloading[adapter] = true
 	return loading.Accepted
 }
 
--- a/services/entry/loading/sim_test.go
+++ b/services/entry/loading/sim_test.go
@@ -134,7 +134,7 @@
 	s.tracef("planner %d starts", s.term)
 	s.planner = loading.NewPlanner(simEngine, loading.Options{
 		Rate: rate, Random: func() float64 { return 0 },
-		Uses: func(id deployment.EndpointID, one deployment.Adapter) int { return s.uses(id, one) },
+		Uses: func(id deployment.EndpointID, adapter deployment.Adapter) int { return s.uses(id, adapter) },
 	})
 	if s.term%2 == 1 {
 		// The weight store's rate limit is exhausted, so only cached base models are loaded.
@@ -146,9 +146,9 @@
 	}
 }
 
-func (s *simulation) uses(id deployment.EndpointID, one deployment.Adapter) int {
+func (s *simulation) uses(id deployment.EndpointID, adapter deployment.Adapter) int {
 	if e := s.endpoint(id); e != nil {
-		return e.uses[one]
+		return e.uses[adapter]
 	}
 	return 0
 }
@@ -188,18 +188,18 @@
 	end := s.now.Add(pause)
 	for {
 		next := -1
-		for i, one := range s.events {
-			if !one.dueAt.After(end) && (next < 0 || one.dueAt.Before(s.events[next].dueAt)) {
+		for i, event := range s.events {
+			if !event.dueAt.After(end) && (next < 0 || event.dueAt.Before(s.events[next].dueAt)) {
 				next = i
 			}
 		}
 		if next < 0 {
 			break
 		}
-		one := s.events[next]
+		event := s.events[next]
 		s.events = slices.Delete(s.events, next, next+1)
-		s.setTime(one.dueAt)
-		one.deliver()
+		s.setTime(event.dueAt)
+		event.deliver()
 	}
 	s.setTime(end)
 	for _, e := range s.endpoints {
@@ -278,8 +278,8 @@
 
 func adapterNames(adapters map[deployment.Adapter]int64) []string {
 	var list []string
-	for one := range adapters {
-		list = append(list, one.Name)
+	for adapter := range adapters {
+		list = append(list, adapter.Name)
 	}
 	slices.Sort(list)
 	return list
@@ -293,29 +293,29 @@
 // other adapter.
 func (s *simulation) reportDemand(adapters ...deployment.Adapter) {
 	var demands []loading.Demand
-	for _, one := range adapters {
-		if !s.serveRequest(one) {
-			demands = append(demands, loading.Demand{Adapter: one, Waiting: 1, InTime: time.Second})
+	for _, adapter := range adapters {
+		if !s.serveRequest(adapter) {
+			demands = append(demands, loading.Demand{Adapter: adapter, Waiting: 1, InTime: time.Second})
 		}
 	}
 	s.planner.Report(s.now, "i", demands)
 }
 
 // serveRequest lets a request use each copy that the planner offers, and reports whether there is one.
-func (s *simulation) serveRequest(one deployment.Adapter) bool {
+func (s *simulation) serveRequest(adapter deployment.Adapter) bool {
 	found := false
 	for _, e := range s.endpoints {
-		if _, offered := s.planner.Offered(e.id); offered[one] == 0 {
+		if _, offered := s.planner.Offered(e.id); offered[adapter] == 0 {
 			continue
 		}
 		found = true
-		if !e.resident[one] {
+		if !e.resident[adapter] {
 			s.planner.RequestInspection(e.id)
 			continue
 		}
-		if !e.unloading[one] && e.uses[one] == 0 {
-			e.uses[one]++
-			s.schedule(requestTime, func() { e.uses[one]-- })
+		if !e.unloading[adapter] && e.uses[adapter] == 0 {
+			e.uses[adapter]++
+			s.schedule(requestTime, func() { e.uses[adapter]-- })
 		}
 	}
 	return found
--- a/services/entry/loading/value.go
+++ b/services/entry/loading/value.go
@@ -75,7 +75,7 @@
 
 // CopyNeed describes the demand for one more copy of an adapter.
 type CopyNeed struct {
-	// Usable, Coming and Free are the planned numbers of copies on endpoints that accept requests: resident at the
+	// Usable, Loading and Free are the planned numbers of copies on endpoints that accept requests: resident at the
 	// version to be served, being loaded, and usable on an endpoint that is not saturated.
 	Usable, Loading, Free int
 	// Waiting is the number of requests that wait for the adapter, from the instances' last reports.
