--- a/services/entry/lease/candidate.go
+++ b/services/entry/lease/candidate.go
@@ -6,94 +6,100 @@
 import "time"
 
 const (
-	// TakeoverSilence is after how long without a view of a planner that can prove its lease an instance
-	// looks at the record and may replace the holder. Shorter trades false alarms, which cost store reads, for a
-	// quicker takeover.
+	// TakeoverSilence is the time without a view from a planner with a confirmed lease after which an instance reads
+	// the record and may replace the holder. A shorter time gives a quicker takeover at the cost of false alarms,
+	// which cause store reads.
 	TakeoverSilence = 900 * time.Millisecond
-	// SettledRecord is how long a record must have been seen unchanged before its holder is replaced, so that a holder who has just written
-	// it is left alone.
+	// SettledRecord is how long a record must have been unchanged before its holder is replaced, so that a holder
+	// that has just written the record is not replaced.
 	SettledRecord = 300 * time.Millisecond
-	// ConfirmTrouble is the age of the holder's last confirmation from which on it resigns to a member that the store answers, and from
-	// which on members look whether it answers them.
+	// ConfirmTrouble is the age of the holder's last confirmation from which it resigns if the store answers another
+	// member, and from which members check whether the store answers them.
 	ConfirmTrouble = 800 * time.Millisecond
 )
 
-// Verdict is what an instance does with a record that it read.
+// Verdict is an instance's decision about a record that it read.
 type Verdict int
 
-// The verdicts on a record.
+// The decisions about a record.
 const (
-	// Take: nobody holds the record, its holder gives no more orders, or it is an earlier process of this instance.
+	// Take means that the record has no holder, that its holder sends no more orders, or that its holder is an
+	// earlier process of this instance.
 	Take Verdict = iota
-	// TakeWithoutHeartbeat: the holder is silent; the record is taken if its heartbeat has ended.
+	// TakeWithoutHeartbeat means that the holder is silent; the record may be taken if the holder's heartbeat has
+	// ended.
 	TakeWithoutHeartbeat
-	// LeaveToOthers: this instance is a weak one, and others still have time to take the record.
+	// LeaveToOthers means that this instance is reluctant and other instances still have time to take the record.
 	LeaveToOthers
-	// HolderActive: a view of the holder came lately.
+	// HolderActive means that a view of the holder arrived recently.
 	HolderActive
-	// Unsettled: the record changed a moment ago.
+	// Unsettled means that the record changed recently.
 	Unsettled
 )
 
-// Sighting is the record as it was just read, with what else is known of its holder.
+// Sighting is the record as just read from the store, with the other information about its holder.
 type Sighting struct {
-	// Self names this instance.
+	// Self is the name of this instance.
 	Self string
-	// Record, Revision and Found are from the store; Found is false if there is no record.
+	// Record, Revision and Found are the result of the read; Found is false if there is no record.
 	Record   Record
 	Revision int64
 	Found    bool
-	// Resigned tells that the holder said, in a view, that it gives no more orders in the record's term.
+	// Resigned is set if a view of the holder announced that it sends no more orders in the record's term.
 	Resigned bool
-	// Silence is for how long no view came of a planner that could prove its lease, on the own clock.
+	// Silence is the time since the last view from a planner with a confirmed lease, on this instance's clock.
 	Silence time.Duration
-	// Reluctance is how much longer than others this instance leaves the record to them, from the settings.
+	// Reluctance is the additional delay after which this instance takes the record, so that others can take it
+	// first; from the settings. An instance with a delay above zero is called reluctant.
 	Reluctance time.Duration
 }
 
-// heldReluctance is how much longer than others an instance leaves a vacant record to them that held the lease lately: others need not wait
-// until a turn is over. Longer lets slower instances take it, shorter takes it sooner where there is no other.
-const heldReluctance = 300 * time.Millisecond
+// formerHolderReluctance is the additional delay after which an instance that held the lease recently takes a vacant
+// record; other instances need not wait for Options.Turn. A longer delay gives slower instances time to take the
+// record; a shorter one takes it sooner if there is no other instance.
+const formerHolderReluctance = 300 * time.Millisecond
 
-// reluctance is how much longer than others this instance leaves the record to them.
+// reluctance returns the additional delay of this instance for this record.
 func (s Sighting) reluctance() time.Duration {
-	if s.vacant() && s.Record.held(s.Self) {
-		return s.Reluctance + heldReluctance
+	if s.vacant() && s.Record.heldBefore(s.Self) {
+		return s.Reluctance + formerHolderReluctance
 	}
 	return s.Reluctance
 }
 
-// vacant tells whether nobody gives orders under the record any more.
+// vacant reports whether no instance sends orders under the record any more.
 func (s Sighting) vacant() bool {
 	return !s.Found || s.Record.Released || s.Resigned
 }
 
-// Candidate is what an instance without the record remembers between two looks at it. The zero value has not
-// looked yet; it is not safe for concurrent use.
+// Candidate is the state that an instance without the lease keeps between two reads of the record. Its zero value is
+// ready for the first read. It is not safe for concurrent use.
 type Candidate struct {
-	// seen tells that there was a look, revision is the record's then, and since when it has been that.
-	seen     bool
-	revision int64
-	since    time.Time
-	// vacantSince is since when the record of vacantTerm was seen without a holder that orders.
+	// hasRead is set after the first read; revision is the record's revision at the last read, and unchangedSince is
+	// when that revision was first read.
+	hasRead        bool
+	revision       int64
+	unchangedSince time.Time
+	// vacantSince is when the record of vacantTerm was first found vacant.
 	vacantTerm  int64
 	vacantSince time.Time
-	// silentSince is since when the holder of the record at silentRevision was silent; zero while it was heard.
+	// silentSince is when the holder of the record at silentRevision fell silent; zero while its views arrive.
 	silentRevision int64
 	silentSince    time.Time
-	// endedSince is since when the heartbeat of the holder of the record at endedRevision was found ended; zero if it was not.
-	endedRevision int64
-	endedSince    time.Time
+	// heartbeatEndedSince is when the heartbeat of the holder of the record at heartbeatEndedRevision was first found
+	// ended; zero if it was not.
+	heartbeatEndedRevision int64
+	heartbeatEndedSince    time.Time
 }
 
-// Decide tells whether this instance takes the record that it looked at.
+// Decide returns the decision about a record that was just read.
 func (c *Candidate) Decide(now time.Time, sighting Sighting) Verdict {
-	if !c.seen || sighting.Revision != c.revision {
-		c.seen, c.revision, c.since = true, sighting.Revision, now
+	if !c.hasRead || sighting.Revision != c.revision {
+		c.hasRead, c.revision, c.unchangedSince = true, sighting.Revision, now
 	}
-	c.noteSilence(now, sighting)
+	c.updateSilence(now, sighting)
 	own := sighting.Record.Holder == sighting.Self
-	if !own && now.Sub(c.openSince(now, sighting)) < sighting.reluctance() {
+	if !own && now.Sub(c.availableSince(now, sighting)) < sighting.reluctance() {
 		return LeaveToOthers
 	}
 	switch {
@@ -101,15 +107,15 @@
 		return Take
 	case sighting.Silence < TakeoverSilence:
 		return HolderActive
-	case now.Sub(c.since) < SettledRecord:
+	case now.Sub(c.unchangedSince) < SettledRecord:
 		return Unsettled
 	default:
 		return TakeWithoutHeartbeat
 	}
 }
 
-// noteSilence remembers since when the holder has been silent.
-func (c *Candidate) noteSilence(now time.Time, sighting Sighting) {
+// updateSilence updates the time since which the holder has been silent.
+func (c *Candidate) updateSilence(now time.Time, sighting Sighting) {
 	switch {
 	case sighting.Silence < TakeoverSilence:
 		c.silentSince = time.Time{}
@@ -119,28 +125,28 @@
 	}
 }
 
-// HeartbeatEnded decides again after TakeWithoutHeartbeat, where the holder's heartbeat was found ended now: a weak instance
-// leaves the record to others from then on, however long the record was seen as it is before.
+// HeartbeatEnded returns the decision after TakeWithoutHeartbeat if the holder's heartbeat was found ended. A
+// reluctant instance defers to others from that time on, however long the record has been unchanged.
 func (c *Candidate) HeartbeatEnded(now time.Time, sighting Sighting) Verdict {
-	if c.endedSince.IsZero() || c.endedRevision != sighting.Revision {
-		c.endedRevision, c.endedSince = sighting.Revision, now
+	if c.heartbeatEndedSince.IsZero() || c.heartbeatEndedRevision != sighting.Revision {
+		c.heartbeatEndedRevision, c.heartbeatEndedSince = sighting.Revision, now
 	}
-	if now.Sub(c.endedSince) < sighting.Reluctance {
+	if now.Sub(c.heartbeatEndedSince) < sighting.Reluctance {
 		return LeaveToOthers
 	}
 	return Take
 }
 
-// HeartbeatAlive notes that the holder's heartbeat was found alive.
+// HeartbeatAlive records that the holder's heartbeat was found alive.
 func (c *Candidate) HeartbeatAlive() {
-	c.endedSince = time.Time{}
+	c.heartbeatEndedSince = time.Time{}
 }
 
-// openSince is since when the record could be taken, as far as this instance knows: since it was first seen
-// without a holder that orders, or else since it was first seen as it is with a holder that is silent.
-func (c *Candidate) openSince(now time.Time, sighting Sighting) time.Time {
+// availableSince returns the time since which the record could be taken as far as this instance knows: since it was
+// first found vacant, or else since it has had its current revision and a silent holder.
+func (c *Candidate) availableSince(now time.Time, sighting Sighting) time.Time {
 	if !sighting.vacant() {
-		return c.silentOpenSince(now)
+		return c.silentAvailableSince(now)
 	}
 	if c.vacantTerm != sighting.Record.Term || c.vacantSince.IsZero() {
 		c.vacantTerm, c.vacantSince = sighting.Record.Term, now
@@ -148,53 +154,57 @@
 	return c.vacantSince
 }
 
-// silentOpenSince is the same for a record with a holder that orders; now while that holder is heard.
-func (c *Candidate) silentOpenSince(now time.Time) time.Time {
+// silentAvailableSince returns availableSince of a record that is not vacant; it returns now while views of the
+// holder arrive.
+func (c *Candidate) silentAvailableSince(now time.Time) time.Time {
 	switch {
 	case c.silentSince.IsZero():
 		return now
-	case c.silentSince.After(c.since):
+	case c.silentSince.After(c.unchangedSince):
 		return c.silentSince
 	default:
-		return c.since
+		return c.unchangedSince
 	}
 }
 
-// longestLook bounds the pause between two looks of an instance that leaves the record to others: longer spares calls to the store while a
-// planner is replaced, shorter finds the next one sooner. Below the time that it has to wait before it orders.
-const longestLook = time.Second
+// maxReadInterval bounds the interval at which a reluctant instance reads the record. A longer interval saves store
+// calls while a planner is replaced; a shorter one finds the new planner sooner. It is less than the time that the
+// new holder has to wait before it sends orders.
+const maxReadInterval = time.Second
 
-// LookPause is the pause between two looks at the record; stretched is the usual one as long as the fleet is large. Instances that leave the
-// record to others look to learn who took it, which these others find out; they are most of a large fleet. One that has heard no planner yet
-// looks as often as all, since requests that it holds wait for one.
-func LookPause(usual, stretched, reluctance time.Duration, heard bool) time.Duration {
-	if reluctance == 0 || !heard {
+// LookPause returns the interval between two reads of the record; usual is the interval in a small fleet and
+// stretched the one in this fleet. Reluctant instances, which are most of a large fleet, read the record only to
+// learn which other instance took it, so their interval is longer. An instance that has not received a view of any
+// planner yet reads at the usual interval, because the requests that it holds wait for a planner.
+func LookPause(usual, stretched, reluctance time.Duration, viewReceived bool) time.Duration {
+	if reluctance == 0 || !viewReceived {
 		return usual
 	}
-	return min(stretched, max(usual, longestLook))
+	return min(stretched, max(usual, maxReadInterval))
 }
 
-// LookDue tells whether an instance without the record looks at it now: at once when it was asked to, first when
-// it starts, and later while the planner is silent and the time next has come. One that has heard no planner yet waits for no silence:
-// where all start at once, the first looks find no record, and 0.9 s would pass until they find who took it.
-func LookDue(now time.Time, asked, heard bool, silence time.Duration, next time.Time) bool {
-	if asked || next.IsZero() {
+// LookDue reports whether an instance without the lease should read the record now: when it was asked to, at its
+// start, and then at the time next while the planner is silent. An instance that has not received a view of any
+// planner yet does not wait for silence. When all instances start at once, their first reads find no record, and
+// waiting would cost 0.9 s until they find out which instance took it.
+func LookDue(now time.Time, requested, viewReceived bool, silence time.Duration, next time.Time) bool {
+	if requested || next.IsZero() {
 		return true
 	}
-	return (!heard || silence >= TakeoverSilence) && !now.Before(next)
+	return (!viewReceived || silence >= TakeoverSilence) && !now.Before(next)
 }
 
-// LastView is the last view that an instance received.
+// LastView describes the last view that an instance received.
 type LastView struct {
-	// Started is when this instance began to look; no silence is longer.
+	// Started is when this instance began to follow planners; silence is counted from this time at the earliest.
 	Started time.Time
-	// ReceivedAt is when the view came, on the own clock; zero if there was none.
+	// ReceivedAt is when the view arrived, on this instance's clock; zero if there was none.
 	ReceivedAt time.Time
-	// ConfirmedAge is how long before that view the planner's lease was confirmed, by the view.
+	// ConfirmedAge is the age of the planner's last confirmation when it sent the view.
 	ConfirmedAge time.Duration
 }
 
-// Silence is for how long no view came of a planner that could prove its lease.
+// Silence returns the time since the last view from a planner with a confirmed lease.
 func (o Options) Silence(now time.Time, last LastView) time.Duration {
 	since := last.ReceivedAt
 	if last.ConfirmedAge > o.Window {
@@ -206,7 +216,7 @@
 	return now.Sub(since)
 }
 
-// Successor is the record that this instance writes in place of one that it replaces.
+// Successor returns the record with which this instance replaces another one.
 func Successor(self Record, replaced Record) Record {
 	self.Term, self.Former, self.Earlier = replaced.Term+1, replaced.Former, replaced.Earlier
 	if !replaced.Ordering {
@@ -215,26 +225,28 @@
 	self.Former = replaced.Holder
 	if replaced.Former != "" {
 		self.Earlier = append([]string{replaced.Former}, replaced.Earlier...)
-		self.Earlier = self.Earlier[:min(len(self.Earlier), mostEarlier)]
+		self.Earlier = self.Earlier[:min(len(self.Earlier), maxEarlierHolders)]
 	}
 	return self
 }
 
-// Member is what the holder knows of another instance's way to the store, by its last report.
+// Member is another instance's access to the store, as known to the holder from its last report.
 type Member struct {
-	// Lost tells that it has not reported for too long.
+	// Lost is set if the member has not reported for too long.
 	Lost bool
-	// ReportAge is how long ago the report came, StoreReadAge how long before it the member read the store.
+	// ReportAge is the age of the report. StoreReadAge is the age of the member's last store read when it sent the
+	// report.
 	ReportAge    time.Duration
 	StoreReadAge time.Duration
 }
 
-// InTrouble tells whether a holder last confirmed so long ago should give the record up to a member.
+// InTrouble reports whether a holder with this age of its last confirmation should resign in favour of a member that
+// reaches the store.
 func InTrouble(confirmedAge time.Duration) bool {
 	return confirmedAge >= ConfirmTrouble
 }
 
-// ReachesStore tells whether the store lately answered the member, so that it can take the record.
+// ReachesStore reports whether the store answered the member recently, so that the member can take the record.
 func (m Member) ReachesStore() bool {
 	return !m.Lost && m.StoreReadAge < ConfirmTrouble && m.ReportAge < ConfirmTrouble
 }
--- a/services/entry/lease/candidate_test.go
+++ b/services/entry/lease/candidate_test.go
@@ -19,7 +19,7 @@
 	trouble = 800 * time.Millisecond
 )
 
-// silentHolder is a record of another instance that was not heard for long enough.
+// silentHolder returns a record of another instance that has been silent for long enough.
 func silentHolder(change func(*lease.Sighting)) lease.Sighting {
 	sighting := lease.Sighting{
 		Self: "self", Record: lease.Record{Holder: "peer", Term: 4, Ordering: true}, Revision: 7, Found: true, Silence: silence,
@@ -30,53 +30,53 @@
 	return sighting
 }
 
-func TestASilentHoldersRecordIsTakenOnceItIsSettled(t *testing.T) {
+func TestSilentHolderReplacedAfterRecordSettled(t *testing.T) {
 	cases := map[string]struct {
 		silence, unchanged time.Duration
 		verdict            lease.Verdict
 	}{
-		"silent and settled":      {silence, settled, lease.TakeWithoutHeartbeat},
-		"longer than needed":      {silence + step, settled + step, lease.TakeWithoutHeartbeat},
-		"heard a moment ago":      {0, settled, lease.HolderActive},
-		"just below the silence":  {silence - step, settled, lease.HolderActive},
-		"changed a moment ago":    {silence, 0, lease.Unsettled},
-		"just not yet settled":    {silence, settled - step, lease.Unsettled},
-		"neither":                 {silence - step, settled - step, lease.HolderActive},
-		"silent for a whole hour": {time.Hour, settled - step, lease.Unsettled},
+		"silent holder, settled record":       {silence, settled, lease.TakeWithoutHeartbeat},
+		"longer than both limits":             {silence + step, settled + step, lease.TakeWithoutHeartbeat},
+		"view received just now":              {0, settled, lease.HolderActive},
+		"just below the silence limit":        {silence - step, settled, lease.HolderActive},
+		"record changed just now":             {silence, 0, lease.Unsettled},
+		"just before the record is settled":   {silence, settled - step, lease.Unsettled},
+		"below both limits":                   {silence - step, settled - step, lease.HolderActive},
+		"silent for an hour, not yet settled": {time.Hour, settled - step, lease.Unsettled},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var candidate lease.Candidate
-			sighting := silentHolder(func(s *lease.Sighting) { s.Silence = one.silence })
+			sighting := silentHolder(func(s *lease.Sighting) { s.Silence = test.silence })
 			candidate.Decide(start, sighting)
-			assert.Equal(t, one.verdict, candidate.Decide(start.Add(one.unchanged), sighting))
+			assert.Equal(t, test.verdict, candidate.Decide(start.Add(test.unchanged), sighting))
 		})
 	}
 }
 
-func TestAFirstLookTakesNoLivingRecord(t *testing.T) {
+func TestFirstReadOfSilentHoldersRecordIsUnsettled(t *testing.T) {
 	var candidate lease.Candidate
 	assert.Equal(t, lease.Unsettled, candidate.Decide(start, silentHolder(nil)))
 	unwritten := silentHolder(func(s *lease.Sighting) { s.Revision = 0 })
 	candidate = lease.Candidate{}
-	assert.Equal(t, lease.Unsettled, candidate.Decide(start, unwritten), "a revision of zero is no earlier look")
+	assert.Equal(t, lease.Unsettled, candidate.Decide(start, unwritten), "revision zero does not count as an earlier read")
 }
 
-func TestAChangedRecordIsSettledAnew(t *testing.T) {
+func TestRecordChangeRestartsSettleTime(t *testing.T) {
 	var candidate lease.Candidate
 	candidate.Decide(start, silentHolder(nil))
 	changed := silentHolder(func(s *lease.Sighting) { s.Revision = 8 })
 	assert.Equal(t, lease.Unsettled, candidate.Decide(start.Add(time.Second), changed))
 	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(time.Second+settled), changed))
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(2*time.Second), changed), "the same record read again")
+	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(2*time.Second), changed), "the unchanged record is read again")
 }
 
-func TestAVacantRecordIsTakenAtOnce(t *testing.T) {
+func TestVacantRecordTakenAtOnce(t *testing.T) {
 	cases := map[string]func(*lease.Sighting){
-		"no record": func(s *lease.Sighting) { s.Found, s.Record, s.Revision = false, lease.Record{}, 0 },
-		"released":  func(s *lease.Sighting) { s.Record.Released = true },
-		"resigned":  func(s *lease.Sighting) { s.Resigned = true },
-		"its own":   func(s *lease.Sighting) { s.Record.Holder = "self" },
+		"no record":  func(s *lease.Sighting) { s.Found, s.Record, s.Revision = false, lease.Record{}, 0 },
+		"released":   func(s *lease.Sighting) { s.Record.Released = true },
+		"resigned":   func(s *lease.Sighting) { s.Resigned = true },
+		"own record": func(s *lease.Sighting) { s.Record.Holder = "self" },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -86,9 +86,9 @@
 	}
 }
 
-func TestAWeakInstanceLeavesTheRecordToOthers(t *testing.T) {
+func TestReluctantInstanceDefersToOthers(t *testing.T) {
 	const reluctance = 1200 * time.Millisecond
-	weak := func(change func(*lease.Sighting)) lease.Sighting {
+	reluctant := func(change func(*lease.Sighting)) lease.Sighting {
 		return silentHolder(func(s *lease.Sighting) {
 			s.Reluctance = reluctance
 			if change != nil {
@@ -96,129 +96,130 @@
 			}
 		})
 	}
-	t.Run("a silent holder", func(t *testing.T) {
+	t.Run("silent holder", func(t *testing.T) {
 		var candidate lease.Candidate
-		candidate.Decide(start, weak(nil))
-		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(start.Add(reluctance-step), weak(nil)))
-		assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(reluctance), weak(nil)))
+		candidate.Decide(start, reluctant(nil))
+		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(start.Add(reluctance-step), reluctant(nil)))
+		assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(reluctance), reluctant(nil)))
 	})
-	t.Run("a released record, from when it was seen released", func(t *testing.T) {
+	t.Run("released record, from when it was read as released", func(t *testing.T) {
 		var candidate lease.Candidate
-		candidate.Decide(start, weak(nil))
-		released := weak(func(s *lease.Sighting) { s.Record.Released, s.Revision = true, 8 })
+		candidate.Decide(start, reluctant(nil))
+		released := reluctant(func(s *lease.Sighting) { s.Record.Released, s.Revision = true, 8 })
 		seen := start.Add(time.Minute)
 		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(seen, released))
 		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(seen.Add(reluctance-step), released))
 		assert.Equal(t, lease.Take, candidate.Decide(seen.Add(reluctance), released))
 	})
-	t.Run("another term that is vacant begins the wait anew", func(t *testing.T) {
+	t.Run("another vacant term restarts the delay", func(t *testing.T) {
 		var candidate lease.Candidate
-		resigned := weak(func(s *lease.Sighting) { s.Resigned = true })
+		resigned := reluctant(func(s *lease.Sighting) { s.Resigned = true })
 		candidate.Decide(start, resigned)
-		later := weak(func(s *lease.Sighting) { s.Resigned, s.Record.Term = true, 5 })
+		later := reluctant(func(s *lease.Sighting) { s.Resigned, s.Record.Term = true, 5 })
 		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(start.Add(reluctance), later))
 	})
-	t.Run("its own earlier process", func(t *testing.T) {
+	t.Run("own earlier process", func(t *testing.T) {
 		var candidate lease.Candidate
-		assert.Equal(t, lease.Take, candidate.Decide(start, weak(func(s *lease.Sighting) { s.Record.Holder = "self" })))
+		assert.Equal(t, lease.Take, candidate.Decide(start, reluctant(func(s *lease.Sighting) { s.Record.Holder = "self" })))
 	})
 }
 
-// TestAWeakInstanceLeavesALostHoldersRecordToOthers is part of the incident of large configurations: the record of a planner that had
-// held it for long was open to weak instances at once, so that one took it whose link could not carry the views.
-func TestAWeakInstanceLeavesALostHoldersRecordToOthers(t *testing.T) {
+// TestReluctantInstanceDefersAfterHeartbeatEnded covers an incident with large configurations: reluctant instances
+// could take the record of a long-standing planner at once, so that an instance took it whose link could not carry
+// the views.
+func TestReluctantInstanceDefersAfterHeartbeatEnded(t *testing.T) {
 	const reluctance = 2400 * time.Millisecond
-	weak := silentHolder(func(s *lease.Sighting) { s.Reluctance = reluctance })
-	strong := silentHolder(nil)
+	reluctant := silentHolder(func(s *lease.Sighting) { s.Reluctance = reluctance })
+	other := silentHolder(nil)
 	lost := start.Add(time.Hour)
 
 	var candidate lease.Candidate
-	candidate.Decide(start, strong)
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(lost, strong))
-	assert.Equal(t, lease.Take, candidate.HeartbeatEnded(lost, strong), "a strong instance takes it at once")
+	candidate.Decide(start, other)
+	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(lost, other))
+	assert.Equal(t, lease.Take, candidate.HeartbeatEnded(lost, other), "an instance without reluctance takes the record at once")
 
 	candidate = lease.Candidate{}
-	candidate.Decide(start, weak)
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(lost, weak))
-	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost, weak))
-	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(reluctance-step), weak))
-	assert.Equal(t, lease.Take, candidate.HeartbeatEnded(lost.Add(reluctance), weak))
+	candidate.Decide(start, reluctant)
+	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(lost, reluctant))
+	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost, reluctant))
+	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(reluctance-step), reluctant))
+	assert.Equal(t, lease.Take, candidate.HeartbeatEnded(lost.Add(reluctance), reluctant))
 
 	candidate.HeartbeatAlive()
-	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(reluctance), weak), "it was alive since")
-	next := weak
+	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(reluctance), reluctant), "the heartbeat was found alive in between")
+	next := reluctant
 	next.Revision = 9
 	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(2*reluctance), next), "another holder")
 }
 
-func TestLooksAtTheRecord(t *testing.T) {
+func TestReadDue(t *testing.T) {
 	next := start
 	cases := map[string]struct {
-		now          time.Time
-		asked, heard bool
-		silence      time.Duration
-		next         time.Time
-		due          bool
+		now                     time.Time
+		requested, viewReceived bool
+		silence                 time.Duration
+		next                    time.Time
+		due                     bool
 	}{
-		"the first look, before anybody could be silent": {start, false, false, 0, time.Time{}, true},
-		"no planner heard yet, at the time":              {start, false, false, 0, next, true},
-		"no planner heard yet, just before the time":     {start.Add(-step), false, false, silence, next, false},
-		"a planner that is heard":                        {start, false, true, silence - step, next, false},
-		"a silent planner, at the time":                  {start, false, true, silence, next, true},
-		"a silent planner, just before the time":         {start.Add(-step), false, true, silence, next, false},
-		"asked for, before the time":                     {start.Add(-step), true, true, 0, next, true},
+		"first read":                                 {start, false, false, 0, time.Time{}, true},
+		"no view received yet, at the time":          {start, false, false, 0, next, true},
+		"no view received yet, just before the time": {start.Add(-step), false, false, silence, next, false},
+		"planner not silent":                         {start, false, true, silence - step, next, false},
+		"silent planner, at the time":                {start, false, true, silence, next, true},
+		"silent planner, just before the time":       {start.Add(-step), false, true, silence, next, false},
+		"read requested, before the time":            {start.Add(-step), true, true, 0, next, true},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, one.due, lease.LookDue(one.now, one.asked, one.heard, one.silence, one.next))
+			assert.Equal(t, test.due, lease.LookDue(test.now, test.requested, test.viewReceived, test.silence, test.next))
 		})
 	}
 }
 
-func TestThePauseBetweenTwoLooks(t *testing.T) {
+func TestReadInterval(t *testing.T) {
 	const usual = 300 * time.Millisecond
 	cases := map[string]struct {
 		stretched, reluctance time.Duration
-		heard                 bool
+		viewReceived          bool
 		pause                 time.Duration
 	}{
-		"a strong instance of a large fleet":         {4 * time.Second, 0, true, usual},
-		"a weak one":                                 {4 * time.Second, step, true, time.Second},
-		"a weak one of a fleet of medium size":       {700 * time.Millisecond, step, true, 700 * time.Millisecond},
-		"a weak one of a small fleet":                {usual, step, true, usual},
-		"a weak one that has not heard any planner":  {4 * time.Second, step, false, usual},
-		"a strong one that has not heard any either": {4 * time.Second, 0, false, usual},
+		"no reluctance, large fleet":          {4 * time.Second, 0, true, usual},
+		"reluctant, large fleet":              {4 * time.Second, step, true, time.Second},
+		"reluctant, fleet of medium size":     {700 * time.Millisecond, step, true, 700 * time.Millisecond},
+		"reluctant, small fleet":              {usual, step, true, usual},
+		"reluctant, no view received yet":     {4 * time.Second, step, false, usual},
+		"no reluctance, no view received yet": {4 * time.Second, 0, false, usual},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, one.pause, lease.LookPause(usual, one.stretched, one.reluctance, one.heard))
+			assert.Equal(t, test.pause, lease.LookPause(usual, test.stretched, test.reluctance, test.viewReceived))
 		})
 	}
 }
 
-func TestSilenceCountsFromTheLastWordThatProvedTheHold(t *testing.T) {
+func TestSilenceSinceLastConfirmedView(t *testing.T) {
 	now := start.Add(10 * time.Second)
 	cases := map[string]struct {
 		last lease.LastView
 		span time.Duration
 	}{
-		"never heard":               {lease.LastView{Started: start}, 10 * time.Second},
-		"heard before it looked":    {lease.LastView{Started: start, ReceivedAt: start.Add(-time.Hour)}, 10 * time.Second},
-		"heard since":               {lease.LastView{Started: start, ReceivedAt: now.Add(-time.Second)}, time.Second},
-		"confirmed in the window":   {lease.LastView{Started: start, ReceivedAt: now, ConfirmedAge: options.Window}, 0},
-		"confirmed too long before": {lease.LastView{Started: start, ReceivedAt: now, ConfirmedAge: options.Window + step}, options.Window + step},
-		"confirmed before it looked": {
+		"no view":                           {lease.LastView{Started: start}, 10 * time.Second},
+		"view received before the start":    {lease.LastView{Started: start, ReceivedAt: start.Add(-time.Hour)}, 10 * time.Second},
+		"view received since the start":     {lease.LastView{Started: start, ReceivedAt: now.Add(-time.Second)}, time.Second},
+		"lease confirmed within the window": {lease.LastView{Started: start, ReceivedAt: now, ConfirmedAge: options.Window}, 0},
+		"lease confirmed before the window": {lease.LastView{Started: start, ReceivedAt: now, ConfirmedAge: options.Window + step}, options.Window + step},
+		"lease confirmed before the start": {
 			lease.LastView{Started: now.Add(-time.Second), ReceivedAt: now, ConfirmedAge: time.Hour}, time.Second,
 		},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, one.span, options.Silence(now, one.last))
+			assert.Equal(t, test.span, options.Silence(now, test.last))
 		})
 	}
 }
 
-func TestASuccessorNamesTheLastHolderThatMayHaveOrdered(t *testing.T) {
+func TestSuccessorRecordNamesLastOrderingHolder(t *testing.T) {
 	self := lease.Record{Holder: "self"}
 	assert.Equal(t, lease.Record{Holder: "self", Term: 1}, lease.Successor(self, lease.Record{}))
 	ordering := lease.Record{Holder: "b", Term: 4, Former: "a", Ordering: true}
@@ -227,55 +228,55 @@
 	assert.Equal(t, lease.Record{Holder: "self", Term: 5, Former: "a"}, lease.Successor(self, waiting))
 }
 
-func TestAHolderResignsOnlyToAMemberThatTheStoreAnswers(t *testing.T) {
+func TestResignationRequiresMemberThatReachesStore(t *testing.T) {
 	assert.False(t, lease.InTrouble(trouble-step))
 	assert.True(t, lease.InTrouble(trouble))
 	cases := map[string]struct {
 		member  lease.Member
 		reaches bool
 	}{
-		"heard and answered":              {lease.Member{}, true},
-		"just in time":                    {lease.Member{ReportAge: trouble - step, StoreReadAge: trouble - step}, true},
-		"an old report":                   {lease.Member{ReportAge: trouble}, false},
-		"the store is silent there too":   {lease.Member{StoreReadAge: trouble}, false},
-		"lost since":                      {lease.Member{Lost: true}, false},
-		"has not read since it was begun": {lease.Member{StoreReadAge: time.Duration(1 << 62)}, false},
+		"member reported and reached the store just now": {lease.Member{}, true},
+		"just below the age limits":                      {lease.Member{ReportAge: trouble - step, StoreReadAge: trouble - step}, true},
+		"report too old":                                 {lease.Member{ReportAge: trouble}, false},
+		"store read too old":                             {lease.Member{StoreReadAge: trouble}, false},
+		"member lost":                                    {lease.Member{Lost: true}, false},
+		"store never read":                               {lease.Member{StoreReadAge: time.Duration(1 << 62)}, false},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, one.reaches, one.member.ReachesStore())
+			assert.Equal(t, test.reaches, test.member.ReachesStore())
 		})
 	}
 }
 
-// TestNoOrdersOfTwoHoldersTakeTurns plays hand-overs that follow each other quickly: an instance whose work comes back may order only
-// when its orders of before are a turn old, through however many hands the work went.
-func TestNoOrdersOfTwoHoldersTakeTurns(t *testing.T) {
+// TestReturningHolderWaitsForTurn covers hand-overs in quick succession: an instance that becomes the holder again
+// may send orders only once its earlier orders are as old as Options.Turn, however many holders came in between.
+func TestReturningHolderWaitsForTurn(t *testing.T) {
 	record := lease.Record{Holder: "self", Term: 1, Ordering: true, Released: true}
 	for _, holder := range []string{"b", "c", "d", "e", "f"} {
 		record = lease.Successor(lease.Record{Holder: holder}, record)
-		assert.Equal(t, options.Turn, options.Wait("self", released(record), true), "after %s", holder)
-		record = released(record)
+		assert.Equal(t, options.Turn, options.Wait("self", releasedRecord(record), true), "after %s", holder)
+		record = releasedRecord(record)
 	}
-	assert.Zero(t, options.Wait("g", record, true), "one that never held it need not wait")
+	assert.Zero(t, options.Wait("g", record, true), "an instance that never held the lease need not wait")
 	record = lease.Successor(lease.Record{Holder: "g"}, record)
-	assert.Equal(t, []string{"e", "d", "c", "b"}, record.Earlier, "more hand-overs than a turn has room for")
+	assert.Equal(t, []string{"e", "d", "c", "b"}, record.Earlier, "more hand-overs than the record covers")
 }
 
-func released(record lease.Record) lease.Record {
+func releasedRecord(record lease.Record) lease.Record {
 	record.Ordering, record.Released = true, true
 	return record
 }
 
-func TestAHolderForgetsThoseBeforeItWhenTheirOrdersAreOld(t *testing.T) {
+func TestRecordDropsEarlierHoldersAfterTheirOrdersExpired(t *testing.T) {
 	record := lease.Record{Holder: "a", Term: 7, Former: "b", Earlier: []string{"c"}}
 	enough := options.Turn + 2*options.OrderTimeout
 	assert.Equal(t, record, record.Forget(enough-1, options))
 	assert.Equal(t, lease.Record{Holder: "a", Term: 7}, record.Forget(enough, options))
-	assert.Equal(t, "b", record.Former, "the record itself stays")
+	assert.Equal(t, "b", record.Former, "the original record is unchanged")
 }
 
-func TestOneThatHeldItLatelyLeavesAVacantRecordToOthers(t *testing.T) {
+func TestFormerHolderDefersVacantRecord(t *testing.T) {
 	const reluctance = 300 * time.Millisecond
 	vacant := silentHolder(func(s *lease.Sighting) { s.Record.Released, s.Record.Earlier = true, []string{"c", "self"} })
 	var candidate lease.Candidate
--- a/services/entry/lease/lease.go
+++ b/services/entry/lease/lease.go
@@ -5,99 +5,101 @@
 
 import "time"
 
-// Lease is one instance's hold on the planner's record in one term; it is not safe for concurrent use.
+// Lease is one instance's hold on the planner's record during one term. It is not safe for concurrent use.
 type Lease struct {
-	options   Options
-	record    Record
-	revision  int64
-	ordersAt  time.Time
-	confirmed time.Time
-	over      bool
-	// rewriting is how many of this holder's own writes are under way, and rewritten when the last of them was answered.
-	rewriting int
-	rewritten time.Time
+	options     Options
+	record      Record
+	revision    int64
+	waitUntil   time.Time
+	confirmedAt time.Time
+	ended       bool
+	// pendingRewrites is the number of this holder's writes in progress; lastRewriteAt is when the last of them
+	// ended.
+	pendingRewrites int
+	lastRewriteAt   time.Time
 }
 
-// Begin starts to hold a lease: the record was committed at a revision by a call sent at a time and
-// answered at another. wait comes from Options.Wait.
+// Begin returns the lease for a record that was committed at a revision by a call sent and answered at the given
+// times. wait is the result of Options.Wait.
 func Begin(options Options, record Record, revision int64, sent, answered time.Time, wait time.Duration) *Lease {
-	return &Lease{options: options, record: record, revision: revision, confirmed: sent, ordersAt: answered.Add(wait)}
+	return &Lease{options: options, record: record, revision: revision, confirmedAt: sent, waitUntil: answered.Add(wait)}
 }
 
-// Record gives the record as this holder last wrote it.
+// Record returns the record as last written by this holder.
 func (l *Lease) Record() Record {
 	return l.record
 }
 
-// Revision gives the revision of the record as this holder last wrote it.
+// Revision returns the revision of the record as last written by this holder.
 func (l *Lease) Revision() int64 {
 	return l.revision
 }
 
-// Waited tells whether the former holder's time is surely over.
+// Waited reports whether the former holder certainly can send no more orders.
 func (l *Lease) Waited(now time.Time) bool {
-	return !l.over && !now.Before(l.ordersAt)
+	return !l.ended && !now.Before(l.waitUntil)
 }
 
-// Remaining is how long the former holder's time still has to be waited for.
+// Remaining returns the remaining time until Waited reports true.
 func (l *Lease) Remaining(now time.Time) time.Duration {
-	return max(0, l.ordersAt.Sub(now))
+	return max(0, l.waitUntil.Sub(now))
 }
 
-// Confirm takes in a linearizable read sent at a time: the record is still this holder's if its revision is unchanged. A read beside a
-// write of this holder's own may find the revision before it or after it, and says nothing where it differs: it ended the term of a
-// planner that stopped before its members were told.
+// Confirm evaluates a linearizable read sent at the given time: the record is still this holder's if its revision is
+// unchanged. A read concurrent with a write of this holder may return the revision before or after the write, so a
+// different revision is ignored then. When it was not ignored, it ended the term of a stopping planner before its
+// members were informed.
 func (l *Lease) Confirm(sent time.Time, revision int64) {
 	if revision != l.revision {
-		l.over = l.over || (l.rewriting == 0 && sent.After(l.rewritten))
+		l.ended = l.ended || (l.pendingRewrites == 0 && sent.After(l.lastRewriteAt))
 		return
 	}
-	if sent.After(l.confirmed) {
-		l.confirmed = sent
+	if sent.After(l.confirmedAt) {
+		l.confirmedAt = sent
 	}
 }
 
-// BeginRewrite notes that a write of this holder's own begins; EndRewrite must follow.
+// BeginRewrite records the start of a write by this holder. EndRewrite must follow.
 func (l *Lease) BeginRewrite() {
-	l.rewriting++
+	l.pendingRewrites++
 }
 
-// EndRewrite notes that the write was answered, or is given up.
+// EndRewrite records that the write was answered or abandoned.
 func (l *Lease) EndRewrite(now time.Time) {
-	l.rewriting--
-	l.rewritten = now
+	l.pendingRewrites--
+	l.lastRewriteAt = now
 }
 
-// Rewriting tells whether a write of this holder's own is under way, so that the record may be another one than is known here.
+// Rewriting reports whether a write by this holder is in progress, so that the stored record may differ from Record.
 func (l *Lease) Rewriting() bool {
-	return l.rewriting > 0
+	return l.pendingRewrites > 0
 }
 
-// NoteRewritten takes in that this holder changed its own record by a call sent at a time.
+// NoteRewritten records that this holder changed its record by a call sent at the given time.
 func (l *Lease) NoteRewritten(sent time.Time, record Record, revision int64) {
 	l.record = record
 	l.revision = revision
-	if sent.After(l.confirmed) {
-		l.confirmed = sent
+	if sent.After(l.confirmedAt) {
+		l.confirmedAt = sent
 	}
 }
 
-// End gives the lease up for good.
+// End ends the lease permanently.
 func (l *Lease) End() {
-	l.over = true
+	l.ended = true
 }
 
-// Over tells whether another instance is known to have the record, or it was given up.
+// Over reports whether another instance is known to hold the record, or the lease was ended.
 func (l *Lease) Over() bool {
-	return l.over
+	return l.ended
 }
 
-// MayOrder tells whether an order may be sent now.
+// MayOrder reports whether an order may be sent now.
 func (l *Lease) MayOrder(now time.Time) bool {
-	return l.Waited(now) && l.record.Ordering && now.Sub(l.confirmed) < l.options.Window
+	return l.Waited(now) && l.record.Ordering && now.Sub(l.confirmedAt) < l.options.Window
 }
 
-// ConfirmedAge is how long ago the read was sent that last confirmed the record.
+// ConfirmedAge returns the time since the last read that confirmed the record was sent.
 func (l *Lease) ConfirmedAge(now time.Time) time.Duration {
-	return now.Sub(l.confirmed)
+	return now.Sub(l.confirmedAt)
 }
--- a/services/entry/lease/lease_test.go
+++ b/services/entry/lease/lease_test.go
@@ -26,32 +26,32 @@
 		found    bool
 		wait     time.Duration
 	}{
-		"nobody before":                     {found: false, wait: 0},
-		"a holder that may still order":     {replaced: lease.Record{Holder: "b", Ordering: true}, found: true, wait: full},
-		"a holder behind an earlier one":    {replaced: lease.Record{Holder: "b", Former: "a"}, found: true, wait: full},
-		"a holder that released":            {replaced: lease.Record{Holder: "b", Ordering: true, Released: true}, found: true, wait: 0},
-		"released, but this one was before": {replaced: lease.Record{Holder: "b", Former: "self", Ordering: true, Released: true}, found: true, wait: options.Turn},
-		"released, but this one was earlier": {
+		"no former record":                       {found: false, wait: 0},
+		"holder that may still send orders":      {replaced: lease.Record{Holder: "b", Ordering: true}, found: true, wait: full},
+		"holder that waits for an earlier one":   {replaced: lease.Record{Holder: "b", Former: "a"}, found: true, wait: full},
+		"holder that released the record":        {replaced: lease.Record{Holder: "b", Ordering: true, Released: true}, found: true, wait: 0},
+		"released, this instance held it before": {replaced: lease.Record{Holder: "b", Former: "self", Ordering: true, Released: true}, found: true, wait: options.Turn},
+		"released, this instance is an earlier holder": {
 			replaced: lease.Record{Holder: "b", Former: "c", Earlier: []string{"d", "self"}, Ordering: true, Released: true}, found: true, wait: options.Turn,
 		},
-		"released, and others were earlier": {
+		"released, other instances are earlier holders": {
 			replaced: lease.Record{Holder: "b", Former: "c", Earlier: []string{"d"}, Ordering: true, Released: true}, found: true, wait: 0,
 		},
-		"this one was before one that may still order": {replaced: lease.Record{Holder: "b", Former: "self", Ordering: true}, found: true, wait: full},
-		"an earlier process of this one":               {replaced: lease.Record{Holder: "self", Ordering: true}, found: true, wait: options.OrderTimeout / 2},
-		"this one still in its own wait":               {replaced: lease.Record{Holder: "self", Former: "b"}, found: true, wait: full},
-		"another that never ordered":                   {replaced: lease.Record{Holder: "b", Former: "self"}, found: true, wait: options.OrderTimeout / 2},
+		"holder that may still send orders, this instance held it before": {replaced: lease.Record{Holder: "b", Former: "self", Ordering: true}, found: true, wait: full},
+		"earlier process of this instance":                                {replaced: lease.Record{Holder: "self", Ordering: true}, found: true, wait: options.OrderTimeout / 2},
+		"this instance, still waiting":                                    {replaced: lease.Record{Holder: "self", Former: "b"}, found: true, wait: full},
+		"other holder that never sent orders":                             {replaced: lease.Record{Holder: "b", Former: "self"}, found: true, wait: options.OrderTimeout / 2},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, one.wait, options.Wait("self", one.replaced, one.found))
+			assert.Equal(t, test.wait, options.Wait("self", test.replaced, test.found))
 		})
 	}
 }
 
-// TestNoTwoHoldersMayOrderAtOnce plays a holder that is cut off right after a confirming read
-// and a successor that takes the record in the same instant, for all orders of their calls.
-func TestNoTwoHoldersMayOrderAtOnce(t *testing.T) {
+// TestTwoHoldersNeverOrderAtOnce simulates a holder that is cut off right after a confirming read and a successor
+// that takes the record at the same time, for several ages of that read.
+func TestTwoHoldersNeverOrderAtOnce(t *testing.T) {
 	for _, confirmedBefore := range []time.Duration{0, time.Millisecond, time.Second, 2 * time.Second} {
 		former := lease.Begin(options, lease.Record{Holder: "a", Term: 1, Ordering: true}, 10, start, start, 0)
 		taken := start.Add(5 * time.Second)
@@ -69,11 +69,11 @@
 				assert.False(t, successor.MayOrder(now.Add(options.OrderTimeout)))
 			}
 		}
-		require.True(t, successor.Record().Ordering, "the successor orders in the end")
+		require.True(t, successor.Record().Ordering, "the successor eventually sends orders")
 	}
 }
 
-func TestALeaseEndsWhenTheRecordChanged(t *testing.T) {
+func TestLeaseEndsWhenRecordChanged(t *testing.T) {
 	held := lease.Begin(options, lease.Record{Holder: "a", Term: 1, Ordering: true}, 10, start, start, 0)
 	require.True(t, held.MayOrder(start.Add(time.Second)))
 	held.Confirm(start.Add(time.Second), 11)
@@ -81,7 +81,7 @@
 	assert.False(t, held.MayOrder(start.Add(time.Second)))
 }
 
-func TestALeaseStopsWithoutConfirmation(t *testing.T) {
+func TestLeaseStopsWithoutConfirmation(t *testing.T) {
 	held := lease.Begin(options, lease.Record{Holder: "a", Term: 1, Ordering: true}, 10, start, start, 0)
 	assert.True(t, held.MayOrder(start.Add(options.Window-time.Millisecond)))
 	assert.False(t, held.MayOrder(start.Add(options.Window)))
@@ -89,7 +89,7 @@
 	assert.True(t, held.MayOrder(start.Add(options.Window+time.Second)))
 }
 
-func TestRecordsSurviveTheStore(t *testing.T) {
+func TestRecordEncodingRoundTrip(t *testing.T) {
 	record := lease.Record{Holder: "a", Term: 7, Ordering: true, Former: "b", RecentLoads: 3}
 	encoded, err := record.Encode()
 	require.NoError(t, err)
@@ -98,8 +98,9 @@
 	assert.Equal(t, record, decoded)
 }
 
-// TestARecordOfTheVersionBeforeIsRead: it names no earlier holders, and reads past those that it does not know.
-func TestARecordOfTheVersionBeforeIsRead(t *testing.T) {
+// TestRecordCompatibleWithPreviousVersion: the previous version does not write earlier holders, and ignores them when
+// it reads a record.
+func TestRecordCompatibleWithPreviousVersion(t *testing.T) {
 	type recordBefore struct {
 		Holder             string
 		Term               int64
--- a/services/entry/lease/record.go
+++ b/services/entry/lease/record.go
@@ -11,91 +11,92 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// Record is the stored record of who holds the planner's lease.
+// Record is the stored record of the lease.
 type Record struct {
 	Holder  string
 	Address netip.AddrPort
 	Term    int64
-	// Ordering is set once the holder may have given orders in this term.
+	// Ordering is set once the holder may have sent orders in this term.
 	Ordering bool
-	// Released is set when the holder gives no more orders.
+	// Released is set when the holder sends no more orders.
 	Released bool
-	// Former is the last holder that may have given orders, if the present one has not yet.
+	// Former is the last holder that may have sent orders, if the current holder has not sent any yet.
 	Former string
-	// RecentLoads is what a releasing holder says of base models' loads it began in the last window; those of adapters
+	// RecentLoads is the number of base model loads that a releasing holder started in the last window. Adapter loads
 	// are not counted.
 	RecentLoads int
-	// Earlier are the holders before Former that may have given orders lately, the latest first, mostEarlier at most. Versions
-	// before do not write it, and drop it.
+	// Earlier lists the holders before Former that may have sent orders recently, latest first, at most
+	// maxEarlierHolders. Previous versions of the program neither write nor preserve it.
 	Earlier []string `msgpack:",omitempty"`
 }
 
-// mostEarlier is how many holders before the former one a record names. More bear more hand-overs within Turn, each of which takes tens of
-// milliseconds at least; fewer let an instance whose work came back wait in vain.
-const mostEarlier = 4
+// maxEarlierHolders is the number of holders before the former one in a record. A higher number covers more
+// hand-overs within Options.Turn, each of which takes tens of milliseconds at least; a lower one lets an instance
+// that becomes the holder again wait unnecessarily.
+const maxEarlierHolders = 4
 
-// held tells whether an instance held the lease before the record's holder, as far as the record says.
-func (r Record) held(instance string) bool {
+// heldBefore reports whether an instance held the lease before the record's holder, according to the record.
+func (r Record) heldBefore(instance string) bool {
 	return r.Former == instance || slices.Contains(r.Earlier, instance)
 }
 
-// Forget gives the record of a holder that has held it for so long that what holders before it ordered, the last of it late, is too
-// old to matter.
+// Forget returns the record without the earlier holders if the lease has been held for so long that even a late order
+// of theirs has expired.
 func (r Record) Forget(held time.Duration, options Options) Record {
-	if held >= options.Turn+lateOrders*options.OrderTimeout {
+	if held >= options.Turn+lateOrderTimeouts*options.OrderTimeout {
 		r.Former, r.Earlier = "", nil
 	}
 	return r
 }
 
-// Encode gives the stored form.
+// Encode returns the stored form of the record.
 func (r Record) Encode() ([]byte, error) {
 	return msgpack.Marshal(r)
 }
 
-// DecodeRecord reads the stored form.
+// DecodeRecord decodes the stored form of a record.
 func DecodeRecord(value []byte) (Record, error) {
 	var record Record
 	err := msgpack.Unmarshal(value, &record)
 	return record, err
 }
 
-// Options are the settings of lease.
+// Options are the settings of the lease.
 type Options struct {
-	// Window is how long after a confirming read was sent orders may be given.
+	// Window is the time after sending a confirming read during which orders may be sent.
 	Window time.Duration
-	// OrderTimeout bounds the time an order may take to arrive.
+	// OrderTimeout is the longest time that an order may take to arrive.
 	OrderTimeout time.Duration
-	// Turn is the least time between the orders of two holders where the second one held
-	// the lease before the first.
+	// Turn is the minimum time between the orders of two holders if the second one held the lease before the first.
 	Turn time.Duration
 }
 
 const (
-	// lateOrders is how many order time-outs, a count, a new holder waits beyond the former one's window. The last order arrives within
-	// one; why two is not recorded.
-	lateOrders = 2
-	// deadDivisor divides the order time-out where the former process is surely dead, so that only bytes on their way are waited for.
-	deadDivisor = 2
+	// lateOrderTimeouts is the number of order time-outs that a new holder waits beyond the former holder's window.
+	// The last order arrives within one time-out; the reason for two is not recorded.
+	lateOrderTimeouts = 2
+	// restartWaitDivisor divides the order time-out if the former process is certainly dead, so that only data in
+	// transit has to be waited for.
+	restartWaitDivisor = 2
 )
 
-// Wait is how long a new holder gives no orders, judged by the record it replaced.
+// Wait returns how long a new holder must send no orders, depending on the record that it replaced.
 func (o Options) Wait(self string, replaced Record, found bool) time.Duration {
-	full := o.Window + lateOrders*o.OrderTimeout
+	full := o.Window + lateOrderTimeouts*o.OrderTimeout
 	switch {
 	case !found:
 		return 0
-	case replaced.Released && replaced.held(self):
+	case replaced.Released && replaced.heldBefore(self):
 		return max(o.Turn, o.OrderTimeout)
 	case replaced.Released:
 		return 0
 	case replaced.Holder == self && replaced.Ordering:
-		// The former process of this instance is dead; its last bytes may still travel.
-		return o.OrderTimeout / deadDivisor
+		// The former process of this instance is dead; data that it sent may still be in transit.
+		return o.OrderTimeout / restartWaitDivisor
 	case !replaced.Ordering && replaced.Former == self:
-		// Nobody gave orders since this instance did.
-		return o.OrderTimeout / deadDivisor
-	case replaced.held(self):
+		// No instance sent orders since this one did.
+		return o.OrderTimeout / restartWaitDivisor
+	case replaced.heldBefore(self):
 		return max(o.Turn, full)
 	default:
 		return full
--- a/services/entry/lease/reluctance_test.go
+++ b/services/entry/lease/reluctance_test.go
@@ -12,17 +12,18 @@
 	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
-// TestAnEarlierLookDoesNotUseUpTheReluctance is a weak instance that looked at the record while its holder was well, as each does when
-// it starts and when a view asks it to: the time for which it leaves the record to others begins when the holder falls silent.
-func TestAnEarlierLookDoesNotUseUpTheReluctance(t *testing.T) {
+// TestReluctanceStartsWhenHolderFallsSilent covers a reluctant instance that read the record while its holder was
+// active, as each instance does at its start and when a view asks for it. The time for which it defers to others
+// starts when the holder falls silent.
+func TestReluctanceStartsWhenHolderFallsSilent(t *testing.T) {
 	const reluctance = 1200 * time.Millisecond
-	weak := silentHolder(func(s *lease.Sighting) { s.Reluctance = reluctance })
-	well := weak
-	well.Silence = 0
+	reluctant := silentHolder(func(s *lease.Sighting) { s.Reluctance = reluctance })
+	active := reluctant
+	active.Silence = 0
 	var candidate lease.Candidate
-	candidate.Decide(start, well)
-	fell := start.Add(time.Minute)
-	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(fell, weak), "the holder has just fallen silent")
-	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(fell.Add(reluctance-step), weak))
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(fell.Add(reluctance), weak))
+	candidate.Decide(start, active)
+	silentAt := start.Add(time.Minute)
+	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(silentAt, reluctant), "the holder has just fallen silent")
+	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(silentAt.Add(reluctance-step), reluctant))
+	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(silentAt.Add(reluctance), reluctant))
 }
