--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -259,7 +259,7 @@
 		known.Holds, known.GivingUp = !c.planning.givingUp, c.planning.givingUp
 		known.StoreSilent = c.planning.lease.ConfirmedAge(now)
 		known.MayOrder = c.planning.lease.MayOrder(now)
-		known.FormerHolderTime = c.planning.lease.Remaining(now)
+		known.FormerHolderTime = c.planning.lease.RemainingWait(now)
 	}
 	return known
 }
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -154,7 +154,7 @@
 	if effects.Resigned {
 		c.askForLook(now)
 	}
-	if v.ConfirmedAge > lease.ConfirmTrouble && now.Sub(c.storeReadAt) > lease.ConfirmTrouble {
+	if v.ConfirmedAge > lease.ConfirmationOverdue && now.Sub(c.storeReadAt) > lease.ConfirmationOverdue {
 		c.askForLook(now)
 	}
 	c.reviewWaiters(now)
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -17,7 +17,7 @@
 // answers a member, so that the member need not wait until this holder's time is over.
 func (c *Coordinator) resignIfOthersCan(now time.Time) {
 	p := c.planning
-	if p.givingUp || !lease.InTrouble(p.lease.ConfirmedAge(now)) {
+	if p.givingUp || !lease.IsConfirmationOverdue(p.lease.ConfirmedAge(now)) {
 		return
 	}
 	p.givingUp = p.members.ReachStore(now)
@@ -76,7 +76,7 @@
 		return nil
 	}
 	due := newRewrite(p.lease)
-	due.record = due.record.Forget(now.Sub(p.since), p.coordinator.options.Lease)
+	due.record = due.record.WithoutExpiredHolders(now.Sub(p.since), p.coordinator.options.Lease)
 	due.record.Released, due.record.RecentLoads = true, p.plans.RecentLoads(now)
 	return due
 }
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -97,7 +97,7 @@
 // The log line is the same for all three; a resignation has logged its own before. While the record only cannot be
 // confirmed, this instance orders nothing but still tells its members what it knows.
 func (c *Coordinator) endIfOver(now time.Time) {
-	if c.planning == nil || !c.planning.lease.Over() {
+	if c.planning == nil || !c.planning.lease.Ended() {
 		return
 	}
 	c.options.Log.WithField("term", c.planning.lease.Record().Term).Warn("planning ends: the ownership is lost")
@@ -123,7 +123,7 @@
 func (c *Coordinator) beginOrdering() {
 	var due *rewrite
 	c.loop.Call(func(now time.Time) {
-		if c.planning != nil && !c.planning.givingUp && c.planning.lease.Waited(now) && !c.planning.lease.Record().Ordering {
+		if c.planning != nil && !c.planning.givingUp && c.planning.lease.WaitOver(now) && !c.planning.lease.Record().Ordering {
 			due = newRewrite(c.planning.lease)
 			due.record.Ordering = true
 		}
@@ -154,7 +154,7 @@
 		due.held.EndRewrite(now)
 		switch end {
 		case leasestore.Done, leasestore.Settled:
-			due.held.NoteRewritten(taken.Sent, taken.Record, taken.Revision)
+			due.held.RecordRewrite(taken.Sent, taken.Record, taken.Revision)
 		case leasestore.Lost:
 			due.held.End()
 			c.endIfOver(now)
@@ -167,7 +167,7 @@
 func (c *Coordinator) pauseOfLooks() time.Duration {
 	pause := lookPause
 	c.loop.Call(func(time.Time) {
-		pause = lease.LookPause(lookPause, c.pace(lookPause), c.options.Reluctance, c.following.Term > 0)
+		pause = lease.ReadInterval(lookPause, c.pace(lookPause), c.options.Reluctance, c.following.Term > 0)
 	})
 	return pause
 }
@@ -184,7 +184,7 @@
 		l.started = now
 	}
 	silence, asked, heard := c.takeLookReasons(now, l.started)
-	if !lease.LookDue(now, asked, heard, silence, l.nextLook) {
+	if !lease.ReadDue(now, asked, heard, silence, l.nextLook) {
 		return
 	}
 	l.nextLook = now.Add(c.jitter(c.pauseOfLooks()))
@@ -208,12 +208,12 @@
 	if c.leaving.Load() {
 		return
 	}
-	sighting := lease.Sighting{
+	sighting := lease.Observation{
 		Self: c.options.Instance, Record: stored.Record, Revision: stored.Revision, Found: stored.Found,
 		Resigned: resigned, Silence: silence, Reluctance: c.options.Reluctance,
 	}
 	verdict := l.candidate.Decide(now, sighting)
-	if verdict == lease.TakeWithoutHeartbeat {
+	if verdict == lease.TakeIfHeartbeatEnded {
 		verdict = l.lookForHeartbeat(now, sighting)
 	}
 	if verdict == lease.Take {
@@ -231,12 +231,12 @@
 }
 
 // lookForHeartbeat decides about the record of a silent holder by its heartbeat in the store.
-func (l *leaseLoop) lookForHeartbeat(now time.Time, sighting lease.Sighting) lease.Verdict {
+func (l *leaseLoop) lookForHeartbeat(now time.Time, sighting lease.Observation) lease.Decision {
 	if l.coordinator.leases.HolderAlive(l.coordinator.context) {
-		l.candidate.HeartbeatAlive()
+		l.candidate.RecordHeartbeatAlive()
 		return lease.HolderActive
 	}
-	return l.candidate.HeartbeatEnded(now, sighting)
+	return l.candidate.DecideHeartbeatEnded(now, sighting)
 }
 
 // learnRecord takes in the record as read from the store and tells whether its holder resigned. Where the look
--- a/services/entry/lease/candidate.go
+++ b/services/entry/lease/candidate.go
@@ -10,35 +10,35 @@
 	// the record and may replace the holder. A shorter time gives a quicker takeover at the cost of false alarms,
 	// which cause store reads.
 	TakeoverSilence = 900 * time.Millisecond
-	// SettledRecord is how long a record must have been unchanged before its holder is replaced, so that a holder
+	// RecordSettleTime is how long a record must have been unchanged before its holder is replaced, so that a holder
 	// that has just written the record is not replaced.
-	SettledRecord = 300 * time.Millisecond
-	// ConfirmTrouble is the age of the holder's last confirmation from which it resigns if the store answers another
+	RecordSettleTime = 300 * time.Millisecond
+	// ConfirmationOverdue is the age of the holder's last confirmation from which it resigns if the store answers another
 	// member, and from which members check whether the store answers them.
-	ConfirmTrouble = 800 * time.Millisecond
+	ConfirmationOverdue = 800 * time.Millisecond
 )
 
-// Verdict is an instance's decision about a record that it read.
-type Verdict int
+// Decision is an instance's decision about a record that it read.
+type Decision int
 
 // The decisions about a record.
 const (
 	// Take means that the record has no holder, that its holder sends no more orders, or that its holder is an
 	// earlier process of this instance.
-	Take Verdict = iota
-	// TakeWithoutHeartbeat means that the holder is silent; the record may be taken if the holder's heartbeat has
+	Take Decision = iota
+	// TakeIfHeartbeatEnded means that the holder is silent; the record may be taken if the holder's heartbeat has
 	// ended.
-	TakeWithoutHeartbeat
-	// LeaveToOthers means that this instance is reluctant and other instances still have time to take the record.
-	LeaveToOthers
+	TakeIfHeartbeatEnded
+	// DeferToOthers means that this instance is reluctant and other instances still have time to take the record.
+	DeferToOthers
 	// HolderActive means that a view of the holder arrived recently.
 	HolderActive
 	// Unsettled means that the record changed recently.
 	Unsettled
 )
 
-// Sighting is the record as just read from the store, with the other information about its holder.
-type Sighting struct {
+// Observation is the record as just read from the store, with the other information about its holder.
+type Observation struct {
 	// Self is the name of this instance.
 	Self string
 	// Record, Revision and Found are the result of the read; Found is false if there is no record.
@@ -60,7 +60,7 @@
 const formerHolderReluctance = 300 * time.Millisecond
 
 // reluctance returns the additional delay of this instance for this record.
-func (s Sighting) reluctance() time.Duration {
+func (s Observation) reluctance() time.Duration {
 	if s.vacant() && s.Record.heldBefore(s.Self) {
 		return s.Reluctance + formerHolderReluctance
 	}
@@ -68,7 +68,7 @@
 }
 
 // vacant reports whether no instance sends orders under the record any more.
-func (s Sighting) vacant() bool {
+func (s Observation) vacant() bool {
 	return !s.Found || s.Record.Released || s.Resigned
 }
 
@@ -93,29 +93,29 @@
 }
 
 // Decide returns the decision about a record that was just read.
-func (c *Candidate) Decide(now time.Time, sighting Sighting) Verdict {
+func (c *Candidate) Decide(now time.Time, sighting Observation) Decision {
 	if !c.hasRead || sighting.Revision != c.revision {
 		c.hasRead, c.revision, c.unchangedSince = true, sighting.Revision, now
 	}
 	c.updateSilence(now, sighting)
 	own := sighting.Record.Holder == sighting.Self
 	if !own && now.Sub(c.availableSince(now, sighting)) < sighting.reluctance() {
-		return LeaveToOthers
+		return DeferToOthers
 	}
 	switch {
 	case sighting.vacant(), own:
 		return Take
 	case sighting.Silence < TakeoverSilence:
 		return HolderActive
-	case now.Sub(c.unchangedSince) < SettledRecord:
+	case now.Sub(c.unchangedSince) < RecordSettleTime:
 		return Unsettled
 	default:
-		return TakeWithoutHeartbeat
+		return TakeIfHeartbeatEnded
 	}
 }
 
 // updateSilence updates the time since which the holder has been silent.
-func (c *Candidate) updateSilence(now time.Time, sighting Sighting) {
+func (c *Candidate) updateSilence(now time.Time, sighting Observation) {
 	switch {
 	case sighting.Silence < TakeoverSilence:
 		c.silentSince = time.Time{}
@@ -125,26 +125,26 @@
 	}
 }
 
-// HeartbeatEnded returns the decision after TakeWithoutHeartbeat if the holder's heartbeat was found ended. A
+// DecideHeartbeatEnded returns the decision after TakeWithoutHeartbeat if the holder's heartbeat was found ended. A
 // reluctant instance defers to others from that time on, however long the record has been unchanged.
-func (c *Candidate) HeartbeatEnded(now time.Time, sighting Sighting) Verdict {
+func (c *Candidate) DecideHeartbeatEnded(now time.Time, sighting Observation) Decision {
 	if c.heartbeatEndedSince.IsZero() || c.heartbeatEndedRevision != sighting.Revision {
 		c.heartbeatEndedRevision, c.heartbeatEndedSince = sighting.Revision, now
 	}
 	if now.Sub(c.heartbeatEndedSince) < sighting.Reluctance {
-		return LeaveToOthers
+		return DeferToOthers
 	}
 	return Take
 }
 
-// HeartbeatAlive records that the holder's heartbeat was found alive.
-func (c *Candidate) HeartbeatAlive() {
+// RecordHeartbeatAlive records that the holder's heartbeat was found alive.
+func (c *Candidate) RecordHeartbeatAlive() {
 	c.heartbeatEndedSince = time.Time{}
 }
 
 // availableSince returns the time since which the record could be taken as far as this instance knows: since it was
 // first found vacant, or else since it has had its current revision and a silent holder.
-func (c *Candidate) availableSince(now time.Time, sighting Sighting) time.Time {
+func (c *Candidate) availableSince(now time.Time, sighting Observation) time.Time {
 	if !sighting.vacant() {
 		return c.silentAvailableSince(now)
 	}
@@ -172,22 +172,22 @@
 // new holder has to wait before it sends orders.
 const maxReadInterval = time.Second
 
-// LookPause returns the interval between two reads of the record; usual is the interval in a small fleet and
+// ReadInterval returns the interval between two reads of the record; usual is the interval in a small fleet and
 // stretched the one in this fleet. Reluctant instances, which are most of a large fleet, read the record only to
 // learn which other instance took it, so their interval is longer. An instance that has not received a view of any
 // planner yet reads at the usual interval, because the requests that it holds wait for a planner.
-func LookPause(usual, stretched, reluctance time.Duration, viewReceived bool) time.Duration {
+func ReadInterval(usual, stretched, reluctance time.Duration, viewReceived bool) time.Duration {
 	if reluctance == 0 || !viewReceived {
 		return usual
 	}
 	return min(stretched, max(usual, maxReadInterval))
 }
 
-// LookDue reports whether an instance without the lease should read the record now: when it was asked to, at its
+// ReadDue reports whether an instance without the lease should read the record now: when it was asked to, at its
 // start, and then at the time next while the planner is silent. An instance that has not received a view of any
 // planner yet does not wait for silence. When all instances start at once, their first reads find no record, and
 // waiting would cost 0.9 s until they find out which instance took it.
-func LookDue(now time.Time, requested, viewReceived bool, silence time.Duration, next time.Time) bool {
+func ReadDue(now time.Time, requested, viewReceived bool, silence time.Duration, next time.Time) bool {
 	if requested || next.IsZero() {
 		return true
 	}
@@ -240,13 +240,13 @@
 	StoreReadAge time.Duration
 }
 
-// InTrouble reports whether a holder with this age of its last confirmation should resign in favour of a member that
+// IsConfirmationOverdue reports whether a holder with this age of its last confirmation should resign in favour of a member that
 // reaches the store.
-func InTrouble(confirmedAge time.Duration) bool {
-	return confirmedAge >= ConfirmTrouble
+func IsConfirmationOverdue(confirmedAge time.Duration) bool {
+	return confirmedAge >= ConfirmationOverdue
 }
 
 // ReachesStore reports whether the store answered the member recently, so that the member can take the record.
 func (m Member) ReachesStore() bool {
-	return !m.Lost && m.StoreReadAge < ConfirmTrouble && m.ReportAge < ConfirmTrouble
+	return !m.Lost && m.StoreReadAge < ConfirmationOverdue && m.ReportAge < ConfirmationOverdue
 }
--- a/services/entry/lease/candidate_test.go
+++ b/services/entry/lease/candidate_test.go
@@ -20,8 +20,8 @@
 )
 
 // silentHolder returns a record of another instance that has been silent for long enough.
-func silentHolder(change func(*lease.Sighting)) lease.Sighting {
-	sighting := lease.Sighting{
+func silentHolder(change func(*lease.Observation)) lease.Observation {
+	sighting := lease.Observation{
 		Self: "self", Record: lease.Record{Holder: "peer", Term: 4, Ordering: true}, Revision: 7, Found: true, Silence: silence,
 	}
 	if change != nil {
@@ -33,10 +33,10 @@
 func TestSilentHolderReplacedAfterRecordSettled(t *testing.T) {
 	cases := map[string]struct {
 		silence, unchanged time.Duration
-		verdict            lease.Verdict
+		verdict            lease.Decision
 	}{
-		"silent holder, settled record":       {silence, settled, lease.TakeWithoutHeartbeat},
-		"longer than both limits":             {silence + step, settled + step, lease.TakeWithoutHeartbeat},
+		"silent holder, settled record":       {silence, settled, lease.TakeIfHeartbeatEnded},
+		"longer than both limits":             {silence + step, settled + step, lease.TakeIfHeartbeatEnded},
 		"view received just now":              {0, settled, lease.HolderActive},
 		"just below the silence limit":        {silence - step, settled, lease.HolderActive},
 		"record changed just now":             {silence, 0, lease.Unsettled},
@@ -47,7 +47,7 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var candidate lease.Candidate
-			sighting := silentHolder(func(s *lease.Sighting) { s.Silence = test.silence })
+			sighting := silentHolder(func(s *lease.Observation) { s.Silence = test.silence })
 			candidate.Decide(start, sighting)
 			assert.Equal(t, test.verdict, candidate.Decide(start.Add(test.unchanged), sighting))
 		})
@@ -57,7 +57,7 @@
 func TestFirstReadOfSilentHoldersRecordIsUnsettled(t *testing.T) {
 	var candidate lease.Candidate
 	assert.Equal(t, lease.Unsettled, candidate.Decide(start, silentHolder(nil)))
-	unwritten := silentHolder(func(s *lease.Sighting) { s.Revision = 0 })
+	unwritten := silentHolder(func(s *lease.Observation) { s.Revision = 0 })
 	candidate = lease.Candidate{}
 	assert.Equal(t, lease.Unsettled, candidate.Decide(start, unwritten), "revision zero does not count as an earlier read")
 }
@@ -65,31 +65,31 @@
 func TestRecordChangeRestartsSettleTime(t *testing.T) {
 	var candidate lease.Candidate
 	candidate.Decide(start, silentHolder(nil))
-	changed := silentHolder(func(s *lease.Sighting) { s.Revision = 8 })
+	changed := silentHolder(func(s *lease.Observation) { s.Revision = 8 })
 	assert.Equal(t, lease.Unsettled, candidate.Decide(start.Add(time.Second), changed))
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(time.Second+settled), changed))
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(2*time.Second), changed), "the unchanged record is read again")
+	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(start.Add(time.Second+settled), changed))
+	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(start.Add(2*time.Second), changed), "the unchanged record is read again")
 }
 
 func TestVacantRecordTakenAtOnce(t *testing.T) {
-	cases := map[string]func(*lease.Sighting){
-		"no record":  func(s *lease.Sighting) { s.Found, s.Record, s.Revision = false, lease.Record{}, 0 },
-		"released":   func(s *lease.Sighting) { s.Record.Released = true },
-		"resigned":   func(s *lease.Sighting) { s.Resigned = true },
-		"own record": func(s *lease.Sighting) { s.Record.Holder = "self" },
+	cases := map[string]func(*lease.Observation){
+		"no record":  func(s *lease.Observation) { s.Found, s.Record, s.Revision = false, lease.Record{}, 0 },
+		"released":   func(s *lease.Observation) { s.Record.Released = true },
+		"resigned":   func(s *lease.Observation) { s.Resigned = true },
+		"own record": func(s *lease.Observation) { s.Record.Holder = "self" },
 	}
 	for name, change := range cases {
 		t.Run(name, func(t *testing.T) {
 			var candidate lease.Candidate
-			assert.Equal(t, lease.Take, candidate.Decide(start, silentHolder(func(s *lease.Sighting) { s.Silence = 0; change(s) })))
+			assert.Equal(t, lease.Take, candidate.Decide(start, silentHolder(func(s *lease.Observation) { s.Silence = 0; change(s) })))
 		})
 	}
 }
 
 func TestReluctantInstanceDefersToOthers(t *testing.T) {
 	const reluctance = 1200 * time.Millisecond
-	reluctant := func(change func(*lease.Sighting)) lease.Sighting {
-		return silentHolder(func(s *lease.Sighting) {
+	reluctant := func(change func(*lease.Observation)) lease.Observation {
+		return silentHolder(func(s *lease.Observation) {
 			s.Reluctance = reluctance
 			if change != nil {
 				change(s)
@@ -99,28 +99,28 @@
 	t.Run("silent holder", func(t *testing.T) {
 		var candidate lease.Candidate
 		candidate.Decide(start, reluctant(nil))
-		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(start.Add(reluctance-step), reluctant(nil)))
-		assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(start.Add(reluctance), reluctant(nil)))
+		assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(reluctance-step), reluctant(nil)))
+		assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(start.Add(reluctance), reluctant(nil)))
 	})
 	t.Run("released record, from when it was read as released", func(t *testing.T) {
 		var candidate lease.Candidate
 		candidate.Decide(start, reluctant(nil))
-		released := reluctant(func(s *lease.Sighting) { s.Record.Released, s.Revision = true, 8 })
+		released := reluctant(func(s *lease.Observation) { s.Record.Released, s.Revision = true, 8 })
 		seen := start.Add(time.Minute)
-		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(seen, released))
-		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(seen.Add(reluctance-step), released))
+		assert.Equal(t, lease.DeferToOthers, candidate.Decide(seen, released))
+		assert.Equal(t, lease.DeferToOthers, candidate.Decide(seen.Add(reluctance-step), released))
 		assert.Equal(t, lease.Take, candidate.Decide(seen.Add(reluctance), released))
 	})
 	t.Run("another vacant term restarts the delay", func(t *testing.T) {
 		var candidate lease.Candidate
-		resigned := reluctant(func(s *lease.Sighting) { s.Resigned = true })
+		resigned := reluctant(func(s *lease.Observation) { s.Resigned = true })
 		candidate.Decide(start, resigned)
-		later := reluctant(func(s *lease.Sighting) { s.Resigned, s.Record.Term = true, 5 })
-		assert.Equal(t, lease.LeaveToOthers, candidate.Decide(start.Add(reluctance), later))
+		later := reluctant(func(s *lease.Observation) { s.Resigned, s.Record.Term = true, 5 })
+		assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(reluctance), later))
 	})
 	t.Run("own earlier process", func(t *testing.T) {
 		var candidate lease.Candidate
-		assert.Equal(t, lease.Take, candidate.Decide(start, reluctant(func(s *lease.Sighting) { s.Record.Holder = "self" })))
+		assert.Equal(t, lease.Take, candidate.Decide(start, reluctant(func(s *lease.Observation) { s.Record.Holder = "self" })))
 	})
 }
 
@@ -129,27 +129,27 @@
 // the views.
 func TestReluctantInstanceDefersAfterHeartbeatEnded(t *testing.T) {
 	const reluctance = 2400 * time.Millisecond
-	reluctant := silentHolder(func(s *lease.Sighting) { s.Reluctance = reluctance })
+	reluctant := silentHolder(func(s *lease.Observation) { s.Reluctance = reluctance })
 	other := silentHolder(nil)
 	lost := start.Add(time.Hour)
 
 	var candidate lease.Candidate
 	candidate.Decide(start, other)
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(lost, other))
-	assert.Equal(t, lease.Take, candidate.HeartbeatEnded(lost, other), "an instance without reluctance takes the record at once")
+	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(lost, other))
+	assert.Equal(t, lease.Take, candidate.DecideHeartbeatEnded(lost, other), "an instance without reluctance takes the record at once")
 
 	candidate = lease.Candidate{}
 	candidate.Decide(start, reluctant)
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(lost, reluctant))
-	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost, reluctant))
-	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(reluctance-step), reluctant))
-	assert.Equal(t, lease.Take, candidate.HeartbeatEnded(lost.Add(reluctance), reluctant))
+	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(lost, reluctant))
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost, reluctant))
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(reluctance-step), reluctant))
+	assert.Equal(t, lease.Take, candidate.DecideHeartbeatEnded(lost.Add(reluctance), reluctant))
 
-	candidate.HeartbeatAlive()
-	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(reluctance), reluctant), "the heartbeat was found alive in between")
+	candidate.RecordHeartbeatAlive()
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(reluctance), reluctant), "the heartbeat was found alive in between")
 	next := reluctant
 	next.Revision = 9
-	assert.Equal(t, lease.LeaveToOthers, candidate.HeartbeatEnded(lost.Add(2*reluctance), next), "another holder")
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(2*reluctance), next), "another holder")
 }
 
 func TestReadDue(t *testing.T) {
@@ -171,7 +171,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.due, lease.LookDue(test.now, test.requested, test.viewReceived, test.silence, test.next))
+			assert.Equal(t, test.due, lease.ReadDue(test.now, test.requested, test.viewReceived, test.silence, test.next))
 		})
 	}
 }
@@ -192,7 +192,7 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.pause, lease.LookPause(usual, test.stretched, test.reluctance, test.viewReceived))
+			assert.Equal(t, test.pause, lease.ReadInterval(usual, test.stretched, test.reluctance, test.viewReceived))
 		})
 	}
 }
@@ -229,8 +229,8 @@
 }
 
 func TestResignationRequiresMemberThatReachesStore(t *testing.T) {
-	assert.False(t, lease.InTrouble(trouble-step))
-	assert.True(t, lease.InTrouble(trouble))
+	assert.False(t, lease.IsConfirmationOverdue(trouble-step))
+	assert.True(t, lease.IsConfirmationOverdue(trouble))
 	cases := map[string]struct {
 		member  lease.Member
 		reaches bool
@@ -271,16 +271,16 @@
 func TestRecordDropsEarlierHoldersAfterTheirOrdersExpired(t *testing.T) {
 	record := lease.Record{Holder: "a", Term: 7, Former: "b", Earlier: []string{"c"}}
 	enough := options.Turn + 2*options.OrderTimeout
-	assert.Equal(t, record, record.Forget(enough-1, options))
-	assert.Equal(t, lease.Record{Holder: "a", Term: 7}, record.Forget(enough, options))
+	assert.Equal(t, record, record.WithoutExpiredHolders(enough-1, options))
+	assert.Equal(t, lease.Record{Holder: "a", Term: 7}, record.WithoutExpiredHolders(enough, options))
 	assert.Equal(t, "b", record.Former, "the original record is unchanged")
 }
 
 func TestFormerHolderDefersVacantRecord(t *testing.T) {
 	const reluctance = 300 * time.Millisecond
-	vacant := silentHolder(func(s *lease.Sighting) { s.Record.Released, s.Record.Earlier = true, []string{"c", "self"} })
+	vacant := silentHolder(func(s *lease.Observation) { s.Record.Released, s.Record.Earlier = true, []string{"c", "self"} })
 	var candidate lease.Candidate
-	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(start, vacant))
-	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(start.Add(reluctance-step), vacant))
+	assert.Equal(t, lease.DeferToOthers, candidate.Decide(start, vacant))
+	assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(reluctance-step), vacant))
 	assert.Equal(t, lease.Take, candidate.Decide(start.Add(reluctance), vacant))
 }
--- a/services/entry/lease/holder_test.go
+++ b/services/entry/lease/holder_test.go
@@ -19,12 +19,12 @@
 	answered := start.Add(50 * time.Millisecond)
 	held := lease.Begin(options, lease.Record{Holder: "a", Term: 1}, 10, start, answered, wait)
 	over := answered.Add(wait)
-	assert.False(t, held.Waited(over.Add(-step)))
-	assert.Equal(t, step, held.Remaining(over.Add(-step)))
-	assert.True(t, held.Waited(over))
-	assert.Zero(t, held.Remaining(over.Add(step)))
+	assert.False(t, held.WaitOver(over.Add(-step)))
+	assert.Equal(t, step, held.RemainingWait(over.Add(-step)))
+	assert.True(t, held.WaitOver(over))
+	assert.Zero(t, held.RemainingWait(over.Add(step)))
 	assert.False(t, held.MayOrder(over), "the record is not yet marked as ordering")
-	held.NoteRewritten(over, orderingRecord, 11)
+	held.RecordRewrite(over, orderingRecord, 11)
 	assert.True(t, held.MayOrder(over))
 	assert.Equal(t, orderingRecord, held.Record())
 	assert.EqualValues(t, 11, held.Revision())
@@ -40,19 +40,19 @@
 	assert.True(t, held.MayOrder(end.Add(-step)))
 	assert.False(t, held.MayOrder(end))
 	assert.False(t, held.MayOrder(end.Add(step)))
-	held.NoteRewritten(confirmed.Add(time.Second), orderingRecord, 11)
+	held.RecordRewrite(confirmed.Add(time.Second), orderingRecord, 11)
 	assert.True(t, held.MayOrder(end), "a committed write also confirms the lease")
-	held.NoteRewritten(start, orderingRecord, 12)
+	held.RecordRewrite(start, orderingRecord, 12)
 	assert.True(t, held.MayOrder(end), "a late reply does not lower the time")
 }
 
 func TestEndedLeaseNeverOrdersAgain(t *testing.T) {
 	held := lease.Begin(options, orderingRecord, 10, start, start, 0)
 	held.End()
-	assert.True(t, held.Over())
+	assert.True(t, held.Ended())
 	held.Confirm(start.Add(step), 10)
-	held.NoteRewritten(start.Add(step), orderingRecord, 11)
-	assert.False(t, held.Waited(start.Add(step)))
+	held.RecordRewrite(start.Add(step), orderingRecord, 11)
+	assert.False(t, held.WaitOver(start.Add(step)))
 	assert.False(t, held.MayOrder(start.Add(step)))
 }
 
@@ -83,11 +83,11 @@
 				held.Confirm(test.before.Sent, test.before.Revision)
 			}
 			held.EndRewrite(answered)
-			held.NoteRewritten(start, orderingRecord, 11)
+			held.RecordRewrite(start, orderingRecord, 11)
 			if test.after.Revision > 0 {
 				held.Confirm(test.after.Sent, test.after.Revision)
 			}
-			assert.Equal(t, test.over, held.Over())
+			assert.Equal(t, test.over, held.Ended())
 		})
 	}
 }
--- a/services/entry/lease/lease.go
+++ b/services/entry/lease/lease.go
@@ -35,13 +35,13 @@
 	return l.revision
 }
 
-// Waited reports whether the former holder certainly can send no more orders.
-func (l *Lease) Waited(now time.Time) bool {
+// WaitOver reports whether the former holder certainly can send no more orders.
+func (l *Lease) WaitOver(now time.Time) bool {
 	return !l.ended && !now.Before(l.waitUntil)
 }
 
-// Remaining returns the remaining time until Waited reports true.
-func (l *Lease) Remaining(now time.Time) time.Duration {
+// RemainingWait returns the remaining time until Waited reports true.
+func (l *Lease) RemainingWait(now time.Time) time.Duration {
 	return max(0, l.waitUntil.Sub(now))
 }
 
@@ -75,8 +75,8 @@
 	return l.pendingRewrites > 0
 }
 
-// NoteRewritten records that this holder changed its record by a call sent at the given time.
-func (l *Lease) NoteRewritten(sent time.Time, record Record, revision int64) {
+// RecordRewrite records that this holder changed its record by a call sent at the given time.
+func (l *Lease) RecordRewrite(sent time.Time, record Record, revision int64) {
 	l.record = record
 	l.revision = revision
 	if sent.After(l.confirmedAt) {
@@ -89,14 +89,14 @@
 	l.ended = true
 }
 
-// Over reports whether another instance is known to hold the record, or the lease was ended.
-func (l *Lease) Over() bool {
+// Ended reports whether another instance is known to hold the record, or the lease was ended.
+func (l *Lease) Ended() bool {
 	return l.ended
 }
 
 // MayOrder reports whether an order may be sent now.
 func (l *Lease) MayOrder(now time.Time) bool {
-	return l.Waited(now) && l.record.Ordering && now.Sub(l.confirmedAt) < l.options.Window
+	return l.WaitOver(now) && l.record.Ordering && now.Sub(l.confirmedAt) < l.options.Window
 }
 
 // ConfirmedAge returns the time since the last read that confirmed the record was sent.
--- a/services/entry/lease/lease_test.go
+++ b/services/entry/lease/lease_test.go
@@ -60,9 +60,9 @@
 		successor := lease.Begin(options, record, 11, taken, taken.Add(4*time.Millisecond), options.Wait("b", former.Record(), true))
 		for step := range 1200 {
 			now := taken.Add(time.Duration(step) * 10 * time.Millisecond)
-			if successor.Waited(now) && !successor.Record().Ordering {
+			if successor.WaitOver(now) && !successor.Record().Ordering {
 				record.Ordering = true
-				successor.NoteRewritten(now, record, 12)
+				successor.RecordRewrite(now, record, 12)
 			}
 			if former.MayOrder(now) {
 				// An order may arrive as late as its time-out.
@@ -77,7 +77,7 @@
 	held := lease.Begin(options, lease.Record{Holder: "a", Term: 1, Ordering: true}, 10, start, start, 0)
 	require.True(t, held.MayOrder(start.Add(time.Second)))
 	held.Confirm(start.Add(time.Second), 11)
-	assert.True(t, held.Over())
+	assert.True(t, held.Ended())
 	assert.False(t, held.MayOrder(start.Add(time.Second)))
 }
 
--- a/services/entry/lease/record.go
+++ b/services/entry/lease/record.go
@@ -40,9 +40,9 @@
 	return r.Former == instance || slices.Contains(r.Earlier, instance)
 }
 
-// Forget returns the record without the earlier holders if the lease has been held for so long that even a late order
+// WithoutExpiredHolders returns the record without the earlier holders if the lease has been held for so long that even a late order
 // of theirs has expired.
-func (r Record) Forget(held time.Duration, options Options) Record {
+func (r Record) WithoutExpiredHolders(held time.Duration, options Options) Record {
 	if held >= options.Turn+lateOrderTimeouts*options.OrderTimeout {
 		r.Former, r.Earlier = "", nil
 	}
--- a/services/entry/lease/reluctance_test.go
+++ b/services/entry/lease/reluctance_test.go
@@ -17,13 +17,13 @@
 // starts when the holder falls silent.
 func TestReluctanceStartsWhenHolderFallsSilent(t *testing.T) {
 	const reluctance = 1200 * time.Millisecond
-	reluctant := silentHolder(func(s *lease.Sighting) { s.Reluctance = reluctance })
+	reluctant := silentHolder(func(s *lease.Observation) { s.Reluctance = reluctance })
 	active := reluctant
 	active.Silence = 0
 	var candidate lease.Candidate
 	candidate.Decide(start, active)
 	silentAt := start.Add(time.Minute)
-	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(silentAt, reluctant), "the holder has just fallen silent")
-	assert.Equal(t, lease.LeaveToOthers, candidate.Decide(silentAt.Add(reluctance-step), reluctant))
-	assert.Equal(t, lease.TakeWithoutHeartbeat, candidate.Decide(silentAt.Add(reluctance), reluctant))
+	assert.Equal(t, lease.DeferToOthers, candidate.Decide(silentAt, reluctant), "the holder has just fallen silent")
+	assert.Equal(t, lease.DeferToOthers, candidate.Decide(silentAt.Add(reluctance-step), reluctant))
+	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(silentAt.Add(reluctance), reluctant))
 }
