--- a/services/entry/lease/candidate.go
+++ b/services/entry/lease/candidate.go
@@ -93,19 +93,19 @@
 }
 
 // Decide returns the decision about a record that was just read.
-func (c *Candidate) Decide(now time.Time, sighting Observation) Decision {
-	if !c.hasRead || sighting.Revision != c.revision {
-		c.hasRead, c.revision, c.unchangedSince = true, sighting.Revision, now
+func (c *Candidate) Decide(now time.Time, observed Observation) Decision {
+	if !c.hasRead || observed.Revision != c.revision {
+		c.hasRead, c.revision, c.unchangedSince = true, observed.Revision, now
 	}
-	c.updateSilence(now, sighting)
-	own := sighting.Record.Holder == sighting.Self
-	if !own && now.Sub(c.availableSince(now, sighting)) < sighting.reluctance() {
+	c.updateSilence(now, observed)
+	own := observed.Record.Holder == observed.Self
+	if !own && now.Sub(c.availableSince(now, observed)) < observed.reluctance() {
 		return DeferToOthers
 	}
 	switch {
-	case sighting.vacant(), own:
+	case observed.vacant(), own:
 		return Take
-	case sighting.Silence < TakeoverSilence:
+	case observed.Silence < TakeoverSilence:
 		return HolderActive
 	case now.Sub(c.unchangedSince) < RecordSettleTime:
 		return Unsettled
@@ -115,23 +115,23 @@
 }
 
 // updateSilence updates the time since which the holder has been silent.
-func (c *Candidate) updateSilence(now time.Time, sighting Observation) {
+func (c *Candidate) updateSilence(now time.Time, observed Observation) {
 	switch {
-	case sighting.Silence < TakeoverSilence:
+	case observed.Silence < TakeoverSilence:
 		c.silentSince = time.Time{}
-	case c.silentSince.IsZero() || c.silentRevision != sighting.Revision:
-		c.silentRevision = sighting.Revision
-		c.silentSince = now.Add(TakeoverSilence - sighting.Silence)
+	case c.silentSince.IsZero() || c.silentRevision != observed.Revision:
+		c.silentRevision = observed.Revision
+		c.silentSince = now.Add(TakeoverSilence - observed.Silence)
 	}
 }
 
-// DecideHeartbeatEnded returns the decision after TakeWithoutHeartbeat if the holder's heartbeat was found ended. A
+// DecideHeartbeatEnded returns the decision after TakeIfHeartbeatEnded if the holder's heartbeat was found ended. A
 // reluctant instance defers to others from that time on, however long the record has been unchanged.
-func (c *Candidate) DecideHeartbeatEnded(now time.Time, sighting Observation) Decision {
-	if c.heartbeatEndedSince.IsZero() || c.heartbeatEndedRevision != sighting.Revision {
-		c.heartbeatEndedRevision, c.heartbeatEndedSince = sighting.Revision, now
+func (c *Candidate) DecideHeartbeatEnded(now time.Time, observed Observation) Decision {
+	if c.heartbeatEndedSince.IsZero() || c.heartbeatEndedRevision != observed.Revision {
+		c.heartbeatEndedRevision, c.heartbeatEndedSince = observed.Revision, now
 	}
-	if now.Sub(c.heartbeatEndedSince) < sighting.Reluctance {
+	if now.Sub(c.heartbeatEndedSince) < observed.Reluctance {
 		return DeferToOthers
 	}
 	return Take
@@ -144,12 +144,12 @@
 
 // availableSince returns the time since which the record could be taken as far as this instance knows: since it was
 // first found vacant, or else since it has had its current revision and a silent holder.
-func (c *Candidate) availableSince(now time.Time, sighting Observation) time.Time {
-	if !sighting.vacant() {
+func (c *Candidate) availableSince(now time.Time, observed Observation) time.Time {
+	if !observed.vacant() {
 		return c.silentAvailableSince(now)
 	}
-	if c.vacantTerm != sighting.Record.Term || c.vacantSince.IsZero() {
-		c.vacantTerm, c.vacantSince = sighting.Record.Term, now
+	if c.vacantTerm != observed.Record.Term || c.vacantSince.IsZero() {
+		c.vacantTerm, c.vacantSince = observed.Record.Term, now
 	}
 	return c.vacantSince
 }
--- a/services/entry/lease/candidate_test.go
+++ b/services/entry/lease/candidate_test.go
@@ -21,19 +21,19 @@
 
 // silentHolder returns a record of another instance that has been silent for long enough.
 func silentHolder(change func(*lease.Observation)) lease.Observation {
-	sighting := lease.Observation{
+	observed := lease.Observation{
 		Self: "self", Record: lease.Record{Holder: "peer", Term: 4, Ordering: true}, Revision: 7, Found: true, Silence: silence,
 	}
 	if change != nil {
-		change(&sighting)
+		change(&observed)
 	}
-	return sighting
+	return observed
 }
 
 func TestSilentHolderReplacedAfterRecordSettled(t *testing.T) {
 	cases := map[string]struct {
 		silence, unchanged time.Duration
-		verdict            lease.Decision
+		decision           lease.Decision
 	}{
 		"silent holder, settled record":       {silence, settled, lease.TakeIfHeartbeatEnded},
 		"longer than both limits":             {silence + step, settled + step, lease.TakeIfHeartbeatEnded},
@@ -47,9 +47,9 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			var candidate lease.Candidate
-			sighting := silentHolder(func(s *lease.Observation) { s.Silence = test.silence })
-			candidate.Decide(start, sighting)
-			assert.Equal(t, test.verdict, candidate.Decide(start.Add(test.unchanged), sighting))
+			observed := silentHolder(func(s *lease.Observation) { s.Silence = test.silence })
+			candidate.Decide(start, observed)
+			assert.Equal(t, test.decision, candidate.Decide(start.Add(test.unchanged), observed))
 		})
 	}
 }
--- a/services/entry/lease/lease.go
+++ b/services/entry/lease/lease.go
@@ -40,7 +40,7 @@
 	return !l.ended && !now.Before(l.waitUntil)
 }
 
-// RemainingWait returns the remaining time until Waited reports true.
+// RemainingWait returns the remaining time until WaitOver reports true.
 func (l *Lease) RemainingWait(now time.Time) time.Duration {
 	return max(0, l.waitUntil.Sub(now))
 }
