--- a/services/entry/retry/edges_test.go
+++ b/services/entry/retry/boundaries_test.go
@@ -12,7 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
-// granted takes retries until one is refused.
+// granted takes retries until one is refused and returns the number granted.
 func granted(budget *retry.Budget, now time.Time) int {
 	count := 0
 	for budget.Take(now, "service") {
@@ -21,23 +21,24 @@
 	return count
 }
 
-// TestEdgesOfTheBudget: 0.85 of 0.2 retries a request, and of the instance's part of 54 once a window has passed.
-func TestEdgesOfTheBudget(t *testing.T) {
+// TestBudgetBoundaries: the budget is 0.85 of 0.2 retries a request, and 0.85 of the instance's share of 54 after the
+// first window.
+func TestBudgetBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		requests, members int
 		age               time.Duration
 		granted           int
 	}{
-		"no request":                              {0, 1, 0, 0},
+		"no requests":                             {0, 1, 0, 0},
 		"just below one retry":                    {5, 1, 0, 0},
 		"just above one retry":                    {6, 1, 0, 1},
 		"just below two retries":                  {11, 1, 0, 1},
 		"just above two retries":                  {12, 1, 0, 2},
 		"just before the first window has passed": {0, 1, 10*time.Second - 1, 0},
 		"the first window has passed":             {0, 1, 10 * time.Second, 45},
-		"a tenth of the extra":                    {0, 10, time.Hour, 4},
-		"a part of the extra below one retry":     {0, 46, time.Hour, 0},
-		"number of instances not known":           {0, 0, time.Hour, 0},
+		"a tenth of the extra retries":            {0, 10, time.Hour, 4},
+		"a share of the extra retries below one":  {0, 46, time.Hour, 0},
+		"unknown number of instances":             {0, 0, time.Hour, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			budget := retry.NewBudget(options, start)
@@ -51,14 +52,14 @@
 	}
 }
 
-func TestEdgesOfTheWindow(t *testing.T) {
+func TestWindowBoundaries(t *testing.T) {
 	for name, test := range map[string]struct {
 		after   time.Duration
 		granted int
 	}{
-		"requests just within the window": {10*time.Second - 1, 1},
-		"requests at its edge":            {10 * time.Second, 1},
-		"requests that are older":         {10*time.Second + 1, 0},
+		"requests just within the window":    {10*time.Second - 1, 1},
+		"requests at the edge of the window": {10 * time.Second, 1},
+		"requests older than the window":     {10*time.Second + 1, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			budget := retry.NewBudget(options, start)
@@ -70,7 +71,7 @@
 	}
 }
 
-func TestARepeatCountsForAWindow(t *testing.T) {
+func TestRetryCountsForOneWindow(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	for range 6 {
 		budget.Request(start, "service")
@@ -80,6 +81,6 @@
 	for range 6 {
 		budget.Request(edge, "service")
 	}
-	assert.Equal(t, 1, granted(budget, edge), "twelve requests within the window allow two, of which one was taken")
-	assert.Equal(t, 0, granted(budget, edge.Add(1)), "six requests allow one, which was taken")
+	assert.Equal(t, 1, granted(budget, edge), "twelve requests within the window allow two retries, one of which was taken")
+	assert.Equal(t, 0, granted(budget, edge.Add(1)), "six requests allow one retry, which was taken")
 }
--- a/services/entry/retry/budget.go
+++ b/services/entry/retry/budget.go
@@ -10,69 +10,71 @@
 
 // Options are the settings of a Budget.
 type Options struct {
-	// Ratio is how many retries each request allows; from the settings.
+	// Ratio is the number of retries that each request allows, from the settings.
 	Ratio float64
-	// Extra is how many more retries the whole fleet may make in a window; from the settings.
+	// Extra is the number of additional retries that the whole fleet may make in a window, from the settings.
 	Extra float64
-	// Window is the length of every span in which the budget must hold; from the settings.
+	// Window is the length of the sliding window in which the budget must hold, from the settings.
 	Window time.Duration
 }
 
-// safetyShare is the part of the budget that is used, against requests that are counted at the edge of a window. Higher retries more and
-// may break the bound of the whole fleet, which counts windows by its own clock.
+// safetyShare is the share of the budget that is used, as a margin for requests that are counted at the edge of a
+// window. A higher share allows more retries and may exceed the limit of the whole fleet, which is measured in
+// windows of another clock.
 const safetyShare = 0.85
 
-// windowParts is in how many parts a window is cut; requests, and retries, of one part are kept as one. More follow the sliding window more
-// exactly, fewer take less memory; what is merged is counted so that never more is granted.
+// windowParts is the number of parts into which a window is divided. The requests, and the retries, of one part are
+// merged into one entry. More parts follow the sliding window more exactly; fewer take less memory. Merged entries
+// are counted so that they never grant more retries.
 const windowParts = 100
 
-// Budget counts requests and retries for each service over a sliding window. It is not safe
-// for concurrent use.
+// Budget counts the requests and retries of each service over a sliding window. It is not safe for concurrent use.
 type Budget struct {
 	options  Options
 	started  time.Time
 	members  int
 	services map[string]*window
-	// swept is when services that ask for nothing were last dropped.
-	swept time.Time
+	// lastSweepAt is when sweep last removed idle services.
+	lastSweepAt time.Time
 }
 
-// window is what a service asked for lately, the oldest first.
+// window holds the recent requests and retries of a service, oldest first.
 type window struct {
 	requests []batch
 	retries  []batch
 }
 
-// batch is a number of requests or retries close to each other.
+// batch is a number of requests or retries within one part of the window.
 type batch struct {
 	first, last time.Time
 	count       int
 }
 
-// NewBudget makes a budget for a process that started at a time. For one window after that
-// only its own requests count, since the retries of the process before it are not known.
+// NewBudget returns a budget for a process that started at the given time. During the first window only the process's
+// own requests count, because the retries of the previous process are unknown.
 func NewBudget(options Options, started time.Time) *Budget {
-	return &Budget{options: options, started: started, swept: started, services: make(map[string]*window)}
+	return &Budget{options: options, started: started, lastSweepAt: started, services: make(map[string]*window)}
 }
 
-// SetMembers sets how many instances share the extra retries, by the planner's view; 0 means that it is not known.
+// SetMembers sets the number of instances that share the extra retries, from the planner's view; 0 means that it is
+// unknown.
 func (b *Budget) SetMembers(members int) {
 	b.members = members
 }
 
-// Request counts one caller's request for a service.
+// Request counts a caller's request for a service.
 func (b *Budget) Request(now time.Time, service string) {
 	w := b.window(now, service)
-	w.requests = b.add(now, w.requests)
+	w.requests = b.addToBatches(now, w.requests)
 }
 
-// Take asks for one retry and counts it if it is granted.
+// Take requests one retry, counts it if it is granted, and reports whether it is.
 func (b *Budget) Take(now time.Time, service string) bool {
 	w := b.window(now, service)
 	if float64(total(w.retries)+1) > b.allowance(now, w) {
 		return false
 	}
-	w.retries = b.add(now, w.retries)
+	w.retries = b.addToBatches(now, w.retries)
 	return true
 }
 
@@ -84,8 +86,8 @@
 	return allowed * safetyShare
 }
 
-// add counts one more, together with those of the same part of the window.
-func (b *Budget) add(now time.Time, batches []batch) []batch {
+// addToBatches counts one more entry, merging it with the last batch if both are in the same part of the window.
+func (b *Budget) addToBatches(now time.Time, batches []batch) []batch {
 	if end := len(batches) - 1; end >= 0 && now.Sub(batches[end].first) < b.options.Window/windowParts {
 		batches[end].last = now
 		batches[end].count++
@@ -94,7 +96,7 @@
 	return append(batches, batch{first: now, last: now, count: 1})
 }
 
-// total sums the requests or retries of batches.
+// total returns the number of requests or retries in batches.
 func total(batches []batch) int {
 	sum := 0
 	for _, counted := range batches {
@@ -103,8 +105,8 @@
 	return sum
 }
 
-// window gives what counts of a service now: a batch of requests as long as its first does, one of retries as long as its
-// last.
+// window returns the current window of a service. A batch of requests counts until its first request leaves the
+// window, a batch of retries until its last retry does.
 func (b *Budget) window(now time.Time, service string) *window {
 	b.sweep(now)
 	w, ok := b.services[service]
@@ -112,26 +114,26 @@
 		w = &window{}
 		b.services[service] = w
 	}
-	w.forget(now.Add(-b.options.Window))
+	w.prune(now.Add(-b.options.Window))
 	return w
 }
 
-// sweep drops services that asked for nothing in a window, such as those that went with a configuration.
+// sweep removes services without requests or retries in the last window, such as those removed from the configuration.
 func (b *Budget) sweep(now time.Time) {
-	if now.Sub(b.swept) < b.options.Window {
+	if now.Sub(b.lastSweepAt) < b.options.Window {
 		return
 	}
-	b.swept = now
+	b.lastSweepAt = now
 	for service, w := range b.services {
-		w.forget(now.Add(-b.options.Window))
+		w.prune(now.Add(-b.options.Window))
 		if len(w.requests) == 0 && len(w.retries) == 0 {
 			delete(b.services, service)
 		}
 	}
 }
 
-// forget drops what was before the oldest time that counts.
-func (w *window) forget(oldest time.Time) {
+// prune removes batches from before the oldest time that counts.
+func (w *window) prune(oldest time.Time) {
 	w.requests = slices.DeleteFunc(w.requests, func(counted batch) bool { return counted.first.Before(oldest) })
 	w.retries = slices.DeleteFunc(w.retries, func(counted batch) bool { return counted.last.Before(oldest) })
 }
--- a/services/entry/retry/budget_test.go
+++ b/services/entry/retry/budget_test.go
@@ -18,9 +18,9 @@
 	options = retry.Options{Ratio: 0.2, Extra: 54, Window: 10 * time.Second}
 )
 
-// TestFleetStaysWithinTheBudgetInEverySlidingWindow drives seven instances that all want to
-// retry everything, one of which restarts, and counts what all of them were granted.
-func TestFleetStaysWithinTheBudgetInEverySlidingWindow(t *testing.T) {
+// TestFleetStaysWithinBudgetInEverySlidingWindow simulates seven instances that retry as often as they are allowed,
+// one of which restarts, and counts the retries granted to all of them.
+func TestFleetStaysWithinBudgetInEverySlidingWindow(t *testing.T) {
 	const instances = 7
 	random := rand.New(rand.NewPCG(1, 2))
 	budgets := make([]*retry.Budget, instances)
@@ -46,7 +46,7 @@
 	for _, end := range retries {
 		from := end.Add(-options.Window)
 		allowed := options.Ratio*float64(countBetween(requests, from, end)) + options.Extra
-		assert.LessOrEqual(t, float64(countBetween(retries, from, end)), allowed, "window that ends at %s", end.Sub(start))
+		assert.LessOrEqual(t, float64(countBetween(retries, from, end)), allowed, "window ending at %s", end.Sub(start))
 	}
 }
 
@@ -60,14 +60,14 @@
 	return count
 }
 
-func TestAProcessThatStartedTakesNothingOfTheExtra(t *testing.T) {
+func TestNoExtraRetriesInFirstWindow(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	budget.SetMembers(1)
 	assert.False(t, budget.Take(start.Add(time.Second), "service"))
 	assert.True(t, budget.Take(start.Add(options.Window), "service"))
 }
 
-func TestNothingOfTheExtraWithoutKnownMembers(t *testing.T) {
+func TestNoExtraRetriesWithoutInstanceCount(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	assert.False(t, budget.Take(start.Add(time.Hour), "service"))
 }
--- a/services/entry/retry/doc.go
+++ b/services/entry/retry/doc.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package retry keeps the budget of retries. Each instance keeps its own part of one
-// budget for the whole fleet, so that the sum holds without any message between instances.
+// Package retry implements the retry budget. Each instance keeps its own share of one budget for the whole fleet, so
+// the total stays within the budget without messages between instances.
 //
-// It owns the counts of requests and retries in the last window and relies on the settings for the bounds and on the
-// coordinator for the number of instances. It does no I/O and starts no goroutine; the present time is an argument.
+// The package counts requests and retries in the last window. It relies on the settings for the limits and on the
+// coordinator for the number of instances. It performs no I/O and starts no goroutine; the current time is an
+// argument.
 package retry
--- a/services/entry/retry/export_test.go
+++ b/services/entry/retry/export_test.go
@@ -3,7 +3,7 @@
 
 package retry
 
-// Kept gives how many services the budget keeps something of, and how many entries of the windows of all.
+// Kept returns the number of services in the budget and the number of entries in all their windows.
 func (b *Budget) Kept() (services, entries int) {
 	for _, w := range b.services {
 		entries += len(w.requests) + len(w.retries)
--- a/services/entry/retry/growth_test.go
+++ b/services/entry/retry/window_test.go
@@ -13,8 +13,8 @@
 	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
-// TestAWindowTakesTheSameForAnyRate asks 10,000 times a second for two windows.
-func TestAWindowTakesTheSameForAnyRate(t *testing.T) {
+// TestWindowSizeIndependentOfRequestRate sends 10,000 requests a second for two windows.
+func TestWindowSizeIndependentOfRequestRate(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	budget.SetMembers(1)
 	granted := 0
@@ -27,12 +27,13 @@
 	}
 	_, entries := budget.Kept()
 	assert.LessOrEqual(t, entries, 2*102)
-	// 0.85 of 0.2 of 200,000, of which the first window's share is granted within it.
+	// 0.85 of 0.2 of 200,000; the share of the first window is granted within it.
 	assert.InDelta(t, 34_000, granted, 34_000*0.02)
 }
 
-// TestMergedTimesNeverGrantMore: a merged request is forgotten with the first, a merged retry with the last.
-func TestMergedTimesNeverGrantMore(t *testing.T) {
+// TestMergedEntriesNeverGrantMore: a batch of requests expires with its first request, a batch of retries with its
+// last retry.
+func TestMergedEntriesNeverGrantMore(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	for i := range 12 {
 		budget.Request(start.Add(time.Duration(i)*time.Millisecond), "service")
@@ -42,16 +43,16 @@
 	for range 12 {
 		budget.Request(start.Add(options.Window), "service")
 	}
-	assert.Equal(t, 2, granted(budget, start.Add(options.Window)), "both windows' requests, two of four taken")
-	assert.Equal(t, 0, granted(budget, last.Add(options.Window)), "twelve requests, and what was taken of late")
+	assert.Equal(t, 2, granted(budget, start.Add(options.Window)), "requests of both windows, two of four retries taken")
+	assert.Equal(t, 0, granted(budget, last.Add(options.Window)), "twelve requests, with the recent retries counted")
 	assert.Equal(t, 0, granted(budget, last.Add(options.Window+1)))
 }
 
-func TestServicesThatAskForNothingAreForgotten(t *testing.T) {
+func TestIdleServicesRemoved(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	for i := range 1000 {
 		budget.Request(start.Add(time.Duration(i)*time.Second), fmt.Sprint("service", i))
 	}
 	services, _ := budget.Kept()
-	assert.LessOrEqual(t, services, 21, "those of two windows")
+	assert.LessOrEqual(t, services, 21, "the services of two windows")
 }
