--- a/services/entry/work/speed.go
+++ b/services/entry/work/speed.go
@@ -6,50 +6,54 @@
 import "time"
 
 const (
-	// firstSpeed is how many tokens a second an endpoint is taken to read until its requests tell. Higher takes long prompts for lighter at
-	// first, lower spreads them more.
-	firstSpeed = 20000.0
-	// firstWeight is what firstSpeed weighs against what was seen, in seconds of reading. Longer bears single slow answers, shorter learns
-	// sooner.
-	firstWeight = 1.0
-	// memory is how many seconds of reading are remembered. Longer is exact, shorter follows an endpoint that became slow.
-	memory = 20.0
-	// RequestTime is what a request in flight weighs beside its unread prompt: it makes each step of its endpoint longer. Longer evens the
-	// numbers of requests out, shorter their prompts.
+	// initialSpeed is the assumed reading speed of an endpoint, in tokens a second, until its requests have been
+	// observed. A higher speed underestimates long prompts at first; a lower speed distributes them more widely.
+	initialSpeed = 20000.0
+	// initialWeight is the weight of initialSpeed relative to the observations, in seconds of reading. A higher
+	// weight tolerates single slow responses; a lower weight adapts sooner.
+	initialWeight = 1.0
+	// maxObservedSeconds is the maximum total weight of the observations, in seconds of reading. A longer time is
+	// more exact; a shorter time follows an endpoint that became slow.
+	maxObservedSeconds = 20.0
+	// RequestTime is the cost of a request in flight in addition to its unread prompt, because it makes each step of
+	// its endpoint longer. A longer time evens out the numbers of requests on endpoints; a shorter time evens out
+	// their prompts.
 	RequestTime = 25 * time.Millisecond
 )
 
-// Speed is how fast an endpoint reads prompts, as learned from first events. The zero value knows nothing yet.
+// Speed is the estimated speed at which an endpoint reads prompts, from observed first events. The zero value has no
+// observations.
 type Speed struct {
-	// tokens were read in so many seconds, old ones weighing less.
+	// tokens were read within seconds; older observations weigh less.
 	tokens  float64
 	seconds float64
 }
 
-// Note takes in that a request's first event came after a time in which its endpoint read its prompt and those before it.
+// Note records that an endpoint read the given number of tokens, the prompt of a request and those queued before it, in
+// the time until the request's first event.
 func (s *Speed) Note(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
 	s.tokens += float64(tokens)
 	s.seconds += took.Seconds()
-	if s.seconds > memory {
-		s.tokens *= memory / s.seconds
-		s.seconds = memory
+	if s.seconds > maxObservedSeconds {
+		s.tokens *= maxObservedSeconds / s.seconds
+		s.seconds = maxObservedSeconds
 	}
 }
 
-// PerSecond gives the tokens read in a second.
+// PerSecond returns the estimated number of tokens read in a second.
 func (s Speed) PerSecond() float64 {
-	return (s.tokens + firstSpeed*firstWeight) / (s.seconds + firstWeight)
+	return (s.tokens + initialSpeed*initialWeight) / (s.seconds + initialWeight)
 }
 
-// ReadTime gives how long so many tokens take.
+// ReadTime returns the estimated time to read the given number of tokens.
 func (s Speed) ReadTime(tokens int) time.Duration {
 	return time.Duration(float64(tokens) / s.PerSecond() * float64(time.Second))
 }
 
-// InRequests gives how many requests in flight weigh as much as a time of reading.
+// InRequests returns the number of requests in flight whose cost equals the given reading time.
 func InRequests(backlog time.Duration) float64 {
 	return float64(backlog) / float64(RequestTime)
 }
--- a/services/entry/work/urgency.go
+++ b/services/entry/work/urgency.go
@@ -6,22 +6,24 @@
 import "time"
 
 const (
-	// Levels is how many urgencies endpoints tell apart, 0 being the first: the platform's.
+	// Levels is the number of urgency levels that the platform's endpoints distinguish; level 0 is started first.
 	Levels = 10
-	// slackStep is the width of one level, in time that a request can wait and still be answered in time. Wider sets fewer requests before
-	// others, narrower takes all with more slack than the levels hold for alike.
+	// slackStep is the width of one level, as the time that a request can wait and still be answered in time. A wider
+	// step distinguishes fewer requests; a narrower one treats all requests alike whose slack exceeds the range of
+	// the levels.
 	slackStep = 200 * time.Millisecond
 )
 
-// Rank is the place of a route's priority among those of all routes of its service, the most urgent first.
+// Rank is the position of a route's priority among the priorities of all routes of its service, most urgent first.
 type Rank struct {
-	// Place is the number of priorities before it, Of the number of all.
+	// Place is the number of more urgent priorities; Of is the number of all priorities.
 	Place, Of int
 }
 
-// Urgency gives the level at which an endpoint is to take a request up, the lowest first. Every level of a rank comes before
-// all of the next one; within a rank the request with the least slack goes first, and one that cannot be answered in time any
-// more goes last. slack is how long the request can wait for its prompt to be read and still be answered in time.
+// Urgency returns the level with which an endpoint is to start a request, lowest first. All levels of a rank come
+// before those of the next rank. Within a rank, the request with the least slack is first, and a request that can no
+// longer be answered in time is last. slack is how long the request can wait until its prompt is read and still be
+// answered in time.
 func (r Rank) Urgency(slack time.Duration) int {
 	levels := Levels / max(1, r.Of)
 	if levels < 1 {
--- a/services/entry/work/work_test.go
+++ b/services/entry/work/work_test.go
@@ -12,14 +12,14 @@
 	"github.com/shelfledge/shelfledge/services/entry/work"
 )
 
-func TestASpeedIsAssumedUntilItIsSeen(t *testing.T) {
+func TestInitialSpeed(t *testing.T) {
 	var speed work.Speed
 	assert.InDelta(t, 20000, speed.PerSecond(), 1e-9)
 	assert.Equal(t, 500*time.Millisecond, speed.ReadTime(10000))
 	assert.Zero(t, speed.ReadTime(0))
 }
 
-func TestASpeedFollowsWhatIsSeen(t *testing.T) {
+func TestSpeedFollowsObservations(t *testing.T) {
 	var speed work.Speed
 	for range 100 {
 		speed.Note(4000, 100*time.Millisecond)
@@ -28,10 +28,10 @@
 	for range 1000 {
 		speed.Note(1000, 100*time.Millisecond)
 	}
-	assert.InDelta(t, 10000, speed.PerSecond(), 1000, "an endpoint that became slow is noticed")
+	assert.InDelta(t, 10000, speed.PerSecond(), 1000, "the speed follows an endpoint that became slow")
 }
 
-func TestWhatTellsNothingChangesNoSpeed(t *testing.T) {
+func TestInvalidObservationsIgnored(t *testing.T) {
 	var speed work.Speed
 	speed.Note(0, time.Second)
 	speed.Note(100, 0)
@@ -40,13 +40,14 @@
 	assert.Equal(t, work.Speed{}, speed)
 }
 
-func TestABacklogCountsInRequests(t *testing.T) {
+func TestEquivalentRequests(t *testing.T) {
 	assert.InDelta(t, 4, work.InRequests(100*time.Millisecond), 1e-9)
 	assert.Zero(t, work.InRequests(0))
 }
 
-// TestEdgesOfUrgency has two ranks of five levels each: four of 0.2 s of slack, and the last for those that are late.
-func TestEdgesOfUrgency(t *testing.T) {
+// TestUrgencyBoundaries uses two ranks of five levels each: four levels of 0.2 s of slack, and a last level for late
+// requests.
+func TestUrgencyBoundaries(t *testing.T) {
 	first, second := work.Rank{Place: 0, Of: 2}, work.Rank{Place: 1, Of: 2}
 	for slack, level := range map[time.Duration]int{
 		-time.Hour: 4, -1: 4, 0: 0, 200*time.Millisecond - 1: 0, 200 * time.Millisecond: 1, 600*time.Millisecond - 1: 2,
@@ -57,7 +58,7 @@
 	}
 }
 
-func TestNoRankGoesBeforeAMoreUrgentOne(t *testing.T) {
+func TestRanksDoNotOverlap(t *testing.T) {
 	for of := 1; of <= 12; of++ {
 		for place := 1; place < of; place++ {
 			late := work.Rank{Place: place - 1, Of: of}.Urgency(-1)
@@ -66,5 +67,5 @@
 			assert.Less(t, work.Rank{Place: place, Of: of}.Urgency(-1), work.Levels)
 		}
 	}
-	assert.Equal(t, 9, work.Rank{}.Urgency(-1), "a service whose routes are not known has one rank")
+	assert.Equal(t, 9, work.Rank{}.Urgency(-1), "a service with unknown routes has one rank")
 }
