--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -147,7 +147,7 @@
 func cost(endpoint *directory.EndpointStatus, request *deployment.Request, options Options) float64 {
 	cost := float64(endpoint.Load())
 	if request.UsesModel() {
-		cost += work.InRequests(endpoint.Backlog())
+		cost += work.EquivalentRequests(endpoint.Backlog())
 	}
 	if endpoint.Hall == options.Hall {
 		return cost
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -84,7 +84,7 @@
 
 // CountRequest counts a caller's request for the budget of retries.
 func (c *Coordinator) CountRequest(service string) {
-	c.loop.Post(func(now time.Time) { c.budget.Request(now, service) })
+	c.loop.Post(func(now time.Time) { c.budget.RecordRequest(now, service) })
 }
 
 // TakeRetry asks for one retry of a request under the fleet's budget.
@@ -196,7 +196,7 @@
 func (c *Coordinator) urgency(now time.Time, request *deployment.Request, status *directory.EndpointStatus) int {
 	rank := work.Rank{}
 	if configuration := c.current.Load(); configuration != nil {
-		rank.Place, rank.Of = configuration.PriorityRank(request.Service, request.Route.Priority)
+		rank.Position, rank.Total = configuration.PriorityRank(request.Service, request.Route.Priority)
 	}
 	slack := request.Arrived.Add(request.Route.Target).Sub(now) - status.Speed.ReadTime(request.Prompt)
 	return rank.Urgency(slack)
--- a/services/entry/directory/wait.go
+++ b/services/entry/directory/wait.go
@@ -124,7 +124,7 @@
 		return
 	}
 	status.wait.note(seenWait{at: now, wait: now.Sub(assigned), ran: true, priority: request.Route.Priority})
-	status.Speed.Note(left.ahead, now.Sub(assigned))
+	status.Speed.Record(left.ahead, now.Sub(assigned))
 }
 
 // Leave notes the end of a request that was assigned to an endpoint at a time; one that never ran has waited at least so long.
--- a/services/entry/retry/boundaries_test.go
+++ b/services/entry/retry/boundaries_test.go
@@ -45,7 +45,7 @@
 			budget.SetMembers(test.members)
 			now := start.Add(test.age)
 			for range test.requests {
-				budget.Request(now, "service")
+				budget.RecordRequest(now, "service")
 			}
 			assert.Equal(t, test.granted, granted(budget, now))
 		})
@@ -64,7 +64,7 @@
 		t.Run(name, func(t *testing.T) {
 			budget := retry.NewBudget(options, start)
 			for range 6 {
-				budget.Request(start, "service")
+				budget.RecordRequest(start, "service")
 			}
 			assert.Equal(t, test.granted, granted(budget, start.Add(test.after)))
 		})
@@ -74,12 +74,12 @@
 func TestRetryCountsForOneWindow(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	for range 6 {
-		budget.Request(start, "service")
+		budget.RecordRequest(start, "service")
 	}
 	assert.True(t, budget.Take(start, "service"))
 	edge := start.Add(options.Window)
 	for range 6 {
-		budget.Request(edge, "service")
+		budget.RecordRequest(edge, "service")
 	}
 	assert.Equal(t, 1, granted(budget, edge), "twelve requests within the window allow two retries, one of which was taken")
 	assert.Equal(t, 0, granted(budget, edge.Add(1)), "six requests allow one retry, which was taken")
--- a/services/entry/retry/budget.go
+++ b/services/entry/retry/budget.go
@@ -62,8 +62,8 @@
 	b.members = members
 }
 
-// Request counts a caller's request for a service.
-func (b *Budget) Request(now time.Time, service string) {
+// RecordRequest counts a caller's request for a service.
+func (b *Budget) RecordRequest(now time.Time, service string) {
 	w := b.window(now, service)
 	w.requests = b.addToBatches(now, w.requests)
 }
--- a/services/entry/retry/budget_test.go
+++ b/services/entry/retry/budget_test.go
@@ -36,7 +36,7 @@
 			budgets[0] = retry.NewBudget(options, now)
 			budgets[0].SetMembers(instances)
 		}
-		budgets[i].Request(now, "service")
+		budgets[i].RecordRequest(now, "service")
 		requests = append(requests, now)
 		for budgets[i].Take(now, "service") {
 			retries = append(retries, now)
@@ -75,7 +75,7 @@
 func TestServicesHaveSeparateBudgets(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	for range 10 {
-		budget.Request(start, "busy")
+		budget.RecordRequest(start, "busy")
 	}
 	assert.True(t, budget.Take(start, "busy"))
 	assert.False(t, budget.Take(start, "idle"))
--- a/services/entry/retry/export_test.go
+++ b/services/entry/retry/export_test.go
@@ -3,8 +3,8 @@
 
 package retry
 
-// Kept returns the number of services in the budget and the number of entries in all their windows.
-func (b *Budget) Kept() (services, entries int) {
+// Size returns the number of services in the budget and the number of entries in all their windows.
+func (b *Budget) Size() (services, entries int) {
 	for _, w := range b.services {
 		entries += len(w.requests) + len(w.retries)
 	}
--- a/services/entry/retry/window_test.go
+++ b/services/entry/retry/window_test.go
@@ -20,12 +20,12 @@
 	granted := 0
 	for i := range 200_000 {
 		now := start.Add(time.Duration(i) * 100 * time.Microsecond)
-		budget.Request(now, "service")
+		budget.RecordRequest(now, "service")
 		if budget.Take(now, "service") {
 			granted++
 		}
 	}
-	_, entries := budget.Kept()
+	_, entries := budget.Size()
 	assert.LessOrEqual(t, entries, 2*102)
 	// 0.85 of 0.2 of 200,000; the share of the first window is granted within it.
 	assert.InDelta(t, 34_000, granted, 34_000*0.02)
@@ -36,12 +36,12 @@
 func TestMergedEntriesNeverGrantMore(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	for i := range 12 {
-		budget.Request(start.Add(time.Duration(i)*time.Millisecond), "service")
+		budget.RecordRequest(start.Add(time.Duration(i)*time.Millisecond), "service")
 	}
 	last := start.Add(11 * time.Millisecond)
 	assert.Equal(t, 2, granted(budget, last))
 	for range 12 {
-		budget.Request(start.Add(options.Window), "service")
+		budget.RecordRequest(start.Add(options.Window), "service")
 	}
 	assert.Equal(t, 2, granted(budget, start.Add(options.Window)), "requests of both windows, two of four retries taken")
 	assert.Equal(t, 0, granted(budget, last.Add(options.Window)), "twelve requests, with the recent retries counted")
@@ -51,8 +51,8 @@
 func TestIdleServicesRemoved(t *testing.T) {
 	budget := retry.NewBudget(options, start)
 	for i := range 1000 {
-		budget.Request(start.Add(time.Duration(i)*time.Second), fmt.Sprint("service", i))
+		budget.RecordRequest(start.Add(time.Duration(i)*time.Second), fmt.Sprint("service", i))
 	}
-	services, _ := budget.Kept()
+	services, _ := budget.Size()
 	assert.LessOrEqual(t, services, 21, "the services of two windows")
 }
--- a/services/entry/work/speed.go
+++ b/services/entry/work/speed.go
@@ -29,9 +29,9 @@
 	seconds float64
 }
 
-// Note records that an endpoint read the given number of tokens, the prompt of a request and those queued before it, in
+// Record records that an endpoint read the given number of tokens, the prompt of a request and those queued before it, in
 // the time until the request's first event.
-func (s *Speed) Note(tokens int, took time.Duration) {
+func (s *Speed) Record(tokens int, took time.Duration) {
 	if tokens <= 0 || took <= 0 {
 		return
 	}
@@ -53,7 +53,7 @@
 	return time.Duration(float64(tokens) / s.PerSecond() * float64(time.Second))
 }
 
-// InRequests returns the number of requests in flight whose cost equals the given reading time.
-func InRequests(backlog time.Duration) float64 {
+// EquivalentRequests returns the number of requests in flight whose cost equals the given reading time.
+func EquivalentRequests(backlog time.Duration) float64 {
 	return float64(backlog) / float64(RequestTime)
 }
--- a/services/entry/work/urgency.go
+++ b/services/entry/work/urgency.go
@@ -6,8 +6,8 @@
 import "time"
 
 const (
-	// Levels is the number of urgency levels that the platform's endpoints distinguish; level 0 is started first.
-	Levels = 10
+	// UrgencyLevels is the number of urgency levels that the platform's endpoints distinguish; level 0 is started first.
+	UrgencyLevels = 10
 	// slackStep is the width of one level, as the time that a request can wait and still be answered in time. A wider
 	// step distinguishes fewer requests; a narrower one treats all requests alike whose slack exceeds the range of
 	// the levels.
@@ -16,8 +16,8 @@
 
 // Rank is the position of a route's priority among the priorities of all routes of its service, most urgent first.
 type Rank struct {
-	// Place is the number of more urgent priorities; Of is the number of all priorities.
-	Place, Of int
+	// Position is the number of more urgent priorities; Of is the number of all priorities.
+	Position, Total int
 }
 
 // Urgency returns the level with which an endpoint is to start a request, lowest first. All levels of a rank come
@@ -25,13 +25,13 @@
 // longer be answered in time is last. slack is how long the request can wait until its prompt is read and still be
 // answered in time.
 func (r Rank) Urgency(slack time.Duration) int {
-	levels := Levels / max(1, r.Of)
+	levels := UrgencyLevels / max(1, r.Total)
 	if levels < 1 {
-		return min(Levels-1, r.Place)
+		return min(UrgencyLevels-1, r.Position)
 	}
 	last := levels - 1
 	if slack < 0 {
-		return r.Place*levels + last
+		return r.Position*levels + last
 	}
-	return r.Place*levels + min(max(0, last-1), int(slack/slackStep))
+	return r.Position*levels + min(max(0, last-1), int(slack/slackStep))
 }
--- a/services/entry/work/work_test.go
+++ b/services/entry/work/work_test.go
@@ -22,33 +22,33 @@
 func TestSpeedFollowsObservations(t *testing.T) {
 	var speed work.Speed
 	for range 100 {
-		speed.Note(4000, 100*time.Millisecond)
+		speed.Record(4000, 100*time.Millisecond)
 	}
 	assert.InDelta(t, 40000, speed.PerSecond(), 2000)
 	for range 1000 {
-		speed.Note(1000, 100*time.Millisecond)
+		speed.Record(1000, 100*time.Millisecond)
 	}
 	assert.InDelta(t, 10000, speed.PerSecond(), 1000, "the speed follows an endpoint that became slow")
 }
 
 func TestInvalidObservationsIgnored(t *testing.T) {
 	var speed work.Speed
-	speed.Note(0, time.Second)
-	speed.Note(100, 0)
-	speed.Note(-100, time.Second)
-	speed.Note(100, -time.Second)
+	speed.Record(0, time.Second)
+	speed.Record(100, 0)
+	speed.Record(-100, time.Second)
+	speed.Record(100, -time.Second)
 	assert.Equal(t, work.Speed{}, speed)
 }
 
 func TestEquivalentRequests(t *testing.T) {
-	assert.InDelta(t, 4, work.InRequests(100*time.Millisecond), 1e-9)
-	assert.Zero(t, work.InRequests(0))
+	assert.InDelta(t, 4, work.EquivalentRequests(100*time.Millisecond), 1e-9)
+	assert.Zero(t, work.EquivalentRequests(0))
 }
 
 // TestUrgencyBoundaries uses two ranks of five levels each: four levels of 0.2 s of slack, and a last level for late
 // requests.
 func TestUrgencyBoundaries(t *testing.T) {
-	first, second := work.Rank{Place: 0, Of: 2}, work.Rank{Place: 1, Of: 2}
+	first, second := work.Rank{Position: 0, Total: 2}, work.Rank{Position: 1, Total: 2}
 	for slack, level := range map[time.Duration]int{
 		-time.Hour: 4, -1: 4, 0: 0, 200*time.Millisecond - 1: 0, 200 * time.Millisecond: 1, 600*time.Millisecond - 1: 2,
 		600 * time.Millisecond: 3, time.Hour: 3,
@@ -61,10 +61,10 @@
 func TestRanksDoNotOverlap(t *testing.T) {
 	for of := 1; of <= 12; of++ {
 		for place := 1; place < of; place++ {
-			late := work.Rank{Place: place - 1, Of: of}.Urgency(-1)
-			pressing := work.Rank{Place: place, Of: of}.Urgency(0)
+			late := work.Rank{Position: place - 1, Total: of}.Urgency(-1)
+			pressing := work.Rank{Position: place, Total: of}.Urgency(0)
 			assert.LessOrEqual(t, late, pressing, "rank %d of %d", place, of)
-			assert.Less(t, work.Rank{Place: place, Of: of}.Urgency(-1), work.Levels)
+			assert.Less(t, work.Rank{Position: place, Total: of}.Urgency(-1), work.UrgencyLevels)
 		}
 	}
 	assert.Equal(t, 9, work.Rank{}.Urgency(-1), "a service with unknown routes has one rank")
--- a/tests/capacity/entry_test.go
+++ b/tests/capacity/entry_test.go
@@ -261,7 +261,7 @@
 func retryWindow() *retry.Budget {
 	budget := retry.NewBudget(retry.Options{Ratio: 0.2, Extra: 50, Window: time.Minute}, entryStart)
 	for i := range 10 * entryRequests {
-		budget.Request(entryStart.Add(time.Duration(i)*time.Millisecond), serviceName)
+		budget.RecordRequest(entryStart.Add(time.Duration(i)*time.Millisecond), serviceName)
 	}
 	return budget
 }
