--- a/services/entry/loading/concurrency_test.go
+++ b/services/entry/loading/concurrency_test.go
@@ -82,9 +82,9 @@
 
 // run requests loads at a constant rate for the given time span and returns its end.
 func (s *simulatedStore) run(from time.Time, span time.Duration, perSecond int) time.Time {
-	wanted := 0
+	requested := 0
 	for passed := time.Duration(0); passed < span; passed += storeStep {
-		for ; wanted < int(passed.Seconds()*float64(perSecond)); wanted++ {
+		for ; requested < int(passed.Seconds()*float64(perSecond)); requested++ {
 			s.queue = append(s.queue, from.Add(passed))
 		}
 		s.step(from.Add(passed))
@@ -108,15 +108,15 @@
 func TestLoadEndsDetectedPromptlyAfterOverload(t *testing.T) {
 	s := &simulatedStore{limiter: loading.NewLoadLimiter(), random: rand.New(rand.NewPCG(1, 1))}
 	now := s.run(start, 3*time.Second, 200)
-	rush := mean(s.took)
+	overload := mean(s.took)
 	now = s.run(now, 4*time.Second, 50)
 	s.took, s.waited = nil, nil
 	for range 6 {
 		now = s.run(now, 400*time.Millisecond, 120)
 		now = s.run(now, 600*time.Millisecond, 50)
 	}
-	t.Logf("load time during the overload %s, after it %s, since the request %s, limit %d", rush, mean(s.took), mean(s.waited), s.limiter.MaxLoads())
-	assert.Less(t, rush, 400*time.Millisecond)
+	t.Logf("load time during the overload %s, after it %s, since the request %s, limit %d", overload, mean(s.took), mean(s.waited), s.limiter.MaxLoads())
+	assert.Less(t, overload, 400*time.Millisecond)
 	assert.Less(t, mean(s.took), 290*time.Millisecond)
 	assert.Less(t, mean(s.waited), 290*time.Millisecond)
 	assert.Less(t, s.limiter.MaxLoads(), 2*storeParallelLoads)
--- a/services/entry/loading/distribution_test.go
+++ b/services/entry/loading/distribution_test.go
@@ -89,16 +89,16 @@
 		demands = append(demands, waitingDemand(adapter(number))...)
 	}
 	p.Report(start, "i", demands)
-	begun := 0
+	started := 0
 	for {
 		next, ok := p.Next(start)
 		if !ok {
 			break
 		}
-		begun++
+		started++
 		p.Done(start, resultOf(next, loading.Holds))
 	}
-	require.Equal(t, 4, begun, "the endpoint has four places")
+	require.Equal(t, 4, started, "the endpoint has four places")
 	_, backlog := p.Forecasts(start.Add(time.Millisecond))
 	assert.Less(t, backlog, 3*time.Second, "the interval between load starts is not known yet")
 	_, backlog = p.Forecasts(start.Add(900 * time.Millisecond))
--- a/services/entry/loading/placement.go
+++ b/services/entry/loading/placement.go
@@ -78,7 +78,7 @@
 // bestPlacement returns the most valuable load that can start now; coldAllowed reports whether it may come from the
 // weight store.
 func (p *Planner) bestPlacement(now time.Time, coldAllowed bool) (placement, bool) {
-	spread := p.distributeWork(now)
+	distribution := p.distributeWork(now)
 	var best placement
 	found := false
 	for adapter, known := range p.demand {
@@ -86,11 +86,11 @@
 		if p.loadHeldBack(now, adapter, known.version) {
 			continue
 		}
-		value := p.copyNeed(now, adapter, known, spread).Value()
+		value := p.copyNeed(now, adapter, known, distribution).Value()
 		if value <= 0 || (found && value <= best.value) {
 			continue
 		}
-		chosen, ok := p.chooseEndpoint(now, adapter, spread, coldAllowed)
+		chosen, ok := p.chooseEndpoint(now, adapter, distribution, coldAllowed)
 		if !ok {
 			continue
 		}
@@ -103,7 +103,7 @@
 // chooseEndpoint returns the endpoint with a free place and the lowest cost. It prefers an endpoint that held the
 // adapter before, because the load takes a tenth of the time there and does not use the weight store. If such an
 // endpoint may become available soon, it returns none rather than an endpoint that would load from the weight store.
-func (p *Planner) chooseEndpoint(now time.Time, adapter deployment.Adapter, spread *workDistribution, coldAllowed bool) (destination, bool) {
+func (p *Planner) chooseEndpoint(now time.Time, adapter deployment.Adapter, distribution *workDistribution, coldAllowed bool) (destination, bool) {
 	var best destination
 	bestCost, warmSoon := 0.0, false
 	for id, plan := range p.endpoints {
@@ -120,7 +120,7 @@
 		}
 		promised := p.pendingReadTime(now, plan)
 		cost := DestinationFactors{
-			Backlog: plan.backlog + promised, Work: spread.byEndpoint[id], Copies: len(plan.copies), HeldBefore: warm, TieBreak: p.options.Random(),
+			Backlog: plan.backlog + promised, Work: distribution.byEndpoint[id], Copies: len(plan.copies), HeldBefore: warm, TieBreak: p.options.Random(),
 		}.Cost()
 		if best.plan == nil || cost < bestCost {
 			best, bestCost = destination{plan: plan, cold: !warm}, cost
--- a/services/entry/loading/planner_test.go
+++ b/services/entry/loading/planner_test.go
@@ -196,7 +196,7 @@
 	for i := range 40 {
 		p.SetEndpoint(start, deployment.Endpoint{ID: deployment.EndpointID(fmt.Sprint(i)), Service: "s"}, nextRevision(), false)
 	}
-	var begun []time.Time
+	var started []time.Time
 	for step := range 1000 {
 		now := start.Add(time.Duration(step) * 20 * time.Millisecond)
 		for {
@@ -209,14 +209,14 @@
 				p.Done(now, resultOf(order, loading.Holds))
 				continue
 			}
-			begun = append(begun, now)
+			started = append(started, now)
 			p.Done(now, resultOf(order, loading.Accepted))
 		}
 	}
-	require.Len(t, begun, 40)
-	for i, end := range begun {
+	require.Len(t, started, 40)
+	for i, end := range started {
 		inWindow := 0
-		for _, at := range begun[:i+1] {
+		for _, at := range started[:i+1] {
 			if end.Sub(at) < rate.Window {
 				inWindow++
 			}
--- a/services/entry/loading/value.go
+++ b/services/entry/loading/value.go
@@ -114,12 +114,12 @@
 }
 
 // copyNeed returns the demand for one more copy of an adapter. known must have been decayed to now.
-func (p *Planner) copyNeed(now time.Time, adapter deployment.Adapter, known *adapterDemand, spread *workDistribution) CopyNeed {
+func (p *Planner) copyNeed(now time.Time, adapter deployment.Adapter, known *adapterDemand, distribution *workDistribution) CopyNeed {
 	count := p.copyCounts[adapter]
 	waiting, inTime := known.countWaiting(now, p.loadLimiter.typicalLoadTime)
 	return CopyNeed{
 		Usable: count.usable, Loading: count.loading, Free: count.free, Outdated: count.outdated, Waiting: waiting, InTime: inTime,
-		Rate: known.perSecond, Relief: spread.relief(now, adapter, known, count),
+		Rate: known.perSecond, Relief: distribution.relief(now, adapter, known, count),
 	}
 }
 
--- a/services/entry/work/urgency.go
+++ b/services/entry/work/urgency.go
@@ -16,7 +16,7 @@
 
 // Rank is the position of a route's priority among the priorities of all routes of its service, most urgent first.
 type Rank struct {
-	// Position is the number of more urgent priorities; Of is the number of all priorities.
+	// Position is the number of more urgent priorities; Total is the number of all priorities.
 	Position, Total int
 }
 
--- a/services/entry/work/work_test.go
+++ b/services/entry/work/work_test.go
@@ -59,12 +59,12 @@
 }
 
 func TestRanksDoNotOverlap(t *testing.T) {
-	for of := 1; of <= 12; of++ {
-		for place := 1; place < of; place++ {
-			late := work.Rank{Position: place - 1, Total: of}.Urgency(-1)
-			pressing := work.Rank{Position: place, Total: of}.Urgency(0)
-			assert.LessOrEqual(t, late, pressing, "rank %d of %d", place, of)
-			assert.Less(t, work.Rank{Position: place, Total: of}.Urgency(-1), work.UrgencyLevels)
+	for total := 1; total <= 12; total++ {
+		for position := 1; position < total; position++ {
+			late := work.Rank{Position: position - 1, Total: total}.Urgency(-1)
+			urgent := work.Rank{Position: position, Total: total}.Urgency(0)
+			assert.LessOrEqual(t, late, urgent, "rank %d of %d", position, total)
+			assert.Less(t, work.Rank{Position: position, Total: total}.Urgency(-1), work.UrgencyLevels)
 		}
 	}
 	assert.Equal(t, 9, work.Rank{}.Urgency(-1), "a service with unknown routes has one rank")
