--- a/services/entry/loading/demand.go
+++ b/services/entry/loading/demand.go
@@ -16,7 +16,7 @@
 	Adapter deployment.Adapter
 	// Waiting is the number of requests that currently wait for the adapter.
 	Waiting int
-	// InTime is how much longer the newest waiting request can wait and still meet its deadline.
+	// InTime is how much longer the newest waiting request can wait and still be answered in time.
 	InTime time.Duration
 	// Arrivals is the number of requests since the instance's last report.
 	Arrivals int
@@ -68,7 +68,7 @@
 	Rate
 	// promptTokens is the rate of prompt tokens in those requests, in tokens a second.
 	promptTokens Rate
-	// burst is the demand within the last second or so.
+	// burst is the demand of the last moment, over burstTimeConstant.
 	burst   burst
 	waiting map[string]waitingRequests
 	version int64
@@ -104,7 +104,7 @@
 }
 
 // countWaiting returns the number of waiting requests, and the number of instances whose newest waiting request can
-// still meet its deadline after a load that takes loadTime.
+// still be answered in time after a load that takes loadTime.
 func (d *adapterDemand) countWaiting(now time.Time, loadTime time.Duration) (waiting, inTime int) {
 	for _, part := range d.waiting {
 		waiting += part.count
--- a/services/entry/loading/value.go
+++ b/services/entry/loading/value.go
@@ -13,11 +13,11 @@
 	// valueHorizon is how far ahead the use of a copy is counted. A longer time loads and keeps rarely used copies; a
 	// shorter time leaves more room for those that requests wait for now.
 	valueHorizon = 15 * time.Second
-	// inTimeValue is the value of a waiting request that can still meet its deadline, in requests served. It is the
-	// unit of all values here, so it is not a trade-off.
+	// inTimeValue is the value of a waiting request that can still be answered in time, in requests served. It is
+	// the unit of all values here, so it is not a trade-off.
 	inTimeValue = 1.0
-	// lateValue is the value of a waiting request that can no longer meet its deadline, in requests served. A higher
-	// value loads more for late callers, at the cost of callers who could be served in time.
+	// lateValue is the value of a waiting request that can no longer be answered in time, in requests served. A
+	// higher value loads more for late callers, at the cost of callers who could be served in time.
 	lateValue = 0.15
 	// minWorthwhileUse is the expected use within valueHorizon, in requests, below which the copy of an adapter
 	// without waiting requests is not updated. A lower value spends loads on adapters that may not be requested
@@ -80,8 +80,8 @@
 	Usable, Loading, Free int
 	// Waiting is the number of requests that wait for the adapter, from the instances' last reports.
 	Waiting int
-	// InTime is the number of instances whose newest waiting request could still meet its deadline if a load started
-	// now.
+	// InTime is the number of instances whose newest waiting request could still be answered in time if a load
+	// started now.
 	InTime int
 	// Rate is the current arrival rate at all instances, in requests a second, from their reports.
 	Rate float64
