--- a/services/entry/coordinator/allocation.go
+++ b/services/entry/coordinator/allocation.go
@@ -13,43 +13,43 @@
 	"github.com/shelfledge/shelfledge/services/entry/limit"
 )
 
-// allocation is what the planner keeps to allocate the requests that endpoints' limits allow.
-type allocation struct {
+// limitAllocation is the planner's state for the allocation of the requests that the endpoints' limits allow.
+type limitAllocation struct {
 	allocator *limit.Allocator
-	// grants were not told yet.
+	// grants are the grants that no view has contained yet.
 	grants []wire.Grant
-	// told is the list of the last view that had one.
-	told []wire.Limit
+	// announced is the list of limits in the last view that contained one.
+	announced []wire.Limit
 }
 
-// takeLimits takes in what a report says of limits.
-func (p *planning) takeLimits(now time.Time, r *wire.Report) {
+// mergeReportedLimits merges the limits, lifted limits and wanted requests of a report.
+func (p *planner) mergeReportedLimits(now time.Time, r *wire.Report) {
 	c := p.coordinator
-	for _, one := range r.Limits {
-		c.tellLimit(now, one)
+	for _, reported := range r.Limits {
+		c.mergeLimit(now, reported)
 	}
-	for _, one := range r.Lifted {
-		if status := c.directory.Endpoint(one.ID); status != nil {
-			c.tellFree(now, status, now.Add(-one.Age))
+	for _, reported := range r.Lifted {
+		if status := c.directory.Endpoint(reported.ID); status != nil {
+			c.mergeLiftedLimit(now, status, now.Add(-reported.Age))
 		}
 	}
 	wants := make([]limit.Want, 0, len(r.Wants))
-	for _, one := range r.Wants {
-		wants = append(wants, limit.Want{Endpoint: one.ID, Waiting: one.Waiting})
+	for _, reported := range r.Wants {
+		wants = append(wants, limit.Want{Endpoint: reported.ID, Waiting: reported.Waiting})
 	}
-	p.allocation.allocator.Ask(now, r.Instance, wants)
+	p.limitAllocation.allocator.Ask(now, r.Instance, wants)
 }
 
-// allocateLimits grants what the limits allow by now; the next view tells the members what they were granted.
-func (p *planning) allocateLimits(now time.Time) {
-	c, allocator := p.coordinator, p.allocation.allocator
-	if len(c.limits.known) == 0 {
+// allocateLimits grants the requests that the limits allow by now. The next view carries the grants to the members.
+func (p *planner) allocateLimits(now time.Time) {
+	c, allocator := p.coordinator, p.limitAllocation.allocator
+	if len(c.endpointLimits.known) == 0 {
 		return
 	}
 	present := func(instance string) bool { return instance == c.options.Instance || p.members.All()[instance] != nil }
-	allocator.Keep(func(id deployment.EndpointID) bool { return c.limits.known[id] }, present)
+	allocator.Keep(func(id deployment.EndpointID) bool { return c.endpointLimits.known[id] }, present)
 	part := p.members.PresentPart()
-	for id := range c.limits.known {
+	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
 		if status == nil || !status.Allowance.Binds() {
 			continue
@@ -60,21 +60,21 @@
 				status.Allowance.Grant(now, grant.Count)
 				continue
 			}
-			p.allocation.grants = append(p.allocation.grants, wire.Grant{ID: id, Instance: grant.Instance, Count: grant.Count})
+			p.limitAllocation.grants = append(p.limitAllocation.grants, wire.Grant{ID: id, Instance: grant.Instance, Count: grant.Count})
 		}
 	}
 	c.reviewLimits(now)
 }
 
-// limitList is all limits as views tell them.
-func (p *planning) limitList(now time.Time) []wire.Limit {
+// currentLimits returns all limits for a view, sorted by endpoint.
+func (p *planner) currentLimits(now time.Time) []wire.Limit {
 	c := p.coordinator
 	var list []wire.Limit
-	for id := range c.limits.known {
+	for id := range c.endpointLimits.known {
 		if status := c.directory.Endpoint(id); status != nil && status.Allowance.Binds() {
-			named := &status.Allowance
+			allowance := &status.Allowance
 			list = append(list, wire.Limit{
-				ID: id, PerSecond: named.PerSecond(), Age: now.Sub(named.NamedAt()), Waiting: p.allocation.allocator.Waiting(now, id),
+				ID: id, PerSecond: allowance.PerSecond(), Age: now.Sub(allowance.NamedAt()), Waiting: p.limitAllocation.allocator.Waiting(now, id),
 			})
 		}
 	}
@@ -82,18 +82,19 @@
 	return list
 }
 
-// limitsChanged tells whether members have not been told of a limit, of its value or of its end.
-func (p *planning) limitsChanged(now time.Time) bool {
-	same := func(a, b wire.Limit) bool { return a.ID == b.ID && a.PerSecond == b.PerSecond }
-	return !slices.EqualFunc(p.limitList(now), p.allocation.told, same)
+// limitsChanged reports whether a limit was set, changed or lifted since the last view that contained the limits.
+func (p *planner) limitsChanged(now time.Time) bool {
+	equal := func(a, b wire.Limit) bool { return a.ID == b.ID && a.PerSecond == b.PerSecond }
+	return !slices.EqualFunc(p.currentLimits(now), p.limitAllocation.announced, equal)
 }
 
-// tellLimits adds to a view of changes what was granted since the last one, and the limits, where they have changed or the view tells all.
-func (p *planning) tellLimits(now time.Time, v *wire.View, all bool) {
-	v.Grants, p.allocation.grants = p.allocation.grants, nil
+// addLimitChanges adds to a view the grants since the last view. It also adds all limits if they have changed or if all is
+// true.
+func (p *planner) addLimitChanges(now time.Time, v *wire.View, all bool) {
+	v.Grants, p.limitAllocation.grants = p.limitAllocation.grants, nil
 	if !all && !p.limitsChanged(now) {
 		return
 	}
-	p.allocation.told = p.limitList(now)
-	v.Limits = &wire.LimitList{Limits: p.allocation.told}
+	p.limitAllocation.announced = p.currentLimits(now)
+	v.Limits = &wire.LimitList{Limits: p.limitAllocation.announced}
 }
--- a/services/entry/coordinator/running.go
+++ b/services/entry/coordinator/begin.go
@@ -11,11 +11,11 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Running notes that an endpoint runs a request: its answer has begun.
+// Running records that an endpoint has begun to answer a request.
 func (c *Coordinator) Running(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
 		c.unbegun.Remove(assignment.Recall)
-		if !c.stillKnown(assignment) {
+		if !c.sameIncarnation(assignment) {
 			return
 		}
 		c.directory.Running(now, assignment.Endpoint.ID, assignment.Assigned, request)
@@ -23,8 +23,8 @@
 	})
 }
 
-// compareVersion compares the version that runs with those that this instance knew by then: what was allowed when the endpoint
-// was chosen went by an expectation.
+// compareVersion compares the version on which a request runs with the versions that this instance knows by now. The
+// choice of the endpoint relied on an expected waiting time, so the request may have begun too late on a former version.
 func (c *Coordinator) compareVersion(now time.Time, request *deployment.Request, assignment Assignment) {
 	if assignment.Held == 0 {
 		return
@@ -47,8 +47,9 @@
 	}).Warn("a request began on an older version after its time")
 }
 
-// versionAtBegin is the version on which a request is taken to run whose answer has begun, since answers tell only the base model's:
-// the one that its endpoint had to hold or was taken to hold, or a newer one that came there while the request waited.
+// versionAtBegin returns the version on which a request that has begun is assumed to run. Responses name only the base
+// model's version, so it is the version that the endpoint was required or assumed to hold, or a newer one that the
+// endpoint received while the request waited.
 func (c *Coordinator) versionAtBegin(request *deployment.Request, assignment Assignment) int64 {
 	status := c.directory.Endpoint(assignment.Endpoint.ID)
 	if assignment.Version > 0 || status == nil {
--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -16,21 +16,23 @@
 )
 
 const (
-	// storeRetry is the pause after a failed call to the store, in a small fleet and at the planner.
-	storeRetry = 250 * time.Millisecond
-	// mostFailurePause is the longest mean pause after a failed call in a large fleet: longer spares calls to a store that is down, shorter
-	// notices sooner that it answers again, which must be well within the time in which a change has to be in force.
-	mostFailurePause = 3 * time.Second
+	// storeRetryPause is the mean pause after a failed call to the store, in a small fleet and at the planner.
+	storeRetryPause = 250 * time.Millisecond
+	// maxFailurePause is the longest mean pause after a failed call in a large fleet. A longer pause reduces the load on a
+	// store that fails. A shorter pause notices its recovery sooner, which must happen well within the time in which a
+	// change has to be in force.
+	maxFailurePause = 3 * time.Second
 )
 
-// failurePause is the pause after a call to the store that failed, drawn about the usual one. Where the store fails it mostly fails
-// all, and one instance that it answers is enough: so that a fleet together asks no more often than a small one, each pauses for longer,
-// but for the planner, on which all others rely.
-func (c *Coordinator) failurePause(usual time.Duration) time.Duration {
-	pause := usual
+// failurePause returns a random pause after a failed call to the store, with the given mean in a small fleet. A failing
+// store mostly fails for all instances, and one instance that it answers is sufficient. So in a large fleet each instance
+// pauses for longer, and the fleet together sends no more calls than a small one. The planner is exempt, because all other
+// instances rely on it.
+func (c *Coordinator) failurePause(mean time.Duration) time.Duration {
+	pause := mean
 	c.loop.Call(func(time.Time) {
-		if c.planning == nil {
-			pause = max(usual, min(c.pace(usual), mostFailurePause))
+		if c.planner == nil {
+			pause = max(mean, min(c.stretchForFleet(mean), maxFailurePause))
 		}
 	})
 	return c.jitter(pause)
@@ -39,91 +41,93 @@
 // followConfiguration reads the operators' keys, then watches them.
 func (c *Coordinator) followConfiguration() {
 	for c.context.Err() == nil {
-		sent := c.options.Now()
+		sentAt := c.options.Now()
 		items, revision, err := c.environment.Store.ReadAll(c.context, c.environment.ConfigurationPrefix, c.options.StoreTimeout)
 		if err != nil {
-			c.noteStore("read configuration", err)
+			c.recordStoreFailure("read configuration", err)
 			c.askSeeds()
-			c.sleep(c.failurePause(storeRetry))
+			c.sleep(c.failurePause(storeRetryPause))
 			continue
 		}
 		c.loop.Post(func(now time.Time) {
-			c.applyItems(now, c.complete.Origin(follow.FromReading, revision), items)
-			c.complete.Read(sent)
+			c.applyItems(now, c.keysCompleteness.Origin(follow.FromReading, revision), items)
+			c.keysCompleteness.Read(sentAt)
 		})
 		c.watchConfiguration(revision)
 	}
 }
 
-// watchConfiguration returns when the keys have to be read anew.
+// watchConfiguration watches the operators' keys after a revision. It returns when the keys have to be read again.
 func (c *Coordinator) watchConfiguration(after int64) {
 	var watch follow.Watch
 	for c.context.Err() == nil {
-		if c.rest() {
+		if c.waitWhilePlannerWatches() {
 			return
 		}
 		answer, err := c.watchConfigurationOnce(after)
 		step := watch.Answered(err)
 		if err != nil {
-			c.loop.Post(func(time.Time) { c.complete.Failed() })
+			c.loop.Post(func(time.Time) { c.keysCompleteness.Failed() })
 		}
 		if err != nil && !errors.Is(err, store.ErrCompacted) {
-			c.noteStore("watch configuration", err)
+			c.recordStoreFailure("watch configuration", err)
 		}
 		switch step {
 		case follow.ReadAnew:
 			return
 		case follow.WatchAgain:
-			c.sleep(c.failurePause(storeRetry))
+			c.sleep(c.failurePause(storeRetryPause))
 		case follow.Apply:
 			after = answer.next
-			c.loop.Post(func(now time.Time) { c.applyWatched(now, answer) })
+			c.loop.Post(func(now time.Time) { c.applyWatchResult(now, answer) })
 		}
 	}
 }
 
-// restPause is the pause between two looks whether this instance still leaves the operators' keys to the planner.
-const restPause = 100 * time.Millisecond
+// plannerWatchCheckInterval is the interval between two checks whether this instance still relies on the planner's watch
+// of the operators' keys.
+const plannerWatchCheckInterval = 100 * time.Millisecond
 
-// rest waits for as long as this instance leaves the operators' keys to the planner, and tells whether it did.
-func (c *Coordinator) rest() bool {
-	rested := false
-	for c.rests() {
-		rested = true
-		c.sleep(restPause)
+// waitWhilePlannerWatches waits for as long as this instance relies on the planner's watch of the operators' keys. It
+// reports whether it had to wait.
+func (c *Coordinator) waitWhilePlannerWatches() bool {
+	waited := false
+	for c.plannerWatches() {
+		waited = true
+		c.sleep(plannerWatchCheckInterval)
 	}
-	return rested
+	return waited
 }
 
-func (c *Coordinator) rests() bool {
-	rests := false
-	c.loop.Call(func(now time.Time) { rests = c.situation(now).Rests() })
-	return rests && c.context.Err() == nil
+func (c *Coordinator) plannerWatches() bool {
+	plannerWatches := false
+	c.loop.Call(func(now time.Time) { plannerWatches = c.situation(now).Rests() })
+	return plannerWatches && c.context.Err() == nil
 }
 
-// watched is how one watch of the operators' keys ended without an error.
-type watched struct {
+// watchResult is the result of one watch of the operators' keys that returned no error.
+type watchResult struct {
 	follow.WatchAnswer
 	events []store.Event
-	// next is the revision from which the next watch goes on.
+	// next is the revision from which the next watch continues.
 	next int64
-	// endedHere says that this instance ended the watch: the store did not answer it.
-	endedHere bool
+	// canceledHere reports that this instance canceled the watch before the store answered.
+	canceledHere bool
 }
 
-// applyWatched takes in how a watch of the operators' keys ended.
-func (c *Coordinator) applyWatched(now time.Time, answer watched) {
-	c.applyItems(now, c.complete.OriginOf(answer.WatchAnswer, answer.next), eventItems(answer.events))
-	if answer.endedHere {
-		c.complete.Failed()
+// applyWatchResult applies the result of a watch of the operators' keys.
+func (c *Coordinator) applyWatchResult(now time.Time, answer watchResult) {
+	c.applyItems(now, c.keysCompleteness.OriginOf(answer.WatchAnswer, answer.next), eventItems(answer.events))
+	if answer.canceledHere {
+		c.keysCompleteness.Failed()
 		return
 	}
-	c.complete.Watched(answer.WatchAnswer)
+	c.keysCompleteness.Watched(answer.WatchAnswer)
 }
 
-// watchConfigurationOnce makes one waiting call; a long one ends early when the planner falls
-// silent or this instance becomes the planner.
-func (c *Coordinator) watchConfigurationOnce(after int64) (watched, error) {
+// watchConfigurationOnce makes one watch call. A long watch is canceled when the planner falls silent or when this
+// instance becomes the planner.
+func (c *Coordinator) watchConfigurationOnce(after int64) (watchResult, error) {
 	ctx, cancel := context.WithCancel(c.context)
 	defer cancel()
 	wait := follow.ShortWatch
@@ -131,38 +135,38 @@
 		situation := c.situation(now)
 		wait = situation.ConfigurationWait()
 		if situation.ReliesOnPlanner() {
-			c.endLongWatch = cancel
+			c.cancelLongWatch = cancel
 		}
 	})
-	sent := c.options.Now()
+	sentAt := c.options.Now()
 	events, next, err := c.watch(ctx, c.environment.ConfigurationPrefix, after, wait)
 	if err != nil && ctx.Err() != nil {
-		return watched{next: after, endedHere: true}, nil
+		return watchResult{next: after, canceledHere: true}, nil
 	}
 	answer := follow.WatchAnswer{
-		Sent: sent, Received: c.options.Now(), Wait: wait, Empty: len(events) == 0, Bytes: eventBytes(events),
+		Sent: sentAt, Received: c.options.Now(), Wait: wait, Empty: len(events) == 0, Bytes: eventBytes(events),
 	}
-	return watched{WatchAnswer: answer, events: events, next: next}, err
+	return watchResult{WatchAnswer: answer, events: events, next: next}, err
 }
 
-// situation is what decides who reads the store for this instance.
+// situation returns the state that decides which instance reads the store.
 func (c *Coordinator) situation(now time.Time) follow.Situation {
-	lag, _ := c.keysLag.Observe(now, c.keys.Revision(), c.following.PlannerRevision)
+	lag, _ := c.keysLag.Observe(now, c.keys.Revision(), c.follower.PlannerRevision)
 	return follow.Situation{
-		Planning: c.planning != nil, PlannerFresh: c.following.Fresh(now), EndpointsKnown: c.endpointsKnown,
-		PlannerHeard: now.Sub(c.following.ReceivedAt)+c.following.Delay < follow.RestSilence, WatchedNearby: c.gatheredByAnother(), KeysLag: lag,
+		Planning: c.planner != nil, PlannerFresh: c.follower.Fresh(now), EndpointsKnown: c.endpointsKnown,
+		PlannerHeard: now.Sub(c.follower.ReceivedAt)+c.follower.Delay < follow.RestSilence, WatchedNearby: c.gatheredByAnother(), KeysLag: lag,
 	}
 }
 
-// checkWatch ends a long watch that cannot be relied on any more.
-func (c *Coordinator) checkWatch(now time.Time) {
-	if c.endLongWatch != nil && !c.situation(now).ReliesOnPlanner() {
-		c.endLongWatch()
-		c.endLongWatch = nil
+// cancelUnreliableWatch cancels a long watch that must not be relied on any more.
+func (c *Coordinator) cancelUnreliableWatch(now time.Time) {
+	if c.cancelLongWatch != nil && !c.situation(now).ReliesOnPlanner() {
+		c.cancelLongWatch()
+		c.cancelLongWatch = nil
 	}
 }
 
-// eventBytes sums the values of events, in bytes.
+// eventBytes returns the total size of the values of events in bytes.
 func eventBytes(events []store.Event) int {
 	size := 0
 	for _, event := range events {
@@ -171,7 +175,8 @@
 	return size
 }
 
-// eventItems gives the newest item of each key that was written, so that of changes in quick succession one is read and put in force.
+// eventItems returns the newest item of each key that was written. Of several changes in quick succession only the last
+// one is parsed and applied.
 func eventItems(events []store.Event) []store.Item {
 	newest := make(map[string]int, len(events))
 	items := make([]store.Item, 0, len(events))
@@ -179,49 +184,49 @@
 		if event.Gone {
 			continue
 		}
-		place, known := newest[event.Key]
+		index, known := newest[event.Key]
 		switch {
 		case !known:
 			newest[event.Key] = len(items)
 			items = append(items, event.Item)
-		case event.Revision > items[place].Revision:
-			items[place] = event.Item
+		case event.Revision > items[index].Revision:
+			items[index] = event.Item
 		}
 	}
 	return items
 }
 
-// applyItems takes in the operators' keys from the store or from a peer; older ones are
-// passed over, so that nothing ever reverts.
+// applyItems applies operators' keys from the store or from a peer. Items older than the known ones are ignored, so that
+// no key ever reverts.
 func (c *Coordinator) applyItems(now time.Time, origin follow.Origin, items []store.Item) {
 	before := c.keys.Revision()
-	taken := false
+	changed := false
 	for _, item := range items {
 		if !c.keys.Take(item) {
 			continue
 		}
-		taken = true
+		changed = true
 		if item.Key == c.environment.ConfigurationKey {
 			c.applyConfiguration(now, item)
 			continue
 		}
 		c.applyVersion(now, origin, item)
 	}
-	if taken {
+	if changed {
 		c.keys.Changed(origin.Since)
 	}
 	if len(items) > 0 {
 		c.keys.Complete(origin.UpTo)
 	}
-	if c.keys.Revision() > before && c.following.stream != nil {
-		// The planner passes keys on to those who have not said that they have them.
+	if c.keys.Revision() > before && c.follower.stream != nil {
+		// The planner keeps sending keys to members that have not acknowledged them.
 		c.acknowledge(now)
 	}
 	c.updateReady()
 }
 
-// applyConfiguration puts a configuration in force. One that cannot be read is logged; one of a lower version than that
-// in force is passed over without a log line.
+// applyConfiguration puts a configuration in force. One that cannot be parsed is logged. One with a lower version than the
+// configuration in force is ignored without a log line.
 func (c *Coordinator) applyConfiguration(now time.Time, item store.Item) {
 	configuration, err := c.environment.ParseConfiguration(item.Value)
 	if err != nil {
@@ -235,26 +240,27 @@
 	c.options.Log.WithFields(map[string]any{
 		"version": configuration.Version, "revision": item.Revision, "bytes": len(item.Value),
 	}).Info("configuration in force")
-	if c.planning != nil {
-		c.planning.plans.SetConfiguration(now, configuration, c.versions.All())
+	if c.planner != nil {
+		c.planner.plans.SetConfiguration(now, configuration, c.versions.All())
 	}
 }
 
-// applyVersion takes in a key that names an adapter's version. One that cannot be read, or names an older version, is
-// passed over without a log line.
+// applyVersion applies a key that names an adapter's version. One that cannot be parsed or that names an older version is
+// ignored without a log line.
 func (c *Coordinator) applyVersion(now time.Time, origin follow.Origin, item store.Item) {
 	adapter, version, ok := c.environment.ParseVersion(item)
 	if !ok || !c.versions.Name(now, origin.Since, adapter, version) {
 		return
 	}
 	c.logVersion(now, origin, adapter, version)
-	c.unbegun.Named(adapter, version, c.beginBy(adapter, version-1))
-	if c.planning != nil {
-		c.planning.plans.SetVersion(now, adapter, version)
+	c.unbegun.Named(adapter, version, c.beginDeadline(adapter, version-1))
+	if c.planner != nil {
+		c.planner.plans.SetVersion(now, adapter, version)
 	}
 }
 
-// logVersion tells which version was named, how that came, for how long it may have been acknowledged already, and how old it counts.
+// logVersion logs which version was named, from which source the name came, for how long the name may already have been
+// acknowledged to operators, and the age that is assumed for it.
 func (c *Coordinator) logVersion(now time.Time, origin follow.Origin, adapter deployment.Adapter, version int64) {
 	fields := logrus.Fields{"adapter": adapter.String(), "version": version, "source": origin.Source}
 	if silence, known := origin.Silence(now); known {
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -28,20 +28,22 @@
 )
 
 const (
-	// tickPace is the pause between two looks at time-bound decisions: shorter trades processor time for earlier ones.
-	tickPace = 25 * time.Millisecond
-	// sweepPace is the pause between two sweeps of old state.
-	sweepPace = time.Second
-	// queueWarning is how many bytes may wait for peers before a line says so: an eighth of the smallest instance's 184 MB.
-	queueWarning = 23 << 20
+	// tickInterval is the interval between two checks of time-dependent decisions. A shorter interval makes these
+	// decisions earlier and costs more processor time.
+	tickInterval = 25 * time.Millisecond
+	// sweepInterval is the interval between two removals of outdated state.
+	sweepInterval = time.Second
+	// peerQueueWarningBytes is the total size of queued peer messages above which a warning is logged: an eighth of the
+	// 184 MB of memory of the smallest instance.
+	peerQueueWarningBytes = 23 << 20
 )
 
-// Coordinator is the control part of one process.
+// Coordinator implements the control part of one entry process.
 type Coordinator struct {
 	options     Options
 	environment Environment
 	loop        *loop.Loop
-	// leases is used by the goroutines of holdLease and Release only; seeds may be asked by any.
+	// leases is used only by the goroutine of holdLease and by Release. seeds may be used by any goroutine.
 	leases  *leasestore.Store
 	seeds   *seed.Asker
 	context context.Context
@@ -51,88 +53,95 @@
 	current atomic.Pointer[deployment.Configuration]
 	ready   atomic.Bool
 	leaving atomic.Bool
-	// suspects is the number of records of crashes, limited that of endpoints with a limit, for other goroutines.
-	suspects atomic.Int64
-	limited  atomic.Int64
+	// crashRecords is the number of crash records, and limitedEndpoints the number of endpoints with a request limit.
+	// Goroutines other than the control goroutine read them.
+	crashRecords     atomic.Int64
+	limitedEndpoints atomic.Int64
 
 	// The fields below are used by the control goroutine only.
 	directory       *directory.Directory
 	endpointsKnown  bool
 	endpointsReadAt time.Time
-	// readUpTo is the store's revision as of which this instance has read all endpoints, for as long as it knows copies from the store
-	// alone; 0 otherwise. toldOfCopies ends that: a planner, a seed or an own plan told of copies.
-	readUpTo     int64
-	toldOfCopies bool
-	// describedUpTo is the store's revision up to which this instance knows each endpoint's description, by whomever; 0 if it does not.
-	describedUpTo int64
-	keys          *follow.Keys
-	complete      follow.Completeness
-	versions      *follow.Versions
-	unbegun       *unbegun.Requests
-	budget        *retry.Budget
-	crashes       *quarantine.Table
-	// holding are the requests that were held back at the last look.
-	holding   map[fingerprint.Fingerprint]quarantine.Hold
-	waiters   waiting.Queue[acquired]
-	demand    *report.Counter
-	reports   report.Schedule
-	forecasts *forecast.Book
-	sweptAt   time.Time
-	missing   []wire.Copy
-	following following
-	planning  *planning
-	gathering gathering
-	limits    limits
-	// saidLeaving are the endpoints that said in answers that they leave, to this instance or to another.
-	saidLeaving map[deployment.EndpointID]bool
-	seedAnswer  seedAnswer
-	// othersAsOf is when the other instances' requests in flight were as this instance knows them, on the mean; zero if it knows none.
-	othersAsOf time.Time
-	// heardLoads is what was last heard of a planner's loads.
-	heardLoads formerLoads
-	// keysLag is for how long this instance has lacked keys that the planner has.
+	// endpointsReadRevision is the store revision at which this instance has read all endpoints. It is 0 once this
+	// instance has received copies from anything but the store: copiesFromPeers is true from the first copies that came
+	// from a planner, a seed or a plan of its own.
+	endpointsReadRevision int64
+	copiesFromPeers       bool
+	// describedRevision is the store revision up to which this instance has every endpoint's description, from any source.
+	// It is 0 if descriptions are missing.
+	describedRevision int64
+	keys              *follow.Keys
+	keysCompleteness  follow.Completeness
+	versions          *follow.Versions
+	unbegun           *unbegun.Requests
+	budget            *retry.Budget
+	crashes           *quarantine.Table
+	// quarantined holds the requests that were quarantined at the last review.
+	quarantined    map[fingerprint.Fingerprint]quarantine.Hold
+	waiters        waiting.Queue[acquireResult]
+	demand         *report.Counter
+	reportSchedule report.Schedule
+	forecasts      *forecast.Book
+	sweptAt        time.Time
+	// missing are copies that endpoints did not hold although they were listed, for the next report.
+	missing        []wire.Copy
+	follower       follower
+	planner        *planner
+	gathering      gathering
+	endpointLimits endpointLimits
+	// announcedLeaving holds the endpoints that announced in a response, to this instance or to another one, that they
+	// leave.
+	announcedLeaving map[deployment.EndpointID]bool
+	seedAnswer       seedAnswer
+	// othersInFlightAt is the mean time at which the known in-flight requests of the other instances were counted. It is
+	// zero if no counts are known.
+	othersInFlightAt time.Time
+	// lastPlannerLoads holds the most recently received load count of a planner.
+	lastPlannerLoads formerLoads
+	// keysLag measures for how long this instance has lacked keys that the planner has.
 	keysLag member.Lag
-	// knownRecord is the planner's record as last read.
+	// knownRecord is the planner's lease record as last read or received.
 	knownRecord lease.Record
-	// storeReadAt is when the store last answered a read of the record.
+	// storeReadAt is the time of the last successful read of the lease record.
 	storeReadAt time.Time
-	// storeSilentSince is since when the store has failed the looks at the record; zero once it answers one.
-	storeSilentSince time.Time
-	// endLongWatch ends the waiting watch of the configuration; nil if it is a short one.
-	endLongWatch context.CancelFunc
-	// lookDue asks for a look at the record without delay.
-	lookDue bool
-	// lookAt is when a look that was put off is due; zero if none was.
-	lookAt time.Time
+	// storeFailingSince is the time since which reads of the lease record have failed. It is zero after a successful read.
+	storeFailingSince time.Time
+	// cancelLongWatch cancels the running long watch of the configuration. It is nil if the running watch is a short one.
+	cancelLongWatch context.CancelFunc
+	// recordReadRequested reports whether the lease record is to be read without delay.
+	recordReadRequested bool
+	// deferredRecordReadAt is the time at which a deferred read of the lease record is due. It is zero if none is
+	// deferred.
+	deferredRecordReadAt time.Time
 }
 
-// New makes a coordinator; Start begins its work.
+// New returns a coordinator that does nothing until Start is called.
 func New(options Options, environment Environment) *Coordinator {
 	if options.TimerNow == nil {
 		options.TimerNow = options.Now
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Coordinator{
-		options:     options,
-		environment: environment,
-		loop:        loop.New(options.Now),
-		context:     ctx,
-		cancel:      cancel,
-		directory:   directory.New(),
-		keys:        follow.NewKeys(),
-		versions:    follow.NewVersions(),
-		unbegun:     unbegun.NewRequests(),
-		budget:      retry.NewBudget(options.Retry, options.Now()),
-		crashes:     quarantine.NewTable(),
-		demand:      report.NewCounter(),
-		forecasts:   forecast.NewBook(),
-		gathering:   newGathering(),
-		limits:      newLimits(),
-		saidLeaving: make(map[deployment.EndpointID]bool),
+		options:          options,
+		environment:      environment,
+		loop:             loop.New(options.Now),
+		context:          ctx,
+		cancel:           cancel,
+		directory:        directory.New(),
+		keys:             follow.NewKeys(),
+		versions:         follow.NewVersions(),
+		unbegun:          unbegun.NewRequests(),
+		budget:           retry.NewBudget(options.Retry, options.Now()),
+		crashes:          quarantine.NewTable(),
+		demand:           report.NewCounter(),
+		forecasts:        forecast.NewBook(),
+		gathering:        newGathering(),
+		endpointLimits:   newEndpointLimits(),
+		announcedLeaving: make(map[deployment.EndpointID]bool),
 	}
 	c.leases = &leasestore.Store{
 		Client: environment.Store, Instance: options.Instance, Address: options.PeerAddress,
-		Timeout: options.StoreTimeout, Now: options.Now, Failed: c.noteStore,
+		Timeout: options.StoreTimeout, Now: options.Now, Failed: c.recordStoreFailure,
 	}
 	c.seeds = &seed.Asker{
 		Instance: options.Instance, Own: options.PeerAddress, Seeds: options.Seeds, Dial: environment.Dial, Now: options.Now,
@@ -140,23 +149,23 @@
 	return c
 }
 
-// Start begins to read the store, to listen to peers and to follow or become the planner.
+// Start begins to read the store and to accept peers, and follows the planner or becomes the planner.
 func (c *Coordinator) Start() error {
 	listener, err := c.environment.Listen(c.options.PeerAddress)
 	if err != nil {
 		return err
 	}
-	c.run(func() { c.loop.Run(c.context.Done(), tickPace, c.tick) })
-	c.run(func() { c.servePeers(listener) })
-	c.run(c.followConfiguration)
-	c.run(c.followEndpoints)
-	c.run(c.followPlanner)
-	c.run(c.followGatherer)
-	c.run(c.holdLease)
+	c.startTask(func() { c.loop.Run(c.context.Done(), tickInterval, c.tick) })
+	c.startTask(func() { c.servePeers(listener) })
+	c.startTask(c.followConfiguration)
+	c.startTask(c.followEndpoints)
+	c.startTask(c.followPlanner)
+	c.startTask(c.followGatherer)
+	c.startTask(c.holdLease)
 	return nil
 }
 
-func (c *Coordinator) run(task func()) {
+func (c *Coordinator) startTask(task func()) {
 	c.tasks.Add(1)
 	go func() {
 		defer c.tasks.Done()
@@ -164,71 +173,72 @@
 	}()
 }
 
-// Stop ends all work at once.
+// Stop cancels all work at once and waits until its goroutines have ended.
 func (c *Coordinator) Stop() {
 	c.cancel()
 	c.tasks.Wait()
 }
 
-// Configuration gives the configuration in force, or nil before the first one is known.
+// Configuration returns the configuration in force, or nil before the first one is known.
 func (c *Coordinator) Configuration() *deployment.Configuration {
 	return c.current.Load()
 }
 
-// Ready tells whether this instance knows enough to take requests.
+// Ready reports whether this instance has the state that it needs to accept requests and is not leaving.
 func (c *Coordinator) Ready() bool {
 	return c.ready.Load() && !c.leaving.Load()
 }
 
 func (c *Coordinator) tick(now time.Time) {
-	c.takeBackLate(now)
+	c.recallOverdue(now)
 	c.reviewLimits(now)
 	c.reviewWaiters(now)
-	c.checkWatch(now)
-	c.lookIfStillDue(now)
-	if c.planning != nil {
-		c.resignIfOthersCan(now)
+	c.cancelUnreliableWatch(now)
+	c.requestDeferredRecordRead(now)
+	if c.planner != nil {
+		c.resignIfMemberReachesStore(now)
 		c.plan(now)
 	}
-	c.tellLoads(now)
-	if c.reports.Due(now, c.following.Members) {
+	c.sendDueLoads(now)
+	if c.reportSchedule.Due(now, c.follower.Members) {
 		c.sendReport(now)
 	}
-	if now.Sub(c.sweptAt) >= sweepPace {
+	if now.Sub(c.sweptAt) >= sweepInterval {
 		c.sweep(now)
 	}
 }
 
-// pace stretches a pause with the number of instances.
-func (c *Coordinator) pace(pause time.Duration) time.Duration {
-	return report.Stretch(pause, c.following.Members)
+// stretchForFleet returns a pause that is longer the more instances there are.
+func (c *Coordinator) stretchForFleet(pause time.Duration) time.Duration {
+	return report.Stretch(pause, c.follower.Members)
 }
 
-// reportSoon asks for a report without delay, as far as the last one is not too recent.
-func (c *Coordinator) reportSoon(now time.Time) {
-	if c.reports.Ask(now, c.following.Members) {
+// requestReport sends a report at once, or as soon as the minimum interval since the last report has passed.
+func (c *Coordinator) requestReport(now time.Time) {
+	if c.reportSchedule.Ask(now, c.follower.Members) {
 		c.sendReport(now)
 	}
 }
 
-// sweep forgets what is too old to matter.
+// sweep removes outdated state.
 func (c *Coordinator) sweep(now time.Time) {
 	c.sweptAt = now
 	c.directory.RememberHeld(now)
 	c.demand.Sweep(now)
 	c.reviewCrashes(now)
-	if now.Sub(c.seedAnswer.at) >= seedAnswerLife {
+	if now.Sub(c.seedAnswer.at) >= seedAnswerTTL {
 		c.seedAnswer = seedAnswer{}
 	}
-	if queued := c.peerQueueBytes(); queued > queueWarning {
+	if queued := c.peerQueueBytes(); queued > peerQueueWarningBytes {
 		c.options.Log.WithField("queued_bytes", queued).Warn("much waits for peers")
 	}
-	if c.planning != nil {
-		c.planning.plans.Sweep(now)
+	if c.planner != nil {
+		c.planner.plans.Sweep(now)
 	}
 }
 
-// updateReady says ready once configuration and endpoints are known; it stays so.
+// updateReady marks this instance as ready once the configuration and the endpoints are known. It never becomes unready
+// again.
 func (c *Coordinator) updateReady() {
 	if !c.ready.Load() && c.current.Load() != nil && c.endpointsKnown {
 		c.ready.Store(true)
@@ -238,12 +248,12 @@
 	}
 }
 
-// noteCopiesTold notes that this instance knows copies from others than the store.
-func (c *Coordinator) noteCopiesTold() {
-	c.toldOfCopies, c.readUpTo = true, 0
+// markCopiesFromPeers records that this instance has copies that did not come from the store.
+func (c *Coordinator) markCopiesFromPeers() {
+	c.copiesFromPeers, c.endpointsReadRevision = true, 0
 }
 
-// sleep waits for a span, or until the coordinator stops.
+// sleep waits for the given time or until the coordinator stops.
 func (c *Coordinator) sleep(span time.Duration) {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -253,8 +263,8 @@
 	}
 }
 
-// noteStore logs and counts a failed call to the store.
-func (c *Coordinator) noteStore(call string, err error) {
+// recordStoreFailure logs and counts a failed call to the store.
+func (c *Coordinator) recordStoreFailure(call string, err error) {
 	if c.context.Err() != nil {
 		return
 	}
@@ -264,10 +274,10 @@
 	c.options.Log.WithError(err).WithField("call", call).Warn("the store did not answer as it should")
 }
 
-// leastJitter is the least part of a span that a jittered pause takes; the most is one span more.
-const leastJitter = 0.5
+// minJitter is the smallest factor that jitter applies to a pause. The largest factor is greater by 1.
+const minJitter = 0.5
 
-// jitter spreads a pause, so that instances that fail together do not call together again.
+// jitter randomizes a pause, so that instances that failed at the same time do not retry at the same time.
 func (c *Coordinator) jitter(span time.Duration) time.Duration {
-	return time.Duration(float64(span) * (leastJitter + c.options.Random()))
+	return time.Duration(float64(span) * (minJitter + c.options.Random()))
 }
--- a/services/entry/coordinator/coordinator_test.go
+++ b/services/entry/coordinator/coordinator_test.go
@@ -19,8 +19,8 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// The messages between instances, written once more with their encoded names: a change of these breaks a
-// rolling restart.
+// These types duplicate the messages between instances with their encoded names. A change of the encoding breaks rolling
+// restarts.
 type wireMessage struct {
 	Report    *wireReport    `msgpack:"r,omitempty"`
 	View      *wireView      `msgpack:"v,omitempty"`
@@ -121,53 +121,53 @@
 	Version int64
 }
 
-type peer = peerstream.Stream[wireMessage]
+type rawPeer = peerstream.Stream[wireMessage]
 
-// link takes the next connection that the instance dials.
-func (s *site) link(t *testing.T) *peer {
+// acceptDial returns the other end of the next connection that the instance dials.
+func (f *fixture) acceptDial(t *testing.T) *rawPeer {
 	t.Helper()
 	select {
-	case conn := <-s.pipes.dialed:
+	case conn := <-f.network.nextDial:
 		stream := peerstream.New[wireMessage](conn)
 		t.Cleanup(stream.Close)
 		return stream
 	case <-time.After(waitLimit):
-		require.FailNow(t, "the instance dials nobody")
+		require.FailNow(t, "the instance dials no address")
 		return nil
 	}
 }
 
-// join connects to the instance as a peer that follows it.
-func (s *site) join(t *testing.T) *peer {
+// connectPeer connects a peer to the instance.
+func (f *fixture) connectPeer(t *testing.T) *rawPeer {
 	t.Helper()
 	near, far := net.Pipe()
-	s.pipes.incoming <- near
+	f.network.incoming <- near
 	stream := peerstream.New[wireMessage](far)
 	t.Cleanup(stream.Close)
 	return stream
 }
 
-// joinAs joins as a member of that name, which asks for nothing.
-func (s *site) joinAs(t *testing.T, instance string) *peer {
+// joinMember connects a member with the given name that reports no demand.
+func (f *fixture) joinMember(t *testing.T, instance string) *rawPeer {
 	t.Helper()
-	member := s.join(t)
+	member := f.connectPeer(t)
 	require.NoError(t, member.Send(wireMessage{Report: &wireReport{Instance: instance}}))
 	return member
 }
 
-func receive(t *testing.T, stream *peer, wanted func(wireMessage) bool) wireMessage {
+func receiveUntil(t *testing.T, stream *rawPeer, matches func(wireMessage) bool) wireMessage {
 	t.Helper()
 	for {
 		received, err := stream.Receive(waitLimit, time.Now)
 		require.NoError(t, err)
-		if wanted(received) {
+		if matches(received) {
 			return received
 		}
 	}
 }
 
-// drain reads a stream to its end, since nothing else empties a pipe.
-func drain(stream *peer) {
+// drain reads a stream until it ends, because writes to a pipe block until they are read.
+func drain(stream *rawPeer) {
 	for {
 		if _, err := stream.Receive(waitLimit, time.Now); err != nil {
 			return
@@ -175,9 +175,9 @@
 	}
 }
 
-func (s *site) waitForStatus(t *testing.T, what string, wanted func(coordinator.Status) bool) {
+func (f *fixture) waitForStatus(t *testing.T, what string, matches func(coordinator.Status) bool) {
 	t.Helper()
-	require.Eventually(t, func() bool { return wanted(s.control.Status()) }, waitLimit, lookPace, what)
+	require.Eventually(t, func() bool { return matches(f.instance.Status()) }, waitLimit, pollInterval, what)
 }
 
 func fullView(term int64, adapters ...string) *wireView {
@@ -191,94 +191,95 @@
 	}
 }
 
-func TestAnInstanceAloneTakesTheRecordLoadsAndServes(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	assignment, request, err := s.acquire("a1", waitLimit)
+func TestSingleInstanceTakesLeaseAndServes(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	assignment, request, err := f.acquire("a1", waitLimit)
 	require.NoError(t, err)
 	assert.EqualValues(t, "e1", assignment.Endpoint.ID)
-	assert.Equal(t, 10, assignment.MaxConnections, "80 connections shared by the number of instances that is assumed")
-	record, found := s.store.record(t)
+	assert.Equal(t, 10, assignment.MaxConnections, "80 connections shared by 8 assumed instances")
+	record, found := f.store.record(t)
 	require.True(t, found)
 	assert.Equal(t, selfName, record.Holder)
 	assert.Equal(t, selfAddress, record.Address)
 	assert.EqualValues(t, 1, record.Term)
 	assert.True(t, record.Ordering)
 
-	status := s.control.Status()
+	status := f.instance.Status()
 	assert.True(t, status.Planning)
 	assert.Equal(t, 1, status.InFlight)
-	s.control.Finish(request, assignment, directory.Succeeded, false)
-	assert.Zero(t, s.control.Status().InFlight)
+	f.instance.Finish(request, assignment, directory.Succeeded, false)
+	assert.Zero(t, f.instance.Status().InFlight)
 
-	_, _, err = s.acquire("a1", waitLimit)
+	_, _, err = f.acquire("a1", waitLimit)
 	require.NoError(t, err)
-	assert.Equal(t, 1, s.engines.loadCount(), "what is resident is not loaded again")
+	assert.Equal(t, 1, f.engine.loadCount(), "a resident adapter is not loaded again")
 }
 
-func TestAPlannedStopReleasesTheRecordAndTellsTheMembers(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.isToldOfTheRelease(t)
-	record, _ := s.store.record(t)
+func TestReleaseWritesRecordAndNotifiesMembers(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.checkReleaseAnnounced(t)
+	record, _ := f.store.record(t)
 	assert.True(t, record.Released)
-	assert.False(t, s.control.Ready())
+	assert.False(t, f.instance.Ready())
 }
 
-// isToldOfTheRelease has the instance plan and stop, and a member be told that the term ends.
-func (s *site) isToldOfTheRelease(t *testing.T) {
+// checkReleaseAnnounced makes the instance the planner, releases its lease, and checks that a view announces the end of
+// the term to a member.
+func (f *fixture) checkReleaseAnnounced(t *testing.T) {
 	t.Helper()
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning })
-	s.begins(t, 1)
-	member := s.joinAs(t, "peer")
-	receive(t, member, func(m wireMessage) bool { return m.View != nil })
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning })
+	f.waitForOrdering(t, 1)
+	member := f.joinMember(t, "peer")
+	receiveUntil(t, member, func(m wireMessage) bool { return m.View != nil })
 	released := make(chan struct{})
-	go func() { s.control.Release(context.Background()); close(released) }()
-	told := receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Resigned })
-	assert.EqualValues(t, 1, told.View.Term)
+	go func() { f.instance.Release(context.Background()); close(released) }()
+	announcement := receiveUntil(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Resigned })
+	assert.EqualValues(t, 1, announcement.View.Term)
 	go drain(member)
 	<-released
 }
 
-func TestAPlannedStopWaitsForOrdersUnderWay(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.begins(t, 1)
-	release := s.engines.hold()
+func TestReleaseWaitsForOrdersInFlight(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForOrdering(t, 1)
+	release := f.engine.blockLoads()
 	defer release()
-	_, _, err := s.acquire("a1", 100*time.Millisecond)
+	_, _, err := f.acquire("a1", 100*time.Millisecond)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	released := make(chan struct{})
-	go func() { s.control.Release(context.Background()); close(released) }()
+	go func() { f.instance.Release(context.Background()); close(released) }()
 	time.Sleep(150 * time.Millisecond)
-	record, _ := s.store.record(t)
-	assert.False(t, record.Released, "an order is under way")
+	record, _ := f.store.record(t)
+	assert.False(t, record.Released, "an order is in flight")
 	release()
 	<-released
-	record, _ = s.store.record(t)
+	record, _ = f.store.record(t)
 	assert.True(t, record.Released)
 }
 
-func TestAStopThatCannotWaitReleasesNothing(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.begins(t, 1)
-	release := s.engines.hold()
+func TestReleaseTimeoutLeavesRecordUnreleased(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForOrdering(t, 1)
+	release := f.engine.blockLoads()
 	defer release()
-	_, _, err := s.acquire("a1", 100*time.Millisecond)
+	_, _, err := f.acquire("a1", 100*time.Millisecond)
 	require.ErrorIs(t, err, context.DeadlineExceeded)
 	ctx, cancel := context.WithTimeout(context.Background(), 50*time.Millisecond)
 	defer cancel()
-	s.control.Release(ctx)
-	record, _ := s.store.record(t)
+	f.instance.Release(ctx)
+	record, _ := f.store.record(t)
 	assert.False(t, record.Released, "the order may still arrive")
 }
 
-func TestAPlannerCutFromTheStoreResignsToAMemberThatReachesIt(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.begins(t, 1)
-	member := s.join(t)
+func TestPlannerWithoutStoreResignsIfMemberReachesStore(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForOrdering(t, 1)
+	member := f.connectPeer(t)
 	stop := make(chan struct{})
 	defer close(stop)
 	go func() {
@@ -291,23 +292,23 @@
 			}
 		}
 	}()
-	sound := receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Heartbeat })
-	assert.False(t, sound.View.Resigned)
-	s.store.setDown(true)
-	told := receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Resigned })
-	assert.GreaterOrEqual(t, told.View.ConfirmedAge, 800*time.Millisecond)
-	assert.EqualValues(t, 1, told.View.Term)
+	heartbeat := receiveUntil(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Heartbeat })
+	assert.False(t, heartbeat.View.Resigned)
+	f.store.setDown(true)
+	resignation := receiveUntil(t, member, func(m wireMessage) bool { return m.View != nil && m.View.Resigned })
+	assert.GreaterOrEqual(t, resignation.View.ConfirmedAge, 800*time.Millisecond)
+	assert.EqualValues(t, 1, resignation.View.Term)
 	go drain(member)
-	assert.True(t, s.control.Status().Planning, "it still tells what it knows")
-	s.store.setDown(false)
-	s.waitForStatus(t, "a new term", func(status coordinator.Status) bool { return status.Planning && status.Term == 2 })
+	assert.True(t, f.instance.Status().Planning, "a resigned planner still sends views")
+	f.store.setDown(false)
+	f.waitForStatus(t, "a new term", func(status coordinator.Status) bool { return status.Planning && status.Term == 2 })
 }
 
-func TestAMemberGetsAWholeViewOnceThenChangesAndHeartbeats(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
-	member := s.joinAs(t, "peer")
+func TestMemberGetsWholeViewThenChangesAndHeartbeats(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
+	member := f.joinMember(t, "peer")
 	var items []store.Item
 	view := func(m wireMessage) bool {
 		if m.View != nil {
@@ -315,7 +316,7 @@
 		}
 		return m.View != nil
 	}
-	first := receive(t, member, view)
+	first := receiveUntil(t, member, view)
 	assert.True(t, first.View.Full)
 	assert.Len(t, first.View.Endpoints, 1)
 	assert.Equal(t, selfName, first.View.Planner)
@@ -323,32 +324,32 @@
 
 	report := &wireReport{Instance: "peer", Demands: []wireDemand{{Service: service, Model: "base", Name: "a7", Waiting: 1, InTime: time.Second}}}
 	require.NoError(t, member.Send(wireMessage{Report: report}))
-	require.NoError(t, member.Send(wireMessage{Report: report}), "a repeated report asks for nothing more")
-	loaded := receive(t, member, func(m wireMessage) bool {
+	require.NoError(t, member.Send(wireMessage{Report: report}), "a repeated report adds no demand")
+	loaded := receiveUntil(t, member, func(m wireMessage) bool {
 		return view(m) && len(m.View.Endpoints) == 1 && len(m.View.Endpoints[0].Models[0].Adapters) == 1
 	})
 	assert.False(t, loaded.View.Full)
 	assert.Equal(t, "a7", loaded.View.Endpoints[0].Models[0].Adapters[0].Name)
-	assert.Equal(t, 1, s.engines.loadCount())
-	// A member that lacks the operators' keys for a while gets them, once.
+	assert.Equal(t, 1, f.engine.loadCount())
+	// A member that has lacked the operators' keys for some time receives them once.
 	for range 3 {
-		receive(t, member, func(m wireMessage) bool { return view(m) && m.View.Heartbeat && !m.View.Full })
+		receiveUntil(t, member, func(m wireMessage) bool { return view(m) && m.View.Heartbeat && !m.View.Full })
 	}
 	require.Len(t, items, 1)
 	assert.Equal(t, configurationKey, items[0].Key)
 	go drain(member)
 }
 
-func TestAPlannerEndsWhenAPeerNamesALaterTerm(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning })
-	member := s.joinAs(t, "peer")
+func TestPlannerStopsAfterSuccessorWithLaterTerm(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning })
+	member := f.joinMember(t, "peer")
 	go drain(member)
 	require.NoError(t, member.Send(wireMessage{Successor: &wireSuccessor{Term: 1, Address: peerAddress}}))
 	time.Sleep(50 * time.Millisecond)
-	assert.True(t, s.control.Status().Planning, "its own term ends nothing")
-	s.pipes.refuse = true
+	assert.True(t, f.instance.Status().Planning, "a successor message with the own term is ignored")
+	f.network.refuseDials = true
 	require.NoError(t, member.Send(wireMessage{Successor: &wireSuccessor{Term: 9, Address: peerAddress}}))
-	s.waitForStatus(t, "ends", func(status coordinator.Status) bool { return !status.Planning })
+	f.waitForStatus(t, "stops planning", func(status coordinator.Status) bool { return !status.Planning })
 }
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -15,12 +15,12 @@
 	"github.com/shelfledge/shelfledge/services/quarantine"
 )
 
-// recentCrash is up to which age a crash that another instance tells of keeps requests from the endpoint: the store has taken its entry out
-// after that.
-const recentCrash = 5 * time.Second
+// recentCrashAge is the age up to which a crash that another instance reports keeps requests away from the endpoint. After
+// that time the store has removed the endpoint's entry.
+const recentCrashAge = 5 * time.Second
 
-// Crashed notes that the endpoint of an exchange has ended while it had the request. The end of an endpoint that was leaving, or is known
-// to be gone, was planned and tells nothing of the request.
+// Crashed records that the endpoint of an exchange ended while it had the request. The end of an endpoint that was
+// leaving, or that is known to be gone, was planned and says nothing about the request.
 func (c *Coordinator) Crashed(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
 		status := c.directory.Endpoint(assignment.Endpoint.ID)
@@ -28,25 +28,25 @@
 			return
 		}
 		c.crashes.Crashed(now, request.Fingerprint, string(assignment.Endpoint.ID))
-		c.suspects.Store(int64(c.crashes.Size()))
-		// The others may be about to send the same request.
-		c.tellCrashesSoon(now)
+		c.crashRecords.Store(int64(c.crashes.Size()))
+		// The other instances may be about to send the same request.
+		c.publishCrashes(now)
 	})
 }
 
-// Unanswered notes that an exchange ended without a whole answer while its endpoint went on, as far as was seen. The endpoint may run the
-// request all the same, and end under it.
+// Unanswered records that an exchange ended without a complete answer while its endpoint kept running, as far as this
+// instance can see. The endpoint may still run the request and crash because of it.
 func (c *Coordinator) Unanswered(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
 		c.crashes.Unanswered(now, request.Fingerprint, string(assignment.Endpoint.ID))
-		c.suspects.Store(int64(c.crashes.Size()))
-		c.tellCrashesSoon(now)
+		c.crashRecords.Store(int64(c.crashes.Size()))
+		c.publishCrashes(now)
 	})
 }
 
-// Answered notes that a request got a whole answer, so that it crashes no endpoint.
+// Answered records that a request got a complete answer and therefore does not crash endpoints.
 func (c *Coordinator) Answered(request *deployment.Request) {
-	if c.suspects.Load() == 0 {
+	if c.crashRecords.Load() == 0 {
 		return
 	}
 	c.loop.Post(func(now time.Time) {
@@ -54,102 +54,106 @@
 	})
 }
 
-// takeCrashes takes in what another instance tells of crashes; tell says that the members must hear of it.
-func (c *Coordinator) takeCrashes(now time.Time, told []wire.Crash, tell bool) {
-	if len(told) == 0 {
+// mergeCrashes merges the crashes that another instance reported. If publish is true, they are published to the members
+// too.
+func (c *Coordinator) mergeCrashes(now time.Time, reported []wire.Crash, publish bool) {
+	if len(reported) == 0 {
 		return
 	}
-	crashes := make([]quarantine.Crash, 0, len(told))
-	for _, one := range told {
-		if one.Age < recentCrash && !c.crashes.HasEnded(string(one.Endpoint)) {
-			c.directory.NoteEnded(now, one.Endpoint)
+	crashes := make([]quarantine.Crash, 0, len(reported))
+	for _, crash := range reported {
+		if crash.Age < recentCrashAge && !c.crashes.HasEnded(string(crash.Endpoint)) {
+			c.directory.NoteEnded(now, crash.Endpoint)
 		}
-		crashes = append(crashes, quarantine.Crash{Request: one.Request, Endpoint: string(one.Endpoint), Age: one.Age, Answered: one.Answered})
+		crashes = append(crashes, quarantine.Crash{Request: crash.Request, Endpoint: string(crash.Endpoint), Age: crash.Age, Answered: crash.Answered})
 	}
-	c.crashes.Merge(now, crashes, tell)
-	c.suspects.Store(int64(c.crashes.Size()))
+	c.crashes.Merge(now, crashes, publish)
+	c.crashRecords.Store(int64(c.crashes.Size()))
 }
 
-// reviewCrashes forgets old crashes, and logs which requests are held back, or let go, since the last time.
+// reviewCrashes removes old crash records, and logs the requests that were quarantined or released since the last review.
 func (c *Coordinator) reviewCrashes(now time.Time) {
 	c.crashes.Sweep(now)
-	c.suspects.Store(int64(c.crashes.Size()))
-	holding := c.crashes.Holding(now)
-	for request, hold := range holding {
-		if _, known := c.holding[request]; !known {
+	c.crashRecords.Store(int64(c.crashes.Size()))
+	quarantined := c.crashes.Holding(now)
+	for request, hold := range quarantined {
+		if _, known := c.quarantined[request]; !known {
 			c.options.Log.WithFields(logrus.Fields{
 				"fingerprint": request.String(), "endpoints": hold.Endpoints, "held_ms": hold.Left.Milliseconds(),
 			}).Warn("a request is held back, since endpoints ended while they had it")
 		}
 	}
-	for request := range c.holding {
-		if _, held := holding[request]; !held {
+	for request := range c.quarantined {
+		if _, held := quarantined[request]; !held {
 			c.options.Log.WithField("fingerprint", request.String()).Info("a request is held back no more")
 		}
 	}
-	c.holding = holding
+	c.quarantined = quarantined
 }
 
-// tellCrashesSoon asks for a report, or a view, that tells others of crashes.
-func (c *Coordinator) tellCrashesSoon(now time.Time) {
+// publishCrashes sends unpublished crashes to the other instances, in a report or, at the planner, in a view.
+func (c *Coordinator) publishCrashes(now time.Time) {
 	if !c.crashes.Untold() {
 		return
 	}
-	if c.planning != nil {
+	if c.planner != nil {
 		c.plan(now)
 		return
 	}
-	c.reportSoon(now)
+	c.requestReport(now)
 }
 
-// crashesToReport gives what the next report tells of crashes; without a link to the planner it is kept for the next one.
+// crashesToReport returns the crashes for the next report. It returns none at the planner, which publishes them in views.
+// Without a link to the planner no report is built, so the crashes are kept for a later one.
 func (c *Coordinator) crashesToReport(now time.Time) []wire.Crash {
 	switch {
-	case c.planning != nil:
+	case c.planner != nil:
 		return nil
-	case c.following.ratesDue:
-		return toldCrashes(c.crashes.Own(now))
+	case c.follower.ratesDue:
+		return wireCrashes(c.crashes.Own(now))
 	default:
-		return toldCrashes(c.crashes.TakeUntold(now))
+		return wireCrashes(c.crashes.TakeUntold(now))
 	}
 }
 
-// toldCrashes gives records as messages tell them.
-func toldCrashes(crashes []quarantine.Crash) []wire.Crash {
-	told := make([]wire.Crash, 0, len(crashes))
-	for _, one := range crashes {
-		told = append(told, wire.Crash{Request: one.Request, Endpoint: deployment.EndpointID(one.Endpoint), Age: one.Age, Answered: one.Answered})
+// wireCrashes converts crash records to messages.
+func wireCrashes(crashes []quarantine.Crash) []wire.Crash {
+	messages := make([]wire.Crash, 0, len(crashes))
+	for _, crash := range crashes {
+		messages = append(messages, wire.Crash{Request: crash.Request, Endpoint: deployment.EndpointID(crash.Endpoint), Age: crash.Age, Answered: crash.Answered})
 	}
-	return told
+	return messages
 }
 
-// refusedByQuarantine is the answer to a request that is held back.
-func refusedByQuarantine(hold quarantine.Hold) acquired {
-	return acquired{err: &Refusal{Reason: admission.Quarantined, RetryAfter: hold.Left}}
+// quarantineRefusal returns the result for a request that is quarantined.
+func quarantineRefusal(hold quarantine.Hold) acquireResult {
+	return acquireResult{err: &Refusal{Reason: admission.Quarantined, RetryAfter: hold.Left}}
 }
 
-// holdBack refuses a request that waits, if it is held back since.
-func (c *Coordinator) holdBack(now time.Time, w *waiter) bool {
+// refuseHeld refuses a waiting request that has been quarantined since it began to wait, and reports whether it
+// did.
+func (c *Coordinator) refuseHeld(now time.Time, w *waiter) bool {
 	hold, held := c.crashes.Held(now, w.Fingerprint)
 	if held {
-		w.Result <- refusedByQuarantine(hold)
+		w.Result <- quarantineRefusal(hold)
 	}
 	return held
 }
 
-// HeldRequests gives the requests that are held back.
+// HeldRequests returns the requests that are quarantined.
 func (c *Coordinator) HeldRequests() map[fingerprint.Fingerprint]quarantine.Hold {
 	var holding map[fingerprint.Fingerprint]quarantine.Hold
 	c.loop.Call(func(now time.Time) { holding = c.crashes.Holding(now) })
 	return holding
 }
 
-// ReleaseRequest lets a request go that is held back, here and at all instances; false where none is known.
+// ReleaseRequest releases a quarantined request, here and at all other instances. It returns false if no crash of the
+// request is known.
 func (c *Coordinator) ReleaseRequest(request fingerprint.Fingerprint) bool {
 	released := false
 	c.loop.Call(func(now time.Time) {
 		released = c.crashes.Release(now, request)
-		c.tellCrashesSoon(now)
+		c.publishCrashes(now)
 	})
 	return released
 }
--- a/services/entry/coordinator/doc.go
+++ b/services/entry/coordinator/doc.go
@@ -2,19 +2,34 @@
 // SPDX-License-Identifier: MIT
 
 // Package coordinator is the control part of one entry process. One goroutine, the control loop, owns all control
-// state: the endpoints, the configuration, requests that wait for an endpoint, the link to the planner, and, while
-// this process holds the planner's lease, the plan itself. Requests come in by Acquire, Running and Finish.
+// state: the endpoints, the configuration, the requests that wait for an endpoint, the link to the planner, and, while
+// this process holds the planner's lease, the plan itself. Callers pass requests in with Acquire, Running and Finish.
 //
-// The loop calls rules and carries out effects. The rules are in packages without I/O that are given the present time: waiting (the
-// queue of requests), forecast (when an adapter is expected), report (what is asked for, and when that is reported), view (which
-// views are kept, how old they are and when they are sent), follow (which keys are newer, for how long former versions serve and who
-// reads the store), unbegun (which requests must be taken back from their endpoints), relay (how the operators' keys are passed on
-// between instances), tree (which instances gather the loads of others), gather (what their sums tell), member (what the planner
-// knows of other instances), plan (loads of all services), and services/entry/lease (who may take and use the lease). The packages
-// leasestore and seed do I/O for a caller that waits, wire has the messages, loop the control loop itself.
+// The planner is the instance that holds the lease record in the store. It decides which adapters the endpoints load,
+// and sends them orders. The other instances are its members: they send it reports, and it sends them views. In a
+// large fleet it names some members as gatherers, which sum the load of other members and forward views to them.
 //
-// Start starts these goroutines, which hand what they learn to the loop and keep no control state: the loop, one that accepts peers
-// and one that closes its listener, two for each peer (one reads, one writes), one each to follow the configuration, the endpoints,
-// the planner and the instance that gathers for this one, and one for the lease. One more is started for each order, and one for a
-// resignation. All end with Stop.
+// The loop evaluates rules and carries out their effects. The rules are in packages without I/O that receive the
+// present time as a parameter:
+//
+//   - waiting: the queue of requests
+//   - forecast: when an adapter is expected to be loaded
+//   - report: the demand for adapters, and when it is reported
+//   - view: which views are accepted, how old they are and when they are sent
+//   - follow: which keys are newer, for how long former versions serve, and which instance reads the store
+//   - unbegun: which requests must be recalled from their endpoints
+//   - relay: how the operators' keys are passed on between instances
+//   - tree: which instances are gatherers
+//   - gather: the sums of the gatherers
+//   - member: the planner's state of other instances
+//   - plan: the loads of all services
+//   - services/entry/lease: which instance may take and use the lease
+//
+// The packages leasestore and seed do I/O for a caller that blocks. The package wire contains the messages, and the
+// package loop the control loop itself.
+//
+// Start starts the following goroutines. They pass their results to the loop and keep no control state: the loop, one
+// that accepts peers and one that closes its listener, two for each peer (a reader and a writer), one each to follow
+// the configuration, the endpoints, the planner and the instance that gathers for this one, and one for the lease.
+// Another goroutine is started for each order and for a resignation. Stop ends them all.
 package coordinator
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -18,31 +18,32 @@
 )
 
 const (
-	// endpointWatchPause is the planner's pause after a watch that returned changes, so that more of them come in one answer: longer trades
-	// later changes for fewer calls.
+	// endpointWatchPause is the planner's pause after a watch that returned changes, so that the next watch returns
+	// several changes together. A longer pause makes fewer calls and delivers changes later.
 	endpointWatchPause = 450 * time.Millisecond
-	// endpointPollPause is the pause between readings while the planner is silent.
-	endpointPollPause = time.Second
-	// mostStretch is how many times longer an instance's own pause gets, at most, in a large fleet.
-	mostStretch = 2
-	// idlePause is how often an instance that follows looks whether the planner is silent.
-	idlePause = 200 * time.Millisecond
+	// endpointPollInterval is the interval between two reads of the endpoints while the planner is silent.
+	endpointPollInterval = time.Second
+	// maxPauseStretch is the factor by which the poll interval grows at most in a large fleet.
+	maxPauseStretch = 2
+	// plannerCheckInterval is the interval at which a following instance checks whether the planner is silent.
+	plannerCheckInterval = 200 * time.Millisecond
 )
 
-// followEndpoints reads the endpoints' keys once, and later as its mode demands.
+// followEndpoints reads the endpoints' keys, by polling or by watching, whenever this instance cannot rely on the
+// planner's views for them.
 func (c *Coordinator) followEndpoints() {
 	watched := int64(0)
 	former := follow.ReadByPolling
 	for c.context.Err() == nil {
 		reader := c.endpointReader()
 		if reader == follow.ReadByPolling && former != reader {
-			c.notePolling()
+			c.logPollingStart()
 		}
 		former = reader
 		switch reader {
 		case follow.ReadByPlanner:
 			watched = 0
-			c.sleep(idlePause)
+			c.sleep(plannerCheckInterval)
 		case follow.ReadByPolling:
 			watched = 0
 			c.pollEndpoints()
@@ -52,46 +53,47 @@
 	}
 }
 
-// pollEndpoints reads what is new of the endpoints and waits for the next reading. The pause counts from when this one was sent, as does
-// the age of what it gives.
+// pollEndpoints reads the changes of the endpoints and waits for the next poll. The interval counts from the time at which
+// the call was sent, and so does the age of the data.
 func (c *Coordinator) pollEndpoints() {
-	sent := c.options.Now()
+	sentAt := c.options.Now()
 	if err := c.readNewEndpoints(); err != nil {
-		c.sleep(min(c.failurePause(storeRetry), endpointPollPause))
+		c.sleep(min(c.failurePause(storeRetryPause), endpointPollInterval))
 		return
 	}
-	c.sleep(c.alonePause(endpointPollPause) - c.options.Now().Sub(sent))
+	c.sleep(c.stretchPollPause(endpointPollInterval) - c.options.Now().Sub(sentAt))
 }
 
-// readNewEndpoints reads the changes since what this instance knows of the endpoints, or all of them where it knows nothing or the store
-// has forgotten the changes. While a planner is lost all instances read them each second: in a large fleet all of them each time would be
-// more than the store's link carries, so that no planner could confirm its lease.
+// readNewEndpoints reads the changes since the revision that this instance knows. It reads all endpoints if this instance
+// knows none or if the store has compacted the changes. While a planner is lost, all instances poll the endpoints each
+// second. In a large fleet, full reads would exceed the capacity of the store's link, so that no planner could confirm its
+// lease.
 func (c *Coordinator) readNewEndpoints() error {
 	after := int64(0)
-	c.loop.Call(func(time.Time) { after = c.describedUpTo })
+	c.loop.Call(func(time.Time) { after = c.describedRevision })
 	if after == 0 {
 		_, err := c.readEndpoints()
 		return err
 	}
-	sent := c.options.Now()
+	sentAt := c.options.Now()
 	events, next, err := c.watch(c.context, c.environment.EndpointPrefix, after, follow.NoWait)
 	switch {
 	case errors.Is(err, store.ErrCompacted):
 		_, err = c.readEndpoints()
 		return err
 	case err != nil:
-		c.noteStore("read new endpoints", err)
+		c.recordStoreFailure("read new endpoints", err)
 		return err
 	}
-	c.loop.Post(func(now time.Time) { c.applyEndpointEvents(now, sent, events, next) })
+	c.loop.Post(func(now time.Time) { c.applyEndpointEvents(now, sentAt, events, next) })
 	return nil
 }
 
-// notePolling tells that this instance begins to read the endpoints' keys itself, and how old what it knows of them is.
-func (c *Coordinator) notePolling() {
+// logPollingStart logs that this instance begins to read the endpoints' keys itself, with the age of its present data.
+func (c *Coordinator) logPollingStart() {
 	var silence, age time.Duration
 	c.loop.Call(func(now time.Time) {
-		silence = now.Sub(c.following.ReceivedAt)
+		silence = now.Sub(c.follower.ReceivedAt)
 		age = c.endpointsAge(now)
 	})
 	c.options.Log.WithFields(map[string]any{
@@ -99,11 +101,11 @@
 	}).Info("endpoints are read here, since the planner's views are too old")
 }
 
-// alonePause is the pause between two calls of an instance that reads the store by itself; in
-// a large fleet it is up to twice as long, since all instances call at once then.
-func (c *Coordinator) alonePause(pause time.Duration) time.Duration {
+// stretchPollPause returns the pause between two polls of an instance that reads the store itself. In a large fleet it is
+// up to twice as long, because all instances poll then.
+func (c *Coordinator) stretchPollPause(pause time.Duration) time.Duration {
 	stretched := pause
-	c.loop.Call(func(time.Time) { stretched = min(c.pace(pause), mostStretch*pause) })
+	c.loop.Call(func(time.Time) { stretched = min(c.stretchForFleet(pause), maxPauseStretch*pause) })
 	return stretched
 }
 
@@ -113,52 +115,53 @@
 	return reader
 }
 
-// readEndpoints reads all endpoints' keys and gives the revision to watch from.
+// readEndpoints reads all endpoints' keys and returns the revision to watch from.
 func (c *Coordinator) readEndpoints() (int64, error) {
-	sent := c.options.Now()
+	sentAt := c.options.Now()
 	items, revision, err := c.environment.Store.ReadAll(c.context, c.environment.EndpointPrefix, c.options.StoreTimeout)
 	if err != nil {
-		c.noteStore("read endpoints", err)
+		c.recordStoreFailure("read endpoints", err)
 		return 0, err
 	}
-	c.loop.Post(func(now time.Time) { c.replaceEndpoints(now, sent, items, revision) })
+	c.loop.Post(func(now time.Time) { c.replaceEndpoints(now, sentAt, items, revision) })
 	return revision, nil
 }
 
-// watchEndpoints does one step of the planner's watch and gives the revision to go on from.
+// watchEndpoints makes one call of the planner's watch and returns the revision to continue from. It returns 0 if all
+// endpoints have to be read again.
 func (c *Coordinator) watchEndpoints(after int64) int64 {
 	if after == 0 {
 		revision, err := c.readEndpoints()
 		if err != nil {
-			c.sleep(c.jitter(storeRetry))
+			c.sleep(c.jitter(storeRetryPause))
 			return 0
 		}
 		return revision
 	}
-	sent := c.options.Now()
+	sentAt := c.options.Now()
 	events, next, err := c.watch(c.context, c.environment.EndpointPrefix, after, follow.ShortWatch)
 	if err != nil {
 		if !errors.Is(err, store.ErrCompacted) {
-			c.noteStore("watch endpoints", err)
-			c.sleep(c.jitter(storeRetry))
+			c.recordStoreFailure("watch endpoints", err)
+			c.sleep(c.jitter(storeRetryPause))
 		}
 		return 0
 	}
-	c.loop.Post(func(now time.Time) { c.applyEndpointEvents(now, sent, events, next) })
+	c.loop.Post(func(now time.Time) { c.applyEndpointEvents(now, sentAt, events, next) })
 	if len(events) > 0 {
 		c.sleep(endpointWatchPause)
 	}
 	return next
 }
 
-// watch is one waiting call to the store.
+// watch makes one watch call to the store, with a timeout.
 func (c *Coordinator) watch(ctx context.Context, prefix string, after int64, wait time.Duration) ([]store.Event, int64, error) {
 	ctx, cancel := context.WithTimeout(ctx, wait+follow.WatchSlack)
 	defer cancel()
 	return c.environment.Store.Watch(ctx, prefix, after, wait)
 }
 
-func (c *Coordinator) replaceEndpoints(now, sent time.Time, items []store.Item, revision int64) {
+func (c *Coordinator) replaceEndpoints(now, sentAt time.Time, items []store.Item, revision int64) {
 	endpoints := make([]deployment.Endpoint, 0, len(items))
 	revisions := make([]int64, 0, len(items))
 	for _, item := range items {
@@ -171,30 +174,30 @@
 	}
 	before := maps.Clone(c.directory.Endpoints())
 	c.directory.Replace(endpoints, revisions, revision)
-	if !c.toldOfCopies {
-		c.readUpTo = revision
+	if !c.copiesFromPeers {
+		c.endpointsReadRevision = revision
 	}
-	c.describedUpTo = max(c.describedUpTo, revision)
-	c.retireFormer(before)
-	c.endpointsRead(now, sent)
-	if c.planning != nil {
-		c.planning.endpointsRevision = max(c.planning.endpointsRevision, revision)
+	c.describedRevision = max(c.describedRevision, revision)
+	c.retireReplaced(before)
+	c.markEndpointsRead(now, sentAt)
+	if c.planner != nil {
+		c.planner.endpointsRevision = max(c.planner.endpointsRevision, revision)
 	}
 	for id := range before {
-		if c.planning != nil && c.directory.Endpoint(id) == nil {
-			c.planning.plans.RemoveEndpoint(id, revision)
+		if c.planner != nil && c.directory.Endpoint(id) == nil {
+			c.planner.plans.RemoveEndpoint(id, revision)
 		}
 	}
 	for _, endpoint := range endpoints {
-		c.endpointChanged(now, endpoint.ID)
+		c.updatePlanEndpoint(now, endpoint.ID)
 	}
 }
 
-// applyEndpointEvents takes in the events of a watch, up to a revision.
-func (c *Coordinator) applyEndpointEvents(now, sent time.Time, events []store.Event, upTo int64) {
-	c.describedUpTo = max(c.describedUpTo, upTo)
-	if c.planning != nil {
-		c.planning.endpointsRevision = max(c.planning.endpointsRevision, upTo)
+// applyEndpointEvents applies the events of a watch that covers all changes up to a revision.
+func (c *Coordinator) applyEndpointEvents(now, sentAt time.Time, events []store.Event, upTo int64) {
+	c.describedRevision = max(c.describedRevision, upTo)
+	if c.planner != nil {
+		c.planner.endpointsRevision = max(c.planner.endpointsRevision, upTo)
 	}
 	for _, event := range events {
 		if event.Gone {
@@ -203,18 +206,18 @@
 		}
 		endpoint, ok := c.parseEndpoint(event.Item)
 		if !ok {
-			// A whole reading would not name it either.
+			// A full read of the keys would not list this endpoint either.
 			c.removeEndpoint(c.environment.EndpointOf(event.Key), event.Revision)
 			continue
 		}
 		if c.putEndpoint(endpoint, event.Revision) {
-			c.endpointChanged(now, endpoint.ID)
+			c.updatePlanEndpoint(now, endpoint.ID)
 		}
 	}
-	c.endpointsRead(now, sent)
+	c.markEndpointsRead(now, sentAt)
 }
 
-// parseEndpoint reads a key that describes an endpoint; one that cannot be read is logged and passed over.
+// parseEndpoint parses a key that describes an endpoint. A key that cannot be parsed is logged and ignored.
 func (c *Coordinator) parseEndpoint(item store.Item) (deployment.Endpoint, bool) {
 	endpoint, err := c.environment.ParseEndpoint(item)
 	if err != nil {
@@ -223,57 +226,58 @@
 	return endpoint, err == nil
 }
 
-// endpointsRead notes that the endpoints are known as of the time a call was sent.
-func (c *Coordinator) endpointsRead(now, sent time.Time) {
+// markEndpointsRead records that the endpoints are known as of the time at which a call was sent.
+func (c *Coordinator) markEndpointsRead(now, sentAt time.Time) {
 	c.endpointsKnown = true
-	if sent.After(c.endpointsReadAt) {
-		c.endpointsReadAt = sent
+	if sentAt.After(c.endpointsReadAt) {
+		c.endpointsReadAt = sentAt
 	}
 	c.updateReady()
 	c.reviewWaiters(now)
 }
 
-// endpointChanged passes a changed description on to the plan.
-func (c *Coordinator) endpointChanged(now time.Time, id deployment.EndpointID) {
+// updatePlanEndpoint passes a changed description on to the plan.
+func (c *Coordinator) updatePlanEndpoint(now time.Time, id deployment.EndpointID) {
 	status := c.directory.Endpoint(id)
-	if c.planning == nil || status == nil {
+	if c.planner == nil || status == nil {
 		return
 	}
-	c.planning.plans.SetEndpoint(now, status.Endpoint, status.Revision)
+	c.planner.plans.SetEndpoint(now, status.Endpoint, status.Revision)
 }
 
-// removeEndpoint forgets an endpoint that was gone at a revision, unless a later description of it is known.
+// removeEndpoint removes an endpoint that was gone at a revision, unless a later description of it is known.
 func (c *Coordinator) removeEndpoint(id deployment.EndpointID, revision int64) {
 	if !c.directory.Remove(id, revision) {
 		return
 	}
 	c.options.Log.WithField("endpoint", id).Info("endpoint gone")
 	c.environment.Retire(id)
-	if c.planning != nil {
-		c.planning.plans.RemoveEndpoint(id, revision)
+	if c.planner != nil {
+		c.planner.plans.RemoveEndpoint(id, revision)
 	}
 }
 
-// putEndpoint takes in one description and tells whether anything changed.
+// putEndpoint applies one description and reports whether anything changed.
 func (c *Coordinator) putEndpoint(endpoint deployment.Endpoint, revision int64) bool {
 	former := c.directory.Endpoint(endpoint.ID)
 	changed := c.directory.Put(endpoint, revision)
 	if former != nil {
-		c.retireIfFormer(former)
+		c.retireIfReplaced(former)
 	}
 	return changed
 }
 
-// retireFormer logs and retires the endpoints of before that are gone or started anew. It is for a directory that was replaced;
-// removeEndpoint and putEndpoint do the same for one endpoint.
-func (c *Coordinator) retireFormer(before map[deployment.EndpointID]*directory.EndpointStatus) {
+// retireReplaced logs and retires the given former endpoints that are gone or were restarted. It is used after the whole
+// directory was replaced; removeEndpoint and putEndpoint do the same for one endpoint.
+func (c *Coordinator) retireReplaced(before map[deployment.EndpointID]*directory.EndpointStatus) {
 	for _, former := range before {
-		c.retireIfFormer(former)
+		c.retireIfReplaced(former)
 	}
 }
 
-// retireIfFormer logs and retires an endpoint of which nothing, or another start, is known by now.
-func (c *Coordinator) retireIfFormer(former *directory.EndpointStatus) {
+// retireIfReplaced logs and retires an endpoint that is gone from the directory or whose entry there describes another
+// start.
+func (c *Coordinator) retireIfReplaced(former *directory.EndpointStatus) {
 	present := c.directory.Endpoint(former.ID)
 	switch present {
 	case former:
--- a/services/entry/coordinator/site_test.go
+++ b/services/entry/coordinator/fixture_test.go
@@ -30,14 +30,16 @@
 const (
 	operatorsPrefix  = "operators/"
 	configurationKey = operatorsPrefix + "configuration"
-	// versionPrefix begins the keys that name versions: an adapter's name follows, the value is the version.
+	// versionPrefix is the prefix of the keys that name versions. The adapter's name follows, and the value is the
+	// version.
 	versionPrefix  = operatorsPrefix + "version/"
 	endpointPrefix = "endpoints/"
 	recordKey      = "shelfledge/planner"
 	heartbeatKey   = "shelfledge/planner-alive"
 	service        = "chat"
 	selfName       = "self"
-	// versionLimit leaves former versions time beside the age that a name may count as, up to a short watch.
+	// versionLimit leaves time for former versions beyond the age that may be assumed for a named version, which is up to
+	// the length of a short watch.
 	versionLimit = 3 * time.Second
 )
 
@@ -51,25 +53,25 @@
 	return deployment.Adapter{Model: "base", Name: name}
 }
 
-// engines takes orders like endpoints do: loads are done at once.
-type engines struct {
+// engine answers orders like endpoints do. Loads finish at once.
+type engine struct {
 	mutex    sync.Mutex
 	sequence int64
 	adapters map[deployment.Adapter]int64
 	loads    int
 	silent   bool
-	// endless keeps loads under way for good.
-	endless bool
-	// held, if not nil, keeps loads under way until it is closed.
+	// loadsNeverEnd keeps loads in progress forever.
+	loadsNeverEnd bool
+	// held blocks loads until it is closed. If it is nil, loads do not block.
 	held chan struct{}
 }
 
-func (e *engines) send(_ context.Context, order loading.Order, _ string, _ int64) loading.Result {
+func (e *engine) sendOrder(_ context.Context, order loading.Order, _ string, _ int64) loading.Result {
 	e.mutex.Lock()
-	under := e.held
+	gate := e.held
 	e.mutex.Unlock()
-	if under != nil && order.Kind == loading.Load {
-		<-under
+	if gate != nil && order.Kind == loading.Load {
+		<-gate
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -84,7 +86,7 @@
 			report.Adapters[name] = version
 		}
 		result.Report = report
-	case order.Kind == loading.Load && held && e.endless:
+	case order.Kind == loading.Load && held && e.loadsNeverEnd:
 		result.Reply = loading.Accepted
 	case order.Kind == loading.Load && held:
 		result.Reply = loading.Holds
@@ -101,13 +103,13 @@
 	return result
 }
 
-func (e *engines) loadForever() {
+func (e *engine) keepLoading() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	e.endless = true
+	e.loadsNeverEnd = true
 }
 
-func (e *engines) hold() (release func()) {
+func (e *engine) blockLoads() (release func()) {
 	held := make(chan struct{})
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -115,47 +117,47 @@
 	return sync.OnceFunc(func() { close(held) })
 }
 
-func (e *engines) loadCount() int {
+func (e *engine) loadCount() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.loads
 }
 
-// pipes connects one instance to peers that the test plays.
-type pipes struct {
-	// dialed are the far ends of the connections that the instance dials.
-	dialed   chan net.Conn
-	incoming chan net.Conn
-	refuse   bool
-	closed   chan struct{}
-	once     sync.Once
-	// last is the address that was dialed last.
-	last atomic.Pointer[netip.AddrPort]
+// network connects one instance with peers that the test simulates.
+type network struct {
+	// nextDial receives the far ends of the connections that the instance dials.
+	nextDial    chan net.Conn
+	incoming    chan net.Conn
+	refuseDials bool
+	closed      chan struct{}
+	closeOnce   sync.Once
+	// lastAddress is the address that was dialed last.
+	lastAddress atomic.Pointer[netip.AddrPort]
 }
 
-// lastDialed gives the address that the instance dialed last.
-func (p *pipes) lastDialed() netip.AddrPort {
-	if last := p.last.Load(); last != nil {
-		return *last
+// lastDialed returns the address that the instance dialed last.
+func (p *network) lastDialed() netip.AddrPort {
+	if lastAddress := p.lastAddress.Load(); lastAddress != nil {
+		return *lastAddress
 	}
 	return netip.AddrPort{}
 }
 
-func (p *pipes) dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
-	p.last.Store(&address)
-	if p.refuse {
+func (p *network) dial(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
+	p.lastAddress.Store(&address)
+	if p.refuseDials {
 		return nil, errDown
 	}
 	near, far := net.Pipe()
 	select {
-	case p.dialed <- far:
+	case p.nextDial <- far:
 		return near, nil
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *network) Accept() (net.Conn, error) {
 	select {
 	case conn := <-p.incoming:
 		return conn, nil
@@ -164,69 +166,69 @@
 	}
 }
 
-func (p *pipes) Close() error {
-	p.once.Do(func() { close(p.closed) })
+func (p *network) Close() error {
+	p.closeOnce.Do(func() { close(p.closed) })
 	return nil
 }
 
-func (p *pipes) Addr() net.Addr { return net.TCPAddrFromAddrPort(selfAddress) }
+func (p *network) Addr() net.Addr { return net.TCPAddrFromAddrPort(selfAddress) }
 
-// site is one instance with a store, one endpoint and peers that the test plays.
-type site struct {
-	store   *memoryStore
-	engines *engines
-	pipes   *pipes
-	control *coordinator.Coordinator
-	// log has the lines of the instance's log.
+// fixture is one instance with a store, one endpoint and peers that the test simulates.
+type fixture struct {
+	store    *memoryStore
+	engine   *engine
+	network  *network
+	instance *coordinator.Coordinator
+	// log records the instance's log lines.
 	log *logtest.Hook
-	// formerAges are what was observed of requests that began on former versions.
-	formerAges chan formerAge
+	// formerUses receives the observed requests that began on former versions.
+	formerUses chan formerUse
 	// now is the instance's clock.
 	now func() time.Time
-	// loadWindow is the span in which loads from the weight store are counted.
+	// loadWindow is the window in which loads from the weight store are counted.
 	loadWindow time.Duration
-	// reluctance is how much longer than others the instance leaves the record to them.
+	// reluctance is the instance's additional waiting time before it takes the lease.
 	reluctance time.Duration
-	// linkRate is how many bytes a second the instance's link carries; 0 if it is not known.
+	// linkRate is the capacity of the instance's link in bytes per second; 0 if it is not known.
 	linkRate int
-	// aroundCommit wraps the store's writes, as the instance makes them.
+	// aroundCommit wraps the store's writes for the instance.
 	aroundCommit func(commit commitFunc) commitFunc
-	// takenBack counts requests that were taken back.
-	takenBack atomic.Int64
+	// recalled counts the requests that were recalled.
+	recalled atomic.Int64
 }
 
-// formerAge is how long a newer version had been known when a request began on a former one.
-type formerAge struct {
+// formerUse is an observed request that began on a former version. age is for how long a newer version had been known.
+type formerUse struct {
 	age     time.Duration
 	overdue bool
 }
 
-// commitFunc is a call that writes to the store.
+// commitFunc is the type of a call that writes to the store.
 type commitFunc = func(ctx context.Context, transaction store.Transaction) (int64, error)
 
-// emptyEndpoint is the value of the key of an endpoint that has never held the base model.
-const emptyEndpoint = "empty"
+// endpointWithoutModel is the value of the key of an endpoint that has never held the base model.
+const endpointWithoutModel = "empty"
 
 func parseEndpoint(item store.Item) (deployment.Endpoint, error) {
-	if string(item.Value) == foreignEntry {
-		return deployment.Endpoint{}, errForeignEntry
+	if string(item.Value) == invalidEntry {
+		return deployment.Endpoint{}, errInvalidEntry
 	}
 	endpoint := deployment.Endpoint{
 		ID: deployment.EndpointID(strings.TrimPrefix(item.Key, endpointPrefix)), Service: service, Hall: "hall",
 		Address: netip.MustParseAddrPort("127.0.0.1:2001"), Slots: 16, Adapters: make(map[deployment.Adapter]int64),
 	}
-	if string(item.Value) != emptyEndpoint {
+	if string(item.Value) != endpointWithoutModel {
 		endpoint.Models, endpoint.CachedModels = []string{"base"}, []string{"base"}
 	}
 	return endpoint, nil
 }
 
-// foreignEntry is an entry that no endpoint wrote.
-const foreignEntry = "foreign"
+// invalidEntry is an entry that no endpoint wrote.
+const invalidEntry = "foreign"
 
-var errForeignEntry = errors.New("no endpoint's entry")
+var errInvalidEntry = errors.New("invalid endpoint entry")
 
-// parseVersion reads the key of a named version.
+// parseVersion parses the key of a named version.
 func parseVersion(item store.Item) (deployment.Adapter, int64, bool) {
 	name, ok := strings.CutPrefix(item.Key, versionPrefix)
 	version, err := strconv.ParseInt(string(item.Value), 10, 64)
@@ -241,33 +243,33 @@
 	return deployment.NewConfiguration(3, []*deployment.Route{route}, services, deployment.Limits{})
 }
 
-// newSite makes an instance whose store holds a configuration and an endpoint; start begins its work.
-func newSite() *site {
-	s := &site{
-		store: newMemoryStore(), engines: &engines{adapters: make(map[deployment.Adapter]int64)},
-		pipes:      &pipes{dialed: make(chan net.Conn), incoming: make(chan net.Conn), closed: make(chan struct{})},
-		formerAges: make(chan formerAge, 10), now: time.Now, loadWindow: time.Second, aroundCommit: func(commit commitFunc) commitFunc { return commit },
+// newFixture returns a fixture whose store holds a configuration and an endpoint. The method start starts the instance.
+func newFixture() *fixture {
+	f := &fixture{
+		store: newMemoryStore(), engine: &engine{adapters: make(map[deployment.Adapter]int64)},
+		network:    &network{nextDial: make(chan net.Conn), incoming: make(chan net.Conn), closed: make(chan struct{})},
+		formerUses: make(chan formerUse, 10), now: time.Now, loadWindow: time.Second, aroundCommit: func(commit commitFunc) commitFunc { return commit },
 	}
-	s.store.put(configurationKey, "3")
-	s.store.put(endpointPrefix+"e1", "")
-	return s
+	f.store.put(configurationKey, "3")
+	f.store.put(endpointPrefix+"e1", "")
+	return f
 }
 
-func (s *site) start(t testing.TB, seeds ...netip.AddrPort) {
+func (f *fixture) start(t testing.TB, seeds ...netip.AddrPort) {
 	t.Helper()
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	s.log = logtest.NewLocal(log)
+	f.log = logtest.NewLocal(log)
 	options := coordinator.Options{
 		Instance: selfName, Hall: "hall", PeerAddress: selfAddress, Seeds: seeds,
 		Lease:      lease.Options{Window: 1300 * time.Millisecond, OrderTimeout: 200 * time.Millisecond, Turn: 300 * time.Millisecond},
-		LoadWindow: s.loadWindow, LoadTolerance: 1, LoadSlack: 10, VersionLimit: versionLimit, StoreTimeout: 300 * time.Millisecond,
-		Now: s.now, Random: func() float64 { return 0.5 }, Log: logrus.NewEntry(log), LinkRate: s.linkRate, Reluctance: s.reluctance,
-		ObserveFormerVersion: func(age time.Duration, overdue bool) { s.formerAges <- formerAge{age, overdue} },
-		ObserveTakenBack:     func() { s.takenBack.Add(1) },
+		LoadWindow: f.loadWindow, LoadTolerance: 1, LoadSlack: 10, VersionLimit: versionLimit, StoreTimeout: 300 * time.Millisecond,
+		Now: f.now, Random: func() float64 { return 0.5 }, Log: logrus.NewEntry(log), LinkRate: f.linkRate, Reluctance: f.reluctance,
+		ObserveFormerVersion: func(age time.Duration, overdue bool) { f.formerUses <- formerUse{age, overdue} },
+		ObserveTakenBack:     func() { f.recalled.Add(1) },
 	}
-	client := s.store.client()
-	client.Commit = s.aroundCommit(client.Commit)
+	client := f.store.client()
+	client.Commit = f.aroundCommit(client.Commit)
 	environment := coordinator.Environment{
 		Store: client, ConfigurationPrefix: operatorsPrefix, EndpointPrefix: endpointPrefix, ConfigurationKey: configurationKey,
 		ParseConfiguration: func([]byte) (*deployment.Configuration, error) { return configuration(), nil },
@@ -276,34 +278,34 @@
 		EndpointOf: func(key string) deployment.EndpointID {
 			return deployment.EndpointID(strings.TrimPrefix(key, endpointPrefix))
 		},
-		SendOrder: s.engines.send, Dial: s.pipes.dial,
-		Listen: func(netip.AddrPort) (net.Listener, error) { return s.pipes, nil },
+		SendOrder: f.engine.sendOrder, Dial: f.network.dial,
+		Listen: func(netip.AddrPort) (net.Listener, error) { return f.network, nil },
 		Retire: func(deployment.EndpointID) {},
 	}
-	s.control = coordinator.New(options, environment)
-	require.NoError(t, s.control.Start())
-	t.Cleanup(s.control.Stop)
+	f.instance = coordinator.New(options, environment)
+	require.NoError(t, f.instance.Start())
+	t.Cleanup(f.instance.Stop)
 }
 
-// planElsewhere puts a record into the store by which another instance plans in term 4.
-func (s *site) planElsewhere(t *testing.T) {
+// setOtherPlanner writes a record with which another instance is the planner of term 4.
+func (f *fixture) setOtherPlanner(t *testing.T) {
 	t.Helper()
 	value, err := lease.Record{Holder: "peer", Address: peerAddress, Term: 4, Ordering: true}.Encode()
 	require.NoError(t, err)
-	s.store.put(recordKey, string(value))
-	s.store.put(heartbeatKey, "peer")
+	f.store.put(recordKey, string(value))
+	f.store.put(heartbeatKey, "peer")
 }
 
-func (s *site) acquire(name string, patience time.Duration) (coordinator.Assignment, *deployment.Request, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+func (f *fixture) acquire(name string, timeout time.Duration) (coordinator.Assignment, *deployment.Request, error) {
+	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
 	now := time.Now()
 	request := &deployment.Request{Route: route, Service: service, Adapter: adapter(name), Arrived: now, Deadline: now.Add(10 * time.Second)}
-	assignment, err := s.control.Acquire(ctx, request, nil)
+	assignment, err := f.instance.Acquire(ctx, request, nil)
 	return assignment, request, err
 }
 
 const (
-	waitLimit = 5 * time.Second
-	lookPace  = 5 * time.Millisecond
+	waitLimit    = 5 * time.Second
+	pollInterval = 5 * time.Millisecond
 )
--- a/services/entry/coordinator/formerloads.go
+++ b/services/entry/coordinator/formerloads.go
@@ -11,67 +11,69 @@
 	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
-// formerLoads is what is known of the base models' loads that the planner of a term began, and the planners before it.
+// formerLoads is what is known of the base-model loads that the planner of a term and its predecessors began.
 type formerLoads struct {
-	// term is the planner's; 0 if there is nothing to be learned of it any more.
+	// term is the term of that planner. It is 0 if nothing more can be learned about its loads.
 	term  int64
 	loads plan.AssumedLoads
-	// heard tells that a view told the loads; without it none may begin.
-	heard bool
+	// known reports that the load count came from a view. Without it no base-model load may begin.
+	known bool
 }
 
-// noteLoads remembers what a view of the planner told of its loads.
-func (c *Coordinator) noteLoads(now time.Time, v *wire.View) {
+// recordPlannerLoads stores the load count of a view of the planner.
+func (c *Coordinator) recordPlannerLoads(now time.Time, v *wire.View) {
 	if v.RecentLoads != nil {
-		c.heardLoads = formerLoads{term: v.Term, loads: plan.AssumedLoads{Count: *v.RecentLoads, At: now}, heard: true}
+		c.lastPlannerLoads = formerLoads{term: v.Term, loads: plan.AssumedLoads{Count: *v.RecentLoads, At: now}, known: true}
 	}
 }
 
-// noteOwnLoads remembers the loads of this instance's own plan, which ends.
-func (c *Coordinator) noteOwnLoads(now time.Time, p *planning) {
+// recordOwnLoads stores the load count of this instance's own plan, which ends.
+func (c *Coordinator) recordOwnLoads(now time.Time, p *planner) {
 	own := plan.AssumedLoads{Count: p.plans.RecentLoads(now), At: now}
-	c.heardLoads = formerLoads{term: p.lease.Record().Term, loads: own, heard: true}
+	c.lastPlannerLoads = formerLoads{term: p.lease.Record().Term, loads: own, known: true}
 }
 
-// loadsBefore gives what is known of the loads before a term that begins now, by the record that it replaced: a released
-// one tells them, a view of its holder told them, or they are not known yet.
-func (c *Coordinator) loadsBefore(now time.Time, replaced lease.Record) formerLoads {
+// loadsBeforeTerm returns what is known of the loads before a term that begins now. The count is in the replaced record if
+// that record was released. Otherwise it comes from a view of the record's holder, or it is not known yet.
+func (c *Coordinator) loadsBeforeTerm(now time.Time, replaced lease.Record) formerLoads {
 	switch {
 	case replaced.Term == 0:
 		return formerLoads{}
 	case replaced.Released:
 		return formerLoads{loads: plan.AssumedLoads{Count: replaced.RecentLoads, At: now}}
-	case c.heardLoads.term == replaced.Term:
-		return c.heardLoads
+	case c.lastPlannerLoads.term == replaced.Term:
+		return c.lastPlannerLoads
 	default:
 		return formerLoads{term: replaced.Term, loads: plan.UnknownLoads(now)}
 	}
 }
 
-// knownFormerLoads gives what this instance heard of the last planner's loads, for a new one; nil if it heard nothing.
-func (c *Coordinator) knownFormerLoads(now time.Time) *wire.FormerLoads {
-	if !c.heardLoads.heard {
+// formerLoadsToReport returns the last planner's loads for the report to a new planner. It returns nil if no load count
+// was received.
+func (c *Coordinator) formerLoadsToReport(now time.Time) *wire.FormerLoads {
+	if !c.lastPlannerLoads.known {
 		return nil
 	}
-	heard := c.heardLoads
-	return &wire.FormerLoads{Term: heard.term, Count: heard.loads.Count, Age: now.Sub(heard.loads.At)}
+	known := c.lastPlannerLoads
+	return &wire.FormerLoads{Term: known.term, Count: known.loads.Count, Age: now.Sub(known.loads.At)}
 }
 
-// takeFormerLoads takes in what a member heard of the former planner's loads; the youngest word counts.
-func (p *planning) takeFormerLoads(now time.Time, told *wire.FormerLoads) {
-	if told == nil || told.Term == 0 || told.Term != p.former.term {
+// mergeFormerLoads applies a load count of the former planner that a member received. The newest count wins.
+func (p *planner) mergeFormerLoads(now time.Time, reported *wire.FormerLoads) {
+	if reported == nil || reported.Term == 0 || reported.Term != p.formerTermLoads.term {
 		return
 	}
-	at := now.Add(-told.Age)
-	if p.former.heard && !at.After(p.former.loads.At) {
+	countedAt := now.Add(-reported.Age)
+	if p.formerTermLoads.known && !countedAt.After(p.formerTermLoads.loads.At) {
 		return
 	}
-	p.former.heard, p.former.loads = true, plan.AssumedLoads{Count: told.Count, At: at}
-	p.plans.Assume(p.former.loads)
+	p.formerTermLoads.known, p.formerTermLoads.loads = true, plan.AssumedLoads{Count: reported.Count, At: countedAt}
+	p.plans.Assume(p.formerTermLoads.loads)
 }
 
-// recentLoads gives the base models' loads begun in the last window, as a view tells them: never nil, which says that they are not told.
-func (p *planning) recentLoads(now time.Time) *int {
+// recentLoads returns the number of base-model loads that began within the last window, for a view. It is never nil,
+// because nil in a view means that the count is not given.
+func (p *planner) recentLoads(now time.Time) *int {
 	count := p.plans.RecentLoads(now)
 	return &count
 }
--- a/services/entry/coordinator/formerloads_test.go
+++ b/services/entry/coordinator/formerloads_test.go
@@ -15,169 +15,169 @@
 )
 
 const (
-	// manyLoads are more base models' loads than the weight store's bound allows in any window of these tests.
+	// manyLoads is more base-model loads than the weight store's bound permits in any window of these tests.
 	manyLoads = 1 << 20
-	// longWindow is a window that no test outlasts.
+	// longWindow is longer than any test.
 	longWindow = 10 * time.Minute
-	// noLoadFor is for how long nothing may be loaded where loads are held back.
-	noLoadFor = 300 * time.Millisecond
+	// noLoadTime is for how long the tests check that nothing is loaded.
+	noLoadTime = 300 * time.Millisecond
 )
 
-// emptySite is a site whose one endpoint has never held the base model.
-func emptySite() *site {
-	s := newSite()
-	s.store.put(endpointPrefix+"e1", emptyEndpoint)
-	s.loadWindow = longWindow
-	return s
+// newFixtureWithoutModel returns a fixture whose only endpoint has never held the base model.
+func newFixtureWithoutModel() *fixture {
+	f := newFixture()
+	f.store.put(endpointPrefix+"e1", endpointWithoutModel)
+	f.loadWindow = longWindow
+	return f
 }
 
-// plannedBefore puts a record into the store by which the instance's own earlier process planned in term 4.
-func (s *site) plannedBefore(t *testing.T) {
+// setOwnFormerRecord writes a record with which an earlier process of the instance was the planner of term 4.
+func (f *fixture) setOwnFormerRecord(t *testing.T) {
 	t.Helper()
 	value, err := lease.Record{Holder: selfName, Address: selfAddress, Term: 4, Ordering: true}.Encode()
 	require.NoError(t, err)
-	s.store.put(recordKey, string(value))
+	f.store.put(recordKey, string(value))
 }
 
-// begins waits until the instance may order in a term.
-func (s *site) begins(t *testing.T, term int64) {
+// waitForOrdering waits until the record permits the instance to send orders in a term.
+func (f *fixture) waitForOrdering(t *testing.T, term int64) {
 	t.Helper()
-	require.Eventually(t, func() bool { record, _ := s.store.record(t); return record.Term == term && record.Ordering }, waitLimit, lookPace)
+	require.Eventually(t, func() bool { record, _ := f.store.record(t); return record.Term == term && record.Ordering }, waitLimit, pollInterval)
 }
 
-func (s *site) loadsSoon(t *testing.T) {
+func (f *fixture) requireLoad(t *testing.T) {
 	t.Helper()
-	require.Eventually(t, func() bool { return s.engines.loadCount() > 0 }, waitLimit, lookPace, "the base model is loaded")
+	require.Eventually(t, func() bool { return f.engine.loadCount() > 0 }, waitLimit, pollInterval, "the base model is loaded")
 }
 
-func (s *site) loadsNothing(t *testing.T) {
+func (f *fixture) requireNoLoad(t *testing.T) {
 	t.Helper()
-	time.Sleep(noLoadFor)
-	require.Zero(t, s.engines.loadCount(), "loads are held back")
+	time.Sleep(noLoadTime)
+	require.Zero(t, f.engine.loadCount(), "no load may begin yet")
 }
 
-// resign lets the planner of term 4, which the test plays, tell its loads and that it gives no more orders.
-func (s *site) resign(t *testing.T, recentLoads *int) {
+// followResignedPlanner starts the instance with a simulated planner of term 4, which sends its load count and resigns.
+func (f *fixture) followResignedPlanner(t *testing.T, recentLoads *int) {
 	t.Helper()
-	s.planElsewhere(t)
-	s.start(t)
-	planner := s.link(t)
-	told := fullView(4)
-	told.Endpoints[0].Models = nil
-	told.Resigned, told.RecentLoads = true, recentLoads
-	require.NoError(t, planner.Send(wireMessage{View: told}))
+	f.setOtherPlanner(t)
+	f.start(t)
+	planner := f.acceptDial(t)
+	view := fullView(4)
+	view.Endpoints[0].Models = nil
+	view.Resigned, view.RecentLoads = true, recentLoads
+	require.NoError(t, planner.Send(wireMessage{View: view}))
 	go drain(planner)
-	s.begins(t, 5)
+	f.waitForOrdering(t, 5)
 }
 
-func TestASuccessorCountsTheLoadsThatViewsTold(t *testing.T) {
-	t.Run("as many as the weight store's bound", func(t *testing.T) {
-		s, count := emptySite(), manyLoads
-		s.resign(t, &count)
-		s.loadsNothing(t)
+func TestNewPlannerCountsLoadsOfFormerViews(t *testing.T) {
+	t.Run("loads above the bound of the weight store", func(t *testing.T) {
+		f, count := newFixtureWithoutModel(), manyLoads
+		f.followResignedPlanner(t, &count)
+		f.requireNoLoad(t)
 	})
-	t.Run("none", func(t *testing.T) {
-		s, count := emptySite(), 0
-		s.resign(t, &count)
-		s.loadsSoon(t)
+	t.Run("no loads", func(t *testing.T) {
+		f, count := newFixtureWithoutModel(), 0
+		f.followResignedPlanner(t, &count)
+		f.requireLoad(t)
 	})
-	t.Run("a planner of the version before, which tells none", func(t *testing.T) {
-		s := emptySite()
-		s.resign(t, nil)
-		s.loadsNothing(t)
+	t.Run("no load count from a planner of the previous version", func(t *testing.T) {
+		f := newFixtureWithoutModel()
+		f.followResignedPlanner(t, nil)
+		f.requireNoLoad(t)
 	})
-	t.Run("until their window is over", func(t *testing.T) {
-		s, count := emptySite(), manyLoads
-		s.loadWindow = time.Second
-		s.resign(t, &count)
-		s.loadsNothing(t)
-		s.loadsSoon(t)
+	t.Run("loads whose window ends", func(t *testing.T) {
+		f, count := newFixtureWithoutModel(), manyLoads
+		f.loadWindow = time.Second
+		f.followResignedPlanner(t, &count)
+		f.requireNoLoad(t)
+		f.requireLoad(t)
 	})
 }
 
-func TestAPlannerThatStartsAgainWaitsForWhatItsMembersHeard(t *testing.T) {
+func TestRestartedPlannerWaitsForReportedLoads(t *testing.T) {
 	cases := map[string]struct {
-		told  *wireLoads
-		loads bool
+		reported *wireLoads
+		loads    bool
 	}{
-		"few loads":                   {&wireLoads{Term: 4, Count: 1, Age: 100 * time.Millisecond}, true},
-		"many loads":                  {&wireLoads{Term: 4, Count: manyLoads, Age: 100 * time.Millisecond}, false},
-		"many, but before the window": {&wireLoads{Term: 4, Count: manyLoads, Age: longWindow}, true},
-		"few loads of another term":   {&wireLoads{Term: 3, Count: 1}, false},
-		"a member that heard nothing": {nil, false},
+		"few loads":                    {&wireLoads{Term: 4, Count: 1, Age: 100 * time.Millisecond}, true},
+		"many loads":                   {&wireLoads{Term: 4, Count: manyLoads, Age: 100 * time.Millisecond}, false},
+		"many loads before the window": {&wireLoads{Term: 4, Count: manyLoads, Age: longWindow}, true},
+		"few loads of another term":    {&wireLoads{Term: 3, Count: 1}, false},
+		"no load count received":       {nil, false},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s := emptySite()
-			s.plannedBefore(t)
-			s.start(t)
-			s.begins(t, 5)
-			s.loadsNothing(t)
-			member := s.join(t)
-			require.NoError(t, member.Send(wireMessage{Report: &wireReport{Instance: "peer", FormerLoads: one.told}}))
+			f := newFixtureWithoutModel()
+			f.setOwnFormerRecord(t)
+			f.start(t)
+			f.waitForOrdering(t, 5)
+			f.requireNoLoad(t)
+			member := f.connectPeer(t)
+			require.NoError(t, member.Send(wireMessage{Report: &wireReport{Instance: "peer", FormerLoads: test.reported}}))
 			go drain(member)
-			if one.loads {
-				s.loadsSoon(t)
+			if test.loads {
+				f.requireLoad(t)
 			} else {
-				s.loadsNothing(t)
+				f.requireNoLoad(t)
 			}
 		})
 	}
 }
 
-func TestTheYoungestWordOfFormerLoadsCounts(t *testing.T) {
-	s := emptySite()
-	s.plannedBefore(t)
-	s.start(t)
-	s.begins(t, 5)
-	young, old := s.join(t), s.join(t)
-	go drain(young)
-	go drain(old)
-	require.NoError(t, young.Send(wireMessage{Report: &wireReport{Instance: "young", FormerLoads: &wireLoads{Term: 4, Count: manyLoads}}}))
-	s.waitForStatus(t, "knows the first", func(status coordinator.Status) bool { return status.Members == 2 })
+func TestNewestFormerLoadsReportWins(t *testing.T) {
+	f := newFixtureWithoutModel()
+	f.setOwnFormerRecord(t)
+	f.start(t)
+	f.waitForOrdering(t, 5)
+	newer, older := f.connectPeer(t), f.connectPeer(t)
+	go drain(newer)
+	go drain(older)
+	require.NoError(t, newer.Send(wireMessage{Report: &wireReport{Instance: "young", FormerLoads: &wireLoads{Term: 4, Count: manyLoads}}}))
+	f.waitForStatus(t, "has the first member", func(status coordinator.Status) bool { return status.Members == 2 })
 	report := &wireReport{Instance: "old", FormerLoads: &wireLoads{Term: 4, Count: 0, Age: time.Second}}
-	require.NoError(t, old.Send(wireMessage{Report: report}))
-	s.waitForStatus(t, "knows both", func(status coordinator.Status) bool { return status.Members == 3 })
-	s.loadsNothing(t)
+	require.NoError(t, older.Send(wireMessage{Report: report}))
+	f.waitForStatus(t, "has both members", func(status coordinator.Status) bool { return status.Members == 3 })
+	f.requireNoLoad(t)
 }
 
-func TestAPlannerTellsItsLoadsAtOnceAndAFollowerPassesThemOn(t *testing.T) {
-	s := newSite()
-	s.loadWindow = longWindow
-	s.start(t)
-	s.begins(t, 1)
-	member := s.joinAs(t, "peer")
-	first := receive(t, member, func(m wireMessage) bool { return m.View != nil && m.View.RecentLoads != nil })
+func TestLoadCountIsSentInViewsAndReported(t *testing.T) {
+	f := newFixture()
+	f.loadWindow = longWindow
+	f.start(t)
+	f.waitForOrdering(t, 1)
+	member := f.joinMember(t, "peer")
+	first := receiveUntil(t, member, func(m wireMessage) bool { return m.View != nil && m.View.RecentLoads != nil })
 	assert.Zero(t, *first.View.RecentLoads)
-	s.store.put(endpointPrefix+"e2", emptyEndpoint)
-	receive(t, member, func(m wireMessage) bool {
+	f.store.put(endpointPrefix+"e2", endpointWithoutModel)
+	receiveUntil(t, member, func(m wireMessage) bool {
 		return m.View != nil && m.View.RecentLoads != nil && *m.View.RecentLoads == 1
 	})
 	go drain(member)
 
-	follower, count := newSite(), 7
-	told := fullView(4)
-	told.RecentLoads = &count
-	follower.follow(t, told).Close()
-	next := follower.link(t)
-	report := receive(t, next, func(m wireMessage) bool { return m.Report != nil }).Report
+	follower, count := newFixture(), 7
+	view := fullView(4)
+	view.RecentLoads = &count
+	follower.followPlanner(t, view).Close()
+	next := follower.acceptDial(t)
+	report := receiveUntil(t, next, func(m wireMessage) bool { return m.Report != nil }).Report
 	require.NotNil(t, report.FormerLoads)
 	assert.EqualValues(t, 4, report.FormerLoads.Term)
 	assert.Equal(t, 7, report.FormerLoads.Count)
 	assert.Less(t, report.FormerLoads.Age, waitLimit)
 }
 
-func TestAReleaseTellsTheLoadsOfTheHolderBeforeToo(t *testing.T) {
-	s := emptySite()
+func TestReleaseIncludesLoadsOfFormerHolder(t *testing.T) {
+	f := newFixtureWithoutModel()
 	value, err := lease.Record{Holder: "peer", Address: peerAddress, Term: 4, Ordering: true, Released: true, RecentLoads: manyLoads}.Encode()
 	require.NoError(t, err)
-	s.store.put(recordKey, string(value))
-	s.start(t)
-	s.begins(t, 5)
-	s.loadsNothing(t)
-	s.control.Release(t.Context())
-	record, _ := s.store.record(t)
+	f.store.put(recordKey, string(value))
+	f.start(t)
+	f.waitForOrdering(t, 5)
+	f.requireNoLoad(t)
+	f.instance.Release(t.Context())
+	record, _ := f.store.record(t)
 	assert.True(t, record.Released)
-	assert.Equal(t, manyLoads, record.RecentLoads, "a planner that is replaced soon passes on what it was told")
+	assert.Equal(t, manyLoads, record.RecentLoads, "the released record includes the loads of the former holder")
 }
--- a/services/entry/coordinator/gathering.go
+++ b/services/entry/coordinator/gathering.go
@@ -16,167 +16,172 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// avoidFor is how long a gatherer that did not answer is passed over: longer asks a lost one less often, shorter returns sooner to one that
-// was only slow.
-const avoidFor = 3 * time.Second
+// gathererAvoidTime is for how long a gatherer that did not answer is avoided. A longer time makes fewer attempts to reach
+// a lost gatherer. A shorter time returns sooner to a gatherer that was only slow.
+const gathererAvoidTime = 3 * time.Second
 
-// gathering is what an instance tells the one that gathers for it, and what it gathers for others itself.
+// gathering is the state of an instance's link to its gatherer, and of what this instance gathers for others itself.
 type gathering struct {
-	// gatherers are those that the planner last named; avoided are those that did not answer, and until when.
-	gatherers []tree.Instance
-	avoided   map[string]time.Time
-	// stream is the link to the own gatherer; nil if there is none. itself tells that this instance is its own.
-	stream *peerstream.Stream[wire.Message]
-	itself bool
-	// name is whom the link leads to; fedBy is the same once the planner's views come over it.
-	name  string
-	fedBy string
-	// group is what this instance gathers, members those that tell it over a link.
+	// gatherers are the gatherers that the planner last named. avoidedUntil holds the gatherers that did not answer, with
+	// the time until which they are avoided.
+	gatherers    []tree.Instance
+	avoidedUntil map[string]time.Time
+	// stream is the link to this instance's gatherer; nil if there is none. gathersItself reports that this instance is
+	// its own gatherer.
+	stream        *peerstream.Stream[wire.Message]
+	gathersItself bool
+	// gathererName is the gatherer at the other end of the link. fedBy is the same name once the planner's views arrive
+	// over the link, and empty before.
+	gathererName string
+	fedBy        string
+	// group sums what this instance gathers. members are the links over which members send their loads, with the members'
+	// names.
 	group   *gather.Group
 	members map[*member.Link]string
-	// loadSent and sumSent are when the last load and the last sum were sent.
-	loadSent time.Time
-	sumSent  time.Time
+	// loadSentAt and sumSentAt are when the last load and the last sum were sent.
+	loadSentAt time.Time
+	sumSentAt  time.Time
 }
 
 func newGathering() gathering {
-	return gathering{avoided: make(map[string]time.Time), group: gather.NewGroup(), members: make(map[*member.Link]string)}
+	return gathering{avoidedUntil: make(map[string]time.Time), group: gather.NewGroup(), members: make(map[*member.Link]string)}
 }
 
-// gathererOf gives the instance that gathers for this one; false if none does.
-func (c *Coordinator) gathererOf(now time.Time) (tree.Instance, bool) {
-	if c.planning != nil {
+// currentGatherer returns the instance that gathers for this one. It returns false if none does.
+func (c *Coordinator) currentGatherer(now time.Time) (tree.Instance, bool) {
+	if c.planner != nil {
 		return tree.Instance{}, false
 	}
 	g := &c.gathering
-	return tree.Of(c.options.Instance, c.options.Hall, g.gatherers, func(name string) bool { return now.Before(g.avoided[name]) })
+	return tree.Of(c.options.Instance, c.options.Hall, g.gatherers, func(name string) bool { return now.Before(g.avoidedUntil[name]) })
 }
 
-// gatheredByAnother tells whether the planner named instances of this one's hall that gather, and this is none of them.
+// gatheredByAnother reports whether the planner named gatherers in this instance's hall, and this instance is not a
+// gatherer.
 func (c *Coordinator) gatheredByAnother() bool {
 	found := false
-	for _, one := range c.gathering.gatherers {
-		if one.Name == c.options.Instance {
+	for _, gatherer := range c.gathering.gatherers {
+		if gatherer.Name == c.options.Instance {
 			return false
 		}
-		found = found || one.Hall == c.options.Hall
+		found = found || gatherer.Hall == c.options.Hall
 	}
 	return found
 }
 
-// followGatherer keeps the link to the instance that gathers for this one.
+// followGatherer maintains the link to the instance that gathers for this one.
 func (c *Coordinator) followGatherer() {
 	for c.context.Err() == nil {
 		var gatherer tree.Instance
 		c.loop.Call(func(now time.Time) {
-			found, ok := c.gathererOf(now)
-			c.gathering.itself = ok && found.Name == c.options.Instance
-			if ok && !c.gathering.itself {
+			found, ok := c.currentGatherer(now)
+			c.gathering.gathersItself = ok && found.Name == c.options.Instance
+			if ok && !c.gathering.gathersItself {
 				gatherer = found
 			}
 		})
 		if gatherer.Name != "" {
-			c.loadsTo(gatherer)
+			c.followGathererAt(gatherer)
 		}
 		c.sleep(c.jitter(dialPause))
 	}
 }
 
-// loadsTo holds one link to a gatherer until it fails, falls silent or another one gathers.
-func (c *Coordinator) loadsTo(gatherer tree.Instance) {
+// followGathererAt maintains one link to a gatherer until it fails, falls silent or another instance becomes the gatherer.
+func (c *Coordinator) followGathererAt(gatherer tree.Instance) {
 	ctx, cancel := context.WithTimeout(c.context, gather.Life)
 	conn, err := c.environment.Dial(ctx, gatherer.Address)
 	cancel()
 	if err != nil {
-		// Not logged: it is told like a link that ends, by the age of the totals.
-		c.loop.Call(func(now time.Time) { c.gathering.avoided[gatherer.Name] = now.Add(avoidFor) })
+		// Not logged: like a broken link, this is visible in the age of the totals.
+		c.loop.Call(func(now time.Time) { c.gathering.avoidedUntil[gatherer.Name] = now.Add(gathererAvoidTime) })
 		return
 	}
 	stream := peerstream.New[wire.Message](conn)
 	defer stream.Close()
 	stop := context.AfterFunc(c.context, stream.Close)
 	defer stop()
-	c.loop.Call(func(time.Time) { c.gathering.stream, c.gathering.name = stream, gatherer.Name })
+	c.loop.Call(func(time.Time) { c.gathering.stream, c.gathering.gathererName = stream, gatherer.Name })
 	for {
 		received, err := stream.Receive(gather.Life, c.options.TimerNow)
-		same := false
+		unchanged := false
 		c.loop.Call(func(now time.Time) {
 			if err != nil {
-				c.gathering.avoided[gatherer.Name] = now.Add(avoidFor)
+				c.gathering.avoidedUntil[gatherer.Name] = now.Add(gathererAvoidTime)
 				return
 			}
 			if received.Totals != nil {
-				c.applyTotalsMessage(now, received.Totals)
+				c.applyTotals(now, received.Totals)
 			}
 			if received.View != nil {
-				c.applyForwarded(now, stream, received.View)
+				c.applyForwardedView(now, stream, received.View)
 			}
-			present, ok := c.gathererOf(now)
-			same = ok && present == gatherer
+			current, ok := c.currentGatherer(now)
+			unchanged = ok && current == gatherer
 		})
-		if !same {
+		if !unchanged {
 			break
 		}
 	}
-	c.loop.Call(func(now time.Time) { c.leaveGatherer(now) })
+	c.loop.Call(func(now time.Time) { c.forgetGathererLink(now) })
 }
 
-// leaveGatherer forgets a link that has ended. The planner is told at once that this instance needs the views from it again, and a
-// whole one first.
-func (c *Coordinator) leaveGatherer(now time.Time) {
-	fed := c.gathering.fedBy != ""
-	c.gathering.stream, c.gathering.name, c.gathering.fedBy = nil, "", ""
-	if fed && c.planning == nil {
-		c.askForWholeView(now)
+// forgetGathererLink removes a link that has ended. If views arrived over the link, a report tells the planner at once
+// that this instance needs views from the planner again, beginning with a whole one.
+func (c *Coordinator) forgetGathererLink(now time.Time) {
+	wasFed := c.gathering.fedBy != ""
+	c.gathering.stream, c.gathering.gathererName, c.gathering.fedBy = nil, "", ""
+	if wasFed && c.planner == nil {
+		c.requestWholeView(now)
 	}
 }
 
-// applyForwarded takes in a view of the planner that the gatherer passes on. From the first one on that follows those of the planner
-// itself, the planner need not send them.
-func (c *Coordinator) applyForwarded(now time.Time, stream *peerstream.Stream[wire.Message], v *wire.View) {
-	if c.planning != nil || c.following.stream == nil || v.Term != c.following.Term {
+// applyForwardedView applies a view of the planner that the gatherer forwards. The first forwarded view that continues the
+// planner's own sequence sets fedBy, so that the planner can stop sending these views to this instance.
+func (c *Coordinator) applyForwardedView(now time.Time, stream *peerstream.Stream[wire.Message], v *wire.View) {
+	if c.planner != nil || c.follower.stream == nil || v.Term != c.follower.Term {
 		return
 	}
-	if c.following.Order(v) == view.Gap {
+	if c.follower.Order(v) == view.Gap {
 		if c.gathering.fedBy != "" {
-			c.askForWholeView(now)
+			c.requestWholeView(now)
 		}
 		return
 	}
 	c.applyView(now, stream, v)
-	if c.gathering.fedBy == "" && !c.following.needsWhole {
-		c.gathering.fedBy = c.gathering.name
-		c.reportSoon(now)
+	if c.gathering.fedBy == "" && !c.follower.needsWholeView {
+		c.gathering.fedBy = c.gathering.gathererName
+		c.requestReport(now)
 	}
 }
 
-// passViewOn sends a view of changes to the members of the group.
-func (c *Coordinator) passViewOn(v *wire.View) {
+// forwardView sends a view of changes to the members of the group.
+func (c *Coordinator) forwardView(v *wire.View) {
 	if len(c.gathering.members) == 0 || v.Sequence == 0 || v.Whole {
 		return
 	}
-	passed := *v
-	passed.Items, passed.KeysAge, passed.KeysFrom, passed.Probe = nil, 0, "", 0
-	c.sendToGroup(wire.Message{View: &passed})
+	forwarded := *v
+	forwarded.Items, forwarded.KeysAge, forwarded.KeysFrom, forwarded.Probe = nil, 0, "", 0
+	c.sendToGroup(wire.Message{View: &forwarded})
 }
 
-// tellLoads sends this instance's load and, where it gathers, the sum of its group, when they are due.
-func (c *Coordinator) tellLoads(now time.Time) {
+// sendDueLoads sends this instance's load and, at a gatherer, the sum of its group, when they are due.
+func (c *Coordinator) sendDueLoads(now time.Time) {
 	g := &c.gathering
-	if c.planning == nil && (g.stream != nil || g.itself) && now.Sub(g.loadSent) >= gather.Pace {
+	if c.planner == nil && (g.stream != nil || g.gathersItself) && now.Sub(g.loadSentAt) >= gather.Pace {
 		c.sendLoad(now)
 	}
-	if !g.group.Empty() && now.Sub(g.sumSent) >= gather.Pace {
+	if !g.group.Empty() && now.Sub(g.sumSentAt) >= gather.Pace {
 		c.sendSum(now)
 	}
 }
 
-// sendLoad tells the gatherer what this instance has in flight and what has been asked for.
+// sendLoad sends this instance's requests in flight and its arrivals to the gatherer.
 func (c *Coordinator) sendLoad(now time.Time) {
 	g := &c.gathering
-	g.loadSent = now
-	load := &wire.Load{Instance: c.options.Instance, InFlight: c.ownCounts(), Arrivals: c.demand.TakeArrivals(now)}
-	if g.itself {
+	g.loadSentAt = now
+	load := &wire.Load{Instance: c.options.Instance, InFlight: c.takeOwnCounts(), Arrivals: c.demand.TakeArrivals(now)}
+	if g.gathersItself {
 		g.group.Take(now, load)
 		return
 	}
@@ -185,45 +190,45 @@
 	}
 }
 
-// ownCounts is what this instance has in flight, and notes it as what was told last.
-func (c *Coordinator) ownCounts() []wire.Count {
+// takeOwnCounts returns this instance's requests in flight, and stores them as last reported.
+func (c *Coordinator) takeOwnCounts() []wire.Count {
 	var counts []wire.Count
-	c.following.own = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
+	c.follower.inFlight = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
 	for id, status := range c.directory.Endpoints() {
 		if status.Own > 0 {
-			own := ownInFlight(status)
-			c.following.own[id] = own
-			counts = append(counts, wire.Count{ID: id, Requests: own.Requests, Unread: own.Unread})
+			inFlight := ownInFlight(status)
+			c.follower.inFlight[id] = inFlight
+			counts = append(counts, wire.Count{ID: id, Requests: inFlight.Requests, Unread: inFlight.Unread})
 		}
 	}
 	return counts
 }
 
-// sendSum tells the planner, or this instance's own plan, what the group has in flight.
+// sendSum sends the sum of the group to the planner or to this instance's own plan.
 func (c *Coordinator) sendSum(now time.Time) {
 	g := &c.gathering
-	g.sumSent = now
+	g.sumSentAt = now
 	sum := g.group.Sum(now, c.options.Instance)
-	if c.planning != nil {
-		c.planning.takeSum(now, sum)
+	if c.planner != nil {
+		c.planner.applySum(now, sum)
 		return
 	}
-	if c.following.stream == nil {
-		// A planner that comes learns the rates of these arrivals from each instance itself.
+	if c.follower.stream == nil {
+		// A new planner receives the rates of these arrivals from each instance directly.
 		return
 	}
-	if err := c.following.stream.Send(wire.Message{Sum: sum}); err != nil {
+	if err := c.follower.stream.Send(wire.Message{Sum: sum}); err != nil {
 		c.options.Log.WithError(err).Warn("a sum to the planner was dropped")
 	}
 }
 
-// takeLoad takes in what a peer tells this instance, which gathers for it.
-func (c *Coordinator) takeLoad(now time.Time, stream *member.Link, load *wire.Load) {
+// applyLoad applies a load that a member of this instance's group sent.
+func (c *Coordinator) applyLoad(now time.Time, stream *member.Link, load *wire.Load) {
 	c.gathering.members[stream] = load.Instance
 	c.gathering.group.Take(now, load)
 }
 
-// dropLoads forgets what came over a link that has ended.
+// dropLoads removes what was received over a link that has ended.
 func (c *Coordinator) dropLoads(stream *member.Link) {
 	g := &c.gathering
 	instance, ok := g.members[stream]
@@ -233,33 +238,33 @@
 	delete(g.members, stream)
 	for _, other := range g.members {
 		if other == instance {
-			// It has dialed anew.
+			// The member has dialed again.
 			return
 		}
 	}
 	g.group.Drop(instance)
 }
 
-// applyGatherers takes in which instances gather, by the planner's view.
+// applyGatherers applies the gatherers that the planner's view names.
 func (c *Coordinator) applyGatherers(v *wire.View) {
 	if !v.Heartbeat && len(v.Gatherers) == 0 {
 		return
 	}
 	c.gathering.gatherers = c.gathering.gatherers[:0:0]
-	for _, one := range v.Gatherers {
-		c.gathering.gatherers = append(c.gathering.gatherers, tree.Instance{Name: one.Name, Hall: one.Hall, Address: one.Address.AddrPort})
+	for _, gatherer := range v.Gatherers {
+		c.gathering.gatherers = append(c.gathering.gatherers, tree.Instance{Name: gatherer.Name, Hall: gatherer.Hall, Address: gatherer.Address.AddrPort})
 	}
 }
 
-// applyTotalsMessage takes in what all instances have in flight, and passes it on to those that this one gathers for.
-func (c *Coordinator) applyTotalsMessage(now time.Time, totals *wire.Totals) {
-	if totals.Term < c.following.Term || c.planning != nil {
+// applyTotals applies the requests in flight of all instances and forwards them to the members of this instance's group.
+func (c *Coordinator) applyTotals(now time.Time, totals *wire.Totals) {
+	if totals.Term < c.follower.Term || c.planner != nil {
 		return
 	}
-	c.resetOthers()
-	c.othersAsOf = now.Add(-totals.Age)
-	for _, one := range totals.InFlight {
-		c.setOthers(one.ID, member.InFlight{Requests: one.Requests, Unread: one.Unread}, c.following.own[one.ID])
+	c.resetOthersInFlight()
+	c.othersInFlightAt = now.Add(-totals.Age)
+	for _, count := range totals.InFlight {
+		c.setOthersInFlight(count.ID, member.InFlight{Requests: count.Requests, Unread: count.Unread}, c.follower.inFlight[count.ID])
 	}
 	c.sendToGroup(wire.Message{Totals: totals})
 	c.reviewWaiters(now)
@@ -276,7 +281,7 @@
 		return
 	}
 	for stream := range c.gathering.members {
-		// A member that does not read loses its link, and asks another gatherer.
+		// The link of a member that does not read is closed, and the member dials another gatherer.
 		_ = stream.SendFrame(frame)
 	}
 }
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -10,28 +10,28 @@
 	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
-// releasePause is the pause between two looks of a holder that gives up whether its orders have ended.
-const releasePause = 10 * time.Millisecond
+// releaseCheckInterval is the interval at which a planner that steps down checks whether its orders have ended.
+const releaseCheckInterval = 10 * time.Millisecond
 
-// resignIfOthersCan gives the lease up while the store does not answer this instance but
-// answers a member, so that the member need not wait until this holder's time is over.
-func (c *Coordinator) resignIfOthersCan(now time.Time) {
-	p := c.planning
-	if p.givingUp || !lease.InTrouble(p.lease.ConfirmedAge(now)) {
+// resignIfMemberReachesStore gives up the lease while the store answers a member but not this instance. The member then
+// does not have to wait until the lease expires.
+func (c *Coordinator) resignIfMemberReachesStore(now time.Time) {
+	p := c.planner
+	if p.steppingDown || !lease.InTrouble(p.lease.ConfirmedAge(now)) {
 		return
 	}
-	p.givingUp = p.members.ReachStore(now)
-	if p.givingUp {
+	p.steppingDown = p.members.ReachStore(now)
+	if p.steppingDown {
 		term := p.lease.Record().Term
-		c.run(func() { c.resign(p, term) })
+		c.startTask(func() { c.resign(p, term) })
 	}
 }
 
-// resign tells the members that no more orders follow, once those under way have ended. It logs so also if the
-// process stops or the term ends before that.
-func (c *Coordinator) resign(p *planning, term int64) {
-	for c.ordersUnderWay(p) && c.context.Err() == nil {
-		c.sleep(releasePause)
+// resign informs the members that no more orders follow, after the orders in flight have ended. The log line is written
+// even if the process stops or the term ends before that.
+func (c *Coordinator) resign(p *planner, term int64) {
+	for c.hasOrdersInFlight(p) && c.context.Err() == nil {
+		c.sleep(releaseCheckInterval)
 	}
 	c.options.Log.WithField("term", term).Warn("planning resigned: the store answers others only")
 	c.loop.Call(func(now time.Time) {
@@ -40,23 +40,23 @@
 	})
 }
 
-// Release hands the lease over, if this instance has it: no more orders are sent, those
-// under way are awaited, and the record says that a successor need not wait.
+// Release hands over the lease if this instance holds it. It sends no more orders, waits for those in flight and releases
+// the record, so that a successor need not wait.
 func (c *Coordinator) Release(ctx context.Context) {
 	c.leaving.Store(true)
-	var p *planning
+	var p *planner
 	c.loop.Call(func(now time.Time) {
 		c.sendReport(now)
-		if p = c.planning; p != nil {
-			p.givingUp = true
+		if p = c.planner; p != nil {
+			p.steppingDown = true
 		}
 	})
 	if p == nil {
 		return
 	}
-	// A write of the record that is not answered yet may be the one by which orders may follow.
-	for (c.ordersUnderWay(p) || c.rewriteUnderWay(p)) && ctx.Err() == nil {
-		c.sleep(releasePause)
+	// A write of the record that is still unanswered may be the one that permits orders.
+	for (c.hasOrdersInFlight(p) || c.rewriteInProgress(p)) && ctx.Err() == nil {
+		c.sleep(releaseCheckInterval)
 	}
 	var release *rewrite
 	c.loop.Call(func(now time.Time) { release = p.releaseRewrite(now) })
@@ -70,25 +70,26 @@
 	})
 }
 
-// releaseRewrite gives the change of the record by which no order follows; nil if none may have been given yet, or one is under way.
-func (p *planning) releaseRewrite(now time.Time) *rewrite {
-	if p.orders > 0 || !p.lease.Record().Ordering {
+// releaseRewrite returns the change that releases the record. It returns nil if this term's record does not permit orders
+// yet or if an order is in flight.
+func (p *planner) releaseRewrite(now time.Time) *rewrite {
+	if p.ordersInFlight > 0 || !p.lease.Record().Ordering {
 		return nil
 	}
-	due := newRewrite(p.lease)
-	due.record = due.record.Forget(now.Sub(p.since), p.coordinator.options.Lease)
-	due.record.Released, due.record.RecentLoads = true, p.plans.RecentLoads(now)
-	return due
+	release := newRewrite(p.lease)
+	release.record = release.record.Forget(now.Sub(p.startedAt), p.coordinator.options.Lease)
+	release.record.Released, release.record.RecentLoads = true, p.plans.RecentLoads(now)
+	return release
 }
 
-func (c *Coordinator) ordersUnderWay(p *planning) bool {
-	underWay := false
-	c.loop.Call(func(time.Time) { underWay = p.orders > 0 })
-	return underWay
+func (c *Coordinator) hasOrdersInFlight(p *planner) bool {
+	inFlight := false
+	c.loop.Call(func(time.Time) { inFlight = p.ordersInFlight > 0 })
+	return inFlight
 }
 
-func (c *Coordinator) rewriteUnderWay(p *planning) bool {
-	underWay := false
-	c.loop.Call(func(time.Time) { underWay = p.lease.Rewriting() })
-	return underWay
+func (c *Coordinator) rewriteInProgress(p *planner) bool {
+	inProgress := false
+	c.loop.Call(func(time.Time) { inProgress = p.lease.Rewriting() })
+	return inProgress
 }
--- a/services/entry/coordinator/handover_test.go
+++ b/services/entry/coordinator/handover_test.go
@@ -18,12 +18,13 @@
 	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
-// steppedClock holds the control goroutine at the time that it looks at the clock, before each function that it runs;
-// other goroutines are never held.
+// steppedClock can block the control goroutine when it reads the clock, which it does before each function that it runs.
+// Other goroutines never block.
 type steppedClock struct {
 	mutex sync.Mutex
-	// held is nil while the clock goes on; a value on it lets the control goroutine run one function.
-	held  chan struct{}
+	// gate is nil while the control goroutine may run freely. Each value sent on it lets the control goroutine run one
+	// function.
+	gate  chan struct{}
 	ahead time.Duration
 }
 
@@ -32,10 +33,10 @@
 
 func (c *steppedClock) now() time.Time {
 	c.mutex.Lock()
-	held := c.held
+	gate := c.gate
 	c.mutex.Unlock()
-	if held != nil && onControlGoroutine() {
-		<-held
+	if gate != nil && onControlGoroutine() {
+		<-gate
 	}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
@@ -49,7 +50,7 @@
 	c.ahead += span
 }
 
-// onControlGoroutine tells whether the caller's caller was called by the loop that runs the control functions.
+// onControlGoroutine reports whether the control loop called the caller of the caller.
 func onControlGoroutine() bool {
 	const skipped, depth = 2, 3
 	counters := make([]uintptr, depth)
@@ -65,41 +66,41 @@
 	}
 }
 
-// hold keeps the control goroutine from the next function on.
+// hold blocks the control goroutine from its next function on.
 func (c *steppedClock) hold() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.held = make(chan struct{})
+	c.gate = make(chan struct{})
 }
 
 // step lets the control goroutine run one function.
 func (c *steppedClock) step() {
-	c.held <- struct{}{}
+	c.gate <- struct{}{}
 }
 
-// goOn lets the control goroutine run.
-func (c *steppedClock) goOn() {
+// resume lets the control goroutine run freely.
+func (c *steppedClock) resume() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	close(c.held)
-	c.held = nil
+	close(c.gate)
+	c.gate = nil
 }
 
-// heldAnswer keeps back the store's answer to the write by which the holder begins to order.
-type heldAnswer struct {
-	entered, answer chan struct{}
+// delayedAnswer delays the store's answer to the write that permits orders.
+type delayedAnswer struct {
+	entered, proceed chan struct{}
 }
 
-func newHeldAnswer() *heldAnswer {
-	return &heldAnswer{entered: make(chan struct{}), answer: make(chan struct{})}
+func newDelayedAnswer() *delayedAnswer {
+	return &delayedAnswer{entered: make(chan struct{}), proceed: make(chan struct{})}
 }
 
-func (h *heldAnswer) around(commit commitFunc) commitFunc {
+func (h *delayedAnswer) wrap(commit commitFunc) commitFunc {
 	return func(ctx context.Context, transaction store.Transaction) (int64, error) {
 		revision, err := commit(ctx, transaction)
 		if err == nil && beginsOrdering(transaction) {
 			close(h.entered)
-			<-h.answer
+			<-h.proceed
 		}
 		return revision, err
 	}
@@ -116,59 +117,60 @@
 	return false
 }
 
-// mostSteps is how many functions the control goroutine runs, at most, before the answer comes: those of the hand-over and
-// others that happen to be due.
-const mostSteps = 10
+// maxSteps is the maximum number of functions that the control goroutine runs before the answer arrives: those of the
+// handover and others that may be due.
+const maxSteps = 10
 
-// settlePause lets goroutines come to where they wait.
+// settlePause is the time for goroutines to reach the point where they block.
 const settlePause = 5 * time.Millisecond
 
-// interleave begins a hand-over while the answer to the write by which the holder begins to order is on its way, lets the
-// control goroutine run some functions, and lets the answer come then. A hand-over that reads the record on
-// another goroutine than the control goroutine reads it in the very moment of a write for one of these numbers.
-func interleave(t *testing.T, handOver func(s *site, clock *steppedClock)) {
+// interleaveHandover begins a handover while the answer to the write that permits orders is delayed, lets the control
+// goroutine run some functions, and then delivers the answer. It does so for each number of functions up to maxSteps. For
+// one of these numbers, a handover that reads the record outside the control goroutine reads it at the time of a write.
+func interleaveHandover(t *testing.T, handOver func(f *fixture, clock *steppedClock)) {
 	t.Helper()
-	for steps := range mostSteps {
-		s, clock, held := newSite(), &steppedClock{}, newHeldAnswer()
-		s.now, s.aroundCommit = clock.now, held.around
-		s.start(t)
-		<-held.entered
+	for steps := range maxSteps {
+		f, clock, delayed := newFixture(), &steppedClock{}, newDelayedAnswer()
+		f.now, f.aroundCommit = clock.now, delayed.wrap
+		f.start(t)
+		<-delayed.entered
 		clock.hold()
-		handOver(s, clock)
+		handOver(f, clock)
 		time.Sleep(settlePause)
 		for range steps {
 			clock.step()
 			time.Sleep(settlePause)
 		}
-		close(held.answer)
+		close(delayed.proceed)
 		time.Sleep(settlePause)
-		clock.goOn()
-		s.control.Release(context.Background())
-		record, found := s.store.record(t)
+		clock.resume()
+		f.instance.Release(context.Background())
+		record, found := f.store.record(t)
 		require.True(t, found)
-		whole := lease.Record{Holder: selfName, Address: selfAddress, Term: 1, Ordering: true, Released: record.Released}
-		assert.Equal(t, whole, record, "after %d functions", steps)
-		s.control.Stop()
+		expected := lease.Record{Holder: selfName, Address: selfAddress, Term: 1, Ordering: true, Released: record.Released}
+		assert.Equal(t, expected, record, "after %d functions", steps)
+		f.instance.Stop()
 	}
 }
 
-// TestAPlannedStopReadsItsRecordWhereItIsWritten fails under the race detector where a planned stop reads the record, or its
-// revision, beside the control goroutine.
-func TestAPlannedStopReadsItsRecordWhereItIsWritten(t *testing.T) {
-	interleave(t, func(s *site, _ *steppedClock) {
+// TestReleaseAccessesRecordOnControlGoroutine fails under the race detector if Release reads the record or its revision
+// outside the control goroutine.
+func TestReleaseAccessesRecordOnControlGoroutine(t *testing.T) {
+	interleaveHandover(t, func(f *fixture, _ *steppedClock) {
 		stopped := make(chan struct{})
 		go func() {
-			s.control.Release(context.Background())
+			f.instance.Release(context.Background())
 			close(stopped)
 		}()
 		t.Cleanup(func() { <-stopped })
 	})
 }
 
-// TestAResignationReadsItsRecordWhereItIsWritten does the same for a holder that the store does not answer.
-func TestAResignationReadsItsRecordWhereItIsWritten(t *testing.T) {
-	interleave(t, func(s *site, clock *steppedClock) {
-		member := s.join(t)
+// TestResignationAccessesRecordOnControlGoroutine is the same test for a holder that resigns because the store does not
+// answer it.
+func TestResignationAccessesRecordOnControlGoroutine(t *testing.T) {
+	interleaveHandover(t, func(f *fixture, clock *steppedClock) {
+		member := f.connectPeer(t)
 		clock.advance(confirmTrouble)
 		go func() { _ = member.Send(wireMessage{Report: &wireReport{Instance: "peer"}}) }()
 		go drain(member)
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -14,181 +14,184 @@
 )
 
 const (
-	// leasePace is the pause between two steps of the goroutine that holds the lease.
-	leasePace = 100 * time.Millisecond
-	// confirmPause is the pause between two confirming reads of the holder: shorter trades store calls for an earlier notice of trouble.
-	confirmPause = 450 * time.Millisecond
-	// confirmRetry is the pause after a failed confirming read.
-	confirmRetry = 200 * time.Millisecond
-	// lookPause is the usual pause between two looks at the record by an instance without planner.
-	lookPause = 300 * time.Millisecond
+	// leaseStepInterval is the interval between two steps of the goroutine that holds the lease.
+	leaseStepInterval = 100 * time.Millisecond
+	// confirmInterval is the interval between two confirming reads of the lease holder. A shorter interval notices trouble
+	// earlier and makes more calls to the store.
+	confirmInterval = 450 * time.Millisecond
+	// confirmRetryPause is the pause after a failed confirming read.
+	confirmRetryPause = 200 * time.Millisecond
+	// recordReadInterval is the usual mean interval at which an instance without a planner reads the lease record.
+	recordReadInterval = 300 * time.Millisecond
 )
 
-// holdLease runs beside the control goroutine: it keeps this instance's lease on the record, or looks for a
-// planner and takes the lease where there is none.
+// holdLease runs beside the control goroutine. It confirms this instance's lease, or it looks for a planner in the lease
+// record and takes the lease if there is none.
 func (c *Coordinator) holdLease() {
 	l := &leaseLoop{coordinator: c}
 	for c.context.Err() == nil {
-		if c.holds() {
-			l.keep()
+		if c.holdsLease() {
+			l.maintainLease()
 		} else {
 			l.nextConfirm = time.Time{}
-			l.lookForPlanner()
+			l.checkRecord()
 		}
-		c.sleep(leasePace)
+		c.sleep(leaseStepInterval)
 	}
 }
 
-func (c *Coordinator) holds() bool {
-	holds := false
-	c.loop.Call(func(time.Time) { holds = c.planning != nil })
-	return holds
+func (c *Coordinator) holdsLease() bool {
+	holdsLease := false
+	c.loop.Call(func(time.Time) { holdsLease = c.planner != nil })
+	return holdsLease
 }
 
-// leaseLoop is what the goroutine of holdLease remembers between two steps.
+// leaseLoop is the state of the goroutine of holdLease.
 type leaseLoop struct {
-	coordinator *Coordinator
-	candidate   lease.Candidate
-	started     time.Time
-	nextLook    time.Time
-	nextConfirm time.Time
-	// storeRests is until when the store is not asked after it failed.
-	storeRests time.Time
+	coordinator    *Coordinator
+	candidate      lease.Candidate
+	startedAt      time.Time
+	nextRecordRead time.Time
+	nextConfirm    time.Time
+	// storePausedUntil is the time before which the store is not called after a failed call.
+	storePausedUntil time.Time
 }
 
-// keep confirms the record, renews the heartbeat and begins to order when the time has come.
-func (l *leaseLoop) keep() {
+// maintainLease confirms the record, renews the heartbeat and permits orders when the former holder's time is over.
+func (l *leaseLoop) maintainLease() {
 	c := l.coordinator
 	now := c.options.Now()
 	if now.Before(l.nextConfirm) {
 		c.beginOrdering()
 		return
 	}
-	l.nextConfirm = now.Add(confirmPause)
+	l.nextConfirm = now.Add(confirmInterval)
 	if !c.confirm() {
-		l.nextConfirm = c.options.Now().Add(confirmRetry)
+		l.nextConfirm = c.options.Now().Add(confirmRetryPause)
 		return
 	}
 	c.leases.KeepHeartbeat(c.context)
 	c.beginOrdering()
 }
 
-// confirm reads the record; false if the store did not answer. It may end planning: if the record is found to be
-// another's, or if this instance resigned in its term.
+// confirm reads the record and reports whether the store answered. It may end the term: if another instance holds the
+// record, or if this instance resigned in its term.
 func (c *Coordinator) confirm() bool {
 	confirmation, err := c.leases.Confirm(c.context)
 	c.loop.Call(func(now time.Time) {
-		if c.planning == nil {
+		if c.planner == nil {
 			return
 		}
 		if err == nil {
-			c.planning.lease.Confirm(confirmation.Sent, confirmation.Revision)
+			c.planner.lease.Confirm(confirmation.Sent, confirmation.Revision)
 		}
-		if err == nil && c.planning.resigned {
-			// The promise holds for the whole term; a new one has to be taken.
-			c.planning.lease.End()
+		if err == nil && c.planner.resigned {
+			// A resignation is valid for the whole term, so this instance needs a new term to plan again.
+			c.planner.lease.End()
 		}
-		c.endIfOver(now)
+		c.endTermIfOver(now)
 	})
 	return err == nil
 }
 
-// endIfOver stops planning when the term is over: another instance has the record, or this one released it or resigned.
-// The log line is the same for all three; a resignation has logged its own before. While the record only cannot be
-// confirmed, this instance orders nothing but still tells its members what it knows.
-func (c *Coordinator) endIfOver(now time.Time) {
-	if c.planning == nil || !c.planning.lease.Over() {
+// endTermIfOver stops planning if the term is over: another instance holds the record, or this instance released it or
+// resigned. The log line is the same in all three cases; a resignation was logged on its own before. A planner that merely
+// cannot confirm its record sends no orders, but it continues to send views.
+func (c *Coordinator) endTermIfOver(now time.Time) {
+	if c.planner == nil || !c.planner.lease.Over() {
 		return
 	}
-	c.options.Log.WithField("term", c.planning.lease.Record().Term).Warn("planning ends: the ownership is lost")
-	c.leaveMembers()
-	c.noteOwnLoads(now, c.planning)
-	c.planning = nil
-	c.following = following{Followed: c.following.Restarted()}
-	c.reports.Restart()
+	c.options.Log.WithField("term", c.planner.lease.Record().Term).Warn("planning ends: the ownership is lost")
+	c.finishMemberLinks()
+	c.recordOwnLoads(now, c.planner)
+	c.planner = nil
+	c.follower = follower{Followed: c.follower.Restarted()}
+	c.reportSchedule.Restart()
 }
 
-// leaveMembers ends the links of the members of a term that is over, after what waits for them, such as the view that tells of the end,
-// and a message that names the successor where it is known: a member that the store turns away can read it nowhere.
-func (c *Coordinator) leaveMembers() {
-	members, former := c.planning.members, c.planning.lease.Record()
+// finishMemberLinks closes the member links of a term that is over, after the queued messages were sent, such as the view
+// that announces the end. If the successor is known, a last message names it, because a member that the store does not
+// answer cannot find the successor elsewhere.
+func (c *Coordinator) finishMemberLinks() {
+	members, former := c.planner.members, c.planner.lease.Record()
 	if c.knownRecord.Term > former.Term && c.knownRecord.Address.IsValid() {
 		members.Tell(wire.Message{Successor: &wire.Successor{Term: c.knownRecord.Term, Address: c.knownRecord.Address}})
 	}
 	members.FinishLinks()
 }
 
-// beginOrdering writes into the record that orders may follow, once the former holder's time is surely over. A planner that gives its work up
-// begins none.
+// beginOrdering writes into the record that orders are permitted, once the former holder's time is certainly over. A
+// planner that is stepping down does not.
 func (c *Coordinator) beginOrdering() {
-	var due *rewrite
+	var change *rewrite
 	c.loop.Call(func(now time.Time) {
-		if c.planning != nil && !c.planning.givingUp && c.planning.lease.Waited(now) && !c.planning.lease.Record().Ordering {
-			due = newRewrite(c.planning.lease)
-			due.record.Ordering = true
+		if c.planner != nil && !c.planner.steppingDown && c.planner.lease.Waited(now) && !c.planner.lease.Record().Ordering {
+			change = newRewrite(c.planner.lease)
+			change.record.Ordering = true
 		}
 	})
-	if due != nil {
-		c.rewriteRecord(due)
+	if change != nil {
+		c.rewriteRecord(change)
 	}
 }
 
-// rewrite is a change of the holder's own record: the record as it shall be, and the revision that it replaces. It is made by the
-// control goroutine, which alone reads and writes the lease, and carried out by another one.
+// rewrite is a change of the holder's own record, with the new record and the revision that it replaces. It is created by
+// the control goroutine, which alone accesses the lease, and carried out by another goroutine.
 type rewrite struct {
 	held     *lease.Lease
 	revision int64
 	record   lease.Record
 }
 
-// newRewrite gives a change of a lease's record that changes nothing yet; rewriteRecord must follow.
+// newRewrite returns a rewrite that changes nothing yet. The caller must pass it to rewriteRecord.
 func newRewrite(held *lease.Lease) *rewrite {
 	held.BeginRewrite()
 	return &rewrite{held: held, revision: held.Revision(), record: held.Record()}
 }
 
-// rewriteRecord changes this holder's own record.
-func (c *Coordinator) rewriteRecord(due *rewrite) {
-	taken, end := c.leases.Rewrite(c.context, due.revision, due.record)
+// rewriteRecord carries out a change of this holder's own record.
+func (c *Coordinator) rewriteRecord(change *rewrite) {
+	taken, end := c.leases.Rewrite(c.context, change.revision, change.record)
 	c.loop.Call(func(now time.Time) {
-		due.held.EndRewrite(now)
+		change.held.EndRewrite(now)
 		switch end {
 		case leasestore.Done, leasestore.Settled:
-			due.held.NoteRewritten(taken.Sent, taken.Record, taken.Revision)
+			change.held.NoteRewritten(taken.Sent, taken.Record, taken.Revision)
 		case leasestore.Lost:
-			due.held.End()
-			c.endIfOver(now)
+			change.held.End()
+			c.endTermIfOver(now)
 		case leasestore.Unknown:
 		}
 	})
 }
 
-// pauseOfLooks is the mean pause between two looks at the record here.
-func (c *Coordinator) pauseOfLooks() time.Duration {
-	pause := lookPause
+// meanRecordReadInterval returns the mean interval at which this instance reads the record.
+func (c *Coordinator) meanRecordReadInterval() time.Duration {
+	pause := recordReadInterval
 	c.loop.Call(func(time.Time) {
-		pause = lease.LookPause(lookPause, c.pace(lookPause), c.options.Reluctance, c.following.Term > 0)
+		pause = lease.LookPause(recordReadInterval, c.stretchForFleet(recordReadInterval), c.options.Reluctance, c.follower.Term > 0)
 	})
 	return pause
 }
 
-// lookForPlanner reads the record while no planner sends views, and takes the lease where its holder is gone. An instance that
-// leaves takes no lease, but a new planner must hear of the copies that its last requests use.
-func (l *leaseLoop) lookForPlanner() {
+// checkRecord reads the record while no planner sends views, and takes the lease if its holder is gone. A leaving instance
+// reads the record too, because a new planner must learn which copies its last requests use, but it does not take the
+// lease.
+func (l *leaseLoop) checkRecord() {
 	c := l.coordinator
 	if !c.ready.Load() {
 		return
 	}
 	now := c.options.Now()
-	if l.started.IsZero() {
-		l.started = now
+	if l.startedAt.IsZero() {
+		l.startedAt = now
 	}
-	silence, asked, heard := c.takeLookReasons(now, l.started)
-	if !lease.LookDue(now, asked, heard, silence, l.nextLook) {
+	silence, requested, viewReceived := c.recordReadReasons(now, l.startedAt)
+	if !lease.LookDue(now, requested, viewReceived, silence, l.nextRecordRead) {
 		return
 	}
-	l.nextLook = now.Add(c.jitter(c.pauseOfLooks()))
-	if now.Before(l.storeRests) {
+	l.nextRecordRead = now.Add(c.jitter(c.meanRecordReadInterval()))
+	if now.Before(l.storePausedUntil) {
 		if silence >= lease.TakeoverSilence {
 			c.askSeedsForPlanner()
 		}
@@ -196,15 +199,16 @@
 	}
 	stored, err := c.leases.Read(c.context)
 	if err != nil {
-		// It counts from when the look was sent, like the pause between looks: a small fleet waits no longer after one that timed out.
-		l.storeRests = now.Add(c.failurePause(lookPause))
-		c.noteStoreSilent()
+		// The pause counts from the time at which the read was sent, like the interval between reads. So a small fleet
+		// does not wait longer after a read that timed out.
+		l.storePausedUntil = now.Add(c.failurePause(recordReadInterval))
+		c.markStoreFailing()
 		if silence >= lease.TakeoverSilence {
 			c.askSeedsForPlanner()
 		}
 		return
 	}
-	resigned := c.learnRecord(stored, asked)
+	resigned := c.applyRecord(stored, requested)
 	if c.leaving.Load() {
 		return
 	}
@@ -214,24 +218,24 @@
 	}
 	verdict := l.candidate.Decide(now, sighting)
 	if verdict == lease.TakeWithoutHeartbeat {
-		verdict = l.lookForHeartbeat(now, sighting)
+		verdict = l.checkHeartbeat(now, sighting)
 	}
 	if verdict == lease.Take {
 		c.takeLease(stored, resigned)
 	}
 }
 
-// noteStoreSilent remembers since when the store has failed the looks at the record.
-func (c *Coordinator) noteStoreSilent() {
+// markStoreFailing records since when the reads of the record have failed.
+func (c *Coordinator) markStoreFailing() {
 	c.loop.Call(func(now time.Time) {
-		if c.storeSilentSince.IsZero() {
-			c.storeSilentSince = now
+		if c.storeFailingSince.IsZero() {
+			c.storeFailingSince = now
 		}
 	})
 }
 
-// lookForHeartbeat decides about the record of a silent holder by its heartbeat in the store.
-func (l *leaseLoop) lookForHeartbeat(now time.Time, sighting lease.Sighting) lease.Verdict {
+// checkHeartbeat decides, by the heartbeat in the store, whether to take the lease of a silent holder.
+func (l *leaseLoop) checkHeartbeat(now time.Time, sighting lease.Sighting) lease.Verdict {
 	if l.coordinator.leases.HolderAlive(l.coordinator.context) {
 		l.candidate.HeartbeatAlive()
 		return lease.HolderActive
@@ -239,125 +243,130 @@
 	return l.candidate.HeartbeatEnded(now, sighting)
 }
 
-// learnRecord takes in the record as read from the store and tells whether its holder resigned. Where the look
-// was asked for, a report says at once that the store answers this instance.
-func (c *Coordinator) learnRecord(stored leasestore.Stored, asked bool) bool {
+// applyRecord applies the record that was read from the store and reports whether its holder resigned. If the read was
+// requested, it sends a report at once, which shows that the store answers this instance.
+func (c *Coordinator) applyRecord(stored leasestore.Stored, requested bool) bool {
 	resigned := false
 	c.loop.Call(func(now time.Time) {
-		c.storeReadAt, c.storeSilentSince = now, time.Time{}
-		c.noteRecord(stored.Record)
-		resigned = stored.Found && stored.Record.Term == c.following.ResignedTerm
-		if asked {
+		c.storeReadAt, c.storeFailingSince = now, time.Time{}
+		c.setKnownRecord(stored.Record)
+		resigned = stored.Found && stored.Record.Term == c.follower.ResignedTerm
+		if requested {
 			c.sendReport(now)
 		}
 	})
 	return resigned
 }
 
-// takeLookReasons gives for how long no view came of a planner that could prove its lease, and takes the request for a
-// look at the record, if there is one.
-func (c *Coordinator) takeLookReasons(now, started time.Time) (silence time.Duration, asked, heard bool) {
+// recordReadReasons returns for how long no view has come from a planner that could prove its lease, takes the pending
+// request for a read of the record, and reports whether a view was ever received.
+func (c *Coordinator) recordReadReasons(now, started time.Time) (silence time.Duration, requested, viewReceived bool) {
 	last := lease.LastView{Started: started}
 	c.loop.Call(func(time.Time) {
-		last.ReceivedAt, last.ConfirmedAge = c.following.ReceivedAt, c.following.ConfirmedAge
-		asked = c.takeLookRequest()
+		last.ReceivedAt, last.ConfirmedAge = c.follower.ReceivedAt, c.follower.ConfirmedAge
+		requested = c.takeRecordReadRequest()
 	})
-	return c.options.Lease.Silence(now, last), asked, !last.ReceivedAt.IsZero()
+	return c.options.Lease.Silence(now, last), requested, !last.ReceivedAt.IsZero()
 }
 
-// askForLook has this instance look at the record, since the planner is in trouble or has given up. It takes some that look at once to tell
-// the planner that the store answers, and to tell it its successor, which tells all members: those that leave the record to others look
-// later, but for as many by chance as a small fleet has, and only where no successor was learned.
-func (c *Coordinator) askForLook(now time.Time) {
-	few := c.options.Random() < float64(report.MembersAtPace)/float64(max(1, c.following.Members))
-	if c.options.Reluctance == 0 || few {
-		c.lookDue = true
+// requestRecordRead requests a read of the record because the planner is in trouble or has resigned. A few instances have
+// to read at once: their reports show the planner that the store answers, and they send it the name of its successor,
+// which the planner forwards to all members. An instance with a reluctance reads later, and only if it has not learned of
+// a successor by then. A random share of these instances, as many as a small fleet has, reads at once too.
+func (c *Coordinator) requestRecordRead(now time.Time) {
+	sampled := c.options.Random() < float64(report.MembersAtPace)/float64(max(1, c.follower.Members))
+	if c.options.Reluctance == 0 || sampled {
+		c.recordReadRequested = true
 		return
 	}
-	if c.lookAt.IsZero() {
-		c.lookAt = now.Add(c.options.Reluctance)
+	if c.deferredRecordReadAt.IsZero() {
+		c.deferredRecordReadAt = now.Add(c.options.Reluctance)
 	}
 }
 
-// lookIfStillDue asks for the look that was put off, unless a later planner was learned since.
-func (c *Coordinator) lookIfStillDue(now time.Time) {
-	if c.lookAt.IsZero() || now.Before(c.lookAt) {
+// requestDeferredRecordRead requests the deferred read when it is due, unless the planner of a later term is known by
+// then.
+func (c *Coordinator) requestDeferredRecordRead(now time.Time) {
+	if c.deferredRecordReadAt.IsZero() || now.Before(c.deferredRecordReadAt) {
 		return
 	}
-	c.lookAt = time.Time{}
-	c.lookDue = c.lookDue || c.knownRecord.Term <= c.following.Term
+	c.deferredRecordReadAt = time.Time{}
+	c.recordReadRequested = c.recordReadRequested || c.knownRecord.Term <= c.follower.Term
 }
 
-// takeLookRequest tells whether a look at the record was asked for, and forgets that it was.
-func (c *Coordinator) takeLookRequest() bool {
-	asked := c.lookDue
-	c.lookDue = false
-	return asked
+// takeRecordReadRequest reports whether a read of the record was requested, and clears the request.
+func (c *Coordinator) takeRecordReadRequest() bool {
+	requested := c.recordReadRequested
+	c.recordReadRequested = false
+	return requested
 }
 
-// takeLease writes this instance into the record and begins to plan. If another instance was quicker, it is
-// learned from the conflict; without that the planner would be unknown until the next look. A holder that resigned is
-// waited for no longer than one that released its record.
+// takeLease writes this instance into the record and begins to plan. If another instance was faster, the conflict contains
+// its record; otherwise the planner would stay unknown until the next read. A holder that resigned is treated like one
+// that released its record, for which no waiting time is necessary.
 func (c *Coordinator) takeLease(replaced leasestore.Stored, resigned bool) {
-	awaited := replaced.Record
-	awaited.Released = awaited.Released || resigned
-	wait := c.options.Lease.Wait(c.options.Instance, awaited, replaced.Found)
+	former := replaced.Record
+	former.Released = former.Released || resigned
+	wait := c.options.Lease.Wait(c.options.Instance, former, replaced.Found)
 	taken, err := c.leases.Take(c.context, replaced)
 	var lost *leasestore.LostRaceError
 	switch {
 	case err == nil:
 		c.loop.Call(func(now time.Time) {
-			c.logTerm(taken, wait, awaited)
+			c.logTerm(taken, wait, former)
 			c.beginPlanning(now, taken, wait, replaced.Record)
 		})
 	case errors.As(err, &lost) && lost.Current != nil:
-		c.loop.Call(func(time.Time) { c.noteRecord(*lost.Current) })
+		c.loop.Call(func(time.Time) { c.setKnownRecord(*lost.Current) })
 	}
 }
 
-// noteRecord remembers who plans; a link to a former planner ends with a message that names its successor.
-func (c *Coordinator) noteRecord(record lease.Record) {
+// setKnownRecord stores the record of the present planner. A link to a former planner is closed after a message that names
+// the successor.
+func (c *Coordinator) setKnownRecord(record lease.Record) {
 	c.knownRecord = record
-	if stream := c.following.stream; stream != nil && record.Term > c.following.Term {
-		// A former planner that cannot take the message is left all the same; it learns its successor from another.
+	if stream := c.follower.stream; stream != nil && record.Term > c.follower.Term {
+		// The link is closed even if the former planner cannot receive the message. Another member informs it of its
+		// successor.
 		_ = stream.Send(wire.Message{Successor: &wire.Successor{Term: record.Term, Address: record.Address}})
 		stream.Finish()
-		c.following.stream = nil
+		c.follower.stream = nil
 	}
 }
 
-// learnSuccessor takes in who plans, by a peer; this instance's own term, if it has one, is over
-// when a later one has begun.
-func (c *Coordinator) learnSuccessor(now time.Time, successor wire.Successor) {
+// applySuccessor applies a peer's message about the present planner. This instance's own term is over if a later one has
+// begun.
+func (c *Coordinator) applySuccessor(now time.Time, successor wire.Successor) {
 	if successor.Term <= c.knownRecord.Term || !successor.Address.IsValid() {
 		return
 	}
 	c.options.Log.WithFields(map[string]any{"term": successor.Term, "address": successor.Address.String()}).Info("planner learned from a peer")
 	c.knownRecord = lease.Record{Term: successor.Term, Address: successor.Address}
-	if c.planning != nil && successor.Term > c.planning.lease.Record().Term {
-		c.planning.lease.End()
-		c.endIfOver(now)
+	if c.planner != nil && successor.Term > c.planner.lease.Record().Term {
+		c.planner.lease.End()
+		c.endTermIfOver(now)
 	}
 }
 
-// logTerm logs a term that begins; released tells that the former holder gives no more orders, by its record or its view.
-func (c *Coordinator) logTerm(taken leasestore.Taken, wait time.Duration, awaited lease.Record) {
+// logTerm logs a term that begins. The field released reports that the former holder sends no more orders, according to
+// its record or its view.
+func (c *Coordinator) logTerm(taken leasestore.Taken, wait time.Duration, former lease.Record) {
 	c.options.Log.WithFields(map[string]any{
-		"term": taken.Record.Term, "wait": wait.String(), "replaced": awaited.Holder, "released": awaited.Released,
+		"term": taken.Record.Term, "wait": wait.String(), "replaced": former.Holder, "released": former.Released,
 	}).Info("planning begins")
 }
 
-// beginPlanning makes this instance the planner, by a record that it wrote in place of another. It gives no order before
-// wait is over.
+// beginPlanning makes this instance the planner, with the record that it wrote in place of another. It sends no order
+// before wait is over.
 func (c *Coordinator) beginPlanning(now time.Time, taken leasestore.Taken, wait time.Duration, replaced lease.Record) {
 	held := lease.Begin(c.options.Lease, taken.Record, taken.Revision, taken.Sent, now, wait)
-	if c.following.stream != nil {
-		c.following.stream.Close()
-		c.following.stream = nil
+	if c.follower.stream != nil {
+		c.follower.stream.Close()
+		c.follower.stream = nil
 	}
-	c.planning = newPlanning(c, now, held, c.loadsBefore(now, replaced))
-	c.planning.readBefore = c.readUpTo > 0
-	c.noteCopiesTold()
-	c.following.ratesDue = true
+	c.planner = newPlanner(c, now, held, c.loadsBeforeTerm(now, replaced))
+	c.planner.endpointsFromStoreOnly = c.endpointsReadRevision > 0
+	c.markCopiesFromPeers()
+	c.follower.ratesDue = true
 	c.sendReport(now)
 }
--- a/services/entry/coordinator/leaving.go
+++ b/services/entry/coordinator/leaving.go
@@ -12,30 +12,30 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// noteLeaving takes in that an endpoint said in an answer that it leaves, to this instance or to a peer. It is as final for this start of
-// the endpoint as a notice in the store, and the store may take that later.
-func (c *Coordinator) noteLeaving(now time.Time, status *directory.EndpointStatus, source string) {
+// markLeaving records that an endpoint announced in a response, to this instance or to a peer, that it leaves. The
+// announcement is as final for this start of the endpoint as a notice in the store, and it may arrive before that notice.
+func (c *Coordinator) markLeaving(now time.Time, status *directory.EndpointStatus, source string) {
 	if !c.directory.NoteLeaving(status.ID) {
 		return
 	}
-	c.saidLeaving[status.ID] = true
+	c.announcedLeaving[status.ID] = true
 	c.options.Log.WithFields(logrus.Fields{fieldEndpoint: status.ID, fieldService: status.Service, "source": source}).
 		Info("an endpoint says that it leaves")
-	if c.planning != nil {
-		c.planning.plans.SetEndpoint(now, status.Endpoint, status.Revision)
+	if c.planner != nil {
+		c.planner.plans.SetEndpoint(now, status.Endpoint, status.Revision)
 		c.plan(now)
 		return
 	}
-	c.reportSoon(now)
+	c.requestReport(now)
 }
 
-// leavingToReport gives the endpoints that said that they leave, until they are gone.
-func (c *Coordinator) leavingToReport() []wire.Start {
+// leavingEndpoints returns the endpoints that announced that they leave and are not gone yet.
+func (c *Coordinator) leavingEndpoints() []wire.Start {
 	var starts []wire.Start
-	for id := range c.saidLeaving {
+	for id := range c.announcedLeaving {
 		status := c.directory.Endpoint(id)
 		if status == nil {
-			delete(c.saidLeaving, id)
+			delete(c.announcedLeaving, id)
 			continue
 		}
 		start := wire.Start{ID: id}
@@ -47,13 +47,14 @@
 	return starts
 }
 
-// takeLeaving takes in which endpoints said to a peer that they leave. Another start under the same name did not say so.
-func (c *Coordinator) takeLeaving(now time.Time, starts []wire.Start) {
+// mergeLeaving applies the announcements of leaving endpoints that a peer received. A later start under the same name is
+// not affected.
+func (c *Coordinator) mergeLeaving(now time.Time, starts []wire.Start) {
 	for _, start := range starts {
 		status := c.directory.Endpoint(start.ID)
 		if status == nil || (start.Born != 0 && status.IsAnotherStart(time.UnixMilli(start.Born))) {
 			continue
 		}
-		c.noteLeaving(now, status, "peer")
+		c.markLeaving(now, status, "peer")
 	}
 }
--- a/services/entry/coordinator/leaving_test.go
+++ b/services/entry/coordinator/leaving_test.go
@@ -14,30 +14,30 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
 )
 
-// TestAnInstanceThatLeavesTellsTheNextPlannerWhatItUses: the next planner ordered unloads of copies that were in use at leaving
-// instances, and endpoints took no other order until those requests had ended.
-func TestAnInstanceThatLeavesTellsTheNextPlannerWhatItUses(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	_, _, err := s.acquire("a1", waitLimit)
+// TestLeavingInstanceReportsCopiesInUseToNextPlanner guards against a failure in which the next planner ordered unloads of
+// copies that leaving instances still used. The endpoints accepted no other order until those requests had ended.
+func TestLeavingInstanceReportsCopiesInUseToNextPlanner(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	_, _, err := f.acquire("a1", waitLimit)
 	require.NoError(t, err)
-	s.control.Release(context.Background())
-	s.planElsewhere(t)
-	report := receive(t, s.link(t), func(m wireMessage) bool { return m.Report != nil }).Report
+	f.instance.Release(context.Background())
+	f.setOtherPlanner(t)
+	report := receiveUntil(t, f.acceptDial(t), func(m wireMessage) bool { return m.Report != nil }).Report
 	assert.True(t, report.Leaving)
 	assert.Equal(t, []wireCount{{ID: "e1", Count: 1}}, report.InFlight)
 	assert.Len(t, report.InUse, 1)
 }
 
-func TestAnInstanceThatLeavesTakesNoRecord(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning })
-	s.begins(t, 1)
-	s.control.Release(context.Background())
-	s.waitForStatus(t, "plans no more", func(status coordinator.Status) bool { return !status.Planning })
+func TestLeavingInstanceDoesNotTakeLease(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning })
+	f.waitForOrdering(t, 1)
+	f.instance.Release(context.Background())
+	f.waitForStatus(t, "stops planning", func(status coordinator.Status) bool { return !status.Planning })
 	time.Sleep(time.Second)
-	record, _ := s.store.record(t)
-	assert.True(t, record.Released, "the record is free, and stays so")
+	record, _ := f.store.record(t)
+	assert.True(t, record.Released, "the record stays released")
 	assert.EqualValues(t, 1, record.Term)
 }
--- a/services/entry/coordinator/limits.go
+++ b/services/entry/coordinator/limits.go
@@ -18,46 +18,49 @@
 	"github.com/shelfledge/shelfledge/services/entry/limit"
 )
 
-// limits is what this instance keeps of the limits that endpoints name, beside the allowances in the directory.
-type limits struct {
+// endpointLimits is this instance's state of the limits that endpoints name, in addition to the allowances in the
+// directory.
+type endpointLimits struct {
 	// known are the endpoints with a limit.
 	known map[deployment.EndpointID]bool
-	// lifted are the limits that were heard to be over since the last report, and when the requests were sent whose answers told it.
+	// lifted are the limits that were lifted since the last report. Each value is the time at which the request was sent
+	// whose response reported the end of the limit.
 	lifted map[deployment.EndpointID]time.Time
-	// used are the services that were asked for since the last report, and missed how many requests were refused since then for want of
-	// each limit: their callers come back.
-	used   map[string]bool
-	missed map[deployment.EndpointID]int
+	// usedServices are the services for which requests arrived since the last report. refusedRequests counts, for each
+	// limit, the requests that were refused because of it since the last report; their callers come back.
+	usedServices    map[string]bool
+	refusedRequests map[deployment.EndpointID]int
 }
 
-func newLimits() limits {
-	return limits{
-		known: make(map[deployment.EndpointID]bool), lifted: make(map[deployment.EndpointID]time.Time), used: make(map[string]bool),
-		missed: make(map[deployment.EndpointID]int),
+func newEndpointLimits() endpointLimits {
+	return endpointLimits{
+		known: make(map[deployment.EndpointID]bool), lifted: make(map[deployment.EndpointID]time.Time), usedServices: make(map[string]bool),
+		refusedRequests: make(map[deployment.EndpointID]int),
 	}
 }
 
-// noteLimit carries out a change that this instance heard itself, by the answer to a request that was sent at a time.
-func (c *Coordinator) noteLimit(now time.Time, status *directory.EndpointStatus, change limit.Change, sent time.Time) {
+// applyObservedLimit applies a change of a limit that this instance received itself, in the response to a request that was
+// sent at the given time.
+func (c *Coordinator) applyObservedLimit(now time.Time, status *directory.EndpointStatus, change limit.Change, sentAt time.Time) {
 	if change == limit.Unchanged {
 		return
 	}
 	if change == limit.Lifted {
-		c.limits.lifted[status.ID] = sent
+		c.endpointLimits.lifted[status.ID] = sentAt
 	} else {
-		delete(c.limits.lifted, status.ID)
+		delete(c.endpointLimits.lifted, status.ID)
 	}
-	c.changeLimit(now, status, change, "answer")
-	// The others hear of it before their own first answers.
-	c.reportSoon(now)
+	c.applyLimitChange(now, status, change, "answer")
+	// The report informs the other instances before they get a response of their own.
+	c.requestReport(now)
 }
 
-// changeLimit logs a change, wherever it was heard, and has what waits profit from it.
-func (c *Coordinator) changeLimit(now time.Time, status *directory.EndpointStatus, change limit.Change, source string) {
+// applyLimitChange logs a change of a limit, whatever its source, and updates the allowances for the waiting requests.
+func (c *Coordinator) applyLimitChange(now time.Time, status *directory.EndpointStatus, change limit.Change, source string) {
 	entry := c.options.Log.WithFields(logrus.Fields{fieldEndpoint: status.ID, fieldService: status.Service, "source": source})
 	switch change {
 	case limit.Set:
-		c.limits.known[status.ID] = true
+		c.endpointLimits.known[status.ID] = true
 		entry.WithField("per_second", status.Allowance.PerSecond()).Info("an endpoint takes a limited number of requests")
 	case limit.Lifted:
 		entry.Info("an endpoint takes requests without a limit again")
@@ -65,99 +68,100 @@
 	c.reviewLimits(now)
 }
 
-// reviewLimits brings this instance's allowances up to date.
+// reviewLimits updates this instance's allowances.
 func (c *Coordinator) reviewLimits(now time.Time) {
-	if len(c.limits.known) == 0 {
+	if len(c.endpointLimits.known) == 0 {
 		return
 	}
-	fleet := limit.Fleet{PlannerHeard: c.planning != nil || c.following.Fresh(now), Members: c.fleetSize(), Random: c.options.Random()}
-	for id := range c.limits.known {
+	fleet := limit.Fleet{PlannerHeard: c.planner != nil || c.follower.Fresh(now), Members: c.fleetSize(), Random: c.options.Random()}
+	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
 		if status == nil || !status.Allowance.Binds() {
-			delete(c.limits.known, id)
+			delete(c.endpointLimits.known, id)
 			continue
 		}
 		status.Allowance.Review(now, fleet)
 	}
-	c.limited.Store(int64(len(c.limits.known)))
+	c.limitedEndpoints.Store(int64(len(c.endpointLimits.known)))
 }
 
-// fleetSize is the number of instances, as far as it is known.
+// fleetSize returns the number of instances, or defaultMembers while it is not known.
 func (c *Coordinator) fleetSize() int {
-	if c.following.Members > 0 {
-		return c.following.Members
+	if c.follower.Members > 0 {
+		return c.follower.Members
 	}
-	return assumedMembers
+	return defaultMembers
 }
 
-// addLimits tells in a report which limits this instance knows, and what it wants to send.
-func (c *Coordinator) addLimits(now time.Time, built *wire.Report) {
-	for id := range c.limits.known {
+// addLimitsToReport adds the limits that this instance knows and the requests that it wants to send to a report.
+func (c *Coordinator) addLimitsToReport(now time.Time, r *wire.Report) {
+	for id := range c.endpointLimits.known {
 		if status := c.directory.Endpoint(id); status != nil {
-			named := &status.Allowance
-			built.Limits = append(built.Limits, wire.Limit{ID: id, PerSecond: named.PerSecond(), Age: now.Sub(named.NamedAt())})
+			allowance := &status.Allowance
+			r.Limits = append(r.Limits, wire.Limit{ID: id, PerSecond: allowance.PerSecond(), Age: now.Sub(allowance.NamedAt())})
 		}
 	}
-	for id, sent := range c.limits.lifted {
-		built.Lifted = append(built.Lifted, wire.Lifted{ID: id, Age: now.Sub(sent)})
+	for id, sentAt := range c.endpointLimits.lifted {
+		r.Lifted = append(r.Lifted, wire.Lifted{ID: id, Age: now.Sub(sentAt)})
 	}
-	built.Wants = c.wants(now)
-	clear(c.limits.lifted)
-	clear(c.limits.used)
-	clear(c.limits.missed)
+	r.Wants = c.wants(now)
+	clear(c.endpointLimits.lifted)
+	clear(c.endpointLimits.usedServices)
+	clear(c.endpointLimits.refusedRequests)
 }
 
-// noteUsed notes that a service is asked for.
-func (c *Coordinator) noteUsed(service string) {
-	if len(c.limits.known) > 0 {
-		c.limits.used[service] = true
+// recordServiceUse records that a request for a service arrived.
+func (c *Coordinator) recordServiceUse(service string) {
+	if len(c.endpointLimits.known) > 0 {
+		c.endpointLimits.usedServices[service] = true
 	}
 }
 
-// noteMissed notes that a request was refused for want of a limit.
-func (c *Coordinator) noteMissed(now time.Time, w *waiter) {
-	if id, ok := c.wantedBy(now, w, c.limits.missed); ok {
-		c.limits.missed[id]++
+// recordLimitRefusal counts a request that was refused because of a limit.
+func (c *Coordinator) recordLimitRefusal(now time.Time, w *waiter) {
+	if id, ok := c.limitAwaitedBy(now, w, c.endpointLimits.refusedRequests); ok {
+		c.endpointLimits.refusedRequests[id]++
 	}
 }
 
-// wants gives the endpoints with a limit to which this instance wants to send requests: for those that wait or were refused, and, so that
-// it hears when a limit is over, where the service is in use.
+// wants returns the endpoints with a limit to which this instance wants to send requests: waiting requests, requests that
+// were refused, and, if the service is in use, requests whose responses show whether the limit is over.
 func (c *Coordinator) wants(now time.Time) []wire.Want {
-	if len(c.limits.known) == 0 {
+	if len(c.endpointLimits.known) == 0 {
 		return nil
 	}
-	waiting := maps.Clone(c.limits.missed)
+	waiting := maps.Clone(c.endpointLimits.refusedRequests)
 	for _, w := range c.waiters.All() {
-		if id, ok := c.wantedBy(now, w, waiting); ok {
+		if id, ok := c.limitAwaitedBy(now, w, waiting); ok {
 			waiting[id]++
 		}
 	}
 	var wants []wire.Want
-	for id := range c.limits.known {
+	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
-		if status != nil && (waiting[id] > 0 || (c.limits.used[status.Service] && status.Allowance.Wants(now))) {
+		if status != nil && (waiting[id] > 0 || (c.endpointLimits.usedServices[status.Service] && status.Allowance.Wants(now))) {
 			wants = append(wants, wire.Want{ID: id, Waiting: waiting[id]})
 		}
 	}
 	return wants
 }
 
-// wantedBy gives the endpoint for whose limit a request is taken to wait: of those that could run it, the one with the fewest before it.
-func (c *Coordinator) wantedBy(now time.Time, w *waiter, waiting map[deployment.EndpointID]int) (deployment.EndpointID, bool) {
+// limitAwaitedBy returns the endpoint whose limit a request is assumed to wait for. Of the endpoints that could run the
+// request it is the one with the fewest requests in waiting.
+func (c *Coordinator) limitAwaitedBy(now time.Time, w *waiter, waiting map[deployment.EndpointID]int) (deployment.EndpointID, bool) {
 	if w.Verdict != balance.Limited {
 		return "", false
 	}
-	var wanted deployment.EndpointID
-	for _, status := range c.limitedFor(now, w) {
-		if wanted == "" || cmp.Or(cmp.Compare(waiting[status.ID], waiting[wanted]), cmp.Compare(status.ID, wanted)) < 0 {
-			wanted = status.ID
+	var awaited deployment.EndpointID
+	for _, status := range c.limitedEndpointsFor(now, w) {
+		if awaited == "" || cmp.Or(cmp.Compare(waiting[status.ID], waiting[awaited]), cmp.Compare(status.ID, awaited)) < 0 {
+			awaited = status.ID
 		}
 	}
-	return wanted, wanted != ""
+	return awaited, awaited != ""
 }
 
-// couldRun tells whether an endpoint could run a request, whether or not it takes one now.
+// couldRun reports whether an endpoint could run a request, regardless of whether it accepts one now.
 func (c *Coordinator) couldRun(now time.Time, status *directory.EndpointStatus, w *waiter) bool {
 	if status.Service != w.Service || status.State != deployment.Ready || slices.Contains(w.Tried, status.ID) {
 		return false
@@ -165,10 +169,11 @@
 	return !w.UsesModel() || status.Holds(now, w.Adapter, c.versions.Named(w.Adapter))
 }
 
-// limitedFor gives the endpoints with a limit that could run a request. They are few beside all of its service.
-func (c *Coordinator) limitedFor(now time.Time, w *waiter) []*directory.EndpointStatus {
+// limitedEndpointsFor returns the endpoints with a limit that could run a request. These are few compared with all
+// endpoints of the service.
+func (c *Coordinator) limitedEndpointsFor(now time.Time, w *waiter) []*directory.EndpointStatus {
 	var list []*directory.EndpointStatus
-	for id := range c.limits.known {
+	for id := range c.endpointLimits.known {
 		if status := c.directory.Endpoint(id); status != nil && status.Allowance.Binds() && c.couldRun(now, status, w) {
 			list = append(list, status)
 		}
@@ -176,33 +181,34 @@
 	return list
 }
 
-// allHeldBack tells whether each endpoint of a service has a limit or rests.
-func (c *Coordinator) allHeldBack(now time.Time, service string) bool {
+// allLimitedOrResting reports whether each ready endpoint of a service has a limit or rests.
+func (c *Coordinator) allLimitedOrResting(now time.Time, service string) bool {
 	return !slices.ContainsFunc(c.directory.Service(service), func(status *directory.EndpointStatus) bool {
 		return status.State == deployment.Ready && !status.Allowance.Binds() && !status.Rests(now)
 	})
 }
 
-// turnOf gives when a request may be sent that endpoints hold back: by the rates that their limits allow and what waits before it, or when
-// one has rested. It is zero where another endpoint may come to run it before.
-func (c *Coordinator) turnOf(now time.Time, w *waiter) time.Time {
-	if w.UsesModel() && !c.allHeldBack(now, w.Service) {
+// earliestSend returns when a request may be sent that endpoints hold back. It depends on the rates of the limits and the
+// number of requests ahead, or on the first endpoint's end of rest. It is zero if another endpoint may become able to run
+// the request before.
+func (c *Coordinator) earliestSend(now time.Time, w *waiter) time.Time {
+	if w.UsesModel() && !c.allLimitedOrResting(now, w.Service) {
 		return time.Time{}
 	}
-	limited, rested := c.limitTurn(now, w), c.restEnds(now, w)
-	if limited.IsZero() || (!rested.IsZero() && rested.Before(limited)) {
-		return rested
+	byLimits, byRest := c.earliestSendByLimits(now, w), c.earliestRestEnd(now, w)
+	if byLimits.IsZero() || (!byRest.IsZero() && byRest.Before(byLimits)) {
+		return byRest
 	}
-	return limited
+	return byLimits
 }
 
-// limitTurn gives when limits may let a request be sent; zero where none binds.
-func (c *Coordinator) limitTurn(now time.Time, w *waiter) time.Time {
+// earliestSendByLimits returns when the limits are expected to permit a request. It is zero if no limit binds.
+func (c *Coordinator) earliestSendByLimits(now time.Time, w *waiter) time.Time {
 	rate, ahead := 0.0, 0
-	for _, status := range c.limitedFor(now, w) {
-		one, others := status.Allowance.Expected(c.fleetSize())
-		rate += one
-		ahead += others
+	for _, status := range c.limitedEndpointsFor(now, w) {
+		endpointRate, waiting := status.Allowance.Expected(c.fleetSize())
+		rate += endpointRate
+		ahead += waiting
 	}
 	own := 0
 	for _, other := range c.waiters.All() {
@@ -216,11 +222,11 @@
 	return now.Add(time.Duration(float64(max(ahead, own)) / rate * float64(time.Second)))
 }
 
-// applyLimits takes in the limits that the planner knows, and what it granted.
+// applyLimits applies the limits and the grants of a view.
 func (c *Coordinator) applyLimits(now time.Time, v *wire.View) {
 	c.applyLimitList(now, v)
 	granted := now
-	if made, known := c.following.MadeAfter(); known {
+	if made, known := c.follower.MadeAfter(); known {
 		granted = made
 	}
 	for _, grant := range v.Grants {
@@ -230,47 +236,48 @@
 	}
 }
 
-// applyLimitList takes in all limits that the planner knows. One that it knew and does not know any more is over, unless this instance has
-// heard of it since. A planner of the version before allocates none.
+// applyLimitList applies the planner's list of all limits. A limit that the list no longer contains is over, unless this
+// instance has received a newer value itself. A planner of the previous version does not allocate limits.
 func (c *Coordinator) applyLimitList(now time.Time, v *wire.View) {
 	if v.Limits == nil && !v.Heartbeat {
 		return
 	}
 	listed := make(map[deployment.EndpointID]wire.Limit)
 	if v.Limits != nil {
-		for _, one := range v.Limits.Limits {
-			listed[one.ID] = one
-			c.tellLimit(now, one)
+		for _, reported := range v.Limits.Limits {
+			listed[reported.ID] = reported
+			c.mergeLimit(now, reported)
 		}
 	}
-	for id := range c.limits.known {
+	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
 		if status == nil {
 			continue
 		}
-		one, allocated := listed[id]
+		reported, allocated := listed[id]
 		if !allocated && status.Allowance.Allocated() && v.Limits != nil {
-			c.tellFree(now, status, now.Add(-c.following.Delay))
+			c.mergeLiftedLimit(now, status, now.Add(-c.follower.Delay))
 		}
-		status.Allowance.SetAllocated(allocated, one.Waiting)
+		status.Allowance.SetAllocated(allocated, reported.Waiting)
 	}
 	c.reviewLimits(now)
 }
 
-// tellLimit takes in a limit that another instance heard of.
-func (c *Coordinator) tellLimit(now time.Time, told wire.Limit) {
-	status := c.directory.Endpoint(told.ID)
+// mergeLimit applies a limit that another instance received.
+func (c *Coordinator) mergeLimit(now time.Time, reported wire.Limit) {
+	status := c.directory.Endpoint(reported.ID)
 	if status == nil {
 		return
 	}
-	if change := status.Allowance.Tell(told.PerSecond, now.Add(-told.Age)); change != limit.Unchanged {
-		c.changeLimit(now, status, change, "peer")
+	if change := status.Allowance.Tell(reported.PerSecond, now.Add(-reported.Age)); change != limit.Unchanged {
+		c.applyLimitChange(now, status, change, "peer")
 	}
 }
 
-// tellFree takes in that another instance heard the end of a limit, in the answer to a request that it sent at a time.
-func (c *Coordinator) tellFree(now time.Time, status *directory.EndpointStatus, sent time.Time) {
-	if change := status.Allowance.TellFree(sent); change != limit.Unchanged {
-		c.changeLimit(now, status, change, "peer")
+// mergeLiftedLimit applies the end of a limit that another instance received in the response to a request that it sent at
+// the given time.
+func (c *Coordinator) mergeLiftedLimit(now time.Time, status *directory.EndpointStatus, sentAt time.Time) {
+	if change := status.Allowance.TellFree(sentAt); change != limit.Unchanged {
+		c.applyLimitChange(now, status, change, "peer")
 	}
 }
--- a/services/entry/coordinator/memorystore_test.go
+++ b/services/entry/coordinator/memorystore_test.go
@@ -18,7 +18,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/lease"
 )
 
-// memoryStore is a store in memory that can be made silent.
+// memoryStore is a store in memory whose calls can be made to fail.
 type memoryStore struct {
 	mutex    sync.Mutex
 	changed  chan struct{}
@@ -27,13 +27,14 @@
 	revision int64
 	lease    int64
 	down     bool
-	// deaf keeps watches from hearing anything.
-	deaf bool
-	// readings counts the readings of all endpoints, recordReads those of the planner's record.
-	readings    int
-	recordReads int
-	// betweenPages is called once, after a page that has the first of the operators' keys alone; nil lets one page have all.
-	betweenPages func()
+	// watchesSilent makes watches return no events.
+	watchesSilent bool
+	// endpointReads counts the reads of all endpoints, and recordReads those of the planner's record.
+	endpointReads int
+	recordReads   int
+	// afterFirstPage is called once, after a page that contains only the first of the operators' keys. If it is nil, one
+	// page contains all keys.
+	afterFirstPage func()
 }
 
 var errDown = errors.New("down")
@@ -48,14 +49,13 @@
 	m.down = down
 }
 
-func (m *memoryStore) setDeaf() {
+func (m *memoryStore) silenceWatches() {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	m.deaf = true
+	m.watchesSilent = true
 }
 
-// at gives the store's revision.
-func (m *memoryStore) at() int64 {
+func (m *memoryStore) currentRevision() int64 {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.revision
@@ -68,7 +68,7 @@
 	m.write(store.Write{Key: key, Value: []byte(value)})
 }
 
-// write sets a key; the mutex is held.
+// write sets a key. The caller must hold the mutex.
 func (m *memoryStore) write(one store.Write) {
 	item := store.Item{Key: one.Key, Value: one.Value, Revision: m.revision, Lease: one.Lease}
 	m.items[one.Key] = item
@@ -77,7 +77,7 @@
 	m.changed = make(chan struct{})
 }
 
-// remove takes a key out, which watches tell.
+// remove deletes a key and records the event for watches.
 func (m *memoryStore) remove(key string) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
@@ -88,18 +88,18 @@
 	m.changed = make(chan struct{})
 }
 
-// recordReadings is how often the planner's record was read.
-func (m *memoryStore) recordReadings() int {
+// recordReadCount returns the number of reads of the planner's record.
+func (m *memoryStore) recordReadCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	return m.recordReads
 }
 
-// endpointReadings is how often all endpoints were read.
-func (m *memoryStore) endpointReadings() int {
+// endpointReadCount returns the number of reads of all endpoints.
+func (m *memoryStore) endpointReadCount() int {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	return m.readings
+	return m.endpointReads
 }
 
 func (m *memoryStore) get(_ context.Context, key string) (store.Item, error) {
@@ -121,9 +121,9 @@
 func (m *memoryStore) rangeOf(_ context.Context, prefix, after string) (store.Page, error) {
 	page, err := m.page(prefix, after)
 	if page.More {
-		m.betweenPages()
+		m.afterFirstPage()
 		m.mutex.Lock()
-		m.betweenPages = nil
+		m.afterFirstPage = nil
 		m.mutex.Unlock()
 	}
 	return page, err
@@ -136,7 +136,7 @@
 		return store.Page{}, errDown
 	}
 	if prefix == endpointPrefix {
-		m.readings++
+		m.endpointReads++
 	}
 	page := store.Page{At: m.revision}
 	for key, item := range m.items {
@@ -144,7 +144,7 @@
 			page.Items = append(page.Items, item)
 		}
 	}
-	if m.betweenPages != nil && prefix == operatorsPrefix {
+	if m.afterFirstPage != nil && prefix == operatorsPrefix {
 		slices.SortFunc(page.Items, func(one, other store.Item) int { return strings.Compare(one.Key, other.Key) })
 		page.Items, page.More = page.Items[:1], true
 	}
@@ -158,7 +158,7 @@
 		changed, next, down := m.changed, m.revision, m.down
 		var found []store.Event
 		for _, event := range m.events {
-			if event.Revision > after && !m.deaf && strings.HasPrefix(event.Key, prefix) {
+			if event.Revision > after && !m.watchesSilent && strings.HasPrefix(event.Key, prefix) {
 				found = append(found, event)
 			}
 		}
@@ -222,7 +222,7 @@
 	}
 }
 
-// record gives the record as stored, and whether there is one.
+// record returns the stored record and whether there is one.
 func (m *memoryStore) record(t *testing.T) (lease.Record, bool) {
 	t.Helper()
 	m.mutex.Lock()
--- /dev/null
+++ b/services/entry/coordinator/notice.go
@@ -0,0 +1,37 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package coordinator
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+)
+
+// Fields of the log lines about an endpoint's notices.
+const (
+	fieldEndpoint = "endpoint"
+	fieldService  = "service"
+)
+
+// Heard applies the notice in an endpoint's response to a request that was sent at the given time. The notice is valid
+// only for the incarnation that sent it.
+func (c *Coordinator) Heard(assignment Assignment, sentAt time.Time, notice deployment.Notice) {
+	if notice == (deployment.Notice{}) && c.limitedEndpoints.Load() == 0 {
+		return
+	}
+	c.loop.Post(func(now time.Time) {
+		if !c.sameIncarnation(assignment) {
+			return
+		}
+		status := assignment.status
+		c.applyObservedLimit(now, status, status.Allowance.Hear(now, sentAt, notice.Limit), sentAt)
+		if notice.Leaving {
+			c.markLeaving(now, status, "answer")
+		}
+		if notice.Rest > 0 {
+			c.recordRest(now, status, notice.Rest)
+		}
+	})
+}
--- a/services/entry/coordinator/options.go
+++ b/services/entry/coordinator/options.go
@@ -20,73 +20,73 @@
 
 // Options are the settings of a Coordinator.
 type Options struct {
-	// Instance names this process, Hall the part of the site that it stands in.
+	// Instance is the name of this process, and Hall the part of the site in which it runs.
 	Instance string
 	Hall     string
-	// PeerAddress is where this process listens for its peers.
+	// PeerAddress is the address on which this process listens for its peers.
 	PeerAddress netip.AddrPort
-	// Seeds are peers that may know the configuration when the store does not answer.
+	// Seeds are the peers that are asked for the configuration when the store does not answer.
 	Seeds []netip.AddrPort
-	// Retry is the budget of retries.
+	// Retry sets the retry budget.
 	Retry retry.Options
-	// Lease bounds who may order.
+	// Lease sets the time limits of the planner's lease, which bounds who may send orders.
 	Lease lease.Options
-	// LoadWindow, LoadTolerance and LoadSlack bound loads from the weight store.
+	// LoadWindow, LoadTolerance and LoadSlack bound the rate of loads from the weight store.
 	LoadWindow    time.Duration
 	LoadTolerance float64
 	LoadSlack     float64
-	// Reluctance is how much longer than others this instance leaves the planner's work to them;
-	// an instance with a weak link or processor takes it only if nobody else does.
+	// Reluctance is the additional time for which this instance waits before it takes the planner's lease. An instance
+	// with a slow link or processor takes the lease only if no other instance does.
 	Reluctance time.Duration
-	// LinkRate is how many bytes a second the own link carries; 0 if it is not known.
+	// LinkRate is the capacity of this instance's network link in bytes per second; 0 if it is not known.
 	LinkRate int
-	// VersionLimit is how long a request may still begin on an older version than named. With 0, none may be sent to one, and what
-	// was sent before is not taken back.
+	// VersionLimit is the time for which a request may still begin on a version older than the named one. If it is 0, no
+	// request may be sent to an older version, and requests that were sent before are not recalled.
 	VersionLimit time.Duration
-	// StoreTimeout bounds one call to the store, apart from waiting watches.
+	// StoreTimeout bounds one call to the store, except for long-polling watches.
 	StoreTimeout time.Duration
-	// Now gives the present time, also across suspensions of the host; TimerNow that of the runtime's timers, nil the same.
+	// Now returns the present time, including the time for which the host was suspended. TimerNow returns the time of the
+	// runtime's timers; if it is nil, Now is used.
 	Now, TimerNow func() time.Time
-	// Random gives a number from 0 up to 1.
+	// Random returns a number in [0, 1).
 	Random func() float64
 	Log    *logrus.Entry
-	// ObserveOrder, ObserveStoreFailure, ObserveRelay, ObserveLinkClosed, ObserveFormerVersion and ObserveTakenBack count for the
-	// metrics; nil ignores.
+	// The Observe functions update metrics; a nil function is not called.
 	ObserveOrder        func(kind, reply string)
 	ObserveStoreFailure func(call string)
-	// ObserveRelay is given the bytes of the operators' keys that were sent to one peer.
+	// ObserveRelay receives the number of bytes of operator keys that were sent to one peer.
 	ObserveRelay func(bytes int)
-	// ObserveLinkClosed is called for each peer's link that is closed since too much waits for the peer.
+	// ObserveLinkClosed is called for each peer link that is closed because its send queue is full.
 	ObserveLinkClosed func()
-	// ObserveFormerVersion is given, for each request that begins on a former version, for how long the first newer one has
-	// counted, and whether that is longer than VersionLimit.
+	// ObserveFormerVersion is called for each request that begins on a former version. It receives the time since the
+	// first newer version was named, and whether this time exceeds VersionLimit.
 	ObserveFormerVersion func(age time.Duration, overdue bool)
-	// ObserveTakenBack is called for each request that is taken back from its endpoint since it has not begun in time.
+	// ObserveTakenBack is called for each request that is recalled from its endpoint because it has not begun in time.
 	ObserveTakenBack func()
 }
 
-// Environment is the outside calls of a Coordinator, as function fields.
+// Environment holds the external calls of a Coordinator as function fields.
 type Environment struct {
 	Store store.Client
-	// ConfigurationPrefix and EndpointPrefix are where the store keeps what operators and
-	// endpoints write.
+	// ConfigurationPrefix and EndpointPrefix are the key prefixes under which the store keeps what operators and endpoints
+	// write.
 	ConfigurationPrefix string
 	EndpointPrefix      string
-	// ConfigurationKey holds the whole configuration.
+	// ConfigurationKey is the key of the whole configuration.
 	ConfigurationKey string
-	// ParseConfiguration reads the value of ConfigurationKey.
+	// ParseConfiguration parses the value of ConfigurationKey.
 	ParseConfiguration func(value []byte) (*deployment.Configuration, error)
-	// ParseVersion reads a named version of an adapter; false if the key names none.
+	// ParseVersion parses the named version of an adapter; it returns false if the key names no version.
 	ParseVersion func(item store.Item) (deployment.Adapter, int64, bool)
-	// ParseEndpoint reads an endpoint's description.
+	// ParseEndpoint parses an endpoint's description.
 	ParseEndpoint func(item store.Item) (deployment.Endpoint, error)
-	// EndpointOf gives the endpoint that a key describes.
+	// EndpointOf returns the endpoint that a key describes.
 	EndpointOf func(key string) deployment.EndpointID
-	// SendOrder sends one order under a term and gives its result.
+	// SendOrder sends one order under a term and returns its result.
 	SendOrder func(ctx context.Context, order loading.Order, holder string, term int64) loading.Result
-	// Dial and Listen connect peers.
+	// Dial and Listen connect this process with its peers.
 	Dial   func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 	Listen func(address netip.AddrPort) (net.Listener, error)
-	// Retire tells that an endpoint is gone, so that its connections can be closed.
+	// Retire is called when an endpoint is gone, so that its connections can be closed.
 	Retire func(id deployment.EndpointID)
 }
