--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// servePeers takes the links of instances that follow this one.
+// servePeers accepts the connections of peers until the coordinator stops.
 func (c *Coordinator) servePeers(listener net.Listener) {
 	stop := make(chan struct{})
 	defer close(stop)
@@ -31,16 +31,16 @@
 			if c.context.Err() != nil {
 				return
 			}
-			// Not logged: the kinds of log lines are pinned. A peer that is not taken in dials again, and reads the store
-			// itself meanwhile.
+			// Not logged: the set of log lines is fixed by a test. A peer that is not accepted dials again, and reads the
+			// store itself meanwhile.
 			c.sleep(dialPause)
 			continue
 		}
-		c.run(func() { c.servePeer(conn) })
+		c.startTask(func() { c.servePeer(conn) })
 	}
 }
 
-// servePeer reads one instance's reports until it falls silent.
+// servePeer reads the messages of one peer until it falls silent.
 func (c *Coordinator) servePeer(conn net.Conn) {
 	stream := peerstream.New[wire.Message](conn)
 	defer stream.Close()
@@ -51,81 +51,83 @@
 		c.loop.Call(func(time.Time) { silence = c.memberSilence() })
 		received, err := stream.Receive(silence, c.options.TimerNow)
 		if err != nil {
-			// Not logged: a peer that leaves ends its link too. One that is lost is dropped by the age of its reports.
+			// Not logged: the link of a peer that leaves ends in the same way. A lost peer is removed by the age of its
+			// reports.
 			break
 		}
-		if !c.handle(stream, received) {
+		if !c.handleMessage(stream, received) {
 			break
 		}
 	}
 	c.loop.Post(func(now time.Time) {
 		c.dropLoads(stream)
-		c.peerLost(now, stream)
+		c.handlePeerLost(now, stream)
 	})
 }
 
-// handle takes in what a peer sent; false ends the link, since this instance does not plan.
-func (c *Coordinator) handle(stream *peerstream.Stream[wire.Message], received wire.Message) bool {
-	planning := true
+// handleMessage handles a message from a peer. It returns false if the link has to be closed because this instance does
+// not plan.
+func (c *Coordinator) handleMessage(stream *peerstream.Stream[wire.Message], received wire.Message) bool {
+	planner := true
 	if received.Report != nil {
-		c.loop.Call(func(now time.Time) { planning = c.takePeerReport(now, stream, received.Report) })
+		c.loop.Call(func(now time.Time) { planner = c.applyPeerReport(now, stream, received.Report) })
 	}
 	if received.Load != nil {
-		c.loop.Call(func(now time.Time) { c.takeLoad(now, stream, received.Load) })
+		c.loop.Call(func(now time.Time) { c.applyLoad(now, stream, received.Load) })
 	}
 	if received.Sum != nil {
 		c.loop.Call(func(now time.Time) {
-			if c.planning != nil {
-				c.planning.takeSum(now, received.Sum)
+			if c.planner != nil {
+				c.planner.applySum(now, received.Sum)
 			}
 		})
 	}
 	if received.Successor != nil {
-		c.loop.Call(func(now time.Time) { c.learnSuccessor(now, *received.Successor) })
+		c.loop.Call(func(now time.Time) { c.applySuccessor(now, *received.Successor) })
 	}
 	if received.Request != nil {
 		c.loop.Call(func(now time.Time) { c.answerRequest(now, stream, received.Request) })
 	}
-	return planning
+	return planner
 }
 
-// takePeerReport takes a report in if this instance plans.
-func (c *Coordinator) takePeerReport(now time.Time, stream *peerstream.Stream[wire.Message], r *wire.Report) bool {
-	if c.planning == nil {
+// applyPeerReport applies a report if this instance is the planner, and reports whether it is.
+func (c *Coordinator) applyPeerReport(now time.Time, stream *peerstream.Stream[wire.Message], r *wire.Report) bool {
+	if c.planner == nil {
 		return false
 	}
-	c.planning.members.Join(r.Instance, stream)
-	c.planning.keysUnderWay.Reported(stream, r.ConfigurationRevision)
-	c.planning.takeReport(now, r)
+	c.planner.members.Join(r.Instance, stream)
+	c.planner.keysInFlight.Reported(stream, r.ConfigurationRevision)
+	c.planner.applyReport(now, r)
 	c.plan(now)
 	return true
 }
 
-// answerRequest tells a peer that cannot read the store what is known here; an instance that
-// is not ready itself tells nothing.
+// answerRequest answers a peer that cannot read the store. An instance that is not ready itself closes the link instead.
 func (c *Coordinator) answerRequest(now time.Time, stream *peerstream.Stream[wire.Message], request *wire.Request) {
 	if !c.ready.Load() {
 		stream.Close()
 		return
 	}
 	if request.PlannerOnly {
-		// As below.
+		// As for the answer below, a failed send needs no handling: the peer asks another instance.
 		_ = stream.Send(wire.Message{View: c.plannerView(now)})
 		return
 	}
 	if frame := c.seedFrame(now); frame != nil {
-		// A peer that does not read loses the stream and asks another.
+		// The link of a peer that does not read is closed, and the peer asks another instance.
 		_ = stream.SendFrame(frame)
 	}
 }
 
-// seedAnswerLife is for how long an answer to a peer that starts is given again, so that many that start at once share one copy of the
-// configuration in memory. Longer gives older answers; what is read from the store later replaces them.
-const seedAnswerLife = 250 * time.Millisecond
+// seedAnswerTTL is for how long an answer to a starting peer is reused, so that many peers that start at the same time
+// share one copy of the configuration in memory. A longer time gives older answers; data that the peer reads from the
+// store later replaces them.
+const seedAnswerTTL = 250 * time.Millisecond
 
-// seedFrame gives the frame of what is known here, or nil where it cannot be encoded.
+// seedFrame returns the encoded answer to a starting peer, or nil if it cannot be encoded.
 func (c *Coordinator) seedFrame(now time.Time) peerstream.Frame {
-	if c.seedAnswer.frame != nil && now.Sub(c.seedAnswer.at) < seedAnswerLife {
+	if c.seedAnswer.frame != nil && now.Sub(c.seedAnswer.at) < seedAnswerTTL {
 		return c.seedAnswer.frame
 	}
 	frame, err := peerstream.Encode(wire.Message{View: c.seedView(now)})
@@ -137,20 +139,20 @@
 	return frame
 }
 
-// plannerView tells who plans, as far as it is known here.
+// plannerView returns a view that names the planner, as far as it is known here.
 func (c *Coordinator) plannerView(now time.Time) *wire.View {
 	answer := &wire.View{
-		Planner: c.following.Planner, Term: c.knownRecord.Term, ReadAge: now.Sub(c.endpointsReadAt),
+		Planner: c.follower.Planner, Term: c.knownRecord.Term, ReadAge: now.Sub(c.endpointsReadAt),
 		Address: wire.Address{AddrPort: c.knownRecord.Address},
 	}
-	if c.planning != nil {
-		answer.Planner, answer.Term = c.options.Instance, c.planning.lease.Record().Term
+	if c.planner != nil {
+		answer.Planner, answer.Term = c.options.Instance, c.planner.lease.Record().Term
 		answer.Address = wire.Address{AddrPort: c.options.PeerAddress}
 	}
 	return answer
 }
 
-// seedView tells all that is known here.
+// seedView returns a view with everything that a starting peer needs: the planner, the operators' keys and the endpoints.
 func (c *Coordinator) seedView(now time.Time) *wire.View {
 	answer := c.plannerView(now)
 	answer.Items, answer.ConfigurationRevision = c.keys.After(0), c.keys.Revision()
@@ -158,16 +160,16 @@
 	return answer
 }
 
-// seedAnswer is the last answer to a peer that starts; the zero value is none.
+// seedAnswer is the cached answer to a starting peer. The zero value means that none is cached.
 type seedAnswer struct {
 	frame peerstream.Frame
 	at    time.Time
 }
 
-func (c *Coordinator) peerLost(now time.Time, stream *peerstream.Stream[wire.Message]) {
-	if c.planning == nil {
+func (c *Coordinator) handlePeerLost(now time.Time, stream *peerstream.Stream[wire.Message]) {
+	if c.planner == nil {
 		return
 	}
-	c.planning.keysUnderWay.Ended(stream)
-	c.planning.members.Unlink(now, stream, c.memberSilence())
+	c.planner.keysInFlight.Ended(stream)
+	c.planner.members.Unlink(now, stream, c.memberSilence())
 }
--- a/services/entry/coordinator/peers_test.go
+++ b/services/entry/coordinator/peers_test.go
@@ -16,29 +16,29 @@
 )
 
 const (
-	// closedPeers is how many connections the test opens and closes; goroutineSlack is how many goroutines of other work,
-	// such as timers and store calls, may come or go meanwhile.
+	// closedPeers is the number of connections that the test opens and closes. goroutineSlack is the number of unrelated
+	// goroutines, such as timers and store calls, that may start or end meanwhile.
 	closedPeers    = 100
 	goroutineSlack = 30
-	// settleTime is how long the goroutines of closed connections may take to end.
+	// settleTime is the time for the goroutines of closed connections to end.
 	settleTime = 2 * time.Second
 )
 
-// TestAClosedPeerLeavesNoGoroutine failed while each connection that an instance had served kept a goroutine that waited for the end of
-// the whole process, and with it the stream.
-func TestAClosedPeerLeavesNoGoroutine(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning })
+// TestClosedPeerConnectionsLeakNoGoroutines guards against a leak: for each served connection a goroutine waited for the
+// end of the process and kept the stream alive.
+func TestClosedPeerConnectionsLeakNoGoroutines(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning })
 	before := runtime.NumGoroutine()
 	for range closedPeers {
 		near, far := net.Pipe()
-		s.pipes.incoming <- near
+		f.network.incoming <- near
 		require.NoError(t, far.Close())
 	}
 	deadline := time.Now().Add(settleTime)
 	for runtime.NumGoroutine() > before+goroutineSlack && time.Now().Before(deadline) {
-		time.Sleep(lookPace)
+		time.Sleep(pollInterval)
 	}
 	assert.LessOrEqual(t, runtime.NumGoroutine(), before+goroutineSlack, "%d goroutines before %d connections", before, closedPeers)
 }
--- /dev/null
+++ b/services/entry/coordinator/recall.go
@@ -0,0 +1,43 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package coordinator
+
+import (
+	"time"
+
+	"github.com/shelfledge/shelfledge/models/entry/deployment"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+)
+
+// trackUnbegun tracks a request that is assigned to an endpoint with a version of its adapter until the request is known
+// to run. A request that was sent cannot be controlled otherwise: a newer version may be named while it waits in the
+// endpoint's own queue, and that queue may grow. It returns nil for routes whose answers are sent as a whole. Their begin
+// is not visible before their end, so nothing shows whether they may still be recalled.
+func (c *Coordinator) trackUnbegun(request *deployment.Request, held int64) *unbegun.Recall {
+	if request.Adapter.IsZero() || !request.BeginShows() {
+		return nil
+	}
+	recall := &unbegun.Recall{}
+	c.unbegun.Add(recall, request.Adapter, held, c.beginDeadline(request.Adapter, held))
+	return recall
+}
+
+// beginDeadline returns the time by which a request must have begun on a version of its adapter. It is long past if the
+// age of the newer version is not known. It is zero if no newer version is named or if older versions have no time limit.
+func (c *Coordinator) beginDeadline(adapter deployment.Adapter, held int64) time.Time {
+	since, newerNamed := c.versions.NewerSince(adapter, held)
+	if !newerNamed || c.options.VersionLimit == 0 {
+		return time.Time{}
+	}
+	return unbegun.BeginBy(since, c.options.VersionLimit)
+}
+
+// recallOverdue recalls the requests that have not begun in time.
+func (c *Coordinator) recallOverdue(now time.Time) {
+	for _, recall := range c.unbegun.TakeLate(now) {
+		if recall.Fire() && c.options.ObserveTakenBack != nil {
+			c.options.ObserveTakenBack()
+		}
+	}
+}
--- a/services/entry/coordinator/rejoin_test.go
+++ b/services/entry/coordinator/rejoin_test.go
@@ -13,11 +13,12 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
 )
 
-// joinLacking joins as a member that has read none of the operators' keys, reports at a pace, and gives when keys come.
-func (s *site) joinLacking(t *testing.T, instance string) (*peer, <-chan time.Time) {
+// joinWithoutKeys joins a member that has none of the operators' keys and reports after each message. The returned channel
+// receives the time at which keys arrive.
+func (f *fixture) joinWithoutKeys(t *testing.T, instance string) (*rawPeer, <-chan time.Time) {
 	t.Helper()
-	link := s.join(t)
-	came := make(chan time.Time, 1)
+	link := f.connectPeer(t)
+	keysReceived := make(chan time.Time, 1)
 	require.NoError(t, link.Send(wireMessage{Report: &wireReport{Instance: instance}}))
 	go func() {
 		for {
@@ -26,65 +27,66 @@
 				return
 			}
 			if received.View != nil && len(received.View.Items) > 0 {
-				came <- time.Now()
+				keysReceived <- time.Now()
 				return
 			}
 			_ = link.Send(wireMessage{Report: &wireReport{Instance: instance}})
 		}
 	}()
-	return link, came
+	return link, keysReceived
 }
 
-// TestKeysLostWithALinkAreSentOverTheNextOne is a member that restarts, or dials again, while keys are under way to it: what was on the
-// former link is lost.
-func TestKeysLostWithALinkAreSentOverTheNextOne(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
-	link, came := s.joinLacking(t, "peer")
+// TestKeysAreSentAgainAfterReconnect covers a member that restarts or dials again while keys are being sent to it. What
+// was sent over the former link is lost.
+func TestKeysAreSentAgainAfterReconnect(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
+	link, keysReceived := f.joinWithoutKeys(t, "peer")
 	select {
-	case <-came:
+	case <-keysReceived:
 	case <-time.After(waitLimit):
-		require.FailNow(t, "no keys come")
+		require.FailNow(t, "no keys received")
 	}
-	// The process ends before it reports them, and the next one joins at once.
+	// The process ends before it reports the keys, and the next one joins at once.
 	link.Close()
 	rejoined := time.Now()
-	_, came = s.joinLacking(t, "peer")
+	_, keysReceived = f.joinWithoutKeys(t, "peer")
 	select {
-	case at := <-came:
+	case at := <-keysReceived:
 		assert.Less(t, at.Sub(rejoined), time.Second)
 	case <-time.After(waitLimit):
-		require.FailNow(t, "no keys come over the second link")
+		require.FailNow(t, "no keys received over the second link")
 	}
 }
 
-// TestQuietMembersGetALargeConfigurationSoon is the window while nothing else changes: a report frees a place in it, which the next
-// member has to get at once and not with the next heartbeat. One member that lacks nothing counts the heartbeats meanwhile.
-func TestQuietMembersGetALargeConfigurationSoon(t *testing.T) {
+// TestLargeConfigurationReachesAllMembersWithoutHeartbeatDelay covers the window of keys in flight while nothing else
+// changes. A report frees room in the window, which the next member must get at once and not with the next heartbeat. One
+// member that lacks no keys counts the heartbeats meanwhile.
+func TestLargeConfigurationReachesAllMembersWithoutHeartbeatDelay(t *testing.T) {
 	const (
 		members = 12
-		// mostHeartbeats pass until all have the keys: patience of 0.8 s is two or three of them, a place a heartbeat would be
-		// fifteen.
+		// mostHeartbeats is the number of heartbeats until all members have the keys. The delay of 0.8 s before keys are
+		// sent takes two or three of them. If room were given only with each heartbeat, fifteen would pass.
 		mostHeartbeats = 8
 	)
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
-	s.store.put(configurationKey, string(make([]byte, 600<<10)))
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
+	f.store.put(configurationKey, string(make([]byte, 600<<10)))
 	done := make(chan struct{}, members)
 	for i := range members {
-		go s.readKeysOnce(t, string(rune('a'+i)), done)
+		go f.receiveKeysOnce(t, string(rune('a'+i)), done)
 	}
-	known, err := s.store.get(t.Context(), configurationKey)
+	item, err := f.store.get(t.Context(), configurationKey)
 	require.NoError(t, err)
-	observer := s.join(t)
-	report := wireMessage{Report: &wireReport{Instance: "observer", ConfigurationAt: known.Revision}}
+	observer := f.connectPeer(t)
+	report := wireMessage{Report: &wireReport{Instance: "observer", ConfigurationAt: item.Revision}}
 	require.NoError(t, observer.Send(report))
 	heartbeats := 0
 	for len(done) < members {
-		told := receive(t, observer, func(m wireMessage) bool { return m.View != nil })
-		if told.View.Heartbeat {
+		message := receiveUntil(t, observer, func(m wireMessage) bool { return m.View != nil })
+		if message.View.Heartbeat {
 			heartbeats++
 			_ = observer.Send(report)
 		}
@@ -92,9 +94,9 @@
 	}
 }
 
-// readKeysOnce joins as a member that lacks the operators' keys, reports them when they come, and tells so.
-func (s *site) readKeysOnce(t *testing.T, instance string, done chan<- struct{}) {
-	link := s.join(t)
+// receiveKeysOnce joins a member that lacks the operators' keys, reports the keys when they arrive, and signals done.
+func (f *fixture) receiveKeysOnce(t *testing.T, instance string, done chan<- struct{}) {
+	link := f.connectPeer(t)
 	report := &wireReport{Instance: instance}
 	_ = link.Send(wireMessage{Report: report})
 	for {
--- a/services/entry/coordinator/relay_test.go
+++ b/services/entry/coordinator/relay_test.go
@@ -16,52 +16,52 @@
 )
 
 const (
-	// slowMembers is how many members read nothing, largeValue the size of a large configuration, in bytes, and queueBound
-	// how much may wait for all members together.
-	slowMembers = 24
-	largeValue  = 256 << 10
-	queueBound  = 4 << 20
-	// watchTime is for how long a test looks: several heartbeats.
-	watchTime = 2 * time.Second
+	// slowMembers is the number of members that read nothing, largeValue the size of a large configuration in bytes, and
+	// maxQueuedBytes the bound on the bytes that are queued for all members together.
+	slowMembers    = 24
+	largeValue     = 256 << 10
+	maxQueuedBytes = 4 << 20
+	// observationTime is for how long a test observes the instance: several heartbeats.
+	observationTime = 2 * time.Second
 )
 
-// TestWhatWaitsForSlowMembersIsBounded is the incident of large configurations: members that have not read one yet got it anew with
-// each view, until the planner was out of memory.
-func TestWhatWaitsForSlowMembersIsBounded(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
+// TestQueueForSlowMembersIsBounded guards against a failure with large configurations: members that had not read the
+// configuration yet were sent it again with each view, until the planner ran out of memory.
+func TestQueueForSlowMembersIsBounded(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
 	for i := range slowMembers {
-		s.joinAs(t, fmt.Sprintf("slow-%d", i))
+		f.joinMember(t, fmt.Sprintf("slow-%d", i))
 	}
-	s.waitForStatus(t, "members", func(status coordinator.Status) bool { return status.Members == slowMembers+1 })
-	s.store.put(configurationKey, strings.Repeat("x", largeValue))
+	f.waitForStatus(t, "has all members", func(status coordinator.Status) bool { return status.Members == slowMembers+1 })
+	f.store.put(configurationKey, strings.Repeat("x", largeValue))
 	var most int64
-	for end := time.Now().Add(watchTime); time.Now().Before(end); time.Sleep(lookPace) {
-		most = max(most, s.control.Status().PeerQueueBytes)
+	for end := time.Now().Add(observationTime); time.Now().Before(end); time.Sleep(pollInterval) {
+		most = max(most, f.instance.Status().PeerQueueBytes)
 	}
-	assert.LessOrEqual(t, most, int64(queueBound))
+	assert.LessOrEqual(t, most, int64(maxQueuedBytes))
 }
 
-// TestKeysAreSentOnlyToAPlannerThatAsks is the same incident the other way round: all instances together sent a large
-// configuration to a planner that had just started, with each report.
-func TestKeysAreSentOnlyToAPlannerThatAsks(t *testing.T) {
-	s := newSite()
-	s.planElsewhere(t)
-	s.start(t)
-	planner := s.link(t)
-	receive(t, planner, func(m wireMessage) bool { return m.Report != nil })
+// TestKeysAreReportedOnlyOnRequest covers the same failure in the other direction: all instances sent a large
+// configuration with each report to a planner that had just started.
+func TestKeysAreReportedOnlyOnRequest(t *testing.T) {
+	f := newFixture()
+	f.setOtherPlanner(t)
+	f.start(t)
+	planner := f.acceptDial(t)
+	receiveUntil(t, planner, func(m wireMessage) bool { return m.Report != nil })
 	lacking := func(keysFrom string) wireMessage {
 		v := fullView(4, "a1")
 		v.ConfigurationAt, v.AsksForKeys, v.KeysFrom = 0, true, keysFrom
 		return wireMessage{View: v}
 	}
-	for end := time.Now().Add(watchTime / 2); time.Now().Before(end); {
+	for end := time.Now().Add(observationTime / 2); time.Now().Before(end); {
 		require.NoError(t, planner.Send(lacking("")))
-		told := receive(t, planner, func(m wireMessage) bool { return m.Report != nil })
-		require.Empty(t, told.Report.Items, "another instance may be asked, or none")
+		message := receiveUntil(t, planner, func(m wireMessage) bool { return m.Report != nil })
+		require.Empty(t, message.Report.Items, "the planner requested no keys from this instance")
 	}
 	require.NoError(t, planner.Send(lacking(selfName)))
-	told := receive(t, planner, func(m wireMessage) bool { return m.Report != nil && len(m.Report.Items) > 0 })
-	assert.Equal(t, configurationKey, told.Report.Items[0].Key)
+	message := receiveUntil(t, planner, func(m wireMessage) bool { return m.Report != nil && len(m.Report.Items) > 0 })
+	assert.Equal(t, configurationKey, message.Report.Items[0].Key)
 }
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -13,95 +13,96 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// sendReport tells the planner, or this instance's own plan, what is asked here.
+// sendReport sends the report of this instance to the planner or to this instance's own plan.
 func (c *Coordinator) sendReport(now time.Time) {
-	if c.planning == nil && c.following.stream == nil {
-		c.reports.Skip(now)
+	if c.planner == nil && c.follower.stream == nil {
+		c.reportSchedule.Skip(now)
 		c.demand.Untold(now)
-		// A planner that comes reads the endpoints' reports itself.
+		// A new planner reads the endpoints' load reports itself.
 		c.missing = nil
 		return
 	}
-	built := c.buildReport(now)
-	c.reports.Sent(now)
-	if c.planning != nil {
-		c.planning.takeReport(now, built)
+	r := c.buildReport(now)
+	c.reportSchedule.Sent(now)
+	if c.planner != nil {
+		c.planner.applyReport(now, r)
 		c.plan(now)
 		return
 	}
-	if err := c.following.stream.Send(wire.Message{Report: built}); err != nil {
+	if err := c.follower.stream.Send(wire.Message{Report: r}); err != nil {
 		c.options.Log.WithError(err).Warn("a report to the planner was dropped")
 	}
 }
 
 func (c *Coordinator) buildReport(now time.Time) *wire.Report {
-	built := &wire.Report{
-		Instance: c.options.Instance, WithdrawalsSeen: c.following.Withdrawals, ConfigurationRevision: c.keys.Revision(),
+	r := &wire.Report{
+		Instance: c.options.Instance, WithdrawalsSeen: c.follower.Withdrawals, ConfigurationRevision: c.keys.Revision(),
 		Demands: c.buildDemands(now), Missing: c.missing, Leaving: c.leaving.Load(),
-		StoreReadAge: now.Sub(c.storeReadAt), FedBy: c.gathering.fedBy, NeedsWhole: c.asksForWhole(now),
+		StoreReadAge: now.Sub(c.storeReadAt), FedBy: c.gathering.fedBy, NeedsWhole: c.takeWholeViewRequest(now),
 	}
-	if built.NeedsWhole || c.following.ratesDue {
-		built.DescribedUpTo = c.describedUpTo
+	if r.NeedsWhole || c.follower.ratesDue {
+		r.DescribedUpTo = c.describedRevision
 	}
 	c.missing = nil
-	c.following.own = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
+	c.follower.inFlight = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
 	for id, status := range c.directory.Endpoints() {
 		if status.Own > 0 {
-			own := ownInFlight(status)
-			built.InFlight = append(built.InFlight, wire.EndpointCount{ID: id, Count: own.Requests, Unread: own.Unread})
-			c.following.own[id] = own
+			inFlight := ownInFlight(status)
+			r.InFlight = append(r.InFlight, wire.EndpointCount{ID: id, Count: inFlight.Requests, Unread: inFlight.Unread})
+			c.follower.inFlight[id] = inFlight
 		}
 		if status.Health.Ejected(now) || status.Rests(now) {
-			built.Suspects = append(built.Suspects, id)
+			r.Suspects = append(r.Suspects, id)
 		}
 		if status.Health.Unreached(now) {
-			built.Unreached = append(built.Unreached, id)
+			r.Unreached = append(r.Unreached, id)
 		}
 		for adapter, count := range status.OwnByAdapter {
-			built.InUse = append(built.InUse, wire.CopyCount{ID: id, Model: adapter.Model, Name: adapter.Name, Count: count})
+			r.InUse = append(r.InUse, wire.CopyCount{ID: id, Model: adapter.Model, Name: adapter.Name, Count: count})
 		}
 	}
-	built.Crashes = c.crashesToReport(now)
-	c.addLimits(now, built)
-	built.SaidLeaving = c.leavingToReport()
-	if c.following.ratesDue {
-		built.Rates, built.FormerLoads = c.demand.Rates(now), c.knownFormerLoads(now)
-		built.EndpointsRead = c.readUpTo
-		built.Contact = &wire.Contact{Hall: c.options.Hall, Address: wire.Address{AddrPort: c.options.PeerAddress}, LinkRate: c.options.LinkRate}
-		c.following.ratesDue = false
+	r.Crashes = c.crashesToReport(now)
+	c.addLimitsToReport(now, r)
+	r.SaidLeaving = c.leavingEndpoints()
+	if c.follower.ratesDue {
+		r.Rates, r.FormerLoads = c.demand.Rates(now), c.formerLoadsToReport(now)
+		r.EndpointsRead = c.endpointsReadRevision
+		r.Contact = &wire.Contact{Hall: c.options.Hall, Address: wire.Address{AddrPort: c.options.PeerAddress}, LinkRate: c.options.LinkRate}
+		c.follower.ratesDue = false
 	}
-	if probe, ok := c.following.NextProbe(now); ok && c.following.stream != nil {
-		built.Probe = probe
+	if probe, ok := c.follower.NextProbe(now); ok && c.follower.stream != nil {
+		r.Probe = probe
 	}
-	if c.reportCarriesKeys(now) {
-		built.Items = c.keys.After(c.following.PlannerRevision)
-		c.observeRelay(built.Items)
+	if c.takeKeysForReport(now) {
+		r.Items = c.keys.After(c.follower.PlannerRevision)
+		c.observeRelay(r.Items)
 	}
-	return built
+	return r
 }
 
-// ownInFlight is what this instance has in flight at an endpoint.
+// ownInFlight returns this instance's requests in flight at an endpoint.
 func ownInFlight(status *directory.EndpointStatus) member.InFlight {
 	return member.InFlight{Requests: status.Own, Unread: status.OwnUnread()}
 }
 
-// reportCarriesKeys tells whether the next report carries the operators' keys that the planner lacks, and counts them as sent if it
-// does: when the planner asked for them, and, where it is of a version that does not ask, when it has lacked them for long enough.
-func (c *Coordinator) reportCarriesKeys(now time.Time) bool {
-	if c.following.stream == nil || !c.following.heard {
-		c.following.plannerLag = member.Lag{}
+// takeKeysForReport reports whether the next report carries the operators' keys that the planner lacks, and records them
+// as sent if so. The planner has to request them. For a planner of a version that does not request keys, it must have
+// lacked them for long enough.
+func (c *Coordinator) takeKeysForReport(now time.Time) bool {
+	if c.follower.stream == nil || !c.follower.viewReceived {
+		c.follower.plannerKeysLag = member.Lag{}
 		return false
 	}
-	if c.following.PlannerAsks {
-		due := c.following.keysAsked
-		c.following.keysAsked = false
-		return due
+	if c.follower.PlannerAsks {
+		requested := c.follower.keysRequested
+		c.follower.keysRequested = false
+		return requested
 	}
-	lag, behind := c.following.plannerLag.Observe(now, c.following.PlannerRevision, c.keys.Revision())
-	if !behind || lag <= member.RelayAfter || now.Sub(c.following.keysSentAt) < relay.Again {
+	lag, behind := c.follower.plannerKeysLag.Observe(now, c.follower.PlannerRevision, c.keys.Revision())
+	if !behind || lag <= member.RelayAfter || now.Sub(c.follower.keysSentAt) < relay.Again {
 		return false
 	}
-	c.following.keysSentAt = now
+	c.follower.keysSentAt = now
 	return true
 }
 
--- a/services/entry/coordinator/resting.go
+++ b/services/entry/coordinator/resting.go
@@ -11,21 +11,22 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// noteRest takes in that an endpoint turned a request of this instance away, and wants nothing from it for a while.
-func (c *Coordinator) noteRest(now time.Time, status *directory.EndpointStatus, rest time.Duration) {
-	rested := status.Rests(now)
+// recordRest records that an endpoint rejected a request of this instance and asked for no requests from it for some time.
+func (c *Coordinator) recordRest(now time.Time, status *directory.EndpointStatus, rest time.Duration) {
+	alreadyRests := status.Rests(now)
 	status.NoteRest(now.Add(rest))
-	if rested {
+	if alreadyRests {
 		return
 	}
 	c.options.Log.WithFields(logrus.Fields{fieldEndpoint: status.ID, fieldService: status.Service, "rest_ms": rest.Milliseconds()}).
 		Info("an endpoint wants to rest")
-	// The planner brings what it holds elsewhere where several instances are asked for rest.
-	c.reportSoon(now)
+	// If several instances are asked for rest, the planner loads the endpoint's adapters elsewhere.
+	c.requestReport(now)
 }
 
-// restEnds gives when the first of the endpoints that could run a request has rested; zero where none rests.
-func (c *Coordinator) restEnds(now time.Time, w *waiter) time.Time {
+// earliestRestEnd returns when the first rest ends among the endpoints that could run a request. It is zero if none of
+// them rests.
+func (c *Coordinator) earliestRestEnd(now time.Time, w *waiter) time.Time {
 	var earliest time.Time
 	for _, status := range c.directory.Service(w.Service) {
 		if status.Rests(now) && c.couldRun(now, status, w) && (earliest.IsZero() || status.RestEnds().Before(earliest)) {
--- a/services/entry/coordinator/seeds.go
+++ b/services/entry/coordinator/seeds.go
@@ -10,25 +10,25 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// askSeeds lets an instance that has just started learn from its peers what the store does not
-// tell it, so that it can serve while the store is down or turns it away.
+// askSeeds asks peers for what the store does not provide to an instance that has just started, so that it can serve while
+// the store is down or rejects its calls.
 func (c *Coordinator) askSeeds() {
 	c.seeds.Ask(c.context, c.ready.Load, func(answer *wire.View) {
-		c.loop.Call(func(now time.Time) { c.learnFromSeed(now, answer) })
+		c.loop.Call(func(now time.Time) { c.applySeedAnswer(now, answer) })
 	})
 }
 
-// askSeedsForPlanner lets an instance that the store does not answer learn from a peer who plans.
+// askSeedsForPlanner asks peers which instance is the planner, for an instance that the store does not answer.
 func (c *Coordinator) askSeedsForPlanner() {
 	if answer := c.seeds.Planner(c.context); answer != nil {
 		c.loop.Call(func(now time.Time) {
-			c.learnSuccessor(now, wire.Successor{Term: answer.Term, Address: answer.Address.AddrPort})
+			c.applySuccessor(now, wire.Successor{Term: answer.Term, Address: answer.Address.AddrPort})
 		})
 	}
 }
 
-// learnFromSeed takes in a peer's answer; what is read from the store later replaces it.
-func (c *Coordinator) learnFromSeed(now time.Time, v *wire.View) {
+// applySeedAnswer applies a peer's answer. Data that is read from the store later replaces it.
+func (c *Coordinator) applySeedAnswer(now time.Time, v *wire.View) {
 	if c.ready.Load() {
 		return
 	}
@@ -39,7 +39,7 @@
 	for i, endpoint := range v.Described() {
 		c.putEndpoint(endpoint, v.Endpoints[i].Revision)
 	}
-	c.noteCopiesTold()
+	c.markCopiesFromPeers()
 	c.endpointsKnown = true
-	c.applyItems(now, c.complete.Origin(follow.FromSeed, v.ConfigurationRevision), v.Items)
+	c.applyItems(now, c.keysCompleteness.Origin(follow.FromSeed, v.ConfigurationRevision), v.Items)
 }
--- a/services/entry/coordinator/told.go
+++ b/services/entry/coordinator/sentendpoints.go
@@ -12,13 +12,13 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// told is what the planner's last views of changes told of each endpoint, so that the next one tells only what is different: a copy
-// that comes or goes is far shorter than its endpoint with all copies.
-type told map[deployment.EndpointID]toldEndpoint
+// sentEndpoints is the state of each endpoint according to the planner's last views, so that the next view contains only
+// the differences. A copy that was loaded or unloaded is much shorter to send than its endpoint with all copies.
+type sentEndpoints map[deployment.EndpointID]sentEndpoint
 
-// toldEndpoint is one endpoint as it was told.
-type toldEndpoint struct {
-	// status is the incarnation, revision the description.
+// sentEndpoint is the state of one endpoint as it was last sent.
+type sentEndpoint struct {
+	// status identifies the incarnation, and revision the description.
 	status   *directory.EndpointStatus
 	revision int64
 	state    deployment.EndpointState
@@ -26,26 +26,26 @@
 	offered  map[deployment.Adapter]int64
 }
 
-// tell adds the changes of endpoints to a view.
-func (t told) tell(v *wire.View, changed []*directory.EndpointStatus) {
-	for _, gone := range v.Removed {
-		delete(t, gone.ID)
+// addChanges adds the changes of endpoints to a view.
+func (t sentEndpoints) addChanges(v *wire.View, changed []*directory.EndpointStatus) {
+	for _, removed := range v.Removed {
+		delete(t, removed.ID)
 	}
 	for _, status := range changed {
 		former, ok := t[status.ID]
 		if ok && former.status == status && former.revision == status.Revision && former.state == status.State && slices.Equal(former.models, status.OfferedModels) {
-			v.Copies = append(v.Copies, former.copies(status)...)
+			v.Copies = append(v.Copies, former.copyChanges(status)...)
 		} else {
 			v.AddEndpoints(slices.Values([]*directory.EndpointStatus{status}))
 		}
-		t[status.ID] = toldEndpoint{
+		t[status.ID] = sentEndpoint{
 			status: status, revision: status.Revision, state: status.State, models: slices.Clone(status.OfferedModels), offered: maps.Clone(status.Offered),
 		}
 	}
 }
 
-// copies gives the copies that came or went since the endpoint was told.
-func (e toldEndpoint) copies(status *directory.EndpointStatus) []wire.CopyChange {
+// copyChanges returns the copies that were loaded or unloaded since the endpoint was last sent.
+func (e sentEndpoint) copyChanges(status *directory.EndpointStatus) []wire.CopyChange {
 	var changes []wire.CopyChange
 	for adapter, version := range status.Offered {
 		if e.offered[adapter] != version {
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Status is what a coordinator says of itself.
+// Status is a snapshot of a coordinator's state.
 type Status struct {
 	Configuration  int64
 	Endpoints      int
@@ -17,40 +17,42 @@
 	Planner        string
 	Term           int64
 	Members        int
-	// Quarantined is the number of requests that are held back.
+	// Quarantined is the number of quarantined requests.
 	Quarantined int
-	// Limited is the number of endpoints that take a limited number of requests.
+	// Limited is the number of endpoints with a request limit.
 	Limited int
-	// Resting is the number of endpoints that asked this instance for rest.
+	// Resting is the number of endpoints that asked this instance to send no requests for some time.
 	Resting int
-	// PeerQueueBytes is what waits to be written to peers, in bytes; a message for several peers counts for each.
+	// PeerQueueBytes is the size of the messages that are queued for peers, in bytes. A message for several peers counts
+	// once for each.
 	PeerQueueBytes int64
-	// EndpointsAge is for how long the endpoints in use may have changed unnoticed; 0 before they were known.
+	// EndpointsAge is for how long the endpoints in use may have changed unnoticed. It is 0 before any are known.
 	EndpointsAge time.Duration
-	// OthersInFlight counts the other instances' requests as known here, CountsAge is how old that is on the mean.
+	// OthersInFlight is the known number of in-flight requests of the other instances, and CountsAge is the mean age of
+	// their counts.
 	OthersInFlight int
 	CountsAge      time.Duration
 }
 
-// Status gives the present state; it is zero once the coordinator has stopped.
+// Status returns the present state. It is zero after the coordinator has stopped.
 func (c *Coordinator) Status() Status {
 	var status Status
 	c.loop.Call(func(now time.Time) {
 		status = Status{
-			Endpoints: c.directory.Size(), Waiting: c.waiters.Len(), Planning: c.planning != nil,
-			Planner: c.following.Planner, Term: c.following.Term, Members: c.following.Members,
+			Endpoints: c.directory.Size(), Waiting: c.waiters.Len(), Planning: c.planner != nil,
+			Planner: c.follower.Planner, Term: c.follower.Term, Members: c.follower.Members,
 			PeerQueueBytes: c.peerQueueBytes(), EndpointsAge: c.endpointsAge(now),
 		}
 		if configuration := c.current.Load(); configuration != nil {
 			status.Configuration = configuration.Version
 		}
-		if c.planning != nil {
-			status.Planner, status.Term = c.options.Instance, c.planning.lease.Record().Term
+		if c.planner != nil {
+			status.Planner, status.Term = c.options.Instance, c.planner.lease.Record().Term
 		}
-		status.Limited = len(c.limits.known)
+		status.Limited = len(c.endpointLimits.known)
 		status.Quarantined = len(c.crashes.Holding(now))
-		if !c.othersAsOf.IsZero() {
-			status.CountsAge = now.Sub(c.othersAsOf)
+		if !c.othersInFlightAt.IsZero() {
+			status.CountsAge = now.Sub(c.othersInFlightAt)
 		}
 		for _, endpoint := range c.directory.Endpoints() {
 			status.InFlight += endpoint.Own
@@ -67,16 +69,16 @@
 	return status
 }
 
-// peerQueueBytes sums what waits on the links to peers.
+// peerQueueBytes returns the total size of the messages that are queued on the links to peers.
 func (c *Coordinator) peerQueueBytes() int64 {
 	var sum int64
-	if c.following.stream != nil {
-		sum += c.following.stream.Queued()
+	if c.follower.stream != nil {
+		sum += c.follower.stream.Queued()
 	}
-	if c.planning == nil {
+	if c.planner == nil {
 		return sum
 	}
-	for _, m := range c.planning.members.All() {
+	for _, m := range c.planner.members.All() {
 		if m.Link != nil {
 			sum += m.Link.Queued()
 		}
@@ -84,15 +86,15 @@
 	return sum
 }
 
-// endpointsAge is for how long the endpoints in use may have changed unnoticed: since this instance or the planner, by its
-// last view, read them.
+// endpointsAge returns the time since the endpoints were read, by this instance or, according to the last view, by the
+// planner. They may have changed unnoticed for that long.
 func (c *Coordinator) endpointsAge(now time.Time) time.Duration {
 	if !c.endpointsKnown {
 		return 0
 	}
 	age := now.Sub(c.endpointsReadAt)
-	if c.planning == nil && !c.following.ReceivedAt.IsZero() {
-		age = min(age, c.following.Age(now))
+	if c.planner == nil && !c.follower.ReceivedAt.IsZero() {
+		age = min(age, c.follower.Age(now))
 	}
 	return age
 }
--- a/services/entry/coordinator/unreached_test.go
+++ b/services/entry/coordinator/unreachable_test.go
@@ -15,46 +15,48 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// TestAPlannerTellsWhichEndpointsRefuseConnections: of two members, and no more once one of them reaches it again.
-func TestAPlannerTellsWhichEndpointsRefuseConnections(t *testing.T) {
-	s := newSite()
-	s.start(t)
-	s.waitForStatus(t, "plans", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
-	one, other := s.member(t, "one"), s.member(t, "other")
+// TestViewContainsUnreachableEndpoints checks that a view lists an endpoint that two members cannot reach, and no longer
+// lists it when one of them reaches it again.
+func TestViewContainsUnreachableEndpoints(t *testing.T) {
+	f := newFixture()
+	f.start(t)
+	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
+	one, other := f.joinWireMember(t, "one"), f.joinWireMember(t, "other")
 	go drainWire(other)
 	report := func(stream *wirePeer, instance string, unreached ...deployment.EndpointID) {
 		require.NoError(t, stream.Send(wire.Message{Report: &wire.Report{Instance: instance, Unreached: unreached, Suspects: unreached}}))
 	}
-	tells := func(ids ...deployment.EndpointID) func(wire.Message) bool {
+	hasUnreachable := func(ids ...deployment.EndpointID) func(wire.Message) bool {
 		return func(m wire.Message) bool {
 			return m.View != nil && m.View.Unreached != nil && assert.ObjectsAreEqual(ids, m.View.Unreached.IDs)
 		}
 	}
 	report(one, "one", "e1")
 	report(other, "other", "e1")
-	await(t, one, tells("e1"))
+	awaitMessage(t, one, hasUnreachable("e1"))
 	report(other, "other")
-	await(t, one, tells())
+	awaitMessage(t, one, hasUnreachable())
 }
 
-// TestAnInstanceSendsNothingToAnEndpointThatRefusesOthers: it has sent nothing there itself.
-func TestAnInstanceSendsNothingToAnEndpointThatRefusesOthers(t *testing.T) {
-	s := newSite()
-	planner, gatherer := s.gathered(t)
+// TestUnreachableEndpointGetsNoRequests checks that the instance sends no requests to an endpoint that refuses the
+// connections of other instances, even if it has sent none there itself.
+func TestUnreachableEndpointGetsNoRequests(t *testing.T) {
+	f := newFixture()
+	planner, gatherer := f.followWithGatherer(t)
 	go drainWire(gatherer)
 	go drainWire(planner)
-	_, _, err := s.acquire("a1", waitLimit)
+	_, _, err := f.acquire("a1", waitLimit)
 	require.NoError(t, err)
-	dead := changeOf(11, "a2")
+	dead := changeView(11, "a2")
 	dead.Unreached = &wire.EndpointList{IDs: []deployment.EndpointID{"e1"}}
 	require.NoError(t, planner.Send(wire.Message{View: dead}))
 	require.Eventually(t, func() bool {
-		_, _, err := s.acquire("a1", 30*time.Millisecond)
+		_, _, err := f.acquire("a1", 30*time.Millisecond)
 		return err != nil
 	}, waitLimit, time.Millisecond)
-	alive := changeOf(12, "a3")
+	alive := changeView(12, "a3")
 	alive.Unreached = &wire.EndpointList{}
 	require.NoError(t, planner.Send(wire.Message{View: alive}))
-	_, _, err = s.acquire("a3", waitLimit)
+	_, _, err = f.acquire("a3", waitLimit)
 	assert.NoError(t, err)
 }
