--- a/services/entry/coordinator/rejoin_test.go
+++ b/services/entry/coordinator/rejoin_test.go
@@ -66,8 +66,8 @@
 func TestLargeConfigurationReachesAllMembersWithoutHeartbeatDelay(t *testing.T) {
 	const (
 		members = 12
-		// mostHeartbeats is the number of heartbeats until all members have the keys. The delay of 0.8 s before keys are
-		// sent takes two or three of them. If room were given only with each heartbeat, fifteen would pass.
+		// mostHeartbeats is the maximum number of heartbeats until all members have the keys. The delay of 0.8 s before
+		// keys are sent takes two or three of them. If room were given only with each heartbeat, fifteen would pass.
 		mostHeartbeats = 8
 	)
 	f := newFixture()
--- a/services/entry/coordinator/release_test.go
+++ b/services/entry/coordinator/release_test.go
@@ -39,11 +39,11 @@
 }
 
 // TestReleaseIsAnnouncedDuringBeginOfOrders guards against a member link that closes before the view that announces the
-// end of the planner's term. The planner writes into its record that orders are permitted. The store has accepted the
-// write but not answered yet when the planner has to stop. The planner assumed that it could not have sent an order, did
-// not release the record and ended its term, because the stop used the record from before the pending write. With a
-// delayed answer, as in this test, the link closed in 5 of 5 runs. The record stayed unreleased, so that the next planner
-// would wait for the whole lease.
+// end of the planner's term. It was seen once on a host that ran simulations at the same time. The planner writes into its
+// record that orders are permitted. The store has accepted the write but not answered yet when the planner has to stop.
+// The planner assumed that it could not have sent an order, did not release the record and ended its term, because the
+// stop used the record from before the pending write. With a delayed answer, as in this test, the link closed in 5 of 5
+// runs. The record stayed unreleased, so that the next planner would wait for the whole lease.
 func TestReleaseIsAnnouncedDuringBeginOfOrders(t *testing.T) {
 	f := newFixture()
 	f.aroundCommit = func(commit commitFunc) commitFunc {
