--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -51,9 +51,9 @@
 	Waited time.Duration
 	// Assigned is the time at which the endpoint was chosen. From then on the request waits there until it runs.
 	Assigned time.Time
-	// Held is the version of the request's adapter that the endpoint was assumed to hold. It is 0 for a request without an
+	// HeldVersion is the version of the request's adapter that the endpoint was assumed to hold. It is 0 for a request without an
 	// adapter.
-	Held int64
+	HeldVersion int64
 	// Former describes the choice of an endpoint that holds only a former version.
 	Former FormerUse
 	// Recall cancels the exchange if the request has not begun in time. It is nil if the request is never recalled.
@@ -65,10 +65,10 @@
 // FormerUse describes why an endpoint was chosen that holds only a former version. The zero value means that the endpoint
 // holds the named version or a newer one.
 type FormerUse struct {
-	// Left is the time for which the former version was still allowed when the endpoint was chosen. Expected is the time
+	// Remaining is the time for which the former version was still allowed when the endpoint was chosen. Expected is the time
 	// for which the request was expected to wait in the endpoint's own queue.
-	Left     time.Duration
-	Expected time.Duration
+	Remaining time.Duration
+	Expected  time.Duration
 }
 
 // waiter is a request that waits for an endpoint.
@@ -169,7 +169,7 @@
 	c.directory.Begin(now, status.ID, w.Request)
 	assignment := Assignment{
 		Endpoint: status.Endpoint, MaxConnections: c.connectionShare(w.Service), Waited: now.Sub(w.Since), Assigned: now,
-		Urgency: c.urgency(now, w.Request, status), Held: held, Former: formerUse, Recall: c.trackUnbegun(w.Request, held),
+		Urgency: c.urgency(now, w.Request, status), HeldVersion: held, Former: formerUse, Recall: c.trackUnbegun(w.Request, held),
 		status: status,
 	}
 	if w.Prompt > 0 {
@@ -191,7 +191,7 @@
 		return FormerUse{}
 	}
 	wait, _ := status.ExpectedWait(now, required.Request.Route.Priority, required.OthersKnown)
-	return FormerUse{Left: required.FormerWait, Expected: wait}
+	return FormerUse{Remaining: required.FormerWait, Expected: wait}
 }
 
 // urgency returns the priority level that an endpoint is to give a request. It depends on the priority of the route first,
--- a/services/entry/coordinator/begin.go
+++ b/services/entry/coordinator/begin.go
@@ -26,7 +26,7 @@
 // compareVersion compares the version on which a request runs with the versions that this instance knows by now. The
 // choice of the endpoint relied on an expected waiting time, so the request may have begun too late on a former version.
 func (c *Coordinator) compareVersion(now time.Time, request *deployment.Request, assignment Assignment) {
-	if assignment.Held == 0 {
+	if assignment.HeldVersion == 0 {
 		return
 	}
 	version := c.versionAtBegin(request, assignment)
@@ -53,7 +53,7 @@
 func (c *Coordinator) versionAtBegin(request *deployment.Request, assignment Assignment) int64 {
 	status := c.directory.Endpoint(assignment.Endpoint.ID)
 	if assignment.Version > 0 || status == nil {
-		return assignment.Held
+		return assignment.HeldVersion
 	}
-	return max(assignment.Held, status.Offered[request.Adapter])
+	return max(assignment.HeldVersion, status.Offered[request.Adapter])
 }
--- a/services/entry/coordinator/begin_test.go
+++ b/services/entry/coordinator/begin_test.go
@@ -41,7 +41,7 @@
 	plain := &deployment.Request{ID: "id-3", Route: route, Service: service, Adapter: deployment.Adapter{Model: "base"}}
 	begin := func(request *deployment.Request, version, held int64) {
 		assignment := chosen
-		assignment.Version, assignment.Held = version, held
+		assignment.Version, assignment.HeldVersion = version, held
 		f.instance.Running(request, assignment)
 		f.instance.Status()
 	}
@@ -92,7 +92,7 @@
 	f.waitForStatus(t, "has received the copy", func(status coordinator.Status) bool { return status.ResidentCopies == 1 })
 	chosen := f.assignRequest(t).assignment
 	request := &deployment.Request{Route: route, Service: service, Adapter: adapter("a1")}
-	chosen.Version, chosen.Held = 0, 1
+	chosen.Version, chosen.HeldVersion = 0, 1
 	f.instance.Running(request, chosen)
 	f.instance.Status()
 	assert.Empty(t, f.formerUses)
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -140,8 +140,8 @@
 	return held
 }
 
-// HeldRequests returns the requests that are quarantined.
-func (c *Coordinator) HeldRequests() map[fingerprint.Fingerprint]quarantine.Hold {
+// QuarantinedRequests returns the requests that are quarantined.
+func (c *Coordinator) QuarantinedRequests() map[fingerprint.Fingerprint]quarantine.Hold {
 	var holding map[fingerprint.Fingerprint]quarantine.Hold
 	c.loop.Call(func(now time.Time) { holding = c.crashes.Holding(now) })
 	return holding
--- a/services/entry/coordinator/nonstreaming_test.go
+++ b/services/entry/coordinator/nonstreaming_test.go
@@ -32,5 +32,5 @@
 	ctx, cancel := context.WithTimeout(context.Background(), versionLimit/4)
 	defer cancel()
 	assignment, err := f.instance.Acquire(ctx, request, nil)
-	assert.Error(t, err, "the request was assigned to an endpoint that holds version %d", assignment.Held)
+	assert.Error(t, err, "the request was assigned to an endpoint that holds version %d", assignment.HeldVersion)
 }
--- a/services/entry/process/quarantine.go
+++ b/services/entry/process/quarantine.go
@@ -26,7 +26,7 @@
 	mux.Handle("/", handler)
 	mux.HandleFunc("GET /quarantine", func(writer http.ResponseWriter, _ *http.Request) {
 		held := []heldRequest{}
-		for request, hold := range control.HeldRequests() {
+		for request, hold := range control.QuarantinedRequests() {
 			held = append(held, heldRequest{Fingerprint: request.String(), Endpoints: hold.Endpoints, HeldMS: hold.Left.Milliseconds()})
 		}
 		writer.Header().Set("Content-Type", "application/json")
--- a/services/entry/proxy/exchange_end.go
+++ b/services/entry/proxy/exchange_end.go
@@ -74,8 +74,8 @@
 		Endpoint: e.assignment.Endpoint.ID, WaitedMS: e.assignment.Waited.Milliseconds(), Result: verdict.Result, StartRatio: e.startRatio(),
 		TookMS: e.run.service.options.Now().Sub(e.started).Milliseconds(), Status: e.status,
 		ExpectedMS: e.assignment.Expected.Milliseconds(), RanAfterMS: e.ranAfter.Milliseconds(),
-		VersionDemanded: e.assignment.Version, VersionHeld: e.assignment.Held, Ended: e.endOf(verdict.Result),
-		FormerLeftMS: e.assignment.Former.Left.Milliseconds(), FormerExpectedMS: e.assignment.Former.Expected.Milliseconds(),
+		VersionDemanded: e.assignment.Version, VersionHeld: e.assignment.HeldVersion, Ended: e.endOf(verdict.Result),
+		FormerLeftMS: e.assignment.Former.Remaining.Milliseconds(), FormerExpectedMS: e.assignment.Former.Expected.Milliseconds(),
 		LimitPerSecond: e.notice.Limit, Leaving: e.notice.Leaving, RestMS: e.notice.Rest.Milliseconds(),
 	}
 }
--- a/services/entry/proxy/running_test.go
+++ b/services/entry/proxy/running_test.go
@@ -45,8 +45,8 @@
 			s, _ := newSite(t, test.script)
 			var told []string
 			assignment := coordinator.Assignment{
-				Endpoint: s.endpoints[0], Assigned: assigned, Version: 5, Held: 6,
-				Former: coordinator.FormerUse{Left: time.Second, Expected: 20 * time.Millisecond}, Recall: &unbegun.Recall{},
+				Endpoint: s.endpoints[0], Assigned: assigned, Version: 5, HeldVersion: 6,
+				Former: coordinator.FormerUse{Remaining: time.Second, Expected: 20 * time.Millisecond}, Recall: &unbegun.Recall{},
 			}
 			observed := s.serveModel(test.path, test.model, time.Now, assignment, func(what string, of coordinator.Assignment) {
 				assert.Equal(t, assignment, of)
