--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -51,8 +51,8 @@
 	Waited time.Duration
 	// Assigned is the time at which the endpoint was chosen. From then on the request waits there until it runs.
 	Assigned time.Time
-	// HeldVersion is the version of the request's adapter that the endpoint was assumed to hold. It is 0 for a request without an
-	// adapter.
+	// HeldVersion is the version of the request's adapter that the endpoint was assumed to hold. It is 0 for a request
+	// without an adapter.
 	HeldVersion int64
 	// Former describes the choice of an endpoint that holds only a former version.
 	Former FormerUse
@@ -65,8 +65,8 @@
 // FormerUse describes why an endpoint was chosen that holds only a former version. The zero value means that the endpoint
 // holds the named version or a newer one.
 type FormerUse struct {
-	// Remaining is the time for which the former version was still allowed when the endpoint was chosen. Expected is the time
-	// for which the request was expected to wait in the endpoint's own queue.
+	// Remaining is the time for which the former version was still allowed when the endpoint was chosen. Expected is the
+	// time for which the request was expected to wait in the endpoint's own queue.
 	Remaining time.Duration
 	Expected  time.Duration
 }
--- a/services/entry/coordinator/doc.go
+++ b/services/entry/coordinator/doc.go
@@ -9,6 +9,18 @@
 // and sends them orders. The other instances are its members: they send it reports, and it sends them views. In a
 // large fleet it names some members as gatherers, which sum the load of other members and forward views to them.
 //
+// Terms of this package:
+//
+//   - record: the lease record in the store, with the planner's name, address and term
+//   - operators' keys: the keys in the store that hold the configuration and name the version of each adapter
+//   - named version, former version: the version that operators named for an adapter, and any older one
+//   - copy: an adapter that is resident at an endpoint
+//   - withdrawal: the planner's announcement in a view that it will unload a copy, which members acknowledge in reports
+//   - whole view: a view with the complete state, where other views contain the changes since the last one
+//   - heartbeat: a periodic view with the requests in flight of all instances
+//   - bare view: a view with keys or the answer to a probe for a member that gets other views from its gatherer
+//   - seed: a peer that is asked for the configuration and the planner while the store does not answer
+//
 // The loop evaluates rules and carries out their effects. The rules are in packages without I/O that receive the
 // present time as a parameter:
 //
--- a/services/entry/coordinator/limits.go
+++ b/services/entry/coordinator/limits.go
@@ -27,7 +27,7 @@
 	// whose response reported the end of the limit.
 	lifted map[deployment.EndpointID]time.Time
 	// usedServices are the services for which requests arrived since the last report. refusedRequests counts, for each
-	// limit, the requests that were refused because of it since the last report; their callers come back.
+	// limit, the requests that were refused because of it since the last report, because their callers will retry.
 	usedServices    map[string]bool
 	refusedRequests map[deployment.EndpointID]int
 }
--- a/services/entry/coordinator/recall_test.go
+++ b/services/entry/coordinator/recall_test.go
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// recallAfter is the part of the version limit after which a request that has not begun is recalled.
+// recallAfter is the time after which a request that has not begun is recalled: four fifths of the version limit.
 const recallAfter = versionLimit - versionLimit/5
 
 // assignedRequest is a request that is assigned to the fixture's endpoint and waits there.
--- a/services/entry/coordinator/versions_test.go
+++ b/services/entry/coordinator/versions_test.go
@@ -176,13 +176,13 @@
 			return m.View != nil && len(m.View.Items) > 0
 		}).View
 	}
-	current := keysAfter("lately", startRevision)
-	assert.Len(t, current.Items, 1)
-	assert.Positive(t, current.KeysAge)
-	assert.Less(t, current.KeysAge, waitLimit)
-	restarted := keysAfter("started", 0)
-	assert.Greater(t, len(restarted.Items), 1)
-	assert.Zero(t, restarted.KeysAge, "keys that the planner read at its start may have any age")
+	recentView := keysAfter("lately", startRevision)
+	assert.Len(t, recentView.Items, 1)
+	assert.Positive(t, recentView.KeysAge)
+	assert.Less(t, recentView.KeysAge, waitLimit)
+	completeView := keysAfter("started", 0)
+	assert.Greater(t, len(completeView.Items), 1)
+	assert.Zero(t, completeView.KeysAge, "keys that the planner read at its start may have any age")
 }
 
 // TestReportedRevisionExcludesKeysChangedDuringPagedRead covers keys that are read in several pages. The configuration
