--- a/services/entry/proxy/body.go
+++ b/services/entry/proxy/body.go
@@ -13,52 +13,52 @@
 
 var errBodyTooLarge = errors.New("proxy: body too large")
 
-// bufferedBody is the size in bytes up to which a body is held, so that it can be sent again. Larger lets more requests be retried, smaller
-// takes less memory for each of them.
-const bufferedBody = 256 << 10
+// maxBufferedBody is the size in bytes up to which a request body is buffered, so that it can be sent again. Larger allows more
+// requests to be retried, smaller takes less memory per request.
+const maxBufferedBody = 256 << 10
 
-// requestBody is a body held in memory, or its beginning and the rest still to be read.
+// requestBody is a fully buffered body, or the buffered beginning of a larger body and a reader of the remainder.
 type requestBody struct {
-	held   []byte
-	rest   *boundedRest
-	length int64
+	buffered  []byte
+	remainder *limitedRemainder
+	length    int64
 }
 
-// boundedRest is the part of a body that is not held. Beyond its bound, reading fails, so that what was sent of the body never
-// looks whole.
-type boundedRest struct {
+// limitedRemainder reads the part of a body that is not buffered. Reading beyond the limit fails, so that an endpoint never takes a
+// truncated body for the complete one.
+type limitedRemainder struct {
 	reader io.Reader
-	// over is set once the body turned out to be larger than the settings allow.
-	over atomic.Bool
+	// limitExceeded is set when the body turns out to be larger than the settings allow.
+	limitExceeded atomic.Bool
 }
 
-// newBoundedRest bounds what is left of a body, in bytes; 0 sets no bound where the whole has none.
-func newBoundedRest(reader io.ReadCloser, bounded bool, left int64) *boundedRest {
-	rest := &boundedRest{reader: reader}
+// newLimitedRemainder returns a reader of the remainder of a body, which is limited to left bytes if bounded is set.
+func newLimitedRemainder(reader io.ReadCloser, bounded bool, left int64) *limitedRemainder {
+	remainder := &limitedRemainder{reader: reader}
 	if bounded {
-		rest.reader = http.MaxBytesReader(nil, reader, left)
+		remainder.reader = http.MaxBytesReader(nil, reader, left)
 	}
-	return rest
+	return remainder
 }
 
 // Read implements io.Reader.
-func (b *boundedRest) Read(buffer []byte) (int, error) {
+func (b *limitedRemainder) Read(buffer []byte) (int, error) {
 	n, err := b.reader.Read(buffer)
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
-		b.over.Store(true)
+		b.limitExceeded.Store(true)
 		return n, errBodyTooLarge
 	}
 	return n, err
 }
 
-// tooLarge reports whether the body turned out to be larger than the settings allow, after some of it was sent.
+// tooLarge reports whether the body exceeded the limit after a part of it was already forwarded.
 func (b *requestBody) tooLarge() bool {
-	return b.rest != nil && b.rest.over.Load()
+	return b.remainder != nil && b.remainder.limitExceeded.Load()
 }
 
-// readBody holds a small body, or the beginning of a large one; a limit of 0 allows any size. A body in chunks tells its size
-// only at its end: where it is held whole, it is refused before anything is sent, and otherwise while it is sent.
+// readBody buffers a small body, or the beginning of a large one; a limit of 0 allows any size. The size of a chunked body is known
+// only at its end: a body that fits into the buffer is refused before anything is forwarded, a larger one while it is forwarded.
 func readBody(incoming *http.Request, limit int64) (requestBody, error) {
 	if incoming.Body == nil || incoming.Body == http.NoBody {
 		return requestBody{}, nil
@@ -66,44 +66,44 @@
 	if limit > 0 && incoming.ContentLength > limit {
 		return requestBody{}, errBodyTooLarge
 	}
-	held, err := io.ReadAll(io.LimitReader(incoming.Body, bufferedBody))
+	buffered, err := io.ReadAll(io.LimitReader(incoming.Body, maxBufferedBody))
 	if err != nil {
 		return requestBody{}, err
 	}
-	if limit > 0 && int64(len(held)) > limit {
+	if limit > 0 && int64(len(buffered)) > limit {
 		return requestBody{}, errBodyTooLarge
 	}
-	if len(held) < bufferedBody {
-		return requestBody{held: held, length: int64(len(held))}, nil
+	if len(buffered) < maxBufferedBody {
+		return requestBody{buffered: buffered, length: int64(len(buffered))}, nil
 	}
-	rest := newBoundedRest(incoming.Body, limit > 0, limit-int64(len(held)))
-	return requestBody{held: held, rest: rest, length: incoming.ContentLength}, nil
+	remainder := newLimitedRemainder(incoming.Body, limit > 0, limit-int64(len(buffered)))
+	return requestBody{buffered: buffered, remainder: remainder, length: incoming.ContentLength}, nil
 }
 
-// reader gives the whole body for one sending, nil for none. Where the body turns out to be too large, giveUp is called: the
-// endpoint waits for the rest of it then, and nothing else would end the exchange before the deadline.
-func (b *requestBody) reader(giveUp func()) io.ReadCloser {
+// newReader returns a reader of the whole body for one attempt, or nil if there is no body. If the body turns out to be too large,
+// the reader calls cancel: the endpoint would otherwise wait for the remainder until the deadline.
+func (b *requestBody) newReader(cancel func()) io.ReadCloser {
 	switch {
-	case b.rest != nil:
-		return io.NopCloser(io.MultiReader(bytes.NewReader(b.held), &givingUp{rest: b.rest, giveUp: giveUp}))
-	case len(b.held) > 0:
-		return io.NopCloser(bytes.NewReader(b.held))
+	case b.remainder != nil:
+		return io.NopCloser(io.MultiReader(bytes.NewReader(b.buffered), &cancelingReader{remainder: b.remainder, cancel: cancel}))
+	case len(b.buffered) > 0:
+		return io.NopCloser(bytes.NewReader(b.buffered))
 	default:
 		return nil
 	}
 }
 
-// givingUp reads a rest and calls giveUp once it is over its bound.
-type givingUp struct {
-	rest   *boundedRest
-	giveUp func()
+// cancelingReader reads the remainder of a body and calls cancel when the limit is exceeded.
+type cancelingReader struct {
+	remainder *limitedRemainder
+	cancel    func()
 }
 
 // Read implements io.Reader.
-func (g *givingUp) Read(buffer []byte) (int, error) {
-	n, err := g.rest.Read(buffer)
+func (r *cancelingReader) Read(buffer []byte) (int, error) {
+	n, err := r.remainder.Read(buffer)
 	if errors.Is(err, errBodyTooLarge) {
-		g.giveUp()
+		r.cancel()
 	}
 	return n, err
 }
--- a/services/entry/proxy/body_test.go
+++ b/services/entry/proxy/body_test.go
@@ -18,10 +18,10 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// TestABodyWithoutLengthOverTheLimitIsRefused: a body in chunks is bounded like one whose length is stated.
-func TestABodyWithoutLengthOverTheLimitIsRefused(t *testing.T) {
-	_, server := newSite(t, whole(200, mark, "yes"))
-	// A reader of no known type leaves the length out.
+// TestChunkedBodyOverLimitIsRefused sends a body without Content-Length: it is limited like a body whose length is declared.
+func TestChunkedBodyOverLimitIsRefused(t *testing.T) {
+	_, server := newTestProxy(t, fixedResponse(200, endpointMarkHeader, "yes"))
+	// The client does not know the length of this reader type, and sends the body without Content-Length.
 	body := struct{ io.Reader }{strings.NewReader(strings.Repeat("x", 101))}
 	request, err := http.NewRequest(http.MethodPost, server.URL+"/unsafe", body)
 	require.NoError(t, err)
@@ -32,29 +32,30 @@
 	assert.Equal(t, http.StatusRequestEntityTooLarge, response.StatusCode)
 }
 
-// chunked gives a body of so many bytes; a reader of no known type leaves the length out.
-func chunked(size int) io.Reader {
+// unknownLengthBody returns a body of size bytes that is sent without Content-Length, because the client does not know the length of
+// the reader type.
+func unknownLengthBody(size int) io.Reader {
 	return struct{ io.Reader }{strings.NewReader(strings.Repeat("x", size))}
 }
 
-// TestABodyWithoutLengthIsNeverPassedOnCut sends bodies in chunks that are larger than what is held: the endpoint takes none
-// for whole that is over its bound, and is not blamed for it.
-func TestABodyWithoutLengthIsNeverPassedOnCut(t *testing.T) {
+// TestChunkedBodyOverLimitIsNotForwardedAsComplete sends chunked bodies that are larger than the buffer. An endpoint must not take a
+// body that was cut off at the limit for a complete one, and the aborted request must not count against the endpoint.
+func TestChunkedBodyOverLimitIsNotForwardedAsComplete(t *testing.T) {
 	const limit = 300 << 10
 	for size, status := range map[int]int{limit - 1: 200, limit: 200, limit + 1: 413, 2 * limit: 413} {
-		s, server := newSite(t)
-		s.configuration.Limits.MaxBodyBytes = limit
-		taken := make(chan int, 1)
+		p, server := newTestProxy(t)
+		p.configuration.Limits.MaxBodyBytes = limit
+		receivedBodies := make(chan int, 1)
 		endpoint := httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 			body, err := io.ReadAll(request.Body)
 			if err != nil {
 				return
 			}
-			taken <- len(body)
+			receivedBodies <- len(body)
 			writer.Header().Set("Mark", "1")
 		}))
-		s.endpoints = []deployment.Endpoint{{ID: "e", Address: netip.MustParseAddrPort(endpoint.Listener.Addr().String())}}
-		request, err := http.NewRequest(http.MethodPost, server.URL+"/safe", chunked(size))
+		p.endpoints = []deployment.Endpoint{{ID: "e", Address: netip.MustParseAddrPort(endpoint.Listener.Addr().String())}}
+		request, err := http.NewRequest(http.MethodPost, server.URL+"/safe", unknownLengthBody(size))
 		require.NoError(t, err)
 		request.Host = "h"
 		response, err := server.Client().Do(request)
@@ -62,16 +63,16 @@
 		content, err := io.ReadAll(response.Body)
 		require.NoError(t, err)
 		_ = response.Body.Close()
-		observation := <-s.observed
+		observation := <-p.observations
 		endpoint.Close()
 		assert.Equal(t, status, response.StatusCode, "%d bytes", size)
 		if status == http.StatusOK {
-			assert.Equal(t, size, <-taken)
+			assert.Equal(t, size, <-receivedBodies)
 			continue
 		}
 		assert.Equal(t, "body too large\n", string(content))
 		assert.Equal(t, "body too large", observation.Reason)
-		assert.Empty(t, taken, "%d bytes: the endpoint took a cut body for the whole", size)
-		assert.Equal(t, []directory.Outcome{directory.Neutral}, s.outcomes)
+		assert.Empty(t, receivedBodies, "%d bytes: the endpoint received a truncated body as complete", size)
+		assert.Equal(t, []directory.Outcome{directory.Neutral}, p.outcomes)
 	}
 }
--- a/services/entry/proxy/dialect.go
+++ b/services/entry/proxy/dialect.go
@@ -10,45 +10,48 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// CallerHeader is what a caller's headers say of its request.
+// CallerHeader holds the values that a request's headers specify.
 type CallerHeader struct {
-	// ID is the caller's own name of the request; it need not be unique.
+	// ID is the identifier that the caller chose for the request; it need not be unique.
 	ID string
-	// Adapter is what the request asks for; its Model is empty for plain services.
+	// Adapter is the requested adapter; its Model is empty for plain services.
 	Adapter deployment.Adapter
-	// Prompt is the declared length of its prompt in tokens; 0 if it did not say.
+	// Prompt is the declared length of the prompt in tokens; 0 if the caller did not specify it.
 	Prompt int
-	// Timeout is how long the caller waits, from the arrival on; 0 if it did not say.
+	// Timeout is how long the caller waits after the request's arrival; 0 if the caller did not specify it.
 	Timeout time.Duration
 }
 
-// ForwardHeader is what an endpoint must know beside the caller's own headers.
+// ForwardHeader holds the values that are sent to an endpoint in addition to the caller's headers.
 type ForwardHeader struct {
 	Endpoint deployment.EndpointID
-	// HasDeadline says that the caller named a time-out, and Remaining what is left of it.
+	// HasDeadline is set if the caller specified a time-out; Remaining is the rest of it.
 	HasDeadline bool
 	Remaining   time.Duration
-	// UsesModel says that the request runs on a base model; Urgency is the level then at which the endpoint is to take it up,
-	// the lowest first.
+	// UsesModel is set if the request runs on a base model; Urgency is then the priority level at which the endpoint schedules it,
+	// the lowest level first.
 	UsesModel bool
 	Urgency   int
-	// Version is the version that the adapter must have; 0 demands none.
+	// Version is the required version of the adapter; 0 requires none.
 	Version int64
-	// ResumeAfter asks to go on after an event; empty leaves what the caller sent.
+	// ResumeAfter is the id of the event after which the stream is to be resumed; if empty, the caller's own header is left
+	// unchanged.
 	ResumeAfter string
 }
 
-// Dialect is how requests and answers say what the entry must know, as function fields.
+// Dialect holds the functions that read and write the headers of requests and responses.
 type Dialect struct {
 	ReadRequest  func(header http.Header) CallerHeader
 	WriteForward func(header http.Header, forward ForwardHeader)
-	// AnswersRequest reports whether an answer is one to the request with an id; a connection may still bring that of an
-	// earlier one.
+	// AnswersRequest reports whether a response belongs to the request with the given id; a connection may still deliver the response
+	// to an earlier request.
 	AnswersRequest func(id string, header http.Header) bool
-	// NotRun reports whether an answer proves that the request did not run and will not.
+	// NotRun reports whether a response proves that the request did not run and will not run.
 	NotRun func(status int, header http.Header) bool
-	// FromEndpoint reports whether a success bears the endpoint's own mark; without it, something on the way answered.
+	// FromEndpoint reports whether a successful response carries the endpoint's identifying header; otherwise an intermediary sent
+	// it.
 	FromEndpoint func(header http.Header) bool
-	// ReadNotice gives what an endpoint says of itself in the head of an answer; its error tells what of it cannot be read.
+	// ReadNotice returns the notice that an endpoint includes in the head of a response; the error describes the parts that are not
+	// readable.
 	ReadNotice func(status int, header http.Header) (deployment.Notice, error)
 }
--- a/services/entry/proxy/event_buffer.go
+++ b/services/entry/proxy/event_buffer.go
@@ -5,21 +5,21 @@
 
 import "bytes"
 
-// eventBuffer finds whole events in the bytes of a stream. Where a stream may be resumed, only
-// whole events are passed on, so that the next endpoint's events follow a boundary.
+// eventBuffer splits a stream into complete events. Of a stream that may be resumed only complete events are forwarded, so that the
+// events of the next endpoint start at an event boundary.
 type eventBuffer struct {
-	wholeOnly bool
-	pending   []byte
-	last      string
+	wholeOnly   bool
+	pending     []byte
+	lastEventID string
 }
 
-// longestEvent is the size in bytes up to which an event is held that has not ended. Larger passes larger events on, smaller bounds the
-// memory that a faulty endpoint takes.
-const longestEvent = 1 << 20
+// maxPendingEvent is the size in bytes up to which an incomplete event is buffered. Larger allows larger events, smaller limits the
+// memory that a faulty endpoint can consume.
+const maxPendingEvent = 1 << 20
 
-// tooLong reports whether an event is held that is too long to be waited for.
+// tooLong reports whether the buffered incomplete event exceeds maxPendingEvent.
 func (b *eventBuffer) tooLong() bool {
-	return len(b.pending) > longestEvent
+	return len(b.pending) > maxPendingEvent
 }
 
 func newEventBuffer(wholeOnly bool) *eventBuffer {
@@ -31,12 +31,12 @@
 	idField  = []byte("id:")
 )
 
-// add takes in bytes and gives those that may be passed on; they are valid until the next call.
+// add adds bytes of the stream and returns those that may be forwarded; the result is valid until the next call.
 func (b *eventBuffer) add(content []byte) []byte {
 	if !b.wholeOnly {
 		return content
 	}
-	// What was held has no end in it, but may end with the beginning of one.
+	// The pending bytes contain no event end, but may end with the first byte of one.
 	searched := max(0, len(b.pending)-len(eventEnd)+1)
 	b.pending = append(b.pending, content...)
 	end := bytes.LastIndex(b.pending[searched:], eventEnd)
@@ -46,28 +46,28 @@
 	end += searched + len(eventEnd)
 	whole := append([]byte(nil), b.pending[:end]...)
 	b.pending = append(b.pending[:0], b.pending[end:]...)
-	b.noteID(whole)
+	b.recordID(whole)
 	return whole
 }
 
-// noteID remembers the id of the last event that has one.
-func (b *eventBuffer) noteID(whole []byte) {
+// recordID records the id of the last event that has one.
+func (b *eventBuffer) recordID(whole []byte) {
 	for _, line := range bytes.Split(whole, []byte("\n")) {
 		if bytes.HasPrefix(line, idField) {
-			b.last = string(bytes.TrimSpace(line[len(idField):]))
+			b.lastEventID = string(bytes.TrimSpace(line[len(idField):]))
 		}
 	}
 }
 
-// lastID gives the last event's id, or the one known before.
-func (b *eventBuffer) lastID(known string) string {
-	if b.last == "" {
+// lastIDOr returns the id of the last event, or known if no event had an id.
+func (b *eventBuffer) lastIDOr(known string) string {
+	if b.lastEventID == "" {
 		return known
 	}
-	return b.last
+	return b.lastEventID
 }
 
-// rest gives what followed the last whole event when the stream ended.
-func (b *eventBuffer) rest() []byte {
+// incompleteEvent returns the bytes that followed the last complete event.
+func (b *eventBuffer) incompleteEvent() []byte {
 	return b.pending
 }
--- a/services/entry/proxy/exchange.go
+++ b/services/entry/proxy/exchange.go
@@ -16,123 +16,126 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// exchange is one attempt at one endpoint.
+// exchange is one attempt to get a response to a request from one endpoint.
 type exchange struct {
 	placement
 
-	run *run
-	// from is what the caller had of its answer when the exchange began, and started when that was.
-	from    position
-	started time.Time
-	answer  *upstream.Answer
-	// handling is what to do with the answer after its head.
+	inflight *inflight
+	// startPosition is the part of the response that the caller had when the exchange was created; started is when that was.
+	startPosition position
+	started       time.Time
+	response      *upstream.Answer
+	// handling is how the response is processed after its head.
 	handling attempt.Handling
-	// context ends with the exchange; cancel ends it, with who did.
+	// context is the context of the exchange; cancel cancels it with the cause of the end.
 	context context.Context
 	cancel  context.CancelCauseFunc
-	// heard is when the endpoint last sent something, at first when the exchange began.
-	heard time.Time
-	// ended and silent are who ended an exchange without a whole answer, and how long the endpoint had sent nothing then; empty before.
-	ended  attempt.Ender
-	silent time.Duration
-	// endpointGone is set where the endpoint ended the exchange and refuses connections since: its process has ended.
+	// lastReceived is when the endpoint last sent data; initially when the exchange was created.
+	lastReceived time.Time
+	// endCause is what ended an exchange without a complete response, and silentFor for how long the endpoint had sent nothing at
+	// that time; both are zero before.
+	endCause  attempt.Ender
+	silentFor time.Duration
+	// endpointGone is set if the endpoint ended the exchange and has refused connections since then: its process has ended.
 	endpointGone bool
-	// held is a whole body that was read before anything was passed on.
-	held []byte
-	// status is the endpoint's own; 0 for none.
+	// buffered is a complete response body that was read before any part of it was forwarded.
+	buffered []byte
+	// status is the status code of the endpoint's response; 0 if there is none.
 	status int
-	// notice is what the endpoint said of itself in the head of its answer.
+	// notice is the notice in the head of the endpoint's response.
 	notice deployment.Notice
-	// running is set once the answer shows that the endpoint runs the request.
+	// running is set when the response shows that the endpoint has started to run the request.
 	running bool
-	// ranAfter is how long it took from the choice of the endpoint until then.
-	ranAfter time.Duration
+	// timeToRun is the time from the choice of the endpoint until the request was seen to run.
+	timeToRun time.Duration
 }
 
-// newExchange makes an exchange that has not begun.
-func (r *run) newExchange(at placement, from position) *exchange {
+// newExchange returns an exchange for a placement; nothing is sent yet.
+func (r *inflight) newExchange(placed placement, startPosition position) *exchange {
 	now := r.service.options.Now()
-	e := &exchange{run: r, placement: at, from: from, started: now, heard: now}
+	e := &exchange{inflight: r, placement: placed, startPosition: startPosition, started: now, lastReceived: now}
 	e.context, e.cancel = context.WithCancelCause(r.context)
 	return e
 }
 
-// do sends the request, unless its answer has begun, and passes the answer on. While the endpoint is silent, another one is looked for.
+// do sends the request, unless the response has already started, and forwards the response. While the endpoint is silent, the request
+// may be hedged: sent to another endpoint as well.
 func (e *exchange) do() attempt.Result {
-	search := newSuccessorSearch(e)
-	verdict := e.send(search)
-	search.end(verdict.Result != attempt.Finished && verdict != attempt.NotTaken())
-	e.run.records = append(e.run.records, e.close(verdict))
-	e.run.adopt(search)
+	hedging := newHedge(e)
+	verdict := e.sendAndForward(hedging)
+	hedging.closeAndWait(verdict.Result != attempt.Finished && verdict != attempt.NotTaken())
+	e.inflight.records = append(e.inflight.records, e.close(verdict))
+	e.inflight.adoptSuccessor(hedging)
 	return verdict.Result
 }
 
-// send sends the request, unless its answer has begun, and passes the answer on.
-func (e *exchange) send(search *successorSearch) attempt.Verdict {
-	if e.answer == nil {
-		if verdict, begun := e.open(); !begun {
+// sendAndForward sends the request, unless the response has already started, and forwards the response.
+func (e *exchange) sendAndForward(hedging *hedge) attempt.Verdict {
+	if e.response == nil {
+		if verdict, begun := e.requestHead(); !begun {
 			return verdict
 		}
 	}
-	// Beside an endpoint that failed, another one that was sent the request may still answer.
-	if !attempt.IsServerError(e.status) && !search.pause() {
+	// If the endpoint failed, the other endpoint of a hedged request may still respond.
+	if !attempt.IsServerError(e.status) && !hedging.pause() {
 		defer e.discard()
 		return attempt.JudgeBroken(e.situation())
 	}
 	switch e.handling {
 	case attempt.ResumeStream:
-		return e.passStream(false, search)
+		return e.forwardStream(false, hedging)
 	case attempt.PassStream:
-		return e.passStream(true, search)
+		return e.forwardStream(true, hedging)
 	default:
 		if e.status < http.StatusMultipleChoices {
-			// An error may have been made before the request's turn came.
-			e.noteRunning()
+			// An error response may have been produced before the endpoint started to run the request.
+			e.reportRunning()
 		}
-		return e.passWhole()
+		return e.forwardWhole()
 	}
 }
 
-// open sends the request and waits for the head of an answer that can be passed on; false with the verdict where none comes.
-func (e *exchange) open() (verdict attempt.Verdict, begun bool) {
-	r := e.run
-	e.assignment.Recall.Arm(e.ender(attempt.ByTakeBack))
-	answer, err := r.service.upstream.Do(e.context, upstream.Call{
+// requestHead sends the request and waits for the head of a response that can be forwarded. If there is none, begun is false and the
+// verdict applies.
+func (e *exchange) requestHead() (verdict attempt.Verdict, begun bool) {
+	r := e.inflight
+	e.assignment.Recall.Arm(e.cancelFunc(attempt.ByTakeBack))
+	response, err := r.service.upstream.Do(e.context, upstream.Call{
 		Target:  e.target(),
-		Request: r.forward(e.assignment, r.service.options.Now(), e.from.lastEvent, e.ender(attempt.ByBody)),
+		Request: r.newOutgoingRequest(e.assignment, r.service.options.Now(), e.startPosition.lastEvent, e.cancelFunc(attempt.ByBody)),
 		AnswersRequest: func(header http.Header) bool {
 			return r.service.dialect.AnswersRequest(r.caller.ID, header)
 		},
 	})
 	if err != nil {
 		defer e.discard()
-		return attempt.JudgeFailure(failure(err), e.situationAt(e.from)), false
+		return attempt.JudgeFailure(failureOf(err), e.situationAt(e.startPosition)), false
 	}
-	e.answer = answer
+	e.response = response
 	return e.judgeHead()
 }
 
-// target gives where the exchange goes.
+// target returns the endpoint's address and connection limit for package upstream.
 func (e *exchange) target() upstream.Target {
 	endpoint := e.assignment.Endpoint
 	return upstream.Target{Key: string(endpoint.ID), Address: endpoint.Address, MaxConnections: e.assignment.MaxConnections}
 }
 
-// situation gives what decisions need to know of the request and of this exchange.
+// situation returns the input for the decisions of package attempt on the request and this exchange.
 func (e *exchange) situation() attempt.Situation {
-	return e.situationAt(e.run.position())
+	return e.situationAt(e.inflight.position())
 }
 
-// situationAt gives the same where the caller has its answer up to a position.
-func (e *exchange) situationAt(at position) attempt.Situation {
-	s := e.run.situationAt(at)
+// situationAt returns the situation for a caller that has received the response up to a position.
+func (e *exchange) situationAt(received position) attempt.Situation {
+	s := e.inflight.situationAt(received)
 	s.TakenBack = e.assignment.Recall.Fired()
-	s.Silent = e.run.service.options.Now().Sub(e.heard)
+	s.Silent = e.inflight.service.options.Now().Sub(e.lastReceived)
 	return s
 }
 
-// failure translates an error of package upstream.
-func failure(err error) attempt.Failure {
+// failureOf converts an error of package upstream to an attempt.Failure.
+func failureOf(err error) attempt.Failure {
 	switch {
 	case errors.Is(err, upstream.ErrNoConnection):
 		return attempt.NoConnectionFree
@@ -145,63 +148,64 @@
 	}
 }
 
-// judgeHead judges the head of an answer; false with the verdict where nothing of it can be passed on.
+// judgeHead evaluates the head of a response. If no part of the response can be forwarded, begun is false and the verdict applies.
 func (e *exchange) judgeHead() (verdict attempt.Verdict, begun bool) {
-	response := e.answer.Response
-	dialect := e.run.service.dialect
-	e.status = response.StatusCode
-	e.heard = e.run.service.options.Now()
-	e.readNotice(response)
+	httpResponse := e.response.Response
+	dialect := e.inflight.service.dialect
+	e.status = httpResponse.StatusCode
+	e.lastReceived = e.inflight.service.options.Now()
+	e.readNotice(httpResponse)
 	e.handling, verdict = attempt.JudgeHead(attempt.Head{
-		Status: e.status, NotRun: dialect.NotRun(e.status, response.Header), FromEndpoint: dialect.FromEndpoint(response.Header),
-		Resumes: e.from.headPassed, Kind: e.run.request.Route.Kind,
+		Status: e.status, NotRun: dialect.NotRun(e.status, httpResponse.Header), FromEndpoint: dialect.FromEndpoint(httpResponse.Header),
+		Resumes: e.startPosition.headForwarded, Kind: e.inflight.request.Route.Kind,
 	})
 	if e.handling != attempt.Reject {
 		return attempt.Verdict{}, true
 	}
 	if verdict.Result == attempt.NotRun {
-		e.readRest()
+		e.drainRefusal()
 	}
 	e.discard()
 	return verdict, false
 }
 
-// readNotice reads what the endpoint says of itself. Every answer passes here: whole ones, streams, errors, refusals, resumptions and those
-// of a successor.
+// readNotice reads the endpoint's notice. It is called for every response: complete responses, streams, errors, refusals, resumed
+// streams and the responses of a successor.
 func (e *exchange) readNotice(response *http.Response) {
-	notice, err := e.run.service.dialect.ReadNotice(e.status, response.Header)
+	notice, err := e.inflight.service.dialect.ReadNotice(e.status, response.Header)
 	if err != nil {
-		e.run.service.options.Log.WithError(err).WithField("endpoint", e.assignment.Endpoint.ID).Warn("what an endpoint says of itself cannot be read")
+		e.inflight.service.options.Log.WithError(err).WithField("endpoint", e.assignment.Endpoint.ID).Warn("what an endpoint says of itself cannot be read")
 	}
 	e.notice = notice
-	e.run.service.control.Heard(e.assignment, e.started, notice)
+	e.inflight.service.control.Heard(e.assignment, e.started, notice)
 }
 
-// noteRunning tells the coordinator once that the request has left the endpoint's own queue. It is false for a request that was taken
-// back before: its exchange has ended, and what came of the answer must not be passed on as its beginning.
-func (e *exchange) noteRunning() bool {
+// reportRunning reports to the coordinator, once, that the request has left the endpoint's own queue. It returns false if the request
+// was already taken back: the exchange has ended then, and the response must not be forwarded.
+func (e *exchange) reportRunning() bool {
 	if !e.assignment.Recall.Disarm() {
 		return false
 	}
-	if e.running || !e.run.request.UsesModel() {
+	if e.running || !e.inflight.request.UsesModel() {
 		return true
 	}
 	e.running = true
-	e.ranAfter = e.run.service.options.Now().Sub(e.assignment.Assigned)
-	e.run.service.control.Running(e.request, e.assignment)
+	e.timeToRun = e.inflight.service.options.Now().Sub(e.assignment.Assigned)
+	e.inflight.service.control.Running(e.request, e.assignment)
 	return true
 }
 
-// startRatio is how long it took until the request ran, over what was expected; 0 if it did not run or nothing was expected.
+// startRatio returns the time until the request ran divided by the expected time; 0 if the request did not run or no time was
+// expected.
 func (e *exchange) startRatio() float64 {
 	if e.assignment.Expected <= 0 {
 		return 0
 	}
-	return float64(e.ranAfter) / float64(e.assignment.Expected)
+	return float64(e.timeToRun) / float64(e.assignment.Expected)
 }
 
-// readRest reads a small refusal to its end, so that its connection can be used again.
-func (e *exchange) readRest() {
-	// Where that fails, the connection is closed with the exchange, and nothing else is lost.
-	_, _ = io.CopyN(io.Discard, e.answer, smallBody)
+// drainRefusal reads a small refusal to its end, so that its connection can be reused.
+func (e *exchange) drainRefusal() {
+	// If reading fails, the connection is closed with the exchange; nothing else is lost.
+	_, _ = io.CopyN(io.Discard, e.response, maxBufferedResponse)
 }
--- a/services/entry/proxy/exchange_end.go
+++ b/services/entry/proxy/exchange_end.go
@@ -13,49 +13,51 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// endedError is the cause with which the context of an exchange ends that this instance ends.
-type endedError struct {
+// canceledError is the cancellation cause of the context of an exchange that this instance ends.
+type canceledError struct {
 	by attempt.Ender
 }
 
 // Error implements error.
-func (e *endedError) Error() string {
-	return "proxy: the exchange was ended by: " + string(e.by)
+func (e *canceledError) Error() string {
+	return "proxy: exchange canceled, cause: " + string(e.by)
 }
 
-// ender gives what ends the exchange, and who does it then.
-func (e *exchange) ender(by attempt.Ender) func() {
+// cancelFunc returns a function that cancels the exchange with a cause.
+func (e *exchange) cancelFunc(by attempt.Ender) func() {
 	cancel := e.cancel
-	return func() { cancel(&endedError{by: by}) }
+	return func() { cancel(&canceledError{by: by}) }
 }
 
-// noteEnd keeps who ended the exchange, and for how long the endpoint had sent nothing; only the first call counts.
-func (e *exchange) noteEnd() {
-	if e.ended != "" {
+// recordEnd records what ended the exchange, and for how long the endpoint had sent nothing by then. Only the first call has an
+// effect.
+func (e *exchange) recordEnd() {
+	if e.endCause != "" {
 		return
 	}
-	now := e.run.service.options.Now()
-	e.ended, e.silent = e.endedBy(now), now.Sub(e.heard)
+	now := e.inflight.service.options.Now()
+	e.endCause, e.silentFor = e.determineEndCause(now), now.Sub(e.lastReceived)
 }
 
-// endOf gives how the exchange ended, nil where it brought a whole answer.
-func (e *exchange) endOf(result attempt.Result) *AttemptEnd {
+// attemptEnd returns how the exchange ended, or nil if it got a complete response.
+func (e *exchange) attemptEnd(result attempt.Result) *AttemptEnd {
 	if attempt.BringsAnswer(result) {
 		return nil
 	}
-	return &AttemptEnd{By: e.ended, SilentMS: e.silent.Milliseconds(), EndpointGone: e.endpointGone}
+	return &AttemptEnd{By: e.endCause, SilentMS: e.silentFor.Milliseconds(), EndpointGone: e.endpointGone}
 }
 
-// endedBy tells who ended the exchange. The connection's own deadline is the request's, and may end it before the context does.
-func (e *exchange) endedBy(now time.Time) attempt.Ender {
+// determineEndCause returns what ended the exchange. The connection's own deadline is that of the request, and may end the exchange
+// before the context is canceled.
+func (e *exchange) determineEndCause(now time.Time) attempt.Ender {
 	cause := context.Cause(e.context)
-	var ended *endedError
+	var ended *canceledError
 	switch {
 	case errors.As(cause, &ended):
 		return ended.by
 	case errors.Is(cause, ErrProcessEnds):
 		return attempt.ByProcess
-	case !now.Before(e.run.request.Deadline):
+	case !now.Before(e.inflight.request.Deadline):
 		return attempt.ByDeadline
 	case cause != nil:
 		return attempt.ByCaller
@@ -64,40 +66,42 @@
 	}
 }
 
-// close reports to the coordinator how the exchange ended, and gives its record.
+// close reports to the coordinator how the exchange ended, and returns its record.
 func (e *exchange) close(verdict attempt.Verdict) AttemptRecord {
-	e.noteEnd()
+	e.recordEnd()
 	e.assignment.Recall.Disarm()
-	verdict = e.noteCrash(verdict)
-	e.run.service.control.Finish(e.request, e.assignment, verdict.Outcome, verdict.Missing)
+	verdict = e.reportResult(verdict)
+	e.inflight.service.control.Finish(e.request, e.assignment, verdict.Outcome, verdict.Missing)
 	return AttemptRecord{
 		Endpoint: e.assignment.Endpoint.ID, WaitedMS: e.assignment.Waited.Milliseconds(), Result: verdict.Result, StartRatio: e.startRatio(),
-		TookMS: e.run.service.options.Now().Sub(e.started).Milliseconds(), Status: e.status,
-		ExpectedMS: e.assignment.Expected.Milliseconds(), RanAfterMS: e.ranAfter.Milliseconds(),
-		VersionDemanded: e.assignment.Version, VersionHeld: e.assignment.Held, Ended: e.endOf(verdict.Result),
+		TookMS: e.inflight.service.options.Now().Sub(e.started).Milliseconds(), Status: e.status,
+		ExpectedMS: e.assignment.Expected.Milliseconds(), RanAfterMS: e.timeToRun.Milliseconds(),
+		VersionDemanded: e.assignment.Version, VersionHeld: e.assignment.Held, Ended: e.attemptEnd(verdict.Result),
 		FormerLeftMS: e.assignment.Former.Left.Milliseconds(), FormerExpectedMS: e.assignment.Former.Expected.Milliseconds(),
 		LimitPerSecond: e.notice.Limit, Leaving: e.notice.Leaving, RestMS: e.notice.Rest.Milliseconds(),
 	}
 }
 
-// noteCrash looks whether the endpoint has ended under the request, which then counts against the request as well: the next endpoint that
-// gets it may end, too. A whole answer speaks for the request.
-func (e *exchange) noteCrash(verdict attempt.Verdict) attempt.Verdict {
-	control := e.run.service.control
+// reportResult reports a complete response, or the lack of one, to the coordinator. An endpoint process that ended while it had the
+// request counts against the request as well, because the next endpoint that gets the request may end, too. A complete response
+// counts in the request's favor.
+func (e *exchange) reportResult(verdict attempt.Verdict) attempt.Verdict {
+	control := e.inflight.service.control
 	switch {
 	case attempt.MayHaveRun(verdict.Result):
-		return e.noteUnanswered(verdict)
+		return e.reportUnanswered(verdict)
 	case verdict.Result == attempt.Finished && e.status < http.StatusMultipleChoices:
 		control.Answered(e.request)
 	}
 	return verdict
 }
 
-// noteUnanswered tells an endpoint that has ended from one that goes on, and may go on with the request.
-func (e *exchange) noteUnanswered(verdict attempt.Verdict) attempt.Verdict {
-	control := e.run.service.control
-	if e.ended == attempt.ByEndpoint {
-		e.endpointGone = e.run.service.upstream.Refuses(e.run.context, e.target())
+// reportUnanswered reports a request without a complete response, and distinguishes an endpoint whose process has ended from one that
+// continues, possibly with the request.
+func (e *exchange) reportUnanswered(verdict attempt.Verdict) attempt.Verdict {
+	control := e.inflight.service.control
+	if e.endCause == attempt.ByEndpoint {
+		e.endpointGone = e.inflight.service.upstream.Refuses(e.inflight.context, e.target())
 	}
 	if !e.endpointGone {
 		control.Unanswered(e.request, e.assignment)
@@ -110,15 +114,15 @@
 	return verdict
 }
 
-// discard ends the exchange.
+// discard closes the response and cancels the exchange.
 func (e *exchange) discard() {
-	if e.answer != nil {
-		e.noteEnd()
-		e.answer.Close()
-		e.answer = nil
+	if e.response != nil {
+		e.recordEnd()
+		e.response.Close()
+		e.response = nil
 	}
 	if e.cancel != nil {
-		e.noteEnd()
+		e.recordEnd()
 		e.cancel(nil)
 		e.cancel = nil
 	}
--- /dev/null
+++ b/services/entry/proxy/forwarding.go
@@ -0,0 +1,87 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package proxy
+
+import (
+	"errors"
+	"io"
+
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
+)
+
+const (
+	// maxBufferedResponse is the size in bytes up to which a response is buffered before it is forwarded. Larger allows more
+	// interrupted responses to be retried, smaller takes less memory and starts forwarding sooner.
+	maxBufferedResponse = 64 << 10
+	// readBufferSize is the size in bytes of one read of a large response or a stream. Larger makes fewer read calls for large
+	// responses, smaller takes less memory per stream.
+	readBufferSize = 4 << 10
+)
+
+// forwardWhole forwards a response that is not a stream. A small response is buffered first, so that the request can be retried, or
+// answered with an error, if the response is interrupted.
+func (e *exchange) forwardWhole() attempt.Verdict {
+	content, err := io.ReadAll(io.LimitReader(e.response, maxBufferedResponse))
+	if err != nil {
+		e.discard()
+		return attempt.JudgeBroken(e.situation())
+	}
+	if len(content) == maxBufferedResponse {
+		return e.forwardLarge(content)
+	}
+	// The response was read to its end, so its connection can be reused.
+	e.buffered = content
+	verdict := attempt.JudgeWhole(e.status)
+	if verdict.Result == attempt.Finished {
+		e.forwardBuffered()
+	}
+	return verdict
+}
+
+// endUndelivered ends an exchange whose caller accepts no more of the response.
+func (e *exchange) endUndelivered() attempt.Verdict {
+	e.recordEnd()
+	if e.endCause == attempt.ByEndpoint {
+		// The write failed before the context was canceled.
+		e.endCause = attempt.ByCaller
+	}
+	return attempt.NotTaken()
+}
+
+// forwardBuffered forwards a response that was buffered completely.
+func (e *exchange) forwardBuffered() {
+	e.inflight.response.writeHead(e.response.Response, int64(len(e.buffered)))
+	// A write error is ignored: the caller has disconnected, but the endpoint's response was complete.
+	_ = e.inflight.response.write(e.buffered)
+	e.discard()
+}
+
+// forwardLarge forwards a response whose buffered beginning is content.
+func (e *exchange) forwardLarge(content []byte) attempt.Verdict {
+	defer e.discard()
+	e.inflight.response.writeHead(e.response.Response, e.response.Response.ContentLength)
+	if err := e.inflight.response.write(content); err != nil {
+		return e.endUndelivered()
+	}
+	buffer := make([]byte, readBufferSize)
+	for {
+		n, err := e.response.Read(buffer)
+		if n > 0 {
+			if e.inflight.response.write(buffer[:n]) != nil {
+				return e.endUndelivered()
+			}
+			e.lastReceived = e.inflight.service.options.Now()
+		}
+		if errors.Is(err, io.EOF) {
+			// Flush while the write deadline still applies.
+			if e.inflight.response.flush() != nil {
+				return e.endUndelivered()
+			}
+			return attempt.Passed()
+		}
+		if err != nil {
+			return attempt.JudgeBroken(e.situation())
+		}
+	}
+}
--- a/services/entry/proxy/observation.go
+++ b/services/entry/proxy/observation.go
@@ -15,26 +15,27 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// Observation is the end of one request, with what decided it.
+// Observation describes how one request ended and what led to that.
 type Observation struct {
 	ID      string
 	Route   string
 	Service string
 	Adapter string
-	// Fingerprint names the request whenever it is sent again.
+	// Fingerprint identifies the content of the request; a repeated request has the same fingerprint.
 	Fingerprint fingerprint.Fingerprint
-	// Status is 0 where the connection was closed without an answer; Caller is the other end's address then, empty otherwise.
+	// Status is 0 if the connection was closed without a response; Caller is then the caller's address, and empty otherwise.
 	Status int
 	Caller string
-	// Reason says why there was no success; empty for a success.
+	// Reason is why the request failed; empty if it succeeded.
 	Reason   string
 	Attempts []AttemptRecord
-	// First is the time from the arrival to the head of the answer, 0 for none; Whole that to its end.
+	// First is the time from the request's arrival until the head of the response was written, 0 if there was none; Whole is the time
+	// until the end of the request.
 	First time.Duration
 	Whole time.Duration
 }
 
-// Waited is the wait for endpoints, over all attempts.
+// Waited returns the time spent waiting for endpoints, over all attempts.
 func (o Observation) Waited() time.Duration {
 	waited := int64(0)
 	for _, record := range o.Attempts {
@@ -43,7 +44,7 @@
 	return time.Duration(waited) * time.Millisecond
 }
 
-// StartRatios gives, for each attempt that ran and had an expected time, by what factor it took longer until then.
+// StartRatios returns the start ratio of each attempt that ran and had an expected time.
 func (o Observation) StartRatios() []float64 {
 	var ratios []float64
 	for _, record := range o.Attempts {
@@ -54,7 +55,7 @@
 	return ratios
 }
 
-// Enders gives who ended each attempt that brought no whole answer.
+// Enders returns what ended each attempt that got no complete response.
 func (o Observation) Enders() []string {
 	var enders []string
 	for _, record := range o.Attempts {
@@ -65,76 +66,80 @@
 	return enders
 }
 
-// EndedItsEndpoint reports whether an endpoint ended while it had the request.
+// EndedItsEndpoint reports whether an endpoint's process ended while it had the request.
 func (o Observation) EndedItsEndpoint() bool {
 	return slices.ContainsFunc(o.Attempts, func(record AttemptRecord) bool { return record.Ended != nil && record.Ended.EndpointGone })
 }
 
-// AttemptRecord is one exchange with an endpoint.
+// AttemptRecord describes one exchange with an endpoint.
 type AttemptRecord struct {
 	Endpoint deployment.EndpointID `json:"endpoint"`
-	// WaitedMS and TookMS are the waits for an endpoint and for the end of the exchange.
+	// WaitedMS is the time spent waiting for an endpoint, TookMS the duration of the exchange.
 	WaitedMS int64 `json:"waited_ms"`
 	TookMS   int64 `json:"took_ms"`
-	// Result is how the exchange ended; Status the endpoint's own, 0 for none.
+	// Result is how the exchange ended; Status is the status code of the endpoint's response, 0 if there was none.
 	Result attempt.Result `json:"result"`
 	Status int            `json:"status,omitempty"`
-	// StartRatio is how long the endpoint took until the request ran, over what was expected; 0 where there is nothing to tell.
-	// Worked out from whole milliseconds, it would leave out each request that runs in less than one.
+	// StartRatio is the time until the request ran at the endpoint, divided by the expected time; 0 if either is unknown. It is not
+	// computed from whole milliseconds, which would leave out every request that runs in less than one.
 	StartRatio float64 `json:"-"`
-	// ExpectedMS is how long the endpoint was expected to take until the request runs, by the declared prompts; RanAfterMS how
-	// long it took; 0 where there is nothing to tell.
+	// ExpectedMS is the expected time until the endpoint runs the request, based on the declared prompt lengths; RanAfterMS is the
+	// actual time. Both are 0 if unknown.
 	ExpectedMS int64 `json:"expected_ms"`
 	RanAfterMS int64 `json:"ran_after_ms"`
-	// VersionDemanded and VersionHeld are the versions of the adapter that the endpoint had to hold, and was taken to hold when it
-	// was chosen; 0 for none. Its answer tells only the base model's.
+	// VersionDemanded is the adapter version that the endpoint had to hold, VersionHeld the version that this instance assumed the
+	// endpoint to hold when it was chosen; 0 for none. The endpoint's response states only the version of the base model.
 	VersionDemanded int64 `json:"version_demanded,omitempty"`
 	VersionHeld     int64 `json:"version_held,omitempty"`
-	// Ended is how an attempt ended that brought no whole answer; nil for others.
+	// Ended is how an attempt without a complete response ended; nil for other attempts.
 	Ended *AttemptEnd `json:"ended,omitempty"`
-	// FormerLeftMS is how long a former version was still allowed when an endpoint was chosen that holds none newer,
-	// FormerExpectedMS how long the request was expected to wait in its queue; 0 where the named version was there.
+	// FormerLeftMS is for how much longer a former version was allowed when an endpoint was chosen that holds no newer one, and
+	// FormerExpectedMS the time that the request was expected to wait in that endpoint's queue; both are 0 if the endpoint held the
+	// named version.
 	FormerLeftMS     int64 `json:"former_left_ms,omitempty"`
 	FormerExpectedMS int64 `json:"former_expected_ms,omitempty"`
-	// LimitPerSecond is how many requests a second the endpoint said that it takes from all instances together; nil where it named no limit.
+	// LimitPerSecond is the number of requests per second that the endpoint reported to accept from all instances together; nil if it
+	// reported no limit.
 	LimitPerSecond *float64 `json:"limit_per_second,omitempty"`
-	// Leaving says that the endpoint said that it leaves.
+	// Leaving is set if the endpoint reported that it is leaving.
 	Leaving bool `json:"leaving,omitempty"`
-	// RestMS is for how long the endpoint said that it wants nothing from this instance; 0 where it did not.
+	// RestMS is the time for which the endpoint asked this instance to send no requests; 0 if it did not ask.
 	RestMS int64 `json:"rest_ms,omitempty"`
 }
 
-// AttemptEnd is how an attempt ended that brought no whole answer: who ended it, and how long the endpoint had sent nothing then.
+// AttemptEnd describes how an attempt without a complete response ended: what ended it, and for how long the endpoint had sent
+// nothing by then.
 type AttemptEnd struct {
 	By       attempt.Ender `json:"by"`
 	SilentMS int64         `json:"silent_ms"`
-	// EndpointGone says that the endpoint ended it and refuses connections since.
+	// EndpointGone is set if the endpoint ended the exchange and has refused connections since then.
 	EndpointGone bool `json:"endpoint_gone,omitempty"`
 }
 
-// observe logs and counts the end of a request that was counted.
-func (s *Service) observe(r *run) {
+// observe logs a request that has ended, and passes its observation to Options.Observe.
+func (s *Service) observe(r *inflight) {
 	observation := Observation{
 		ID: r.request.ID, Fingerprint: r.request.Fingerprint, Route: r.request.Route.Name, Service: r.request.Service, Adapter: r.request.Adapter.String(),
-		Status: r.answer.status, Reason: string(r.reason), Attempts: r.records, Whole: s.options.Now().Sub(r.request.Arrived),
+		Status: r.response.status, Reason: string(r.reason), Attempts: r.records, Whole: s.options.Now().Sub(r.request.Arrived),
 	}
-	if r.answer.status == 0 {
+	if r.response.status == 0 {
 		observation.Caller = r.incoming.RemoteAddr
 	}
-	if !r.answer.headAt.IsZero() {
-		observation.First = r.answer.headAt.Sub(r.request.Arrived)
+	if !r.response.headWrittenAt.IsZero() {
+		observation.First = r.response.headWrittenAt.Sub(r.request.Arrived)
 	}
 	s.log(observation)
 	s.options.Observe(observation)
 }
 
-// loggedBytes bounds each text of a caller's in its log line, in bytes: identifiers are far shorter, and the queue of lines holds as many
-// as any caller sends. Longer finds longer identifiers whole, shorter bounds the memory more.
-const loggedBytes = 256
+// maxLoggedText is the maximum size in bytes of each text in a log line that a caller provides. Usual identifiers are far shorter;
+// without the limit, a caller could fill the queue of log lines. Longer keeps longer identifiers complete, shorter reduces the memory
+// of the queue.
+const maxLoggedText = 256
 
-// shortened cuts a caller's text for the log.
-func shortened(text string) string {
-	return text[:min(len(text), loggedBytes)]
+// truncateForLog truncates a text from a caller to maxLoggedText bytes.
+func truncateForLog(text string) string {
+	return text[:min(len(text), maxLoggedText)]
 }
 
 func (s *Service) log(o Observation) {
@@ -146,7 +151,7 @@
 		return
 	}
 	fields := logrus.Fields{
-		"request": shortened(o.ID), "route": o.Route, "service": o.Service, "adapter": shortened(o.Adapter), "status": o.Status, "reason": o.Reason,
+		"request": truncateForLog(o.ID), "route": o.Route, "service": o.Service, "adapter": truncateForLog(o.Adapter), "status": o.Status, "reason": o.Reason,
 		"attempts": o.Attempts, "first_ms": o.First.Milliseconds(), "whole_ms": o.Whole.Milliseconds(),
 	}
 	if o.Caller != "" {
@@ -158,8 +163,8 @@
 	s.options.Log.WithFields(fields).Log(level, "request")
 }
 
-// logUnanswered logs a request that is closed before an endpoint is asked.
-func (s *Service) logUnanswered(incoming *http.Request, route *deployment.Route, arrived time.Time, ending attempt.Ending) {
+// logAborted logs a request whose connection is closed before an endpoint is chosen.
+func (s *Service) logAborted(incoming *http.Request, route *deployment.Route, arrived time.Time, ending attempt.Ending) {
 	caller := s.dialect.ReadRequest(incoming.Header)
 	s.log(Observation{
 		ID: caller.ID, Route: route.Name, Adapter: caller.Adapter.String(), Reason: string(ending.Reason), Caller: incoming.RemoteAddr,
--- a/services/entry/proxy/proxy_test.go
+++ b/services/entry/proxy/proxy_test.go
@@ -34,56 +34,57 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// deadPort is the script of an endpoint that nobody can connect to.
-const deadPort = "dead port"
+// scriptUnreachable is the script of an endpoint that refuses connections.
+const scriptUnreachable = "dead port"
 
-// queues is the script of an endpoint that holds a request in its queue until the connection closes. The request is taken back
-// while it waits there; a text that follows is written first.
-const queues = "queues"
+// scriptQueued is the prefix of the script of an endpoint that keeps a request in its queue until the connection closes. The text
+// after the prefix is written first; then the request is taken back.
+const scriptQueued = "queues"
 
-// pausing is where an endpoint's script pauses for scriptPause; again parts the scripts of an endpoint's connections, of which the last
-// one holds for all further ones.
+// pauseMark is where the script of an endpoint pauses for scriptPause; nextConnection separates the scripts of an endpoint's
+// consecutive connections, of which the last one is repeated for all further connections.
 const (
-	pausing = "\x00"
-	again   = "\x01"
-	// closes says that the endpoint ends the connection after its answer. One that ends it without a word may do so as the next request is
-	// written, which then may have run.
-	closes      = "Connection: close\r\n"
+	pauseMark      = "\x00"
+	nextConnection = "\x01"
+	// closeHeader announces that the endpoint closes the connection after its response. Without the header, the connection may be
+	// closed while the next request is written, which then may have run.
+	closeHeader = "Connection: close\r\n"
 	scriptPause = 100 * time.Millisecond
 )
 
-// refusedAfter is when the site of a test asks refused callers to come back.
-const refusedAfter = 1500 * time.Millisecond
+// refusalRetryAfter is the time after which the coordinator of a test asks refused callers to retry.
+const refusalRetryAfter = 1500 * time.Millisecond
 
-// site is a proxy in front of endpoints that answer by scripts.
-type site struct {
+// testProxy is a proxy in front of endpoints that respond with scripts.
+type testProxy struct {
 	configuration *deployment.Configuration
 	endpoints     []deployment.Endpoint
-	// budget is how many retries are granted.
-	budget   int
-	stopping bool
-	// acquires takes the place of the choice of an endpoint; nil for none.
-	acquires func(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error)
-	// onHead is called with each head of an answer; nil for none.
+	// retryBudget is the number of retries that are granted.
+	retryBudget int
+	stopping    bool
+	// acquireHook replaces the selection of an endpoint; nil for none.
+	acquireHook func(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error)
+	// onHead is called for each response head; nil for none.
 	onHead func()
 
 	mutex sync.Mutex
-	// recall is that of each assignment to an endpoint that queues; dropped tells that such an endpoint saw the connection close.
-	recalls  map[deployment.EndpointID]*unbegun.Recall
-	dropped  chan struct{}
-	outcomes []directory.Outcome
-	missing  []bool
-	resumes  []string
-	observed chan proxy.Observation
+	// recalls holds the recall of the assignments to each endpoint that queues; connectionClosed receives a value when such an
+	// endpoint sees its connection close.
+	recalls          map[deployment.EndpointID]*unbegun.Recall
+	connectionClosed chan struct{}
+	outcomes         []directory.Outcome
+	missing          []bool
+	resumeIDs        []string
+	observations     chan proxy.Observation
 }
 
-// newSite starts endpoints, each with what it writes for a request before it closes the connection, and a proxy with a route of
-// each kind.
-func newSite(t *testing.T, scripts ...string) (*site, *httptest.Server) {
+// newTestProxy starts endpoints, each with the script that it writes for a request before it closes the connection, and a proxy with
+// a route of each kind.
+func newTestProxy(t *testing.T, scripts ...string) (*testProxy, *httptest.Server) {
 	t.Helper()
-	s := &site{
-		observed: make(chan proxy.Observation, 1), recalls: make(map[deployment.EndpointID]*unbegun.Recall),
-		dropped: make(chan struct{}, len(scripts)),
+	p := &testProxy{
+		observations: make(chan proxy.Observation, 1), recalls: make(map[deployment.EndpointID]*unbegun.Recall),
+		connectionClosed: make(chan struct{}, len(scripts)),
 	}
 	route := func(name string, kind deployment.RouteKind, resumable bool) *deployment.Route {
 		return &deployment.Route{
@@ -91,61 +92,61 @@
 			Target: time.Second, PauseTarget: time.Second, Backends: []deployment.Backend{{Service: "s", Weight: 1}},
 		}
 	}
-	s.configuration = deployment.NewConfiguration(1, []*deployment.Route{
+	p.configuration = deployment.NewConfiguration(1, []*deployment.Route{
 		route("safe", deployment.Safe, false), route("unsafe", deployment.Unsafe, false),
 		route("stream", deployment.Streaming, false), route("resumable", deployment.Streaming, true),
 	}, nil, deployment.Limits{MaxHeaderBytes: 1000, MaxBodyBytes: 100})
 	for i, script := range scripts {
 		id := deployment.EndpointID(fmt.Sprint(i))
-		if strings.HasPrefix(script, queues) {
-			s.track(id)
+		if strings.HasPrefix(script, scriptQueued) {
+			p.addRecall(id)
 		}
-		s.endpoints = append(s.endpoints, deployment.Endpoint{ID: id, Address: s.listen(t, script, s.recalls[id])})
+		p.endpoints = append(p.endpoints, deployment.Endpoint{ID: id, Address: p.listen(t, script, p.recalls[id])})
 	}
 	logger := logrus.New()
 	logger.SetOutput(io.Discard)
 	service := proxy.New(proxy.Options{
 		Now: time.Now, Random: func() float64 { return 0 }, Log: logrus.NewEntry(logger),
-		Refusing: func(deployment.RouteKind) bool { return s.stopping }, Leaving: func() bool { return false },
-		Observe: func(o proxy.Observation) { s.observed <- o },
+		Refusing: func(deployment.RouteKind) bool { return p.stopping }, Leaving: func() bool { return false },
+		Observe: func(o proxy.Observation) { p.observations <- o },
 	}, proxy.Control{
-		Configuration: func() *deployment.Configuration { return s.configuration }, Acquire: s.acquire, Finish: s.finish,
+		Configuration: func() *deployment.Configuration { return p.configuration }, Acquire: p.acquire, Finish: p.finish,
 		Crashed: func(*deployment.Request, coordinator.Assignment) {}, Unanswered: func(*deployment.Request, coordinator.Assignment) {},
 		Answered:     func(*deployment.Request) {},
 		Heard:        func(coordinator.Assignment, time.Time, deployment.Notice) {},
-		CountRequest: func(string) {}, TakeRetry: s.takeRetry,
-	}, upstream.NewClient(upstream.Options{MaxIdle: time.Minute, DialTimeout: dialLimit, Now: time.Now}), s.dialect())
+		CountRequest: func(string) {}, TakeRetry: p.takeRetry,
+	}, upstream.NewClient(upstream.Options{MaxIdle: time.Minute, DialTimeout: dialTimeout, Now: time.Now}), p.testDialect())
 	server := httptest.NewServer(service)
 	t.Cleanup(server.Close)
-	return s, server
+	return p, server
 }
 
-// dialect is that of all sites, and tells of each head of an answer.
-func (s *site) dialect() proxy.Dialect {
-	d := dialect()
+// testDialect returns the dialect of the tests, with a call of onHead for each response head.
+func (p *testProxy) testDialect() proxy.Dialect {
+	d := testDialect()
 	d.AnswersRequest = func(string, http.Header) bool {
-		if s.onHead != nil {
-			s.onHead()
+		if p.onHead != nil {
+			p.onHead()
 		}
 		return true
 	}
 	return d
 }
 
-// TestAFaultOfTheProgramIsAnswered: the connection was closed without a word, and without a line in the program's log.
-func TestAFaultOfTheProgramIsAnswered(t *testing.T) {
-	s, server := newSite(t, whole(200, mark, "yes"))
-	s.acquires = func(context.Context, *deployment.Request, []deployment.EndpointID) (coordinator.Assignment, error) {
+// TestPanicIsAnsweredWithServerError guards against a panic that closes the connection without a response and without a log entry.
+func TestPanicIsAnsweredWithServerError(t *testing.T) {
+	p, server := newTestProxy(t, fixedResponse(200, endpointMarkHeader, "yes"))
+	p.acquireHook = func(context.Context, *deployment.Request, []deployment.EndpointID) (coordinator.Assignment, error) {
 		panic("a fault")
 	}
-	assert.Equal(t, answered{500, "fault of the program\n", "", true}, ask(t, server, "/safe", "question"))
-	assert.Zero(t, (<-s.observed).Status)
-	s.acquires = nil
-	assert.Equal(t, answered{200, "yes", "", true}, ask(t, server, "/safe", "question"))
+	assert.Equal(t, callerResponse{500, "fault of the program\n", "", true}, sendRequest(t, server, "/safe", "question"))
+	assert.Zero(t, (<-p.observations).Status)
+	p.acquireHook = nil
+	assert.Equal(t, callerResponse{200, "yes", "", true}, sendRequest(t, server, "/safe", "question"))
 }
 
-// dialect has a header for each thing that endpoints say.
-func dialect() proxy.Dialect {
+// testDialect has a header for each item that endpoints report.
+func testDialect() proxy.Dialect {
 	return proxy.Dialect{
 		ReadRequest: func(header http.Header) proxy.CallerHeader { return proxy.CallerHeader{ID: header.Get("Id")} },
 		WriteForward: func(header http.Header, forward proxy.ForwardHeader) {
@@ -158,76 +159,76 @@
 	}
 }
 
-func (s *site) acquire(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error) {
-	if s.acquires != nil {
-		return s.acquires(ctx, request, tried)
+func (p *testProxy) acquire(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error) {
+	if p.acquireHook != nil {
+		return p.acquireHook(ctx, request, tried)
 	}
-	for _, endpoint := range s.endpoints {
+	for _, endpoint := range p.endpoints {
 		if endpoint.ID == request.Only || (request.Only == "" && !slices.Contains(tried, endpoint.ID)) {
-			return coordinator.Assignment{Endpoint: endpoint, Recall: s.recalls[endpoint.ID]}, nil
+			return coordinator.Assignment{Endpoint: endpoint, Recall: p.recalls[endpoint.ID]}, nil
 		}
 	}
-	return coordinator.Assignment{}, &coordinator.Refusal{Reason: admission.NoEndpoint, RetryAfter: refusedAfter}
+	return coordinator.Assignment{}, &coordinator.Refusal{Reason: admission.NoEndpoint, RetryAfter: refusalRetryAfter}
 }
 
-func (s *site) takeRetry(string) bool {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.budget--
-	return s.budget >= 0
+func (p *testProxy) takeRetry(string) bool {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.retryBudget--
+	return p.retryBudget >= 0
 }
 
-func (s *site) finish(_ *deployment.Request, _ coordinator.Assignment, outcome directory.Outcome, missing bool) {
-	s.mutex.Lock()
-	defer s.mutex.Unlock()
-	s.outcomes = append(s.outcomes, outcome)
-	s.missing = append(s.missing, missing)
+func (p *testProxy) finish(_ *deployment.Request, _ coordinator.Assignment, outcome directory.Outcome, missing bool) {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
+	p.outcomes = append(p.outcomes, outcome)
+	p.missing = append(p.missing, missing)
 }
 
-// track gives the assignments to an endpoint a recall.
-func (s *site) track(id deployment.EndpointID) *unbegun.Recall {
-	s.recalls[id] = &unbegun.Recall{}
-	return s.recalls[id]
+// addRecall adds a recall to the assignments to an endpoint.
+func (p *testProxy) addRecall(id deployment.EndpointID) *unbegun.Recall {
+	p.recalls[id] = &unbegun.Recall{}
+	return p.recalls[id]
 }
 
-func (s *site) listen(t *testing.T, script string, recall *unbegun.Recall) netip.AddrPort {
+func (p *testProxy) listen(t *testing.T, script string, recall *unbegun.Recall) netip.AddrPort {
 	t.Helper()
-	if script == deadPort {
-		// No system hands out port 1, so that no other test listens there.
+	if script == scriptUnreachable {
+		// Port 1 is never assigned as an ephemeral port, so no other test listens there.
 		return netip.MustParseAddrPort("127.0.0.1:1")
 	}
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	scripts := strings.Split(script, again)
+	scripts := strings.Split(script, nextConnection)
 	go func() {
 		for count := 0; ; count++ {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
-			s.answer(conn, scripts[min(count, len(scripts)-1)], recall)
+			p.serveScript(conn, scripts[min(count, len(scripts)-1)], recall)
 		}
 	}()
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// answer reads one request and writes the script.
-func (s *site) answer(conn net.Conn, script string, recall *unbegun.Recall) {
+// serveScript reads one request and writes the script.
+func (p *testProxy) serveScript(conn net.Conn, script string, recall *unbegun.Recall) {
 	defer func() { _ = conn.Close() }()
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
 		return
 	}
 	_, _ = io.Copy(io.Discard, request.Body)
-	s.mutex.Lock()
-	s.resumes = append(s.resumes, request.Header.Get("Resume"))
-	s.mutex.Unlock()
-	if begun, ok := strings.CutPrefix(script, queues); ok {
-		s.hold(conn, begun, recall)
+	p.mutex.Lock()
+	p.resumeIDs = append(p.resumeIDs, request.Header.Get("Resume"))
+	p.mutex.Unlock()
+	if beginning, ok := strings.CutPrefix(script, scriptQueued); ok {
+		p.holdUntilClosed(conn, beginning, recall)
 		return
 	}
-	for number, part := range strings.Split(script, pausing) {
+	for number, part := range strings.Split(script, pauseMark) {
 		if number > 0 {
 			time.Sleep(scriptPause)
 		}
@@ -235,24 +236,24 @@
 	}
 }
 
-// hold keeps a request waiting that is taken back meanwhile, until its connection closes.
-func (s *site) hold(conn net.Conn, begun string, recall *unbegun.Recall) {
-	_, _ = io.WriteString(conn, begun)
+// holdUntilClosed takes the request back, and keeps the connection open until the other side closes it.
+func (p *testProxy) holdUntilClosed(conn net.Conn, beginning string, recall *unbegun.Recall) {
+	_, _ = io.WriteString(conn, beginning)
 	recall.Fire()
 	_, _ = io.Copy(io.Discard, conn)
-	s.dropped <- struct{}{}
+	p.connectionClosed <- struct{}{}
 }
 
-// answered is an answer as its caller sees it.
-type answered struct {
+// callerResponse is a response as its caller sees it.
+type callerResponse struct {
 	status     int
 	body       string
 	retryAfter string
-	// whole is false for an answer that broke off.
-	whole bool
+	// complete is false for a response that was interrupted.
+	complete bool
 }
 
-func ask(t *testing.T, server *httptest.Server, path, body string) answered {
+func sendRequest(t *testing.T, server *httptest.Server, path, body string) callerResponse {
 	t.Helper()
 	request, err := http.NewRequest(http.MethodPost, server.URL+path, strings.NewReader(body))
 	require.NoError(t, err)
@@ -261,15 +262,15 @@
 	require.NoError(t, err)
 	defer func() { _ = response.Body.Close() }()
 	content, err := io.ReadAll(response.Body)
-	return answered{status: response.StatusCode, body: string(content), retryAfter: response.Header.Get("Retry-After"), whole: err == nil}
+	return callerResponse{status: response.StatusCode, body: string(content), retryAfter: response.Header.Get("Retry-After"), complete: err == nil}
 }
 
-func whole(status int, header, body string) string {
+func fixedResponse(status int, header, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %d X\r\n%sContent-Length: %d\r\n\r\n%s", status, header, len(body), body)
 }
 
-// events gives the head of a stream and some of it, each in a chunk.
-func events(parts ...string) string {
+// chunkedResponse returns the head of a streamed response and the given parts, each in a chunk.
+func chunkedResponse(parts ...string) string {
 	text := "HTTP/1.1 200 OK\r\nMark: 1\r\nTransfer-Encoding: chunked\r\n\r\n"
 	for _, part := range parts {
 		text += fmt.Sprintf("%x\r\n%s\r\n", len(part), part)
@@ -278,168 +279,168 @@
 }
 
 const (
-	// dialLimit is long enough for a connection on a busy machine; a port without listener refuses at once.
-	dialLimit = 10 * time.Second
+	// dialTimeout is long enough for a connection on a busy host; a port without listener refuses immediately.
+	dialTimeout = 10 * time.Second
 
-	mark   = "Mark: 1\r\n"
-	notRun = "Not-Run: 1\r\n"
-	// last ends a stream.
-	last = "0\r\n\r\n"
+	endpointMarkHeader = "Mark: 1\r\n"
+	notRunHeader       = "Not-Run: 1\r\n"
+	// lastChunk ends a stream.
+	lastChunk = "0\r\n\r\n"
 
-	first  = "id: 1\ndata: a\n\n"
-	second = "id: 2\ndata: b\n\n"
-	third  = "id: 3\ndata: c\n\n"
+	firstEvent  = "id: 1\ndata: a\n\n"
+	secondEvent = "id: 2\ndata: b\n\n"
+	thirdEvent  = "id: 3\ndata: c\n\n"
 )
 
-func TestTheWayOfARequest(t *testing.T) {
-	ok := whole(200, mark, "yes")
-	refused := whole(503, notRun, "busy")
+func TestProxyRetriesAndForwardsRequest(t *testing.T) {
+	success := fixedResponse(200, endpointMarkHeader, "yes")
+	refusal := fixedResponse(503, notRunHeader, "busy")
 	for name, test := range map[string]struct {
-		path     string
-		scripts  []string
-		budget   int
-		answer   answered
-		reason   string
-		results  []attempt.Result
-		outcomes []directory.Outcome
+		path        string
+		scripts     []string
+		retryBudget int
+		response    callerResponse
+		reason      string
+		results     []attempt.Result
+		outcomes    []directory.Outcome
 	}{
-		"answered": {
-			"/unsafe", []string{ok}, 0, answered{200, "yes", "", true}, "",
+		"success": {
+			"/unsafe", []string{success}, 0, callerResponse{200, "yes", "", true}, "",
 			[]attempt.Result{attempt.Finished}, []directory.Outcome{directory.Succeeded},
 		},
-		"not run, answered by another": {
-			"/unsafe", []string{refused, ok}, 1, answered{200, "yes", "", true}, "",
+		"not run, retried": {
+			"/unsafe", []string{refusal, success}, 1, callerResponse{200, "yes", "", true}, "",
 			[]attempt.Result{attempt.NotRun, attempt.Finished}, []directory.Outcome{directory.Refused, directory.Succeeded},
 		},
-		"not run, no retry granted": {
-			"/unsafe", []string{refused, ok}, 0, answered{503, "refused by the endpoint\n", "0.25", true}, "refused by the endpoint",
+		"not run, retry not granted": {
+			"/unsafe", []string{refusal, success}, 0, callerResponse{503, "refused by the endpoint\n", "0.25", true}, "refused by the endpoint",
 			[]attempt.Result{attempt.NotRun}, []directory.Outcome{directory.Refused},
 		},
 		"not run, no attempt left": {
-			"/unsafe", []string{refused, refused, ok}, 5, answered{503, "refused by the endpoint\n", "0.25", true}, "refused by the endpoint",
+			"/unsafe", []string{refusal, refusal, success}, 5, callerResponse{503, "refused by the endpoint\n", "0.25", true}, "refused by the endpoint",
 			[]attempt.Result{attempt.NotRun, attempt.NotRun}, []directory.Outcome{directory.Refused, directory.Refused},
 		},
 		"not run, no other endpoint": {
-			"/unsafe", []string{refused}, 1, answered{503, "no endpoint\n", "1.50", true}, "no endpoint",
+			"/unsafe", []string{refusal}, 1, callerResponse{503, "no endpoint\n", "1.50", true}, "no endpoint",
 			[]attempt.Result{attempt.NotRun}, []directory.Outcome{directory.Refused},
 		},
-		"no answer to an unsafe request": {
-			"/unsafe", []string{"", ok}, 1, answered{502, "no answer from the endpoint\n", "", true}, "no answer from the endpoint",
+		"no response to an unsafe request": {
+			"/unsafe", []string{"", success}, 1, callerResponse{502, "no answer from the endpoint\n", "", true}, "no answer from the endpoint",
 			[]attempt.Result{attempt.Uncertain}, []directory.Outcome{directory.Broken},
 		},
-		"no answer to a safe request, answered by another": {
-			"/safe", []string{"", ok}, 1, answered{200, "yes", "", true}, "",
+		"no response to a safe request, retried": {
+			"/safe", []string{"", success}, 1, callerResponse{200, "yes", "", true}, "",
 			[]attempt.Result{attempt.Uncertain, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
 		},
-		"no answer to a safe request, no other endpoint": {
-			"/safe", []string{""}, 1, answered{502, "no endpoint for a repeat\n", "", true}, "no endpoint for a repeat",
+		"no response to a safe request, no other endpoint": {
+			"/safe", []string{""}, 1, callerResponse{502, "no endpoint for a repeat\n", "", true}, "no endpoint for a repeat",
 			[]attempt.Result{attempt.Uncertain}, []directory.Outcome{directory.Broken},
 		},
-		"an answer that breaks off": {
-			"/unsafe", []string{whole(200, mark, "yes")[:40]}, 0, answered{502, "no answer from the endpoint\n", "", true}, "no answer from the endpoint",
+		"interrupted response": {
+			"/unsafe", []string{fixedResponse(200, endpointMarkHeader, "yes")[:40]}, 0, callerResponse{502, "no answer from the endpoint\n", "", true}, "no answer from the endpoint",
 			[]attempt.Result{attempt.Uncertain}, []directory.Outcome{directory.Broken},
 		},
-		"a success without the endpoint's mark": {
-			"/unsafe", []string{whole(200, "", "yes")}, 0, answered{502, "no answer from the endpoint\n", "", true}, "no answer from the endpoint",
+		"success without the endpoint's header": {
+			"/unsafe", []string{fixedResponse(200, "", "yes")}, 0, callerResponse{502, "no answer from the endpoint\n", "", true}, "no answer from the endpoint",
 			[]attempt.Result{attempt.Uncertain}, []directory.Outcome{directory.Broken},
 		},
-		"an endpoint that cannot be reached costs no retry": {
-			"/unsafe", []string{deadPort, ok}, 0, answered{200, "yes", "", true}, "",
+		"unreachable endpoint uses no retry": {
+			"/unsafe", []string{scriptUnreachable, success}, 0, callerResponse{200, "yes", "", true}, "",
 			[]attempt.Result{attempt.NotSent, attempt.Finished}, []directory.Outcome{directory.Unreached, directory.Succeeded},
 		},
-		"an endpoint that cannot be reached is no attempt": {
-			"/unsafe", []string{deadPort, refused, ok}, 1, answered{200, "yes", "", true}, "",
+		"unreachable endpoint does not count as attempt": {
+			"/unsafe", []string{scriptUnreachable, refusal, success}, 1, callerResponse{200, "yes", "", true}, "",
 			[]attempt.Result{attempt.NotSent, attempt.NotRun, attempt.Finished},
 			[]directory.Outcome{directory.Unreached, directory.Refused, directory.Succeeded},
 		},
-		"three endpoints that cannot be reached": {
-			"/unsafe", []string{deadPort, deadPort, deadPort, ok}, 5, answered{503, "refused by the endpoint\n", "0.25", true}, "refused by the endpoint",
+		"three unreachable endpoints": {
+			"/unsafe", []string{scriptUnreachable, scriptUnreachable, scriptUnreachable, success}, 5, callerResponse{503, "refused by the endpoint\n", "0.25", true}, "refused by the endpoint",
 			[]attempt.Result{attempt.NotSent, attempt.NotSent, attempt.NotSent}, []directory.Outcome{directory.Unreached, directory.Unreached, directory.Unreached},
 		},
-		"an error of the endpoint": {
-			"/unsafe", []string{whole(500, "", "no"), ok}, 1, answered{500, "no", "", true}, "error of the endpoint",
+		"endpoint error": {
+			"/unsafe", []string{fixedResponse(500, "", "no"), success}, 1, callerResponse{500, "no", "", true}, "error of the endpoint",
 			[]attempt.Result{attempt.ServerError}, []directory.Outcome{directory.Errored},
 		},
-		"an error of the endpoint, answered by another": {
-			"/safe", []string{whole(500, "", "no"), ok}, 1, answered{200, "yes", "", true}, "",
+		"endpoint error, retried": {
+			"/safe", []string{fixedResponse(500, "", "no"), success}, 1, callerResponse{200, "yes", "", true}, "",
 			[]attempt.Result{attempt.ServerError, attempt.Finished}, []directory.Outcome{directory.Errored, directory.Succeeded},
 		},
-		"a stream": {
-			"/stream", []string{events(first, second) + last}, 0, answered{200, first + second, "", true}, "",
+		"stream": {
+			"/stream", []string{chunkedResponse(firstEvent, secondEvent) + lastChunk}, 0, callerResponse{200, firstEvent + secondEvent, "", true}, "",
 			[]attempt.Result{attempt.Finished}, []directory.Outcome{directory.Succeeded},
 		},
-		"a stream that breaks off": {
-			"/stream", []string{events(first), events(second) + last}, 1, answered{200, first, "", false}, "stream broke off",
+		"interrupted stream": {
+			"/stream", []string{chunkedResponse(firstEvent), chunkedResponse(secondEvent) + lastChunk}, 1, callerResponse{200, firstEvent, "", false}, "stream broke off",
 			[]attempt.Result{attempt.BrokenOff}, []directory.Outcome{directory.Broken},
 		},
-		"a resumable stream goes on elsewhere after its last whole event": {
-			"/resumable", []string{events(first, "id: 2\nda"), events(second) + last}, 1, answered{200, first + second, "", true}, "",
+		"resumable stream continues at another endpoint after the last complete event": {
+			"/resumable", []string{chunkedResponse(firstEvent, "id: 2\nda"), chunkedResponse(secondEvent) + lastChunk}, 1, callerResponse{200, firstEvent + secondEvent, "", true}, "",
 			[]attempt.Result{attempt.BrokenOff, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
 		},
-		"a resumable stream whose event has no id": {
-			"/resumable", []string{events("data: a\n\n"), events(second) + last}, 1, answered{200, "data: a\n\n", "", false}, "stream broke off",
+		"resumable stream with an event without id": {
+			"/resumable", []string{chunkedResponse("data: a\n\n"), chunkedResponse(secondEvent) + lastChunk}, 1, callerResponse{200, "data: a\n\n", "", false}, "stream broke off",
 			[]attempt.Result{attempt.BrokenOff}, []directory.Outcome{directory.Broken},
 		},
-		"a resumable stream with a length that its next endpoint does not keep": {
-			"/resumable", []string{strings.TrimSuffix(whole(200, mark, first+second), second), whole(200, mark, second+third)}, 1,
-			answered{200, first + second + third, "", true}, "",
+		"resumable stream with a Content-Length that the next endpoint does not keep": {
+			"/resumable", []string{strings.TrimSuffix(fixedResponse(200, endpointMarkHeader, firstEvent+secondEvent), secondEvent), fixedResponse(200, endpointMarkHeader, secondEvent+thirdEvent)}, 1,
+			callerResponse{200, firstEvent + secondEvent + thirdEvent, "", true}, "",
 			[]attempt.Result{attempt.BrokenOff, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
 		},
-		"a resumable stream that no endpoint takes, its own included": {
-			"/resumable", []string{events(first) + again + refused}, 3, answered{200, first, "", false}, "stream not resumed",
+		"resumable stream refused by its own endpoint, no other endpoint": {
+			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + refusal}, 3, callerResponse{200, firstEvent, "", false}, "stream not resumed",
 			[]attempt.Result{attempt.BrokenOff, attempt.NotRun, attempt.NotRun}, []directory.Outcome{directory.Broken, directory.Refused, directory.Refused},
 		},
-		"a resumable stream that no endpoint has, its own included": {
-			"/resumable", []string{events(first) + again + whole(404, "", "gone"), whole(404, "", "gone")}, 3, answered{200, first, "", false}, "stream broke off",
+		"resumable stream unknown at all endpoints": {
+			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + fixedResponse(404, "", "gone"), fixedResponse(404, "", "gone")}, 3, callerResponse{200, firstEvent, "", false}, "stream broke off",
 			[]attempt.Result{attempt.BrokenOff, attempt.BrokenOff, attempt.BrokenOff, attempt.BrokenOff},
 			[]directory.Outcome{directory.Broken, directory.Errored, directory.Errored, directory.Errored},
 		},
-		"a resumable stream that another endpoint has not, and its own has": {
-			"/resumable", []string{events(first) + again + events(second) + last, whole(404, "", "gone")}, 2, answered{200, first + second, "", true}, "",
+		"resumable stream unknown at another endpoint, continued at its own": {
+			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + chunkedResponse(secondEvent) + lastChunk, fixedResponse(404, "", "gone")}, 2, callerResponse{200, firstEvent + secondEvent, "", true}, "",
 			[]attempt.Result{attempt.BrokenOff, attempt.BrokenOff, attempt.Finished},
 			[]directory.Outcome{directory.Broken, directory.Errored, directory.Succeeded},
 		},
-		"a resumable stream that breaks off before its first event": {
-			"/resumable", []string{events("id: 1\nda"), events(first) + last}, 1, answered{200, first, "", true}, "",
+		"resumable stream interrupted before its first event": {
+			"/resumable", []string{chunkedResponse("id: 1\nda"), chunkedResponse(firstEvent) + lastChunk}, 1, callerResponse{200, firstEvent, "", true}, "",
 			[]attempt.Result{attempt.Uncertain, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, server := newSite(t, test.scripts...)
-			s.budget = test.budget
-			assert.Equal(t, test.answer, ask(t, server, test.path, "question"))
-			observation := <-s.observed
+			p, server := newTestProxy(t, test.scripts...)
+			p.retryBudget = test.retryBudget
+			assert.Equal(t, test.response, sendRequest(t, server, test.path, "question"))
+			observation := <-p.observations
 			assert.Equal(t, test.reason, observation.Reason)
-			assert.Equal(t, test.answer.status, observation.Status)
+			assert.Equal(t, test.response.status, observation.Status)
 			var results []attempt.Result
 			for _, record := range observation.Attempts {
 				results = append(results, record.Result)
 			}
 			assert.Equal(t, test.results, results)
-			assert.Equal(t, test.outcomes, s.outcomes)
+			assert.Equal(t, test.outcomes, p.outcomes)
 		})
 	}
 }
 
-func TestAResumedStreamNamesItsLastEvent(t *testing.T) {
-	s, server := newSite(t, events(first, "id: 2\nda"), events(second)+last)
-	s.budget = 1
-	ask(t, server, "/resumable", "")
-	<-s.observed
-	assert.Equal(t, []string{"", "1"}, s.resumes)
+func TestResumedStreamSendsLastEventID(t *testing.T) {
+	p, server := newTestProxy(t, chunkedResponse(firstEvent, "id: 2\nda"), chunkedResponse(secondEvent)+lastChunk)
+	p.retryBudget = 1
+	sendRequest(t, server, "/resumable", "")
+	<-p.observations
+	assert.Equal(t, []string{"", "1"}, p.resumeIDs)
 }
 
-// TestABodyThatIsNotHeldIsSentOnce: what is over 256 KiB goes through to the first endpoint and is gone then.
-func TestABodyThatIsNotHeldIsSentOnce(t *testing.T) {
+// TestUnbufferedBodyIsNotRetried checks that a body of 256 KiB or more, which is not fully buffered, is sent to one endpoint only.
+func TestUnbufferedBodyIsNotRetried(t *testing.T) {
 	for size, results := range map[int][]attempt.Result{
 		256<<10 - 1: {attempt.NotRun, attempt.Finished}, 256 << 10: {attempt.NotRun}, 256<<10 + 1: {attempt.NotRun},
 	} {
-		s, server := newSite(t, whole(503, notRun, ""), whole(200, mark, ""))
-		s.configuration.Limits.MaxBodyBytes = 1 << 20
-		s.budget = 1
-		ask(t, server, "/safe", strings.Repeat("x", size))
-		observation := <-s.observed
+		p, server := newTestProxy(t, fixedResponse(503, notRunHeader, ""), fixedResponse(200, endpointMarkHeader, ""))
+		p.configuration.Limits.MaxBodyBytes = 1 << 20
+		p.retryBudget = 1
+		sendRequest(t, server, "/safe", strings.Repeat("x", size))
+		observation := <-p.observations
 		require.Len(t, observation.Attempts, len(results), "%d bytes", size)
 		for i, result := range results {
 			assert.Equal(t, result, observation.Attempts[i].Result, "%d bytes", size)
@@ -447,51 +448,51 @@
 	}
 }
 
-// TestTheHeadOfAStreamIsPassedOnOnce sends more than one read holds; net/http logs a head that is written twice.
-func TestTheHeadOfAStreamIsPassedOnOnce(t *testing.T) {
+// TestStreamHeadIsWrittenOnce sends a stream that takes several reads; net/http logs an error if a head is written twice.
+func TestStreamHeadIsWrittenOnce(t *testing.T) {
 	event := "data: " + strings.Repeat("x", 10<<10) + "\n\n"
-	s, server := newSite(t, events(event, event)+last)
+	p, server := newTestProxy(t, chunkedResponse(event, event)+lastChunk)
 	var logged bytes.Buffer
 	server.Config.ErrorLog = log.New(&logged, "", 0)
-	assert.Equal(t, answered{200, event + event, "", true}, ask(t, server, "/stream", ""))
-	<-s.observed
+	assert.Equal(t, callerResponse{200, event + event, "", true}, sendRequest(t, server, "/stream", ""))
+	<-p.observations
 	server.Close()
 	assert.Empty(t, logged.String())
 }
 
-func TestAMissingAdapterIsNoted(t *testing.T) {
-	s, server := newSite(t, whole(http.StatusMisdirectedRequest, notRun, ""), whole(200, mark, ""))
-	s.budget = 1
-	assert.Equal(t, http.StatusOK, ask(t, server, "/unsafe", "").status)
-	<-s.observed
-	assert.Equal(t, []bool{true, false}, s.missing)
+func TestMissingAdapterIsReported(t *testing.T) {
+	p, server := newTestProxy(t, fixedResponse(http.StatusMisdirectedRequest, notRunHeader, ""), fixedResponse(200, endpointMarkHeader, ""))
+	p.retryBudget = 1
+	assert.Equal(t, http.StatusOK, sendRequest(t, server, "/unsafe", "").status)
+	<-p.observations
+	assert.Equal(t, []bool{true, false}, p.missing)
 }
 
-// TestRefusalsWithoutAnEndpoint: what the proxy refuses by itself is answered and not observed.
-func TestRefusalsWithoutAnEndpoint(t *testing.T) {
+// TestRefusalsBeforeEndpointIsChosen checks the responses to requests that the proxy refuses itself, and that they are not observed.
+func TestRefusalsBeforeEndpointIsChosen(t *testing.T) {
 	for name, test := range map[string]struct {
-		change func(*site)
-		path   string
-		body   string
-		answer answered
+		change   func(*testProxy)
+		path     string
+		body     string
+		response callerResponse
 	}{
-		"no configuration":   {func(s *site) { s.configuration = nil }, "/safe", "", answered{503, "no configuration yet\n", "0.50", true}},
-		"no route":           {func(*site) {}, "/other", "", answered{404, "no such route\n", "", true}},
-		"the process stops":  {func(s *site) { s.stopping = true }, "/safe", "", answered{503, "stopping\n", "0.10", true}},
-		"a body too large":   {func(*site) {}, "/safe", strings.Repeat("x", 101), answered{413, "body too large\n", "", true}},
-		"a head too large":   {func(*site) {}, "/safe/" + strings.Repeat("x", 1000), "", answered{431, "header too large\n", "", true}},
-		"the largest body":   {func(*site) {}, "/safe", strings.Repeat("x", 100), answered{503, "no endpoint\n", "1.50", true}},
-		"no endpoint at all": {func(*site) {}, "/safe", "", answered{503, "no endpoint\n", "1.50", true}},
+		"no configuration":         {func(p *testProxy) { p.configuration = nil }, "/safe", "", callerResponse{503, "no configuration yet\n", "0.50", true}},
+		"unknown route":            {func(*testProxy) {}, "/other", "", callerResponse{404, "no such route\n", "", true}},
+		"shutdown":                 {func(p *testProxy) { p.stopping = true }, "/safe", "", callerResponse{503, "stopping\n", "0.10", true}},
+		"body too large":           {func(*testProxy) {}, "/safe", strings.Repeat("x", 101), callerResponse{413, "body too large\n", "", true}},
+		"header too large":         {func(*testProxy) {}, "/safe/" + strings.Repeat("x", 1000), "", callerResponse{431, "header too large\n", "", true}},
+		"body of the maximum size": {func(*testProxy) {}, "/safe", strings.Repeat("x", 100), callerResponse{503, "no endpoint\n", "1.50", true}},
+		"no endpoint":              {func(*testProxy) {}, "/safe", "", callerResponse{503, "no endpoint\n", "1.50", true}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			s, server := newSite(t)
-			test.change(s)
-			assert.Equal(t, test.answer, ask(t, server, test.path, test.body))
-			if test.answer.body == "no endpoint\n" {
-				assert.Equal(t, "no endpoint", (<-s.observed).Reason)
+			p, server := newTestProxy(t)
+			test.change(p)
+			assert.Equal(t, test.response, sendRequest(t, server, test.path, test.body))
+			if test.response.body == "no endpoint\n" {
+				assert.Equal(t, "no endpoint", (<-p.observations).Reason)
 			}
-			assert.Empty(t, s.observed)
+			assert.Empty(t, p.observations)
 		})
 	}
 }
--- /dev/null
+++ b/services/entry/proxy/response_writer.go
@@ -0,0 +1,154 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package proxy
+
+import (
+	"context"
+	"io"
+	"net/http"
+	"strconv"
+	"strings"
+	"time"
+
+	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
+)
+
+// responseWriter writes the response of one request to the caller.
+type responseWriter struct {
+	writer     http.ResponseWriter
+	controller *http.ResponseController
+	now        func() time.Time
+	// timer returns the time at which a Go timer must fire for a time on the clock of now.
+	timer func(at time.Time) time.Time
+	// status is the status code of the response; 0 before the head was written.
+	status        int
+	headWrittenAt time.Time
+}
+
+// refuse writes an error response that this instance generates itself.
+func (w *responseWriter) refuse(ending attempt.Ending) {
+	header := w.writer.Header()
+	header.Set("Content-Type", "text/plain; charset=utf-8")
+	header["Date"] = nil
+	if ending.RetryAfter > 0 {
+		header.Set("Retry-After", strconv.FormatFloat(ending.RetryAfter.Seconds(), 'f', 2, 64))
+	}
+	text := string(ending.Reason) + "\n"
+	header.Set("Content-Length", strconv.Itoa(len(text)))
+	w.writeStatus(ending.Status)
+	// A write error means that the caller has disconnected, and there is nothing left to do for it.
+	_, _ = io.WriteString(w.writer, text)
+}
+
+const (
+	// lingerTimeout and maxLingerBytes limit for how long, and up to how many bytes, the body of a refused request is still read
+	// after the response. Without that, the connection reset would discard the response at a caller that is still sending. Higher
+	// values let slower callers and larger uploads receive the response, lower values free the connections sooner.
+	lingerTimeout  = time.Second
+	maxLingerBytes = 16 << 20
+)
+
+// setReadDeadline sets the deadline for reading the caller's body; the zero time removes it. Errors are ignored: a connection that
+// accepts no deadline is closed, and the next read returns the error.
+func (w *responseWriter) setReadDeadline(deadline time.Time) {
+	_ = w.controller.SetReadDeadline(w.timerAt(deadline))
+}
+
+const (
+	// writeMargin is the time after the request's deadline during which its response may still be written, so that a time-out
+	// response reaches the caller. Longer tolerates slower connections, shorter releases sooner a request whose caller does not read.
+	writeMargin = 500 * time.Millisecond
+	// shutdownWriteMargin is the time during which the response may still be written after the shutdown of the process has aborted
+	// the request. The request's log line must be written before the process exits. Longer tolerates slower connections, shorter lets
+	// the process exit sooner.
+	shutdownWriteMargin = 100 * time.Millisecond
+)
+
+// limitWriting limits the writing of the response by the request's deadline and by the end of ctx, until release is called. Without
+// that, a write to a caller that does not read would hold the request, and its place at an endpoint, until the operating system gives
+// up the connection.
+func (w *responseWriter) limitWriting(ctx context.Context, deadline time.Time) (release func()) {
+	w.setWriteDeadline(deadline.Add(writeMargin))
+	stop := context.AfterFunc(ctx, func() { w.setWriteDeadline(w.now().Add(shutdownWriteMargin)) })
+	return func() {
+		stop()
+		w.setWriteDeadline(time.Time{})
+	}
+}
+
+// setWriteDeadline sets the deadline for writing; the zero time removes it. Errors are ignored: a connection that accepts no deadline
+// is closed, and the next write returns the error.
+func (w *responseWriter) setWriteDeadline(until time.Time) {
+	_ = w.controller.SetWriteDeadline(w.timerAt(until))
+}
+
+// timerAt returns the result of timer for a time, and the zero time, which means no deadline, unchanged.
+func (w *responseWriter) timerAt(at time.Time) time.Time {
+	if at.IsZero() {
+		return at
+	}
+	return w.timer(at)
+}
+
+// lingerBeforeClose flushes the response and reads on while the caller may still be sending its body, so that the caller receives the
+// response.
+func (w *responseWriter) lingerBeforeClose(body io.Reader) {
+	// Errors are ignored because the connection is closed afterwards in any case.
+	_ = w.flush()
+	w.setReadDeadline(w.now().Add(lingerTimeout))
+	_, _ = io.CopyN(io.Discard, body, maxLingerBytes)
+}
+
+// writeHead writes the head of an endpoint's response to the caller; length is -1 if it is unknown.
+func (w *responseWriter) writeHead(response *http.Response, length int64) {
+	header := w.writer.Header()
+	copyEndToEndHeaders(header, response.Header)
+	for _, added := range []string{"Date", "Content-Type"} {
+		if _, ok := header[added]; !ok {
+			// A nil value prevents net/http from adding its own header.
+			header[added] = nil
+		}
+	}
+	header.Del("Content-Length")
+	if length >= 0 {
+		header.Set("Content-Length", strconv.FormatInt(length, 10))
+	}
+	w.writeStatus(response.StatusCode)
+}
+
+func (w *responseWriter) writeStatus(status int) {
+	w.status = status
+	w.headWrittenAt = w.now()
+	w.writer.WriteHeader(status)
+}
+
+func (w *responseWriter) write(content []byte) error {
+	_, err := w.writer.Write(content)
+	return err
+}
+
+func (w *responseWriter) flush() error {
+	return w.controller.Flush()
+}
+
+// hopByHopHeaders are the headers that apply to a single connection and are not forwarded.
+var hopByHopHeaders = map[string]bool{
+	"Connection": true, "Keep-Alive": true, "Proxy-Authenticate": true, "Proxy-Authorization": true, "Proxy-Connection": true,
+	"Te": true, "Trailer": true, "Transfer-Encoding": true, "Upgrade": true,
+}
+
+// copyEndToEndHeaders copies all headers except hop-by-hop headers and those that the Connection header lists.
+func copyEndToEndHeaders(to, from http.Header) {
+	named := make(map[string]bool)
+	for _, line := range from["Connection"] {
+		for _, name := range strings.Split(line, ",") {
+			named[http.CanonicalHeaderKey(strings.TrimSpace(name))] = true
+		}
+	}
+	for name, values := range from {
+		if !hopByHopHeaders[name] && !named[name] {
+			to[name] = append([]string(nil), values...)
+		}
+	}
+}
--- a/services/entry/proxy/resume_test.go
+++ b/services/entry/proxy/resume_test.go
@@ -13,85 +13,82 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// quiet is a silence of an endpoint that is far longer than the one after which a stream may go on elsewhere, and far shorter than the
-// one after which callers give up.
-var quiet = strings.Repeat(pausing, 5)
+// searchSilence is a silence of an endpoint that is far longer than the one after which another endpoint is searched for a stream,
+// and far shorter than the one after which callers are expected to give up.
+var searchSilence = strings.Repeat(pauseMark, 5)
 
-// TestAResumableStreamIsLostByNothingThatItsEndpointSurvives is about streams that were closed without their end though their endpoint
-// would have gone on, or could have been asked again.
+// TestResumableStreamSurvivesEndpointInterruption guards against resumable streams that were closed although their endpoint would
+// have continued, or could have been asked again. It happened two to four seconds after a configuration change or the start of a
+// shutdown: the endpoint is silent for four pause targets, as when it preempts the request, and the exchange is given up before the
+// retry budget and another endpoint are asked. If one of them refuses, the caller's connection is closed. The exchange must not be
+// given up before its replacement is available.
 //
-// What users saw: a stream of a route that may be resumed ended in its middle, while its endpoint worked on it, two to four seconds
-// after a change of the configuration or the begin of a stop. The order of events: the endpoint is silent for four pause targets, as one
-// that preempts the request; the exchange is given up; only then the fleet's budget is asked for the retry, or another endpoint for a
-// place; one of them refuses, and the caller's connection is closed. The cause: what was held was given up before what replaces it was
-// had.
-//
-// The evidence: with real processes, endpoints that broke off and were alone with their adapter were not asked again, and the wait for
-// another copy ended after 0 to 0.4 s with 4 s of the deadline left; on played days streams ended after their next endpoint had refused
-// them.
-func TestAResumableStreamIsLostByNothingThatItsEndpointSurvives(t *testing.T) {
-	const goesOn = first + second
+// With real processes, endpoints that interrupted a stream and were the only ones with the adapter were not asked again, and the wait
+// for another copy ended after 0 to 0.4 s with 4 s of the deadline left. In simulated days, streams ended after their next endpoint
+// had refused them.
+func TestResumableStreamSurvivesEndpointInterruption(t *testing.T) {
+	const bothEvents = firstEvent + secondEvent
 	for name, test := range map[string]struct {
-		scripts []string
-		budget  int
-		// laterBudget is granted a while after the begin.
+		scripts     []string
+		retryBudget int
+		// laterBudget is granted some time after the request.
 		laterBudget int
 		body        string
-		resumes     []string
+		resumeIDs   []string
 	}{
-		"a silence while the budget grants nothing": {
-			[]string{events(first) + quiet + chunk(second) + last, events(second) + last}, 0, 0, goesOn, []string{""},
+		"silence, retry not granted": {
+			[]string{chunkedResponse(firstEvent) + searchSilence + encodeChunk(secondEvent) + lastChunk, chunkedResponse(secondEvent) + lastChunk}, 0, 0, bothEvents, []string{""},
 		},
-		"a silence while no other endpoint takes it": {
-			[]string{events(first) + quiet + chunk(second) + last}, 1, 0, goesOn, []string{""},
+		"silence, no other endpoint": {
+			[]string{chunkedResponse(firstEvent) + searchSilence + encodeChunk(secondEvent) + lastChunk}, 1, 0, bothEvents, []string{""},
 		},
-		"a silence that another endpoint ends": {
-			[]string{events(first) + strings.Repeat(quiet, 6), events(second) + last}, 1, 0, goesOn, []string{"", "1"},
+		"silence, another endpoint continues": {
+			[]string{chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 6), chunkedResponse(secondEvent) + lastChunk}, 1, 0, bothEvents, []string{"", "1"},
 		},
-		"an end by the endpoint, which alone could go on": {
-			[]string{events(first) + again + events(second) + last}, 1, 0, goesOn, []string{"", "1"},
+		"interruption by the only endpoint": {
+			[]string{chunkedResponse(firstEvent) + nextConnection + chunkedResponse(secondEvent) + lastChunk}, 1, 0, bothEvents, []string{"", "1"},
 		},
-		"three ends in a row by the endpoint, which alone could go on": {
-			[]string{events(first) + again + events() + again + again + events(second) + last}, 9, 0, goesOn, []string{"", "1", "1", "1"},
+		"three consecutive interruptions by the only endpoint": {
+			[]string{chunkedResponse(firstEvent) + nextConnection + chunkedResponse() + nextConnection + nextConnection + chunkedResponse(secondEvent) + lastChunk}, 9, 0, bothEvents, []string{"", "1", "1", "1"},
 		},
-		"many ends by the endpoint, each after an event": {
-			[]string{strings.Join([]string{events(first), events(second), events(third), events(event(4)), events(event(5)), events(event(6)), events(event(7)) + last}, again)},
-			9, 0, goesOn + third + event(4) + event(5) + event(6) + event(7), []string{"", "1", "2", "3", "4", "5", "6"},
+		"many interruptions by the only endpoint, each after an event": {
+			[]string{strings.Join([]string{chunkedResponse(firstEvent), chunkedResponse(secondEvent), chunkedResponse(thirdEvent), chunkedResponse(numberedEvent(4)), chunkedResponse(numberedEvent(5)), chunkedResponse(numberedEvent(6)), chunkedResponse(numberedEvent(7)) + lastChunk}, nextConnection)},
+			9, 0, bothEvents + thirdEvent + numberedEvent(4) + numberedEvent(5) + numberedEvent(6) + numberedEvent(7), []string{"", "1", "2", "3", "4", "5", "6"},
 		},
-		"an end by the endpoint while the budget grants nothing yet": {
-			[]string{events(first), events(second) + last}, 0, 1, goesOn, []string{"", "1"},
+		"interruption, retry granted later": {
+			[]string{chunkedResponse(firstEvent), chunkedResponse(secondEvent) + lastChunk}, 0, 1, bothEvents, []string{"", "1"},
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s, server := newSite(t, test.scripts...)
-			s.pauseTarget(scriptPause / 2)
-			s.budget = test.budget
+			p, server := newTestProxy(t, test.scripts...)
+			p.setPauseTarget(scriptPause / 2)
+			p.retryBudget = test.retryBudget
 			if test.laterBudget > 0 {
 				time.AfterFunc(3*scriptPause, func() {
-					s.mutex.Lock()
-					defer s.mutex.Unlock()
-					s.budget = test.laterBudget
+					p.mutex.Lock()
+					defer p.mutex.Unlock()
+					p.retryBudget = test.laterBudget
 				})
 			}
-			got := ask(t, server, "/resumable", "")
-			assert.Equal(t, answered{http.StatusOK, test.body, "", true}, got)
-			assert.Equal(t, test.resumes, s.resumes)
-			assert.Empty(t, (<-s.observed).Reason)
+			response := sendRequest(t, server, "/resumable", "")
+			assert.Equal(t, callerResponse{http.StatusOK, test.body, "", true}, response)
+			assert.Equal(t, test.resumeIDs, p.resumeIDs)
+			assert.Empty(t, (<-p.observations).Reason)
 		})
 	}
 }
 
-// event is one event of a stream.
-func event(id int) string {
+// numberedEvent returns an event with an id.
+func numberedEvent(id int) string {
 	return fmt.Sprintf("id: %d\ndata: e\n\n", id)
 }
 
-// chunk is one part of a stream that goes on.
-func chunk(part string) string {
-	return strings.TrimPrefix(events(part), events())
+// encodeChunk returns a further chunk of a response that chunkedResponse started.
+func encodeChunk(part string) string {
+	return strings.TrimPrefix(chunkedResponse(part), chunkedResponse())
 }
 
-// pauseTarget sets the pause target of the route that may be resumed.
-func (s *site) pauseTarget(target time.Duration) {
-	s.configuration.Match("h", "/resumable").PauseTarget = target
+// setPauseTarget sets the pause target of the resumable route.
+func (p *testProxy) setPauseTarget(target time.Duration) {
+	p.configuration.Match("h", "/resumable").PauseTarget = target
 }
--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -23,25 +23,25 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// ErrProcessEnds is the cause with which the context of a request ends that the end of the process cuts off.
-var ErrProcessEnds = errors.New("proxy: the process ends")
+// ErrProcessEnds is the cancellation cause of the context of a request that is aborted because the process shuts down.
+var ErrProcessEnds = errors.New("proxy: process is shutting down")
 
-// Control is the part of the coordinator that requests need, as function fields.
+// Control holds the functions of the coordinator that serving requests needs.
 type Control struct {
 	Configuration func() *deployment.Configuration
-	// Acquire waits for an endpoint; Finish must follow the exchange with it.
+	// Acquire waits for an endpoint. Finish must be called after the exchange with that endpoint.
 	Acquire func(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error)
 	Finish  func(request *deployment.Request, assignment coordinator.Assignment, outcome directory.Outcome, missing bool)
-	// Running tells, at most once before Finish, that the endpoint runs a request that uses a model.
+	// Running reports that the endpoint has started to run a request that uses a model. It is called at most once, before Finish.
 	Running func(request *deployment.Request, assignment coordinator.Assignment)
-	// Crashed tells, before Finish, that the endpoint ended while it had the request; Unanswered that it may still have it; Answered that the
-	// request got a whole answer.
+	// Crashed reports that the endpoint's process ended while it had the request, Unanswered that the endpoint may still have the
+	// request, and Answered that the request got a complete response. Crashed and Unanswered are called before Finish.
 	Crashed    func(request *deployment.Request, assignment coordinator.Assignment)
 	Unanswered func(request *deployment.Request, assignment coordinator.Assignment)
 	Answered   func(request *deployment.Request)
-	// Heard tells what the endpoint said of itself in the answer to a request that was sent at a time.
+	// Heard reports the notice in the response of an endpoint to a request that was sent at the given time.
 	Heard func(assignment coordinator.Assignment, sent time.Time, notice deployment.Notice)
-	// CountRequest counts a request for the budget of retries; TakeRetry asks it for one.
+	// CountRequest adds a request to the basis of the retry budget. TakeRetry reports whether the budget grants a retry.
 	CountRequest func(service string)
 	TakeRetry    func(service string) bool
 }
@@ -49,17 +49,17 @@
 // Options are the settings of a Service.
 type Options struct {
 	Now func() time.Time
-	// Timer gives the moment at which a timer must fire for a time of Now, and WithDeadline a context that ends at one; nil where timers go
-	// by Now.
+	// Timer returns the time at which a Go timer must fire for a time on the clock of Now, and WithDeadline returns a context with
+	// such a deadline. Both may be nil if timers use the clock of Now.
 	Timer        func(at time.Time) time.Time
 	WithDeadline func(parent context.Context, at time.Time) (context.Context, context.CancelFunc)
 	Random       func() float64
 	Log          *logrus.Entry
-	// Refusing reports whether new requests are refused because the process ends.
+	// Refusing reports whether new requests are refused because the process is shutting down.
 	Refusing func(kind deployment.RouteKind) bool
-	// Leaving reports whether connections are closed after their answer.
+	// Leaving reports whether each connection is closed after its response.
 	Leaving func() bool
-	// Observe gets the end of each request.
+	// Observe is called when a counted request has ended.
 	Observe func(Observation)
 }
 
@@ -71,7 +71,7 @@
 	dialect  Dialect
 }
 
-// New makes a service.
+// New returns a service.
 func New(options Options, control Control, client *upstream.Client, dialect Dialect) *Service {
 	if options.Timer == nil {
 		options.Timer, options.WithDeadline = func(at time.Time) time.Time { return at }, context.WithDeadline
@@ -79,37 +79,37 @@
 	return &Service{options: options, control: control, upstream: client, dialect: dialect}
 }
 
-// ServeHTTP serves one request.
+// ServeHTTP implements http.Handler.
 func (s *Service) ServeHTTP(writer http.ResponseWriter, incoming *http.Request) {
 	arrived := s.options.Now()
 	if s.options.Leaving() {
 		writer.Header().Set("Connection", "close")
 	}
-	answer := &answerWriter{writer: writer, controller: http.NewResponseController(writer), now: s.options.Now, timer: s.options.Timer}
-	defer s.endFault(answer)
+	response := &responseWriter{writer: writer, controller: http.NewResponseController(writer), now: s.options.Now, timer: s.options.Timer}
+	defer s.recoverPanic(response)
 	configuration := s.control.Configuration()
 	if configuration == nil {
-		s.refuse(answer, incoming, nil, arrived, attempt.NoConfiguration)
+		s.refuse(response, incoming, nil, arrived, attempt.NoConfiguration)
 		return
 	}
 	route := configuration.Match(incoming.Host, rawPath(incoming))
 	if route == nil {
-		s.refuse(answer, incoming, nil, arrived, attempt.NoRoute)
+		s.refuse(response, incoming, nil, arrived, attempt.NoRoute)
 		return
 	}
-	if limit := configuration.Limits.MaxHeaderBytes; limit > 0 && headerBytes(incoming) > limit {
-		s.refuse(answer, incoming, route, arrived, attempt.HeaderTooLarge)
+	if limit := configuration.Limits.MaxHeaderBytes; limit > 0 && headerSize(incoming) > limit {
+		s.refuse(response, incoming, route, arrived, attempt.HeaderTooLarge)
 		return
 	}
 	if s.options.Refusing(route.Kind) {
-		s.refuse(answer, incoming, route, arrived, attempt.Stopping)
+		s.refuse(response, incoming, route, arrived, attempt.Stopping)
 		return
 	}
-	s.serveRoute(answer, incoming, configuration, route, arrived)
+	s.serveRoute(response, incoming, configuration, route, arrived)
 }
 
-// endFault ends a request that a fault of the program stopped: its caller gets an answer where it has no part of one, and the log tells.
-func (s *Service) endFault(answer *answerWriter) {
+// recoverPanic logs a panic and answers the request with an error, or closes the connection if the response has already started.
+func (s *Service) recoverPanic(response *responseWriter) {
 	fault := recover()
 	if fault == nil {
 		return
@@ -118,19 +118,19 @@
 		panic(fault)
 	}
 	s.options.Log.WithFields(logrus.Fields{"error": fmt.Sprint(fault), "stack": string(debug.Stack())}).Error("a request failed by a fault of the program")
-	if answer.status != 0 {
+	if response.status != 0 {
 		panic(http.ErrAbortHandler)
 	}
-	answer.refuse(attempt.ProgramFault)
+	response.refuse(attempt.ProgramFault)
 }
 
-// refuse answers and logs a request for which no endpoint is asked; it is not counted. The route is nil where none is known.
-func (s *Service) refuse(answer *answerWriter, incoming *http.Request, route *deployment.Route, arrived time.Time, ending attempt.Ending) {
-	answer.refuse(ending)
+// refuse answers and logs a request for which no endpoint is chosen. Such a request is not counted. The route is nil if none matched.
+func (s *Service) refuse(response *responseWriter, incoming *http.Request, route *deployment.Route, arrived time.Time, ending attempt.Ending) {
+	response.refuse(ending)
 	caller := s.dialect.ReadRequest(incoming.Header)
 	observation := Observation{
-		ID: caller.ID, Adapter: caller.Adapter.String(), Status: answer.status, Reason: string(ending.Reason),
-		First: answer.headAt.Sub(arrived), Whole: s.options.Now().Sub(arrived),
+		ID: caller.ID, Adapter: caller.Adapter.String(), Status: response.status, Reason: string(ending.Reason),
+		First: response.headWrittenAt.Sub(arrived), Whole: s.options.Now().Sub(arrived),
 	}
 	if route != nil {
 		observation.Route = route.Name
@@ -138,43 +138,44 @@
 	s.log(observation)
 }
 
-func (s *Service) serveRoute(answer *answerWriter, incoming *http.Request, configuration *deployment.Configuration, route *deployment.Route, arrived time.Time) {
+// serveRoute reads the body of a request that matched a route, and forwards the request.
+func (s *Service) serveRoute(response *responseWriter, incoming *http.Request, configuration *deployment.Configuration, route *deployment.Route, arrived time.Time) {
 	caller := s.dialect.ReadRequest(incoming.Header)
 	request := &deployment.Request{
-		ID: shortened(caller.ID), Route: route, Service: balance.ChooseBackend(route, s.options.Random()), Adapter: caller.Adapter,
+		ID: truncateForLog(caller.ID), Route: route, Service: balance.ChooseBackend(route, s.options.Random()), Adapter: caller.Adapter,
 		Prompt: caller.Prompt, Arrived: arrived, Deadline: attempt.Deadline(arrived, route, caller.Timeout),
 	}
 	if service := configuration.Services[request.Service]; service == nil || service.Engine == nil {
 		request.Adapter = deployment.Adapter{}
 		request.Prompt = 0
 	}
-	body, err := s.readBody(answer, incoming, configuration, request.Deadline)
+	body, err := s.readBody(response, incoming, configuration, request.Deadline)
 	if err != nil {
-		s.endUnread(answer, incoming, route, arrived, err)
+		s.refuseUnreadBody(response, incoming, route, arrived, err)
 		return
 	}
-	request.Fingerprint = fingerprintOf(incoming, request.Adapter, &body)
+	request.Fingerprint = requestFingerprint(incoming, request.Adapter, &body)
 	s.control.CountRequest(request.Service)
 	ctx, cancel := s.options.WithDeadline(incoming.Context(), request.Deadline)
 	defer cancel()
-	defer answer.boundWriting(incoming.Context(), request.Deadline)()
-	run := &run{service: s, answer: answer, incoming: incoming, request: request, caller: caller, body: body, context: ctx}
-	// An answer that breaks off ends by a panic, which net/http takes for closing the connection.
-	defer s.observe(run)
-	run.serve()
+	defer response.limitWriting(incoming.Context(), request.Deadline)()
+	inflight := &inflight{service: s, response: response, incoming: incoming, request: request, caller: caller, body: body, context: ctx}
+	// An interrupted response ends with the panic http.ErrAbortHandler, on which net/http closes the connection.
+	defer s.observe(inflight)
+	inflight.serve()
 }
 
-// fingerprintOf tells a request from others, by what the caller sent. A body that is not held whole counts by its beginning and its length,
-// since it must be known before anything is sent.
-func fingerprintOf(incoming *http.Request, adapter deployment.Adapter, body *requestBody) fingerprint.Fingerprint {
+// requestFingerprint returns the fingerprint of the content that the caller sent. A body that is not fully buffered is represented by
+// its beginning and its length, because the fingerprint must be known before anything is forwarded.
+func requestFingerprint(incoming *http.Request, adapter deployment.Adapter, body *requestBody) fingerprint.Fingerprint {
 	return fingerprint.Content{
 		Method: incoming.Method, Host: incoming.Host, Path: rawPath(incoming), Query: incoming.URL.RawQuery, Adapter: adapter.String(),
-		Body: body.held, Length: body.length,
+		Body: body.buffered, Length: body.length,
 	}.Fingerprint()
 }
 
-// headerBytes is the size of a request's head as it was sent, but for spaces that were dropped.
-func headerBytes(incoming *http.Request) int {
+// headerSize returns the size in bytes of a request's head as it was sent, without whitespace that the parser dropped.
+func headerSize(incoming *http.Request) int {
 	const separators = len(": \r\n")
 	size := len(incoming.Method) + len(incoming.RequestURI) + separators
 	size += len("Host") + len(incoming.Host) + separators
@@ -186,7 +187,7 @@
 	return size
 }
 
-// rawPath is the path as the caller wrote it.
+// rawPath returns the path in the encoding that the caller sent.
 func rawPath(incoming *http.Request) string {
 	path, _, _ := strings.Cut(incoming.RequestURI, "?")
 	if strings.HasPrefix(path, "/") {
--- a/services/entry/proxy/stream.go
+++ b/services/entry/proxy/stream.go
@@ -10,35 +10,35 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// stream is one endpoint's answer of events on its way to the caller.
+// stream forwards the events of one endpoint's response to the caller.
 type stream struct {
 	exchange *exchange
 	events   *eventBuffer
-	// headDue says that the caller must get the head before the first bytes; a resumed stream has one.
-	headDue bool
+	// headPending is set if the response head must be written before the first bytes; for a resumed stream it was written before.
+	headPending bool
 }
 
-// passStream passes the events of a stream on as they come, and the head right before the first of them if it is due. While a write to a
-// caller that reads slowly blocks, no other endpoint is searched for: the present one is not silent then.
-func (e *exchange) passStream(headDue bool, search *successorSearch) attempt.Verdict {
+// forwardStream forwards the events of a stream as they arrive, and writes the head right before the first of them if headPending is
+// set. While a write to a slow caller blocks, hedging is paused: the endpoint is not silent then.
+func (e *exchange) forwardStream(headPending bool, hedging *hedge) attempt.Verdict {
 	defer e.discard()
-	s := &stream{exchange: e, events: newEventBuffer(e.run.request.Route.Resumable), headDue: headDue}
-	buffer := make([]byte, readBuffer)
-	search.resume()
+	s := &stream{exchange: e, events: newEventBuffer(e.inflight.request.Route.Resumable), headPending: headPending}
+	buffer := make([]byte, readBufferSize)
+	hedging.resume()
 	for {
-		n, err := e.answer.Read(buffer)
+		n, err := e.response.Read(buffer)
 		if n > 0 {
-			if !search.pause() || !e.noteRunning() {
+			if !hedging.pause() || !e.reportRunning() {
 				return attempt.JudgeBroken(e.situation())
 			}
-			if !s.passOn(buffer[:n]) {
-				return e.notTaken()
+			if !s.forward(buffer[:n]) {
+				return e.endUndelivered()
 			}
-			e.heard = e.run.service.options.Now()
-			search.resume()
+			e.lastReceived = e.inflight.service.options.Now()
+			hedging.resume()
 		}
 		if errors.Is(err, io.EOF) {
-			return s.end()
+			return s.finish()
 		}
 		if err != nil || s.events.tooLong() {
 			return attempt.JudgeBroken(e.situation())
@@ -46,42 +46,44 @@
 	}
 }
 
-// passHead passes the head on if it is due. A stream that may be resumed has no length that its next endpoint could keep.
-func (s *stream) passHead() {
-	if !s.headDue {
+// forwardHead writes the head if it is still pending. For a stream that may be resumed the length is left out, because the next
+// endpoint need not keep it.
+func (s *stream) forwardHead() {
+	if !s.headPending {
 		return
 	}
-	s.headDue = false
-	response := s.exchange.answer.Response
-	length := response.ContentLength
+	s.headPending = false
+	httpResponse := s.exchange.response.Response
+	length := httpResponse.ContentLength
 	if s.events.wholeOnly {
 		length = -1
 	}
-	s.exchange.run.answer.pass(response, length)
+	s.exchange.inflight.response.writeHead(httpResponse, length)
 }
 
-// passOn passes on what has come, or its whole events; false if the caller takes no more.
-func (s *stream) passOn(content []byte) bool {
+// forward forwards the received bytes, or only complete events if the stream may be resumed. It returns false if the caller accepts
+// no more data.
+func (s *stream) forward(content []byte) bool {
 	whole := s.events.add(content)
 	if len(whole) == 0 {
 		return true
 	}
-	s.passHead()
-	r := s.exchange.run
-	if r.answer.write(whole) != nil || r.answer.flush() != nil {
+	s.forwardHead()
+	r := s.exchange.inflight
+	if r.response.write(whole) != nil || r.response.flush() != nil {
 		return false
 	}
-	r.lastEvent = s.events.lastID(r.lastEvent)
-	r.served = s.exchange.assignment.Endpoint.ID
+	r.lastEvent = s.events.lastIDOr(r.lastEvent)
+	r.lastServed = s.exchange.assignment.Endpoint.ID
 	return true
 }
 
-// end passes on what followed the last whole event of a stream that ended as it should.
-func (s *stream) end() attempt.Verdict {
-	s.passHead()
-	rest := s.events.rest()
-	if len(rest) > 0 && (s.exchange.run.answer.write(rest) != nil || s.exchange.run.answer.flush() != nil) {
-		return s.exchange.notTaken()
+// finish forwards the bytes after the last complete event of a stream that ended regularly.
+func (s *stream) finish() attempt.Verdict {
+	s.forwardHead()
+	incompleteEvent := s.events.incompleteEvent()
+	if len(incompleteEvent) > 0 && (s.exchange.inflight.response.write(incompleteEvent) != nil || s.exchange.inflight.response.flush() != nil) {
+		return s.exchange.endUndelivered()
 	}
 	return attempt.Passed()
 }
