--- a/services/entry/proxy/attempt/ending.go
+++ b/services/entry/proxy/attempt/ending.go
@@ -10,101 +10,105 @@
 	"github.com/shelfledge/shelfledge/services/entry/admission"
 )
 
-// Reason says why a request had no success: the log line's "reason", and the text of the answer where there is one. Where no
-// endpoint took the request, it is one of admission.Reason.
+// Reason is why a request failed: the "reason" in the log line, and the text of the response if one is sent. If no endpoint accepted
+// the request, it is the text of an admission.Reason.
 type Reason string
 
-// The reasons for which End and EndWithoutEndpoint end a request.
+// The reasons with which End and EndWithoutEndpoint end a request.
 const (
-	// EndpointError: the endpoint answered with a server error, and no retry was allowed.
+	// EndpointError means that the endpoint responded with a server error, and no retry was allowed.
 	EndpointError Reason = "error of the endpoint"
-	// CallerLeft: the caller closed its connection.
+	// CallerLeft means that the caller closed its connection.
 	CallerLeft Reason = "caller left"
-	// StreamBrokeOff: the endpoint ended an answer of which a part was passed on, and it could not be resumed. It also stands for a deadline that passes in a stream, a plain answer that breaks off after its beginning
-	// was passed on, and the retry of a resumable stream that the fleet's budget refused.
+	// StreamBrokeOff means that the endpoint ended a response after a part of it was forwarded, and that the response could not be
+	// resumed. It is also used for a deadline that passes during a stream, for a response without a stream that is interrupted after
+	// its beginning was forwarded, and for a resumable stream whose retry the fleet's budget refused.
 	StreamBrokeOff Reason = "stream broke off"
-	// RefusedByEndpoint: the request surely did not run: the endpoint said so, or nothing could be sent.
+	// RefusedByEndpoint means that the request certainly did not run: the endpoint reported so, or nothing could be sent.
 	RefusedByEndpoint Reason = "refused by the endpoint"
-	// TimedOut: the request may have run, and its deadline has passed.
+	// TimedOut means that the request may have run, and that its deadline has passed.
 	TimedOut Reason = "timed out"
-	// NotBegunInTime: the request was taken back from an endpoint that held a former version, where it had not begun in time; it may
-	// have run, and no retry was allowed.
+	// NotBegunInTime means that the request was taken back from an endpoint with a former adapter version, because it had not started
+	// to run in time there. It may have run, and no retry was allowed.
 	NotBegunInTime Reason = "not begun in time"
-	// NoAnswer: the request may have run, the endpoint gave no answer, and no retry was allowed.
+	// NoAnswer means that the request may have run, that the endpoint sent no response, and that no retry was allowed.
 	NoAnswer Reason = "no answer from the endpoint"
-	// StreamNotResumed: a stream broke off, and no other endpoint could go on with it, or its caller left while it waited
-	// for one.
+	// StreamNotResumed means that a stream was interrupted and no other endpoint could continue it, or that the caller disconnected
+	// while waiting for one.
 	StreamNotResumed Reason = "stream not resumed"
-	// NoEndpointForRetry: the request may have run, and no other endpoint could take it before its wait or its deadline
-	// ended. The text keeps its former word.
+	// NoEndpointForRetry means that the request may have run, and that no other endpoint accepted it before the end of its wait or
+	// its deadline. The text says "repeat" because operators know it in that form.
 	NoEndpointForRetry Reason = "no endpoint for a repeat"
-	// ProcessEnded: the end of the process cut the request off; it may have run.
+	// ProcessEnded means that the shutdown of the process aborted the request; it may have run.
 	ProcessEnded Reason = "process ended"
-	// NotSentInTime: the deadline came, or the process stopped, while the request waited for an endpoint.
+	// NotSentInTime means that the deadline passed, or the process stopped, while the request waited for an endpoint.
 	NotSentInTime Reason = "not sent in time"
 )
 
-// Closing is how the caller's connection learns that a request ends without success.
+// Closing is how the end of a request without success is signaled on the caller's connection.
 type Closing int
 
-// The ways to end a request.
+// The ways to signal the end of a request.
 const (
-	// Refuse: answer with a status of this instance's own.
+	// Refuse sends an error response that this instance generates.
 	Refuse Closing = iota
-	// PassError: pass on the endpoint's own error, which was read whole.
+	// PassError forwards the endpoint's error response, which was read completely.
 	PassError
-	// Abort: close the connection, so that what was passed on cannot be taken for a whole answer.
+	// Abort closes the connection, so that the part that was forwarded cannot be taken for a complete response.
 	Abort
 )
 
-// Ending is how a request ends without success.
+// Ending describes how a request ends without success.
 type Ending struct {
 	Closing Closing
 	Reason  Reason
-	// Status is the answer's; 0 where the answer is not of this instance's own.
+	// Status is the status code of the response; 0 if this instance generates no response.
 	Status int
-	// RetryAfter is when the caller should come back; 0 where it gets no such time.
+	// RetryAfter is the time after which the caller should retry; 0 if it is told no time.
 	RetryAfter time.Duration
 }
 
-// Pauses after which refused callers should come back.
+// The times after which refused callers should retry.
 const (
-	// unknownPause is for an instance that knows no configuration yet. Longer spares the instances, shorter serves sooner.
-	unknownPause = 500 * time.Millisecond
-	// stoppingPause is for an instance that ends: another one can serve at once. Longer spares the instances, shorter serves sooner.
-	stoppingPause = 100 * time.Millisecond
-	// busyPause is for requests that no endpoint ran. Longer spares the instances, shorter serves sooner.
-	busyPause = 250 * time.Millisecond
+	// noConfigurationRetryAfter applies while the instance has no configuration yet. Longer reduces the load on the instances,
+	// shorter serves sooner.
+	noConfigurationRetryAfter = 500 * time.Millisecond
+	// stoppingRetryAfter applies while the instance stops: another instance can serve the request immediately. Longer reduces the
+	// load on the instances, shorter serves sooner.
+	stoppingRetryAfter = 100 * time.Millisecond
+	// notRunRetryAfter applies to requests that no endpoint ran. Longer reduces the load on the instances, shorter serves sooner.
+	notRunRetryAfter = 250 * time.Millisecond
 )
 
-// Refusals of requests for which no endpoint is asked. They are answered and logged, and not counted. BodyTooLarge also ends
-// requests whose bodies tell their size late.
+// Refusals of requests for which no endpoint is chosen. They are answered and logged, but not counted. BodyTooLarge also ends
+// requests whose body exceeds the limit after a part of it was forwarded.
 var (
-	// NoConfiguration: this instance knows no configuration yet.
-	NoConfiguration = Ending{Status: http.StatusServiceUnavailable, Reason: "no configuration yet", RetryAfter: unknownPause}
-	// NoRoute: no route has the request's host and path.
+	// NoConfiguration means that this instance has no configuration yet.
+	NoConfiguration = Ending{Status: http.StatusServiceUnavailable, Reason: "no configuration yet", RetryAfter: noConfigurationRetryAfter}
+	// NoRoute means that no route matches the request's host and path.
 	NoRoute = Ending{Status: http.StatusNotFound, Reason: "no such route"}
-	// HeaderTooLarge: the head is larger than the settings allow.
+	// HeaderTooLarge means that the head of the request is larger than the settings allow.
 	HeaderTooLarge = Ending{Status: http.StatusRequestHeaderFieldsTooLarge, Reason: "header too large"}
-	// BodyTooLarge: the body is larger than the settings allow.
+	// BodyTooLarge means that the body is larger than the settings allow.
 	BodyTooLarge = Ending{Status: http.StatusRequestEntityTooLarge, Reason: "body too large"}
-	// BodyTooSlow: the body was not whole at the request's deadline.
+	// BodyTooSlow means that the body was not received completely before the request's deadline.
 	BodyTooSlow = Ending{Status: http.StatusRequestTimeout, Reason: "body too slow"}
-	// BodyUnreadable: what was sent is no body.
+	// BodyUnreadable means that the body is malformed.
 	BodyUnreadable = Ending{Status: http.StatusBadRequest, Reason: "body cannot be read"}
-	// ProgramFault: a fault of the program stopped the request; it may have run.
+	// ProgramFault means that a panic ended the request; it may have run.
 	ProgramFault = Ending{Status: http.StatusInternalServerError, Reason: "fault of the program"}
-	// Stopping: the process ends before it could answer whole.
-	Stopping = Ending{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stoppingPause}
+	// Stopping means that the process would end before it could complete the response.
+	Stopping = Ending{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stoppingRetryAfter}
 )
 
-// Unread is why a request's body could not be read, by its error.
+// Unread is why a request's body could not be read, according to the error.
 type Unread struct {
-	// TooLarge: it is larger than the settings allow; TimedOut: the deadline came; CallerLeft: the connection ended.
+	// TooLarge is set if the body is larger than the settings allow, TimedOut if the deadline passed, CallerLeft if the connection
+	// was closed.
 	TooLarge, TimedOut, CallerLeft bool
 }
 
-// EndUnread decides how a request ends whose body could not be read; no endpoint was asked.
+// EndUnread decides how a request ends whose body could not be read, before an endpoint is chosen.
 func EndUnread(u Unread) Ending {
 	switch {
 	case u.TooLarge:
@@ -118,8 +122,8 @@
 	}
 }
 
-// End decides how a request ends after its last attempt. A caller that left goes before a head that was passed on, other
-// than in EndWithoutEndpoint.
+// End decides how a request ends after its last attempt. Unlike in EndWithoutEndpoint, a caller that disconnected takes precedence
+// over a head that was forwarded.
 func End(now time.Time, last Result, s Situation) Ending {
 	switch {
 	case last == ServerError:
@@ -133,7 +137,7 @@
 	case s.BodyTooLarge:
 		return BodyTooLarge
 	case !s.MayHaveRun:
-		return Ending{Status: http.StatusServiceUnavailable, Reason: RefusedByEndpoint, RetryAfter: busyPause}
+		return Ending{Status: http.StatusServiceUnavailable, Reason: RefusedByEndpoint, RetryAfter: notRunRetryAfter}
 	case s.ProcessEnds:
 		return Ending{Status: http.StatusBadGateway, Reason: ProcessEnded}
 	case s.timedOut(now):
@@ -145,8 +149,8 @@
 	}
 }
 
-// EndWithoutEndpoint decides how a request ends that no endpoint takes. The refusal is what package admission decided, nil
-// where the wait ended otherwise. A head that was passed on goes before a caller that left, other than in End.
+// EndWithoutEndpoint decides how a request ends that no endpoint accepted. The refusal is the decision of package admission, or nil
+// if the wait ended for another reason. Unlike in End, a head that was forwarded takes precedence over a caller that disconnected.
 func EndWithoutEndpoint(s Situation, refusal *admission.Decision) Ending {
 	switch {
 	case s.HeadPassed && s.ProcessEnds:
@@ -160,6 +164,6 @@
 	case refusal != nil:
 		return Ending{Status: http.StatusServiceUnavailable, Reason: Reason(refusal.Reason), RetryAfter: refusal.RetryAfter}
 	default:
-		return Ending{Status: http.StatusServiceUnavailable, Reason: NotSentInTime, RetryAfter: busyPause}
+		return Ending{Status: http.StatusServiceUnavailable, Reason: NotSentInTime, RetryAfter: notRunRetryAfter}
 	}
 }
--- a/services/entry/proxy/attempt/retry.go
+++ b/services/entry/proxy/attempt/retry.go
@@ -5,60 +5,63 @@
 
 import "time"
 
-// Step is what follows from the end of an attempt.
+// Step is the next step after the end of an attempt.
 type Step int
 
 // The steps after an attempt.
 const (
-	// Done: the caller has its answer.
+	// Done means that the caller has the response.
 	Done Step = iota
-	// TryNext: ask for another endpoint; nothing was sent, so that it is no retry.
+	// TryNext means to acquire another endpoint. Nothing was sent, so this does not count as a retry.
 	TryNext
-	// RetryWithinBudget: ask for another endpoint if the fleet's budget grants a retry, else end the request.
+	// RetryWithinBudget means to acquire another endpoint if the fleet's budget grants a retry, and to end the request otherwise.
 	RetryWithinBudget
-	// GiveUp: end the request, see the function End.
+	// GiveUp means to end the request; see the function End.
 	GiveUp
 )
 
-// maxUnreached is how many endpoints are tried to which nothing can be sent. More find a reachable one after many endpoints have gone at
-// once, fewer answer sooner.
+// maxUnreached is the number of endpoints to which nothing can be sent before the request is given up. More finds a reachable
+// endpoint after many have failed at once, fewer responds sooner.
 const maxUnreached = 3
 
 const (
-	// maxResumesInPlace is how often in a row, without a further event, a stream may go on at the endpoint whose events the caller has.
-	// More bear an endpoint that breaks off often, fewer end sooner a stream that no endpoint will end.
+	// maxResumesInPlace is how many times in a row, without a further event, a stream may be resumed at the endpoint that sent the
+	// caller's events. More tolerates an endpoint that interrupts streams often, fewer ends sooner a stream that no endpoint will
+	// complete.
 	maxResumesInPlace = 5
-	// maxRefusedInPlace is the same where the endpoint refuses the stream in place of breaking it off: it has said that it can't go on.
-	// Higher bears an endpoint that is full for a moment, lower ends sooner a stream that nobody takes.
+	// maxRefusedInPlace is the same limit while the endpoint refuses the stream instead of interrupting it: the endpoint has reported
+	// that it cannot continue. Higher tolerates an endpoint that is briefly full, lower ends sooner a stream that no endpoint
+	// accepts.
 	maxRefusedInPlace = 2
-	// firstResumePause is the pause before the second of them; each further one is twice as long, 1.5 s in all. Longer gives an endpoint
-	// more time to recover, shorter brings the next event sooner.
-	firstResumePause = 100 * time.Millisecond
+	// initialResumeBackoff is the pause before the second resumption in a row at the same endpoint; each further pause is twice as
+	// long, 1.5 s in total. Longer gives an endpoint more time to recover, shorter delivers the next event sooner.
+	initialResumeBackoff = 100 * time.Millisecond
 )
 
-// ResumesInPlace reports whether a stream may go on at the endpoint whose events the caller has: that is no further endpoint.
+// ResumesInPlace reports whether a stream may be resumed at the endpoint that sent the caller's events, which does not count as a
+// further endpoint.
 func ResumesInPlace(s Situation) bool {
-	most := maxResumesInPlace
+	limit := maxResumesInPlace
 	if s.Refused {
-		most = maxRefusedInPlace
+		limit = maxRefusedInPlace
 	}
-	return s.EventPassed && s.Route.Resumable && s.InPlace < most
+	return s.EventPassed && s.Route.Resumable && s.InPlace < limit
 }
 
-// ResumePause is how long a stream waits before it goes on at the same endpoint; 0 the first time after an event.
+// ResumePause returns how long a stream waits before it is resumed at the same endpoint; 0 the first time after an event.
 func ResumePause(s Situation) time.Duration {
 	if s.InPlace == 0 {
 		return 0
 	}
-	return firstResumePause << (s.InPlace - 1)
+	return initialResumeBackoff << (s.InPlace - 1)
 }
 
-// ResumesElsewhere reports whether a stream may go on at an endpoint that was not sent it.
+// ResumesElsewhere reports whether a stream may be resumed at an endpoint that was not sent the request yet.
 func ResumesElsewhere(s Situation) bool {
 	return s.Sent < s.Route.MaxAttempts
 }
 
-// Next decides what follows from the end of an attempt.
+// Next decides what follows the end of an attempt.
 func Next(now time.Time, result Result, s Situation) Step {
 	switch result {
 	case Finished:
@@ -75,7 +78,7 @@
 	return GiveUp
 }
 
-// mayRetry reports whether another endpoint may be sent the request, the fleet's budget apart.
+// mayRetry reports whether the request may be sent to another endpoint, regardless of the fleet's budget.
 func mayRetry(now time.Time, result Result, s Situation) bool {
 	if s.timedOut(now) || !s.BodyHeld {
 		return false
@@ -89,17 +92,17 @@
 	return result != BrokenOff || s.EventPassed
 }
 
-// ProvesNotRun reports whether the request surely had no effect by an attempt that ended so.
+// ProvesNotRun reports whether the result of an attempt proves that the request did not run.
 func ProvesNotRun(result Result) bool {
 	return result == NotSent || result == NotRun
 }
 
-// MayHaveRun reports whether the request may have had an effect by an attempt that ended so, and that brought no whole answer.
+// MayHaveRun reports whether the request may have run in an attempt with this result that got no complete response.
 func MayHaveRun(result Result) bool {
 	return !ProvesNotRun(result) && !BringsAnswer(result)
 }
 
-// BringsAnswer reports whether an attempt that ended so brought a whole answer, be it a refusal.
+// BringsAnswer reports whether an attempt with this result got a complete response, including a refusal.
 func BringsAnswer(result Result) bool {
 	return result == Finished || result == NotRun || result == ServerError
 }
--- a/services/entry/proxy/attempt/retry_test.go
+++ b/services/entry/proxy/attempt/retry_test.go
@@ -25,7 +25,7 @@
 	}
 )
 
-// after gives the situation after the first endpoint was sent a request of a route, with changes.
+// after returns the situation after a request of a route was sent to the first endpoint, with changes.
 func after(route *deployment.Route, changes ...func(*attempt.Situation)) attempt.Situation {
 	s := attempt.Situation{Route: route, Deadline: deadline, Sent: 1, BodyHeld: true}
 	for _, change := range changes {
@@ -34,13 +34,13 @@
 	return s
 }
 
-func mayHaveRun(s *attempt.Situation)   { s.MayHaveRun = true }
-func headPassed(s *attempt.Situation)   { s.HeadPassed = true }
-func eventPassed(s *attempt.Situation)  { s.EventPassed = true }
-func contextEnded(s *attempt.Situation) { s.ContextEnded = true }
-func takenBack(s *attempt.Situation)    { s.TakenBack = true }
-func bodyTooLarge(s *attempt.Situation) { s.BodyTooLarge = true }
-func bodyNotHeld(s *attempt.Situation)  { s.BodyHeld = false }
+func mayHaveRun(s *attempt.Situation)      { s.MayHaveRun = true }
+func headForwarded(s *attempt.Situation)   { s.HeadPassed = true }
+func eventForwarded(s *attempt.Situation)  { s.EventPassed = true }
+func contextEnded(s *attempt.Situation)    { s.ContextEnded = true }
+func takenBack(s *attempt.Situation)       { s.TakenBack = true }
+func bodyTooLarge(s *attempt.Situation)    { s.BodyTooLarge = true }
+func bodyNotBuffered(s *attempt.Situation) { s.BodyHeld = false }
 
 func inPlace(count int) func(*attempt.Situation) {
 	return func(s *attempt.Situation) { s.InPlace = count }
@@ -54,7 +54,7 @@
 
 func processEnds(s *attempt.Situation) { s.ProcessEnds = true }
 
-// callerLeft ends the request's context, too.
+// callerLeft also ends the request's context.
 func callerLeft(s *attempt.Situation) {
 	s.CallerLeft = true
 	s.ContextEnded = true
@@ -68,63 +68,63 @@
 	return func(s *attempt.Situation) { s.Unreached = count }
 }
 
-func until(end time.Time) func(*attempt.Situation) {
+func withDeadline(end time.Time) func(*attempt.Situation) {
 	return func(s *attempt.Situation) { s.Deadline = end }
 }
 
-func TestNext(t *testing.T) {
+func TestNextStep(t *testing.T) {
 	noAttempts := &deployment.Route{Kind: deployment.Safe}
 	for name, test := range map[string]struct {
 		result    attempt.Result
 		situation attempt.Situation
 		step      attempt.Step
 	}{
-		"an answer":                                    {attempt.Finished, after(safe), attempt.Done},
-		"an answer at the deadline":                    {attempt.Finished, after(safe, until(now), contextEnded), attempt.Done},
-		"nothing sent, one endpoint":                   {attempt.NotSent, after(unsafe, sent(0), unreached(1)), attempt.TryNext},
-		"nothing sent, two endpoints":                  {attempt.NotSent, after(unsafe, sent(0), unreached(2)), attempt.TryNext},
-		"nothing sent, three endpoints":                {attempt.NotSent, after(unsafe, sent(0), unreached(3)), attempt.GiveUp},
-		"nothing sent, four endpoints":                 {attempt.NotSent, after(unsafe, sent(0), unreached(4)), attempt.GiveUp},
-		"nothing sent, and the time over":              {attempt.NotSent, after(unsafe, sent(0), unreached(1), contextEnded), attempt.GiveUp},
-		"nothing sent, and the caller gone":            {attempt.NotSent, after(unsafe, sent(0), unreached(1), callerLeft), attempt.GiveUp},
-		"nothing sent, the deadline by the clock only": {attempt.NotSent, after(unsafe, sent(0), unreached(1), until(now)), attempt.TryNext},
-		"nothing sent, all attempts used before":       {attempt.NotSent, after(unsafe, sent(2), unreached(1)), attempt.TryNext},
-		"nothing sent of a large body":                 {attempt.NotSent, after(unsafe, sent(0), unreached(1), bodyNotHeld), attempt.TryNext},
-
-		"not run":                                    {attempt.NotRun, after(unsafe), attempt.RetryWithinBudget},
-		"not run, no attempt left":                   {attempt.NotRun, after(unsafe, sent(2)), attempt.GiveUp},
-		"not run, more attempts than allowed":        {attempt.NotRun, after(unsafe, sent(3)), attempt.GiveUp},
-		"not run, a route without attempts":          {attempt.NotRun, after(noAttempts), attempt.GiveUp},
-		"not run, the body not held":                 {attempt.NotRun, after(unsafe, bodyNotHeld), attempt.GiveUp},
-		"not run, just before the deadline":          {attempt.NotRun, after(unsafe, until(now.Add(1))), attempt.RetryWithinBudget},
-		"not run, at the deadline":                   {attempt.NotRun, after(unsafe, until(now)), attempt.GiveUp},
-		"not run, after the deadline":                {attempt.NotRun, after(unsafe, until(now.Add(-1))), attempt.GiveUp},
-		"not run, the caller gone":                   {attempt.NotRun, after(unsafe, callerLeft), attempt.GiveUp},
-		"not run, but an attempt before it may have": {attempt.NotRun, after(unsafe, mayHaveRun), attempt.GiveUp},
-		"not run, a safe attempt before it may have": {attempt.NotRun, after(safe, mayHaveRun), attempt.RetryWithinBudget},
-
-		"uncertain, safe":                     {attempt.Uncertain, after(safe, mayHaveRun), attempt.RetryWithinBudget},
-		"uncertain, unsafe":                   {attempt.Uncertain, after(unsafe, mayHaveRun), attempt.GiveUp},
-		"uncertain, a stream":                 {attempt.Uncertain, after(stream, mayHaveRun), attempt.GiveUp},
-		"uncertain, a resumable stream":       {attempt.Uncertain, after(resumable, mayHaveRun), attempt.RetryWithinBudget},
-		"taken back, a stream":                {attempt.TakenBack, after(stream, mayHaveRun, takenBack), attempt.GiveUp},
-		"taken back, a resumable stream":      {attempt.TakenBack, after(resumable, mayHaveRun, takenBack), attempt.RetryWithinBudget},
-		"taken back, the last attempt":        {attempt.TakenBack, after(resumable, mayHaveRun, takenBack, sent(2)), attempt.GiveUp},
-		"taken back, the deadline has passed": {attempt.TakenBack, after(resumable, mayHaveRun, takenBack, until(now)), attempt.GiveUp},
-		"server error, safe":                  {attempt.ServerError, after(safe, mayHaveRun), attempt.RetryWithinBudget},
-		"server error, unsafe":                {attempt.ServerError, after(unsafe, mayHaveRun), attempt.GiveUp},
-		"broken off, safe":                    {attempt.BrokenOff, after(safe, mayHaveRun, headPassed), attempt.GiveUp},
-		"broken off, a stream":                {attempt.BrokenOff, after(stream, mayHaveRun, headPassed, eventPassed), attempt.GiveUp},
-		"broken off, a resumable stream":      {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed), attempt.RetryWithinBudget},
-		"broken off before the first event":   {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed), attempt.GiveUp},
-		"broken off, no further endpoint":     {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, sent(2)), attempt.RetryWithinBudget},
-		"broken off four times in place":      {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, sent(2), inPlace(4)), attempt.RetryWithinBudget},
-		"broken off, no attempt left":         {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, sent(2), inPlace(5)), attempt.GiveUp},
-		"refused once in place":               {attempt.NotRun, after(resumable, mayHaveRun, headPassed, eventPassed, sent(2), inPlace(1), refused), attempt.RetryWithinBudget},
-		"refused twice in place":              {attempt.NotRun, after(resumable, mayHaveRun, headPassed, eventPassed, sent(2), inPlace(2), refused), attempt.GiveUp},
-		"broken off since the caller left":    {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, callerLeft), attempt.GiveUp},
-		"broken off with the body not held":   {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, bodyNotHeld), attempt.GiveUp},
-		"broken off, the deadline has passed": {attempt.BrokenOff, after(resumable, mayHaveRun, headPassed, eventPassed, until(now)), attempt.GiveUp},
+		"response":                                                    {attempt.Finished, after(safe), attempt.Done},
+		"response at the deadline":                                    {attempt.Finished, after(safe, withDeadline(now), contextEnded), attempt.Done},
+		"nothing sent, one endpoint":                                  {attempt.NotSent, after(unsafe, sent(0), unreached(1)), attempt.TryNext},
+		"nothing sent, two endpoints":                                 {attempt.NotSent, after(unsafe, sent(0), unreached(2)), attempt.TryNext},
+		"nothing sent, three endpoints":                               {attempt.NotSent, after(unsafe, sent(0), unreached(3)), attempt.GiveUp},
+		"nothing sent, four endpoints":                                {attempt.NotSent, after(unsafe, sent(0), unreached(4)), attempt.GiveUp},
+		"nothing sent, context ended":                                 {attempt.NotSent, after(unsafe, sent(0), unreached(1), contextEnded), attempt.GiveUp},
+		"nothing sent, caller disconnected":                           {attempt.NotSent, after(unsafe, sent(0), unreached(1), callerLeft), attempt.GiveUp},
+		"nothing sent, deadline has passed but context has not ended": {attempt.NotSent, after(unsafe, sent(0), unreached(1), withDeadline(now)), attempt.TryNext},
+		"nothing sent, all attempts already used":                     {attempt.NotSent, after(unsafe, sent(2), unreached(1)), attempt.TryNext},
+		"nothing sent of a large body":                                {attempt.NotSent, after(unsafe, sent(0), unreached(1), bodyNotBuffered), attempt.TryNext},
+
+		"not run":                                                        {attempt.NotRun, after(unsafe), attempt.RetryWithinBudget},
+		"not run, no attempt left":                                       {attempt.NotRun, after(unsafe, sent(2)), attempt.GiveUp},
+		"not run, more attempts than allowed":                            {attempt.NotRun, after(unsafe, sent(3)), attempt.GiveUp},
+		"not run, a route without attempts":                              {attempt.NotRun, after(noAttempts), attempt.GiveUp},
+		"not run, body not buffered":                                     {attempt.NotRun, after(unsafe, bodyNotBuffered), attempt.GiveUp},
+		"not run, just before the deadline":                              {attempt.NotRun, after(unsafe, withDeadline(now.Add(1))), attempt.RetryWithinBudget},
+		"not run, at the deadline":                                       {attempt.NotRun, after(unsafe, withDeadline(now)), attempt.GiveUp},
+		"not run, after the deadline":                                    {attempt.NotRun, after(unsafe, withDeadline(now.Add(-1))), attempt.GiveUp},
+		"not run, caller disconnected":                                   {attempt.NotRun, after(unsafe, callerLeft), attempt.GiveUp},
+		"not run, but an earlier attempt may have run":                   {attempt.NotRun, after(unsafe, mayHaveRun), attempt.GiveUp},
+		"not run, but an earlier attempt of a safe request may have run": {attempt.NotRun, after(safe, mayHaveRun), attempt.RetryWithinBudget},
+
+		"uncertain, safe":                             {attempt.Uncertain, after(safe, mayHaveRun), attempt.RetryWithinBudget},
+		"uncertain, unsafe":                           {attempt.Uncertain, after(unsafe, mayHaveRun), attempt.GiveUp},
+		"uncertain, a stream":                         {attempt.Uncertain, after(stream, mayHaveRun), attempt.GiveUp},
+		"uncertain, a resumable stream":               {attempt.Uncertain, after(resumable, mayHaveRun), attempt.RetryWithinBudget},
+		"taken back, a stream":                        {attempt.TakenBack, after(stream, mayHaveRun, takenBack), attempt.GiveUp},
+		"taken back, a resumable stream":              {attempt.TakenBack, after(resumable, mayHaveRun, takenBack), attempt.RetryWithinBudget},
+		"taken back, the last attempt":                {attempt.TakenBack, after(resumable, mayHaveRun, takenBack, sent(2)), attempt.GiveUp},
+		"taken back, deadline has passed":             {attempt.TakenBack, after(resumable, mayHaveRun, takenBack, withDeadline(now)), attempt.GiveUp},
+		"server error, safe":                          {attempt.ServerError, after(safe, mayHaveRun), attempt.RetryWithinBudget},
+		"server error, unsafe":                        {attempt.ServerError, after(unsafe, mayHaveRun), attempt.GiveUp},
+		"interrupted, safe":                           {attempt.BrokenOff, after(safe, mayHaveRun, headForwarded), attempt.GiveUp},
+		"interrupted, a stream":                       {attempt.BrokenOff, after(stream, mayHaveRun, headForwarded, eventForwarded), attempt.GiveUp},
+		"interrupted, a resumable stream":             {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded), attempt.RetryWithinBudget},
+		"interrupted before the first event":          {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded), attempt.GiveUp},
+		"interrupted, no other endpoint left":         {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2)), attempt.RetryWithinBudget},
+		"interrupted four times in place":             {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(4)), attempt.RetryWithinBudget},
+		"interrupted five times in place":             {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(5)), attempt.GiveUp},
+		"refused once in place":                       {attempt.NotRun, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(1), refused), attempt.RetryWithinBudget},
+		"refused twice in place":                      {attempt.NotRun, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(2), refused), attempt.GiveUp},
+		"interrupted because the caller disconnected": {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, callerLeft), attempt.GiveUp},
+		"interrupted, body not buffered":              {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, bodyNotBuffered), attempt.GiveUp},
+		"interrupted, deadline has passed":            {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, withDeadline(now)), attempt.GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.step, attempt.Next(now, test.result, test.situation))
@@ -132,7 +132,7 @@
 	}
 }
 
-func TestWhichResultsProveThatARequestDidNotRun(t *testing.T) {
+func TestProvesNotRun(t *testing.T) {
 	for result, proves := range map[attempt.Result]bool{
 		attempt.NotSent: true, attempt.NotRun: true, attempt.Uncertain: false, attempt.TakenBack: false, attempt.ServerError: false, attempt.BrokenOff: false,
 		attempt.Finished: false, "": false,
--- a/services/entry/proxy/attempt/situation.go
+++ b/services/entry/proxy/attempt/situation.go
@@ -9,67 +9,68 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Result is how one attempt ended, as the log line "request" names it in each of its attempts.
+// Result is how an attempt ended, as the log line "request" reports it for each attempt.
 type Result string
 
 // The results of attempts.
 const (
-	// Finished: the caller has its answer.
+	// Finished means that the caller has the response.
 	Finished Result = "finished"
-	// NotSent: nothing arrived at the endpoint.
+	// NotSent means that nothing was sent to the endpoint.
 	NotSent Result = "not sent"
-	// NotRun: the endpoint proved that the request did not run.
+	// NotRun means that the endpoint proved that the request did not run.
 	NotRun Result = "not run"
-	// Uncertain: the request may have run, and nothing was answered yet.
+	// Uncertain means that the request may have run, and that no part of a response was forwarded.
 	Uncertain Result = "uncertain"
-	// ServerError: the endpoint answered with an error that may be worth a retry.
+	// ServerError means that the endpoint responded with an error that may justify a retry.
 	ServerError Result = "server error"
-	// TakenBack: the request was taken back from the endpoint, where it had not begun in time; nothing was answered yet. It may have
-	// run all the same, since its begin may not have been seen yet, or the endpoint may not drop it.
+	// TakenBack means that the request was taken back from the endpoint because it had not started to run in time, and that no part
+	// of a response was forwarded. It may have run nevertheless: its start may not have been observed yet, or the endpoint may not
+	// drop it.
 	TakenBack Result = "taken back"
-	// BrokenOff: the answer broke off after its head was passed on.
+	// BrokenOff means that the response was interrupted after its head was forwarded.
 	BrokenOff Result = "broken off"
 )
 
-// Situation is what is known of a request that has no whole answer yet.
+// Situation is the known state of a request that has no complete response yet.
 type Situation struct {
-	// Route is the route that the request matched; from the settings in force when it arrived.
+	// Route is the route that the request matched, from the settings in force when it arrived.
 	Route *deployment.Route
-	// Deadline is when the request ends whatever happens, see the function Deadline.
+	// Deadline is when the request ends in any case; see the function Deadline.
 	Deadline time.Time
-	// Sent is how many endpoints the request was sent to, the present one included; own count.
+	// Sent is the number of endpoints that the request was sent to, including the current one, as counted by this instance.
 	Sent int
-	// Unreached is how many endpoints nothing could be sent to; own count.
+	// Unreached is the number of endpoints to which nothing could be sent, as counted by this instance.
 	Unreached int
-	// InPlace is how often in a row, without a further event, the request was sent again to the endpoint whose events the caller has; own
-	// count.
+	// InPlace is how many times in a row, without a further event, the request was sent again to the endpoint that sent the caller's
+	// events, as counted by this instance.
 	InPlace int
-	// Refused says that the last attempt's endpoint refused the request; own record.
+	// Refused is set if the endpoint of the last attempt refused the request.
 	Refused bool
-	// MayHaveRun says that an attempt ended without proof that the request did not run; own record of all attempts.
+	// MayHaveRun is set if any attempt ended without proof that the request did not run.
 	MayHaveRun bool
-	// BodyHeld says that the whole body is in memory, so that it can be sent again; own record.
+	// BodyHeld is set if the whole body is in memory, so that it can be sent again.
 	BodyHeld bool
-	// HeadPassed says that the caller has the head of an answer; own record.
+	// HeadPassed is set if the caller has received the head of a response.
 	HeadPassed bool
-	// EventPassed says that the caller has a whole event with an id, after which its stream can go on; own record.
+	// EventPassed is set if the caller has received a complete event with an id, after which the stream can be resumed.
 	EventPassed bool
-	// BodyTooLarge says that the body turned out to be larger than the settings allow after some of it was sent; own record.
+	// BodyTooLarge is set if the body turned out to be larger than the settings allow after a part of it was sent.
 	BodyTooLarge bool
-	// TakenBack says that this instance took the request back from the present endpoint; own record.
+	// TakenBack is set if this instance took the request back from the current endpoint.
 	TakenBack bool
-	// Silent is for how long the present endpoint has sent nothing; own clock.
+	// Silent is for how long the current endpoint has sent nothing, on this instance's clock.
 	Silent time.Duration
-	// CallerLeft says that the caller closed its connection; from the request's own context.
+	// CallerLeft is set if the caller closed its connection, according to the request's context.
 	CallerLeft bool
-	// ProcessEnds says that the end of the process cuts the request off; from the cause of its context's end.
+	// ProcessEnds is set if the shutdown of the process aborts the request, according to the cancellation cause of its context.
 	ProcessEnds bool
-	// ContextEnded says that the request's own context is over: the caller left or the deadline has passed.
+	// ContextEnded is set if the request's context has ended: the caller disconnected or the deadline has passed.
 	ContextEnded bool
 }
 
-// timedOut reports whether the request's time is over. The connection's own deadline is the same and may end the exchange a
-// moment before the context says so.
+// timedOut reports whether the request's deadline has passed. The connection has the same deadline and may end the exchange a moment
+// before the context ends.
 func (s Situation) timedOut(now time.Time) bool {
 	return s.ContextEnded || !now.Before(s.Deadline)
 }
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -11,51 +11,52 @@
 )
 
 const (
-	// longestRequest bounds requests whose route and caller set no limit. Longer lets slow answers end, shorter frees what forgotten
-	// requests hold.
-	longestRequest = 10 * time.Minute
-	// retryTimeParts is in how many parts the time to the deadline is cut of an answer that comes whole: after one of them without its
-	// head, another endpoint is sent the request as well. More parts leave more time for that, fewer send less twice.
-	retryTimeParts = 2
-	// leastSearch is the shortest silence after which another endpoint is looked for. Longer leaves the last moments before a deadline to
-	// the present endpoint alone, shorter asks for places that can't answer any more.
-	leastSearch = 50 * time.Millisecond
-	// silentParts of silentParts + 1 parts, nine tenths, of the span that callers listen must have passed in silence for the endpoint to be
-	// blamed for a caller that left: callers count from when they sent, and by their own clocks. More parts blame fewer endpoints that
-	// stand still, fewer blame some whose caller left by chance.
-	silentParts = 9
-	// resumePauses is after how many of the route's pause targets without an event another endpoint is looked for, where the stream can go
-	// on there. More wait for a slow endpoint, fewer resume streams that would have gone on.
-	resumePauses = 4
-	// resumeWaitParts is of how many parts of the caller's silence time-out one is spent on waiting until the fleet's budget grants the
-	// retry of a stream that broke off. More parts give the stream up sooner, fewer leave less time for its next event.
-	resumeWaitParts = 2
-	// elsewhereTime is how long other endpoints are asked for a stream that broke off, before its own may take it as well. Longer spares an
-	// endpoint that fails, shorter resumes sooner where it is alone with the adapter.
-	elsewhereTime = 100 * time.Millisecond
+	// defaultRequestTimeout limits requests whose route and caller set no time-out. Longer lets slow responses complete, shorter
+	// releases sooner the resources of abandoned requests.
+	defaultRequestTimeout = 10 * time.Minute
+	// hedgeTimeDivisor divides the time to the deadline of a request with a response that is not a stream: after one such part
+	// without the response head, the request is sent to another endpoint as well. A higher value leaves more time for the second
+	// endpoint, a lower one duplicates fewer requests.
+	hedgeTimeDivisor = 2
+	// minHedgeDelay is the shortest silence after which another endpoint is searched for. Longer leaves the last moments before a
+	// deadline to the current endpoint alone, shorter acquires endpoints that can no longer respond in time.
+	minHedgeDelay = 50 * time.Millisecond
+	// silenceParts of silenceParts + 1 parts, nine tenths, of the time that callers wait must have passed in silence for a caller's
+	// disconnect to count against the endpoint: callers measure from when they sent, and on their own clocks. More parts miss more
+	// endpoints that are stuck, fewer parts count disconnects that happened by chance.
+	silenceParts = 9
+	// hedgePauseTargets is the number of the route's pause targets without an event after which another endpoint is searched for, if
+	// the stream can be resumed there. More waits longer for a slow endpoint, fewer resumes streams that would have continued.
+	hedgePauseTargets = 4
+	// retryTimeoutDivisor divides the caller's silence time-out: for one such part, an interrupted stream waits until the fleet's
+	// budget grants its retry. A higher value gives the stream up sooner, a lower one leaves less time for its next event.
+	retryTimeoutDivisor = 2
+	// otherEndpointsTimeout is how long only other endpoints are asked to resume an interrupted stream, before its own endpoint may
+	// as well. Longer protects an endpoint that fails, shorter resumes sooner if it is the only one with the adapter.
+	otherEndpointsTimeout = 100 * time.Millisecond
 )
 
-// Deadline is when a request ends whatever happens: after the shorter of the route's time-out (settings) and the caller's own
-// (its header; 0 where it did not say).
+// Deadline returns when a request ends in any case: after the shorter of the route's time-out (from the settings) and the caller's
+// (from its header; 0 if it specified none).
 func Deadline(arrived time.Time, route *deployment.Route, callerTimeout time.Duration) time.Time {
 	limit := route.Timeout
 	if callerTimeout > 0 && (limit <= 0 || callerTimeout < limit) {
 		limit = callerTimeout
 	}
 	if limit <= 0 {
-		limit = longestRequest
+		limit = defaultRequestTimeout
 	}
 	return arrived.Add(limit)
 }
 
-// WasSilent reports whether a stream's endpoint has sent nothing for about as long as callers of its route listen: a caller that leaves
-// then left for that.
+// WasSilent reports whether a stream's endpoint has sent nothing for about as long as callers of the route wait: a caller that
+// disconnects then did so because of the silence.
 func WasSilent(s Situation) bool {
-	return s.Route.Kind == deployment.Streaming && s.Silent >= admission.SilenceTimeout(s.Route)*silentParts/(silentParts+1)
+	return s.Route.Kind == deployment.Streaming && s.Silent >= admission.SilenceTimeout(s.Route)*silenceParts/(silenceParts+1)
 }
 
-// SearchAfter is after how long a silence of its endpoint a request is sent to another one as well; false where it may not be, or where
-// there is no time left for it. The present exchange goes on until the other endpoint's answer has begun.
+// SearchAfter returns the silence of its endpoint after which a request is sent to another endpoint as well; false if that is not
+// allowed or there is no time left. The current exchange continues until the other endpoint has started to respond.
 func SearchAfter(now time.Time, s Situation) (after time.Duration, searches bool) {
 	if !s.Route.Retryable() || s.Sent >= s.Route.MaxAttempts || !s.BodyHeld {
 		return 0, false
@@ -63,21 +64,21 @@
 	left := s.Deadline.Sub(now)
 	switch {
 	case s.Route.Kind != deployment.Streaming:
-		after = left / retryTimeParts
+		after = left / hedgeTimeDivisor
 	case !s.HeadPassed:
 		after = admission.SilenceTimeout(s.Route)
 	case s.EventPassed:
-		after = resumePauses * s.Route.PauseTarget
+		after = hedgePauseTargets * s.Route.PauseTarget
 	}
-	return after, after >= leastSearch && after < left
+	return after, after >= minHedgeDelay && after < left
 }
 
-// RetryWait is how long a stream that broke off waits for the fleet's budget.
+// RetryWait returns how long an interrupted stream waits for the fleet's budget to grant a retry.
 func RetryWait(route *deployment.Route) time.Duration {
-	return admission.SilenceTimeout(route) / resumeWaitParts
+	return admission.SilenceTimeout(route) / retryTimeoutDivisor
 }
 
-// ElsewhereTime is how long only other endpoints are asked to go on with a stream that broke off.
+// ElsewhereTime returns how long only other endpoints are asked to resume an interrupted stream.
 func ElsewhereTime() time.Duration {
-	return elsewhereTime
+	return otherEndpointsTimeout
 }
--- a/services/entry/proxy/attempt/timeout_test.go
+++ b/services/entry/proxy/attempt/timeout_test.go
@@ -17,15 +17,15 @@
 	for name, test := range map[string]struct {
 		route, caller, limit time.Duration
 	}{
-		"neither says":                     {0, 0, 10 * time.Minute},
-		"only the route":                   {3 * time.Second, 0, 3 * time.Second},
-		"only the caller":                  {0, 2 * time.Second, 2 * time.Second},
-		"only the caller, and very long":   {0, time.Hour, time.Hour},
-		"the caller is just shorter":       {3 * time.Second, 3*time.Second - 1, 3*time.Second - 1},
-		"both are the same":                {3 * time.Second, 3 * time.Second, 3 * time.Second},
-		"the caller is just longer":        {3 * time.Second, 3*time.Second + 1, 3 * time.Second},
-		"a negative time-out of the route": {-1, 0, 10 * time.Minute},
-		"a negative one of the caller":     {3 * time.Second, -1, 3 * time.Second},
+		"no time-out set":                 {0, 0, 10 * time.Minute},
+		"only the route":                  {3 * time.Second, 0, 3 * time.Second},
+		"only the caller":                 {0, 2 * time.Second, 2 * time.Second},
+		"only the caller, and very long":  {0, time.Hour, time.Hour},
+		"caller slightly shorter":         {3 * time.Second, 3*time.Second - 1, 3*time.Second - 1},
+		"equal time-outs":                 {3 * time.Second, 3 * time.Second, 3 * time.Second},
+		"caller slightly longer":          {3 * time.Second, 3*time.Second + 1, 3 * time.Second},
+		"negative time-out of the route":  {-1, 0, 10 * time.Minute},
+		"negative time-out of the caller": {3 * time.Second, -1, 3 * time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, now.Add(test.limit), attempt.Deadline(now, &deployment.Route{Timeout: test.route}, test.caller))
@@ -33,20 +33,21 @@
 	}
 }
 
-// TestACallerThatLeavesASilentEndpointTellsOfIt: callers of the routes listen for four targets of 0.8 s. One that leaves a little before,
-// by its own clock, still left for the silence; one that leaves sooner did not, and neither did one whose answer comes whole.
-func TestACallerThatLeavesASilentEndpointTellsOfIt(t *testing.T) {
+// TestEndpointWasSilent uses routes whose callers wait for four targets of 0.8 s. A caller that disconnects a little earlier, by its
+// own clock, still did so because of the silence; one that disconnects sooner did not, and neither did one whose response is not a
+// stream.
+func TestEndpointWasSilent(t *testing.T) {
 	for name, test := range map[string]struct {
 		situation attempt.Situation
 		silent    bool
 	}{
-		"a stream, all of the span":      {after(stream, silentFor(3200*time.Millisecond)), true},
-		"a stream, nine tenths of it":    {after(stream, silentFor(2880*time.Millisecond)), true},
-		"a stream, a little less":        {after(stream, silentFor(2880*time.Millisecond-1)), false},
-		"a resumable stream":             {after(resumable, silentFor(3200*time.Millisecond)), true},
-		"an answer that comes whole":     {after(unsafe, silentFor(time.Minute)), false},
-		"a safe one that comes whole":    {after(safe, silentFor(time.Minute)), false},
-		"a stream that goes on, at once": {after(stream), false},
+		"stream, whole silence time-out":      {after(stream, silentFor(3200*time.Millisecond)), true},
+		"stream, nine tenths of the time-out": {after(stream, silentFor(2880*time.Millisecond)), true},
+		"stream, less than nine tenths":       {after(stream, silentFor(2880*time.Millisecond-1)), false},
+		"a resumable stream":                  {after(resumable, silentFor(3200*time.Millisecond)), true},
+		"unsafe request without stream":       {after(unsafe, silentFor(time.Minute)), false},
+		"safe request without stream":         {after(safe, silentFor(time.Minute)), false},
+		"stream that continues":               {after(stream), false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.silent, attempt.WasSilent(test.situation))
@@ -56,7 +57,7 @@
 	assert.Equal(t, 1600*time.Millisecond, attempt.RetryWait(resumable))
 }
 
-func TestWhenAnotherEndpointIsLookedFor(t *testing.T) {
+func TestHedgeDelay(t *testing.T) {
 	unknownPause := &deployment.Route{Kind: deployment.Streaming, MaxAttempts: 2, Target: 800 * time.Millisecond, Resumable: true}
 	const least = 50 * time.Millisecond
 	for name, test := range map[string]struct {
@@ -64,24 +65,24 @@
 		after     time.Duration
 		searches  bool
 	}{
-		"a stream":                        {after(stream, headPassed, eventPassed), 0, false},
-		"a stream without a head":         {after(stream), 0, false},
-		"an unsafe request":               {after(unsafe), 0, false},
-		"a resumable stream":              {after(resumable, headPassed, eventPassed), time.Second, true},
-		"without a head":                  {after(resumable), 3200 * time.Millisecond, true},
-		"the last attempt":                {after(resumable, headPassed, eventPassed, sent(2)), 0, false},
-		"too many attempts":               {after(resumable, headPassed, eventPassed, sent(3)), 0, false},
-		"without a pause target":          {after(unknownPause, headPassed, eventPassed), 0, false},
-		"a body that is not held":         {after(resumable, headPassed, eventPassed, bodyNotHeld), 0, false},
-		"events without ids":              {after(resumable, headPassed), 0, false},
-		"the deadline just later":         {after(resumable, headPassed, eventPassed, until(now.Add(time.Second+1))), time.Second, true},
-		"the deadline just reached":       {after(resumable, headPassed, eventPassed, until(now.Add(time.Second))), 0, false},
-		"a safe request, an attempt left": {after(safe), 5 * time.Second, true},
-		"a safe request, the last one":    {after(safe, sent(2)), 0, false},
-		"a safe request, too many":        {after(safe, sent(3)), 0, false},
-		"a safe request, just in time":    {after(safe, until(now.Add(2*least))), least, true},
-		"a safe request, just too late":   {after(safe, until(now.Add(2*least-1))), 0, false},
-		"a safe request, at the deadline": {after(safe, until(now)), 0, false},
+		"a stream":                                         {after(stream, headForwarded, eventForwarded), 0, false},
+		"a stream without a head":                          {after(stream), 0, false},
+		"an unsafe request":                                {after(unsafe), 0, false},
+		"a resumable stream":                               {after(resumable, headForwarded, eventForwarded), time.Second, true},
+		"a resumable stream without a head":                {after(resumable), 3200 * time.Millisecond, true},
+		"no attempt left":                                  {after(resumable, headForwarded, eventForwarded, sent(2)), 0, false},
+		"too many attempts":                                {after(resumable, headForwarded, eventForwarded, sent(3)), 0, false},
+		"without a pause target":                           {after(unknownPause, headForwarded, eventForwarded), 0, false},
+		"a body that is not buffered":                      {after(resumable, headForwarded, eventForwarded, bodyNotBuffered), 0, false},
+		"events without ids":                               {after(resumable, headForwarded), 0, false},
+		"deadline slightly later":                          {after(resumable, headForwarded, eventForwarded, withDeadline(now.Add(time.Second+1))), time.Second, true},
+		"deadline reached":                                 {after(resumable, headForwarded, eventForwarded, withDeadline(now.Add(time.Second))), 0, false},
+		"a safe request":                                   {after(safe), 5 * time.Second, true},
+		"a safe request, no attempt left":                  {after(safe, sent(2)), 0, false},
+		"a safe request, too many attempts":                {after(safe, sent(3)), 0, false},
+		"a safe request, minimum delay left":               {after(safe, withDeadline(now.Add(2*least))), least, true},
+		"a safe request, less than the minimum delay left": {after(safe, withDeadline(now.Add(2*least-1))), 0, false},
+		"a safe request, at the deadline":                  {after(safe, withDeadline(now)), 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			after, searches := attempt.SearchAfter(now, test.situation)
@@ -93,15 +94,15 @@
 	}
 }
 
-func TestWhichStreamsGoOnInPlace(t *testing.T) {
-	assert.True(t, attempt.ResumesInPlace(after(resumable, eventPassed)))
-	assert.True(t, attempt.ResumesInPlace(after(resumable, eventPassed, inPlace(1))))
-	assert.True(t, attempt.ResumesInPlace(after(resumable, eventPassed, inPlace(4))))
-	assert.False(t, attempt.ResumesInPlace(after(resumable, eventPassed, inPlace(5))))
-	assert.False(t, attempt.ResumesInPlace(after(resumable)), "nothing was made that it could go on from")
-	assert.False(t, attempt.ResumesInPlace(after(stream, eventPassed)))
+func TestCanResumeInPlace(t *testing.T) {
+	assert.True(t, attempt.ResumesInPlace(after(resumable, eventForwarded)))
+	assert.True(t, attempt.ResumesInPlace(after(resumable, eventForwarded, inPlace(1))))
+	assert.True(t, attempt.ResumesInPlace(after(resumable, eventForwarded, inPlace(4))))
+	assert.False(t, attempt.ResumesInPlace(after(resumable, eventForwarded, inPlace(5))))
+	assert.False(t, attempt.ResumesInPlace(after(resumable)), "no event was forwarded from which the stream can be resumed")
+	assert.False(t, attempt.ResumesInPlace(after(stream, eventForwarded)))
 	assert.Equal(t, 100*time.Millisecond, attempt.ElsewhereTime())
 	for times, pause := range []time.Duration{0, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond} {
-		assert.Equal(t, pause, attempt.ResumePause(after(resumable, eventPassed, inPlace(times))), "after %d times", times)
+		assert.Equal(t, pause, attempt.ResumePause(after(resumable, eventForwarded, inPlace(times))), "after %d times", times)
 	}
 }
--- a/services/entry/proxy/attempt/verdict.go
+++ b/services/entry/proxy/attempt/verdict.go
@@ -10,36 +10,36 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// Verdict is what the end of an attempt says of the request and of its endpoint.
+// Verdict is what the end of an attempt means for the request and for the endpoint.
 type Verdict struct {
 	Result Result
 	// Outcome is how the exchange counts for the endpoint's health.
 	Outcome directory.Outcome
-	// Missing says that the endpoint does not hold the adapter, or not at the demanded version.
+	// Missing is set if the endpoint does not hold the adapter, or not at the required version.
 	Missing bool
 }
 
-// Failure is how an exchange failed before the head of an answer came.
+// Failure is how an exchange failed before a response head was received.
 type Failure int
 
-// The failures of exchanges, from package upstream.
+// The failures of exchanges, derived from the errors of package upstream.
 const (
-	// NoConnectionFree: all connections that are allowed to the endpoint are in use.
+	// NoConnectionFree means that all allowed connections to the endpoint are in use.
 	NoConnectionFree Failure = iota
-	// NothingWritten: no connection came about, or no byte of the request was written.
+	// NothingWritten means that no connection was established, or that no byte of the request was written.
 	NothingWritten
-	// ConnectionRefused: nothing listens at the endpoint's address.
+	// ConnectionRefused means that nothing listens at the endpoint's address.
 	ConnectionRefused
-	// NoHead: some or all of the request was written, and no head of an answer came.
+	// NoHead means that a part or all of the request was written, and that no response head was received.
 	NoHead
 )
 
-// JudgeFailure judges an exchange that ended without the head of an answer.
+// JudgeFailure returns the verdict on an exchange that failed before a response head was received.
 func JudgeFailure(failure Failure, s Situation) Verdict {
-	verdict := Verdict{Result: NotSent, Outcome: blame(s)}
+	verdict := Verdict{Result: NotSent, Outcome: failureOutcome(s)}
 	switch {
 	case failure == NoHead:
-		verdict.Result = unanswered(s)
+		verdict.Result = unansweredResult(s)
 	case failure == NoConnectionFree:
 		verdict.Outcome = directory.Neutral
 	case failure == ConnectionRefused && verdict.Outcome == directory.Broken:
@@ -48,62 +48,62 @@
 	return verdict
 }
 
-// blame is how an exchange that failed counts for its endpoint, which is not blamed where it was ended here or by the caller: the
-// request was taken back, the caller left, or sent too large a body. A caller that left after its endpoint's silence is the only one who
-// tells of an endpoint that stands still, since no exchange is ended here for silence.
-func blame(s Situation) directory.Outcome {
+// failureOutcome returns how a failed exchange counts for its endpoint. It does not count if this instance or the caller ended it:
+// the request was taken back, the caller disconnected, or its body was too large. The exception is a caller that disconnects after a
+// long silence of the endpoint: this is the only sign of an endpoint that is stuck, because no exchange is ended here for silence.
+func failureOutcome(s Situation) directory.Outcome {
 	if s.TakenBack || s.BodyTooLarge || (s.CallerLeft && !WasSilent(s)) {
 		return directory.Neutral
 	}
 	return directory.Broken
 }
 
-// unanswered is the result of an exchange of which nothing was passed on, and which may have run.
-func unanswered(s Situation) Result {
+// unansweredResult returns the result of an exchange of which nothing was forwarded, and which may have run.
+func unansweredResult(s Situation) Result {
 	if s.TakenBack {
 		return TakenBack
 	}
 	return Uncertain
 }
 
-// Head is the head of an endpoint's answer.
+// Head describes the head of an endpoint's response.
 type Head struct {
-	// Status is the endpoint's own.
+	// Status is the status code of the response.
 	Status int
-	// NotRun says that the answer proves that the request did not run and will not; from its header or status.
+	// NotRun is set if the header or status of the response proves that the request did not run and will not run.
 	NotRun bool
-	// FromEndpoint says that it bears the endpoint's own mark; from its header.
+	// FromEndpoint is set if the header of the response carries the endpoint's identifying mark.
 	FromEndpoint bool
-	// Resumes says that the caller has the head and some events of another endpoint's answer; own record.
+	// Resumes is set if the caller already has the head and some events of another endpoint's response.
 	Resumes bool
-	// Kind is that of the route; from the settings.
+	// Kind is the kind of the route, from the settings.
 	Kind deployment.RouteKind
 }
 
-// Handling is what to do with an answer after its head.
+// Handling is how a response is processed after its head.
 type Handling int
 
-// The ways to handle an answer.
+// The ways to process a response.
 const (
-	// Reject: pass nothing on; the verdict stands.
+	// Reject forwards nothing; the verdict applies.
 	Reject Handling = iota
-	// PassStream: pass the head and the events on as they come.
+	// PassStream forwards the head, and the events as they arrive.
 	PassStream
-	// ResumeStream: pass on the events only.
+	// ResumeStream forwards only the events.
 	ResumeStream
-	// PassWhole: pass on an answer that is no stream.
+	// PassWhole forwards a response that is not a stream.
 	PassWhole
 )
 
-// JudgeHead decides what to do with an answer. The verdict is that of rejected ones.
+// JudgeHead decides how a response is processed. The verdict is set for rejected responses only.
 func JudgeHead(head Head) (Handling, Verdict) {
 	success := head.Status < http.StatusMultipleChoices
 	switch {
 	case head.NotRun && head.Status != http.StatusBadRequest:
-		// A request that is wrong in itself would get the same answer everywhere: the caller gets it.
+		// A request that is itself invalid would get the same response from every endpoint, so the response is forwarded.
 		return Reject, Verdict{Result: NotRun, Outcome: directory.Refused, Missing: head.Status == http.StatusMisdirectedRequest}
 	case success && !head.FromEndpoint:
-		// Something on the way answered in the endpoint's place.
+		// An intermediary responded instead of the endpoint.
 		return Reject, Verdict{Result: Uncertain, Outcome: directory.Broken}
 	case head.Resumes && !success:
 		return Reject, Verdict{Result: BrokenOff, Outcome: directory.Errored}
@@ -116,7 +116,7 @@
 	}
 }
 
-// JudgeWhole judges an answer that was read whole before anything was passed on.
+// JudgeWhole returns the verdict on a response that was read completely before any part of it was forwarded.
 func JudgeWhole(status int) Verdict {
 	if IsServerError(status) {
 		return Verdict{Result: ServerError, Outcome: directory.Errored}
@@ -124,25 +124,25 @@
 	return Passed()
 }
 
-// IsServerError reports whether an answer's status says that its endpoint failed.
+// IsServerError reports whether a response status means that the endpoint failed.
 func IsServerError(status int) bool {
 	return status >= http.StatusInternalServerError
 }
 
-// Passed is the verdict on an answer that the caller has whole.
+// Passed returns the verdict on a response that was delivered completely.
 func Passed() Verdict {
 	return Verdict{Result: Finished, Outcome: directory.Succeeded}
 }
 
-// NotTaken is the verdict on an answer that its caller takes no more.
+// NotTaken returns the verdict on a response of which the caller accepts no more.
 func NotTaken() Verdict {
 	return Verdict{Result: BrokenOff, Outcome: directory.Neutral}
 }
 
-// JudgeBroken judges an answer whose body broke off.
+// JudgeBroken returns the verdict on a response whose body was interrupted.
 func JudgeBroken(s Situation) Verdict {
 	if s.HeadPassed {
-		return Verdict{Result: BrokenOff, Outcome: blame(s)}
+		return Verdict{Result: BrokenOff, Outcome: failureOutcome(s)}
 	}
-	return Verdict{Result: unanswered(s), Outcome: blame(s)}
+	return Verdict{Result: unansweredResult(s), Outcome: failureOutcome(s)}
 }
--- a/services/entry/proxy/attempt/verdict_test.go
+++ b/services/entry/proxy/attempt/verdict_test.go
@@ -21,19 +21,19 @@
 		situation attempt.Situation
 		verdict   attempt.Verdict
 	}{
-		"no connection free":                  {attempt.NoConnectionFree, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
-		"no connection free, the caller gone": {attempt.NoConnectionFree, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
-		"nothing written":                     {attempt.NothingWritten, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Broken}},
-		"connection refused":                  {attempt.ConnectionRefused, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Unreached}},
-		"connection refused, the caller gone": {attempt.ConnectionRefused, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
-		"nothing written, the caller gone":    {attempt.NothingWritten, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
-		"nothing written, taken back":         {attempt.NothingWritten, after(stream, takenBack), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
-		"no head":                             {attempt.NoHead, after(safe), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
-		"no head, the caller gone":            {attempt.NoHead, after(safe, callerLeft), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
-		"no head for long, the caller gone":   {attempt.NoHead, after(stream, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
-		"no head, the body too large":         {attempt.NoHead, after(safe, bodyTooLarge), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
-		"no head, taken back":                 {attempt.NoHead, after(stream, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
-		"no head to go on with, taken back":   {attempt.NoHead, after(resumable, headPassed, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
+		"no connection free":                                {attempt.NoConnectionFree, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"no connection free, caller disconnected":           {attempt.NoConnectionFree, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"nothing written":                                   {attempt.NothingWritten, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Broken}},
+		"connection refused":                                {attempt.ConnectionRefused, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Unreached}},
+		"connection refused, caller disconnected":           {attempt.ConnectionRefused, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"nothing written, caller disconnected":              {attempt.NothingWritten, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"nothing written, taken back":                       {attempt.NothingWritten, after(stream, takenBack), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"no head":                                           {attempt.NoHead, after(safe), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
+		"no head, caller disconnected":                      {attempt.NoHead, after(safe, callerLeft), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
+		"no head after a long silence, caller disconnected": {attempt.NoHead, after(stream, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
+		"no head, body too large":                           {attempt.NoHead, after(safe, bodyTooLarge), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
+		"no head, taken back":                               {attempt.NoHead, after(stream, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
+		"no head of a resumed stream, taken back":           {attempt.NoHead, after(resumable, headForwarded, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.verdict, attempt.JudgeFailure(test.failure, test.situation))
@@ -51,22 +51,22 @@
 		handling attempt.Handling
 		verdict  attempt.Verdict
 	}{
-		"not run":                         {attempt.Head{Status: http.StatusServiceUnavailable, NotRun: true}, attempt.Reject, notRun},
-		"not run, the adapter missing":    {attempt.Head{Status: http.StatusMisdirectedRequest, NotRun: true}, attempt.Reject, missing},
-		"not run, a resumed stream":       {attempt.Head{Status: http.StatusConflict, NotRun: true, Resumes: true}, attempt.Reject, notRun},
-		"a wrong request":                 {attempt.Head{Status: http.StatusBadRequest, NotRun: true}, attempt.PassWhole, attempt.Verdict{}},
-		"a success without the mark":      {attempt.Head{Status: http.StatusOK}, attempt.Reject, distrusted},
-		"the last success, without it":    {attempt.Head{Status: 299}, attempt.Reject, distrusted},
-		"the first other, without it":     {attempt.Head{Status: http.StatusMultipleChoices}, attempt.PassWhole, attempt.Verdict{}},
-		"an error without the mark":       {attempt.Head{Status: http.StatusInternalServerError}, attempt.PassWhole, attempt.Verdict{}},
-		"a plain answer":                  {attempt.Head{Status: http.StatusOK, FromEndpoint: true}, attempt.PassWhole, attempt.Verdict{}},
-		"an unsafe route's answer":        {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Unsafe}, attempt.PassWhole, attempt.Verdict{}},
-		"a stream":                        {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
-		"a stream's last success":         {attempt.Head{Status: 299, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
-		"a stream's error":                {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassWhole, attempt.Verdict{}},
-		"a resumed stream":                {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.ResumeStream, attempt.Verdict{}},
-		"a resumed stream's error":        {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, notResumed},
-		"a resumed stream without a mark": {attempt.Head{Status: http.StatusOK, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, distrusted},
+		"not run":                                {attempt.Head{Status: http.StatusServiceUnavailable, NotRun: true}, attempt.Reject, notRun},
+		"not run, adapter missing":               {attempt.Head{Status: http.StatusMisdirectedRequest, NotRun: true}, attempt.Reject, missing},
+		"not run, resumed stream":                {attempt.Head{Status: http.StatusConflict, NotRun: true, Resumes: true}, attempt.Reject, notRun},
+		"an invalid request":                     {attempt.Head{Status: http.StatusBadRequest, NotRun: true}, attempt.PassWhole, attempt.Verdict{}},
+		"success without mark":                   {attempt.Head{Status: http.StatusOK}, attempt.Reject, distrusted},
+		"highest success status without mark":    {attempt.Head{Status: 299}, attempt.Reject, distrusted},
+		"lowest other status without mark":       {attempt.Head{Status: http.StatusMultipleChoices}, attempt.PassWhole, attempt.Verdict{}},
+		"error without mark":                     {attempt.Head{Status: http.StatusInternalServerError}, attempt.PassWhole, attempt.Verdict{}},
+		"response without stream":                {attempt.Head{Status: http.StatusOK, FromEndpoint: true}, attempt.PassWhole, attempt.Verdict{}},
+		"response of an unsafe route":            {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Unsafe}, attempt.PassWhole, attempt.Verdict{}},
+		"a stream":                               {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
+		"stream with the highest success status": {attempt.Head{Status: 299, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
+		"error of a stream":                      {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassWhole, attempt.Verdict{}},
+		"a resumed stream":                       {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.ResumeStream, attempt.Verdict{}},
+		"error of a resumed stream":              {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, notResumed},
+		"resumed stream without mark":            {attempt.Head{Status: http.StatusOK, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, distrusted},
 	} {
 		t.Run(name, func(t *testing.T) {
 			handling, verdict := attempt.JudgeHead(test.head)
@@ -91,15 +91,15 @@
 		situation attempt.Situation
 		verdict   attempt.Verdict
 	}{
-		"nothing passed on":                   {after(safe), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
-		"nothing passed on, the caller gone":  {after(safe, callerLeft), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
-		"the head passed on":                  {after(stream, headPassed), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Broken}},
-		"the head passed on, the caller gone": {after(stream, headPassed, callerLeft), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
-		"silent for long, the caller gone":    {after(stream, headPassed, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Broken}},
-		"silent for long, taken back":         {after(stream, headPassed, takenBack, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
-		"taken back, nothing passed on":       {after(stream, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
-		"taken back, the head passed on":      {after(stream, headPassed, takenBack), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
-		"the deadline has passed":             {after(safe, contextEnded), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
+		"nothing forwarded":                      {after(safe), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
+		"nothing forwarded, caller disconnected": {after(safe, callerLeft), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
+		"head forwarded":                         {after(stream, headForwarded), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Broken}},
+		"head forwarded, caller disconnected":    {after(stream, headForwarded, callerLeft), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
+		"long silence, caller disconnected":      {after(stream, headForwarded, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Broken}},
+		"long silence, taken back":               {after(stream, headForwarded, takenBack, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
+		"taken back, nothing forwarded":          {after(stream, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
+		"taken back, head forwarded":             {after(stream, headForwarded, takenBack), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
+		"deadline has passed":                    {after(safe, contextEnded), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.verdict, attempt.JudgeBroken(test.situation))
