--- a/services/entry/proxy/acquire.go
+++ b/services/entry/proxy/acquire.go
@@ -59,9 +59,9 @@
 		return r.acquireEndpoint(r.context)
 	}
 	situation := r.situation()
-	if attempt.ResumesInPlace(situation) {
-		found, err := r.acquireElsewhereOrInPlace(attempt.ResumesElsewhere(situation))
-		if err == nil || !attempt.ResumesElsewhere(situation) {
+	if attempt.CanResumeInPlace(situation) {
+		found, err := r.acquireElsewhereOrInPlace(attempt.CanResumeElsewhere(situation))
+		if err == nil || !attempt.CanResumeElsewhere(situation) {
 			return found, err
 		}
 	}
@@ -77,7 +77,7 @@
 			return found, nil
 		}
 	}
-	if err := r.wait(attempt.ResumePause(r.situation())); err != nil {
+	if err := r.wait(attempt.ResumeBackoff(r.situation())); err != nil {
 		return placement{}, err
 	}
 	return r.acquireWithTimeout(r.tried, r.lastServed)
@@ -98,7 +98,7 @@
 
 // acquireWithTimeout is acquireToResume with the time-out for which other endpoints are preferred to the one that served the stream.
 func (r *inflight) acquireWithTimeout(tried []deployment.EndpointID, only deployment.EndpointID) (placement, error) {
-	ctx, cancel := context.WithTimeout(r.context, attempt.ElsewhereTime())
+	ctx, cancel := context.WithTimeout(r.context, attempt.OtherEndpointsTimeout())
 	defer cancel()
 	return r.acquireToResume(ctx, tried, only)
 }
@@ -106,7 +106,7 @@
 // acquireRetry asks the fleet's budget for a retry. For an interrupted stream it keeps asking for as long as the caller is expected
 // to wait, because there is no other way to continue the stream.
 func (r *inflight) acquireRetry() bool {
-	until := r.service.options.Now().Add(attempt.RetryWait(r.request.Route))
+	until := r.service.options.Now().Add(attempt.RetryTimeout(r.request.Route))
 	for !r.service.control.TakeRetry(r.request.Service) {
 		if r.response.status == 0 || !r.service.options.Now().Before(until) {
 			return false
@@ -147,7 +147,7 @@
 // discardSuccessor ends the exchange with a successor that is not needed because the former endpoint completed the response.
 func (r *inflight) discardSuccessor() {
 	if r.successor != nil {
-		r.successor.cancelFunc(attempt.ByFormer)()
+		r.successor.cancelFunc(attempt.EndedByFormerEndpoint)()
 		r.successor.discard()
 		r.records = append(r.records, r.successor.close(attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}))
 		r.successor = nil
--- a/services/entry/proxy/attempt/end_cause.go
+++ b/services/entry/proxy/attempt/end_cause.go
@@ -3,25 +3,25 @@
 
 package attempt
 
-// Ender is what ended an attempt without a complete response, as the log line "request" names it.
-type Ender string
+// EndCause is what ended an attempt without a complete response, as the log line "request" names it.
+type EndCause string
 
 // The causes for the end of an attempt.
 const (
-	// ByEndpoint means that the endpoint ended the attempt, or that the connection to it failed.
-	ByEndpoint Ender = "endpoint"
-	// ByCaller means that the caller closed its connection, or accepts no more of the response.
-	ByCaller Ender = "caller"
-	// ByDeadline means that the request's deadline passed.
-	ByDeadline Ender = "deadline"
-	// ByProcess means that the shutdown of the process aborted the attempt.
-	ByProcess Ender = "process"
-	// BySuccessor means that this instance gave up the attempt in favor of another endpoint that has started to respond.
-	BySuccessor Ender = "successor"
-	// ByFormer means that this instance gave up the attempt because the endpoint that was sent the request before continued.
-	ByFormer Ender = "former endpoint"
-	// ByTakeBack means that this instance took the request back because it had not started to run in time.
-	ByTakeBack Ender = "take back"
-	// ByBody means that the request's body turned out to be too large.
-	ByBody Ender = "body"
+	// EndedByEndpoint means that the endpoint ended the attempt, or that the connection to it failed.
+	EndedByEndpoint EndCause = "endpoint"
+	// EndedByCaller means that the caller closed its connection, or accepts no more of the response.
+	EndedByCaller EndCause = "caller"
+	// EndedByDeadline means that the request's deadline passed.
+	EndedByDeadline EndCause = "deadline"
+	// EndedByShutdown means that the shutdown of the process aborted the attempt.
+	EndedByShutdown EndCause = "process"
+	// EndedBySuccessor means that this instance gave up the attempt in favor of another endpoint that has started to respond.
+	EndedBySuccessor EndCause = "successor"
+	// EndedByFormerEndpoint means that this instance gave up the attempt because the endpoint that was sent the request before continued.
+	EndedByFormerEndpoint EndCause = "former endpoint"
+	// EndedByTakeBack means that this instance took the request back because it had not started to run in time.
+	EndedByTakeBack EndCause = "take back"
+	// EndedByBodyLimit means that the request's body turned out to be too large.
+	EndedByBodyLimit EndCause = "body"
 )
--- a/services/entry/proxy/attempt/ending.go
+++ b/services/entry/proxy/attempt/ending.go
@@ -20,17 +20,17 @@
 	EndpointError Reason = "error of the endpoint"
 	// CallerLeft means that the caller closed its connection.
 	CallerLeft Reason = "caller left"
-	// StreamBrokeOff means that the endpoint ended a response after a part of it was forwarded, and that the response could not be
+	// StreamInterrupted means that the endpoint ended a response after a part of it was forwarded, and that the response could not be
 	// resumed. It is also used for a deadline that passes during a stream, for a response without a stream that is interrupted after
 	// its beginning was forwarded, and for a resumable stream whose retry the fleet's budget refused.
-	StreamBrokeOff Reason = "stream broke off"
+	StreamInterrupted Reason = "stream broke off"
 	// RefusedByEndpoint means that the request certainly did not run: the endpoint reported so, or nothing could be sent.
 	RefusedByEndpoint Reason = "refused by the endpoint"
 	// TimedOut means that the request may have run, and that its deadline has passed.
 	TimedOut Reason = "timed out"
-	// NotBegunInTime means that the request was taken back from an endpoint with a former adapter version, because it had not started
+	// NotStartedInTime means that the request was taken back from an endpoint with a former adapter version, because it had not started
 	// to run in time there. It may have run, and no retry was allowed.
-	NotBegunInTime Reason = "not begun in time"
+	NotStartedInTime Reason = "not begun in time"
 	// NoAnswer means that the request may have run, that the endpoint sent no response, and that no retry was allowed.
 	NoAnswer Reason = "no answer from the endpoint"
 	// StreamNotResumed means that a stream was interrupted and no other endpoint could continue it, or that the caller disconnected
@@ -52,8 +52,8 @@
 const (
 	// Refuse sends an error response that this instance generates.
 	Refuse Closing = iota
-	// PassError forwards the endpoint's error response, which was read completely.
-	PassError
+	// ForwardError forwards the endpoint's error response, which was read completely.
+	ForwardError
 	// Abort closes the connection, so that the part that was forwarded cannot be taken for a complete response.
 	Abort
 )
@@ -101,15 +101,15 @@
 	Stopping = Ending{Status: http.StatusServiceUnavailable, Reason: "stopping", RetryAfter: stoppingRetryAfter}
 )
 
-// Unread is why a request's body could not be read, according to the error.
-type Unread struct {
+// BodyFailure is why a request's body could not be read, according to the error.
+type BodyFailure struct {
 	// TooLarge is set if the body is larger than the settings allow, TimedOut if the deadline passed, CallerLeft if the connection
 	// was closed.
 	TooLarge, TimedOut, CallerLeft bool
 }
 
-// EndUnread decides how a request ends whose body could not be read, before an endpoint is chosen.
-func EndUnread(u Unread) Ending {
+// EndBodyFailure decides how a request ends whose body could not be read, before an endpoint is chosen.
+func EndBodyFailure(u BodyFailure) Ending {
 	switch {
 	case u.TooLarge:
 		return BodyTooLarge
@@ -127,13 +127,13 @@
 func End(now time.Time, last Result, s Situation) Ending {
 	switch {
 	case last == ServerError:
-		return Ending{Closing: PassError, Reason: EndpointError}
+		return Ending{Closing: ForwardError, Reason: EndpointError}
 	case s.CallerLeft:
 		return Ending{Closing: Abort, Reason: CallerLeft}
-	case s.HeadPassed && s.ProcessEnds:
+	case s.HeadForwarded && s.ProcessEnds:
 		return Ending{Closing: Abort, Reason: ProcessEnded}
-	case s.HeadPassed:
-		return Ending{Closing: Abort, Reason: StreamBrokeOff}
+	case s.HeadForwarded:
+		return Ending{Closing: Abort, Reason: StreamInterrupted}
 	case s.BodyTooLarge:
 		return BodyTooLarge
 	case !s.MayHaveRun:
@@ -143,7 +143,7 @@
 	case s.timedOut(now):
 		return Ending{Status: http.StatusGatewayTimeout, Reason: TimedOut}
 	case last == TakenBack:
-		return Ending{Status: http.StatusBadGateway, Reason: NotBegunInTime}
+		return Ending{Status: http.StatusBadGateway, Reason: NotStartedInTime}
 	default:
 		return Ending{Status: http.StatusBadGateway, Reason: NoAnswer}
 	}
@@ -153,9 +153,9 @@
 // if the wait ended for another reason. Unlike in End, a head that was forwarded takes precedence over a caller that disconnected.
 func EndWithoutEndpoint(s Situation, refusal *admission.Decision) Ending {
 	switch {
-	case s.HeadPassed && s.ProcessEnds:
+	case s.HeadForwarded && s.ProcessEnds:
 		return Ending{Closing: Abort, Reason: ProcessEnded}
-	case s.HeadPassed:
+	case s.HeadForwarded:
 		return Ending{Closing: Abort, Reason: StreamNotResumed}
 	case s.CallerLeft:
 		return Ending{Closing: Abort, Reason: CallerLeft}
--- a/services/entry/proxy/attempt/retry.go
+++ b/services/entry/proxy/attempt/retry.go
@@ -38,31 +38,31 @@
 	initialResumeBackoff = 100 * time.Millisecond
 )
 
-// ResumesInPlace reports whether a stream may be resumed at the endpoint that sent the caller's events, which does not count as a
+// CanResumeInPlace reports whether a stream may be resumed at the endpoint that sent the caller's events, which does not count as a
 // further endpoint.
-func ResumesInPlace(s Situation) bool {
+func CanResumeInPlace(s Situation) bool {
 	limit := maxResumesInPlace
 	if s.Refused {
 		limit = maxRefusedInPlace
 	}
-	return s.EventPassed && s.Route.Resumable && s.InPlace < limit
+	return s.EventForwarded && s.Route.Resumable && s.InPlace < limit
 }
 
-// ResumePause returns how long a stream waits before it is resumed at the same endpoint; 0 the first time after an event.
-func ResumePause(s Situation) time.Duration {
+// ResumeBackoff returns how long a stream waits before it is resumed at the same endpoint; 0 the first time after an event.
+func ResumeBackoff(s Situation) time.Duration {
 	if s.InPlace == 0 {
 		return 0
 	}
 	return initialResumeBackoff << (s.InPlace - 1)
 }
 
-// ResumesElsewhere reports whether a stream may be resumed at an endpoint that was not sent the request yet.
-func ResumesElsewhere(s Situation) bool {
+// CanResumeElsewhere reports whether a stream may be resumed at an endpoint that was not sent the request yet.
+func CanResumeElsewhere(s Situation) bool {
 	return s.Sent < s.Route.MaxAttempts
 }
 
-// Next decides what follows the end of an attempt.
-func Next(now time.Time, result Result, s Situation) Step {
+// NextStep decides what follows the end of an attempt.
+func NextStep(now time.Time, result Result, s Situation) Step {
 	switch result {
 	case Finished:
 		return Done
@@ -80,16 +80,16 @@
 
 // mayRetry reports whether the request may be sent to another endpoint, regardless of the fleet's budget.
 func mayRetry(now time.Time, result Result, s Situation) bool {
-	if s.timedOut(now) || !s.BodyHeld {
+	if s.timedOut(now) || !s.BodyBuffered {
 		return false
 	}
-	if !ResumesElsewhere(s) && !ResumesInPlace(s) {
+	if !CanResumeElsewhere(s) && !CanResumeInPlace(s) {
 		return false
 	}
 	if s.MayHaveRun && !s.Route.Retryable() {
 		return false
 	}
-	return result != BrokenOff || s.EventPassed
+	return result != Interrupted || s.EventForwarded
 }
 
 // ProvesNotRun reports whether the result of an attempt proves that the request did not run.
@@ -99,10 +99,10 @@
 
 // MayHaveRun reports whether the request may have run in an attempt with this result that got no complete response.
 func MayHaveRun(result Result) bool {
-	return !ProvesNotRun(result) && !BringsAnswer(result)
+	return !ProvesNotRun(result) && !HasCompleteResponse(result)
 }
 
-// BringsAnswer reports whether an attempt with this result got a complete response, including a refusal.
-func BringsAnswer(result Result) bool {
+// HasCompleteResponse reports whether an attempt with this result got a complete response, including a refusal.
+func HasCompleteResponse(result Result) bool {
 	return result == Finished || result == NotRun || result == ServerError
 }
--- a/services/entry/proxy/attempt/retry_test.go
+++ b/services/entry/proxy/attempt/retry_test.go
@@ -27,7 +27,7 @@
 
 // after returns the situation after a request of a route was sent to the first endpoint, with changes.
 func after(route *deployment.Route, changes ...func(*attempt.Situation)) attempt.Situation {
-	s := attempt.Situation{Route: route, Deadline: deadline, Sent: 1, BodyHeld: true}
+	s := attempt.Situation{Route: route, Deadline: deadline, Sent: 1, BodyBuffered: true}
 	for _, change := range changes {
 		change(&s)
 	}
@@ -35,12 +35,12 @@
 }
 
 func mayHaveRun(s *attempt.Situation)      { s.MayHaveRun = true }
-func headForwarded(s *attempt.Situation)   { s.HeadPassed = true }
-func eventForwarded(s *attempt.Situation)  { s.EventPassed = true }
+func headForwarded(s *attempt.Situation)   { s.HeadForwarded = true }
+func eventForwarded(s *attempt.Situation)  { s.EventForwarded = true }
 func contextEnded(s *attempt.Situation)    { s.ContextEnded = true }
 func takenBack(s *attempt.Situation)       { s.TakenBack = true }
 func bodyTooLarge(s *attempt.Situation)    { s.BodyTooLarge = true }
-func bodyNotBuffered(s *attempt.Situation) { s.BodyHeld = false }
+func bodyNotBuffered(s *attempt.Situation) { s.BodyBuffered = false }
 
 func inPlace(count int) func(*attempt.Situation) {
 	return func(s *attempt.Situation) { s.InPlace = count }
@@ -113,28 +113,28 @@
 		"taken back, deadline has passed":             {attempt.TakenBack, after(resumable, mayHaveRun, takenBack, withDeadline(now)), attempt.GiveUp},
 		"server error, safe":                          {attempt.ServerError, after(safe, mayHaveRun), attempt.RetryWithinBudget},
 		"server error, unsafe":                        {attempt.ServerError, after(unsafe, mayHaveRun), attempt.GiveUp},
-		"interrupted, safe":                           {attempt.BrokenOff, after(safe, mayHaveRun, headForwarded), attempt.GiveUp},
-		"interrupted, a stream":                       {attempt.BrokenOff, after(stream, mayHaveRun, headForwarded, eventForwarded), attempt.GiveUp},
-		"interrupted, a resumable stream":             {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded), attempt.RetryWithinBudget},
-		"interrupted before the first event":          {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded), attempt.GiveUp},
-		"interrupted, no other endpoint left":         {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2)), attempt.RetryWithinBudget},
-		"interrupted four times in place":             {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(4)), attempt.RetryWithinBudget},
-		"interrupted five times in place":             {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(5)), attempt.GiveUp},
+		"interrupted, safe":                           {attempt.Interrupted, after(safe, mayHaveRun, headForwarded), attempt.GiveUp},
+		"interrupted, a stream":                       {attempt.Interrupted, after(stream, mayHaveRun, headForwarded, eventForwarded), attempt.GiveUp},
+		"interrupted, a resumable stream":             {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded, eventForwarded), attempt.RetryWithinBudget},
+		"interrupted before the first event":          {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded), attempt.GiveUp},
+		"interrupted, no other endpoint left":         {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2)), attempt.RetryWithinBudget},
+		"interrupted four times in place":             {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(4)), attempt.RetryWithinBudget},
+		"interrupted five times in place":             {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(5)), attempt.GiveUp},
 		"refused once in place":                       {attempt.NotRun, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(1), refused), attempt.RetryWithinBudget},
 		"refused twice in place":                      {attempt.NotRun, after(resumable, mayHaveRun, headForwarded, eventForwarded, sent(2), inPlace(2), refused), attempt.GiveUp},
-		"interrupted because the caller disconnected": {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, callerLeft), attempt.GiveUp},
-		"interrupted, body not buffered":              {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, bodyNotBuffered), attempt.GiveUp},
-		"interrupted, deadline has passed":            {attempt.BrokenOff, after(resumable, mayHaveRun, headForwarded, eventForwarded, withDeadline(now)), attempt.GiveUp},
+		"interrupted because the caller disconnected": {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded, eventForwarded, callerLeft), attempt.GiveUp},
+		"interrupted, body not buffered":              {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded, eventForwarded, bodyNotBuffered), attempt.GiveUp},
+		"interrupted, deadline has passed":            {attempt.Interrupted, after(resumable, mayHaveRun, headForwarded, eventForwarded, withDeadline(now)), attempt.GiveUp},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.step, attempt.Next(now, test.result, test.situation))
+			assert.Equal(t, test.step, attempt.NextStep(now, test.result, test.situation))
 		})
 	}
 }
 
 func TestProvesNotRun(t *testing.T) {
 	for result, proves := range map[attempt.Result]bool{
-		attempt.NotSent: true, attempt.NotRun: true, attempt.Uncertain: false, attempt.TakenBack: false, attempt.ServerError: false, attempt.BrokenOff: false,
+		attempt.NotSent: true, attempt.NotRun: true, attempt.Uncertain: false, attempt.TakenBack: false, attempt.ServerError: false, attempt.Interrupted: false,
 		attempt.Finished: false, "": false,
 	} {
 		assert.Equal(t, proves, attempt.ProvesNotRun(result), "%q", result)
--- a/services/entry/proxy/attempt/situation.go
+++ b/services/entry/proxy/attempt/situation.go
@@ -28,8 +28,8 @@
 	// of a response was forwarded. It may have run nevertheless: its start may not have been observed yet, or the endpoint may not
 	// drop it.
 	TakenBack Result = "taken back"
-	// BrokenOff means that the response was interrupted after its head was forwarded.
-	BrokenOff Result = "broken off"
+	// Interrupted means that the response was interrupted after its head was forwarded.
+	Interrupted Result = "broken off"
 )
 
 // Situation is the known state of a request that has no complete response yet.
@@ -49,12 +49,12 @@
 	Refused bool
 	// MayHaveRun is set if any attempt ended without proof that the request did not run.
 	MayHaveRun bool
-	// BodyHeld is set if the whole body is in memory, so that it can be sent again.
-	BodyHeld bool
-	// HeadPassed is set if the caller has received the head of a response.
-	HeadPassed bool
-	// EventPassed is set if the caller has received a complete event with an id, after which the stream can be resumed.
-	EventPassed bool
+	// BodyBuffered is set if the whole body is in memory, so that it can be sent again.
+	BodyBuffered bool
+	// HeadForwarded is set if the caller has received the head of a response.
+	HeadForwarded bool
+	// EventForwarded is set if the caller has received a complete event with an id, after which the stream can be resumed.
+	EventForwarded bool
 	// BodyTooLarge is set if the body turned out to be larger than the settings allow after a part of it was sent.
 	BodyTooLarge bool
 	// TakenBack is set if this instance took the request back from the current endpoint.
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -49,36 +49,36 @@
 	return arrived.Add(limit)
 }
 
-// WasSilent reports whether a stream's endpoint has sent nothing for about as long as callers of the route wait: a caller that
+// EndpointWasSilent reports whether a stream's endpoint has sent nothing for about as long as callers of the route wait: a caller that
 // disconnects then did so because of the silence.
-func WasSilent(s Situation) bool {
+func EndpointWasSilent(s Situation) bool {
 	return s.Route.Kind == deployment.Streaming && s.Silent >= admission.SilenceTimeout(s.Route)*silenceParts/(silenceParts+1)
 }
 
-// SearchAfter returns the silence of its endpoint after which a request is sent to another endpoint as well; false if that is not
+// HedgeDelay returns the silence of its endpoint after which a request is sent to another endpoint as well; false if that is not
 // allowed or there is no time left. The current exchange continues until the other endpoint has started to respond.
-func SearchAfter(now time.Time, s Situation) (after time.Duration, searches bool) {
-	if !s.Route.Retryable() || s.Sent >= s.Route.MaxAttempts || !s.BodyHeld {
+func HedgeDelay(now time.Time, s Situation) (after time.Duration, searches bool) {
+	if !s.Route.Retryable() || s.Sent >= s.Route.MaxAttempts || !s.BodyBuffered {
 		return 0, false
 	}
 	left := s.Deadline.Sub(now)
 	switch {
 	case s.Route.Kind != deployment.Streaming:
 		after = left / hedgeTimeDivisor
-	case !s.HeadPassed:
+	case !s.HeadForwarded:
 		after = admission.SilenceTimeout(s.Route)
-	case s.EventPassed:
+	case s.EventForwarded:
 		after = hedgePauseTargets * s.Route.PauseTarget
 	}
 	return after, after >= minHedgeDelay && after < left
 }
 
-// RetryWait returns how long an interrupted stream waits for the fleet's budget to grant a retry.
-func RetryWait(route *deployment.Route) time.Duration {
+// RetryTimeout returns how long an interrupted stream waits for the fleet's budget to grant a retry.
+func RetryTimeout(route *deployment.Route) time.Duration {
 	return admission.SilenceTimeout(route) / retryTimeoutDivisor
 }
 
-// ElsewhereTime returns how long only other endpoints are asked to resume an interrupted stream.
-func ElsewhereTime() time.Duration {
+// OtherEndpointsTimeout returns how long only other endpoints are asked to resume an interrupted stream.
+func OtherEndpointsTimeout() time.Duration {
 	return otherEndpointsTimeout
 }
--- a/services/entry/proxy/attempt/timeout_test.go
+++ b/services/entry/proxy/attempt/timeout_test.go
@@ -50,11 +50,11 @@
 		"stream that continues":               {after(stream), false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.silent, attempt.WasSilent(test.situation))
+			assert.Equal(t, test.silent, attempt.EndpointWasSilent(test.situation))
 		})
 	}
-	assert.Equal(t, 1600*time.Millisecond, attempt.RetryWait(stream))
-	assert.Equal(t, 1600*time.Millisecond, attempt.RetryWait(resumable))
+	assert.Equal(t, 1600*time.Millisecond, attempt.RetryTimeout(stream))
+	assert.Equal(t, 1600*time.Millisecond, attempt.RetryTimeout(resumable))
 }
 
 func TestHedgeDelay(t *testing.T) {
@@ -85,7 +85,7 @@
 		"a safe request, at the deadline":                  {after(safe, withDeadline(now)), 0, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			after, searches := attempt.SearchAfter(now, test.situation)
+			after, searches := attempt.HedgeDelay(now, test.situation)
 			assert.Equal(t, test.searches, searches)
 			if searches {
 				assert.Equal(t, test.after, after)
@@ -95,14 +95,14 @@
 }
 
 func TestCanResumeInPlace(t *testing.T) {
-	assert.True(t, attempt.ResumesInPlace(after(resumable, eventForwarded)))
-	assert.True(t, attempt.ResumesInPlace(after(resumable, eventForwarded, inPlace(1))))
-	assert.True(t, attempt.ResumesInPlace(after(resumable, eventForwarded, inPlace(4))))
-	assert.False(t, attempt.ResumesInPlace(after(resumable, eventForwarded, inPlace(5))))
-	assert.False(t, attempt.ResumesInPlace(after(resumable)), "no event was forwarded from which the stream can be resumed")
-	assert.False(t, attempt.ResumesInPlace(after(stream, eventForwarded)))
-	assert.Equal(t, 100*time.Millisecond, attempt.ElsewhereTime())
+	assert.True(t, attempt.CanResumeInPlace(after(resumable, eventForwarded)))
+	assert.True(t, attempt.CanResumeInPlace(after(resumable, eventForwarded, inPlace(1))))
+	assert.True(t, attempt.CanResumeInPlace(after(resumable, eventForwarded, inPlace(4))))
+	assert.False(t, attempt.CanResumeInPlace(after(resumable, eventForwarded, inPlace(5))))
+	assert.False(t, attempt.CanResumeInPlace(after(resumable)), "no event was forwarded from which the stream can be resumed")
+	assert.False(t, attempt.CanResumeInPlace(after(stream, eventForwarded)))
+	assert.Equal(t, 100*time.Millisecond, attempt.OtherEndpointsTimeout())
 	for times, pause := range []time.Duration{0, 100 * time.Millisecond, 200 * time.Millisecond, 400 * time.Millisecond, 800 * time.Millisecond} {
-		assert.Equal(t, pause, attempt.ResumePause(after(resumable, eventForwarded, inPlace(times))), "after %d times", times)
+		assert.Equal(t, pause, attempt.ResumeBackoff(after(resumable, eventForwarded, inPlace(times))), "after %d times", times)
 	}
 }
--- a/services/entry/proxy/attempt/verdict.go
+++ b/services/entry/proxy/attempt/verdict.go
@@ -52,7 +52,7 @@
 // the request was taken back, the caller disconnected, or its body was too large. The exception is a caller that disconnects after a
 // long silence of the endpoint: this is the only sign of an endpoint that is stuck, because no exchange is ended here for silence.
 func failureOutcome(s Situation) directory.Outcome {
-	if s.TakenBack || s.BodyTooLarge || (s.CallerLeft && !WasSilent(s)) {
+	if s.TakenBack || s.BodyTooLarge || (s.CallerLeft && !EndpointWasSilent(s)) {
 		return directory.Neutral
 	}
 	return directory.Broken
@@ -87,12 +87,12 @@
 const (
 	// Reject forwards nothing; the verdict applies.
 	Reject Handling = iota
-	// PassStream forwards the head, and the events as they arrive.
-	PassStream
+	// ForwardStream forwards the head, and the events as they arrive.
+	ForwardStream
 	// ResumeStream forwards only the events.
 	ResumeStream
-	// PassWhole forwards a response that is not a stream.
-	PassWhole
+	// ForwardWhole forwards a response that is not a stream.
+	ForwardWhole
 )
 
 // JudgeHead decides how a response is processed. The verdict is set for rejected responses only.
@@ -106,13 +106,13 @@
 		// An intermediary responded instead of the endpoint.
 		return Reject, Verdict{Result: Uncertain, Outcome: directory.Broken}
 	case head.Resumes && !success:
-		return Reject, Verdict{Result: BrokenOff, Outcome: directory.Errored}
+		return Reject, Verdict{Result: Interrupted, Outcome: directory.Errored}
 	case head.Resumes:
 		return ResumeStream, Verdict{}
 	case head.Kind == deployment.Streaming && success:
-		return PassStream, Verdict{}
+		return ForwardStream, Verdict{}
 	default:
-		return PassWhole, Verdict{}
+		return ForwardWhole, Verdict{}
 	}
 }
 
@@ -121,7 +121,7 @@
 	if IsServerError(status) {
 		return Verdict{Result: ServerError, Outcome: directory.Errored}
 	}
-	return Passed()
+	return Delivered()
 }
 
 // IsServerError reports whether a response status means that the endpoint failed.
@@ -129,20 +129,20 @@
 	return status >= http.StatusInternalServerError
 }
 
-// Passed returns the verdict on a response that was delivered completely.
-func Passed() Verdict {
+// Delivered returns the verdict on a response that was delivered completely.
+func Delivered() Verdict {
 	return Verdict{Result: Finished, Outcome: directory.Succeeded}
 }
 
-// NotTaken returns the verdict on a response of which the caller accepts no more.
-func NotTaken() Verdict {
-	return Verdict{Result: BrokenOff, Outcome: directory.Neutral}
+// Undelivered returns the verdict on a response of which the caller accepts no more.
+func Undelivered() Verdict {
+	return Verdict{Result: Interrupted, Outcome: directory.Neutral}
 }
 
-// JudgeBroken returns the verdict on a response whose body was interrupted.
-func JudgeBroken(s Situation) Verdict {
-	if s.HeadPassed {
-		return Verdict{Result: BrokenOff, Outcome: failureOutcome(s)}
+// JudgeInterrupted returns the verdict on a response whose body was interrupted.
+func JudgeInterrupted(s Situation) Verdict {
+	if s.HeadForwarded {
+		return Verdict{Result: Interrupted, Outcome: failureOutcome(s)}
 	}
 	return Verdict{Result: unansweredResult(s), Outcome: failureOutcome(s)}
 }
--- a/services/entry/proxy/attempt/verdict_test.go
+++ b/services/entry/proxy/attempt/verdict_test.go
@@ -45,7 +45,7 @@
 	notRun := attempt.Verdict{Result: attempt.NotRun, Outcome: directory.Refused}
 	missing := attempt.Verdict{Result: attempt.NotRun, Outcome: directory.Refused, Missing: true}
 	distrusted := attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}
-	notResumed := attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Errored}
+	notResumed := attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Errored}
 	for name, test := range map[string]struct {
 		head     attempt.Head
 		handling attempt.Handling
@@ -54,16 +54,16 @@
 		"not run":                                {attempt.Head{Status: http.StatusServiceUnavailable, NotRun: true}, attempt.Reject, notRun},
 		"not run, adapter missing":               {attempt.Head{Status: http.StatusMisdirectedRequest, NotRun: true}, attempt.Reject, missing},
 		"not run, resumed stream":                {attempt.Head{Status: http.StatusConflict, NotRun: true, Resumes: true}, attempt.Reject, notRun},
-		"an invalid request":                     {attempt.Head{Status: http.StatusBadRequest, NotRun: true}, attempt.PassWhole, attempt.Verdict{}},
+		"an invalid request":                     {attempt.Head{Status: http.StatusBadRequest, NotRun: true}, attempt.ForwardWhole, attempt.Verdict{}},
 		"success without mark":                   {attempt.Head{Status: http.StatusOK}, attempt.Reject, distrusted},
 		"highest success status without mark":    {attempt.Head{Status: 299}, attempt.Reject, distrusted},
-		"lowest other status without mark":       {attempt.Head{Status: http.StatusMultipleChoices}, attempt.PassWhole, attempt.Verdict{}},
-		"error without mark":                     {attempt.Head{Status: http.StatusInternalServerError}, attempt.PassWhole, attempt.Verdict{}},
-		"response without stream":                {attempt.Head{Status: http.StatusOK, FromEndpoint: true}, attempt.PassWhole, attempt.Verdict{}},
-		"response of an unsafe route":            {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Unsafe}, attempt.PassWhole, attempt.Verdict{}},
-		"a stream":                               {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
-		"stream with the highest success status": {attempt.Head{Status: 299, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassStream, attempt.Verdict{}},
-		"error of a stream":                      {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Kind: deployment.Streaming}, attempt.PassWhole, attempt.Verdict{}},
+		"lowest other status without mark":       {attempt.Head{Status: http.StatusMultipleChoices}, attempt.ForwardWhole, attempt.Verdict{}},
+		"error without mark":                     {attempt.Head{Status: http.StatusInternalServerError}, attempt.ForwardWhole, attempt.Verdict{}},
+		"response without stream":                {attempt.Head{Status: http.StatusOK, FromEndpoint: true}, attempt.ForwardWhole, attempt.Verdict{}},
+		"response of an unsafe route":            {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Unsafe}, attempt.ForwardWhole, attempt.Verdict{}},
+		"a stream":                               {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Kind: deployment.Streaming}, attempt.ForwardStream, attempt.Verdict{}},
+		"stream with the highest success status": {attempt.Head{Status: 299, FromEndpoint: true, Kind: deployment.Streaming}, attempt.ForwardStream, attempt.Verdict{}},
+		"error of a stream":                      {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Kind: deployment.Streaming}, attempt.ForwardWhole, attempt.Verdict{}},
 		"a resumed stream":                       {attempt.Head{Status: http.StatusOK, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.ResumeStream, attempt.Verdict{}},
 		"error of a resumed stream":              {attempt.Head{Status: http.StatusMultipleChoices, FromEndpoint: true, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, notResumed},
 		"resumed stream without mark":            {attempt.Head{Status: http.StatusOK, Resumes: true, Kind: deployment.Streaming}, attempt.Reject, distrusted},
@@ -79,7 +79,7 @@
 func TestJudgeWhole(t *testing.T) {
 	failed := attempt.Verdict{Result: attempt.ServerError, Outcome: directory.Errored}
 	for status, verdict := range map[int]attempt.Verdict{
-		http.StatusOK: attempt.Passed(), http.StatusNotFound: attempt.Passed(), 499: attempt.Passed(),
+		http.StatusOK: attempt.Delivered(), http.StatusNotFound: attempt.Delivered(), 499: attempt.Delivered(),
 		http.StatusInternalServerError: failed, http.StatusNotImplemented: failed, 599: failed,
 	} {
 		assert.Equal(t, verdict, attempt.JudgeWhole(status), "%d", status)
@@ -93,16 +93,16 @@
 	}{
 		"nothing forwarded":                      {after(safe), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
 		"nothing forwarded, caller disconnected": {after(safe, callerLeft), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
-		"head forwarded":                         {after(stream, headForwarded), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Broken}},
-		"head forwarded, caller disconnected":    {after(stream, headForwarded, callerLeft), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
-		"long silence, caller disconnected":      {after(stream, headForwarded, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Broken}},
-		"long silence, taken back":               {after(stream, headForwarded, takenBack, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
+		"head forwarded":                         {after(stream, headForwarded), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Broken}},
+		"head forwarded, caller disconnected":    {after(stream, headForwarded, callerLeft), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
+		"long silence, caller disconnected":      {after(stream, headForwarded, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Broken}},
+		"long silence, taken back":               {after(stream, headForwarded, takenBack, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
 		"taken back, nothing forwarded":          {after(stream, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
-		"taken back, head forwarded":             {after(stream, headForwarded, takenBack), attempt.Verdict{Result: attempt.BrokenOff, Outcome: directory.Neutral}},
+		"taken back, head forwarded":             {after(stream, headForwarded, takenBack), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
 		"deadline has passed":                    {after(safe, contextEnded), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.verdict, attempt.JudgeBroken(test.situation))
+			assert.Equal(t, test.verdict, attempt.JudgeInterrupted(test.situation))
 		})
 	}
 }
--- a/services/entry/proxy/end_cause_test.go
+++ b/services/entry/proxy/end_cause_test.go
@@ -24,16 +24,16 @@
 		timeout      time.Duration
 		// callerTimeout is the time after which the caller disconnects; 0 if it waits for the end of the response.
 		callerTimeout time.Duration
-		by            attempt.Ender
+		by            attempt.EndCause
 		// silent is the minimum time for which the endpoint must have sent nothing.
 		silent time.Duration
 	}{
-		"endpoint closes connection during stream":    {"/stream", chunkedResponse(firstEvent), 0, 0, attempt.ByEndpoint, 0},
-		"endpoint closes connection without response": {"/unsafe", "", 0, 0, attempt.ByEndpoint, 0},
-		"deadline passes before response":             {"/unsafe", strings.Repeat(searchSilence, 4), scriptPause, 0, attempt.ByDeadline, scriptPause},
-		"deadline passes during stream":               {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 2 * scriptPause, 0, attempt.ByDeadline, scriptPause},
-		"caller disconnects":                          {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 0, 2 * scriptPause, attempt.ByCaller, scriptPause},
-		"request is taken back":                       {"/stream", scriptQueued, 0, 0, attempt.ByTakeBack, 0},
+		"endpoint closes connection during stream":    {"/stream", chunkedResponse(firstEvent), 0, 0, attempt.EndedByEndpoint, 0},
+		"endpoint closes connection without response": {"/unsafe", "", 0, 0, attempt.EndedByEndpoint, 0},
+		"deadline passes before response":             {"/unsafe", strings.Repeat(searchSilence, 4), scriptPause, 0, attempt.EndedByDeadline, scriptPause},
+		"deadline passes during stream":               {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 2 * scriptPause, 0, attempt.EndedByDeadline, scriptPause},
+		"caller disconnects":                          {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 0, 2 * scriptPause, attempt.EndedByCaller, scriptPause},
+		"request is taken back":                       {"/stream", scriptQueued, 0, 0, attempt.EndedByTakeBack, 0},
 		"endpoint sends a complete error":             {"/unsafe", fixedResponse(500, endpointMarkHeader, "no"), 0, 0, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 				return
 			}
 			require.NotNil(t, records[0].Ended)
-			assert.Equal(t, test.by, records[0].Ended.By)
+			assert.Equal(t, test.by, records[0].Ended.Cause)
 			assert.GreaterOrEqual(t, records[0].Ended.SilentMS, test.silent.Milliseconds()/2)
 		})
 	}
--- a/services/entry/proxy/event_buffer_test.go
+++ b/services/entry/proxy/event_buffer_test.go
@@ -27,7 +27,7 @@
 			[]attempt.Result{attempt.Finished},
 		},
 		"event of 2 MiB": {
-			"/resumable", chunkedResponse(firstEvent, eventOfSize(2<<20)+"\n\n") + lastChunk, callerResponse{200, firstEvent, "", false}, []attempt.Result{attempt.BrokenOff},
+			"/resumable", chunkedResponse(firstEvent, eventOfSize(2<<20)+"\n\n") + lastChunk, callerResponse{200, firstEvent, "", false}, []attempt.Result{attempt.Interrupted},
 		},
 		"event of 2 MiB in a stream without buffering": {
 			"/stream", chunkedResponse(firstEvent, eventOfSize(2<<20)+"\n\n") + lastChunk, callerResponse{200, firstEvent + eventOfSize(2<<20) + "\n\n", "", true},
--- a/services/entry/proxy/exchange.go
+++ b/services/entry/proxy/exchange.go
@@ -34,7 +34,7 @@
 	lastReceived time.Time
 	// endCause is what ended an exchange without a complete response, and silentFor for how long the endpoint had sent nothing at
 	// that time; both are zero before.
-	endCause  attempt.Ender
+	endCause  attempt.EndCause
 	silentFor time.Duration
 	// endpointGone is set if the endpoint ended the exchange and has refused connections since then: its process has ended.
 	endpointGone bool
@@ -63,7 +63,7 @@
 func (e *exchange) do() attempt.Result {
 	hedging := newHedge(e)
 	verdict := e.sendAndForward(hedging)
-	hedging.closeAndWait(verdict.Result != attempt.Finished && verdict != attempt.NotTaken())
+	hedging.closeAndWait(verdict.Result != attempt.Finished && verdict != attempt.Undelivered())
 	e.inflight.records = append(e.inflight.records, e.close(verdict))
 	e.inflight.adoptSuccessor(hedging)
 	return verdict.Result
@@ -79,12 +79,12 @@
 	// If the endpoint failed, the other endpoint of a hedged request may still respond.
 	if !attempt.IsServerError(e.status) && !hedging.pause() {
 		defer e.discard()
-		return attempt.JudgeBroken(e.situation())
+		return attempt.JudgeInterrupted(e.situation())
 	}
 	switch e.handling {
 	case attempt.ResumeStream:
 		return e.forwardStream(false, hedging)
-	case attempt.PassStream:
+	case attempt.ForwardStream:
 		return e.forwardStream(true, hedging)
 	default:
 		if e.status < http.StatusMultipleChoices {
@@ -99,10 +99,10 @@
 // verdict applies.
 func (e *exchange) requestHead() (verdict attempt.Verdict, begun bool) {
 	r := e.inflight
-	e.assignment.Recall.Arm(e.cancelFunc(attempt.ByTakeBack))
+	e.assignment.Recall.Arm(e.cancelFunc(attempt.EndedByTakeBack))
 	response, err := r.service.upstream.Do(e.context, upstream.Call{
 		Target:  e.target(),
-		Request: r.newOutgoingRequest(e.assignment, r.service.options.Now(), e.startPosition.lastEvent, e.cancelFunc(attempt.ByBody)),
+		Request: r.newOutgoingRequest(e.assignment, r.service.options.Now(), e.startPosition.lastEvent, e.cancelFunc(attempt.EndedByBodyLimit)),
 		AnswersRequest: func(header http.Header) bool {
 			return r.service.dialect.AnswersRequest(r.caller.ID, header)
 		},
--- a/services/entry/proxy/exchange_end.go
+++ b/services/entry/proxy/exchange_end.go
@@ -15,7 +15,7 @@
 
 // canceledError is the cancellation cause of the context of an exchange that this instance ends.
 type canceledError struct {
-	by attempt.Ender
+	by attempt.EndCause
 }
 
 // Error implements error.
@@ -24,7 +24,7 @@
 }
 
 // cancelFunc returns a function that cancels the exchange with a cause.
-func (e *exchange) cancelFunc(by attempt.Ender) func() {
+func (e *exchange) cancelFunc(by attempt.EndCause) func() {
 	cancel := e.cancel
 	return func() { cancel(&canceledError{by: by}) }
 }
@@ -41,28 +41,28 @@
 
 // attemptEnd returns how the exchange ended, or nil if it got a complete response.
 func (e *exchange) attemptEnd(result attempt.Result) *AttemptEnd {
-	if attempt.BringsAnswer(result) {
+	if attempt.HasCompleteResponse(result) {
 		return nil
 	}
-	return &AttemptEnd{By: e.endCause, SilentMS: e.silentFor.Milliseconds(), EndpointGone: e.endpointGone}
+	return &AttemptEnd{Cause: e.endCause, SilentMS: e.silentFor.Milliseconds(), EndpointGone: e.endpointGone}
 }
 
 // determineEndCause returns what ended the exchange. The connection's own deadline is that of the request, and may end the exchange
 // before the context is canceled.
-func (e *exchange) determineEndCause(now time.Time) attempt.Ender {
+func (e *exchange) determineEndCause(now time.Time) attempt.EndCause {
 	cause := context.Cause(e.context)
 	var ended *canceledError
 	switch {
 	case errors.As(cause, &ended):
 		return ended.by
 	case errors.Is(cause, ErrProcessEnds):
-		return attempt.ByProcess
+		return attempt.EndedByShutdown
 	case !now.Before(e.inflight.request.Deadline):
-		return attempt.ByDeadline
+		return attempt.EndedByDeadline
 	case cause != nil:
-		return attempt.ByCaller
+		return attempt.EndedByCaller
 	default:
-		return attempt.ByEndpoint
+		return attempt.EndedByEndpoint
 	}
 }
 
@@ -100,7 +100,7 @@
 // continues, possibly with the request.
 func (e *exchange) reportUnanswered(verdict attempt.Verdict) attempt.Verdict {
 	control := e.inflight.service.control
-	if e.endCause == attempt.ByEndpoint {
+	if e.endCause == attempt.EndedByEndpoint {
 		e.endpointGone = e.inflight.service.upstream.Refuses(e.inflight.context, e.target())
 	}
 	if !e.endpointGone {
--- a/services/entry/proxy/forwarding.go
+++ b/services/entry/proxy/forwarding.go
@@ -25,7 +25,7 @@
 	content, err := io.ReadAll(io.LimitReader(e.response, maxBufferedResponse))
 	if err != nil {
 		e.discard()
-		return attempt.JudgeBroken(e.situation())
+		return attempt.JudgeInterrupted(e.situation())
 	}
 	if len(content) == maxBufferedResponse {
 		return e.forwardLarge(content)
@@ -42,11 +42,11 @@
 // endUndelivered ends an exchange whose caller accepts no more of the response.
 func (e *exchange) endUndelivered() attempt.Verdict {
 	e.recordEnd()
-	if e.endCause == attempt.ByEndpoint {
+	if e.endCause == attempt.EndedByEndpoint {
 		// The write failed before the context was canceled.
-		e.endCause = attempt.ByCaller
+		e.endCause = attempt.EndedByCaller
 	}
-	return attempt.NotTaken()
+	return attempt.Undelivered()
 }
 
 // forwardBuffered forwards a response that was buffered completely.
@@ -78,10 +78,10 @@
 			if e.inflight.response.flush() != nil {
 				return e.endUndelivered()
 			}
-			return attempt.Passed()
+			return attempt.Delivered()
 		}
 		if err != nil {
-			return attempt.JudgeBroken(e.situation())
+			return attempt.JudgeInterrupted(e.situation())
 		}
 	}
 }
--- a/services/entry/proxy/hedge.go
+++ b/services/entry/proxy/hedge.go
@@ -44,7 +44,7 @@
 	if !e.inflight.request.Route.Retryable() {
 		return nil
 	}
-	h := &hedge{primary: e, cancelPrimary: e.cancelFunc(attempt.BySuccessor)}
+	h := &hedge{primary: e, cancelPrimary: e.cancelFunc(attempt.EndedBySuccessor)}
 	h.resume()
 	return h
 }
@@ -74,7 +74,7 @@
 
 // armLocked starts the timer if the request may be sent to another endpoint. The caller must hold the mutex.
 func (h *hedge) armLocked() {
-	after, ok := attempt.SearchAfter(h.primary.inflight.service.options.Now(), h.situation())
+	after, ok := attempt.HedgeDelay(h.primary.inflight.service.options.Now(), h.situation())
 	switch {
 	case !ok || h.closed:
 	case h.timer == nil:
@@ -112,7 +112,7 @@
 	if done == nil {
 		return
 	}
-	timer := time.AfterFunc(attempt.RetryWait(h.primary.inflight.request.Route), h.stop)
+	timer := time.AfterFunc(attempt.RetryTimeout(h.primary.inflight.request.Route), h.stop)
 	defer timer.Stop()
 	<-done
 }
@@ -225,7 +225,7 @@
 // requestHead sends the request and waits for the head of a response that is better than continuing to wait for the primary exchange;
 // the end of the search cancels it.
 func (h *hedge) requestHead(ctx context.Context, next *exchange) (verdict attempt.Verdict, begun bool) {
-	release := context.AfterFunc(ctx, next.cancelFunc(attempt.ByFormer))
+	release := context.AfterFunc(ctx, next.cancelFunc(attempt.EndedByFormerEndpoint))
 	defer release()
 	verdict, begun = next.requestHead()
 	if !begun || !attempt.IsServerError(next.status) {
--- a/services/entry/proxy/inflight.go
+++ b/services/entry/proxy/inflight.go
@@ -90,7 +90,7 @@
 	if r.successor != nil && result != attempt.Finished {
 		return attempt.TryNext
 	}
-	return attempt.Next(r.service.options.Now(), result, r.situation())
+	return attempt.NextStep(r.service.options.Now(), result, r.situation())
 }
 
 // countAttempt counts an attempt when it starts. The attempt of a successor has already been counted. It returns true if the endpoint
@@ -144,7 +144,7 @@
 func (r *inflight) situationAt(received position) attempt.Situation {
 	return attempt.Situation{
 		Route: r.request.Route, Deadline: r.request.Deadline, Sent: r.sentCount, Unreached: r.unreachedCount, InPlace: r.inPlaceCount, Refused: r.lastRefused, MayHaveRun: r.mayHaveRun,
-		BodyHeld: r.body.remainder == nil, HeadPassed: received.headForwarded, EventPassed: received.lastEvent != "",
+		BodyBuffered: r.body.remainder == nil, HeadForwarded: received.headForwarded, EventForwarded: received.lastEvent != "",
 		BodyTooLarge: r.body.tooLarge(), TakenBack: r.recall.Fired(), CallerLeft: r.callerLeft(), ContextEnded: r.context.Err() != nil,
 		ProcessEnds: r.processEnds(),
 	}
@@ -178,7 +178,7 @@
 func (r *inflight) end(ending attempt.Ending, last *exchange) {
 	r.reason = ending.Reason
 	switch ending.Closing {
-	case attempt.PassError:
+	case attempt.ForwardError:
 		last.forwardBuffered()
 	case attempt.Abort:
 		// On this panic, net/http closes the connection.
--- a/services/entry/proxy/observation.go
+++ b/services/entry/proxy/observation.go
@@ -24,8 +24,8 @@
 	// Fingerprint identifies the content of the request; a repeated request has the same fingerprint.
 	Fingerprint fingerprint.Fingerprint
 	// Status is 0 if the connection was closed without a response; Caller is then the caller's address, and empty otherwise.
-	Status int
-	Caller string
+	Status        int
+	CallerAddress string
 	// Reason is why the request failed; empty if it succeeded.
 	Reason   string
 	Attempts []AttemptRecord
@@ -60,14 +60,14 @@
 	var enders []string
 	for _, record := range o.Attempts {
 		if record.Ended != nil {
-			enders = append(enders, string(record.Ended.By))
+			enders = append(enders, string(record.Ended.Cause))
 		}
 	}
 	return enders
 }
 
-// EndedItsEndpoint reports whether an endpoint's process ended while it had the request.
-func (o Observation) EndedItsEndpoint() bool {
+// CrashedEndpoint reports whether an endpoint's process ended while it had the request.
+func (o Observation) CrashedEndpoint() bool {
 	return slices.ContainsFunc(o.Attempts, func(record AttemptRecord) bool { return record.Ended != nil && record.Ended.EndpointGone })
 }
 
@@ -110,8 +110,8 @@
 // AttemptEnd describes how an attempt without a complete response ended: what ended it, and for how long the endpoint had sent
 // nothing by then.
 type AttemptEnd struct {
-	By       attempt.Ender `json:"by"`
-	SilentMS int64         `json:"silent_ms"`
+	Cause    attempt.EndCause `json:"by"`
+	SilentMS int64            `json:"silent_ms"`
 	// EndpointGone is set if the endpoint ended the exchange and has refused connections since then.
 	EndpointGone bool `json:"endpoint_gone,omitempty"`
 }
@@ -123,7 +123,7 @@
 		Status: r.response.status, Reason: string(r.reason), Attempts: r.records, Whole: s.options.Now().Sub(r.request.Arrived),
 	}
 	if r.response.status == 0 {
-		observation.Caller = r.incoming.RemoteAddr
+		observation.CallerAddress = r.incoming.RemoteAddr
 	}
 	if !r.response.headWrittenAt.IsZero() {
 		observation.First = r.response.headWrittenAt.Sub(r.request.Arrived)
@@ -154,10 +154,10 @@
 		"request": truncateForLog(o.ID), "route": o.Route, "service": o.Service, "adapter": truncateForLog(o.Adapter), "status": o.Status, "reason": o.Reason,
 		"attempts": o.Attempts, "first_ms": o.First.Milliseconds(), "whole_ms": o.Whole.Milliseconds(),
 	}
-	if o.Caller != "" {
-		fields["caller"] = o.Caller
+	if o.CallerAddress != "" {
+		fields["caller"] = o.CallerAddress
 	}
-	if o.EndedItsEndpoint() {
+	if o.CrashedEndpoint() {
 		fields["fingerprint"] = o.Fingerprint.String()
 	}
 	s.options.Log.WithFields(fields).Log(level, "request")
@@ -167,7 +167,7 @@
 func (s *Service) logAborted(incoming *http.Request, route *deployment.Route, arrived time.Time, ending attempt.Ending) {
 	caller := s.dialect.ReadRequest(incoming.Header)
 	s.log(Observation{
-		ID: caller.ID, Route: route.Name, Adapter: caller.Adapter.String(), Reason: string(ending.Reason), Caller: incoming.RemoteAddr,
+		ID: caller.ID, Route: route.Name, Adapter: caller.Adapter.String(), Reason: string(ending.Reason), CallerAddress: incoming.RemoteAddr,
 		Whole: s.options.Now().Sub(arrived),
 	})
 }
--- a/services/entry/proxy/proxy_test.go
+++ b/services/entry/proxy/proxy_test.go
@@ -371,33 +371,33 @@
 		},
 		"interrupted stream": {
 			"/stream", []string{chunkedResponse(firstEvent), chunkedResponse(secondEvent) + lastChunk}, 1, callerResponse{200, firstEvent, "", false}, "stream broke off",
-			[]attempt.Result{attempt.BrokenOff}, []directory.Outcome{directory.Broken},
+			[]attempt.Result{attempt.Interrupted}, []directory.Outcome{directory.Broken},
 		},
 		"resumable stream continues at another endpoint after the last complete event": {
 			"/resumable", []string{chunkedResponse(firstEvent, "id: 2\nda"), chunkedResponse(secondEvent) + lastChunk}, 1, callerResponse{200, firstEvent + secondEvent, "", true}, "",
-			[]attempt.Result{attempt.BrokenOff, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
+			[]attempt.Result{attempt.Interrupted, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
 		},
 		"resumable stream with an event without id": {
 			"/resumable", []string{chunkedResponse("data: a\n\n"), chunkedResponse(secondEvent) + lastChunk}, 1, callerResponse{200, "data: a\n\n", "", false}, "stream broke off",
-			[]attempt.Result{attempt.BrokenOff}, []directory.Outcome{directory.Broken},
+			[]attempt.Result{attempt.Interrupted}, []directory.Outcome{directory.Broken},
 		},
 		"resumable stream with a Content-Length that the next endpoint does not keep": {
 			"/resumable", []string{strings.TrimSuffix(fixedResponse(200, endpointMarkHeader, firstEvent+secondEvent), secondEvent), fixedResponse(200, endpointMarkHeader, secondEvent+thirdEvent)}, 1,
 			callerResponse{200, firstEvent + secondEvent + thirdEvent, "", true}, "",
-			[]attempt.Result{attempt.BrokenOff, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
+			[]attempt.Result{attempt.Interrupted, attempt.Finished}, []directory.Outcome{directory.Broken, directory.Succeeded},
 		},
 		"resumable stream refused by its own endpoint, no other endpoint": {
 			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + refusal}, 3, callerResponse{200, firstEvent, "", false}, "stream not resumed",
-			[]attempt.Result{attempt.BrokenOff, attempt.NotRun, attempt.NotRun}, []directory.Outcome{directory.Broken, directory.Refused, directory.Refused},
+			[]attempt.Result{attempt.Interrupted, attempt.NotRun, attempt.NotRun}, []directory.Outcome{directory.Broken, directory.Refused, directory.Refused},
 		},
 		"resumable stream unknown at all endpoints": {
 			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + fixedResponse(404, "", "gone"), fixedResponse(404, "", "gone")}, 3, callerResponse{200, firstEvent, "", false}, "stream broke off",
-			[]attempt.Result{attempt.BrokenOff, attempt.BrokenOff, attempt.BrokenOff, attempt.BrokenOff},
+			[]attempt.Result{attempt.Interrupted, attempt.Interrupted, attempt.Interrupted, attempt.Interrupted},
 			[]directory.Outcome{directory.Broken, directory.Errored, directory.Errored, directory.Errored},
 		},
 		"resumable stream unknown at another endpoint, continued at its own": {
 			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + chunkedResponse(secondEvent) + lastChunk, fixedResponse(404, "", "gone")}, 2, callerResponse{200, firstEvent + secondEvent, "", true}, "",
-			[]attempt.Result{attempt.BrokenOff, attempt.BrokenOff, attempt.Finished},
+			[]attempt.Result{attempt.Interrupted, attempt.Interrupted, attempt.Finished},
 			[]directory.Outcome{directory.Broken, directory.Errored, directory.Succeeded},
 		},
 		"resumable stream interrupted before its first event": {
--- a/services/entry/proxy/stream.go
+++ b/services/entry/proxy/stream.go
@@ -29,7 +29,7 @@
 		n, err := e.response.Read(buffer)
 		if n > 0 {
 			if !hedging.pause() || !e.reportRunning() {
-				return attempt.JudgeBroken(e.situation())
+				return attempt.JudgeInterrupted(e.situation())
 			}
 			if !s.forward(buffer[:n]) {
 				return e.endUndelivered()
@@ -41,7 +41,7 @@
 			return s.finish()
 		}
 		if err != nil || s.events.tooLong() {
-			return attempt.JudgeBroken(e.situation())
+			return attempt.JudgeInterrupted(e.situation())
 		}
 	}
 }
@@ -85,5 +85,5 @@
 	if len(incompleteEvent) > 0 && (s.exchange.inflight.response.write(incompleteEvent) != nil || s.exchange.inflight.response.flush() != nil) {
 		return s.exchange.endUndelivered()
 	}
-	return attempt.Passed()
+	return attempt.Delivered()
 }
--- a/services/entry/proxy/take_back_test.go
+++ b/services/entry/proxy/take_back_test.go
@@ -48,12 +48,12 @@
 		},
 		"resumed stream, taken back from the second endpoint": {
 			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + chunkedResponse(secondEvent) + lastChunk, scriptQueued}, 2, callerResponse{200, firstEvent + secondEvent, "", true}, "",
-			[]attempt.Result{attempt.BrokenOff, attempt.TakenBack, attempt.Finished},
+			[]attempt.Result{attempt.Interrupted, attempt.TakenBack, attempt.Finished},
 			[]directory.Outcome{directory.Broken, directory.Neutral, directory.Succeeded},
 		},
 		"resumed stream, taken back from the second endpoint and refused by the first": {
 			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + fixedResponse(503, notRunHeader+closeHeader, "busy"), scriptQueued}, 4, callerResponse{200, firstEvent, "", false}, "stream broke off",
-			[]attempt.Result{attempt.BrokenOff, attempt.TakenBack, attempt.NotRun, attempt.NotRun},
+			[]attempt.Result{attempt.Interrupted, attempt.TakenBack, attempt.NotRun, attempt.NotRun},
 			[]directory.Outcome{directory.Broken, directory.Neutral, directory.Refused, directory.Refused},
 		},
 	} {
--- a/services/entry/proxy/unread_body.go
+++ b/services/entry/proxy/unread_body.go
@@ -41,7 +41,7 @@
 
 // refuseUnreadBody ends a request whose body could not be read; the request has not run.
 func (s *Service) refuseUnreadBody(response *responseWriter, incoming *http.Request, route *deployment.Route, arrived time.Time, err error) {
-	ending := attempt.EndUnread(attempt.Unread{
+	ending := attempt.EndBodyFailure(attempt.BodyFailure{
 		TooLarge: errors.Is(err, errBodyTooLarge), TimedOut: errors.Is(err, os.ErrDeadlineExceeded), CallerLeft: isCallerDisconnect(err),
 	})
 	if ending.Closing == attempt.Abort {
