--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -9,162 +9,168 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Reason says why a request is refused.
+// Reason is why a request is refused.
 type Reason string
 
-// The reasons of refusals.
+// The reasons for refusals.
 const (
-	// AdapterNotLoaded: the adapter will not be there in time.
+	// AdapterNotLoaded means that the adapter will not be resident in time.
 	AdapterNotLoaded Reason = "adapter not loaded"
-	// NoEndpoint: no endpoint of the service takes work.
+	// NoEndpoint means that no endpoint of the service accepts requests.
 	NoEndpoint Reason = "no endpoint"
-	// Saturated: the endpoints that hold the adapter have too many requests in flight. The text keeps the form that operators
-	// know.
+	// Saturated means that the endpoints with the adapter have too many requests in flight. The text says "crowded" because operators
+	// know it in that form.
 	Saturated Reason = "endpoints crowded"
-	// Limited: the endpoints that could run it take no more requests for now, by the limits that they name.
+	// Limited means that the endpoints that could run the request accept no more requests for now, according to the limits that they
+	// report.
 	Limited Reason = "endpoints limited"
-	// Resting: the endpoints that could run it asked this instance for rest.
+	// Resting means that the endpoints that could run the request asked this instance to pause.
 	Resting Reason = "endpoints rest"
-	// Quarantined: endpoints ended while they had the same request, one after the other.
+	// Quarantined means that several endpoints ended, one after the other, while they had the same request.
 	Quarantined Reason = "crashes endpoints"
 )
 
-// Situation is what is known of a request that waits.
+// Situation is the known state of a waiting request.
 type Situation struct {
-	// Route is the route that the request matched, with its targets (durations); from the settings in force.
+	// Route is the route that the request matched, with its targets (durations), from the settings in force.
 	Route *deployment.Route
-	// Arrived is when this instance began to serve the request; own clock.
+	// Arrived is when this instance started to serve the request, on its own clock.
 	Arrived time.Time
-	// Deadline is Arrived plus the shorter of the caller's time-out (its header) and the route's (settings).
+	// Deadline is Arrived plus the shorter of the caller's time-out (from its header) and the route's (from the settings).
 	Deadline time.Time
-	// NoEndpoint says that no endpoint of the service takes work at all; verdict of package balance on this instance's
-	// directory at the present time.
+	// NoEndpoint is set if no endpoint of the service accepts requests at all, according to package balance and this instance's
+	// directory at the current time.
 	NoEndpoint bool
-	// Saturated says that the adapter is there, but its endpoints have too many requests in flight; verdict of package balance,
-	// from own counts and the other instances' as of the planner's last view.
+	// Saturated is set if endpoints have the adapter, but too many requests in flight, according to package balance. The counts are
+	// this instance's own and those of the other instances as of the planner's last view.
 	Saturated bool
-	// Limited says that endpoints could run it, but take no more requests for now by the limits that they name; verdict of package balance.
+	// Limited is set if endpoints could run the request, but accept no more requests for now by the limits that they report,
+	// according to package balance.
 	Limited bool
-	// Resting says the same of endpoints that asked this instance for rest.
+	// Resting is set if endpoints could run the request, but asked this instance to pause, according to package balance.
 	Resting bool
-	// Turn is when the limits are expected to let it be sent, or the first endpoint has rested; zero where another one may come to run it.
-	// From the limits, from what waits for them by the planner's last view, and from what endpoints asked for.
+	// Turn is when the limits are expected to allow the request to be sent, or when the first endpoint ends its pause; zero if
+	// another endpoint may become able to run the request. It is derived from the limits, from the requests that wait for them by the
+	// planner's last view, and from the pauses that endpoints asked for.
 	Turn time.Time
-	// Spread is a number from 0 up to 1 by which refused callers come back at different times.
+	// Spread is a number in [0, 1) that makes refused callers retry at different times.
 	Spread float64
-	// Expected is when the adapter is expected to be resident; zero if that is not known. It comes from the planner's last
-	// view (forecasts come with its heartbeats), or, while no planner orders, from the usual time of a hand-over.
+	// Expected is when the adapter is expected to be resident; zero if unknown. It comes from the planner's last view (which is
+	// updated with its heartbeats) or, while no planner is active, from the usual duration of a planner handover.
 	Expected time.Time
-	// NobodyOrders says that no planner orders loads now, so that no forecast is on the way that could change Expected.
+	// NobodyOrders is set while no planner orders loads, so that no forecast can arrive that would change Expected.
 	NobodyOrders bool
 }
 
-// Decision is what becomes of the request.
+// Decision is the result of Decide for a request.
 type Decision struct {
-	// Wait says that the request goes on waiting; the other fields are zero then.
+	// Wait is set if the request continues to wait; the other fields are zero then.
 	Wait bool
-	// Reason is why it is refused; it stands as "reason" in the request's log line.
+	// Reason is why the request is refused; it is the "reason" in the request's log line.
 	Reason Reason
-	// RetryAfter is how long the caller should wait before it comes back.
+	// RetryAfter is the time after which the caller should retry.
 	RetryAfter time.Duration
 }
 
 const (
-	// leastSilenceTimeout and the two factors (counts of the route's targets and pause targets) are after which silence callers give a
-	// stream up: the longest of the three. Longer waits for endpoints that may answer when nobody listens any more, shorter gives up
-	// answers that would have come.
-	leastSilenceTimeout = 2 * time.Second
-	silenceTargets      = 4
-	silencePauses       = 8
-	// waitShare is the part of that silence that a request may spend on waiting for an endpoint; the rest is for its answer. Higher serves
-	// more requests late, lower refuses more that would have been served.
-	waitShare = 0.7
-	// streamWaitParts bounds the wait of a stream by one part in so many of its time to the deadline. Fewer parts leave less time for the
-	// answer.
-	streamWaitParts = 2
-	// plainWait is how long a request of a route that does not stream waits for an endpoint, with an adapter or without, and at most a
-	// quarter of its time to the deadline (shortWaitParts): waiting seldom helps it. Longer bridges the replacement of endpoints, shorter
-	// refuses in time for another attempt.
-	plainWait = 100 * time.Millisecond
-	// shortWaitParts bounds waits that seldom help (requests that do not stream, and streams without any endpoint) by one part in so many
-	// of the time to the deadline, and of a stream's target. More parts refuse sooner.
-	shortWaitParts = 4
-	// saturatedPause is when a caller refused for saturated endpoints should come back: a stream takes seconds. Longer spares the
-	// endpoints, shorter serves sooner.
-	saturatedPause = 1500 * time.Millisecond
-	// retryPause is the least time after which a refused caller should come back. Longer spares the instances, shorter serves sooner.
-	retryPause = 400 * time.Millisecond
-	// forecastTime is how long after its arrival a request is not refused as hopeless, since the planner may not have heard of it and its
-	// forecast may be on the way. Longer holds requests that cannot be served, shorter refuses some that would have been.
-	forecastTime = 80 * time.Millisecond
-	// firstTokenTime is the usual time from the choice of an endpoint to the first event. Longer refuses more requests as hopeless.
-	firstTokenTime = 150 * time.Millisecond
-	// returnMargin is how long after the expected time of the adapter a refused caller should come back. Longer is safer against late
+	// minSilenceTimeout and the two factors (multiples of the route's target and pause target) determine the silence after which
+	// callers give up a stream: the longest of the three applies. Longer waits for endpoints that may respond when the caller has
+	// already left, shorter gives up responses that would have arrived.
+	minSilenceTimeout        = 2 * time.Second
+	silenceTargetFactor      = 4
+	silencePauseTargetFactor = 8
+	// silenceWaitShare is the share of the silence time-out that a request may spend waiting for an endpoint; the remainder is for
+	// its response. Higher serves more requests late, lower refuses more that would have been served.
+	silenceWaitShare = 0.7
+	// streamWaitDivisor limits the wait of a stream to the time to its deadline divided by this number. A lower number leaves less
+	// time for the response.
+	streamWaitDivisor = 2
+	// maxPlainWait is how long a request of a route without streaming waits for an endpoint, with an adapter or without, and at most
+	// a quarter of its time to the deadline (shortWaitDivisor): waiting seldom helps it. Longer bridges the replacement of endpoints,
+	// shorter refuses early enough for another attempt.
+	maxPlainWait = 100 * time.Millisecond
+	// shortWaitDivisor limits waits that seldom help (of requests without streaming, and of streams without any endpoint) to the time
+	// to the deadline, and for streams also the target, divided by this number. A higher number refuses sooner.
+	shortWaitDivisor = 4
+	// saturatedRetryAfter is when a caller that was refused because of saturated endpoints should retry: a stream takes seconds.
+	// Longer reduces the load on the endpoints, shorter serves sooner.
+	saturatedRetryAfter = 1500 * time.Millisecond
+	// minRetryAfter is the minimum time after which a refused caller should retry. Longer reduces the load on the instances, shorter
+	// serves sooner.
+	minRetryAfter = 400 * time.Millisecond
+	// forecastDelay is the time after its arrival during which a request is not refused because its adapter comes too late: the
+	// planner may not have received the request yet, and an updated forecast may be under way. Longer holds requests that cannot be
+	// served, shorter refuses some that would have been.
+	forecastDelay = 80 * time.Millisecond
+	// firstTokenLatency is the usual time from the choice of an endpoint to the first event. Longer refuses more requests as too
+	// late.
+	firstTokenLatency = 150 * time.Millisecond
+	// retryAfterMargin is how long after the expected time of the adapter a refused caller should retry. Longer is safer against late
 	// loads, shorter serves sooner.
-	returnMargin = 150 * time.Millisecond
+	retryAfterMargin = 150 * time.Millisecond
 )
 
-// Decide reports whether a request goes on waiting or is refused now, with the reason and the time to come back.
+// Decide returns whether a request continues to wait or is refused now, and for a refusal the reason and the time to retry.
 func Decide(now time.Time, situation Situation) Decision {
 	waited := now.Sub(situation.Arrived)
-	if waited < waitLimit(situation) && !hopeless(waited, situation) {
+	if waited < waitLimit(situation) && !availableTooLate(waited, situation) {
 		return Decision{Wait: true}
 	}
 	if situation.NoEndpoint {
-		return Decision{Reason: NoEndpoint, RetryAfter: retryPause}
+		return Decision{Reason: NoEndpoint, RetryAfter: minRetryAfter}
 	}
 	if situation.Limited {
-		return Decision{Reason: Limited, RetryAfter: turnPause(now, situation)}
+		return Decision{Reason: Limited, RetryAfter: jitteredRetryAfter(now, situation)}
 	}
 	if situation.Resting {
-		return Decision{Reason: Resting, RetryAfter: turnPause(now, situation)}
+		return Decision{Reason: Resting, RetryAfter: jitteredRetryAfter(now, situation)}
 	}
 	if situation.Saturated {
-		return Decision{Reason: Saturated, RetryAfter: saturatedPause}
+		return Decision{Reason: Saturated, RetryAfter: saturatedRetryAfter}
 	}
 	return Decision{Reason: AdapterNotLoaded, RetryAfter: retryAfter(now, situation)}
 }
 
-// turnPause is when a caller should come back that was refused since endpoints hold it back: between its turn and twice as late, so that
-// those who were refused together do not come back together.
-func turnPause(now time.Time, situation Situation) time.Duration {
-	turn := max(retryPause, situation.Turn.Sub(now))
+// jitteredRetryAfter returns when a caller should retry that was refused because of limits or pauses of endpoints: between the
+// request's turn and twice that time, so that callers that were refused together do not retry together.
+func jitteredRetryAfter(now time.Time, situation Situation) time.Duration {
+	turn := max(minRetryAfter, situation.Turn.Sub(now))
 	return turn + time.Duration(situation.Spread*float64(turn))
 }
 
-// hopeless reports whether the adapter, or the request's turn, is expected after the request would be refused anyway. The bound is not the target:
-// a request that is refused though its adapter would have come loses more than one that is served late.
-func hopeless(waited time.Duration, situation Situation) bool {
+// availableTooLate reports whether the adapter, or the request's turn, is expected only after the end of the request's wait. The
+// limit is not the target: refusing a request whose adapter would have come costs more than serving it late.
+func availableTooLate(waited time.Duration, situation Situation) bool {
 	if situation.Limited || situation.Resting {
 		return situation.Turn.After(situation.Arrived.Add(waitLimit(situation)))
 	}
 	if situation.Route.Kind != deployment.Streaming || situation.Expected.IsZero() || situation.NoEndpoint || situation.Saturated {
 		return false
 	}
-	if waited < forecastTime && !situation.NobodyOrders {
+	if waited < forecastDelay && !situation.NobodyOrders {
 		return false
 	}
-	return situation.Expected.Add(firstTokenTime).After(situation.Arrived.Add(waitLimit(situation)))
+	return situation.Expected.Add(firstTokenLatency).After(situation.Arrived.Add(waitLimit(situation)))
 }
 
-// waitLimit is how long a request may wait for an endpoint, from its arrival on.
+// waitLimit returns how long a request may wait for an endpoint after its arrival.
 func waitLimit(situation Situation) time.Duration {
 	remaining := situation.Deadline.Sub(situation.Arrived)
 	if situation.Route.Kind != deployment.Streaming {
-		return min(plainWait, remaining/shortWaitParts)
+		return min(maxPlainWait, remaining/shortWaitDivisor)
 	}
 	if situation.NoEndpoint {
-		return min(situation.Route.Target/shortWaitParts, remaining/shortWaitParts)
+		return min(situation.Route.Target/shortWaitDivisor, remaining/shortWaitDivisor)
 	}
-	return min(time.Duration(float64(SilenceTimeout(situation.Route))*waitShare), remaining/streamWaitParts)
+	return min(time.Duration(float64(SilenceTimeout(situation.Route))*silenceWaitShare), remaining/streamWaitDivisor)
 }
 
-// SilenceTimeout is after how long a silence callers give a stream of a route up.
+// SilenceTimeout returns the silence after which callers give up a stream of a route.
 func SilenceTimeout(route *deployment.Route) time.Duration {
-	return max(leastSilenceTimeout, silenceTargets*route.Target, silencePauses*route.PauseTarget)
+	return max(minSilenceTimeout, silenceTargetFactor*route.Target, silencePauseTargetFactor*route.PauseTarget)
 }
 
-// retryAfter is when a caller whose adapter is not there should come back: when it is expected.
+// retryAfter returns when a caller whose adapter is not resident should retry: when the adapter is expected.
 func retryAfter(now time.Time, situation Situation) time.Duration {
-	return max(retryPause, situation.Expected.Sub(now)+returnMargin)
+	return max(minRetryAfter, situation.Expected.Sub(now)+retryAfterMargin)
 }
--- a/services/entry/admission/decide_test.go
+++ b/services/entry/admission/decide_test.go
@@ -19,16 +19,16 @@
 	plain  = &deployment.Route{Kind: deployment.Unsafe, Target: 150 * time.Millisecond}
 )
 
-func TestARequestWaitsForItsAdapterOnlyWithinItsCallersSilenceTimeout(t *testing.T) {
+func TestStreamWaitIsBelowSilenceTimeout(t *testing.T) {
 	situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(15 * time.Second)}
 	assert.True(t, admission.Decide(start.Add(time.Second), situation).Wait)
 	late := admission.Decide(start.Add(admission.SilenceTimeout(stream)), situation)
 	assert.False(t, late.Wait)
 	assert.Equal(t, admission.AdapterNotLoaded, late.Reason)
-	assert.Positive(t, late.RetryAfter, "a refused caller learns when to come back")
+	assert.Positive(t, late.RetryAfter, "a refused caller must get a time to retry")
 }
 
-func TestWithoutAnyEndpointTheRefusalComesSoon(t *testing.T) {
+func TestRequestWithoutEndpointIsRefusedSoon(t *testing.T) {
 	for _, route := range []*deployment.Route{stream, plain} {
 		situation := admission.Situation{Route: route, Arrived: start, Deadline: start.Add(15 * time.Second), NoEndpoint: true}
 		decision := admission.Decide(start.Add(route.Target), situation)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestTheCallerIsToldToComeBackWhenTheAdapterIsExpected(t *testing.T) {
+func TestRetryAfterFollowsExpectedAdapter(t *testing.T) {
 	now := start.Add(5 * time.Second)
 	situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(15 * time.Second), Expected: now.Add(2 * time.Second)}
 	decision := admission.Decide(now, situation)
@@ -46,32 +46,32 @@
 	assert.Less(t, decision.RetryAfter, 3*time.Second)
 }
 
-// TestAHopelessRequestIsRefusedWhileItsCallerCanStillBeServedInTime is about loaded days: requests
-// were held for two seconds for an adapter that was known to come too late, and refused then.
-func TestAHopelessRequestIsRefusedWhileItsCallerCanStillBeServedInTime(t *testing.T) {
+// TestRequestIsRefusedEarlyIfAdapterComesTooLate guards against requests under high load that wait two seconds for an adapter which
+// is known to come too late, and are refused only then.
+func TestRequestIsRefusedEarlyIfAdapterComesTooLate(t *testing.T) {
 	situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(15 * time.Second)}
-	prompt := start.Add(150 * time.Millisecond)
+	early := start.Add(150 * time.Millisecond)
 
 	situation.Expected = start.Add(500 * time.Millisecond)
-	assert.True(t, admission.Decide(prompt, situation).Wait, "the adapter comes in time")
+	assert.True(t, admission.Decide(early, situation).Wait, "the adapter is expected in time")
 
 	situation.Expected = start.Add(1500 * time.Millisecond)
-	assert.True(t, admission.Decide(prompt, situation).Wait, "late, but it comes while the caller waits")
+	assert.True(t, admission.Decide(early, situation).Wait, "the adapter is late, but expected while the caller waits")
 
 	situation.Expected = start.Add(2500 * time.Millisecond)
-	decision := admission.Decide(prompt, situation)
+	decision := admission.Decide(early, situation)
 	assert.False(t, decision.Wait)
 	assert.Equal(t, admission.AdapterNotLoaded, decision.Reason)
-	assert.Greater(t, decision.RetryAfter, 2350*time.Millisecond, "the caller comes back when the adapter is there")
+	assert.Greater(t, decision.RetryAfter, 2350*time.Millisecond, "the caller must retry when the adapter is resident")
 	assert.Less(t, decision.RetryAfter, 2700*time.Millisecond)
 
-	assert.True(t, admission.Decide(start.Add(50*time.Millisecond), situation).Wait, "no report may have reached the planner yet")
-	assert.False(t, admission.Decide(start.Add(time.Second), situation).Wait, "what is known to be in vain is not held any longer")
+	assert.True(t, admission.Decide(start.Add(50*time.Millisecond), situation).Wait, "the planner may not have received the report yet")
+	assert.False(t, admission.Decide(start.Add(time.Second), situation).Wait, "a request whose adapter comes too late must not wait longer")
 	situation.NobodyOrders = true
-	assert.False(t, admission.Decide(start, situation).Wait, "without a planner no forecast can be on its way")
+	assert.False(t, admission.Decide(start, situation).Wait, "without a planner no forecast can be under way")
 }
 
-func TestTheSilenceTimeoutIsTheLongestOfItsThreeBounds(t *testing.T) {
+func TestSilenceTimeoutIsLongestOfThreeLimits(t *testing.T) {
 	assert.Equal(t, 3200*time.Millisecond, admission.SilenceTimeout(stream))
 	assert.Equal(t, 2*time.Second, admission.SilenceTimeout(plain))
 	slow := &deployment.Route{PauseTarget: time.Second}
--- a/services/entry/admission/held_test.go
+++ b/services/entry/admission/sendable_test.go
@@ -12,12 +12,12 @@
 	"github.com/shelfledge/shelfledge/services/entry/admission"
 )
 
-func TestWhatCannotHaveItsTurnInTimeIsRefusedAtOnce(t *testing.T) {
+func TestRequestIsRefusedIfSendableTooLate(t *testing.T) {
 	for reason, situation := range map[admission.Reason]admission.Situation{
 		admission.Limited: {Route: plain, Arrived: start, Deadline: start.Add(time.Second), Limited: true},
 		admission.Resting: {Route: plain, Arrived: start, Deadline: start.Add(time.Second), Resting: true},
 	} {
-		assert.True(t, admission.Decide(start, situation).Wait, "another endpoint may come to run it")
+		assert.True(t, admission.Decide(start, situation).Wait, "another endpoint may become able to run it")
 		situation.Turn = start.Add(100 * time.Millisecond)
 		assert.True(t, admission.Decide(start, situation).Wait, "just in time")
 		situation.Turn = start.Add(100*time.Millisecond + 1)
@@ -27,13 +27,13 @@
 	}
 }
 
-func TestCallersThatAreHeldBackComeBackOneByOne(t *testing.T) {
+func TestRetryAfterIsJittered(t *testing.T) {
 	situation := admission.Situation{
 		Route: plain, Arrived: start, Deadline: start.Add(time.Second), Resting: true, Turn: start.Add(3 * time.Second),
 	}
-	assert.Equal(t, 3*time.Second, admission.Decide(start, situation).RetryAfter, "not before the rest ends")
+	assert.Equal(t, 3*time.Second, admission.Decide(start, situation).RetryAfter, "not before the pause ends")
 	situation.Spread = 0.5
 	assert.Equal(t, 4500*time.Millisecond, admission.Decide(start, situation).RetryAfter)
 	situation.Turn = start.Add(150 * time.Millisecond)
-	assert.Equal(t, 600*time.Millisecond, admission.Decide(start, situation).RetryAfter, "at least the usual pause, spread")
+	assert.Equal(t, 600*time.Millisecond, admission.Decide(start, situation).RetryAfter, "at least the minimum time, with jitter")
 }
--- a/services/entry/proxy/observation.go
+++ b/services/entry/proxy/observation.go
@@ -23,7 +23,7 @@
 	Adapter string
 	// Fingerprint identifies the content of the request; a repeated request has the same fingerprint.
 	Fingerprint fingerprint.Fingerprint
-	// Status is 0 if the connection was closed without a response; Caller is then the caller's address, and empty otherwise.
+	// Status is 0 if the connection was closed without a response; CallerAddress is then the address of the caller, and empty otherwise.
 	Status        int
 	CallerAddress string
 	// Reason is why the request failed; empty if it succeeded.
