--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -49,15 +49,15 @@
 	Limited bool
 	// Resting is set if endpoints could run the request, but asked this instance to pause, according to package balance.
 	Resting bool
-	// Turn is when the limits are expected to allow the request to be sent, or when the first endpoint ends its pause; zero if
+	// SendableAt is when the limits are expected to allow the request to be sent, or when the first endpoint ends its pause; zero if
 	// another endpoint may become able to run the request. It is derived from the limits, from the requests that wait for them by the
 	// planner's last view, and from the pauses that endpoints asked for.
-	Turn time.Time
-	// Spread is a number in [0, 1) that makes refused callers retry at different times.
-	Spread float64
-	// Expected is when the adapter is expected to be resident; zero if unknown. It comes from the planner's last view (which is
+	SendableAt time.Time
+	// Jitter is a number in [0, 1) that makes refused callers retry at different times.
+	Jitter float64
+	// AdapterExpectedAt is when the adapter is expected to be resident; zero if unknown. It comes from the planner's last view (which is
 	// updated with its heartbeats) or, while no planner is active, from the usual duration of a planner handover.
-	Expected time.Time
+	AdapterExpectedAt time.Time
 	// NobodyOrders is set while no planner orders loads, so that no forecast can arrive that would change Expected.
 	NobodyOrders bool
 }
@@ -134,23 +134,23 @@
 // jitteredRetryAfter returns when a caller should retry that was refused because of limits or pauses of endpoints: between the
 // request's turn and twice that time, so that callers that were refused together do not retry together.
 func jitteredRetryAfter(now time.Time, situation Situation) time.Duration {
-	turn := max(minRetryAfter, situation.Turn.Sub(now))
-	return turn + time.Duration(situation.Spread*float64(turn))
+	turn := max(minRetryAfter, situation.SendableAt.Sub(now))
+	return turn + time.Duration(situation.Jitter*float64(turn))
 }
 
 // availableTooLate reports whether the adapter, or the request's turn, is expected only after the end of the request's wait. The
 // limit is not the target: refusing a request whose adapter would have come costs more than serving it late.
 func availableTooLate(waited time.Duration, situation Situation) bool {
 	if situation.Limited || situation.Resting {
-		return situation.Turn.After(situation.Arrived.Add(waitLimit(situation)))
+		return situation.SendableAt.After(situation.Arrived.Add(waitLimit(situation)))
 	}
-	if situation.Route.Kind != deployment.Streaming || situation.Expected.IsZero() || situation.NoEndpoint || situation.Saturated {
+	if situation.Route.Kind != deployment.Streaming || situation.AdapterExpectedAt.IsZero() || situation.NoEndpoint || situation.Saturated {
 		return false
 	}
 	if waited < forecastDelay && !situation.NobodyOrders {
 		return false
 	}
-	return situation.Expected.Add(firstTokenLatency).After(situation.Arrived.Add(waitLimit(situation)))
+	return situation.AdapterExpectedAt.Add(firstTokenLatency).After(situation.Arrived.Add(waitLimit(situation)))
 }
 
 // waitLimit returns how long a request may wait for an endpoint after its arrival.
@@ -172,5 +172,5 @@
 
 // retryAfter returns when a caller whose adapter is not resident should retry: when the adapter is expected.
 func retryAfter(now time.Time, situation Situation) time.Duration {
-	return max(minRetryAfter, situation.Expected.Sub(now)+retryAfterMargin)
+	return max(minRetryAfter, situation.AdapterExpectedAt.Sub(now)+retryAfterMargin)
 }
--- a/services/entry/admission/decide_test.go
+++ b/services/entry/admission/decide_test.go
@@ -40,7 +40,7 @@
 
 func TestRetryAfterFollowsExpectedAdapter(t *testing.T) {
 	now := start.Add(5 * time.Second)
-	situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(15 * time.Second), Expected: now.Add(2 * time.Second)}
+	situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(15 * time.Second), AdapterExpectedAt: now.Add(2 * time.Second)}
 	decision := admission.Decide(now, situation)
 	assert.Greater(t, decision.RetryAfter, 2*time.Second)
 	assert.Less(t, decision.RetryAfter, 3*time.Second)
@@ -52,13 +52,13 @@
 	situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(15 * time.Second)}
 	early := start.Add(150 * time.Millisecond)
 
-	situation.Expected = start.Add(500 * time.Millisecond)
+	situation.AdapterExpectedAt = start.Add(500 * time.Millisecond)
 	assert.True(t, admission.Decide(early, situation).Wait, "the adapter is expected in time")
 
-	situation.Expected = start.Add(1500 * time.Millisecond)
+	situation.AdapterExpectedAt = start.Add(1500 * time.Millisecond)
 	assert.True(t, admission.Decide(early, situation).Wait, "the adapter is late, but expected while the caller waits")
 
-	situation.Expected = start.Add(2500 * time.Millisecond)
+	situation.AdapterExpectedAt = start.Add(2500 * time.Millisecond)
 	decision := admission.Decide(early, situation)
 	assert.False(t, decision.Wait)
 	assert.Equal(t, admission.AdapterNotLoaded, decision.Reason)
--- a/services/entry/admission/limits_test.go
+++ b/services/entry/admission/limits_test.go
@@ -80,7 +80,7 @@
 		"expected late, at the end of the wait": {maxStreamWait - 1, time.Hour, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(longDeadline), Expected: start.Add(test.expected)}
+			situation := admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(longDeadline), AdapterExpectedAt: start.Add(test.expected)}
 			decision := admission.Decide(start.Add(test.waited), situation)
 			assert.Equal(t, test.wait, decision.Wait)
 			if !test.wait {
@@ -95,10 +95,10 @@
 	now := start.Add(20 * time.Millisecond)
 	late := start.Add(time.Hour)
 	for name, situation := range map[string]admission.Situation{
-		"plain":        {Route: plain, Expected: late},
+		"plain":        {Route: plain, AdapterExpectedAt: late},
 		"unknown time": {Route: stream},
-		"no endpoint":  {Route: stream, Expected: late, NoEndpoint: true},
-		"saturated":    {Route: stream, Expected: late, Saturated: true},
+		"no endpoint":  {Route: stream, AdapterExpectedAt: late, NoEndpoint: true},
+		"saturated":    {Route: stream, AdapterExpectedAt: late, Saturated: true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			situation.Arrived, situation.Deadline = start, start.Add(longDeadline)
@@ -124,7 +124,7 @@
 		"later":                      {now.Add(3 * time.Second), 3150 * time.Millisecond},
 	} {
 		t.Run(name, func(t *testing.T) {
-			decision := admission.Decide(now, admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(longDeadline), Expected: test.expected})
+			decision := admission.Decide(now, admission.Situation{Route: stream, Arrived: start, Deadline: start.Add(longDeadline), AdapterExpectedAt: test.expected})
 			assert.Equal(t, test.retryAfter, decision.RetryAfter)
 		})
 	}
--- a/services/entry/admission/sendable_test.go
+++ b/services/entry/admission/sendable_test.go
@@ -18,9 +18,9 @@
 		admission.Resting: {Route: plain, Arrived: start, Deadline: start.Add(time.Second), Resting: true},
 	} {
 		assert.True(t, admission.Decide(start, situation).Wait, "another endpoint may become able to run it")
-		situation.Turn = start.Add(100 * time.Millisecond)
+		situation.SendableAt = start.Add(100 * time.Millisecond)
 		assert.True(t, admission.Decide(start, situation).Wait, "just in time")
-		situation.Turn = start.Add(100*time.Millisecond + 1)
+		situation.SendableAt = start.Add(100*time.Millisecond + 1)
 		decision := admission.Decide(start, situation)
 		assert.False(t, decision.Wait)
 		assert.Equal(t, reason, decision.Reason)
@@ -29,11 +29,11 @@
 
 func TestRetryAfterIsJittered(t *testing.T) {
 	situation := admission.Situation{
-		Route: plain, Arrived: start, Deadline: start.Add(time.Second), Resting: true, Turn: start.Add(3 * time.Second),
+		Route: plain, Arrived: start, Deadline: start.Add(time.Second), Resting: true, SendableAt: start.Add(3 * time.Second),
 	}
 	assert.Equal(t, 3*time.Second, admission.Decide(start, situation).RetryAfter, "not before the pause ends")
-	situation.Spread = 0.5
+	situation.Jitter = 0.5
 	assert.Equal(t, 4500*time.Millisecond, admission.Decide(start, situation).RetryAfter)
-	situation.Turn = start.Add(150 * time.Millisecond)
+	situation.SendableAt = start.Add(150 * time.Millisecond)
 	assert.Equal(t, 600*time.Millisecond, admission.Decide(start, situation).RetryAfter, "at least the minimum time, with jitter")
 }
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -224,10 +224,10 @@
 	switch w.Verdict {
 	case balance.NotResident:
 		expected := c.expected(now, w)
-		situation.Expected, situation.NobodyOrders = expected.At, expected.Reason.NobodyOrders()
+		situation.AdapterExpectedAt, situation.NobodyOrders = expected.At, expected.Reason.NobodyOrders()
 	case balance.Limited, balance.Resting:
 		situation.Limited, situation.Resting = w.Verdict == balance.Limited, w.Verdict == balance.Resting
-		situation.Turn, situation.Spread = c.turnOf(now, w), c.options.Random()
+		situation.SendableAt, situation.Jitter = c.turnOf(now, w), c.options.Random()
 	}
 	decision := admission.Decide(now, situation)
 	if decision.Wait {
