--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -58,7 +58,7 @@
 	// AdapterExpectedAt is when the adapter is expected to be resident; zero if unknown. It comes from the planner's last view (which is
 	// updated with its heartbeats) or, while no planner is active, from the usual duration of a planner handover.
 	AdapterExpectedAt time.Time
-	// NobodyOrders is set while no planner orders loads, so that no forecast can arrive that would change Expected.
+	// NobodyOrders is set while no planner orders loads, so that no forecast can arrive that would change AdapterExpectedAt.
 	NobodyOrders bool
 }
 
@@ -131,15 +131,16 @@
 	return Decision{Reason: AdapterNotLoaded, RetryAfter: retryAfter(now, situation)}
 }
 
-// jitteredRetryAfter returns when a caller should retry that was refused because of limits or pauses of endpoints: between the
-// request's turn and twice that time, so that callers that were refused together do not retry together.
+// jitteredRetryAfter returns when a caller should retry that was refused because of limits or pauses of endpoints: between the time
+// at which its request could be sent and twice that time, so that callers that were refused together do not retry together.
 func jitteredRetryAfter(now time.Time, situation Situation) time.Duration {
 	turn := max(minRetryAfter, situation.SendableAt.Sub(now))
 	return turn + time.Duration(situation.Jitter*float64(turn))
 }
 
-// availableTooLate reports whether the adapter, or the request's turn, is expected only after the end of the request's wait. The
-// limit is not the target: refusing a request whose adapter would have come costs more than serving it late.
+// availableTooLate reports whether the adapter, or the time at which the request can be sent, is expected only after the end of the
+// request's wait. The end of the wait applies and not the route's target: refusing a request whose adapter would have come costs more
+// than serving it late.
 func availableTooLate(waited time.Duration, situation Situation) bool {
 	if situation.Limited || situation.Resting {
 		return situation.SendableAt.After(situation.Arrived.Add(waitLimit(situation)))
--- a/services/entry/balance/backend.go
+++ b/services/entry/balance/backend.go
@@ -5,16 +5,16 @@
 
 import "github.com/shelfledge/shelfledge/models/entry/deployment"
 
-// ChooseBackend picks a service of a route by weight; random is from 0 up to 1.
+// ChooseBackend returns a service of a route, drawn by weight; random is in [0, 1).
 func ChooseBackend(route *deployment.Route, random float64) string {
 	total := 0.0
 	for _, backend := range route.Backends {
 		total += backend.Weight
 	}
-	rest := random * total
+	remaining := random * total
 	for _, backend := range route.Backends {
-		rest -= backend.Weight
-		if rest < 0 {
+		remaining -= backend.Weight
+		if remaining < 0 {
 			return backend.Service
 		}
 	}
--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -13,87 +13,87 @@
 )
 
 const (
-	// hallPenalty and plainHallPenalty are what crossing between halls weighs, for model and plain services, in requests in flight: higher
-	// trades a longer queue for a shorter way.
+	// hallPenalty and plainHallPenalty are the costs of crossing between halls, for model and plain services, in requests in flight.
+	// Higher accepts a longer queue for a shorter network path.
 	hallPenalty      = 1.0
 	plainHallPenalty = 2.5
 )
 
-// Options are the settings of a choice.
+// Options are the settings for Choose.
 type Options struct {
-	// Hall is this instance's own; from the settings.
+	// Hall is the instance's own hall, from the settings.
 	Hall string
-	// HallPenalty is how many requests in flight a crossing of halls weighs for services with models.
+	// HallPenalty is the cost of crossing halls for services with models, in requests in flight.
 	HallPenalty float64
-	// PlainHallPenalty is the same for plain services.
+	// PlainHallPenalty is the cost of crossing halls for plain services, in requests in flight.
 	PlainHallPenalty float64
-	// Limit is the bound from which on an endpoint with models is saturated.
+	// Limit is the limit at which an endpoint with models is saturated.
 	Limit SlotLimit
-	// Random gives a number from 0 up to 1, by which the endpoint is drawn.
+	// Random returns a number in [0, 1), by which the endpoint is drawn.
 	Random func() float64
 }
 
-// NewOptions gives the settings of an instance's choices.
+// NewOptions returns the settings of an instance in a hall.
 func NewOptions(hall string, random func() float64) Options {
 	return Options{Hall: hall, HallPenalty: hallPenalty, PlainHallPenalty: plainHallPenalty, Limit: RequestLimit(), Random: random}
 }
 
-// Requirement is what a request asks of an endpoint.
+// Requirement describes what a request needs of an endpoint.
 type Requirement struct {
 	// Request is the caller's request, decoded from its head.
 	Request *deployment.Request
-	// Version is the lowest version of the adapter that may run the request, as named in the store; 0 allows any.
+	// Version is the lowest version of the adapter that may run the request, as named in the store; 0 allows any version.
 	Version int64
-	// Former is the lowest older version that is allowed, 0 any, where the request is known to wait less than FormerWait in the
-	// endpoint's own queue until it runs; with a FormerWait of 0, older versions are allowed nowhere.
+	// Former is the lowest older version that is allowed (0 allows any) at an endpoint in whose own queue the request is known to
+	// wait less than FormerWait. If FormerWait is 0, older versions are not allowed.
 	Former     int64
 	FormerWait time.Duration
-	// OthersKnown says that the others' requests in flight are those of a fresh view, so that none means none.
+	// OthersKnown is set if the other instances' requests in flight come from a recent view, so that a count of 0 means none.
 	OthersKnown bool
-	// OthersAge is how old the others' counts are, Stay how long a request of the service is in flight: together they tell how much
-	// the counts may have changed since.
+	// OthersAge is the age of the other instances' counts, and Stay the time that a request of the service is in flight. Together
+	// they indicate how much the counts may have changed since.
 	OthersAge time.Duration
 	Stay      time.Duration
-	// Tried are endpoints that were sent the request already, by this instance.
+	// Tried are the endpoints to which this instance already sent the request.
 	Tried []deployment.EndpointID
 }
 
-// Verdict says why no endpoint was chosen.
+// Verdict is the result of a choice: that an endpoint was chosen, or why none was.
 type Verdict int
 
-// The verdicts of a choice.
+// The verdicts of Choose.
 const (
-	// Chosen: an endpoint was found.
+	// Chosen means that an endpoint was found.
 	Chosen Verdict = iota
-	// NoEndpoint: no endpoint of the service takes work.
+	// NoEndpoint means that no endpoint of the service accepts requests.
 	NoEndpoint
-	// NotResident: endpoints take work, but none holds the adapter.
+	// NotResident means that endpoints accept requests, but none holds the adapter.
 	NotResident
-	// Resting: an endpoint could run it, but asked this instance for rest.
+	// Resting means that an endpoint could run the request, but asked this instance to pause.
 	Resting
-	// Limited: an endpoint could run it, but takes no more requests for now, by the limit that it names.
+	// Limited means that an endpoint could run the request, but accepts no more requests for now by the limit that it reports.
 	Limited
-	// Saturated: an endpoint holds the adapter, but has too many requests in flight.
+	// Saturated means that an endpoint holds the adapter, but has too many requests in flight.
 	Saturated
 )
 
-// Choose gives the endpoint for a request. Ejected endpoints are taken only where nothing
-// else can run it, or for a trial; those that rest, or take no more requests by their limit, never.
+// Choose returns the endpoint for a request. Ejected endpoints are chosen only if no other endpoint can run the request, or for a
+// trial; endpoints that rest, or whose limit allows no more requests, are never chosen.
 func Choose(now time.Time, endpoints []*directory.EndpointStatus, required Requirement, options Options) (*directory.EndpointStatus, Verdict) {
 	verdict := NoEndpoint
-	var good, avoided []candidate
+	var preferred, avoided []candidate
 	for _, endpoint := range endpoints {
-		if endpoint.State != deployment.Ready || !required.admits(endpoint.ID) {
+		if endpoint.State != deployment.Ready || !required.allowsEndpoint(endpoint.ID) {
 			continue
 		}
 		verdict = max(verdict, NotResident)
 		if endpoint.Lost() && required.Request.UsesModel() {
 			continue
 		}
-		if required.Request.UsesModel() && !endpoint.Holds(now, required.Request.Adapter, required.versionAt(now, endpoint)) {
+		if required.Request.UsesModel() && !endpoint.Holds(now, required.Request.Adapter, required.requiredVersion(now, endpoint)) {
 			continue
 		}
-		// A stream that goes on where it was takes the place that it had, which requests that waited would take first otherwise.
+		// A stream that is resumed at its endpoint may exceed the limit: waiting requests would otherwise take the place that it had.
 		if required.Request.UsesModel() && required.Request.Only == "" && options.Limit.Reached(endpoint) {
 			verdict = Saturated
 			continue
@@ -106,33 +106,34 @@
 			verdict = max(verdict, Limited)
 			continue
 		}
-		one := candidate{endpoint: endpoint, cost: cost(endpoint, required.Request, options)}
+		found := candidate{endpoint: endpoint, cost: cost(endpoint, required.Request, options)}
 		if endpoint.Avoided(now) {
-			avoided = append(avoided, one)
+			avoided = append(avoided, found)
 			continue
 		}
-		good = append(good, one)
+		preferred = append(preferred, found)
 	}
-	if len(good) == 0 {
-		good = avoided
+	if len(preferred) == 0 {
+		preferred = avoided
 	}
-	if len(good) == 0 {
+	if len(preferred) == 0 {
 		return nil, verdict
 	}
-	return pick(good, unknownRequests(good, required.OthersAge, required.Stay), options.Random()), Chosen
+	return drawCandidate(preferred, unknownRequests(preferred, required.OthersAge, required.Stay), options.Random()), Chosen
 }
 
-// admits reports whether the request may be sent to an endpoint, by where it was sent before.
-func (r *Requirement) admits(id deployment.EndpointID) bool {
+// allowsEndpoint reports whether the request may be sent to an endpoint, considering where it was sent before.
+func (r *Requirement) allowsEndpoint(id deployment.EndpointID) bool {
 	if r.Request.Only != "" {
 		return id == r.Request.Only
 	}
 	return !slices.Contains(r.Tried, id)
 }
 
-// versionAt is the lowest version that may run the request at an endpoint. Where the wait there is not known, or nothing would show in
-// time that it is longer, the request might run after the time of older versions is over: they are not allowed.
-func (r *Requirement) versionAt(now time.Time, endpoint *directory.EndpointStatus) int64 {
+// requiredVersion returns the lowest version that may run the request at an endpoint. Older versions are not allowed if the wait at
+// the endpoint is unknown, or if a longer wait would not become visible in time: the request might then run after the time during
+// which older versions are allowed.
+func (r *Requirement) requiredVersion(now time.Time, endpoint *directory.EndpointStatus) int64 {
 	if r.Version == 0 || r.FormerWait <= 0 || !r.Request.BeginShows() {
 		return r.Version
 	}
@@ -143,7 +144,7 @@
 	return r.Version
 }
 
-// cost is what a request adds to at an endpoint, in requests in flight.
+// cost returns the load that a request would find at an endpoint, in requests in flight, including the penalty for crossing halls.
 func cost(endpoint *directory.EndpointStatus, request *deployment.Request, options Options) float64 {
 	cost := float64(endpoint.Load())
 	if request.UsesModel() {
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -21,7 +21,7 @@
 	options = balance.Options{Hall: "near", HallPenalty: 1, PlainHallPenalty: 2.5, Random: func() float64 { return 0 }}
 )
 
-func build(endpoints ...deployment.Endpoint) *directory.Directory {
+func newDirectory(endpoints ...deployment.Endpoint) *directory.Directory {
 	d := directory.New()
 	for _, endpoint := range endpoints {
 		endpoint.Service = "service"
@@ -30,7 +30,7 @@
 	return d
 }
 
-func holder(id, hall string) deployment.Endpoint {
+func endpointWithAdapter(id, hall string) deployment.Endpoint {
 	return deployment.Endpoint{
 		ID: deployment.EndpointID(id), Hall: hall, Models: []string{"base"}, Adapters: map[deployment.Adapter]int64{adapter: 1},
 	}
@@ -40,34 +40,34 @@
 	return balance.Choose(start, d.Service("service"), required, options)
 }
 
-func TestOnlyEndpointsThatHoldTheAdapterAreChosen(t *testing.T) {
-	d := build(holder("far", "other"), deployment.Endpoint{ID: "empty", Hall: "near", Models: []string{"base"}})
+func TestChooseRequiresAdapter(t *testing.T) {
+	d := newDirectory(endpointWithAdapter("far", "other"), deployment.Endpoint{ID: "empty", Hall: "near", Models: []string{"base"}})
 	endpoint, verdict := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	require.Equal(t, balance.Chosen, verdict)
 	assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 }
 
-func TestVerdictsTellWhyNoneWasChosen(t *testing.T) {
-	_, verdict := choose(build(), balance.Requirement{Request: &deployment.Request{}})
+func TestVerdictsWithoutChosenEndpoint(t *testing.T) {
+	_, verdict := choose(newDirectory(), balance.Requirement{Request: &deployment.Request{}})
 	assert.Equal(t, balance.NoEndpoint, verdict)
-	leaving := holder("leaving", "near")
+	leaving := endpointWithAdapter("leaving", "near")
 	leaving.State = deployment.Draining
-	_, verdict = choose(build(leaving), balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
+	_, verdict = choose(newDirectory(leaving), balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	assert.Equal(t, balance.NoEndpoint, verdict)
-	_, verdict = choose(build(holder("old", "near")), balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Version: 2})
+	_, verdict = choose(newDirectory(endpointWithAdapter("old", "near")), balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Version: 2})
 	assert.Equal(t, balance.NotResident, verdict)
 }
 
-func TestTheLeastLoadedIsChosenAndOthersRequestsCount(t *testing.T) {
-	d := build(holder("a", "near"), holder("b", "near"))
+func TestChoosePrefersLeastLoadedCountingOtherInstances(t *testing.T) {
+	d := newDirectory(endpointWithAdapter("a", "near"), endpointWithAdapter("b", "near"))
 	d.Endpoint("a").Others = 3
 	d.Begin(start, "b", &deployment.Request{Adapter: adapter})
 	endpoint, _ := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
 }
 
-func TestTheOwnHallIsPreferredUntilItIsBusier(t *testing.T) {
-	d := build(holder("near", "near"), holder("far", "other"))
+func TestChoosePrefersOwnHallUntilBusier(t *testing.T) {
+	d := newDirectory(endpointWithAdapter("near", "near"), endpointWithAdapter("far", "other"))
 	request := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
 	endpoint, _ := choose(d, request)
 	assert.Equal(t, deployment.EndpointID("near"), endpoint.ID)
@@ -76,18 +76,18 @@
 	assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 }
 
-func TestTriedEndpointsAreNotChosenAgain(t *testing.T) {
-	d := build(holder("a", "near"))
+func TestChooseSkipsTriedEndpoints(t *testing.T) {
+	d := newDirectory(endpointWithAdapter("a", "near"))
 	endpoint, _ := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Tried: []deployment.EndpointID{"a"}})
 	assert.Nil(t, endpoint)
 }
 
-// TestAStreamThatGoesOnInPlaceTakesThePlaceThatItHad: neither that its endpoint was tried nor that it is full by now keeps it out, and
-// nothing else takes it.
-func TestAStreamThatGoesOnInPlaceTakesThePlaceThatItHad(t *testing.T) {
-	full := holder("full", "near")
+// TestResumedStreamIgnoresTriedAndSaturated resumes a stream at its own endpoint: it is chosen although it was tried and is
+// saturated, and no other endpoint is chosen instead.
+func TestResumedStreamIgnoresTriedAndSaturated(t *testing.T) {
+	full := endpointWithAdapter("full", "near")
 	full.Slots = 20
-	d := build(full, holder("free", "near"))
+	d := newDirectory(full, endpointWithAdapter("free", "near"))
 	d.Endpoint("full").Others = 20
 	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter, Only: "full"}, Tried: []deployment.EndpointID{"full"}}
 	endpoint, verdict := choose(d, required)
@@ -98,8 +98,8 @@
 	assert.Equal(t, balance.NoEndpoint, verdict)
 }
 
-func TestEjectedEndpointsServeOnlyWhereNothingElseCan(t *testing.T) {
-	d := build(holder("bad", "near"), holder("good", "other"))
+func TestEjectedEndpointIsLastResort(t *testing.T) {
+	d := newDirectory(endpointWithAdapter("bad", "near"), endpointWithAdapter("good", "other"))
 	for range 3 {
 		d.Begin(start, "bad", &deployment.Request{Adapter: adapter})
 		d.End(start, "bad", adapter, directory.Broken)
@@ -112,7 +112,7 @@
 	assert.Equal(t, deployment.EndpointID("bad"), endpoint.ID)
 }
 
-func TestBackendsAreChosenByWeight(t *testing.T) {
+func TestChooseBackendByWeight(t *testing.T) {
 	route := &deployment.Route{Backends: []deployment.Backend{{Service: "a", Weight: 90}, {Service: "b", Weight: 10}}}
 	assert.Equal(t, "a", balance.ChooseBackend(route, 0))
 	assert.Equal(t, "a", balance.ChooseBackend(route, 0.89))
@@ -121,10 +121,10 @@
 	assert.Empty(t, balance.ChooseBackend(&deployment.Route{}, 0.5))
 }
 
-func TestAFullEndpointGetsNoMoreRequests(t *testing.T) {
-	full := holder("full", "near")
+func TestSaturatedEndpointIsNotChosen(t *testing.T) {
+	full := endpointWithAdapter("full", "near")
 	full.Slots = 4
-	d := build(full)
+	d := newDirectory(full)
 	bounded := options
 	bounded.Limit.Share = 0.5
 	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
@@ -136,19 +136,20 @@
 	assert.Equal(t, balance.Saturated, verdict)
 	bounded.Limit.Least = 3
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
-	assert.Equal(t, balance.Chosen, verdict, "a batch this small is fast enough")
+	assert.Equal(t, balance.Chosen, verdict, "the minimum limit applies to small batches")
 	d.Endpoint("full").Others = 3
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	plain := balance.Requirement{Request: &deployment.Request{}}
 	_, verdict = balance.Choose(start, d.Service("service"), plain, bounded)
-	assert.Equal(t, balance.Chosen, verdict, "a plain service has a queue of its own")
+	assert.Equal(t, balance.Chosen, verdict, "the limit does not apply to plain services")
 }
 
-// TestAnEndpointThatRefusesOthersGetsNoRequests: after a crash of a quarter of the endpoints each of 195 instances sent requests to each of
-// them until it had found out for itself, for the 3 s in which the store still named them: 246 requests were refused.
-func TestAnEndpointThatRefusesOthersGetsNoRequests(t *testing.T) {
-	d := build(holder("dead", "h1"), holder("alive", "h1"))
+// TestEndpointUnreachableForOthersIsNotChosen guards against each instance finding out by itself that an endpoint is unreachable:
+// after a crash of a quarter of the endpoints, each of 195 instances sent requests to each of these endpoints for the 3 s in which
+// the store still listed them, and 246 requests were refused.
+func TestEndpointUnreachableForOthersIsNotChosen(t *testing.T) {
+	d := newDirectory(endpointWithAdapter("dead", "h1"), endpointWithAdapter("alive", "h1"))
 	request := &deployment.Request{Adapter: adapter, Service: "s"}
 	d.Endpoint("dead").Unreached = true
 	for range 20 {
@@ -159,7 +160,7 @@
 	d.Endpoint("alive").Unreached = true
 	chosen, verdict := choose(d, balance.Requirement{Request: request})
 	assert.Nil(t, chosen)
-	assert.Equal(t, balance.NotResident, verdict, "another copy is worth waiting for")
+	assert.Equal(t, balance.NotResident, verdict, "the request must wait for another copy")
 
 	for range 2 {
 		d.Begin(start, "dead", request)
@@ -167,5 +168,5 @@
 	}
 	chosen, _ = choose(d, balance.Requirement{Request: request})
 	require.NotNil(t, chosen)
-	assert.EqualValues(t, "dead", chosen.ID, "one that found out itself tries it by its own rule")
+	assert.EqualValues(t, "dead", chosen.ID, "an instance that failed to connect itself applies its own ejection rule")
 }
--- a/services/entry/balance/limit.go
+++ b/services/entry/balance/limit.go
@@ -6,37 +6,38 @@
 import "github.com/shelfledge/shelfledge/services/entry/directory"
 
 const (
-	// noCopySlotShare is the share of a model endpoint's slots in flight from which on it gets no new copies, and noRequestSlotShare the
-	// share from which on it gets no requests; between the two it serves what only it holds. Higher serves more at once, each more slowly.
-	noCopySlotShare    = 0.5
-	noRequestSlotShare = 0.65
-	// noCopySlots and noRequestSlots are the least such bounds, in requests in flight, for endpoints with few slots: batches this small do
-	// not slow each other down much. Higher serves more at once.
-	noCopySlots    = 10
-	noRequestSlots = 12
+	// copySlotShare is the share of a model endpoint's slots in flight at which it gets no new copies, and requestSlotShare the share
+	// at which it gets no requests; between the two, it still serves adapters that only it holds. Higher serves more at
+	// once, each more slowly.
+	copySlotShare    = 0.5
+	requestSlotShare = 0.65
+	// minCopySlotLimit and minRequestSlotLimit are the minimum values of these limits, in requests in flight, for endpoints with few
+	// slots: batches this small hardly slow each other down. Higher serves more at once.
+	minCopySlotLimit    = 10
+	minRequestSlotLimit = 12
 )
 
-// SlotLimit bounds the requests in flight at an endpoint with models; with more of them, all take longer than their
-// callers wait.
+// SlotLimit limits the requests in flight at an endpoint with models. Beyond the limit, every request takes longer than its caller
+// waits.
 type SlotLimit struct {
-	// Share is the bound as a share of the endpoint's slots.
+	// Share is the limit as a share of the endpoint's slots.
 	Share float64
-	// Least is the bound, in requests in flight, where the share is smaller, as far as the endpoint has slots.
+	// Least is the minimum limit in requests in flight, but at most the endpoint's number of slots.
 	Least int
 }
 
-// CopyLimit is the bound from which on an endpoint gets no new copies.
+// CopyLimit returns the limit at which an endpoint gets no new copies.
 func CopyLimit() SlotLimit {
-	return SlotLimit{Share: noCopySlotShare, Least: noCopySlots}
+	return SlotLimit{Share: copySlotShare, Least: minCopySlotLimit}
 }
 
-// RequestLimit is the bound from which on an endpoint is saturated: it gets no requests.
+// RequestLimit returns the limit at which an endpoint is saturated and gets no requests.
 func RequestLimit() SlotLimit {
-	return SlotLimit{Share: noRequestSlotShare, Least: noRequestSlots}
+	return SlotLimit{Share: requestSlotShare, Least: minRequestSlotLimit}
 }
 
-// Reached reports whether an endpoint has as many requests in flight as the bound allows, by this instance's own count and
-// the others' as of the planner's last view. An endpoint whose number of slots is not known has no bound.
+// Reached reports whether an endpoint has as many requests in flight as the limit allows, by this instance's own count and the other
+// instances' counts as of the planner's last view. An endpoint with an unknown number of slots has no limit.
 func (l SlotLimit) Reached(endpoint *directory.EndpointStatus) bool {
 	limit := max(l.Share*float64(endpoint.Slots), float64(min(endpoint.Slots, l.Least)))
 	return endpoint.Slots > 0 && float64(endpoint.Load()) >= limit
--- a/services/entry/balance/held_test.go
+++ b/services/entry/balance/limited_test.go
@@ -14,8 +14,8 @@
 	"github.com/shelfledge/shelfledge/services/entry/balance"
 )
 
-func TestEndpointsThatHoldRequestsBackAreNoLastResort(t *testing.T) {
-	d := build(holder("resting", "near"), holder("limited", "near"))
+func TestLimitedAndRestingEndpointsAreNeverChosen(t *testing.T) {
+	d := newDirectory(endpointWithAdapter("resting", "near"), endpointWithAdapter("limited", "near"))
 	d.Endpoint("resting").NoteRest(start.Add(time.Second))
 	d.Endpoint("limited").Allowance.Hear(start, start, new(1.0))
 	request := &deployment.Request{Adapter: adapter}
@@ -23,7 +23,7 @@
 	assert.Nil(t, chosen)
 	assert.Equal(t, balance.Limited, verdict)
 	chosen, verdict = choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter, Only: "resting"}})
-	assert.Nil(t, chosen, "nor for a stream that would go on there")
+	assert.Nil(t, chosen, "the endpoint is not chosen for a stream to be resumed there either")
 	assert.Equal(t, balance.Resting, verdict)
 
 	d.Endpoint("limited").Allowance.Grant(start, 1)
@@ -32,5 +32,5 @@
 	assert.EqualValues(t, "limited", chosen.ID)
 	d.Begin(start, chosen.ID, request)
 	_, verdict = choose(d, balance.Requirement{Request: request})
-	assert.Equal(t, balance.Limited, verdict, "one request for one grant")
+	assert.Equal(t, balance.Limited, verdict, "a grant allows one request")
 }
--- a/services/entry/balance/spread.go
+++ b/services/entry/balance/spread.go
@@ -10,47 +10,49 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// leastSpread is the width, in requests in flight, within which endpoints count as equally loaded, however young the counts are. It stays
-// below one, so that a request more always counts, and above zero, so that instances with the same view do not choose alike.
-const leastSpread = 0.5
+// minUnknownRequests is the minimum estimate of the requests that came since the counts were taken, however recent the counts are:
+// endpoints whose costs differ by less count as equally loaded. It is below one, so that one request more always matters, and above
+// zero, so that instances with the same view do not all choose the same endpoint.
+const minUnknownRequests = 0.5
 
-// candidate is an endpoint that can take a request, and what the request adds to there, in requests in flight.
+// candidate is an endpoint that can accept a request, with the request's cost there in requests in flight.
 type candidate struct {
 	endpoint *directory.EndpointStatus
 	cost     float64
 }
 
-// pick draws one of the candidates; random is from 0 up to 1, and there must be a candidate.
+// drawCandidate draws one of the candidates, of which there must be at least one; random is in [0, 1).
 //
-// The others' counts are old, and all instances know the same old ones: if each took the least, all requests of an interval went to
-// one endpoint. So a request is taken for one of those that all instances send before the counts are renewed, and the probability of
-// an endpoint is the part of those that it should get for the costs to end up level. Counts that are young mean few such requests, and
-// the least is taken; very old ones mean nearly equal parts. The rule is Dahlin's interpretation of stale load.
+// The counts of the other instances are old, and all instances use the same old counts: if each chose the minimum, all requests of an
+// interval would go to one endpoint. Therefore the request is treated as one of those that all instances send before the counts are
+// renewed. The probability of an endpoint is the share of these requests that it should get for the costs to become level. With
+// recent counts there are few such requests, and the minimum is chosen; with very old counts the shares are almost equal. This is
+// Dahlin's load interpretation for stale load information.
 //
-// It answers the load of many instances with few requests each.
-func pick(candidates []candidate, unknown, random float64) *directory.EndpointStatus {
-	unknown = max(unknown, leastSpread)
-	level := levelOf(candidates, unknown)
-	rest := random * unknown
-	last := candidates[0].endpoint
-	for _, one := range candidates {
-		if one.cost >= level {
+// The rule addresses the load of many instances with few requests each.
+func drawCandidate(candidates []candidate, unknown, random float64) *directory.EndpointStatus {
+	unknown = max(unknown, minUnknownRequests)
+	level := commonLevel(candidates, unknown)
+	remaining := random * unknown
+	drawn := candidates[0].endpoint
+	for _, c := range candidates {
+		if c.cost >= level {
 			continue
 		}
-		last = one.endpoint
-		rest -= level - one.cost
-		if rest < 0 {
+		drawn = c.endpoint
+		remaining -= level - c.cost
+		if remaining < 0 {
 			break
 		}
 	}
-	return last
+	return drawn
 }
 
-// levelOf gives the cost that the cheapest candidates reach if requests come one by one, each to the cheapest.
-func levelOf(candidates []candidate, requests float64) float64 {
+// commonLevel returns the cost that the cheapest candidates reach if a number of requests go, one by one, to the cheapest candidate.
+func commonLevel(candidates []candidate, requests float64) float64 {
 	costs := make([]float64, 0, len(candidates))
-	for _, one := range candidates {
-		costs = append(costs, one.cost)
+	for _, c := range candidates {
+		costs = append(costs, c.cost)
 	}
 	slices.Sort(costs)
 	sum := 0.0
@@ -64,15 +66,15 @@
 	return (requests + sum) / float64(len(costs))
 }
 
-// unknownRequests estimates how many requests of other instances have come to the candidates since their counts were taken: as many as
-// those that were in flight, once in each time that a request stays.
+// unknownRequests estimates how many requests of other instances came to the candidates since their counts were taken: per duration
+// of a request, as many as were in flight.
 func unknownRequests(candidates []candidate, age, stay time.Duration) float64 {
 	if stay <= 0 {
 		return 0
 	}
 	others := 0
-	for _, one := range candidates {
-		others += one.endpoint.Others
+	for _, c := range candidates {
+		others += c.endpoint.Others
 	}
 	return float64(others) * age.Seconds() / stay.Seconds()
 }
--- a/services/entry/balance/spread_test.go
+++ b/services/entry/balance/spread_test.go
@@ -15,28 +15,28 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// crowd is a fleet of many instances that send requests for one adapter, each of which stays for a second.
-type crowd struct {
+// simulation is a fleet of many instances that send requests for one adapter, each of which takes requestDuration.
+type simulation struct {
 	copies int
-	// perSecond are the requests of all instances together.
+	// perSecond is the number of requests per second of all instances together.
 	perSecond int
-	// age is how often the counts of all requests in flight are renewed, for all instances at once.
-	age time.Duration
-	// blind says that instances do not know how old the counts are.
-	blind bool
+	// countInterval is how often the counts of all requests in flight are renewed, for all instances at once.
+	countInterval time.Duration
+	// ignoresAge is set if the instances do not consider the age of the counts.
+	ignoresAge bool
 }
 
-const stay = time.Second
+const requestDuration = time.Second
 
-// play gives the mean over time of the most requests at one endpoint over the mean of all endpoints.
-func (c crowd) play(seed uint64) float64 {
+// run returns the maximum number of requests in flight at an endpoint, averaged over time, divided by the average over all endpoints.
+func (s simulation) run(seed uint64) float64 {
 	const (
 		step  = 5 * time.Millisecond
 		steps = 4000
 	)
 	random := rand.New(rand.NewPCG(seed, 3))
-	chance := balance.Options{Hall: "near", Random: random.Float64}
-	endpoints := make([]*directory.EndpointStatus, c.copies)
+	randomOptions := balance.Options{Hall: "near", Random: random.Float64}
+	endpoints := make([]*directory.EndpointStatus, s.copies)
 	d := directory.New()
 	for i := range endpoints {
 		id := string(rune('a' + i))
@@ -44,65 +44,66 @@
 		endpoints[i] = d.Endpoint(deployment.EndpointID(id))
 	}
 	running := make(map[deployment.EndpointID]int)
-	ends := make([][]deployment.EndpointID, steps+int(stay/step)+1)
-	var renewed, busiest, all float64
-	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Stay: stay}
+	ends := make([][]deployment.EndpointID, steps+int(requestDuration/step)+1)
+	var renewed, maxSum, meanSum float64
+	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Stay: requestDuration}
 	for at := range steps {
 		now := time.Duration(at) * step
 		for _, id := range ends[at] {
 			running[id]--
 		}
-		if now.Seconds()-renewed >= c.age.Seconds() {
+		if now.Seconds()-renewed >= s.countInterval.Seconds() {
 			renewed = now.Seconds()
 			for _, endpoint := range endpoints {
 				endpoint.Others = running[endpoint.ID]
 			}
 		}
-		if random.Float64() < float64(c.perSecond)*step.Seconds() {
-			if !c.blind {
+		if random.Float64() < float64(s.perSecond)*step.Seconds() {
+			if !s.ignoresAge {
 				required.OthersAge = now - time.Duration(renewed*float64(time.Second))
 			}
-			chosen, _ := balance.Choose(start.Add(now), endpoints, required, chance)
+			chosen, _ := balance.Choose(start.Add(now), endpoints, required, randomOptions)
 			running[chosen.ID]++
-			ends[at+int(stay/step)] = append(ends[at+int(stay/step)], chosen.ID)
+			ends[at+int(requestDuration/step)] = append(ends[at+int(requestDuration/step)], chosen.ID)
 		}
 		most, sum := 0, 0
 		for _, count := range running {
 			most, sum = max(most, count), sum+count
 		}
-		busiest += float64(most)
-		all += float64(sum) / float64(c.copies)
+		maxSum += float64(most)
+		meanSum += float64(sum) / float64(s.copies)
 	}
-	return busiest / all
+	return maxSum / meanSum
 }
 
-// TestManyInstancesWithOldCountsDoNotCrowd plays the load of a fleet whose instances have one request in flight each, if any, so that
-// their own counts say nothing: all of them sent what came within one age of the counts to the endpoint that had been the emptiest.
-// Callers waited at a crowded endpoint while another copy was free.
-func TestManyInstancesWithOldCountsDoNotCrowd(t *testing.T) {
+// TestChooseSpreadsLoadWithOldCounts guards against all instances sending their requests to the endpoint that had the fewest requests
+// when the counts were taken. It simulates a fleet whose instances have at most one request in flight each, so that their own counts
+// carry no information. Callers waited at an overloaded endpoint while another copy was idle.
+func TestChooseSpreadsLoadWithOldCounts(t *testing.T) {
 	for name, test := range map[string]struct {
-		crowd  crowd
-		before float64
-		most   float64
+		simulation simulation
+		withoutAge float64
+		maxWithAge float64
 	}{
-		"two copies, 3 s":    {crowd{copies: 2, perSecond: 40, age: 3 * time.Second}, 1.6, 1.35},
-		"two copies, 0.4 s":  {crowd{copies: 2, perSecond: 40, age: 400 * time.Millisecond}, 1.2, 1.2},
-		"five copies, 3 s":   {crowd{copies: 5, perSecond: 100, age: 3 * time.Second}, 2.6, 1.6},
-		"five copies, 0.4 s": {crowd{copies: 5, perSecond: 100, age: 400 * time.Millisecond}, 1.7, 1.55},
+		"two copies, 3 s":    {simulation{copies: 2, perSecond: 40, countInterval: 3 * time.Second}, 1.6, 1.35},
+		"two copies, 0.4 s":  {simulation{copies: 2, perSecond: 40, countInterval: 400 * time.Millisecond}, 1.2, 1.2},
+		"five copies, 3 s":   {simulation{copies: 5, perSecond: 100, countInterval: 3 * time.Second}, 2.6, 1.6},
+		"five copies, 0.4 s": {simulation{copies: 5, perSecond: 100, countInterval: 400 * time.Millisecond}, 1.7, 1.55},
 	} {
 		t.Run(name, func(t *testing.T) {
-			blind := test.crowd
-			blind.blind = true
-			before, after := blind.play(1), test.crowd.play(1)
-			t.Logf("busiest over mean: %.2f by the least of the counts, %.2f by their age", before, after)
-			assert.Greater(t, before, test.before)
-			assert.Less(t, after, test.most)
+			ignoresAge := test.simulation
+			ignoresAge.ignoresAge = true
+			withoutAge, withAge := ignoresAge.run(1), test.simulation.run(1)
+			t.Logf("busiest over mean: %.2f by the minimum count, %.2f considering the age", withoutAge, withAge)
+			assert.Greater(t, withoutAge, test.withoutAge)
+			assert.Less(t, withAge, test.maxWithAge)
 		})
 	}
 }
 
-// TestCountsOfNowAreTakenAsTheyAre: with counts that are renewed with each request the emptiest endpoint takes it.
-func TestCountsOfNowAreTakenAsTheyAre(t *testing.T) {
-	young := crowd{copies: 4, perSecond: 40, age: 5 * time.Millisecond}
-	assert.Less(t, young.play(1), 1.12)
+// TestChooseFollowsCurrentCounts checks that the endpoint with the fewest requests is chosen if the counts are renewed with each
+// request.
+func TestChooseFollowsCurrentCounts(t *testing.T) {
+	current := simulation{copies: 4, perSecond: 40, countInterval: 5 * time.Millisecond}
+	assert.Less(t, current.run(1), 1.12)
 }
