--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -134,7 +134,7 @@
 	d.Endpoint("full").Others = 2
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
-	bounded.Limit.Least = 3
+	bounded.Limit.Min = 3
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "the minimum limit applies to small batches")
 	d.Endpoint("full").Others = 3
--- a/services/entry/balance/limit.go
+++ b/services/entry/balance/limit.go
@@ -22,23 +22,23 @@
 type SlotLimit struct {
 	// Share is the limit as a share of the endpoint's slots.
 	Share float64
-	// Least is the minimum limit in requests in flight, but at most the endpoint's number of slots.
-	Least int
+	// Min is the minimum limit in requests in flight, but at most the endpoint's number of slots.
+	Min int
 }
 
 // CopyLimit returns the limit at which an endpoint gets no new copies.
 func CopyLimit() SlotLimit {
-	return SlotLimit{Share: copySlotShare, Least: minCopySlotLimit}
+	return SlotLimit{Share: copySlotShare, Min: minCopySlotLimit}
 }
 
 // RequestLimit returns the limit at which an endpoint is saturated and gets no requests.
 func RequestLimit() SlotLimit {
-	return SlotLimit{Share: requestSlotShare, Least: minRequestSlotLimit}
+	return SlotLimit{Share: requestSlotShare, Min: minRequestSlotLimit}
 }
 
 // Reached reports whether an endpoint has as many requests in flight as the limit allows, by this instance's own count and the other
 // instances' counts as of the planner's last view. An endpoint with an unknown number of slots has no limit.
 func (l SlotLimit) Reached(endpoint *directory.EndpointStatus) bool {
-	limit := max(l.Share*float64(endpoint.Slots), float64(min(endpoint.Slots, l.Least)))
+	limit := max(l.Share*float64(endpoint.Slots), float64(min(endpoint.Slots, l.Min)))
 	return endpoint.Slots > 0 && float64(endpoint.Load()) >= limit
 }
--- a/services/entry/balance/limits_test.go
+++ b/services/entry/balance/limits_test.go
@@ -39,7 +39,7 @@
 			endpoint.Slots = test.slots
 			d := newDirectory(endpoint)
 			d.Endpoint("e").Others = test.load
-			assert.Equal(t, test.full, balance.SlotLimit{Share: test.share, Least: test.minLimit}.Reached(d.Endpoint("e")))
+			assert.Equal(t, test.full, balance.SlotLimit{Share: test.share, Min: test.minLimit}.Reached(d.Endpoint("e")))
 		})
 	}
 }
