--- a/services/entry/limit/allocator.go
+++ b/services/entry/limit/allocator.go
@@ -12,84 +12,84 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Want is that an instance wants to send requests to an endpoint with a limit.
+// Want is the demand of an instance for requests to an endpoint with a limit.
 type Want struct {
 	Endpoint deployment.EndpointID
-	// Waiting is how many of its requests wait for just that; 0 where others could run them as well.
+	// Waiting is the number of its requests that wait for this limit; 0 if other endpoints could run the requests as well.
 	Waiting int
 }
 
-// Grant is that an instance may send a number of requests to an endpoint.
+// Grant allows an instance to send a number of requests to an endpoint.
 type Grant struct {
 	Endpoint deployment.EndpointID
 	Instance string
 	Count    int
 }
 
-// idlePause is for how long nobody must have waited for a request that a limit allows until it goes to an instance that only might use it.
-// Longer leaves more to those that wait, shorter hears sooner that a limit is over.
-const idlePause = 500 * time.Millisecond
+// idleGrantDelay is how long no instance must have had waiting requests before an allowed request is granted to an instance that
+// merely might use it. Longer leaves more requests to instances with waiting ones, shorter detects sooner that a limit was lifted.
+const idleGrantDelay = 500 * time.Millisecond
 
-// wantLife is for how long requests count as waiting that an instance told of: those that were refused come back. Longer loses less of a
-// small limit, shorter grants less to instances whose callers have gone.
-const wantLife = time.Second
+// demandTTL is how long reported requests count as waiting: callers that were refused retry. Longer wastes less of a small limit,
+// shorter grants less to instances whose callers have left.
+const demandTTL = time.Second
 
-// Allocator allocates the requests that limits allow among instances.
+// Allocator grants the requests that limits allow to instances.
 type Allocator struct {
 	endpoints map[deployment.EndpointID]*endpointLimit
 }
 
-// endpointLimit is one endpoint's limit.
+// endpointLimit is the state of the limit of one endpoint.
 type endpointLimit struct {
-	bucket bucket
-	// spareAt is since when the bucket has held a request for which nobody waits; zero if it holds none.
-	spareAt time.Time
-	// wants are the instances that want to send, by name.
-	wants map[string]*want
+	tokenBucket tokenBucket
+	// unclaimedSince is since when the bucket has had a token for which no instance has waiting requests; zero if it has none.
+	unclaimedSince time.Time
+	// demands are the demands of instances, by the instance's name.
+	demands map[string]*demand
 }
 
-// want is what one instance wants by its last report, less what it was granted since.
-type want struct {
+// demand is the demand that one instance last reported, less the requests granted since.
+type demand struct {
 	waiting int
-	// waitedAt is when the instance last told of waiting requests.
-	waitedAt time.Time
-	// grantedAt is when it was last granted a request; zero for never.
+	// waitingAt is when the instance last reported waiting requests.
+	waitingAt time.Time
+	// grantedAt is when a request was last granted to the instance; zero for never.
 	grantedAt time.Time
-	// asked is set by each report, and cleared by a grant to one with nothing waiting.
-	asked bool
+	// requested is set by each report, and cleared by a grant to an instance without waiting requests.
+	requested bool
 }
 
-// NewAllocator makes a allocator without limits.
+// NewAllocator returns an allocator without limits.
 func NewAllocator() *Allocator {
 	return &Allocator{endpoints: make(map[deployment.EndpointID]*endpointLimit)}
 }
 
-// Ask takes in what an instance wants; it replaces what it wanted before, but for what waited a short while ago.
-func (a *Allocator) Ask(now time.Time, instance string, wants []Want) {
+// Ask replaces the demand of an instance, except for requests that were waiting a short time ago.
+func (a *Allocator) Ask(now time.Time, instance string, demands []Want) {
 	for _, one := range a.endpoints {
-		if known := one.wants[instance]; known != nil {
-			known.asked = known.waits(now)
+		if known := one.demands[instance]; known != nil {
+			known.requested = known.isWaiting(now)
 		}
 	}
-	for _, one := range wants {
-		a.limitOf(one.Endpoint).want(instance).ask(now, one.Waiting)
+	for _, one := range demands {
+		a.limitOf(one.Endpoint).demand(instance).update(now, one.Waiting)
 	}
 }
 
-// Keep drops the endpoints that have no limit any more, and what instances want that are lost.
+// Keep removes the endpoints without a limit, and the demands of instances that are not present.
 func (a *Allocator) Keep(limited func(deployment.EndpointID) bool, present func(instance string) bool) {
 	maps.DeleteFunc(a.endpoints, func(id deployment.EndpointID, _ *endpointLimit) bool { return !limited(id) })
 	for _, one := range a.endpoints {
-		maps.DeleteFunc(one.wants, func(instance string, _ *want) bool { return !present(instance) })
+		maps.DeleteFunc(one.demands, func(instance string, _ *demand) bool { return !present(instance) })
 	}
 }
 
-// Waiting is how many requests wait for an endpoint's limit at all instances.
+// Waiting returns the number of requests that wait for an endpoint's limit at all instances.
 func (a *Allocator) Waiting(now time.Time, id deployment.EndpointID) int {
 	waiting := 0
 	if one := a.endpoints[id]; one != nil {
-		for _, w := range one.wants {
-			if w.waits(now) {
+		for _, w := range one.demands {
+			if w.isWaiting(now) {
 				waiting += max(1, w.waiting)
 			}
 		}
@@ -97,17 +97,18 @@
 	return waiting
 }
 
-// Allocate grants what a rate allows by now at an endpoint to instances with waiting requests, and what is left over for a while to another;
-// among equals to who got nothing for longest.
+// Allocate grants the requests that a rate allows by now at an endpoint to instances with waiting requests, or, if none has waited
+// for some time, to another instance with demand. Among equal instances, the one that has received no grant for the longest time
+// comes first.
 func (a *Allocator) Allocate(now time.Time, id deployment.EndpointID, rate float64) []Grant {
 	one := a.limitOf(id)
-	one.bucket.fill(now, rate)
+	one.tokenBucket.refill(now, rate)
 	counts := one.grantWaiting(now)
-	if len(counts) == 0 && one.bucket.holds() && one.isSpare(now) {
+	if len(counts) == 0 && one.tokenBucket.hasToken() && one.isUnclaimed(now) {
 		counts = one.grantIdle(now)
 	}
 	if len(counts) > 0 {
-		one.spareAt = time.Time{}
+		one.unclaimedSince = time.Time{}
 	}
 	grants := make([]Grant, 0, len(counts))
 	for instance, count := range counts {
@@ -120,104 +121,104 @@
 func (a *Allocator) limitOf(id deployment.EndpointID) *endpointLimit {
 	one, ok := a.endpoints[id]
 	if !ok {
-		one = &endpointLimit{wants: make(map[string]*want)}
+		one = &endpointLimit{demands: make(map[string]*demand)}
 		a.endpoints[id] = one
 	}
 	return one
 }
 
-func (l *endpointLimit) want(instance string) *want {
-	w, ok := l.wants[instance]
+func (l *endpointLimit) demand(instance string) *demand {
+	w, ok := l.demands[instance]
 	if !ok {
-		w = &want{}
-		l.wants[instance] = w
+		w = &demand{}
+		l.demands[instance] = w
 	}
 	return w
 }
 
-// isSpare reports whether nobody has waited for a while for the request that the bucket holds.
-func (l *endpointLimit) isSpare(now time.Time) bool {
-	if l.spareAt.IsZero() {
-		l.spareAt = now
+// isUnclaimed reports whether no instance has had waiting requests for some time for the token that the bucket has.
+func (l *endpointLimit) isUnclaimed(now time.Time) bool {
+	if l.unclaimedSince.IsZero() {
+		l.unclaimedSince = now
 	}
-	return now.Sub(l.spareAt) >= idlePause
+	return now.Sub(l.unclaimedSince) >= idleGrantDelay
 }
 
-// grantWaiting grants requests in turn to the instances with waiting ones, and gives how many to each.
+// grantWaiting grants requests in turn to the instances with waiting ones, and returns the number of grants per instance.
 func (l *endpointLimit) grantWaiting(now time.Time) map[string]int {
 	counts := make(map[string]int)
-	if !l.bucket.holds() {
+	if !l.tokenBucket.hasToken() {
 		return counts
 	}
-	waiting := l.inTurn(func(w *want) bool { return w.waits(now) })
-	for l.bucket.holds() && len(waiting) > 0 {
+	waiting := l.inOrder(func(w *demand) bool { return w.isWaiting(now) })
+	for l.tokenBucket.hasToken() && len(waiting) > 0 {
 		for _, one := range waiting {
-			if !l.bucket.holds() {
+			if !l.tokenBucket.hasToken() {
 				break
 			}
-			l.grant(now, one.want)
+			l.grant(now, one.demand)
 			counts[one.instance]++
 		}
-		waiting = slices.DeleteFunc(waiting, func(one turn) bool { return !one.want.waits(now) })
+		waiting = slices.DeleteFunc(waiting, func(one instanceDemand) bool { return !one.demand.isWaiting(now) })
 	}
 	return counts
 }
 
 // grantIdle grants one request to an instance that might use it.
 func (l *endpointLimit) grantIdle(now time.Time) map[string]int {
-	idle := l.inTurn(func(w *want) bool { return w.asked })
-	if len(idle) == 0 {
+	candidates := l.inOrder(func(w *demand) bool { return w.requested })
+	if len(candidates) == 0 {
 		return nil
 	}
-	l.grant(now, idle[0].want)
-	return map[string]int{idle[0].instance: 1}
+	l.grant(now, candidates[0].demand)
+	return map[string]int{candidates[0].instance: 1}
 }
 
-// turn is one instance's place among those that want to send.
-type turn struct {
+// instanceDemand is the demand of one instance.
+type instanceDemand struct {
 	instance string
-	want     *want
+	demand   *demand
 }
 
-// inTurn gives the wants that a function picks, first of who got nothing for longest.
-func (l *endpointLimit) inTurn(picks func(*want) bool) []turn {
-	var turns []turn
-	for instance, w := range l.wants {
-		if picks(w) {
-			turns = append(turns, turn{instance: instance, want: w})
+// inOrder returns the selected demands, starting with the instance that has received no grant for the longest time.
+func (l *endpointLimit) inOrder(selects func(*demand) bool) []instanceDemand {
+	var ordered []instanceDemand
+	for instance, w := range l.demands {
+		if selects(w) {
+			ordered = append(ordered, instanceDemand{instance: instance, demand: w})
 		}
 	}
-	slices.SortFunc(turns, func(a, b turn) int {
-		return cmp.Or(a.want.grantedAt.Compare(b.want.grantedAt), cmp.Compare(a.instance, b.instance))
+	slices.SortFunc(ordered, func(a, b instanceDemand) int {
+		return cmp.Or(a.demand.grantedAt.Compare(b.demand.grantedAt), cmp.Compare(a.instance, b.instance))
 	})
-	return turns
+	return ordered
 }
 
-func (l *endpointLimit) grant(now time.Time, w *want) {
-	l.bucket.take()
+func (l *endpointLimit) grant(now time.Time, w *demand) {
+	l.tokenBucket.takeToken()
 	w.grant(now)
 }
 
-// ask takes in that requests may be sent, and how many wait.
-func (w *want) ask(now time.Time, waiting int) {
-	w.asked = true
+// update records a report with the number of waiting requests.
+func (w *demand) update(now time.Time, waiting int) {
+	w.requested = true
 	if waiting > 0 {
-		w.waiting, w.waitedAt = waiting, now
+		w.waiting, w.waitingAt = waiting, now
 	}
 }
 
-// waits reports whether requests wait: those that were told, and, for a while after they were granted, one more at a time, since callers
-// that were refused come back.
-func (w *want) waits(now time.Time) bool {
-	if now.Sub(w.waitedAt) >= wantLife {
+// isWaiting reports whether requests are waiting: those that were reported and, for some time after they were granted, one more at a
+// time, because callers that were refused retry.
+func (w *demand) isWaiting(now time.Time) bool {
+	if now.Sub(w.waitingAt) >= demandTTL {
 		return false
 	}
 	return w.waiting > 0 || w.grantedAt.Before(now)
 }
 
-// grant notes a request that was granted. Where nothing waits, one is granted for each report.
-func (w *want) grant(now time.Time) {
-	w.asked = w.waits(now)
+// grant records a granted request. An instance without waiting requests gets at most one grant per report.
+func (w *demand) grant(now time.Time) {
+	w.requested = w.isWaiting(now)
 	w.grantedAt = now
 	w.waiting = max(0, w.waiting-1)
 }
--- a/services/entry/limit/allowance.go
+++ b/services/entry/limit/allowance.go
@@ -8,101 +8,102 @@
 	"time"
 )
 
-// GrantLife is for how long after the planner granted a request it may be sent. Longer bears slower links, shorter lets fewer be sent at once
-// that were saved up.
+// GrantLife is how long after it was granted a request may be sent. Longer tolerates slower connections, shorter allows fewer
+// saved-up requests to be sent at once.
 const GrantLife = time.Second
 
-// Allowance is what one instance may send to one endpoint. The zero value allows everything.
+// Allowance holds the requests that one instance may send to one endpoint. The zero value allows any number.
 type Allowance struct {
 	Named
 
-	// allocated says that the planner allocates the limit, by its last word.
+	// allocated is set if the planner allocates the limit, according to its last message.
 	allocated bool
-	// grants are the ends of requests that the planner granted, the earliest first.
-	grants []time.Time
-	// share holds the own part of the limit while no planner allocates it; sharing says that it is in use.
-	share   bucket
-	sharing bool
-	// waiting is how many requests wait for the endpoint's limit at all instances, by the planner's last word.
+	// grantExpirations are the expiration times of granted requests, the earliest first.
+	grantExpirations []time.Time
+	// ownShare is the instance's own share of the limit, which is used while no planner allocates the limit; usesOwnShare is set
+	// then.
+	ownShare     tokenBucket
+	usesOwnShare bool
+	// waiting is the number of requests that wait for the endpoint's limit at all instances, according to the planner's last message.
 	waiting int
 }
 
-// Fleet is what an instance knows of the others as it looks at its allowances.
+// Fleet is what an instance knows about the fleet when it reviews its allowances.
 type Fleet struct {
-	// PlannerHeard says that grants of the planner would come here.
+	// PlannerHeard is set if grants of the planner would reach this instance.
 	PlannerHeard bool
 	// Members is the number of instances, at least 1.
 	Members int
-	// Random is a number from 0 up to 1.
+	// Random is a number in [0, 1).
 	Random float64
 }
 
 // Admits reports whether a request may be sent now.
 func (a *Allowance) Admits(now time.Time) bool {
-	return !a.Binds() || a.granted(now) || (a.sharing && a.share.holds())
+	return !a.Binds() || a.hasGrant(now) || (a.usesOwnShare && a.ownShare.hasToken())
 }
 
-// Take counts a request that is sent now.
+// Take uses up one allowed request, which is sent now.
 func (a *Allowance) Take(now time.Time) {
 	switch {
 	case !a.Binds():
-	case a.granted(now):
-		a.grants = a.grants[1:]
+	case a.hasGrant(now):
+		a.grantExpirations = a.grantExpirations[1:]
 	default:
-		a.share.take()
+		a.ownShare.takeToken()
 	}
 }
 
-// granted reports whether a request that the planner granted may be sent.
-func (a *Allowance) granted(now time.Time) bool {
-	a.grants = slices.DeleteFunc(a.grants, func(until time.Time) bool { return !now.Before(until) })
-	return len(a.grants) > 0
+// hasGrant reports whether a request that the planner granted may be sent.
+func (a *Allowance) hasGrant(now time.Time) bool {
+	a.grantExpirations = slices.DeleteFunc(a.grantExpirations, func(until time.Time) bool { return !now.Before(until) })
+	return len(a.grantExpirations) > 0
 }
 
-// Wants reports whether this instance has nothing that it may send.
+// Wants reports whether the endpoint has a limit, and this instance has no granted request left.
 func (a *Allowance) Wants(now time.Time) bool {
-	return a.Binds() && !a.granted(now)
+	return a.Binds() && !a.hasGrant(now)
 }
 
-// Grant takes in requests that the planner granted to this instance at a time.
+// Grant adds requests that the planner granted to this instance at a given time.
 func (a *Allowance) Grant(granted time.Time, count int) {
 	for range count {
-		a.grants = append(a.grants, granted.Add(GrantLife))
+		a.grantExpirations = append(a.grantExpirations, granted.Add(GrantLife))
 	}
 }
 
-// SetAllocated takes in whether the planner allocates the limit, and how many requests wait for it.
+// SetAllocated sets whether the planner allocates the limit, and how many requests wait for it.
 func (a *Allowance) SetAllocated(allocated bool, waiting int) {
 	a.allocated, a.waiting = allocated, waiting
 }
 
-// Allocated reports whether the planner allocates the limit, by its last word.
+// Allocated reports whether the planner allocates the limit, according to its last message.
 func (a *Allowance) Allocated() bool {
 	return a.allocated
 }
 
-// Review brings the own share up to date. It begins at a random part of the first request, so that the instances, each of which begins
-// its own, do not send their first requests together.
+// Review updates the instance's own share. The share starts with a random fraction of the first request, so that the instances, each
+// of which starts its own share, do not send their first requests together.
 func (a *Allowance) Review(now time.Time, fleet Fleet) {
-	sharing := a.Binds() && (!a.allocated || !fleet.PlannerHeard)
-	if sharing && !a.sharing {
-		a.share = bucket{level: fleet.Random}
+	usesOwnShare := a.Binds() && (!a.allocated || !fleet.PlannerHeard)
+	if usesOwnShare && !a.usesOwnShare {
+		a.ownShare = tokenBucket{tokens: fleet.Random}
 	}
-	a.sharing = sharing
-	if sharing {
-		a.share.fill(now, a.ownRate(fleet.Members))
+	a.usesOwnShare = usesOwnShare
+	if usesOwnShare {
+		a.ownShare.refill(now, a.ownRate(fleet.Members))
 	}
 }
 
-// ownRate is this instance's part of the rate.
+// ownRate returns this instance's share of the rate.
 func (a *Allowance) ownRate(members int) float64 {
 	return a.Rate() / float64(members)
 }
 
-// Expected gives how many requests a second may be expected for this instance's own waiting requests, and how many requests that others
-// wait with come before: all instances wait for one limit where the planner allocates it.
+// Expected returns the rate, in requests per second, that this instance can expect for its own waiting requests, and how many waiting
+// requests of all instances come first: while the planner allocates the limit, all instances wait for the same limit.
 func (a *Allowance) Expected(members int) (rate float64, ahead int) {
-	if a.sharing {
+	if a.usesOwnShare {
 		return a.ownRate(members), 0
 	}
 	return a.Rate(), a.waiting
--- a/services/entry/limit/doc.go
+++ b/services/entry/limit/doc.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package limit keeps all instances together within the requests a second that an endpoint takes.
+// Package limit keeps all instances together within the number of requests per second that an endpoint accepts.
 //
-// Named is a limit as answers named it, bucket counts requests against a rate. Allocator is the planner's: it allocates the requests that each
-// limit allows, one by one, to the instances that want to send some. Allowance is an instance's: what it was granted, or its own share
-// where no planner allocates any. All are plain state of the control goroutine; the present time is an argument.
+// Named is a limit as responses of the endpoint report it; a tokenBucket compares requests with a rate. The planner has an Allocator,
+// which grants the requests that each limit allows to the instances that have demand. Each instance has an Allowance per endpoint,
+// which holds the requests granted to the instance, or its own share of the limit while no planner allocates it. All types are plain
+// state of the control goroutine; the current time is an argument.
 package limit
--- a/services/entry/limit/fleet_test.go
+++ b/services/entry/limit/fleet_test.go
@@ -16,61 +16,61 @@
 )
 
 const (
-	step     = 25 * time.Millisecond
-	reports  = 10
-	endpoint = deployment.EndpointID("e")
-	// window is the span in which requests are counted.
+	step           = 25 * time.Millisecond
+	reportInterval = 10
+	endpoint       = deployment.EndpointID("e")
+	// window is the period in which requests are counted.
 	window = 4 * time.Second
 )
 
-// fleet is instances that send to one endpoint, and a planner that allocates its limit.
-type fleet struct {
+// simulatedFleet is a number of instances that send to one endpoint, and a planner that allocates the endpoint's limit.
+type simulatedFleet struct {
 	random    *rand.Rand
 	allocator *limit.Allocator
 	members   []*limit.Allowance
-	// demand is how many requests each instance would send in a step.
+	// demand is the number of requests that each instance would send in a step.
 	demand []float64
-	// missed is how many could not be sent since the last report of each.
-	missed []int
-	// heard says which instances hear the planner.
-	heard []bool
-	rate  float64
-	sent  []time.Time
+	// blocked is the number of requests that could not be sent since the last report of each instance.
+	blocked []int
+	// plannerReachable is set for the instances that receive grants of the planner.
+	plannerReachable []bool
+	rate             float64
+	sent             []time.Time
 }
 
-func newFleet(seed uint64, members int, rate float64) *fleet {
-	f := &fleet{random: rand.New(rand.NewPCG(seed, 7)), allocator: limit.NewAllocator(), rate: rate}
+func newSimulatedFleet(seed uint64, members int, rate float64) *simulatedFleet {
+	f := &simulatedFleet{random: rand.New(rand.NewPCG(seed, 7)), allocator: limit.NewAllocator(), rate: rate}
 	for range members {
 		allowance := &limit.Allowance{}
 		allowance.Hear(start, start, new(rate))
 		f.members = append(f.members, allowance)
-		f.demand, f.missed = append(f.demand, 0), append(f.missed, 0)
-		f.heard = append(f.heard, true)
+		f.demand, f.blocked = append(f.demand, 0), append(f.blocked, 0)
+		f.plannerReachable = append(f.plannerReachable, true)
 	}
 	return f
 }
 
-func name(member int) string {
+func instanceName(member int) string {
 	return fmt.Sprint("instance-", member)
 }
 
-// run has the instances send, report and be granted for a number of steps.
-func (f *fleet) run(from time.Time, steps int) time.Time {
+// run lets the instances send, report and receive grants for a number of steps.
+func (f *simulatedFleet) run(from time.Time, steps int) time.Time {
 	now := from
 	for count := range steps {
 		now = now.Add(step)
 		for i, allowance := range f.members {
-			allowance.SetAllocated(f.heard[i], 0)
-			allowance.Review(now, limit.Fleet{PlannerHeard: f.heard[i], Members: len(f.members), Random: f.random.Float64()})
+			allowance.SetAllocated(f.plannerReachable[i], 0)
+			allowance.Review(now, limit.Fleet{PlannerHeard: f.plannerReachable[i], Members: len(f.members), Random: f.random.Float64()})
 			f.send(now, i)
-			if f.heard[i] && count%reports == i%reports {
-				f.allocator.Ask(now, name(i), []limit.Want{{Endpoint: endpoint, Waiting: f.missed[i]}})
-				f.missed[i] = 0
+			if f.plannerReachable[i] && count%reportInterval == i%reportInterval {
+				f.allocator.Ask(now, instanceName(i), []limit.Want{{Endpoint: endpoint, Waiting: f.blocked[i]}})
+				f.blocked[i] = 0
 			}
 		}
 		for _, grant := range f.allocator.Allocate(now, endpoint, f.rate) {
 			for i, allowance := range f.members {
-				if grant.Instance == name(i) && f.heard[i] {
+				if grant.Instance == instanceName(i) && f.plannerReachable[i] {
 					allowance.Grant(now, grant.Count)
 				}
 			}
@@ -79,11 +79,11 @@
 	return now
 }
 
-// send sends what an instance would send in a step, as far as it may.
-func (f *fleet) send(now time.Time, i int) {
+// send sends the requests of an instance in a step, as far as they are allowed.
+func (f *simulatedFleet) send(now time.Time, i int) {
 	for wanted := f.demand[i]; wanted >= 1 || f.random.Float64() < wanted; wanted-- {
 		if !f.members[i].Admits(now) {
-			f.missed[i]++
+			f.blocked[i]++
 			continue
 		}
 		f.members[i].Take(now)
@@ -91,65 +91,65 @@
 	}
 }
 
-// most is the most requests within some window.
-func (f *fleet) most() int {
-	most, first := 0, 0
+// maxInWindow returns the maximum number of requests within any window.
+func (f *simulatedFleet) maxInWindow() int {
+	maxInWindow, first := 0, 0
 	for last, at := range f.sent {
 		for at.Sub(f.sent[first]) >= window {
 			first++
 		}
-		most = max(most, last-first+1)
+		maxInWindow = max(maxInWindow, last-first+1)
 	}
-	return most
+	return maxInWindow
 }
 
-// allowed is what the users' platform allows in a window.
-func allowed(rate float64) int {
+// maxAllowed returns the number of requests that the users' platform allows in a window.
+func maxAllowed(rate float64) int {
 	return int(1.5*rate*window.Seconds() + 5)
 }
 
-func TestNoFleetSendsMoreThanALimitAllows(t *testing.T) {
+func TestFleetStaysWithinLimit(t *testing.T) {
 	for _, members := range []int{1, 6, 66, 320} {
 		for _, rate := range []float64{0.2, 1.3, 10, 200} {
 			for seed := range uint64(5) {
-				f := newFleet(seed, members, rate)
+				f := newSimulatedFleet(seed, members, rate)
 				now := start
 				for range 12 {
 					for i := range f.members {
 						f.demand[i] = f.random.Float64() * 4 * rate * step.Seconds()
-						f.heard[i] = f.random.IntN(10) > 0
+						f.plannerReachable[i] = f.random.IntN(10) > 0
 					}
 					now = f.run(now, 40)
 				}
-				assert.LessOrEqual(t, f.most(), allowed(rate), "%d instances, %g a second, seed %d", members, rate, seed)
+				assert.LessOrEqual(t, f.maxInWindow(), maxAllowed(rate), "%d instances, %g a second, seed %d", members, rate, seed)
 			}
 		}
 	}
 }
 
-func TestInstancesThatHearNoPlannerKeepTheLimitTogether(t *testing.T) {
+func TestFleetWithoutPlannerStaysWithinLimit(t *testing.T) {
 	for _, members := range []int{6, 66, 320} {
 		for _, rate := range []float64{1.3, 10, 200} {
-			f := newFleet(1, members, rate)
+			f := newSimulatedFleet(1, members, rate)
 			for i := range f.members {
-				f.heard[i], f.demand[i] = false, 1
+				f.plannerReachable[i], f.demand[i] = false, 1
 			}
 			f.run(start, 400)
-			assert.LessOrEqual(t, f.most(), allowed(rate), "%d instances, %g a second", members, rate)
+			assert.LessOrEqual(t, f.maxInWindow(), maxAllowed(rate), "%d instances, %g a second", members, rate)
 		}
 	}
 }
 
-func TestAnInstanceWithAllTheDemandGetsMostOfALimit(t *testing.T) {
+func TestSingleBusyInstanceGetsMostOfLimit(t *testing.T) {
 	for _, rate := range []float64{1.3, 10, 200} {
-		f := newFleet(1, 320, rate)
+		f := newSimulatedFleet(1, 320, rate)
 		f.demand[7] = 2 * rate * step.Seconds()
 		f.run(start, 1600)
 		assert.GreaterOrEqual(t, float64(len(f.sent)), 0.5*rate*(1600*step).Seconds(), "%g a second", rate)
 	}
 }
 
-func TestGrantsThatAreNotUsedEnd(t *testing.T) {
+func TestUnusedGrantsExpire(t *testing.T) {
 	var allowance limit.Allowance
 	allowance.Hear(start, start, new(1.0))
 	allowance.Grant(start, 2)
@@ -157,25 +157,25 @@
 	assert.False(t, allowance.Admits(at(1000)))
 }
 
-func TestWhoWaitsIsGrantedFirst(t *testing.T) {
+func TestWaitingInstanceIsGrantedFirst(t *testing.T) {
 	allocator := limit.NewAllocator()
 	idle, busy := []limit.Want{{Endpoint: endpoint}}, []limit.Want{{Endpoint: endpoint, Waiting: 2}}
 	toIdle := []limit.Grant{{Endpoint: endpoint, Instance: "idle", Count: 1}}
 	toBusy := []limit.Grant{{Endpoint: endpoint, Instance: "busy", Count: 1}}
-	assert.Empty(t, allocator.Allocate(start, endpoint, 1), "what was sent before the limit was heard is not known")
+	assert.Empty(t, allocator.Allocate(start, endpoint, 1), "the requests sent before the limit was reported are unknown")
 	allocator.Ask(at(900), "idle", idle)
 	allocator.Ask(at(900), "busy", busy)
 	assert.Equal(t, toBusy, allocator.Allocate(at(1000), endpoint, 1))
 	assert.Equal(t, 1, allocator.Waiting(at(1000), endpoint))
-	assert.Empty(t, allocator.Allocate(at(2000), endpoint, 1), "somebody may come who waits")
+	assert.Empty(t, allocator.Allocate(at(2000), endpoint, 1), "an instance with waiting requests may still report")
 	assert.Empty(t, allocator.Allocate(at(2499), endpoint, 1))
 	assert.Equal(t, toIdle, allocator.Allocate(at(2500), endpoint, 1))
 	allocator.Ask(at(3000), "busy", busy)
 	assert.Equal(t, toBusy, allocator.Allocate(at(4000-1), endpoint, 1))
-	assert.Empty(t, allocator.Allocate(at(9000), endpoint, 1), "nobody wants more")
+	assert.Empty(t, allocator.Allocate(at(9000), endpoint, 1), "no demand left")
 }
 
-func TestInstancesThatAreLostGetNothing(t *testing.T) {
+func TestLostInstanceGetsNoGrants(t *testing.T) {
 	allocator := limit.NewAllocator()
 	allocator.Allocate(start, endpoint, 1)
 	allocator.Ask(at(1000), "lost", []limit.Want{{Endpoint: endpoint, Waiting: 1}})
@@ -184,7 +184,7 @@
 	assert.Zero(t, allocator.Waiting(at(1000), endpoint))
 }
 
-func TestAVeryLargeLimitIsAllocatedByWhatIsAskedFor(t *testing.T) {
+func TestLargeLimitIsAllocatedByDemand(t *testing.T) {
 	allocator := limit.NewAllocator()
 	const rate = 1e9
 	allocator.Allocate(start, endpoint, rate)
