--- a/services/entry/balance/limited_test.go
+++ b/services/entry/balance/limited_test.go
@@ -17,7 +17,7 @@
 func TestLimitedAndRestingEndpointsAreNeverChosen(t *testing.T) {
 	d := newDirectory(endpointWithAdapter("resting", "near"), endpointWithAdapter("limited", "near"))
 	d.Endpoint("resting").NoteRest(start.Add(time.Second))
-	d.Endpoint("limited").Allowance.Hear(start, start, new(1.0))
+	d.Endpoint("limited").Allowance.ObserveResponse(start, start, new(1.0))
 	request := &deployment.Request{Adapter: adapter}
 	chosen, verdict := choose(d, balance.Requirement{Request: request})
 	assert.Nil(t, chosen)
--- a/services/entry/coordinator/allocation.go
+++ b/services/entry/coordinator/allocation.go
@@ -33,11 +33,11 @@
 			c.tellFree(now, status, now.Add(-one.Age))
 		}
 	}
-	wants := make([]limit.Want, 0, len(r.Wants))
+	wants := make([]limit.Demand, 0, len(r.Wants))
 	for _, one := range r.Wants {
-		wants = append(wants, limit.Want{Endpoint: one.ID, Waiting: one.Waiting})
+		wants = append(wants, limit.Demand{Endpoint: one.ID, Waiting: one.Waiting})
 	}
-	p.allocation.allocator.Ask(now, r.Instance, wants)
+	p.allocation.allocator.SetDemand(now, r.Instance, wants)
 }
 
 // allocateLimits grants what the limits allow by now; the next view tells the members what they were granted.
@@ -47,11 +47,11 @@
 		return
 	}
 	present := func(instance string) bool { return instance == c.options.Instance || p.members.All()[instance] != nil }
-	allocator.Keep(func(id deployment.EndpointID) bool { return c.limits.known[id] }, present)
+	allocator.Retain(func(id deployment.EndpointID) bool { return c.limits.known[id] }, present)
 	part := p.members.PresentPart()
 	for id := range c.limits.known {
 		status := c.directory.Endpoint(id)
-		if status == nil || !status.Allowance.Binds() {
+		if status == nil || !status.Allowance.HasLimit() {
 			continue
 		}
 		status.Allowance.SetAllocated(true, allocator.Waiting(now, id))
@@ -71,10 +71,10 @@
 	c := p.coordinator
 	var list []wire.Limit
 	for id := range c.limits.known {
-		if status := c.directory.Endpoint(id); status != nil && status.Allowance.Binds() {
+		if status := c.directory.Endpoint(id); status != nil && status.Allowance.HasLimit() {
 			named := &status.Allowance
 			list = append(list, wire.Limit{
-				ID: id, PerSecond: named.PerSecond(), Age: now.Sub(named.NamedAt()), Waiting: p.allocation.allocator.Waiting(now, id),
+				ID: id, PerSecond: named.PerSecond(), Age: now.Sub(named.ReportedAt()), Waiting: p.allocation.allocator.Waiting(now, id),
 			})
 		}
 	}
--- a/services/entry/coordinator/hearing.go
+++ b/services/entry/coordinator/hearing.go
@@ -26,7 +26,7 @@
 			return
 		}
 		status := assignment.status
-		c.noteLimit(now, status, status.Allowance.Hear(now, sent, notice.Limit), sent)
+		c.noteLimit(now, status, status.Allowance.ObserveResponse(now, sent, notice.Limit), sent)
 		if notice.Leaving {
 			c.noteLeaving(now, status, "answer")
 		}
--- a/services/entry/coordinator/limits.go
+++ b/services/entry/coordinator/limits.go
@@ -70,14 +70,14 @@
 	if len(c.limits.known) == 0 {
 		return
 	}
-	fleet := limit.Fleet{PlannerHeard: c.planning != nil || c.following.Fresh(now), Members: c.fleetSize(), Random: c.options.Random()}
+	fleet := limit.Fleet{PlannerReachable: c.planning != nil || c.following.Fresh(now), Members: c.fleetSize(), Random: c.options.Random()}
 	for id := range c.limits.known {
 		status := c.directory.Endpoint(id)
-		if status == nil || !status.Allowance.Binds() {
+		if status == nil || !status.Allowance.HasLimit() {
 			delete(c.limits.known, id)
 			continue
 		}
-		status.Allowance.Review(now, fleet)
+		status.Allowance.Refresh(now, fleet)
 	}
 	c.limited.Store(int64(len(c.limits.known)))
 }
@@ -95,7 +95,7 @@
 	for id := range c.limits.known {
 		if status := c.directory.Endpoint(id); status != nil {
 			named := &status.Allowance
-			built.Limits = append(built.Limits, wire.Limit{ID: id, PerSecond: named.PerSecond(), Age: now.Sub(named.NamedAt())})
+			built.Limits = append(built.Limits, wire.Limit{ID: id, PerSecond: named.PerSecond(), Age: now.Sub(named.ReportedAt())})
 		}
 	}
 	for id, sent := range c.limits.lifted {
@@ -136,7 +136,7 @@
 	var wants []wire.Want
 	for id := range c.limits.known {
 		status := c.directory.Endpoint(id)
-		if status != nil && (waiting[id] > 0 || (c.limits.used[status.Service] && status.Allowance.Wants(now))) {
+		if status != nil && (waiting[id] > 0 || (c.limits.used[status.Service] && status.Allowance.NeedsGrant(now))) {
 			wants = append(wants, wire.Want{ID: id, Waiting: waiting[id]})
 		}
 	}
@@ -169,7 +169,7 @@
 func (c *Coordinator) limitedFor(now time.Time, w *waiter) []*directory.EndpointStatus {
 	var list []*directory.EndpointStatus
 	for id := range c.limits.known {
-		if status := c.directory.Endpoint(id); status != nil && status.Allowance.Binds() && c.couldRun(now, status, w) {
+		if status := c.directory.Endpoint(id); status != nil && status.Allowance.HasLimit() && c.couldRun(now, status, w) {
 			list = append(list, status)
 		}
 	}
@@ -179,7 +179,7 @@
 // allHeldBack tells whether each endpoint of a service has a limit or rests.
 func (c *Coordinator) allHeldBack(now time.Time, service string) bool {
 	return !slices.ContainsFunc(c.directory.Service(service), func(status *directory.EndpointStatus) bool {
-		return status.State == deployment.Ready && !status.Allowance.Binds() && !status.Rests(now)
+		return status.State == deployment.Ready && !status.Allowance.HasLimit() && !status.Rests(now)
 	})
 }
 
@@ -200,7 +200,7 @@
 func (c *Coordinator) limitTurn(now time.Time, w *waiter) time.Time {
 	rate, ahead := 0.0, 0
 	for _, status := range c.limitedFor(now, w) {
-		one, others := status.Allowance.Expected(c.fleetSize())
+		one, others := status.Allowance.ExpectedRate(c.fleetSize())
 		rate += one
 		ahead += others
 	}
@@ -263,14 +263,14 @@
 	if status == nil {
 		return
 	}
-	if change := status.Allowance.Tell(told.PerSecond, now.Add(-told.Age)); change != limit.Unchanged {
+	if change := status.Allowance.MergeReport(told.PerSecond, now.Add(-told.Age)); change != limit.Unchanged {
 		c.changeLimit(now, status, change, "peer")
 	}
 }
 
 // tellFree takes in that another instance heard the end of a limit, in the answer to a request that it sent at a time.
 func (c *Coordinator) tellFree(now time.Time, status *directory.EndpointStatus, sent time.Time) {
-	if change := status.Allowance.TellFree(sent); change != limit.Unchanged {
+	if change := status.Allowance.MergeLift(sent); change != limit.Unchanged {
 		c.changeLimit(now, status, change, "peer")
 	}
 }
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -207,7 +207,7 @@
 	}
 	for id, status := range p.directory.Endpoints() {
 		if planner, ok := p.planners[status.Service]; ok {
-			limited := status.Allowance.Binds() && !p.allLimited(status.Service)
+			limited := status.Allowance.HasLimit() && !p.allLimited(status.Service)
 			planner.SetBacklog(id, status.Backlog(), status.Speed)
 			planner.SetSaturation(id, limited || balance.CopyLimit().Reached(status), limited || balance.RequestLimit().Reached(status))
 		}
@@ -217,7 +217,7 @@
 // allLimited tells whether no endpoint of a service takes requests without a limit: copies go to those with one only then.
 func (p *Plans) allLimited(service string) bool {
 	return !slices.ContainsFunc(p.directory.Service(service), func(status *directory.EndpointStatus) bool {
-		return status.State == deployment.Ready && !status.Allowance.Binds()
+		return status.State == deployment.Ready && !status.Allowance.HasLimit()
 	})
 }
 
--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -187,7 +187,7 @@
 		return
 	}
 	status.Own++
-	status.Allowance.Take(now)
+	status.Allowance.Consume(now)
 	status.tryAfterRest(now)
 	if request.UsesModel() {
 		status.wait.enter(now, request.Prompt, status.OthersUnread)
--- a/services/entry/limit/allocator.go
+++ b/services/entry/limit/allocator.go
@@ -12,8 +12,8 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Want is the demand of an instance for requests to an endpoint with a limit.
-type Want struct {
+// Demand is the demand of an instance for requests to an endpoint with a limit.
+type Demand struct {
 	Endpoint deployment.EndpointID
 	// Waiting is the number of its requests that wait for this limit; 0 if other endpoints could run the requests as well.
 	Waiting int
@@ -64,8 +64,8 @@
 	return &Allocator{endpoints: make(map[deployment.EndpointID]*endpointLimit)}
 }
 
-// Ask replaces the demand of an instance, except for requests that were waiting a short time ago.
-func (a *Allocator) Ask(now time.Time, instance string, demands []Want) {
+// SetDemand replaces the demand of an instance, except for requests that were waiting a short time ago.
+func (a *Allocator) SetDemand(now time.Time, instance string, demands []Demand) {
 	for _, one := range a.endpoints {
 		if known := one.demands[instance]; known != nil {
 			known.requested = known.isWaiting(now)
@@ -76,8 +76,8 @@
 	}
 }
 
-// Keep removes the endpoints without a limit, and the demands of instances that are not present.
-func (a *Allocator) Keep(limited func(deployment.EndpointID) bool, present func(instance string) bool) {
+// Retain removes the endpoints without a limit, and the demands of instances that are not present.
+func (a *Allocator) Retain(limited func(deployment.EndpointID) bool, present func(instance string) bool) {
 	maps.DeleteFunc(a.endpoints, func(id deployment.EndpointID, _ *endpointLimit) bool { return !limited(id) })
 	for _, one := range a.endpoints {
 		maps.DeleteFunc(one.demands, func(instance string, _ *demand) bool { return !present(instance) })
--- a/services/entry/limit/allowance.go
+++ b/services/entry/limit/allowance.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// GrantLife is how long after it was granted a request may be sent. Longer tolerates slower connections, shorter allows fewer
+// GrantTTL is how long after it was granted a request may be sent. Longer tolerates slower connections, shorter allows fewer
 // saved-up requests to be sent at once.
-const GrantLife = time.Second
+const GrantTTL = time.Second
 
 // Allowance holds the requests that one instance may send to one endpoint. The zero value allows any number.
 type Allowance struct {
-	Named
+	ReportedLimit
 
 	// allocated is set if the planner allocates the limit, according to its last message.
 	allocated bool
@@ -30,8 +30,8 @@
 
 // Fleet is what an instance knows about the fleet when it reviews its allowances.
 type Fleet struct {
-	// PlannerHeard is set if grants of the planner would reach this instance.
-	PlannerHeard bool
+	// PlannerReachable is set if grants of the planner would reach this instance.
+	PlannerReachable bool
 	// Members is the number of instances, at least 1.
 	Members int
 	// Random is a number in [0, 1).
@@ -40,13 +40,13 @@
 
 // Admits reports whether a request may be sent now.
 func (a *Allowance) Admits(now time.Time) bool {
-	return !a.Binds() || a.hasGrant(now) || (a.usesOwnShare && a.ownShare.hasToken())
+	return !a.HasLimit() || a.hasGrant(now) || (a.usesOwnShare && a.ownShare.hasToken())
 }
 
-// Take uses up one allowed request, which is sent now.
-func (a *Allowance) Take(now time.Time) {
+// Consume uses up one allowed request, which is sent now.
+func (a *Allowance) Consume(now time.Time) {
 	switch {
-	case !a.Binds():
+	case !a.HasLimit():
 	case a.hasGrant(now):
 		a.grantExpirations = a.grantExpirations[1:]
 	default:
@@ -60,15 +60,15 @@
 	return len(a.grantExpirations) > 0
 }
 
-// Wants reports whether the endpoint has a limit, and this instance has no granted request left.
-func (a *Allowance) Wants(now time.Time) bool {
-	return a.Binds() && !a.hasGrant(now)
+// NeedsGrant reports whether the endpoint has a limit, and this instance has no granted request left.
+func (a *Allowance) NeedsGrant(now time.Time) bool {
+	return a.HasLimit() && !a.hasGrant(now)
 }
 
 // Grant adds requests that the planner granted to this instance at a given time.
 func (a *Allowance) Grant(granted time.Time, count int) {
 	for range count {
-		a.grantExpirations = append(a.grantExpirations, granted.Add(GrantLife))
+		a.grantExpirations = append(a.grantExpirations, granted.Add(GrantTTL))
 	}
 }
 
@@ -82,10 +82,10 @@
 	return a.allocated
 }
 
-// Review updates the instance's own share. The share starts with a random fraction of the first request, so that the instances, each
+// Refresh updates the instance's own share. The share starts with a random fraction of the first request, so that the instances, each
 // of which starts its own share, do not send their first requests together.
-func (a *Allowance) Review(now time.Time, fleet Fleet) {
-	usesOwnShare := a.Binds() && (!a.allocated || !fleet.PlannerHeard)
+func (a *Allowance) Refresh(now time.Time, fleet Fleet) {
+	usesOwnShare := a.HasLimit() && (!a.allocated || !fleet.PlannerReachable)
 	if usesOwnShare && !a.usesOwnShare {
 		a.ownShare = tokenBucket{tokens: fleet.Random}
 	}
@@ -100,9 +100,9 @@
 	return a.Rate() / float64(members)
 }
 
-// Expected returns the rate, in requests per second, that this instance can expect for its own waiting requests, and how many waiting
+// ExpectedRate returns the rate, in requests per second, that this instance can expect for its own waiting requests, and how many waiting
 // requests of all instances come first: while the planner allocates the limit, all instances wait for the same limit.
-func (a *Allowance) Expected(members int) (rate float64, ahead int) {
+func (a *Allowance) ExpectedRate(members int) (rate float64, ahead int) {
 	if a.usesOwnShare {
 		return a.ownRate(members), 0
 	}
--- a/services/entry/limit/fleet_test.go
+++ b/services/entry/limit/fleet_test.go
@@ -42,7 +42,7 @@
 	f := &simulatedFleet{random: rand.New(rand.NewPCG(seed, 7)), allocator: limit.NewAllocator(), rate: rate}
 	for range members {
 		allowance := &limit.Allowance{}
-		allowance.Hear(start, start, new(rate))
+		allowance.ObserveResponse(start, start, new(rate))
 		f.members = append(f.members, allowance)
 		f.demand, f.blocked = append(f.demand, 0), append(f.blocked, 0)
 		f.plannerReachable = append(f.plannerReachable, true)
@@ -61,10 +61,10 @@
 		now = now.Add(step)
 		for i, allowance := range f.members {
 			allowance.SetAllocated(f.plannerReachable[i], 0)
-			allowance.Review(now, limit.Fleet{PlannerHeard: f.plannerReachable[i], Members: len(f.members), Random: f.random.Float64()})
+			allowance.Refresh(now, limit.Fleet{PlannerReachable: f.plannerReachable[i], Members: len(f.members), Random: f.random.Float64()})
 			f.send(now, i)
 			if f.plannerReachable[i] && count%reportInterval == i%reportInterval {
-				f.allocator.Ask(now, instanceName(i), []limit.Want{{Endpoint: endpoint, Waiting: f.blocked[i]}})
+				f.allocator.SetDemand(now, instanceName(i), []limit.Demand{{Endpoint: endpoint, Waiting: f.blocked[i]}})
 				f.blocked[i] = 0
 			}
 		}
@@ -86,7 +86,7 @@
 			f.blocked[i]++
 			continue
 		}
-		f.members[i].Take(now)
+		f.members[i].Consume(now)
 		f.sent = append(f.sent, now)
 	}
 }
@@ -151,7 +151,7 @@
 
 func TestUnusedGrantsExpire(t *testing.T) {
 	var allowance limit.Allowance
-	allowance.Hear(start, start, new(1.0))
+	allowance.ObserveResponse(start, start, new(1.0))
 	allowance.Grant(start, 2)
 	assert.True(t, allowance.Admits(at(999)))
 	assert.False(t, allowance.Admits(at(1000)))
@@ -159,18 +159,18 @@
 
 func TestWaitingInstanceIsGrantedFirst(t *testing.T) {
 	allocator := limit.NewAllocator()
-	idle, busy := []limit.Want{{Endpoint: endpoint}}, []limit.Want{{Endpoint: endpoint, Waiting: 2}}
+	idle, busy := []limit.Demand{{Endpoint: endpoint}}, []limit.Demand{{Endpoint: endpoint, Waiting: 2}}
 	toIdle := []limit.Grant{{Endpoint: endpoint, Instance: "idle", Count: 1}}
 	toBusy := []limit.Grant{{Endpoint: endpoint, Instance: "busy", Count: 1}}
 	assert.Empty(t, allocator.Allocate(start, endpoint, 1), "the requests sent before the limit was reported are unknown")
-	allocator.Ask(at(900), "idle", idle)
-	allocator.Ask(at(900), "busy", busy)
+	allocator.SetDemand(at(900), "idle", idle)
+	allocator.SetDemand(at(900), "busy", busy)
 	assert.Equal(t, toBusy, allocator.Allocate(at(1000), endpoint, 1))
 	assert.Equal(t, 1, allocator.Waiting(at(1000), endpoint))
 	assert.Empty(t, allocator.Allocate(at(2000), endpoint, 1), "an instance with waiting requests may still report")
 	assert.Empty(t, allocator.Allocate(at(2499), endpoint, 1))
 	assert.Equal(t, toIdle, allocator.Allocate(at(2500), endpoint, 1))
-	allocator.Ask(at(3000), "busy", busy)
+	allocator.SetDemand(at(3000), "busy", busy)
 	assert.Equal(t, toBusy, allocator.Allocate(at(4000-1), endpoint, 1))
 	assert.Empty(t, allocator.Allocate(at(9000), endpoint, 1), "no demand left")
 }
@@ -178,8 +178,8 @@
 func TestLostInstanceGetsNoGrants(t *testing.T) {
 	allocator := limit.NewAllocator()
 	allocator.Allocate(start, endpoint, 1)
-	allocator.Ask(at(1000), "lost", []limit.Want{{Endpoint: endpoint, Waiting: 1}})
-	allocator.Keep(func(deployment.EndpointID) bool { return true }, func(instance string) bool { return instance != "lost" })
+	allocator.SetDemand(at(1000), "lost", []limit.Demand{{Endpoint: endpoint, Waiting: 1}})
+	allocator.Retain(func(deployment.EndpointID) bool { return true }, func(instance string) bool { return instance != "lost" })
 	assert.Empty(t, allocator.Allocate(at(1000), endpoint, 1))
 	assert.Zero(t, allocator.Waiting(at(1000), endpoint))
 }
@@ -188,7 +188,7 @@
 	allocator := limit.NewAllocator()
 	const rate = 1e9
 	allocator.Allocate(start, endpoint, rate)
-	allocator.Ask(at(10), "busy", []limit.Want{{Endpoint: endpoint, Waiting: 3}})
+	allocator.SetDemand(at(10), "busy", []limit.Demand{{Endpoint: endpoint, Waiting: 3}})
 	granted := 0
 	for _, grant := range allocator.Allocate(at(10), endpoint, rate) {
 		granted += grant.Count
--- a/services/entry/limit/reported.go
+++ b/services/entry/limit/reported.go
@@ -27,10 +27,10 @@
 	Lifted
 )
 
-// Named is the limit that an endpoint reports. A response states a limit that applied at some time between the sending of its request
+// ReportedLimit is the limit that an endpoint reports. A response states a limit that applied at some time between the sending of its request
 // and the arrival of the response, and responses overtake each other. Therefore a higher limit, or none, is accepted only if it is
 // certainly newer. The zero value is no limit.
-type Named struct {
+type ReportedLimit struct {
 	perSecond float64
 	// reportedAt is when the limit was last reported; zero if there is no limit.
 	reportedAt time.Time
@@ -38,53 +38,53 @@
 	unlimitedSentAt time.Time
 }
 
-// Binds reports whether there is a limit.
-func (n *Named) Binds() bool {
+// HasLimit reports whether there is a limit.
+func (n *ReportedLimit) HasLimit() bool {
 	return !n.reportedAt.IsZero()
 }
 
 // PerSecond returns the limit as reported, in requests per second.
-func (n *Named) PerSecond() float64 {
+func (n *ReportedLimit) PerSecond() float64 {
 	return n.perSecond
 }
 
-// NamedAt returns when the limit was last reported, on this instance's clock.
-func (n *Named) NamedAt() time.Time {
+// ReportedAt returns when the limit was last reported, on this instance's clock.
+func (n *ReportedLimit) ReportedAt() time.Time {
 	return n.reportedAt
 }
 
 // Rate returns how many requests per second may be sent.
-func (n *Named) Rate() float64 {
+func (n *ReportedLimit) Rate() float64 {
 	return max(n.perSecond, minRate)
 }
 
-// Hear updates the limit by the response to a request of this instance, which was sent at the given time; limit is nil if the
+// ObserveResponse updates the limit by the response to a request of this instance, which was sent at the given time; limit is nil if the
 // response reports none.
-func (n *Named) Hear(now, sent time.Time, limit *float64) Change {
+func (n *ReportedLimit) ObserveResponse(now, sent time.Time, limit *float64) Change {
 	if limit == nil {
 		return n.lift(sent, n.reportedAt)
 	}
-	if n.Binds() && sent.Before(n.reportedAt) {
+	if n.HasLimit() && sent.Before(n.reportedAt) {
 		return n.set(now, min(*limit, n.perSecond))
 	}
 	return n.set(now, *limit)
 }
 
-// Tell updates the limit by a limit that was reported to another instance at the given time.
-func (n *Named) Tell(perSecond float64, reportedAt time.Time) Change {
+// MergeReport updates the limit by a limit that was reported to another instance at the given time.
+func (n *ReportedLimit) MergeReport(perSecond float64, reportedAt time.Time) Change {
 	if !reportedAt.After(n.reportedAt) || !reportedAt.After(n.unlimitedSentAt) {
 		return Unchanged
 	}
 	return n.set(reportedAt, perSecond)
 }
 
-// TellFree lifts the limit if another instance got a response without a limit to a request that it sent at a sufficiently late time.
-func (n *Named) TellFree(sent time.Time) Change {
+// MergeLift lifts the limit if another instance got a response without a limit to a request that it sent at a sufficiently late time.
+func (n *ReportedLimit) MergeLift(sent time.Time) Change {
 	return n.lift(sent, n.reportedAt.Add(remoteLiftMargin))
 }
 
-func (n *Named) set(at time.Time, perSecond float64) Change {
-	changed := !n.Binds() || perSecond != n.perSecond
+func (n *ReportedLimit) set(at time.Time, perSecond float64) Change {
+	changed := !n.HasLimit() || perSecond != n.perSecond
 	n.perSecond, n.reportedAt = perSecond, at
 	if changed {
 		return Set
@@ -93,10 +93,10 @@
 }
 
 // lift removes the limit if the request was sent after a given time.
-func (n *Named) lift(sent, after time.Time) Change {
-	if !n.Binds() || !sent.After(after) {
+func (n *ReportedLimit) lift(sent, after time.Time) Change {
+	if !n.HasLimit() || !sent.After(after) {
 		return Unchanged
 	}
-	*n = Named{unlimitedSentAt: sent}
+	*n = ReportedLimit{unlimitedSentAt: sent}
 	return Lifted
 }
--- a/tests/capacity/entry_limit_test.go
+++ b/tests/capacity/entry_limit_test.go
@@ -48,12 +48,12 @@
 // allocateSecond allocates for a second in which each instance reports once.
 func allocateSecond(allocator *limit.Allocator, now time.Time, instances int) []limit.Grant {
 	var all []limit.Grant
-	var wants []limit.Want
+	var wants []limit.Demand
 	for e := range limitedEndpoints {
-		wants = append(wants, limit.Want{Endpoint: limitedName(e), Waiting: 3})
+		wants = append(wants, limit.Demand{Endpoint: limitedName(e), Waiting: 3})
 	}
 	for i := range instances {
-		allocator.Ask(now, fmt.Sprintf("edge-plv-hall-a-%d", i), wants)
+		allocator.SetDemand(now, fmt.Sprintf("edge-plv-hall-a-%d", i), wants)
 	}
 	for at := time.Duration(0); at < time.Second; at += limitPlan {
 		for e := range limitedEndpoints {
