--- a/services/entry/balance/version_test.go
+++ b/services/entry/balance/version_test.go
@@ -30,7 +30,7 @@
 		verdict     balance.Verdict
 	}{
 		"former versions not allowed":             {func(*directory.Directory) {}, 0, true, balance.NotResident},
-		"former versions not allowed since long":  {func(*directory.Directory) {}, -time.Hour, true, balance.NotResident},
+		"former versions no longer allowed":       {func(*directory.Directory) {}, -time.Hour, true, balance.NotResident},
 		"no wait":                                 {func(*directory.Directory) {}, 1, true, balance.Chosen},
 		"waits of other instances unknown":        {func(*directory.Directory) {}, time.Hour, false, balance.NotResident},
 		"wait below the limit":                    {addWait, wait + 1, true, balance.Chosen},
--- a/services/entry/limit/allowance.go
+++ b/services/entry/limit/allowance.go
@@ -28,7 +28,7 @@
 	waiting int
 }
 
-// Fleet is what an instance knows about the fleet when it reviews its allowances.
+// Fleet is what an instance knows about the fleet when it refreshes its allowances.
 type Fleet struct {
 	// PlannerReachable is set if grants of the planner would reach this instance.
 	PlannerReachable bool
--- a/services/entry/proxy/attempt/ending.go
+++ b/services/entry/proxy/attempt/ending.go
@@ -37,7 +37,7 @@
 	// while waiting for one.
 	StreamNotResumed Reason = "stream not resumed"
 	// NoEndpointForRetry means that the request may have run, and that no other endpoint accepted it before the end of its wait or
-	// its deadline. The text says "repeat" because operators know it in that form.
+	// its deadline. The text keeps an earlier wording, "repeat" for a retry.
 	NoEndpointForRetry Reason = "no endpoint for a repeat"
 	// ProcessEnded means that the shutdown of the process aborted the request; it may have run.
 	ProcessEnded Reason = "process ended"
--- a/services/entry/proxy/endpoint_silence_test.go
+++ b/services/entry/proxy/endpoint_silence_test.go
@@ -21,11 +21,12 @@
 // TestSilentEndpointDoesNotEndStream guards against a silence timer that closes streams while their endpoint still works on them and
 // their callers still wait. The endpoint is silent for as long as callers of the route are expected to wait, 3.2 s, because it
 // preempts requests or runs on a busy host; a timer of the same length in the instance ended the exchange and closed the caller's
-// connection. It happened beside a new configuration version to streams that may not be resumed. The instance must not guess how long
-// a caller waits: the caller closes its connection, and the deadline limits the request.
+// connection. It happened beside a new configuration version to streams that may not be resumed, after the head of their response,
+// each time at two instances and one endpoint. The instance must not guess how long a caller waits: the caller closes its connection,
+// and the deadline limits the request.
 //
 // With real processes, 80 of 80 streams with an event every 4 s and callers that stayed were closed 3.45 s after an event, with and
-// without configuration changes.
+// without configuration changes; their log lines named the instance's silence timer.
 func TestSilentEndpointDoesNotEndStream(t *testing.T) {
 	for name, test := range map[string]struct {
 		path, script, body string
@@ -79,7 +80,7 @@
 
 // TestCallerThatNeverReadsIsReleasedAtDeadline guards against a write to a caller that does not read and blocks until the operating
 // system gives up, beyond the request's deadline and the end of the process. The request kept its place at the endpoint, and no log
-// line was written. It was seen in a soak test of real processes during a shutdown: a stream that was read delayedResponse ended with its
+// line was written. It was seen in a soak test of real processes during a shutdown: a stream that was read slowly ended with its
 // process, and without a log line.
 func TestCallerThatNeverReadsIsReleasedAtDeadline(t *testing.T) {
 	const timeout = 500 * time.Millisecond
