--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -227,10 +227,10 @@
 	switch w.Verdict {
 	case balance.NotResident:
 		expectedLoad := c.expectedLoad(now, w)
-		situation.Expected, situation.NobodyOrders = expectedLoad.At, expectedLoad.Reason.NobodyOrders()
+		situation.AdapterExpectedAt, situation.NobodyOrders = expectedLoad.At, expectedLoad.Reason.NobodyOrders()
 	case balance.Limited, balance.Resting:
 		situation.Limited, situation.Resting = w.Verdict == balance.Limited, w.Verdict == balance.Resting
-		situation.Turn, situation.Spread = c.earliestSend(now, w), c.options.Random()
+		situation.SendableAt, situation.Jitter = c.earliestSend(now, w), c.options.Random()
 	}
 	decision := admission.Decide(now, situation)
 	if decision.Wait {
--- a/services/entry/coordinator/allocation.go
+++ b/services/entry/coordinator/allocation.go
@@ -33,11 +33,11 @@
 			c.mergeLiftedLimit(now, status, now.Add(-reported.Age))
 		}
 	}
-	wants := make([]limit.Want, 0, len(r.Wants))
+	wants := make([]limit.Demand, 0, len(r.Wants))
 	for _, reported := range r.Wants {
-		wants = append(wants, limit.Want{Endpoint: reported.ID, Waiting: reported.Waiting})
+		wants = append(wants, limit.Demand{Endpoint: reported.ID, Waiting: reported.Waiting})
 	}
-	p.limitAllocation.allocator.Ask(now, r.Instance, wants)
+	p.limitAllocation.allocator.SetDemand(now, r.Instance, wants)
 }
 
 // allocateLimits grants the requests that the limits allow by now. The next view carries the grants to the members.
@@ -47,11 +47,11 @@
 		return
 	}
 	present := func(instance string) bool { return instance == c.options.Instance || p.members.All()[instance] != nil }
-	allocator.Keep(func(id deployment.EndpointID) bool { return c.endpointLimits.known[id] }, present)
+	allocator.Retain(func(id deployment.EndpointID) bool { return c.endpointLimits.known[id] }, present)
 	part := p.members.PresentPart()
 	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
-		if status == nil || !status.Allowance.Binds() {
+		if status == nil || !status.Allowance.HasLimit() {
 			continue
 		}
 		status.Allowance.SetAllocated(true, allocator.Waiting(now, id))
@@ -71,10 +71,10 @@
 	c := p.coordinator
 	var list []wire.Limit
 	for id := range c.endpointLimits.known {
-		if status := c.directory.Endpoint(id); status != nil && status.Allowance.Binds() {
+		if status := c.directory.Endpoint(id); status != nil && status.Allowance.HasLimit() {
 			allowance := &status.Allowance
 			list = append(list, wire.Limit{
-				ID: id, PerSecond: allowance.PerSecond(), Age: now.Sub(allowance.NamedAt()), Waiting: p.limitAllocation.allocator.Waiting(now, id),
+				ID: id, PerSecond: allowance.PerSecond(), Age: now.Sub(allowance.ReportedAt()), Waiting: p.limitAllocation.allocator.Waiting(now, id),
 			})
 		}
 	}
--- a/services/entry/coordinator/limits.go
+++ b/services/entry/coordinator/limits.go
@@ -73,14 +73,14 @@
 	if len(c.endpointLimits.known) == 0 {
 		return
 	}
-	fleet := limit.Fleet{PlannerHeard: c.planner != nil || c.follower.Fresh(now), Members: c.fleetSize(), Random: c.options.Random()}
+	fleet := limit.Fleet{PlannerReachable: c.planner != nil || c.follower.Fresh(now), Members: c.fleetSize(), Random: c.options.Random()}
 	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
-		if status == nil || !status.Allowance.Binds() {
+		if status == nil || !status.Allowance.HasLimit() {
 			delete(c.endpointLimits.known, id)
 			continue
 		}
-		status.Allowance.Review(now, fleet)
+		status.Allowance.Refresh(now, fleet)
 	}
 	c.limitedEndpoints.Store(int64(len(c.endpointLimits.known)))
 }
@@ -98,7 +98,7 @@
 	for id := range c.endpointLimits.known {
 		if status := c.directory.Endpoint(id); status != nil {
 			allowance := &status.Allowance
-			r.Limits = append(r.Limits, wire.Limit{ID: id, PerSecond: allowance.PerSecond(), Age: now.Sub(allowance.NamedAt())})
+			r.Limits = append(r.Limits, wire.Limit{ID: id, PerSecond: allowance.PerSecond(), Age: now.Sub(allowance.ReportedAt())})
 		}
 	}
 	for id, sentAt := range c.endpointLimits.lifted {
@@ -139,7 +139,7 @@
 	var wants []wire.Want
 	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
-		if status != nil && (waiting[id] > 0 || (c.endpointLimits.usedServices[status.Service] && status.Allowance.Wants(now))) {
+		if status != nil && (waiting[id] > 0 || (c.endpointLimits.usedServices[status.Service] && status.Allowance.NeedsGrant(now))) {
 			wants = append(wants, wire.Want{ID: id, Waiting: waiting[id]})
 		}
 	}
@@ -174,7 +174,7 @@
 func (c *Coordinator) limitedEndpointsFor(now time.Time, w *waiter) []*directory.EndpointStatus {
 	var list []*directory.EndpointStatus
 	for id := range c.endpointLimits.known {
-		if status := c.directory.Endpoint(id); status != nil && status.Allowance.Binds() && c.couldRun(now, status, w) {
+		if status := c.directory.Endpoint(id); status != nil && status.Allowance.HasLimit() && c.couldRun(now, status, w) {
 			list = append(list, status)
 		}
 	}
@@ -184,7 +184,7 @@
 // allLimitedOrResting reports whether each ready endpoint of a service has a limit or rests.
 func (c *Coordinator) allLimitedOrResting(now time.Time, service string) bool {
 	return !slices.ContainsFunc(c.directory.Service(service), func(status *directory.EndpointStatus) bool {
-		return status.State == deployment.Ready && !status.Allowance.Binds() && !status.Rests(now)
+		return status.State == deployment.Ready && !status.Allowance.HasLimit() && !status.Rests(now)
 	})
 }
 
@@ -206,7 +206,7 @@
 func (c *Coordinator) earliestSendByLimits(now time.Time, w *waiter) time.Time {
 	rate, ahead := 0.0, 0
 	for _, status := range c.limitedEndpointsFor(now, w) {
-		endpointRate, waiting := status.Allowance.Expected(c.fleetSize())
+		endpointRate, waiting := status.Allowance.ExpectedRate(c.fleetSize())
 		rate += endpointRate
 		ahead += waiting
 	}
@@ -269,7 +269,7 @@
 	if status == nil {
 		return
 	}
-	if change := status.Allowance.Tell(reported.PerSecond, now.Add(-reported.Age)); change != limit.Unchanged {
+	if change := status.Allowance.MergeReport(reported.PerSecond, now.Add(-reported.Age)); change != limit.Unchanged {
 		c.applyLimitChange(now, status, change, "peer")
 	}
 }
@@ -277,7 +277,7 @@
 // mergeLiftedLimit applies the end of a limit that another instance received in the response to a request that it sent at
 // the given time.
 func (c *Coordinator) mergeLiftedLimit(now time.Time, status *directory.EndpointStatus, sentAt time.Time) {
-	if change := status.Allowance.TellFree(sentAt); change != limit.Unchanged {
+	if change := status.Allowance.MergeLift(sentAt); change != limit.Unchanged {
 		c.applyLimitChange(now, status, change, "peer")
 	}
 }
--- a/services/entry/coordinator/notice.go
+++ b/services/entry/coordinator/notice.go
@@ -26,7 +26,7 @@
 			return
 		}
 		status := assignment.status
-		c.applyObservedLimit(now, status, status.Allowance.Hear(now, sentAt, notice.Limit), sentAt)
+		c.applyObservedLimit(now, status, status.Allowance.ObserveResponse(now, sentAt, notice.Limit), sentAt)
 		if notice.Leaving {
 			c.markLeaving(now, status, "answer")
 		}
