--- a/services/entry/coordinator/wire/limit.go
+++ b/services/entry/coordinator/wire/limit.go
@@ -9,33 +9,34 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Limit is how many requests a second an endpoint takes from all instances together.
+// Limit is the number of requests per second that an endpoint accepts from all instances together.
 type Limit struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
 	ID        deployment.EndpointID
 	PerSecond float64
-	// Age is how long ago the endpoint was last heard to name it.
+	// Age is the time since the endpoint last stated the limit.
 	Age time.Duration
-	// Waiting is how many requests wait for it at all instances; only the planner tells it.
+	// Waiting is the number of requests that wait for the endpoint at all instances. Only the planner sets it.
 	Waiting int
 }
 
-// LimitList is all limits that are known.
+// LimitList holds all known limits.
 type LimitList struct {
 	Limits []Limit `msgpack:"l,omitempty"`
 }
 
-// Lifted is that an endpoint named no limit any more.
+// Lifted reports that an endpoint no longer states a limit.
 type Lifted struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
 	ID deployment.EndpointID
-	// Age is how long ago the request was sent whose answer had none.
+	// Age is the time since the request was sent whose answer stated no limit.
 	Age time.Duration
 }
 
-// Want is that an instance wants to send requests to an endpoint with a limit, and how many of them wait for just that.
+// Want reports that an instance wants to send requests to an endpoint with a limit, and how many of its requests can only be served
+// there.
 type Want struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -43,7 +44,7 @@
 	Waiting int
 }
 
-// Grant is that an instance may send requests to an endpoint with a limit.
+// Grant permits an instance to send a number of requests to an endpoint with a limit.
 type Grant struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
--- a/services/entry/coordinator/wire/load.go
+++ b/services/entry/coordinator/wire/load.go
@@ -9,15 +9,15 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Contact is how an instance is reached, sent once to each new planner.
+// Contact describes how an instance is reached. It is sent once to each new planner.
 type Contact struct {
 	Hall    string  `msgpack:"h"`
 	Address Address `msgpack:"z"`
-	// LinkRate is how many bytes a second its link carries; 0 if it is not known.
+	// LinkRate is the capacity of the network link of the instance in bytes per second; 0 if unknown.
 	LinkRate int `msgpack:"l"`
 }
 
-// Gatherer names an instance that gathers the loads of others in its hall.
+// Gatherer names an instance that aggregates the loads of other instances in its hall.
 type Gatherer struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -26,45 +26,48 @@
 	Address Address
 }
 
-// Count is what an endpoint has to do of some instances; there are many in each message, so it is encoded without field names.
+// Count is the work of an endpoint for some instances. Each message carries many counts, so a count is encoded without field names.
 type Count struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
 	ID deployment.EndpointID
-	// Requests counts the requests in flight there, Unread the tokens of their prompts that it has not read yet.
+	// Requests is the number of requests in flight on the endpoint, Unread the number of their prompt tokens that the endpoint has
+	// not processed yet.
 	Requests int
 	Unread   int
 }
 
-// Load is what an instance tells the one that gathers for it.
+// Load is what an instance reports to its gatherer.
 type Load struct {
 	Instance string  `msgpack:"i"`
 	InFlight []Count `msgpack:"f,omitempty"`
-	// Arrivals are the requests by adapter since the last load or report, which tells none that is told here; nothing waits in them.
+	// Arrivals counts the requests by adapter since the last load or report. An arrival is sent either in a load or in a report,
+	// and Waiting is always 0 in these demands.
 	Arrivals []Demand `msgpack:"a,omitempty"`
 }
 
-// Sum is what a gatherer tells the planner.
+// Sum is the total of the loads of a group, which its gatherer reports to the planner.
 type Sum struct {
 	Gatherer string `msgpack:"i"`
-	// Members are the instances whose loads are in it.
+	// Members are the instances whose loads are included.
 	Members []string `msgpack:"m"`
-	// Age is how old those loads were on the mean when the sum was made.
+	// Age is the mean age of those loads when the sum was built.
 	Age      time.Duration `msgpack:"g"`
 	InFlight []Count       `msgpack:"f,omitempty"`
 	Arrivals []Demand      `msgpack:"a,omitempty"`
 }
 
-// Totals is what all instances have in flight, which the planner tells the gatherers and these their members.
+// Totals is the number of requests in flight of all instances. The planner sends it to the gatherers, and each gatherer to its
+// members.
 type Totals struct {
 	Planner string `msgpack:"p"`
 	Term    int64  `msgpack:"t"`
-	// Age is how old the loads in it were on the mean when the planner made it.
+	// Age is the mean age of the included loads when the planner built the totals.
 	Age      time.Duration `msgpack:"g"`
 	InFlight []Count       `msgpack:"f,omitempty"`
 }
 
-// Key names the adapter that is asked for.
+// Key returns the requested adapter and its service.
 func (d Demand) Key() deployment.ServiceAdapter {
 	return deployment.ServiceAdapter{Service: d.Service, Adapter: deployment.Adapter{Model: d.Model, Name: d.Name}}
 }
--- a/services/entry/coordinator/wire/loads_test.go
+++ b/services/entry/coordinator/wire/loads_test.go
@@ -12,9 +12,9 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// beforeLoads are the messages as the version decodes them that knows of no loads in views and reports, without the
-// fields that this test does not look at.
-type beforeLoads struct {
+// messageWithoutLoads is a message as a version decodes it that has no loads in views and reports, reduced to the fields that this
+// test needs.
+type messageWithoutLoads struct {
 	Report *struct {
 		Instance string `msgpack:"i"`
 	} `msgpack:"r,omitempty"`
@@ -24,24 +24,24 @@
 	} `msgpack:"v,omitempty"`
 }
 
-func TestLoadsInMessagesAreReadByTheVersionBefore(t *testing.T) {
+func TestLoadsInMessagesAreCompatibleWithPreviousVersion(t *testing.T) {
 	count := 3
-	var before beforeLoads
+	var previous messageWithoutLoads
 	recode(t, wire.Message{
 		Report: &wire.Report{Instance: "i", FormerLoads: &wire.FormerLoads{Term: 2, Count: count, Age: time.Second}},
 		View:   &wire.View{Planner: "p", Members: 4, RecentLoads: &count},
-	}, &before)
-	assert.Equal(t, "i", before.Report.Instance)
-	assert.Equal(t, "p", before.View.Planner)
-	assert.Equal(t, 4, before.View.Members)
+	}, &previous)
+	assert.Equal(t, "i", previous.Report.Instance)
+	assert.Equal(t, "p", previous.View.Planner)
+	assert.Equal(t, 4, previous.View.Members)
 
 	var decoded wire.Message
-	recode(t, before, &decoded)
-	assert.Nil(t, decoded.View.RecentLoads, "the version before tells none, which is not the same as no loads")
+	recode(t, previous, &decoded)
+	assert.Nil(t, decoded.View.RecentLoads, "the previous version does not send the count, which differs from a count of 0")
 	assert.Nil(t, decoded.Report.FormerLoads)
 }
 
-func TestNoLoadsAreToldAsSuch(t *testing.T) {
+func TestRecentLoadsOfZeroAreEncoded(t *testing.T) {
 	var decoded wire.Message
 	recode(t, wire.Message{View: &wire.View{RecentLoads: new(int)}}, &decoded)
 	assert.Equal(t, new(int), decoded.View.RecentLoads)
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -14,103 +14,105 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// Message is what peers send each other; one field is set.
+// Message is the envelope of all messages between peers. Exactly one field is set.
 type Message struct {
 	Report  *Report  `msgpack:"r,omitempty"`
 	View    *View    `msgpack:"v,omitempty"`
 	Request *Request `msgpack:"q,omitempty"`
-	// Successor tells a former planner who plans now.
+	// Successor tells a former planner which instance plans now.
 	Successor *Successor `msgpack:"s,omitempty"`
-	// Load goes to the instance that gathers, Sum from there to the planner, and Totals back both ways. Earlier versions neither
-	// send nor read them.
+	// Load is sent to a gatherer, Sum by a gatherer to the planner, and Totals by the planner to the gatherers and by these to
+	// their members. Earlier versions neither send nor read them.
 	Load   *Load   `msgpack:"l,omitempty"`
 	Sum    *Sum    `msgpack:"u,omitempty"`
 	Totals *Totals `msgpack:"t,omitempty"`
 }
 
-// Successor names the planner of a later term; an instance that the store does not answer learns it from
-// its peers.
+// Successor names the planner of a later term. Instances that cannot reach the store learn the planner from their peers by it.
 type Successor struct {
 	Term    int64          `msgpack:"t"`
 	Address netip.AddrPort `msgpack:"z"`
 }
 
-// Address is an address that may be left out. The codec takes a structure without exported fields for empty, which
-// netip.AddrPort is, unless the type says itself what its zero value is.
+// Address is an address that may be omitted. Without IsZero, the codec takes any structure without exported fields, such as
+// netip.AddrPort, for empty.
 type Address struct {
 	netip.AddrPort
 }
 
-// IsZero tells whether there is no address.
+// IsZero reports whether there is no address.
 func (a Address) IsZero() bool {
 	return !a.IsValid()
 }
 
-// Request asks a peer for the configuration and for who plans.
+// Request asks a peer for the configuration and for the present planner.
 type Request struct {
 	Instance string `msgpack:"i"`
-	// PlannerOnly asks for who plans alone. Earlier versions answer with the configuration and the endpoints all the same.
+	// PlannerOnly restricts the request to the present planner. Earlier versions ignore it and answer with the configuration and
+	// the endpoints too.
 	PlannerOnly bool `msgpack:"p,omitempty"`
 }
 
-// Report is what an instance tells the planner.
+// Report is what an instance reports to the planner.
 type Report struct {
 	Instance string `msgpack:"i"`
-	// WithdrawalsSeen is the last announcement of a withdrawal that the instance acts on.
+	// WithdrawalsSeen is the number of the last withdrawal announcement that the instance complies with.
 	WithdrawalsSeen uint64 `msgpack:"w"`
-	// ConfigurationRevision is the newest revision of the configuration's keys up to which it lacks no change.
+	// ConfigurationRevision is the newest revision up to which the instance has all changes of the configuration's keys.
 	ConfigurationRevision int64 `msgpack:"c"`
-	// InFlight counts its requests in flight, Demands is what it asks for; each report names all of them.
+	// InFlight counts the requests in flight of the instance, Demands lists the adapters that it needs. Each report is complete: it
+	// replaces the lists of the previous one.
 	InFlight []EndpointCount `msgpack:"f,omitempty"`
 	Demands  []Demand        `msgpack:"d,omitempty"`
-	// InUse are the copies that its requests in flight use.
+	// InUse lists the copies that the requests in flight of the instance use.
 	InUse []CopyCount `msgpack:"u,omitempty"`
-	// Missing are the copies that an endpoint answered it does not hold, though they were on offer.
+	// Missing lists copies that were on offer but that the endpoint answered it does not hold.
 	Missing []Copy `msgpack:"m,omitempty"`
-	// Suspects are the endpoints that the instance has ejected, or that asked it for rest.
+	// Suspects are the endpoints that the instance has ejected, or that asked it to send no requests for a while.
 	Suspects []deployment.EndpointID `msgpack:"s,omitempty"`
-	// Unreached are those of the suspects that refuse the instance's connections. Earlier versions neither tell nor read them.
+	// Unreached are the suspects that refuse connections from the instance. Earlier versions neither send nor read it.
 	Unreached []deployment.EndpointID `msgpack:"un,omitempty"`
-	// Items are keys of the configuration that the planner lacks, by its last view: when it asked for them, or, where it asks
-	// for none, has lacked them for too long.
+	// Items are keys of the configuration that the planner lacks according to its last view. They are sent when the planner asked
+	// for them or, for a planner that never asks, once it has lacked them for too long.
 	Items []store.Item `msgpack:"o,omitempty"`
-	// Leaving tells that the process stops.
+	// Leaving reports that the process is stopping.
 	Leaving bool `msgpack:"l,omitempty"`
-	// Rates are the instance's arrival rates, sent once to each new planner.
+	// Rates are the arrival rates of the instance, sent once to each new planner.
 	Rates []Rate `msgpack:"a,omitempty"`
-	// FormerLoads is what the last view with RecentLoads told, sent once to each new planner.
+	// FormerLoads repeats the RecentLoads of the last view that had them, sent once to each new planner.
 	FormerLoads *FormerLoads `msgpack:"b,omitempty"`
-	// Probe asks for a view that names this number, from which the instance learns how long views wait on their way; 0 asks for
+	// Probe asks for a view that repeats this number, from which the instance derives the transmission delay of views; 0 asks for
 	// none.
 	Probe uint64 `msgpack:"p,omitempty"`
-	// StoreReadAge is how long ago the instance last read from the store.
+	// StoreReadAge is the time since the instance last read from the store.
 	StoreReadAge time.Duration `msgpack:"k"`
-	// Contact tells a new planner how the instance is reached; nil otherwise. Earlier versions neither tell nor read it.
+	// Contact describes to a new planner how the instance is reached; nil otherwise. Earlier versions neither send nor read it.
 	Contact *Contact `msgpack:"h,omitempty"`
-	// FedBy is the gatherer that passes the planner's views on to the instance; empty if it needs them from the planner itself. Earlier
-	// versions neither tell nor read it.
+	// FedBy is the gatherer that relays the planner's views to the instance; empty if the planner has to send them directly.
+	// Earlier versions neither send nor read it.
 	FedBy string `msgpack:"fb,omitempty"`
-	// EndpointsRead is the store's revision as of which the instance has read all endpoints itself, and knows nothing of them from a
-	// planner; 0 otherwise.
+	// EndpointsRead is the store revision as of which the instance itself has read all endpoints, if it knows nothing about them
+	// from a planner; 0 otherwise.
 	EndpointsRead int64 `msgpack:"er,omitempty"`
-	// NeedsWhole says that views are missing here, and a whole one is needed.
+	// NeedsWhole reports that the instance missed views and needs a snapshot.
 	NeedsWhole bool `msgpack:"nw,omitempty"`
-	// DescribedUpTo is the store's revision up to which the instance knows the description of each endpoint, sent to a new planner and
-	// where a whole view is needed; 0 if it knows none. Earlier versions neither tell nor read it.
+	// DescribedUpTo is the store revision up to which the instance knows the description of each endpoint; 0 if it knows none. It
+	// is sent to a new planner and with requests for a snapshot. Earlier versions neither send nor read it.
 	DescribedUpTo int64 `msgpack:"du,omitempty"`
-	// Crashes are endings of endpoints under requests that the planner may not know; to a new planner all that the instance saw itself.
-	// Earlier versions neither tell nor read them.
+	// Crashes are crashes of endpoints during requests that the planner may not know of. A new planner gets all crashes that the
+	// instance observed itself. Earlier versions neither send nor read them.
 	Crashes []Crash `msgpack:"cr,omitempty"`
-	// Limits are the limits that endpoints named, as far as this instance knows, Lifted those that it heard to be over since the last
-	// report, and Wants the endpoints with a limit to which it wants to send requests. Earlier versions neither tell nor read them.
+	// Limits are the endpoints' limits known to this instance, Lifted the limits that the instance saw end since the last report,
+	// and Wants the endpoints with a limit to which it wants to send requests. Earlier versions neither send nor read them.
 	Limits []Limit  `msgpack:"li,omitempty"`
 	Lifted []Lifted `msgpack:"lf,omitempty"`
 	Wants  []Want   `msgpack:"wt,omitempty"`
-	// SaidLeaving are the endpoints that said in answers that they leave. Earlier versions neither tell nor read them.
+	// SaidLeaving are the endpoints that announced in answers that they are stopping. Earlier versions neither send nor read it.
 	SaidLeaving []Start `msgpack:"sl,omitempty"`
 }
 
-// FormerLoads is what the planner of a term told of base models' loads: Count had begun in the load window before Age ago.
+// FormerLoads is the number of base-model loads announced by the planner of a term: Count loads had started in the load window that
+// ended Age ago.
 type FormerLoads struct {
 	Term  int64         `msgpack:"t"`
 	Count int           `msgpack:"n"`
@@ -121,36 +123,37 @@
 type EndpointCount struct {
 	ID    deployment.EndpointID `msgpack:"e"`
 	Count int                   `msgpack:"n"`
-	// Unread is how many tokens of their prompts it has not read yet. Earlier versions neither tell nor read it.
+	// Unread is the number of their prompt tokens that the endpoint has not processed yet. Earlier versions neither send nor read
+	// it.
 	Unread int `msgpack:"u,omitempty"`
 }
 
-// Demand is what an instance asks of one adapter of a service.
+// Demand is what an instance needs of one adapter of a service.
 type Demand struct {
-	// Service, Model and Name are the service, the base model and the adapter that is asked for.
+	// Service, Model and Name identify the service, the base model and the adapter.
 	Service string `msgpack:"s"`
 	Model   string `msgpack:"m"`
 	Name    string `msgpack:"a"`
-	// Waiting counts requests that wait for it, and refused callers that are expected back soon.
+	// Waiting counts the requests that wait for the adapter and the rejected callers that are expected to retry soon.
 	Waiting int `msgpack:"w,omitempty"`
-	// InTime is for how long after the report was built the last of those can still be answered in time: a span, so
-	// that the clocks of the two instances need not agree. Below zero, all are late.
+	// InTime is the longest time, from when the report was built, in which any of these requests can still be answered in time. It
+	// is a duration, so that the clocks of the two instances need not agree. A negative value means that all are late.
 	InTime time.Duration `msgpack:"t,omitempty"`
 	// Arrivals counts the requests since the last report.
 	Arrivals int `msgpack:"n,omitempty"`
-	// Prompts sums the prompts of the arrivals, in tokens. Earlier versions neither tell nor read it.
+	// Prompts is the total prompt length of the arrivals in tokens. Earlier versions neither send nor read it.
 	Prompts int `msgpack:"p,omitempty"`
 }
 
-// Copy names an adapter on an endpoint.
+// Copy identifies an adapter on an endpoint.
 type Copy struct {
 	ID    deployment.EndpointID `msgpack:"e"`
 	Model string                `msgpack:"m"`
 	Name  string                `msgpack:"a"`
 }
 
-// CopyCount counts one instance's requests in flight that use a copy; there is one for each copy in
-// use in each report, so it is encoded without field names.
+// CopyCount counts the requests in flight of one instance that use a copy. Each report carries one per copy in use, so it is
+// encoded without field names.
 type CopyCount struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -160,101 +163,104 @@
 	Count int
 }
 
-// Copy gives the copy that is counted.
+// Copy returns the counted copy.
 func (c CopyCount) Copy() Copy {
 	return Copy{ID: c.ID, Model: c.Model, Name: c.Name}
 }
 
-// View is what the planner tells an instance.
+// View is the state, or the changes of the state, that the planner sends to an instance.
 type View struct {
 	Planner string `msgpack:"p"`
 	Term    int64  `msgpack:"t"`
-	// Withdrawals is the number of the last announcement that this view contains.
+	// Withdrawals is the number of the last withdrawal announcement that this view includes.
 	Withdrawals uint64 `msgpack:"w"`
-	// ReadAge is how long ago the endpoints' keys were last known to be complete.
+	// ReadAge is the time since the planner last knew all keys of the endpoints.
 	ReadAge time.Duration `msgpack:"g"`
-	// Address is where the planner is reached; only answers to requests name it.
+	// Address is the address of the planner; set only in answers to requests.
 	Address Address `msgpack:"z,omitempty"`
-	// ConfirmedAge is how long ago the planner's lease was confirmed.
+	// ConfirmedAge is the time since the planner's lease was last confirmed.
 	ConfirmedAge time.Duration `msgpack:"k"`
-	// Full says that endpoints which are not listed are gone, as of EndpointsRevision.
+	// Full means that the endpoints that are not listed do not exist, as of EndpointsRevision.
 	Full              bool  `msgpack:"x,omitempty"`
 	EndpointsRevision int64 `msgpack:"y,omitempty"`
-	// Endpoints are those that changed, or all in a full view; Removed are those that are gone.
+	// Endpoints are the changed endpoints, or all endpoints in a full view; Removed are the removed ones.
 	Endpoints []Endpoint `msgpack:"e,omitempty"`
 	Removed   []Gone     `msgpack:"d,omitempty"`
-	// Heartbeat marks a view that carries all totals; others carry none.
+	// Heartbeat marks a view with all totals; other views carry no totals.
 	Heartbeat bool `msgpack:"h,omitempty"`
-	// Totals count the requests in flight of all instances.
+	// Totals counts the requests in flight of all instances.
 	Totals []EndpointCount `msgpack:"f,omitempty"`
-	// Forecasts are the loads that began since the last view, or all under way in a heartbeat; a full view has
-	// none.
+	// Forecasts are the loads that started since the last view, or all loads under way in a heartbeat; a full view has none.
 	Forecasts []Forecast `msgpack:"l,omitempty"`
-	// Backlogs are when an adapter would be there that nobody has asked for yet, by service, from now.
+	// Backlogs is, by service, the expected time from now until an adapter that nobody has requested yet could be resident.
 	Backlogs map[string]time.Duration `msgpack:"j,omitempty"`
-	// Members is the number of instances that share the fleet's bounds.
+	// Members is the number of instances that share the fleet-wide limits.
 	Members int `msgpack:"n"`
 	// ConfigurationRevision is the newest revision of the configuration's keys that the planner knows.
 	ConfigurationRevision int64 `msgpack:"c"`
-	// Items are keys of the configuration that the instance has lacked for too long, by its last report, or all in the
-	// answer to a request.
+	// Items are keys of the configuration that the instance, according to its last report, has lacked for too long; the answer to a
+	// request has all keys.
 	Items []store.Item `msgpack:"o,omitempty"`
-	// Resigned says that the planner gives no more orders in its term.
+	// Resigned reports that the planner issues no more orders in its term.
 	Resigned bool `msgpack:"b,omitempty"`
-	// Made is for how long the planner had planned, by its own clock, when it made the view; 0 from versions that do not
-	// tell it.
+	// Made is the time from the start of the planner's term until it built the view, by the planner's clock; 0 from versions that
+	// do not send it.
 	Made time.Duration `msgpack:"m,omitempty"`
-	// AsksForKeys says that the planner asks for keys that it lacks: no instance sends them otherwise. Earlier versions do not ask.
+	// AsksForKeys reports that this planner requests the keys that it lacks, so that instances send no keys unasked. Earlier
+	// versions do not request keys.
 	AsksForKeys bool `msgpack:"q,omitempty"`
-	// Probe is the number of the report that this view answers; 0 for others. Earlier versions answer none.
+	// Probe is the number of the probe that this view answers; 0 if it answers none. Earlier versions answer none.
 	Probe uint64 `msgpack:"i,omitempty"`
-	// KeysFrom is the instance that the planner asks for keys of the configuration now; empty if it asks none.
+	// KeysFrom is the instance that the planner now asks for keys of the configuration; empty if it asks none.
 	KeysFrom string `msgpack:"u,omitempty"`
-	// RecentLoads counts the base models' loads that began in the load window before this view, also under former planners;
-	// nil if the planner does not tell them, as one of the version before does not.
+	// RecentLoads counts the base-model loads that started in the load window before this view, including those under former
+	// planners; nil from a planner of a version that does not send it.
 	RecentLoads *int `msgpack:"a,omitempty"`
-	// KeysAge is how long before this view was made the changes in Items, and those that they replaced for this instance, were not yet
-	// acknowledged; 0 where that is not known, and from versions that do not tell it.
+	// KeysAge is an upper bound, as of when the view was built, of the time since the changes in Items, and the changes that they
+	// replaced for this instance, were acknowledged. 0 if unknown, and from versions that do not send it.
 	KeysAge time.Duration `msgpack:"r,omitempty"`
-	// Starts are the starts of the endpoints in Endpoints, as far as they are known. Earlier versions neither tell nor read them.
+	// Starts are the start times of the processes of Endpoints, as far as known. Earlier versions neither send nor read them.
 	Starts []Start `msgpack:"s,omitempty"`
-	// TotalsAge is how old the members' requests in flight were on the mean when the view was made. Earlier versions neither tell
+	// TotalsAge is the mean age of the members' counts of requests in flight when the view was built. Earlier versions neither send
 	// nor read it.
 	TotalsAge time.Duration `msgpack:"ta,omitempty"`
-	// Sequence numbers the views of changes of a term, each one above the last; a whole view has that of the last one it contains. 0 in
-	// views of versions that do not number them, and in bare ones.
+	// Sequence numbers the views with changes within a term without gaps. A snapshot has the number of the last view that it
+	// includes. 0 in bare views and in views of versions that do not number them.
 	Sequence uint64 `msgpack:"sq,omitempty"`
-	// Whole says that the view contains all that those before it told.
+	// Whole marks a snapshot: the view includes the content of all earlier ones.
 	Whole bool `msgpack:"wh,omitempty"`
-	// Unchanged are the endpoints that are as the store describes them, in a whole view for an instance that has read them.
+	// Unchanged are, in a snapshot for an instance that has read the endpoints, the endpoints whose state equals their description
+	// in the store.
 	Unchanged []deployment.EndpointID `msgpack:"uc,omitempty"`
-	// DescribedUpTo is the store's revision up to which the views up to this one tell each endpoint's description; 0 if that is not known.
-	// Earlier versions neither tell nor read it.
+	// DescribedUpTo is the store revision up to which the views until this one include the description of each endpoint; 0 if
+	// unknown. Earlier versions neither send nor read it.
 	DescribedUpTo int64 `msgpack:"du,omitempty"`
-	// Known are, in a whole view for an instance that knows their descriptions, the endpoints that offer no more than the view's Copies.
-	// Earlier versions neither tell nor read them.
+	// Known are, in a snapshot for an instance that knows the descriptions of these endpoints, the endpoints that offer only the
+	// copies in the view's Copies. Earlier versions neither send nor read it.
 	Known []KnownEndpoints `msgpack:"kn,omitempty"`
-	// Bare says that the view carries keys and the answer to a probe only, beside those that a gatherer passes on.
+	// Bare marks a view that the planner sends directly to an instance whose other views a gatherer relays. It carries only keys
+	// and the answer to a probe.
 	Bare bool `msgpack:"ba,omitempty"`
-	// Copies are the copies that came or went at endpoints that did not change otherwise, or all of the Known ones.
+	// Copies are the copies that were added or removed at endpoints that are otherwise unchanged, or all copies of the endpoints in
+	// Known.
 	Copies []CopyChange `msgpack:"cp,omitempty"`
-	// Unreached are all endpoints that refuse several instances' connections, in each view with totals and where they have changed; nil if the
-	// view does not tell. Earlier versions neither tell nor read them.
+	// Unreached are all endpoints that refuse connections from several instances. The list is in each view with totals and in views
+	// after it changed; nil if the view does not include it. Earlier versions neither send nor read it.
 	Unreached *EndpointList `msgpack:"un,omitempty"`
-	// Gatherers are all instances that gather for others, in each view with totals and where they have changed. Earlier versions
-	// neither tell nor read them.
+	// Gatherers are all instances that aggregate loads for others. The list is in each view with totals and in views after it
+	// changed. Earlier versions neither send nor read it.
 	Gatherers []Gatherer `msgpack:"ga,omitempty"`
-	// Crashes are endings of endpoints under requests that were not told yet, in whole views those of the most suspected requests. Earlier
-	// versions neither tell nor read them.
+	// Crashes are crashes of endpoints during requests that no earlier view included; a snapshot includes those of the most suspect
+	// requests. Earlier versions neither send nor read them.
 	Crashes []Crash `msgpack:"cr,omitempty"`
-	// Limits are all limits that endpoints name, in each view with totals and where they have changed; nil if the view does not tell. The
-	// planner allocates them. Earlier versions neither tell nor read them.
+	// Limits are all limits that endpoints state, which the planner allocates to the instances. The list is in each view with
+	// totals and in views after it changed; nil if the view does not include it. Earlier versions neither send nor read it.
 	Limits *LimitList `msgpack:"li,omitempty"`
-	// Grants are the requests that the planner granted since the last view. Earlier versions neither tell nor read them.
+	// Grants are the requests that the planner permitted since the last view. Earlier versions neither send nor read them.
 	Grants []Grant `msgpack:"gr,omitempty"`
 }
 
-// Endpoint is sent for each change of an endpoint, so it is encoded without field names.
+// Endpoint describes an endpoint. It is sent for each change of an endpoint, so it is encoded without field names.
 type Endpoint struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -268,7 +274,7 @@
 	Models   []Model                  `msgpack:"m"`
 }
 
-// Model is a base model with the adapters that are on offer.
+// Model is a base model with the adapters on offer.
 type Model struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -276,7 +282,7 @@
 	Adapters []AdapterVersion
 }
 
-// AdapterVersion is an adapter on offer and its version.
+// AdapterVersion is an adapter on offer with its version.
 type AdapterVersion struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -284,7 +290,7 @@
 	Version int64
 }
 
-// CopyChange is a copy that is on offer from now on at a version, or with version 0 no more.
+// CopyChange reports that a copy is now on offer at a version, or with version 0 that it is no longer on offer.
 type CopyChange struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -294,7 +300,7 @@
 	Version int64
 }
 
-// Start is when the process of an endpoint started, in milliseconds of Unix time.
+// Start is the start time of an endpoint's process in milliseconds of Unix time.
 type Start struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
@@ -302,18 +308,19 @@
 	Born int64
 }
 
-// Crash tells that an endpoint ended while it had a request, or without an endpoint that an instance tries one that was held back, so it is encoded without field names.
+// Crash reports that an endpoint ended while it had a request. Without an endpoint, it reports that an instance retries a request
+// that was held back. It is encoded without field names.
 type Crash struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
 	Request  fingerprint.Fingerprint
 	Endpoint deployment.EndpointID
-	// Age is for how long that has been known, and Answered says that the request got a whole answer since.
+	// Age is the time since the crash became known. Answered reports that the request has been answered completely since.
 	Age      time.Duration
 	Answered bool
 }
 
-// EndpointList names endpoints.
+// EndpointList is a list of endpoints that a message may omit.
 type EndpointList struct {
 	IDs []deployment.EndpointID `msgpack:"e,omitempty"`
 }
@@ -326,13 +333,13 @@
 	IDs    []deployment.EndpointID
 }
 
-// Gone names an endpoint that was removed at a revision of the store.
+// Gone is an endpoint that was removed at a revision of the store.
 type Gone struct {
 	ID       deployment.EndpointID `msgpack:"i"`
 	Revision int64                 `msgpack:"r"`
 }
 
-// Rate is an adapter's arrival rate at one instance, in requests a second.
+// Rate is the arrival rate of an adapter at one instance, in requests per second.
 type Rate struct {
 	Service   string  `msgpack:"s"`
 	Model     string  `msgpack:"m"`
@@ -340,7 +347,7 @@
 	PerSecond float64 `msgpack:"r"`
 }
 
-// Forecast says how long from now a load under way is expected to take.
+// Forecast is the expected remaining time of a load under way.
 type Forecast struct {
 	Service   string        `msgpack:"s"`
 	Model     string        `msgpack:"m"`
@@ -348,12 +355,12 @@
 	Remaining time.Duration `msgpack:"u"`
 }
 
-// Key names the adapter whose load is forecast.
+// Key returns the adapter that is being loaded and its service.
 func (f Forecast) Key() deployment.ServiceAdapter {
 	return deployment.ServiceAdapter{Service: f.Service, Adapter: deployment.Adapter{Model: f.Model, Name: f.Name}}
 }
 
-// AddEndpoints adds descriptions of endpoints, with their starts.
+// AddEndpoints adds the descriptions and start times of endpoints.
 func (v *View) AddEndpoints(endpoints iter.Seq[*directory.EndpointStatus]) {
 	for status := range endpoints {
 		v.Endpoints = append(v.Endpoints, FromStatus(status))
@@ -363,7 +370,7 @@
 	}
 }
 
-// Described gives the descriptions of the endpoints that a view names.
+// Described returns the descriptions of the endpoints in the view.
 func (v *View) Described() []deployment.Endpoint {
 	born := make(map[deployment.EndpointID]time.Time, len(v.Starts))
 	for _, start := range v.Starts {
@@ -378,7 +385,7 @@
 	return endpoints
 }
 
-// FromStatus gives an endpoint as the planner tells it: with the models and adapters that are on offer.
+// FromStatus returns the form in which the planner sends an endpoint: with the models and adapters on offer.
 func FromStatus(status *directory.EndpointStatus) Endpoint {
 	models := make([]Model, 0, len(status.OfferedModels))
 	for _, name := range status.OfferedModels {
@@ -396,7 +403,7 @@
 	}
 }
 
-// Endpoint gives the description that a follower keeps.
+// Endpoint returns the description that a member stores.
 func (v *Endpoint) Endpoint() deployment.Endpoint {
 	endpoint := deployment.Endpoint{
 		ID: v.ID, Service: v.Service, Address: v.Address, Hall: v.Hall, Slots: v.Slots, State: v.State,
@@ -404,8 +411,8 @@
 	}
 	for _, model := range v.Models {
 		endpoint.Models = append(endpoint.Models, model.Name)
-		for _, one := range model.Adapters {
-			endpoint.Adapters[deployment.Adapter{Model: model.Name, Name: one.Name}] = one.Version
+		for _, adapter := range model.Adapters {
+			endpoint.Adapters[deployment.Adapter{Model: model.Name, Name: adapter.Name}] = adapter.Version
 		}
 	}
 	return endpoint
--- a/services/entry/coordinator/wire/message_test.go
+++ b/services/entry/coordinator/wire/message_test.go
@@ -20,8 +20,8 @@
 
 var address = netip.MustParseAddrPort("10.0.0.1:7000")
 
-// names decodes a message without its types.
-func names(t *testing.T, message any) map[string]any {
+// decodeUntyped encodes a message and decodes it without its types.
+func decodeUntyped(t *testing.T, message any) map[string]any {
 	t.Helper()
 	encoded, err := msgpack.Marshal(message)
 	require.NoError(t, err)
@@ -47,7 +47,7 @@
 		Rates: []wire.Rate{{Service: "s", Model: "m", Name: "a", PerSecond: 0.5}}, StoreReadAge: time.Second,
 		FormerLoads: &wire.FormerLoads{Term: 1, Count: 2, Age: time.Second},
 	}
-	message := names(t, wire.Message{Report: &full})
+	message := decodeUntyped(t, wire.Message{Report: &full})
 	require.Equal(t, []string{"r"}, keys(message))
 	report := message["r"].(map[string]any)
 	assert.ElementsMatch(t, []string{"i", "w", "c", "f", "d", "u", "m", "s", "o", "l", "a", "b", "k"}, keys(report))
@@ -57,7 +57,7 @@
 	assert.EqualValues(t, []any{"e", "m", "a", int8(3)}, report["u"].([]any)[0])
 	assert.ElementsMatch(t, []string{"e", "m", "a"}, keys(report["m"].([]any)[0].(map[string]any)))
 	assert.ElementsMatch(t, []string{"s", "m", "a", "r"}, keys(report["a"].([]any)[0].(map[string]any)))
-	assert.ElementsMatch(t, []string{"i", "w", "c", "k"}, keys(names(t, wire.Report{})), "what is empty is left out")
+	assert.ElementsMatch(t, []string{"i", "w", "c", "k"}, keys(decodeUntyped(t, wire.Report{})), "empty fields are omitted")
 }
 
 func TestEncodedNamesOfViews(t *testing.T) {
@@ -72,7 +72,7 @@
 		Backlogs:  map[string]time.Duration{"s": 1}, Members: 1, ConfigurationRevision: 1, Items: []store.Item{{Key: "k"}}, Resigned: true,
 		RecentLoads: new(int), KeysAge: 1,
 	}
-	message := names(t, wire.Message{View: &full})
+	message := decodeUntyped(t, wire.Message{View: &full})
 	require.Equal(t, []string{"v"}, keys(message))
 	view := message["v"].(map[string]any)
 	assert.ElementsMatch(t, []string{"p", "t", "w", "g", "z", "k", "x", "y", "e", "d", "h", "f", "l", "j", "n", "c", "o", "b", "a", "r", "s"}, keys(view))
@@ -84,17 +84,17 @@
 	assert.Equal(t, []any{"e", int64(1796256000123)}, view["s"].([]any)[0])
 	assert.ElementsMatch(t, []string{"i", "r"}, keys(view["d"].([]any)[0].(map[string]any)))
 	assert.ElementsMatch(t, []string{"s", "m", "a", "u"}, keys(view["l"].([]any)[0].(map[string]any)))
-	assert.ElementsMatch(t, []string{"p", "t", "w", "g", "k", "n", "c"}, keys(names(t, wire.View{})), "what is empty is left out")
+	assert.ElementsMatch(t, []string{"p", "t", "w", "g", "k", "n", "c"}, keys(decodeUntyped(t, wire.View{})), "empty fields are omitted")
 }
 
-func TestEncodedNamesOfTheOtherMessages(t *testing.T) {
-	message := names(t, wire.Message{Request: &wire.Request{Instance: "i"}, Successor: &wire.Successor{Term: 1, Address: address}})
+func TestEncodedNamesOfOtherMessages(t *testing.T) {
+	message := decodeUntyped(t, wire.Message{Request: &wire.Request{Instance: "i"}, Successor: &wire.Successor{Term: 1, Address: address}})
 	assert.ElementsMatch(t, []string{"q", "s"}, keys(message))
 	assert.ElementsMatch(t, []string{"i"}, keys(message["q"].(map[string]any)))
 	assert.ElementsMatch(t, []string{"t", "z"}, keys(message["s"].(map[string]any)))
 }
 
-func TestMessagesOfNewerInstancesAreRead(t *testing.T) {
+func TestUnknownFieldsOfNewerVersionsAreIgnored(t *testing.T) {
 	encoded, err := msgpack.Marshal(map[string]any{"r": map[string]any{"i": "peer", "future": 1}, "other": true})
 	require.NoError(t, err)
 	var message wire.Message
@@ -104,17 +104,17 @@
 	assert.Nil(t, message.View)
 }
 
-func TestAnEndpointIsToldWithWhatIsOnOffer(t *testing.T) {
-	book := directory.New()
+func TestEndpointIsSentWithOfferedModelsAndAdapters(t *testing.T) {
+	known := directory.New()
 	described := map[deployment.Adapter]int64{{Model: "m", Name: "old"}: 1}
-	book.Put(deployment.Endpoint{ID: "e", Service: "s", Address: address, Hall: "h", Slots: 8, Models: []string{"m", "n"}, Adapters: described}, 6)
+	known.Put(deployment.Endpoint{ID: "e", Service: "s", Address: address, Hall: "h", Slots: 8, Models: []string{"m", "n"}, Adapters: described}, 6)
 	offered := map[deployment.Adapter]int64{{Model: "m", Name: "a"}: 3, {Model: "n", Name: "b"}: 4, {Model: "withdrawn", Name: "c"}: 5}
-	book.SetOffered("e", []string{"m", "n"}, offered)
-	told := wire.FromStatus(book.Endpoint("e"))
-	assert.EqualValues(t, 6, told.Revision)
+	known.SetOffered("e", []string{"m", "n"}, offered)
+	sent := wire.FromStatus(known.Endpoint("e"))
+	assert.EqualValues(t, 6, sent.Revision)
 
-	endpoint := told.Endpoint()
+	endpoint := sent.Endpoint()
 	assert.Equal(t, deployment.EndpointID("e"), endpoint.ID)
 	assert.Equal(t, []string{"m", "n"}, endpoint.Models)
-	assert.Equal(t, map[deployment.Adapter]int64{{Model: "m", Name: "a"}: 3, {Model: "n", Name: "b"}: 4}, endpoint.Adapters, "an adapter needs its model")
+	assert.Equal(t, map[deployment.Adapter]int64{{Model: "m", Name: "a"}: 3, {Model: "n", Name: "b"}: 4}, endpoint.Adapters, "an adapter is included only with its base model")
 }
