--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -14,66 +14,69 @@
 )
 
 const (
-	// LeastSilence is after how long without a report an instance of a small fleet counts as lost: shorter trades false losses for an
-	// earlier release of what a lost instance used.
+	// LeastSilence is the time without a report after which an instance of a small fleet counts as lost. A shorter time releases
+	// the copies of a lost instance earlier, but more instances are falsely taken for lost.
 	LeastSilence = 1500 * time.Millisecond
-	// silentReports is how many pauses between reports, a count, an instance of a large fleet may stay silent.
-	silentReports = 3
-	// acknowledgeTime is how long members of a small fleet have to acknowledge a withdrawal: longer keeps a place from the next load,
-	// shorter lets requests that are on their way find their adapter unloaded. A report and a view on their way take some 150 ms at 195
-	// instances.
-	acknowledgeTime = 250 * time.Millisecond
-	// ForgetAfter is how long a lost instance still counts in the fleet's shares.
+	// maxMissedReports is the number of report intervals for which an instance of a large fleet may be silent before it counts as
+	// lost.
+	maxMissedReports = 3
+	// acknowledgeTimeout is the time that members of a small fleet have to acknowledge a withdrawal. A longer time delays the next
+	// load into the place; with a shorter one, requests under way find their adapter unloaded. A report and a view together take
+	// about 150 ms to arrive in a fleet of 195 instances.
+	acknowledgeTimeout = 250 * time.Millisecond
+	// ForgetAfter is how long a lost instance is still counted in the shares of the fleet.
 	ForgetAfter = 20 * time.Second
-	// RelayAfter is how long a peer may lack newer keys of the configuration before they are sent to it: shorter trades messages that its
-	// own watch makes needless for an earlier change.
+	// RelayAfter is how long a peer may lack newer keys of the configuration before they are sent to it. A shorter time brings
+	// changes into force earlier, but sends keys that the peer would have received by its own watch.
 	RelayAfter = 120 * time.Millisecond
 )
 
-// SilenceLimit is after how long without a report an instance counts as lost in a fleet of members.
+// SilenceLimit returns the time without a report after which an instance counts as lost in a fleet of the given number of members.
 func SilenceLimit(members int) time.Duration {
-	return max(LeastSilence, silentReports*report.Stretch(report.Pace, members))
+	return max(LeastSilence, maxMissedReports*report.Stretch(report.Pace, members))
 }
 
-// AcknowledgeLimit is how long members of a fleet have to acknowledge a withdrawal.
+// AcknowledgeLimit returns the time that members of a fleet of the given size have to acknowledge a withdrawal.
 func AcknowledgeLimit(members int) time.Duration {
-	return acknowledgeTime + report.Stretch(report.AcknowledgePace, members)
+	return acknowledgeTimeout + report.Stretch(report.AcknowledgePace, members)
 }
 
-// Link is the connection over which a member reports and gets views.
+// Link is the connection over which a member sends reports and receives views.
 type Link = peerstream.Stream[wire.Message]
 
-// Member is one instance that reports.
+// Member is an instance that reports to the planner.
 type Member struct {
 	// Link is nil while the instance is not connected.
 	Link *Link
-	// NeedsFull tells that the next view to it has to be a whole one.
+	// NeedsFull means that the next view to the member must be a snapshot.
 	NeedsFull bool
-	// ConfigurationRevision is the newest revision of the configuration's keys that it knows, by its last report.
+	// ConfigurationRevision is the newest revision of the configuration's keys that the member has, according to its last report.
 	ConfigurationRevision int64
-	// Lag is how long it has lacked newer ones.
+	// Lag measures for how long the member has lacked newer keys.
 	Lag Lag
-	// Probe is the number of the report to which the next view to it answers; 0 if it asked for none.
+	// Probe is the number of the probe that the next view to the member answers; 0 if there is none.
 	Probe uint64
-	// Contact is how its peers reach it; nil for one of an earlier version.
+	// Contact is how peers reach the member; nil for a member of an earlier version.
 	Contact *wire.Contact
-	// EndpointsRead is the store's revision as of which it has read all endpoints and heard no planner since; 0 otherwise.
+	// EndpointsRead is the store revision as of which the member has read all endpoints without having received a view of a planner
+	// since; 0 otherwise.
 	EndpointsRead int64
-	// DescribedUpTo is the store's revision up to which it knows each endpoint's description, by the report that asked for a whole view.
+	// DescribedUpTo is the store revision up to which the member knows the description of each endpoint, according to the report
+	// that asked for a snapshot.
 	DescribedUpTo int64
-	// FedBy is the gatherer that passes views on to it; empty if none does.
+	// FedBy is the gatherer that relays views to the member; empty if none does.
 	FedBy string
-	// BareSentAt is when the last bare view was sent to it.
+	// BareSentAt is when the last bare view was sent to the member.
 	BareSentAt time.Time
 
 	reportedAt time.Time
-	// heardAt is when a gatherer last told that it hears the member; zero if none has since its link began.
-	heardAt time.Time
-	// lost is since when it counts as lost; zero if it does not.
+	// heardByGathererAt is when a gatherer last reported that it receives loads from the member; zero if none has since the link was opened.
+	heardByGathererAt time.Time
+	// lost is when the member was declared lost; zero if it is not lost.
 	lost            time.Time
 	leaving         bool
 	withdrawalsSeen uint64
-	// storeReadAge is how long before its last report it read the store.
+	// storeReadAge is the time between the member's last read from the store and its last report.
 	storeReadAge time.Duration
 	inUse        map[wire.Copy]int
 	inFlight     map[deployment.EndpointID]InFlight
@@ -81,15 +84,15 @@
 	unreached    []deployment.EndpointID
 }
 
-// InFlight is what an endpoint has to do.
+// InFlight is the work that an endpoint has.
 type InFlight struct {
-	// Requests counts the requests in flight there.
+	// Requests is the number of requests in flight on the endpoint.
 	Requests int
-	// Unread is how many tokens of their prompts it has not read yet.
+	// Unread is the number of their prompt tokens that the endpoint has not processed yet.
 	Unread int
 }
 
-// Plus adds what else the endpoint has to do.
+// Plus returns the sum of two amounts of work.
 func (f InFlight) Plus(other InFlight) InFlight {
 	return InFlight{Requests: f.Requests + other.Requests, Unread: f.Unread + other.Unread}
 }
@@ -99,8 +102,8 @@
 	since time.Time
 }
 
-// Observe takes in the newest revision that the peer knows and the newest one known here. It gives for how long the
-// peer has been behind, and false if it is not.
+// Observe records the newest revision that the peer has and the newest one known here. It returns for how long the peer has been
+// behind, and false if it is not behind.
 func (l *Lag) Observe(now time.Time, theirs, ours int64) (time.Duration, bool) {
 	if theirs >= ours {
 		l.since = time.Time{}
@@ -112,24 +115,24 @@
 	return now.Sub(l.since), true
 }
 
-// isSilent tells whether the member is to be taken for lost: no gatherer that told of it does so any more, or its own reports have
-// stayed away for longer than their pace in the fleet allows. In a large fleet its own reports alone tell that late, and
-// until then an instance that is cut off or stands still holds up each unload.
+// isSilent reports whether the member must be declared lost: either a gatherer has received loads from it, but neither a load nor a
+// report has arrived for LeastSilence, or its own reports have been missing for longer than silence. In a large fleet reports are
+// so rare that they alone reveal a loss late, and until then an instance that is cut off or suspended delays each unload.
 func (m *Member) isSilent(now time.Time, silence time.Duration) bool {
-	heard := m.heardAt
-	if m.reportedAt.After(heard) {
-		heard = m.reportedAt
+	lastHeard := m.heardByGathererAt
+	if m.reportedAt.After(lastHeard) {
+		lastHeard = m.reportedAt
 	}
-	unheard := !m.heardAt.IsZero() && now.Sub(heard) > LeastSilence
-	return unheard || now.Sub(m.reportedAt) > silence
+	lostByGatherer := !m.heardByGathererAt.IsZero() && now.Sub(lastHeard) > LeastSilence
+	return lostByGatherer || now.Sub(m.reportedAt) > silence
 }
 
 func (m *Member) isLost() bool {
 	return !m.lost.IsZero()
 }
 
-// take takes in a report.
-func (m *Member) take(now time.Time, r *wire.Report) {
+// applyReport replaces the reported state of the member.
+func (m *Member) applyReport(now time.Time, r *wire.Report) {
 	m.reportedAt = now
 	m.lost = time.Time{}
 	m.withdrawalsSeen = r.WithdrawalsSeen
@@ -158,8 +161,8 @@
 	}
 }
 
-// suspect takes in which endpoints the member finds bad and gives those of which it changed its verdict.
-func (m *Member) suspect(ids []deployment.EndpointID) []deployment.EndpointID {
+// setSuspects replaces the endpoints that the member suspects and returns those that were added or removed.
+func (m *Member) setSuspects(ids []deployment.EndpointID) []deployment.EndpointID {
 	var changed []deployment.EndpointID
 	former := m.suspects
 	m.suspects = make(map[deployment.EndpointID]bool, len(ids))
@@ -179,8 +182,8 @@
 	return changed
 }
 
-// reachesStore tells whether the store lately answered the member.
+// reachesStore reports whether the store has recently answered the member.
 func (m *Member) reachesStore(now time.Time) bool {
-	known := lease.Member{Lost: m.isLost(), ReportAge: now.Sub(m.reportedAt), StoreReadAge: m.storeReadAge}
-	return known.ReachesStore()
+	state := lease.Member{Lost: m.isLost(), ReportAge: now.Sub(m.reportedAt), StoreReadAge: m.storeReadAge}
+	return state.ReachesStore()
 }
--- a/services/entry/coordinator/member/member_test.go
+++ b/services/entry/coordinator/member/member_test.go
@@ -18,10 +18,10 @@
 )
 
 const (
-	step    = time.Millisecond
-	silence = 1500 * time.Millisecond
-	memory  = 20 * time.Second
-	trouble = 800 * time.Millisecond
+	step           = time.Millisecond
+	silence        = 1500 * time.Millisecond
+	forgetAfter    = 20 * time.Second
+	storeReadLimit = 800 * time.Millisecond
 )
 
 var (
@@ -29,7 +29,8 @@
 	copy1 = wire.Copy{ID: "e1", Model: "base", Name: "a1"}
 )
 
-func link(t *testing.T) *member.Link {
+// newLink returns a link over an in-memory connection.
+func newLink(t *testing.T) *member.Link {
 	t.Helper()
 	near, far := net.Pipe()
 	stream := peerstream.New[wire.Message](near)
@@ -37,8 +38,8 @@
 	return stream
 }
 
-// table has members that reported just now, without anything to tell.
-func table(instances ...string) *member.Table {
+// newTable returns a table of members that have just sent an empty report.
+func newTable(instances ...string) *member.Table {
 	members := member.NewTable()
 	for _, instance := range instances {
 		members.Join(instance, nil)
@@ -47,7 +48,8 @@
 	return members
 }
 
-func uses(count int) *wire.Report {
+// reportUsing returns a report of instance a with a number of requests in flight that use copy1.
+func reportUsing(count int) *wire.Report {
 	return &wire.Report{
 		Instance: "a", WithdrawalsSeen: 5, InUse: []wire.CopyCount{{ID: "e1", Model: "base", Name: "a1", Count: count}},
 		InFlight: []wire.EndpointCount{{ID: "e1", Count: count, Unread: 100 * count}},
@@ -59,63 +61,64 @@
 	return lost
 }
 
-func TestSilenceGrowsWithReportsOfLargeFleets(t *testing.T) {
+func TestSilenceLimitGrowsWithLargeFleets(t *testing.T) {
 	cases := map[int]time.Duration{0: silence, 16: silence, 32: silence, 33: 3 * 515625 * time.Microsecond, 64: 3 * time.Second}
 	for members, expected := range cases {
 		assert.Equal(t, expected, member.SilenceLimit(members), "%d members", members)
 	}
 }
 
-func TestASilentMemberIsLostOnceAndForgottenLater(t *testing.T) {
-	members := table("a")
+func TestSilentMemberIsReportedLostOnceAndRemovedLater(t *testing.T) {
+	members := newTable("a")
 	assert.Empty(t, dropLost(members, start.Add(silence-step)))
 	assert.Empty(t, dropLost(members, start.Add(silence)))
 	lost := start.Add(silence + step)
 	assert.Equal(t, []string{"a"}, dropLost(members, lost))
-	assert.Empty(t, dropLost(members, lost.Add(step)), "told once")
-	dropLost(members, lost.Add(memory))
-	assert.Equal(t, 2, members.Fleet(), "it still counts in the fleet's shares")
-	dropLost(members, lost.Add(memory+step))
+	assert.Empty(t, dropLost(members, lost.Add(step)), "reported once")
+	dropLost(members, lost.Add(forgetAfter))
+	assert.Equal(t, 2, members.Fleet(), "a lost member still counts in the shares of the fleet")
+	dropLost(members, lost.Add(forgetAfter+step))
 	assert.Equal(t, 1, members.Fleet())
 }
 
-// TestAMemberThatItsGathererNoLongerHearsIsLostSoon: in a large fleet reports come so rarely that an instance that was cut off or stood
-// still counted for 9.1 s, and no copy could be unloaded for as long, since its acknowledgement was waited for.
-func TestAMemberThatItsGathererNoLongerHearsIsLostSoon(t *testing.T) {
+// TestMemberIsLostWhenGathererStopsReceivingLoads guards against a late detection of lost members in a large fleet. There, reports
+// are so rare that an instance that was cut off or suspended was kept for 9.1 s, and no copy could be unloaded meanwhile, since its
+// acknowledgement was awaited.
+func TestMemberIsLostWhenGathererStopsReceivingLoads(t *testing.T) {
 	const large = 9 * time.Second
 	lost := func(members *member.Table, after time.Duration) int {
 		count := 0
 		members.DropLost(start.Add(after), large, func(string) { count++ })
 		return count
 	}
-	members := table("a", "b")
+	members := newTable("a", "b")
 	members.Heard(start.Add(time.Second), []string{"a", "stranger"})
-	assert.Zero(t, lost(members, time.Second+silence), "just within")
+	assert.Zero(t, lost(members, time.Second+silence), "at the limit")
 	assert.False(t, members.Unused(copy1, 1, 0))
-	assert.Equal(t, 1, lost(members, time.Second+silence+step), "only the one that a gatherer told of")
-	assert.Equal(t, 1, lost(members, large+step), "the other one by its own reports")
+	assert.Equal(t, 1, lost(members, time.Second+silence+step), "only the member that a gatherer reported")
+	assert.Equal(t, 1, lost(members, large+step), "the other member by its missing reports")
 	assert.True(t, members.Unused(copy1, 1, 0))
 
-	members = table("a")
+	members = newTable("a")
 	members.Heard(start, []string{"a"})
 	members.Take(start.Add(silence), &wire.Report{Instance: "a"})
-	assert.Zero(t, lost(members, 2*silence), "its own report tells as much")
+	assert.Zero(t, lost(members, 2*silence), "its own report counts as well")
 	for at := 2 * silence; at <= large+silence; at += silence {
 		members.Heard(start.Add(at), []string{"a"})
 	}
-	assert.Equal(t, 1, lost(members, silence+large+step), "heard by its gatherer alone, it acknowledges nothing")
+	assert.Equal(t, 1, lost(members, silence+large+step), "a member without own reports acknowledges nothing, whatever its gatherer receives")
 }
 
-func TestALostMemberThatReportsAgainIsLostNoMore(t *testing.T) {
-	members := table("a")
+func TestReportRestoresLostMember(t *testing.T) {
+	members := newTable("a")
 	dropLost(members, start.Add(time.Minute))
 	members.Take(start.Add(time.Minute), &wire.Report{Instance: "a"})
 	assert.Empty(t, dropLost(members, start.Add(time.Minute+silence)))
 	assert.Equal(t, []string{"a"}, dropLost(members, start.Add(2*time.Minute)))
 }
 
-func TestAMemberThatLeavesIsForgottenAsSoonAsItIsSilent(t *testing.T) {
-	members := table("a")
+func TestLeavingMemberIsRemovedWhenSilent(t *testing.T) {
+	members := newTable("a")
 	members.Take(start, &wire.Report{Instance: "a", Leaving: true})
 	dropLost(members, start.Add(silence))
 	assert.Equal(t, 2, members.Fleet())
@@ -123,43 +126,43 @@
 	assert.Equal(t, 1, members.Fleet())
 }
 
-func TestAMemberWhoseLinkEndsIsLostAtTheNextLook(t *testing.T) {
+func TestMemberIsLostAfterItsLinkEnds(t *testing.T) {
 	members := member.NewTable()
-	former, present := link(t), link(t)
+	former, present := newLink(t), newLink(t)
 	members.Join("a", former)
 	members.Take(start, &wire.Report{Instance: "a"})
 	members.Join("a", present)
 	members.Unlink(start, former, silence)
-	assert.Empty(t, dropLost(members, start.Add(step)), "it has a new link")
+	assert.Empty(t, dropLost(members, start.Add(step)), "the member has a new link")
 	members.Unlink(start, present, silence)
 	assert.Nil(t, members.All()["a"].Link)
 	assert.Empty(t, dropLost(members, start))
 	assert.Equal(t, []string{"a"}, dropLost(members, start.Add(step)))
 }
 
-func TestANewLinkNeedsAWholeView(t *testing.T) {
+func TestNewLinkNeedsSnapshot(t *testing.T) {
 	members := member.NewTable()
 	assert.False(t, members.NeedOwn())
-	first := link(t)
+	first := newLink(t)
 	members.Join("a", first)
 	assert.True(t, members.NeedOwn())
 	members.All()["a"].NeedsFull = false
 	members.Join("a", first)
 	assert.False(t, members.NeedOwn(), "the same link again")
-	members.Join("a", link(t))
+	members.Join("a", newLink(t))
 	assert.True(t, members.NeedOwn())
 	members.All()["a"].Link = nil
-	assert.False(t, members.NeedOwn(), "nobody is there to be told")
+	assert.False(t, members.NeedOwn(), "a member without a link")
 	members.Tell(wire.Message{})
 	members.FinishLinks()
 }
 
-func TestRequestsInFlightFollowTheLastReport(t *testing.T) {
-	members := table("a", "b")
-	members.Take(start, uses(2))
-	members.Take(start, uses(2))
+func TestInFlightRequestsFollowLastReport(t *testing.T) {
+	members := newTable("a", "b")
+	members.Take(start, reportUsing(2))
+	members.Take(start, reportUsing(2))
 	assert.Equal(t, 2, members.Uses(copy1), "a repeated report adds nothing")
-	other := uses(3)
+	other := reportUsing(3)
 	other.Instance = "b"
 	members.Take(start, other)
 	assert.Equal(t, 5, members.Uses(copy1))
@@ -168,19 +171,19 @@
 	assert.Equal(t, map[deployment.EndpointID]member.InFlight{"e1": {Requests: 6, Unread: 510}}, sums)
 	members.Take(start, &wire.Report{Instance: "a"})
 	assert.Equal(t, 3, members.Uses(copy1))
-	members.Take(start, &wire.Report{Instance: "stranger", InUse: uses(9).InUse})
+	members.Take(start, &wire.Report{Instance: "stranger", InUse: reportUsing(9).InUse})
 	assert.Equal(t, 3, members.Uses(copy1), "only members count")
 
 	dropLost(members, start.Add(silence+step))
 	assert.Equal(t, 3, members.Uses(copy1), "a lost member's requests may still run")
 	sums = map[deployment.EndpointID]member.InFlight{}
 	members.AddInFlight(start, sums, nil)
-	assert.Empty(t, sums, "but weigh in no choice")
+	assert.Empty(t, sums, "but do not count in the choice of endpoints")
 	dropLost(members, start.Add(time.Minute))
 	assert.Zero(t, members.Uses(copy1))
 }
 
-func TestACopyIsUnusedOnceAllActOnItsWithdrawal(t *testing.T) {
+func TestCopyIsUnusedWhenAllMembersAcknowledgeWithdrawal(t *testing.T) {
 	assert.True(t, member.NewTable().Unused(copy1, 9, 0), "no members")
 	cases := map[string]struct {
 		seen, withdrawal uint64
@@ -188,36 +191,36 @@
 		age              time.Duration
 		unused           bool
 	}{
-		"the withdrawal not yet seen": {seen: 4, withdrawal: 5, unused: false},
-		"not seen, just in time":      {seen: 4, withdrawal: 5, age: 255 * time.Millisecond, unused: false},
-		"not seen in time":            {seen: 4, withdrawal: 5, age: 255*time.Millisecond + step, unused: true},
-		"not seen in time, in use":    {seen: 4, withdrawal: 5, age: time.Second, count: 1, unused: false},
-		"just this one seen":          {seen: 5, withdrawal: 5, unused: true},
-		"a later one seen":            {seen: 6, withdrawal: 5, unused: true},
-		"seen, but in use":            {seen: 5, withdrawal: 5, count: 1, unused: false},
+		"withdrawal not yet seen":                      {seen: 4, withdrawal: 5, unused: false},
+		"withdrawal not seen, at the limit":            {seen: 4, withdrawal: 5, age: 255 * time.Millisecond, unused: false},
+		"withdrawal not seen within the limit":         {seen: 4, withdrawal: 5, age: 255*time.Millisecond + step, unused: true},
+		"withdrawal not seen within the limit, in use": {seen: 4, withdrawal: 5, age: time.Second, count: 1, unused: false},
+		"this withdrawal seen":                         {seen: 5, withdrawal: 5, unused: true},
+		"later withdrawal seen":                        {seen: 6, withdrawal: 5, unused: true},
+		"withdrawal seen, in use":                      {seen: 5, withdrawal: 5, count: 1, unused: false},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			members := table("a")
-			r := uses(one.count)
-			r.WithdrawalsSeen = one.seen
+			members := newTable("a")
+			r := reportUsing(test.count)
+			r.WithdrawalsSeen = test.seen
 			members.Take(start, r)
-			assert.Equal(t, one.unused, members.Unused(copy1, one.withdrawal, one.age))
+			assert.Equal(t, test.unused, members.Unused(copy1, test.withdrawal, test.age))
 			dropLost(members, start.Add(silence+step))
-			assert.True(t, members.Unused(copy1, one.withdrawal, one.age), "a lost member is not asked")
+			assert.True(t, members.Unused(copy1, test.withdrawal, test.age), "lost members are ignored")
 		})
 	}
 }
 
-func TestAnEndpointIsBadForTwoInstancesOrForTheOnlyOne(t *testing.T) {
+func TestEndpointIsSuspectForTwoInstancesOrTheOnlyInstance(t *testing.T) {
 	alone := member.NewTable()
 	assert.False(t, alone.Bad("e1", false))
 	assert.True(t, alone.Bad("e1", true))
 
-	members := table("a", "b")
+	members := newTable("a", "b")
 	bad := []deployment.EndpointID{"e1"}
 	assert.Equal(t, bad, members.Take(start, &wire.Report{Instance: "a", Suspects: bad}))
-	assert.Empty(t, members.Take(start, &wire.Report{Instance: "a", Suspects: bad}), "the same word again")
+	assert.Empty(t, members.Take(start, &wire.Report{Instance: "a", Suspects: bad}), "unchanged suspects")
 	assert.False(t, members.Bad("e1", false))
 	assert.True(t, members.Bad("e1", true))
 	members.Take(start, &wire.Report{Instance: "b", Suspects: bad})
@@ -226,31 +229,31 @@
 	assert.False(t, members.Bad("e1", false))
 }
 
-func TestAMemberIsTakenForASuccessorOnlyWhileTheStoreAnswersIt(t *testing.T) {
+func TestMemberReachesStoreOnlyWithRecentReportAndRead(t *testing.T) {
 	cases := map[string]struct {
 		age, reportAge time.Duration
 		reaches        bool
 	}{
-		"lately":                {0, 0, true},
-		"just in time":          {trouble - step, trouble - step, true},
-		"a report too old":      {0, trouble, false},
-		"a reading too old":     {trouble, 0, false},
-		"lost, with a good age": {0, silence + step, false},
+		"recent report and read":         {0, 0, true},
+		"just below both limits":         {storeReadLimit - step, storeReadLimit - step, true},
+		"report too old":                 {0, storeReadLimit, false},
+		"read too old":                   {storeReadLimit, 0, false},
+		"lost member with a recent read": {0, silence + step, false},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			members := table()
+			members := newTable()
 			members.Join("a", nil)
-			members.Take(start, &wire.Report{Instance: "a", StoreReadAge: one.age})
-			now := start.Add(one.reportAge)
+			members.Take(start, &wire.Report{Instance: "a", StoreReadAge: test.age})
+			now := start.Add(test.reportAge)
 			dropLost(members, now)
-			assert.Equal(t, one.reaches, members.ReachStore(now))
+			assert.Equal(t, test.reaches, members.ReachStore(now))
 		})
 	}
 	assert.False(t, member.NewTable().ReachStore(start))
 }
 
-func TestALagCountsFromWhenItWasFirstSeen(t *testing.T) {
+func TestLagStartsWhenFirstObserved(t *testing.T) {
 	var lag member.Lag
 	_, behind := lag.Observe(start, 7, 7)
 	assert.False(t, behind)
@@ -259,7 +262,7 @@
 	assert.Zero(t, span)
 	assert.Equal(t, 120*time.Millisecond, member.RelayAfter)
 	span, _ = lag.Observe(start.Add(member.RelayAfter), 6, 8)
-	assert.Equal(t, member.RelayAfter, span, "a further change does not begin it anew")
+	assert.Equal(t, member.RelayAfter, span, "a further change does not restart the lag")
 	_, behind = lag.Observe(start.Add(time.Second), 9, 8)
 	assert.False(t, behind)
 	span, behind = lag.Observe(start.Add(time.Minute), 9, 10)
@@ -267,19 +270,19 @@
 	assert.Zero(t, span)
 }
 
-func TestAnEndpointThatRefusesTwoInstancesIsUnreached(t *testing.T) {
+func TestEndpointIsUnreachedWhenTwoInstancesAreRefused(t *testing.T) {
 	const life = 1500 * time.Millisecond
 	ids := func(list ...deployment.EndpointID) []deployment.EndpointID { return list }
-	told := func(members *member.Table, instance string, list []deployment.EndpointID) {
+	report := func(members *member.Table, instance string, list []deployment.EndpointID) {
 		members.Take(start, &wire.Report{Instance: instance, Unreached: list})
 	}
-	members := table("a", "b")
-	told(members, "a", ids("e1", "e2"))
-	assert.Empty(t, members.Unreached(start, nil), "one alone may be cut off")
+	members := newTable("a", "b")
+	report(members, "a", ids("e1", "e2"))
+	assert.Empty(t, members.Unreached(start, nil), "a single instance may be cut off itself")
 	assert.Equal(t, map[deployment.EndpointID]bool{"e2": true}, members.Unreached(start, ids("e2")), "with the planner")
-	told(members, "b", ids("e1"))
+	report(members, "b", ids("e1"))
 	assert.Equal(t, map[deployment.EndpointID]bool{"e1": true}, members.Unreached(start.Add(life), nil))
-	assert.Empty(t, members.Unreached(start.Add(life+step), nil), "reports of before")
-	told(members, "b", nil)
-	assert.Empty(t, members.Unreached(start, nil), "one reaches it again")
+	assert.Empty(t, members.Unreached(start.Add(life+step), nil), "the reports have expired")
+	report(members, "b", nil)
+	assert.Empty(t, members.Unreached(start, nil), "one instance reaches the endpoint again")
 }
--- a/services/entry/coordinator/member/table.go
+++ b/services/entry/coordinator/member/table.go
@@ -11,31 +11,32 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// unreachedLife is how long a report tells that an endpoint refuses connections: longer keeps requests from one that is back, shorter lets
-// more instances find out for themselves. The store names a crashed endpoint for some 3 s.
-const unreachedLife = 1500 * time.Millisecond
+// unreachedTTL is how long a report of refused connections remains valid. A longer time keeps requests from an endpoint that is
+// reachable again; with a shorter one, more instances have to detect the refusal themselves. The store still lists a crashed
+// endpoint for about 3 s.
+const unreachedTTL = 1500 * time.Millisecond
 
-// suspectVotes is the number of instances that must find an endpoint bad, if there are as many.
-const suspectVotes = 2
+// requiredVotes is the number of instances that must suspect an endpoint, in a fleet of at least that many.
+const requiredVotes = 2
 
-// Table holds the members by instance; it is not safe for concurrent use.
+// Table holds the members by instance. It is not safe for concurrent use.
 type Table struct {
 	members map[string]*Member
-	// uses sums the members' requests in flight by copy.
+	// uses is the number of the members' requests in flight by copy.
 	uses map[wire.Copy]int
 }
 
-// NewTable makes a table without members.
+// NewTable returns a table without members.
 func NewTable() *Table {
 	return &Table{members: make(map[string]*Member), uses: make(map[wire.Copy]int)}
 }
 
-// All gives the members by instance, the lost ones included; the caller must not change the map.
+// All returns the members by instance, including the lost ones. The caller must not change the map.
 func (t *Table) All() map[string]*Member {
 	return t.members
 }
 
-// Fleet is the number of instances that share the fleet's bounds, the planner included.
+// Fleet returns the number of instances that share the fleet-wide limits, including the planner.
 func (t *Table) Fleet() int {
 	return len(t.members) + 1
 }
@@ -43,11 +44,11 @@
 // Source is a member that can be asked for the operators' keys.
 type Source struct {
 	Instance string
-	// Revision is the newest revision of the keys that it knows.
+	// Revision is the newest revision of the keys that the member has.
 	Revision int64
 }
 
-// Sources gives the members that can be asked for the operators' keys, with what they know of them.
+// Sources returns the connected members, which can be asked for the operators' keys.
 func (t *Table) Sources() []Source {
 	var sources []Source
 	for instance, m := range t.members {
@@ -58,7 +59,7 @@
 	return sources
 }
 
-// PresentPart is the part of the instances that is not lost, the planner included.
+// PresentPart returns the fraction of the instances that are not lost, including the planner.
 func (t *Table) PresentPart() float64 {
 	present := 1
 	for _, m := range t.members {
@@ -69,7 +70,7 @@
 	return float64(present) / float64(t.Fleet())
 }
 
-// Join notes over which link an instance reports; a new link makes the next view a whole one.
+// Join records the link over which an instance reports. After a new link, the next view is a snapshot.
 func (t *Table) Join(instance string, link *Link) {
 	m, ok := t.members[instance]
 	if !ok {
@@ -78,57 +79,58 @@
 	}
 	if m.Link != link {
 		m.Link = link
-		m.heardAt = time.Time{}
-		// It may have been replaced by one of another version, which tells anew.
+		m.heardByGathererAt = time.Time{}
+		// The instance may have been replaced by one of another version, which reports these values again.
 		m.Contact, m.FedBy, m.DescribedUpTo = nil, "", 0
 		m.NeedsFull = true
 		m.Probe = 0
 	}
 }
 
-// Take takes in a report and gives the endpoints of which the member changed its verdict whether they are bad. The
-// planner's own report, which is no member's, changes nothing.
+// Take applies a report and returns the endpoints that the member has begun or ceased to suspect. A report of the planner itself,
+// which is no member, has no effect.
 func (t *Table) Take(now time.Time, r *wire.Report) []deployment.EndpointID {
 	m, ok := t.members[r.Instance]
 	if !ok {
 		return nil
 	}
 	t.addUses(m, -1)
-	m.take(now, r)
+	m.applyReport(now, r)
 	t.addUses(m, 1)
-	return m.suspect(r.Suspects)
+	return m.setSuspects(r.Suspects)
 }
 
-// Heard takes in that a gatherer hears members.
+// Heard records that a gatherer receives loads from members.
 func (t *Table) Heard(now time.Time, instances []string) {
 	for _, instance := range instances {
 		if m, ok := t.members[instance]; ok {
-			m.heardAt = now
+			m.heardByGathererAt = now
 		}
 	}
 }
 
-// Unlink notes that a link has ended: without a new one its member counts as lost at the next look.
+// Unlink records that a link has ended. Unless its member has a new link, the next call of DropLost after that moment declares the
+// member lost.
 func (t *Table) Unlink(now time.Time, link *Link, silence time.Duration) {
 	for _, m := range t.members {
 		if m.Link == link {
 			m.Link = nil
-			m.reportedAt, m.heardAt = now.Add(-silence), time.Time{}
+			m.reportedAt, m.heardByGathererAt = now.Add(-silence), time.Time{}
 		}
 	}
 }
 
-// Tell sends all members a message.
+// Tell sends a message to all connected members.
 func (t *Table) Tell(message wire.Message) {
 	for _, m := range t.members {
 		if m.Link != nil {
-			// A member that cannot take it loses its link, and looks for the planner as without the message.
+			// If sending fails, the link closes and the member looks for the planner again, as without the message.
 			_ = m.Link.Send(message)
 		}
 	}
 }
 
-// FinishLinks ends all links once what waits for them is sent.
+// FinishLinks closes all links after their queued messages are sent.
 func (t *Table) FinishLinks() {
 	for _, m := range t.members {
 		if m.Link != nil {
@@ -137,8 +139,8 @@
 	}
 }
 
-// DropLost tells lost of each member that counts as lost from now on, and forgets those that said that they leave
-// or that were lost long ago.
+// DropLost calls lost for each member that becomes lost now. It removes lost members that announced that they stop, and those lost
+// for longer than ForgetAfter.
 func (t *Table) DropLost(now time.Time, silence time.Duration, lost func(instance string)) {
 	for instance, m := range t.members {
 		if !m.isLost() && m.isSilent(now, silence) {
@@ -152,7 +154,7 @@
 	}
 }
 
-// addUses adds a member's requests in flight to the sums, or takes them out.
+// addUses adds the copies in use by a member to the totals, or subtracts them if sign is -1.
 func (t *Table) addUses(m *Member, sign int) {
 	for name, count := range m.inUse {
 		t.uses[name] += sign * count
@@ -162,15 +164,16 @@
 	}
 }
 
-// Uses is the number of the members' requests in flight that use a copy, by their last reports.
+// Uses returns the number of the members' requests in flight that use a copy, according to their last reports.
 func (t *Table) Uses(name wire.Copy) int {
 	return t.uses[name]
 }
 
-// Unused tells whether the members act on a withdrawal that was announced an age ago, and none uses the copy. One that has not
-// acknowledged it in time is passed over, like one that is lost, as long as it told of no use: the endpoint itself keeps an adapter that
-// a request uses, and refuses one that comes after the unload as not run. With each acknowledgement waited for, one instance that stood
-// still or was stopped held up all unloads of the fleet for 1.5 s, and as many followed each other as were restarted in turn.
+// Unused reports whether no member uses a copy whose withdrawal was announced an age ago, and all members comply with the
+// withdrawal. Lost members are ignored, and so is a missing acknowledgement after AcknowledgeLimit if the member reports no use of
+// the copy: the endpoint itself keeps an adapter that a request uses, and rejects a request that arrives after the unload as not
+// run. While each acknowledgement was required, one instance that was suspended or stopped blocked all unloads of the fleet for 1.5
+// s, and a restart of several instances in turn did so once per instance.
 func (t *Table) Unused(name wire.Copy, withdrawal uint64, age time.Duration) bool {
 	late := age > AcknowledgeLimit(t.Fleet())
 	for _, m := range t.members {
@@ -184,8 +187,8 @@
 	return true
 }
 
-// AddInFlight adds the requests in flight of all members that are not lost, by their own reports, and gives how many they are and how
-// old the reports are, added up. Those whose part is known from elsewhere are left out.
+// AddInFlight adds the requests in flight that members reported to sums, and returns the number of these members and the sum of the
+// ages of their reports. Lost members, and the instances in elsewhere, whose requests are counted from another source, are skipped.
 func (t *Table) AddInFlight(now time.Time, sums map[deployment.EndpointID]InFlight, elsewhere map[string]bool) (count int, age time.Duration) {
 	for instance, m := range t.members {
 		if m.isLost() || elsewhere[instance] {
@@ -200,7 +203,7 @@
 	return count, age
 }
 
-// Reachable gives the members that gather for others if they are chosen.
+// Reachable returns the members that can be chosen as gatherers.
 func (t *Table) Reachable() []tree.Instance {
 	var instances []tree.Instance
 	for name, m := range t.members {
@@ -211,7 +214,7 @@
 	return instances
 }
 
-// Bad tells whether an endpoint is bad for two instances, or for the only one; own tells that it is for the planner.
+// Bad reports whether requiredVotes instances, or the only instance, suspect an endpoint; own is the vote of the planner.
 func (t *Table) Bad(id deployment.EndpointID, own bool) bool {
 	votes := 0
 	if own {
@@ -222,18 +225,18 @@
 			votes++
 		}
 	}
-	return votes >= min(suspectVotes, t.Fleet())
+	return votes >= min(requiredVotes, t.Fleet())
 }
 
-// Unreached gives the endpoints that refuse the connections of two instances, by reports of the last unreachedLife; own are those that
-// refuse the planner's.
+// Unreached returns the endpoints that refuse the connections of requiredVotes instances, according to reports that are no older
+// than unreachedTTL; own are the endpoints that refuse the planner's connections.
 func (t *Table) Unreached(now time.Time, own []deployment.EndpointID) map[deployment.EndpointID]bool {
 	votes := make(map[deployment.EndpointID]int)
 	for _, id := range own {
 		votes[id]++
 	}
 	for _, m := range t.members {
-		if now.Sub(m.reportedAt) > unreachedLife {
+		if now.Sub(m.reportedAt) > unreachedTTL {
 			continue
 		}
 		for _, id := range m.unreached {
@@ -242,14 +245,14 @@
 	}
 	unreached := make(map[deployment.EndpointID]bool)
 	for id, count := range votes {
-		if count >= suspectVotes {
+		if count >= requiredVotes {
 			unreached[id] = true
 		}
 	}
 	return unreached
 }
 
-// ReachStore tells whether the store lately answered any member, so that it can take the planner's work.
+// ReachStore reports whether the store has recently answered any member, so that a member could take over the planning.
 func (t *Table) ReachStore(now time.Time) bool {
 	for _, m := range t.members {
 		if m.reachesStore(now) {
@@ -259,7 +262,7 @@
 	return false
 }
 
-// NeedOwn tells whether any member waits for a whole view, or for the answer to a probe.
+// NeedOwn reports whether any connected member waits for a snapshot or for the answer to a probe.
 func (t *Table) NeedOwn() bool {
 	for _, m := range t.members {
 		if m.Link != nil && (m.NeedsFull || m.Probe > 0) {
