--- a/services/entry/coordinator/plan/changes.go
+++ b/services/entry/coordinator/plan/changes.go
@@ -10,35 +10,35 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// Changes is what changed since the last view.
+// Changes are the changes since the last view.
 type Changes struct {
-	// Endpoints are those whose description or copies changed, Removed those that left.
+	// Endpoints are those whose description or copies changed, Removed are the removed ones.
 	Endpoints map[deployment.EndpointID]bool
 	Removed   []wire.Gone
-	// Begun are the loads that began.
+	// Begun are the adapter loads that started.
 	Begun []wire.Forecast
-	// ModelBegun tells that a base model's load began.
+	// ModelBegun reports that the load of a base model started.
 	ModelBegun bool
 }
 
-// Changes gives what changed since the last view; the caller must not change it.
+// Changes returns the changes since the last view. The caller must not modify them.
 func (p *Plans) Changes() *Changes {
 	return &p.changes
 }
 
-// Empty tells whether nothing changed.
+// Empty reports whether nothing has changed.
 func (c *Changes) Empty() bool {
 	return len(c.Endpoints) == 0 && len(c.Removed) == 0 && len(c.Begun) == 0 && !c.ModelBegun
 }
 
-// Sent forgets all changes, since a view with them went out.
+// Sent discards the changes after a view with them was sent.
 func (p *Plans) Sent() {
 	clear(p.changes.Endpoints)
 	p.changes.Removed, p.changes.Begun, p.changes.ModelBegun = nil, nil, false
 }
 
-// Forecasts gives the loads under way and, by service, when an adapter would be resident that nobody has asked for
-// yet.
+// Forecasts returns the loads under way and, by service, the expected time until an adapter that nobody has requested yet could be
+// resident.
 func (p *Plans) Forecasts(now time.Time) (loads []wire.Forecast, backlogs map[string]time.Duration) {
 	backlogs = make(map[string]time.Duration, len(p.planners))
 	for name, planner := range p.planners {
--- a/services/entry/coordinator/plan/engine_test.go
+++ b/services/entry/coordinator/plan/engine_test.go
@@ -12,14 +12,14 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// TestAServiceThatLosesItsEngineIsPlannedNoMore takes the engine from a service that stays configured: its endpoints get no
-// orders any more, as if it were gone.
-func TestAServiceThatLosesItsEngineIsPlannedNoMore(t *testing.T) {
+// TestServiceWithoutEngineIsNotPlanned removes the engine from a service that stays configured. Its endpoints must get no more
+// orders, as if the service had been removed.
+func TestServiceWithoutEngineIsNotPlanned(t *testing.T) {
 	f := newFixture()
 	plain := deployment.NewConfiguration(2, nil, map[string]*deployment.Service{service: {Name: service}}, deployment.Limits{})
 	f.plans.SetConfiguration(start, plain, maps.All(map[deployment.Adapter]int64{}))
 	assert.False(t, f.plans.Has(service))
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
 	assert.Empty(t, f.ordered)
 }
--- a/services/entry/coordinator/plan/loads.go
+++ b/services/entry/coordinator/plan/loads.go
@@ -10,23 +10,23 @@
 	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
-// AssumedLoads are base models' loads that former planners may have begun: Count in the load window before At. They count
-// against the weight store's bound until a window after At.
+// AssumedLoads are base-model loads that former planners may have started: Count loads in the load window before At. They count
+// against the limit of the weight store until one window after At.
 type AssumedLoads struct {
 	Count int
 	At    time.Time
 }
 
-// unknownLoads is a number of loads that no bound allows.
+// unknownLoads is a number of loads that exceeds any limit.
 const unknownLoads = math.MaxInt32
 
-// UnknownLoads are assumed where nobody told what former planners began before a time: no base model is loaded from the
-// weight store for a window.
+// UnknownLoads returns the assumption for unknown loads of former planners before a time: no base model is loaded from the weight
+// store for one window.
 func UnknownLoads(at time.Time) AssumedLoads {
 	return AssumedLoads{Count: unknownLoads, At: at}
 }
 
-// Assume replaces what is assumed of former planners' loads.
+// Assume replaces the assumed loads of former planners.
 func (p *Plans) Assume(assumed AssumedLoads) {
 	p.assumed = assumed
 	for _, planner := range p.planners {
@@ -34,7 +34,8 @@
 	}
 }
 
-// assumeLoadsOf keeps the loads that a plan which ends began in the last window, against the weight store's bound of one that begins.
+// assumeLoadsOf adds the loads that an ending service plan started in the last window to the assumed loads, so that they count
+// against the limit of the weight store for service plans that start later.
 func (p *Plans) assumeLoadsOf(now time.Time, ended *loading.Planner) {
 	count := ended.RecentLoads(now)
 	if count == 0 {
@@ -46,8 +47,8 @@
 	p.assumed = AssumedLoads{Count: min(count, unknownLoads), At: now}
 }
 
-// RecentLoads gives the base models' loads begun in the last window, by the service that began most, with those that
-// former planners may have begun.
+// RecentLoads returns the base-model loads in the last window: those of the service that started most, plus those that former
+// planners may have started.
 func (p *Plans) RecentLoads(now time.Time) int {
 	count := 0
 	for _, planner := range p.planners {
--- a/services/entry/coordinator/plan/loads_test.go
+++ b/services/entry/coordinator/plan/loads_test.go
@@ -17,7 +17,7 @@
 
 const loadWindow = time.Second
 
-// modelLoads counts the orders of base models' loads.
+// modelLoads returns the number of ordered base-model loads.
 func (f *fixture) modelLoads() int {
 	count := 0
 	for _, order := range f.ordered {
@@ -28,7 +28,7 @@
 	return count
 }
 
-// addEmptyService adds a service whose one endpoint has never held its base model.
+// addEmptyService adds a service whose only endpoint does not hold its base model.
 func (f *fixture) addEmptyService(now time.Time) {
 	f.directory.Put(deployment.Endpoint{ID: "e2", Service: otherService, Slots: 16, Adapters: map[deployment.Adapter]int64{}}, 6)
 	both := configuration("base")
@@ -36,21 +36,21 @@
 	f.plans.SetConfiguration(now, both, maps.All(map[deployment.Adapter]int64{}))
 }
 
-func TestWhatFormerPlannersBeganCountsForAWindow(t *testing.T) {
+func TestAssumedLoadsCountForOneWindow(t *testing.T) {
 	f := newFixture()
 	assert.Zero(t, f.plans.RecentLoads(start))
 	f.plans.Assume(plan.UnknownLoads(start))
 	f.addEmptyService(start)
 	f.order(start.Add(loadWindow - 1))
 	assert.Zero(t, f.modelLoads())
-	assert.NotZero(t, f.plans.RecentLoads(start.Add(loadWindow-1)), "it is passed on")
+	assert.NotZero(t, f.plans.RecentLoads(start.Add(loadWindow-1)), "assumed loads are included in the count for the next planner")
 	assert.Zero(t, f.plans.RecentLoads(start.Add(loadWindow)))
 	f.order(start.Add(loadWindow))
 	assert.Equal(t, 1, f.modelLoads())
 	assert.Equal(t, 1, f.plans.RecentLoads(start.Add(loadWindow)))
 }
 
-func TestAServiceThatIsAddedLaterCountsFormerLoadsNoMore(t *testing.T) {
+func TestServiceAddedAfterWindowIgnoresAssumedLoads(t *testing.T) {
 	f := newFixture()
 	f.plans.Assume(plan.UnknownLoads(start))
 	f.addEmptyService(start.Add(loadWindow))
@@ -58,7 +58,7 @@
 	assert.Equal(t, 1, f.modelLoads())
 }
 
-func TestABetterWordOfFormerLoadsReplacesTheLast(t *testing.T) {
+func TestAssumeReplacesEarlierAssumption(t *testing.T) {
 	f := newFixture()
 	f.addEmptyService(start)
 	f.plans.Assume(plan.UnknownLoads(start))
@@ -67,10 +67,10 @@
 	f.plans.Assume(plan.AssumedLoads{Count: 2, At: start})
 	f.order(start)
 	assert.Equal(t, 1, f.modelLoads())
-	assert.Equal(t, 3, f.plans.RecentLoads(start), "the own one and those of before")
+	assert.Equal(t, 3, f.plans.RecentLoads(start), "the own load and the two assumed ones")
 }
 
-func TestABaseModelsLoadIsAChange(t *testing.T) {
+func TestBaseModelLoadIsChange(t *testing.T) {
 	f := newFixture()
 	f.addEmptyService(start)
 	f.plans.Sent()
@@ -81,15 +81,15 @@
 	assert.False(t, f.plans.Changes().ModelBegun)
 }
 
-// TestLoadsOfAPlanThatEndsCountForAWindow is a service that loses its engine and gets it back within the window.
-func TestLoadsOfAPlanThatEndsCountForAWindow(t *testing.T) {
+// TestLoadsOfEndedPlanCountForOneWindow removes the engine of a service and restores it within the window.
+func TestLoadsOfEndedPlanCountForOneWindow(t *testing.T) {
 	f := newFixture()
 	f.addEmptyService(start)
 	f.order(start)
 	assert.Equal(t, 1, f.modelLoads())
 	without := configuration("base")
 	f.plans.SetConfiguration(start, without, maps.All(map[deployment.Adapter]int64{}))
-	assert.Equal(t, 1, f.plans.RecentLoads(start.Add(loadWindow/2)), "the service is gone, its load is not")
+	assert.Equal(t, 1, f.plans.RecentLoads(start.Add(loadWindow/2)), "the load of the removed service still counts")
 	f.addEmptyService(start.Add(loadWindow / 2))
 	assert.Equal(t, 1, f.plans.RecentLoads(start.Add(loadWindow/2)))
 	assert.Zero(t, f.plans.RecentLoads(start.Add(loadWindow)))
--- a/services/entry/coordinator/plan/next_poll_test.go
+++ b/services/entry/coordinator/plan/next_poll_test.go
@@ -18,14 +18,14 @@
 
 const (
 	otherService = "code"
-	// laterBy is how much later the second service's load begins.
-	laterBy = 5 * time.Millisecond
-	// askedTimes is how often the next poll is asked for: the order of a map changes from one time to the next.
-	askedTimes = 1000
+	// secondLoadDelay is the time between the starts of the two loads.
+	secondLoadDelay = 5 * time.Millisecond
+	// repetitions is the number of calls of NextPoll: the iteration order of a map changes from one call to the next.
+	repetitions = 1000
 )
 
-// beginLoad lets a service's endpoint take the load of an adapter that one instance asks for.
-func (f *fixture) beginLoad(t *testing.T, now time.Time, service string) {
+// startLoad has one instance request an adapter and the endpoint of the service accept its load.
+func (f *fixture) startLoad(t *testing.T, now time.Time, service string) {
 	t.Helper()
 	demand := wire.Demand{Service: service, Model: "base", Name: "a1", Waiting: 1, InTime: time.Second}
 	f.plans.TakeDemand(now, &wire.Report{Instance: "asks for " + service, Demands: []wire.Demand{demand}})
@@ -37,9 +37,9 @@
 	f.plans.Done(now, loading.Result{Order: started[0], Reply: loading.Accepted, Took: time.Millisecond})
 }
 
-// TestTheNextPollIsTheEarliestOfAllServices begins two loads of two services, one after the other: whichever service the map
-// names first, the planner has to wake for the end of the earlier one.
-func TestTheNextPollIsTheEarliestOfAllServices(t *testing.T) {
+// TestNextPollIsEarliestOfAllServices starts a load in each of two services, one after the other. Whatever the iteration order of
+// the services, the planner must wake for the end of the earlier load.
+func TestNextPollIsEarliestOfAllServices(t *testing.T) {
 	f := newFixture()
 	f.directory.Put(deployment.Endpoint{
 		ID: "e2", Service: otherService, Slots: 16, Models: []string{"base"}, CachedModels: []string{"base"}, Adapters: map[deployment.Adapter]int64{},
@@ -48,18 +48,18 @@
 	both.Services[otherService] = &deployment.Service{Name: otherService, Engine: both.Services[service].Engine}
 	f.plans.SetConfiguration(start, both, maps.All(map[deployment.Adapter]int64{}))
 
-	f.beginLoad(t, start, service)
+	f.startLoad(t, start, service)
 	earliest, found := f.plans.NextPoll(start, time.Hour)
 	require.True(t, found)
-	f.beginLoad(t, start.Add(laterBy), otherService)
+	f.startLoad(t, start.Add(secondLoadDelay), otherService)
 	late := 0
-	for range askedTimes {
-		next, found := f.plans.NextPoll(start.Add(laterBy), time.Hour)
+	for range repetitions {
+		next, found := f.plans.NextPoll(start.Add(secondLoadDelay), time.Hour)
 		require.True(t, found)
 		require.False(t, next.Before(earliest))
 		if next.After(earliest) {
 			late++
 		}
 	}
-	assert.Zero(t, late, "of %d answers", askedTimes)
+	assert.Zero(t, late, "of %d calls", repetitions)
 }
--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -30,16 +30,16 @@
 	key     = deployment.ServiceAdapter{Service: service, Adapter: adapter}
 )
 
-// fixture is the plan of one service over one endpoint.
+// fixture is the plan of one service with one endpoint.
 type fixture struct {
 	plans     *plan.Plans
 	directory *directory.Directory
 	members   *member.Table
-	// ordered are the orders that were started, begun the loads that were announced.
-	ordered []loading.Order
-	begun   map[deployment.ServiceAdapter]time.Duration
-	may     bool
-	// first is the number of the last withdrawal before the first.
+	// ordered are the started orders, begun the announced loads with their expected duration.
+	ordered  []loading.Order
+	begun    map[deployment.ServiceAdapter]time.Duration
+	mayOrder bool
+	// first is the number of the last withdrawal before the first of this term.
 	first uint64
 }
 
@@ -61,11 +61,11 @@
 	return newFixtureWith(plan.Options{Term: term})
 }
 
-// newFixtureWith makes a fixture with what the options say of the term.
+// newFixtureWith returns a fixture with the given options of the term.
 func newFixtureWith(options plan.Options) *fixture {
 	options.LoadWindow, options.LoadTolerance, options.LoadSlack = time.Second, 1, 10
 	options.Random = func() float64 { return 0.5 }
-	f := &fixture{directory: directory.New(), members: member.NewTable(), begun: make(map[deployment.ServiceAdapter]time.Duration), may: true}
+	f := &fixture{directory: directory.New(), members: member.NewTable(), begun: make(map[deployment.ServiceAdapter]time.Duration), mayOrder: true}
 	f.plans = plan.New(options, f.directory, f.members, plan.AssumedLoads{})
 	f.first = f.plans.Withdrawals()
 	f.directory.Put(deployment.Endpoint{
@@ -75,11 +75,11 @@
 	return f
 }
 
-// order plans until nothing more is ordered; an endpoint answers inspections and takes loads at once.
+// order plans until no more orders are due. The endpoint answers inspections and accepts loads at once.
 func (f *fixture) order(now time.Time) {
 	for {
 		var started []loading.Order
-		f.plans.Order(now, func() bool { return f.may }, func(order loading.Order) { started = append(started, order) },
+		f.plans.Order(now, func() bool { return f.mayOrder }, func(order loading.Order) { started = append(started, order) },
 			func(key deployment.ServiceAdapter, until time.Duration) { f.begun[key] = until })
 		if len(started) == 0 {
 			return
@@ -105,15 +105,15 @@
 	return list
 }
 
-func asks() *wire.Report {
+func demandReport() *wire.Report {
 	return &wire.Report{Instance: "a", Demands: []wire.Demand{{Service: service, Model: "base", Name: "a1", Waiting: 1, InTime: time.Second}}}
 }
 
-func TestWhatIsAskedForIsLoadedAnnouncedAndOffered(t *testing.T) {
+func TestDemandedAdapterIsLoadedAnnouncedAndOffered(t *testing.T) {
 	f := newFixture()
 	assert.True(t, f.plans.Has(service))
 	assert.False(t, f.plans.Has("plain"), "a service without engines needs no plan")
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
 	assert.Equal(t, []deployment.Adapter{adapter}, f.loads())
 	assert.Contains(t, f.begun, key)
@@ -127,18 +127,18 @@
 	assert.Equal(t, key, begun[0].Key())
 	assert.Equal(t, f.begun[key], begun[0].Remaining)
 	f.plans.Sent()
-	assert.Empty(t, f.plans.Changes().Begun, "told once")
+	assert.Empty(t, f.plans.Changes().Begun, "sent once")
 	assert.True(t, f.plans.Changes().Empty())
 	assert.Zero(t, f.plans.RecentLoads(start), "only base models count")
 }
 
-func TestLoadsThatBeganAreChangesUntilAViewWentOut(t *testing.T) {
+func TestStartedLoadsAreChangesUntilViewIsSent(t *testing.T) {
 	f := newFixture()
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
 	for range 2 {
 		begun := f.plans.Changes().Begun
-		require.Len(t, begun, 1, "looking at them forgets nothing")
+		require.Len(t, begun, 1, "reading the changes keeps them")
 		assert.Equal(t, key, begun[0].Key())
 	}
 	f.plans.Sent()
@@ -146,40 +146,40 @@
 	assert.True(t, f.plans.Changes().Empty())
 }
 
-func TestARepeatedReportAsksForNothingMore(t *testing.T) {
+func TestRepeatedReportDoesNotRepeatLoad(t *testing.T) {
 	f := newFixture()
-	f.plans.TakeDemand(start, asks())
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, demandReport())
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
 	assert.Len(t, f.loads(), 1)
 }
 
-func TestNothingIsOrderedWithoutTheLease(t *testing.T) {
+func TestNoOrdersWithoutLease(t *testing.T) {
 	f := newFixture()
-	f.may = false
-	f.plans.TakeDemand(start, asks())
+	f.mayOrder = false
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
 	assert.Empty(t, f.ordered)
-	f.may = true
+	f.mayOrder = true
 	f.order(start)
 	assert.NotEmpty(t, f.loads())
 }
 
-func TestWhatOnlyALostInstanceAskedForIsNotLoaded(t *testing.T) {
+func TestDemandOfLostInstanceIsNotLoaded(t *testing.T) {
 	f := newFixture()
 	f.members.Join("a", nil)
-	f.plans.TakeMember(start, asks())
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeMember(start, demandReport())
+	f.plans.TakeDemand(start, demandReport())
 	f.plans.Review(start.Add(silence+time.Millisecond), silence)
 	f.order(start.Add(silence + time.Millisecond))
 	assert.Empty(t, f.loads())
 }
 
-func TestAnOrderThatArrivesLateChangesNothingOfAServiceThatIsGone(t *testing.T) {
+func TestLateOrderResultOfRemovedServiceIsIgnored(t *testing.T) {
 	f := newFixture()
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, demandReport())
 	var started []loading.Order
 	f.plans.Order(start, func() bool { return true }, func(order loading.Order) { started = append(started, order) }, func(deployment.ServiceAdapter, time.Duration) {})
 	require.NotEmpty(t, started)
@@ -191,7 +191,7 @@
 	assert.Empty(t, f.loads())
 }
 
-func TestAnEndpointThatLeavesIsAnnouncedAsGone(t *testing.T) {
+func TestRemovedEndpointIsAnnounced(t *testing.T) {
 	f := newFixture()
 	f.plans.Sent()
 	f.plans.SetEndpoint(start, f.directory.Endpoint("e1").Endpoint, 6)
@@ -200,42 +200,42 @@
 	changes := f.plans.Changes()
 	assert.Empty(t, changes.Endpoints)
 	assert.Equal(t, []wire.Gone{{ID: "e1", Revision: 7}}, changes.Removed)
-	f.plans.TakeDemand(start, asks())
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
 	assert.Empty(t, f.ordered)
 }
 
-func TestAnEndpointThatIsBadForTwoGetsNoLoads(t *testing.T) {
+func TestEndpointSuspectedByTwoInstancesGetsNoLoads(t *testing.T) {
 	f := newFixture()
 	bad := []deployment.EndpointID{"e1"}
 	f.members.Join("a", nil)
 	f.members.Join("b", nil)
 	assert.True(t, f.plans.TakeMember(start, &wire.Report{Instance: "a", Suspects: bad}))
 	assert.True(t, f.plans.TakeMember(start, &wire.Report{Instance: "b", Suspects: bad}))
-	assert.False(t, f.plans.TakeMember(start, &wire.Report{Instance: "self", Suspects: bad}), "the planner itself is no member")
-	f.plans.TakeDemand(start, asks())
+	assert.False(t, f.plans.TakeMember(start, &wire.Report{Instance: "self", Suspects: bad}), "the planner itself is not a member")
+	f.plans.TakeDemand(start, demandReport())
 	f.order(start)
 	assert.Empty(t, f.loads())
 	later := start.Add(500 * time.Millisecond)
 	f.plans.TakeMember(later, &wire.Report{Instance: "b"})
 	f.order(later)
-	assert.Len(t, f.loads(), 1, "one vote of three is not enough")
+	assert.Len(t, f.loads(), 1, "one suspicion of three instances is not enough")
 }
 
-func TestAFullEndpointGetsNoColdCopies(t *testing.T) {
+func TestFullEndpointGetsNoNewCopies(t *testing.T) {
 	for inFlight, loads := range map[int]int{9: 1, 10: 0, 11: 0} {
 		f := newFixture()
 		for range inFlight {
 			f.directory.Begin(start, "e1", &deployment.Request{Adapter: deployment.Adapter{Model: "base"}})
 		}
-		f.plans.TakeDemand(start, asks())
+		f.plans.TakeDemand(start, demandReport())
 		f.plans.Review(start, silence)
 		f.order(start)
 		assert.Len(t, f.loads(), loads, "%d of 16 slots", inFlight)
 	}
 }
 
-func TestForecastsNameBacklogsOfEachService(t *testing.T) {
+func TestForecastsContainBacklogOfEachService(t *testing.T) {
 	f := newFixture()
 	loads, backlogs := f.plans.Forecasts(start)
 	assert.Empty(t, loads)
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -18,59 +18,60 @@
 
 // Options are the settings of Plans.
 type Options struct {
-	// LoadWindow, LoadTolerance and LoadSlack bound loads from the weight store.
+	// LoadWindow, LoadTolerance and LoadSlack limit the loads from the weight store.
 	LoadWindow    time.Duration
 	LoadTolerance float64
 	LoadSlack     float64
-	// Random gives a number from 0 up to 1.
+	// Random returns a number in [0, 1).
 	Random func() float64
-	// Term is the planner's.
+	// Term is the term of the planner.
 	Term int64
-	// Begun is when the term began.
+	// Begun is when the term started.
 	Begun time.Time
-	// ExpectedFleet is the number of instances that took part in the term before, 0 if that is not known.
+	// ExpectedFleet is the number of instances in the previous term; 0 if unknown.
 	ExpectedFleet int
 }
 
-// joinTime is how long a new planner waits for the instances to tell which copies their requests use, before it has any copy unloaded: an
-// endpoint takes no other order while an unload waits for requests. Longer hears of all, shorter makes room sooner.
-const joinTime = 800 * time.Millisecond
+// joinTimeout is how long a new planner waits for the instances to report which copies their requests use before it unloads any
+// copy. An endpoint accepts no other order while an unload waits for requests. A longer time covers more instances; a shorter one
+// frees places earlier.
+const joinTimeout = 800 * time.Millisecond
 
-// Plans holds a plan for each service with engines; it is not safe for concurrent use.
+// Plans holds a plan for each service with engines. It is not safe for concurrent use.
 type Plans struct {
 	options       Options
 	directory     *directory.Directory
 	members       *member.Table
 	configuration *deployment.Configuration
 	planners      map[string]*loading.Planner
-	// assumed are the loads that former planners may have begun.
+	// assumed are the loads that former planners may have started.
 	assumed AssumedLoads
 	changes Changes
-	// rated are the instances whose arrival rates were taken in; members that are forgotten are left out.
-	rated map[string]bool
-	// usesKnown is set once the instances have told which copies they use.
+	// ratesApplied are the instances whose arrival rates have been applied, apart from removed members.
+	ratesApplied map[string]bool
+	// usesKnown is set once the instances have reported which copies they use.
 	usesKnown bool
-	// withdrawals is the number of the last announcement of a withdrawal, of all services.
+	// withdrawals is the number of the last withdrawal announcement of all services.
 	withdrawals uint64
 }
 
-// termShift is by how many bits the term stands above the count in the numbers of withdrawals, so that those of a later
-// term are above all of the earlier ones: a term withdraws fewer than 2^32 copies.
+// termShift is the number of bits below the term in the numbers of withdrawals. The numbers of a later term are thus higher than
+// all numbers of earlier terms, as long as a term withdraws fewer than 2^32 copies.
 const termShift = 32
 
-// New makes plans over a directory and members, whose changes it sees; assumed are the loads that former planners may have
-// begun.
+// New returns plans over a directory and a table of members, whose later changes they see. assumed are the loads that former
+// planners may have started.
 func New(options Options, known *directory.Directory, members *member.Table, assumed AssumedLoads) *Plans {
 	return &Plans{
 		options: options, directory: known, members: members, assumed: assumed,
-		rated:       make(map[string]bool),
-		withdrawals: uint64(options.Term) << termShift,
-		planners:    make(map[string]*loading.Planner), changes: Changes{Endpoints: make(map[deployment.EndpointID]bool)},
+		ratesApplied: make(map[string]bool),
+		withdrawals:  uint64(options.Term) << termShift,
+		planners:     make(map[string]*loading.Planner), changes: Changes{Endpoints: make(map[deployment.EndpointID]bool)},
 	}
 }
 
-// SetConfiguration makes a plan for each service with engines, which begins with the endpoints that are known, and
-// ends those of services that are gone or have no engines any more.
+// SetConfiguration creates a plan for each new service with engines, which starts with the known endpoints, and drops the plans of
+// services that were removed or have no engines any more.
 func (p *Plans) SetConfiguration(now time.Time, configuration *deployment.Configuration, versions iter.Seq2[deployment.Adapter, int64]) {
 	p.configuration = configuration
 	for name, service := range configuration.Services {
@@ -82,7 +83,7 @@
 			continue
 		}
 		p.planners[name] = p.newPlanner(*service.Engine)
-		p.introduceEndpoints(now, name)
+		p.addKnownEndpoints(now, name)
 	}
 	for name, planner := range p.planners {
 		if service := configuration.Services[name]; service == nil || service.Engine == nil {
@@ -95,8 +96,8 @@
 	}
 }
 
-// introduceEndpoints tells a new plan of its endpoints and of what they held before.
-func (p *Plans) introduceEndpoints(now time.Time, service string) {
+// addKnownEndpoints adds the known endpoints of a service to its new plan, with the copies that they held before.
+func (p *Plans) addKnownEndpoints(now time.Time, service string) {
 	for _, status := range p.directory.Service(service) {
 		p.SetEndpoint(now, status.Endpoint, status.Revision)
 		p.planners[service].RememberHeld(status.ID, status.Held)
@@ -116,17 +117,17 @@
 	return planner
 }
 
-// knowsUses tells whether the instances have had time to tell which copies their requests use.
+// knowsUses reports whether the instances have had time to report which copies their requests use.
 func (p *Plans) knowsUses(now time.Time) bool {
 	if p.usesKnown {
 		return true
 	}
 	allJoined := p.options.ExpectedFleet > 0 && p.members.Fleet() >= p.options.ExpectedFleet
-	p.usesKnown = allJoined || now.Sub(p.options.Begun) >= joinTime
+	p.usesKnown = allJoined || now.Sub(p.options.Begun) >= joinTimeout
 	return p.usesKnown
 }
 
-// uses gives the requests in flight that use a copy, by all instances' last reports.
+// uses returns the number of requests in flight that use a copy, according to the last reports of all instances.
 func (p *Plans) uses(id deployment.EndpointID, adapter deployment.Adapter) int {
 	uses := p.members.Uses(wire.Copy{ID: id, Model: adapter.Model, Name: adapter.Name})
 	if status := p.directory.Endpoint(id); status != nil {
@@ -135,7 +136,7 @@
 	return uses
 }
 
-// SetVersion takes in the version of an adapter that operators named.
+// SetVersion sets the version of an adapter that operators demand.
 func (p *Plans) SetVersion(now time.Time, adapter deployment.Adapter, version int64) {
 	for name, planner := range p.planners {
 		if p.hasModel(name, adapter.Model) {
@@ -156,18 +157,18 @@
 	return false
 }
 
-// SetEndpoint passes a description on to its service's plan and marks it for the next view.
+// SetEndpoint passes a description to the plan of the endpoint's service and marks the endpoint as changed for the next view.
 func (p *Plans) SetEndpoint(now time.Time, endpoint deployment.Endpoint, revision int64) {
 	p.changes.Endpoints[endpoint.ID] = true
 	planner, ok := p.planners[endpoint.Service]
 	if !ok {
 		return
 	}
-	planner.SetEndpoint(now, endpoint, revision, p.bad(now, endpoint.ID))
+	planner.SetEndpoint(now, endpoint, revision, p.isSuspect(now, endpoint.ID))
 	p.publish(endpoint.ID, planner)
 }
 
-// RemoveEndpoint ends what is planned for an endpoint that was gone at a revision.
+// RemoveEndpoint removes an endpoint that no longer exists as of a revision from the plans.
 func (p *Plans) RemoveEndpoint(id deployment.EndpointID, revision int64) {
 	for _, planner := range p.planners {
 		planner.RemoveEndpoint(id)
@@ -176,30 +177,30 @@
 	p.changes.Removed = append(p.changes.Removed, wire.Gone{ID: id, Revision: revision})
 }
 
-// publish makes the plan's copies this instance's own view of an endpoint.
+// publish stores the copies on offer, according to the plan, in the directory of this instance and marks the endpoint as changed.
 func (p *Plans) publish(id deployment.EndpointID, planner *loading.Planner) {
 	models, adapters := planner.Offered(id)
 	p.directory.SetOffered(id, models, adapters)
 	p.changes.Endpoints[id] = true
 }
 
-// bad tells whether an endpoint is bad for more than one instance, or for the only one.
-func (p *Plans) bad(now time.Time, id deployment.EndpointID) bool {
+// isSuspect reports whether enough instances suspect an endpoint.
+func (p *Plans) isSuspect(now time.Time, id deployment.EndpointID) bool {
 	status := p.directory.Endpoint(id)
 	return p.members.Bad(id, status != nil && (status.Health.Ejected(now) || status.Rests(now)))
 }
 
-// Sweep forgets what is too old to matter.
+// Sweep removes outdated state of the service plans.
 func (p *Plans) Sweep(now time.Time) {
 	for _, planner := range p.planners {
 		planner.Sweep(now)
 	}
 }
 
-// Review looks again at what each endpoint has to do, which members are lost, and which copies nobody uses any
-// more. silence is after how long a member counts as lost.
+// Review updates the lost members, the copies that are no longer used, and the load of each endpoint. silence is the time without a
+// report after which a member counts as lost.
 func (p *Plans) Review(now time.Time, silence time.Duration) {
-	p.members.DropLost(now, silence, p.forgetInstance)
+	p.members.DropLost(now, silence, p.removeInstance)
 	for _, planner := range p.planners {
 		if p.knowsUses(now) {
 			planner.ConfirmUnused(now, p.unused)
@@ -207,27 +208,28 @@
 	}
 	for id, status := range p.directory.Endpoints() {
 		if planner, ok := p.planners[status.Service]; ok {
-			limited := status.Allowance.Binds() && !p.allLimited(status.Service)
+			limited := status.Allowance.Binds() && !p.allEndpointsLimited(status.Service)
 			planner.SetBacklog(id, status.Backlog(), status.Speed)
 			planner.SetSaturation(id, limited || balance.CopyLimit().Reached(status), limited || balance.RequestLimit().Reached(status))
 		}
 	}
 }
 
-// allLimited tells whether no endpoint of a service takes requests without a limit: copies go to those with one only then.
-func (p *Plans) allLimited(service string) bool {
+// allEndpointsLimited reports whether each ready endpoint of a service has a limit on requests. Only then are copies loaded on endpoints
+// with a limit.
+func (p *Plans) allEndpointsLimited(service string) bool {
 	return !slices.ContainsFunc(p.directory.Service(service), func(status *directory.EndpointStatus) bool {
 		return status.State == deployment.Ready && !status.Allowance.Binds()
 	})
 }
 
-func (p *Plans) forgetInstance(instance string) {
+func (p *Plans) removeInstance(instance string) {
 	for _, planner := range p.planners {
 		planner.ForgetInstance(instance)
 	}
 }
 
-// unused tells whether no instance uses a copy whose withdrawal was announced.
+// unused reports whether no instance uses a copy whose withdrawal was announced.
 func (p *Plans) unused(withdrawn loading.Withdrawal) bool {
 	adapter := withdrawn.Adapter
 	if status := p.directory.Endpoint(withdrawn.Endpoint); status != nil && status.OwnByAdapter[adapter] > 0 {
@@ -236,8 +238,8 @@
 	return p.members.Unused(wire.Copy{ID: withdrawn.Endpoint, Model: adapter.Model, Name: adapter.Name}, withdrawn.Number, withdrawn.Age)
 }
 
-// Order gives what is to be ordered now to start, as long as mayOrder says so, and publishes what changed. begun
-// is called for each adapter whose load starts, and how long it is expected to take.
+// Order calls start for each order that is due, as long as mayOrder returns true, and publishes the changes. It calls begun for
+// each adapter load that starts, with the expected duration.
 func (p *Plans) Order(now time.Time, mayOrder func() bool, start func(loading.Order), begun func(deployment.ServiceAdapter, time.Duration)) {
 	for _, planner := range p.planners {
 		for mayOrder() {
@@ -246,7 +248,7 @@
 				break
 			}
 			if order.Kind == loading.Load && !order.Poll {
-				p.noteBegun(order, planner.LoadTime(), begun)
+				p.recordStart(order, planner.LoadTime(), begun)
 			}
 			start(order)
 		}
@@ -256,8 +258,8 @@
 	}
 }
 
-// noteBegun lets the next view tell that a load has begun; base models' loads are told by their number only.
-func (p *Plans) noteBegun(order loading.Order, remaining time.Duration, begun func(deployment.ServiceAdapter, time.Duration)) {
+// recordStart records the start of a load for the next view. Loads of base models are only counted there.
+func (p *Plans) recordStart(order loading.Order, remaining time.Duration, begun func(deployment.ServiceAdapter, time.Duration)) {
 	if order.Adapter.IsZero() {
 		p.changes.ModelBegun = true
 		return
@@ -267,20 +269,20 @@
 	p.changes.Begun = append(p.changes.Begun, wire.Forecast{Service: key.Service, Model: key.Adapter.Model, Name: key.Adapter.Name, Remaining: remaining})
 }
 
-// Done takes in the end of an order of a service that is planned.
+// Done applies the result of an order, unless the service is no longer planned.
 func (p *Plans) Done(now time.Time, result loading.Result) {
 	if planner, ok := p.planners[result.Order.Endpoint.Service]; ok {
 		planner.Done(now, result)
 	}
 }
 
-// Has tells whether a service is planned.
+// Has reports whether a service is planned.
 func (p *Plans) Has(service string) bool {
 	return p.planners[service] != nil
 }
 
-// NextPoll is when the first of all loads under way is expected to have ended, at most a limit after now; false if none
-// is.
+// NextPoll returns when the first of all loads under way is expected to end. It returns false if there is none, or if that time is
+// more than limit after now.
 func (p *Plans) NextPoll(now time.Time, limit time.Duration) (time.Time, bool) {
 	var earliest time.Time
 	for _, planner := range p.planners {
@@ -295,12 +297,13 @@
 	return earliest, true
 }
 
-// Withdrawals is the number of the last announcement of a withdrawal, of all services: who has seen it has seen all before.
+// Withdrawals returns the number of the last withdrawal announcement of all services. A member that has seen it has seen all
+// earlier ones.
 func (p *Plans) Withdrawals() uint64 {
 	return p.withdrawals
 }
 
-// nextWithdrawal numbers an announcement of a withdrawal; the planners of all services share the count.
+// nextWithdrawal returns the number of a new withdrawal announcement. The plans of all services share the sequence.
 func (p *Plans) nextWithdrawal() uint64 {
 	p.withdrawals++
 	return p.withdrawals
--- a/services/entry/coordinator/plan/reports.go
+++ b/services/entry/coordinator/plan/reports.go
@@ -12,8 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/loading"
 )
 
-// TakeMember takes in what a report says of its instance, and tells whether that is a member; the planner itself
-// is none.
+// TakeMember applies the member state of a report and reports whether the sender is a member. The planner itself is none.
 func (p *Plans) TakeMember(now time.Time, r *wire.Report) bool {
 	for _, id := range p.members.Take(now, r) {
 		p.refreshSuspicion(now, id)
@@ -27,17 +26,17 @@
 		return
 	}
 	if planner, ok := p.planners[status.Service]; ok {
-		planner.SetSuspect(id, p.bad(now, id))
+		planner.SetSuspect(id, p.isSuspect(now, id))
 	}
 }
 
-// TakeDemand takes in what a report asks for. It replaces what the instance asked for before.
+// TakeDemand applies the demand of a report, which replaces the earlier demand of the instance.
 func (p *Plans) TakeDemand(now time.Time, r *wire.Report) {
 	demands := demandsByService(r.Demands)
 	for name, planner := range p.planners {
 		planner.Report(now, r.Instance, demands[name])
 	}
-	p.takeRates(now, r)
+	p.applyRates(now, r)
 	for _, copied := range r.Missing {
 		for _, planner := range p.planners {
 			planner.NoteMissing(copied.ID)
@@ -45,15 +44,15 @@
 	}
 }
 
-// takeRates takes in an instance's arrival rates from before this plan, once: a member tells them anew over each new link,
-// and its arrivals since the first are counted already.
-func (p *Plans) takeRates(now time.Time, r *wire.Report) {
-	if len(r.Rates) == 0 || len(p.planners) == 0 || p.rated[r.Instance] {
+// applyRates applies the arrival rates that an instance measured before this plan, once per instance: a member sends its rates
+// again over each new link, when they include arrivals that this plan has already counted.
+func (p *Plans) applyRates(now time.Time, r *wire.Report) {
+	if len(r.Rates) == 0 || len(p.planners) == 0 || p.ratesApplied[r.Instance] {
 		return
 	}
 	members := p.members.All()
-	maps.DeleteFunc(p.rated, func(instance string, _ bool) bool { return members[instance] == nil })
-	p.rated[r.Instance] = true
+	maps.DeleteFunc(p.ratesApplied, func(instance string, _ bool) bool { return members[instance] == nil })
+	p.ratesApplied[r.Instance] = true
 	for name, rates := range ratesByService(r.Rates) {
 		if planner, ok := p.planners[name]; ok {
 			planner.AddRates(now, rates)
@@ -61,7 +60,7 @@
 	}
 }
 
-// TakeArrivals takes in what was asked for at some instances, beside their reports.
+// TakeArrivals adds arrivals that were sent outside the instances' reports.
 func (p *Plans) TakeArrivals(now time.Time, arrivals []wire.Demand) {
 	for service, demands := range demandsByService(arrivals) {
 		if planner, ok := p.planners[service]; ok {
--- a/services/entry/coordinator/plan/withdrawal_test.go
+++ b/services/entry/coordinator/plan/withdrawal_test.go
@@ -27,10 +27,10 @@
 	f.plans.SetConfiguration(now, both, maps.All(map[deployment.Adapter]int64{}))
 }
 
-// pause is longer than the pause after a search for loads that found none.
+// pause is longer than the pause after a search for loads without result.
 const pause = 100 * time.Millisecond
 
-// load lets a service load an adapter that then nobody asks for any more, and gives the time after it.
+// load has a service load an adapter for a demand that then ends, and returns a later time.
 func (f *fixture) load(now time.Time, service, name string) time.Time {
 	demand := wire.Demand{Service: service, Model: "base", Name: name, Waiting: 1, InTime: time.Second}
 	f.plans.TakeDemand(now, &wire.Report{Instance: "a", Demands: []wire.Demand{demand}})
@@ -39,17 +39,17 @@
 	return now.Add(pause)
 }
 
-// withdraw names a newer version of an adapter, so that its copies are withdrawn, and gives the time after it.
+// withdraw demands a newer version of an adapter, so that its copies are withdrawn, and returns a later time.
 func (f *fixture) withdraw(now time.Time, name string) time.Time {
 	f.plans.SetVersion(now, deployment.Adapter{Model: "base", Name: name}, newVersion)
 	f.order(now)
 	return now.Add(pause)
 }
 
-// newVersion is a later version than that which endpoints hold.
+// newVersion is a later version than the one that endpoints hold.
 const newVersion = 7
 
-// unloads counts the orders to unload.
+// unloads returns the number of unload orders.
 func (f *fixture) unloads() int {
 	count := 0
 	for _, order := range f.ordered {
@@ -60,9 +60,9 @@
 	return count
 }
 
-// TestACopyIsKeptUntilItsOwnServicesWithdrawalWasSeen lets one service withdraw copies before another one does: members that
-// have seen the withdrawals of the one have not seen that of the other.
-func TestACopyIsKeptUntilItsOwnServicesWithdrawalWasSeen(t *testing.T) {
+// TestCopyIsKeptUntilWithdrawalOfItsServiceIsSeen has one service withdraw copies before another service does. Members that have
+// seen the withdrawals of the first service have not seen the one of the second.
+func TestCopyIsKeptUntilWithdrawalOfItsServiceIsSeen(t *testing.T) {
 	f := newFixture()
 	f.addService(start)
 	f.members.Join("a", nil)
@@ -85,16 +85,16 @@
 	assert.Equal(t, before+1, f.unloads())
 }
 
-// acknowledge takes in which withdrawal the one member has seen, and orders what follows from that.
+// acknowledge applies the withdrawal number that the only member has seen, and starts the resulting orders.
 func (f *fixture) acknowledge(now time.Time, seen uint64) {
 	f.plans.TakeMember(now, &wire.Report{Instance: "a", WithdrawalsSeen: seen})
 	f.plans.Review(now, silence)
 	f.order(now)
 }
 
-// TestAWithdrawalOfAFormerTermIsNoAcknowledgement lets a member report what it saw of the former planner before it
-// has a view of the present one.
-func TestAWithdrawalOfAFormerTermIsNoAcknowledgement(t *testing.T) {
+// TestWithdrawalOfFormerTermIsNoAcknowledgement has a member report what it saw of the former planner before it has a view of the
+// present one.
+func TestWithdrawalOfFormerTermIsNoAcknowledgement(t *testing.T) {
 	const adapters = 3
 	former, present := newFixtureOfTerm(4), newFixtureOfTerm(5)
 	now := start
@@ -111,29 +111,29 @@
 	assert.Equal(t, 1, present.unloads())
 }
 
-// TestANewPlannerUnloadsNothingBeforeTheInstancesHadTimeToTellWhatTheyUse: copies in use were unloaded, since the instances that use
-// them had not found the new planner yet.
-func TestANewPlannerUnloadsNothingBeforeTheInstancesHadTimeToTellWhatTheyUse(t *testing.T) {
+// TestNewPlannerDelaysUnloadsUntilUsesAreKnown guards against the unload of copies in use after a change of planners, when the
+// instances that use them have not found the new planner yet.
+func TestNewPlannerDelaysUnloadsUntilUsesAreKnown(t *testing.T) {
 	for name, test := range map[string]struct {
 		expected int
 		joined   []string
 		after    time.Duration
 		unloads  int
 	}{
-		"nobody has joined, just before their time":    {3, nil, 800*time.Millisecond - 1, 0},
-		"nobody has joined in their time":              {3, nil, 800 * time.Millisecond, 1},
-		"one of two has joined":                        {3, []string{"a"}, 700 * time.Millisecond, 0},
-		"both have joined":                             {3, []string{"a", "b"}, 700 * time.Millisecond, 1},
-		"it is not known how many there are":           {0, []string{"a", "b"}, 700 * time.Millisecond, 0},
-		"it is not known, but their time has come":     {0, nil, time.Second, 1},
-		"the planner was alone before and is it still": {1, nil, 300 * time.Millisecond, 1},
+		"no member, just before the timeout":     {3, nil, 800*time.Millisecond - 1, 0},
+		"no member, at the timeout":              {3, nil, 800 * time.Millisecond, 1},
+		"one of two members":                     {3, []string{"a"}, 700 * time.Millisecond, 0},
+		"both members":                           {3, []string{"a", "b"}, 700 * time.Millisecond, 1},
+		"unknown fleet size, before the timeout": {0, []string{"a", "b"}, 700 * time.Millisecond, 0},
+		"unknown fleet size, after the timeout":  {0, nil, time.Second, 1},
+		"planner alone before and now":           {1, nil, 300 * time.Millisecond, 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixtureWith(plan.Options{Term: 2, Begun: start, ExpectedFleet: test.expected})
 			f.withdraw(f.load(start, service, "a1"), "a1")
-			for _, one := range test.joined {
-				f.members.Join(one, nil)
-				f.plans.TakeMember(start.Add(test.after), &wire.Report{Instance: one, WithdrawalsSeen: f.plans.Withdrawals()})
+			for _, member := range test.joined {
+				f.members.Join(member, nil)
+				f.plans.TakeMember(start.Add(test.after), &wire.Report{Instance: member, WithdrawalsSeen: f.plans.Withdrawals()})
 			}
 			now := start.Add(test.after)
 			f.plans.Review(now, silence)
