--- a/services/entry/coordinator/view/doc.go
+++ b/services/entry/coordinator/view/doc.go
@@ -1,8 +1,10 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package view has the rules of the planner's views on both sides: Schedule decides when the planner tells its
-// members something, Followed what a member keeps of a view and for how long it relies on it. A view counts as old from
-// when it was made: Followed bounds its delay, the time that it waited on its way, without a comparison of two clocks, and
-// asks for a tighter bound by probes. Both are plain state of the control goroutine; the present time is an argument.
+// Package view has the rules for the views of the planner on both sides: Schedule decides when the planner sends views to its
+// members, and Followed holds what a member keeps of a view and decides for how long it relies on it.
+//
+// The age of a view counts from when it was built. Followed bounds the transmission delay of a view without comparing two clocks,
+// and requests a tighter bound by probes. Schedule and Followed belong to the control goroutine; the current time is passed as an
+// argument.
 package view
--- a/services/entry/coordinator/view/followed.go
+++ b/services/entry/coordinator/view/followed.go
@@ -10,73 +10,73 @@
 )
 
 const (
-	// silentHeartbeats is how many pauses between heartbeats, a count, a planner may at least stay silent.
-	silentHeartbeats = 3
-	// SilenceLimit is after how long without a view the planner counts as silent, so that an instance reads the store itself: shorter
-	// trades store calls for fresher endpoints.
-	SilenceLimit = max(1200*time.Millisecond, silentHeartbeats*HeartbeatPace)
-	// ReadAgeLimit is the age of the planner's reading of endpoints beyond which an instance reads them itself.
+	// maxMissedHeartbeats is the minimum number of heartbeat intervals for which a planner may be silent.
+	maxMissedHeartbeats = 3
+	// SilenceLimit is the time without a view after which the planner counts as silent and an instance reads the store itself. A
+	// shorter time keeps the endpoints more up to date at the cost of more store calls.
+	SilenceLimit = max(1200*time.Millisecond, maxMissedHeartbeats*HeartbeatPace)
+	// ReadAgeLimit is the age of the endpoints in the planner's views above which an instance reads them from the store itself.
 	ReadAgeLimit = 2500 * time.Millisecond
 )
 
-// Verdict says whether a view is kept.
+// Verdict is the decision whether a view is accepted.
 type Verdict int
 
 // The verdicts on a view.
 const (
-	// Keep: the view is taken in.
+	// Keep means that the view is accepted.
 	Keep Verdict = iota
-	// OtherLink: it came over a link that was given up since.
+	// OtherLink means that the view was received over a link that is no longer in use.
 	OtherLink
-	// EarlierTerm: it is of an earlier term than the last one, so that a later planner is known.
+	// EarlierTerm means that the view has an earlier term than the last accepted one, so that a later planner is known.
 	EarlierTerm
-	// PlansItself: this instance plans and knows better.
+	// PlansItself means that this instance is the planner and has newer state.
 	PlansItself
 )
 
-// Arrival is how a view came.
+// Arrival describes how a view was received.
 type Arrival struct {
-	// PresentLink tells that it came over the link that is in use now.
+	// PresentLink means that the view was received over the link in use.
 	PresentLink bool
-	// Planning tells that this instance plans.
+	// Planning means that this instance is the planner.
 	Planning bool
 }
 
-// Followed is what an instance keeps of the planner's views; the zero value has received none.
+// Followed is what an instance keeps of the planner's views. The zero value has received none.
 type Followed struct {
-	// Planner and Term are whom the last view came from.
+	// Planner and Term identify the sender of the last view.
 	Planner string
 	Term    int64
-	// ReceivedAt is when it came, on the own clock. Delay is the longest that it can have waited on its way: it bounds the
-	// time since it was made from above. ReadAge is how long before that the planner knew the endpoints to be complete,
-	// ConfirmedAge how long before its lease was confirmed.
+	// ReceivedAt is when the last view was received, by the clock of this instance. Delay is an upper bound of the time between its
+	// creation and its reception. ReadAge is the time from the last moment at which the planner knew all endpoints to the creation
+	// of the view, ConfirmedAge the time from the last confirmation of the planner's lease to the creation.
 	ReceivedAt   time.Time
 	Delay        time.Duration
 	ReadAge      time.Duration
 	ConfirmedAge time.Duration
-	// Members is the number of instances that share the fleet's bounds; 0 if it is not known.
+	// Members is the number of instances that share the fleet-wide limits; 0 if unknown.
 	Members int
-	// PlannerRevision is the newest revision of the configuration's keys that the planner knows. PlannerAsks tells that it
-	// asks for those that it lacks.
+	// PlannerRevision is the newest revision of the configuration's keys that the planner has. PlannerAsks reports that the planner
+	// requests the keys that it lacks.
 	PlannerRevision int64
 	PlannerAsks     bool
-	// Sequence is the number of the last view of changes that was taken in; 0 if none is numbered.
+	// Sequence is the number of the last applied view with changes; 0 if that one has no number.
 	Sequence uint64
-	// Withdrawals is the last announcement of a withdrawal that was taken in.
+	// Withdrawals is the number of the last applied withdrawal announcement.
 	Withdrawals uint64
-	// ResignedTerm is the last term whose holder said that it gives no more orders.
+	// ResignedTerm is the last term in which the planner announced that it issues no more orders.
 	ResignedTerm int64
-	// openedAt is when the link was opened over which no view has come yet; zero otherwise.
+	// openedAt is when the link was opened, until the first view is received over it; zero afterwards.
 	openedAt time.Time
-	// probe is the number of the last probe and probedAt when it was sent; answered is the last one that a view answered.
-	probe    uint64
-	probedAt time.Time
-	answered uint64
-	// begun is no later than the planner's term began, on the own clock, as near to it as is known; zero if it is not.
-	begun time.Time
+	// probe is the number of the last probe and probedAt when it was sent; answered is the last probe that a view answered.
+	probe         uint64
+	probedAt      time.Time
+	answeredProbe uint64
+	// termStart is the best known lower bound of the start of the planner's term, by the clock of this instance; zero if unknown.
+	termStart time.Time
 }
 
-// Judge decides whether a view is kept. A view may repeat the last one: it is kept, and counts as received anew.
+// Judge decides whether a view is accepted. A view that repeats the last one is accepted and counts as newly received.
 func (f *Followed) Judge(v *wire.View, arrival Arrival) Verdict {
 	switch {
 	case !arrival.PresentLink:
@@ -90,20 +90,20 @@
 	}
 }
 
-// Order says how a view's changes follow those that were taken in before.
+// Order is the position of a view relative to the views applied before.
 type Order int
 
 // The orders of a view.
 const (
-	// InOrder: its changes come next, or it needs none before it.
+	// InOrder means that the view is the next one, or does not depend on earlier views.
 	InOrder Order = iota
-	// Repeated: its changes were taken in, as they came another way.
+	// Repeated means that the view was already applied, since it was also received over the other link.
 	Repeated
-	// Gap: changes before it are missing. Taken in, it would acknowledge withdrawals that this instance does not know.
+	// Gap means that views before this one are missing. Applying it would acknowledge withdrawals that this instance has not seen.
 	Gap
 )
 
-// Order decides how a view follows those that were taken in; views come from the planner itself and from a gatherer.
+// Order returns the position of a view. Views are received from the planner directly and through a gatherer.
 func (f *Followed) Order(v *wire.View) Order {
 	switch {
 	case v.Sequence == 0 || v.Whole:
@@ -119,39 +119,39 @@
 	}
 }
 
-// TakeBare takes in a view without changes: only what it tells of the planner's time counts. It proves nothing of endpoints, since
-// changes may be on their way through a gatherer that stands still.
+// TakeBare applies a bare view, of which only the planner's time counts. Such a view does not prove that the endpoints are up to
+// date, since their changes are sent through a gatherer, which may be suspended.
 func (f *Followed) TakeBare(now time.Time, v *wire.View) {
 	if v.Term == f.Term && v.Planner == f.Planner {
-		f.learnDelay(now, v)
+		f.updateDelay(now, v)
 	}
 }
 
-// Effects is what a view asks of the instance that keeps it.
+// Effects are the actions that a view requires of the receiving instance.
 type Effects struct {
-	// Acknowledge wants a report, since withdrawals were announced or the view is a whole one.
+	// Acknowledge requires a report, since the view announces withdrawals or is full.
 	Acknowledge bool
-	// Resigned tells that the planner said for the first time that it gives no more orders.
+	// Resigned means that the planner announced for the first time in its term that it issues no more orders.
 	Resigned bool
 }
 
-// Opened notes that a link to a planner was opened, over which no view has come yet.
+// Opened records that a link to a planner was opened.
 func (f *Followed) Opened(now time.Time) {
 	f.openedAt = now
 }
 
 const (
-	// probeDelay is the delay from which on an instance asks for a tighter bound of it: a quarter of SilenceLimit, so that the pause
-	// between heartbeats still fits beside it.
+	// probeDelay is the bound of the delay from which on an instance requests a tighter bound. It is a quarter of SilenceLimit, so
+	// that the bound and the interval of heartbeats together stay below SilenceLimit.
 	probeDelay = 300 * time.Millisecond
-	// probePause is the least pause between two probes.
-	probePause = time.Second
+	// minProbeInterval is the minimum interval of probes.
+	minProbeInterval = time.Second
 )
 
-// NextProbe gives the number of a probe that the next report carries, where the bound of the delay is a loose one: the first view over
-// the link was made long after it was opened, or views really wait.
+// NextProbe returns the number of the probe that the next report carries. It returns false unless the bound of the delay is loose,
+// either because the first view over the link was built long after the link was opened, or because views are in fact delayed.
 func (f *Followed) NextProbe(now time.Time) (uint64, bool) {
-	if f.begun.IsZero() || f.Delay < probeDelay || now.Sub(f.probedAt) < probePause {
+	if f.termStart.IsZero() || f.Delay < probeDelay || now.Sub(f.probedAt) < minProbeInterval {
 		return 0, false
 	}
 	f.probe++
@@ -159,64 +159,64 @@
 	return f.probe, true
 }
 
-// learnDelay takes in what a view tells of its origin and gives the longest that a view which came now can have waited on
-// its way. The first view over a link was made after the link was opened, and one that answers a probe after the probe was
-// sent; from this and the time that the planner tells in each view follows a bound for all later ones, without a comparison of
-// two clocks. It is 0 where the planner is of a version that does not tell it.
-func (f *Followed) learnDelay(now time.Time, v *wire.View) time.Duration {
+// updateDelay applies the time information of a view and returns an upper bound of the transmission delay of a view received now.
+// The first view over a link was built after the link was opened, and the answer to a probe after the probe was sent. Together with
+// the planning time in each view, this yields a bound for all later views without comparing two clocks. The result is 0 if no bound
+// is known, or if the planner is of a version that does not send its planning time.
+func (f *Followed) updateDelay(now time.Time, v *wire.View) time.Duration {
 	if v.Planner != f.Planner || v.Term != f.Term {
-		f.begun = time.Time{}
+		f.termStart = time.Time{}
 	}
 	if v.Made == 0 {
 		return 0
 	}
 	if !f.openedAt.IsZero() {
-		f.madeAfter(f.openedAt, v)
+		f.raiseTermStart(f.openedAt, v)
 		f.openedAt = time.Time{}
 	}
-	if v.Probe > f.answered && v.Probe == f.probe {
-		f.madeAfter(f.probedAt, v)
-		f.answered = v.Probe
+	if v.Probe > f.answeredProbe && v.Probe == f.probe {
+		f.raiseTermStart(f.probedAt, v)
+		f.answeredProbe = v.Probe
 	}
-	if f.begun.IsZero() {
+	if f.termStart.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(f.begun.Add(v.Made)))
+	return max(0, now.Sub(f.termStart.Add(v.Made)))
 }
 
-// madeAfter takes in that a view was made after a time.
-func (f *Followed) madeAfter(at time.Time, v *wire.View) {
-	if begun := at.Add(-v.Made); begun.After(f.begun) {
-		f.begun = begun
+// raiseTermStart records that a view was built after a time.
+func (f *Followed) raiseTermStart(at time.Time, v *wire.View) {
+	if termStart := at.Add(-v.Made); termStart.After(f.termStart) {
+		f.termStart = termStart
 	}
 }
 
-// MadeAfter gives a moment at which the last view was not yet made; false where none is known.
+// MadeAfter returns a time before the last view was built. It returns false if none is known.
 func (f *Followed) MadeAfter() (time.Time, bool) {
-	return f.ReceivedAt.Add(-f.Delay), !f.begun.IsZero()
+	return f.ReceivedAt.Add(-f.Delay), !f.termStart.IsZero()
 }
 
-// BareMadeAfter is the same for a bare view that came now.
+// BareMadeAfter returns a time before a bare view that is received now was built. It returns false if none is known.
 func (f *Followed) BareMadeAfter(now time.Time, v *wire.View) (time.Time, bool) {
-	if f.begun.IsZero() || v.Made == 0 || v.Term != f.Term {
+	if f.termStart.IsZero() || v.Made == 0 || v.Term != f.Term {
 		return time.Time{}, false
 	}
-	made := f.begun.Add(v.Made)
+	made := f.termStart.Add(v.Made)
 	if made.After(now) {
 		made = now
 	}
 	return made, true
 }
 
-// Age is for how long what the planner's views tell may have changed unnoticed: since it read the endpoints.
+// Age returns the time since the planner last read the endpoints: changes since then may be missing in its views.
 func (f *Followed) Age(now time.Time) time.Duration {
 	return now.Sub(f.ReceivedAt) + f.Delay + f.ReadAge
 }
 
-// Take keeps a view that came now.
+// Take stores a view that is received now and returns the required actions.
 func (f *Followed) Take(now time.Time, v *wire.View) Effects {
 	effects := Effects{Acknowledge: v.Withdrawals > f.Withdrawals || v.Full, Resigned: v.Resigned && f.ResignedTerm < v.Term}
-	f.Delay = f.learnDelay(now, v)
+	f.Delay = f.updateDelay(now, v)
 	f.Planner, f.Term = v.Planner, v.Term
 	f.ReceivedAt, f.ReadAge, f.ConfirmedAge = now, v.ReadAge, v.ConfirmedAge
 	f.Members, f.PlannerRevision, f.Withdrawals = v.Members, v.ConfigurationRevision, v.Withdrawals
@@ -228,13 +228,13 @@
 	return effects
 }
 
-// Fresh tells whether the planner's views of endpoints can be relied on: the last one was made, and the endpoints were read,
-// lately enough.
+// Fresh reports whether the endpoints in the planner's views are reliable: the last view was built, and the endpoints were read,
+// recently enough.
 func (f *Followed) Fresh(now time.Time) bool {
 	return now.Sub(f.ReceivedAt)+f.Delay < SilenceLimit && f.Age(now) < ReadAgeLimit
 }
 
-// Restarted is what is kept when this instance ends to plan and has to find the planner anew.
+// Restarted returns the state to keep when this instance stops planning and has to find the new planner.
 func (f *Followed) Restarted() Followed {
 	return Followed{Members: f.Members, Term: f.Term}
 }
--- a/services/entry/coordinator/view/order_test.go
+++ b/services/entry/coordinator/view/order_test.go
@@ -13,39 +13,39 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// TestTheOrderOfViewsThatComeTwoWays: a view that is taken in although one before it is missing acknowledges withdrawals that the instance
-// does not act on, and a copy could be unloaded that it goes on using.
-func TestTheOrderOfViewsThatComeTwoWays(t *testing.T) {
+// TestOrderOfViewsFromPlannerAndGatherer guards against applying a view while an earlier one is missing. That would acknowledge
+// withdrawals that the instance does not comply with, and a copy that it continues to use could be unloaded.
+func TestOrderOfViewsFromPlannerAndGatherer(t *testing.T) {
 	known := view.Followed{Planner: "p", Term: 4, Sequence: 10}
 	for name, test := range map[string]struct {
 		followed view.Followed
 		view     wire.View
 		order    view.Order
 	}{
-		"the next one":                         {known, wire.View{Planner: "p", Term: 4, Sequence: 11}, view.InOrder},
-		"the last one again":                   {known, wire.View{Planner: "p", Term: 4, Sequence: 10}, view.Repeated},
-		"an earlier one":                       {known, wire.View{Planner: "p", Term: 4, Sequence: 3}, view.Repeated},
-		"one too far":                          {known, wire.View{Planner: "p", Term: 4, Sequence: 12}, view.Gap},
-		"the next one of another term":         {known, wire.View{Planner: "p", Term: 5, Sequence: 11}, view.Gap},
-		"the next one of another planner":      {known, wire.View{Planner: "q", Term: 4, Sequence: 11}, view.Gap},
-		"the first one, without a whole view":  {view.Followed{Planner: "p", Term: 4}, wire.View{Planner: "p", Term: 4, Sequence: 1}, view.Gap},
-		"a whole one":                          {known, wire.View{Planner: "p", Term: 4, Sequence: 20, Whole: true}, view.InOrder},
-		"an earlier whole one":                 {known, wire.View{Planner: "p", Term: 4, Sequence: 2, Whole: true}, view.InOrder},
-		"a whole one of another planner":       {known, wire.View{Planner: "q", Term: 5, Sequence: 1, Whole: true}, view.InOrder},
-		"of a version that does not number it": {known, wire.View{Planner: "p", Term: 4}, view.InOrder},
+		"next view":                         {known, wire.View{Planner: "p", Term: 4, Sequence: 11}, view.InOrder},
+		"last view again":                   {known, wire.View{Planner: "p", Term: 4, Sequence: 10}, view.Repeated},
+		"earlier view":                      {known, wire.View{Planner: "p", Term: 4, Sequence: 3}, view.Repeated},
+		"view after a gap":                  {known, wire.View{Planner: "p", Term: 4, Sequence: 12}, view.Gap},
+		"next number, other term":           {known, wire.View{Planner: "p", Term: 5, Sequence: 11}, view.Gap},
+		"next number, other planner":        {known, wire.View{Planner: "q", Term: 4, Sequence: 11}, view.Gap},
+		"first view without a snapshot":     {view.Followed{Planner: "p", Term: 4}, wire.View{Planner: "p", Term: 4, Sequence: 1}, view.Gap},
+		"snapshot":                          {known, wire.View{Planner: "p", Term: 4, Sequence: 20, Whole: true}, view.InOrder},
+		"earlier snapshot":                  {known, wire.View{Planner: "p", Term: 4, Sequence: 2, Whole: true}, view.InOrder},
+		"snapshot of another planner":       {known, wire.View{Planner: "q", Term: 5, Sequence: 1, Whole: true}, view.InOrder},
+		"view of a version without numbers": {known, wire.View{Planner: "p", Term: 4}, view.InOrder},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, test.order, test.followed.Order(&test.view)) })
 	}
 }
 
-func TestABareViewBoundsDelaysAndNothingElse(t *testing.T) {
+func TestBareViewChangesOnlyDelayBound(t *testing.T) {
 	var f view.Followed
 	f.Opened(start)
 	first := made(4, time.Minute)
 	first.Sequence, first.Whole, first.Withdrawals = 3, true, 9
 	f.Take(start.Add(time.Second), first)
 	probe, ok := f.NextProbe(start.Add(time.Second))
-	assert.True(t, ok, "the bound is a loose one")
+	assert.True(t, ok, "the bound is loose")
 	before := f
 	bare := made(4, time.Minute+10*time.Millisecond)
 	bare.Bare, bare.Probe = true, probe
@@ -56,7 +56,7 @@
 	assert.Equal(t, before.Sequence, f.Sequence)
 	moment, known := f.BareMadeAfter(now, bare)
 	assert.True(t, known)
-	assert.Equal(t, start.Add(time.Second), moment, "it was made after the probe was sent")
+	assert.Equal(t, start.Add(time.Second), moment, "the view was built after the probe was sent")
 	bare.Term = 5
 	_, known = f.BareMadeAfter(now, bare)
 	assert.False(t, known)
--- a/services/entry/coordinator/view/schedule.go
+++ b/services/entry/coordinator/view/schedule.go
@@ -10,40 +10,40 @@
 )
 
 const (
-	// HeartbeatPace is the longest pause between two views, also those that carry no changes. It is not stretched, since members must
-	// notice a lost planner as soon in a large fleet.
+	// HeartbeatPace is the maximum interval of views, with or without changes. It does not grow with the fleet, since members must
+	// detect a lost planner as soon in a large fleet.
 	HeartbeatPace = 400 * time.Millisecond
-	// ChangePace is the least pause between two views of changes in a small fleet: shorter trades the planner's processor time and link for
-	// earlier changes.
+	// ChangePace is the minimum interval of views with changes in a small fleet. A shorter interval sends changes earlier, but
+	// takes more of the planner's processor time and link.
 	ChangePace = 4 * time.Millisecond
 )
 
-// Due says whether a view is sent.
+// Due is the decision whether a view is sent.
 type Due int
 
 // Whether a view is sent.
 const (
-	// NotYet: the last one is too recent.
+	// NotYet means that the last view was sent too recently.
 	NotYet Due = iota
-	// OnlyChanges: only if something changed.
+	// OnlyChanges means that a view is sent only if something has changed.
 	OnlyChanges
-	// Now: even without changes.
+	// Now means that a view is sent even without changes.
 	Now
 )
 
 // Schedule decides when the planner sends views. The zero value has sent none.
 type Schedule struct {
-	// sent is when the last view went out, totalsSent when the last one that carries all totals did.
+	// sent is when the last view was sent, totalsSent when the last view with all totals was sent.
 	sent       time.Time
 	totalsSent time.Time
 }
 
-// TotalsDue tells whether a view that carries all totals is due in a fleet of members.
+// TotalsDue reports whether a view with all totals is due in a fleet of the given number of members.
 func (s *Schedule) TotalsDue(now time.Time, members int) bool {
 	return now.Sub(s.totalsSent) >= report.Stretch(report.Pace, members)
 }
 
-// Due tells whether a view without totals is due in a fleet of members.
+// Due decides whether a view without totals is due in a fleet of the given number of members.
 func (s *Schedule) Due(now time.Time, members int) Due {
 	age := now.Sub(s.sent)
 	switch {
@@ -56,7 +56,7 @@
 	}
 }
 
-// Sent notes that a view goes out now.
+// Sent records that a view is sent now, with or without totals.
 func (s *Schedule) Sent(now time.Time, totals bool) {
 	s.sent = now
 	if totals {
--- a/services/entry/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -14,41 +14,41 @@
 )
 
 const (
-	step      = time.Microsecond
-	silence   = 1200 * time.Millisecond
-	readAge   = 2500 * time.Millisecond
-	heartbeat = 400 * time.Millisecond
-	change    = 4 * time.Millisecond
-	totals    = 250 * time.Millisecond
+	step              = time.Microsecond
+	silence           = 1200 * time.Millisecond
+	readAge           = 2500 * time.Millisecond
+	heartbeatInterval = 400 * time.Millisecond
+	changeInterval    = 4 * time.Millisecond
+	totalsInterval    = 250 * time.Millisecond
 )
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-func TestWhichViewsAreKept(t *testing.T) {
+func TestJudgeAcceptsOnlyViewsOfPresentPlanner(t *testing.T) {
 	present := view.Arrival{PresentLink: true}
 	cases := map[string]struct {
 		term    int64
 		arrival view.Arrival
 		verdict view.Verdict
 	}{
-		"of the known term":              {4, present, view.Keep},
-		"of a later term":                {5, present, view.Keep},
-		"of the term just before":        {3, present, view.EarlierTerm},
-		"over a link given up since":     {5, view.Arrival{}, view.OtherLink},
-		"while this instance plans":      {5, view.Arrival{PresentLink: true, Planning: true}, view.PlansItself},
-		"earlier, while it plans itself": {3, view.Arrival{PresentLink: true, Planning: true}, view.EarlierTerm},
+		"known term":                   {4, present, view.Keep},
+		"later term":                   {5, present, view.Keep},
+		"previous term":                {3, present, view.EarlierTerm},
+		"link no longer in use":        {5, view.Arrival{}, view.OtherLink},
+		"this instance is the planner": {5, view.Arrival{PresentLink: true, Planning: true}, view.PlansItself},
+		"earlier term, this instance is the planner": {3, view.Arrival{PresentLink: true, Planning: true}, view.EarlierTerm},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			followed := view.Followed{Term: 4}
-			assert.Equal(t, one.verdict, followed.Judge(&wire.View{Term: one.term}, one.arrival))
+			assert.Equal(t, test.verdict, followed.Judge(&wire.View{Term: test.term}, test.arrival))
 		})
 	}
-	var unheard view.Followed
-	assert.Equal(t, view.Keep, unheard.Judge(&wire.View{Term: 1}, present), "the first view")
+	var initial view.Followed
+	assert.Equal(t, view.Keep, initial.Judge(&wire.View{Term: 1}, present), "first view")
 }
 
-func TestAViewIsKeptWithItsAges(t *testing.T) {
+func TestTakeStoresView(t *testing.T) {
 	var followed view.Followed
 	followed.Take(start, &wire.View{Planner: "p", Term: 4, ReadAge: 2, ConfirmedAge: 3, Members: 5, ConfigurationRevision: 6, Withdrawals: 7})
 	expected := view.Followed{Planner: "p", Term: 4, ReceivedAt: start, ReadAge: 2, ConfirmedAge: 3, Members: 5, PlannerRevision: 6, Withdrawals: 7}
@@ -56,110 +56,111 @@
 	assert.Equal(t, view.Followed{Members: 5, Term: 4}, followed.Restarted())
 }
 
-func TestWithdrawalsAreAcknowledgedOnceAndWholeViewsEachTime(t *testing.T) {
+func TestWithdrawalsAreAcknowledgedOnceAndFullViewsEachTime(t *testing.T) {
 	var followed view.Followed
 	assert.False(t, followed.Take(start, &wire.View{Term: 4}).Acknowledge)
 	assert.True(t, followed.Take(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge)
 	assert.False(t, followed.Take(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge, "a repeated view")
 	assert.True(t, followed.Take(start, &wire.View{Term: 4, Withdrawals: 1, Full: true}).Acknowledge)
-	assert.False(t, followed.Take(start, &wire.View{Term: 5}).Acknowledge, "a new planner counts anew")
+	assert.False(t, followed.Take(start, &wire.View{Term: 5}).Acknowledge, "a new planner restarts the numbers")
 	assert.True(t, followed.Take(start, &wire.View{Term: 5, Withdrawals: 1}).Acknowledge)
 }
 
-func TestAResignationIsNewsOnceInEachTerm(t *testing.T) {
+func TestResignationIsReportedOncePerTerm(t *testing.T) {
 	followed := view.Followed{}
 	assert.True(t, followed.Take(start, &wire.View{Term: 4, Resigned: true}).Resigned)
 	assert.False(t, followed.Take(start, &wire.View{Term: 4, Resigned: true}).Resigned, "a repeated view")
 	assert.False(t, followed.Take(start, &wire.View{Term: 5}).Resigned)
-	assert.Equal(t, int64(4), followed.ResignedTerm, "a lost word of the new planner brings no old resignation back")
+	assert.Equal(t, int64(4), followed.ResignedTerm, "the new term does not repeat the resignation of the former one")
 	assert.True(t, followed.Take(start, &wire.View{Term: 5, Resigned: true}).Resigned)
 }
 
-func TestAPlannerIsReliedOnWhileItIsHeardAndSees(t *testing.T) {
+func TestFreshRequiresRecentViewAndRecentRead(t *testing.T) {
 	cases := map[string]struct {
 		age, read time.Duration
 		fresh     bool
 	}{
-		"just heard":                     {0, 0, true},
-		"just below the silence":         {silence - step, 0, true},
-		"at the silence":                 {silence, 0, false},
-		"a reading just young enough":    {0, readAge - step, true},
-		"a reading too old when it came": {0, readAge, false},
-		"a reading that has become old":  {time.Second, readAge - time.Second, false},
-		"one that is about to":           {time.Second, readAge - time.Second - step, true},
+		"view just received":                            {0, 0, true},
+		"just below the silence limit":                  {silence - step, 0, true},
+		"at the silence limit":                          {silence, 0, false},
+		"read age just below the limit":                 {0, readAge - step, true},
+		"read age at the limit on reception":            {0, readAge, false},
+		"read age reaches the limit after reception":    {time.Second, readAge - time.Second, false},
+		"read age just below the limit after reception": {time.Second, readAge - time.Second - step, true},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			followed := view.Followed{ReceivedAt: start, ReadAge: one.read}
-			assert.Equal(t, one.fresh, followed.Fresh(start.Add(one.age)))
+			followed := view.Followed{ReceivedAt: start, ReadAge: test.read}
+			assert.Equal(t, test.fresh, followed.Fresh(start.Add(test.age)))
 		})
 	}
-	var unheard view.Followed
-	assert.False(t, unheard.Fresh(start))
+	var initial view.Followed
+	assert.False(t, initial.Fresh(start))
 }
 
-func TestViewsFollowTheirPaces(t *testing.T) {
+func TestViewsFollowTheirIntervals(t *testing.T) {
 	for _, members := range []int{1, 32} {
 		scale := time.Duration(max(1, members/16))
 		var schedule view.Schedule
-		assert.Equal(t, view.Now, schedule.Due(start, members), "the first one")
+		assert.Equal(t, view.Now, schedule.Due(start, members), "first view")
 		schedule.Sent(start, false)
-		assert.Equal(t, view.NotYet, schedule.Due(start.Add(scale*change-step), members))
-		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(scale*change), members))
-		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(heartbeat-step), members))
-		assert.Equal(t, view.Now, schedule.Due(start.Add(heartbeat), members), "not stretched with the fleet")
+		assert.Equal(t, view.NotYet, schedule.Due(start.Add(scale*changeInterval-step), members))
+		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(scale*changeInterval), members))
+		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(heartbeatInterval-step), members))
+		assert.Equal(t, view.Now, schedule.Due(start.Add(heartbeatInterval), members), "does not grow with the fleet")
 	}
 }
 
-func TestTotalsFollowTheStretchedPaceOfReports(t *testing.T) {
+func TestTotalsFollowReportInterval(t *testing.T) {
 	var schedule view.Schedule
 	assert.True(t, schedule.TotalsDue(start, 1))
 	schedule.Sent(start, true)
-	assert.False(t, schedule.TotalsDue(start.Add(totals-step), 1))
-	assert.True(t, schedule.TotalsDue(start.Add(totals), 1))
-	assert.False(t, schedule.TotalsDue(start.Add(2*totals-step), 32))
-	assert.True(t, schedule.TotalsDue(start.Add(2*totals), 32))
-	schedule.Sent(start.Add(totals), false)
-	assert.True(t, schedule.TotalsDue(start.Add(totals), 1), "a view without totals puts them off no further")
+	assert.False(t, schedule.TotalsDue(start.Add(totalsInterval-step), 1))
+	assert.True(t, schedule.TotalsDue(start.Add(totalsInterval), 1))
+	assert.False(t, schedule.TotalsDue(start.Add(2*totalsInterval-step), 32))
+	assert.True(t, schedule.TotalsDue(start.Add(2*totalsInterval), 32))
+	schedule.Sent(start.Add(totalsInterval), false)
+	assert.True(t, schedule.TotalsDue(start.Add(totalsInterval), 1), "a view without totals does not delay them")
 }
 
-// made is a view of a planner that tells for how long it had planned when it made it.
+// made returns a view that the planner built when it had been planning for the given time.
 func made(term int64, planned time.Duration) *wire.View {
 	return &wire.View{Planner: "p", Term: term, Made: planned}
 }
 
-func TestADelayIsTheLongestThatAViewCanHaveWaited(t *testing.T) {
+func TestDelayIsUpperBoundOfTransmissionTime(t *testing.T) {
 	var f view.Followed
 	f.Opened(start)
 	f.Take(start.Add(30*time.Millisecond), made(4, time.Minute))
-	assert.Equal(t, 30*time.Millisecond, f.Delay, "it was made after the link was opened")
-	f.Take(start.Add(430*time.Millisecond), made(4, time.Minute+heartbeat))
-	assert.Equal(t, 30*time.Millisecond, f.Delay, "on its way for no longer than the first")
-	f.Take(start.Add(3*time.Second), made(4, time.Minute+2*heartbeat))
+	assert.Equal(t, 30*time.Millisecond, f.Delay, "the view was built after the link was opened")
+	f.Take(start.Add(430*time.Millisecond), made(4, time.Minute+heartbeatInterval))
+	assert.Equal(t, 30*time.Millisecond, f.Delay, "the view was delayed no longer than the first")
+	f.Take(start.Add(3*time.Second), made(4, time.Minute+2*heartbeatInterval))
 	assert.Equal(t, 2200*time.Millisecond, f.Delay)
-	assert.False(t, f.Fresh(start.Add(3*time.Second)), "it counts from when it was made")
+	assert.False(t, f.Fresh(start.Add(3*time.Second)), "the age counts from when the view was built")
 	f.Take(start.Add(3*time.Second), made(4, time.Minute+2900*time.Millisecond))
 	assert.Equal(t, 100*time.Millisecond, f.Delay)
 	assert.True(t, f.Fresh(start.Add(3*time.Second)))
 }
 
-func TestANewLinkBoundsTheDelayAnew(t *testing.T) {
+func TestNewLinkUpdatesDelayBound(t *testing.T) {
 	var f view.Followed
 	f.Opened(start)
 	f.Take(start.Add(time.Second), made(4, time.Minute))
 	f.Opened(start.Add(2 * time.Second))
 	f.Take(start.Add(2*time.Second+10*time.Millisecond), made(4, time.Minute+1990*time.Millisecond))
-	assert.Equal(t, 10*time.Millisecond, f.Delay, "the new link's bound is the tighter one")
+	assert.Equal(t, 10*time.Millisecond, f.Delay, "the bound of the new link is tighter")
 	f.Opened(start.Add(3 * time.Second))
 	f.Take(start.Add(4*time.Second), made(4, time.Minute+3500*time.Millisecond))
-	assert.Equal(t, 490*time.Millisecond, f.Delay, "the former link's bound is the tighter one")
+	assert.Equal(t, 490*time.Millisecond, f.Delay, "the bound of the former link is tighter")
 	f.Opened(start.Add(4 * time.Second))
 	f.Take(start.Add(4*time.Second+10*time.Millisecond), made(5, time.Millisecond))
-	assert.Equal(t, 10*time.Millisecond, f.Delay, "another term has another begin")
+	assert.Equal(t, 10*time.Millisecond, f.Delay, "another term has another start")
 }
 
-// TestAMomentBeforeAViewWasMade: what a view passes on is as old as it says at that moment, however long the view waited on its way.
-func TestAMomentBeforeAViewWasMade(t *testing.T) {
+// TestMadeAfterPrecedesCreationOfView checks the time from which the ages in a view count. It must not depend on how long the view
+// was delayed.
+func TestMadeAfterPrecedesCreationOfView(t *testing.T) {
 	var f view.Followed
 	_, known := f.MadeAfter()
 	assert.False(t, known)
@@ -171,17 +172,17 @@
 	assert.Equal(t, start.Add(800*time.Millisecond), moment)
 	f.Take(start.Add(4*time.Second), made(5, time.Millisecond))
 	_, known = f.MadeAfter()
-	assert.False(t, known, "nothing bounds the way of a later planner's view over the same link")
+	assert.False(t, known, "no bound is known for the view of a later planner over the same link")
 	f.Opened(start.Add(4 * time.Second))
 	f.Take(start.Add(5*time.Second), made(5, time.Second))
 	_, known = f.MadeAfter()
 	assert.True(t, known)
 	f.Take(start.Add(6*time.Second), &wire.View{Planner: "q", Term: 6})
 	_, known = f.MadeAfter()
-	assert.False(t, known, "it tells no time")
+	assert.False(t, known, "the view has no planning time")
 }
 
-func TestAPlannerThatTellsNoTimeIsTakenAsBefore(t *testing.T) {
+func TestViewWithoutPlanningTimeCountsAsUndelayed(t *testing.T) {
 	var f view.Followed
 	f.Opened(start)
 	f.Take(start.Add(time.Second), &wire.View{Planner: "p", Term: 4})
