--- a/services/entry/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -13,56 +13,57 @@
 )
 
 const (
-	// ReturnNotice is how long before its time a refused caller's adapter is asked for again: longer competes with the loads of fresh
-	// requests.
+	// ReturnNotice is how long before the expected retry of a rejected caller its adapter is requested again. With a longer time,
+	// these requests compete with the loads for new requests.
 	ReturnNotice = time.Second
-	// ReturnWait is how long after its time a refused caller is still expected.
+	// ReturnWait is how long after the expected time the retry of a rejected caller is still expected.
 	ReturnWait = 300 * time.Millisecond
-	// LeastRate is the arrival rate, in requests a second, that is worth reporting to a new planner.
+	// LeastRate is the minimum arrival rate, in requests per second, that is reported to a new planner.
 	LeastRate = 0.005
 )
 
-// Counter counts what is asked for at this instance; it is not safe for concurrent use.
+// Counter counts the demand for adapters at this instance. It is not safe for concurrent use.
 type Counter struct {
 	// arrivals are the requests since the last report.
 	arrivals map[deployment.ServiceAdapter]arrivals
 	rates    map[deployment.ServiceAdapter]*loading.Rate
-	// returns are refused callers that are expected to come back.
-	returns []expectedReturn
+	// expectedRetries are the rejected callers that are expected to retry.
+	expectedRetries []expectedRetry
 }
 
-// arrivals counts requests that came in.
+// arrivals counts received requests.
 type arrivals struct {
 	requests int
-	// prompts sums their prompts, in tokens.
+	// prompts is the total length of their prompts in tokens.
 	prompts int
 }
 
-// expectedReturn is a refused caller whose answer said when to come back; its adapter is asked for until then.
-type expectedReturn struct {
+// expectedRetry is a rejected caller whose answer said when to retry. Its adapter is requested from shortly before until shortly
+// after that time.
+type expectedRetry struct {
 	key    deployment.ServiceAdapter
 	at     time.Time
 	target time.Duration
 }
 
-// NewCounter makes a counter of nothing.
+// NewCounter returns a counter without requests.
 func NewCounter() *Counter {
 	return &Counter{arrivals: make(map[deployment.ServiceAdapter]arrivals), rates: make(map[deployment.ServiceAdapter]*loading.Rate)}
 }
 
-// Arrived counts a request that came in, with the length of its prompt in tokens.
+// Arrived counts a received request, with the length of its prompt in tokens.
 func (ct *Counter) Arrived(key deployment.ServiceAdapter, prompt int) {
 	known := ct.arrivals[key]
 	ct.arrivals[key] = arrivals{requests: known.requests + 1, prompts: known.prompts + prompt}
 }
 
-// ExpectBack notes that a refused caller was asked to come back at a time; its answer is in time for as long as its
-// route's target after that.
+// ExpectBack records that a rejected caller was asked to retry at a time. After the retry, its answer is in time within the target
+// of its route.
 func (ct *Counter) ExpectBack(key deployment.ServiceAdapter, at time.Time, target time.Duration) {
-	ct.returns = append(ct.returns, expectedReturn{key: key, at: at, target: target})
+	ct.expectedRetries = append(ct.expectedRetries, expectedRetry{key: key, at: at, target: target})
 }
 
-// TakeArrivals gives the arrivals since they were told last, without what waits; they begin anew.
+// TakeArrivals returns the arrivals since they were last collected, without waiting requests, and resets them.
 func (ct *Counter) TakeArrivals(now time.Time) []wire.Demand {
 	list := make([]wire.Demand, 0, len(ct.arrivals))
 	for _, demand := range ct.Collect(now, 0).demands {
@@ -71,15 +72,15 @@
 	return list
 }
 
-// Collection is the demand that one report tells.
+// Collection is the demand in one report.
 type Collection struct {
 	counter *Counter
 	now     time.Time
 	demands map[deployment.ServiceAdapter]*wire.Demand
 }
 
-// Collect begins a report's demand with the arrivals since the last one, which begin anew. waiting is the number of
-// requests that will be added.
+// Collect starts the demand of a report with the arrivals since the last one, and resets them. waiting is the expected number of
+// calls of AddWaiting.
 func (ct *Counter) Collect(now time.Time, waiting int) *Collection {
 	c := &Collection{counter: ct, now: now, demands: make(map[deployment.ServiceAdapter]*wire.Demand, len(ct.arrivals)+waiting)}
 	for key, arrived := range ct.arrivals {
@@ -93,20 +94,21 @@
 	return c
 }
 
-// AddWaiting counts a request that waits now.
+// AddWaiting counts a request that is waiting now.
 func (c *Collection) AddWaiting(key deployment.ServiceAdapter, request *deployment.Request) {
 	if !key.Adapter.IsZero() {
-		c.wait(key, request.Arrived.Add(request.Route.Target).Sub(c.now))
+		c.addWaiting(key, request.Arrived.Add(request.Route.Target).Sub(c.now))
 	}
 }
 
-// List adds the refused callers that will come back soon, forgets those that have or will not, and gives it all.
+// List adds the rejected callers that are expected to retry soon, removes those whose time has passed, and returns the whole
+// demand.
 func (c *Collection) List() []wire.Demand {
 	ct := c.counter
-	ct.forgetReturns(c.now)
-	for _, caller := range ct.returns {
+	ct.removeExpiredRetries(c.now)
+	for _, caller := range ct.expectedRetries {
 		if caller.at.Sub(c.now) <= ReturnNotice {
-			c.wait(caller.key, caller.at.Add(caller.target).Sub(c.now))
+			c.addWaiting(caller.key, caller.at.Add(caller.target).Sub(c.now))
 		}
 	}
 	list := make([]wire.Demand, 0, len(c.demands))
@@ -116,8 +118,8 @@
 	return list
 }
 
-// wait counts a request that waits and can be answered in time for a span from now; the longest span is reported.
-func (c *Collection) wait(key deployment.ServiceAdapter, inTime time.Duration) {
+// addWaiting counts a waiting request that can be answered in time within a duration from now. The longest such duration is reported.
+func (c *Collection) addWaiting(key deployment.ServiceAdapter, inTime time.Duration) {
 	demand := c.demandOf(key)
 	demand.Waiting++
 	if demand.Waiting == 1 || inTime > demand.InTime {
@@ -143,7 +145,7 @@
 	return rate
 }
 
-// Rates gives this instance's arrival rates, for a new planner.
+// Rates returns the arrival rates of this instance, for a new planner.
 func (ct *Counter) Rates(now time.Time) []wire.Rate {
 	ct.Sweep(now)
 	var list []wire.Rate
@@ -153,8 +155,8 @@
 	return list
 }
 
-// Untold takes in, at a time when there is nobody to report to, that the arrivals so far are not told: they stay in the rates,
-// which a new planner gets. Callers that should have come back are forgotten.
+// Untold processes the arrivals while there is no planner to report to: they are added to the rates, which a new planner receives,
+// and reset. Callers that should have retried by now are removed.
 func (ct *Counter) Untold(now time.Time) {
 	for key, arrived := range ct.arrivals {
 		if !key.Adapter.IsZero() {
@@ -162,15 +164,15 @@
 		}
 	}
 	clear(ct.arrivals)
-	ct.forgetReturns(now)
+	ct.removeExpiredRetries(now)
 }
 
-// forgetReturns forgets callers that should have come back.
-func (ct *Counter) forgetReturns(now time.Time) {
-	ct.returns = slices.DeleteFunc(ct.returns, func(caller expectedReturn) bool { return now.Sub(caller.at) > ReturnWait })
+// removeExpiredRetries removes the callers that should have retried by now.
+func (ct *Counter) removeExpiredRetries(now time.Time) {
+	ct.expectedRetries = slices.DeleteFunc(ct.expectedRetries, func(caller expectedRetry) bool { return now.Sub(caller.at) > ReturnWait })
 }
 
-// Sweep forgets rates that have become too small.
+// Sweep removes the rates below LeastRate.
 func (ct *Counter) Sweep(now time.Time) {
 	for key, rate := range ct.rates {
 		if rate.PerSecond(now) < LeastRate {
--- a/services/entry/coordinator/report/export_test.go
+++ b/services/entry/coordinator/report/export_test.go
@@ -3,7 +3,7 @@
 
 package report
 
-// Size is how many adapters and callers are remembered.
+// Size returns the number of stored adapters and callers.
 func (ct *Counter) Size() int {
-	return len(ct.arrivals) + len(ct.rates) + len(ct.returns)
+	return len(ct.arrivals) + len(ct.rates) + len(ct.expectedRetries)
 }
--- a/services/entry/coordinator/report/growth_test.go
+++ b/services/entry/coordinator/report/growth_test.go
@@ -14,13 +14,13 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
 )
 
-// TestWhatNobodyIsToldIsForgotten counts requests of ever new adapters while there is no planner: what is remembered depends
-// on the requests of the last minute, not on how long that lasts.
-func TestWhatNobodyIsToldIsForgotten(t *testing.T) {
+// TestCounterIsBoundedWithoutPlanner counts requests for ever new adapters while there is no planner. The stored state must depend
+// on the requests of the last minute, not on how long the planner is missing.
+func TestCounterIsBoundedWithoutPlanner(t *testing.T) {
 	const (
 		minutes  = 10
 		requests = 600
-		// most is what one minute leaves: a rate or an arrival, and a caller that is expected back.
+		// most is the state of one minute: per request a rate or an arrival, and an expected retry.
 		most = 2 * requests
 	)
 	counter := report.NewCounter()
@@ -37,20 +37,20 @@
 	assert.LessOrEqual(t, counter.Size(), most)
 }
 
-func TestArrivalsThatNobodyWasToldStayInTheRates(t *testing.T) {
-	told, untold := report.NewCounter(), report.NewCounter()
-	for _, counter := range []*report.Counter{told, untold} {
+func TestUnreportedArrivalsCountInRates(t *testing.T) {
+	reported, unreported := report.NewCounter(), report.NewCounter()
+	for _, counter := range []*report.Counter{reported, unreported} {
 		counter.Arrived(one, 0)
 		counter.Arrived(one, 0)
 	}
-	told.Collect(start, 0)
-	untold.Untold(start)
-	assert.NotEmpty(t, untold.Rates(start))
-	assert.Equal(t, told.Rates(start), untold.Rates(start))
-	assert.Empty(t, untold.Collect(start, 0).List(), "they are not told twice")
+	reported.Collect(start, 0)
+	unreported.Untold(start)
+	assert.NotEmpty(t, unreported.Rates(start))
+	assert.Equal(t, reported.Rates(start), unreported.Rates(start))
+	assert.Empty(t, unreported.Collect(start, 0).List(), "they are not reported in addition")
 }
 
-func TestACallerThatIsExpectedBackIsKeptWhileNobodyIsTold(t *testing.T) {
+func TestExpectedRetryIsKeptWithoutPlanner(t *testing.T) {
 	counter := report.NewCounter()
 	counter.ExpectBack(one, start.Add(time.Second), route.Target)
 	counter.Untold(start)
--- a/services/entry/coordinator/report/report_test.go
+++ b/services/entry/coordinator/report/report_test.go
@@ -30,18 +30,18 @@
 	route = &deployment.Route{Target: 800 * time.Millisecond}
 )
 
-func TestPausesGrowWithFleetsAboveSixteen(t *testing.T) {
+func TestIntervalsGrowAboveSixteenMembers(t *testing.T) {
 	cases := map[int]time.Duration{0: pace, 1: pace, 15: pace, 16: pace, 17: 265625 * time.Microsecond, 32: 2 * pace, 91: 1421875 * time.Microsecond}
-	for members, pause := range cases {
-		assert.Equal(t, pause, report.Stretch(pace, members), "%d members", members)
+	for members, interval := range cases {
+		assert.Equal(t, interval, report.Stretch(pace, members), "%d members", members)
 	}
 }
 
-func TestReportsFollowTheirPace(t *testing.T) {
+func TestReportsFollowTheirInterval(t *testing.T) {
 	for _, members := range []int{1, 32} {
 		stretched := report.Stretch(pace, members)
 		var schedule report.Schedule
-		assert.True(t, schedule.Due(start, members), "the first one")
+		assert.True(t, schedule.Due(start, members), "first report")
 		schedule.Sent(start)
 		assert.False(t, schedule.Due(start.Add(stretched-step), members))
 		assert.True(t, schedule.Due(start.Add(stretched), members))
@@ -49,30 +49,30 @@
 	}
 }
 
-func TestAnUrgentReportWaitsOnlyForItsOwnPause(t *testing.T) {
+func TestUrgentReportWaitsForUrgentInterval(t *testing.T) {
 	var schedule report.Schedule
 	schedule.Sent(start)
 	assert.False(t, schedule.Ask(start.Add(urgent-step), 1))
-	assert.False(t, schedule.Ask(start.Add(urgent-step), 1), "asked again")
+	assert.False(t, schedule.Ask(start.Add(urgent-step), 1), "requested again")
 	assert.False(t, schedule.Due(start.Add(urgent-step), 1))
 	assert.True(t, schedule.Due(start.Add(urgent), 1))
 	schedule.Sent(start.Add(urgent))
-	assert.False(t, schedule.Due(start.Add(2*urgent), 1), "one report answers both")
-	assert.True(t, schedule.Ask(start.Add(2*urgent), 1), "the last one is old enough")
+	assert.False(t, schedule.Due(start.Add(2*urgent), 1), "one report serves both requests")
+	assert.True(t, schedule.Ask(start.Add(2*urgent), 1), "the last report is old enough")
 }
 
-func TestAnAcknowledgementWaitsForItsPause(t *testing.T) {
+func TestAcknowledgementWaitsForItsInterval(t *testing.T) {
 	var schedule report.Schedule
 	schedule.Sent(start)
 	assert.False(t, schedule.AskAcknowledge(start.Add(acknowledge-step), 1))
 	assert.False(t, schedule.Due(start.Add(acknowledge-step), 1))
 	assert.True(t, schedule.Due(start.Add(acknowledge), 1))
-	assert.False(t, schedule.Due(start.Add(2*acknowledge-step), 32), "stretched with the fleet")
+	assert.False(t, schedule.Due(start.Add(2*acknowledge-step), 32), "the interval grows with the fleet")
 	assert.True(t, schedule.Due(start.Add(2*acknowledge), 32))
 	assert.True(t, schedule.AskAcknowledge(start.Add(acknowledge), 1))
 }
 
-func TestWhatNobodyCouldBeToldIsStillAskedFor(t *testing.T) {
+func TestSkippedReportRemainsRequested(t *testing.T) {
 	var schedule report.Schedule
 	schedule.Sent(start)
 	schedule.Ask(start, 1)
@@ -80,10 +80,10 @@
 	assert.False(t, schedule.Due(start.Add(urgent), 1))
 	assert.True(t, schedule.Due(start.Add(2*urgent), 1))
 	schedule.Restart()
-	assert.True(t, schedule.Due(start.Add(urgent), 1), "a new link is told at once")
+	assert.True(t, schedule.Due(start.Add(urgent), 1), "a report is due at once on a new link")
 }
 
-func waits(since time.Time) *deployment.Request {
+func waitingSince(since time.Time) *deployment.Request {
 	return &deployment.Request{Route: route, Arrived: since}
 }
 
@@ -95,44 +95,44 @@
 	return demands
 }
 
-func TestADemandTellsArrivalsOnceAndWaitingRequestsEachTime(t *testing.T) {
+func TestDemandReportsArrivalsOnceAndWaitingRequestsEachTime(t *testing.T) {
 	demand := report.NewCounter()
 	demand.Arrived(one, 0)
 	demand.Arrived(one, 0)
 	demand.Arrived(plain, 0)
 	first := demand.Collect(start, 2)
-	first.AddWaiting(one, waits(start.Add(-300*time.Millisecond)))
-	first.AddWaiting(one, waits(start.Add(-100*time.Millisecond)))
-	first.AddWaiting(plain, waits(start))
+	first.AddWaiting(one, waitingSince(start.Add(-300*time.Millisecond)))
+	first.AddWaiting(one, waitingSince(start.Add(-100*time.Millisecond)))
+	first.AddWaiting(plain, waitingSince(start))
 	assert.Equal(t, []wire.Demand{{
 		Service: "chat", Model: "base", Name: "a1", Waiting: 2, InTime: 700 * time.Millisecond, Arrivals: 2,
-	}}, first.List(), "the newest decides how long an answer is in time; base models are not asked for")
+	}}, first.List(), "the newest request decides how long an answer is in time; base models are not requested")
 
 	second := demand.Collect(start, 1)
-	second.AddWaiting(other, waits(start.Add(-time.Second)))
+	second.AddWaiting(other, waitingSince(start.Add(-time.Second)))
 	assert.Equal(t, []wire.Demand{{Service: "chat", Model: "base", Name: "a2", Waiting: 1, InTime: -200 * time.Millisecond}}, second.List())
 	assert.Empty(t, demand.Collect(start, 0).List())
 }
 
-func TestTheLatestOfLateRequestsIsTold(t *testing.T) {
+func TestLeastLateRequestIsReported(t *testing.T) {
 	demand := report.NewCounter()
 	collection := demand.Collect(start, 2)
-	collection.AddWaiting(one, waits(start.Add(-time.Second)))
-	collection.AddWaiting(one, waits(start.Add(-2*time.Second)))
+	collection.AddWaiting(one, waitingSince(start.Add(-time.Second)))
+	collection.AddWaiting(one, waitingSince(start.Add(-2*time.Second)))
 	assert.Equal(t, -200*time.Millisecond, collection.List()[0].InTime)
 }
 
-func TestARefusedCallersAdapterIsAskedForShortlyBeforeItsReturn(t *testing.T) {
+func TestAdapterOfRejectedCallerIsRequestedBeforeRetry(t *testing.T) {
 	back := start.Add(3 * time.Second)
 	cases := map[string]struct {
 		now   time.Time
 		asked bool
 	}{
-		"just before the notice":      {back.Add(-time.Second - step), false},
-		"at the notice":               {back.Add(-time.Second), true},
-		"at its time":                 {back, true},
-		"at the end of the wait":      {back.Add(300 * time.Millisecond), true},
-		"just after the wait for him": {back.Add(300*time.Millisecond + step), false},
+		"just before the notice":         {back.Add(-time.Second - step), false},
+		"at the notice":                  {back.Add(-time.Second), true},
+		"at the expected time":           {back, true},
+		"at the end of the wait":         {back.Add(300 * time.Millisecond), true},
+		"just after the end of the wait": {back.Add(300*time.Millisecond + step), false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -143,22 +143,22 @@
 			if c.asked {
 				assert.Equal(t, 1, list[0].Waiting)
 				assert.Equal(t, back.Add(route.Target).Sub(c.now), list[0].InTime)
-				assert.Len(t, demand.Collect(c.now, 0).List(), 1, "each report tells it anew")
+				assert.Len(t, demand.Collect(c.now, 0).List(), 1, "each report repeats it")
 			}
 		})
 	}
 }
 
-func TestAReturnThatIsOverIsForgotten(t *testing.T) {
+func TestExpiredRetryIsRemoved(t *testing.T) {
 	demand := report.NewCounter()
 	demand.ExpectBack(one, start, route.Target)
 	demand.ExpectBack(other, start.Add(time.Hour), route.Target)
 	assert.Empty(t, demand.Collect(start.Add(time.Second), 0).List())
-	assert.Empty(t, demand.Collect(start, 0).List(), "an earlier time brings it not back")
+	assert.Empty(t, demand.Collect(start, 0).List(), "an earlier time does not restore it")
 	assert.Contains(t, byName(demand.Collect(start.Add(time.Hour), 0).List()), "a2")
 }
 
-func TestOnlyRatesWorthTellingAreTold(t *testing.T) {
+func TestOnlyRatesAboveMinimumAreReported(t *testing.T) {
 	demand := report.NewCounter()
 	for range 12 {
 		demand.Arrived(one, 0)
--- a/services/entry/coordinator/report/schedule.go
+++ b/services/entry/coordinator/report/schedule.go
@@ -6,34 +6,34 @@
 import "time"
 
 const (
-	// Pace is the longest pause between two reports of a small fleet.
+	// Pace is the maximum interval of reports in a small fleet.
 	Pace = 250 * time.Millisecond
-	// UrgentPace is the least pause between two reports of a small fleet about requests that wait: shorter trades the planner's processor
-	// time for an earlier load.
+	// UrgentPace is the minimum interval of reports about waiting requests in a small fleet. A shorter interval starts loads
+	// earlier, but takes more of the planner's processor time.
 	UrgentPace = 2 * time.Millisecond
-	// AcknowledgePace is the least pause between two reports of a small fleet that only acknowledge withdrawals: each withdrawal
-	// has all members report at once.
+	// AcknowledgePace is the minimum interval of reports that only acknowledge withdrawals in a small fleet. Each withdrawal makes
+	// all members report at once.
 	AcknowledgePace = 5 * time.Millisecond
-	// MembersAtPace is the number of instances up to which no pause is stretched.
+	// MembersAtPace is the number of instances up to which no interval is stretched.
 	MembersAtPace = 16
 )
 
-// Stretch gives a pause for a fleet of members: it grows with the fleet, so that what the planner sends and receives
-// grows more slowly than the fleet.
+// Stretch returns the interval for a fleet of the given number of members. It is proportional to the size of a large fleet, so that
+// the messages of the planner grow more slowly than the fleet.
 func Stretch(pause time.Duration, members int) time.Duration {
 	return pause * time.Duration(max(MembersAtPace, members)) / MembersAtPace
 }
 
-// Schedule decides when the next report goes out. The zero value is due at once.
+// Schedule decides when the next report is sent. The zero value is due at once.
 type Schedule struct {
-	// sent is when the last report went out, on the own clock.
+	// sent is when the last report was sent, by the clock of this instance.
 	sent time.Time
-	// urgent asks for a report about requests that wait, acknowledge for one about withdrawals.
+	// urgent requests a report about waiting requests, acknowledge a report that acknowledges withdrawals.
 	urgent      bool
 	acknowledge bool
 }
 
-// Ask wants a report about requests that wait and tells whether it is due now.
+// Ask requests a report about waiting requests and reports whether it is due now.
 func (s *Schedule) Ask(now time.Time, members int) bool {
 	if now.Sub(s.sent) >= Stretch(UrgentPace, members) {
 		return true
@@ -42,13 +42,13 @@
 	return false
 }
 
-// AskAcknowledge wants a report that acknowledges withdrawals and tells whether it is due now.
+// AskAcknowledge requests a report that acknowledges withdrawals and reports whether it is due now.
 func (s *Schedule) AskAcknowledge(now time.Time, members int) bool {
 	s.acknowledge = true
 	return now.Sub(s.sent) >= Stretch(AcknowledgePace, members)
 }
 
-// Due tells whether a report is due, asked for or by its pace.
+// Due reports whether a report is due, on request or by its interval.
 func (s *Schedule) Due(now time.Time, members int) bool {
 	age := now.Sub(s.sent)
 	switch {
@@ -61,17 +61,17 @@
 	}
 }
 
-// Skip notes that a report was due but there was no planner to send it to; what was asked for still is.
+// Skip records that a report was due but no planner was connected. Requested reports remain requested.
 func (s *Schedule) Skip(now time.Time) {
 	s.sent = now
 }
 
-// Restart makes a report due at once, for a new link; what was asked for still is.
+// Restart makes a report due at once, for a new link. Requested reports remain requested.
 func (s *Schedule) Restart() {
 	s.sent = time.Time{}
 }
 
-// Sent notes that a report goes out now.
+// Sent records that a report is sent now.
 func (s *Schedule) Sent(now time.Time) {
 	*s = Schedule{sent: now}
 }
