--- a/services/entry/coordinator/follow/doc.go
+++ b/services/entry/coordinator/follow/doc.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package follow has the rules by which an instance follows what the store holds: which of the operators' keys is
-// the newest (Keys), which versions they name and for how long older ones still serve (Versions), who reads the store
-// for this instance and for how long a watch waits there. It is plain state of the control goroutine without I/O; the
-// present time is an argument.
+// Package follow has the rules by which an instance follows the contents of the store: the newest operators' keys (Keys), the
+// versions that these keys demand and for how long older ones may serve (Versions), the proof that no key is missing
+// (Completeness), and who reads the store for this instance and how long a watch waits there (Situation).
+//
+// It does no I/O. Its state belongs to the control goroutine; the current time is passed as an argument.
 package follow
--- a/services/entry/coordinator/follow/export_test.go
+++ b/services/entry/coordinator/follow/export_test.go
@@ -5,7 +5,7 @@
 
 import "github.com/shelfledge/shelfledge/models/entry/deployment"
 
-// Kept gives how many names are kept of an adapter.
+// Kept returns the number of stored versions of an adapter.
 func (v *Versions) Kept(adapter deployment.Adapter) int {
-	return len(v.named[adapter])
+	return len(v.demanded[adapter])
 }
--- a/services/entry/coordinator/follow/follow_test.go
+++ b/services/entry/coordinator/follow/follow_test.go
@@ -18,21 +18,21 @@
 )
 
 var (
-	start   = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	adapter = deployment.Adapter{Model: "base", Name: "a1"}
-	errLost = errors.New("no answer")
+	start       = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+	adapter     = deployment.Adapter{Model: "base", Name: "a1"}
+	errNoAnswer = errors.New("no answer")
 )
 
 func item(key string, revision int64) store.Item {
 	return store.Item{Key: key, Value: fmt.Appendf(nil, "%s at %d", key, revision), Revision: revision}
 }
 
-func TestOnlyNewerKeysAreNews(t *testing.T) {
+func TestTakeAcceptsOnlyNewerKeys(t *testing.T) {
 	keys := follow.NewKeys()
 	assert.Zero(t, keys.Revision())
 	assert.True(t, keys.Take(item("k", 5)))
-	assert.False(t, keys.Take(item("k", 5)), "told again")
-	assert.False(t, keys.Take(item("k", 4)), "an older one that was delayed")
+	assert.False(t, keys.Take(item("k", 5)), "repeated")
+	assert.False(t, keys.Take(item("k", 4)), "an older key that was delayed")
 	assert.True(t, keys.Take(item("other", 3)), "another key may be older")
 	keys.Complete(5)
 	assert.EqualValues(t, 5, keys.Revision())
@@ -46,9 +46,9 @@
 	assert.Empty(t, keys.After(6))
 }
 
-// TestAKeyOfALaterPageDoesNotHideWhatAnEarlierPageLacks: a peer is told up to where no change is lacking, not which key is the newest, so
-// that it passes on what is.
-func TestAKeyOfALaterPageDoesNotHideWhatAnEarlierPageLacks(t *testing.T) {
+// TestRevisionExcludesKeysAfterMissingChanges guards against missing keys at a peer. A peer needs the revision up to which no
+// change is missing, not the newest revision of a key, in order to send the missing changes.
+func TestRevisionExcludesKeysAfterMissingChanges(t *testing.T) {
 	keys := follow.NewKeys()
 	keys.Take(item("a", 5))
 	keys.Take(item("z", 12))
@@ -60,17 +60,17 @@
 	keys.Complete(12)
 	assert.EqualValues(t, 12, keys.Revision())
 	keys.Complete(9)
-	assert.EqualValues(t, 12, keys.Revision(), "an older word takes nothing back")
+	assert.EqualValues(t, 12, keys.Revision(), "an earlier revision does not lower it")
 	keys.Complete(100)
-	assert.EqualValues(t, 12, keys.Revision(), "changes of other keys are no news for a peer")
+	assert.EqualValues(t, 12, keys.Revision(), "changes of other keys do not concern a peer")
 }
 
-func TestVersionsOnlyGrow(t *testing.T) {
+func TestVersionsOnlyIncrease(t *testing.T) {
 	versions := follow.NewVersions()
 	assert.Zero(t, versions.Named(adapter))
 	assert.False(t, versions.Name(start, start, adapter, 0))
 	assert.True(t, versions.Name(start, start, adapter, 2))
-	assert.False(t, versions.Name(start.Add(time.Hour), start.Add(time.Hour), adapter, 2), "told again")
+	assert.False(t, versions.Name(start.Add(time.Hour), start.Add(time.Hour), adapter, 2), "repeated")
 	assert.False(t, versions.Name(start.Add(time.Hour), start.Add(time.Hour), adapter, 1))
 	assert.EqualValues(t, 2, versions.Named(adapter))
 	assert.Equal(t, map[deployment.Adapter]int64{adapter: 2}, maps.Collect(versions.All()))
@@ -79,8 +79,8 @@
 	}
 }
 
-// TestAFormerVersionServesForHalfOfItsLimitLessTheWait names version 3 and asks what may run beside it.
-func TestAFormerVersionServesForHalfOfItsLimitLessTheWait(t *testing.T) {
+// TestFormerAllowsOutdatedVersionForHalfOfLimit demands version 3 and checks which versions may run beside it over time.
+func TestFormerAllowsOutdatedVersionForHalfOfLimit(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	former := func(after time.Duration) (int64, time.Duration) {
@@ -88,7 +88,7 @@
 	}
 	oldest, wait := former(time.Hour)
 	assert.Zero(t, oldest)
-	assert.Zero(t, wait, "no version is named")
+	assert.Zero(t, wait, "no version is demanded")
 	versions.Name(start, start, adapter, 3)
 	for after, left := range map[time.Duration]time.Duration{
 		0: time.Second, 600 * time.Millisecond: 400 * time.Millisecond, time.Second - 1: 1,
@@ -100,25 +100,26 @@
 	versions.Name(start.Add(500*time.Millisecond), start.Add(500*time.Millisecond), adapter, 3)
 	for _, after := range []time.Duration{time.Second, time.Hour} {
 		oldest, wait = former(after)
-		assert.EqualValues(t, 3, oldest, "from here on, none may begin on an older one, and a repeated word puts it off no further")
+		assert.EqualValues(t, 3, oldest, "no request may begin on an older version any more, and a repeated version does not extend the limit")
 		assert.LessOrEqual(t, wait, time.Duration(0))
 	}
 	assert.EqualValues(t, 3, versions.Named(adapter))
 }
 
-// TestEachFormerVersionHasItsOwnTime: a newer name gives the version before it time, none to those before that.
-func TestEachFormerVersionHasItsOwnTime(t *testing.T) {
+// TestEachOutdatedVersionHasItsOwnLimit checks that a newer version starts the limit of the version before it and does not extend
+// the limits of earlier ones.
+func TestEachOutdatedVersionHasItsOwnLimit(t *testing.T) {
 	const limit = 2 * time.Second
 	for name, test := range map[string]struct {
 		named  []time.Duration
 		oldest int64
 		wait   time.Duration
 	}{
-		"the time of 1 is over when 3 is named": {[]time.Duration{-time.Second, 0}, 2, time.Second},
-		"it is over later":                      {[]time.Duration{-time.Second, -400 * time.Millisecond}, 2, 600 * time.Millisecond},
-		"the time of 1 ends first":              {[]time.Duration{-700 * time.Millisecond, -100 * time.Millisecond}, 0, 300 * time.Millisecond},
-		"the time of 1 and 2 is over":           {[]time.Duration{-5 * time.Second, -2 * time.Second, -time.Millisecond}, 3, 999 * time.Millisecond},
-		"all are over":                          {[]time.Duration{-5 * time.Second, -2 * time.Second}, 3, 0},
+		"the limit of 1 passes when 3 is demanded":        {[]time.Duration{-time.Second, 0}, 2, time.Second},
+		"the limit of 1 has passed and that of 2 has not": {[]time.Duration{-time.Second, -400 * time.Millisecond}, 2, 600 * time.Millisecond},
+		"the limit of 1 passes first":                     {[]time.Duration{-700 * time.Millisecond, -100 * time.Millisecond}, 0, 300 * time.Millisecond},
+		"the limits of 1 and 2 have passed":               {[]time.Duration{-5 * time.Second, -2 * time.Second, -time.Millisecond}, 3, 999 * time.Millisecond},
+		"all limits have passed":                          {[]time.Duration{-5 * time.Second, -2 * time.Second}, 3, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
 			versions := follow.NewVersions()
@@ -135,11 +136,11 @@
 	}
 }
 
-// TestTheFirstNewerNameCounts names versions 2 to 4, a second apart.
-func TestTheFirstNewerNameCounts(t *testing.T) {
+// TestNewerSinceReturnsTimeOfFirstNewerVersion demands the versions 2 to 4, a second apart.
+func TestNewerSinceReturnsTimeOfFirstNewerVersion(t *testing.T) {
 	versions := follow.NewVersions()
 	_, named := versions.NewerSince(adapter, 0)
-	assert.False(t, named, "none is named")
+	assert.False(t, named, "no version is demanded")
 	for i := range 3 {
 		versions.Name(start.Add(time.Duration(i)*time.Second), start.Add(time.Duration(i)*time.Second), adapter, int64(i+2))
 	}
@@ -156,8 +157,9 @@
 	assert.False(t, named, "another adapter")
 }
 
-// TestWhatAFormerVersionServesIsNotForgotten: as long as a version may serve, it is known since when a newer one is named.
-func TestWhatAFormerVersionServesIsNotForgotten(t *testing.T) {
+// TestNewerSinceIsKnownWhileVersionMayServe checks that the time since when a newer version is demanded is known for as long as a
+// version may serve.
+func TestNewerSinceIsKnownWhileVersionMayServe(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	for version := int64(2); version <= 20; version++ {
@@ -167,13 +169,13 @@
 		for held := max(oldest, 1); held < version; held++ {
 			since, ok := versions.NewerSince(adapter, held)
 			assert.True(t, ok)
-			assert.Less(t, named.Sub(since), limit/2, "%d while %d is named, for %v", held, version, wait)
+			assert.Less(t, named.Sub(since), limit/2, "%d while %d is demanded, for %v", held, version, wait)
 		}
 	}
 }
 
-// TestNamesThatNobodyAsksForAreBounded names a version each 10 ms: where names are merged, no version's time gets longer.
-func TestNamesThatNobodyAsksForAreBounded(t *testing.T) {
+// TestStoredVersionsAreBounded demands a version each 10 ms. When versions are merged, no limit of a version may increase.
+func TestStoredVersionsAreBounded(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	for version := int64(2); version <= 1000; version++ {
@@ -182,19 +184,20 @@
 	assert.LessOrEqual(t, versions.Kept(adapter), 8)
 	assert.EqualValues(t, 1000, versions.Named(adapter))
 	oldest, wait := versions.Former(start.Add(10*time.Second), adapter, limit)
-	assert.GreaterOrEqual(t, oldest, int64(900), "named a second before")
+	assert.GreaterOrEqual(t, oldest, int64(900), "demanded a second before")
 	assert.LessOrEqual(t, wait, time.Second)
 	oldest, wait = versions.Former(start.Add(11*time.Second), adapter, limit)
 	assert.EqualValues(t, 1000, oldest)
 	assert.LessOrEqual(t, wait, time.Duration(0))
 }
 
-// TestHowLongAVersionHasBeenAFormerOne: whether the time of a version is over or not, it is told since when a newer one is known.
-func TestHowLongAVersionHasBeenAFormerOne(t *testing.T) {
+// TestNewerReturnsAgeAfterLimitHasPassed checks that the age of a newer version is known whether the limit of the older one has
+// passed or not.
+func TestNewerReturnsAgeAfterLimitHasPassed(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	newer, _ := versions.Newer(start, adapter, 1)
-	assert.Zero(t, newer, "none is named")
+	assert.Zero(t, newer, "no version is demanded")
 	versions.Name(start, start, adapter, 2)
 	versions.Name(start.Add(time.Second), start.Add(time.Second), adapter, 5)
 	versions.Name(start.Add(1500*time.Millisecond), start.Add(1500*time.Millisecond), adapter, 5)
@@ -212,8 +215,9 @@
 	}
 }
 
-// TestTheNamesThatAreComparedAreBounded: of the versions that are forgotten, a later one is told, so that no age is too long.
-func TestTheNamesThatAreComparedAreBounded(t *testing.T) {
+// TestComparedVersionsAreBounded checks that Newer returns a later version in place of those that were removed, so that no age is
+// too high.
+func TestComparedVersionsAreBounded(t *testing.T) {
 	versions := follow.NewVersions()
 	for version := int64(1); version <= 100; version++ {
 		versions.Name(start.Add(time.Duration(version)*time.Second), start.Add(time.Duration(version)*time.Second), adapter, version)
@@ -226,8 +230,8 @@
 	assert.Zero(t, age)
 }
 
-// TestAVersionOfUnknownAgeLeavesTheFormerOneNoTime is about names that a process finds when it starts: they may be hours old.
-func TestAVersionOfUnknownAgeLeavesTheFormerOneNoTime(t *testing.T) {
+// TestVersionOfUnknownAgeEndsLimitOfOlderOne covers the versions that a process finds when it starts: they may be hours old.
+func TestVersionOfUnknownAgeEndsLimitOfOlderOne(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	versions.Name(start, time.Time{}, adapter, 2)
@@ -236,15 +240,16 @@
 	assert.LessOrEqual(t, wait, time.Duration(0))
 	newer, age := versions.Newer(start.Add(time.Minute), adapter, 1)
 	assert.EqualValues(t, 2, newer)
-	assert.Equal(t, time.Minute, age, "it counts for at least as long as it was known")
+	assert.Equal(t, time.Minute, age, "the version counts for at least as long as it has been known")
 	versions.Name(start, start, adapter, 3)
 	oldest, wait = versions.Former(start.Add(400*time.Millisecond), adapter, limit)
 	assert.EqualValues(t, 2, oldest)
-	assert.Equal(t, 600*time.Millisecond, wait, "a later name gives its own former version time")
+	assert.Equal(t, 600*time.Millisecond, wait, "a later version starts the limit of the version before it")
 }
 
-// TestAVersionCountsNoSoonerThanTheOneBeforeIt: a name may come on a way that proves less than that of the name before.
-func TestAVersionCountsNoSoonerThanTheOneBeforeIt(t *testing.T) {
+// TestVersionCountsNoEarlierThanPreviousOne covers a version that is received by a way that proves less than the way of the
+// previous one did.
+func TestVersionCountsNoEarlierThanPreviousOne(t *testing.T) {
 	versions := follow.NewVersions()
 	_, newer := versions.NewerSince(adapter, 1)
 	assert.False(t, newer)
@@ -260,13 +265,13 @@
 	assert.False(t, newer)
 	versions.Former(start.Add(time.Hour), adapter, time.Second)
 	since, newer := versions.NewerSince(adapter, 1)
-	assert.True(t, newer, "its time is over")
+	assert.True(t, newer, "its limit has passed")
 	assert.Equal(t, start.Add(time.Second), since)
 }
 
-// TestTheAgeOfWhatAMemberLacks: a planner tells it for all changes after what the member knows, also for those that a later
-// change of the same key replaced.
-func TestTheAgeOfWhatAMemberLacks(t *testing.T) {
+// TestChangedSinceIncludesReplacedChanges checks the age of the changes that a member lacks, as the planner sends it. It must
+// include changes that a later change of the same key replaced.
+func TestChangedSinceIncludesReplacedChanges(t *testing.T) {
 	keys := follow.NewKeys()
 	take := func(revision int64, since time.Time) {
 		keys.Take(item("k", revision))
@@ -274,7 +279,7 @@
 		keys.Complete(revision)
 	}
 	_, known := keys.ChangedSince(0)
-	assert.False(t, known, "nothing is lacking")
+	assert.False(t, known, "nothing is missing")
 	take(5, time.Time{})
 	take(6, start)
 	take(7, start.Add(time.Second))
@@ -290,7 +295,7 @@
 	assert.Equal(t, start.Add(2*time.Second), since)
 	for revision := range int64(5) {
 		_, known = keys.ChangedSince(revision)
-		assert.False(t, known, "the age of the first keys is not known")
+		assert.False(t, known, "the age of the first keys is unknown")
 	}
 	_, known = keys.ChangedSince(9)
 	assert.False(t, known)
@@ -303,36 +308,36 @@
 	assert.True(t, known)
 }
 
-func TestWhoReadsTheStore(t *testing.T) {
+func TestSituationDecidesReader(t *testing.T) {
 	const long, short = 20 * time.Second, 550 * time.Millisecond
 	cases := map[string]struct {
 		situation follow.Situation
 		endpoints follow.Reader
 		wait      time.Duration
 	}{
-		"a start":                           {follow.Situation{}, follow.ReadByPolling, short},
-		"a fresh planner, nothing yet told": {follow.Situation{PlannerFresh: true}, follow.ReadByPolling, long},
-		"a fresh planner":                   {follow.Situation{PlannerFresh: true, EndpointsKnown: true}, follow.ReadByPlanner, long},
-		"a silent planner":                  {follow.Situation{EndpointsKnown: true}, follow.ReadByPolling, short},
-		"the planner itself":                {follow.Situation{Planning: true, EndpointsKnown: true}, follow.ReadByWatching, short},
-		"the planner, just heard another":   {follow.Situation{Planning: true, PlannerFresh: true, EndpointsKnown: true}, follow.ReadByWatching, short},
+		"process start":                    {follow.Situation{}, follow.ReadByPolling, short},
+		"fresh planner, endpoints unknown": {follow.Situation{PlannerFresh: true}, follow.ReadByPolling, long},
+		"fresh planner":                    {follow.Situation{PlannerFresh: true, EndpointsKnown: true}, follow.ReadByPlanner, long},
+		"silent planner":                   {follow.Situation{EndpointsKnown: true}, follow.ReadByPolling, short},
+		"this instance is the planner":     {follow.Situation{Planning: true, EndpointsKnown: true}, follow.ReadByWatching, short},
+		"this instance is the planner, with a fresh view of another": {follow.Situation{Planning: true, PlannerFresh: true, EndpointsKnown: true}, follow.ReadByWatching, short},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, one.endpoints, one.situation.Endpoints())
-			assert.Equal(t, one.wait, one.situation.ConfigurationWait())
-			assert.Equal(t, one.wait == long, one.situation.ReliesOnPlanner())
+			assert.Equal(t, test.endpoints, test.situation.Endpoints())
+			assert.Equal(t, test.wait, test.situation.ConfigurationWait())
+			assert.Equal(t, test.wait == long, test.situation.ReliesOnPlanner())
 		})
 	}
 }
 
-func TestAWatchThatFailsTwiceReadsAnew(t *testing.T) {
+func TestSecondFailureOfWatchReadsAllKeys(t *testing.T) {
 	var watch follow.Watch
 	assert.Equal(t, follow.Apply, watch.Answered(nil))
-	assert.Equal(t, follow.WatchAgain, watch.Answered(errLost))
+	assert.Equal(t, follow.WatchAgain, watch.Answered(errNoAnswer))
 	assert.Equal(t, follow.Apply, watch.Answered(nil))
-	assert.Equal(t, follow.WatchAgain, watch.Answered(errLost), "an answer in between forgives")
-	assert.Equal(t, follow.ReadAnew, watch.Answered(errLost))
+	assert.Equal(t, follow.WatchAgain, watch.Answered(errNoAnswer), "an answer resets the count")
+	assert.Equal(t, follow.ReadAnew, watch.Answered(errNoAnswer))
 	watch = follow.Watch{}
-	assert.Equal(t, follow.ReadAnew, watch.Answered(fmt.Errorf("watch: %w", store.ErrCompacted)), "what was missed is not told again")
+	assert.Equal(t, follow.ReadAnew, watch.Answered(fmt.Errorf("watch: %w", store.ErrCompacted)), "missed changes are not sent again")
 }
--- a/services/entry/coordinator/follow/keys.go
+++ b/services/entry/coordinator/follow/keys.go
@@ -10,34 +10,35 @@
 	"github.com/shelfledge/shelfledge/modules/entry/store"
 )
 
-// Keys holds the operators' keys at their newest revision, wherever they came from; it is not safe for concurrent use.
+// Keys holds the operators' keys at their newest revision from any source. It is not safe for concurrent use.
 type Keys struct {
 	items    map[string]store.Item
 	revision int64
-	// newest is the newest revision of any key, also of one beyond those that are surely all known.
+	// newest is the newest revision of any key, including keys beyond the revision up to which all changes are known.
 	newest int64
-	// changes holds the last changes that were taken in, and forgotten is the newest revision of those before them.
+	// changes are the last recorded changes, and forgotten is the newest revision of the dropped earlier ones.
 	changes   []change
 	forgotten int64
 }
 
-// change is what was taken in at one time: keys up to a revision at the most, and the latest moment at which none of them was acknowledged; zero
-// where none is known.
+// change is a set of keys that were stored together: upTo is an upper bound of their revisions, and since the latest time before
+// which none of them was acknowledged; zero if unknown.
 type change struct {
 	upTo  int64
 	since time.Time
 }
 
-// mostChanges is how many changes are kept. More let a planner tell the age of what a member has lacked for longer, fewer take less memory.
-const mostChanges = 64
+// maxChanges is the number of stored changes. With more, a planner knows the age of the missing changes of a member that lags
+// further behind; fewer take less memory.
+const maxChanges = 64
 
-// NewKeys makes a set that knows no key.
+// NewKeys returns a set without keys.
 func NewKeys() *Keys {
 	return &Keys{items: make(map[string]store.Item)}
 }
 
-// Take takes in a key from the store or from a peer. It tells whether the key is newer than what is known: older ones, and the same one
-// again, are passed over, so that nothing ever reverts.
+// Take stores a key that was received from the store or from a peer. It reports whether the key is newer than the stored one;
+// otherwise it is ignored, so that a key never reverts to an older revision.
 func (k *Keys) Take(item store.Item) bool {
 	if known, ok := k.items[item.Key]; ok && known.Revision >= item.Revision {
 		return false
@@ -47,11 +48,11 @@
 	return true
 }
 
-// Complete notes that no change up to a revision is lacking. Keys alone do not tell that: the pages of a reading are of different times,
-// so that a later page may have a newer change than one that an earlier page lacks.
+// Complete records that no change up to a revision is missing. The keys alone do not imply that: the pages of one read of the store
+// are read at different times, so that a later page may contain a newer change than one that is missing in an earlier page.
 func (k *Keys) Complete(upTo int64) {
 	if k.newest <= upTo {
-		// The usual case: it spares a look at all keys.
+		// The usual case, which avoids iterating over all keys.
 		k.revision = k.newest
 		return
 	}
@@ -62,23 +63,23 @@
 	}
 }
 
-// Revision is the newest revision of a key up to which no change is lacking; 0 if there is none.
+// Revision returns the newest revision of a key up to which no change is missing; 0 if there is none.
 func (k *Keys) Revision() int64 {
 	return k.revision
 }
 
-// Changed notes that keys were taken in which count from a moment, as Origin.Since has it.
+// Changed records the time from which the keys stored since the last call count, as in Origin.Since.
 func (k *Keys) Changed(since time.Time) {
 	k.changes = append(k.changes, change{upTo: k.newest, since: since})
-	if len(k.changes) > mostChanges {
+	if len(k.changes) > maxChanges {
 		k.forgotten = k.changes[0].upTo
 		k.changes = slices.Clone(k.changes[1:])
 	}
 }
 
-// ChangedSince gives the latest moment at which none of the changes after a revision was acknowledged, also of those that a
-// later change of the same key replaced: whoever knows the keys up to the revision lacks them as well. It is false where no such
-// moment is known.
+// ChangedSince returns the latest time before which none of the changes after a revision was acknowledged. It includes changes that
+// a later change of the same key replaced, since a peer whose keys end at the revision misses them too. It returns false if no such
+// time is known.
 func (k *Keys) ChangedSince(revision int64) (time.Time, bool) {
 	var first time.Time
 	for _, one := range k.changes {
@@ -92,7 +93,7 @@
 	return first, revision >= k.forgotten && !first.IsZero()
 }
 
-// After gives the keys that changed after a revision.
+// After returns the keys that changed after a revision.
 func (k *Keys) After(revision int64) []store.Item {
 	var items []store.Item
 	for _, item := range k.items {
@@ -103,7 +104,7 @@
 	return items
 }
 
-// SizeOf sums the values of keys, in bytes.
+// SizeOf returns the total size of the values of keys in bytes.
 func SizeOf(items []store.Item) int {
 	size := 0
 	for _, item := range items {
--- a/services/entry/coordinator/follow/origin.go
+++ b/services/entry/coordinator/follow/origin.go
@@ -5,36 +5,37 @@
 
 import "time"
 
-// Source is how operators' keys came to this instance; log lines carry it.
+// Source is the way by which this instance received operators' keys. Log lines contain it.
 type Source string
 
 // The sources of operators' keys.
 const (
-	// FromReading: the store's answer to a reading of all keys.
+	// FromReading means that the store answered a read of all keys.
 	FromReading Source = "reading"
-	// FromWatch: the store's answer to a watch.
+	// FromWatch means that the store answered a watch.
 	FromWatch Source = "watch"
-	// FromPlanner: a view of the planner, which passes on what its member lacks.
+	// FromPlanner means that a view of the planner contained keys that its member lacked.
 	FromPlanner Source = "planner"
-	// FromMember: a report to the planner, from a member that it asked for keys.
+	// FromMember means that a member reported keys that the planner had requested.
 	FromMember Source = "member"
-	// FromSeed: the answer of a seed to an instance that starts while the store does not answer.
+	// FromSeed means that a seed answered an instance that starts while the store does not answer.
 	FromSeed Source = "seed"
 )
 
-// Origin is how operators' keys came, and since when they may have been in the store.
+// Origin describes how operators' keys were received, and since when they may have been in the store.
 type Origin struct {
 	Source Source
-	// CompleteAt is the last moment at which this instance surely had all operators' keys; zero where none is known. What is
-	// new to it was acknowledged after that.
+	// CompleteAt is the last time at which this instance provably had all operators' keys; zero if unknown. Keys that are new to
+	// the instance were acknowledged after that.
 	CompleteAt time.Time
-	// Since is what is new counts from: CompleteAt, or a later moment at which it was not yet acknowledged; zero where none is known.
+	// Since is the time from which new keys count: CompleteAt, or a later time at which they were not yet acknowledged; zero if
+	// unknown.
 	Since time.Time
-	// UpTo is the revision of the store up to which no change is lacking, once these keys are taken in.
+	// UpTo is the store revision up to which no change is missing once these keys are stored.
 	UpTo int64
 }
 
-// NotBefore gives the origin of keys that were acknowledged after a moment, by other proof than this instance's own.
+// NotBefore returns the origin of keys that, by other evidence than this instance's own, were acknowledged after a time.
 func (o Origin) NotBefore(moment time.Time) Origin {
 	if moment.After(o.Since) {
 		o.Since = moment
@@ -42,8 +43,8 @@
 	return o
 }
 
-// Silence gives for how long this instance has had no proof that it had all operators' keys: what is new to it now was
-// acknowledged no longer ago. It is false where there never was a proof.
+// Silence returns the time since this instance last provably had all operators' keys, which is an upper bound of the age of keys
+// that are new to it. It returns false if there was no such proof.
 func (o Origin) Silence(now time.Time) (time.Duration, bool) {
 	if o.CompleteAt.IsZero() {
 		return 0, false
@@ -51,106 +52,112 @@
 	return now.Sub(o.CompleteAt), true
 }
 
-// Completeness knows when this instance last surely had all operators' keys, by the store's own answers alone: a peer may lack
-// keys as well. The zero value knows of no proof. It is not safe for concurrent use.
+// Completeness tracks when this instance last provably had all operators' keys. Only answers of the store are proof, since a peer
+// may lack keys as well. The zero value has no proof. It is not safe for concurrent use.
 type Completeness struct {
-	at time.Time
-	// inVain is when the last watch was sent, if its answer named no change, and inVainBefore the one before it, if that one did not, either.
-	inVain, inVainBefore time.Time
-	// told is when the store answered last, as far as nothing failed since: what the next watch names happened after it. Unlike at
-	// it trusts a watch that named no change.
-	told time.Time
+	provenAt time.Time
+	// emptySentAt is when the last watch was sent if its answer was empty, and previousEmptySentAt when the one before it was sent if both
+	// answers were empty.
+	emptySentAt, previousEmptySentAt time.Time
+	// answeredAt is when the store began its last answer, unless a call has failed since: changes in the answer to the next watch
+	// happened after it. Unlike provenAt, it relies on empty answers to watches.
+	answeredAt time.Time
 }
 
 const (
-	// atOnce is within which time a watch counts as answered at once, so that what it names may have happened before it arrived. Longer
-	// bears slower ways to the store; shorter lets less age be assumed of names that come soon after a watch was sent.
-	atOnce = time.Second
-	// lateAnswer is how much later than its wait a watch may be answered and still count as held back by the store. Longer bears slower
-	// ways back, shorter tells an answer that was held up on its way.
-	lateAnswer = 250 * time.Millisecond
-	// readRate is what an instance reads from the store at the least, in bytes of a value a second: a link of 10 Mbit/s, the slowest of the
-	// users' instances, carries so much of it in base64.
-	readRate = 900_000
+	// immediateAnswer is the time within which a watch counts as answered at once, so that the changes in the answer may have happened
+	// before the watch arrived. A longer time tolerates slower links to the store; a shorter one assumes a lower age of changes
+	// that are received soon after a watch was sent.
+	immediateAnswer = time.Second
+	// maxAnswerDelay is how long after its wait a watch may be answered and still count as held back by the store. A longer time
+	// tolerates slower links from the store; a shorter one detects answers that were delayed in transmission.
+	maxAnswerDelay = 250 * time.Millisecond
+	// minReadRate is the minimum rate, in bytes of values per second, at which an instance reads from the store. A link of 10 Mbit/s,
+	// the slowest of the users' instances, carries that many bytes in base64.
+	minReadRate = 900_000
 )
 
-// ReadTime is how long an answer of the store with values of so many bytes may take on its way.
+// ReadTime returns the maximum transmission time of an answer of the store with values of the given size in bytes.
 func ReadTime(bytes int) time.Duration {
-	return time.Duration(bytes) * time.Second / readRate
+	return time.Duration(bytes) * time.Second / minReadRate
 }
 
-// Origin gives the origin of keys that come now, up to a revision, where nothing tells more than the own proof.
+// Origin returns the origin of keys that are received now, up to a revision, by this instance's own proof alone.
 func (c *Completeness) Origin(source Source, upTo int64) Origin {
-	return Origin{Source: source, CompleteAt: c.at, Since: c.at, UpTo: upTo}
+	return Origin{Source: source, CompleteAt: c.provenAt, Since: c.provenAt, UpTo: upTo}
 }
 
-// OriginOf gives the origin of what an answer to a watch names, up to a revision: a change for which the store held the answer back is as old as the
-// answer took on its way. What an answer at once names may be as old as the answer before, or, where a call failed since, as the proof.
+// OriginOf returns the origin of the changes in the answer to a watch, up to a revision. If the store held the answer back until a
+// change, the change is as old as the transmission of the answer took. Changes in an answer at once may be as old as the previous
+// answer or, if a call has failed since, as the last proof.
 func (c *Completeness) OriginOf(answer WatchAnswer, upTo int64) Origin {
 	origin := c.Origin(FromWatch, upTo)
 	if answer.heldBack() {
-		return origin.NotBefore(answer.begun())
+		return origin.NotBefore(answer.startedAt())
 	}
-	return origin.NotBefore(c.told)
+	return origin.NotBefore(c.answeredAt)
 }
 
-// Read notes that the store answered a reading of all keys: what was acknowledged before it was sent is in the answer.
+// Read records that the store answered a read of all keys. The answer contains all changes that were acknowledged before the read
+// was sent.
 func (c *Completeness) Read(sent time.Time) {
-	c.note(sent)
-	c.told = sent
+	c.raiseProof(sent)
+	c.answeredAt = sent
 }
 
-// Failed notes that a call was not answered: how long what the next one names has been there is not known.
+// Failed records that a call was not answered, so that the age of the changes in the next answer is unknown.
 func (c *Completeness) Failed() {
-	c.told = time.Time{}
+	c.answeredAt = time.Time{}
 }
 
-// WatchAnswer is the store's answer to a watch that might wait there for Wait; all times are of the own clock.
+// WatchAnswer is the answer of the store to a watch that was allowed to wait there for Wait. All times are by the clock of this
+// instance.
 type WatchAnswer struct {
 	Sent     time.Time
 	Received time.Time
 	Wait     time.Duration
-	// Empty says that it names no change.
+	// Empty means that the answer contains no change.
 	Empty bool
-	// Bytes is the size of the values in it.
+	// Bytes is the size of the values in the answer.
 	Bytes int
 }
 
-// begun is when the store began to answer, on the slowest link that is fit for an instance; one that names no change it begins at
-// the end of the wait, however late it comes.
-func (a WatchAnswer) begun() time.Time {
-	begun := a.Received.Add(-ReadTime(a.Bytes))
-	if end := a.Sent.Add(a.Wait); a.Empty && end.Before(begun) {
+// startedAt returns when the store began its answer, assuming the slowest link that is allowed for an instance. An empty answer
+// begins at the end of the wait, however late it is received.
+func (a WatchAnswer) startedAt() time.Time {
+	startedAt := a.Received.Add(-ReadTime(a.Bytes))
+	if end := a.Sent.Add(a.Wait); a.Empty && end.Before(startedAt) {
 		return end
 	}
-	return begun
+	return startedAt
 }
 
-// heldBack tells that the store held the answer back until something changed. One that comes after its wait was held up on its way.
+// heldBack reports whether the store held the answer back until a change. An answer that is received more than maxAnswerDelay after
+// its wait was delayed in transmission instead.
 func (a WatchAnswer) heldBack() bool {
-	waited := a.begun().Sub(a.Sent)
-	return !a.Empty && waited > atOnce && waited <= a.Wait+lateAnswer
+	waited := a.startedAt().Sub(a.Sent)
+	return !a.Empty && waited > immediateAnswer && waited <= a.Wait+maxAnswerDelay
 }
 
-// Watched notes an answer to a watch. One that names no change proves nothing by itself, nor do the next two: a store that loses its
-// history may leave changes out of three short watches in a row, and tells the one after them.
+// Watched records an answer to a watch. An empty answer is no proof by itself, nor are the next two: a store that loses its history
+// may omit changes from three short watches in a row, and includes them in the answer to the next one.
 func (c *Completeness) Watched(answer WatchAnswer) {
 	if answer.Empty {
-		c.note(c.inVainBefore)
-		c.inVainBefore, c.inVain = c.inVain, answer.Sent
-		c.told = answer.begun()
+		c.raiseProof(c.previousEmptySentAt)
+		c.previousEmptySentAt, c.emptySentAt = c.emptySentAt, answer.Sent
+		c.answeredAt = answer.startedAt()
 		return
 	}
-	c.told = answer.Sent
+	c.answeredAt = answer.Sent
 	if answer.heldBack() {
-		c.told = answer.begun()
+		c.answeredAt = answer.startedAt()
 	}
-	c.inVain, c.inVainBefore = time.Time{}, time.Time{}
-	c.note(c.told)
+	c.emptySentAt, c.previousEmptySentAt = time.Time{}, time.Time{}
+	c.raiseProof(c.answeredAt)
 }
 
-func (c *Completeness) note(at time.Time) {
-	if at.After(c.at) {
-		c.at = at
+func (c *Completeness) raiseProof(provenAt time.Time) {
+	if provenAt.After(c.provenAt) {
+		c.provenAt = provenAt
 	}
 }
--- a/services/entry/coordinator/follow/rest_test.go
+++ b/services/entry/coordinator/follow/rest_test.go
@@ -12,20 +12,20 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 )
 
-// TestWhoLeavesTheOperatorsKeysToThePlanner: each change of a key ended the watch of each instance, which then began another one, so that
-// the calls to the store grew with the fleet.
-func TestWhoLeavesTheOperatorsKeysToThePlanner(t *testing.T) {
+// TestRests guards against store calls that grow with the fleet: without the rule, each change of a key ended the watch of each
+// instance, which then started another one.
+func TestRests(t *testing.T) {
 	for name, test := range map[string]struct {
 		situation follow.Situation
 		rests     bool
 	}{
-		"another one watches":        {follow.Situation{PlannerHeard: true, WatchedNearby: true}, true},
-		"nobody else in the hall":    {follow.Situation{PlannerHeard: true}, false},
-		"the planner is silent":      {follow.Situation{WatchedNearby: true}, false},
-		"it plans itself":            {follow.Situation{Planning: true, PlannerHeard: true, WatchedNearby: true}, false},
-		"keys on their way":          {follow.Situation{PlannerHeard: true, WatchedNearby: true, KeysLag: 600*time.Millisecond - 1}, true},
-		"keys that do not come":      {follow.Situation{PlannerHeard: true, WatchedNearby: true, KeysLag: 600 * time.Millisecond}, false},
-		"nobody watches, keys there": {follow.Situation{KeysLag: 0}, false},
+		"another instance watches":              {follow.Situation{PlannerHeard: true, WatchedNearby: true}, true},
+		"no other instance of the hall watches": {follow.Situation{PlannerHeard: true}, false},
+		"the planner is silent":                 {follow.Situation{WatchedNearby: true}, false},
+		"this instance is the planner":          {follow.Situation{Planning: true, PlannerHeard: true, WatchedNearby: true}, false},
+		"keys just below the limit late":        {follow.Situation{PlannerHeard: true, WatchedNearby: true, KeysLag: 600*time.Millisecond - 1}, true},
+		"keys missing for the limit":            {follow.Situation{PlannerHeard: true, WatchedNearby: true, KeysLag: 600 * time.Millisecond}, false},
+		"no instance watches, no keys missing":  {follow.Situation{KeysLag: 0}, false},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, test.rests, test.situation.Rests()) })
 	}
--- a/services/entry/coordinator/follow/search_test.go
+++ b/services/entry/coordinator/follow/search_test.go
@@ -17,69 +17,69 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 )
 
-// histories is how many histories of a store are played for each kind of trouble.
+// histories is the number of random store histories per kind of fault.
 const histories = 4_000
 
-// played is for how long a history goes on; changes come in its first half.
-const played = 12 * time.Second
+// simulated is the duration of a history. Changes happen in its first half.
+const simulated = 12 * time.Second
 
-// trouble is what may happen in a history.
-type trouble struct {
-	// deafFor is for how long after the loss of the history watches that are sent anew hear nothing, beside those that wait; where
-	// loses is not set, nothing is lost.
+// faults are the faults that may happen in a history.
+type faults struct {
+	// loses means that the store loses its history once. New watches that arrive within deafFor of the loss receive no changes, like
+	// those that wait during the loss.
 	loses   bool
 	deafFor time.Duration
-	// alone says that no other key of the store changes, so that a watch may go on after the loss from before it.
+	// alone means that no other key of the store changes, so that a watch may continue after the loss from a revision before it.
 	alone bool
-	// silent has the kept connection fall silent once.
+	// silent means that the connection stops delivering messages once.
 	silent bool
-	// slowest is how long a call may take on its way there, and how long back.
+	// slowest is the maximum transmission time of a call to the store, and of its answer.
 	slowest time.Duration
 }
 
-// history is one story of a store: change number i has revision i+1, and was acknowledged at acknowledged[i].
+// history is the history of a store: change i has revision i+1 and was acknowledged at acknowledged[i].
 type history struct {
-	trouble
+	faults
 	random       *rand.Rand
 	acknowledged []time.Duration
 	lostAt       time.Duration
 	silentAt     time.Duration
 }
 
-func newHistory(seed uint64, kind trouble) *history {
+func newHistory(seed uint64, kind faults) *history {
 	random := rand.New(rand.NewPCG(seed, 1))
 	span := func(most time.Duration) time.Duration {
 		return time.Duration(random.Int64N(int64(most))).Truncate(time.Millisecond)
 	}
-	h := &history{trouble: kind, random: random, lostAt: -time.Hour, silentAt: -time.Hour}
+	h := &history{faults: kind, random: random, lostAt: -time.Hour, silentAt: -time.Hour}
 	for range 1 + random.IntN(4) {
-		h.acknowledged = append(h.acknowledged, span(played/2))
+		h.acknowledged = append(h.acknowledged, span(simulated/2))
 	}
 	slices.Sort(h.acknowledged)
 	if kind.loses {
-		h.lostAt = span(played / 2)
+		h.lostAt = span(simulated / 2)
 	}
 	if kind.silent {
-		h.silentAt = span(played / 2)
+		h.silentAt = span(simulated / 2)
 	}
 	return h
 }
 
-// revision is the store's at a time.
+// revision returns the revision of the store at a time.
 func (h *history) revision(at time.Duration) int64 {
 	count, _ := slices.BinarySearchFunc(h.acknowledged, at+1, cmp.Compare)
 	return int64(count)
 }
 
-func (h *history) way() time.Duration {
+func (h *history) transmissionTime() time.Duration {
 	if h.slowest == 0 {
 		return time.Millisecond
 	}
 	return time.Millisecond + time.Duration(h.random.Int64N(int64(h.slowest)))
 }
 
-// watch gives when the store answers a watch that arrives at a time and goes on from what the store told at another, and up to which
-// revision; gone where it says that history is gone.
+// watch returns when the store answers a watch that arrives at a time and continues from what the store sent at toldAt, and the
+// revision up to which it answers; gone means that the store answers that its history is lost.
 func (h *history) watch(arrived, wait time.Duration, after int64, toldAt time.Duration) (at time.Duration, upTo int64, gone bool) {
 	end := arrived + wait
 	waitsAtLoss := arrived <= h.lostAt && h.lostAt < end
@@ -101,22 +101,22 @@
 	}
 }
 
-// peer is an instance with its own thread of calls to the store.
+// peer is an instance with its own sequence of calls to the store.
 type peer struct {
 	history  *history
 	complete follow.Completeness
 	keys     *follow.Keys
 	reported int64
-	// worst is how much too young a change counted at the most, and told which one that was.
-	worst time.Duration
-	told  string
-	// lacked tells of a change that was lacking below the revision up to which none is.
-	lacked string
-	// unproven is how much too late the last proof that nothing was lacking was at the most.
+	// worst is the longest time by which a change was assumed too young, and worstChange describes that change.
+	worst       time.Duration
+	worstChange string
+	// missing describes a change that was missing below the revision up to which all changes should be known.
+	missing string
+	// unproven is the longest time by which the last proof of completeness was too late.
 	unproven time.Duration
 }
 
-// step is something that is taken in at a time.
+// step is an event at a time.
 type step struct {
 	at time.Duration
 	do func()
@@ -135,7 +135,7 @@
 		p.unproven = max(p.unproven, origin.CompleteAt.Sub(acknowledged))
 		if young := origin.Since.Sub(acknowledged); young > p.worst {
 			p.worst = young
-			p.told = fmt.Sprintf("%s at %s: change %d counts %s too young", origin.Source, at, revision, young)
+			p.worstChange = fmt.Sprintf("%s at %s: change %d is assumed %s too young", origin.Source, at, revision, young)
 		}
 	}
 	if taken {
@@ -146,7 +146,7 @@
 	}
 	known := int64(len(p.keys.After(0)) - len(p.keys.After(p.keys.Revision())))
 	if known < p.keys.Revision() {
-		p.lacked = fmt.Sprintf("%s at %s: only %d of %d known", origin.Source, at, known, p.keys.Revision())
+		p.missing = fmt.Sprintf("%s at %s: only %d of %d changes known", origin.Source, at, known, p.keys.Revision())
 	}
 }
 
@@ -158,16 +158,16 @@
 	return list
 }
 
-// calls plays the thread of calls to the store.
+// calls returns the events of the sequence of calls to the store.
 func (p *peer) calls(wait time.Duration) []step {
 	h := p.history
 	var steps []step
 	add := func(at time.Duration, do func()) { steps = append(steps, step{at, do}) }
 	now, reading, after, failures := time.Duration(0), true, int64(0), 0
 	silenced, toldAt := false, time.Duration(0)
-	for now < played {
+	for now < simulated {
 		sent := now
-		up, down := h.way(), h.way()
+		up, down := h.transmissionTime(), h.transmissionTime()
 		if reading {
 			arrived := sent + up
 			upTo := h.revision(arrived)
@@ -219,10 +219,10 @@
 	return steps
 }
 
-// passes has the planner pass keys on to a member that reported some time before.
-func (h *history) passes(planner, member *peer) []step {
+// relays returns the events by which the planner sends keys to a member that reported some time before.
+func (h *history) relays(planner, member *peer) []step {
 	var steps []step
-	for at := 100 * time.Millisecond; at < played; at += 50*time.Millisecond + time.Duration(h.random.Int64N(int64(400*time.Millisecond))) {
+	for at := 100 * time.Millisecond; at < simulated; at += 50*time.Millisecond + time.Duration(h.random.Int64N(int64(400*time.Millisecond))) {
 		steps = append(steps, step{at, func() { member.reported = member.keys.Revision() }})
 		sending := at + time.Duration(h.random.Int64N(int64(300*time.Millisecond)))
 		arriving := sending + time.Duration(h.random.Int64N(int64(500*time.Millisecond)))
@@ -249,72 +249,73 @@
 	return steps
 }
 
-// outcome is what a history showed.
+// outcome is the result of a history.
 type outcome struct {
-	young, unproven time.Duration
-	told, lacked    string
-	never           int
+	young, unproven      time.Duration
+	worstChange, missing string
+	neverReceived        int
 }
 
-// play plays a history.
-func play(seed uint64, kind trouble) outcome {
+// play simulates a history.
+func play(seed uint64, kind faults) outcome {
 	h := newHistory(seed, kind)
 	planner := &peer{history: h, keys: follow.NewKeys()}
 	member := &peer{history: h, keys: follow.NewKeys()}
 	steps := planner.calls(follow.ShortWatch)
 	steps = append(steps, member.calls(follow.LongWatch)...)
-	steps = append(steps, h.passes(planner, member)...)
+	steps = append(steps, h.relays(planner, member)...)
 	slices.SortStableFunc(steps, func(a, b step) int { return cmp.Compare(a.at, b.at) })
 	for _, next := range steps {
 		next.do()
 	}
 	result := outcome{
-		young: planner.worst, told: "planner: " + planner.told, lacked: planner.lacked + member.lacked,
-		unproven: max(planner.unproven, member.unproven),
-		never:    2*len(h.acknowledged) - len(planner.keys.After(0)) - len(member.keys.After(0)),
+		young: planner.worst, worstChange: "planner: " + planner.worstChange, missing: planner.missing + member.missing,
+		unproven:      max(planner.unproven, member.unproven),
+		neverReceived: 2*len(h.acknowledged) - len(planner.keys.After(0)) - len(member.keys.After(0)),
 	}
 	if member.worst > planner.worst {
-		result.young, result.told = member.worst, "member: "+member.told
+		result.young, result.worstChange = member.worst, "member: "+member.worstChange
 	}
 	return result
 }
 
-// TestNoChangeCountsFromAfterItsAcknowledgement plays random histories of a store, of a planner that watches shortly, and of a member
-// that the planner passes changes on to. A change may count as younger than it is by the way of an answer, which nothing tells.
-func TestNoChangeCountsFromAfterItsAcknowledgement(t *testing.T) {
-	playAll(t, map[string]trouble{
-		"sound":                            {},
-		"a connection that falls silent":   {silent: true},
-		"lost history, deaf while waiting": {loses: true},
-		"ways of 50 ms":                    {slowest: 50 * time.Millisecond},
-		"ways of 50 ms, silent":            {slowest: 50 * time.Millisecond, silent: true},
-		"ways of 120 ms, silent":           {slowest: 120 * time.Millisecond, silent: true},
+// TestChangeCountsNoLaterThanItsAcknowledgement simulates random histories of a store, of a planner with short watches, and of a
+// member to which the planner sends changes. A change may be assumed younger than it is by the transmission time of one answer,
+// which cannot be measured.
+func TestChangeCountsNoLaterThanItsAcknowledgement(t *testing.T) {
+	playAll(t, map[string]faults{
+		"no faults":                          {},
+		"silent connection":                  {silent: true},
+		"lost history, deaf while waiting":   {loses: true},
+		"links of 50 ms":                     {slowest: 50 * time.Millisecond},
+		"links of 50 ms, silent connection":  {slowest: 50 * time.Millisecond, silent: true},
+		"links of 120 ms, silent connection": {slowest: 120 * time.Millisecond, silent: true},
 	})
 }
 
-// TestNoChangeCountsFromAfterItsAcknowledgementWhereWatchesAreDeaf: watches that are sent within a second of the loss hear nothing
-// either, so that two in a row may have been sent after the change that both leave out.
-func TestNoChangeCountsFromAfterItsAcknowledgementWhereWatchesAreDeaf(t *testing.T) {
-	playAll(t, map[string]trouble{
-		"other keys change, too":             {loses: true, deafFor: time.Second},
-		"no other key changes, only waiting": {loses: true, alone: true},
-		"no other key changes":               {loses: true, alone: true, deafFor: time.Second},
+// TestChangeCountsNoLaterThanItsAcknowledgementWithDeafWatches has watches that are sent within a second of the loss receive no
+// changes either, so that two in a row may have been sent after a change that both omit.
+func TestChangeCountsNoLaterThanItsAcknowledgementWithDeafWatches(t *testing.T) {
+	playAll(t, map[string]faults{
+		"other keys change": {loses: true, deafFor: time.Second},
+		"no other key changes, only waiting watches are deaf": {loses: true, alone: true},
+		"no other key changes":                                {loses: true, alone: true, deafFor: time.Second},
 	})
 }
 
-// TestNoChangeCountsFromAfterItsAcknowledgementWhereWaysAreLong: a watch that arrives late, on a link that is full, is answered at once
-// and looks as if the store had held its answer back.
-func TestNoChangeCountsFromAfterItsAcknowledgementWhereWaysAreLong(t *testing.T) {
-	playAll(t, map[string]trouble{
-		"up to 200 ms":         {slowest: 200 * time.Millisecond},
-		"up to 200 ms, silent": {slowest: 200 * time.Millisecond, silent: true},
-		"up to 500 ms":         {slowest: 500 * time.Millisecond},
-		"up to 500 ms, silent": {slowest: 500 * time.Millisecond, silent: true},
+// TestChangeCountsNoLaterThanItsAcknowledgementOnSlowLinks has watches arrive late, as on a congested link. Such a watch is
+// answered at once, which looks as if the store had held its answer back.
+func TestChangeCountsNoLaterThanItsAcknowledgementOnSlowLinks(t *testing.T) {
+	playAll(t, map[string]faults{
+		"up to 200 ms":                    {slowest: 200 * time.Millisecond},
+		"up to 200 ms, silent connection": {slowest: 200 * time.Millisecond, silent: true},
+		"up to 500 ms":                    {slowest: 500 * time.Millisecond},
+		"up to 500 ms, silent connection": {slowest: 500 * time.Millisecond, silent: true},
 	})
 }
 
-// playAll plays histories of each kind.
-func playAll(t *testing.T, kinds map[string]trouble) {
+// playAll simulates histories with each kind of faults.
+func playAll(t *testing.T, kinds map[string]faults) {
 	t.Helper()
 	for name, kind := range kinds {
 		t.Run(name, func(t *testing.T) {
@@ -324,21 +325,21 @@
 	}
 }
 
-func checkHistories(t *testing.T, kind trouble) {
+func checkHistories(t *testing.T, kind faults) {
 	t.Helper()
 	var worst outcome
 	var seedOfWorst uint64
 	var unproven time.Duration
 	for seed := range uint64(histories) {
 		result := play(seed, kind)
-		assert.Empty(t, result.lacked, "seed %d", seed)
-		assert.Zero(t, result.never, "seed %d: changes that were never learned", seed)
+		assert.Empty(t, result.missing, "seed %d", seed)
+		assert.Zero(t, result.neverReceived, "seed %d: changes that were never received", seed)
 		unproven = max(unproven, result.unproven)
 		if result.young > worst.young {
 			worst, seedOfWorst = result, seed
 		}
 	}
 	allowed := kind.slowest + time.Millisecond
-	assert.LessOrEqual(t, worst.young, allowed, "seed %d: %s", seedOfWorst, worst.told)
-	assert.LessOrEqual(t, unproven, allowed, "the last proof that nothing was lacking is too young")
+	assert.LessOrEqual(t, worst.young, allowed, "seed %d: %s", seedOfWorst, worst.worstChange)
+	assert.LessOrEqual(t, unproven, allowed, "the last proof of completeness is too late")
 }
--- a/services/entry/coordinator/follow/versions.go
+++ b/services/entry/coordinator/follow/versions.go
@@ -11,75 +11,76 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Versions holds the versions of adapters that operators named; it is not safe for concurrent use.
+// Versions holds the versions of adapters that operators demanded. It is not safe for concurrent use.
 type Versions struct {
-	// named holds the last names of each adapter, the oldest first: the time of versions older than the second is not over, as
-	// of the last look, and at most mostNames are kept.
-	named map[deployment.Adapter][]name
-	// compared holds the last names of each adapter, the oldest first and mostCompared at most, whether their time is over or not:
-	// what runs is compared with them, and nothing is decided by them.
-	compared map[deployment.Adapter][]name
+	// demanded are the last demanded versions of each adapter, oldest first, at most maxDemanded. As of the last call of Former,
+	// versions older than the second one may still serve.
+	demanded map[deployment.Adapter][]demandedVersion
+	// compared are the last demanded versions of each adapter, oldest first, at most maxCompared, whether older ones may still
+	// serve or not. They are used only to report the age of the versions on which requests run, not for decisions.
+	compared map[deployment.Adapter][]demandedVersion
 }
 
-// name is a version that operators named, and the latest moment at which it surely was not yet acknowledged; zero where none is known.
-type name struct {
+// demandedVersion is a version that operators demanded, and the latest time at which it was provably not yet acknowledged; zero if unknown.
+type demandedVersion struct {
 	version int64
 	since   time.Time
 }
 
 const (
-	// reservedParts is in how many parts a limit is cut of which one is kept for what is not known at the choice of an endpoint: the
-	// connection, and a wait that is longer than expected. Fewer keep more, and refuse the former version sooner.
+	// reservedParts is the divisor of a limit that gives the part reserved for what is unknown when an endpoint is chosen: the
+	// connection time and a longer wait than expected. A smaller divisor reserves more, and rejects the former version earlier.
 	reservedParts = 2
-	// mostNames is how many names of an adapter are kept. More give each version its own time where names follow each other fast, fewer
-	// take less memory.
-	mostNames = 8
-	// mostCompared is how many names of an adapter are kept to tell for how long a version has been a former one. More tell it of older
-	// versions, fewer take less memory.
-	mostCompared = 16
+	// maxDemanded is the number of stored versions of an adapter. More give each version its own limit when versions follow each
+	// other fast; fewer take less memory.
+	maxDemanded = 8
+	// maxCompared is the number of versions of an adapter that are stored to report for how long a version has been outdated. More
+	// allow that for older versions; fewer take less memory.
+	maxCompared = 16
 )
 
-// NewVersions makes a set in which no version is named.
+// NewVersions returns a set without versions.
 func NewVersions() *Versions {
-	return &Versions{named: make(map[deployment.Adapter][]name), compared: make(map[deployment.Adapter][]name)}
+	return &Versions{demanded: make(map[deployment.Adapter][]demandedVersion), compared: make(map[deployment.Adapter][]demandedVersion)}
 }
 
-// Name takes in a version that is learned now, with the latest moment at which it surely was not yet acknowledged: from there it
-// counts, however late this instance learns of it. Where none is known, that is zero, its time is over. It tells whether the
-// version is newer: versions only grow.
+// Name stores a version that is received now, with the latest time at which it was provably not yet acknowledged. The limit of
+// older versions starts at that time, however late this instance receives the version; if it is unknown, that is zero, the limit
+// has passed. Name reports whether the version is newer than the last one: versions only increase.
 func (v *Versions) Name(now, since time.Time, adapter deployment.Adapter, version int64) bool {
 	if version <= v.Named(adapter) {
 		return false
 	}
-	v.remember(now, since, adapter, version)
-	names := v.named[adapter]
-	if len(names) > 0 && names[len(names)-1].since.After(since) {
-		// It was acknowledged after the one that it follows.
-		since = names[len(names)-1].since
+	v.recordAge(now, since, adapter, version)
+	versions := v.demanded[adapter]
+	if len(versions) > 0 && versions[len(versions)-1].since.After(since) {
+		// The version was acknowledged after the one before it.
+		since = versions[len(versions)-1].since
 	}
-	if len(names) < mostNames {
-		v.named[adapter] = append(names, name{version: version, since: since})
+	if len(versions) < maxDemanded {
+		v.demanded[adapter] = append(versions, demandedVersion{version: version, since: since})
 		return true
 	}
-	// It takes the place of the last name, since when the time of older versions counts: that ends sooner, never later.
-	names[len(names)-1].version = version
+	// The version replaces the last one and keeps its time, so that the limit of older versions ends sooner, never later.
+	versions[len(versions)-1].version = version
 	return true
 }
 
-// remember keeps since when a version counts; where that is not known, when it was learned.
-func (v *Versions) remember(now, since time.Time, adapter deployment.Adapter, version int64) {
+// recordAge stores the time from which a version counts, or the time of its reception if that is unknown.
+func (v *Versions) recordAge(now, since time.Time, adapter deployment.Adapter, version int64) {
 	if since.IsZero() {
 		since = now
 	}
-	names := append(v.compared[adapter], name{version: version, since: since})
-	if len(names) > mostCompared {
-		names = slices.Delete(names, 0, 1)
+	versions := append(v.compared[adapter], demandedVersion{version: version, since: since})
+	if len(versions) > maxCompared {
+		versions = slices.Delete(versions, 0, 1)
 	}
-	v.compared[adapter] = names
+	v.compared[adapter] = versions
 }
 
-// Newer gives the first version named that is newer than one, and for how long it has counted, or has been known where that is not
-// known; 0 if there is none. After more than mostCompared newer names, it is a later one: the age is never too long.
+// Newer returns the first demanded version that is newer than the given one, and for how long it has counted, or has been known if
+// that is unknown; 0 if there is none. After more than maxCompared newer versions, it returns a later one, so that the age is
+// never too high.
 func (v *Versions) Newer(now time.Time, adapter deployment.Adapter, version int64) (newer int64, age time.Duration) {
 	for _, one := range v.compared[adapter] {
 		if one.version > version {
@@ -89,19 +90,19 @@
 	return 0, 0
 }
 
-// Named gives the version that was named last; 0 if none was.
+// Named returns the version that was demanded last; 0 if there is none.
 func (v *Versions) Named(adapter deployment.Adapter) int64 {
-	names := v.named[adapter]
-	if len(names) == 0 {
+	versions := v.demanded[adapter]
+	if len(versions) == 0 {
 		return 0
 	}
-	return names[len(names)-1].version
+	return versions[len(versions)-1].version
 }
 
-// NewerSince gives the moment from which it counts that a version is no longer the newest: the limit for requests on it begins there;
-// zero where it is over. It is false while no newer version is named.
+// NewerSince returns the time at which the limit for requests on an outdated version starts; zero if the limit has passed. It
+// returns false if no newer version is demanded.
 func (v *Versions) NewerSince(adapter deployment.Adapter, version int64) (time.Time, bool) {
-	for _, one := range v.named[adapter] {
+	for _, one := range v.demanded[adapter] {
 		if one.version > version {
 			return one.since, true
 		}
@@ -109,39 +110,39 @@
 	return time.Time{}, false
 }
 
-// Former gives what a request that is assigned now may run on beside the version named last, where requests may begin on an
-// older version for a limit after a newer one was acknowledged: versions from oldest on, if it runs within so long a wait; with
-// zero and less, none. An oldest of 0 allows any.
+// Former returns which outdated versions a request that is assigned now may run on, where requests may begin on an outdated version
+// until limit after the acknowledgement of a newer one: versions from oldest on, if the request begins within wait; none if wait is
+// not positive. An oldest of 0 allows all versions.
 func (v *Versions) Former(now time.Time, adapter deployment.Adapter, limit time.Duration) (oldest int64, wait time.Duration) {
-	names := v.named[adapter]
-	left := func(one name) time.Duration { return limit - limit/reservedParts - now.Sub(one.since) }
-	for len(names) > 1 && left(names[1]) <= 0 {
-		names = names[1:]
+	versions := v.demanded[adapter]
+	left := func(one demandedVersion) time.Duration { return limit - limit/reservedParts - now.Sub(one.since) }
+	for len(versions) > 1 && left(versions[1]) <= 0 {
+		versions = versions[1:]
 	}
-	v.keepOnly(adapter, names)
+	v.keepOnly(adapter, versions)
 	switch {
-	case len(names) == 0:
+	case len(versions) == 0:
 		return 0, 0
-	case left(names[0]) > 0:
-		return 0, left(names[0])
-	case len(names) == 1:
-		return names[0].version, 0
+	case left(versions[0]) > 0:
+		return 0, left(versions[0])
+	case len(versions) == 1:
+		return versions[0].version, 0
 	default:
-		return names[0].version, left(names[1])
+		return versions[0].version, left(versions[1])
 	}
 }
 
-// keepOnly forgets the names before those that are left.
-func (v *Versions) keepOnly(adapter deployment.Adapter, left []name) {
-	if len(left) < len(v.named[adapter]) {
-		v.named[adapter] = slices.Clone(left)
+// keepOnly removes the versions before the remaining ones.
+func (v *Versions) keepOnly(adapter deployment.Adapter, left []demandedVersion) {
+	if len(left) < len(v.demanded[adapter]) {
+		v.demanded[adapter] = slices.Clone(left)
 	}
 }
 
-// All gives each adapter with its named version.
+// All returns each adapter with the version that was demanded last.
 func (v *Versions) All() iter.Seq2[deployment.Adapter, int64] {
 	return func(yield func(deployment.Adapter, int64) bool) {
-		for adapter := range v.named {
+		for adapter := range v.demanded {
 			if !yield(adapter, v.Named(adapter)) {
 				return
 			}
