--- a/services/entry/coordinator/gather/gather_test.go
+++ b/services/entry/coordinator/gather/gather_test.go
@@ -25,7 +25,7 @@
 
 var start = time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC)
 
-func load(instance string, requests int) *wire.Load {
+func newLoad(instance string, requests int) *wire.Load {
 	one := &wire.Load{Instance: instance}
 	if requests > 0 {
 		one.InFlight = []wire.Count{{ID: "e", Requests: requests, Unread: 100 * requests}}
@@ -33,11 +33,11 @@
 	return one
 }
 
-func sum(gatherer string, requests int, members ...string) *wire.Sum {
+func newSum(gatherer string, requests int, members ...string) *wire.Sum {
 	return &wire.Sum{Gatherer: gatherer, Members: members, InFlight: []wire.Count{{ID: "e", Requests: requests, Unread: 100 * requests}}}
 }
 
-func requestsOf(s *wire.Sum) int {
+func totalRequests(s *wire.Sum) int {
 	requests := 0
 	for _, one := range s.InFlight {
 		requests += one.Requests
@@ -45,76 +45,78 @@
 	return requests
 }
 
-func TestAGroupSumsTheLastLoadOfEach(t *testing.T) {
+func TestGroupSumsLastLoadOfEachMember(t *testing.T) {
 	g := gather.NewGroup()
 	assert.True(t, g.Empty())
-	g.Take(start, load("a", 2))
-	g.Take(start, load("b", 3))
-	g.Take(start.Add(100*time.Millisecond), load("a", 1))
+	g.Take(start, newLoad("a", 2))
+	g.Take(start, newLoad("b", 3))
+	g.Take(start.Add(100*time.Millisecond), newLoad("a", 1))
 	got := g.Sum(start.Add(200*time.Millisecond), "g")
 	assert.Equal(t, &wire.Sum{
 		Gatherer: "g", Members: []string{"a", "b"}, Age: 150 * time.Millisecond, InFlight: []wire.Count{{ID: "e", Requests: 4, Unread: 400}},
 	}, got)
 	g.Drop("b")
-	assert.Equal(t, 1, requestsOf(g.Sum(start.Add(200*time.Millisecond), "g")), "it went to another gatherer")
+	assert.Equal(t, 1, totalRequests(g.Sum(start.Add(200*time.Millisecond), "g")), "the member has left the group")
 }
 
-// TestOldLoadsDoNotCount: those of an instance that is silent, and all of them at a gatherer that stood still and wakes.
-func TestOldLoadsDoNotCount(t *testing.T) {
+// TestExpiredLoadsDoNotCount covers the loads of a silent member, and all loads at a gatherer that was suspended and resumes.
+func TestExpiredLoadsDoNotCount(t *testing.T) {
 	g := gather.NewGroup()
-	g.Take(start, load("a", 2))
-	assert.Equal(t, 2, requestsOf(g.Sum(start.Add(life), "g")))
-	g.Take(start.Add(life), load("b", 1))
-	assert.Equal(t, 1, requestsOf(g.Sum(start.Add(life+step), "g")))
-	woken := g.Sum(start.Add(time.Minute), "g")
-	assert.Empty(t, woken.Members)
-	assert.Empty(t, woken.InFlight)
+	g.Take(start, newLoad("a", 2))
+	assert.Equal(t, 2, totalRequests(g.Sum(start.Add(life), "g")))
+	g.Take(start.Add(life), newLoad("b", 1))
+	assert.Equal(t, 1, totalRequests(g.Sum(start.Add(life+step), "g")))
+	resumed := g.Sum(start.Add(time.Minute), "g")
+	assert.Empty(t, resumed.Members)
+	assert.Empty(t, resumed.InFlight)
 	assert.True(t, g.Empty())
 }
 
-func TestArrivalsAreToldOnce(t *testing.T) {
+func TestArrivalsAreSentOnce(t *testing.T) {
 	g := gather.NewGroup()
-	asked := func(arrivals int) *wire.Load {
-		one := load("a", 0)
+	loadWithArrivals := func(arrivals int) *wire.Load {
+		one := newLoad("a", 0)
 		one.Arrivals = []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: arrivals, Prompts: 10 * arrivals}}
 		return one
 	}
-	g.Take(start, asked(2))
-	g.Take(start, asked(3))
+	g.Take(start, loadWithArrivals(2))
+	g.Take(start, loadWithArrivals(3))
 	assert.Equal(t, []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: 5, Prompts: 50}}, g.Sum(start, "g").Arrivals)
 	assert.Empty(t, g.Sum(start, "g").Arrivals)
 }
 
-func TestSumsCountUntilTheyAreTooOld(t *testing.T) {
+func TestSumsCountUntilTheyExpire(t *testing.T) {
 	s := gather.NewSums()
-	s.Take(start, sum("g", 5, "a", "b"))
+	s.Take(start, newSum("g", 5, "a", "b"))
 	assert.True(t, s.Gathers(start.Add(life), "g"))
 	assert.False(t, s.Gathers(start.Add(life+step), "g"))
 	assert.False(t, s.Gathers(start, "a"))
 	got := s.Gather(start.Add(100 * time.Millisecond))
 	assert.Equal(t, map[deployment.EndpointID]member.InFlight{"e": {Requests: 5, Unread: 500}}, got.InFlight)
 	assert.Equal(t, map[string]bool{"a": true, "b": true}, got.Members)
-	assert.Equal(t, 200*time.Millisecond, got.Age, "100 ms each")
+	assert.Equal(t, 200*time.Millisecond, got.Age, "100 ms for each of two members")
 	late := s.Gather(start.Add(life + step))
-	assert.Empty(t, late.InFlight, "a gatherer that is frozen or gone")
-	assert.Empty(t, late.Members, "their own reports count again")
+	assert.Empty(t, late.InFlight, "the gatherer is suspended or lost")
+	assert.Empty(t, late.Members, "the members' own reports count again")
 }
 
-// TestAnInstanceThatTwoGatherersNameCountsOnce: it went from one to the other, and the first one's last sum still counts.
-func TestAnInstanceThatTwoGatherersNameCountsOnce(t *testing.T) {
+// TestMemberOfTwoSumsCountsOnce covers an instance that changed its gatherer while the last sum of the former gatherer is still
+// valid.
+func TestMemberOfTwoSumsCountsOnce(t *testing.T) {
 	s := gather.NewSums()
-	s.Take(start, sum("g1", 8, "a", "b", "c", "d"))
-	s.Take(start.Add(step), sum("g2", 3, "a", "x"))
+	s.Take(start, newSum("g1", 8, "a", "b", "c", "d"))
+	s.Take(start.Add(step), newSum("g2", 3, "a", "x"))
 	got := s.Gather(start.Add(2 * step))
 	assert.Len(t, got.Members, 5)
-	assert.Equal(t, 3+6, got.InFlight["e"].Requests, "three of the four that the earlier one names")
-	s.Take(start.Add(3*step), sum("g2", 4, "a", "b", "c", "d"))
-	assert.Equal(t, 4, s.Gather(start.Add(3 * step)).InFlight["e"].Requests, "two that think they gather for the same")
+	assert.Equal(t, 3+6, got.InFlight["e"].Requests, "three of the four members of the earlier sum")
+	s.Take(start.Add(3*step), newSum("g2", 4, "a", "b", "c", "d"))
+	assert.Equal(t, 4, s.Gather(start.Add(3 * step)).InFlight["e"].Requests, "two gatherers with the same members")
 }
 
-// TestNoHistoryOfGroupsKeepsRequestsThatHaveEnded moves instances between gatherers that freeze, wake and are lost, while requests begin
-// and end. At the end all are over, and no count may be left; in between no count is below zero or above twice what was in flight lately.
-func TestNoHistoryOfGroupsKeepsRequestsThatHaveEnded(t *testing.T) {
+// TestRandomGroupChangesKeepNoEndedRequests moves instances between gatherers that are suspended, resume and are lost, while
+// requests start and end. At the end all requests are over, and no count may remain. Until then, no count is negative or above
+// twice the recent number of requests in flight.
+func TestRandomGroupChangesKeepNoEndedRequests(t *testing.T) {
 	const instances, gatherers, steps = 12, 3, 400
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 5))
@@ -122,9 +124,9 @@
 		for i := range groups {
 			groups[i] = gather.NewGroup()
 		}
-		frozen := make([]time.Time, gatherers)
+		suspendedUntil := make([]time.Time, gatherers)
 		s := gather.NewSums()
-		home, running := make([]int, instances), make([]int, instances)
+		groupOf, running := make([]int, instances), make([]int, instances)
 		var history []int
 		for at := range steps {
 			now := start.Add(time.Duration(at) * gather.Pace)
@@ -137,26 +139,26 @@
 				}
 				all += running[i]
 				if random.IntN(20) == 0 {
-					// Half of the moves leave the former gatherer's link open for a while.
+					// Half of the moves keep the load at the former gatherer, as if its link stayed open for a while.
 					if random.IntN(2) == 0 {
-						groups[home[i]].Drop(fmt.Sprint(i))
+						groups[groupOf[i]].Drop(fmt.Sprint(i))
 					}
-					home[i] = random.IntN(gatherers)
+					groupOf[i] = random.IntN(gatherers)
 				}
-				groups[home[i]].Take(now, load(fmt.Sprint(i), running[i]))
+				groups[groupOf[i]].Take(now, newLoad(fmt.Sprint(i), running[i]))
 			}
 			for i, group := range groups {
 				if random.IntN(30) == 0 && !last {
-					frozen[i] = now.Add(time.Duration(random.IntN(2000)) * time.Millisecond)
+					suspendedUntil[i] = now.Add(time.Duration(random.IntN(2000)) * time.Millisecond)
 				}
-				if !now.Before(frozen[i]) {
+				if !now.Before(suspendedUntil[i]) {
 					s.Take(now, group.Sum(now, fmt.Sprint("g", i)))
 				}
 			}
 			history = append(history, all)
 			got := s.Gather(now).InFlight["e"].Requests
 			assert.GreaterOrEqual(t, got, 0)
-			// A sum counts for four steps, with loads that are as old.
+			// A sum is valid for four steps, and so are the loads in it.
 			assert.LessOrEqual(t, got, 2*slices.Max(history[max(0, len(history)-9):]), "seed %d, step %d", seed, at)
 		}
 		assert.Empty(t, s.Gather(start.Add(steps*gather.Pace)).InFlight, "seed %d", seed)
--- a/services/entry/coordinator/gather/group.go
+++ b/services/entry/coordinator/gather/group.go
@@ -13,68 +13,70 @@
 )
 
 const (
-	// Pace is the pause between two loads of an instance, two sums of a gatherer and two totals of the planner: shorter decides by younger
-	// counts and takes more of links and processors. Half of three of them is the mean age of totals, 0.3 s.
+	// Pace is the interval of the loads of an instance, of the sums of a gatherer and of the totals of the planner. A shorter
+	// interval gives decisions newer counts, but takes more of the links and processors. The mean age of the totals is half of
+	// three intervals, 0.3 s.
 	Pace = 200 * time.Millisecond
-	// Life is for how long a load or a sum counts without another, four paces: longer keeps what an instance has in flight that is frozen
-	// or lost, shorter drops it for one late message. It also is for how long a link may be silent before another gatherer is asked.
+	// Life is how long a load or a sum stays valid without a new one, four intervals. A longer time keeps the requests of an
+	// instance that is suspended or lost; a shorter one drops them after a single late message. It is also how long a link may be
+	// silent before another gatherer is chosen.
 	Life = 800 * time.Millisecond
 )
 
-// Group is what one instance gathers; it is not safe for concurrent use.
+// Group holds the loads that a gatherer has received. It is not safe for concurrent use.
 type Group struct {
 	loads    map[string]load
 	arrivals map[deployment.ServiceAdapter]wire.Demand
 }
 
-// load is the last one of an instance.
+// load is the last load of an instance.
 type load struct {
 	at       time.Time
 	inFlight []wire.Count
 }
 
-// NewGroup makes a group without members.
+// NewGroup returns a group without members.
 func NewGroup() *Group {
 	return &Group{loads: make(map[string]load), arrivals: make(map[deployment.ServiceAdapter]wire.Demand)}
 }
 
-// Take takes in an instance's load in place of its last one; its arrivals add up until the next sum.
+// Take stores the load of an instance in place of its last one. Its arrivals are added up until the next sum.
 func (g *Group) Take(now time.Time, l *wire.Load) {
 	g.loads[l.Instance] = load{at: now, inFlight: l.InFlight}
-	for _, one := range l.Arrivals {
-		key := one.Key()
+	for _, arrival := range l.Arrivals {
+		key := arrival.Key()
 		known := g.arrivals[key]
-		one.Arrivals += known.Arrivals
-		one.Prompts += known.Prompts
-		g.arrivals[key] = one
+		arrival.Arrivals += known.Arrivals
+		arrival.Prompts += known.Prompts
+		g.arrivals[key] = arrival
 	}
 }
 
-// Drop forgets the load of an instance that has gone to another gatherer, or is gone.
+// Drop removes the load of an instance that has left the group.
 func (g *Group) Drop(instance string) {
 	delete(g.loads, instance)
 }
 
-// Empty tells whether nothing is gathered.
+// Empty reports whether the group has neither loads nor arrivals.
 func (g *Group) Empty() bool {
 	return len(g.loads) == 0 && len(g.arrivals) == 0
 }
 
-// Sum gives what all members have in flight, with the arrivals since the last sum, which are told once. Loads that are too old, since
-// their instance is silent or this one stood still, are forgotten.
+// Sum returns the requests in flight of all members and the arrivals since the last sum, which it resets. Loads older than Life, of
+// a silent member or from before this gatherer was suspended, are removed.
 func (g *Group) Sum(now time.Time, gatherer string) *wire.Sum {
 	sum := &wire.Sum{Gatherer: gatherer}
 	inFlight := make(map[deployment.EndpointID]member.InFlight)
 	var ages time.Duration
-	for instance, one := range g.loads {
-		age := now.Sub(one.at)
+	for instance, entry := range g.loads {
+		age := now.Sub(entry.at)
 		if age > Life {
 			delete(g.loads, instance)
 			continue
 		}
 		ages += age
 		sum.Members = append(sum.Members, instance)
-		for _, count := range one.inFlight {
+		for _, count := range entry.inFlight {
 			inFlight[count.ID] = inFlight[count.ID].Plus(member.InFlight{Requests: count.Requests, Unread: count.Unread})
 		}
 	}
@@ -85,8 +87,8 @@
 	for id, count := range inFlight {
 		sum.InFlight = append(sum.InFlight, wire.Count{ID: id, Requests: count.Requests, Unread: count.Unread})
 	}
-	for _, one := range g.arrivals {
-		sum.Arrivals = append(sum.Arrivals, one)
+	for _, entry := range g.arrivals {
+		sum.Arrivals = append(sum.Arrivals, entry)
 	}
 	clear(g.arrivals)
 	return sum
--- a/services/entry/coordinator/gather/sums.go
+++ b/services/entry/coordinator/gather/sums.go
@@ -15,46 +15,46 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// Sums are the last ones of all gatherers, as the planner hears them; they are not safe for concurrent use.
+// Sums holds the last sum of each gatherer at the planner. It is not safe for concurrent use.
 type Sums struct {
 	latest map[string]received
 }
 
-// received is a sum and when it came.
+// received is a sum and the time of its reception.
 type received struct {
 	at  time.Time
 	sum *wire.Sum
 }
 
-// NewSums makes sums of no gatherer.
+// NewSums returns a set without sums.
 func NewSums() *Sums {
 	return &Sums{latest: make(map[string]received)}
 }
 
-// Take takes in a gatherer's sum in place of its last one.
+// Take stores the sum of a gatherer in place of its last one.
 func (s *Sums) Take(now time.Time, sum *wire.Sum) {
 	s.latest[sum.Gatherer] = received{at: now, sum: sum}
 }
 
-// Gathers tells whether an instance's sum counts.
+// Gathers reports whether an instance has sent a sum that is still valid.
 func (s *Sums) Gathers(now time.Time, instance string) bool {
 	one, ok := s.latest[instance]
 	return ok && now.Sub(one.at) <= Life
 }
 
-// Gathered is what all sums together tell.
+// Gathered is the total of all sums.
 type Gathered struct {
-	// InFlight sums the requests in flight of the instances in Members.
+	// InFlight is the number of requests in flight of the instances in Members.
 	InFlight map[deployment.EndpointID]member.InFlight
-	// Members are the instances whose loads are in it.
+	// Members are the instances whose loads are included.
 	Members map[string]bool
-	// Age is how old those loads are, added up.
+	// Age is the sum of the ages of those loads.
 	Age time.Duration
 }
 
-// Gather adds up the sums that count and forgets the others. An instance that two gatherers name, since it went from one to the other,
-// counts with the later sum; the part that it has in the earlier one is not known by itself, so that each of its members counts as
-// one of many there.
+// Gather returns the total of the valid sums and removes the others. An instance that changed its gatherer may be a member of two
+// sums; it counts in the later one. Its own part of the earlier sum is unknown, so that each member of a sum is assumed to
+// contribute an equal part.
 func (s *Sums) Gather(now time.Time) Gathered {
 	maps.DeleteFunc(s.latest, func(_ string, one received) bool { return now.Sub(one.at) > Life })
 	sums := slices.SortedFunc(maps.Values(s.latest), func(a, b received) int {
@@ -67,20 +67,20 @@
 	return gathered
 }
 
-// add adds the part of a sum whose members are not in it yet.
+// add adds the part of a sum that belongs to members which are not included yet.
 func (g *Gathered) add(now time.Time, one received) {
-	fresh := 0
+	added := 0
 	for _, instance := range one.sum.Members {
 		if !g.Members[instance] {
 			g.Members[instance] = true
-			fresh++
+			added++
 		}
 	}
-	if fresh == 0 {
+	if added == 0 {
 		return
 	}
-	g.Age += time.Duration(fresh) * (now.Sub(one.at) + one.sum.Age)
-	part := float64(fresh) / float64(len(one.sum.Members))
+	g.Age += time.Duration(added) * (now.Sub(one.at) + one.sum.Age)
+	part := float64(added) / float64(len(one.sum.Members))
 	for _, count := range one.sum.InFlight {
 		g.InFlight[count.ID] = g.InFlight[count.ID].Plus(member.InFlight{Requests: partOf(count.Requests, part), Unread: partOf(count.Unread, part)})
 	}
