--- a/services/entry/coordinator/follow/versions.go
+++ b/services/entry/coordinator/follow/versions.go
@@ -28,9 +28,9 @@
 }
 
 const (
-	// reservedParts is the divisor of a limit that gives the part reserved for what is unknown when an endpoint is chosen: the
+	// reserveDivisor is the divisor of a limit that gives the part reserved for what is unknown when an endpoint is chosen: the
 	// connection time and a longer wait than expected. A smaller divisor reserves more, and rejects the former version earlier.
-	reservedParts = 2
+	reserveDivisor = 2
 	// maxDemanded is the number of stored versions of an adapter. More give each version its own limit when versions follow each
 	// other fast; fewer take less memory.
 	maxDemanded = 8
@@ -115,7 +115,7 @@
 // not positive. An oldest of 0 allows all versions.
 func (v *Versions) Former(now time.Time, adapter deployment.Adapter, limit time.Duration) (oldest int64, wait time.Duration) {
 	versions := v.demanded[adapter]
-	left := func(one demandedVersion) time.Duration { return limit - limit/reservedParts - now.Sub(one.since) }
+	left := func(one demandedVersion) time.Duration { return limit - limit/reserveDivisor - now.Sub(one.since) }
 	for len(versions) > 1 && left(versions[1]) <= 0 {
 		versions = versions[1:]
 	}
--- a/services/entry/coordinator/unbegun/cost_test.go
+++ b/services/entry/coordinator/unbegun/cost_test.go
@@ -10,11 +10,11 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
 )
 
-// manyRequests is how many of an instance's requests wait at endpoints, far more than on a usual day.
+// manyRequests is the number of an instance's requests that wait at endpoints, far more than under usual load.
 const manyRequests = 1000
 
-// many makes requests that wait, with a time by which they must have begun or none.
-func many(beginBy time.Time) *unbegun.Requests {
+// newRequests returns waiting requests, with or without a time by which they must have begun.
+func newRequests(beginBy time.Time) *unbegun.Requests {
 	requests := unbegun.NewRequests()
 	for range manyRequests {
 		requests.Add(&unbegun.Recall{}, adapter, 1, beginBy)
@@ -22,9 +22,9 @@
 	return requests
 }
 
-// BenchmarkOneRequest is what tracking adds to each stream from its assignment to its begin, beside many others.
+// BenchmarkOneRequest is the cost of tracking one request from its assignment to its begin, beside many others.
 func BenchmarkOneRequest(b *testing.B) {
-	requests := many(never)
+	requests := newRequests(never)
 	b.ReportAllocs()
 	for b.Loop() {
 		recall := &unbegun.Recall{}
@@ -35,17 +35,17 @@
 	}
 }
 
-// BenchmarkTick is one look of the control goroutine at many requests that must begin later.
+// BenchmarkTick is the cost of one check of the control goroutine with many requests that are not late.
 func BenchmarkTick(b *testing.B) {
-	requests := many(at(4))
+	requests := newRequests(at(4))
 	for b.Loop() {
 		requests.TakeLate(start)
 	}
 }
 
-// BenchmarkName is one name beside many requests on another adapter.
-func BenchmarkName(b *testing.B) {
-	requests := many(never)
+// BenchmarkNamed is the cost of one newer version beside many requests for another adapter.
+func BenchmarkNamed(b *testing.B) {
+	requests := newRequests(never)
 	for b.Loop() {
 		requests.Named(other, 2, at(4))
 	}
--- a/services/entry/coordinator/unbegun/doc.go
+++ b/services/entry/coordinator/unbegun/doc.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package unbegun keeps the requests that were assigned to endpoints and are not known to have begun there (Requests), and by when
-// each must have begun: a request may begin on an older version of its adapter only for so long after a newer one was named, and an
-// endpoint's own queue may hold it for longer. What is late is taken back: its exchange is ended (Recall).
+// Package unbegun tracks the requests that were assigned to endpoints and are not known to have begun there (Requests), with the
+// time by which each must have begun. After a newer version of its adapter was demanded, a request may begin on an older one only
+// within a limit, and the queue of an endpoint may hold it for longer. Late requests are taken back by ending their exchange
+// (Recall).
 //
-// Requests is plain state of the control goroutine without I/O; the present time is an argument. A Recall is shared with the
-// goroutine that serves the request, and safe for concurrent use. No goroutine is started.
+// Requests does no I/O and belongs to the control goroutine; the current time is passed as an argument. A Recall is shared with the
+// goroutine that serves the request and is safe for concurrent use. The package starts no goroutine.
 package unbegun
--- a/services/entry/coordinator/unbegun/export_test.go
+++ b/services/entry/coordinator/unbegun/export_test.go
@@ -3,7 +3,7 @@
 
 package unbegun
 
-// Kept gives how many requests are kept.
+// Kept returns the number of tracked requests.
 func (r *Requests) Kept() int {
 	return len(r.unbounded) + len(r.beginBy)
 }
--- a/services/entry/coordinator/unbegun/recall.go
+++ b/services/entry/coordinator/unbegun/recall.go
@@ -5,46 +5,47 @@
 
 import "sync"
 
-// Recall takes one request back from its endpoint, at most once and only until it is seen to run: the exchange is ended, so that its
-// connection closes and the endpoint drops what it has queued. It is safe for concurrent use. A nil Recall never fires.
+// Recall takes one request back from its endpoint, at most once and only until the request is known to run. It ends the exchange,
+// which closes the connection, so that the endpoint drops the queued request. It is safe for concurrent use. A nil Recall never
+// fires.
 type Recall struct {
 	mutex sync.Mutex
 	state recallState
-	// cancel ends the exchange; nil before it is armed.
+	// cancel ends the exchange; nil until Arm is called.
 	cancel func()
 }
 
-// recallState is how far a recall has come.
+// recallState is the state of a recall.
 type recallState int
 
 const (
-	// pending: the request may still be taken back.
+	// pending means that the request can still be taken back.
 	pending recallState = iota
-	// fired: it was taken back.
+	// fired means that the request was taken back.
 	fired
-	// disarmed: it runs or has ended.
+	// disarmed means that the request runs or has ended.
 	disarmed
 )
 
-// Arm gives what ends the exchange. Where the recall has fired before, the exchange ends at once.
+// Arm sets the function that ends the exchange. If the recall has already fired, Arm calls it at once.
 func (r *Recall) Arm(cancel func()) {
 	if r == nil {
 		return
 	}
-	if r.keep(cancel) == fired {
+	if r.setCancel(cancel) == fired {
 		cancel()
 	}
 }
 
-// keep remembers what ends the exchange and gives the state as of then.
-func (r *Recall) keep(cancel func()) recallState {
+// setCancel stores the function that ends the exchange and returns the state at that moment.
+func (r *Recall) setCancel(cancel func()) recallState {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.cancel = cancel
 	return r.state
 }
 
-// Fire takes the request back; false if it was, or is not to be any more.
+// Fire takes the request back. It returns false if the request was already taken back or can no longer be.
 func (r *Recall) Fire() bool {
 	cancel, settled := r.settle(fired)
 	if settled && cancel != nil {
@@ -53,13 +54,15 @@
 	return settled
 }
 
-// Disarm says that the request runs or has ended: from now on it is not taken back. It is false where it was before.
+// Disarm records that the request runs or has ended, so that it is no longer taken back. It returns false if the request was taken
+// back before.
 func (r *Recall) Disarm() bool {
 	r.settle(disarmed)
 	return !r.Fired()
 }
 
-// settle ends the time in which the request could be taken back, and gives what ends the exchange; false if it had ended before.
+// settle moves the recall from pending to a final state and returns the function that ends the exchange. It returns false if the
+// state was final before.
 func (r *Recall) settle(state recallState) (cancel func(), settled bool) {
 	if r == nil {
 		return nil, false
@@ -73,7 +76,7 @@
 	return r.cancel, true
 }
 
-// Fired tells whether the request was taken back.
+// Fired reports whether the request was taken back.
 func (r *Recall) Fired() bool {
 	if r == nil {
 		return false
--- a/services/entry/coordinator/unbegun/recall_test.go
+++ b/services/entry/coordinator/unbegun/recall_test.go
@@ -13,23 +13,23 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
 )
 
-func TestWhatARecallEnds(t *testing.T) {
+func TestRecallStates(t *testing.T) {
 	const arm, fire, disarm = "arm", "fire", "disarm"
 	for name, test := range map[string]struct {
 		steps []string
-		// fires is what each Fire tells.
+		// fires are the results of Fire.
 		fires    []bool
 		canceled bool
 		fired    bool
 	}{
-		"nothing happens":                    {[]string{arm}, nil, false, false},
-		"fired":                              {[]string{arm, fire}, []bool{true}, true, true},
-		"fired before it was sent":           {[]string{fire, arm}, []bool{true}, true, true},
-		"fired twice":                        {[]string{arm, fire, fire}, []bool{true, false}, true, true},
-		"fired after the begin":              {[]string{arm, disarm, fire}, []bool{false}, false, false},
-		"fired before the begin was seen":    {[]string{arm, fire, disarm}, []bool{true}, true, true},
-		"ended without being sent":           {[]string{disarm, fire}, []bool{false}, false, false},
-		"ended without being sent, too late": {[]string{fire, disarm, arm}, []bool{true}, true, true},
+		"not fired":                            {[]string{arm}, nil, false, false},
+		"fired":                                {[]string{arm, fire}, []bool{true}, true, true},
+		"fired before it was sent":             {[]string{fire, arm}, []bool{true}, true, true},
+		"fired twice":                          {[]string{arm, fire, fire}, []bool{true, false}, true, true},
+		"fired after the request began":        {[]string{arm, disarm, fire}, []bool{false}, false, false},
+		"fired before the begin was detected":  {[]string{arm, fire, disarm}, []bool{true}, true, true},
+		"ended without being sent":             {[]string{disarm, fire}, []bool{false}, false, false},
+		"fired, then ended without being sent": {[]string{fire, disarm, arm}, []bool{true}, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			recall := &unbegun.Recall{}
@@ -52,27 +52,27 @@
 	}
 }
 
-func TestARequestThatIsNotTrackedIsNeverTakenBack(t *testing.T) {
+func TestNilRecallNeverFires(t *testing.T) {
 	var recall *unbegun.Recall
-	recall.Arm(func() { assert.Fail(t, "it was taken back") })
+	recall.Arm(func() { assert.Fail(t, "the request was taken back") })
 	assert.False(t, recall.Fire())
 	recall.Disarm()
 	assert.False(t, recall.Fired())
 }
 
-// TestABeginBesideATakeBack lets both sides act at the same moment: whatever comes first, they agree on what happened.
-func TestABeginBesideATakeBack(t *testing.T) {
+// TestConcurrentFireAndDisarmAgree fires and disarms at the same time. Whichever comes first, both sides must agree on the result.
+func TestConcurrentFireAndDisarmAgree(t *testing.T) {
 	for range 1000 {
 		recall := &unbegun.Recall{}
-		var canceled, told atomic.Bool
+		var canceled, fired atomic.Bool
 		var sides sync.WaitGroup
 		sides.Go(func() {
 			recall.Arm(func() { canceled.Store(true) })
 			recall.Disarm()
 		})
-		sides.Go(func() { told.Store(recall.Fire()) })
+		sides.Go(func() { fired.Store(recall.Fire()) })
 		sides.Wait()
-		assert.Equal(t, told.Load(), recall.Fired())
-		assert.Equal(t, told.Load(), canceled.Load())
+		assert.Equal(t, fired.Load(), recall.Fired())
+		assert.Equal(t, fired.Load(), canceled.Load())
 	}
 }
--- a/services/entry/coordinator/unbegun/requests.go
+++ b/services/entry/coordinator/unbegun/requests.go
@@ -9,39 +9,39 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// takeBackParts is in how many parts a version's limit is cut of which the last one is kept for taking requests back: for how long before
-// it was learned the newer version was acknowledged, the pace of the control goroutine, and the way of the close to the endpoint. Fewer
-// keep more, and take back requests that would have begun in time.
-const takeBackParts = 5
+// reserveDivisor is the divisor of a version's limit that gives the part reserved for taking requests back: for the time between the
+// acknowledgement of the newer version and its reception here, for the interval of the control goroutine, and for the transmission
+// of the close to the endpoint. A smaller divisor reserves more, and takes back requests that would have begun in time.
+const reserveDivisor = 5
 
-// BeginBy is when a request must have begun on an older version, where requests may do so for a limit after a newer one was
-// acknowledged, and that one counts as named since a time.
+// BeginBy returns the time by which a request must have begun on an older version, where requests may begin on it within limit
+// after a newer version was acknowledged, and the newer version counts from named on.
 func BeginBy(named time.Time, limit time.Duration) time.Time {
-	return named.Add(limit - limit/takeBackParts)
+	return named.Add(limit - limit/reserveDivisor)
 }
 
-// Requests holds the requests that are not known to have begun; it is not safe for concurrent use.
+// Requests holds the requests that are not known to have begun. It is not safe for concurrent use.
 type Requests struct {
-	// unbounded are those on a version than which no newer one is named, with that version.
+	// unbounded are the requests without a newer version than theirs.
 	unbounded map[*Recall]assigned
-	// beginBy is when each of the others must have begun.
+	// beginBy is the time by which each of the other requests must have begun.
 	beginBy map[*Recall]time.Time
 }
 
-// assigned is what a request was assigned for.
+// assigned is the adapter and version for which a request was assigned.
 type assigned struct {
 	adapter deployment.Adapter
-	// held is the version that its endpoint was taken to hold.
+	// held is the version that the endpoint was assumed to hold.
 	held int64
 }
 
-// NewRequests makes a set without requests.
+// NewRequests returns a set without requests.
 func NewRequests() *Requests {
 	return &Requests{unbounded: make(map[*Recall]assigned), beginBy: make(map[*Recall]time.Time)}
 }
 
-// Add takes in a request that was assigned to an endpoint, with the version that the endpoint was taken to hold, and by when it
-// must have begun; the zero time where no newer version is named.
+// Add adds a request that was assigned to an endpoint, with the version that the endpoint is assumed to hold and the time by which
+// the request must have begun, which is zero if no newer version is demanded.
 func (r *Requests) Add(recall *Recall, adapter deployment.Adapter, held int64, beginBy time.Time) {
 	if beginBy.IsZero() {
 		r.unbounded[recall] = assigned{adapter: adapter, held: held}
@@ -50,8 +50,8 @@
 	r.beginBy[recall] = beginBy
 }
 
-// Named takes in a newer version of an adapter: by when the requests on older ones must have begun. Those of which that is known
-// already keep their time, since the first newer name counts. The zero time changes nothing.
+// Named applies a newer version of an adapter, with the time by which requests on older versions must have begun. Requests that
+// already have such a time keep it, since the first newer version counts. A zero time has no effect.
 func (r *Requests) Named(adapter deployment.Adapter, version int64, beginBy time.Time) {
 	if beginBy.IsZero() {
 		return
@@ -65,13 +65,13 @@
 	}
 }
 
-// Remove forgets a request that has begun or ended.
+// Remove removes a request that has begun or ended.
 func (r *Requests) Remove(recall *Recall) {
 	delete(r.unbounded, recall)
 	delete(r.beginBy, recall)
 }
 
-// TakeLate gives the requests whose time has come, and forgets them.
+// TakeLate removes and returns the requests whose time has passed.
 func (r *Requests) TakeLate(now time.Time) []*Recall {
 	var late []*Recall
 	for recall, beginBy := range r.beginBy {
--- a/services/entry/coordinator/unbegun/requests_test.go
+++ b/services/entry/coordinator/unbegun/requests_test.go
@@ -24,13 +24,13 @@
 	return start.Add(time.Duration(seconds * float64(time.Second)))
 }
 
-func TestAPartOfTheLimitIsKept(t *testing.T) {
+func TestBeginByReservesPartOfLimit(t *testing.T) {
 	assert.Equal(t, at(4), unbegun.BeginBy(start, 5*time.Second))
 	assert.Equal(t, at(0.8), unbegun.BeginBy(start, time.Second))
 }
 
-// TestWhenARequestIsLate plays one request of an endpoint that holds version 2.
-func TestWhenARequestIsLate(t *testing.T) {
+// TestRequestIsLateAfterNewerVersion covers one request at an endpoint that holds version 2.
+func TestRequestIsLateAfterNewerVersion(t *testing.T) {
 	for name, test := range map[string]struct {
 		play func(r *unbegun.Requests, recall *unbegun.Recall)
 		late time.Time
@@ -38,50 +38,50 @@
 		"no newer version": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 		}, never},
-		"a newer version is named while it waits": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"newer version while the request waits": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Named(adapter, 3, at(4))
 		}, at(4)},
-		"two are named while it waits": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"two newer versions while the request waits": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Named(adapter, 3, at(4))
 			r.Named(adapter, 4, at(6))
 		}, at(4)},
-		"one was named before it was sent": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"newer version before the request was sent": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, at(4))
 		}, at(4)},
-		"one before, one after": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"newer versions before and after the request was sent": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, at(4))
 			r.Named(adapter, 4, at(6))
 		}, at(4)},
-		"its own version is named": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"its own version": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Named(adapter, 2, at(4))
 		}, never},
-		"its own version is named, then a newer one": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"its own version, then a newer one": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Named(adapter, 2, at(4))
 			r.Named(adapter, 3, at(6))
 		}, at(6)},
-		"another adapter's version is named": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"newer version of another adapter": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Named(other, 3, at(4))
 		}, never},
-		"a name that bounds nothing": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"newer version without a time": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Named(adapter, 3, never)
 		}, never},
-		"it begins before the name": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"request begins before the newer version": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Remove(recall)
 			r.Named(adapter, 3, at(4))
 		}, never},
-		"it begins after the name": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"request begins after the newer version": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, never)
 			r.Named(adapter, 3, at(4))
 			r.Remove(recall)
 		}, never},
-		"it ends twice": {func(r *unbegun.Requests, recall *unbegun.Recall) {
+		"request removed twice": {func(r *unbegun.Requests, recall *unbegun.Recall) {
 			r.Add(recall, adapter, 2, at(4))
 			r.Remove(recall)
 			r.Remove(recall)
@@ -96,13 +96,13 @@
 			}
 			assert.Empty(t, requests.TakeLate(test.late.Add(-1)))
 			assert.Equal(t, []*unbegun.Recall{recall}, requests.TakeLate(test.late))
-			assert.Empty(t, requests.TakeLate(test.late), "it is told once")
+			assert.Empty(t, requests.TakeLate(test.late), "a late request is returned once")
 			assert.Zero(t, requests.Kept())
 		})
 	}
 }
 
-func TestRequestsOfOneAdapterAreLateEachAtItsTime(t *testing.T) {
+func TestRequestsOfOneAdapterHaveSeparateTimes(t *testing.T) {
 	requests := unbegun.NewRequests()
 	former, newer, newest := &unbegun.Recall{}, &unbegun.Recall{}, &unbegun.Recall{}
 	requests.Add(former, adapter, 1, never)
@@ -115,7 +115,7 @@
 	assert.Equal(t, 1, requests.Kept())
 }
 
-func TestARequestThatIsNotTrackedChangesNothing(t *testing.T) {
+func TestRemoveOfUntrackedRequestHasNoEffect(t *testing.T) {
 	requests := unbegun.NewRequests()
 	requests.Remove(nil)
 	assert.Empty(t, requests.TakeLate(start))
