--- a/services/entry/coordinator/relay/reach_test.go
+++ b/services/entry/coordinator/relay/reach_test.go
@@ -13,27 +13,27 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/relay"
 )
 
-// TestAChangeReachesAllWhoLackItInTime simulates for how long members lack a configuration that only the planner has read: each has a link of
-// 10 Mbit/s, the planner one of 200, and each reports at once when it has the keys.
-func TestAChangeReachesAllWhoLackItInTime(t *testing.T) {
+// TestChangeReachesAllMembersInTime simulates for how long members lack a configuration that only the planner has read. Each member
+// has a link of 10 Mbit/s and reports as soon as it has the keys; the planner has a link of 200 Mbit/s.
+func TestChangeReachesAllMembersInTime(t *testing.T) {
 	const (
 		slowLink = 1_250_000
 		fastLink = 25_000_000
 		round    = 20 * time.Millisecond
-		// bound is the time in which a change has to be in force where the store turns instances away: 3 s and 6 s more.
+		// bound is the time within which a change has to be in force when the store rejects the calls of instances: 3 s plus 6 s.
 		bound = 9 * time.Second
 	)
 	cases := []struct{ members, bytes int }{{33, 264_641}, {33, 519_622}, {33, 1_000_000}, {65, 519_622}, {65, 1_000_000}, {195, 264_641}}
-	for _, one := range cases {
-		t.Run(fmt.Sprintf("%d members, %d bytes", one.members, one.bytes), func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(fmt.Sprintf("%d members, %d bytes", test.members, test.bytes), func(t *testing.T) {
 			window := relay.NewWindow[string](relay.WindowFor(fastLink))
 			due := make(map[string]time.Time)
 			left := make(map[string]bool)
-			for i := range one.members {
+			for i := range test.members {
 				left[fmt.Sprint(i)] = true
 			}
-			patience := relay.PatienceFor(one.bytes)
-			transfer := time.Duration(one.bytes) * time.Second / slowLink
+			patience := relay.PatienceFor(test.bytes)
+			transfer := time.Duration(test.bytes) * time.Second / slowLink
 			free := start
 			now := start.Add(patience)
 			for ; len(left) > 0 && now.Sub(start) < time.Minute; now = now.Add(round) {
@@ -43,11 +43,11 @@
 						delete(left, name)
 						continue
 					}
-					if window.Send(now, name, 5, one.bytes) {
+					if window.Send(now, name, 5, test.bytes) {
 						if free.Before(now) {
 							free = now
 						}
-						free = free.Add(time.Duration(one.bytes) * time.Second / fastLink)
+						free = free.Add(time.Duration(test.bytes) * time.Second / fastLink)
 						due[name] = free.Add(transfer)
 					}
 				}
--- a/services/entry/coordinator/relay/relay_test.go
+++ b/services/entry/coordinator/relay/relay_test.go
@@ -23,22 +23,22 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-func TestKeysAreSentOnceUntilTheyAreReportedOrLost(t *testing.T) {
+func TestKeysAreNotResentUntilReportedOrExpired(t *testing.T) {
 	window := relay.NewWindow[string](relay.DefaultWindow)
 	assert.True(t, window.Send(start, "a", 5, kib))
 	assert.False(t, window.Send(start.Add(step), "a", 5, kib))
 	assert.False(t, window.Send(start.Add(again-step), "a", 5, kib))
-	assert.False(t, window.Send(start.Add(again-step), "a", 6, kib), "newer keys wait for the report of the older ones")
-	assert.True(t, window.Send(start.Add(again), "a", 6, kib), "not reported for so long")
+	assert.False(t, window.Send(start.Add(again-step), "a", 6, kib), "newer keys wait until the older ones are reported")
+	assert.True(t, window.Send(start.Add(again), "a", 6, kib), "the last keys have expired")
 	window.Reported("a", 5)
 	assert.False(t, window.Send(start.Add(again+step), "a", 7, kib), "an older revision was reported")
 	window.Reported("a", 6)
 	assert.True(t, window.Send(start.Add(again+step), "a", 7, kib))
 	window.Ended("a")
-	assert.True(t, window.Send(start.Add(again+step), "a", 7, kib), "the link ended with what was on it")
+	assert.True(t, window.Send(start.Add(again+step), "a", 7, kib), "the link and the keys in transmission were lost")
 }
 
-func TestTheWindowBoundsWhatIsUnderWay(t *testing.T) {
+func TestWindowLimitsBytesInTransmission(t *testing.T) {
 	window := relay.NewWindow[string](relay.DefaultWindow)
 	sent := 0
 	for i := range 100 {
@@ -50,10 +50,10 @@
 	window.Reported("0", 5)
 	assert.True(t, window.Send(start.Add(step), "50", 5, 256*kib))
 	assert.False(t, window.Send(start.Add(step), "51", 5, 256*kib))
-	assert.True(t, window.Send(start.Add(again), "51", 5, 256*kib), "what is not reported for so long counts as lost")
+	assert.True(t, window.Send(start.Add(again), "51", 5, 256*kib), "keys that were not reported count as lost")
 }
 
-func TestWhatIsLargerThanTheWindowGoesToOneMember(t *testing.T) {
+func TestKeysLargerThanWindowAreSentToOneMember(t *testing.T) {
 	window := relay.NewWindow[string](relay.DefaultWindow)
 	assert.True(t, window.Send(start, "a", 5, 4096*kib))
 	assert.False(t, window.Send(start, "b", 5, kib))
@@ -61,7 +61,7 @@
 	assert.True(t, window.Send(start, "b", 5, kib))
 }
 
-func TestTheWindowFollowsTheOwnLink(t *testing.T) {
+func TestWindowDependsOnLinkRate(t *testing.T) {
 	assert.Equal(t, relay.DefaultWindow, relay.WindowFor(0))
 	assert.Equal(t, 256*kib, relay.WindowFor(1))
 	assert.Equal(t, 437_500, relay.WindowFor(1_250_000))
@@ -69,34 +69,34 @@
 	assert.Equal(t, 8192*kib, relay.WindowFor(125_000_000))
 }
 
-func TestPatienceGrowsWithTheTimeOfReading(t *testing.T) {
+func TestPatienceGrowsWithReadTime(t *testing.T) {
 	assert.Equal(t, patience, relay.PatienceFor(0))
 	assert.Equal(t, patience+time.Second, relay.PatienceFor(900_000))
 }
 
-func TestOneMemberIsAskedAtATime(t *testing.T) {
+func TestRequestAsksOneMemberAtATime(t *testing.T) {
 	sources := []member.Source{{Instance: "c", Revision: 4}, {Instance: "b", Revision: 9}, {Instance: "a", Revision: 9}}
 	var request relay.Request
 	_, ok := request.Next(start, 4, sources)
-	assert.False(t, ok, "it may still read them itself")
+	assert.False(t, ok, "the planner may still read the keys itself")
 	asked, ok := request.Next(start.Add(patience), 4, sources)
 	assert.True(t, ok)
 	assert.Equal(t, "a", asked)
 	_, ok = request.Next(start.Add(patience+again-step), 4, sources)
-	assert.False(t, ok, "one is asked")
+	assert.False(t, ok, "one member has been asked")
 	asked, ok = request.Next(start.Add(patience+again), 4, sources)
 	assert.True(t, ok)
-	assert.Equal(t, "b", asked, "the other one, since the first did not answer")
+	assert.Equal(t, "b", asked, "the other member, since the first did not answer")
 	asked, ok = request.Next(start.Add(patience+2*again), 4, sources)
 	assert.True(t, ok)
 	assert.Equal(t, "a", asked)
 	_, ok = request.Next(start.Add(time.Hour), 9, sources)
-	assert.False(t, ok, "nothing is lacking")
+	assert.False(t, ok, "nothing is missing")
 	_, ok = request.Next(start.Add(time.Hour), 4, sources)
-	assert.False(t, ok, "the patience begins anew")
+	assert.False(t, ok, "the wait starts again")
 }
 
-func TestTheOnlySourceIsAskedAgain(t *testing.T) {
+func TestRequestRepeatsForOnlySource(t *testing.T) {
 	sources := []member.Source{{Instance: "a", Revision: 9}}
 	var request relay.Request
 	_, ok := request.Next(start, 4, sources)
--- a/services/entry/coordinator/relay/request.go
+++ b/services/entry/coordinator/relay/request.go
@@ -9,17 +9,17 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
 )
 
-// Request decides which instance a planner that lacks newer keys asks for them: one at a time. The zero value has asked
-// none; it is not safe for concurrent use.
+// Request decides which instance a planner that lacks newer keys asks for them, one at a time. The zero value has asked none. It is
+// not safe for concurrent use.
 type Request struct {
-	// lacking is since when newer keys are known to others.
-	lacking time.Time
-	asked   string
-	askedAt time.Time
+	// lackingSince is since when other instances are known to have newer keys; zero if there are none.
+	lackingSince time.Time
+	asked        string
+	askedAt      time.Time
 }
 
-// Next gives the instance that is asked now, if any: the planner has read up to a revision itself. The one asked last is passed over
-// if another one can be asked.
+// Next returns the instance to ask now, if any, where revision is the newest revision that the planner has. The instance that was
+// asked last is skipped if another one can be asked.
 func (r *Request) Next(now time.Time, revision int64, sources []member.Source) (string, bool) {
 	best, due := r.observe(now, revision, sources)
 	if !due {
@@ -29,49 +29,50 @@
 	return best.Instance, true
 }
 
-// Due tells whether an instance is asked now. Like Next it notes since when keys are lacking; it asks none.
+// Due reports whether an instance has to be asked now. Like Next, it records since when keys are missing, but it does not mark an
+// instance as asked.
 func (r *Request) Due(now time.Time, revision int64, sources []member.Source) bool {
 	_, due := r.observe(now, revision, sources)
 	return due
 }
 
-// observe notes since when keys are lacking, and gives the best source and whether it is asked now.
+// observe records since when keys are missing. It returns the best source and whether it has to be asked now.
 func (r *Request) observe(now time.Time, revision int64, sources []member.Source) (member.Source, bool) {
 	best, found := r.choose(revision, sources)
 	if !found {
 		*r = Request{}
 		return best, false
 	}
-	if r.lacking.IsZero() {
-		r.lacking = now
+	if r.lackingSince.IsZero() {
+		r.lackingSince = now
 	}
-	waited := now.Sub(r.lacking) >= member.RelayAfter
+	waited := now.Sub(r.lackingSince) >= member.RelayAfter
 	return best, waited && (r.asked == "" || now.Sub(r.askedAt) >= Again)
 }
 
-// choose gives the source of the newest keys; of several, the first by name that was not asked last.
+// choose returns the source with the newest keys. Among equal ones it returns the first by name that was not asked last.
 func (r *Request) choose(revision int64, sources []member.Source) (member.Source, bool) {
 	var best member.Source
 	found := false
-	for _, one := range sources {
-		if one.Revision <= revision {
+	for _, source := range sources {
+		if source.Revision <= revision {
 			continue
 		}
-		if !found || r.better(one, best) {
-			best, found = one, true
+		if !found || r.better(source, best) {
+			best, found = source, true
 		}
 	}
 	return best, found
 }
 
-// better tells whether one source is asked rather than the other.
-func (r *Request) better(one, other member.Source) bool {
+// better reports whether a source is preferred to another one.
+func (r *Request) better(source, other member.Source) bool {
 	switch {
-	case (one.Instance == r.asked) != (other.Instance == r.asked):
+	case (source.Instance == r.asked) != (other.Instance == r.asked):
 		return other.Instance == r.asked
-	case one.Revision != other.Revision:
-		return one.Revision > other.Revision
+	case source.Revision != other.Revision:
+		return source.Revision > other.Revision
 	default:
-		return one.Instance < other.Instance
+		return source.Instance < other.Instance
 	}
 }
--- a/services/entry/coordinator/relay/window.go
+++ b/services/entry/coordinator/relay/window.go
@@ -11,64 +11,64 @@
 )
 
 const (
-	// DefaultWindow is how many bytes of keys may be under way to members that have not reported them where the own link's rate is not
-	// known, 1 MiB: more reaches many members sooner, less takes less of the planner's memory and link. What is larger goes to one member
-	// at a time.
+	// DefaultWindow is the number of bytes of keys, 1 MiB, that may be in transmission to members that have not acknowledged them,
+	// if the rate of this instance's link is unknown. A larger window reaches many members earlier; a smaller one takes less of the
+	// planner's memory and link. Keys larger than the window are sent to one member at a time.
 	DefaultWindow = 1_048_576
-	// smallestWindow and largestWindow bound the window of an instance whose link's rate is known, in bytes: 256 KiB, and 8 MiB.
-	smallestWindow = 262_144
-	largestWindow  = 8_388_608
-	// windowTime is for how long a full window takes the own link: views wait behind it.
-	windowTime = 350 * time.Millisecond
-	// Again is after how long keys that a member has not reported are sent to it anew, and another member is asked: longer than 1 MiB takes
-	// on the slowest link with a report after it.
+	// minWindow and maxWindow limit the window of an instance whose link rate is known, in bytes: 256 KiB and 8 MiB.
+	minWindow = 262_144
+	maxWindow = 8_388_608
+	// fullWindowTime is the transmission time of a full window over the link of this instance. Views wait behind it.
+	fullWindowTime = 350 * time.Millisecond
+	// Again is the time after which keys that a member has not acknowledged are sent to it again, and after which another member is
+	// asked for keys. It is longer than the transmission of 1 MiB over the slowest link and of the report after it.
 	Again = 2 * time.Second
 )
 
-// PatienceFor is how long an instance may lack newer keys of a size, in bytes, before they are passed on to it: by then it has
-// read them itself, if the store answers it.
+// PatienceFor returns how long an instance may lack newer keys of a size in bytes before they are sent to it. Within that time it
+// has read them itself, if the store answers it.
 func PatienceFor(bytes int) time.Duration {
 	return member.RelayAfter + follow.ReadTime(bytes)
 }
 
-// WindowFor gives the window of an instance whose link carries so many bytes a second; 0 if it is not known.
+// WindowFor returns the window of an instance with a link rate in bytes per second; 0 means that the rate is unknown.
 func WindowFor(bytesPerSecond int) int {
 	if bytesPerSecond <= 0 {
 		return DefaultWindow
 	}
-	return min(max(int(windowTime.Seconds()*float64(bytesPerSecond)), smallestWindow), largestWindow)
+	return min(max(int(fullWindowTime.Seconds()*float64(bytesPerSecond)), minWindow), maxWindow)
 }
 
-// Window bounds the keys that are under way to members, by the links that lead to them: what was under way on a link is lost
-// with it. It is not safe for concurrent use.
+// Window limits the keys in transmission to members, tracked by the link to each member: when a link ends, the keys in transmission
+// over it are lost. It is not safe for concurrent use.
 type Window[Link comparable] struct {
 	bytes int
 	sent  map[Link]sending
 }
 
-// sending is what was sent over one link last.
+// sending is the last transmission over one link.
 type sending struct {
 	revision int64
 	bytes    int
 	at       time.Time
 }
 
-// NewWindow makes a window of so many bytes.
+// NewWindow returns a window of a size in bytes.
 func NewWindow[Link comparable](bytes int) *Window[Link] {
 	return &Window[Link]{bytes: bytes, sent: make(map[Link]sending)}
 }
 
-// Room tells whether so many bytes of keys can be sent over a link now. While a member has not reported what was sent to it, it is
-// sent nothing more, so that changes in quick succession do not pile up.
+// Room reports whether a number of bytes of keys can be sent over a link now. Until a member has acknowledged the last keys, it is
+// sent no more, so that changes in quick succession do not accumulate.
 func (w *Window[Link]) Room(now time.Time, link Link, bytes int) bool {
 	if last, ok := w.sent[link]; ok && now.Sub(last.at) < Again {
 		return false
 	}
-	others := w.underWay(now, link)
+	others := w.inTransmission(now, link)
 	return others == 0 || others+bytes <= w.bytes
 }
 
-// Send tells whether keys up to a revision are sent over a link now, and counts them as under way if they are.
+// Send reports whether keys up to a revision may be sent over a link now, and if so counts them as in transmission.
 func (w *Window[Link]) Send(now time.Time, link Link, revision int64, bytes int) bool {
 	if !w.Room(now, link, bytes) {
 		return false
@@ -77,25 +77,26 @@
 	return true
 }
 
-// underWay sums what is under way over other links than one; what was sent too long ago counts as lost.
-func (w *Window[Link]) underWay(now time.Time, except Link) int {
+// inTransmission returns the number of bytes in transmission over all other links. Keys that were sent longer ago than Again count
+// as lost.
+func (w *Window[Link]) inTransmission(now time.Time, except Link) int {
 	sum := 0
-	for link, one := range w.sent {
-		if link != except && now.Sub(one.at) < Again {
-			sum += one.bytes
+	for link, last := range w.sent {
+		if link != except && now.Sub(last.at) < Again {
+			sum += last.bytes
 		}
 	}
 	return sum
 }
 
-// Reported notes up to which revision the instance at the end of a link says that it knows the keys.
+// Reported records the revision up to which the instance at the other end of a link has the keys.
 func (w *Window[Link]) Reported(link Link, revision int64) {
 	if last, ok := w.sent[link]; ok && revision >= last.revision {
 		delete(w.sent, link)
 	}
 }
 
-// Ended notes that a link has ended, with what was under way on it.
+// Ended records that a link has ended, which loses the keys in transmission over it.
 func (w *Window[Link]) Ended(link Link) {
 	delete(w.sent, link)
 }
