--- a/services/entry/coordinator/forecast/book.go
+++ b/services/entry/coordinator/forecast/book.go
@@ -9,30 +9,30 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Book keeps the loads that the planner last named; it is not safe for concurrent use.
+// Book stores the loads that the planner last announced. It is not safe for concurrent use.
 type Book struct {
 	loads    map[deployment.ServiceAdapter]time.Time
 	backlogs map[string]time.Duration
 }
 
-// NewBook makes an empty book.
+// NewBook returns an empty book.
 func NewBook() *Book {
 	return &Book{loads: make(map[deployment.ServiceAdapter]time.Time)}
 }
 
-// Renew forgets all loads, for a heartbeat that names those under way anew, and takes the backlogs by service.
-// The map is kept, not copied.
+// Renew removes all loads, for a heartbeat that lists the loads under way, and replaces the backlogs by service. The map is stored,
+// not copied.
 func (b *Book) Renew(backlogs map[string]time.Duration) {
 	clear(b.loads)
 	b.backlogs = backlogs
 }
 
-// Note takes in that a load is expected to end at a time.
+// Note stores the time at which a load is expected to end.
 func (b *Book) Note(key deployment.ServiceAdapter, at time.Time) {
 	b.loads[key] = at
 }
 
-// Load gives what the planner said of one adapter.
+// Load returns what the planner announced for an adapter.
 func (b *Book) Load(key deployment.ServiceAdapter) Load {
 	at, named := b.loads[key]
 	return Load{Named: named, At: at, Backlog: b.backlogs[key.Service]}
--- a/services/entry/coordinator/forecast/doc.go
+++ b/services/entry/coordinator/forecast/doc.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package forecast decides when an adapter that a request waits for is expected to be resident. Admission
-// refuses a request early, and tells its caller when to come back, by this forecast.
+// Package forecast estimates when an adapter that a request waits for will be resident. Admission uses the forecast to reject a
+// request early and to tell its caller when to retry.
 //
-// Expect is the rule; Book keeps what the planner last said of its loads. Both are plain state without I/O or
-// goroutines; the present time is an argument.
+// Expect is the rule; Book stores the loads and backlogs that the planner last announced. Both do no I/O and start no goroutine;
+// the current time is passed as an argument.
 package forecast
--- a/services/entry/coordinator/forecast/expect.go
+++ b/services/entry/coordinator/forecast/expect.go
@@ -10,91 +10,92 @@
 )
 
 const (
-	// TakeoverTime is the usual time until another instance orders when the planner is lost. It stands for the silence, the order window
-	// and two order time-outs of a hand-over.
+	// TakeoverTime is the usual time until another instance issues orders after the planner is lost. It covers the silence limit,
+	// the order window and two order timeouts of a takeover.
 	TakeoverTime = 2500 * time.Millisecond
-	// HandOverTime is the usual time until orders follow when there was no planner or it gave its work over. Without it, requests
-	// just after a start are refused at once.
+	// HandOverTime is the usual time until orders are issued when there was no planner or the planner resigned. Without it,
+	// requests just after a start would be rejected at once.
 	HandOverTime = 400 * time.Millisecond
-	// StoreSilence is for how long the store must have failed an instance that looks for a planner until nobody is expected to order soon:
-	// without the store no instance can become the planner. Longer bears single failed reads, of which there is one each 0.3 s; shorter
-	// refuses sooner what cannot be served.
+	// StoreSilence is how long the store must have failed an instance that looks for a planner until no orders are expected soon:
+	// without the store, no instance can become the planner. A longer time tolerates single failed reads, of which there is one
+	// each 0.3 s; a shorter one rejects requests earlier that cannot be served.
 	StoreSilence = 600 * time.Millisecond
-	// Overdue is added to the present for an adapter that should be resident already.
+	// Overdue is the expected remaining time of an adapter that should be resident already.
 	Overdue = 50 * time.Millisecond
 )
 
-// Reason says which case of the rule gave an expected time.
+// Reason is the case of the rule that gave an expected time.
 type Reason int
 
 // The cases of the rule.
 const (
-	// UnderWay: the planner named the time at which the adapter's load ends.
+	// UnderWay means that the planner announced the time at which the load of the adapter ends.
 	UnderWay Reason = iota
-	// Queued: the planner has not begun the load; its backlog gives the time.
+	// Queued means that the planner has not started the load, and its backlog gives the time.
 	Queued
-	// Late: the named time or the end of the backlog is over.
+	// Late means that the announced time or the end of the backlog has passed.
 	Late
-	// FormerHolder: this instance plans, but the former holder may still give orders.
+	// FormerHolder means that this instance is the planner, but the former holder of the lease may still issue orders.
 	FormerHolder
-	// NewPlanner: a planner has just begun or given its work over.
+	// NewPlanner means that a planner has just started or resigned.
 	NewPlanner
-	// LostPlanner: the planner is silent, or can no longer prove that it holds the lease.
+	// LostPlanner means that the planner is silent or can no longer prove that it holds the lease.
 	LostPlanner
-	// LostStore: nobody can order, and the store answers nobody's reading here, so that nobody can begin to.
+	// LostStore means that no instance can issue orders, and that the store does not answer this instance, so that no instance is
+	// expected to become the planner.
 	LostStore
 )
 
-// NobodyOrders tells whether there was no planner that could order loads.
+// NobodyOrders reports whether there was no planner that could issue orders.
 func (r Reason) NobodyOrders() bool {
 	return r == LostPlanner || r == LostStore
 }
 
-// Planner is what an instance knows of whoever orders loads. Spans are measured on the own clock.
+// Planner is what an instance knows about the planner. Durations are measured by the clock of this instance.
 type Planner struct {
-	// Holds tells that this instance holds the planner's lease and is not giving it up.
+	// Holds means that this instance holds the planner's lease and is not releasing it.
 	Holds bool
-	// MayOrder tells that this instance may give orders now, by its own lease.
+	// MayOrder means that this instance may issue orders now, according to its own lease.
 	MayOrder bool
-	// FormerHolderTime is how long the former holder's time still has to be waited for, by the own lease.
+	// FormerHolderTime is the remaining time for which the former holder may issue orders, according to this instance's lease.
 	FormerHolderTime time.Duration
-	// GivingUp tells that this instance holds the lease but gives it up, so that no view counts.
+	// GivingUp means that this instance holds the lease but is releasing it, so that no view counts.
 	GivingUp bool
-	// ViewAge is how long ago the last view came.
+	// ViewAge is the time since the last view was received.
 	ViewAge time.Duration
-	// ConfirmedAge is how long before that view the planner's lease was confirmed, by the view.
+	// ConfirmedAge is the time from the last confirmation of the planner's lease to that view, according to the view.
 	ConfirmedAge time.Duration
-	// OrderWindow is how long after a confirmation orders may be given, from the settings.
+	// OrderWindow is how long after a confirmation orders may be issued, from the settings.
 	OrderWindow time.Duration
-	// ViewTerm is the term of the last view; zero before the first.
+	// ViewTerm is the term of the last view; zero before the first view.
 	ViewTerm int64
-	// ResignedTerm is the last term whose holder said that it gives no more orders, by its view.
+	// ResignedTerm is the last term whose planner announced in a view that it issues no more orders.
 	ResignedTerm int64
-	// RecordTerm and RecordReleased are from the record as last read from the store or learned from a peer.
+	// RecordTerm and RecordReleased are from the record as last read from the store or received from a peer.
 	RecordTerm     int64
 	RecordReleased bool
-	// StoreSilent is for how long the store has failed this instance: a holder since its last confirmation, any other since the
-	// first failed look for a planner; 0 if the last one was answered.
+	// StoreSilent is how long the store has failed this instance: since the last confirmation for the holder of the lease, and
+	// since the first failed read of the record for any other instance; 0 if the last read was answered.
 	StoreSilent time.Duration
 }
 
-// Load is what the planner said of one adapter.
+// Load is what the planner announced for an adapter.
 type Load struct {
-	// Named tells that the planner named the time At at which the adapter will be resident.
+	// Named means that the planner announced the time At at which the adapter will be resident.
 	Named bool
 	At    time.Time
-	// Backlog is how long from now an adapter of the service would take that nobody has asked for yet.
+	// Backlog is the expected time from now until an adapter of the service that nobody has requested yet could be resident.
 	Backlog time.Duration
 }
 
-// Expected is when an adapter will be resident, and by which case of the rule.
+// Expected is the time at which an adapter is expected to be resident, and the case of the rule that gave it.
 type Expected struct {
 	At     time.Time
 	Reason Reason
 }
 
-// Expect gives when the adapter of a load is expected to be resident. Without a planner that can order it is
-// the time at which one usually orders again.
+// Expect returns when the adapter of a load is expected to be resident. If no planner can issue orders, it returns the time at
+// which a planner usually issues orders again.
 func Expect(now time.Time, planner Planner, load Load) Expected {
 	if !planner.Orders() {
 		absence, reason := planner.absence()
@@ -110,7 +111,7 @@
 	return expected
 }
 
-// Orders tells whether the planner can give orders now, as far as this instance knows.
+// Orders reports whether the planner can issue orders now, as far as this instance knows.
 func (p Planner) Orders() bool {
 	if p.Holds || p.GivingUp {
 		return p.MayOrder && !p.GivingUp
@@ -118,7 +119,7 @@
 	return p.ViewAge < lease.TakeoverSilence && p.ViewAge+p.ConfirmedAge < p.OrderWindow
 }
 
-// absence is how long it usually takes until a planner orders again.
+// absence returns the usual time until a planner issues orders again.
 func (p Planner) absence() (time.Duration, Reason) {
 	if p.StoreSilent >= StoreSilence {
 		return TakeoverTime, LostStore
--- a/services/entry/coordinator/forecast/forecast_test.go
+++ b/services/entry/coordinator/forecast/forecast_test.go
@@ -23,7 +23,7 @@
 	key = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base", Name: "a1"}}
 )
 
-// follower is what an instance knows that heard the planner of term 4 just now.
+// follower is the state of an instance that has just received a view of the planner of term 4.
 func follower(change func(*forecast.Planner)) forecast.Planner {
 	planner := forecast.Planner{OrderWindow: window, ViewTerm: 4, RecordTerm: 4, ResignedTerm: 1}
 	if change != nil {
@@ -32,38 +32,38 @@
 	return planner
 }
 
-func TestAFollowerCountsOnAPlannerThatItHearsAndThatCanProveItsLease(t *testing.T) {
+func TestOrdersRequiresRecentViewAndConfirmation(t *testing.T) {
 	const silence = 900 * time.Millisecond
 	cases := map[string]struct {
 		age, confirmed time.Duration
 		orders         bool
 	}{
-		"just heard":                           {0, 0, true},
-		"just below the silence":               {silence - step, 0, true},
-		"at the silence":                       {silence, 0, false},
-		"just above the silence":               {silence + step, 0, false},
-		"confirmed just within the window":     {100 * time.Millisecond, window - 100*time.Millisecond - step, true},
-		"confirmed at the window":              {100 * time.Millisecond, window - 100*time.Millisecond, false},
-		"confirmed just out of the window":     {100 * time.Millisecond, window - 100*time.Millisecond + step, false},
-		"heard a moment ago, never confirmed":  {step, time.Hour, false},
-		"never heard, so silent since ever":    {time.Duration(1 << 62), 0, false},
-		"both ages add up to less than window": {600 * time.Millisecond, 699 * time.Millisecond, true},
+		"view just received":                         {0, 0, true},
+		"just below the silence limit":               {silence - step, 0, true},
+		"at the silence limit":                       {silence, 0, false},
+		"just above the silence limit":               {silence + step, 0, false},
+		"confirmation just within the order window":  {100 * time.Millisecond, window - 100*time.Millisecond - step, true},
+		"confirmation at the order window":           {100 * time.Millisecond, window - 100*time.Millisecond, false},
+		"confirmation just outside the order window": {100 * time.Millisecond, window - 100*time.Millisecond + step, false},
+		"recent view, never confirmed":               {step, time.Hour, false},
+		"no view ever received":                      {time.Duration(1 << 62), 0, false},
+		"sum of both ages within the order window":   {600 * time.Millisecond, 699 * time.Millisecond, true},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			planner := follower(func(p *forecast.Planner) { p.ViewAge, p.ConfirmedAge = one.age, one.confirmed })
-			assert.Equal(t, one.orders, planner.Orders())
+			planner := follower(func(p *forecast.Planner) { p.ViewAge, p.ConfirmedAge = test.age, test.confirmed })
+			assert.Equal(t, test.orders, planner.Orders())
 		})
 	}
 }
 
-func TestTheHolderCountsOnItsOwnLease(t *testing.T) {
+func TestOrdersOfHolderDependsOnOwnLease(t *testing.T) {
 	assert.True(t, forecast.Planner{Holds: true, MayOrder: true}.Orders())
-	assert.False(t, forecast.Planner{Holds: true}.Orders(), "the former holder's time is not over")
-	assert.False(t, forecast.Planner{GivingUp: true, MayOrder: true}.Orders(), "it gives the lease up")
+	assert.False(t, forecast.Planner{Holds: true}.Orders(), "the former holder may still issue orders")
+	assert.False(t, forecast.Planner{GivingUp: true, MayOrder: true}.Orders(), "the holder is releasing the lease")
 }
 
-func TestExpectedTimes(t *testing.T) {
+func TestExpect(t *testing.T) {
 	orders := follower(nil)
 	silent := func(change func(*forecast.Planner)) forecast.Planner {
 		return follower(func(p *forecast.Planner) {
@@ -79,65 +79,65 @@
 		after   time.Duration
 		reason  forecast.Reason
 	}{
-		"a load that is under way": {orders, forecast.Load{Named: true, At: now.Add(time.Second)}, time.Second, forecast.UnderWay},
-		"a load that ends now":     {orders, forecast.Load{Named: true, At: now}, 0, forecast.UnderWay},
-		"a load that should have ended": {
+		"load under way": {orders, forecast.Load{Named: true, At: now.Add(time.Second)}, time.Second, forecast.UnderWay},
+		"load ends now":  {orders, forecast.Load{Named: true, At: now}, 0, forecast.UnderWay},
+		"load overdue": {
 			orders, forecast.Load{Named: true, At: now.Add(-step)}, 50 * time.Millisecond, forecast.Late,
 		},
-		"a load that nobody has begun":   {orders, forecast.Load{Backlog: 3 * time.Second}, 3 * time.Second, forecast.Queued},
-		"nothing known of the service":   {orders, forecast.Load{}, 0, forecast.Queued},
-		"a named load before a backlog":  {orders, forecast.Load{Named: true, At: now.Add(time.Second), Backlog: time.Minute}, time.Second, forecast.UnderWay},
-		"no planner was ever heard":      {forecast.Planner{OrderWindow: window, ViewAge: time.Hour}, forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
-		"a planner that fell silent":     {silent(nil), forecast.Load{}, 2500 * time.Millisecond, forecast.LostPlanner},
-		"the record names a later term":  {silent(func(p *forecast.Planner) { p.RecordTerm = 5 }), forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
-		"the record is of an older term": {silent(func(p *forecast.Planner) { p.RecordTerm = 3 }), forecast.Load{}, 2500 * time.Millisecond, forecast.LostPlanner},
-		"the planner resigned":           {silent(func(p *forecast.Planner) { p.ResignedTerm = 4 }), forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
-		"the record was released":        {silent(func(p *forecast.Planner) { p.RecordReleased = true }), forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
-		"a forecast of a lost planner":   {silent(nil), forecast.Load{Named: true, At: now.Add(time.Second)}, 2500 * time.Millisecond, forecast.LostPlanner},
-		"the holder waits": {
+		"load not started":           {orders, forecast.Load{Backlog: 3 * time.Second}, 3 * time.Second, forecast.Queued},
+		"unknown service":            {orders, forecast.Load{}, 0, forecast.Queued},
+		"announced load and backlog": {orders, forecast.Load{Named: true, At: now.Add(time.Second), Backlog: time.Minute}, time.Second, forecast.UnderWay},
+		"no planner ever known":      {forecast.Planner{OrderWindow: window, ViewAge: time.Hour}, forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
+		"silent planner":             {silent(nil), forecast.Load{}, 2500 * time.Millisecond, forecast.LostPlanner},
+		"record of a later term":     {silent(func(p *forecast.Planner) { p.RecordTerm = 5 }), forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
+		"record of an earlier term":  {silent(func(p *forecast.Planner) { p.RecordTerm = 3 }), forecast.Load{}, 2500 * time.Millisecond, forecast.LostPlanner},
+		"resigned planner":           {silent(func(p *forecast.Planner) { p.ResignedTerm = 4 }), forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
+		"released record":            {silent(func(p *forecast.Planner) { p.RecordReleased = true }), forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner},
+		"forecast of a lost planner": {silent(nil), forecast.Load{Named: true, At: now.Add(time.Second)}, 2500 * time.Millisecond, forecast.LostPlanner},
+		"holder waits for the former holder": {
 			forecast.Planner{Holds: true, FormerHolderTime: time.Second}, forecast.Load{}, 1400 * time.Millisecond, forecast.FormerHolder,
 		},
-		"the holder whose wait is over but whose record is not written yet": {
+		"holder after the wait, record not written yet": {
 			forecast.Planner{Holds: true}, forecast.Load{}, 400 * time.Millisecond, forecast.FormerHolder,
 		},
-		"the store has failed for a moment": {
+		"store failing just below the limit": {
 			silent(func(p *forecast.Planner) { p.StoreSilent, p.ResignedTerm = 600*time.Millisecond-1, 4 }), forecast.Load{}, 400 * time.Millisecond, forecast.NewPlanner,
 		},
-		"the store fails, so that nobody can become the planner": {
+		"store failing for the limit": {
 			silent(func(p *forecast.Planner) { p.StoreSilent, p.ResignedTerm = 600*time.Millisecond, 4 }), forecast.Load{}, 2500 * time.Millisecond, forecast.LostStore,
 		},
-		"the store fails a holder": {
+		"store failing the holder": {
 			forecast.Planner{Holds: true, StoreSilent: time.Second}, forecast.Load{}, 2500 * time.Millisecond, forecast.LostStore,
 		},
-		"the store fails, but a planner that is heard may order": {
+		"store failing, planner may issue orders": {
 			follower(func(p *forecast.Planner) { p.StoreSilent = time.Hour }), forecast.Load{Named: true, At: now.Add(time.Second)}, time.Second, forecast.UnderWay,
 		},
-		"a holder that gives the lease up": {
+		"holder releasing the lease": {
 			follower(func(p *forecast.Planner) { p.GivingUp, p.MayOrder = true, true }), forecast.Load{}, 2500 * time.Millisecond, forecast.LostPlanner,
 		},
 	}
-	for name, one := range cases {
+	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			expected := forecast.Expect(now, one.planner, one.load)
-			assert.Equal(t, one.after, expected.At.Sub(now))
-			assert.Equal(t, one.reason, expected.Reason)
+			expected := forecast.Expect(now, test.planner, test.load)
+			assert.Equal(t, test.after, expected.At.Sub(now))
+			assert.Equal(t, test.reason, expected.Reason)
 		})
 	}
 }
 
-func TestAHeartbeatReplacesWhatWasForecast(t *testing.T) {
+func TestRenewReplacesForecasts(t *testing.T) {
 	book := forecast.NewBook()
 	assert.Equal(t, forecast.Load{}, book.Load(key))
 	book.Note(key, now)
 	book.Note(key, now.Add(time.Second))
-	assert.Equal(t, forecast.Load{Named: true, At: now.Add(time.Second)}, book.Load(key), "the later word counts")
+	assert.Equal(t, forecast.Load{Named: true, At: now.Add(time.Second)}, book.Load(key), "the later time counts")
 	book.Renew(map[string]time.Duration{"chat": time.Minute})
-	assert.Equal(t, forecast.Load{Backlog: time.Minute}, book.Load(key), "a load that is no longer named is forgotten")
+	assert.Equal(t, forecast.Load{Backlog: time.Minute}, book.Load(key), "a load that is no longer listed is removed")
 	book.Renew(nil)
 	assert.Equal(t, forecast.Load{}, book.Load(key))
 }
 
-func TestWhenNobodyOrders(t *testing.T) {
+func TestNobodyOrders(t *testing.T) {
 	for reason, nobody := range map[forecast.Reason]bool{
 		forecast.UnderWay: false, forecast.Queued: false, forecast.Late: false, forecast.FormerHolder: false, forecast.NewPlanner: false,
 		forecast.LostPlanner: true, forecast.LostStore: true,
