--- a/services/entry/coordinator/seed/seed.go
+++ b/services/entry/coordinator/seed/seed.go
@@ -13,27 +13,27 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// Timeout bounds the call to one seed: longer trades a later try of the next one for slow peers.
+// Timeout is the timeout of the request to one seed. A longer time tolerates slow peers, but tries the next seed later.
 const Timeout = 600 * time.Millisecond
 
-// Asker asks the seeds in the order of the settings; it may be used by several goroutines at once.
+// Asker sends requests to the seeds in the order of the settings. It is safe for concurrent use.
 type Asker struct {
-	// Instance names this instance to its peers; Own is its own address, which is passed over among the seeds.
+	// Instance is the name of this instance; Own is its own address, which is skipped among the seeds.
 	Instance string
 	Own      netip.AddrPort
 	Seeds    []netip.AddrPort
-	// Dial connects a peer; Now gives the present time.
+	// Dial connects to a peer; Now returns the current time.
 	Dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 	Now  func() time.Time
 }
 
-// Ask asks one seed after the other and hands each answer to take, until enough says so or the context ends. A seed
-// that does not answer is passed over.
+// Ask requests the state of one seed after the other and passes each answer to take, until enough returns true or the context ends.
+// Seeds that do not answer are skipped.
 func (a *Asker) Ask(ctx context.Context, enough func() bool, take func(*wire.View)) {
 	a.askAll(ctx, wire.Request{Instance: a.Instance}, enough, take)
 }
 
-// askAll sends each seed a request until enough says so or the context ends.
+// askAll sends a request to one seed after the other until enough returns true or the context ends.
 func (a *Asker) askAll(ctx context.Context, request wire.Request, enough func() bool, take func(*wire.View)) {
 	for _, seed := range a.Seeds {
 		if enough() || ctx.Err() != nil {
@@ -48,7 +48,7 @@
 	}
 }
 
-// Planner asks who plans and gives the first answer; nil if no seed answers.
+// Planner asks the seeds for the present planner and returns the first answer; nil if no seed answers.
 func (a *Asker) Planner(ctx context.Context) *wire.View {
 	var first *wire.View
 	request := wire.Request{Instance: a.Instance, PlannerOnly: true}
@@ -56,7 +56,7 @@
 	return first
 }
 
-// askOne asks a peer for what it knows; nil if it does not answer, whatever the reason.
+// askOne sends a request to a peer and returns its view; nil if it does not answer, for whatever reason.
 func (a *Asker) askOne(ctx context.Context, address netip.AddrPort, request wire.Request) *wire.View {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
--- a/services/entry/coordinator/seed/seed_test.go
+++ b/services/entry/coordinator/seed/seed_test.go
@@ -24,12 +24,12 @@
 	other = netip.MustParseAddrPort("127.0.0.1:1003")
 )
 
-// peers answer requests at their addresses; an address that is missing refuses the connection.
+// peers answer requests at their addresses. A connection to a missing address is refused.
 type peers struct {
 	t       *testing.T
 	answers map[netip.AddrPort]func(*peerstream.Stream[wire.Message])
 	asked   []netip.AddrPort
-	// deadlines are until when answers were waited for.
+	// deadlines are the read deadlines of all connections.
 	deadlines []time.Time
 }
 
@@ -43,22 +43,22 @@
 	stream := peerstream.New[wire.Message](far)
 	p.t.Cleanup(stream.Close)
 	go answer(stream)
-	return &watchedConn{Conn: near, peers: p}, nil
+	return &recordingConn{Conn: near, peers: p}, nil
 }
 
-// watchedConn notes until when an answer is waited for.
-type watchedConn struct {
+// recordingConn records the read deadlines.
+type recordingConn struct {
 	net.Conn
 	peers *peers
 }
 
-func (c *watchedConn) SetReadDeadline(at time.Time) error {
+func (c *recordingConn) SetReadDeadline(at time.Time) error {
 	c.peers.deadlines = append(c.peers.deadlines, at)
 	return c.Conn.SetReadDeadline(at)
 }
 
-// tells answers a request with a view of a term.
-func tells(term int64) func(*peerstream.Stream[wire.Message]) {
+// answerWith answers a request with a view of a term.
+func answerWith(term int64) func(*peerstream.Stream[wire.Message]) {
 	return func(stream *peerstream.Stream[wire.Message]) {
 		received, err := stream.Receive(time.Second, time.Now)
 		if err == nil && received.Request != nil && received.Request.Instance == "self" {
@@ -67,9 +67,9 @@
 	}
 }
 
-func hangsUp(stream *peerstream.Stream[wire.Message]) { stream.Close() }
+func closeAtOnce(stream *peerstream.Stream[wire.Message]) { stream.Close() }
 
-func staysSilent(*peerstream.Stream[wire.Message]) {}
+func doNotAnswer(*peerstream.Stream[wire.Message]) {}
 
 func newAsker(t *testing.T, answers map[netip.AddrPort]func(*peerstream.Stream[wire.Message])) (*seed.Asker, *peers) {
 	t.Helper()
@@ -79,23 +79,23 @@
 
 type answers = map[netip.AddrPort]func(*peerstream.Stream[wire.Message])
 
-func TestSeedsAreAskedInTurnUntilItIsEnough(t *testing.T) {
-	asker, p := newAsker(t, answers{one: tells(4), other: tells(5)})
+func TestAskQueriesSeedsInOrderUntilEnough(t *testing.T) {
+	asker, p := newAsker(t, answers{one: answerWith(4), other: answerWith(5)})
 	var terms []int64
 	asker.Ask(t.Context(), func() bool { return false }, func(v *wire.View) { terms = append(terms, v.Term) })
 	assert.Equal(t, []int64{4, 5}, terms)
-	assert.Equal(t, []netip.AddrPort{one, other}, p.asked, "it does not ask itself")
+	assert.Equal(t, []netip.AddrPort{one, other}, p.asked, "the instance does not ask itself")
 
-	asker, p = newAsker(t, answers{one: tells(4), other: tells(5)})
+	asker, p = newAsker(t, answers{one: answerWith(4), other: answerWith(5)})
 	asker.Ask(t.Context(), func() bool { return len(p.asked) == 1 }, func(*wire.View) {})
 	assert.Equal(t, []netip.AddrPort{one}, p.asked)
 }
 
-func TestASeedThatDoesNotAnswerIsPassedOver(t *testing.T) {
+func TestSeedThatDoesNotAnswerIsSkipped(t *testing.T) {
 	cases := map[string]answers{
-		"refuses":      {other: tells(5)},
-		"hangs up":     {one: hangsUp, other: tells(5)},
-		"stays silent": {one: staysSilent, other: tells(5)},
+		"refuses connection": {other: answerWith(5)},
+		"closes connection":  {one: closeAtOnce, other: answerWith(5)},
+		"does not answer":    {one: doNotAnswer, other: answerWith(5)},
 	}
 	for name, answers := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -110,7 +110,7 @@
 				assert.EqualValues(t, 5, first.Term)
 			}
 			assert.Len(t, p.asked, 2)
-			// The last wait is that for the body of the answer that came.
+			// The last deadline is that of the body of the received answer.
 			for i, deadline := range p.deadlines[:len(p.deadlines)-1] {
 				assert.Equal(t, times[i].Add(seed.Timeout), deadline)
 			}
@@ -118,15 +118,15 @@
 	}
 }
 
-func TestWithoutAnAnswerThereIsNone(t *testing.T) {
+func TestPlannerWithoutAnswerIsNil(t *testing.T) {
 	asker, _ := newAsker(t, nil)
 	assert.Nil(t, asker.Planner(t.Context()))
 	asker.Seeds = nil
 	assert.Nil(t, asker.Planner(t.Context()))
 }
 
-func TestNobodyIsAskedWhenTheProcessEnds(t *testing.T) {
-	asker, p := newAsker(t, answers{one: tells(4)})
+func TestNoSeedIsAskedAfterContextEnds(t *testing.T) {
+	asker, p := newAsker(t, answers{one: answerWith(4)})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.Nil(t, asker.Planner(ctx))
