--- a/services/entry/coordinator/tree/doc.go
+++ b/services/entry/coordinator/tree/doc.go
@@ -3,7 +3,7 @@
 
 // Package tree decides which instances gather the loads of others, and for whom.
 //
-// It owns two rules: the planner's, which instances of each hall gather, and an instance's, which of them gathers for it. Both are
-// functions of what they are given, so that nothing has to be agreed or kept. It relies on nothing but the names, halls and links of
-// instances, does no I/O and starts no goroutine.
+// It has two rules: by the planner's, it chooses the gatherers of each hall, and by an instance's, it chooses the gatherer of that
+// instance. Both are pure functions, so that instances need neither state nor agreement. The package depends only on the names,
+// halls and links of instances, does no I/O and starts no goroutine.
 package tree
--- a/services/entry/coordinator/tree/tree.go
+++ b/services/entry/coordinator/tree/tree.go
@@ -10,30 +10,31 @@
 	"slices"
 )
 
-// GroupSize is for how many instances, a count, one of them gathers, and up to which size a fleet needs none: larger groups mean fewer
-// messages at the planner and more at each gatherer. It is the fleet up to which the planner hears all without a stretched pause.
+// GroupSize is the number of instances per gatherer, and the size up to which a fleet needs no gatherers. Larger groups mean fewer
+// messages for the planner and more for each gatherer. The value equals the size of a fleet up to which the intervals of reports to
+// the planner are not stretched.
 const GroupSize = 16
 
-// Instance is what the rules know of an instance.
+// Instance is the part of an instance's description that the rules use.
 type Instance struct {
 	// Name is unique in the fleet.
 	Name string
 	Hall string
-	// Address is where its peers reach it.
+	// Address is the address for peers.
 	Address netip.AddrPort
-	// LinkRate is how many bytes a second its link carries; 0 if it is not known.
+	// LinkRate is the capacity of the network link of the instance in bytes per second; 0 if unknown.
 	LinkRate int
 }
 
-// Gatherers gives the instances that gather: in each hall one for each GroupSize of its instances, those with the best links, and of
-// equal ones as their names draw. A fleet of GroupSize or fewer needs none.
+// Gatherers returns the instances that gather. In each hall there is one for each GroupSize instances or part of it: those with the
+// best links and, among equal links, those with the lowest hash of the name. A fleet of at most GroupSize instances needs none.
 func Gatherers(instances []Instance) []Instance {
 	if len(instances) <= GroupSize {
 		return nil
 	}
 	halls := make(map[string][]Instance)
-	for _, one := range instances {
-		halls[one.Hall] = append(halls[one.Hall], one)
+	for _, instance := range instances {
+		halls[instance.Hall] = append(halls[instance.Hall], instance)
 	}
 	var gatherers []Instance
 	for _, members := range halls {
@@ -46,36 +47,37 @@
 	return gatherers
 }
 
-// Of gives the instance that gathers for one by its name and hall: of its hall's gatherers the one that their names draw together,
-// without those to avoid; false if there is none. Each instance that goes or comes moves only its own group.
+// Of returns the gatherer of the instance with a name and hall. A gatherer serves itself; for any other instance it is, among the
+// gatherers of the hall except those to avoid, the one with the highest hash of both names (rendezvous hashing). Of returns false
+// if there is none. When a gatherer is added or removed, only the instances of its own group move.
 func Of(name, hall string, gatherers []Instance, avoid func(gatherer string) bool) (Instance, bool) {
 	var best Instance
-	for _, one := range gatherers {
-		if one.Hall != hall || avoid(one.Name) {
+	for _, instance := range gatherers {
+		if instance.Hall != hall || avoid(instance.Name) {
 			continue
 		}
-		if one.Name == name {
-			return one, true
+		if instance.Name == name {
+			return instance, true
 		}
-		if best.Name == "" || weight(name, one.Name) > weight(name, best.Name) {
-			best = one
+		if best.Name == "" || weight(name, instance.Name) > weight(name, best.Name) {
+			best = instance
 		}
 	}
 	return best, best.Name != ""
 }
 
-// weight draws a number from two names.
-func weight(one, other string) uint64 {
+// weight returns a hash of two names.
+func weight(instance, other string) uint64 {
 	hash := fnv.New64a()
-	// A hash takes all bytes.
-	_, _ = hash.Write([]byte(one))
+	// Write of a hash never fails.
+	_, _ = hash.Write([]byte(instance))
 	_, _ = hash.Write([]byte{0})
 	_, _ = hash.Write([]byte(other))
 	return mix(hash.Sum64())
 }
 
-// mix spreads the bits of names that differ in their last letters only, which the hash alone leaves alike. The constants are those of
-// the finalizer of MurmurHash3.
+// mix spreads the bits of the hash. The hash alone hardly differs for names that differ only in their last letters. The constants
+// are those of the MurmurHash3 finalizer.
 func mix(bits uint64) uint64 {
 	const first, second, shift = 0xff51afd7ed558ccd, 0xc4ceb9fe1a85ec53, 33
 	bits = (bits ^ bits>>shift) * first
