--- a/services/entry/coordinator/loop/loop.go
+++ b/services/entry/coordinator/loop/loop.go
@@ -5,25 +5,25 @@
 
 import "time"
 
-// queue is how many functions, a count, may wait for the loop before Post blocks.
-const queue = 256
+// queueSize is the number of functions that may be queued before Post blocks.
+const queueSize = 256
 
-// Loop runs functions one after the other. Each is given the present time as of when it begins.
+// Loop runs functions one after the other. It passes to each the current time at which it starts.
 type Loop struct {
 	calls chan func(now time.Time)
 	done  chan struct{}
 	now   func() time.Time
 }
 
-// New makes a loop that has not begun; now gives the present time.
+// New returns a loop that is not running; now returns the current time.
 func New(now func() time.Time) *Loop {
-	return &Loop{calls: make(chan func(time.Time), queue), done: make(chan struct{}), now: now}
+	return &Loop{calls: make(chan func(time.Time), queueSize), done: make(chan struct{}), now: now}
 }
 
-// Run serves calls, and tick at its pace, until stop is closed.
-func (l *Loop) Run(stop <-chan struct{}, pace time.Duration, tick func(now time.Time)) {
+// Run executes queued functions, and tick at each interval, until stop is closed.
+func (l *Loop) Run(stop <-chan struct{}, interval time.Duration, tick func(now time.Time)) {
 	defer close(l.done)
-	ticker := time.NewTicker(pace)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -37,8 +37,8 @@
 	}
 }
 
-// Post hands a function over without waiting for it to run. It blocks while too many wait; once the loop has ended
-// the function never runs.
+// Post queues a function without waiting for it to run. It blocks while the queue is full. After the loop has ended, the function
+// never runs.
 func (l *Loop) Post(call func(now time.Time)) {
 	select {
 	case l.calls <- call:
@@ -46,8 +46,8 @@
 	}
 }
 
-// Call hands a function over and waits until it has run; false if the loop has ended. A function of the loop must not
-// call it.
+// Call queues a function and waits until it has run. It returns false if the loop has ended. Functions that run on the loop must
+// not call it, since they would block forever.
 func (l *Loop) Call(function func(now time.Time)) bool {
 	ran := make(chan struct{})
 	l.Post(func(now time.Time) {
@@ -62,7 +62,7 @@
 	}
 }
 
-// Done is closed when the loop has ended.
+// Done returns a channel that is closed when the loop has ended.
 func (l *Loop) Done() <-chan struct{} {
 	return l.done
 }
--- a/services/entry/coordinator/loop/loop_test.go
+++ b/services/entry/coordinator/loop/loop_test.go
@@ -16,8 +16,8 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// begin runs a loop without ticks until the test ends or stop is called.
-func begin(t *testing.T) (running *loop.Loop, stop func()) {
+// startLoop runs a loop without ticks until the test ends or stop is called.
+func startLoop(t *testing.T) (running *loop.Loop, stop func()) {
 	t.Helper()
 	running = loop.New(func() time.Time { return start })
 	ended := make(chan struct{})
@@ -27,8 +27,8 @@
 	return running, stop
 }
 
-func TestFunctionsRunOneAfterTheOther(t *testing.T) {
-	running, _ := begin(t)
+func TestFunctionsRunInOrder(t *testing.T) {
+	running, _ := startLoop(t)
 	var order []int
 	for i := range 100 {
 		running.Post(func(now time.Time) {
@@ -43,8 +43,8 @@
 	assert.Len(t, order, 101)
 }
 
-func TestSeveralGoroutinesShareWhatTheLoopOwns(t *testing.T) {
-	running, _ := begin(t)
+func TestConcurrentCallsAreSerialized(t *testing.T) {
+	running, _ := startLoop(t)
 	count := 0
 	var callers sync.WaitGroup
 	for range 8 {
@@ -58,22 +58,22 @@
 	running.Call(func(time.Time) { assert.Equal(t, 800, count) })
 }
 
-func TestNobodyIsHeldUpByALoopThatHasEnded(t *testing.T) {
-	running, stop := begin(t)
+func TestEndedLoopBlocksNoCaller(t *testing.T) {
+	running, stop := startLoop(t)
 	stop()
-	assert.False(t, running.Call(func(time.Time) { assert.Fail(t, "it has ended") }))
+	assert.False(t, running.Call(func(time.Time) { assert.Fail(t, "the loop has ended") }))
 	for range 1000 {
 		running.Post(func(time.Time) {})
 	}
 	select {
 	case <-running.Done():
 	default:
-		assert.Fail(t, "it does not say that it has ended")
+		assert.Fail(t, "Done is not closed after the end")
 	}
 }
 
-func TestACallThatWaitsWhenTheLoopEndsReturns(t *testing.T) {
-	running, stop := begin(t)
+func TestPendingCallReturnsWhenLoopEnds(t *testing.T) {
+	running, stop := startLoop(t)
 	begun, held := make(chan struct{}), make(chan struct{})
 	running.Post(func(time.Time) { close(begun); <-held })
 	<-begun
@@ -84,7 +84,7 @@
 	<-result
 }
 
-func TestTicksComeAtTheirPace(t *testing.T) {
+func TestTicksRunAtInterval(t *testing.T) {
 	running := loop.New(time.Now)
 	ended, ticks := make(chan struct{}), make(chan time.Time)
 	go running.Run(ended, time.Millisecond, func(now time.Time) {
