--- a/services/entry/coordinator/waiting/queue_test.go
+++ b/services/entry/coordinator/waiting/queue_test.go
@@ -18,7 +18,7 @@
 	return waiting.New[string](&deployment.Request{ID: id, Route: &deployment.Route{Priority: priority}}, nil)
 }
 
-// review gives the order of a review that keeps the requests named.
+// review reviews the queue, keeps the requests with the given IDs, and returns the order of the review.
 func review(q *queue, kept ...string) []string {
 	var order []string
 	q.Review(func(r *waiting.Request[string]) bool {
@@ -33,7 +33,7 @@
 	return order
 }
 
-func TestTheMostUrgentIsReviewedFirstAndEqualsInOrderOfArrival(t *testing.T) {
+func TestReviewOrdersByPriorityAndArrival(t *testing.T) {
 	var q queue
 	for _, one := range []*waiting.Request[string]{request("late", 2), request("a", 1), request("first", 0), request("b", 1), request("c", 1)} {
 		q.Add(one)
@@ -43,10 +43,10 @@
 	assert.Equal(t, all, review(&q, "a", "late"), "a second review has the same order")
 	assert.Equal(t, []string{"a", "late"}, review(&q))
 	assert.Zero(t, q.Len())
-	assert.Empty(t, review(&q), "nothing waits")
+	assert.Empty(t, review(&q), "the queue is empty")
 }
 
-func TestACallerThatLeavesIsDroppedOnce(t *testing.T) {
+func TestDropRemovesRequestOnce(t *testing.T) {
 	var q queue
 	one, other := request("one", 1), request("other", 1)
 	q.Add(one)
@@ -60,7 +60,7 @@
 	q.Drop(other)
 }
 
-func TestAnAnswerIsKeptForACallerThatIsSlow(t *testing.T) {
+func TestResultIsBuffered(t *testing.T) {
 	one := request("one", 1)
 	one.Result <- "refused"
 	assert.Equal(t, "refused", <-one.Result)
