--- a/services/entry/coordinator/follow/follow_test.go
+++ b/services/entry/coordinator/follow/follow_test.go
@@ -27,7 +27,7 @@
 	return store.Item{Key: key, Value: fmt.Appendf(nil, "%s at %d", key, revision), Revision: revision}
 }
 
-func TestTakeAcceptsOnlyNewerKeys(t *testing.T) {
+func TestPutAcceptsOnlyNewerKeys(t *testing.T) {
 	keys := follow.NewKeys()
 	assert.Zero(t, keys.Revision())
 	assert.True(t, keys.Put(item("k", 5)))
@@ -191,9 +191,9 @@
 	assert.LessOrEqual(t, wait, time.Duration(0))
 }
 
-// TestNewerReturnsAgeAfterLimitHasPassed checks that the age of a newer version is known whether the limit of the older one has
-// passed or not.
-func TestNewerReturnsAgeAfterLimitHasPassed(t *testing.T) {
+// TestFirstNewerReturnsAgeAfterLimitHasPassed checks that the age of a newer version is known whether the limit of the older one
+// has passed or not.
+func TestFirstNewerReturnsAgeAfterLimitHasPassed(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	newer, _ := versions.FirstNewer(start, adapter, 1)
@@ -215,8 +215,8 @@
 	}
 }
 
-// TestComparedVersionsAreBounded checks that Newer returns a later version in place of those that were removed, so that no age is
-// too high.
+// TestComparedVersionsAreBounded checks that FirstNewer returns a later version in place of those that were removed, so that no age
+// is too high.
 func TestComparedVersionsAreBounded(t *testing.T) {
 	versions := follow.NewVersions()
 	for version := int64(1); version <= 100; version++ {
@@ -247,8 +247,7 @@
 	assert.Equal(t, 600*time.Millisecond, wait, "a later version starts the limit of the version before it")
 }
 
-// TestVersionCountsNoEarlierThanPreviousOne covers a version that is received by a way that proves less than the way of the
-// previous one did.
+// TestVersionCountsNoEarlierThanPreviousOne covers a version whose origin proves an earlier time than that of the previous version.
 func TestVersionCountsNoEarlierThanPreviousOne(t *testing.T) {
 	versions := follow.NewVersions()
 	_, newer := versions.NewerSince(adapter, 1)
--- a/services/entry/coordinator/follow/keys.go
+++ b/services/entry/coordinator/follow/keys.go
@@ -82,11 +82,11 @@
 // time is known.
 func (k *Keys) ChangedSince(revision int64) (time.Time, bool) {
 	var first time.Time
-	for _, one := range k.changes {
-		if one.upTo > revision && (first.IsZero() || one.since.Before(first)) {
-			first = one.since
+	for _, recorded := range k.changes {
+		if recorded.upTo > revision && (first.IsZero() || recorded.since.Before(first)) {
+			first = recorded.since
 		}
-		if one.upTo > revision && one.since.IsZero() {
+		if recorded.upTo > revision && recorded.since.IsZero() {
 			return time.Time{}, false
 		}
 	}
--- a/services/entry/coordinator/follow/origin.go
+++ b/services/entry/coordinator/follow/origin.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// Source is the way by which this instance received operators' keys. Log lines contain it.
+// Source is the source from which this instance received operators' keys. Log lines contain it.
 type Source string
 
 // The sources of operators' keys.
--- a/services/entry/coordinator/follow/origin_test.go
+++ b/services/entry/coordinator/follow/origin_test.go
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestSilenceIsTimeSinceLastProof(t *testing.T) {
+func TestTimeSinceProof(t *testing.T) {
 	_, known := follow.Origin{Source: follow.FromRead}.TimeSinceProof(start)
 	assert.False(t, known, "the first keys of a process may be of any age")
 	silence, known := follow.Origin{Source: follow.FromWatch, CompleteAt: start}.TimeSinceProof(start.Add(700 * time.Millisecond))
--- a/services/entry/coordinator/follow/rest_test.go
+++ b/services/entry/coordinator/follow/situation_test.go
@@ -12,9 +12,9 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/follow"
 )
 
-// TestRests guards against store calls that grow with the fleet: without the rule, each change of a key ended the watch of each
-// instance, which then started another one.
-func TestRests(t *testing.T) {
+// TestDelegatesKeys guards against store calls that grow with the fleet: without the rule, each change of a key ended the watch of
+// each instance, which then started another one.
+func TestDelegatesKeys(t *testing.T) {
 	for name, test := range map[string]struct {
 		situation follow.Situation
 		rests     bool
--- a/services/entry/coordinator/follow/source.go
+++ b/services/entry/coordinator/follow/source.go
@@ -26,10 +26,10 @@
 	maxWatchRetries = 1
 )
 
-// Reader is the way by which an instance learns the keys of the endpoints.
+// Reader is the source from which an instance receives the keys of the endpoints.
 type Reader int
 
-// Who reads the endpoints' keys.
+// The sources of the endpoints' keys.
 const (
 	// ReadByPlanner means that the planner sends them.
 	ReadByPlanner Reader = iota
@@ -47,7 +47,7 @@
 	PlannerFresh bool
 	// EndpointsKnown means that all endpoints have been received or read once.
 	EndpointsKnown bool
-	// PlannerHeard means that a view of another instance was received within RestSilence.
+	// PlannerHeard means that a view of another instance was received within MaxPlannerSilence.
 	PlannerHeard bool
 	// WatchedNearby means that another instance of the hall watches the operators' keys, so that this one need not.
 	WatchedNearby bool
@@ -76,7 +76,7 @@
 	return !s.Planning && s.PlannerFresh
 }
 
-// Endpoints returns how this instance learns the keys of the endpoints.
+// Endpoints returns the source from which this instance receives the keys of the endpoints.
 func (s Situation) Endpoints() Reader {
 	switch {
 	case s.Planning:
@@ -99,7 +99,7 @@
 // Step is the action after a watch.
 type Step int
 
-// What follows a watch.
+// The actions after a watch.
 const (
 	// Apply means that the watch was answered: its events are applied, and the next watch continues after them.
 	Apply Step = iota
--- a/services/entry/coordinator/follow/versions.go
+++ b/services/entry/coordinator/follow/versions.go
@@ -28,7 +28,7 @@
 }
 
 const (
-	// reserveDivisor is the divisor of a limit that gives the part reserved for what is unknown when an endpoint is chosen: the
+	// reserveDivisor is the divisor of a limit whose quotient is reserved for what is unknown when an endpoint is chosen: the
 	// connection time and a longer wait than expected. A smaller divisor reserves more, and rejects the former version earlier.
 	reserveDivisor = 2
 	// maxDemanded is the number of stored versions of an adapter. More give each version its own limit when versions follow each
@@ -82,9 +82,9 @@
 // that is unknown; 0 if there is none. After more than maxCompared newer versions, it returns a later one, so that the age is
 // never too high.
 func (v *Versions) FirstNewer(now time.Time, adapter deployment.Adapter, version int64) (newer int64, age time.Duration) {
-	for _, one := range v.compared[adapter] {
-		if one.version > version {
-			return one.version, now.Sub(one.since)
+	for _, entry := range v.compared[adapter] {
+		if entry.version > version {
+			return entry.version, now.Sub(entry.since)
 		}
 	}
 	return 0, 0
@@ -102,9 +102,9 @@
 // NewerSince returns the time at which the limit for requests on an outdated version starts; zero if the limit has passed. It
 // returns false if no newer version is demanded.
 func (v *Versions) NewerSince(adapter deployment.Adapter, version int64) (time.Time, bool) {
-	for _, one := range v.demanded[adapter] {
-		if one.version > version {
-			return one.since, true
+	for _, entry := range v.demanded[adapter] {
+		if entry.version > version {
+			return entry.since, true
 		}
 	}
 	return time.Time{}, false
@@ -115,7 +115,7 @@
 // not positive. An oldest of 0 allows all versions.
 func (v *Versions) Former(now time.Time, adapter deployment.Adapter, limit time.Duration) (oldest int64, wait time.Duration) {
 	versions := v.demanded[adapter]
-	left := func(one demandedVersion) time.Duration { return limit - limit/reserveDivisor - now.Sub(one.since) }
+	left := func(entry demandedVersion) time.Duration { return limit - limit/reserveDivisor - now.Sub(entry.since) }
 	for len(versions) > 1 && left(versions[1]) <= 0 {
 		versions = versions[1:]
 	}
--- a/services/entry/coordinator/forecast/book.go
+++ b/services/entry/coordinator/forecast/announcements.go
@@ -15,25 +15,25 @@
 	backlogs map[string]time.Duration
 }
 
-// NewAnnouncements returns an empty book.
+// NewAnnouncements returns an empty set of announcements.
 func NewAnnouncements() *Announcements {
 	return &Announcements{loads: make(map[deployment.ServiceAdapter]time.Time)}
 }
 
 // Reset removes all loads, for a heartbeat that lists the loads under way, and replaces the backlogs by service. The map is stored,
 // not copied.
-func (b *Announcements) Reset(backlogs map[string]time.Duration) {
-	clear(b.loads)
-	b.backlogs = backlogs
+func (a *Announcements) Reset(backlogs map[string]time.Duration) {
+	clear(a.loads)
+	a.backlogs = backlogs
 }
 
 // Set stores the time at which a load is expected to end.
-func (b *Announcements) Set(key deployment.ServiceAdapter, at time.Time) {
-	b.loads[key] = at
+func (a *Announcements) Set(key deployment.ServiceAdapter, at time.Time) {
+	a.loads[key] = at
 }
 
 // Load returns what the planner announced for an adapter.
-func (b *Announcements) Load(key deployment.ServiceAdapter) Load {
-	at, named := b.loads[key]
-	return Load{Announced: named, At: at, Backlog: b.backlogs[key.Service]}
+func (a *Announcements) Load(key deployment.ServiceAdapter) Load {
+	at, announced := a.loads[key]
+	return Load{Announced: announced, At: at, Backlog: a.backlogs[key.Service]}
 }
--- a/services/entry/coordinator/forecast/forecast_test.go
+++ b/services/entry/coordinator/forecast/forecast_test.go
@@ -125,23 +125,23 @@
 	}
 }
 
-func TestRenewReplacesForecasts(t *testing.T) {
-	book := forecast.NewAnnouncements()
-	assert.Equal(t, forecast.Load{}, book.Load(key))
-	book.Set(key, now)
-	book.Set(key, now.Add(time.Second))
-	assert.Equal(t, forecast.Load{Announced: true, At: now.Add(time.Second)}, book.Load(key), "the later time counts")
-	book.Reset(map[string]time.Duration{"chat": time.Minute})
-	assert.Equal(t, forecast.Load{Backlog: time.Minute}, book.Load(key), "a load that is no longer listed is removed")
-	book.Reset(nil)
-	assert.Equal(t, forecast.Load{}, book.Load(key))
+func TestResetReplacesForecasts(t *testing.T) {
+	announcements := forecast.NewAnnouncements()
+	assert.Equal(t, forecast.Load{}, announcements.Load(key))
+	announcements.Set(key, now)
+	announcements.Set(key, now.Add(time.Second))
+	assert.Equal(t, forecast.Load{Announced: true, At: now.Add(time.Second)}, announcements.Load(key), "the later time counts")
+	announcements.Reset(map[string]time.Duration{"chat": time.Minute})
+	assert.Equal(t, forecast.Load{Backlog: time.Minute}, announcements.Load(key), "a load that is no longer listed is removed")
+	announcements.Reset(nil)
+	assert.Equal(t, forecast.Load{}, announcements.Load(key))
 }
 
 func TestNobodyOrders(t *testing.T) {
-	for reason, nobody := range map[forecast.Reason]bool{
+	for reason, expected := range map[forecast.Reason]bool{
 		forecast.UnderWay: false, forecast.Queued: false, forecast.Late: false, forecast.FormerHolder: false, forecast.NewPlanner: false,
 		forecast.LostPlanner: true, forecast.LostStore: true,
 	} {
-		assert.Equal(t, nobody, reason.NobodyOrders(), "reason %d", reason)
+		assert.Equal(t, expected, reason.NobodyOrders(), "reason %d", reason)
 	}
 }
--- a/services/entry/coordinator/gather/gather_test.go
+++ b/services/entry/coordinator/gather/gather_test.go
@@ -26,11 +26,11 @@
 var start = time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC)
 
 func newLoad(instance string, requests int) *wire.Load {
-	one := &wire.Load{Instance: instance}
+	load := &wire.Load{Instance: instance}
 	if requests > 0 {
-		one.InFlight = []wire.Count{{ID: "e", Requests: requests, Unread: 100 * requests}}
+		load.InFlight = []wire.Count{{ID: "e", Requests: requests, Unread: 100 * requests}}
 	}
-	return one
+	return load
 }
 
 func newSum(gatherer string, requests int, members ...string) *wire.Sum {
@@ -39,8 +39,8 @@
 
 func totalRequests(s *wire.Sum) int {
 	requests := 0
-	for _, one := range s.InFlight {
-		requests += one.Requests
+	for _, count := range s.InFlight {
+		requests += count.Requests
 	}
 	return requests
 }
@@ -75,9 +75,9 @@
 func TestArrivalsAreSentOnce(t *testing.T) {
 	g := gather.NewGroup()
 	loadWithArrivals := func(arrivals int) *wire.Load {
-		one := newLoad("a", 0)
-		one.Arrivals = []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: arrivals, Prompts: 10 * arrivals}}
-		return one
+		load := newLoad("a", 0)
+		load.Arrivals = []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: arrivals, Prompts: 10 * arrivals}}
+		return load
 	}
 	g.Put(start, loadWithArrivals(2))
 	g.Put(start, loadWithArrivals(3))
--- a/services/entry/coordinator/gather/group.go
+++ b/services/entry/coordinator/gather/group.go
@@ -62,7 +62,7 @@
 	return len(g.loads) == 0 && len(g.arrivals) == 0
 }
 
-// Sum returns the requests in flight of all members and the arrivals since the last sum, which it resets. Loads older than Life, of
+// Sum returns the requests in flight of all members and the arrivals since the last sum, which it resets. Loads older than TTL, of
 // a silent member or from before this gatherer was suspended, are removed.
 func (g *Group) Sum(now time.Time, gatherer string) *wire.Sum {
 	sum := &wire.Sum{Gatherer: gatherer}
--- a/services/entry/coordinator/gather/sums.go
+++ b/services/entry/coordinator/gather/sums.go
@@ -38,8 +38,8 @@
 
 // HasValid reports whether an instance has sent a sum that is still valid.
 func (s *Sums) HasValid(now time.Time, instance string) bool {
-	one, ok := s.latest[instance]
-	return ok && now.Sub(one.at) <= TTL
+	entry, ok := s.latest[instance]
+	return ok && now.Sub(entry.at) <= TTL
 }
 
 // Gathered is the total of all sums.
@@ -56,21 +56,21 @@
 // sums; it counts in the later one. Its own part of the earlier sum is unknown, so that each member of a sum is assumed to
 // contribute an equal part.
 func (s *Sums) Total(now time.Time) Gathered {
-	maps.DeleteFunc(s.latest, func(_ string, one received) bool { return now.Sub(one.at) > TTL })
+	maps.DeleteFunc(s.latest, func(_ string, entry received) bool { return now.Sub(entry.at) > TTL })
 	sums := slices.SortedFunc(maps.Values(s.latest), func(a, b received) int {
 		return cmp.Or(b.at.Compare(a.at), cmp.Compare(a.sum.Gatherer, b.sum.Gatherer))
 	})
 	gathered := Gathered{InFlight: make(map[deployment.EndpointID]member.InFlight), Members: make(map[string]bool)}
-	for _, one := range sums {
-		gathered.add(now, one)
+	for _, entry := range sums {
+		gathered.add(now, entry)
 	}
 	return gathered
 }
 
 // add adds the part of a sum that belongs to members which are not included yet.
-func (g *Gathered) add(now time.Time, one received) {
+func (g *Gathered) add(now time.Time, entry received) {
 	added := 0
-	for _, instance := range one.sum.Members {
+	for _, instance := range entry.sum.Members {
 		if !g.Members[instance] {
 			g.Members[instance] = true
 			added++
@@ -79,9 +79,9 @@
 	if added == 0 {
 		return
 	}
-	g.Age += time.Duration(added) * (now.Sub(one.at) + one.sum.Age)
-	part := float64(added) / float64(len(one.sum.Members))
-	for _, count := range one.sum.InFlight {
+	g.Age += time.Duration(added) * (now.Sub(entry.at) + entry.sum.Age)
+	part := float64(added) / float64(len(entry.sum.Members))
+	for _, count := range entry.sum.InFlight {
 		g.InFlight[count.ID] = g.InFlight[count.ID].Plus(member.InFlight{Requests: partOf(count.Requests, part), Unread: partOf(count.Unread, part)})
 	}
 }
--- a/services/entry/coordinator/leasestore/store_test.go
+++ b/services/entry/coordinator/leasestore/store_test.go
@@ -29,7 +29,7 @@
 	items     map[string]store.Item
 	commits   []store.Transaction
 	grants    int
-	kept      int
+	renewals  int
 	failed    []string
 	getErr    error
 	commitErr error
@@ -83,7 +83,7 @@
 				f.grants++
 				return int64(f.grants), f.grantErr
 			},
-			KeepLease: func(context.Context, int64) error { f.kept++; return f.keepErr },
+			KeepLease: func(context.Context, int64) error { f.renewals++; return f.keepErr },
 		},
 		Instance: "self", Address: address, Timeout: time.Second,
 		Now:    func() time.Time { return now },
@@ -218,7 +218,7 @@
 	assert.Equal(t, 1, f.grants)
 	assert.Len(t, f.commits, 1)
 	records.KeepHeartbeat(t.Context())
-	assert.Equal(t, 1, f.kept)
+	assert.Equal(t, 1, f.renewals)
 	f.keepErr = errNoAnswer
 	records.KeepHeartbeat(t.Context())
 	assert.Equal(t, 1, f.grants, "a renewal without an answer creates no new lease")
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -116,7 +116,7 @@
 }
 
 // isSilent reports whether the member must be declared lost: either a gatherer has received loads from it, but neither a load nor a
-// report has arrived for LeastSilence, or its own reports have been missing for longer than silence. In a large fleet reports are
+// report has arrived for MinSilence, or its own reports have been missing for longer than silence. In a large fleet reports are
 // so rare that they alone reveal a loss late, and until then an instance that is cut off or suspended delays each unload.
 func (m *Member) isSilent(now time.Time, silence time.Duration) bool {
 	lastHeard := m.heardByGathererAt
--- a/services/entry/coordinator/member/table.go
+++ b/services/entry/coordinator/member/table.go
@@ -140,7 +140,7 @@
 }
 
 // DropLost calls lost for each member that becomes lost now. It removes lost members that announced that they stop, and those lost
-// for longer than ForgetAfter.
+// for longer than LostRetention.
 func (t *Table) DropLost(now time.Time, silence time.Duration, lost func(instance string)) {
 	for instance, m := range t.members {
 		if !m.isLost() && m.isSilent(now, silence) {
--- a/services/entry/coordinator/planning.go
+++ b/services/entry/coordinator/planning.go
@@ -88,7 +88,7 @@
 	return p
 }
 
-// planPace is by how much the pause between two plans grows with each report.MembersAtPace instances beyond the first ones: longer spares
+// planPace is by how much the pause between two plans grows with each report.MaxUnstretchedMembers instances beyond the first ones: longer spares
 // the planner's processor, shorter orders sooner. Each report brings a plan, which looks at all endpoints; those of a new planner
 // of a large fleet would keep it from confirming its lease.
 const planPace = 500 * time.Microsecond
--- a/services/entry/coordinator/relay/relay_test.go
+++ b/services/entry/coordinator/relay/relay_test.go
@@ -15,10 +15,10 @@
 )
 
 const (
-	step     = time.Millisecond
-	again    = 2 * time.Second
-	patience = 120 * time.Millisecond
-	kib      = 1 << 10
+	step        = time.Millisecond
+	resendAfter = 2 * time.Second
+	relayDelay  = 120 * time.Millisecond
+	kib         = 1 << 10
 )
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
@@ -27,15 +27,15 @@
 	window := relay.NewWindow[string](relay.DefaultWindow)
 	assert.True(t, window.Send(start, "a", 5, kib))
 	assert.False(t, window.Send(start.Add(step), "a", 5, kib))
-	assert.False(t, window.Send(start.Add(again-step), "a", 5, kib))
-	assert.False(t, window.Send(start.Add(again-step), "a", 6, kib), "newer keys wait until the older ones are reported")
-	assert.True(t, window.Send(start.Add(again), "a", 6, kib), "the last keys have expired")
+	assert.False(t, window.Send(start.Add(resendAfter-step), "a", 5, kib))
+	assert.False(t, window.Send(start.Add(resendAfter-step), "a", 6, kib), "newer keys wait until the older ones are reported")
+	assert.True(t, window.Send(start.Add(resendAfter), "a", 6, kib), "the last keys have expired")
 	window.Reported("a", 5)
-	assert.False(t, window.Send(start.Add(again+step), "a", 7, kib), "an older revision was reported")
+	assert.False(t, window.Send(start.Add(resendAfter+step), "a", 7, kib), "an older revision was reported")
 	window.Reported("a", 6)
-	assert.True(t, window.Send(start.Add(again+step), "a", 7, kib))
+	assert.True(t, window.Send(start.Add(resendAfter+step), "a", 7, kib))
 	window.Ended("a")
-	assert.True(t, window.Send(start.Add(again+step), "a", 7, kib), "the link and the keys in transmission were lost")
+	assert.True(t, window.Send(start.Add(resendAfter+step), "a", 7, kib), "the link and the keys in transmission were lost")
 }
 
 func TestWindowLimitsBytesInTransmission(t *testing.T) {
@@ -50,7 +50,7 @@
 	window.Reported("0", 5)
 	assert.True(t, window.Send(start.Add(step), "50", 5, 256*kib))
 	assert.False(t, window.Send(start.Add(step), "51", 5, 256*kib))
-	assert.True(t, window.Send(start.Add(again), "51", 5, 256*kib), "keys that were not reported count as lost")
+	assert.True(t, window.Send(start.Add(resendAfter), "51", 5, 256*kib), "keys that were not reported count as lost")
 }
 
 func TestKeysLargerThanWindowAreSentToOneMember(t *testing.T) {
@@ -69,9 +69,9 @@
 	assert.Equal(t, 8192*kib, relay.WindowFor(125_000_000))
 }
 
-func TestPatienceGrowsWithReadTime(t *testing.T) {
-	assert.Equal(t, patience, relay.DelayFor(0))
-	assert.Equal(t, patience+time.Second, relay.DelayFor(900_000))
+func TestDelayGrowsWithReadTime(t *testing.T) {
+	assert.Equal(t, relayDelay, relay.DelayFor(0))
+	assert.Equal(t, relayDelay+time.Second, relay.DelayFor(900_000))
 }
 
 func TestRequestAsksOneMemberAtATime(t *testing.T) {
@@ -79,21 +79,21 @@
 	var request relay.Request
 	_, ok := request.Next(start, 4, sources)
 	assert.False(t, ok, "the planner may still read the keys itself")
-	asked, ok := request.Next(start.Add(patience), 4, sources)
+	asked, ok := request.Next(start.Add(relayDelay), 4, sources)
 	assert.True(t, ok)
 	assert.Equal(t, "a", asked)
-	_, ok = request.Next(start.Add(patience+again-step), 4, sources)
+	_, ok = request.Next(start.Add(relayDelay+resendAfter-step), 4, sources)
 	assert.False(t, ok, "one member has been asked")
-	asked, ok = request.Next(start.Add(patience+again), 4, sources)
+	asked, ok = request.Next(start.Add(relayDelay+resendAfter), 4, sources)
 	assert.True(t, ok)
 	assert.Equal(t, "b", asked, "the other member, since the first did not answer")
-	asked, ok = request.Next(start.Add(patience+2*again), 4, sources)
+	asked, ok = request.Next(start.Add(relayDelay+2*resendAfter), 4, sources)
 	assert.True(t, ok)
 	assert.Equal(t, "a", asked)
 	_, ok = request.Next(start.Add(time.Hour), 9, sources)
 	assert.False(t, ok, "nothing is missing")
 	_, ok = request.Next(start.Add(time.Hour), 4, sources)
-	assert.False(t, ok, "the wait starts again")
+	assert.False(t, ok, "the delay starts again")
 }
 
 func TestRequestRepeatsForOnlySource(t *testing.T) {
@@ -102,7 +102,7 @@
 	_, ok := request.Next(start, 4, sources)
 	assert.False(t, ok)
 	for i := range 3 {
-		asked, ok := request.Next(start.Add(patience+time.Duration(i)*again), 4, sources)
+		asked, ok := request.Next(start.Add(relayDelay+time.Duration(i)*resendAfter), 4, sources)
 		assert.True(t, ok)
 		assert.Equal(t, "a", asked)
 	}
--- a/services/entry/coordinator/relay/reach_test.go
+++ b/services/entry/coordinator/relay/transfer_test.go
@@ -32,10 +32,10 @@
 			for i := range test.members {
 				left[fmt.Sprint(i)] = true
 			}
-			patience := relay.DelayFor(test.bytes)
+			delay := relay.DelayFor(test.bytes)
 			transfer := time.Duration(test.bytes) * time.Second / slowLink
 			free := start
-			now := start.Add(patience)
+			now := start.Add(delay)
 			for ; len(left) > 0 && now.Sub(start) < time.Minute; now = now.Add(round) {
 				for name := range left {
 					if at, sent := due[name]; sent && !now.Before(at) {
--- a/services/entry/coordinator/relay/window.go
+++ b/services/entry/coordinator/relay/window.go
@@ -77,8 +77,8 @@
 	return true
 }
 
-// inTransmission returns the number of bytes in transmission over all other links. Keys that were sent longer ago than Again count
-// as lost.
+// inTransmission returns the number of bytes in transmission over all other links. Keys that were sent longer ago than ResendAfter
+// count as lost.
 func (w *Window[Link]) inTransmission(now time.Time, except Link) int {
 	sum := 0
 	for link, last := range w.sent {
--- a/services/entry/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -172,7 +172,7 @@
 	ct.expectedRetries = slices.DeleteFunc(ct.expectedRetries, func(caller expectedRetry) bool { return now.Sub(caller.at) > RetryGrace })
 }
 
-// Sweep removes the rates below LeastRate.
+// Sweep removes the rates below MinRate.
 func (ct *Counter) Sweep(now time.Time) {
 	for key, rate := range ct.rates {
 		if rate.PerSecond(now) < MinRate {
--- a/services/entry/coordinator/report/growth_test.go
+++ b/services/entry/coordinator/report/growth_test.go
@@ -27,7 +27,7 @@
 	now := start
 	for i := range minutes * requests {
 		now = now.Add(time.Minute / requests)
-		key := one
+		key := adapterKey
 		key.Adapter = deployment.Adapter{Model: "base", Name: fmt.Sprint("new-", i)}
 		counter.AddArrival(key, 0)
 		counter.ExpectRetry(key, now.Add(time.Second), route.Target)
@@ -40,8 +40,8 @@
 func TestUnreportedArrivalsCountInRates(t *testing.T) {
 	reported, unreported := report.NewCounter(), report.NewCounter()
 	for _, counter := range []*report.Counter{reported, unreported} {
-		counter.AddArrival(one, 0)
-		counter.AddArrival(one, 0)
+		counter.AddArrival(adapterKey, 0)
+		counter.AddArrival(adapterKey, 0)
 	}
 	reported.Collect(start, 0)
 	unreported.FlushToRates(start)
@@ -52,7 +52,7 @@
 
 func TestExpectedRetryIsKeptWithoutPlanner(t *testing.T) {
 	counter := report.NewCounter()
-	counter.ExpectRetry(one, start.Add(time.Second), route.Target)
+	counter.ExpectRetry(adapterKey, start.Add(time.Second), route.Target)
 	counter.FlushToRates(start)
 	list := counter.Collect(start.Add(time.Second), 0).List()
 	assert.Len(t, list, 1)
--- a/services/entry/coordinator/report/report_test.go
+++ b/services/entry/coordinator/report/report_test.go
@@ -16,30 +16,30 @@
 )
 
 const (
-	step        = time.Microsecond
-	pace        = 250 * time.Millisecond
-	urgent      = 2 * time.Millisecond
-	acknowledge = 5 * time.Millisecond
+	step                = time.Microsecond
+	maxInterval         = 250 * time.Millisecond
+	urgentInterval      = 2 * time.Millisecond
+	acknowledgeInterval = 5 * time.Millisecond
 )
 
 var (
-	start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	one   = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base", Name: "a1"}}
-	other = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base", Name: "a2"}}
-	plain = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base"}}
-	route = &deployment.Route{Target: 800 * time.Millisecond}
+	start        = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+	adapterKey   = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base", Name: "a1"}}
+	otherKey     = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base", Name: "a2"}}
+	baseModelKey = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base"}}
+	route        = &deployment.Route{Target: 800 * time.Millisecond}
 )
 
 func TestIntervalsGrowAboveSixteenMembers(t *testing.T) {
-	cases := map[int]time.Duration{0: pace, 1: pace, 15: pace, 16: pace, 17: 265625 * time.Microsecond, 32: 2 * pace, 91: 1421875 * time.Microsecond}
+	cases := map[int]time.Duration{0: maxInterval, 1: maxInterval, 15: maxInterval, 16: maxInterval, 17: 265625 * time.Microsecond, 32: 2 * maxInterval, 91: 1421875 * time.Microsecond}
 	for members, interval := range cases {
-		assert.Equal(t, interval, report.Stretch(pace, members), "%d members", members)
+		assert.Equal(t, interval, report.Stretch(maxInterval, members), "%d members", members)
 	}
 }
 
 func TestReportsFollowTheirInterval(t *testing.T) {
 	for _, members := range []int{1, 32} {
-		stretched := report.Stretch(pace, members)
+		stretched := report.Stretch(maxInterval, members)
 		var schedule report.Schedule
 		assert.True(t, schedule.Due(start, members), "first report")
 		schedule.Sent(start)
@@ -52,35 +52,35 @@
 func TestUrgentReportWaitsForUrgentInterval(t *testing.T) {
 	var schedule report.Schedule
 	schedule.Sent(start)
-	assert.False(t, schedule.Request(start.Add(urgent-step), 1))
-	assert.False(t, schedule.Request(start.Add(urgent-step), 1), "requested again")
-	assert.False(t, schedule.Due(start.Add(urgent-step), 1))
-	assert.True(t, schedule.Due(start.Add(urgent), 1))
-	schedule.Sent(start.Add(urgent))
-	assert.False(t, schedule.Due(start.Add(2*urgent), 1), "one report serves both requests")
-	assert.True(t, schedule.Request(start.Add(2*urgent), 1), "the last report is old enough")
+	assert.False(t, schedule.Request(start.Add(urgentInterval-step), 1))
+	assert.False(t, schedule.Request(start.Add(urgentInterval-step), 1), "requested again")
+	assert.False(t, schedule.Due(start.Add(urgentInterval-step), 1))
+	assert.True(t, schedule.Due(start.Add(urgentInterval), 1))
+	schedule.Sent(start.Add(urgentInterval))
+	assert.False(t, schedule.Due(start.Add(2*urgentInterval), 1), "one report serves both requests")
+	assert.True(t, schedule.Request(start.Add(2*urgentInterval), 1), "the last report is old enough")
 }
 
 func TestAcknowledgementWaitsForItsInterval(t *testing.T) {
 	var schedule report.Schedule
 	schedule.Sent(start)
-	assert.False(t, schedule.RequestAcknowledge(start.Add(acknowledge-step), 1))
-	assert.False(t, schedule.Due(start.Add(acknowledge-step), 1))
-	assert.True(t, schedule.Due(start.Add(acknowledge), 1))
-	assert.False(t, schedule.Due(start.Add(2*acknowledge-step), 32), "the interval grows with the fleet")
-	assert.True(t, schedule.Due(start.Add(2*acknowledge), 32))
-	assert.True(t, schedule.RequestAcknowledge(start.Add(acknowledge), 1))
+	assert.False(t, schedule.RequestAcknowledge(start.Add(acknowledgeInterval-step), 1))
+	assert.False(t, schedule.Due(start.Add(acknowledgeInterval-step), 1))
+	assert.True(t, schedule.Due(start.Add(acknowledgeInterval), 1))
+	assert.False(t, schedule.Due(start.Add(2*acknowledgeInterval-step), 32), "the interval grows with the fleet")
+	assert.True(t, schedule.Due(start.Add(2*acknowledgeInterval), 32))
+	assert.True(t, schedule.RequestAcknowledge(start.Add(acknowledgeInterval), 1))
 }
 
 func TestSkippedReportRemainsRequested(t *testing.T) {
 	var schedule report.Schedule
 	schedule.Sent(start)
 	schedule.Request(start, 1)
-	schedule.Skip(start.Add(urgent))
-	assert.False(t, schedule.Due(start.Add(urgent), 1))
-	assert.True(t, schedule.Due(start.Add(2*urgent), 1))
+	schedule.Skip(start.Add(urgentInterval))
+	assert.False(t, schedule.Due(start.Add(urgentInterval), 1))
+	assert.True(t, schedule.Due(start.Add(2*urgentInterval), 1))
 	schedule.Restart()
-	assert.True(t, schedule.Due(start.Add(urgent), 1), "a report is due at once on a new link")
+	assert.True(t, schedule.Due(start.Add(urgentInterval), 1), "a report is due at once on a new link")
 }
 
 func waitingSince(since time.Time) *deployment.Request {
@@ -97,19 +97,19 @@
 
 func TestDemandReportsArrivalsOnceAndWaitingRequestsEachTime(t *testing.T) {
 	demand := report.NewCounter()
-	demand.AddArrival(one, 0)
-	demand.AddArrival(one, 0)
-	demand.AddArrival(plain, 0)
+	demand.AddArrival(adapterKey, 0)
+	demand.AddArrival(adapterKey, 0)
+	demand.AddArrival(baseModelKey, 0)
 	first := demand.Collect(start, 2)
-	first.AddWaiting(one, waitingSince(start.Add(-300*time.Millisecond)))
-	first.AddWaiting(one, waitingSince(start.Add(-100*time.Millisecond)))
-	first.AddWaiting(plain, waitingSince(start))
+	first.AddWaiting(adapterKey, waitingSince(start.Add(-300*time.Millisecond)))
+	first.AddWaiting(adapterKey, waitingSince(start.Add(-100*time.Millisecond)))
+	first.AddWaiting(baseModelKey, waitingSince(start))
 	assert.Equal(t, []wire.Demand{{
 		Service: "chat", Model: "base", Name: "a1", Waiting: 2, InTime: 700 * time.Millisecond, Arrivals: 2,
 	}}, first.List(), "the newest request decides how long an answer is in time; base models are not requested")
 
 	second := demand.Collect(start, 1)
-	second.AddWaiting(other, waitingSince(start.Add(-time.Second)))
+	second.AddWaiting(otherKey, waitingSince(start.Add(-time.Second)))
 	assert.Equal(t, []wire.Demand{{Service: "chat", Model: "base", Name: "a2", Waiting: 1, InTime: -200 * time.Millisecond}}, second.List())
 	assert.Empty(t, demand.Collect(start, 0).List())
 }
@@ -117,8 +117,8 @@
 func TestLeastLateRequestIsReported(t *testing.T) {
 	demand := report.NewCounter()
 	collection := demand.Collect(start, 2)
-	collection.AddWaiting(one, waitingSince(start.Add(-time.Second)))
-	collection.AddWaiting(one, waitingSince(start.Add(-2*time.Second)))
+	collection.AddWaiting(adapterKey, waitingSince(start.Add(-time.Second)))
+	collection.AddWaiting(adapterKey, waitingSince(start.Add(-2*time.Second)))
 	assert.Equal(t, -200*time.Millisecond, collection.List()[0].InTime)
 }
 
@@ -137,7 +137,7 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			demand := report.NewCounter()
-			demand.ExpectRetry(one, back, route.Target)
+			demand.ExpectRetry(adapterKey, back, route.Target)
 			list := demand.Collect(c.now, 0).List()
 			require.Equal(t, c.asked, len(list) == 1)
 			if c.asked {
@@ -151,8 +151,8 @@
 
 func TestExpiredRetryIsRemoved(t *testing.T) {
 	demand := report.NewCounter()
-	demand.ExpectRetry(one, start, route.Target)
-	demand.ExpectRetry(other, start.Add(time.Hour), route.Target)
+	demand.ExpectRetry(adapterKey, start, route.Target)
+	demand.ExpectRetry(otherKey, start.Add(time.Hour), route.Target)
 	assert.Empty(t, demand.Collect(start.Add(time.Second), 0).List())
 	assert.Empty(t, demand.Collect(start, 0).List(), "an earlier time does not restore it")
 	assert.Contains(t, byName(demand.Collect(start.Add(time.Hour), 0).List()), "a2")
@@ -161,9 +161,9 @@
 func TestOnlyRatesAboveMinimumAreReported(t *testing.T) {
 	demand := report.NewCounter()
 	for range 12 {
-		demand.AddArrival(one, 0)
+		demand.AddArrival(adapterKey, 0)
 	}
-	demand.AddArrival(other, 0)
+	demand.AddArrival(otherKey, 0)
 	demand.Collect(start, 0)
 	rates := demand.Rates(start)
 	require.Len(t, rates, 2)
--- a/services/entry/coordinator/seed/seed.go
+++ b/services/entry/coordinator/seed/seed.go
@@ -29,38 +29,38 @@
 
 // Ask requests the state of one seed after the other and passes each answer to take, until enough returns true or the context ends.
 // Seeds that do not answer are skipped.
-func (a *Requester) Ask(ctx context.Context, enough func() bool, take func(*wire.View)) {
-	a.askAll(ctx, wire.Request{Instance: a.Instance}, enough, take)
+func (r *Requester) Ask(ctx context.Context, enough func() bool, take func(*wire.View)) {
+	r.askAll(ctx, wire.Request{Instance: r.Instance}, enough, take)
 }
 
 // askAll sends a request to one seed after the other until enough returns true or the context ends.
-func (a *Requester) askAll(ctx context.Context, request wire.Request, enough func() bool, take func(*wire.View)) {
-	for _, seed := range a.Seeds {
+func (r *Requester) askAll(ctx context.Context, request wire.Request, enough func() bool, take func(*wire.View)) {
+	for _, seed := range r.Seeds {
 		if enough() || ctx.Err() != nil {
 			return
 		}
-		if seed == a.Own {
+		if seed == r.Own {
 			continue
 		}
-		if answer := a.askOne(ctx, seed, request); answer != nil {
+		if answer := r.askOne(ctx, seed, request); answer != nil {
 			take(answer)
 		}
 	}
 }
 
 // Planner asks the seeds for the present planner and returns the first answer; nil if no seed answers.
-func (a *Requester) Planner(ctx context.Context) *wire.View {
+func (r *Requester) Planner(ctx context.Context) *wire.View {
 	var first *wire.View
-	request := wire.Request{Instance: a.Instance, PlannerOnly: true}
-	a.askAll(ctx, request, func() bool { return first != nil }, func(answer *wire.View) { first = answer })
+	request := wire.Request{Instance: r.Instance, PlannerOnly: true}
+	r.askAll(ctx, request, func() bool { return first != nil }, func(answer *wire.View) { first = answer })
 	return first
 }
 
 // askOne sends a request to a peer and returns its view; nil if it does not answer, for whatever reason.
-func (a *Requester) askOne(ctx context.Context, address netip.AddrPort, request wire.Request) *wire.View {
+func (r *Requester) askOne(ctx context.Context, address netip.AddrPort, request wire.Request) *wire.View {
 	ctx, cancel := context.WithTimeout(ctx, Timeout)
 	defer cancel()
-	conn, err := a.Dial(ctx, address)
+	conn, err := r.Dial(ctx, address)
 	if err != nil {
 		return nil
 	}
@@ -69,7 +69,7 @@
 	if err := stream.Send(wire.Message{Request: &request}); err != nil {
 		return nil
 	}
-	received, err := stream.Receive(Timeout, a.Now)
+	received, err := stream.Receive(Timeout, r.Now)
 	if err != nil {
 		return nil
 	}
--- a/services/entry/coordinator/seed/seed_test.go
+++ b/services/entry/coordinator/seed/seed_test.go
@@ -19,9 +19,9 @@
 )
 
 var (
-	own   = netip.MustParseAddrPort("127.0.0.1:1001")
-	one   = netip.MustParseAddrPort("127.0.0.1:1002")
-	other = netip.MustParseAddrPort("127.0.0.1:1003")
+	own        = netip.MustParseAddrPort("127.0.0.1:1001")
+	firstSeed  = netip.MustParseAddrPort("127.0.0.1:1002")
+	secondSeed = netip.MustParseAddrPort("127.0.0.1:1003")
 )
 
 // peers answer requests at their addresses. A connection to a missing address is refused.
@@ -71,41 +71,41 @@
 
 func doNotAnswer(*peerstream.Stream[wire.Message]) {}
 
-func newAsker(t *testing.T, answers map[netip.AddrPort]func(*peerstream.Stream[wire.Message])) (*seed.Requester, *peers) {
+func newRequester(t *testing.T, answers map[netip.AddrPort]func(*peerstream.Stream[wire.Message])) (*seed.Requester, *peers) {
 	t.Helper()
 	p := &peers{t: t, answers: answers}
-	return &seed.Requester{Instance: "self", Own: own, Seeds: []netip.AddrPort{own, one, other}, Dial: p.dial, Now: time.Now}, p
+	return &seed.Requester{Instance: "self", Own: own, Seeds: []netip.AddrPort{own, firstSeed, secondSeed}, Dial: p.dial, Now: time.Now}, p
 }
 
 type answers = map[netip.AddrPort]func(*peerstream.Stream[wire.Message])
 
 func TestAskQueriesSeedsInOrderUntilEnough(t *testing.T) {
-	asker, p := newAsker(t, answers{one: answerWith(4), other: answerWith(5)})
+	requester, p := newRequester(t, answers{firstSeed: answerWith(4), secondSeed: answerWith(5)})
 	var terms []int64
-	asker.Ask(t.Context(), func() bool { return false }, func(v *wire.View) { terms = append(terms, v.Term) })
+	requester.Ask(t.Context(), func() bool { return false }, func(v *wire.View) { terms = append(terms, v.Term) })
 	assert.Equal(t, []int64{4, 5}, terms)
-	assert.Equal(t, []netip.AddrPort{one, other}, p.asked, "the instance does not ask itself")
+	assert.Equal(t, []netip.AddrPort{firstSeed, secondSeed}, p.asked, "the instance does not ask itself")
 
-	asker, p = newAsker(t, answers{one: answerWith(4), other: answerWith(5)})
-	asker.Ask(t.Context(), func() bool { return len(p.asked) == 1 }, func(*wire.View) {})
-	assert.Equal(t, []netip.AddrPort{one}, p.asked)
+	requester, p = newRequester(t, answers{firstSeed: answerWith(4), secondSeed: answerWith(5)})
+	requester.Ask(t.Context(), func() bool { return len(p.asked) == 1 }, func(*wire.View) {})
+	assert.Equal(t, []netip.AddrPort{firstSeed}, p.asked)
 }
 
 func TestSeedThatDoesNotAnswerIsSkipped(t *testing.T) {
 	cases := map[string]answers{
-		"refuses connection": {other: answerWith(5)},
-		"closes connection":  {one: closeAtOnce, other: answerWith(5)},
-		"does not answer":    {one: doNotAnswer, other: answerWith(5)},
+		"refuses connection": {secondSeed: answerWith(5)},
+		"closes connection":  {firstSeed: closeAtOnce, secondSeed: answerWith(5)},
+		"does not answer":    {firstSeed: doNotAnswer, secondSeed: answerWith(5)},
 	}
 	for name, answers := range cases {
 		t.Run(name, func(t *testing.T) {
-			asker, p := newAsker(t, answers)
+			requester, p := newRequester(t, answers)
 			var times []time.Time
-			asker.Now = func() time.Time {
+			requester.Now = func() time.Time {
 				times = append(times, time.Now())
 				return times[len(times)-1]
 			}
-			first := asker.Planner(t.Context())
+			first := requester.Planner(t.Context())
 			if assert.NotNil(t, first) {
 				assert.EqualValues(t, 5, first.Term)
 			}
@@ -119,16 +119,16 @@
 }
 
 func TestPlannerWithoutAnswerIsNil(t *testing.T) {
-	asker, _ := newAsker(t, nil)
-	assert.Nil(t, asker.Planner(t.Context()))
-	asker.Seeds = nil
-	assert.Nil(t, asker.Planner(t.Context()))
+	requester, _ := newRequester(t, nil)
+	assert.Nil(t, requester.Planner(t.Context()))
+	requester.Seeds = nil
+	assert.Nil(t, requester.Planner(t.Context()))
 }
 
 func TestNoSeedIsAskedAfterContextEnds(t *testing.T) {
-	asker, p := newAsker(t, answers{one: answerWith(4)})
+	requester, p := newRequester(t, answers{firstSeed: answerWith(4)})
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.Nil(t, asker.Planner(ctx))
+	assert.Nil(t, requester.Planner(ctx))
 	assert.Empty(t, p.asked)
 }
--- a/services/entry/coordinator/tree/tree.go
+++ b/services/entry/coordinator/tree/tree.go
@@ -47,9 +47,9 @@
 	return gatherers
 }
 
-// GathererOf returns the gatherer of the instance with a name and hall. A gatherer serves itself; for any other instance it is, among the
-// gatherers of the hall except those to avoid, the one with the highest hash of both names (rendezvous hashing). Of returns false
-// if there is none. When a gatherer is added or removed, only the instances of its own group move.
+// GathererOf returns the gatherer of the instance with a name and hall. A gatherer serves itself; for any other instance it is,
+// among the gatherers of the hall except those to avoid, the one with the highest hash of both names (rendezvous hashing).
+// GathererOf returns false if there is none. When a gatherer is added or removed, only the instances of its own group move.
 func GathererOf(name, hall string, gatherers []Instance, avoid func(gatherer string) bool) (Instance, bool) {
 	var best Instance
 	for _, instance := range gatherers {
--- a/services/entry/coordinator/unbegun/cost_test.go
+++ b/services/entry/coordinator/unbegun/benchmark_test.go
@@ -43,8 +43,8 @@
 	}
 }
 
-// BenchmarkNamed is the cost of one newer version beside many requests for another adapter.
-func BenchmarkNamed(b *testing.B) {
+// BenchmarkApplyVersion is the cost of one newer version beside many requests for another adapter.
+func BenchmarkApplyVersion(b *testing.B) {
 	requests := newRequests(never)
 	for b.Loop() {
 		requests.ApplyVersion(other, 2, at(4))
--- a/services/entry/coordinator/unbegun/requests.go
+++ b/services/entry/coordinator/unbegun/requests.go
@@ -9,7 +9,7 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// reserveDivisor is the divisor of a version's limit that gives the part reserved for taking requests back: for the time between the
+// reserveDivisor is the divisor of a version's limit whose quotient is reserved for taking requests back: for the time between the
 // acknowledgement of the newer version and its reception here, for the interval of the control goroutine, and for the transmission
 // of the close to the endpoint. A smaller divisor reserves more, and takes back requests that would have begun in time.
 const reserveDivisor = 5
--- a/services/entry/coordinator/view/order_test.go
+++ b/services/entry/coordinator/view/order_test.go
@@ -18,9 +18,9 @@
 func TestOrderOfViewsFromPlannerAndGatherer(t *testing.T) {
 	known := view.PlannerState{Planner: "p", Term: 4, Sequence: 10}
 	for name, test := range map[string]struct {
-		followed view.PlannerState
-		view     wire.View
-		order    view.Order
+		state view.PlannerState
+		view  wire.View
+		order view.Order
 	}{
 		"next view":                         {known, wire.View{Planner: "p", Term: 4, Sequence: 11}, view.InOrder},
 		"last view again":                   {known, wire.View{Planner: "p", Term: 4, Sequence: 10}, view.Duplicate},
@@ -34,30 +34,30 @@
 		"snapshot of another planner":       {known, wire.View{Planner: "q", Term: 5, Sequence: 1, IsSnapshot: true}, view.InOrder},
 		"view of a version without numbers": {known, wire.View{Planner: "p", Term: 4}, view.InOrder},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, test.order, test.followed.Order(&test.view)) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, test.order, test.state.Order(&test.view)) })
 	}
 }
 
 func TestBareViewChangesOnlyDelayBound(t *testing.T) {
-	var f view.PlannerState
-	f.LinkOpened(start)
-	first := made(4, time.Minute)
+	var state view.PlannerState
+	state.LinkOpened(start)
+	first := viewWithTermAge(4, time.Minute)
 	first.Sequence, first.IsSnapshot, first.Withdrawals = 3, true, 9
-	f.Apply(start.Add(time.Second), first)
-	probe, ok := f.NextProbe(start.Add(time.Second))
+	state.Apply(start.Add(time.Second), first)
+	probe, ok := state.NextProbe(start.Add(time.Second))
 	assert.True(t, ok, "the bound is loose")
-	before := f
-	bare := made(4, time.Minute+10*time.Millisecond)
+	before := state
+	bare := viewWithTermAge(4, time.Minute+10*time.Millisecond)
 	bare.Bare, bare.Probe = true, probe
 	now := start.Add(1020 * time.Millisecond)
-	f.ApplyBare(now, bare)
-	assert.Equal(t, before.ReceivedAt, f.ReceivedAt)
-	assert.Equal(t, before.Withdrawals, f.Withdrawals)
-	assert.Equal(t, before.Sequence, f.Sequence)
-	moment, known := f.BareBuiltAfter(now, bare)
+	state.ApplyBare(now, bare)
+	assert.Equal(t, before.ReceivedAt, state.ReceivedAt)
+	assert.Equal(t, before.Withdrawals, state.Withdrawals)
+	assert.Equal(t, before.Sequence, state.Sequence)
+	moment, known := state.BareBuiltAfter(now, bare)
 	assert.True(t, known)
 	assert.Equal(t, start.Add(time.Second), moment, "the view was built after the probe was sent")
 	bare.Term = 5
-	_, known = f.BareBuiltAfter(now, bare)
+	_, known = state.BareBuiltAfter(now, bare)
 	assert.False(t, known)
 }
--- a/services/entry/coordinator/view/followed.go
+++ b/services/entry/coordinator/view/planner_state.go
@@ -56,8 +56,8 @@
 	ConfirmedAge time.Duration
 	// Members is the number of instances that share the fleet-wide limits; 0 if unknown.
 	Members int
-	// PlannerRevision is the newest revision of the configuration's keys that the planner has. PlannerAsks reports that the planner
-	// requests the keys that it lacks.
+	// PlannerRevision is the newest revision of the configuration's keys that the planner has. PlannerRequestsKeys reports that the
+	// planner requests the keys that it lacks.
 	PlannerRevision     int64
 	PlannerRequestsKeys bool
 	// Sequence is the number of the last applied view with changes; 0 if that one has no number.
@@ -77,11 +77,11 @@
 }
 
 // Judge decides whether a view is accepted. A view that repeats the last one is accepted and counts as newly received.
-func (f *PlannerState) Judge(v *wire.View, arrival Arrival) Verdict {
+func (s *PlannerState) Judge(v *wire.View, arrival Arrival) Verdict {
 	switch {
 	case !arrival.CurrentLink:
 		return FormerLink
-	case v.Term < f.Term:
+	case v.Term < s.Term:
 		return EarlierTerm
 	case arrival.Planning:
 		return SelfPlanning
@@ -93,7 +93,7 @@
 // Order is the position of a view relative to the views applied before.
 type Order int
 
-// The orders of a view.
+// The positions of a view.
 const (
 	// InOrder means that the view is the next one, or does not depend on earlier views.
 	InOrder Order = iota
@@ -104,15 +104,15 @@
 )
 
 // Order returns the position of a view. Views are received from the planner directly and through a gatherer.
-func (f *PlannerState) Order(v *wire.View) Order {
+func (s *PlannerState) Order(v *wire.View) Order {
 	switch {
 	case v.Sequence == 0 || v.IsSnapshot:
 		return InOrder
-	case v.Term != f.Term || v.Planner != f.Planner || f.Sequence == 0:
+	case v.Term != s.Term || v.Planner != s.Planner || s.Sequence == 0:
 		return Gap
-	case v.Sequence <= f.Sequence:
+	case v.Sequence <= s.Sequence:
 		return Duplicate
-	case v.Sequence > f.Sequence+1:
+	case v.Sequence > s.Sequence+1:
 		return Gap
 	default:
 		return InOrder
@@ -121,9 +121,9 @@
 
 // ApplyBare applies a bare view, of which only the planner's time counts. Such a view does not prove that the endpoints are up to
 // date, since their changes are sent through a gatherer, which may be suspended.
-func (f *PlannerState) ApplyBare(now time.Time, v *wire.View) {
-	if v.Term == f.Term && v.Planner == f.Planner {
-		f.updateDelay(now, v)
+func (s *PlannerState) ApplyBare(now time.Time, v *wire.View) {
+	if v.Term == s.Term && v.Planner == s.Planner {
+		s.updateDelay(now, v)
 	}
 }
 
@@ -136,8 +136,8 @@
 }
 
 // LinkOpened records that a link to a planner was opened.
-func (f *PlannerState) LinkOpened(now time.Time) {
-	f.openedAt = now
+func (s *PlannerState) LinkOpened(now time.Time) {
+	s.openedAt = now
 }
 
 const (
@@ -150,58 +150,58 @@
 
 // NextProbe returns the number of the probe that the next report carries. It returns false unless the bound of the delay is loose,
 // either because the first view over the link was built long after the link was opened, or because views are in fact delayed.
-func (f *PlannerState) NextProbe(now time.Time) (uint64, bool) {
-	if f.termStart.IsZero() || f.Delay < probeDelay || now.Sub(f.probedAt) < minProbeInterval {
+func (s *PlannerState) NextProbe(now time.Time) (uint64, bool) {
+	if s.termStart.IsZero() || s.Delay < probeDelay || now.Sub(s.probedAt) < minProbeInterval {
 		return 0, false
 	}
-	f.probe++
-	f.probedAt = now
-	return f.probe, true
+	s.probe++
+	s.probedAt = now
+	return s.probe, true
 }
 
 // updateDelay applies the time information of a view and returns an upper bound of the transmission delay of a view received now.
 // The first view over a link was built after the link was opened, and the answer to a probe after the probe was sent. Together with
 // the planning time in each view, this yields a bound for all later views without comparing two clocks. The result is 0 if no bound
 // is known, or if the planner is of a version that does not send its planning time.
-func (f *PlannerState) updateDelay(now time.Time, v *wire.View) time.Duration {
-	if v.Planner != f.Planner || v.Term != f.Term {
-		f.termStart = time.Time{}
+func (s *PlannerState) updateDelay(now time.Time, v *wire.View) time.Duration {
+	if v.Planner != s.Planner || v.Term != s.Term {
+		s.termStart = time.Time{}
 	}
 	if v.TermAge == 0 {
 		return 0
 	}
-	if !f.openedAt.IsZero() {
-		f.raiseTermStart(f.openedAt, v)
-		f.openedAt = time.Time{}
+	if !s.openedAt.IsZero() {
+		s.raiseTermStart(s.openedAt, v)
+		s.openedAt = time.Time{}
 	}
-	if v.Probe > f.answeredProbe && v.Probe == f.probe {
-		f.raiseTermStart(f.probedAt, v)
-		f.answeredProbe = v.Probe
+	if v.Probe > s.answeredProbe && v.Probe == s.probe {
+		s.raiseTermStart(s.probedAt, v)
+		s.answeredProbe = v.Probe
 	}
-	if f.termStart.IsZero() {
+	if s.termStart.IsZero() {
 		return 0
 	}
-	return max(0, now.Sub(f.termStart.Add(v.TermAge)))
+	return max(0, now.Sub(s.termStart.Add(v.TermAge)))
 }
 
 // raiseTermStart records that a view was built after a time.
-func (f *PlannerState) raiseTermStart(at time.Time, v *wire.View) {
-	if termStart := at.Add(-v.TermAge); termStart.After(f.termStart) {
-		f.termStart = termStart
+func (s *PlannerState) raiseTermStart(at time.Time, v *wire.View) {
+	if termStart := at.Add(-v.TermAge); termStart.After(s.termStart) {
+		s.termStart = termStart
 	}
 }
 
 // BuiltAfter returns a time before the last view was built. It returns false if none is known.
-func (f *PlannerState) BuiltAfter() (time.Time, bool) {
-	return f.ReceivedAt.Add(-f.Delay), !f.termStart.IsZero()
+func (s *PlannerState) BuiltAfter() (time.Time, bool) {
+	return s.ReceivedAt.Add(-s.Delay), !s.termStart.IsZero()
 }
 
 // BareBuiltAfter returns a time before a bare view that is received now was built. It returns false if none is known.
-func (f *PlannerState) BareBuiltAfter(now time.Time, v *wire.View) (time.Time, bool) {
-	if f.termStart.IsZero() || v.TermAge == 0 || v.Term != f.Term {
+func (s *PlannerState) BareBuiltAfter(now time.Time, v *wire.View) (time.Time, bool) {
+	if s.termStart.IsZero() || v.TermAge == 0 || v.Term != s.Term {
 		return time.Time{}, false
 	}
-	made := f.termStart.Add(v.TermAge)
+	made := s.termStart.Add(v.TermAge)
 	if made.After(now) {
 		made = now
 	}
@@ -209,32 +209,32 @@
 }
 
 // Age returns the time since the planner last read the endpoints: changes since then may be missing in its views.
-func (f *PlannerState) Age(now time.Time) time.Duration {
-	return now.Sub(f.ReceivedAt) + f.Delay + f.ReadAge
+func (s *PlannerState) Age(now time.Time) time.Duration {
+	return now.Sub(s.ReceivedAt) + s.Delay + s.ReadAge
 }
 
 // Apply stores a view that is received now and returns the required actions.
-func (f *PlannerState) Apply(now time.Time, v *wire.View) Effects {
-	effects := Effects{Acknowledge: v.Withdrawals > f.Withdrawals || v.Full, Resigned: v.Resigned && f.ResignedTerm < v.Term}
-	f.Delay = f.updateDelay(now, v)
-	f.Planner, f.Term = v.Planner, v.Term
-	f.ReceivedAt, f.ReadAge, f.ConfirmedAge = now, v.ReadAge, v.ConfirmedAge
-	f.Members, f.PlannerRevision, f.Withdrawals = v.Members, v.ConfigurationRevision, v.Withdrawals
-	f.PlannerRequestsKeys = v.RequestsKeys
-	f.Sequence = v.Sequence
+func (s *PlannerState) Apply(now time.Time, v *wire.View) Effects {
+	effects := Effects{Acknowledge: v.Withdrawals > s.Withdrawals || v.Full, Resigned: v.Resigned && s.ResignedTerm < v.Term}
+	s.Delay = s.updateDelay(now, v)
+	s.Planner, s.Term = v.Planner, v.Term
+	s.ReceivedAt, s.ReadAge, s.ConfirmedAge = now, v.ReadAge, v.ConfirmedAge
+	s.Members, s.PlannerRevision, s.Withdrawals = v.Members, v.ConfigurationRevision, v.Withdrawals
+	s.PlannerRequestsKeys = v.RequestsKeys
+	s.Sequence = v.Sequence
 	if effects.Resigned {
-		f.ResignedTerm = v.Term
+		s.ResignedTerm = v.Term
 	}
 	return effects
 }
 
 // Fresh reports whether the endpoints in the planner's views are reliable: the last view was built, and the endpoints were read,
 // recently enough.
-func (f *PlannerState) Fresh(now time.Time) bool {
-	return now.Sub(f.ReceivedAt)+f.Delay < SilenceLimit && f.Age(now) < ReadAgeLimit
+func (s *PlannerState) Fresh(now time.Time) bool {
+	return now.Sub(s.ReceivedAt)+s.Delay < SilenceLimit && s.Age(now) < ReadAgeLimit
 }
 
 // Reset returns the state to keep when this instance stops planning and has to find the new planner.
-func (f *PlannerState) Reset() PlannerState {
-	return PlannerState{Members: f.Members, Term: f.Term}
+func (s *PlannerState) Reset() PlannerState {
+	return PlannerState{Members: s.Members, Term: s.Term}
 }
--- a/services/entry/coordinator/view/probe_test.go
+++ b/services/entry/coordinator/view/probe_test.go
@@ -21,46 +21,46 @@
 		// roundTrip is the time from sending a report until the view that answers it is received.
 		roundTrip = 20 * time.Millisecond
 	)
-	var f view.PlannerState
-	f.LinkOpened(start)
+	var state view.PlannerState
+	state.LinkOpened(start)
 	now, planned := start.Add(first), time.Minute
-	f.Apply(now, made(4, planned))
+	state.Apply(now, viewWithTermAge(4, planned))
 	probes := 0
 	for range 10 {
-		if probe, ok := f.NextProbe(now); ok {
+		if probe, ok := state.NextProbe(now); ok {
 			probes++
-			answer := made(4, planned+roundTrip)
+			answer := viewWithTermAge(4, planned+roundTrip)
 			answer.Probe = probe
-			f.Apply(now.Add(roundTrip), answer)
+			state.Apply(now.Add(roundTrip), answer)
 		}
 		now, planned = now.Add(heartbeatInterval), planned+heartbeatInterval
-		f.Apply(now, made(4, planned))
+		state.Apply(now, viewWithTermAge(4, planned))
 	}
-	assert.True(t, f.Fresh(now.Add(heartbeatInterval-step)), "4 s later, just before the next heartbeat: a delay of %s is assumed", f.Delay)
+	assert.True(t, state.Fresh(now.Add(heartbeatInterval-step)), "4 s later, just before the next heartbeat: a delay of %s is assumed", state.Delay)
 	assert.Equal(t, 1, probes, "a tight bound needs no further probe")
 }
 
 func TestProbeTightensDelayBound(t *testing.T) {
-	var f view.PlannerState
-	_, ok := f.NextProbe(start)
+	var state view.PlannerState
+	_, ok := state.NextProbe(start)
 	assert.False(t, ok, "no probe before the first view")
-	f.LinkOpened(start)
-	f.Apply(start.Add(2*time.Second), made(4, time.Minute))
-	probe, ok := f.NextProbe(start.Add(2 * time.Second))
+	state.LinkOpened(start)
+	state.Apply(start.Add(2*time.Second), viewWithTermAge(4, time.Minute))
+	probe, ok := state.NextProbe(start.Add(2 * time.Second))
 	assert.True(t, ok)
-	_, ok = f.NextProbe(start.Add(2500 * time.Millisecond))
+	_, ok = state.NextProbe(start.Add(2500 * time.Millisecond))
 	assert.False(t, ok, "the last probe is too recent")
 
-	other := made(4, time.Minute+500*time.Millisecond)
+	other := viewWithTermAge(4, time.Minute+500*time.Millisecond)
 	other.Probe = probe + 1
-	f.Apply(start.Add(2500*time.Millisecond), other)
-	assert.Equal(t, 2*time.Second, f.Delay, "the view answers no probe of this link")
+	state.Apply(start.Add(2500*time.Millisecond), other)
+	assert.Equal(t, 2*time.Second, state.Delay, "the view answers no probe of this link")
 
 	// The planner received the probe after 0.1 s, and the view was delayed by 0.8 s: the bound is 0.9 s.
-	answer := made(4, time.Minute+200*time.Millisecond)
+	answer := viewWithTermAge(4, time.Minute+200*time.Millisecond)
 	answer.Probe = probe
-	f.Apply(start.Add(2900*time.Millisecond), answer)
-	assert.Equal(t, 900*time.Millisecond, f.Delay)
-	f.Apply(start.Add(4*time.Second), made(4, time.Minute+2*time.Second))
-	assert.Equal(t, 200*time.Millisecond, f.Delay, "the bound applies to later views")
+	state.Apply(start.Add(2900*time.Millisecond), answer)
+	assert.Equal(t, 900*time.Millisecond, state.Delay)
+	state.Apply(start.Add(4*time.Second), viewWithTermAge(4, time.Minute+2*time.Second))
+	assert.Equal(t, 200*time.Millisecond, state.Delay, "the bound applies to later views")
 }
--- a/services/entry/coordinator/view/schedule.go
+++ b/services/entry/coordinator/view/schedule.go
@@ -21,7 +21,7 @@
 // Due is the decision whether a view is sent.
 type Due int
 
-// Whether a view is sent.
+// The decisions whether a view is sent.
 const (
 	// NotYet means that the last view was sent too recently.
 	NotYet Due = iota
--- a/services/entry/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -40,39 +40,39 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			followed := view.PlannerState{Term: 4}
-			assert.Equal(t, test.verdict, followed.Judge(&wire.View{Term: test.term}, test.arrival))
+			state := view.PlannerState{Term: 4}
+			assert.Equal(t, test.verdict, state.Judge(&wire.View{Term: test.term}, test.arrival))
 		})
 	}
 	var initial view.PlannerState
 	assert.Equal(t, view.Accept, initial.Judge(&wire.View{Term: 1}, present), "first view")
 }
 
-func TestTakeStoresView(t *testing.T) {
-	var followed view.PlannerState
-	followed.Apply(start, &wire.View{Planner: "p", Term: 4, ReadAge: 2, ConfirmedAge: 3, Members: 5, ConfigurationRevision: 6, Withdrawals: 7})
+func TestApplyStoresView(t *testing.T) {
+	var state view.PlannerState
+	state.Apply(start, &wire.View{Planner: "p", Term: 4, ReadAge: 2, ConfirmedAge: 3, Members: 5, ConfigurationRevision: 6, Withdrawals: 7})
 	expected := view.PlannerState{Planner: "p", Term: 4, ReceivedAt: start, ReadAge: 2, ConfirmedAge: 3, Members: 5, PlannerRevision: 6, Withdrawals: 7}
-	assert.Equal(t, expected, followed)
-	assert.Equal(t, view.PlannerState{Members: 5, Term: 4}, followed.Reset())
+	assert.Equal(t, expected, state)
+	assert.Equal(t, view.PlannerState{Members: 5, Term: 4}, state.Reset())
 }
 
 func TestWithdrawalsAreAcknowledgedOnceAndFullViewsEachTime(t *testing.T) {
-	var followed view.PlannerState
-	assert.False(t, followed.Apply(start, &wire.View{Term: 4}).Acknowledge)
-	assert.True(t, followed.Apply(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge)
-	assert.False(t, followed.Apply(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge, "a repeated view")
-	assert.True(t, followed.Apply(start, &wire.View{Term: 4, Withdrawals: 1, Full: true}).Acknowledge)
-	assert.False(t, followed.Apply(start, &wire.View{Term: 5}).Acknowledge, "a new planner restarts the numbers")
-	assert.True(t, followed.Apply(start, &wire.View{Term: 5, Withdrawals: 1}).Acknowledge)
+	var state view.PlannerState
+	assert.False(t, state.Apply(start, &wire.View{Term: 4}).Acknowledge)
+	assert.True(t, state.Apply(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge)
+	assert.False(t, state.Apply(start, &wire.View{Term: 4, Withdrawals: 1}).Acknowledge, "a repeated view")
+	assert.True(t, state.Apply(start, &wire.View{Term: 4, Withdrawals: 1, Full: true}).Acknowledge)
+	assert.False(t, state.Apply(start, &wire.View{Term: 5}).Acknowledge, "a new planner restarts the numbers")
+	assert.True(t, state.Apply(start, &wire.View{Term: 5, Withdrawals: 1}).Acknowledge)
 }
 
 func TestResignationIsReportedOncePerTerm(t *testing.T) {
-	followed := view.PlannerState{}
-	assert.True(t, followed.Apply(start, &wire.View{Term: 4, Resigned: true}).Resigned)
-	assert.False(t, followed.Apply(start, &wire.View{Term: 4, Resigned: true}).Resigned, "a repeated view")
-	assert.False(t, followed.Apply(start, &wire.View{Term: 5}).Resigned)
-	assert.Equal(t, int64(4), followed.ResignedTerm, "the new term does not repeat the resignation of the former one")
-	assert.True(t, followed.Apply(start, &wire.View{Term: 5, Resigned: true}).Resigned)
+	state := view.PlannerState{}
+	assert.True(t, state.Apply(start, &wire.View{Term: 4, Resigned: true}).Resigned)
+	assert.False(t, state.Apply(start, &wire.View{Term: 4, Resigned: true}).Resigned, "a repeated view")
+	assert.False(t, state.Apply(start, &wire.View{Term: 5}).Resigned)
+	assert.Equal(t, int64(4), state.ResignedTerm, "the new term does not repeat the resignation of the former one")
+	assert.True(t, state.Apply(start, &wire.View{Term: 5, Resigned: true}).Resigned)
 }
 
 func TestFreshRequiresRecentViewAndRecentRead(t *testing.T) {
@@ -90,8 +90,8 @@
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			followed := view.PlannerState{ReceivedAt: start, ReadAge: test.read}
-			assert.Equal(t, test.fresh, followed.Fresh(start.Add(test.age)))
+			state := view.PlannerState{ReceivedAt: start, ReadAge: test.read}
+			assert.Equal(t, test.fresh, state.Fresh(start.Add(test.age)))
 		})
 	}
 	var initial view.PlannerState
@@ -123,69 +123,69 @@
 	assert.True(t, schedule.TotalsDue(start.Add(totalsInterval), 1), "a view without totals does not delay them")
 }
 
-// made returns a view that the planner built when it had been planning for the given time.
-func made(term int64, planned time.Duration) *wire.View {
+// viewWithTermAge returns a view that the planner built when it had been planning for the given time.
+func viewWithTermAge(term int64, planned time.Duration) *wire.View {
 	return &wire.View{Planner: "p", Term: term, TermAge: planned}
 }
 
 func TestDelayIsUpperBoundOfTransmissionTime(t *testing.T) {
-	var f view.PlannerState
-	f.LinkOpened(start)
-	f.Apply(start.Add(30*time.Millisecond), made(4, time.Minute))
-	assert.Equal(t, 30*time.Millisecond, f.Delay, "the view was built after the link was opened")
-	f.Apply(start.Add(430*time.Millisecond), made(4, time.Minute+heartbeatInterval))
-	assert.Equal(t, 30*time.Millisecond, f.Delay, "the view was delayed no longer than the first")
-	f.Apply(start.Add(3*time.Second), made(4, time.Minute+2*heartbeatInterval))
-	assert.Equal(t, 2200*time.Millisecond, f.Delay)
-	assert.False(t, f.Fresh(start.Add(3*time.Second)), "the age counts from when the view was built")
-	f.Apply(start.Add(3*time.Second), made(4, time.Minute+2900*time.Millisecond))
-	assert.Equal(t, 100*time.Millisecond, f.Delay)
-	assert.True(t, f.Fresh(start.Add(3*time.Second)))
+	var state view.PlannerState
+	state.LinkOpened(start)
+	state.Apply(start.Add(30*time.Millisecond), viewWithTermAge(4, time.Minute))
+	assert.Equal(t, 30*time.Millisecond, state.Delay, "the view was built after the link was opened")
+	state.Apply(start.Add(430*time.Millisecond), viewWithTermAge(4, time.Minute+heartbeatInterval))
+	assert.Equal(t, 30*time.Millisecond, state.Delay, "the view was delayed no longer than the first")
+	state.Apply(start.Add(3*time.Second), viewWithTermAge(4, time.Minute+2*heartbeatInterval))
+	assert.Equal(t, 2200*time.Millisecond, state.Delay)
+	assert.False(t, state.Fresh(start.Add(3*time.Second)), "the age counts from when the view was built")
+	state.Apply(start.Add(3*time.Second), viewWithTermAge(4, time.Minute+2900*time.Millisecond))
+	assert.Equal(t, 100*time.Millisecond, state.Delay)
+	assert.True(t, state.Fresh(start.Add(3*time.Second)))
 }
 
 func TestNewLinkUpdatesDelayBound(t *testing.T) {
-	var f view.PlannerState
-	f.LinkOpened(start)
-	f.Apply(start.Add(time.Second), made(4, time.Minute))
-	f.LinkOpened(start.Add(2 * time.Second))
-	f.Apply(start.Add(2*time.Second+10*time.Millisecond), made(4, time.Minute+1990*time.Millisecond))
-	assert.Equal(t, 10*time.Millisecond, f.Delay, "the bound of the new link is tighter")
-	f.LinkOpened(start.Add(3 * time.Second))
-	f.Apply(start.Add(4*time.Second), made(4, time.Minute+3500*time.Millisecond))
-	assert.Equal(t, 490*time.Millisecond, f.Delay, "the bound of the former link is tighter")
-	f.LinkOpened(start.Add(4 * time.Second))
-	f.Apply(start.Add(4*time.Second+10*time.Millisecond), made(5, time.Millisecond))
-	assert.Equal(t, 10*time.Millisecond, f.Delay, "another term has another start")
+	var state view.PlannerState
+	state.LinkOpened(start)
+	state.Apply(start.Add(time.Second), viewWithTermAge(4, time.Minute))
+	state.LinkOpened(start.Add(2 * time.Second))
+	state.Apply(start.Add(2*time.Second+10*time.Millisecond), viewWithTermAge(4, time.Minute+1990*time.Millisecond))
+	assert.Equal(t, 10*time.Millisecond, state.Delay, "the bound of the new link is tighter")
+	state.LinkOpened(start.Add(3 * time.Second))
+	state.Apply(start.Add(4*time.Second), viewWithTermAge(4, time.Minute+3500*time.Millisecond))
+	assert.Equal(t, 490*time.Millisecond, state.Delay, "the bound of the former link is tighter")
+	state.LinkOpened(start.Add(4 * time.Second))
+	state.Apply(start.Add(4*time.Second+10*time.Millisecond), viewWithTermAge(5, time.Millisecond))
+	assert.Equal(t, 10*time.Millisecond, state.Delay, "another term has another start")
 }
 
-// TestMadeAfterPrecedesCreationOfView checks the time from which the ages in a view count. It must not depend on how long the view
+// TestBuiltAfterPrecedesCreationOfView checks the time from which the ages in a view count. It must not depend on how long the view
 // was delayed.
-func TestMadeAfterPrecedesCreationOfView(t *testing.T) {
-	var f view.PlannerState
-	_, known := f.BuiltAfter()
+func TestBuiltAfterPrecedesCreationOfView(t *testing.T) {
+	var state view.PlannerState
+	_, known := state.BuiltAfter()
 	assert.False(t, known)
-	f.LinkOpened(start)
-	f.Apply(start.Add(30*time.Millisecond), made(4, time.Minute))
-	f.Apply(start.Add(3*time.Second), made(4, time.Minute+800*time.Millisecond))
-	moment, known := f.BuiltAfter()
+	state.LinkOpened(start)
+	state.Apply(start.Add(30*time.Millisecond), viewWithTermAge(4, time.Minute))
+	state.Apply(start.Add(3*time.Second), viewWithTermAge(4, time.Minute+800*time.Millisecond))
+	moment, known := state.BuiltAfter()
 	assert.True(t, known)
 	assert.Equal(t, start.Add(800*time.Millisecond), moment)
-	f.Apply(start.Add(4*time.Second), made(5, time.Millisecond))
-	_, known = f.BuiltAfter()
+	state.Apply(start.Add(4*time.Second), viewWithTermAge(5, time.Millisecond))
+	_, known = state.BuiltAfter()
 	assert.False(t, known, "no bound is known for the view of a later planner over the same link")
-	f.LinkOpened(start.Add(4 * time.Second))
-	f.Apply(start.Add(5*time.Second), made(5, time.Second))
-	_, known = f.BuiltAfter()
+	state.LinkOpened(start.Add(4 * time.Second))
+	state.Apply(start.Add(5*time.Second), viewWithTermAge(5, time.Second))
+	_, known = state.BuiltAfter()
 	assert.True(t, known)
-	f.Apply(start.Add(6*time.Second), &wire.View{Planner: "q", Term: 6})
-	_, known = f.BuiltAfter()
+	state.Apply(start.Add(6*time.Second), &wire.View{Planner: "q", Term: 6})
+	_, known = state.BuiltAfter()
 	assert.False(t, known, "the view has no planning time")
 }
 
 func TestViewWithoutPlanningTimeCountsAsUndelayed(t *testing.T) {
-	var f view.PlannerState
-	f.LinkOpened(start)
-	f.Apply(start.Add(time.Second), &wire.View{Planner: "p", Term: 4})
-	assert.Zero(t, f.Delay)
-	assert.True(t, f.Fresh(start.Add(time.Second)))
+	var state view.PlannerState
+	state.LinkOpened(start)
+	state.Apply(start.Add(time.Second), &wire.View{Planner: "p", Term: 4})
+	assert.Zero(t, state.Delay)
+	assert.True(t, state.Fresh(start.Add(time.Second)))
 }
--- a/services/entry/coordinator/waiting/queue_test.go
+++ b/services/entry/coordinator/waiting/queue_test.go
@@ -35,8 +35,8 @@
 
 func TestReviewOrdersByPriorityAndArrival(t *testing.T) {
 	var q queue
-	for _, one := range []*waiting.Request[string]{request("late", 2), request("a", 1), request("first", 0), request("b", 1), request("c", 1)} {
-		q.Add(one)
+	for _, queued := range []*waiting.Request[string]{request("late", 2), request("a", 1), request("first", 0), request("b", 1), request("c", 1)} {
+		q.Add(queued)
 	}
 	all := []string{"first", "a", "b", "c", "late"}
 	assert.Equal(t, all, review(&q, all...))
@@ -46,13 +46,13 @@
 	assert.Empty(t, review(&q), "the queue is empty")
 }
 
-func TestDropRemovesRequestOnce(t *testing.T) {
+func TestRemoveIsIdempotent(t *testing.T) {
 	var q queue
-	one, other := request("one", 1), request("other", 1)
-	q.Add(one)
+	queued, other := request("one", 1), request("other", 1)
+	q.Add(queued)
 	q.Add(other)
-	q.Remove(one)
-	q.Remove(one)
+	q.Remove(queued)
+	q.Remove(queued)
 	q.Remove(request("one", 1))
 	assert.Equal(t, []*waiting.Request[string]{other}, q.All())
 	q.Remove(other)
@@ -61,8 +61,8 @@
 }
 
 func TestResultIsBuffered(t *testing.T) {
-	one := request("one", 1)
-	one.Result <- "refused"
-	assert.Equal(t, "refused", <-one.Result)
-	assert.Equal(t, deployment.ServiceAdapter{Service: one.Service, Adapter: one.Adapter}, one.Key())
+	queued := request("one", 1)
+	queued.Result <- "refused"
+	assert.Equal(t, "refused", <-queued.Result)
+	assert.Equal(t, deployment.ServiceAdapter{Service: queued.Service, Adapter: queued.Adapter}, queued.Key())
 }
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -236,7 +236,7 @@
 	// unknown. Earlier versions neither send nor read it.
 	DescribedUpTo int64 `msgpack:"du,omitempty"`
 	// Known are, in a snapshot for an instance that knows the descriptions of these endpoints, the endpoints that offer only the
-	// copies in the view's Copies. Earlier versions neither send nor read it.
+	// copies in the view's CopyChanges. Earlier versions neither send nor read it.
 	Known []KnownEndpoints `msgpack:"kn,omitempty"`
 	// Bare marks a view that the planner sends directly to an instance whose other views a gatherer relays. It carries only keys
 	// and the answer to a probe.
