--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -121,7 +121,7 @@
 				c.endRequest(now, result.assignment, w.Request, directory.Neutral)
 			}
 		default:
-			c.waiters.Drop(w)
+			c.waiters.Remove(w)
 		}
 	})
 }
@@ -135,7 +135,7 @@
 	// Admit may have admitted the request as a trial, which the other instances must be informed of.
 	c.publishCrashes(now)
 	if w.UsesModel() && len(w.Tried) == 0 {
-		c.demand.Arrived(w.Key(), w.Prompt)
+		c.demand.AddArrival(w.Key(), w.Prompt)
 	}
 	c.recordServiceUse(w.Service)
 	if c.tryAssign(now, w) {
@@ -143,7 +143,7 @@
 	}
 	c.waiters.Add(w)
 	if !c.keepWaiting(now, w) {
-		c.waiters.Drop(w)
+		c.waiters.Remove(w)
 		return
 	}
 	if w.Verdict >= balance.NotResident {
@@ -153,7 +153,7 @@
 
 // tryAssign assigns an endpoint if one can accept the request now, and reports whether it did.
 func (c *Coordinator) tryAssign(now time.Time, w *waiter) bool {
-	named := c.versions.Named(w.Adapter)
+	named := c.versions.Latest(w.Adapter)
 	former, formerWait := c.versions.Former(now, w.Adapter, c.options.VersionLimit)
 	required := balance.Requirement{
 		Request: w.Request, Tried: w.Tried, Version: named, Former: former, FormerWait: formerWait,
@@ -237,7 +237,7 @@
 		return true
 	}
 	if decision.Reason == admission.AdapterNotLoaded {
-		c.demand.ExpectBack(w.Key(), now.Add(decision.RetryAfter), w.Route.Target)
+		c.demand.ExpectRetry(w.Key(), now.Add(decision.RetryAfter), w.Route.Target)
 	}
 	if decision.Reason == admission.Limited {
 		c.recordLimitRefusal(now, w)
@@ -260,7 +260,7 @@
 		StoreSilent: c.storeFailingFor(now), RecordTerm: c.knownRecord.Term, RecordReleased: c.knownRecord.Released,
 	}
 	if c.planner != nil {
-		knowledge.Holds, knowledge.GivingUp = !c.planner.steppingDown, c.planner.steppingDown
+		knowledge.HoldsLease, knowledge.ReleasingLease = !c.planner.steppingDown, c.planner.steppingDown
 		knowledge.StoreSilent = c.planner.lease.ConfirmedAge(now)
 		knowledge.MayOrder = c.planner.lease.MayOrder(now)
 		knowledge.FormerHolderTime = c.planner.lease.RemainingWait(now)
--- a/services/entry/coordinator/allocation.go
+++ b/services/entry/coordinator/allocation.go
@@ -48,7 +48,7 @@
 	}
 	present := func(instance string) bool { return instance == c.options.Instance || p.members.All()[instance] != nil }
 	allocator.Retain(func(id deployment.EndpointID) bool { return c.endpointLimits.known[id] }, present)
-	part := p.members.PresentPart()
+	part := p.members.PresentShare()
 	for id := range c.endpointLimits.known {
 		status := c.directory.Endpoint(id)
 		if status == nil || !status.Allowance.HasLimit() {
--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -50,8 +50,8 @@
 			continue
 		}
 		c.loop.Post(func(now time.Time) {
-			c.applyItems(now, c.keysCompleteness.Origin(follow.FromReading, revision), items)
-			c.keysCompleteness.Read(sentAt)
+			c.applyItems(now, c.keysCompleteness.Origin(follow.FromRead, revision), items)
+			c.keysCompleteness.RecordRead(sentAt)
 		})
 		c.watchConfiguration(revision)
 	}
@@ -67,15 +67,15 @@
 		answer, err := c.watchConfigurationOnce(after)
 		step := watch.Answered(err)
 		if err != nil {
-			c.loop.Post(func(time.Time) { c.keysCompleteness.Failed() })
+			c.loop.Post(func(time.Time) { c.keysCompleteness.RecordFailure() })
 		}
 		if err != nil && !errors.Is(err, store.ErrCompacted) {
 			c.recordStoreFailure("watch configuration", err)
 		}
 		switch step {
-		case follow.ReadAnew:
+		case follow.ReadAll:
 			return
-		case follow.WatchAgain:
+		case follow.RetryWatch:
 			c.sleep(c.failurePause(storeRetryPause))
 		case follow.Apply:
 			after = answer.next
@@ -101,7 +101,7 @@
 
 func (c *Coordinator) plannerWatches() bool {
 	plannerWatches := false
-	c.loop.Call(func(now time.Time) { plannerWatches = c.situation(now).Rests() })
+	c.loop.Call(func(now time.Time) { plannerWatches = c.situation(now).DelegatesKeys() })
 	return plannerWatches && c.context.Err() == nil
 }
 
@@ -119,10 +119,10 @@
 func (c *Coordinator) applyWatchResult(now time.Time, answer watchResult) {
 	c.applyItems(now, c.keysCompleteness.OriginOf(answer.WatchAnswer, answer.next), eventItems(answer.events))
 	if answer.canceledHere {
-		c.keysCompleteness.Failed()
+		c.keysCompleteness.RecordFailure()
 		return
 	}
-	c.keysCompleteness.Watched(answer.WatchAnswer)
+	c.keysCompleteness.RecordWatch(answer.WatchAnswer)
 }
 
 // watchConfigurationOnce makes one watch call. A long watch is canceled when the planner falls silent or when this
@@ -154,7 +154,7 @@
 	lag, _ := c.keysLag.Observe(now, c.keys.Revision(), c.follower.PlannerRevision)
 	return follow.Situation{
 		Planning: c.planner != nil, PlannerFresh: c.follower.Fresh(now), EndpointsKnown: c.endpointsKnown,
-		PlannerHeard: now.Sub(c.follower.ReceivedAt)+c.follower.Delay < follow.RestSilence, WatchedNearby: c.gatheredByAnother(), KeysLag: lag,
+		PlannerHeard: now.Sub(c.follower.ReceivedAt)+c.follower.Delay < follow.MaxPlannerSilence, WatchedNearby: c.gatheredByAnother(), KeysLag: lag,
 	}
 }
 
@@ -202,7 +202,7 @@
 	before := c.keys.Revision()
 	changed := false
 	for _, item := range items {
-		if !c.keys.Take(item) {
+		if !c.keys.Put(item) {
 			continue
 		}
 		changed = true
@@ -213,10 +213,10 @@
 		c.applyVersion(now, origin, item)
 	}
 	if changed {
-		c.keys.Changed(origin.Since)
+		c.keys.RecordChange(origin.Since)
 	}
 	if len(items) > 0 {
-		c.keys.Complete(origin.UpTo)
+		c.keys.MarkComplete(origin.UpTo)
 	}
 	if c.keys.Revision() > before && c.follower.stream != nil {
 		// The planner keeps sending keys to members that have not acknowledged them.
@@ -253,7 +253,7 @@
 		return
 	}
 	c.logVersion(now, origin, adapter, version)
-	c.unbegun.Named(adapter, version, c.beginDeadline(adapter, version-1))
+	c.unbegun.ApplyVersion(adapter, version, c.beginDeadline(adapter, version-1))
 	if c.planner != nil {
 		c.planner.plans.SetVersion(now, adapter, version)
 	}
@@ -263,7 +263,7 @@
 // acknowledged to operators, and the age that is assumed for it.
 func (c *Coordinator) logVersion(now time.Time, origin follow.Origin, adapter deployment.Adapter, version int64) {
 	fields := logrus.Fields{"adapter": adapter.String(), "version": version, "source": origin.Source}
-	if silence, known := origin.Silence(now); known {
+	if silence, known := origin.TimeSinceProof(now); known {
 		fields["silence_ms"] = silence.Milliseconds()
 	}
 	if !origin.Since.IsZero() {
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -45,7 +45,7 @@
 	loop        *loop.Loop
 	// leases is used only by the goroutine of holdLease and by Release. seeds may be used by any goroutine.
 	leases  *leasestore.Store
-	seeds   *seed.Asker
+	seeds   *seed.Requester
 	context context.Context
 	cancel  context.CancelFunc
 	tasks   sync.WaitGroup
@@ -81,7 +81,7 @@
 	waiters        waiting.Queue[acquireResult]
 	demand         *report.Counter
 	reportSchedule report.Schedule
-	forecasts      *forecast.Book
+	forecasts      *forecast.Announcements
 	sweptAt        time.Time
 	// missing are copies that endpoints did not hold although they were listed, for the next report.
 	missing        []wire.Copy
@@ -134,7 +134,7 @@
 		budget:           retry.NewBudget(options.Retry, options.Now()),
 		crashes:          quarantine.NewTable(),
 		demand:           report.NewCounter(),
-		forecasts:        forecast.NewBook(),
+		forecasts:        forecast.NewAnnouncements(),
 		gathering:        newGathering(),
 		endpointLimits:   newEndpointLimits(),
 		announcedLeaving: make(map[deployment.EndpointID]bool),
@@ -143,7 +143,7 @@
 		Client: environment.Store, Instance: options.Instance, Address: options.PeerAddress,
 		Timeout: options.StoreTimeout, Now: options.Now, Failed: c.recordStoreFailure,
 	}
-	c.seeds = &seed.Asker{
+	c.seeds = &seed.Requester{
 		Instance: options.Instance, Own: options.PeerAddress, Seeds: options.Seeds, Dial: environment.Dial, Now: options.Now,
 	}
 	return c
@@ -215,7 +215,7 @@
 
 // requestReport sends a report at once, or as soon as the minimum interval since the last report has passed.
 func (c *Coordinator) requestReport(now time.Time) {
-	if c.reportSchedule.Ask(now, c.follower.Members) {
+	if c.reportSchedule.Request(now, c.follower.Members) {
 		c.sendReport(now)
 	}
 }
--- a/services/entry/coordinator/descriptions_test.go
+++ b/services/entry/coordinator/descriptions_test.go
@@ -45,7 +45,7 @@
 			report := &wire.Report{Instance: name, Contact: &wire.Contact{Hall: "hall"}, DescribedUpTo: test.describedUpTo, Probe: 1}
 			require.NoError(t, stream.Send(wire.Message{Report: report}))
 			v := awaitMessage(t, stream, func(m wire.Message) bool { return m.View != nil }).View
-			assert.True(t, v.Whole)
+			assert.True(t, v.IsSnapshot)
 			assert.True(t, v.Full)
 			assert.Positive(t, v.DescribedUpTo)
 			if test.known {
@@ -65,7 +65,7 @@
 	v := wholeView(sequence)
 	v.Endpoints, v.DescribedUpTo = nil, 50
 	v.Known = []wire.KnownEndpoints{{Models: []string{"base"}, IDs: []deployment.EndpointID{id}}}
-	v.Copies = []wire.CopyChange{{ID: id, Model: "base", Name: name, Version: 1}}
+	v.CopyChanges = []wire.CopyChange{{ID: id, Model: "base", Name: name, Version: 1}}
 	return v
 }
 
@@ -152,7 +152,7 @@
 				if err != nil {
 					return
 				}
-				if received.View != nil && received.View.Whole {
+				if received.View != nil && received.View.IsSnapshot {
 					sequences <- received.View.Sequence
 				}
 			}
--- a/services/entry/coordinator/follower.go
+++ b/services/entry/coordinator/follower.go
@@ -20,7 +20,7 @@
 
 // follower is an instance's state of its link to the planner.
 type follower struct {
-	view.Followed
+	view.PlannerState
 	// stream is the link; nil if there is none.
 	stream *peerstream.Stream[wire.Message]
 	// ratesDue requests the arrival rates in the next report.
@@ -84,7 +84,7 @@
 	defer stop()
 	c.loop.Call(func(now time.Time) {
 		c.follower.stream = stream
-		c.follower.Opened(now)
+		c.follower.LinkOpened(now)
 		c.follower.viewReceived, c.follower.keysRequested, c.follower.needsWholeView = false, false, false
 		c.gathering.fedBy = ""
 		c.follower.inFlight = nil
@@ -119,8 +119,8 @@
 
 // applyView applies a view of the planner.
 func (c *Coordinator) applyView(now time.Time, stream *peerstream.Stream[wire.Message], v *wire.View) {
-	arrival := view.Arrival{PresentLink: stream == c.follower.stream || stream == c.gathering.stream, Planning: c.planner != nil}
-	if c.follower.Judge(v, arrival) != view.Keep {
+	arrival := view.Arrival{CurrentLink: stream == c.follower.stream || stream == c.gathering.stream, Planning: c.planner != nil}
+	if c.follower.Judge(v, arrival) != view.Accept {
 		return
 	}
 	c.follower.viewReceived = true
@@ -129,17 +129,17 @@
 		return
 	}
 	switch c.follower.Order(v) {
-	case view.Repeated:
+	case view.Duplicate:
 		return
 	case view.Gap:
 		c.requestWholeView(now)
 		return
 	}
-	effects := c.follower.Take(now, v)
+	effects := c.follower.Apply(now, v)
 	c.forwardView(v)
 	c.recordPlannerLoads(now, v)
 	c.budget.SetMembers(v.Members)
-	c.follower.needsWholeView = c.follower.needsWholeView && !v.Whole
+	c.follower.needsWholeView = c.follower.needsWholeView && !v.IsSnapshot
 	c.applyItems(now, c.originOfView(now, v), v.Items)
 	c.applyViewEndpoints(v)
 	c.applyDescribedRevision(now, v)
@@ -177,7 +177,7 @@
 // applyBareView applies a view with keys that the planner sends directly to this instance, in addition to the views that a
 // gatherer forwards.
 func (c *Coordinator) applyBareView(now time.Time, v *wire.View) {
-	c.follower.TakeBare(now, v)
+	c.follower.ApplyBare(now, v)
 	c.applyItems(now, c.originOfView(now, v), v.Items)
 	if c.recordKeysRequest(v) || len(v.Items) > 0 {
 		c.acknowledge(now)
@@ -186,7 +186,7 @@
 
 // recordKeysRequest records and reports whether the planner requests the keys that it lacks from this instance.
 func (c *Coordinator) recordKeysRequest(v *wire.View) bool {
-	requested := v.KeysFrom == c.options.Instance
+	requested := v.KeysRequestedFrom == c.options.Instance
 	c.follower.keysRequested = c.follower.keysRequested || requested
 	return requested
 }
@@ -217,9 +217,9 @@
 // the view was in transit.
 func (c *Coordinator) originOfView(now time.Time, v *wire.View) follow.Origin {
 	origin := c.keysCompleteness.Origin(follow.FromPlanner, v.ConfigurationRevision)
-	made, known := c.follower.MadeAfter()
+	made, known := c.follower.BuiltAfter()
 	if v.Bare {
-		made, known = c.follower.BareMadeAfter(now, v)
+		made, known = c.follower.BareBuiltAfter(now, v)
 	}
 	if v.KeysAge <= 0 || !known {
 		return origin
@@ -257,23 +257,23 @@
 // applyForecasts applies the forecasts of adapters that are being loaded. A heartbeat lists all of them.
 func (c *Coordinator) applyForecasts(now time.Time, v *wire.View) {
 	if v.Heartbeat {
-		c.forecasts.Renew(v.Backlogs)
+		c.forecasts.Reset(v.Backlogs)
 	}
 	for _, forecast := range v.Forecasts {
-		c.forecasts.Note(forecast.Key(), now.Add(forecast.Remaining))
+		c.forecasts.Set(forecast.Key(), now.Add(forecast.Remaining))
 	}
 }
 
 // acknowledge reports that a view or keys were applied. The report is sent at once if the last report is old enough.
 func (c *Coordinator) acknowledge(now time.Time) {
-	if c.reportSchedule.AskAcknowledge(now, c.follower.Members) {
+	if c.reportSchedule.RequestAcknowledge(now, c.follower.Members) {
 		c.sendReport(now)
 	}
 }
 
 func (c *Coordinator) applyViewEndpoints(v *wire.View) {
 	listed := make(map[deployment.EndpointID]bool, len(v.Endpoints))
-	for i, endpoint := range v.Described() {
+	for i, endpoint := range v.Descriptions() {
 		listed[endpoint.ID] = true
 		c.putEndpoint(endpoint, v.Endpoints[i].Revision)
 		if status := c.directory.Endpoint(endpoint.ID); status != nil && status.Revision <= v.Endpoints[i].Revision {
@@ -281,13 +281,13 @@
 		}
 	}
 	c.applyKnownEndpoints(v)
-	for _, change := range v.Copies {
+	for _, change := range v.CopyChanges {
 		if !c.hasNewerDescription(v, change.ID) {
 			c.directory.SetCopy(change.ID, deployment.Adapter{Model: change.Model, Name: change.Name}, change.Version)
 		}
 	}
 	c.markCopiesFromPeers()
-	for _, id := range v.Unchanged {
+	for _, id := range v.UnchangedEndpoints {
 		listed[id] = true
 	}
 	for _, known := range v.Known {
--- a/services/entry/coordinator/formerloads.go
+++ b/services/entry/coordinator/formerloads.go
@@ -68,7 +68,7 @@
 		return
 	}
 	p.formerTermLoads.known, p.formerTermLoads.loads = true, plan.AssumedLoads{Count: reported.Count, At: countedAt}
-	p.plans.Assume(p.formerTermLoads.loads)
+	p.plans.SetAssumedLoads(p.formerTermLoads.loads)
 }
 
 // recentLoads returns the number of base-model loads that began within the last window, for a view. It is never nil,
--- a/services/entry/coordinator/gatherers.go
+++ b/services/entry/coordinator/gatherers.go
@@ -55,7 +55,7 @@
 		return
 	}
 	g.chosenAt = now
-	chosen := tree.Gatherers(p.members.Reachable())
+	chosen := tree.Gatherers(p.members.GathererCandidates())
 	if slices.Equal(chosen, g.chosen) {
 		return
 	}
@@ -73,9 +73,9 @@
 
 // applySum applies the sum of a gatherer.
 func (p *planner) applySum(now time.Time, sum *wire.Sum) {
-	p.gatherers.sums.Take(now, sum)
-	p.members.Heard(now, sum.Members)
-	p.plans.TakeArrivals(now, sum.Arrivals)
+	p.gatherers.sums.Put(now, sum)
+	p.members.MarkHeard(now, sum.Members)
+	p.plans.CountArrivals(now, sum.Arrivals)
 }
 
 // sendTotals sends the gatherers the in-flight requests of all instances, if that is due. The size of the totals bounds
@@ -85,10 +85,10 @@
 	if now.Before(g.nextTotalsAt) {
 		return
 	}
-	g.nextTotalsAt = now.Add(gather.Pace)
+	g.nextTotalsAt = now.Add(gather.Interval)
 	var links []*peerstream.Stream[wire.Message]
 	for instance, m := range p.members.All() {
-		if m.Link != nil && g.sums.Gathers(now, instance) {
+		if m.Link != nil && g.sums.HasValid(now, instance) {
 			links = append(links, m.Link)
 		}
 	}
@@ -114,7 +114,7 @@
 func (p *planner) totalsPause(bytes int) time.Duration {
 	rate := float64(p.coordinator.options.LinkRate) * totalsShare
 	if rate <= 0 {
-		return gather.Pace
+		return gather.Interval
 	}
-	return max(gather.Pace, time.Duration(float64(bytes)/rate*float64(time.Second)))
+	return max(gather.Interval, time.Duration(float64(bytes)/rate*float64(time.Second)))
 }
--- a/services/entry/coordinator/gathering.go
+++ b/services/entry/coordinator/gathering.go
@@ -53,7 +53,7 @@
 		return tree.Instance{}, false
 	}
 	g := &c.gathering
-	return tree.Of(c.options.Instance, c.options.Hall, g.gatherers, func(name string) bool { return now.Before(g.avoidedUntil[name]) })
+	return tree.GathererOf(c.options.Instance, c.options.Hall, g.gatherers, func(name string) bool { return now.Before(g.avoidedUntil[name]) })
 }
 
 // gatheredByAnother reports whether the planner named gatherers in this instance's hall, and this instance is not a
@@ -89,7 +89,7 @@
 
 // followGathererAt maintains one link to a gatherer until it fails, falls silent or another instance becomes the gatherer.
 func (c *Coordinator) followGathererAt(gatherer tree.Instance) {
-	ctx, cancel := context.WithTimeout(c.context, gather.Life)
+	ctx, cancel := context.WithTimeout(c.context, gather.TTL)
 	conn, err := c.environment.Dial(ctx, gatherer.Address)
 	cancel()
 	if err != nil {
@@ -103,7 +103,7 @@
 	defer stop()
 	c.loop.Call(func(time.Time) { c.gathering.stream, c.gathering.gathererName = stream, gatherer.Name })
 	for {
-		received, err := stream.Receive(gather.Life, c.options.TimerNow)
+		received, err := stream.Receive(gather.TTL, c.options.TimerNow)
 		unchanged := false
 		c.loop.Call(func(now time.Time) {
 			if err != nil {
@@ -157,21 +157,21 @@
 
 // forwardView sends a view of changes to the members of the group.
 func (c *Coordinator) forwardView(v *wire.View) {
-	if len(c.gathering.members) == 0 || v.Sequence == 0 || v.Whole {
+	if len(c.gathering.members) == 0 || v.Sequence == 0 || v.IsSnapshot {
 		return
 	}
 	forwarded := *v
-	forwarded.Items, forwarded.KeysAge, forwarded.KeysFrom, forwarded.Probe = nil, 0, "", 0
+	forwarded.Items, forwarded.KeysAge, forwarded.KeysRequestedFrom, forwarded.Probe = nil, 0, "", 0
 	c.sendToGroup(wire.Message{View: &forwarded})
 }
 
 // sendDueLoads sends this instance's load and, at a gatherer, the sum of its group, when they are due.
 func (c *Coordinator) sendDueLoads(now time.Time) {
 	g := &c.gathering
-	if c.planner == nil && (g.stream != nil || g.gathersItself) && now.Sub(g.loadSentAt) >= gather.Pace {
+	if c.planner == nil && (g.stream != nil || g.gathersItself) && now.Sub(g.loadSentAt) >= gather.Interval {
 		c.sendLoad(now)
 	}
-	if !g.group.Empty() && now.Sub(g.sumSentAt) >= gather.Pace {
+	if !g.group.Empty() && now.Sub(g.sumSentAt) >= gather.Interval {
 		c.sendSum(now)
 	}
 }
@@ -182,7 +182,7 @@
 	g.loadSentAt = now
 	load := &wire.Load{Instance: c.options.Instance, InFlight: c.takeOwnCounts(), Arrivals: c.demand.TakeArrivals(now)}
 	if g.gathersItself {
-		g.group.Take(now, load)
+		g.group.Put(now, load)
 		return
 	}
 	if err := g.stream.Send(wire.Message{Load: load}); err != nil {
@@ -225,7 +225,7 @@
 // applyLoad applies a load that a member of this instance's group sent.
 func (c *Coordinator) applyLoad(now time.Time, stream *member.Link, load *wire.Load) {
 	c.gathering.members[stream] = load.Instance
-	c.gathering.group.Take(now, load)
+	c.gathering.group.Put(now, load)
 }
 
 // dropLoads removes what was received over a link that has ended.
@@ -242,7 +242,7 @@
 			return
 		}
 	}
-	g.group.Drop(instance)
+	g.group.Remove(instance)
 }
 
 // applyGatherers applies the gatherers that the planner's view names.
--- a/services/entry/coordinator/gathering_test.go
+++ b/services/entry/coordinator/gathering_test.go
@@ -58,8 +58,8 @@
 // wholeView returns a whole view of the planner of term 4 with the given sequence number. It names a gatherer.
 func wholeView(sequence uint64) *wire.View {
 	return &wire.View{
-		Planner: "peer", Term: 4, Full: true, Whole: true, Sequence: sequence, EndpointsRevision: 50, Heartbeat: true, Members: 40, ConfigurationRevision: 50,
-		Made: time.Minute, Withdrawals: 7,
+		Planner: "peer", Term: 4, Full: true, IsSnapshot: true, Sequence: sequence, EndpointsRevision: 50, Heartbeat: true, Members: 40, ConfigurationRevision: 50,
+		TermAge: time.Minute, Withdrawals: 7,
 		Endpoints: []wire.Endpoint{{
 			ID: "e1", Revision: 50, Service: service, Address: netip.MustParseAddrPort("127.0.0.1:2001"), Hall: "hall", Slots: 16,
 			Models: []wire.Model{{Name: "base", Adapters: []wire.AdapterVersion{{Name: "a1", Version: 1}}}},
@@ -71,8 +71,8 @@
 // changeView returns a view that adds one copy.
 func changeView(sequence uint64, name string) *wire.View {
 	return &wire.View{
-		Planner: "peer", Term: 4, Sequence: sequence, Members: 40, ConfigurationRevision: 50, Made: time.Minute + time.Second, Withdrawals: 7 + sequence,
-		Copies: []wire.CopyChange{{ID: "e1", Model: "base", Name: name, Version: 1}},
+		Planner: "peer", Term: 4, Sequence: sequence, Members: 40, ConfigurationRevision: 50, TermAge: time.Minute + time.Second, Withdrawals: 7 + sequence,
+		CopyChanges: []wire.CopyChange{{ID: "e1", Model: "base", Name: name, Version: 1}},
 	}
 }
 
@@ -90,10 +90,10 @@
 }
 
 func reportsFedBy(name string) func(wire.Message) bool {
-	return func(m wire.Message) bool { return m.Report != nil && m.Report.FedBy == name }
+	return func(m wire.Message) bool { return m.Report != nil && m.Report.Relay == name }
 }
 
-func requestsWholeView(m wire.Message) bool { return m.Report != nil && m.Report.NeedsWhole }
+func requestsWholeView(m wire.Message) bool { return m.Report != nil && m.Report.NeedsSnapshot }
 
 // TestInstanceSendsLoadToGathererAndAppliesTotals guards against old in-flight counts: they came only with the planner's
 // infrequent totals, so that all instances of a large fleet chose endpoints by the same old counts.
@@ -134,7 +134,7 @@
 	require.NoError(t, gatherer.Send(wire.Message{View: changeView(13, "a4")}), "view 12 is missing")
 	report = awaitMessage(t, planner, requestsWholeView).Report
 	assert.EqualValues(t, 18, report.WithdrawalsSeen, "the view after the gap is not acknowledged")
-	assert.Empty(t, report.FedBy)
+	assert.Empty(t, report.Relay)
 	assert.Equal(t, 2, f.instance.Status().ResidentCopies)
 
 	whole := wholeView(13)
@@ -163,7 +163,7 @@
 			awaitMessage(t, planner, reportsFedBy("gatherer"))
 			start := time.Now()
 			lose(gatherer)
-			awaitMessage(t, planner, func(m wire.Message) bool { return m.Report != nil && m.Report.NeedsWhole && m.Report.FedBy == "" })
+			awaitMessage(t, planner, func(m wire.Message) bool { return m.Report != nil && m.Report.NeedsSnapshot && m.Report.Relay == "" })
 			assert.Less(t, time.Since(start), 1200*time.Millisecond)
 		})
 	}
@@ -179,7 +179,7 @@
 	awaitMessage(t, planner, reportsFedBy("gatherer"))
 	before := f.instance.Status().EndpointsAge
 	time.Sleep(200 * time.Millisecond)
-	bare := &wire.View{Planner: "peer", Term: 4, Bare: true, Made: time.Minute + 2*time.Second, Members: 40, Withdrawals: 99, ConfigurationRevision: 50}
+	bare := &wire.View{Planner: "peer", Term: 4, Bare: true, TermAge: time.Minute + 2*time.Second, Members: 40, Withdrawals: 99, ConfigurationRevision: 50}
 	require.NoError(t, planner.Send(wire.Message{View: bare}))
 	time.Sleep(50 * time.Millisecond)
 	assert.GreaterOrEqual(t, f.instance.Status().EndpointsAge, before+200*time.Millisecond)
@@ -265,7 +265,7 @@
 			for name, stream := range g.members {
 				report := &wire.Report{Instance: name}
 				if name == fed {
-					report.FedBy = gatherer
+					report.Relay = gatherer
 				}
 				_ = stream.Send(wire.Message{Report: report})
 			}
@@ -354,14 +354,14 @@
 			report := &wire.Report{Instance: name, Contact: &wire.Contact{Hall: "hall"}, EndpointsRead: test.read}
 			require.NoError(t, stream.Send(wire.Message{Report: report}))
 			v := awaitMessage(t, stream, func(m wire.Message) bool { return m.View != nil }).View
-			assert.True(t, v.Whole)
+			assert.True(t, v.IsSnapshot)
 			assert.True(t, v.Full)
 			if test.short {
 				assert.Empty(t, v.Endpoints)
-				assert.Equal(t, []deployment.EndpointID{"e1"}, v.Unchanged)
+				assert.Equal(t, []deployment.EndpointID{"e1"}, v.UnchangedEndpoints)
 			} else {
 				assert.Len(t, v.Endpoints, 1)
-				assert.Empty(t, v.Unchanged)
+				assert.Empty(t, v.UnchangedEndpoints)
 			}
 		})
 	}
@@ -377,7 +377,7 @@
 	first := awaitMessage(t, planner, func(m wire.Message) bool { return m.Report != nil }).Report
 	assert.Positive(t, first.EndpointsRead)
 	short := wholeView(1)
-	short.Endpoints, short.Gatherers, short.Unchanged = nil, nil, []deployment.EndpointID{"e1"}
+	short.Endpoints, short.Gatherers, short.UnchangedEndpoints = nil, nil, []deployment.EndpointID{"e1"}
 	require.NoError(t, planner.Send(wire.Message{View: short}))
 	f.waitForStatus(t, "follows the planner", func(status coordinator.Status) bool { return status.Term == 4 })
 	assert.Equal(t, 1, f.instance.Status().Endpoints, "the endpoint keeps the description from the store")
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -20,7 +20,7 @@
 	if p.steppingDown || !lease.IsConfirmationOverdue(p.lease.ConfirmedAge(now)) {
 		return
 	}
-	p.steppingDown = p.members.ReachStore(now)
+	p.steppingDown = p.members.AnyReachesStore(now)
 	if p.steppingDown {
 		term := p.lease.Record().Term
 		c.startTask(func() { c.resign(p, term) })
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -105,7 +105,7 @@
 	c.finishMemberLinks()
 	c.recordOwnLoads(now, c.planner)
 	c.planner = nil
-	c.follower = follower{Followed: c.follower.Restarted()}
+	c.follower = follower{PlannerState: c.follower.Reset()}
 	c.reportSchedule.Restart()
 }
 
@@ -115,7 +115,7 @@
 func (c *Coordinator) finishMemberLinks() {
 	members, former := c.planner.members, c.planner.lease.Record()
 	if c.knownRecord.Term > former.Term && c.knownRecord.Address.IsValid() {
-		members.Tell(wire.Message{Successor: &wire.Successor{Term: c.knownRecord.Term, Address: c.knownRecord.Address}})
+		members.Broadcast(wire.Message{Successor: &wire.Successor{Term: c.knownRecord.Term, Address: c.knownRecord.Address}})
 	}
 	members.FinishLinks()
 }
@@ -274,7 +274,7 @@
 // which the planner forwards to all members. An instance with a reluctance reads later, and only if it has not learned of
 // a successor by then. A random share of these instances, as many as a small fleet has, reads at once too.
 func (c *Coordinator) requestRecordRead(now time.Time) {
-	sampled := c.options.Random() < float64(report.MembersAtPace)/float64(max(1, c.follower.Members))
+	sampled := c.options.Random() < float64(report.MaxUnstretchedMembers)/float64(max(1, c.follower.Members))
 	if c.options.Reluctance == 0 || sampled {
 		c.recordReadRequested = true
 		return
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -47,7 +47,7 @@
 	stop := context.AfterFunc(c.context, stream.Close)
 	defer stop()
 	for {
-		silence := member.LeastSilence
+		silence := member.MinSilence
 		c.loop.Call(func(time.Time) { silence = c.memberSilence() })
 		received, err := stream.Receive(silence, c.options.TimerNow)
 		if err != nil {
@@ -171,5 +171,5 @@
 		return
 	}
 	c.planner.keysInFlight.Ended(stream)
-	c.planner.members.Unlink(now, stream, c.memberSilence())
+	c.planner.members.LinkEnded(now, stream, c.memberSilence())
 }
--- a/services/entry/coordinator/planner.go
+++ b/services/entry/coordinator/planner.go
@@ -74,7 +74,7 @@
 	members := member.NewTable()
 	options := plan.Options{
 		LoadWindow: c.options.LoadWindow, LoadTolerance: c.options.LoadTolerance, LoadSlack: c.options.LoadSlack,
-		Random: c.options.Random, Term: held.Record().Term, Begun: now, ExpectedFleet: c.follower.Members,
+		Random: c.options.Random, Term: held.Record().Term, TermStart: now, ExpectedFleetSize: c.follower.Members,
 	}
 	p := &planner{
 		coordinator: c, lease: held, members: members, startedAt: now, formerTermLoads: formerTermLoads,
@@ -108,7 +108,7 @@
 	if p == nil || p.planDeferred {
 		return
 	}
-	if remaining := p.plannedAt.Add(planPause(p.members.Fleet())).Sub(now); remaining > 0 {
+	if remaining := p.plannedAt.Add(planPause(p.members.FleetSize())).Sub(now); remaining > 0 {
 		p.planDeferred = true
 		time.AfterFunc(remaining, func() { c.loop.Post(func(now time.Time) { c.planAfterPause(now, p) }) })
 		return
@@ -132,7 +132,7 @@
 	p.updateUnreachable(now)
 	mayOrder := func() bool { return !p.steppingDown && p.lease.MayOrder(now) }
 	noteForecast := func(key deployment.ServiceAdapter, remaining time.Duration) {
-		c.forecasts.Note(key, now.Add(remaining))
+		c.forecasts.Set(key, now.Add(remaining))
 	}
 	p.plans.Order(now, mayOrder, c.startOrder, noteForecast)
 	p.chooseGatherers(now)
@@ -203,7 +203,7 @@
 	if c.planner != p {
 		return
 	}
-	if !p.plans.Has(result.Order.Endpoint.Service) {
+	if !p.plans.HasService(result.Order.Endpoint.Service) {
 		return
 	}
 	c.logOrderResult(result)
@@ -243,12 +243,12 @@
 
 // applyReport applies the report of a member or of this instance itself.
 func (p *planner) applyReport(now time.Time, r *wire.Report) {
-	if p.plans.TakeMember(now, r) {
+	if p.plans.ApplyMemberReport(now, r) {
 		p.coordinator.applyItems(now, p.coordinator.keysCompleteness.Origin(follow.FromMember, r.ConfigurationRevision), r.Items)
 	}
-	p.plans.TakeDemand(now, r)
+	p.plans.ApplyDemand(now, r)
 	p.coordinator.mergeCrashes(now, r.Crashes, true)
 	p.mergeReportedLimits(now, r)
-	p.coordinator.mergeLeaving(now, r.SaidLeaving)
+	p.coordinator.mergeLeaving(now, r.LeavingEndpoints)
 	p.mergeFormerLoads(now, r.FormerLoads)
 }
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -17,7 +17,7 @@
 func (c *Coordinator) sendReport(now time.Time) {
 	if c.planner == nil && c.follower.stream == nil {
 		c.reportSchedule.Skip(now)
-		c.demand.Untold(now)
+		c.demand.FlushToRates(now)
 		// A new planner reads the endpoints' load reports itself.
 		c.missing = nil
 		return
@@ -38,9 +38,9 @@
 	r := &wire.Report{
 		Instance: c.options.Instance, WithdrawalsSeen: c.follower.Withdrawals, ConfigurationRevision: c.keys.Revision(),
 		Demands: c.buildDemands(now), Missing: c.missing, Leaving: c.leaving.Load(),
-		StoreReadAge: now.Sub(c.storeReadAt), FedBy: c.gathering.fedBy, NeedsWhole: c.takeWholeViewRequest(now),
+		StoreReadAge: now.Sub(c.storeReadAt), Relay: c.gathering.fedBy, NeedsSnapshot: c.takeWholeViewRequest(now),
 	}
-	if r.NeedsWhole || c.follower.ratesDue {
+	if r.NeedsSnapshot || c.follower.ratesDue {
 		r.DescribedUpTo = c.describedRevision
 	}
 	c.missing = nil
@@ -63,7 +63,7 @@
 	}
 	r.Crashes = c.crashesToReport(now)
 	c.addLimitsToReport(now, r)
-	r.SaidLeaving = c.leavingEndpoints()
+	r.LeavingEndpoints = c.leavingEndpoints()
 	if c.follower.ratesDue {
 		r.Rates, r.FormerLoads = c.demand.Rates(now), c.formerLoadsToReport(now)
 		r.EndpointsRead = c.endpointsReadRevision
@@ -93,13 +93,13 @@
 		c.follower.plannerKeysLag = member.Lag{}
 		return false
 	}
-	if c.follower.PlannerAsks {
+	if c.follower.PlannerRequestsKeys {
 		requested := c.follower.keysRequested
 		c.follower.keysRequested = false
 		return requested
 	}
 	lag, behind := c.follower.plannerKeysLag.Observe(now, c.follower.PlannerRevision, c.keys.Revision())
-	if !behind || lag <= member.RelayAfter || now.Sub(c.follower.keysSentAt) < relay.Again {
+	if !behind || lag <= member.RelayDelay || now.Sub(c.follower.keysSentAt) < relay.ResendAfter {
 		return false
 	}
 	c.follower.keysSentAt = now
--- a/services/entry/coordinator/sentendpoints.go
+++ b/services/entry/coordinator/sentendpoints.go
@@ -34,7 +34,7 @@
 	for _, status := range changed {
 		former, ok := t[status.ID]
 		if ok && former.status == status && former.revision == status.Revision && former.state == status.State && slices.Equal(former.models, status.OfferedModels) {
-			v.Copies = append(v.Copies, former.copyChanges(status)...)
+			v.CopyChanges = append(v.CopyChanges, former.copyChanges(status)...)
 		} else {
 			v.AddEndpoints(slices.Values([]*directory.EndpointStatus{status}))
 		}
--- a/services/entry/coordinator/versions_test.go
+++ b/services/entry/coordinator/versions_test.go
@@ -47,7 +47,7 @@
 		f.putVersion("before")
 		f.start(t)
 		fields := f.waitForVersionLog(t, "before")
-		assert.Equal(t, follow.FromReading, fields["source"])
+		assert.Equal(t, follow.FromRead, fields["source"])
 		assert.NotContains(t, fields, "silence_ms", "there is no proof from before the first read")
 		assert.NotContains(t, fields, "age_ms")
 
@@ -64,7 +64,7 @@
 		f.putVersion("late")
 		f.store.setDown(false)
 		fields = f.waitForVersionLog(t, "late")
-		assert.Equal(t, follow.FromReading, fields["source"])
+		assert.Equal(t, follow.FromRead, fields["source"])
 		assert.Greater(t, fields["silence_ms"], time.Second.Milliseconds(), "the store did not answer for more than a second")
 		assert.Equal(t, fields["silence_ms"], fields["age_ms"], "the version may be as old as the last proof")
 	})
--- a/services/entry/coordinator/viewround.go
+++ b/services/entry/coordinator/viewround.go
@@ -70,10 +70,10 @@
 // its own is sent to a member if the view carries keys, a request for keys or the answer to the member's probe. A member
 // whose whole view has to wait for a later round receives nothing before it.
 func (p *planner) sendView(now time.Time, instance string, m *member.Member, round *viewRound) {
-	if m.NeedsFull && round.wholeBytesLeft <= 0 {
+	if m.SnapshotDue && round.wholeBytesLeft <= 0 {
 		return
 	}
-	if m.NeedsFull && m.Contact != nil && round.keysSource != instance {
+	if m.SnapshotDue && m.Contact != nil && round.keysSource != instance {
 		// The member's keys and the answer to its probe follow in the next round, so that all members that join share this
 		// frame.
 		p.sendFrame(m, p.commonFrame(now, m, round), round)
@@ -81,9 +81,9 @@
 	}
 	items := p.keysToSend(now, m)
 	switch {
-	case p.fedByGatherer(now, m) && !m.NeedsFull:
+	case p.fedByGatherer(now, m) && !m.SnapshotDue:
 		p.sendBareView(now, instance, m, round, items)
-	case round.keysSource == instance || m.Probe > 0, len(items) > 0 && (m.NeedsFull || m.Contact == nil):
+	case round.keysSource == instance || m.Probe > 0, len(items) > 0 && (m.SnapshotDue || m.Contact == nil):
 		p.sendOwnView(now, instance, m, round, items)
 	case len(items) > 0:
 		p.sendFrame(m, p.keysFrame(now, m, round, items), round)
@@ -98,10 +98,10 @@
 	if frame == nil {
 		return
 	}
-	if m.NeedsFull {
+	if m.SnapshotDue {
 		round.wholeBytesLeft -= len(frame)
 	}
-	m.NeedsFull = false
+	m.SnapshotDue = false
 	p.handleSendResult(m, m.Link.SendFrame(frame))
 }
 
@@ -121,21 +121,21 @@
 // fedByGatherer reports whether a gatherer forwards the views to a member: the member and the gatherer both report it, and
 // the gatherer is not silent.
 func (p *planner) fedByGatherer(now time.Time, m *member.Member) bool {
-	if m.FedBy == "" || !p.gatherers.sums.Gathers(now, m.FedBy) {
+	if m.Relay == "" || !p.gatherers.sums.HasValid(now, m.Relay) {
 		return false
 	}
-	gatherer, ok := p.members.All()[m.FedBy]
-	return ok && gatherer.Link != nil && gatherer.FedBy == ""
+	gatherer, ok := p.members.All()[m.Relay]
+	return ok && gatherer.Link != nil && gatherer.Relay == ""
 }
 
 // commonFrame returns the shared frame for a member of its version: the changes or a whole view.
 func (p *planner) commonFrame(now time.Time, m *member.Member, round *viewRound) peerstream.Frame {
 	switch {
-	case m.NeedsFull && p.readSameDescriptions(m, round):
+	case m.SnapshotDue && p.readSameDescriptions(m, round):
 		return p.shortFrame(now, round)
-	case m.NeedsFull && m.DescribedUpTo > 0:
+	case m.SnapshotDue && m.DescribedUpTo > 0:
 		return p.knownFrame(now, m.DescribedUpTo, round)
-	case m.NeedsFull:
+	case m.SnapshotDue:
 		return p.wholeFrame(now, round)
 	case m.Contact != nil:
 		return round.frame
@@ -149,14 +149,14 @@
 // formerView returns the changes in the form for members of the previous version: endpoints with all of their copies.
 func formerView(round *viewRound) *wire.View {
 	former := *round.changes
-	former.Copies, former.Endpoints, former.Starts = nil, nil, nil
+	former.CopyChanges, former.Endpoints, former.Starts = nil, nil, nil
 	former.AddEndpoints(slices.Values(round.changed))
 	return &former
 }
 
 // bareViewInterval is the minimum interval between two bare views that only keep the link to a member alive. It is below
 // the interval of heartbeats, so that in a fleet without changes each heartbeat sends one.
-const bareViewInterval = 3 * view.HeartbeatPace / 4
+const bareViewInterval = 3 * view.HeartbeatInterval / 4
 
 // sendBareView sends a member that a gatherer feeds what only the planner can send: keys, a request for keys and the
 // answer to a probe. Without any of these it sends a keep-alive at the interval of heartbeats.
@@ -165,14 +165,14 @@
 		return
 	}
 	bare := &wire.View{
-		Planner: round.changes.Planner, Term: round.changes.Term, Made: round.changes.Made, Members: round.changes.Members,
-		ConfigurationRevision: round.changes.ConfigurationRevision, AsksForKeys: true, Bare: true, Items: items, Probe: m.Probe,
+		Planner: round.changes.Planner, Term: round.changes.Term, TermAge: round.changes.TermAge, Members: round.changes.Members,
+		ConfigurationRevision: round.changes.ConfigurationRevision, RequestsKeys: true, Bare: true, Items: items, Probe: m.Probe,
 	}
 	if len(items) > 0 {
 		bare.KeysAge = p.keysAge(now, m)
 	}
 	if round.keysSource == instance {
-		bare.KeysFrom = instance
+		bare.KeysRequestedFrom = instance
 	}
 	m.Probe, m.BareSentAt = 0, now
 	p.coordinator.observeRelay(items)
@@ -222,7 +222,7 @@
 	for id, status := range p.coordinator.directory.Endpoints() {
 		described := maps.Equal(status.Offered, status.Adapters) && slices.Equal(status.OfferedModels, status.Models)
 		if described && status.State == deployment.Ready {
-			v.Unchanged = append(v.Unchanged, id)
+			v.UnchangedEndpoints = append(v.UnchangedEndpoints, id)
 			continue
 		}
 		v.AddEndpoints(slices.Values([]*directory.EndpointStatus{status}))
@@ -256,7 +256,7 @@
 			byModels[key] = &wire.KnownEndpoints{Models: status.OfferedModels}
 		}
 		byModels[key].IDs = append(byModels[key].IDs, id)
-		v.Copies = append(v.Copies, sentEndpoint{}.copyChanges(status)...)
+		v.CopyChanges = append(v.CopyChanges, sentEndpoint{}.copyChanges(status)...)
 	}
 	for _, known := range byModels {
 		v.Known = append(v.Known, *known)
@@ -281,9 +281,9 @@
 func (p *planner) sendOwnView(now time.Time, instance string, m *member.Member, round *viewRound, items []store.Item) {
 	memberView := *round.changes
 	switch {
-	case m.NeedsFull:
+	case m.SnapshotDue:
 		memberView = *p.wholeView(now, m, round)
-		m.NeedsFull = false
+		m.SnapshotDue = false
 	case m.Contact == nil:
 		memberView = *formerView(round)
 	}
@@ -293,7 +293,7 @@
 	}
 	m.Probe = 0
 	if round.keysSource == instance {
-		memberView.KeysFrom = instance
+		memberView.KeysRequestedFrom = instance
 	}
 	p.coordinator.observeRelay(items)
 	p.handleSendResult(m, m.Link.Send(wire.Message{View: &memberView}))
--- a/services/entry/coordinator/views.go
+++ b/services/entry/coordinator/views.go
@@ -61,7 +61,7 @@
 		changes.Heartbeat = true
 		p.addForecasts(now, changes)
 	} else {
-		changes.Forecasts = changed.Begun
+		changes.Forecasts = changed.StartedLoads
 	}
 	changes.Removed = changed.Removed
 	p.addUnreachable(changes, withTotals)
@@ -122,7 +122,7 @@
 
 // nothingToSend reports whether all members have the last state of the plan.
 func (p *planner) nothingToSend(now time.Time) bool {
-	return p.plans.Changes().Empty() && !p.coordinator.crashes.Untold() && !p.members.NeedOwn() && !p.gatherers.changed && !p.unreachableChanged &&
+	return p.plans.Changes().Empty() && !p.coordinator.crashes.Untold() && !p.members.AnyNeedsOwnView() && !p.gatherers.changed && !p.unreachableChanged &&
 		len(p.limitAllocation.grants) == 0 && !p.limitsChanged(now)
 }
 
@@ -140,11 +140,11 @@
 func (p *planner) missingKeys(now time.Time, m *member.Member) []store.Item {
 	keys := p.coordinator.keys
 	lag, behind := m.Lag.Observe(now, m.ConfigurationRevision, keys.Revision())
-	if !behind || lag < member.RelayAfter {
+	if !behind || lag < member.RelayDelay {
 		return nil
 	}
 	items := keys.After(m.ConfigurationRevision)
-	if lag < relay.PatienceFor(follow.SizeOf(items)) {
+	if lag < relay.DelayFor(follow.SizeOf(items)) {
 		return nil
 	}
 	return items
@@ -166,7 +166,7 @@
 			continue
 		}
 		items := p.missingKeys(now, m)
-		if len(items) > 0 && p.keysInFlight.Room(now, m.Link, follow.SizeOf(items)) {
+		if len(items) > 0 && p.keysInFlight.HasRoom(now, m.Link, follow.SizeOf(items)) {
 			return true
 		}
 	}
@@ -183,9 +183,9 @@
 func (p *planner) baseView(now time.Time) *wire.View {
 	v := &wire.View{
 		Planner: p.coordinator.options.Instance, Term: p.lease.Record().Term, ReadAge: now.Sub(p.coordinator.endpointsReadAt),
-		Members: p.members.Fleet(), ConfigurationRevision: p.coordinator.keys.Revision(), Resigned: p.resigned,
+		Members: p.members.FleetSize(), ConfigurationRevision: p.coordinator.keys.Revision(), Resigned: p.resigned,
 		ConfirmedAge: p.lease.ConfirmedAge(now), Withdrawals: p.plans.Withdrawals(), RecentLoads: p.recentLoads(now),
-		Made: max(minReportedSpan, now.Sub(p.startedAt)), AsksForKeys: true, DescribedUpTo: p.coordinator.describedRevision,
+		TermAge: max(minReportedSpan, now.Sub(p.startedAt)), RequestsKeys: true, DescribedUpTo: p.coordinator.describedRevision,
 	}
 	return v
 }
@@ -196,9 +196,9 @@
 // addForecasts adds the adapters that are being loaded to a view. Heartbeats carry them.
 func (p *planner) addForecasts(now time.Time, v *wire.View) {
 	v.Forecasts, v.Backlogs = p.plans.Forecasts(now)
-	p.coordinator.forecasts.Renew(v.Backlogs)
+	p.coordinator.forecasts.Reset(v.Backlogs)
 	for _, forecast := range v.Forecasts {
-		p.coordinator.forecasts.Note(forecast.Key(), now.Add(forecast.Remaining))
+		p.coordinator.forecasts.Set(forecast.Key(), now.Add(forecast.Remaining))
 	}
 }
 
@@ -215,7 +215,7 @@
 	p.addTotals(now, v)
 	v.Gatherers = p.wireGatherers()
 	v.Heartbeat = true
-	v.Whole, v.Sequence = true, p.sequence
+	v.IsSnapshot, v.Sequence = true, p.sequence
 	v.Full = p.coordinator.endpointsKnown
 	v.Unreached = &wire.EndpointList{IDs: slices.Collect(maps.Keys(p.unreachable))}
 	v.Limits = &wire.LimitList{Limits: p.currentLimits(now)}
@@ -227,7 +227,7 @@
 // totalInFlight returns the in-flight requests of all instances and the mean age of the other instances' counts. It uses
 // the gatherers' sums and, for instances that are in no sum, their own reports.
 func (p *planner) totalInFlight(now time.Time) (map[deployment.EndpointID]member.InFlight, time.Duration) {
-	gathered := p.gatherers.sums.Gather(now)
+	gathered := p.gatherers.sums.Total(now)
 	sums := gathered.InFlight
 	for id, status := range p.coordinator.directory.Endpoints() {
 		sums[id] = sums[id].Plus(ownInFlight(status))
@@ -270,6 +270,6 @@
 			c.setOthersInFlight(id, sum, ownInFlight(status))
 		}
 	}
-	c.follower.Members = p.members.Fleet()
-	c.budget.SetMembers(p.members.Fleet())
+	c.follower.Members = p.members.FleetSize()
+	c.budget.SetMembers(p.members.FleetSize())
 }
--- a/services/entry/coordinator/waiting/queue_test.go
+++ b/services/entry/coordinator/waiting/queue_test.go
@@ -18,7 +18,7 @@
 	return waiting.New[string](&deployment.Request{ID: id, Route: &deployment.Route{Priority: priority}}, nil)
 }
 
-// review gives the order of a review that keeps the requests named.
+// review reviews the queue, keeps the requests with the given IDs, and returns the order of the review.
 func review(q *queue, kept ...string) []string {
 	var order []string
 	q.Review(func(r *waiting.Request[string]) bool {
@@ -33,36 +33,36 @@
 	return order
 }
 
-func TestTheMostUrgentIsReviewedFirstAndEqualsInOrderOfArrival(t *testing.T) {
+func TestReviewOrdersByPriorityAndArrival(t *testing.T) {
 	var q queue
-	for _, one := range []*waiting.Request[string]{request("late", 2), request("a", 1), request("first", 0), request("b", 1), request("c", 1)} {
-		q.Add(one)
+	for _, queued := range []*waiting.Request[string]{request("late", 2), request("a", 1), request("first", 0), request("b", 1), request("c", 1)} {
+		q.Add(queued)
 	}
 	all := []string{"first", "a", "b", "c", "late"}
 	assert.Equal(t, all, review(&q, all...))
 	assert.Equal(t, all, review(&q, "a", "late"), "a second review has the same order")
 	assert.Equal(t, []string{"a", "late"}, review(&q))
 	assert.Zero(t, q.Len())
-	assert.Empty(t, review(&q), "nothing waits")
+	assert.Empty(t, review(&q), "the queue is empty")
 }
 
-func TestACallerThatLeavesIsDroppedOnce(t *testing.T) {
+func TestRemoveIsIdempotent(t *testing.T) {
 	var q queue
-	one, other := request("one", 1), request("other", 1)
-	q.Add(one)
+	queued, other := request("one", 1), request("other", 1)
+	q.Add(queued)
 	q.Add(other)
-	q.Drop(one)
-	q.Drop(one)
-	q.Drop(request("one", 1))
+	q.Remove(queued)
+	q.Remove(queued)
+	q.Remove(request("one", 1))
 	assert.Equal(t, []*waiting.Request[string]{other}, q.All())
-	q.Drop(other)
+	q.Remove(other)
 	assert.Zero(t, q.Len())
-	q.Drop(other)
+	q.Remove(other)
 }
 
-func TestAnAnswerIsKeptForACallerThatIsSlow(t *testing.T) {
-	one := request("one", 1)
-	one.Result <- "refused"
-	assert.Equal(t, "refused", <-one.Result)
-	assert.Equal(t, deployment.ServiceAdapter{Service: one.Service, Adapter: one.Adapter}, one.Key())
+func TestResultIsBuffered(t *testing.T) {
+	queued := request("one", 1)
+	queued.Result <- "refused"
+	assert.Equal(t, "refused", <-queued.Result)
+	assert.Equal(t, deployment.ServiceAdapter{Service: queued.Service, Adapter: queued.Adapter}, queued.Key())
 }
