--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -10,45 +10,45 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Directory holds all endpoints; it is not safe for concurrent use.
+// Directory holds the status of all endpoints. It is not safe for concurrent use.
 type Directory struct {
 	endpoints map[deployment.EndpointID]*EndpointStatus
 	byService map[string][]*EndpointStatus
-	// gone remembers removed endpoints for goneRetention, so that an older description does not bring them back.
-	gone map[deployment.EndpointID]removal
-	// draining remembers who was seen draining, and the start of that incarnation, as long as the endpoint is known or remembered
-	// as gone: an incarnation never takes work again.
+	// removed holds removed endpoints for goneRetention, so that an older description does not add them again.
+	removed map[deployment.EndpointID]removal
+	// draining holds the start time of each incarnation that was seen draining, for as long as the endpoint is known or in removed. A
+	// draining incarnation never takes work again.
 	draining map[deployment.EndpointID]time.Time
-	// halls is how this instance reaches each other hall.
-	halls map[string]*reach
-	// stays is how long requests of each service are in flight; services that are gone stay, a few bytes each.
-	stays map[string]time.Duration
+	// halls is the reachability of each hall from this instance.
+	halls map[string]*hallReachability
+	// inFlightTimes is the mean time in flight of the requests of each service. Entries of removed services are kept, at a few bytes each.
+	inFlightTimes map[string]time.Duration
 }
 
-// removal is how an endpoint went.
+// removal describes when an endpoint was removed.
 type removal struct {
-	// revision is the store's, as of which it was gone.
+	// revision is the store revision as of which the endpoint was gone.
 	revision int64
-	// seen is when forget first met it; zero before.
-	seen time.Time
+	// firstSweep is when sweep first processed the removal; zero before that.
+	firstSweep time.Time
 }
 
-// New makes an empty directory.
+// New returns an empty directory.
 func New() *Directory {
 	return &Directory{
-		endpoints: make(map[deployment.EndpointID]*EndpointStatus),
-		byService: make(map[string][]*EndpointStatus),
-		gone:      make(map[deployment.EndpointID]removal),
-		draining:  make(map[deployment.EndpointID]time.Time),
-		halls:     make(map[string]*reach),
-		stays:     make(map[string]time.Duration),
+		endpoints:     make(map[deployment.EndpointID]*EndpointStatus),
+		byService:     make(map[string][]*EndpointStatus),
+		removed:       make(map[deployment.EndpointID]removal),
+		draining:      make(map[deployment.EndpointID]time.Time),
+		halls:         make(map[string]*hallReachability),
+		inFlightTimes: make(map[string]time.Duration),
 	}
 }
 
-// Put takes in a description, unless a newer one or a later removal is known. One of another incarnation than the known one
-// begins a new status: what was in flight, held and observed went with the process. It reports whether anything changed.
+// Put adds or updates an endpoint, unless a newer description or a later removal is known. A description of another incarnation replaces
+// the status: requests in flight, held adapters and health belonged to the previous process. Put reports whether anything changed.
 func (d *Directory) Put(endpoint deployment.Endpoint, revision int64) bool {
-	if d.gone[endpoint.ID].revision >= revision && revision > 0 {
+	if d.removed[endpoint.ID].revision >= revision && revision > 0 {
 		return false
 	}
 	status, ok := d.endpoints[endpoint.ID]
@@ -56,15 +56,15 @@
 		if revision <= status.Revision {
 			return false
 		}
-		d.drop(status)
+		d.dropStatus(status)
 		ok = false
 	}
 	if ok && endpoint.Born.IsZero() {
 		endpoint.Born = status.Born
 	}
-	endpoint.State = d.finalState(&endpoint)
+	endpoint.State = d.effectiveState(&endpoint)
 	if !ok {
-		status = newEndpointStatus(endpoint, revision, d.reachOf(endpoint.Hall))
+		status = newEndpointStatus(endpoint, revision, d.reachabilityOf(endpoint.Hall))
 		d.endpoints[endpoint.ID] = status
 		d.byService[endpoint.Service] = append(d.byService[endpoint.Service], status)
 		return true
@@ -77,7 +77,7 @@
 		return false
 	}
 	if revision > status.Revision || revision == 0 {
-		// The same description again tells nothing newer of copies than the planner's changes since.
+		// A description that was already applied has no newer information on copies than the planner's changes since.
 		status.OfferedModels, status.Offered = endpoint.Models, endpoint.Adapters
 	}
 	status.Endpoint = endpoint
@@ -85,8 +85,9 @@
 	return true
 }
 
-// finalState is the state of a described endpoint: draining is final for an incarnation, whatever is described later.
-func (d *Directory) finalState(endpoint *deployment.Endpoint) deployment.EndpointState {
+// effectiveState returns the state to use for a described endpoint: draining is final for an incarnation, whatever later descriptions
+// contain.
+func (d *Directory) effectiveState(endpoint *deployment.Endpoint) deployment.EndpointState {
 	if endpoint.State == deployment.Draining {
 		d.draining[endpoint.ID] = endpoint.Born
 		return deployment.Draining
@@ -97,7 +98,8 @@
 	return endpoint.State
 }
 
-// NoteLeaving takes in that an endpoint said itself that it leaves, which is final for its incarnation. It reports whether that is new.
+// NoteLeaving marks an endpoint as draining after it announced that it leaves, which is final for its incarnation. It reports whether the
+// state changed.
 func (d *Directory) NoteLeaving(id deployment.EndpointID) bool {
 	status, ok := d.endpoints[id]
 	if !ok || status.State == deployment.Draining {
@@ -108,22 +110,22 @@
 	return true
 }
 
-// Remove forgets an endpoint that was gone at a revision.
+// Remove removes an endpoint that was gone as of a revision. It reports whether the endpoint was known.
 func (d *Directory) Remove(id deployment.EndpointID, revision int64) bool {
 	status, ok := d.endpoints[id]
 	if ok && status.Revision > revision {
 		return false
 	}
-	d.gone[id] = removal{revision: max(d.gone[id].revision, revision)}
+	d.removed[id] = removal{revision: max(d.removed[id].revision, revision)}
 	if !ok {
 		return false
 	}
-	d.drop(status)
+	d.dropStatus(status)
 	return true
 }
 
-// drop takes a status out, so that a later description of its endpoint begins another one.
-func (d *Directory) drop(status *EndpointStatus) {
+// dropStatus removes a status, so that a later description of its endpoint creates a new one.
+func (d *Directory) dropStatus(status *EndpointStatus) {
 	delete(d.endpoints, status.ID)
 	list := d.byService[status.Service]
 	for i, other := range list {
@@ -137,7 +139,7 @@
 	}
 }
 
-// Replace takes a whole list as read at a revision: what it lacks is gone.
+// Replace applies a complete list that was read at a revision and removes all endpoints that it does not contain.
 func (d *Directory) Replace(endpoints []deployment.Endpoint, revisions []int64, at int64) {
 	listed := make(map[deployment.EndpointID]bool, len(endpoints))
 	for i, endpoint := range endpoints {
@@ -151,36 +153,37 @@
 	}
 }
 
-func (d *Directory) reachOf(hall string) *reach {
+func (d *Directory) reachabilityOf(hall string) *hallReachability {
 	known, ok := d.halls[hall]
 	if !ok {
-		known = &reach{}
+		known = &hallReachability{}
 		d.halls[hall] = known
 	}
 	return known
 }
 
-// Endpoint gives one endpoint, or nil.
+// Endpoint returns the status of an endpoint, or nil if the endpoint is not known.
 func (d *Directory) Endpoint(id deployment.EndpointID) *EndpointStatus {
 	return d.endpoints[id]
 }
 
-// Service gives the endpoints of a service.
+// Service returns the endpoints of a service.
 func (d *Directory) Service(service string) []*EndpointStatus {
 	return d.byService[service]
 }
 
-// Endpoints gives all endpoints by name; the caller must not change the map.
+// Endpoints returns all endpoints by ID. The caller must not change the map.
 func (d *Directory) Endpoints() map[deployment.EndpointID]*EndpointStatus {
 	return d.endpoints
 }
 
-// Size gives the number of endpoints.
+// Size returns the number of endpoints.
 func (d *Directory) Size() int {
 	return len(d.endpoints)
 }
 
-// Begin counts a request in flight, which waits in the endpoint's own queue until Running or Leave tells otherwise.
+// Begin counts a request as in flight at an endpoint. A request for a model counts as waiting in the endpoint's own queue until Running or
+// Leave is called for it.
 func (d *Directory) Begin(now time.Time, id deployment.EndpointID, request *deployment.Request) {
 	status, ok := d.endpoints[id]
 	if !ok {
@@ -188,9 +191,9 @@
 	}
 	status.Own++
 	status.Allowance.Take(now)
-	status.tryAfterRest(now)
+	status.beginRestTrial(now)
 	if request.UsesModel() {
-		status.wait.enter(now, request.Prompt, status.OthersUnread)
+		status.wait.add(now, request.Prompt, status.OthersUnread)
 	}
 	if !request.Adapter.IsZero() {
 		status.OwnByAdapter[request.Adapter]++
@@ -200,7 +203,7 @@
 	}
 }
 
-// End takes a request out of flight and notes how its exchange ended.
+// End removes a request from the requests in flight and records the outcome of its exchange.
 func (d *Directory) End(now time.Time, id deployment.EndpointID, adapter deployment.Adapter, outcome Outcome) {
 	status, ok := d.endpoints[id]
 	if !ok {
@@ -213,24 +216,24 @@
 			delete(status.OwnByAdapter, adapter)
 		}
 	}
-	status.Health.note(now, outcome, d.failureRate(status))
-	status.hall.note(now, outcome)
+	status.Health.record(now, outcome, d.meanFailureRate(status))
+	status.hall.record(now, outcome)
 }
 
-// NoteEnded takes in that an endpoint's process has ended, as another instance has seen. The store names it until it has missed its
-// heartbeats, and until then each instance would find out by requests of its own.
+// NoteEnded records that another instance saw an endpoint's process end. The store lists the endpoint until it has missed its heartbeats;
+// without this notice each instance would lose requests of its own until then.
 func (d *Directory) NoteEnded(now time.Time, id deployment.EndpointID) {
-	if status, ok := d.endpoints[id]; ok && !status.Health.ended {
-		status.Health.noteEnded()
+	if status, ok := d.endpoints[id]; ok && !status.Health.processEnded {
+		status.Health.markEnded()
 		status.Health.eject(now)
 	}
 }
 
-// failureRate is the mean failure rate of the other endpoints of a service.
-func (d *Directory) failureRate(except *EndpointStatus) float64 {
+// meanFailureRate returns the mean failure rate of the other endpoints of a service.
+func (d *Directory) meanFailureRate(except *EndpointStatus) float64 {
 	sum, count := 0.0, 0
 	for _, status := range d.byService[except.Service] {
-		if status == except || status.Health.exchanges < comparedExchanges {
+		if status == except || status.Health.exchanges < minimumComparedExchanges {
 			continue
 		}
 		sum += status.Health.rate
@@ -242,21 +245,21 @@
 	return sum / float64(count)
 }
 
-// NoteMissing remembers that an endpoint said it does not hold an adapter.
+// NoteMissing records that an endpoint answered that it does not hold an adapter.
 func (d *Directory) NoteMissing(now time.Time, id deployment.EndpointID, adapter deployment.Adapter) {
 	if status, ok := d.endpoints[id]; ok {
 		status.missing[adapter] = now
 	}
 }
 
-// SetOffered takes in which models and adapters of an endpoint new requests may use, as the planner's view lists them.
+// SetOffered sets the models and adapters of an endpoint that new requests may use, as listed in the planner's view.
 func (d *Directory) SetOffered(id deployment.EndpointID, models []string, adapters map[deployment.Adapter]int64) {
 	if status, ok := d.endpoints[id]; ok {
 		status.OfferedModels, status.Offered = models, adapters
 	}
 }
 
-// SetCopy takes in that a copy is on offer at a version, or with version 0 no more.
+// SetCopy sets the version at which an endpoint offers an adapter; version 0 withdraws the offer.
 func (d *Directory) SetCopy(id deployment.EndpointID, adapter deployment.Adapter, version int64) {
 	status, ok := d.endpoints[id]
 	if !ok {
@@ -274,36 +277,36 @@
 	status.Offered = offered
 }
 
-// heldRetention is how long an adapter that was dropped is expected to load fast. Longer prefers endpoints that may have lost it since,
-// shorter loads from the weight store what an endpoint still has.
+// heldRetention is how long an endpoint that dropped an adapter is expected to reload it fast. A higher value prefers endpoints that may no
+// longer have it cached, a lower one loads from the weight store what an endpoint still has.
 const heldRetention = 10 * time.Minute
 
-// goneRetention is how long an endpoint that is gone is remembered. Longer bears descriptions that come later, which a peer or the store's
-// watch delays by seconds at most; shorter takes less memory for endpoints that come and go.
+// goneRetention is how long removed endpoints are remembered. A higher value tolerates descriptions that arrive later (a peer or the
+// store's watch delays them by seconds at most), a lower one takes less memory where endpoints come and go.
 const goneRetention = 10 * time.Minute
 
-// forget drops what is remembered of endpoints that have been gone for long, and what endpoints lacked before.
-func (d *Directory) forget(now time.Time) {
-	for id, removed := range d.gone {
+// sweep deletes removals older than goneRetention and missing adapters older than missingRetention.
+func (d *Directory) sweep(now time.Time) {
+	for id, entry := range d.removed {
 		switch {
-		case removed.seen.IsZero():
-			removed.seen = now
-			d.gone[id] = removed
-		case now.Sub(removed.seen) > goneRetention:
-			delete(d.gone, id)
+		case entry.firstSweep.IsZero():
+			entry.firstSweep = now
+			d.removed[id] = entry
+		case now.Sub(entry.firstSweep) > goneRetention:
+			delete(d.removed, id)
 			if _, known := d.endpoints[id]; !known {
 				delete(d.draining, id)
 			}
 		}
 	}
 	for _, status := range d.endpoints {
-		maps.DeleteFunc(status.missing, func(_ deployment.Adapter, at time.Time) bool { return now.Sub(at) > missingFor })
+		maps.DeleteFunc(status.missing, func(_ deployment.Adapter, at time.Time) bool { return now.Sub(at) > missingRetention })
 	}
 }
 
-// RememberHeld notes what each endpoint holds now, and forgets what it held, and which endpoints were there, long ago.
+// RememberHeld records which adapters each endpoint holds now, and deletes held adapters and removed endpoints whose retention is over.
 func (d *Directory) RememberHeld(now time.Time) {
-	d.forget(now)
+	d.sweep(now)
 	for _, status := range d.endpoints {
 		for adapter := range status.Offered {
 			status.Held[adapter] = now
--- a/services/entry/directory/directory_test.go
+++ b/services/entry/directory/directory_test.go
@@ -15,32 +15,32 @@
 )
 
 var (
-	start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	one   = deployment.Adapter{Model: "base", Name: "a1"}
+	start   = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
+	adapter = deployment.Adapter{Model: "base", Name: "a1"}
 )
 
 func endpoint(id string, state deployment.EndpointState) deployment.Endpoint {
 	return deployment.Endpoint{
 		ID: deployment.EndpointID(id), Service: "service", State: state, Models: []string{"base"},
-		Adapters: map[deployment.Adapter]int64{one: 2},
+		Adapters: map[deployment.Adapter]int64{adapter: 2},
 	}
 }
 
-func TestADrainingEndpointNeverTakesWorkAgain(t *testing.T) {
+func TestDrainingEndpointStaysDraining(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Draining), 5)
 	d.Put(endpoint("e", deployment.Ready), 9)
 	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
 }
 
-func TestAnOlderDescriptionOfDrainingStillCounts(t *testing.T) {
+func TestOlderDrainingDescriptionApplies(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 9)
 	assert.True(t, d.Put(endpoint("e", deployment.Draining), 5))
 	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
 }
 
-func TestAnOlderDescriptionDoesNotBringBackWhatIsGone(t *testing.T) {
+func TestOlderDescriptionDoesNotAddRemovedEndpoint(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	require.True(t, d.Remove("e", 7))
@@ -49,7 +49,7 @@
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 8))
 }
 
-func TestAnOlderListDoesNotRemoveWhatIsNewer(t *testing.T) {
+func TestReplaceKeepsNewerEndpoints(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("new", deployment.Ready), 9)
 	d.Put(endpoint("old", deployment.Ready), 3)
@@ -58,92 +58,92 @@
 	assert.Nil(t, d.Endpoint("old"))
 }
 
-func TestOfferedCopiesDoNotChangeTheDescription(t *testing.T) {
+func TestSetOfferedKeepsDescription(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	d.SetOffered("e", []string{"base"}, map[deployment.Adapter]int64{})
 	status := d.Endpoint("e")
-	assert.False(t, status.Holds(start, one, 0))
-	assert.Contains(t, status.Adapters, one, "the endpoint's own description stays")
+	assert.False(t, status.Holds(start, adapter, 0))
+	assert.Contains(t, status.Adapters, adapter, "the endpoint's own description stays")
 }
 
-func TestHoldsLooksAtTheVersionAndAtTheEndpointsOwnReport(t *testing.T) {
+func TestHoldsChecksVersionAndMissingAdapters(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	status := d.Endpoint("e")
-	assert.True(t, status.Holds(start, one, 2))
-	assert.False(t, status.Holds(start, one, 3))
-	d.NoteMissing(start, "e", one)
-	assert.False(t, status.Holds(start.Add(time.Second), one, 2))
-	assert.True(t, status.Holds(start.Add(2*time.Second), one, 2))
+	assert.True(t, status.Holds(start, adapter, 2))
+	assert.False(t, status.Holds(start, adapter, 3))
+	d.NoteMissing(start, "e", adapter)
+	assert.False(t, status.Holds(start.Add(time.Second), adapter, 2))
+	assert.True(t, status.Holds(start.Add(2*time.Second), adapter, 2))
 	assert.True(t, status.Holds(start, deployment.Adapter{Model: "base"}, 0))
 	assert.False(t, status.Holds(start, deployment.Adapter{Model: "other"}, 0))
 }
 
-func finish(d *directory.Directory, now time.Time, id string, outcome directory.Outcome) {
-	d.Begin(now, deployment.EndpointID(id), &deployment.Request{Adapter: one})
-	d.End(now, deployment.EndpointID(id), one, outcome)
+func exchange(d *directory.Directory, now time.Time, id string, outcome directory.Outcome) {
+	d.Begin(now, deployment.EndpointID(id), &deployment.Request{Adapter: adapter})
+	d.End(now, deployment.EndpointID(id), adapter, outcome)
 }
 
-func TestBrokenExchangesEjectAndATrialBringsBack(t *testing.T) {
+func TestBrokenExchangesEjectUntilTrialSucceeds(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
-	finish(d, start, "e", directory.Broken)
+	exchange(d, start, "e", directory.Broken)
 	assert.False(t, d.Endpoint("e").Health.Ejected(start))
-	finish(d, start, "e", directory.Broken)
+	exchange(d, start, "e", directory.Broken)
 	require.True(t, d.Endpoint("e").Health.Ejected(start))
 
 	later := start.Add(time.Second)
 	require.False(t, d.Endpoint("e").Health.Ejected(later))
-	d.Begin(later, "e", &deployment.Request{Adapter: one})
-	assert.True(t, d.Endpoint("e").Health.Ejected(later), "only one request tries")
-	d.End(later, "e", one, directory.Succeeded)
+	d.Begin(later, "e", &deployment.Request{Adapter: adapter})
+	assert.True(t, d.Endpoint("e").Health.Ejected(later), "only one request tries the endpoint")
+	d.End(later, "e", adapter, directory.Succeeded)
 	assert.False(t, d.Endpoint("e").Health.Ejected(later))
 }
 
-func TestAnEndpointThatRefusesConnectionsIsToldApart(t *testing.T) {
+func TestRefusedConnectionsAreTrackedSeparately(t *testing.T) {
 	for name, test := range map[string]struct {
 		outcomes  []directory.Outcome
 		unreached bool
 	}{
-		"refused once":                       {[]directory.Outcome{directory.Unreached}, false},
-		"refused twice":                      {[]directory.Outcome{directory.Unreached, directory.Unreached}, true},
-		"a caller left between":              {[]directory.Outcome{directory.Unreached, directory.Neutral, directory.Unreached}, true},
-		"an answer that broke off, refused":  {[]directory.Outcome{directory.Broken, directory.Unreached}, false},
-		"refused, an answer that broke off":  {[]directory.Outcome{directory.Unreached, directory.Unreached, directory.Broken}, false},
-		"refused before it answered in full": {[]directory.Outcome{directory.Unreached, directory.Succeeded, directory.Unreached}, false},
+		"refused once":                  {[]directory.Outcome{directory.Unreached}, false},
+		"refused twice":                 {[]directory.Outcome{directory.Unreached, directory.Unreached}, true},
+		"a neutral outcome between":     {[]directory.Outcome{directory.Unreached, directory.Neutral, directory.Unreached}, true},
+		"an incomplete answer, refused": {[]directory.Outcome{directory.Broken, directory.Unreached}, false},
+		"refused, an incomplete answer": {[]directory.Outcome{directory.Unreached, directory.Unreached, directory.Broken}, false},
+		"a complete answer in between":  {[]directory.Outcome{directory.Unreached, directory.Succeeded, directory.Unreached}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
 			d.Put(endpoint("e", deployment.Ready), 5)
 			for _, outcome := range test.outcomes {
-				finish(d, start, "e", outcome)
+				exchange(d, start, "e", outcome)
 			}
 			assert.Equal(t, test.unreached, d.Endpoint("e").Health.Unreached(start))
-			assert.False(t, d.Endpoint("e").Health.Unreached(start.Add(time.Second)), "the next request tries it")
+			assert.False(t, d.Endpoint("e").Health.Unreached(start.Add(time.Second)), "a trial is due")
 		})
 	}
 }
 
-func TestAFailedTrialEjectsForLonger(t *testing.T) {
+func TestFailedTrialLengthensEjection(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
-	finish(d, start, "e", directory.Broken)
-	finish(d, start, "e", directory.Broken)
+	exchange(d, start, "e", directory.Broken)
+	exchange(d, start, "e", directory.Broken)
 	later := start.Add(time.Second)
-	finish(d, later, "e", directory.Broken)
+	exchange(d, later, "e", directory.Broken)
 	assert.True(t, d.Endpoint("e").Health.Ejected(later.Add(time.Second)))
 	assert.False(t, d.Endpoint("e").Health.Ejected(later.Add(1700*time.Millisecond)))
 }
 
-func TestErrorsThatAllEndpointsMakeEjectNone(t *testing.T) {
+func TestErrorsOfWholeServiceEjectNoEndpoint(t *testing.T) {
 	d := directory.New()
 	for _, id := range []string{"a", "b", "c"} {
 		d.Put(endpoint(id, deployment.Ready), 5)
 	}
 	for range 20 {
 		for _, id := range []string{"a", "b", "c"} {
-			finish(d, start, id, directory.Errored)
+			exchange(d, start, id, directory.Errored)
 		}
 	}
 	assert.False(t, d.Endpoint("a").Health.Ejected(start))
@@ -155,36 +155,36 @@
 		d.Put(endpoint(id, deployment.Ready), 5)
 	}
 	for range 20 {
-		finish(d, start, "a", directory.Errored)
-		finish(d, start, "b", directory.Succeeded)
-		finish(d, start, "c", directory.Succeeded)
+		exchange(d, start, "a", directory.Errored)
+		exchange(d, start, "b", directory.Succeeded)
+		exchange(d, start, "c", directory.Succeeded)
 	}
 	assert.True(t, d.Endpoint("a").Health.Ejected(start))
 	assert.False(t, d.Endpoint("b").Health.Ejected(start))
 }
 
-func TestCallersThatLeaveAreNotTheEndpointsFault(t *testing.T) {
+func TestNeutralOutcomesDoNotEject(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	for range 10 {
-		finish(d, start, "e", directory.Neutral)
+		exchange(d, start, "e", directory.Neutral)
 	}
 	assert.False(t, d.Endpoint("e").Health.Ejected(start))
 	assert.Zero(t, d.Endpoint("e").Load())
 	assert.Empty(t, d.Endpoint("e").OwnByAdapter)
 }
 
-// TestAHallThatCannotBeReachedIsAvoided is about a cut between halls: each endpoint behind it had to
-// break two exchanges of its own before it was avoided.
-func TestAHallThatCannotBeReachedIsAvoided(t *testing.T) {
+// TestUnreachableHallIsAvoided covers a network partition between halls: without hall avoidance, each endpoint behind it would have to
+// break two exchanges of its own before it is avoided.
+func TestUnreachableHallIsAvoided(t *testing.T) {
 	d := directory.New()
 	for i, id := range []string{"far-1", "far-2", "far-3", "far-4", "near"} {
-		one := endpoint(id, deployment.Ready)
-		one.Hall = "far"
+		described := endpoint(id, deployment.Ready)
+		described.Hall = "far"
 		if id == "near" {
-			one.Hall = "near"
+			described.Hall = "near"
 		}
-		d.Put(one, int64(i+1))
+		d.Put(described, int64(i+1))
 	}
 	now := start
 	exchange := func(id deployment.EndpointID, outcome directory.Outcome) {
@@ -195,7 +195,7 @@
 	exchange("far-2", directory.Broken)
 	exchange("far-2", directory.Refused)
 	exchange("far-3", directory.Broken)
-	assert.False(t, d.Endpoint("far-4").Avoided(now), "an answer in between shows that the hall is reached")
+	assert.False(t, d.Endpoint("far-4").Avoided(now), "an answer in between shows that the hall is reachable")
 
 	exchange("far-1", directory.Broken)
 	exchange("far-2", directory.Broken)
@@ -203,9 +203,9 @@
 	assert.False(t, d.Endpoint("near").Avoided(now))
 
 	now = now.Add(700 * time.Millisecond)
-	assert.False(t, d.Endpoint("far-4").Avoided(now), "it is tried again")
+	assert.False(t, d.Endpoint("far-4").Avoided(now), "the avoidance period is over")
 	exchange("far-4", directory.Broken)
-	assert.True(t, d.Endpoint("far-4").Avoided(now.Add(time.Second)), "for longer each time")
+	assert.True(t, d.Endpoint("far-4").Avoided(now.Add(time.Second)), "the next avoidance period is longer")
 
 	now = now.Add(2 * time.Second)
 	exchange("far-4", directory.Succeeded)
--- a/services/entry/directory/doc.go
+++ b/services/entry/directory/doc.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package directory is what one instance knows of the endpoints: their own descriptions, the
-// adapters they hold, the requests in flight at each, and how they have behaved.
+// Package directory holds the state of the endpoints as one instance sees it: their descriptions, the adapters they hold, the requests in
+// flight at each, and the outcomes of recent exchanges.
 //
-// It owns the rules of ejection (health.go), of avoiding a hall that cannot be reached (reach.go) and of the wait that is expected in
-// an endpoint's own queue (wait.go), and decides whether an endpoint holds an adapter (status.go). Endpoints that are gone
-// are remembered for a while (directory.go). Descriptions come from the store or the planner's view, offered copies and the
-// others' counts from the planner's view, outcomes from this instance's own exchanges. It is a plain state machine of the
-// coordinator's control goroutine: it does no I/O, starts no goroutine, and the present time is an argument.
+// It implements ejection (health.go), the avoidance of a hall that cannot be reached (hall_reachability.go), the estimate of the wait in an
+// endpoint's own queue (queue_waits.go) and the check whether an endpoint holds an adapter (status.go). Removed endpoints are remembered
+// for goneRetention (directory.go). Descriptions come from the store or the planner's view, offered copies and the other instances' counts
+// from the planner's view, and outcomes from this instance's own exchanges. The package is a state machine for the coordinator's control
+// goroutine: it does no I/O, starts no goroutine and takes the current time as an argument.
 package directory
--- a/services/entry/directory/export_test.go
+++ b/services/entry/directory/export_test.go
@@ -3,17 +3,17 @@
 
 package directory
 
-// Remembered gives how many endpoints are remembered that are gone or were seen draining.
+// Remembered returns the number of endpoints that are kept as removed or as draining, whichever is larger.
 func (d *Directory) Remembered() int {
-	return max(len(d.gone), len(d.draining))
+	return max(len(d.removed), len(d.draining))
 }
 
-// Seen gives how many waits are kept of the endpoint's queue.
+// Seen returns the number of waits kept of the endpoint's queue.
 func (s *EndpointStatus) Seen() int {
-	return len(s.wait.seen)
+	return len(s.wait.observed)
 }
 
-// Missing gives how many adapters are remembered that the endpoint said it does not hold.
+// Missing returns the number of adapters recorded as missing on the endpoint.
 func (s *EndpointStatus) Missing() int {
 	return len(s.missing)
 }
--- /dev/null
+++ b/services/entry/directory/in_flight_time.go
@@ -0,0 +1,33 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package directory
+
+import "time"
+
+const (
+	// initialInFlightTime is the assumed time in flight until a request of the service has ended on this instance.
+	initialInFlightTime = time.Second
+	// inFlightTimeWeight is the weight of the newest request in the mean. A higher value follows a change of the load sooner, a lower one
+	// is less affected by single long requests.
+	inFlightTimeWeight = 0.05
+)
+
+// Stay returns the mean time in flight of a service's requests that ended on this instance.
+func (d *Directory) Stay(service string) time.Duration {
+	mean, ok := d.inFlightTimes[service]
+	if !ok {
+		return initialInFlightTime
+	}
+	return mean
+}
+
+// NoteStay records how long a request of a service was in flight.
+func (d *Directory) NoteStay(service string, duration time.Duration) {
+	known, ok := d.inFlightTimes[service]
+	if !ok {
+		d.inFlightTimes[service] = duration
+		return
+	}
+	d.inFlightTimes[service] = known + time.Duration(inFlightTimeWeight*float64(duration-known))
+}
--- a/services/entry/directory/ended_test.go
+++ b/services/entry/directory/process_end_test.go
@@ -13,8 +13,8 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// ended gives a directory of two endpoints in one hall, and an instant.
-func ended() (*directory.Directory, time.Time) {
+// newDirectoryOfTwo returns a directory with the endpoints a and b in one hall, and the current time of the test.
+func newDirectoryOfTwo() (*directory.Directory, time.Time) {
 	d := directory.New()
 	for _, id := range []deployment.EndpointID{"a", "b"} {
 		d.Put(deployment.Endpoint{ID: id, Service: "s", Hall: "h"}, 1)
@@ -22,27 +22,29 @@
 	return d, time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC)
 }
 
-// TestAnEndpointThatEndedIsNoCutHall: all exchanges with it end at once, and its neighbours go on.
-func TestAnEndpointThatEndedIsNoCutHall(t *testing.T) {
-	d, now := ended()
+// TestEndedProcessDoesNotMakeHallUnreachable: all exchanges with an endpoint end at once when its process ends, while other endpoints of
+// its hall keep answering.
+func TestEndedProcessDoesNotMakeHallUnreachable(t *testing.T) {
+	d, now := newDirectoryOfTwo()
 	for range 5 {
 		d.End(now, "a", deployment.Adapter{}, directory.Ended)
 	}
 	assert.True(t, d.Endpoint("a").Avoided(now))
-	assert.True(t, d.Endpoint("a").Health.Unreached(now), "the others are told")
+	assert.True(t, d.Endpoint("a").Health.Unreached(now), "reported to the other instances")
 	assert.False(t, d.Endpoint("b").Avoided(now))
 }
 
-func TestAnEndpointThatAnotherInstanceSawEndIsAvoided(t *testing.T) {
-	d, now := ended()
+func TestEndReportedByAnotherInstanceEjectsEndpoint(t *testing.T) {
+	d, now := newDirectoryOfTwo()
 	d.NoteEnded(now, "a")
 	d.NoteEnded(now, "unknown")
 	assert.True(t, d.Endpoint("a").Avoided(now))
 }
 
-// TestARefusalInPlaceOfAnEndpointThatEndedBringsNoRequests: the next process at its address refuses them.
-func TestARefusalInPlaceOfAnEndpointThatEndedBringsNoRequests(t *testing.T) {
-	d, now := ended()
+// TestRefusalAfterProcessEndEjectsEndpoint: a new process at the address of an ended one refuses requests that were meant for the ended
+// one.
+func TestRefusalAfterProcessEndEjectsEndpoint(t *testing.T) {
+	d, now := newDirectoryOfTwo()
 	d.End(now, "a", deployment.Adapter{}, directory.Ended)
 	now = now.Add(800 * time.Millisecond)
 	assert.False(t, d.Endpoint("a").Avoided(now), "a trial is due")
@@ -51,5 +53,5 @@
 	now = now.Add(1600 * time.Millisecond)
 	d.End(now, "a", deployment.Adapter{}, directory.Succeeded)
 	d.End(now, "a", deployment.Adapter{}, directory.Refused)
-	assert.False(t, d.Endpoint("a").Avoided(now), "it was there all the same")
+	assert.False(t, d.Endpoint("a").Avoided(now), "a refusal after an answer is not taken for an ended process")
 }
--- a/services/entry/directory/rest_test.go
+++ b/services/entry/directory/rest_test.go
@@ -13,7 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-func TestTheLongestOfSeveralRestsHolds(t *testing.T) {
+func TestRestEndsAtLatestRequestedTime(t *testing.T) {
 	d := directory.New()
 	d.Put(deployment.Endpoint{ID: "e", Service: "s"}, 1)
 	now := time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC)
@@ -25,7 +25,7 @@
 	assert.False(t, status.Rests(now.Add(3*time.Second)))
 }
 
-func TestOneRequestTriesAnEndpointThatHasRested(t *testing.T) {
+func TestSingleRequestTriesEndpointAfterRest(t *testing.T) {
 	d := directory.New()
 	d.Put(deployment.Endpoint{ID: "e", Service: "s"}, 1)
 	now := time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC)
@@ -33,11 +33,11 @@
 	status.NoteRest(now.Add(time.Second))
 	rested := now.Add(2 * time.Second)
 	d.Begin(rested, "e", &deployment.Request{Service: "s"})
-	assert.True(t, status.Rests(rested), "its answer may ask for rest again")
+	assert.True(t, status.Rests(rested), "only the trial request is sent until its answer, which may ask for another rest")
 	assert.False(t, status.Rests(rested.Add(250*time.Millisecond)))
 	status.NoteRest(rested.Add(3 * time.Second))
 	assert.True(t, status.Rests(rested.Add(time.Second)))
 	d.Begin(rested.Add(4*time.Second), "e", &deployment.Request{Service: "s"})
 	d.Begin(rested.Add(5*time.Second), "e", &deployment.Request{Service: "s"})
-	assert.False(t, status.Rests(rested.Add(5*time.Second)), "once a rest")
+	assert.False(t, status.Rests(rested.Add(5*time.Second)), "only one trial after each rest")
 }
--- a/services/entry/directory/forget_test.go
+++ b/services/entry/directory/retention_test.go
@@ -14,8 +14,8 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// TestEndpointsLongGoneAreForgotten plays an hour in which endpoints come and go, every second one after it said that it leaves.
-func TestEndpointsLongGoneAreForgotten(t *testing.T) {
+// TestRemovedEndpointsAreForgotten adds and removes an endpoint each second for an hour, every second one draining.
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	d := directory.New()
 	now := start
 	for i := range 3600 {
@@ -26,12 +26,13 @@
 		now = now.Add(time.Second)
 		d.RememberHeld(now)
 	}
-	// Ten minutes and the second until the next look.
+	// The retention is ten minutes, and the next sweep follows one second later.
 	assert.LessOrEqual(t, d.Remembered(), 601)
 }
 
-// TestWhatIsGoneIsRememberedAsLongAsItMayBeTold: neither an older description nor one that says ready brings it back.
-func TestWhatIsGoneIsRememberedAsLongAsItMayBeTold(t *testing.T) {
+// TestRemovedEndpointIsNotAddedByOlderDescription: within the retention, neither an older description nor one with another state adds a
+// removed endpoint again.
+func TestRemovedEndpointIsNotAddedByOlderDescription(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Draining), 5)
 	d.Remove("e", 7)
@@ -42,13 +43,13 @@
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 8))
 	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
 	d.RememberHeld(start.Add(time.Hour))
-	assert.False(t, d.Put(endpoint("e", deployment.Ready), 7), "what is known is not forgotten")
+	assert.False(t, d.Put(endpoint("e", deployment.Ready), 7), "a known endpoint keeps its revision")
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 9))
-	assert.Equal(t, deployment.Draining, d.Endpoint("e").State, "an incarnation that leaves stays so while it is known")
+	assert.Equal(t, deployment.Draining, d.Endpoint("e").State, "an incarnation stays draining while it is known")
 }
 
-// TestAdaptersThatWereMissingAreForgotten asks an endpoint for adapters that it does not hold.
-func TestAdaptersThatWereMissingAreForgotten(t *testing.T) {
+// TestMissingAdaptersAreForgotten records adapters as missing and checks that they are deleted after their retention.
+func TestMissingAdaptersAreForgotten(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	for i := range 1000 {
--- a/services/entry/directory/status.go
+++ b/services/entry/directory/status.go
@@ -15,46 +15,47 @@
 // EndpointStatus is the state of one endpoint as this instance sees it.
 type EndpointStatus struct {
 	deployment.Endpoint
-	// Revision is the store's revision of the description.
+	// Revision is the store revision of the description.
 	Revision int64
-	// OfferedModels and Offered are the models and adapters that new requests may use: what the
-	// endpoint describes, unless the planner knows better.
+	// OfferedModels and Offered are the models and adapters that new requests may use. They are those of the description, unless the
+	// planner has sent newer ones.
 	OfferedModels []string
 	Offered       map[deployment.Adapter]int64
-	// Own is the number of this instance's requests in flight there.
+	// Own is the number of this instance's requests in flight at the endpoint.
 	Own int
-	// Others is the number of the other instances' requests, as of the planner's last view.
+	// Others is the number of the other instances' requests in flight, as of the planner's last view.
 	Others int
-	// OthersUnread is how many tokens of the other instances' prompts it has not read yet, as of the planner's last view.
+	// OthersUnread is the number of prompt tokens of the other instances' requests that the endpoint has not read yet, as of the planner's
+	// last view.
 	OthersUnread int
-	// OwnByAdapter counts this instance's requests by adapter.
+	// OwnByAdapter counts this instance's requests in flight by adapter.
 	OwnByAdapter map[deployment.Adapter]int
-	// Unreached says that it refuses the connections of several instances, by the planner's last view.
+	// Unreached reports that several instances had their connections refused, as of the planner's last view.
 	Unreached bool
-	// Health is how the endpoint has behaved.
+	// Health is the record of the exchanges with the endpoint.
 	Health Health
-	// Allowance is what this instance may send there within the requests a second that the endpoint takes.
+	// Allowance is how many requests this instance may send now, given the endpoint's limit of requests per second.
 	Allowance limit.Allowance
-	// Held are the adapters that it held at any time, and when each was last seen there.
+	// Held are the adapters that the endpoint has held, each with the time when it was last offered there.
 	Held map[deployment.Adapter]time.Time
-	// Speed is how fast it reads prompts, learned from this instance's own requests.
+	// Speed is the endpoint's prompt reading speed, estimated from this instance's own requests.
 	Speed work.Speed
-	// restUntil is until when it wants nothing from this instance; zero where it has been tried since. tryUntil is until when only one
-	// request tries it after that.
-	restUntil, tryUntil time.Time
-	// hall is how this instance reaches the endpoint's hall.
-	hall *reach
-	// wait is what own requests tell of the endpoint's own queue.
-	wait queueWait
-	// missing holds adapters that the endpoint lately said it does not hold.
+	// restUntil is the end of the rest that the endpoint asked this instance for; zero once a request has been sent after it.
+	// restTrialUntil is the end of the period after that in which only this one request is in trial.
+	restUntil, restTrialUntil time.Time
+	// hall is the reachability of the endpoint's hall, shared by its endpoints.
+	hall *hallReachability
+	// wait holds the waits of this instance's requests in the endpoint's own queue.
+	wait queueWaits
+	// missing holds the adapters that the endpoint recently answered it does not hold, with the time of the answer.
 	missing map[deployment.Adapter]time.Time
 }
 
-// missingFor is how long an endpoint's refusal for lack of an adapter outweighs an older description that lists it. Longer keeps requests
-// from a copy that was just brought, shorter sends them to one that is not there.
-const missingFor = 1500 * time.Millisecond
+// missingRetention is how long an answer that an adapter is missing overrides an older description that lists it. A higher value keeps
+// requests from a copy that was just loaded, a lower one sends them to a copy that is not there.
+const missingRetention = 1500 * time.Millisecond
 
-func newEndpointStatus(endpoint deployment.Endpoint, revision int64, hall *reach) *EndpointStatus {
+func newEndpointStatus(endpoint deployment.Endpoint, revision int64, hall *hallReachability) *EndpointStatus {
 	return &EndpointStatus{
 		Endpoint:      endpoint,
 		hall:          hall,
@@ -67,8 +68,7 @@
 	}
 }
 
-// Holds reports whether a request for an adapter, or for its base model alone, can run here,
-// at a version of at least the one given.
+// Holds reports whether a request for an adapter, or for its base model alone, can run on the endpoint at the given version or a later one.
 func (s *EndpointStatus) Holds(now time.Time, adapter deployment.Adapter, version int64) bool {
 	if adapter.IsZero() {
 		return slices.Contains(s.OfferedModels, adapter.Model)
@@ -78,69 +78,70 @@
 		return false
 	}
 	at, gone := s.missing[adapter]
-	return !gone || now.Sub(at) > missingFor
+	return !gone || now.Sub(at) > missingRetention
 }
 
-// Avoided reports whether the endpoint gets requests only where no other can run them: it behaved badly,
-// or its hall cannot be reached.
+// Avoided reports whether the endpoint gets requests only where no other can run them: it is ejected, or its hall cannot be reached.
 func (s *EndpointStatus) Avoided(now time.Time) bool {
-	return s.Health.Ejected(now) || s.hall.cut(now)
+	return s.Health.Ejected(now) || s.hall.unreachable(now)
 }
 
-// restTrial is for how long one request alone tries an endpoint that has rested: an endpoint that is still full turns it away at once.
-// Longer lets fewer requests come to one that is full, shorter sooner to one that is not.
-const restTrial = 250 * time.Millisecond
+// restTrialPeriod is how long a single request tries an endpoint after its rest: an endpoint that is still full refuses the request at
+// once. A higher value sends fewer requests to an endpoint that is still full, a lower one uses a free endpoint sooner.
+const restTrialPeriod = 250 * time.Millisecond
 
-// NoteRest takes in until when the endpoint wants nothing from this instance. The longest of several rests holds, whatever it answers
-// meanwhile to requests that it had before.
+// NoteRest records that the endpoint asked this instance to send nothing until a time. The latest of several such times applies, whatever
+// the endpoint answers meanwhile to requests sent before.
 func (s *EndpointStatus) NoteRest(until time.Time) {
 	if until.After(s.restUntil) {
 		s.restUntil = until
 	}
 }
 
-// RestEnds is when the endpoint takes requests of this instance again; past or zero where it does now.
+// RestEnds returns when the endpoint accepts requests of this instance again; a past or zero time if it accepts them now.
 func (s *EndpointStatus) RestEnds() time.Time {
-	if s.tryUntil.After(s.restUntil) {
-		return s.tryUntil
+	if s.restTrialUntil.After(s.restUntil) {
+		return s.restTrialUntil
 	}
 	return s.restUntil
 }
 
-// Rests reports whether the endpoint gets nothing from this instance now.
+// Rests reports whether this instance must send the endpoint no requests now.
 func (s *EndpointStatus) Rests(now time.Time) bool {
 	return now.Before(s.RestEnds())
 }
 
-// tryAfterRest notes that a request goes to the endpoint, which tries it if it has rested.
-func (s *EndpointStatus) tryAfterRest(now time.Time) {
+// beginRestTrial starts the trial period if this request is the first one after a rest.
+func (s *EndpointStatus) beginRestTrial(now time.Time) {
 	if !s.restUntil.IsZero() && !s.Rests(now) {
-		s.restUntil, s.tryUntil = time.Time{}, now.Add(restTrial)
+		s.restUntil, s.restTrialUntil = time.Time{}, now.Add(restTrialPeriod)
 	}
 }
 
-// Lost reports whether requests go elsewhere, or wait until they can, since nothing listens here by what other instances found. An
-// instance that has found out itself tries the endpoint by its own rule, so that those few notice its return.
+// Lost reports whether requests must go to other endpoints, or wait for one, because the endpoint refuses the connections of other
+// instances. An instance that ejected the endpoint itself keeps to its own trials, so that a few instances notice when the endpoint
+// returns.
 func (s *EndpointStatus) Lost() bool {
-	return s.Unreached && !s.Health.tries()
+	return s.Unreached && !s.Health.awaitingRecovery()
 }
 
-// OwnUnread is how many tokens of this instance's prompts it has not read yet: those of requests that are not known to run.
+// OwnUnread returns the number of prompt tokens of this instance's requests that the endpoint has not read yet: those of requests that are
+// not known to run.
 func (s *EndpointStatus) OwnUnread() int {
 	return s.wait.unread
 }
 
-// Unread is how many tokens of all instances' prompts are known to wait for being read.
+// Unread returns the number of prompt tokens of all instances' requests that are known to be unread.
 func (s *EndpointStatus) Unread() int {
 	return s.OwnUnread() + s.OthersUnread
 }
 
-// Backlog is how long the endpoint will take to read the prompts that wait there.
+// Backlog returns how long the endpoint will take to read the unread prompts.
 func (s *EndpointStatus) Backlog() time.Duration {
 	return s.Speed.ReadTime(s.Unread())
 }
 
-// Load is the number of requests known to be in flight.
+// Load returns the number of requests known to be in flight, of all instances.
 func (s *EndpointStatus) Load() int {
 	return s.Own + s.Others
 }
