--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -87,7 +87,7 @@
 			continue
 		}
 		verdict = max(verdict, NotResident)
-		if endpoint.Lost() && required.Request.UsesModel() {
+		if endpoint.ReportedUnreachable() && required.Request.UsesModel() {
 			continue
 		}
 		if required.Request.UsesModel() && !endpoint.Holds(now, required.Request.Adapter, required.versionAt(now, endpoint)) {
@@ -98,7 +98,7 @@
 			verdict = Saturated
 			continue
 		}
-		if endpoint.Rests(now) {
+		if endpoint.IsResting(now) {
 			verdict = max(verdict, Resting)
 			continue
 		}
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -60,7 +60,7 @@
 
 func TestTheLeastLoadedIsChosenAndOthersRequestsCount(t *testing.T) {
 	d := build(holder("a", "near"), holder("b", "near"))
-	d.Endpoint("a").Others = 3
+	d.Endpoint("a").OthersRequests = 3
 	d.Begin(start, "b", &deployment.Request{Adapter: adapter})
 	endpoint, _ := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
@@ -71,7 +71,7 @@
 	request := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
 	endpoint, _ := choose(d, request)
 	assert.Equal(t, deployment.EndpointID("near"), endpoint.ID)
-	d.Endpoint("near").Others = 2
+	d.Endpoint("near").OthersRequests = 2
 	endpoint, _ = choose(d, request)
 	assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 }
@@ -88,7 +88,7 @@
 	full := holder("full", "near")
 	full.Slots = 20
 	d := build(full, holder("free", "near"))
-	d.Endpoint("full").Others = 20
+	d.Endpoint("full").OthersRequests = 20
 	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter, Only: "full"}, Tried: []deployment.EndpointID{"full"}}
 	endpoint, verdict := choose(d, required)
 	require.Equal(t, balance.Chosen, verdict)
@@ -128,16 +128,16 @@
 	bounded := options
 	bounded.Limit.Share = 0.5
 	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
-	d.Endpoint("full").Others = 1
+	d.Endpoint("full").OthersRequests = 1
 	_, verdict := balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Chosen, verdict)
-	d.Endpoint("full").Others = 2
+	d.Endpoint("full").OthersRequests = 2
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	bounded.Limit.Least = 3
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "a batch this small is fast enough")
-	d.Endpoint("full").Others = 3
+	d.Endpoint("full").OthersRequests = 3
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	plain := balance.Requirement{Request: &deployment.Request{}}
--- a/services/entry/balance/edges_test.go
+++ b/services/entry/balance/edges_test.go
@@ -38,7 +38,7 @@
 			endpoint := holder("e", "near")
 			endpoint.Slots = test.slots
 			d := build(endpoint)
-			d.Endpoint("e").Others = test.load
+			d.Endpoint("e").OthersRequests = test.load
 			assert.Equal(t, test.full, balance.SlotLimit{Share: test.share, Least: test.smallBatch}.Reached(d.Endpoint("e")))
 		})
 	}
@@ -64,7 +64,7 @@
 			endpoint.Slots = test.slots
 			d := build(endpoint)
 			for load, reached := range map[int]bool{test.bound - 1: false, test.bound: true, test.bound + 1: true} {
-				d.Endpoint("e").Others = load
+				d.Endpoint("e").OthersRequests = load
 				assert.Equal(t, reached, test.limit.Reached(d.Endpoint("e")), "%d in flight", load)
 			}
 		})
@@ -97,7 +97,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := build(holder("near", "near"), holder("far", "other"))
-			d.Endpoint("near").Others, d.Endpoint("far").Others = test.near, test.far
+			d.Endpoint("near").OthersRequests, d.Endpoint("far").OthersRequests = test.near, test.far
 			endpoint, verdict := choose(d, test.required)
 			require.Equal(t, balance.Chosen, verdict)
 			assert.Equal(t, test.chosen, endpoint.ID)
@@ -117,7 +117,7 @@
 	endpoint, _ = balance.Choose(start, d.Service("service"), required, chance)
 	assert.Equal(t, deployment.EndpointID("a"), endpoint.ID)
 	for _, random = range []float64{0, 0.5, 0.999} {
-		d.Endpoint("b").Others = 1
+		d.Endpoint("b").OthersRequests = 1
 		endpoint, _ = balance.Choose(start, d.Service("service"), required, chance)
 		assert.Equal(t, deployment.EndpointID("a"), endpoint.ID, "one request more always counts")
 	}
@@ -132,10 +132,10 @@
 			chance := options
 			chance.Random = func() float64 { return random }
 			d := build(endpoints...)
-			d.Endpoint("near").Others = 2
+			d.Endpoint("near").OthersRequests = 2
 			endpoint, _ := balance.Choose(start, d.Service("service"), plain, chance)
 			assert.Equal(t, deployment.EndpointID("near"), endpoint.ID)
-			d.Endpoint("near").Others = 3
+			d.Endpoint("near").OthersRequests = 3
 			endpoint, _ = balance.Choose(start, d.Service("service"), plain, chance)
 			assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 		}
@@ -164,7 +164,7 @@
 		t.Run(name, func(t *testing.T) {
 			d := build(holder("e", "near"))
 			if test.missing >= 0 {
-				d.NoteMissing(start.Add(-test.missing), "e", adapter)
+				d.MarkMissing(start.Add(-test.missing), "e", adapter)
 			}
 			_, verdict := choose(d, test.required)
 			assert.Equal(t, test.verdict, verdict)
@@ -183,7 +183,7 @@
 		{full, {ID: "empty", Hall: "near", Models: []string{"base"}}}, {{ID: "empty", Hall: "near", Models: []string{"base"}}, full},
 	} {
 		d := build(endpoints...)
-		d.Endpoint("full").Others = 2
+		d.Endpoint("full").OthersRequests = 2
 		_, verdict := balance.Choose(start, d.Service("service"), required, bounded)
 		assert.Equal(t, balance.Saturated, verdict)
 	}
--- a/services/entry/balance/held_test.go
+++ b/services/entry/balance/held_test.go
@@ -16,7 +16,7 @@
 
 func TestEndpointsThatHoldRequestsBackAreNoLastResort(t *testing.T) {
 	d := build(holder("resting", "near"), holder("limited", "near"))
-	d.Endpoint("resting").NoteRest(start.Add(time.Second))
+	d.Endpoint("resting").RecordRest(start.Add(time.Second))
 	d.Endpoint("limited").Allowance.Hear(start, start, new(1.0))
 	request := &deployment.Request{Adapter: adapter}
 	chosen, verdict := choose(d, balance.Requirement{Request: request})
--- a/services/entry/balance/spread.go
+++ b/services/entry/balance/spread.go
@@ -72,7 +72,7 @@
 	}
 	others := 0
 	for _, one := range candidates {
-		others += one.endpoint.Others
+		others += one.endpoint.OthersRequests
 	}
 	return float64(others) * age.Seconds() / stay.Seconds()
 }
--- a/services/entry/balance/spread_test.go
+++ b/services/entry/balance/spread_test.go
@@ -55,7 +55,7 @@
 		if now.Seconds()-renewed >= c.age.Seconds() {
 			renewed = now.Seconds()
 			for _, endpoint := range endpoints {
-				endpoint.Others = running[endpoint.ID]
+				endpoint.OthersRequests = running[endpoint.ID]
 			}
 		}
 		if random.Float64() < float64(c.perSecond)*step.Seconds() {
--- a/services/entry/balance/version_test.go
+++ b/services/entry/balance/version_test.go
@@ -35,7 +35,7 @@
 		"nobody of this instance waits":       {func(*directory.Directory) {}, time.Hour, false, balance.NotResident},
 		"the wait is within its time":         {waits, wait + 1, true, balance.Chosen},
 		"the wait is as long as its time":     {waits, wait, true, balance.NotResident},
-		"others are at work, no wait is seen": {func(d *directory.Directory) { d.Endpoint("old").Others = 1 }, time.Hour, true, balance.NotResident},
+		"others are at work, no wait is seen": {func(d *directory.Directory) { d.Endpoint("old").OthersRequests = 1 }, time.Hour, true, balance.NotResident},
 		"its own time is over":                {func(*directory.Directory) {}, time.Hour, true, balance.NotResident},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			endpoint := holder("new", "near")
 			endpoint.Adapters = map[deployment.Adapter]int64{adapter: 3}
 			d = build(endpoint)
-			d.Endpoint("new").Others = 1
+			d.Endpoint("new").OthersRequests = 1
 			_, verdict = choose(d, required)
 			assert.Equal(t, balance.Chosen, verdict, "the named version serves in any case")
 		})
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -284,7 +284,7 @@
 		return
 	}
 	c.directory.NoteStay(request.Service, now.Sub(assignment.Assigned))
-	c.directory.Leave(now, assignment.Endpoint.ID, assignment.Assigned, request)
+	c.directory.LeaveQueue(now, assignment.Endpoint.ID, assignment.Assigned, request)
 	c.directory.End(now, assignment.Endpoint.ID, request.Adapter, outcome)
 	if (outcome == directory.Unreached || outcome == directory.Ended) && assignment.status.Health.Unreached(now) {
 		// The others find it out by this report in place of requests of their own.
@@ -303,7 +303,7 @@
 	c.loop.Post(func(now time.Time) {
 		c.end(now, assignment, request, outcome)
 		if missing && c.stillKnown(assignment) {
-			c.directory.NoteMissing(now, assignment.Endpoint.ID, request.Adapter)
+			c.directory.MarkMissing(now, assignment.Endpoint.ID, request.Adapter)
 			c.missing = append(c.missing, wire.Copy{ID: assignment.Endpoint.ID, Model: request.Adapter.Model, Name: request.Adapter.Name})
 		}
 	})
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -214,7 +214,7 @@
 // sweep forgets what is too old to matter.
 func (c *Coordinator) sweep(now time.Time) {
 	c.sweptAt = now
-	c.directory.RememberHeld(now)
+	c.directory.UpdateHeld(now)
 	c.demand.Sweep(now)
 	c.reviewCrashes(now)
 	if now.Sub(c.seedAnswer.at) >= seedAnswerLife {
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -62,7 +62,7 @@
 	crashes := make([]quarantine.Crash, 0, len(told))
 	for _, one := range told {
 		if one.Age < recentCrash && !c.crashes.HasEnded(string(one.Endpoint)) {
-			c.directory.NoteEnded(now, one.Endpoint)
+			c.directory.MarkEnded(now, one.Endpoint)
 		}
 		crashes = append(crashes, quarantine.Crash{Request: one.Request, Endpoint: string(one.Endpoint), Age: one.Age, Answered: one.Answered})
 	}
--- a/services/entry/coordinator/following.go
+++ b/services/entry/coordinator/following.go
@@ -235,14 +235,14 @@
 // resetOthers forgets what the other instances have in flight.
 func (c *Coordinator) resetOthers() {
 	for _, status := range c.directory.Endpoints() {
-		status.Others, status.OthersUnread = 0, 0
+		status.OthersRequests, status.OthersUnread = 0, 0
 	}
 }
 
 // setOthers takes in what the other instances have in flight at an endpoint: the total of all instances less this one's part in it.
 func (c *Coordinator) setOthers(id deployment.EndpointID, total, own member.InFlight) {
 	if status := c.directory.Endpoint(id); status != nil {
-		status.Others = max(0, total.Requests-own.Requests)
+		status.OthersRequests = max(0, total.Requests-own.Requests)
 		status.OthersUnread = max(0, total.Unread-own.Unread)
 	}
 }
--- a/services/entry/coordinator/gathering.go
+++ b/services/entry/coordinator/gathering.go
@@ -190,7 +190,7 @@
 	var counts []wire.Count
 	c.following.own = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
 	for id, status := range c.directory.Endpoints() {
-		if status.Own > 0 {
+		if status.OwnRequests > 0 {
 			own := ownInFlight(status)
 			c.following.own[id] = own
 			counts = append(counts, wire.Count{ID: id, Requests: own.Requests, Unread: own.Unread})
--- a/services/entry/coordinator/leaving.go
+++ b/services/entry/coordinator/leaving.go
@@ -15,7 +15,7 @@
 // noteLeaving takes in that an endpoint said in an answer that it leaves, to this instance or to a peer. It is as final for this start of
 // the endpoint as a notice in the store, and the store may take that later.
 func (c *Coordinator) noteLeaving(now time.Time, status *directory.EndpointStatus, source string) {
-	if !c.directory.NoteLeaving(status.ID) {
+	if !c.directory.MarkDraining(status.ID) {
 		return
 	}
 	c.saidLeaving[status.ID] = true
--- a/services/entry/coordinator/limits.go
+++ b/services/entry/coordinator/limits.go
@@ -179,7 +179,7 @@
 // allHeldBack tells whether each endpoint of a service has a limit or rests.
 func (c *Coordinator) allHeldBack(now time.Time, service string) bool {
 	return !slices.ContainsFunc(c.directory.Service(service), func(status *directory.EndpointStatus) bool {
-		return status.State == deployment.Ready && !status.Allowance.Binds() && !status.Rests(now)
+		return status.State == deployment.Ready && !status.Allowance.Binds() && !status.IsResting(now)
 	})
 }
 
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -186,7 +186,7 @@
 // bad tells whether an endpoint is bad for more than one instance, or for the only one.
 func (p *Plans) bad(now time.Time, id deployment.EndpointID) bool {
 	status := p.directory.Endpoint(id)
-	return p.members.Bad(id, status != nil && (status.Health.Ejected(now) || status.Rests(now)))
+	return p.members.Bad(id, status != nil && (status.Health.Ejected(now) || status.IsResting(now)))
 }
 
 // Sweep forgets what is too old to matter.
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -46,12 +46,12 @@
 	c.missing = nil
 	c.following.own = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
 	for id, status := range c.directory.Endpoints() {
-		if status.Own > 0 {
+		if status.OwnRequests > 0 {
 			own := ownInFlight(status)
 			built.InFlight = append(built.InFlight, wire.EndpointCount{ID: id, Count: own.Requests, Unread: own.Unread})
 			c.following.own[id] = own
 		}
-		if status.Health.Ejected(now) || status.Rests(now) {
+		if status.Health.Ejected(now) || status.IsResting(now) {
 			built.Suspects = append(built.Suspects, id)
 		}
 		if status.Health.Unreached(now) {
@@ -82,7 +82,7 @@
 
 // ownInFlight is what this instance has in flight at an endpoint.
 func ownInFlight(status *directory.EndpointStatus) member.InFlight {
-	return member.InFlight{Requests: status.Own, Unread: status.OwnUnread()}
+	return member.InFlight{Requests: status.OwnRequests, Unread: status.OwnUnread()}
 }
 
 // reportCarriesKeys tells whether the next report carries the operators' keys that the planner lacks, and counts them as sent if it
--- a/services/entry/coordinator/resting.go
+++ b/services/entry/coordinator/resting.go
@@ -13,8 +13,8 @@
 
 // noteRest takes in that an endpoint turned a request of this instance away, and wants nothing from it for a while.
 func (c *Coordinator) noteRest(now time.Time, status *directory.EndpointStatus, rest time.Duration) {
-	rested := status.Rests(now)
-	status.NoteRest(now.Add(rest))
+	rested := status.IsResting(now)
+	status.RecordRest(now.Add(rest))
 	if rested {
 		return
 	}
@@ -28,7 +28,7 @@
 func (c *Coordinator) restEnds(now time.Time, w *waiter) time.Time {
 	var earliest time.Time
 	for _, status := range c.directory.Service(w.Service) {
-		if status.Rests(now) && c.couldRun(now, status, w) && (earliest.IsZero() || status.RestEnds().Before(earliest)) {
+		if status.IsResting(now) && c.couldRun(now, status, w) && (earliest.IsZero() || status.RestEnds().Before(earliest)) {
 			earliest = status.RestEnds()
 		}
 	}
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -53,10 +53,10 @@
 			status.CountsAge = now.Sub(c.othersAsOf)
 		}
 		for _, endpoint := range c.directory.Endpoints() {
-			status.InFlight += endpoint.Own
-			status.OthersInFlight += endpoint.Others
+			status.InFlight += endpoint.OwnRequests
+			status.OthersInFlight += endpoint.OthersRequests
 			status.ResidentCopies += len(endpoint.Offered)
-			if endpoint.Rests(now) {
+			if endpoint.IsResting(now) {
 				status.Resting++
 			}
 			if endpoint.Health.Ejected(now) {
--- a/services/entry/directory/boundaries_test.go
+++ b/services/entry/directory/boundaries_test.go
@@ -166,9 +166,9 @@
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
 			d.Put(endpoint("e", deployment.Ready), 1)
-			d.RememberHeld(start)
+			d.UpdateHeld(start)
 			d.SetOffered("e", nil, nil)
-			d.RememberHeld(start.Add(test.after))
+			d.UpdateHeld(start.Add(test.after))
 			_, held := d.Endpoint("e").Held[adapter]
 			assert.Equal(t, test.held, held)
 		})
@@ -179,7 +179,7 @@
 func TestMissingAdapterRetention(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 1)
-	d.NoteMissing(start, "e", adapter)
+	d.MarkMissing(start, "e", adapter)
 	end := start.Add(1500 * time.Millisecond)
 	assert.False(t, d.Endpoint("e").Holds(end.Add(-1), adapter, 0), "just before")
 	assert.False(t, d.Endpoint("e").Holds(end, adapter, 0), "at the end")
@@ -211,7 +211,7 @@
 func TestUnknownEndpointIsIgnored(t *testing.T) {
 	d := directory.New()
 	exchange(d, start, "unknown", broken)
-	d.NoteMissing(start, "unknown", adapter)
+	d.MarkMissing(start, "unknown", adapter)
 	d.SetOffered("unknown", []string{"base"}, nil)
 	assert.False(t, d.Remove("unknown", 3))
 	assert.Nil(t, d.Endpoint("unknown"))
--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -98,9 +98,9 @@
 	return endpoint.State
 }
 
-// NoteLeaving marks an endpoint as draining after it announced that it leaves, which is final for its incarnation. It reports whether the
+// MarkDraining marks an endpoint as draining after it announced that it leaves, which is final for its incarnation. It reports whether the
 // state changed.
-func (d *Directory) NoteLeaving(id deployment.EndpointID) bool {
+func (d *Directory) MarkDraining(id deployment.EndpointID) bool {
 	status, ok := d.endpoints[id]
 	if !ok || status.State == deployment.Draining {
 		return false
@@ -189,7 +189,7 @@
 	if !ok {
 		return
 	}
-	status.Own++
+	status.OwnRequests++
 	status.Allowance.Take(now)
 	status.beginRestTrial(now)
 	if request.UsesModel() {
@@ -209,7 +209,7 @@
 	if !ok {
 		return
 	}
-	status.Own--
+	status.OwnRequests--
 	if !adapter.IsZero() {
 		status.OwnByAdapter[adapter]--
 		if status.OwnByAdapter[adapter] <= 0 {
@@ -220,9 +220,9 @@
 	status.hall.record(now, outcome)
 }
 
-// NoteEnded records that another instance saw an endpoint's process end. The store lists the endpoint until it has missed its heartbeats;
+// MarkEnded records that another instance saw an endpoint's process end. The store lists the endpoint until it has missed its heartbeats;
 // without this notice each instance would lose requests of its own until then.
-func (d *Directory) NoteEnded(now time.Time, id deployment.EndpointID) {
+func (d *Directory) MarkEnded(now time.Time, id deployment.EndpointID) {
 	if status, ok := d.endpoints[id]; ok && !status.Health.processEnded {
 		status.Health.markEnded()
 		status.Health.eject(now)
@@ -245,8 +245,8 @@
 	return sum / float64(count)
 }
 
-// NoteMissing records that an endpoint answered that it does not hold an adapter.
-func (d *Directory) NoteMissing(now time.Time, id deployment.EndpointID, adapter deployment.Adapter) {
+// MarkMissing records that an endpoint answered that it does not hold an adapter.
+func (d *Directory) MarkMissing(now time.Time, id deployment.EndpointID, adapter deployment.Adapter) {
 	if status, ok := d.endpoints[id]; ok {
 		status.missing[adapter] = now
 	}
@@ -304,8 +304,8 @@
 	}
 }
 
-// RememberHeld records which adapters each endpoint holds now, and deletes held adapters and removed endpoints whose retention is over.
-func (d *Directory) RememberHeld(now time.Time) {
+// UpdateHeld records which adapters each endpoint holds now, and deletes held adapters and removed endpoints whose retention is over.
+func (d *Directory) UpdateHeld(now time.Time) {
 	d.sweep(now)
 	for _, status := range d.endpoints {
 		for adapter := range status.Offered {
--- a/services/entry/directory/directory_test.go
+++ b/services/entry/directory/directory_test.go
@@ -73,7 +73,7 @@
 	status := d.Endpoint("e")
 	assert.True(t, status.Holds(start, adapter, 2))
 	assert.False(t, status.Holds(start, adapter, 3))
-	d.NoteMissing(start, "e", adapter)
+	d.MarkMissing(start, "e", adapter)
 	assert.False(t, status.Holds(start.Add(time.Second), adapter, 2))
 	assert.True(t, status.Holds(start.Add(2*time.Second), adapter, 2))
 	assert.True(t, status.Holds(start, deployment.Adapter{Model: "base"}, 0))
--- a/services/entry/directory/incarnation_test.go
+++ b/services/entry/directory/incarnation_test.go
@@ -32,8 +32,8 @@
 		d.End(start, "e", adapter, directory.Broken)
 	}
 	d.Begin(start, "e", request)
-	d.NoteMissing(start, "e", adapter)
-	d.RememberHeld(start)
+	d.MarkMissing(start, "e", adapter)
+	d.UpdateHeld(start)
 	require.True(t, d.Endpoint("e").Health.Ejected(start))
 
 	empty := incarnation(2, deployment.Ready)
@@ -80,10 +80,10 @@
 	d.Put(incarnation(1, deployment.Ready), 1)
 	d.Begin(start, "e", &deployment.Request{Adapter: adapter})
 	d.Put(endpoint("e", deployment.Ready), 2)
-	assert.Equal(t, 1, d.Endpoint("e").Own)
+	assert.Equal(t, 1, d.Endpoint("e").OwnRequests)
 	assert.Equal(t, incarnation(1, deployment.Ready).Born, d.Endpoint("e").Born)
 	d.Put(incarnation(1, deployment.Ready), 3)
-	assert.Equal(t, 1, d.Endpoint("e").Own)
+	assert.Equal(t, 1, d.Endpoint("e").OwnRequests)
 }
 
 // TestRereadDescriptionKeepsNewerCopies: the store's description lists copies late, so that one that was already applied must not replace
--- a/services/entry/directory/process_end_test.go
+++ b/services/entry/directory/process_end_test.go
@@ -36,8 +36,8 @@
 
 func TestEndReportedByAnotherInstanceEjectsEndpoint(t *testing.T) {
 	d, now := newDirectoryOfTwo()
-	d.NoteEnded(now, "a")
-	d.NoteEnded(now, "unknown")
+	d.MarkEnded(now, "a")
+	d.MarkEnded(now, "unknown")
 	assert.True(t, d.Endpoint("a").Avoided(now))
 }
 
--- a/services/entry/directory/queue_waits.go
+++ b/services/entry/directory/queue_waits.go
@@ -129,9 +129,9 @@
 	status.Speed.Note(dequeued.tokensToRead, now.Sub(assigned))
 }
 
-// Leave records the end of a request that was assigned to an endpoint at a time. A request that never ran counts as an observed wait
+// LeaveQueue records the end of a request that was assigned to an endpoint at a time. A request that never ran counts as an observed wait
 // without a run.
-func (d *Directory) Leave(now time.Time, id deployment.EndpointID, assigned time.Time, request *deployment.Request) {
+func (d *Directory) LeaveQueue(now time.Time, id deployment.EndpointID, assigned time.Time, request *deployment.Request) {
 	status, ok := d.endpoints[id]
 	if !ok {
 		return
--- a/services/entry/directory/queue_waits_test.go
+++ b/services/entry/directory/queue_waits_test.go
@@ -37,7 +37,7 @@
 		d.Running(at(began), "e", at(assigned), newReq(priority))
 	}
 	ended := func(d *directory.Directory, assigned, end int) {
-		d.Leave(at(end), "e", at(assigned), newReq(patient))
+		d.LeaveQueue(at(end), "e", at(assigned), newReq(patient))
 		d.End(at(end), "e", queuedAdapter, directory.Neutral)
 	}
 	for name, test := range map[string]struct {
@@ -53,18 +53,18 @@
 		"the longest recent wait":           {func(d *directory.Directory) { ran(d, 0, 700, patient); ran(d, 800, 850, patient) }, 700 * time.Millisecond, true},
 		"one that ran, one waiting":         {func(d *directory.Directory) { ran(d, 0, 10, patient); d.Begin(at(100), "e", newReq(patient)) }, 900 * time.Millisecond, true},
 		"one that gave up, one of another instance": {func(d *directory.Directory) {
-			d.Endpoint("e").Others = 1
+			d.Endpoint("e").OthersRequests = 1
 			d.Begin(at(0), "e", newReq(patient))
 			ended(d, 0, 600)
 		}, 600 * time.Millisecond, false},
-		"only others' requests":     {func(d *directory.Directory) { d.Endpoint("e").Others = 3 }, 0, false},
+		"only others' requests":     {func(d *directory.Directory) { d.Endpoint("e").OthersRequests = 3 }, 0, false},
 		"a wait 3.1 s ago":          {func(d *directory.Directory) { ran(d, -2600, -2100, patient) }, 0, false},
 		"a wait 3 s ago":            {func(d *directory.Directory) { ran(d, -2300, -2000, patient) }, 300 * time.Millisecond, true},
 		"a request without a model": {func(d *directory.Directory) { d.Begin(at(0), "e", &deployment.Request{}) }, 0, false},
 		"recorded as running twice": {func(d *directory.Directory) { ran(d, 0, 300, patient); d.Running(at(900), "e", at(0), newReq(patient)) }, 300 * time.Millisecond, true},
 		"an unknown endpoint": {func(d *directory.Directory) {
 			d.Running(at(1), "x", at(0), newReq(patient))
-			d.Leave(at(1), "x", at(0), newReq(patient))
+			d.LeaveQueue(at(1), "x", at(0), newReq(patient))
 		}, 0, true},
 		"a shorter wait after a longer one": {func(d *directory.Directory) { ran(d, 0, 500, urgent); ran(d, 500, 600, patient) }, 500 * time.Millisecond, true},
 	} {
@@ -116,9 +116,9 @@
 
 	d.Running(at(100), "e", at(0), short)
 	assert.Equal(t, 9000, status.OwnUnread(), "the prompt of the running request is read, though both requests were assigned at the same time")
-	d.Leave(at(200), "e", at(0), long)
+	d.LeaveQueue(at(200), "e", at(0), long)
 	assert.Zero(t, status.OwnUnread())
-	d.Leave(at(300), "e", at(0), long)
+	d.LeaveQueue(at(300), "e", at(0), long)
 	assert.Zero(t, status.OwnUnread(), "a second Leave has no effect")
 }
 
--- a/services/entry/directory/retention_test.go
+++ b/services/entry/directory/retention_test.go
@@ -24,7 +24,7 @@
 		d.Put(endpoint(id, state), int64(2*i+1))
 		d.Remove(deployment.EndpointID(id), int64(2*i+2))
 		now = now.Add(time.Second)
-		d.RememberHeld(now)
+		d.UpdateHeld(now)
 	}
 	// The retention is ten minutes, and the next sweep follows one second later.
 	assert.LessOrEqual(t, d.Remembered(), 601)
@@ -37,12 +37,12 @@
 	d.Put(endpoint("e", deployment.Draining), 5)
 	d.Remove("e", 7)
 	for _, passed := range []time.Duration{0, time.Minute, 9 * time.Minute} {
-		d.RememberHeld(start.Add(passed))
+		d.UpdateHeld(start.Add(passed))
 		assert.False(t, d.Put(endpoint("e", deployment.Ready), 6), passed)
 	}
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 8))
 	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
-	d.RememberHeld(start.Add(time.Hour))
+	d.UpdateHeld(start.Add(time.Hour))
 	assert.False(t, d.Put(endpoint("e", deployment.Ready), 7), "a known endpoint keeps its revision")
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 9))
 	assert.Equal(t, deployment.Draining, d.Endpoint("e").State, "an incarnation stays draining while it is known")
@@ -53,10 +53,10 @@
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	for i := range 1000 {
-		d.NoteMissing(start, "e", deployment.Adapter{Model: "base", Name: fmt.Sprint("a", i)})
+		d.MarkMissing(start, "e", deployment.Adapter{Model: "base", Name: fmt.Sprint("a", i)})
 	}
-	d.RememberHeld(start.Add(time.Second))
+	d.UpdateHeld(start.Add(time.Second))
 	assert.Equal(t, 1000, d.Endpoint("e").Missing())
-	d.RememberHeld(start.Add(2 * time.Second))
+	d.UpdateHeld(start.Add(2 * time.Second))
 	assert.Zero(t, d.Endpoint("e").Missing())
 }
--- a/services/entry/directory/status.go
+++ b/services/entry/directory/status.go
@@ -21,10 +21,10 @@
 	// planner has sent newer ones.
 	OfferedModels []string
 	Offered       map[deployment.Adapter]int64
-	// Own is the number of this instance's requests in flight at the endpoint.
-	Own int
-	// Others is the number of the other instances' requests in flight, as of the planner's last view.
-	Others int
+	// OwnRequests is the number of this instance's requests in flight at the endpoint.
+	OwnRequests int
+	// OthersRequests is the number of the other instances' requests in flight, as of the planner's last view.
+	OthersRequests int
 	// OthersUnread is the number of prompt tokens of the other instances' requests that the endpoint has not read yet, as of the planner's
 	// last view.
 	OthersUnread int
@@ -90,9 +90,9 @@
 // once. A higher value sends fewer requests to an endpoint that is still full, a lower one uses a free endpoint sooner.
 const restTrialPeriod = 250 * time.Millisecond
 
-// NoteRest records that the endpoint asked this instance to send nothing until a time. The latest of several such times applies, whatever
+// RecordRest records that the endpoint asked this instance to send nothing until a time. The latest of several such times applies, whatever
 // the endpoint answers meanwhile to requests sent before.
-func (s *EndpointStatus) NoteRest(until time.Time) {
+func (s *EndpointStatus) RecordRest(until time.Time) {
 	if until.After(s.restUntil) {
 		s.restUntil = until
 	}
@@ -106,22 +106,22 @@
 	return s.restUntil
 }
 
-// Rests reports whether this instance must send the endpoint no requests now.
-func (s *EndpointStatus) Rests(now time.Time) bool {
+// IsResting reports whether this instance must send the endpoint no requests now.
+func (s *EndpointStatus) IsResting(now time.Time) bool {
 	return now.Before(s.RestEnds())
 }
 
 // beginRestTrial starts the trial period if this request is the first one after a rest.
 func (s *EndpointStatus) beginRestTrial(now time.Time) {
-	if !s.restUntil.IsZero() && !s.Rests(now) {
+	if !s.restUntil.IsZero() && !s.IsResting(now) {
 		s.restUntil, s.restTrialUntil = time.Time{}, now.Add(restTrialPeriod)
 	}
 }
 
-// Lost reports whether requests must go to other endpoints, or wait for one, because the endpoint refuses the connections of other
+// ReportedUnreachable reports whether requests must go to other endpoints, or wait for one, because the endpoint refuses the connections of other
 // instances. An instance that ejected the endpoint itself keeps to its own trials, so that a few instances notice when the endpoint
 // returns.
-func (s *EndpointStatus) Lost() bool {
+func (s *EndpointStatus) ReportedUnreachable() bool {
 	return s.Unreached && !s.Health.awaitingRecovery()
 }
 
@@ -143,5 +143,5 @@
 
 // Load returns the number of requests known to be in flight, of all instances.
 func (s *EndpointStatus) Load() int {
-	return s.Own + s.Others
+	return s.OwnRequests + s.OthersRequests
 }
--- a/tests/capacity/entry_test.go
+++ b/tests/capacity/entry_test.go
@@ -207,7 +207,7 @@
 		offered := entryEndpoint(i)
 		d.SetOffered(offered.ID, offered.Models, offered.Adapters)
 	}
-	d.RememberHeld(entryStart)
+	d.UpdateHeld(entryStart)
 	return d
 }
 
