--- a/services/entry/directory/status.go
+++ b/services/entry/directory/status.go
@@ -30,7 +30,7 @@
 	OthersUnread int
 	// OwnByAdapter counts this instance's requests in flight by adapter.
 	OwnByAdapter map[deployment.Adapter]int
-	// Unreached reports that several instances had their connections refused, as of the planner's last view.
+	// Unreached reports whether several instances had their connections refused, as of the planner's last view.
 	Unreached bool
 	// Health is the record of the exchanges with the endpoint.
 	Health Health
--- a/services/quarantine/doc.go
+++ b/services/quarantine/doc.go
@@ -1,13 +1,15 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package quarantine keeps requests from endpoints that they would crash.
+// Package quarantine holds back requests that would crash further endpoints.
 //
-// A request that ends the process which runs it comes again, at any instance, and the endpoint that ended is no help against it: the next
-// one is sound. So a crash is remembered here against the requests that the endpoint had. It owns what counts as evidence (evidence.go): a
-// request is held back after crashCount crashes without a whole answer since, for which no other request is the likelier cause, and no common
-// cause of several endpoints. An endpoint's end counts as well against what it may still have had though nobody waits for it (unanswered.go).
-// It also owns for how long (hold.go), what instances tell each other of it, which may be told twice and in any
-// order (table.go), and what is forgotten. It relies on its caller for whether an endpoint's end was planned. It does no I/O and starts no
-// goroutine; the present time is an argument.
+// A request that ends the process that runs it may be sent again, to any instance. Ejecting the ended endpoint does not help, since the
+// next endpoint that gets the request is healthy. A crash is therefore recorded against the requests that the endpoint had in flight.
+//
+// The package implements what counts as evidence (evidence.go): a request is held back after crashThreshold crashes without a complete
+// answer since, unless another request is the likelier cause of them or several endpoints ended from a common cause. The end of an endpoint
+// also counts against requests that it may still have been running though their callers had left (unanswered.go). The package also
+// implements how long a request is held back (hold.go), and the records that instances exchange, which may arrive more than once and in any
+// order, and their retention (table.go). The caller decides whether the end of an endpoint was planned. The package does no I/O, starts no
+// goroutine and takes the current time as an argument.
 package quarantine
--- a/services/quarantine/evidence.go
+++ b/services/quarantine/evidence.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// crashCount is how many crashes hold a request back. One or two in a row happen to a sound request where endpoints fail by
-	// themselves; each further one costs the requests that are under way at another endpoint.
-	crashCount = 3
-	// commonCount is how many endpoints that end within commonTime of each other have a common cause, such as the loss of a rack or a cut
-	// that refuses connections; it is above what two requests that crash endpoints may do at one time.
-	commonCount = 3
-	commonTime  = 100 * time.Millisecond
-	// tellingTime is after which an end counts: the other instances tell meanwhile which requests of theirs the endpoint had, one of which
-	// may be the likelier cause.
-	tellingTime = 100 * time.Millisecond
+	// crashThreshold is how many crashes hold a request back. Where endpoints fail for other reasons, one or two crashes in a row also
+	// happen to a harmless request; each further crash costs the requests in flight at another endpoint.
+	crashThreshold = 3
+	// commonCauseThreshold is how many endpoints must end within commonCauseWindow of each other to assume a common cause, such as the loss
+	// of a rack or a network partition that refuses connections. It is above what two requests that crash endpoints may cause at one time.
+	commonCauseThreshold = 3
+	commonCauseWindow    = 100 * time.Millisecond
+	// reportDelay is how long after an endpoint's end the end counts as evidence. Meanwhile the other instances report which of their
+	// requests the endpoint had in flight, one of which may be the likelier cause.
+	reportDelay = 100 * time.Millisecond
 )
 
-// open is the number of a request's crashes since its last whole answer.
-func (s *suspect) open() int {
+// openCrashes returns the number of the request's crashes since its last complete answer.
+func (s *suspect) openCrashes() int {
 	count := 0
 	for _, r := range s.records {
 		if !r.answered {
@@ -34,48 +34,48 @@
 	return count
 }
 
-// last is when the last crash was.
-func (s *suspect) last() time.Time {
-	var last time.Time
+// lastCrash returns the time of the request's last crash.
+func (s *suspect) lastCrash() time.Time {
+	var lastCrash time.Time
 	for _, r := range s.records {
-		if r.at.After(last) {
-			last = r.at
+		if r.at.After(lastCrash) {
+			lastCrash = r.at
 		}
 	}
-	return last
+	return lastCrash
 }
 
-// evidence gives the endpoints whose ends speak against a request; nil where they are too few to hold it back. An endpoint that ends has many
-// requests, and one of them is the cause: a sound request that comes often is under way at many of these ends, so an end counts only against
-// those with the most of them.
+// evidence returns the endpoints whose ends count against a request, or nil if they are too few to hold it back. An endpoint has many
+// requests in flight when it ends, one of which is the cause. A harmless request that is sent often is in flight at many of these ends, so
+// an end counts only against those of its requests with the most crashes.
 func (t *Table) evidence(now time.Time, request fingerprint.Fingerprint) []string {
 	known := t.suspects[request]
 	if known == nil {
 		return nil
 	}
-	open := known.open()
-	if open < crashCount {
+	openCrashes := known.openCrashes()
+	if openCrashes < crashThreshold {
 		return nil
 	}
 	var endpoints []string
 	for _, r := range known.records {
-		if r.answered || now.Sub(t.endpoints[r.endpoint].at) < tellingTime || t.outranked(open, r.endpoint) || t.hasCommonCause(r.endpoint) {
+		if r.answered || now.Sub(t.endpoints[r.endpoint].at) < reportDelay || t.hasLikelierCause(openCrashes, r.endpoint) || t.hasCommonCause(r.endpoint) {
 			continue
 		}
 		endpoints = append(endpoints, r.endpoint)
 	}
-	if len(endpoints) < crashCount {
+	if len(endpoints) < crashThreshold {
 		return nil
 	}
 	return endpoints
 }
 
-// rivals gives how many other requests have as many crashes as one, and at the same endpoints, so that any of them may be the cause; before
-// is how many of these are tried before it.
-func (t *Table) rivals(request fingerprint.Fingerprint, evidence []string) (before int, found bool) {
-	open := t.suspects[request].open()
+// ambiguousCauses reports whether other requests have as many crashes as the given one, at the same endpoints, so that any of them may be
+// the cause. before is how many of them are tried before the given one.
+func (t *Table) ambiguousCauses(request fingerprint.Fingerprint, evidence []string) (before int, found bool) {
+	openCrashes := t.suspects[request].openCrashes()
 	for _, other := range t.endpoints[evidence[0]].requests {
-		if other == request || t.suspects[other].open() != open || !t.hadBy(other, evidence) {
+		if other == request || t.suspects[other].openCrashes() != openCrashes || !t.inFlightAtAll(other, evidence) {
 			continue
 		}
 		found = true
@@ -86,8 +86,8 @@
 	return before, found
 }
 
-// hadBy reports whether all of some endpoints had a request as they ended.
-func (t *Table) hadBy(request fingerprint.Fingerprint, endpoints []string) bool {
+// inFlightAtAll reports whether a request was in flight at all of the given endpoints when they ended.
+func (t *Table) inFlightAtAll(request fingerprint.Fingerprint, endpoints []string) bool {
 	for _, endpoint := range endpoints {
 		if !slices.Contains(t.endpoints[endpoint].requests, request) {
 			return false
@@ -96,20 +96,20 @@
 	return true
 }
 
-// outranked reports whether an endpoint that ended had a request with more crashes than so many.
-func (t *Table) outranked(open int, endpoint string) bool {
+// hasLikelierCause reports whether an ended endpoint had a request in flight with more than openCrashes crashes.
+func (t *Table) hasLikelierCause(openCrashes int, endpoint string) bool {
 	return slices.ContainsFunc(t.endpoints[endpoint].requests, func(other fingerprint.Fingerprint) bool {
-		return t.suspects[other].open() > open
+		return t.suspects[other].openCrashes() > openCrashes
 	})
 }
 
-// hasCommonCause reports whether an endpoint ended together with others.
+// hasCommonCause reports whether an endpoint ended together with so many others that a common cause is assumed.
 func (t *Table) hasCommonCause(endpoint string) bool {
 	at, together := t.endpoints[endpoint].at, 0
 	for _, other := range t.endpoints {
-		if other.at.Sub(at).Abs() <= commonTime {
+		if other.at.Sub(at).Abs() <= commonCauseWindow {
 			together++
 		}
 	}
-	return together >= commonCount
+	return together >= commonCauseThreshold
 }
--- a/services/quarantine/hold.go
+++ b/services/quarantine/hold.go
@@ -9,38 +9,40 @@
 	"github.com/shelfledge/shelfledge/modules/fingerprint"
 )
 
-// holds are for how long a request is held back after its last crash, by how many crashes beyond crashCount speak against it. After each,
-// one sending finds out whether a newer endpoint bears it: soon where the evidence is least, seldom where several such trials have failed.
-var holds = []time.Duration{5 * time.Minute, time.Hour, 24 * time.Hour}
+// holdDurations are how long a request is held back after its last crash, by the number of crashes beyond crashThreshold. After each hold,
+// one trial shows whether a newer endpoint can run the request: soon where the evidence is weakest, seldom where several trials have
+// failed.
+var holdDurations = []time.Duration{5 * time.Minute, time.Hour, 24 * time.Hour}
 
 const (
-	// rivalHold is for how long a request is held back that one sending can tell from others with the same crashes, and how much longer each
-	// of these than the one before: a sound one is not kept from its endpoints for long, and no two of them share an endpoint meanwhile.
-	rivalHold = 2 * time.Second
-	// rivalCrashes is how many crashes beyond crashCount such trials may cost.
-	rivalCrashes = 2
-	// trialTime is how long the end of a trial is waited for before another one is made.
-	trialTime = 10 * time.Second
-	// trialPause is when others come back that came during a trial, which seldom takes longer.
-	trialPause = time.Second
+	// ambiguousHold is how long a request is held back while other requests have the same crashes, so that a trial must show which of them
+	// is the cause. Each of them is held that much longer than the one before, so that no two are tried at the same endpoint at once. A
+	// harmless request is not held back for long.
+	ambiguousHold = 2 * time.Second
+	// maxAmbiguousCrashes is how many crashes beyond crashThreshold such trials may cause.
+	maxAmbiguousCrashes = 2
+	// trialTimeout is how long the outcome of a trial is awaited before another trial is allowed.
+	trialTimeout = 10 * time.Second
+	// trialRetryAfter is when callers may retry a request that arrived during a trial, which seldom takes longer.
+	trialRetryAfter = time.Second
 )
 
-// Hold is why and for how long a request is held back.
+// Hold describes why and for how long a request is held back.
 type Hold struct {
-	// Left is the time until it is sent again.
+	// Left is the time until the request may be sent again.
 	Left time.Duration
-	// Endpoints are those that ended while they had it.
+	// Endpoints are the endpoints that ended while they had the request in flight.
 	Endpoints []string
 }
 
-// span is for how long a request is held back after its last crash.
-func (t *Table) span(request fingerprint.Fingerprint, evidence []string) time.Duration {
-	beyond := len(evidence) - crashCount
-	before, found := t.rivals(request, evidence)
-	if found && beyond < rivalCrashes {
-		return time.Duration(1+before) * rivalHold
+// holdDuration returns how long a request is held back after its last crash.
+func (t *Table) holdDuration(request fingerprint.Fingerprint, evidence []string) time.Duration {
+	excess := len(evidence) - crashThreshold
+	before, found := t.ambiguousCauses(request, evidence)
+	if found && excess < maxAmbiguousCrashes {
+		return time.Duration(1+before) * ambiguousHold
 	}
-	return holds[min(beyond, len(holds)-1)]
+	return holdDurations[min(excess, len(holdDurations)-1)]
 }
 
 // Held reports whether a request is held back.
@@ -49,28 +51,28 @@
 	if evidence == nil {
 		return Hold{}, false
 	}
-	left := t.suspects[request].last().Add(t.span(request, evidence)).Sub(now)
+	left := t.suspects[request].lastCrash().Add(t.holdDuration(request, evidence)).Sub(now)
 	return Hold{Left: left, Endpoints: evidence}, left > 0
 }
 
-// Admit decides whether a request that has come is held back. After a hold it lets one through at a time, which the next crash or the whole
-// answer judges.
+// Admit decides whether an arriving request is held back. After a hold it admits one request at a time as a trial, whose outcome is the
+// next crash or a complete answer.
 func (t *Table) Admit(now time.Time, request fingerprint.Fingerprint) (Hold, bool) {
 	hold, held := t.Held(now, request)
 	if held || hold.Endpoints == nil {
 		return hold, held
 	}
 	known := t.suspects[request]
-	if left := known.triedAt.Add(trialTime).Sub(now); !known.triedAt.IsZero() && left > 0 {
-		return Hold{Left: min(left, trialPause), Endpoints: hold.Endpoints}, true
+	if left := known.triedAt.Add(trialTimeout).Sub(now); !known.triedAt.IsZero() && left > 0 {
+		return Hold{Left: min(left, trialRetryAfter), Endpoints: hold.Endpoints}, true
 	}
 	known.triedAt = now
-	// The other instances make none meanwhile.
-	t.tell(Crash{Request: request}, now)
+	// Other instances make no trial meanwhile.
+	t.publish(Crash{Request: request}, now)
 	return Hold{}, false
 }
 
-// Holding gives the requests that are held back.
+// Holding returns all requests that are held back.
 func (t *Table) Holding(now time.Time) map[fingerprint.Fingerprint]Hold {
 	holding := make(map[fingerprint.Fingerprint]Hold)
 	for request := range t.suspects {
@@ -81,7 +83,7 @@
 	return holding
 }
 
-// Release lets a request go that is held back, as after a whole answer; false where it is not known.
+// Release ends the hold of a request, as a complete answer does. It returns false if no crash of the request is recorded.
 func (t *Table) Release(now time.Time, request fingerprint.Fingerprint) bool {
 	if t.suspects[request] == nil {
 		return false
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -17,53 +17,53 @@
 
 var start = time.Date(2026, 12, 3, 8, 0, 0, 0, time.UTC)
 
-// pause is between two crashes of these tests, and longer than the time in which instances tell each other.
-const pause = time.Second
+// crashInterval is the time between two crashes in these tests; it exceeds reportDelay, in which the other instances report.
+const crashInterval = time.Second
 
-// request gives one of several requests.
+// request returns the fingerprint of the request with the given number.
 func request(number byte) fingerprint.Fingerprint {
 	return fingerprint.Fingerprint{number}
 }
 
-// story is a table with a clock.
-type story struct {
+// fixture is a table with a clock.
+type fixture struct {
 	*quarantine.Table
 
 	now time.Time
 }
 
-func newStory() *story {
-	return &story{Table: quarantine.NewTable(), now: start}
+func newFixture() *fixture {
+	return &fixture{Table: quarantine.NewTable(), now: start}
 }
 
-// crash ends an endpoint that has some requests.
-func (s *story) crash(endpoint string, requests ...byte) {
+// crash ends an endpoint that has the given requests in flight and advances the clock.
+func (s *fixture) crash(endpoint string, requests ...byte) {
 	for _, number := range requests {
 		s.Crashed(s.now, request(number), endpoint)
 	}
-	s.now = s.now.Add(pause)
+	s.now = s.now.Add(crashInterval)
 }
 
-func (s *story) held(number byte) bool {
+func (s *fixture) held(number byte) bool {
 	_, held := s.Held(s.now, request(number))
 	return held
 }
 
-func TestThreeCrashesHoldARequestBack(t *testing.T) {
-	s := newStory()
+func TestRequestIsHeldAfterThreeCrashes(t *testing.T) {
+	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1)
 	assert.False(t, s.held(1))
 	s.crash("c", 1)
 	hold, held := s.Held(s.now, request(1))
 	assert.True(t, held)
-	assert.Equal(t, 5*time.Minute-pause, hold.Left)
+	assert.Equal(t, 5*time.Minute-crashInterval, hold.Left)
 	assert.Equal(t, []string{"a", "b", "c"}, hold.Endpoints)
 	assert.False(t, s.held(2), "another request")
 }
 
-func TestOneEndOfAnEndpointCountsOnce(t *testing.T) {
-	s := newStory()
+func TestEndOfEndpointCountsOnce(t *testing.T) {
+	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1, 1, 1)
 	s.Merge(s.now, []quarantine.Crash{{Request: request(1), Endpoint: "a"}, {Request: request(1), Endpoint: "b"}}, false)
@@ -71,8 +71,8 @@
 	assert.Equal(t, 2, s.Size())
 }
 
-func TestAWholeAnswerTakesBackWhatCameBefore(t *testing.T) {
-	s := newStory()
+func TestCompleteAnswerClearsEarlierCrashes(t *testing.T) {
+	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1)
 	s.Answered(s.now, request(1))
@@ -85,32 +85,32 @@
 	assert.False(t, s.held(1))
 }
 
-// TestAnEndCountsAgainstTheLikeliestRequest: a sound request that comes often is under way at ends that others cause.
-func TestAnEndCountsAgainstTheLikeliestRequest(t *testing.T) {
-	s := newStory()
+// TestEndCountsAgainstLikeliestRequest: a harmless request that is sent often is in flight at many ends that other requests cause.
+func TestEndCountsAgainstLikeliestRequest(t *testing.T) {
+	s := newFixture()
 	s.crash("a", 1, 9)
 	s.crash("b", 1)
 	s.crash("c", 2, 9)
 	s.crash("d", 2)
 	s.crash("e", 1, 9)
 	s.crash("f", 2, 9)
-	assert.True(t, s.held(1) || s.held(2) || s.held(9), "four ends of the popular one and three of each other")
+	assert.True(t, s.held(1) || s.held(2) || s.held(9), "four ends for the frequent request and three for each of the others")
 	s.crash("g", 1)
 	s.crash("h", 2)
 	s.crash("i", 1)
 	s.crash("j", 2)
 	assert.True(t, s.held(1))
 	assert.True(t, s.held(2))
-	assert.False(t, s.held(9), "each of its ends has a likelier cause")
+	assert.False(t, s.held(9), "each end of the frequent request has a likelier cause")
 }
 
-func TestEndsWithACommonCauseCountForNoRequest(t *testing.T) {
-	s := newStory()
+func TestEndsWithCommonCauseDoNotCount(t *testing.T) {
+	s := newFixture()
 	for round := range 3 {
 		for endpoint := range 3 {
 			s.Crashed(s.now.Add(time.Duration(endpoint)*10*time.Millisecond), request(1), fmt.Sprint(round, endpoint))
 		}
-		s.now = s.now.Add(pause)
+		s.now = s.now.Add(crashInterval)
 	}
 	assert.False(t, s.held(1))
 	for endpoint := range 3 {
@@ -119,8 +119,8 @@
 	assert.True(t, s.held(1))
 }
 
-func TestAnEndCountsOnceAllHaveHadTimeToTell(t *testing.T) {
-	s := newStory()
+func TestEndCountsAfterReportDelay(t *testing.T) {
+	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1)
 	s.Crashed(s.now, request(1), "c")
@@ -129,11 +129,11 @@
 	assert.True(t, s.held(1))
 }
 
-// TestRequestsWithTheSameCrashesAreTriedOneByOne: nothing but a sending of one alone tells which of them is the cause.
-func TestRequestsWithTheSameCrashesAreTriedOneByOne(t *testing.T) {
+// TestRequestsWithSameCrashesAreTriedInTurn: only sending one of them alone shows which request is the cause.
+func TestRequestsWithSameCrashesAreTriedInTurn(t *testing.T) {
 	for name, cause := range map[string]byte{"the first is the cause": 1, "the second is the cause": 2} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory()
+			s := newFixture()
 			for _, endpoint := range []string{"a", "b", "c"} {
 				s.crash(endpoint, 1, 2)
 			}
@@ -155,25 +155,25 @@
 			}
 			assert.True(t, s.held(cause))
 			assert.False(t, s.held(3-cause))
-			assert.LessOrEqual(t, ends, 1, "one endpoint is the highest price")
+			assert.LessOrEqual(t, ends, 1, "the trials cost at most one endpoint")
 		})
 	}
 }
 
-// TestTrialsAfterAHold: each hold ends with one sending at a time, and each crash in it brings a longer one.
-func TestTrialsAfterAHold(t *testing.T) {
-	s := newStory()
+// TestHoldsGrowAfterFailedTrials: each hold ends with one trial at a time, and each crash in a trial leads to a longer hold.
+func TestHoldsGrowAfterFailedTrials(t *testing.T) {
+	s := newFixture()
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 1)
 	}
 	for trial, hold := range []time.Duration{5 * time.Minute, time.Hour, 24 * time.Hour, 24 * time.Hour} {
-		s.now = s.now.Add(hold - pause - 1)
+		s.now = s.now.Add(hold - crashInterval - 1)
 		assert.True(t, s.held(1), "just before the end of hold %d", trial)
 		s.now = s.now.Add(1)
 		_, held := s.Admit(s.now, request(1))
 		assert.False(t, held, "trial %d", trial)
 		other, held := s.Admit(s.now, request(1))
-		assert.True(t, held, "a second one beside trial %d", trial)
+		assert.True(t, held, "a second request during trial %d", trial)
 		assert.Equal(t, time.Second, other.Left)
 		s.Sweep(s.now)
 		s.crash(fmt.Sprint("trial", trial), 1)
@@ -182,11 +182,11 @@
 	_, held := s.Admit(s.now, request(1))
 	assert.False(t, held)
 	s.Answered(s.now, request(1))
-	assert.False(t, s.held(1), "it is borne again")
+	assert.False(t, s.held(1), "a complete answer ends the hold")
 }
 
-func TestATrialWithoutAnEndIsMadeAgain(t *testing.T) {
-	s := newStory()
+func TestTrialWithoutOutcomeIsRepeatedAfterTimeout(t *testing.T) {
+	s := newFixture()
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 1)
 	}
@@ -199,14 +199,14 @@
 	assert.True(t, held)
 	other.Merge(s.now, s.TakeUntold(s.now), false)
 	_, held = other.Admit(s.now.Add(10*time.Second-1), request(1))
-	assert.True(t, held, "another instance makes none beside it")
+	assert.True(t, held, "another instance makes no trial at the same time")
 	_, held = s.Admit(s.now.Add(10*time.Second), request(1))
 	assert.False(t, held)
 }
 
-// TestEndsThatAreToldLateStayApart: an instance that had no link to the planner tells them all at once.
-func TestEndsThatAreToldLateStayApart(t *testing.T) {
-	s, other := newStory(), quarantine.NewTable()
+// TestEndsReportedTogetherKeepTheirTimes: an instance without a link to the planner reports its records all at once later.
+func TestEndsReportedTogetherKeepTheirTimes(t *testing.T) {
+	s, other := newFixture(), quarantine.NewTable()
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 1)
 	}
@@ -215,8 +215,8 @@
 	assert.True(t, held)
 }
 
-func TestOldCrashesAreForgotten(t *testing.T) {
-	s := newStory()
+func TestOldCrashesAreDeleted(t *testing.T) {
+	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1)
 	s.now = s.now.Add(time.Hour)
@@ -226,9 +226,9 @@
 	assert.False(t, s.held(1))
 }
 
-// TestTheTableIsBounded: where too much is suspected, the least suspected requests are forgotten.
-func TestTheTableIsBounded(t *testing.T) {
-	s := newStory()
+// TestTableIsBounded: above the limit of records, those of the least suspected requests are deleted.
+func TestTableIsBounded(t *testing.T) {
+	s := newFixture()
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 1)
 	}
@@ -239,16 +239,16 @@
 	assert.LessOrEqual(t, s.Size(), 4096)
 	assert.True(t, s.held(1))
 	assert.LessOrEqual(t, len(s.Snapshot(s.now)), 512)
-	assert.Equal(t, request(1), s.Snapshot(s.now)[0].Request, "the most suspected first")
+	assert.Equal(t, request(1), s.Snapshot(s.now)[0].Request, "most suspected request first")
 }
 
-// TestAllInstancesComeToTheSame has records told several times, late and in any order, and some not at all but by a snapshot.
-func TestAllInstancesComeToTheSame(t *testing.T) {
+// TestInstancesConverge delivers records several times, late and in any order, and some only in a snapshot.
+func TestInstancesConverge(t *testing.T) {
 	for seed := range uint64(200) {
 		random := rand.New(rand.NewPCG(seed, 1))
 		tables := []*quarantine.Table{quarantine.NewTable(), quarantine.NewTable(), quarantine.NewTable()}
 		now := start
-		var told []quarantine.Crash
+		var sent []quarantine.Crash
 		for range 30 {
 			at := tables[random.IntN(len(tables))]
 			if number := request(byte(random.IntN(4))); random.IntN(5) == 0 {
@@ -256,12 +256,12 @@
 			} else {
 				at.Crashed(now, number, fmt.Sprint(random.IntN(20)))
 			}
-			told = append(told, at.TakeUntold(now)...)
+			sent = append(sent, at.TakeUntold(now)...)
 		}
-		now = now.Add(pause)
+		now = now.Add(crashInterval)
 		for _, table := range tables {
-			random.Shuffle(len(told), func(i, j int) { told[i], told[j] = told[j], told[i] })
-			table.Merge(now, told[:random.IntN(len(told)+1)], true)
+			random.Shuffle(len(sent), func(i, j int) { sent[i], sent[j] = sent[j], sent[i] })
+			table.Merge(now, sent[:random.IntN(len(sent)+1)], true)
 		}
 		for _, from := range tables {
 			for _, to := range tables {
@@ -284,13 +284,13 @@
 	}
 }
 
-// TestWhatANewPlannerIsTold: what this instance saw itself, and all of what is held back.
-func TestWhatANewPlannerIsTold(t *testing.T) {
-	s := newStory()
+// TestOwnIncludesHeldRequests: a new planner gets the records that this instance observed and those of all held requests.
+func TestOwnIncludesHeldRequests(t *testing.T) {
+	s := newFixture()
 	s.crash("a", 1)
 	s.Merge(s.now, []quarantine.Crash{
-		{Request: request(2), Endpoint: "b"}, {Request: request(3), Endpoint: "c", Age: 3 * pause}, {Request: request(3), Endpoint: "d", Age: 2 * pause},
-		{Request: request(3), Endpoint: "e", Age: pause},
+		{Request: request(2), Endpoint: "b"}, {Request: request(3), Endpoint: "c", Age: 3 * crashInterval}, {Request: request(3), Endpoint: "d", Age: 2 * crashInterval},
+		{Request: request(3), Endpoint: "e", Age: crashInterval},
 	}, false)
 	var endpoints []string
 	for _, crash := range s.Own(s.now) {
@@ -300,8 +300,8 @@
 	assert.False(t, s.Untold())
 }
 
-func TestReleaseLetsARequestGo(t *testing.T) {
-	s := newStory()
+func TestReleaseEndsHold(t *testing.T) {
+	s := newFixture()
 	assert.False(t, s.Release(s.now, request(1)))
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 1)
@@ -312,27 +312,27 @@
 	assert.True(t, s.Untold())
 }
 
-// TestAnEndCountsAgainstRequestsThatNobodyWaitsFor: an endpoint may run them all the same.
-func TestAnEndCountsAgainstRequestsThatNobodyWaitsFor(t *testing.T) {
-	for name, order := range map[string]func(s *story, endpoint string){
-		"given up before the end is seen": func(s *story, endpoint string) {
+// TestEndCountsAgainstUnansweredRequests: an endpoint may still run requests whose callers have left.
+func TestEndCountsAgainstUnansweredRequests(t *testing.T) {
+	for name, order := range map[string]func(s *fixture, endpoint string){
+		"given up before the end is seen": func(s *fixture, endpoint string) {
 			s.Unanswered(s.now, request(1), endpoint)
 			s.now = s.now.Add(3 * time.Second)
 			s.crash(endpoint, 9)
 		},
-		"given up after the end was seen": func(s *story, endpoint string) {
+		"given up after the end was seen": func(s *fixture, endpoint string) {
 			s.crash(endpoint, 9)
 			s.Unanswered(s.now, request(1), endpoint)
 		},
-		"another instance has seen the end": func(s *story, endpoint string) {
+		"another instance has seen the end": func(s *fixture, endpoint string) {
 			s.Unanswered(s.now, request(1), endpoint)
-			s.now = s.now.Add(pause)
+			s.now = s.now.Add(crashInterval)
 			s.Merge(s.now, []quarantine.Crash{{Request: request(9), Endpoint: endpoint}}, false)
-			s.now = s.now.Add(pause)
+			s.now = s.now.Add(crashInterval)
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			s := newStory()
+			s := newFixture()
 			for _, endpoint := range []string{"a", "b", "c"} {
 				order(s, endpoint)
 				s.Answered(s.now, request(9))
@@ -344,8 +344,8 @@
 	}
 }
 
-func TestARequestThatWasGivenUpLongBeforeTheEndIsNotItsCause(t *testing.T) {
-	s := newStory()
+func TestRequestGivenUpLongBeforeEndDoesNotCount(t *testing.T) {
+	s := newFixture()
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.Unanswered(s.now, request(1), endpoint)
 		s.now = s.now.Add(3*time.Second + 1)
@@ -355,9 +355,10 @@
 	assert.Equal(t, 3, s.Size())
 }
 
-// TestAnEndpointThatIsBackUnderItsNameHasNotEndedAgain: what is given up at it later is no cause of its former process's end.
-func TestAnEndpointThatIsBackUnderItsNameHasNotEndedAgain(t *testing.T) {
-	s := newStory()
+// TestRequestGivenUpAfterRestartDoesNotCount: a request that is given up at a restarted endpoint did not cause the end of its former
+// process.
+func TestRequestGivenUpAfterRestartDoesNotCount(t *testing.T) {
+	s := newFixture()
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 9)
 	}
@@ -365,14 +366,14 @@
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.Unanswered(s.now, request(1), endpoint)
 	}
-	s.now = s.now.Add(pause)
+	s.now = s.now.Add(crashInterval)
 	assert.False(t, s.held(1))
 	assert.Equal(t, 3, s.Size())
 }
 
-// TestRequestsThatWereGivenUpAreBounded: many callers may leave one endpoint.
-func TestRequestsThatWereGivenUpAreBounded(t *testing.T) {
-	s := newStory()
+// TestUnansweredRequestsAreBounded: many callers may leave one endpoint.
+func TestUnansweredRequestsAreBounded(t *testing.T) {
+	s := newFixture()
 	for number := range 100 {
 		s.Unanswered(s.now, request(byte(number)), "a")
 	}
--- a/services/quarantine/table.go
+++ b/services/quarantine/table.go
@@ -12,78 +12,78 @@
 )
 
 const (
-	// crashMemory is for how long a crash counts against a request that is not held back.
-	crashMemory = time.Hour
-	// mostCrashes is how many records of crashes are kept, each of some 150 bytes.
-	mostCrashes = 4096
+	// crashRetention is how long a crash counts against a request that is not held back.
+	crashRetention = time.Hour
+	// maxRecords is how many crash records are kept, each of some 150 bytes.
+	maxRecords = 4096
 )
 
-// Crash is the record of an endpoint that ended while it had a request.
+// Crash is the record of an endpoint that ended while it had a request in flight.
 type Crash struct {
 	Request fingerprint.Fingerprint
-	// Endpoint is the name of the incarnation that ended; empty for the begin of a trial, see Admit.
+	// Endpoint is the name of the incarnation that ended; empty for a record of the start of a trial, see Admit.
 	Endpoint string
-	// Age is for how long the record has been known.
+	// Age is how long the record has been known.
 	Age time.Duration
-	// Answered says that the request got a whole answer since, so that it was not the cause.
+	// Answered reports whether the request got a complete answer since, so that it was not the cause.
 	Answered bool
 }
 
-// record is what is kept of a Crash with a request.
+// record is what the table keeps of a Crash for a request.
 type record struct {
 	endpoint string
 	at       time.Time
 	answered bool
-	// own says that this instance saw it itself.
+	// own reports whether this instance observed the crash itself.
 	own bool
 }
 
-// suspect is a request that an endpoint had as it ended.
+// suspect is a request that an endpoint had in flight when it ended.
 type suspect struct {
 	records []record
-	// triedAt is when it was last sent after it had been held back; zero for never.
+	// triedAt is when the request was last sent as a trial after a hold; zero for never.
 	triedAt time.Time
 }
 
-// ended is an endpoint that has ended.
-type ended struct {
+// endedEndpoint is an endpoint that has ended, with the requests that it had in flight.
+type endedEndpoint struct {
 	at       time.Time
 	requests []fingerprint.Fingerprint
 }
 
-// Table holds the records; it is not safe for concurrent use.
+// Table holds the crash records. It is not safe for concurrent use.
 type Table struct {
 	suspects  map[fingerprint.Fingerprint]*suspect
-	endpoints map[string]*ended
-	// unanswered are the requests that endpoints may still have, by endpoint.
+	endpoints map[string]*endedEndpoint
+	// unanswered are the requests that endpoints may still be running though their exchange ended, by endpoint.
 	unanswered map[string][]unanswered
-	// untold are the records that have changed here since they were last taken.
-	untold []untold
+	// unsent are the records that changed on this instance and were not sent yet.
+	unsent []unsent
 	size   int
 }
 
-// untold is a record that is to be told, with when what it tells was.
-type untold struct {
+// unsent is a record to be sent to the other instances, with the time of the recorded event.
+type unsent struct {
 	crash Crash
 	at    time.Time
 }
 
-// NewTable makes a table without records.
+// NewTable returns an empty table.
 func NewTable() *Table {
 	return &Table{
-		suspects: make(map[fingerprint.Fingerprint]*suspect), endpoints: make(map[string]*ended), unanswered: make(map[string][]unanswered),
+		suspects: make(map[fingerprint.Fingerprint]*suspect), endpoints: make(map[string]*endedEndpoint), unanswered: make(map[string][]unanswered),
 	}
 }
 
-// Crashed takes in that an endpoint has ended while it had a request, which this instance has seen.
+// Crashed records that this instance saw an endpoint end while it had a request in flight.
 func (t *Table) Crashed(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	crash := Crash{Request: request, Endpoint: endpoint}
 	if t.add(crash, now, true) {
-		t.tell(crash, now)
+		t.publish(crash, now)
 	}
 }
 
-// Answered takes in a whole answer to a request.
+// Answered records a complete answer to a request.
 func (t *Table) Answered(now time.Time, request fingerprint.Fingerprint) {
 	known := t.suspects[request]
 	if known == nil {
@@ -94,182 +94,182 @@
 			continue
 		}
 		known.records[i].answered = true
-		t.tell(known.records[i].crash(now, request), known.records[i].at)
+		t.publish(known.records[i].crash(now, request), known.records[i].at)
 	}
 }
 
-// Merge takes in records that another instance told, and tells them on if tell says so.
-func (t *Table) Merge(now time.Time, crashes []Crash, tell bool) {
+// Merge applies records received from another instance, and queues those that changed for other instances if publish is set.
+func (t *Table) Merge(now time.Time, crashes []Crash, publish bool) {
 	for _, crash := range crashes {
 		if crash.Endpoint == "" {
-			t.noteTrial(now.Add(-crash.Age), crash, tell)
+			t.recordTrial(now.Add(-crash.Age), crash, publish)
 			continue
 		}
-		if t.add(crash, now.Add(-crash.Age), false) && tell {
-			t.tell(crash, now.Add(-crash.Age))
+		if t.add(crash, now.Add(-crash.Age), false) && publish {
+			t.publish(crash, now.Add(-crash.Age))
 		}
 	}
 }
 
-// noteTrial takes in that another instance tries a request.
-func (t *Table) noteTrial(at time.Time, trial Crash, tell bool) {
+// recordTrial records that another instance makes a trial of a request.
+func (t *Table) recordTrial(at time.Time, trial Crash, publish bool) {
 	known := t.suspects[trial.Request]
 	if known == nil || !at.After(known.triedAt) {
 		return
 	}
 	known.triedAt = at
-	if tell {
-		t.tell(trial, at)
+	if publish {
+		t.publish(trial, at)
 	}
 }
 
-// add takes in one record and reports whether it tells anything new. Records only grow: one that has been answered stays so.
+// add adds one record and reports whether it changed anything. Records only grow: an answered record stays answered.
 func (t *Table) add(crash Crash, at time.Time, own bool) bool {
 	known := t.suspects[crash.Request]
 	if known == nil {
 		known = &suspect{}
 		t.suspects[crash.Request] = known
 	}
-	place := slices.IndexFunc(known.records, func(r record) bool { return r.endpoint == crash.Endpoint })
-	if place >= 0 {
-		former := known.records[place]
-		known.records[place].answered = former.answered || crash.Answered
-		known.records[place].own = former.own || own
-		return known.records[place].answered != former.answered
+	index := slices.IndexFunc(known.records, func(r record) bool { return r.endpoint == crash.Endpoint })
+	if index >= 0 {
+		former := known.records[index]
+		known.records[index].answered = former.answered || crash.Answered
+		known.records[index].own = former.own || own
+		return known.records[index].answered != former.answered
 	}
 	known.records = append(known.records, record{endpoint: crash.Endpoint, at: at, answered: crash.Answered, own: own})
 	t.size++
-	t.noteEnded(crash, at)
+	t.recordEnd(crash, at)
 	return true
 }
 
-// noteEnded keeps which requests an endpoint had as it ended.
-func (t *Table) noteEnded(crash Crash, at time.Time) {
-	one := t.endpoints[crash.Endpoint]
-	if one == nil {
-		one = &ended{at: at}
-		t.endpoints[crash.Endpoint] = one
+// recordEnd records that an endpoint ended while it had a request in flight.
+func (t *Table) recordEnd(crash Crash, at time.Time) {
+	known := t.endpoints[crash.Endpoint]
+	if known == nil {
+		known = &endedEndpoint{at: at}
+		t.endpoints[crash.Endpoint] = known
 	}
-	if at.Before(one.at) {
-		one.at = at
+	if at.Before(known.at) {
+		known.at = at
 	}
-	one.requests = append(one.requests, crash.Request)
-	t.addUnanswered(crash.Endpoint, at)
+	known.requests = append(known.requests, crash.Request)
+	t.countUnanswered(crash.Endpoint, at)
 }
 
-// crash gives a record as it is told to other instances.
+// crash returns the record in the form in which it is sent to other instances.
 func (r record) crash(now time.Time, request fingerprint.Fingerprint) Crash {
 	return Crash{Request: request, Endpoint: r.endpoint, Age: now.Sub(r.at), Answered: r.answered}
 }
 
-// HasEnded reports whether the end of an endpoint is known.
+// HasEnded reports whether an endpoint is recorded as ended.
 func (t *Table) HasEnded(endpoint string) bool {
 	return t.endpoints[endpoint] != nil
 }
 
-// Untold reports whether there are records to be told.
+// Untold reports whether there are records to be sent.
 func (t *Table) Untold() bool {
-	return len(t.untold) > 0
+	return len(t.unsent) > 0
 }
 
-// TakeUntold gives the records that have changed here since the last call.
+// TakeUntold returns the records that changed on this instance since the last call.
 func (t *Table) TakeUntold(now time.Time) []Crash {
-	taken := make([]Crash, 0, len(t.untold))
-	for _, one := range t.untold {
-		// What waited to be told is older than as it was noted: ends at different times must not look like one.
-		one.crash.Age = now.Sub(one.at)
-		taken = append(taken, one.crash)
+	taken := make([]Crash, 0, len(t.unsent))
+	for _, entry := range t.unsent {
+		// The age grows while a record waits to be sent. Otherwise ends at different times would look simultaneous to the receiver.
+		entry.crash.Age = now.Sub(entry.at)
+		taken = append(taken, entry.crash)
 	}
-	t.untold = nil
+	t.unsent = nil
 	return taken
 }
 
-// tell keeps a record until it is told.
-func (t *Table) tell(crash Crash, at time.Time) {
-	t.untold = append(t.untold, untold{crash: crash, at: at})
+// publish queues a record to be sent to the other instances.
+func (t *Table) publish(crash Crash, at time.Time) {
+	t.unsent = append(t.unsent, unsent{crash: crash, at: at})
 }
 
-// Own gives the records that this instance saw itself, and those of requests that are held back, for a planner that may have heard of
-// neither.
+// Own returns the records that this instance observed itself and those of requests that are held back, for a new planner that may have
+// received neither.
 func (t *Table) Own(now time.Time) []Crash {
-	t.untold = nil
-	var told []Crash
+	t.unsent = nil
+	var sent []Crash
 	for request, known := range t.suspects {
 		_, held := t.Held(now, request)
 		for _, r := range known.records {
 			if r.own || held {
-				told = append(told, r.crash(now, request))
+				sent = append(sent, r.crash(now, request))
 			}
 		}
 	}
-	return told
+	return sent
 }
 
-// wholeRecords is how many records an instance is told that starts or lacks some.
-const wholeRecords = 512
+// maxSnapshotRecords is how many records are sent to an instance that starts or lacks some.
+const maxSnapshotRecords = 512
 
-// Snapshot gives the records of the requests with the most of them, for an instance that may have none.
+// Snapshot returns the records of the most suspected requests, for an instance that may have none.
 func (t *Table) Snapshot(now time.Time) []Crash {
-	var told []Crash
-	for _, request := range t.byWeight() {
+	var sent []Crash
+	for _, request := range t.bySuspicion() {
 		known := t.suspects[request]
-		if len(told)+len(known.records) > wholeRecords {
+		if len(sent)+len(known.records) > maxSnapshotRecords {
 			break
 		}
 		for _, r := range known.records {
-			told = append(told, r.crash(now, request))
+			sent = append(sent, r.crash(now, request))
 		}
 	}
-	return told
+	return sent
 }
 
-// byWeight gives the requests that are suspected, those with the most crashes first, and the latest first of those with as many.
-func (t *Table) byWeight() []fingerprint.Fingerprint {
+// bySuspicion returns the suspected requests, those with the most crashes first; among equals, the latest crash first.
+func (t *Table) bySuspicion() []fingerprint.Fingerprint {
 	requests := make([]fingerprint.Fingerprint, 0, len(t.suspects))
 	for request := range t.suspects {
 		requests = append(requests, request)
 	}
 	slices.SortFunc(requests, func(a, b fingerprint.Fingerprint) int {
 		first, second := t.suspects[a], t.suspects[b]
-		return cmp.Or(cmp.Compare(second.open(), first.open()), second.last().Compare(first.last()), slices.Compare(a[:], b[:]))
+		return cmp.Or(cmp.Compare(second.openCrashes(), first.openCrashes()), second.lastCrash().Compare(first.lastCrash()), slices.Compare(a[:], b[:]))
 	})
 	return requests
 }
 
-// Sweep forgets what no longer counts, and the least suspected requests where there are too many records.
+// Sweep deletes records whose retention is over, and those of the least suspected requests where there are too many records.
 func (t *Table) Sweep(now time.Time) {
 	t.sweepUnanswered(now)
 	for request, known := range t.suspects {
-		if now.Sub(known.last()) > t.memory(now, request) {
+		if now.Sub(known.lastCrash()) > t.retention(now, request) {
 			t.forget(request)
 		}
 	}
-	if t.size <= mostCrashes {
+	if t.size <= maxRecords {
 		return
 	}
-	for _, request := range slices.Backward(t.byWeight()) {
-		if t.size <= mostCrashes {
+	for _, request := range slices.Backward(t.bySuspicion()) {
+		if t.size <= maxRecords {
 			return
 		}
 		t.forget(request)
 	}
 }
 
-// memory is for how long the records of a request are kept.
-func (t *Table) memory(now time.Time, request fingerprint.Fingerprint) time.Duration {
+// retention returns how long the records of a request are kept.
+func (t *Table) retention(now time.Time, request fingerprint.Fingerprint) time.Duration {
 	if evidence := t.evidence(now, request); evidence != nil {
-		// A trial may come some time after the hold.
-		span := t.span(request, evidence)
-		return max(crashMemory, span+span)
+		// The next trial may come some time after the hold.
+		holdDuration := t.holdDuration(request, evidence)
+		return max(crashRetention, holdDuration+holdDuration)
 	}
-	return crashMemory
+	return crashRetention
 }
 
 func (t *Table) forget(request fingerprint.Fingerprint) {
 	for _, r := range t.suspects[request].records {
-		one := t.endpoints[r.endpoint]
-		one.requests = slices.DeleteFunc(one.requests, func(other fingerprint.Fingerprint) bool { return other == request })
-		if len(one.requests) == 0 {
+		ended := t.endpoints[r.endpoint]
+		ended.requests = slices.DeleteFunc(ended.requests, func(other fingerprint.Fingerprint) bool { return other == request })
+		if len(ended.requests) == 0 {
 			delete(t.endpoints, r.endpoint)
 		}
 		t.size--
@@ -277,7 +277,7 @@
 	delete(t.suspects, request)
 }
 
-// Size is the number of records.
+// Size returns the number of records.
 func (t *Table) Size() int {
 	return t.size
 }
--- a/services/quarantine/unanswered.go
+++ b/services/quarantine/unanswered.go
@@ -11,48 +11,48 @@
 )
 
 const (
-	// unansweredTime is for how long an endpoint is taken to have a request still after its exchange was given up.
-	unansweredTime = 3 * time.Second
-	// mostUnanswered is how many such requests are kept for an endpoint, the latest.
-	mostUnanswered = 64
+	// unansweredRetention is how long an endpoint is assumed to still run a request whose exchange was given up.
+	unansweredRetention = 3 * time.Second
+	// maxUnanswered is how many of the latest such requests are kept per endpoint.
+	maxUnanswered = 64
 )
 
-// unanswered is a request whose exchange ended without a whole answer while its endpoint went on, as far as was seen: its caller left, or its
-// time was over. The endpoint may run it all the same.
+// unanswered is a request whose exchange ended without a complete answer while its endpoint appeared to keep running: the caller
+// disconnected or the deadline passed. The endpoint may still run the request.
 type unanswered struct {
 	request fingerprint.Fingerprint
 	at      time.Time
 }
 
-// Unanswered takes in that the exchange of a request ended without a whole answer. If its endpoint ends soon, or has ended, the end counts
-// against the request as well: without that it would count against the requests alone whose callers stayed.
+// Unanswered records that the exchange of a request ended without a complete answer. If its endpoint ends soon after, or has ended, the end
+// counts against this request as well. Otherwise it would count only against the requests whose callers stayed connected.
 func (t *Table) Unanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	if known := t.endpoints[endpoint]; known != nil {
-		// Later than that, another process is back under the endpoint's name.
-		if now.Sub(known.at) <= unansweredTime {
+		// After that time, a new process may run under the endpoint's name.
+		if now.Sub(known.at) <= unansweredRetention {
 			t.Crashed(now, request, endpoint)
 		}
 		return
 	}
 	kept := append(t.unanswered[endpoint], unanswered{request: request, at: now})
-	t.unanswered[endpoint] = kept[max(len(kept)-mostUnanswered, 0):]
+	t.unanswered[endpoint] = kept[max(len(kept)-maxUnanswered, 0):]
 }
 
-// addUnanswered counts the end of an endpoint against the requests that it may still have had.
-func (t *Table) addUnanswered(endpoint string, at time.Time) {
+// countUnanswered counts the end of an endpoint against the requests that it may still have been running.
+func (t *Table) countUnanswered(endpoint string, at time.Time) {
 	kept := t.unanswered[endpoint]
 	delete(t.unanswered, endpoint)
-	for _, one := range kept {
-		if at.Sub(one.at) <= unansweredTime {
-			t.Crashed(at, one.request, endpoint)
+	for _, pending := range kept {
+		if at.Sub(pending.at) <= unansweredRetention {
+			t.Crashed(at, pending.request, endpoint)
 		}
 	}
 }
 
-// sweepUnanswered forgets the requests that no endpoint is taken to have any more.
+// sweepUnanswered deletes the requests that endpoints are no longer assumed to run.
 func (t *Table) sweepUnanswered(now time.Time) {
 	for endpoint, kept := range t.unanswered {
-		kept = slices.DeleteFunc(kept, func(one unanswered) bool { return now.Sub(one.at) > unansweredTime })
+		kept = slices.DeleteFunc(kept, func(pending unanswered) bool { return now.Sub(pending.at) > unansweredRetention })
 		if len(kept) == 0 {
 			delete(t.unanswered, endpoint)
 			continue
