--- a/services/daemon/relay/crash.go
+++ b/services/daemon/relay/crash.go
@@ -38,7 +38,7 @@
 	}
 	hold, held := c.table.Admit(now, request)
 	// No other instance is told.
-	c.table.TakeUntold(now)
+	c.table.TakeUnsent(now)
 	if !held {
 		return nil
 	}
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -74,7 +74,7 @@
 func (c *Coordinator) reviewCrashes(now time.Time) {
 	c.crashes.Sweep(now)
 	c.suspects.Store(int64(c.crashes.Size()))
-	holding := c.crashes.Holding(now)
+	holding := c.crashes.AllHeld(now)
 	for request, hold := range holding {
 		if _, known := c.holding[request]; !known {
 			c.options.Log.WithFields(logrus.Fields{
@@ -92,7 +92,7 @@
 
 // tellCrashesSoon asks for a report, or a view, that tells others of crashes.
 func (c *Coordinator) tellCrashesSoon(now time.Time) {
-	if !c.crashes.Untold() {
+	if !c.crashes.HasUnsent() {
 		return
 	}
 	if c.planning != nil {
@@ -108,9 +108,9 @@
 	case c.planning != nil:
 		return nil
 	case c.following.ratesDue:
-		return toldCrashes(c.crashes.Own(now))
+		return toldCrashes(c.crashes.OwnRecords(now))
 	default:
-		return toldCrashes(c.crashes.TakeUntold(now))
+		return toldCrashes(c.crashes.TakeUnsent(now))
 	}
 }
 
@@ -140,7 +140,7 @@
 // HeldRequests gives the requests that are held back.
 func (c *Coordinator) HeldRequests() map[fingerprint.Fingerprint]quarantine.Hold {
 	var holding map[fingerprint.Fingerprint]quarantine.Hold
-	c.loop.Call(func(now time.Time) { holding = c.crashes.Holding(now) })
+	c.loop.Call(func(now time.Time) { holding = c.crashes.AllHeld(now) })
 	return holding
 }
 
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -48,7 +48,7 @@
 			status.Planner, status.Term = c.options.Instance, c.planning.lease.Record().Term
 		}
 		status.Limited = len(c.limits.known)
-		status.Quarantined = len(c.crashes.Holding(now))
+		status.Quarantined = len(c.crashes.AllHeld(now))
 		if !c.othersAsOf.IsZero() {
 			status.CountsAge = now.Sub(c.othersAsOf)
 		}
--- a/services/entry/coordinator/viewing.go
+++ b/services/entry/coordinator/viewing.go
@@ -66,7 +66,7 @@
 	changes.Removed = changed.Removed
 	p.tellUnreached(changes, withTotals)
 	p.tellLimits(now, changes, withTotals)
-	changes.Crashes = toldCrashes(p.coordinator.crashes.TakeUntold(now))
+	changes.Crashes = toldCrashes(p.coordinator.crashes.TakeUnsent(now))
 	return changes
 }
 
@@ -122,7 +122,7 @@
 
 // noChanges tells whether all members have the plan's last state.
 func (p *planning) noChanges(now time.Time) bool {
-	return p.plans.Changes().Empty() && !p.coordinator.crashes.Untold() && !p.members.NeedOwn() && !p.gatherers.changed && !p.unreachedChanged &&
+	return p.plans.Changes().Empty() && !p.coordinator.crashes.HasUnsent() && !p.members.NeedOwn() && !p.gatherers.changed && !p.unreachedChanged &&
 		len(p.allocation.grants) == 0 && !p.limitsChanged(now)
 }
 
--- a/services/quarantine/hold.go
+++ b/services/quarantine/hold.go
@@ -72,8 +72,8 @@
 	return Hold{}, false
 }
 
-// Holding returns all requests that are held back.
-func (t *Table) Holding(now time.Time) map[fingerprint.Fingerprint]Hold {
+// AllHeld returns all requests that are held back.
+func (t *Table) AllHeld(now time.Time) map[fingerprint.Fingerprint]Hold {
 	holding := make(map[fingerprint.Fingerprint]Hold)
 	for request := range t.suspects {
 		if hold, held := t.Held(now, request); held {
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -191,13 +191,13 @@
 		s.crash(endpoint, 1)
 	}
 	other := quarantine.NewTable()
-	other.Merge(s.now, s.TakeUntold(s.now), false)
+	other.Merge(s.now, s.TakeUnsent(s.now), false)
 	s.now = s.now.Add(5 * time.Minute)
 	_, held := s.Admit(s.now, request(1))
 	assert.False(t, held)
 	_, held = s.Admit(s.now.Add(10*time.Second-1), request(1))
 	assert.True(t, held)
-	other.Merge(s.now, s.TakeUntold(s.now), false)
+	other.Merge(s.now, s.TakeUnsent(s.now), false)
 	_, held = other.Admit(s.now.Add(10*time.Second-1), request(1))
 	assert.True(t, held, "another instance makes no trial at the same time")
 	_, held = s.Admit(s.now.Add(10*time.Second), request(1))
@@ -210,7 +210,7 @@
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 1)
 	}
-	other.Merge(s.now, s.TakeUntold(s.now), false)
+	other.Merge(s.now, s.TakeUnsent(s.now), false)
 	_, held := other.Held(s.now, request(1))
 	assert.True(t, held)
 }
@@ -256,7 +256,7 @@
 			} else {
 				at.Crashed(now, number, fmt.Sprint(random.IntN(20)))
 			}
-			sent = append(sent, at.TakeUntold(now)...)
+			sent = append(sent, at.TakeUnsent(now)...)
 		}
 		now = now.Add(crashInterval)
 		for _, table := range tables {
@@ -293,11 +293,11 @@
 		{Request: request(3), Endpoint: "e", Age: crashInterval},
 	}, false)
 	var endpoints []string
-	for _, crash := range s.Own(s.now) {
+	for _, crash := range s.OwnRecords(s.now) {
 		endpoints = append(endpoints, crash.Endpoint)
 	}
 	assert.ElementsMatch(t, []string{"a", "c", "d", "e"}, endpoints)
-	assert.False(t, s.Untold())
+	assert.False(t, s.HasUnsent())
 }
 
 func TestReleaseEndsHold(t *testing.T) {
@@ -306,10 +306,10 @@
 	for _, endpoint := range []string{"a", "b", "c"} {
 		s.crash(endpoint, 1)
 	}
-	assert.Len(t, s.Holding(s.now), 1)
+	assert.Len(t, s.AllHeld(s.now), 1)
 	assert.True(t, s.Release(s.now, request(1)))
-	assert.Empty(t, s.Holding(s.now))
-	assert.True(t, s.Untold())
+	assert.Empty(t, s.AllHeld(s.now))
+	assert.True(t, s.HasUnsent())
 }
 
 // TestEndCountsAgainstUnansweredRequests: an endpoint may still run requests whose callers have left.
@@ -339,7 +339,7 @@
 			}
 			assert.True(t, s.held(1))
 			assert.False(t, s.held(9))
-			assert.True(t, s.Untold())
+			assert.True(t, s.HasUnsent())
 		})
 	}
 }
--- a/services/quarantine/table.go
+++ b/services/quarantine/table.go
@@ -167,13 +167,13 @@
 	return t.endpoints[endpoint] != nil
 }
 
-// Untold reports whether there are records to be sent.
-func (t *Table) Untold() bool {
+// HasUnsent reports whether there are records to be sent.
+func (t *Table) HasUnsent() bool {
 	return len(t.unsent) > 0
 }
 
-// TakeUntold returns the records that changed on this instance since the last call.
-func (t *Table) TakeUntold(now time.Time) []Crash {
+// TakeUnsent returns the records that changed on this instance since the last call.
+func (t *Table) TakeUnsent(now time.Time) []Crash {
 	taken := make([]Crash, 0, len(t.unsent))
 	for _, entry := range t.unsent {
 		// The age grows while a record waits to be sent. Otherwise ends at different times would look simultaneous to the receiver.
@@ -189,9 +189,9 @@
 	t.unsent = append(t.unsent, unsent{crash: crash, at: at})
 }
 
-// Own returns the records that this instance observed itself and those of requests that are held back, for a new planner that may have
+// OwnRecords returns the records that this instance observed itself and those of requests that are held back, for a new planner that may have
 // received neither.
-func (t *Table) Own(now time.Time) []Crash {
+func (t *Table) OwnRecords(now time.Time) []Crash {
 	t.unsent = nil
 	var sent []Crash
 	for request, known := range t.suspects {
