--- a/services/entry/process/doc.go
+++ b/services/entry/process/doc.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package process joins the parts of one entry process, starts them and ends them in order
-// when a signal ends the process.
+// Package process assembles one entry process, starts its parts and shuts them down in order on a signal.
 //
-// It owns the log, the connections to endpoints, the coordinator and the gateway, and the signals of the process. It relies on
-// its options for the world outside (platform/ makes them). It starts a goroutine that closes idle connections, one that
-// releases the lease while a stop waits for requests, and those of its parts.
+// It owns the log, the connections to endpoints, the coordinator, the gateway and the signal handling. Its options provide access to
+// external systems (package platform creates them). It starts a goroutine that closes idle connections, one that releases the lease while a
+// stop waits for requests, and the goroutines of its parts.
 package process
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -27,42 +27,45 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy"
 )
 
-// Options are the settings of a process.
+// Options configure a process.
 type Options struct {
 	Coordinator coordinator.Options
-	// Environment makes the outside calls of the coordinator; retire is called for endpoints
-	// that are gone.
+	// Environment returns the coordinator's access to external systems; retire is called for endpoints that are gone.
 	Environment func(retire func(deployment.EndpointID)) coordinator.Environment
 	Dialect     proxy.Dialect
 	Callers     netip.AddrPort
 	Ready       netip.AddrPort
 	Metrics     netip.AddrPort
-	// Grace is the time between the signal to stop and the kill.
+	// Grace is the time from the termination signal to the kill.
 	Grace    time.Duration
 	LogLevel logrus.Level
-	// LogOutput takes the log; nil is standard output.
+	// LogOutput is where the log is written; nil is standard output.
 	LogOutput io.Writer
 }
 
 const (
-	// graceMargin is kept free at the end of the grace. Longer is surer to end before the kill, shorter serves the last requests longer.
+	// graceMargin is the part of the grace that is kept free at its end. A higher value ends more surely before the kill, a lower one
+	// serves the last requests longer.
 	graceMargin = 600 * time.Millisecond
-	// upstreamIdle is how long a connection to an endpoint may be idle. Longer opens fewer connections anew, shorter holds fewer open.
-	upstreamIdle = 20 * time.Second
-	// upstreamDial bounds the set-up of a connection to an endpoint. Longer bears a lossy link, shorter tries another endpoint sooner.
-	upstreamDial = 500 * time.Millisecond
-	// idleCheckInterval is how often idle connections are looked at. Longer costs less, shorter closes them sooner.
+	// upstreamMaxIdle is how long a connection to an endpoint may be idle. A higher value reopens fewer connections, a lower one keeps
+	// fewer open.
+	upstreamMaxIdle = 20 * time.Second
+	// upstreamDialTimeout bounds the set-up of a connection to an endpoint. A higher value tolerates a lossy link, a lower one tries
+	// another endpoint sooner.
+	upstreamDialTimeout = 500 * time.Millisecond
+	// idleCheckInterval is how often idle connections are checked. A higher value costs less, a lower one closes them sooner.
 	idleCheckInterval = time.Second
-	// logLinesPerSecond, logBurst and logQueue (lines) bound the log: some five times a busy instance's requests. Higher loses fewer lines,
-	// lower bounds the processor time and memory that failures cost.
+	// logLinesPerSecond, logBurst and logQueue (lines) bound the log, at some five times the requests of a busy instance. Higher values
+	// lose fewer lines, lower ones bound the processor time and memory that failures cost.
 	logLinesPerSecond = 300
 	logBurst          = 1500
 	logQueue          = 512
-	// logTimeout bounds the wait for the log's reader at the end. Longer loses fewer of the last lines, shorter ends sooner.
-	logTimeout = 200 * time.Millisecond
-	// collectorPercent is by how much the heap may grow until it is collected, in percent. Higher costs less processor time, lower less
-	// memory, which is dearer.
-	collectorPercent = 50
+	// logCloseTimeout bounds the wait for the log output when the process ends. A higher value loses fewer of the last lines, a lower one
+	// ends sooner.
+	logCloseTimeout = 200 * time.Millisecond
+	// gcPercent is the heap growth, in percent, that triggers a garbage collection. A higher value costs less processor time, a lower one
+	// less memory, which is the more expensive of the two.
+	gcPercent = 50
 )
 
 // Process is one entry process.
@@ -77,11 +80,11 @@
 	stopping chan struct{}
 }
 
-// New joins the parts of a process; Start starts them.
+// New assembles a process; Start starts it.
 func New(options Options) *Process {
 	log, writer := newLog(options)
 	clock := newClock(log)
-	client := upstream.NewClient(upstream.Options{MaxIdle: upstreamIdle, DialTimeout: upstreamDial, Now: clock.Now})
+	client := upstream.NewClient(upstream.Options{MaxIdle: upstreamMaxIdle, DialTimeout: upstreamDialTimeout, Now: clock.Now})
 	options.Coordinator.Now, options.Coordinator.TimerNow = clock.Now, time.Now
 	options.Coordinator.Random = rand.Float64
 	options.Coordinator.Log = log
@@ -100,7 +103,7 @@
 	}
 }
 
-// Start begins to serve.
+// Start starts the coordinator and the gateway.
 func (p *Process) Start() error {
 	if err := p.control.Start(); err != nil {
 		return err
@@ -108,21 +111,20 @@
 	if err := p.server.Start(); err != nil {
 		return err
 	}
-	go p.closeIdle()
+	go p.closeIdleConnections()
 	p.log.Info("started")
 	return nil
 }
 
-// Kill ends the process's work at once, as the loss of its host does.
+// Kill stops the process at once without ending its requests, as the loss of its host does.
 func (p *Process) Kill() {
 	p.server.Close()
 	p.control.Stop()
 	close(p.stopping)
-	p.writer.Close(logTimeout)
+	p.writer.Close(logCloseTimeout)
 }
 
-// Stop hands the lease over at once and returns after the last request, or when the
-// grace is nearly over.
+// Stop releases the lease at once and returns after the last request, or when the grace is nearly over.
 func (p *Process) Stop() {
 	ctx, cancel := context.WithTimeout(context.Background(), p.options.Grace-graceMargin)
 	defer cancel()
@@ -136,11 +138,11 @@
 	p.log.WithField("in_flight", p.server.InFlight()).Info("stopped")
 	p.control.Stop()
 	close(p.stopping)
-	p.writer.Close(logTimeout)
+	p.writer.Close(logCloseTimeout)
 }
 
-// closeIdle closes connections to endpoints that have been idle for too long.
-func (p *Process) closeIdle() {
+// closeIdleConnections closes connections to endpoints that have been idle for too long, until the process stops.
+func (p *Process) closeIdleConnections() {
 	ticker := time.NewTicker(idleCheckInterval)
 	defer ticker.Stop()
 	for {
@@ -153,30 +155,29 @@
 	}
 }
 
-// Signals are those that Run handles. Each kind has a place of its own, so that hang-ups never displace a stop.
+// Signals receives the signals that Run handles. Each kind has its own channel, so that a hang-up never displaces a termination.
 type Signals struct {
-	stop, hangup chan os.Signal
+	terminate, hangup chan os.Signal
 }
 
-// TakeSignals takes signals from now on. Until then each of them ends the process.
+// TakeSignals starts to receive signals. Before that, each of them ends the process.
 func TakeSignals() Signals {
-	s := Signals{stop: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1)}
-	signal.Notify(s.stop, syscall.SIGTERM, syscall.SIGINT)
+	s := Signals{terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1)}
+	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.hangup, syscall.SIGHUP)
 	return s
 }
 
-// Run serves until a signal ends the process. A hang-up changes nothing: what may change
-// while a process runs comes from the store.
+// Run serves until a signal ends the process. A hang-up changes nothing: whatever may change in a running process is read from the store.
 func Run(options Options, signals Signals) error {
-	debug.SetGCPercent(collectorPercent)
+	debug.SetGCPercent(gcPercent)
 	process := New(options)
 	if err := process.Start(); err != nil {
 		return err
 	}
 	for {
 		select {
-		case received := <-signals.stop:
+		case received := <-signals.terminate:
 			process.log.WithField("signal", received.String()).Info("stopping")
 			process.Stop()
 			return nil
@@ -186,7 +187,7 @@
 	}
 }
 
-// newLog gives a logger whose lines never block, and their writer.
+// newLog returns a logger that never blocks, and its writer.
 func newLog(options Options) (*logrus.Entry, *asynclog.Writer) {
 	output := options.LogOutput
 	if output == nil {
@@ -206,8 +207,8 @@
 	return logger.WithField("instance", options.Coordinator.Instance), writer
 }
 
-// newClock gives the clock of all that decides. Only what bounds callers' connections and the log's lines goes by the runtime's own: a rest
-// that ends late, by the time of a suspension, costs nobody anything.
+// newClock returns the clock for all decisions. Only the limits of callers' connections and of log lines use the runtime's own clock: after
+// a suspension of the host they end late by its length, which does no harm.
 func newClock(log *logrus.Entry) *clock.Clock {
 	sources := clock.System()
 	sources.Noticed = func(span time.Duration) {
@@ -220,13 +221,13 @@
 	log.WithError(err).Warn("the system does not tell whether the host was suspended")
 	sources.Suspended = func() (time.Duration, error) { return 0, nil }
 	if c, err = clock.New(sources); err != nil {
-		// Such sources never fail.
+		// Sources without a suspension time never fail.
 		panic(err)
 	}
 	return c
 }
 
-// newMetrics gives the metrics of a process.
+// newMetrics returns the metrics of a process.
 func newMetrics(control *coordinator.Coordinator, client *upstream.Client, writer *asynclog.Writer) *metric.Metrics {
 	return metric.New(func() metric.Gauges {
 		status := control.Status()
@@ -254,7 +255,7 @@
 		Now: clock.Now, Timer: clock.Timer, WithDeadline: clock.WithDeadline, Random: rand.Float64, Log: log,
 		Refusing: func(kind deployment.RouteKind) bool { return server.Refusing(kind) },
 		Leaving:  func() bool { return server.Leaving() },
-		Observe:  func(o proxy.Observation) { metrics.ObserveRequest(toMetric(o)) },
+		Observe:  func(o proxy.Observation) { metrics.ObserveRequest(metricRequest(o)) },
 	}, proxy.Control{
 		Configuration: control.Configuration, Acquire: control.Acquire, Finish: control.Finish, Running: control.Running,
 		Crashed: control.Crashed, Unanswered: control.Unanswered, Answered: control.Answered,
@@ -263,7 +264,7 @@
 	}, client, options.Dialect)
 	server = gateway.New(gateway.Options{
 		Callers: options.Callers, Ready: options.Ready, Metrics: options.Metrics, Handler: service,
-		MetricsHandler: withQuarantine(metrics.Handler(), control, log),
+		MetricsHandler: withQuarantineRoutes(metrics.Handler(), control, log),
 		IsReady:        control.Ready, Now: time.Now, Log: log, ObserveConnection: metrics.ObserveConnection,
 		Ending: proxy.ErrProcessEnds,
 		Limits: func() *deployment.Limits {
@@ -276,7 +277,7 @@
 	return server
 }
 
-func toMetric(o proxy.Observation) metric.Request {
+func metricRequest(o proxy.Observation) metric.Request {
 	return metric.Request{
 		Route: o.Route, Status: o.Status, Reason: o.Reason, Retries: max(0, len(o.Attempts)-1),
 		Waited: o.Waited(), First: o.First, Whole: o.Whole, StartRatios: o.StartRatios(), Enders: o.Enders(),
--- a/services/entry/process/quarantine.go
+++ b/services/entry/process/quarantine.go
@@ -13,15 +13,15 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
 )
 
-// heldRequest is one that is held back, as operators are told of it.
+// heldRequest is a request that is held back, in the form sent to operators.
 type heldRequest struct {
 	Fingerprint string   `json:"fingerprint"`
 	Endpoints   []string `json:"endpoints"`
 	HeldMS      int64    `json:"held_ms"`
 }
 
-// withQuarantine adds to a handler what operators ask about requests that are held back: which they are, and to let one go.
-func withQuarantine(handler http.Handler, control *coordinator.Coordinator, log *logrus.Entry) http.Handler {
+// withQuarantineRoutes adds routes to a handler by which operators list the requests that are held back and release one of them.
+func withQuarantineRoutes(handler http.Handler, control *coordinator.Coordinator, log *logrus.Entry) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", handler)
 	mux.HandleFunc("GET /quarantine", func(writer http.ResponseWriter, _ *http.Request) {
--- a/services/quarantine/table.go
+++ b/services/quarantine/table.go
@@ -189,8 +189,8 @@
 	t.unsent = append(t.unsent, unsent{crash: crash, at: at})
 }
 
-// OwnRecords returns the records that this instance observed itself and those of requests that are held back, for a new planner that may have
-// received neither.
+// OwnRecords returns the records that this instance observed itself and those of requests that are held back, for a new planner that may
+// have received neither.
 func (t *Table) OwnRecords(now time.Time) []Crash {
 	t.unsent = nil
 	var sent []Crash
