--- a/cmd/shelfledge-entry/main.go
+++ b/cmd/shelfledge-entry/main.go
@@ -33,7 +33,7 @@
 
 func main() {
 	// First of all: a signal that comes before it is taken ends the process, SIGHUP too.
-	signals := process.TakeSignals()
+	signals := process.NotifySignals()
 	var args arguments
 	kong.Parse(&args, kong.Name("shelfledge-entry"), kong.Description("Serves callers and plans adapters on one machine of the users' platform."))
 	os.Exit(run(args, signals))
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -160,8 +160,8 @@
 	terminate, hangup chan os.Signal
 }
 
-// TakeSignals starts to receive signals. Before that, each of them ends the process.
-func TakeSignals() Signals {
+// NotifySignals starts to receive signals. Before that, each of them ends the process.
+func NotifySignals() Signals {
 	s := Signals{terminate: make(chan os.Signal, 1), hangup: make(chan os.Signal, 1)}
 	signal.Notify(s.terminate, syscall.SIGTERM, syscall.SIGINT)
 	signal.Notify(s.hangup, syscall.SIGHUP)
