--- a/modules/entry/upstream/client.go
+++ b/modules/entry/upstream/client.go
@@ -13,68 +13,68 @@
 	"github.com/shelfledge/shelfledge/modules/entry/tcp"
 )
 
-// Options are the settings of a Client.
+// Options configure a Client.
 type Options struct {
-	// MaxIdle is the longest idle time after which a connection is used again.
+	// MaxIdle is how long a connection may be idle and still be reused.
 	MaxIdle time.Duration
 	// DialTimeout bounds the set-up of a connection.
 	DialTimeout time.Duration
-	// Now gives the present time.
+	// Now returns the current time.
 	Now func() time.Time
-	// Dial opens a connection; nil takes TCP.
+	// Dial opens a connection; nil dials TCP.
 	Dial func(ctx context.Context, address netip.AddrPort) (net.Conn, error)
 }
 
-// Client holds connections to endpoints; it is safe for concurrent use.
+// Client manages connections to endpoints. It is safe for concurrent use.
 type Client struct {
 	options Options
 	mutex   sync.Mutex
 	hosts   map[string]*host
 	dialed  uint64
-	// inquiries are those of the last inquiryLife, by key.
-	inquiries map[string]*inquiry
+	// refusalChecks are the checks of the last refusalLifetime, by key.
+	refusalChecks map[string]*refusalCheck
 }
 
-// host is the connections to one incarnation of an endpoint.
+// host holds the connections to one incarnation of an endpoint.
 type host struct {
 	idle []*connection
 	open int
-	// retired hosts keep no connection after its exchange.
+	// retired hosts close each connection after its exchange.
 	retired bool
 }
 
-// Target is where an exchange goes.
+// Target is the destination of an exchange.
 type Target struct {
-	// Key names the incarnation; connections are never shared between keys.
+	// Key identifies the incarnation; connections are never shared between keys.
 	Key     string
 	Address netip.AddrPort
-	// MaxConnections bounds the open connections of the key; 0 sets no bound.
+	// MaxConnections bounds the open connections of the key; 0 means no bound.
 	MaxConnections int
 }
 
-// unacknowledged is how long an endpoint's kernel may leave sent bytes without acknowledgement: a link that loses packets needs some tries,
-// a cut one never answers. Longer bears a lossy link, shorter notices a cut one sooner.
-const unacknowledged = 1200 * time.Millisecond
+// unacknowledgedTimeout is how long sent bytes may stay unacknowledged by the endpoint's kernel: a link that loses packets needs some
+// retransmissions, a broken link never answers. A higher value tolerates a lossy link, a lower one detects a broken link sooner.
+const unacknowledgedTimeout = 1200 * time.Millisecond
 
-// NewClient makes a client without connections.
+// NewClient returns a client without connections.
 func NewClient(options Options) *Client {
 	if options.Dial == nil {
-		dialer := tcp.Dialer{Unacknowledged: unacknowledged}
+		dialer := tcp.Dialer{Unacknowledged: unacknowledgedTimeout}
 		options.Dial = func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp4", address.String())
 		}
 	}
-	return &Client{options: options, hosts: make(map[string]*host), inquiries: make(map[string]*inquiry)}
+	return &Client{options: options, hosts: make(map[string]*host), refusalChecks: make(map[string]*refusalCheck)}
 }
 
-// Dialed gives the number of connections opened so far.
+// Dialed returns the number of connections opened so far.
 func (c *Client) Dialed() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dialed
 }
 
-// Retire closes the idle connections of a key and those in use after their exchange.
+// Retire closes the idle connections of a key, and those in use after their exchange.
 func (c *Client) Retire(key string) {
 	c.mutex.Lock()
 	h, ok := c.hosts[key]
@@ -89,12 +89,12 @@
 	h.open -= len(idle)
 	c.mutex.Unlock()
 	for _, conn := range idle {
-		conn.giveUp()
+		conn.closeIgnoringError()
 	}
 }
 
-// CloseIdle closes connections that have been idle too long to be used again, and forgets keys without connections: one may be
-// asked for after it was retired.
+// CloseIdle closes connections that have been idle for too long to be reused, and deletes keys without connections, since a key may be used
+// again after Retire.
 func (c *Client) CloseIdle(now time.Time) {
 	var closing []*connection
 	c.mutex.Lock()
@@ -114,14 +114,14 @@
 			delete(c.hosts, key)
 		}
 	}
-	c.forgetInquiries(now)
+	c.deleteOldRefusalChecks(now)
 	c.mutex.Unlock()
 	for _, conn := range closing {
-		conn.giveUp()
+		conn.closeIgnoringError()
 	}
 }
 
-// acquire takes an idle connection or opens one.
+// acquire returns an idle connection or opens one.
 func (c *Client) acquire(ctx context.Context, target Target) (*connection, *host, error) {
 	now := c.options.Now()
 	c.mutex.Lock()
@@ -136,14 +136,14 @@
 			return conn, h, nil
 		}
 		h.open--
-		conn.giveUp()
+		conn.closeIgnoringError()
 	}
 	c.mutex.Unlock()
 	conn, err := c.open(ctx, target, h)
 	return conn, h, err
 }
 
-// host gives the connections of a key; the caller holds the mutex.
+// host returns the host of a key, creating it if necessary. The caller must hold the mutex.
 func (c *Client) host(key string) *host {
 	h, ok := c.hosts[key]
 	if !ok {
@@ -153,7 +153,7 @@
 	return h
 }
 
-// open opens a connection to a host, unless it has as many as it may.
+// open opens a connection to a host, or returns ErrNoConnection if the host has as many as allowed.
 func (c *Client) open(ctx context.Context, target Target, h *host) (*connection, error) {
 	c.mutex.Lock()
 	if target.MaxConnections > 0 && h.open >= target.MaxConnections {
@@ -169,7 +169,7 @@
 		return nil, err
 	}
 	if c.isRetired(h) {
-		// The endpoint was gone before anything was sent: it may have ended, and its address may be another's.
+		// The endpoint was retired before anything was sent: its process may have ended, and its address may belong to another process.
 		c.discard(h, conn)
 		return nil, ErrRetired
 	}
@@ -192,7 +192,7 @@
 	return newConnection(conn), nil
 }
 
-// release puts a connection back for the next exchange.
+// release returns a connection to the idle connections.
 func (c *Client) release(h *host, conn *connection) {
 	conn.idleSince = c.options.Now()
 	c.mutex.Lock()
@@ -205,12 +205,12 @@
 	c.mutex.Unlock()
 }
 
-// discard closes a connection and gives its place back.
+// discard closes a connection and no longer counts it as open.
 func (c *Client) discard(h *host, conn *connection) {
 	c.mutex.Lock()
 	h.open--
 	c.mutex.Unlock()
 	if conn != nil {
-		conn.giveUp()
+		conn.closeIgnoringError()
 	}
 }
--- a/modules/entry/upstream/connection.go
+++ b/modules/entry/upstream/connection.go
@@ -17,86 +17,86 @@
 )
 
 const (
-	// readBufferBytes and writeBufferBytes are the buffers of one connection, in bytes. Larger make fewer system calls for large bodies,
-	// smaller take less memory for each connection.
+	// readBufferBytes and writeBufferBytes are the sizes of the buffers of one connection. Higher values make fewer system calls for large
+	// bodies, lower ones take less memory per connection.
 	readBufferBytes  = 4 << 10
 	writeBufferBytes = 4 << 10
-	// idleMargin is how long before the endpoint's own idle limit a connection is given up. Longer opens connections anew more often,
-	// shorter sends more requests into one that is just closed.
+	// idleMargin is how long before the endpoint's own idle limit a connection is no longer reused. A higher value opens connections more
+	// often, a lower one sends more requests on a connection that the endpoint is just closing.
 	idleMargin = 700 * time.Millisecond
-	// quietTime is how long an endpoint may be silent in an exchange before the system asks whether the connection still exists. Longer
-	// costs fewer packets, shorter notices sooner a connection that has fallen silent for good.
-	quietTime = time.Second
-	// unansweredProbes is after how long without an answer to these questions a connection is given up: with one question a second, at
-	// least three in a row were lost, about one in 5,000 on a link that loses three packets in 100. Longer keeps what nobody will answer,
-	// shorter gives up streams for a lossy link.
-	unansweredProbes = 4500 * time.Millisecond
+	// silenceBeforeProbes is how long an endpoint may send nothing during an exchange before the kernel starts keep-alive probes. A higher
+	// value costs fewer packets, a lower one detects a dead connection sooner.
+	silenceBeforeProbes = time.Second
+	// probeTimeout is how long keep-alive probes may go unanswered before the connection is closed. At one probe a second, at least three
+	// in a row were lost, which happens to about one in 5,000 on a link that loses three packets in 100. A higher value keeps dead
+	// connections for longer, a lower one closes streams on a lossy link.
+	probeTimeout = 4500 * time.Millisecond
 )
 
-// connection is one connection to an endpoint; one exchange uses it at a time.
+// connection is a connection to an endpoint, used by one exchange at a time.
 type connection struct {
 	net.Conn
 	reader    *bufio.Reader
 	writer    *bufio.Writer
 	idleSince time.Time
-	// idleLimit is how long the endpoint keeps it idle; zero if it did not say.
-	idleLimit time.Duration
-	probe     probe
+	// idleLimit is how long the endpoint keeps the connection idle; zero if it announced no limit.
+	idleLimit    time.Duration
+	silenceProbe silenceProbe
 }
 
-// probe has the system ask for a silent endpoint's end of the connection: an exchange is not ended for silence, so that only this tells a
-// connection that has fallen silent for good from an endpoint that takes its time.
-type probe struct {
+// silenceProbe enables TCP keep-alive probes while an endpoint is silent during an exchange. An exchange is not ended for silence, so only
+// these probes distinguish a dead connection from a slow endpoint.
+type silenceProbe struct {
 	mutex sync.Mutex
 	timer *time.Timer
-	// wanted is set during an exchange, on once the system asks.
-	wanted, on bool
+	// inExchange is set during an exchange, enabled while the kernel sends probes.
+	inExchange, enabled bool
 }
 
-// watch begins to look for silence.
-func (c *connection) watch() {
-	c.probe.mutex.Lock()
-	defer c.probe.mutex.Unlock()
-	c.probe.wanted = true
-	if c.probe.timer == nil {
-		c.probe.timer = time.AfterFunc(quietTime, c.ask)
+// startSilenceTimer starts to monitor an exchange for silence of the endpoint.
+func (c *connection) startSilenceTimer() {
+	c.silenceProbe.mutex.Lock()
+	defer c.silenceProbe.mutex.Unlock()
+	c.silenceProbe.inExchange = true
+	if c.silenceProbe.timer == nil {
+		c.silenceProbe.timer = time.AfterFunc(silenceBeforeProbes, c.enableProbes)
 		return
 	}
-	c.probe.timer.Reset(quietTime)
+	c.silenceProbe.timer.Reset(silenceBeforeProbes)
 }
 
-// heard notes that the endpoint has sent something.
-func (c *connection) heard() {
-	c.probe.mutex.Lock()
-	defer c.probe.mutex.Unlock()
-	if c.probe.wanted && !c.probe.on {
-		c.probe.timer.Reset(quietTime)
+// recordActivity restarts the silence timer after data from the endpoint.
+func (c *connection) recordActivity() {
+	c.silenceProbe.mutex.Lock()
+	defer c.silenceProbe.mutex.Unlock()
+	if c.silenceProbe.inExchange && !c.silenceProbe.enabled {
+		c.silenceProbe.timer.Reset(silenceBeforeProbes)
 	}
 }
 
-// ask has the system ask from now on. A connection that takes no options has ended, which its next use tells.
-func (c *connection) ask() {
-	c.probe.mutex.Lock()
-	defer c.probe.mutex.Unlock()
-	if conn, ok := c.Conn.(*net.TCPConn); ok && c.probe.wanted && !c.probe.on {
-		c.probe.on = tcp.Probe(conn, unansweredProbes) == nil
+// enableProbes makes the kernel send keep-alive probes. An error means that the connection has ended, which its next use reports.
+func (c *connection) enableProbes() {
+	c.silenceProbe.mutex.Lock()
+	defer c.silenceProbe.mutex.Unlock()
+	if conn, ok := c.Conn.(*net.TCPConn); ok && c.silenceProbe.inExchange && !c.silenceProbe.enabled {
+		c.silenceProbe.enabled = tcp.Probe(conn, probeTimeout) == nil
 	}
 }
 
-// endWatch ends the look for silence; false if the connection's former options could not be set again.
-func (c *connection) endWatch() bool {
-	c.probe.mutex.Lock()
-	defer c.probe.mutex.Unlock()
-	c.probe.wanted = false
-	if c.probe.timer != nil {
-		c.probe.timer.Stop()
+// stopProbes stops the silence timer and the probes. It returns false if the former socket options could not be restored.
+func (c *connection) stopProbes() bool {
+	c.silenceProbe.mutex.Lock()
+	defer c.silenceProbe.mutex.Unlock()
+	c.silenceProbe.inExchange = false
+	if c.silenceProbe.timer != nil {
+		c.silenceProbe.timer.Stop()
 	}
-	if !c.probe.on {
+	if !c.silenceProbe.enabled {
 		return true
 	}
-	c.probe.on = false
+	c.silenceProbe.enabled = false
 	conn, ok := c.Conn.(*net.TCPConn)
-	return ok && tcp.EndProbe(conn, unacknowledged) == nil
+	return ok && tcp.EndProbe(conn, unacknowledgedTimeout) == nil
 }
 
 func newConnection(conn net.Conn) *connection {
@@ -107,13 +107,13 @@
 	}
 }
 
-// giveUp closes a connection that is not used again. An error of closing changes nothing then, and nobody waits for it.
-func (c *connection) giveUp() {
+// closeIgnoringError closes a connection that is not used again, so that an error has no consequence.
+func (c *connection) closeIgnoringError() {
 	_ = c.Close()
 }
 
-// usable reports whether an idle connection may carry another request: it is young enough,
-// still open, and no surplus bytes have arrived on it.
+// usable reports whether an idle connection may carry another request: it is within both idle limits, still open, and has received no
+// surplus bytes.
 func (c *connection) usable(now time.Time, maxIdle time.Duration) bool {
 	idle := now.Sub(c.idleSince)
 	if idle > maxIdle {
@@ -122,11 +122,11 @@
 	if c.idleLimit > 0 && idle > c.idleLimit-idleMargin {
 		return false
 	}
-	return c.reader.Buffered() == 0 && c.quiet()
+	return c.reader.Buffered() == 0 && c.nothingToRead()
 }
 
-// quiet looks at the socket without waiting: true if there is nothing to read and no end.
-func (c *connection) quiet() bool {
+// nothingToRead reports, without blocking, whether the socket has no data to read and is not closed by the peer.
+func (c *connection) nothingToRead() bool {
 	raw, ok := c.Conn.(syscall.Conn)
 	if !ok {
 		return true
@@ -135,19 +135,19 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
-	var octet [1]byte
+	nothingToRead := false
+	var buffer [1]byte
 	err = control.Read(func(descriptor uintptr) bool {
-		_, _, receiveErr := syscall.Recvfrom(int(descriptor), octet[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = receiveErr == syscall.EAGAIN || receiveErr == syscall.EWOULDBLOCK
+		_, _, receiveErr := syscall.Recvfrom(int(descriptor), buffer[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
+		nothingToRead = receiveErr == syscall.EAGAIN || receiveErr == syscall.EWOULDBLOCK
 		return true
 	})
-	return err == nil && quiet
+	return err == nil && nothingToRead
 }
 
-// noteKeepAlive remembers the idle limit that an answer announced. One that is no count of seconds is passed over: the client's
-// own limit holds then.
-func (c *connection) noteKeepAlive(header http.Header) {
+// recordKeepAlive records the idle limit that an answer announced. A value that is no number of seconds is ignored, so that only the
+// client's own limit applies.
+func (c *connection) recordKeepAlive(header http.Header) {
 	for _, field := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, found := strings.Cut(strings.TrimSpace(field), "=")
 		if !found || !strings.EqualFold(name, "timeout") {
--- a/modules/entry/upstream/error.go
+++ b/modules/entry/upstream/error.go
@@ -8,27 +8,27 @@
 	"fmt"
 )
 
-// ErrNoConnection reports that all connections allowed to an endpoint are in use.
-var ErrNoConnection = errors.New("upstream: no connection is free")
+// ErrNoConnection is returned when all connections allowed to an endpoint are in use.
+var ErrNoConnection = errors.New("upstream: all connections allowed to the endpoint are in use")
 
-// ErrRetired reports that an endpoint was retired while a connection to it was set up; nothing was sent.
-var ErrRetired = errors.New("upstream: the endpoint is gone")
+// ErrRetired is returned when an endpoint was retired while a connection to it was set up. Nothing was sent.
+var ErrRetired = errors.New("upstream: endpoint was retired during connection set-up")
 
-// ErrForeignAnswer reports that only answers to other requests arrived.
-var ErrForeignAnswer = errors.New("upstream: the answer belongs to another request")
+// ErrForeignAnswer is returned when only answers to other requests arrived.
+var ErrForeignAnswer = errors.New("upstream: received only answers to other requests")
 
-// Stage is how far an exchange had come when it failed.
+// Stage is how far an exchange had progressed when it failed.
 type Stage int
 
 // The stages of an exchange.
 const (
-	// Connecting: nothing was written, so the request cannot run.
+	// Connecting: nothing was written, so the endpoint cannot run the request.
 	Connecting Stage = iota
-	// Sent: some or all of the request was written, so it may run.
+	// Sent: some or all of the request was written, so the endpoint may run it.
 	Sent
 )
 
-// ExchangeError reports an exchange that ended without the head of an answer.
+// ExchangeError is returned for an exchange that failed before the head of an answer arrived.
 type ExchangeError struct {
 	Stage Stage
 	Cause error
@@ -37,12 +37,12 @@
 // Error implements error.
 func (e *ExchangeError) Error() string {
 	if e.Stage == Connecting {
-		return fmt.Sprintf("upstream: not sent: %v", e.Cause)
+		return fmt.Sprintf("upstream: request not sent: %v", e.Cause)
 	}
-	return fmt.Sprintf("upstream: no answer: %v", e.Cause)
+	return fmt.Sprintf("upstream: no answer received: %v", e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *ExchangeError) Unwrap() error {
 	return e.Cause
 }
--- a/modules/entry/upstream/exchange.go
+++ b/modules/entry/upstream/exchange.go
@@ -12,32 +12,32 @@
 	"time"
 )
 
-// maxForeignAnswers is how many answers to other requests, or interim ones, are passed over before a connection is given up. More save
-// requests on a connection that brings earlier answers, fewer notice sooner that it brings nothing else.
+// maxForeignAnswers is how many answers to other requests, or interim answers, are skipped before a connection is closed. A higher value
+// saves requests on a connection that delivers earlier answers, a lower one detects sooner that it delivers nothing else.
 const maxForeignAnswers = 3
 
-// Call is one request to an endpoint.
+// Call is a request to an endpoint.
 type Call struct {
 	Target  Target
 	Request *http.Request
-	// AnswersRequest reports whether the head of an answer is one to this request; nil accepts all.
+	// AnswersRequest reports whether the head of an answer belongs to this request; nil accepts every answer.
 	AnswersRequest func(http.Header) bool
 }
 
-// Answer is the head of an endpoint's answer; its body must be closed.
+// Answer is the head of an endpoint's answer. Close must be called on it.
 type Answer struct {
-	Response *http.Response
-	client   *Client
-	host     *host
-	conn     *connection
-	written  <-chan error
-	stop     func() bool
-	ended    bool
-	once     sync.Once
+	Response      *http.Response
+	client        *Client
+	host          *host
+	conn          *connection
+	written       <-chan error
+	detachContext func() bool
+	bodyRead      bool
+	once          sync.Once
 }
 
-// Do sends a request once and waits for the head of its answer. The exchange, with the body,
-// ends when the context does. Its errors are ErrNoConnection or an ExchangeError.
+// Do sends a request once and waits for the head of the answer. The exchange ends with the context, also while the body is read. Do returns
+// ErrNoConnection or an ExchangeError.
 func (c *Client) Do(ctx context.Context, call Call) (*Answer, error) {
 	conn, h, err := c.acquire(ctx, call.Target)
 	if errors.Is(err, ErrNoConnection) {
@@ -51,13 +51,12 @@
 		c.release(h, conn)
 		return nil, &ExchangeError{Stage: Connecting, Cause: err}
 	}
-	// Without a deadline, the zero time bounds nothing. A connection that takes no deadline is closed, so that sending and
-	// reading on it fail, too.
+	// Without a deadline, the zero time sets no limit. An error means that the connection is closed, so that sending and reading fail, too.
 	deadline, _ := ctx.Deadline()
 	_ = conn.SetDeadline(deadline)
-	answer.stop = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
+	answer.detachContext = context.AfterFunc(ctx, func() { _ = conn.SetDeadline(time.Unix(1, 0)) })
 	answer.written = conn.send(call.Request)
-	conn.watch()
+	conn.startSilenceTimer()
 	response, err := readHead(conn, call) //nolint:bodyclose // Answer.Close ends the exchange with its connection.
 	if err != nil {
 		answer.discard()
@@ -67,8 +66,8 @@
 	return answer, nil
 }
 
-// send writes a request; one with a body is written beside the reading of its answer, since
-// an endpoint may answer before it has read the body.
+// send writes a request. A request with a body is written concurrently with the reading of the answer, since an endpoint may answer before
+// it has read the body.
 func (c *connection) send(request *http.Request) <-chan error {
 	written := make(chan error, 1)
 	write := func() {
@@ -86,7 +85,7 @@
 	return written
 }
 
-// readHead reads up to the head that answers the call.
+// readHead reads answers until it finds the head of the answer to the call.
 func readHead(conn *connection, call Call) (*http.Response, error) {
 	for range maxForeignAnswers {
 		response, err := http.ReadResponse(conn.reader, call.Request)
@@ -97,7 +96,7 @@
 			continue
 		}
 		if call.AnswersRequest == nil || call.AnswersRequest(response.Header) {
-			conn.noteKeepAlive(response.Header)
+			conn.recordKeepAlive(response.Header)
 			return response, nil
 		}
 		if _, err := io.Copy(io.Discard, response.Body); err != nil {
@@ -110,12 +109,12 @@
 	return nil, ErrForeignAnswer
 }
 
-// Read reads the body; io.EOF says that it was whole.
+// Read reads the body; io.EOF means that it was complete.
 func (a *Answer) Read(buffer []byte) (int, error) {
 	n, err := a.Response.Body.Read(buffer)
-	a.conn.heard()
+	a.conn.recordActivity()
 	if err == io.EOF {
-		a.ended = true
+		a.bodyRead = true
 	}
 	return n, err
 }
@@ -125,13 +124,13 @@
 	return a.conn.reader.Buffered() > 0
 }
 
-// Close ends the exchange. The connection is used again only if the answer was read to its
-// end, nothing followed it, and the whole request was written.
+// Close ends the exchange. The connection is reused only if the answer was read to its end, no further bytes followed, and the whole
+// request was written.
 func (a *Answer) Close() {
 	a.once.Do(func() {
-		// A stopped context may be about to spoil the connection's deadline.
-		if a.reusable() && a.stop() && a.conn.endWatch() {
-			// Should that fail, the connection is closed, which the next exchange sees before it sends.
+		// If the context has ended, its callback may be about to change the connection's deadline.
+		if a.reusable() && a.detachContext() && a.conn.stopProbes() {
+			// An error means that the connection is closed, which the next exchange detects before it sends.
 			_ = a.conn.SetDeadline(time.Time{})
 			a.client.release(a.host, a.conn)
 			return
@@ -141,24 +140,24 @@
 }
 
 func (a *Answer) reusable() bool {
-	if !a.ended || a.Response.Close || a.conn.reader.Buffered() > 0 {
+	if !a.bodyRead || a.Response.Close || a.conn.reader.Buffered() > 0 {
 		return false
 	}
 	if a.Response.ContentLength < 0 && len(a.Response.TransferEncoding) == 0 {
 		return false
 	}
-	return a.wroteWhole()
+	return a.requestWritten()
 }
 
-// writerTimeout is how long the end of an exchange waits for the goroutine that writes the body; mostly it has written and only not yet
-// reported it. Longer keeps more connections, shorter ends exchanges sooner.
+// writerTimeout is how long the end of an exchange waits for the goroutine that writes the body; usually it has finished and only not
+// reported yet. A higher value keeps more connections, a lower one ends exchanges sooner.
 const writerTimeout = 10 * time.Millisecond
 
-// wroteWhole reports whether the whole request was written.
-func (a *Answer) wroteWhole() bool {
+// requestWritten reports whether the whole request was written.
+func (a *Answer) requestWritten() bool {
 	select {
 	case err := <-a.written:
-		// Beside a timer that has fired as well, as on a starved host, this one would be taken by chance only.
+		// Checked first on its own: if the timer had fired as well, as on an overloaded host, select would choose between them at random.
 		return err == nil
 	default:
 	}
@@ -173,7 +172,7 @@
 }
 
 func (a *Answer) discard() {
-	a.stop()
-	a.conn.endWatch()
+	a.detachContext()
+	a.conn.stopProbes()
 	a.client.discard(a.host, a.conn)
 }
--- a/modules/entry/upstream/export_test.go
+++ b/modules/entry/upstream/export_test.go
@@ -3,7 +3,7 @@
 
 package upstream
 
-// Keys gives how many keys the client keeps something of.
+// Keys returns the number of keys that the client has connections of.
 func (c *Client) Keys() int {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/modules/entry/upstream/forget_test.go
+++ b/modules/entry/upstream/key_retention_test.go
@@ -14,14 +14,14 @@
 	"github.com/shelfledge/shelfledge/modules/entry/upstream"
 )
 
-// TestKeysWithoutConnectionsAreForgotten: a request may reach a key after that was retired, and nobody retires it again.
-func TestKeysWithoutConnectionsAreForgotten(t *testing.T) {
-	held := make(chan struct{})
+// TestKeysWithoutConnectionsAreDeleted: a request may use a key after Retire, and nothing retires the key again.
+func TestKeysWithoutConnectionsAreDeleted(t *testing.T) {
+	unblock := make(chan struct{})
 	e := newEndpoint(t, func(number int64) string {
 		if number > 100 {
-			<-held
+			<-unblock
 		}
-		return whole("", "x")
+		return okResponse("", "x")
 	})
 	now := time.Now()
 	client := upstream.NewClient(upstream.Options{MaxIdle: time.Minute, DialTimeout: time.Second, Now: func() time.Time { return now }})
@@ -31,9 +31,9 @@
 		client.Retire(target.Key)
 		exchange(t, client, upstream.Call{Target: target, Request: request("")})
 	}
-	inUse := make(chan struct{})
+	finished := make(chan struct{})
 	go func() {
-		defer close(inUse)
+		defer close(finished)
 		target := e.target()
 		answer, err := client.Do(context.Background(), upstream.Call{Target: target, Request: request("")})
 		if assert.NoError(t, err) {
@@ -44,7 +44,7 @@
 		time.Sleep(time.Millisecond)
 	}
 	client.CloseIdle(now.Add(time.Hour))
-	assert.Equal(t, 1, client.Keys(), "the one in use")
-	close(held)
-	<-inUse
+	assert.Equal(t, 1, client.Keys(), "only the key in use")
+	close(unblock)
+	<-finished
 }
--- a/modules/entry/upstream/probe_test.go
+++ b/modules/entry/upstream/probe_test.go
@@ -20,24 +20,24 @@
 	"github.com/shelfledge/shelfledge/modules/entry/upstream"
 )
 
-// TestASilentExchangeIsProbed: no exchange is ended for the silence of its endpoint, so that the system has to tell a connection that has
-// fallen silent for good. It asks after a second of silence, for a head as in a body, and not between exchanges. That it ends such a
-// connection is not shown here: packets can't be dropped on loopback.
-func TestASilentExchangeIsProbed(t *testing.T) {
+// TestSilentExchangeIsProbed checks that the kernel sends keep-alive probes after a second of silence, before the head of an answer as well
+// as during the body, and not between exchanges. An exchange is never ended for silence alone, so only the probes detect a dead connection.
+// The test does not show that they close it, since packets cannot be dropped on loopback.
+func TestSilentExchangeIsProbed(t *testing.T) {
 	release := make(chan string)
-	address := listenOnce(t, release)
+	address := serveOneConnection(t, release)
 	var opened *net.TCPConn
 	client := upstream.NewClient(upstream.Options{
 		MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now,
 		Dial: func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
-			conn, err := tcp.Dialer{Unacknowledged: usual}.DialContext(ctx, "tcp4", address.String())
+			conn, err := tcp.Dialer{Unacknowledged: unacknowledgedTimeout}.DialContext(ctx, "tcp4", address.String())
 			if err == nil {
 				opened = conn.(*net.TCPConn)
 			}
 			return conn, err
 		},
 	})
-	for pause, during := range map[time.Duration]probing{0: {false, usual}, silence: {true, 4500 * time.Millisecond}} {
+	for pause, expected := range map[time.Duration]keepAliveState{0: {false, unacknowledgedTimeout}, silence: {true, 4500 * time.Millisecond}} {
 		go func() {
 			release <- "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n"
 			time.Sleep(pause)
@@ -45,45 +45,45 @@
 		}()
 		answer, err := client.Do(context.Background(), upstream.Call{Target: upstream.Target{Key: "e", Address: address}, Request: request("")})
 		require.NoError(t, err)
-		assert.Equal(t, probing{false, usual}, probed(t, opened), "before the silence")
+		assert.Equal(t, keepAliveState{false, unacknowledgedTimeout}, readKeepAliveState(t, opened), "before the silence")
 		_, err = io.ReadAll(answer)
 		require.NoError(t, err)
-		assert.Equal(t, during, probed(t, opened), "after its body")
+		assert.Equal(t, expected, readKeepAliveState(t, opened), "after its body")
 		answer.Close()
-		assert.Equal(t, probing{false, usual}, probed(t, opened), "after the exchange")
+		assert.Equal(t, keepAliveState{false, unacknowledgedTimeout}, readKeepAliveState(t, opened), "after the exchange")
 	}
 }
 
 const (
-	// usual bounds sent bytes without acknowledgement as the client itself does.
-	usual = 1200 * time.Millisecond
-	// silence is longer than the client bears without asking.
+	// unacknowledgedTimeout is the limit for unacknowledged bytes that the client itself sets.
+	unacknowledgedTimeout = 1200 * time.Millisecond
+	// silence is longer than the time without data after which the client enables the probes.
 	silence = 1300 * time.Millisecond
 )
 
-// probing is whether a connection's system asks for its peer, and how long it bears bytes or questions without acknowledgement.
-type probing struct {
-	on    bool
-	bears time.Duration
+// keepAliveState is whether keep-alive probes are enabled on a connection, and how long bytes or probes may stay unacknowledged.
+type keepAliveState struct {
+	enabled bool
+	timeout time.Duration
 }
 
-func probed(t *testing.T, conn *net.TCPConn) probing {
+func readKeepAliveState(t *testing.T, conn *net.TCPConn) keepAliveState {
 	t.Helper()
 	raw, err := conn.SyscallConn()
 	require.NoError(t, err)
-	var on, bears int
-	var onErr, bearsErr error
+	var keepAlive, userTimeout int
+	var keepAliveErr, userTimeoutErr error
 	require.NoError(t, raw.Control(func(descriptor uintptr) {
-		on, onErr = unix.GetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_KEEPALIVE)
-		bears, bearsErr = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		keepAlive, keepAliveErr = unix.GetsockoptInt(int(descriptor), unix.SOL_SOCKET, unix.SO_KEEPALIVE)
+		userTimeout, userTimeoutErr = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}))
-	require.NoError(t, onErr)
-	require.NoError(t, bearsErr)
-	return probing{on != 0, time.Duration(bears) * time.Millisecond}
+	require.NoError(t, keepAliveErr)
+	require.NoError(t, userTimeoutErr)
+	return keepAliveState{keepAlive != 0, time.Duration(userTimeout) * time.Millisecond}
 }
 
-// listenOnce serves one connection: whatever comes is answered by the texts that are released.
-func listenOnce(t *testing.T, release <-chan string) netip.AddrPort {
+// serveOneConnection accepts one connection and writes each text that is received from release to it, whatever the client sends.
+func serveOneConnection(t *testing.T, release <-chan string) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
--- a/modules/entry/upstream/inquiry_test.go
+++ b/modules/entry/upstream/refusal_check_test.go
@@ -18,8 +18,8 @@
 	"github.com/shelfledge/shelfledge/modules/entry/upstream"
 )
 
-// counting gives a client that counts its dials.
-func counting(dials *atomic.Int64) *upstream.Client {
+// newCountingClient returns a client that counts its dials.
+func newCountingClient(dials *atomic.Int64) *upstream.Client {
 	dialer := net.Dialer{}
 	return upstream.NewClient(upstream.Options{
 		MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now,
@@ -30,26 +30,26 @@
 	})
 }
 
-func TestAnEndpointThatEndedRefuses(t *testing.T) {
+func TestEndedEndpointRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := listener.Addr().(*net.TCPAddr).AddrPort()
 	var dials atomic.Int64
-	client := counting(&dials)
+	client := newCountingClient(&dials)
 	assert.False(t, client.Refuses(t.Context(), upstream.Target{Key: "lives", Address: address}))
 	require.NoError(t, listener.Close())
 	assert.True(t, client.Refuses(t.Context(), upstream.Target{Key: "ended", Address: address}))
-	looked := dials.Load()
+	dialed := dials.Load()
 	assert.True(t, client.Refuses(t.Context(), upstream.Target{Key: "ended", Address: address}))
-	assert.Equal(t, looked, dials.Load(), "a refusal is given again")
+	assert.Equal(t, dialed, dials.Load(), "the refusal is returned again without a dial")
 }
 
-// TestAnEndpointThatIsJustEndingRefuses: callers' requests that crash endpoints were sent to four endpoints and more later than 3 s after they
-// had ended three, since more than half of the ends were taken for resets. The order of events: an exchange ends with its connection, the
-// look opens another one, which the system still takes, and only then the process closes its listening socket. The cause: a connection that
-// is taken counted as a sign of life. The evidence: of 37 endpoints that exited by such a request in one soak, 21 are without endpoint_gone in
-// that request's line, and each of the 21 refused other requests afterwards.
-func TestAnEndpointThatIsJustEndingRefuses(t *testing.T) {
+// TestEndingEndpointRefusesConnections guards against taking the end of a process for a reset connection. An exchange ends with its
+// connection, the check then opens another connection, which the kernel still accepts, and only after that does the process close its
+// listening socket. While an accepted connection counted as a sign of a running process, more than half of the ends were taken for resets:
+// of 37 endpoints that exited on a request in one soak test, 21 had no endpoint_gone in the log line of that request, and all 21 refused
+// other requests afterwards. Requests that crash endpoints were sent to four or more of them later than 3 s after they had ended three.
+func TestEndingEndpointRefusesConnections(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	dialer := net.Dialer{}
@@ -57,7 +57,7 @@
 		MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now,
 		Dial: func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, "tcp4", address.String())
-			// The system has taken the first connection; now the process closes its socket.
+			// The kernel has accepted the first connection; now the process closes its socket.
 			_ = listener.Close()
 			return conn, err
 		},
@@ -65,8 +65,8 @@
 	assert.True(t, client.Refuses(t.Context(), upstream.Target{Key: "k", Address: listener.Addr().(*net.TCPAddr).AddrPort()}))
 }
 
-// TestAResetTellsNothingOfALaterEnd: an endpoint that has reset connections and gone on may end by the next request.
-func TestAResetTellsNothingOfALaterEnd(t *testing.T) {
+// TestAcceptedConnectionIsNotRemembered: an endpoint that reset connections but kept running may end with the next request.
+func TestAcceptedConnectionIsNotRemembered(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	now := time.Now()
@@ -78,31 +78,31 @@
 	assert.True(t, client.Refuses(t.Context(), target))
 }
 
-func TestExchangesThatEndTogetherLookOnce(t *testing.T) {
+func TestConcurrentChecksDialOnce(t *testing.T) {
 	var dials atomic.Int64
-	client := counting(&dials)
-	var asking sync.WaitGroup
+	client := newCountingClient(&dials)
+	var checks sync.WaitGroup
 	for range 20 {
-		asking.Go(func() {
-			// No system hands out port 1, so that no other test listens there.
+		checks.Go(func() {
+			// Port 1 is never an ephemeral port, so that no other test listens there.
 			assert.True(t, client.Refuses(t.Context(), upstream.Target{Key: "k", Address: netip.MustParseAddrPort("127.0.0.1:1")}))
 		})
 	}
-	asking.Wait()
+	checks.Wait()
 	assert.EqualValues(t, 1, dials.Load())
 }
 
-// TestALookOpensNoMoreConnectionsThanAllowed: where all are in use, it is not known whether the endpoint has ended.
-func TestALookOpensNoMoreConnectionsThanAllowed(t *testing.T) {
+// TestCheckRespectsConnectionLimit: if all connections are in use, the check cannot show whether the endpoint has ended.
+func TestCheckRespectsConnectionLimit(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
 	var dials atomic.Int64
-	client := counting(&dials)
+	client := newCountingClient(&dials)
 	target := upstream.Target{Key: "k", Address: listener.Addr().(*net.TCPAddr).AddrPort(), MaxConnections: 1}
 	assert.False(t, client.Refuses(t.Context(), target))
 	assert.EqualValues(t, 1, client.Dialed())
 	client.CloseIdle(time.Now().Add(time.Second))
 	assert.False(t, client.Refuses(t.Context(), target))
-	assert.EqualValues(t, 1, client.Dialed(), "the first one rests and may not be joined by another")
+	assert.EqualValues(t, 1, client.Dialed(), "the first connection is idle and the limit allows no second one")
 }
--- a/modules/entry/upstream/retired_test.go
+++ b/modules/entry/upstream/retire_test.go
@@ -15,10 +15,10 @@
 	"github.com/shelfledge/shelfledge/modules/entry/upstream"
 )
 
-// TestNothingIsSentToAKeyThatIsRetiredWhileItsConnectionIsSetUp: the endpoint left after the request was assigned to it, and the
-// set-up of the connection takes long enough for the news to come first.
-func TestNothingIsSentToAKeyThatIsRetiredWhileItsConnectionIsSetUp(t *testing.T) {
-	e := newEndpoint(t, func(int64) string { return whole("", "answer") })
+// TestNothingIsSentToKeyRetiredDuringDial: an endpoint is removed after a request was assigned to it, while the connection is still being
+// set up.
+func TestNothingIsSentToKeyRetiredDuringDial(t *testing.T) {
+	e := newEndpoint(t, func(int64) string { return okResponse("", "answer") })
 	var client *upstream.Client
 	client = upstream.NewClient(upstream.Options{
 		MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now,
--- a/modules/entry/upstream/upstream_test.go
+++ b/modules/entry/upstream/upstream_test.go
@@ -31,8 +31,8 @@
 	requests atomic.Int64
 }
 
-// newEndpoint serves connections by a script: for each request read, what answer gives for its
-// number is written; an empty text closes the connection.
+// newEndpoint starts an endpoint. For each request it writes the text that answer returns for the number of the request; an empty text
+// closes the connection.
 func newEndpoint(t *testing.T, answer func(number int64) string) *endpoint {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
@@ -86,7 +86,7 @@
 	return outgoing
 }
 
-func whole(id, body string) string {
+func okResponse(id, body string) string {
 	return fmt.Sprintf("HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n%s", id, len(body), body)
 }
 
@@ -100,8 +100,8 @@
 	return string(body)
 }
 
-func TestConnectionsAreUsedAgain(t *testing.T) {
-	e := newEndpoint(t, func(number int64) string { return whole("", fmt.Sprint(number)) })
+func TestConnectionsAreReused(t *testing.T) {
+	e := newEndpoint(t, func(number int64) string { return okResponse("", fmt.Sprint(number)) })
 	client := newClient()
 	for number := 1; number <= 3; number++ {
 		assert.Equal(t, fmt.Sprint(number), exchange(t, client, upstream.Call{Target: e.target(), Request: request("body")}))
@@ -110,22 +110,21 @@
 	assert.Equal(t, uint64(1), client.Dialed())
 }
 
-// lateReturn is a connection whose writes return only some time after their bytes have arrived.
-type lateReturn struct {
+// delayedWriteConn is a connection whose writes return only some time after their bytes have arrived.
+type delayedWriteConn struct {
 	net.Conn
 	delay time.Duration
 }
 
-func (c lateReturn) Write(content []byte) (int, error) {
+func (c delayedWriteConn) Write(content []byte) (int, error) {
 	n, err := c.Conn.Write(content)
 	time.Sleep(c.delay)
 	return n, err
 }
 
-// TestAnAnswerThatOvertakesTheWritersEndCostsNoConnection is about the goroutine that writes a
-// body: its answer may have been read whole before it says that it has written. The clock is the bubble's, so
-// that a busy machine makes no writer late.
-func TestAnAnswerThatOvertakesTheWritersEndCostsNoConnection(t *testing.T) {
+// TestAnswerBeforeWriterReturnsKeepsConnection: an answer may have been read completely before the goroutine that writes the body reports
+// that it has finished. The test runs on a fake clock, so that a busy host does not delay the writer.
+func TestAnswerBeforeWriterReturnsKeepsConnection(t *testing.T) {
 	const exchanges = 5
 	for delay, dialed := range map[time.Duration]uint64{3 * time.Millisecond: 1, 9 * time.Millisecond: 1, 11 * time.Millisecond: exchanges} {
 		synctest.Test(t, func(t *testing.T) {
@@ -134,9 +133,9 @@
 				MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now,
 				Dial: func(context.Context, netip.AddrPort) (net.Conn, error) {
 					near, far := net.Pipe()
-					go e.serve(far, func(int64) string { return whole("", "x") })
+					go e.serve(far, func(int64) string { return okResponse("", "x") })
 					t.Cleanup(func() { _ = near.Close() })
-					return lateReturn{Conn: near, delay: delay}, nil
+					return delayedWriteConn{Conn: near, delay: delay}, nil
 				},
 			})
 			target := upstream.Target{Key: "e", Address: netip.MustParseAddrPort("127.0.0.1:1")}
@@ -144,16 +143,16 @@
 				assert.Equal(t, "x", exchange(t, client, upstream.Call{Target: target, Request: request("body")}))
 			}
 			assert.Equal(t, dialed, client.Dialed(), delay)
-			// A bubble may not end before its goroutines: the last writer.
+			// synctest requires that all goroutines end before the test does: wait for the last writer.
 			time.Sleep(delay)
 		})
 	}
 }
 
-func TestARequestIsNeverSentTwice(t *testing.T) {
+func TestRequestIsNeverSentTwice(t *testing.T) {
 	e := newEndpoint(t, func(number int64) string {
 		if number == 1 {
-			return whole("", "first")
+			return okResponse("", "first")
 		}
 		return ""
 	})
@@ -165,7 +164,7 @@
 	assert.Equal(t, int64(2), e.requests.Load())
 }
 
-func TestAConnectionThatTheEndpointClosedIsNotUsed(t *testing.T) {
+func TestClosedConnectionIsNotReused(t *testing.T) {
 	e := newEndpoint(t, func(int64) string {
 		return "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
 	})
@@ -176,8 +175,8 @@
 	assert.Equal(t, int64(3), e.accepted.Load())
 }
 
-func TestSurplusBytesEndAConnection(t *testing.T) {
-	e := newEndpoint(t, func(number int64) string { return whole("", fmt.Sprint(number)) + whole("", "surplus") })
+func TestSurplusBytesCloseConnection(t *testing.T) {
+	e := newEndpoint(t, func(number int64) string { return okResponse("", fmt.Sprint(number)) + okResponse("", "surplus") })
 	client := newClient()
 	for number := 1; number <= 3; number++ {
 		assert.Equal(t, fmt.Sprint(number), exchange(t, client, upstream.Call{Target: e.target(), Request: request("")}))
@@ -185,21 +184,21 @@
 	}
 }
 
-func TestAnAnswerToAnotherRequestIsPassedOver(t *testing.T) {
-	e := newEndpoint(t, func(int64) string { return whole("old", "foreign") + whole("mine", "own") })
+func TestAnswerToAnotherRequestIsSkipped(t *testing.T) {
+	e := newEndpoint(t, func(int64) string { return okResponse("old", "foreign") + okResponse("mine", "own") })
 	answersMine := func(header http.Header) bool { return header.Get("Id") == "mine" }
 	got := exchange(t, newClient(), upstream.Call{Target: e.target(), Request: request(""), AnswersRequest: answersMine})
 	assert.Equal(t, "own", got)
 }
 
-func TestOnlyForeignAnswersAreNoAnswer(t *testing.T) {
-	e := newEndpoint(t, func(int64) string { return strings.Repeat(whole("old", "foreign"), 5) })
+func TestOnlyForeignAnswersAreAnError(t *testing.T) {
+	e := newEndpoint(t, func(int64) string { return strings.Repeat(okResponse("old", "foreign"), 5) })
 	call := upstream.Call{Target: e.target(), Request: request(""), AnswersRequest: func(http.Header) bool { return false }}
 	_, err := newClient().Do(context.Background(), call)
 	assert.ErrorIs(t, err, upstream.ErrForeignAnswer)
 }
 
-func TestATruncatedAnswerIsAnError(t *testing.T) {
+func TestTruncatedAnswerIsAnError(t *testing.T) {
 	e := newEndpoint(t, func(number int64) string {
 		if number == 1 {
 			return "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nshort"
@@ -215,7 +214,7 @@
 	assert.Error(t, err)
 }
 
-func TestADeadPortProvesThatNothingWasSent(t *testing.T) {
+func TestRefusedConnectionIsNotSent(t *testing.T) {
 	e := newEndpoint(t, func(int64) string { return "" })
 	target := e.target()
 	require.NoError(t, e.listener.Close())
@@ -225,7 +224,7 @@
 
 func TestConnectionsAreBounded(t *testing.T) {
 	release := make(chan struct{})
-	e := newEndpoint(t, func(int64) string { <-release; return whole("", "x") })
+	e := newEndpoint(t, func(int64) string { <-release; return okResponse("", "x") })
 	client := newClient()
 	target := e.target()
 	target.MaxConnections = 1
@@ -246,7 +245,7 @@
 	<-done
 }
 
-func TestCancelEndsAnExchangeAndItsConnection(t *testing.T) {
+func TestCancelEndsExchange(t *testing.T) {
 	hang := make(chan struct{})
 	t.Cleanup(func() { close(hang) })
 	e := newEndpoint(t, func(int64) string { <-hang; return "" })
@@ -257,8 +256,8 @@
 	assert.False(t, upstream.NotSent(err))
 }
 
-func TestARetiredKeyKeepsNoConnection(t *testing.T) {
-	e := newEndpoint(t, func(int64) string { return whole("", "x") })
+func TestRetireClosesConnections(t *testing.T) {
+	e := newEndpoint(t, func(int64) string { return okResponse("", "x") })
 	client := newClient()
 	exchange(t, client, upstream.Call{Target: e.target(), Request: request("")})
 	client.Retire("e")
@@ -266,7 +265,7 @@
 	assert.Equal(t, int64(2), e.accepted.Load())
 }
 
-func TestIdleConnectionsEndBeforeTheEndpointsLimit(t *testing.T) {
+func TestIdleConnectionsAreClosedBeforeEndpointLimit(t *testing.T) {
 	e := newEndpoint(t, func(int64) string {
 		return "HTTP/1.1 200 OK\r\nKeep-Alive: timeout=5\r\nContent-Length: 1\r\n\r\nx"
 	})
