--- a/modules/entry/asynclog/writer.go
+++ b/modules/entry/asynclog/writer.go
@@ -9,47 +9,47 @@
 	"time"
 )
 
-// Options are the settings of a Writer.
+// Options configure a Writer.
 type Options struct {
 	Output io.Writer
-	// LinesPerSecond and Burst bound the volume: so many lines a second in the long run, and so many at once.
+	// LinesPerSecond and Burst are the rate limit: the sustained rate and the size of the token bucket.
 	LinesPerSecond float64
 	Burst          float64
-	// Queue is how many lines may wait for a slow reader, of maxWaiting bytes together at most.
+	// Queue is how many lines may be queued for a slow output, with maxQueuedBytes together at most.
 	Queue int
-	// Now gives the present time.
+	// Now returns the current time.
 	Now func() time.Time
-	// Summary gives the line that says how many were suppressed since the last such line.
+	// Summary returns the line that reports how many lines were suppressed since the last such line.
 	Summary func(now time.Time, suppressed uint64) string
 }
 
-// maxWaiting bounds the lines that wait for a slow reader, in bytes: 512 lines of 1 KiB, three times the longest line of a request in
-// tests/pinned/entry (345 bytes). Higher loses fewer long lines, lower takes less memory of a small instance.
-const maxWaiting = 512 << 10
+// maxQueuedBytes bounds the lines queued for a slow output, in bytes: 512 lines of 1 KiB, three times the longest line of a request in
+// tests/pinned/entry (345 bytes). A higher value loses fewer long lines, a lower one takes less memory on a small instance.
+const maxQueuedBytes = 512 << 10
 
-// summaryInterval is how often suppressed lines are reported. Longer adds fewer lines, shorter reports sooner.
+// summaryInterval is how often suppressed lines are reported. A higher value adds fewer lines, a lower one reports sooner.
 const summaryInterval = time.Second
 
 // Writer is an io.Writer whose Write never blocks.
 type Writer struct {
-	options Options
-	lines   chan []byte
-	stop    chan struct{}
-	done    chan struct{}
-	mutex   sync.Mutex
-	tokens  float64
-	filled  time.Time
-	// waiting counts the bytes of the lines that are queued or being written.
-	waiting    int
-	suppressed uint64
-	total      uint64
+	options    Options
+	lines      chan []byte
+	stop       chan struct{}
+	done       chan struct{}
+	mutex      sync.Mutex
+	tokens     float64
+	refilledAt time.Time
+	// queuedBytes counts the bytes of the lines that are queued or being written.
+	queuedBytes     int
+	suppressed      uint64
+	totalSuppressed uint64
 }
 
 // New starts a writer; Close ends it.
 func New(options Options) *Writer {
 	w := &Writer{
 		options: options, lines: make(chan []byte, options.Queue), stop: make(chan struct{}), done: make(chan struct{}),
-		tokens: options.Burst, filled: options.Now(),
+		tokens: options.Burst, refilledAt: options.Now(),
 	}
 	go w.run()
 	return w
@@ -57,66 +57,66 @@
 
 // Write queues one line, or counts it as suppressed.
 func (w *Writer) Write(line []byte) (int, error) {
-	if !w.take(len(line)) {
+	if !w.admit(len(line)) {
 		return len(line), nil
 	}
 	select {
 	case w.lines <- append([]byte(nil), line...):
 	default:
-		w.refuse(len(line))
+		w.undoAdmit(len(line))
 	}
 	return len(line), nil
 }
 
-// take tells whether rate and memory allow a line of the given length, and counts it: as waiting, or as suppressed.
-func (w *Writer) take(length int) bool {
+// admit reports whether the rate and the queue allow a line of the given length, and counts it as queued or as suppressed.
+func (w *Writer) admit(length int) bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	now := w.options.Now()
-	w.tokens = min(w.options.Burst, w.tokens+now.Sub(w.filled).Seconds()*w.options.LinesPerSecond)
-	w.filled = now
+	w.tokens = min(w.options.Burst, w.tokens+now.Sub(w.refilledAt).Seconds()*w.options.LinesPerSecond)
+	w.refilledAt = now
 	if w.tokens < 1 {
 		w.suppress()
 		return false
 	}
 	w.tokens--
-	if w.waiting+length > maxWaiting {
+	if w.queuedBytes+length > maxQueuedBytes {
 		w.suppress()
 		return false
 	}
-	w.waiting += length
+	w.queuedBytes += length
 	return true
 }
 
-// refuse takes a line back that found no place in the queue.
-func (w *Writer) refuse(length int) {
+// undoAdmit counts an admitted line as suppressed, since the queue had no place for it.
+func (w *Writer) undoAdmit(length int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.waiting -= length
+	w.queuedBytes -= length
 	w.suppress()
 }
 
-// suppress counts a line that is not written; the caller holds the mutex.
+// suppress counts a line that is not written. The caller must hold the mutex.
 func (w *Writer) suppress() {
 	w.suppressed++
-	w.total++
+	w.totalSuppressed++
 }
 
-// written takes account of a line that waits no more.
-func (w *Writer) written(length int) {
+// release no longer counts a line of the given length as queued.
+func (w *Writer) release(length int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.waiting -= length
+	w.queuedBytes -= length
 }
 
-// Suppressed gives the number of lines that were not written.
+// Suppressed returns the number of lines that were not written.
 func (w *Writer) Suppressed() uint64 {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.total
+	return w.totalSuppressed
 }
 
-// Close writes what is queued, if the reader takes it within the time-out, and ends the writer.
+// Close writes the queued lines, if the output accepts them within the timeout, and ends the writer.
 func (w *Writer) Close(timeout time.Duration) {
 	close(w.stop)
 	select {
@@ -133,7 +133,7 @@
 		select {
 		case line := <-w.lines:
 			w.output(line)
-			w.written(len(line))
+			w.release(len(line))
 		case <-ticker.C:
 			w.summarize()
 		case <-w.stop:
@@ -148,7 +148,7 @@
 		select {
 		case line := <-w.lines:
 			w.output(line)
-			w.written(len(line))
+			w.release(len(line))
 		default:
 			w.summarize()
 			return
@@ -166,7 +166,7 @@
 	}
 }
 
-// output writes to the log's reader. Where that fails, there is no other place to report it to.
+// output writes a line to the output. An error is ignored, since there is no other place to report it.
 func (w *Writer) output(line []byte) {
 	_, _ = w.options.Output.Write(line)
 }
--- a/modules/entry/asynclog/writer_test.go
+++ b/modules/entry/asynclog/writer_test.go
@@ -22,7 +22,7 @@
 	return fmt.Sprintf("suppressed %d", suppressed)
 }
 
-func TestLinesBeyondTheRateAreCounted(t *testing.T) {
+func TestLinesAboveRateAreSuppressed(t *testing.T) {
 	var output bytes.Buffer
 	now := time.Now()
 	writer := asynclog.New(asynclog.Options{
@@ -37,7 +37,7 @@
 	assert.Equal(t, uint64(15), writer.Suppressed())
 }
 
-func TestAReaderThatStandsStillBlocksNobody(t *testing.T) {
+func TestWriteDoesNotBlockOnStalledOutput(t *testing.T) {
 	reader, output := io.Pipe()
 	defer func() { _ = reader.Close() }()
 	writer := asynclog.New(asynclog.Options{Output: output, LinesPerSecond: 1e6, Burst: 1e6, Queue: 10, Summary: summary, Now: time.Now})
@@ -57,9 +57,8 @@
 	writer.Close(10 * time.Millisecond)
 }
 
-// TestLongLinesThatWaitAreBoundedByTheirBytes has a reader that stands still and lines of 64 KiB, far fewer than the queue
-// takes by their number.
-func TestLongLinesThatWaitAreBoundedByTheirBytes(t *testing.T) {
+// TestQueueIsBoundedInBytes writes lines of 64 KiB to a stalled output, far fewer than the queue holds by their number.
+func TestQueueIsBoundedInBytes(t *testing.T) {
 	const length, count, bound = 64 << 10, 500, 512 << 10
 	reader, output := io.Pipe()
 	writer := asynclog.New(asynclog.Options{Output: output, LinesPerSecond: 1e6, Burst: 1e6, Queue: 512, Summary: summary, Now: time.Now})
@@ -68,7 +67,7 @@
 		_, _ = writer.Write(line)
 	}
 	kept := (count - int(writer.Suppressed())) * length
-	assert.Equal(t, bound, kept, "bytes that wait")
+	assert.Equal(t, bound, kept, "queued bytes")
 
 	var read bytes.Buffer
 	done := make(chan struct{})
@@ -80,21 +79,21 @@
 		before := writer.Suppressed()
 		_, _ = writer.Write([]byte("short\n"))
 		return writer.Suppressed() == before
-	}, 10*time.Second, time.Millisecond, "what was written makes room")
+	}, 10*time.Second, time.Millisecond, "written lines make room in the queue")
 	writer.Close(10 * time.Second)
 	_ = output.Close()
 	<-done
-	assert.Equal(t, bound, strings.Count(read.String(), "x")+bound/length, "each line that waited is whole")
-	var told uint64
+	assert.Equal(t, bound, strings.Count(read.String(), "x")+bound/length, "each queued line is complete")
+	var reported uint64
 	for _, found := range regexp.MustCompile(`suppressed (\d+)`).FindAllStringSubmatch(read.String(), -1) {
-		one, err := strconv.ParseUint(found[1], 10, 64)
+		parsed, err := strconv.ParseUint(found[1], 10, 64)
 		assert.NoError(t, err)
-		told += one
+		reported += parsed
 	}
-	assert.Equal(t, writer.Suppressed(), told, "each line that was left out is told of once")
+	assert.Equal(t, writer.Suppressed(), reported, "each suppressed line is reported once")
 }
 
-func TestALineLongerThanAllThatMayWaitIsCounted(t *testing.T) {
+func TestLineLongerThanQueueIsSuppressed(t *testing.T) {
 	var output bytes.Buffer
 	writer := asynclog.New(asynclog.Options{Output: &output, LinesPerSecond: 1e6, Burst: 1e6, Queue: 512, Summary: summary, Now: time.Now})
 	_, _ = writer.Write(make([]byte, 512<<10+1))
--- a/modules/entry/metric/metrics.go
+++ b/modules/entry/metric/metrics.go
@@ -12,28 +12,28 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Request is the end of one request.
+// Request describes a request that has ended.
 type Request struct {
-	// Route is the name of the route; the label "class" keeps its former name.
+	// Route is the name of the route; its label keeps the former name "class".
 	Route string
-	// Status is what was answered; 0 where the connection was closed without an answer.
+	// Status is the answered status; 0 if the connection was closed without an answer.
 	Status int
-	// Reason says why there was no success; empty for a success.
+	// Reason is why the request failed; empty for a success.
 	Reason string
-	// Retries is how many further endpoints it was sent to.
+	// Retries is the number of further endpoints that the request was sent to.
 	Retries int
 	// Waited is the wait for endpoints, over all attempts.
 	Waited time.Duration
-	// First is the time from the arrival to the head of the answer, 0 for none; Whole that to its end.
+	// First is the time from the arrival to the head of the answer, 0 if there was none; Whole is the time to its end.
 	First time.Duration
 	Whole time.Duration
-	// StartRatios are, for each attempt with a declared prompt that ran, the time until it ran over the expected one.
+	// StartRatios are, for each attempt that ran with a declared prompt, the time until it ran divided by the expected time.
 	StartRatios []float64
-	// Enders are who ended each attempt that brought no whole answer.
+	// Enders name, for each attempt without a complete answer, who ended it.
 	Enders []string
 }
 
-// Gauges are figures read when the metrics are asked for.
+// Gauges are the values read at each scrape.
 type Gauges struct {
 	ConfigurationVersion float64
 	Endpoints            float64
@@ -50,48 +50,48 @@
 	Connections          float64
 	LogSuppressed        float64
 	PeerQueueBytes       float64
-	// CountsAgeSeconds is how old the others' requests in flight are on the mean.
+	// CountsAgeSeconds is the mean age of the other instances' counts of requests in flight.
 	CountsAgeSeconds    float64
 	EndpointsAgeSeconds float64
 }
 
-// Metrics are the counters and histograms of a process.
+// Metrics holds the counters and histograms of a process.
 type Metrics struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	refusals *prometheus.CounterVec
-	retries  *prometheus.CounterVec
-	orders   *prometheus.CounterVec
-	store    *prometheus.CounterVec
-	relayed  prometheus.Counter
-	closed   prometheus.Counter
-	taken    prometheus.Counter
-	waited   *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	whole    *prometheus.HistogramVec
-	starts   *prometheus.HistogramVec
-	former   prometheus.Histogram
-	overdue  prometheus.Counter
-	// ended counts callers' connections, and unanswered the requests on them that ended without a whole answer, by the reason for
-	// which the connection ended.
-	ended      *prometheus.CounterVec
-	unanswered *prometheus.CounterVec
-	// attempts counts attempts without a whole answer by who ended them.
-	attempts *prometheus.CounterVec
-}
-
-// buckets are the upper bounds of the histograms, in seconds. More tell durations apart more finely, fewer take less memory for each class.
+	registry         *prometheus.Registry
+	requests         *prometheus.CounterVec
+	failures         *prometheus.CounterVec
+	retries          *prometheus.CounterVec
+	orders           *prometheus.CounterVec
+	storeFailures    *prometheus.CounterVec
+	relayedBytes     prometheus.Counter
+	linksClosed      prometheus.Counter
+	takenBack        prometheus.Counter
+	waitSeconds      *prometheus.HistogramVec
+	firstByteSeconds *prometheus.HistogramVec
+	requestSeconds   *prometheus.HistogramVec
+	startRatios      *prometheus.HistogramVec
+	formerVersionAge prometheus.Histogram
+	overdue          prometheus.Counter
+	// connectionsEnded counts callers' connections, and unanswered the requests on them that ended without a complete answer, by the reason
+	// for which the connection ended.
+	connectionsEnded *prometheus.CounterVec
+	unanswered       *prometheus.CounterVec
+	// attemptsEnded counts attempts without a complete answer by who ended them.
+	attemptsEnded *prometheus.CounterVec
+}
+
+// buckets are the upper bounds of the histograms, in seconds. More buckets give a finer resolution, fewer take less memory for each class.
 var buckets = []float64{.01, .05, .1, .25, .5, .8, 1, 2, 4, 8, 15}
 
-// ratioBuckets are the upper bounds of the ratios of actual to expected times. More tell errors apart more finely, fewer take less memory
+// ratioBuckets are the upper bounds of the ratios of actual to expected times. More buckets give a finer resolution, fewer take less memory
 // for each class.
 var ratioBuckets = []float64{.25, .5, .8, 1.25, 2, 4, 8}
 
-// ageBuckets are the upper bounds of the ages of newer versions, in seconds, dense about the 5 s for which the platform lets a former
-// version begin. More tell closer how near runs come to that, fewer take less memory.
+// ageBuckets are the upper bounds of the ages of newer versions, in seconds, dense around the 5 s for which the platform allows requests to
+// begin on a former version. More buckets show more closely how near requests come to that limit, fewer take less memory.
 var ageBuckets = []float64{.25, .5, 1, 1.5, 2, 2.5, 3, 3.5, 4, 4.5, 5, 5.5, 6, 8, 15, 60}
 
-// New makes metrics; gauges is asked at each reading.
+// New returns metrics that read gauges at each scrape.
 func New(gauges func() Gauges) *Metrics {
 	counter := func(name, help string, labels ...string) *prometheus.CounterVec {
 		return prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: "shelfledge", Name: name, Help: help}, labels)
@@ -105,109 +105,109 @@
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		requests: counter("requests_total", "Requests by class and answered status; 0 is a connection closed without a whole answer.", "class", "status"),
-		refusals: counter("failures_total", "Requests without success, by reason.", "class", "reason"),
-		// The text keeps its former word.
-		retries: counter("repeats_total", "Repeated sends to further endpoints.", "class"),
-		orders:  counter("orders_total", "Orders to endpoints, by kind and reply.", "kind", "reply"),
-		store:   counter("store_failures_total", "Calls to the store that failed, by call.", "call"),
-		relayed: plain("configuration_relayed_bytes_total", "Bytes of the operators' keys sent to peers that lacked them."),
-		taken:   plain("requests_taken_back_total", "Requests taken back from endpoints where they had not begun in time."),
-		closed:  plain("peer_links_closed_total", "Links of peers closed because too much waited for the peer."),
-		waited:  histogram("wait_seconds", "Wait for an endpoint."),
-		first:   histogram("first_byte_seconds", "Time to the head of the answer."),
-		whole:   histogram("request_seconds", "Time to the end of the answer."),
-		starts: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		failures: counter("failures_total", "Requests without success, by reason.", "class", "reason"),
+		// The help text keeps its former wording.
+		retries:          counter("repeats_total", "Repeated sends to further endpoints.", "class"),
+		orders:           counter("orders_total", "Orders to endpoints, by kind and reply.", "kind", "reply"),
+		storeFailures:    counter("store_failures_total", "Calls to the store that failed, by call.", "call"),
+		relayedBytes:     plain("configuration_relayed_bytes_total", "Bytes of the operators' keys sent to peers that lacked them."),
+		takenBack:        plain("requests_taken_back_total", "Requests taken back from endpoints where they had not begun in time."),
+		linksClosed:      plain("peer_links_closed_total", "Links of peers closed because too much waited for the peer."),
+		waitSeconds:      histogram("wait_seconds", "Wait for an endpoint."),
+		firstByteSeconds: histogram("first_byte_seconds", "Time to the head of the answer."),
+		requestSeconds:   histogram("request_seconds", "Time to the end of the answer."),
+		startRatios: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Namespace: "shelfledge", Name: "start_ratio", Buckets: ratioBuckets,
 			Help: "Time until a request with a declared prompt ran at its endpoint, over the time that was expected.",
 		}, []string{"class"}),
-		former: prometheus.NewHistogram(prometheus.HistogramOpts{
+		formerVersionAge: prometheus.NewHistogram(prometheus.HistogramOpts{
 			Namespace: "shelfledge", Name: "former_version_age_seconds", Buckets: ageBuckets,
 			Help: "How long a newer version had been known when a request began on a former one.",
 		}),
-		overdue: plain("former_version_overdue_total", "Requests that began on a former version after its time."),
-		ended:   counter("connections_ended_total", "Callers' connections that ended, by reason.", "reason"),
+		overdue:          plain("former_version_overdue_total", "Requests that began on a former version after its time."),
+		connectionsEnded: counter("connections_ended_total", "Callers' connections that ended, by reason.", "reason"),
 		unanswered: counter("requests_unanswered_total",
 			"Requests that were read and ended without a whole answer, by the reason for which their connection ended.", "reason"),
-		attempts: counter("attempts_ended_total", "Attempts that brought no whole answer, by who ended them.", "by"),
+		attemptsEnded: counter("attempts_ended_total", "Attempts that brought no whole answer, by who ended them.", "by"),
 	}
-	m.registry.MustRegister(m.requests, m.refusals, m.retries, m.orders, m.store, m.relayed, m.closed, m.taken, m.waited, m.first, m.whole, m.starts,
-		m.former, m.overdue, m.ended, m.unanswered, m.attempts, &gaugeCollector{read: gauges})
+	m.registry.MustRegister(m.requests, m.failures, m.retries, m.orders, m.storeFailures, m.relayedBytes, m.linksClosed, m.takenBack, m.waitSeconds, m.firstByteSeconds, m.requestSeconds, m.startRatios,
+		m.formerVersionAge, m.overdue, m.connectionsEnded, m.unanswered, m.attemptsEnded, &gaugeCollector{read: gauges})
 	return m
 }
 
-// Handler serves the figures as text.
+// Handler returns a handler that serves the metrics in the text format.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
 
-// ObserveRequest counts one request.
+// ObserveRequest records a request that has ended.
 func (m *Metrics) ObserveRequest(r Request) {
 	m.requests.WithLabelValues(r.Route, strconv.Itoa(r.Status)).Inc()
 	if r.Reason != "" {
-		m.refusals.WithLabelValues(r.Route, r.Reason).Inc()
+		m.failures.WithLabelValues(r.Route, r.Reason).Inc()
 	}
 	if r.Retries > 0 {
 		m.retries.WithLabelValues(r.Route).Add(float64(r.Retries))
 	}
-	m.waited.WithLabelValues(r.Route).Observe(r.Waited.Seconds())
+	m.waitSeconds.WithLabelValues(r.Route).Observe(r.Waited.Seconds())
 	if r.First > 0 {
-		m.first.WithLabelValues(r.Route).Observe(r.First.Seconds())
+		m.firstByteSeconds.WithLabelValues(r.Route).Observe(r.First.Seconds())
 	}
-	m.whole.WithLabelValues(r.Route).Observe(r.Whole.Seconds())
+	m.requestSeconds.WithLabelValues(r.Route).Observe(r.Whole.Seconds())
 	for _, ratio := range r.StartRatios {
-		m.starts.WithLabelValues(r.Route).Observe(ratio)
+		m.startRatios.WithLabelValues(r.Route).Observe(ratio)
 	}
 	for _, by := range r.Enders {
-		m.attempts.WithLabelValues(by).Inc()
+		m.attemptsEnded.WithLabelValues(by).Inc()
 	}
 }
 
-// ObserveOrder counts one order to an endpoint.
+// ObserveOrder counts an order to an endpoint.
 func (m *Metrics) ObserveOrder(kind, reply string) {
 	m.orders.WithLabelValues(kind, reply).Inc()
 }
 
-// ObserveStoreFailure counts one failed call to the store.
+// ObserveStoreFailure counts a failed call to the store.
 func (m *Metrics) ObserveStoreFailure(call string) {
-	m.store.WithLabelValues(call).Inc()
+	m.storeFailures.WithLabelValues(call).Inc()
 }
 
 // ObserveRelay counts bytes of the operators' keys that were sent to a peer.
 func (m *Metrics) ObserveRelay(bytes int) {
-	m.relayed.Add(float64(bytes))
+	m.relayedBytes.Add(float64(bytes))
 }
 
-// ObserveLinkClosed counts one peer's link that was closed because too much waited for the peer.
+// ObserveLinkClosed counts a peer's link that was closed because too much was queued for the peer.
 func (m *Metrics) ObserveLinkClosed() {
-	m.closed.Inc()
+	m.linksClosed.Inc()
 }
 
-// ObserveFormerVersion counts one request that began on a former version: for how long a newer one has counted, and whether that
-// is longer than former versions may be used.
+// ObserveFormerVersion records a request that began on a former version: how long a newer one has been in force, and whether that is longer
+// than former versions may be used.
 func (m *Metrics) ObserveFormerVersion(age time.Duration, overdue bool) {
-	m.former.Observe(age.Seconds())
+	m.formerVersionAge.Observe(age.Seconds())
 	if overdue {
 		m.overdue.Inc()
 	}
 }
 
-// ObserveConnection counts a caller's connection that ended, and the requests on it that ended without a whole answer.
+// ObserveConnection counts a caller's connection that ended, and the requests on it that ended without a complete answer.
 func (m *Metrics) ObserveConnection(reason string, unanswered int) {
-	m.ended.WithLabelValues(reason).Inc()
+	m.connectionsEnded.WithLabelValues(reason).Inc()
 	m.unanswered.WithLabelValues(reason).Add(float64(unanswered))
 }
 
-// ObserveTakenBack counts one request that was taken back from its endpoint.
+// ObserveTakenBack counts a request that was taken back from its endpoint.
 func (m *Metrics) ObserveTakenBack() {
-	m.taken.Inc()
+	m.takenBack.Inc()
 }
 
-// gaugeCollector reads all gauges at once.
+// gaugeCollector collects all gauges with a single read.
 type gaugeCollector struct {
 	read func() Gauges
 }
 
-// gauge describes one field of Gauges.
+// gauge maps a field of Gauges to a metric.
 type gauge struct {
 	description *prometheus.Desc
 	value       func(Gauges) float64
@@ -239,15 +239,15 @@
 
 // Describe implements prometheus.Collector.
 func (*gaugeCollector) Describe(descriptions chan<- *prometheus.Desc) {
-	for _, one := range allGauges {
-		descriptions <- one.description
+	for _, g := range allGauges {
+		descriptions <- g.description
 	}
 }
 
 // Collect implements prometheus.Collector.
 func (c *gaugeCollector) Collect(metrics chan<- prometheus.Metric) {
 	values := c.read()
-	for _, one := range allGauges {
-		metrics <- prometheus.MustNewConstMetric(one.description, prometheus.GaugeValue, one.value(values))
+	for _, g := range allGauges {
+		metrics <- prometheus.MustNewConstMetric(g.description, prometheus.GaugeValue, g.value(values))
 	}
 }
--- a/modules/entry/peerstream/stream.go
+++ b/modules/entry/peerstream/stream.go
@@ -18,33 +18,33 @@
 )
 
 const (
-	// maxMessageBytes bounds what a peer can make this process allocate, in bytes. Larger admits views of larger fleets, smaller bounds the
-	// memory.
+	// maxMessageBytes bounds the memory that a peer can make this process allocate for a message, in bytes. A higher value allows views of
+	// larger fleets, a lower one takes less memory.
 	maxMessageBytes = 8 << 20
-	// outgoingMessages is how many messages may wait for a slow peer. More bear a longer pause of the peer, fewer take less memory and
-	// notice it sooner.
-	outgoingMessages = 64
-	// outgoingBytes is how many bytes may wait for a slow peer, 2 MiB: a whole view of 600 endpoints and a configuration of 1 MB, the most
-	// that the platform's store holds in one value. A single larger message is still sent when nothing else waits. More bears a slower
-	// link, less bounds the memory.
-	outgoingBytes = 2 << 20
-	// writeTimeout is how long the writing of one message may take, beside the time that its bytes take on a slow link. Longer bears a slow
-	// link, shorter notices a cut one sooner.
+	// maxQueuedMessages is how many messages may be queued for a slow peer. A higher value tolerates a longer pause of the peer, a lower
+	// one takes less memory and detects the pause sooner.
+	maxQueuedMessages = 64
+	// maxQueuedBytes is how many bytes may be queued for a slow peer, 2 MiB: a complete view of 600 endpoints and a configuration of 1 MB,
+	// the most that the platform's store holds in one value. A single larger message is still sent if the queue is empty. A higher value
+	// tolerates a slower link, a lower one takes less memory.
+	maxQueuedBytes = 2 << 20
+	// writeTimeout is how long the writing of one message may take, in addition to its transfer time on a slow link. A higher value
+	// tolerates a slow link, a lower one detects a broken link sooner.
 	writeTimeout = 2 * time.Second
-	// leastRate is how many bytes a second a link carries at the least, so that a large message gets more time than a small one: three
+	// minBytesPerSecond is the assumed minimum throughput of a link, so that a large message gets more time than a small one: three
 	// quarters of the users' slowest links of 10 Mbit/s.
-	leastRate = 900_000
-	// lengthBytes is the size of the length before each message; part of the form on the wire.
+	minBytesPerSecond = 900_000
+	// lengthBytes is the size of the length prefix of each message; part of the wire format.
 	lengthBytes = 4
 )
 
-// ErrCongested reports a peer that does not read fast enough: too many messages or bytes wait for it.
-var ErrCongested = errors.New("peerstream: too many messages wait")
+// ErrCongested is returned when a peer does not read fast enough and too many messages or bytes are queued for it.
+var ErrCongested = errors.New("peerstream: send queue is full")
 
-// ErrClosed reports a message for a stream that was closed.
-var ErrClosed = errors.New("peerstream: closed")
+// ErrClosed is returned for a message to a closed or finished stream.
+var ErrClosed = errors.New("peerstream: stream is closed")
 
-// ErrTooLarge reports a message over the bound.
+// ErrTooLarge is returned for a received message of more than maxMessageBytes.
 var ErrTooLarge = errors.New("peerstream: message too large")
 
 // Stream sends and receives messages of one type.
@@ -52,33 +52,33 @@
 	conn     net.Conn
 	reader   *bufio.Reader
 	outgoing chan Frame
-	// queued counts the bytes of the frames that wait or are being written.
-	queued atomic.Int64
-	closed chan struct{}
-	once   sync.Once
+	// queued counts the bytes of the frames that are queued or being written.
+	queued    atomic.Int64
+	closed    chan struct{}
+	closeOnce sync.Once
 	// finishing is closed by Finish.
-	finishing chan struct{}
-	finish    sync.Once
+	finishing  chan struct{}
+	finishOnce sync.Once
 }
 
-// New starts the sender of a stream; Close ends it.
+// New returns a stream over a connection and starts its writer; Close ends it.
 func New[M any](conn net.Conn) *Stream[M] {
 	s := &Stream[M]{
 		conn:     conn,
 		reader:   bufio.NewReader(conn),
-		outgoing: make(chan Frame, outgoingMessages),
+		outgoing: make(chan Frame, maxQueuedMessages),
 		closed:   make(chan struct{}),
 
 		finishing: make(chan struct{}),
 	}
-	go s.write()
+	go s.writeLoop()
 	return s
 }
 
 // Frame is an encoded message, which may be sent to several peers.
 type Frame []byte
 
-// Encode gives a message's frame.
+// Encode returns the frame of a message.
 func Encode[M any](message M) (Frame, error) {
 	body, err := msgpack.Marshal(message)
 	if err != nil {
@@ -89,8 +89,8 @@
 	return append(frame, body...), nil
 }
 
-// Send queues a message. It returns ErrCongested, after closing the stream, if too many messages or bytes wait, and ErrClosed
-// if the stream was closed before.
+// Send queues a message. It closes the stream and returns ErrCongested if too many messages or bytes are queued, and returns ErrClosed if
+// the stream was closed before.
 func (s *Stream[M]) Send(message M) error {
 	frame, err := Encode(message)
 	if err != nil {
@@ -109,36 +109,36 @@
 	default:
 	}
 	size := int64(len(frame))
-	if waiting := s.queued.Add(size); waiting > outgoingBytes && waiting > size {
-		return s.refuse(size)
+	if total := s.queued.Add(size); total > maxQueuedBytes && total > size {
+		return s.closeCongested(size)
 	}
 	select {
 	case s.outgoing <- frame:
 		return nil
 	default:
-		return s.refuse(size)
+		return s.closeCongested(size)
 	}
 }
 
-// refuse gives up a stream whose peer does not read, and with it what waits on it.
-func (s *Stream[M]) refuse(size int64) error {
+// closeCongested closes a stream whose peer does not read, and so drops its queue.
+func (s *Stream[M]) closeCongested(size int64) error {
 	s.queued.Add(-size)
 	s.Close()
 	return ErrCongested
 }
 
-// Queued is how many bytes of messages wait for the peer to read, the one that is being written included; a frame that waits
-// on several streams counts on each.
+// Queued returns the number of bytes that are queued for the peer, including the frame being written. A frame that is queued on several
+// streams counts on each of them.
 func (s *Stream[M]) Queued() int64 {
 	return s.queued.Load()
 }
 
-// Receive waits for the next message, at most for the silence that is allowed; one that has begun gets the time that its bytes take on
-// a slow link besides. Its errors are ErrTooLarge, those of the connection and those of decoding; the stream is of no use after
-// any of them.
+// Receive returns the next message. It waits for the begin of a message for at most the given silence; a message that has begun gets its
+// transfer time on a slow link in addition. Receive returns ErrTooLarge, or an error of the connection or of decoding. The stream cannot be
+// used after any of them.
 func (s *Stream[M]) Receive(silence time.Duration, now func() time.Time) (M, error) {
 	var message M
-	if err := s.boundReading(now().Add(silence)); err != nil {
+	if err := s.setReadDeadline(now().Add(silence)); err != nil {
 		return message, err
 	}
 	var length [lengthBytes]byte
@@ -149,7 +149,7 @@
 	if size > maxMessageBytes {
 		return message, ErrTooLarge
 	}
-	if err := s.boundReading(now().Add(silence + transferTime(int(size)))); err != nil {
+	if err := s.setReadDeadline(now().Add(silence + transferTime(int(size)))); err != nil {
 		return message, err
 	}
 	body := make([]byte, size)
@@ -160,45 +160,45 @@
 	return message, err
 }
 
-// boundReading bounds the reading of what has not come yet. A connection that has ended may take no deadline; what came before its end is
-// read all the same.
-func (s *Stream[M]) boundReading(until time.Time) error {
+// setReadDeadline sets the deadline for data that has not arrived yet. A closed connection may reject a deadline, but data received before
+// its end can still be read.
+func (s *Stream[M]) setReadDeadline(until time.Time) error {
 	if err := s.conn.SetReadDeadline(until); err != nil && s.reader.Buffered() == 0 {
 		return err
 	}
 	return nil
 }
 
-// Close ends the stream; messages that wait are dropped.
+// Close closes the stream and drops queued messages.
 func (s *Stream[M]) Close() {
-	s.once.Do(func() {
+	s.closeOnce.Do(func() {
 		close(s.closed)
-		// The connection is given up: an error of closing changes nothing.
+		// The connection is not used again, so that an error has no consequence.
 		_ = s.conn.Close()
 	})
 }
 
-// Finish takes no more messages and closes the stream once those that wait are sent, each in its time: closed at once, a stream loses
-// its last message.
+// Finish accepts no more messages and closes the stream once the queued ones are sent, each within its time. Closing at once would lose the
+// last message.
 func (s *Stream[M]) Finish() {
-	s.finish.Do(func() { close(s.finishing) })
+	s.finishOnce.Do(func() { close(s.finishing) })
 }
 
-// write sends what is queued until the stream is closed or a message cannot be sent in time, which closes it. The reader
-// gets the error.
-func (s *Stream[M]) write() {
-	defer s.drop()
+// writeLoop sends queued messages until the stream is closed or a message cannot be sent in time, which closes the stream. Receive then
+// returns the error.
+func (s *Stream[M]) writeLoop() {
+	defer s.discardQueued()
 	defer s.Close()
 	for {
-		frame, ok := s.next()
+		frame, ok := s.nextFrame()
 		if !ok || s.writeFrame(frame) != nil {
 			return
 		}
 	}
 }
 
-// next waits for the next message that is to be sent; false once the stream is closed, or finished and nothing waits.
-func (s *Stream[M]) next() (Frame, bool) {
+// nextFrame waits for the next frame to send. It returns false once the stream is closed, or is finished and its queue empty.
+func (s *Stream[M]) nextFrame() (Frame, bool) {
 	select {
 	case <-s.closed:
 		return nil, false
@@ -214,7 +214,7 @@
 	}
 }
 
-// writeFrame sends one frame within its time, which no longer counts as queued then.
+// writeFrame sends one frame within its time limit and then no longer counts it as queued.
 func (s *Stream[M]) writeFrame(frame Frame) error {
 	defer s.queued.Add(-int64(len(frame)))
 	if err := s.conn.SetWriteDeadline(time.Now().Add(writeTimeout + transferTime(len(frame)))); err != nil {
@@ -224,13 +224,13 @@
 	return err
 }
 
-// transferTime is how long so many bytes take on a slow link.
+// transferTime returns how long a number of bytes takes on a slow link.
 func transferTime(bytes int) time.Duration {
-	return time.Duration(bytes) * time.Second / leastRate
+	return time.Duration(bytes) * time.Second / minBytesPerSecond
 }
 
-// drop lets go of what waits on a closed stream, which others may hold for longer.
-func (s *Stream[M]) drop() {
+// discardQueued empties the queue of a closed stream, which its users may reference for longer.
+func (s *Stream[M]) discardQueued() {
 	for {
 		select {
 		case frame := <-s.outgoing:
--- a/modules/entry/peerstream/stream_test.go
+++ b/modules/entry/peerstream/stream_test.go
@@ -16,12 +16,12 @@
 	"github.com/shelfledge/shelfledge/modules/entry/peerstream"
 )
 
-type letter struct {
+type testMessage struct {
 	Text   string
 	Number int
 }
 
-func pair(t *testing.T) (net.Conn, net.Conn) {
+func connPair(t *testing.T) (net.Conn, net.Conn) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -35,33 +35,33 @@
 }
 
 func TestMessagesArriveInOrder(t *testing.T) {
-	left, right := pair(t)
-	sender, receiver := peerstream.New[letter](left), peerstream.New[letter](right)
+	left, right := connPair(t)
+	sender, receiver := peerstream.New[testMessage](left), peerstream.New[testMessage](right)
 	defer sender.Close()
 	defer receiver.Close()
 	for i := range 20 {
-		require.NoError(t, sender.Send(letter{Text: "hello", Number: i}))
+		require.NoError(t, sender.Send(testMessage{Text: "hello", Number: i}))
 	}
 	for i := range 20 {
 		got, err := receiver.Receive(time.Second, time.Now)
 		require.NoError(t, err)
-		assert.Equal(t, letter{Text: "hello", Number: i}, got)
+		assert.Equal(t, testMessage{Text: "hello", Number: i}, got)
 	}
 }
 
-// TestAFinishedStreamSendsWhatWaits: a stream that was closed at once lost its last message, the one for which it ended.
-func TestAFinishedStreamSendsWhatWaits(t *testing.T) {
-	const letters = 50
-	left, right := pair(t)
-	sender, receiver := peerstream.New[letter](left), peerstream.New[letter](right)
+// TestFinishSendsQueuedMessages: closing a stream at once would lose its last message, the one that states why it ends.
+func TestFinishSendsQueuedMessages(t *testing.T) {
+	const messages = 50
+	left, right := connPair(t)
+	sender, receiver := peerstream.New[testMessage](left), peerstream.New[testMessage](right)
 	defer receiver.Close()
-	for i := range letters {
-		require.NoError(t, sender.Send(letter{Number: i}))
+	for i := range messages {
+		require.NoError(t, sender.Send(testMessage{Number: i}))
 	}
 	sender.Finish()
 	sender.Finish()
-	require.ErrorIs(t, sender.Send(letter{}), peerstream.ErrClosed)
-	for i := range letters {
+	require.ErrorIs(t, sender.Send(testMessage{}), peerstream.ErrClosed)
+	for i := range messages {
 		got, err := receiver.Receive(time.Second, time.Now)
 		require.NoError(t, err)
 		assert.Equal(t, i, got.Number)
@@ -70,31 +70,31 @@
 	assert.ErrorIs(t, err, io.EOF)
 }
 
-func TestSilenceIsAnError(t *testing.T) {
-	left, _ := pair(t)
-	stream := peerstream.New[letter](left)
+func TestReceiveTimesOutOnSilence(t *testing.T) {
+	left, _ := connPair(t)
+	stream := peerstream.New[testMessage](left)
 	defer stream.Close()
 	_, err := stream.Receive(20*time.Millisecond, time.Now)
 	assert.Error(t, err)
 }
 
-func TestAPeerThatDoesNotReadNeverBlocksTheSender(t *testing.T) {
-	left, _ := pair(t)
-	stream := peerstream.New[letter](left)
+func TestSendNeverBlocks(t *testing.T) {
+	left, _ := connPair(t)
+	stream := peerstream.New[testMessage](left)
 	defer stream.Close()
 	text := string(make([]byte, 1<<20))
 	var err error
 	for range 200 {
-		if err = stream.Send(letter{Text: text}); err != nil {
+		if err = stream.Send(testMessage{Text: text}); err != nil {
 			break
 		}
 	}
 	assert.ErrorIs(t, err, peerstream.ErrCongested)
 }
 
-func TestATooLargeMessageIsRefusedBeforeItIsRead(t *testing.T) {
-	left, right := pair(t)
-	stream := peerstream.New[letter](right)
+func TestTooLargeMessageIsRejectedByItsLength(t *testing.T) {
+	left, right := connPair(t)
+	stream := peerstream.New[testMessage](right)
 	defer stream.Close()
 	length := binary.BigEndian.AppendUint32(nil, 1<<31)
 	_, err := left.Write(length)
@@ -103,39 +103,39 @@
 	assert.ErrorIs(t, err, peerstream.ErrTooLarge)
 }
 
-// TestWhatWaitsForAPeerIsBoundInBytes sends as few messages as may wait by their number, but large ones.
-func TestWhatWaitsForAPeerIsBoundInBytes(t *testing.T) {
+// TestQueueIsBoundedInBytes queues few but large messages, so that the limit of messages does not apply.
+func TestQueueIsBoundedInBytes(t *testing.T) {
 	left, _ := net.Pipe()
-	stream := peerstream.New[letter](left)
+	stream := peerstream.New[testMessage](left)
 	defer stream.Close()
 	text := string(make([]byte, 600<<10))
 	for i := range 3 {
-		require.NoError(t, stream.Send(letter{Text: text, Number: i}))
+		require.NoError(t, stream.Send(testMessage{Text: text, Number: i}))
 	}
-	waiting := stream.Queued()
-	assert.Greater(t, waiting, int64(3*600<<10))
-	require.ErrorIs(t, stream.Send(letter{Text: text}), peerstream.ErrCongested)
-	assert.ErrorIs(t, stream.Send(letter{Text: "after the end"}), peerstream.ErrClosed)
+	queued := stream.Queued()
+	assert.Greater(t, queued, int64(3*600<<10))
+	require.ErrorIs(t, stream.Send(testMessage{Text: text}), peerstream.ErrCongested)
+	assert.ErrorIs(t, stream.Send(testMessage{Text: "after the end"}), peerstream.ErrClosed)
 }
 
-func TestOneMessageOverTheBoundIsSentAlone(t *testing.T) {
-	left, right := pair(t)
-	sender, receiver := peerstream.New[letter](left), peerstream.New[letter](right)
+func TestMessageAboveQueueLimitIsSentWhenQueueIsEmpty(t *testing.T) {
+	left, right := connPair(t)
+	sender, receiver := peerstream.New[testMessage](left), peerstream.New[testMessage](right)
 	defer sender.Close()
 	defer receiver.Close()
 	text := string(make([]byte, 3<<20))
-	require.NoError(t, sender.Send(letter{Text: text}))
+	require.NoError(t, sender.Send(testMessage{Text: text}))
 	got, err := receiver.Receive(5*time.Second, time.Now)
 	require.NoError(t, err)
 	assert.Len(t, got.Text, 3<<20)
 	assert.Eventually(t, func() bool { return sender.Queued() == 0 }, time.Second, time.Millisecond)
 }
 
-func TestAClosedStreamKeepsNothing(t *testing.T) {
+func TestCloseDiscardsQueuedMessages(t *testing.T) {
 	left, _ := net.Pipe()
-	stream := peerstream.New[letter](left)
+	stream := peerstream.New[testMessage](left)
 	for i := range 20 {
-		require.NoError(t, stream.Send(letter{Text: "hello", Number: i}))
+		require.NoError(t, stream.Send(testMessage{Text: "hello", Number: i}))
 	}
 	assert.Positive(t, stream.Queued())
 	stream.Close()
--- a/modules/entry/store/doc.go
+++ b/modules/entry/store/doc.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package store is the product's view of a linearizable key-value store with transactions, watches and leases.
+// Package store defines the client interface of a linearizable key-value store with transactions, watches and leases.
 //
-// It owns the types of items, changes and transactions and the errors that tell whether a call was done: RefusedError says that
-// it surely was not, UnknownError that it may have been or may yet be. Client holds function fields, filled by an adapter for one
-// store's protocol or by a fake in a test. The package relies on nothing else, keeps no state and starts no goroutines.
+// It defines the types of items, changes and transactions, and errors that state whether a call took effect: RefusedError means that it did
+// not, UnknownError that it may have or may still do so. The function fields of Client are set by an adapter for the protocol of one store,
+// or by a fake in a test. The package keeps no state and starts no goroutines.
 package store
--- a/modules/entry/store/error.go
+++ b/modules/entry/store/error.go
@@ -10,17 +10,17 @@
 
 // Errors without details.
 var (
-	// ErrNotFound reports a key that is absent.
-	ErrNotFound = errors.New("store: no such key")
-	// ErrLeaseGone reports a lease that is over or unknown.
-	ErrLeaseGone = errors.New("store: lease is over")
-	// ErrCompacted reports a watch whose start is no longer in the history.
-	ErrCompacted = errors.New("store: history is gone")
+	// ErrNotFound is returned for a key that does not exist.
+	ErrNotFound = errors.New("store: key not found")
+	// ErrLeaseGone is returned for a lease that has expired or is unknown.
+	ErrLeaseGone = errors.New("store: lease expired or unknown")
+	// ErrCompacted is returned for a watch whose start revision is no longer in the store's history.
+	ErrCompacted = errors.New("store: start revision of the watch was compacted")
 )
 
-// ConflictError reports a transaction whose conditions did not hold.
+// ConflictError is returned for a transaction whose conditions did not hold.
 type ConflictError struct {
-	// Current are the present items of the conditions' keys.
+	// Current are the current items of the conditions' keys.
 	Current []Item
 }
 
@@ -29,9 +29,9 @@
 	return fmt.Sprintf("store: conditions do not hold (%d items differ)", len(e.Current))
 }
 
-// RefusedError reports a call that surely had no effect.
+// RefusedError is returned for a call that certainly had no effect.
 type RefusedError struct {
-	// Status is that of the store's answer, as HTTP counts.
+	// Status is the HTTP status of the store's answer.
 	Status int
 }
 
@@ -40,9 +40,9 @@
 	return fmt.Sprintf("store: call refused with status %d", e.Status)
 }
 
-// UnknownError reports a call that may have been done, or may be done later.
+// UnknownError is returned for a call that may have taken effect, or may still do so.
 type UnknownError struct {
-	// Cause is why there is no answer that can be read.
+	// Cause is why no readable answer was received.
 	Cause error
 }
 
@@ -51,12 +51,12 @@
 	return fmt.Sprintf("store: no answer: %v", e.Cause)
 }
 
-// Unwrap gives the cause.
+// Unwrap returns the cause.
 func (e *UnknownError) Unwrap() error {
 	return e.Cause
 }
 
-// IsConflict tells whether an error is a ConflictError.
+// IsConflict reports whether an error is a ConflictError.
 func IsConflict(err error) bool {
 	var conflict *ConflictError
 	return errors.As(err, &conflict)
--- a/modules/entry/store/store.go
+++ b/modules/entry/store/store.go
@@ -8,72 +8,72 @@
 	"time"
 )
 
-// Item is one stored key.
+// Item is a stored key with its value.
 type Item struct {
 	Key   string
 	Value []byte
-	// Revision is the store's revision at the key's last change; it grows with every change of any key.
+	// Revision is the store's revision of the key's last change. The revision of the store grows with each change of any key.
 	Revision int64
-	// Lease is the lease that the key ends with; 0 if it is bound to none.
+	// Lease is the lease whose end deletes the key; 0 for a key without a lease.
 	Lease int64
 }
 
-// Page is a part of a range in order of keys.
+// Page is a part of a range, in the order of the keys.
 type Page struct {
 	Items []Item
-	// More says that further keys follow the last one.
+	// More reports whether further keys follow the last one.
 	More bool
 	// At is the store's revision when the page was read.
 	At int64
 }
 
-// Event is one change seen by a watch.
+// Event is a change received by a watch.
 type Event struct {
 	Item
-	// Gone is set when the key was removed.
+	// Gone is set if the key was deleted.
 	Gone bool
 }
 
-// Condition demands that a key's last change has this revision; 0 means it is absent.
+// Condition requires that a key's last change has the given revision; 0 requires that the key does not exist.
 type Condition struct {
 	Key      string
 	Revision int64
 }
 
-// Write sets a key; a lease of 0 binds it to none.
+// Write sets a key; Lease is 0 for a key without a lease.
 type Write struct {
 	Key   string
 	Value []byte
 	Lease int64
 }
 
-// Transaction is done whole or not at all.
+// Transaction is applied atomically.
 type Transaction struct {
 	Conditions []Condition
 	Writes     []Write
 	Removes    []string
 }
 
-// Client is one store. Every call returns one of this package's typed errors.
+// Client gives access to one store. All calls return the typed errors of this package.
 type Client struct {
-	// Get reads one key, linearizably; ErrNotFound if it is absent.
+	// Get reads one key, linearizably. It returns ErrNotFound if the key does not exist.
 	Get func(ctx context.Context, key string) (Item, error)
-	// Range reads keys with a prefix that follow the key after.
+	// Range reads keys with a prefix that are greater than after, in order.
 	Range func(ctx context.Context, prefix, after string) (Page, error)
-	// Watch waits up to a time for changes of a prefix after a revision and gives the revision to go on from. It fails with
-	// ErrCompacted when changes after the revision are no longer known.
+	// Watch waits up to a time for changes under a prefix after a revision, and returns the revision to continue from. It returns
+	// ErrCompacted if changes after the revision are no longer in the history.
 	Watch func(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Event, int64, error)
-	// Commit does a transaction and gives its revision. It fails with a ConflictError when a condition does not hold, and with
-	// ErrLeaseGone when a write names a lease that is over.
+	// Commit applies a transaction and returns its revision. It returns a ConflictError if a condition does not hold, and ErrLeaseGone if a
+	// write names an expired lease.
 	Commit func(ctx context.Context, transaction Transaction) (int64, error)
-	// GrantLease makes a lease that lasts for a time, unless it is renewed.
+	// GrantLease creates a lease that lasts for a time unless it is renewed.
 	GrantLease func(ctx context.Context, ttl time.Duration) (int64, error)
-	// KeepLease renews a lease for its whole time; ErrLeaseGone if it is over.
+	// KeepLease renews a lease for its full time. It returns ErrLeaseGone if the lease has expired.
 	KeepLease func(ctx context.Context, lease int64) error
 }
 
-// ReadAll reads all pages of a prefix, each within a time, and gives the revision of the first page, from
-// which a watch misses nothing. The time is each page's own: a large page may take longer on its way, and leaves the next one its time.
+// ReadAll reads all pages of a prefix and returns the revision of the first page, from which a watch misses no change. The timeout applies
+// to each page, so that a large page that takes long does not reduce the time for the next one.
 func (c *Client) ReadAll(ctx context.Context, prefix string, timeout time.Duration) ([]Item, int64, error) {
 	var items []Item
 	var at int64
--- a/modules/entry/store/store_test.go
+++ b/modules/entry/store/store_test.go
@@ -16,16 +16,17 @@
 	"github.com/shelfledge/shelfledge/modules/entry/store"
 )
 
-// paged gives a client whose ranges are the pages, one after the other, and the keys that it was asked to go on after.
-func paged(pages ...store.Page) (*store.Client, *[]string) {
-	asked := &[]string{}
+// newPagedClient returns a client whose Range returns the given pages in turn, and the list of keys after which Range was called to
+// continue.
+func newPagedClient(pages ...store.Page) (*store.Client, *[]string) {
+	requestedAfter := &[]string{}
 	return &store.Client{Range: func(_ context.Context, _, after string) (store.Page, error) {
-		*asked = append(*asked, after)
-		if len(*asked) > len(pages) {
+		*requestedAfter = append(*requestedAfter, after)
+		if len(*requestedAfter) > len(pages) {
 			return store.Page{}, &store.RefusedError{Status: 503}
 		}
-		return pages[len(*asked)-1], nil
-	}}, asked
+		return pages[len(*requestedAfter)-1], nil
+	}}, requestedAfter
 }
 
 func items(keys ...string) []store.Item {
@@ -36,38 +37,38 @@
 	return found
 }
 
-func TestAllPagesAreRead(t *testing.T) {
+func TestReadAllReadsAllPages(t *testing.T) {
 	for name, c := range map[string]struct {
-		pages []store.Page
-		items []store.Item
-		at    int64
-		asked []string
+		pages          []store.Page
+		items          []store.Item
+		at             int64
+		requestedAfter []string
 	}{
-		"nothing":               {[]store.Page{{At: 3}}, nil, 3, []string{""}},
-		"one page":              {[]store.Page{{Items: items("a", "b"), At: 3}}, items("a", "b"), 3, []string{""}},
-		"the first page counts": {[]store.Page{{Items: items("a", "b"), At: 3, More: true}, {Items: items("c"), At: 5}}, items("a", "b", "c"), 3, []string{"", "b"}},
-		"more, but no items":    {[]store.Page{{Items: items("a"), At: 3, More: true}, {At: 5, More: true}}, items("a"), 3, []string{"", "a"}},
+		"nothing":                {[]store.Page{{At: 3}}, nil, 3, []string{""}},
+		"one page":               {[]store.Page{{Items: items("a", "b"), At: 3}}, items("a", "b"), 3, []string{""}},
+		"revision of first page": {[]store.Page{{Items: items("a", "b"), At: 3, More: true}, {Items: items("c"), At: 5}}, items("a", "b", "c"), 3, []string{"", "b"}},
+		"more, but no items":     {[]store.Page{{Items: items("a"), At: 3, More: true}, {At: 5, More: true}}, items("a"), 3, []string{"", "a"}},
 	} {
-		client, asked := paged(c.pages...)
+		client, requestedAfter := newPagedClient(c.pages...)
 		found, at, err := client.ReadAll(context.Background(), "p", time.Second)
 		require.NoError(t, err, name)
 		assert.Equal(t, c.items, found, name)
 		assert.Equal(t, c.at, at, name)
-		assert.Equal(t, c.asked, *asked, name)
+		assert.Equal(t, c.requestedAfter, *requestedAfter, name)
 	}
 }
 
-func TestAFailedPageFailsTheWhole(t *testing.T) {
-	client, asked := paged(store.Page{Items: items("a"), At: 3, More: true})
+func TestReadAllFailsOnFailedPage(t *testing.T) {
+	client, requestedAfter := newPagedClient(store.Page{Items: items("a"), At: 3, More: true})
 	found, at, err := client.ReadAll(context.Background(), "p", time.Second)
 	var refused *store.RefusedError
 	require.ErrorAs(t, err, &refused)
 	assert.Nil(t, found)
 	assert.Zero(t, at)
-	assert.Len(t, *asked, 2)
+	assert.Len(t, *requestedAfter, 2)
 }
 
-func TestErrorsAreToldApart(t *testing.T) {
+func TestErrorTypesAndTexts(t *testing.T) {
 	conflict := fmt.Errorf("commit: %w", &store.ConflictError{Current: items("a", "b")})
 	assert.True(t, store.IsConflict(conflict))
 	assert.EqualError(t, conflict, "commit: store: conditions do not hold (2 items differ)")
--- a/modules/entry/tcp/dialer.go
+++ b/modules/entry/tcp/dialer.go
@@ -11,14 +11,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// Dialer opens TCP connections that are reset when they are closed: what a cut link held up is
-// then lost instead of arriving when the link heals, long after the caller gave up.
+// Dialer opens TCP connections that are reset when they are closed: data held up by a broken link is discarded instead of arriving when the
+// link recovers, long after the caller gave up.
 type Dialer struct {
-	// Timeout bounds the set-up; 0 leaves it to the context.
+	// Timeout bounds the connection set-up; 0 leaves it to the context.
 	Timeout time.Duration
-	// Unacknowledged is how long sent bytes may stay without the peer's acknowledgement until the
-	// connection is given up; 0 leaves it to the system. Silence of a peer that has acknowledged
-	// everything never ends a connection.
+	// Unacknowledged is how long sent bytes may stay unacknowledged by the peer before the connection is closed; 0 uses the system's
+	// default. A silent peer that has acknowledged everything never ends a connection.
 	Unacknowledged time.Duration
 }
 
@@ -30,14 +29,14 @@
 		return nil, err
 	}
 	if err := d.prepare(conn.(*net.TCPConn)); err != nil {
-		// The connection is given up: the first error says why.
+		// The connection is not used: the first error states why.
 		_ = conn.Close()
 		return nil, err
 	}
 	return conn, nil
 }
 
-// prepare sets what makes the connection reset when it is closed, and the bound of Unacknowledged.
+// prepare sets the socket options: reset on close, and the limit of Unacknowledged.
 func (d Dialer) prepare(conn *net.TCPConn) error {
 	if err := conn.SetLinger(0); err != nil {
 		return err
@@ -48,18 +47,18 @@
 	return nil
 }
 
-// Probe has the system ask a silent peer each second whether the connection still exists, and end it once no question was answered for
-// so long, which also bounds sent bytes without acknowledgement. A peer whose program is silent answers; one that is cut off, or has
-// forgotten the connection, does not.
+// Probe makes the kernel send a keep-alive probe to a silent peer each second, and close the connection once no probe was answered for the
+// given time, which also bounds unacknowledged sent bytes. A peer whose program is silent still answers probes; a peer that is unreachable,
+// or no longer has the connection, does not.
 func Probe(conn *net.TCPConn, unanswered time.Duration) error {
-	err := conn.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: probePause, Interval: probePause, Count: int(unanswered / probePause)})
+	err := conn.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: int(unanswered / keepAliveInterval)})
 	if err != nil {
 		return err
 	}
 	return setUserTimeout(conn, unanswered)
 }
 
-// EndProbe undoes Probe; the bound of sent bytes without acknowledgement is given anew.
+// EndProbe undoes Probe and restores the given limit for unacknowledged sent bytes.
 func EndProbe(conn *net.TCPConn, unacknowledged time.Duration) error {
 	if err := conn.SetKeepAlive(false); err != nil {
 		return err
@@ -67,22 +66,22 @@
 	return setUserTimeout(conn, unacknowledged)
 }
 
-// probePause is the time between two questions to a silent peer, the shortest that the system takes. Longer costs fewer packets, shorter
-// would bear more that are lost within the same time.
-const probePause = time.Second
+// keepAliveInterval is the time between two probes to a silent peer, the shortest that the system supports. A higher value costs fewer
+// packets, a lower one would tolerate more lost probes within the same time.
+const keepAliveInterval = time.Second
 
-// setUserTimeout bounds the time that sent bytes may stay unacknowledged.
-func setUserTimeout(conn *net.TCPConn, span time.Duration) error {
+// setUserTimeout sets TCP_USER_TIMEOUT, the time that sent bytes may stay unacknowledged.
+func setUserTimeout(conn *net.TCPConn, timeout time.Duration) error {
 	raw, err := conn.SyscallConn()
 	if err != nil {
 		return err
 	}
-	var failed error
+	var optionErr error
 	err = raw.Control(func(descriptor uintptr) {
-		failed = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(span.Milliseconds()))
+		optionErr = unix.SetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT, int(timeout.Milliseconds()))
 	})
 	if err != nil {
 		return err
 	}
-	return failed
+	return optionErr
 }
--- a/modules/entry/tcp/dialer_test.go
+++ b/modules/entry/tcp/dialer_test.go
@@ -18,9 +18,9 @@
 	"github.com/shelfledge/shelfledge/modules/entry/tcp"
 )
 
-// TestAClosedConnectionIsReset is about an order that a cut link held up: closed by its
-// time-out, it must not arrive when the link heals.
-func TestAClosedConnectionIsReset(t *testing.T) {
+// TestClosedConnectionIsReset: an order that was held up by a broken link and closed after its timeout must not arrive when the link
+// recovers.
+func TestClosedConnectionIsReset(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -35,9 +35,8 @@
 	assert.True(t, errors.Is(err, syscall.ECONNRESET), "got %v", err)
 }
 
-// TestSentBytesWithoutAcknowledgementAreBounded reads the bound back from the connection; a cut link cannot
-// be made on loopback.
-func TestSentBytesWithoutAcknowledgementAreBounded(t *testing.T) {
+// TestUnacknowledgedBytesAreBounded reads the limit back from the socket, since a broken link cannot be simulated on loopback.
+func TestUnacknowledgedBytesAreBounded(t *testing.T) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
@@ -46,10 +45,10 @@
 	defer func() { _ = conn.Close() }()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	require.NoError(t, err)
-	var span int
+	var timeout int
 	require.NoError(t, raw.Control(func(descriptor uintptr) {
-		span, err = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
+		timeout, err = unix.GetsockoptInt(int(descriptor), unix.IPPROTO_TCP, unix.TCP_USER_TIMEOUT)
 	}))
 	require.NoError(t, err)
-	assert.Equal(t, 1200, span)
+	assert.Equal(t, 1200, timeout)
 }
--- a/modules/entry/tcp/doc.go
+++ b/modules/entry/tcp/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package tcp opens connections whose unsent bytes die with them.
+// Package tcp opens TCP connections that are reset when closed, so that unsent bytes are discarded.
 //
-// It owns nothing and starts no goroutine; whoever dials closes the connection. It relies on options of TCP that Linux has.
+// The caller owns and closes the connections. The package starts no goroutine. It uses TCP socket options of Linux.
 package tcp
