--- a/modules/entry/peerstream/stream.go
+++ b/modules/entry/peerstream/stream.go
@@ -127,9 +127,9 @@
 	return ErrCongested
 }
 
-// Queued returns the number of bytes that are queued for the peer, including the frame being written. A frame that is queued on several
+// QueuedBytes returns the number of bytes that are queued for the peer, including the frame being written. A frame that is queued on several
 // streams counts on each of them.
-func (s *Stream[M]) Queued() int64 {
+func (s *Stream[M]) QueuedBytes() int64 {
 	return s.queued.Load()
 }
 
--- a/modules/entry/peerstream/stream_test.go
+++ b/modules/entry/peerstream/stream_test.go
@@ -112,7 +112,7 @@
 	for i := range 3 {
 		require.NoError(t, stream.Send(testMessage{Text: text, Number: i}))
 	}
-	queued := stream.Queued()
+	queued := stream.QueuedBytes()
 	assert.Greater(t, queued, int64(3*600<<10))
 	require.ErrorIs(t, stream.Send(testMessage{Text: text}), peerstream.ErrCongested)
 	assert.ErrorIs(t, stream.Send(testMessage{Text: "after the end"}), peerstream.ErrClosed)
@@ -128,7 +128,7 @@
 	got, err := receiver.Receive(5*time.Second, time.Now)
 	require.NoError(t, err)
 	assert.Len(t, got.Text, 3<<20)
-	assert.Eventually(t, func() bool { return sender.Queued() == 0 }, time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return sender.QueuedBytes() == 0 }, time.Second, time.Millisecond)
 }
 
 func TestCloseDiscardsQueuedMessages(t *testing.T) {
@@ -137,7 +137,7 @@
 	for i := range 20 {
 		require.NoError(t, stream.Send(testMessage{Text: "hello", Number: i}))
 	}
-	assert.Positive(t, stream.Queued())
+	assert.Positive(t, stream.QueuedBytes())
 	stream.Close()
-	assert.Eventually(t, func() bool { return stream.Queued() == 0 }, time.Second, time.Millisecond)
+	assert.Eventually(t, func() bool { return stream.QueuedBytes() == 0 }, time.Second, time.Millisecond)
 }
--- a/modules/entry/store/error.go
+++ b/modules/entry/store/error.go
@@ -12,8 +12,8 @@
 var (
 	// ErrNotFound is returned for a key that does not exist.
 	ErrNotFound = errors.New("store: key not found")
-	// ErrLeaseGone is returned for a lease that has expired or is unknown.
-	ErrLeaseGone = errors.New("store: lease expired or unknown")
+	// ErrLeaseExpired is returned for a lease that has expired or is unknown.
+	ErrLeaseExpired = errors.New("store: lease expired or unknown")
 	// ErrCompacted is returned for a watch whose start revision is no longer in the store's history.
 	ErrCompacted = errors.New("store: start revision of the watch was compacted")
 )
--- a/modules/entry/store/store.go
+++ b/modules/entry/store/store.go
@@ -21,17 +21,17 @@
 // Page is a part of a range, in the order of the keys.
 type Page struct {
 	Items []Item
-	// More reports whether further keys follow the last one.
-	More bool
-	// At is the store's revision when the page was read.
-	At int64
+	// HasMore reports whether further keys follow the last one.
+	HasMore bool
+	// Revision is the store's revision when the page was read.
+	Revision int64
 }
 
 // Event is a change received by a watch.
 type Event struct {
 	Item
-	// Gone is set if the key was deleted.
-	Gone bool
+	// Deleted is set if the key was deleted.
+	Deleted bool
 }
 
 // Condition requires that a key's last change has the given revision; 0 requires that the key does not exist.
@@ -51,7 +51,7 @@
 type Transaction struct {
 	Conditions []Condition
 	Writes     []Write
-	Removes    []string
+	Deletes    []string
 }
 
 // Client gives access to one store. All calls return the typed errors of this package.
@@ -68,8 +68,8 @@
 	Commit func(ctx context.Context, transaction Transaction) (int64, error)
 	// GrantLease creates a lease that lasts for a time unless it is renewed.
 	GrantLease func(ctx context.Context, ttl time.Duration) (int64, error)
-	// KeepLease renews a lease for its full time. It returns ErrLeaseGone if the lease has expired.
-	KeepLease func(ctx context.Context, lease int64) error
+	// RenewLease renews a lease for its full time. It returns ErrLeaseGone if the lease has expired.
+	RenewLease func(ctx context.Context, lease int64) error
 }
 
 // ReadAll reads all pages of a prefix and returns the revision of the first page, from which a watch misses no change. The timeout applies
@@ -84,10 +84,10 @@
 			return nil, 0, err
 		}
 		if at == 0 {
-			at = page.At
+			at = page.Revision
 		}
 		items = append(items, page.Items...)
-		if !page.More || len(page.Items) == 0 {
+		if !page.HasMore || len(page.Items) == 0 {
 			return items, at, nil
 		}
 		after = page.Items[len(page.Items)-1].Key
--- a/modules/entry/store/store_test.go
+++ b/modules/entry/store/store_test.go
@@ -44,10 +44,10 @@
 		at             int64
 		requestedAfter []string
 	}{
-		"nothing":                {[]store.Page{{At: 3}}, nil, 3, []string{""}},
-		"one page":               {[]store.Page{{Items: items("a", "b"), At: 3}}, items("a", "b"), 3, []string{""}},
-		"revision of first page": {[]store.Page{{Items: items("a", "b"), At: 3, More: true}, {Items: items("c"), At: 5}}, items("a", "b", "c"), 3, []string{"", "b"}},
-		"more, but no items":     {[]store.Page{{Items: items("a"), At: 3, More: true}, {At: 5, More: true}}, items("a"), 3, []string{"", "a"}},
+		"nothing":                {[]store.Page{{Revision: 3}}, nil, 3, []string{""}},
+		"one page":               {[]store.Page{{Items: items("a", "b"), Revision: 3}}, items("a", "b"), 3, []string{""}},
+		"revision of first page": {[]store.Page{{Items: items("a", "b"), Revision: 3, HasMore: true}, {Items: items("c"), Revision: 5}}, items("a", "b", "c"), 3, []string{"", "b"}},
+		"more, but no items":     {[]store.Page{{Items: items("a"), Revision: 3, HasMore: true}, {Revision: 5, HasMore: true}}, items("a"), 3, []string{"", "a"}},
 	} {
 		client, requestedAfter := newPagedClient(c.pages...)
 		found, at, err := client.ReadAll(context.Background(), "p", time.Second)
@@ -59,7 +59,7 @@
 }
 
 func TestReadAllFailsOnFailedPage(t *testing.T) {
-	client, requestedAfter := newPagedClient(store.Page{Items: items("a"), At: 3, More: true})
+	client, requestedAfter := newPagedClient(store.Page{Items: items("a"), Revision: 3, HasMore: true})
 	found, at, err := client.ReadAll(context.Background(), "p", time.Second)
 	var refused *store.RefusedError
 	require.ErrorAs(t, err, &refused)
@@ -76,7 +76,7 @@
 	assert.ErrorIs(t, unknown, context.DeadlineExceeded)
 	assert.EqualError(t, unknown, "store: no answer: context deadline exceeded")
 	assert.EqualError(t, &store.RefusedError{Status: 503}, "store: call refused with status 503")
-	for _, err := range []error{nil, unknown, store.ErrNotFound, store.ErrLeaseGone, store.ErrCompacted, errors.New("conflict")} {
+	for _, err := range []error{nil, unknown, store.ErrNotFound, store.ErrLeaseExpired, store.ErrCompacted, errors.New("conflict")} {
 		assert.False(t, store.IsConflict(err), err)
 	}
 }
--- a/modules/entry/tcp/dialer.go
+++ b/modules/entry/tcp/dialer.go
@@ -16,9 +16,9 @@
 type Dialer struct {
 	// Timeout bounds the connection set-up; 0 leaves it to the context.
 	Timeout time.Duration
-	// Unacknowledged is how long sent bytes may stay unacknowledged by the peer before the connection is closed; 0 uses the system's
+	// UserTimeout is how long sent bytes may stay unacknowledged by the peer before the connection is closed; 0 uses the system's
 	// default. A silent peer that has acknowledged everything never ends a connection.
-	Unacknowledged time.Duration
+	UserTimeout time.Duration
 }
 
 // DialContext opens a connection over IPv4.
@@ -41,16 +41,16 @@
 	if err := conn.SetLinger(0); err != nil {
 		return err
 	}
-	if d.Unacknowledged > 0 {
-		return setUserTimeout(conn, d.Unacknowledged)
+	if d.UserTimeout > 0 {
+		return setUserTimeout(conn, d.UserTimeout)
 	}
 	return nil
 }
 
-// Probe makes the kernel send a keep-alive probe to a silent peer each second, and close the connection once no probe was answered for the
+// EnableKeepAlive makes the kernel send a keep-alive probe to a silent peer each second, and close the connection once no probe was answered for the
 // given time, which also bounds unacknowledged sent bytes. A peer whose program is silent still answers probes; a peer that is unreachable,
 // or no longer has the connection, does not.
-func Probe(conn *net.TCPConn, unanswered time.Duration) error {
+func EnableKeepAlive(conn *net.TCPConn, unanswered time.Duration) error {
 	err := conn.SetKeepAliveConfig(net.KeepAliveConfig{Enable: true, Idle: keepAliveInterval, Interval: keepAliveInterval, Count: int(unanswered / keepAliveInterval)})
 	if err != nil {
 		return err
@@ -58,8 +58,8 @@
 	return setUserTimeout(conn, unanswered)
 }
 
-// EndProbe undoes Probe and restores the given limit for unacknowledged sent bytes.
-func EndProbe(conn *net.TCPConn, unacknowledged time.Duration) error {
+// DisableKeepAlive undoes Probe and restores the given limit for unacknowledged sent bytes.
+func DisableKeepAlive(conn *net.TCPConn, unacknowledged time.Duration) error {
 	if err := conn.SetKeepAlive(false); err != nil {
 		return err
 	}
--- a/modules/entry/tcp/dialer_test.go
+++ b/modules/entry/tcp/dialer_test.go
@@ -40,7 +40,7 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	defer func() { _ = listener.Close() }()
-	conn, err := tcp.Dialer{Unacknowledged: 1200 * time.Millisecond}.DialContext(context.Background(), "tcp", listener.Addr().String())
+	conn, err := tcp.Dialer{UserTimeout: 1200 * time.Millisecond}.DialContext(context.Background(), "tcp", listener.Addr().String())
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	raw, err := conn.(*net.TCPConn).SyscallConn()
--- a/modules/entry/upstream/client.go
+++ b/modules/entry/upstream/client.go
@@ -59,7 +59,7 @@
 // NewClient returns a client without connections.
 func NewClient(options Options) *Client {
 	if options.Dial == nil {
-		dialer := tcp.Dialer{Unacknowledged: unacknowledgedTimeout}
+		dialer := tcp.Dialer{UserTimeout: unacknowledgedTimeout}
 		options.Dial = func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 			return dialer.DialContext(ctx, "tcp4", address.String())
 		}
@@ -67,8 +67,8 @@
 	return &Client{options: options, hosts: make(map[string]*host), refusalChecks: make(map[string]*refusalCheck)}
 }
 
-// Dialed returns the number of connections opened so far.
-func (c *Client) Dialed() uint64 {
+// DialCount returns the number of connections opened so far.
+func (c *Client) DialCount() uint64 {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	return c.dialed
--- a/modules/entry/upstream/connection.go
+++ b/modules/entry/upstream/connection.go
@@ -79,7 +79,7 @@
 	c.silenceProbe.mutex.Lock()
 	defer c.silenceProbe.mutex.Unlock()
 	if conn, ok := c.Conn.(*net.TCPConn); ok && c.silenceProbe.inExchange && !c.silenceProbe.enabled {
-		c.silenceProbe.enabled = tcp.Probe(conn, probeTimeout) == nil
+		c.silenceProbe.enabled = tcp.EnableKeepAlive(conn, probeTimeout) == nil
 	}
 }
 
@@ -96,7 +96,7 @@
 	}
 	c.silenceProbe.enabled = false
 	conn, ok := c.Conn.(*net.TCPConn)
-	return ok && tcp.EndProbe(conn, unacknowledgedTimeout) == nil
+	return ok && tcp.DisableKeepAlive(conn, unacknowledgedTimeout) == nil
 }
 
 func newConnection(conn net.Conn) *connection {
--- a/modules/entry/upstream/probe_test.go
+++ b/modules/entry/upstream/probe_test.go
@@ -30,7 +30,7 @@
 	client := upstream.NewClient(upstream.Options{
 		MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now,
 		Dial: func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
-			conn, err := tcp.Dialer{Unacknowledged: unacknowledgedTimeout}.DialContext(ctx, "tcp4", address.String())
+			conn, err := tcp.Dialer{UserTimeout: unacknowledgedTimeout}.DialContext(ctx, "tcp4", address.String())
 			if err == nil {
 				opened = conn.(*net.TCPConn)
 			}
--- a/modules/entry/upstream/refusal_check_test.go
+++ b/modules/entry/upstream/refusal_check_test.go
@@ -101,8 +101,8 @@
 	client := newCountingClient(&dials)
 	target := upstream.Target{Key: "k", Address: listener.Addr().(*net.TCPAddr).AddrPort(), MaxConnections: 1}
 	assert.False(t, client.Refuses(t.Context(), target))
-	assert.EqualValues(t, 1, client.Dialed())
+	assert.EqualValues(t, 1, client.DialCount())
 	client.CloseIdle(time.Now().Add(time.Second))
 	assert.False(t, client.Refuses(t.Context(), target))
-	assert.EqualValues(t, 1, client.Dialed(), "the first connection is idle and the limit allows no second one")
+	assert.EqualValues(t, 1, client.DialCount(), "the first connection is idle and the limit allows no second one")
 }
--- a/modules/entry/upstream/upstream_test.go
+++ b/modules/entry/upstream/upstream_test.go
@@ -107,7 +107,7 @@
 		assert.Equal(t, fmt.Sprint(number), exchange(t, client, upstream.Call{Target: e.target(), Request: request("body")}))
 	}
 	assert.Equal(t, int64(1), e.accepted.Load())
-	assert.Equal(t, uint64(1), client.Dialed())
+	assert.Equal(t, uint64(1), client.DialCount())
 }
 
 // delayedWriteConn is a connection whose writes return only some time after their bytes have arrived.
@@ -142,7 +142,7 @@
 			for range exchanges {
 				assert.Equal(t, "x", exchange(t, client, upstream.Call{Target: target, Request: request("body")}))
 			}
-			assert.Equal(t, dialed, client.Dialed(), delay)
+			assert.Equal(t, dialed, client.DialCount(), delay)
 			// synctest requires that all goroutines end before the test does: wait for the last writer.
 			time.Sleep(delay)
 		})
--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -176,7 +176,7 @@
 	newest := make(map[string]int, len(events))
 	items := make([]store.Item, 0, len(events))
 	for _, event := range events {
-		if event.Gone {
+		if event.Deleted {
 			continue
 		}
 		place, known := newest[event.Key]
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -197,7 +197,7 @@
 		c.planning.endpointsRevision = max(c.planning.endpointsRevision, upTo)
 	}
 	for _, event := range events {
-		if event.Gone {
+		if event.Deleted {
 			c.removeEndpoint(c.environment.EndpointOf(event.Key), event.Revision)
 			continue
 		}
--- a/services/entry/coordinator/leasestore/store.go
+++ b/services/entry/coordinator/leasestore/store.go
@@ -251,8 +251,8 @@
 	call, cancel := context.WithTimeout(ctx, s.Timeout)
 	defer cancel()
 	if s.heartbeat != 0 {
-		err := s.Client.KeepLease(call, s.heartbeat)
-		if !errors.Is(err, store.ErrLeaseGone) {
+		err := s.Client.RenewLease(call, s.heartbeat)
+		if !errors.Is(err, store.ErrLeaseExpired) {
 			return
 		}
 	}
--- a/services/entry/coordinator/leasestore/store_test.go
+++ b/services/entry/coordinator/leasestore/store_test.go
@@ -83,7 +83,7 @@
 				f.grants++
 				return int64(f.grants), f.grantErr
 			},
-			KeepLease: func(context.Context, int64) error { f.kept++; return f.keepErr },
+			RenewLease: func(context.Context, int64) error { f.kept++; return f.keepErr },
 		},
 		Instance: "self", Address: address, Timeout: time.Second,
 		Now:    func() time.Time { return now },
@@ -222,7 +222,7 @@
 	f.keepErr = errLost
 	records.KeepHeartbeat(t.Context())
 	assert.Equal(t, 1, f.grants, "a renewal without an answer changes nothing")
-	f.keepErr = store.ErrLeaseGone
+	f.keepErr = store.ErrLeaseExpired
 	records.KeepHeartbeat(t.Context())
 	assert.Equal(t, 2, f.grants)
 	assert.Equal(t, int64(2), f.items[leasestore.HeartbeatKey].Lease)
--- a/services/entry/coordinator/memorystore_test.go
+++ b/services/entry/coordinator/memorystore_test.go
@@ -83,7 +83,7 @@
 	defer m.mutex.Unlock()
 	m.revision++
 	delete(m.items, key)
-	m.events = append(m.events, store.Event{Item: store.Item{Key: key, Revision: m.revision}, Gone: true})
+	m.events = append(m.events, store.Event{Item: store.Item{Key: key, Revision: m.revision}, Deleted: true})
 	close(m.changed)
 	m.changed = make(chan struct{})
 }
@@ -120,7 +120,7 @@
 
 func (m *memoryStore) rangeOf(_ context.Context, prefix, after string) (store.Page, error) {
 	page, err := m.page(prefix, after)
-	if page.More {
+	if page.HasMore {
 		m.betweenPages()
 		m.mutex.Lock()
 		m.betweenPages = nil
@@ -138,7 +138,7 @@
 	if prefix == endpointPrefix {
 		m.readings++
 	}
-	page := store.Page{At: m.revision}
+	page := store.Page{Revision: m.revision}
 	for key, item := range m.items {
 		if strings.HasPrefix(key, prefix) && key > after {
 			page.Items = append(page.Items, item)
@@ -146,7 +146,7 @@
 	}
 	if m.betweenPages != nil && prefix == operatorsPrefix {
 		slices.SortFunc(page.Items, func(one, other store.Item) int { return strings.Compare(one.Key, other.Key) })
-		page.Items, page.More = page.Items[:1], true
+		page.Items, page.HasMore = page.Items[:1], true
 	}
 	return page, nil
 }
@@ -218,7 +218,7 @@
 
 func (m *memoryStore) client() store.Client {
 	return store.Client{
-		Get: m.get, Range: m.rangeOf, Watch: m.watch, Commit: m.commit, GrantLease: m.grant, KeepLease: m.keep,
+		Get: m.get, Range: m.rangeOf, Watch: m.watch, Commit: m.commit, GrantLease: m.grant, RenewLease: m.keep,
 	}
 }
 
--- a/services/entry/coordinator/sendingviews.go
+++ b/services/entry/coordinator/sendingviews.go
@@ -295,7 +295,7 @@
 		return
 	}
 	if errors.Is(err, peerstream.ErrCongested) {
-		p.coordinator.noteLinkClosed(m.Link.Queued(), err)
+		p.coordinator.noteLinkClosed(m.Link.QueuedBytes(), err)
 	}
 	p.keysUnderWay.Ended(m.Link)
 	m.Link = nil
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -71,14 +71,14 @@
 func (c *Coordinator) peerQueueBytes() int64 {
 	var sum int64
 	if c.following.stream != nil {
-		sum += c.following.stream.Queued()
+		sum += c.following.stream.QueuedBytes()
 	}
 	if c.planning == nil {
 		return sum
 	}
 	for _, m := range c.planning.members.All() {
 		if m.Link != nil {
-			sum += m.Link.Queued()
+			sum += m.Link.QueuedBytes()
 		}
 	}
 	return sum
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -238,7 +238,7 @@
 			Limited:        float64(status.Limited),
 			ResidentCopies: float64(status.ResidentCopies), Waiting: float64(status.Waiting), InFlight: float64(status.InFlight),
 			Term: float64(status.Term), Members: float64(status.Members),
-			Connections: float64(client.Dialed()), LogSuppressed: float64(writer.Suppressed()),
+			Connections: float64(client.DialCount()), LogSuppressed: float64(writer.Suppressed()),
 			PeerQueueBytes: float64(status.PeerQueueBytes), EndpointsAgeSeconds: status.EndpointsAge.Seconds(),
 			CountsAgeSeconds: status.CountsAge.Seconds(),
 		}
--- a/tests/capacity/entry_queue_test.go
+++ b/tests/capacity/entry_queue_test.go
@@ -130,7 +130,7 @@
 func (f *stalledFleet) queued() int64 {
 	sum := int64(0)
 	for _, one := range f.links {
-		sum += one.Queued()
+		sum += one.QueuedBytes()
 	}
 	return sum
 }
--- a/tests/platform/site_test.go
+++ b/tests/platform/site_test.go
@@ -113,11 +113,11 @@
 		}
 		return client.Commit(ctx, transaction)
 	}
-	gated.KeepLease = func(ctx context.Context, lease int64) error {
+	gated.RenewLease = func(ctx context.Context, lease int64) error {
 		if err := gate(ctx); err != nil {
 			return err
 		}
-		return client.KeepLease(ctx, lease)
+		return client.RenewLease(ctx, lease)
 	}
 	return gated
 }
