--- a/models/entry/deployment/configuration_test.go
+++ b/models/entry/deployment/configuration_test.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-func TestMatchTakesTheLongestPrefixOfTheHost(t *testing.T) {
+func TestMatchReturnsLongestPrefixOfHost(t *testing.T) {
 	short := &deployment.Route{Name: "short", Host: "a.example", PathPrefix: "/x/"}
 	long := &deployment.Route{Name: "long", Host: "a.example", PathPrefix: "/x/y/"}
 	other := &deployment.Route{Name: "other", Host: "b.example", PathPrefix: "/"}
@@ -24,32 +24,32 @@
 	assert.Nil(t, configuration.Match("c.example", "/x/"))
 }
 
-func TestOnlySafeAndResumableRoutesMayBeRetried(t *testing.T) {
+func TestRetryable(t *testing.T) {
 	assert.True(t, (&deployment.Route{Kind: deployment.Safe}).Retryable())
 	assert.False(t, (&deployment.Route{Kind: deployment.Unsafe}).Retryable())
 	assert.False(t, (&deployment.Route{Kind: deployment.Streaming}).Retryable())
 	assert.True(t, (&deployment.Route{Kind: deployment.Streaming, Resumable: true}).Retryable())
 }
 
-func TestThePrioritiesOfAServicesRoutesAreRanked(t *testing.T) {
+func TestPriorityRank(t *testing.T) {
 	route := func(priority int, services ...string) *deployment.Route {
-		one := &deployment.Route{Host: "a.example", PathPrefix: "/", Priority: priority}
+		built := &deployment.Route{Host: "a.example", PathPrefix: "/", Priority: priority}
 		for _, service := range services {
-			one.Backends = append(one.Backends, deployment.Backend{Service: service, Weight: 1})
+			built.Backends = append(built.Backends, deployment.Backend{Service: service, Weight: 1})
 		}
-		return one
+		return built
 	}
 	configuration := deployment.NewConfiguration(1, []*deployment.Route{
 		route(7, "models"), route(0, "models", "desk"), route(7, "models"), route(3, "models"),
 	}, nil, deployment.Limits{})
-	rank := func(service string, priority int) [2]int {
-		place, of := configuration.PriorityRank(service, priority)
-		return [2]int{place, of}
+	rankOf := func(service string, priority int) [2]int {
+		rank, count := configuration.PriorityRank(service, priority)
+		return [2]int{rank, count}
 	}
-	assert.Equal(t, [2]int{0, 3}, rank("models", 0))
-	assert.Equal(t, [2]int{1, 3}, rank("models", 3))
-	assert.Equal(t, [2]int{2, 3}, rank("models", 7))
-	assert.Equal(t, [2]int{0, 1}, rank("desk", 0))
-	assert.Equal(t, [2]int{2, 4}, rank("models", 5), "a route of an older configuration")
-	assert.Equal(t, [2]int{0, 1}, rank("other", 5))
+	assert.Equal(t, [2]int{0, 3}, rankOf("models", 0))
+	assert.Equal(t, [2]int{1, 3}, rankOf("models", 3))
+	assert.Equal(t, [2]int{2, 3}, rankOf("models", 7))
+	assert.Equal(t, [2]int{0, 1}, rankOf("desk", 0))
+	assert.Equal(t, [2]int{2, 4}, rankOf("models", 5), "a priority of an older configuration")
+	assert.Equal(t, [2]int{0, 1}, rankOf("other", 5))
 }
--- a/models/entry/deployment/endpoint.go
+++ b/models/entry/deployment/endpoint.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// EndpointID names one incarnation of an endpoint; a restart gives a new one.
+// EndpointID identifies one incarnation of an endpoint; a restart has a new ID.
 type EndpointID string
 
-// EndpointState says whether an endpoint takes new work.
+// EndpointState is whether an endpoint accepts new work.
 type EndpointState int
 
 // The states of an endpoint.
@@ -21,7 +21,7 @@
 	Draining
 )
 
-// Adapter names an adapter of a base model.
+// Adapter identifies an adapter of a base model.
 type Adapter struct {
 	Model string
 	Name  string
@@ -32,7 +32,7 @@
 	return a.Name == ""
 }
 
-// String gives MODEL/NAME.
+// String returns MODEL/NAME, or MODEL if no adapter is named.
 func (a Adapter) String() string {
 	if a.IsZero() {
 		return a.Model
@@ -40,29 +40,29 @@
 	return a.Model + "/" + a.Name
 }
 
-// Endpoint is one incarnation of a back end as its own entry in the store describes it.
+// Endpoint is one incarnation of a back end, as described by its own entry in the store.
 type Endpoint struct {
 	ID EndpointID
-	// Born is when its process started, by its own clock: another start under the same ID is another incarnation, which knows
-	// nothing of the one before. It is zero where it is not known.
+	// Born is when the process started, by its own clock. A different start time under the same ID is another incarnation, which has no
+	// state of the one before. It is zero if unknown.
 	Born    time.Time
 	Service string
 	Address netip.AddrPort
-	// Hall is the part of the site that it stands in.
+	// Hall is the part of the site where the endpoint is located.
 	Hall string
-	// Slots is how many requests it runs at once; 0 if it did not say.
+	// Slots is how many requests the endpoint runs concurrently; 0 if it did not report a number.
 	Slots int
 	State EndpointState
-	// Models are the base models it holds.
+	// Models are the base models that the endpoint holds.
 	Models []string
-	// CachedModels are the base models of which it has a copy in its memory or on its disk, so that
-	// they need not come from the weight store.
+	// CachedModels are the base models that the endpoint has in its memory or on its disk, so that they need not be loaded from the weight
+	// store.
 	CachedModels []string
 	// Adapters maps each resident adapter to its version.
 	Adapters map[Adapter]int64
 }
 
-// IsAnotherStart tells whether a start is surely another one than the endpoint's.
+// IsAnotherStart reports whether a start time is known to differ from the endpoint's.
 func (e *Endpoint) IsAnotherStart(born time.Time) bool {
 	return !born.IsZero() && !e.Born.IsZero() && !born.Equal(e.Born)
 }
--- a/models/entry/deployment/notice.go
+++ b/models/entry/deployment/notice.go
@@ -5,12 +5,12 @@
 
 import "time"
 
-// Notice is what an endpoint says of itself in the head of an answer.
+// Notice is what an endpoint reports about itself in the headers of an answer.
 type Notice struct {
-	// Limit is how many requests a second it takes from all instances together; nil where it names none.
+	// Limit is how many requests per second the endpoint accepts from all instances together; nil if it reports none.
 	Limit *float64
-	// Leaving says that it takes no new work in this incarnation any more.
+	// Leaving reports whether the endpoint accepts no more new work in this incarnation.
 	Leaving bool
-	// Rest is for how long it wants nothing from the instance whose request it turned away; 0 where it did not say.
+	// Rest is how long the endpoint asks the instance whose request it refused to send it nothing; 0 if it reports none.
 	Rest time.Duration
 }
--- a/models/entry/deployment/request.go
+++ b/models/entry/deployment/request.go
@@ -9,25 +9,25 @@
 	"github.com/shelfledge/shelfledge/modules/fingerprint"
 )
 
-// Request holds the facts of one caller's attempt that decisions need.
+// Request holds the properties of a caller's attempt on which decisions depend.
 type Request struct {
-	// ID is the caller's own name of the attempt, from its header, cut to what a log line holds; it need not be unique.
+	// ID is the caller's identifier of the attempt from its header, truncated to the length that a log line holds. It need not be unique.
 	ID string
-	// Route is the route that host and path match; from the settings in force.
+	// Route is the route that matches the host and path, from the configuration in force.
 	Route *Route
-	// Service is the one of the route's services that was drawn for the request.
+	// Service is the service of the route that was selected for the request.
 	Service string
-	// Adapter is what the caller's header names; its Model is empty for plain services.
+	// Adapter is the adapter named by the caller's header; its Model is empty for plain services.
 	Adapter Adapter
-	// Prompt is the length of its prompt in tokens, as the caller declares it; 0 if it does not say.
+	// Prompt is the length of the prompt in tokens as declared by the caller; 0 if it declares none.
 	Prompt int
-	// Arrived is when this instance began to serve the request; own clock.
+	// Arrived is when this instance began to serve the request, by its own clock.
 	Arrived time.Time
 	// Deadline is the earlier of the caller's own deadline and the route's timeout.
 	Deadline time.Time
-	// Fingerprint tells whether the same request was sent before; from what the caller sent.
+	// Fingerprint identifies repetitions of the same request; it is computed from what the caller sent.
 	Fingerprint fingerprint.Fingerprint
-	// Only is the one endpoint that may take the request, as it knows what was made of it so far; empty where any may.
+	// Only is the one endpoint that may run the request, because it has the state of the request so far; empty if any endpoint may.
 	Only EndpointID
 }
 
@@ -36,8 +36,8 @@
 	return r.Adapter.Model != ""
 }
 
-// BeginShows reports whether the answer tells when an endpoint begins to run the request: a stream does by its first event, an answer
-// that comes whole only at its end.
+// BeginShows reports whether the answer shows when an endpoint starts to run the request: a stream does so by its first event, any other
+// answer only at its end.
 func (r *Request) BeginShows() bool {
 	return r.Route.Kind == Streaming
 }
--- a/models/entry/deployment/service.go
+++ b/models/entry/deployment/service.go
@@ -3,7 +3,7 @@
 
 package deployment
 
-// ServiceAdapter names an adapter of a service: the same adapter of two services is loaded and counted apart.
+// ServiceAdapter identifies an adapter of a service: the same adapter of two services is loaded and counted separately.
 type ServiceAdapter struct {
 	Service string
 	Adapter Adapter
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -20,76 +20,76 @@
 	"github.com/shelfledge/shelfledge/modules/callerconn"
 )
 
-// Options are the settings of a Server.
+// Options configure a Server.
 type Options struct {
 	Callers netip.AddrPort
 	Ready   netip.AddrPort
 	Metrics netip.AddrPort
-	// Handler serves callers; MetricsHandler serves figures.
+	// Handler serves callers, MetricsHandler serves metrics.
 	Handler        http.Handler
 	MetricsHandler http.Handler
-	// IsReady answers the balancer's question.
+	// IsReady reports whether the instance is ready for requests, for the load balancer's check.
 	IsReady func() bool
-	// Limits gives the limits in force; nil before a configuration is known.
+	// Limits returns the limits in force; nil before a configuration is known.
 	Limits func() *deployment.Limits
-	// Ending is the cause with which the contexts of requests end that the end of a stop cuts off.
+	// Ending is the cause with which the contexts of the requests that are cut off at the end of a shutdown are cancelled.
 	Ending error
-	// ObserveConnection gets the reason for which a caller's connection ended, and how many requests that were read from it ended
-	// without a whole answer.
+	// ObserveConnection is called with the reason for which a caller's connection ended, and the number of requests read from it that ended
+	// without a complete answer.
 	ObserveConnection func(reason string, unanswered int)
 	Now               func() time.Time
 	Log               *logrus.Entry
 }
 
 const (
-	// headerTimeout and headerBytes bound the time and the size of a request's head, whatever the configuration says. More admits slower
-	// and larger heads, less bounds what idle or hostile callers hold.
-	headerTimeout = 5 * time.Second
-	headerBytes   = 32 << 10
-	// noticeTime is how long the balancer needs to see that this instance is not ready. Longer is surer that no caller meets a closed
-	// listener, shorter leaves more of the grace to requests under way.
-	noticeTime = 2500 * time.Millisecond
-	// streamRefusalAfter is how long after the begin of a stop streams are still taken. Longer serves callers that the balancer still
-	// sends, shorter cuts off fewer streams at the end of the grace.
+	// headerTimeout and maxHeaderBytes bound the time and the size of a request's header, whatever the configuration. Higher values accept
+	// slower and larger headers, lower ones bound what idle or hostile callers occupy.
+	headerTimeout  = 5 * time.Second
+	maxHeaderBytes = 32 << 10
+	// readinessNoticeTime is how long the load balancer needs to notice that this instance is not ready. A higher value makes it less
+	// likely that a caller meets a closed listener, a lower one leaves more of the grace to requests in flight.
+	readinessNoticeTime = 2500 * time.Millisecond
+	// streamRefusalAfter is how long after the start of a shutdown streams are still accepted. A higher value serves callers that the load
+	// balancer still sends, a lower one cuts off fewer streams at the end of the grace.
 	streamRefusalAfter = 2700 * time.Millisecond
-	// idleDefault is how long a caller's connection may rest until a configuration is known, or where it sets no limit. Longer lets callers
-	// use connections again, shorter holds fewer open.
-	idleDefault = 60 * time.Second
-	// cutTime is how long the end of a stop waits for requests that it has cut off to be answered. Longer answers more of them, shorter
-	// keeps more of the grace for requests under way.
-	cutTime = 150 * time.Millisecond
+	// defaultIdleLimit is how long a caller's connection may be idle before a configuration is known, or if the configuration sets no
+	// limit. A higher value lets callers reuse connections, a lower one keeps fewer open.
+	defaultIdleLimit = 60 * time.Second
+	// cutOffTimeout is how long the end of a shutdown waits until the requests that it cut off are answered. A higher value answers more of
+	// them, a lower one leaves more of the grace to requests in flight.
+	cutOffTimeout = 150 * time.Millisecond
 )
 
-// Server listens for callers, for the balancer and for metrics.
+// Server listens for callers, for the load balancer and for metrics.
 type Server struct {
-	options  Options
-	callers  *http.Server
-	listener *callerconn.Listener
-	others   []*http.Server
-	stopping atomic.Int64
-	inFlight atomic.Int64
-	// base is the context of all requests; cutOff ends it.
-	base   context.Context
-	cutOff context.CancelCauseFunc
-}
-
-// New makes a server; Start begins to listen.
+	options         Options
+	callers         *http.Server
+	listener        *callerconn.Listener
+	internalServers []*http.Server
+	stopping        atomic.Int64
+	inFlight        atomic.Int64
+	// baseContext is the context of all requests; cutOff cancels it.
+	baseContext context.Context
+	cutOff      context.CancelCauseFunc
+}
+
+// New returns a server; Start starts it.
 func New(options Options) *Server {
 	s := &Server{options: options}
-	s.base, s.cutOff = context.WithCancelCause(context.Background())
+	s.baseContext, s.cutOff = context.WithCancelCause(context.Background())
 	s.callers = &http.Server{
-		Handler: s.counted(options.Handler), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: headerBytes,
-		// Package callerconn bounds rests.
+		Handler: s.countRequests(options.Handler), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
+		// Package callerconn bounds idle connections.
 		IdleTimeout: -1, ConnState: s.stateChanged, ConnContext: callerconn.Context, DisableGeneralOptionsHandler: true,
-		BaseContext: func(net.Listener) context.Context { return s.base },
+		BaseContext: func(net.Listener) context.Context { return s.baseContext },
 		ErrorLog:    log.New(errorLog{options.Log}, "", 0),
 	}
 	return s
 }
 
-// counted counts requests in flight, so that a stop can wait for them, and on each connection those that were read and those that got
-// their whole answer.
-func (s *Server) counted(handler http.Handler) http.Handler {
+// countRequests counts requests in flight, so that a shutdown can wait for them, and on each connection the requests that were read and
+// those that were answered completely.
+func (s *Server) countRequests(handler http.Handler) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
@@ -102,20 +102,20 @@
 	})
 }
 
-// stateChanged is a hook of net/http.
+// stateChanged is the ConnState hook of net/http.
 func (s *Server) stateChanged(conn net.Conn, state http.ConnState) {
 	s.listener.StateChanged(conn, state)
 }
 
-// idleLimit is how long a caller's connection may rest, by the configuration in force.
+// idleLimit returns how long a caller's connection may be idle by the configuration in force.
 func (s *Server) idleLimit() time.Duration {
 	if limits := s.options.Limits(); limits != nil && limits.IdleTimeout > 0 {
 		return limits.IdleTimeout
 	}
-	return idleDefault
+	return defaultIdleLimit
 }
 
-// errorLog writes what net/http logs by itself into the program's log.
+// errorLog forwards net/http's own log lines to the program's log.
 type errorLog struct{ log *logrus.Entry }
 
 // Write implements io.Writer.
@@ -124,7 +124,8 @@
 	return len(line), nil
 }
 
-// connectionEnded counts why a caller's connection ended. One that this instance ended on a request that it had read has a line.
+// connectionEnded counts why a caller's connection ended, and logs a connection that this instance closed while a request that it had read
+// was unanswered.
 func (s *Server) connectionEnded(report callerconn.Report) {
 	s.options.ObserveConnection(string(report.Reason), report.Unanswered)
 	if report.Unanswered == 0 || (report.Reason != callerconn.IdleLimit && report.Reason != callerconn.Stopping) {
@@ -135,27 +136,27 @@
 	}).Error("a connection was closed on a request")
 }
 
-// Start listens on all addresses.
+// Start starts to listen on all addresses.
 func (s *Server) Start() error {
 	callers, err := net.Listen("tcp4", s.options.Callers.String())
 	if err != nil {
 		return err
 	}
-	// A listener of the network tcp4 is one.
+	// net.Listen returns a TCPListener for the network tcp4.
 	s.listener = callerconn.NewListener(callers.(*net.TCPListener), callerconn.Options{
 		IdleLimit: s.idleLimit, Ended: s.connectionEnded, Now: s.options.Now,
 	})
 	go s.serve(s.callers, s.listener)
-	ready := &http.Server{Handler: http.HandlerFunc(s.answerReady), ReadHeaderTimeout: headerTimeout}
+	ready := &http.Server{Handler: http.HandlerFunc(s.serveReadiness), ReadHeaderTimeout: headerTimeout}
 	if err := s.listen(ready, s.options.Ready); err != nil {
 		return err
 	}
-	s.others = append(s.others, ready)
+	s.internalServers = append(s.internalServers, ready)
 	if !s.options.Metrics.IsValid() || s.options.MetricsHandler == nil {
 		return nil
 	}
 	metrics := &http.Server{Handler: s.options.MetricsHandler, ReadHeaderTimeout: headerTimeout}
-	s.others = append(s.others, metrics)
+	s.internalServers = append(s.internalServers, metrics)
 	return s.listen(metrics, s.options.Metrics)
 }
 
@@ -174,7 +175,7 @@
 	}
 }
 
-func (s *Server) answerReady(writer http.ResponseWriter, _ *http.Request) {
+func (s *Server) serveReadiness(writer http.ResponseWriter, _ *http.Request) {
 	if s.Leaving() || !s.options.IsReady() {
 		writer.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -182,12 +183,12 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// Leaving reports whether a stop has begun: connections close after their answer.
+// Leaving reports whether a shutdown has started, so that connections close after their answer.
 func (s *Server) Leaving() bool {
 	return s.stopping.Load() != 0
 }
 
-// Refusing reports whether a new request could not be answered whole before the process ends.
+// Refusing reports whether a new request is refused because it could not be answered completely before the process ends.
 func (s *Server) Refusing(kind deployment.RouteKind) bool {
 	began := s.stopping.Load()
 	if began == 0 || kind != deployment.Streaming {
@@ -196,24 +197,24 @@
 	return s.options.Now().Sub(time.Unix(0, began)) > streamRefusalAfter
 }
 
-// Stop says not ready, goes on serving until the balancer has noticed, then waits for what is under way until the context ends. What
-// is still under way then gets an answer that says so, where no part of one was passed on.
+// Stop reports the instance as not ready and serves requests until the load balancer has noticed. It then waits for the requests in flight
+// until the context ends. Requests still in flight after that are answered with an error, unless part of their answer was already sent.
 func (s *Server) Stop(ctx context.Context) {
 	s.stopping.Store(s.options.Now().UnixNano())
 	select {
-	case <-time.After(noticeTime):
+	case <-time.After(readinessNoticeTime):
 	case <-ctx.Done():
 	}
 	if s.listener != nil {
-		s.leave(ctx)
+		s.stopCallers(ctx)
 	}
-	s.closeOthers()
+	s.closeInternalServers()
 }
 
-// leave ends the listener for callers and their connections.
-func (s *Server) leave(ctx context.Context) {
+// stopCallers closes the listener for callers and waits for their connections.
+func (s *Server) stopCallers(ctx context.Context) {
 	if err := s.listener.Leave(); err != nil {
-		// The process ends, and its listener with it.
+		// The process is about to end, which closes the listener in any case.
 		s.options.Log.WithError(err).Debug("the listener cannot be closed")
 	}
 	if s.listener.Wait(ctx) == nil {
@@ -221,28 +222,28 @@
 	}
 	s.options.Log.WithField("in_flight", s.InFlight()).Warn("the grace ends: requests are cut off")
 	s.cutOff(s.options.Ending)
-	cut, cancel := context.WithTimeout(context.Background(), cutTime)
+	cut, cancel := context.WithTimeout(context.Background(), cutOffTimeout)
 	defer cancel()
 	if err := s.listener.Wait(cut); err != nil {
 		s.options.Log.WithField("in_flight", s.InFlight()).Warn("the process ends on requests")
 	}
 }
 
-// Close ends all listeners and connections at once.
+// Close closes all listeners and connections at once.
 func (s *Server) Close() {
-	// An error of closing a listener changes nothing: the process ends.
+	// An error has no consequence, since the process ends.
 	_ = s.callers.Close()
-	s.closeOthers()
+	s.closeInternalServers()
 }
 
-// closeOthers ends the listeners for the balancer and for metrics; as in Close, their errors change nothing.
-func (s *Server) closeOthers() {
-	for _, other := range s.others {
+// closeInternalServers closes the listeners for the load balancer and for metrics, ignoring errors as Close does.
+func (s *Server) closeInternalServers() {
+	for _, other := range s.internalServers {
 		_ = other.Close()
 	}
 }
 
-// InFlight gives the number of requests that are being served.
+// InFlight returns the number of requests being served.
 func (s *Server) InFlight() int64 {
 	return s.inFlight.Load()
 }
--- a/routers/entry/gateway/server_test.go
+++ b/routers/entry/gateway/server_test.go
@@ -25,11 +25,11 @@
 
 var start = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 
-// lastPort is the last port that a test of this process took.
+// lastPort is the last port used by a test of this process.
 var lastPort atomic.Uint32
 
-// freeAddress gives an address of this host at which nobody listens: the loopback address is this process's own, and the port
-// lies below those that the system hands out.
+// freeAddress returns an unused address of this host: the loopback address is specific to this process, and the port is below the ephemeral
+// ports.
 func freeAddress() netip.AddrPort {
 	process := os.Getpid()
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 77, byte(process >> 8), byte(process)}), uint16(20000+lastPort.Add(1)))
@@ -45,47 +45,47 @@
 	}
 }
 
-// stopped gives a context that is over, so that a stop does not wait.
-func stopped() context.Context {
+// endedContext returns a cancelled context, so that Stop does not wait.
+func endedContext() context.Context {
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	return ctx
 }
 
-func TestStreamsAreRefusedWhenTheyCouldNotEndBeforeTheProcess(t *testing.T) {
+func TestStreamsAreRefusedLateInShutdown(t *testing.T) {
 	for name, test := range map[string]struct {
 		kind    deployment.RouteKind
 		after   time.Duration
 		refuses bool
 	}{
-		"a stream at the begin of the stop":    {deployment.Streaming, 0, false},
-		"a stream at the bound":                {deployment.Streaming, 2700 * time.Millisecond, false},
-		"a stream just after the bound":        {deployment.Streaming, 2700*time.Millisecond + 1, true},
-		"a safe request just after the bound":  {deployment.Safe, 2700*time.Millisecond + 1, false},
-		"an unsafe request long after it":      {deployment.Unsafe, time.Minute, false},
-		"a stream, the clock set back in time": {deployment.Streaming, -time.Minute, false},
+		"a stream at the start of shutdown":      {deployment.Streaming, 0, false},
+		"a stream at the limit":                  {deployment.Streaming, 2700 * time.Millisecond, false},
+		"a stream just after the limit":          {deployment.Streaming, 2700*time.Millisecond + 1, true},
+		"a safe request just after the limit":    {deployment.Safe, 2700*time.Millisecond + 1, false},
+		"an unsafe request long after the limit": {deployment.Unsafe, time.Minute, false},
+		"a stream, the clock set back":           {deployment.Streaming, -time.Minute, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			now := start
 			o := options()
 			o.Now = func() time.Time { return now }
 			server := gateway.New(o)
-			server.Stop(stopped())
+			server.Stop(endedContext())
 			now = start.Add(test.after)
 			assert.Equal(t, test.refuses, server.Refusing(test.kind))
 		})
 	}
 }
 
-func TestNothingIsRefusedBeforeAStop(t *testing.T) {
+func TestNothingIsRefusedBeforeStop(t *testing.T) {
 	server := gateway.New(options())
 	assert.False(t, server.Leaving())
 	assert.False(t, server.Refusing(deployment.Streaming))
-	server.Stop(stopped())
+	server.Stop(endedContext())
 	assert.True(t, server.Leaving())
 }
 
-func statusOf(t *testing.T, address netip.AddrPort) int {
+func getStatus(t *testing.T, address netip.AddrPort) int {
 	t.Helper()
 	response, err := http.Get(fmt.Sprintf("http://%s/", address))
 	require.NoError(t, err)
@@ -93,20 +93,20 @@
 	return response.StatusCode
 }
 
-func TestTheBalancerSeesWhetherTheInstanceIsReady(t *testing.T) {
+func TestReadinessCheck(t *testing.T) {
 	var ready atomic.Bool
 	o := options()
 	o.IsReady = ready.Load
 	server := gateway.New(o)
 	require.NoError(t, server.Start())
 	defer server.Close()
-	assert.Equal(t, http.StatusServiceUnavailable, statusOf(t, o.Ready))
+	assert.Equal(t, http.StatusServiceUnavailable, getStatus(t, o.Ready))
 	ready.Store(true)
-	assert.Equal(t, http.StatusOK, statusOf(t, o.Ready))
+	assert.Equal(t, http.StatusOK, getStatus(t, o.Ready))
 }
 
-// TestALeavingInstanceIsNotReady: while the balancer has time to notice, requests are still served.
-func TestALeavingInstanceIsNotReady(t *testing.T) {
+// TestStoppingInstanceIsNotReady: requests are still served while the load balancer has time to notice.
+func TestStoppingInstanceIsNotReady(t *testing.T) {
 	o := options()
 	server := gateway.New(o)
 	require.NoError(t, server.Start())
@@ -119,13 +119,13 @@
 		close(done)
 	}()
 	require.Eventually(t, server.Leaving, 10*time.Second, time.Millisecond)
-	assert.Equal(t, http.StatusServiceUnavailable, statusOf(t, o.Ready))
-	assert.Equal(t, http.StatusNotFound, statusOf(t, o.Callers))
+	assert.Equal(t, http.StatusServiceUnavailable, getStatus(t, o.Ready))
+	assert.Equal(t, http.StatusNotFound, getStatus(t, o.Callers))
 	cancel()
 	<-done
 }
 
-func TestAnAddressInUseIsAnError(t *testing.T) {
+func TestStartFailsOnAddressInUse(t *testing.T) {
 	o := options()
 	o.Ready = o.Callers
 	server := gateway.New(o)
@@ -133,8 +133,8 @@
 	assert.Error(t, server.Start())
 }
 
-// TestAnIdleConnectionIsClosed keeps a connection without a request after its first one.
-func TestAnIdleConnectionIsClosed(t *testing.T) {
+// TestIdleConnectionIsClosed keeps a connection open without a second request.
+func TestIdleConnectionIsClosed(t *testing.T) {
 	o := options()
 	o.Limits = func() *deployment.Limits { return &deployment.Limits{IdleTimeout: 50 * time.Millisecond} }
 	server := gateway.New(o)
@@ -152,11 +152,11 @@
 }
 
 func TestRequestsInFlightAreCounted(t *testing.T) {
-	entered, leave := make(chan struct{}), make(chan struct{})
+	entered, unblock := make(chan struct{}), make(chan struct{})
 	o := options()
 	o.Handler = http.HandlerFunc(func(http.ResponseWriter, *http.Request) {
 		close(entered)
-		<-leave
+		<-unblock
 	})
 	server := gateway.New(o)
 	require.NoError(t, server.Start())
@@ -171,7 +171,7 @@
 	}()
 	<-entered
 	assert.Equal(t, int64(1), server.InFlight())
-	close(leave)
+	close(unblock)
 	assert.NoError(t, <-done)
 	assert.Eventually(t, func() bool { return server.InFlight() == 0 }, 10*time.Second, time.Millisecond)
 }
