--- a/models/entry/deployment/configuration.go
+++ b/models/entry/deployment/configuration.go
@@ -37,10 +37,10 @@
 	Kind       RouteKind
 	// Timeout is how long a request may take from its arrival, unless the caller's own deadline is earlier.
 	Timeout time.Duration
-	// Target is the response time within which an answer counts as in time; for streams the time to the first event.
-	Target time.Duration
-	// PauseTarget is the longest pause between two events of a stream that counts as in time; zero for other kinds.
-	PauseTarget time.Duration
+	// TargetLatency is the response time within which an answer counts as in time; for streams the time to the first event.
+	TargetLatency time.Duration
+	// TargetPause is the longest pause between two events of a stream that counts as in time; zero for other kinds.
+	TargetPause time.Duration
 	// Priority is the priority among waiting requests; the lowest number is served first.
 	Priority int
 	// MaxAttempts is how many endpoints a request may be sent to, including the first.
--- a/models/entry/deployment/endpoint.go
+++ b/models/entry/deployment/endpoint.go
@@ -62,8 +62,8 @@
 	Adapters map[Adapter]int64
 }
 
-// IsAnotherStart reports whether a start time is known to differ from the endpoint's.
-func (e *Endpoint) IsAnotherStart(born time.Time) bool {
+// IsOtherIncarnation reports whether a start time is known to differ from the endpoint's.
+func (e *Endpoint) IsOtherIncarnation(born time.Time) bool {
 	return !born.IsZero() && !e.Born.IsZero() && !born.Equal(e.Born)
 }
 
--- a/models/entry/deployment/request.go
+++ b/models/entry/deployment/request.go
@@ -27,8 +27,8 @@
 	Deadline time.Time
 	// Fingerprint identifies repetitions of the same request; it is computed from what the caller sent.
 	Fingerprint fingerprint.Fingerprint
-	// Only is the one endpoint that may run the request, because it has the state of the request so far; empty if any endpoint may.
-	Only EndpointID
+	// OnlyEndpoint is the one endpoint that may run the request, because it has the state of the request so far; empty if any endpoint may.
+	OnlyEndpoint EndpointID
 }
 
 // UsesModel reports whether the request runs on a base model.
@@ -36,8 +36,8 @@
 	return r.Adapter.Model != ""
 }
 
-// BeginShows reports whether the answer shows when an endpoint starts to run the request: a stream does so by its first event, any other
+// StartIsVisible reports whether the answer shows when an endpoint starts to run the request: a stream does so by its first event, any other
 // answer only at its end.
-func (r *Request) BeginShows() bool {
+func (r *Request) StartIsVisible() bool {
 	return r.Route.Kind == Streaming
 }
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -32,8 +32,8 @@
 	IsReady func() bool
 	// Limits returns the limits in force; nil before a configuration is known.
 	Limits func() *deployment.Limits
-	// Ending is the cause with which the contexts of the requests that are cut off at the end of a shutdown are cancelled.
-	Ending error
+	// CutOffCause is the cause with which the contexts of the requests that are cut off at the end of a shutdown are cancelled.
+	CutOffCause error
 	// ObserveConnection is called with the reason for which a caller's connection ended, and the number of requests read from it that ended
 	// without a complete answer.
 	ObserveConnection func(reason string, unanswered int)
@@ -221,7 +221,7 @@
 		return
 	}
 	s.options.Log.WithField("in_flight", s.InFlight()).Warn("the grace ends: requests are cut off")
-	s.cutOff(s.options.Ending)
+	s.cutOff(s.options.CutOffCause)
 	cut, cancel := context.WithTimeout(context.Background(), cutOffTimeout)
 	defer cancel()
 	if err := s.listener.Wait(cut); err != nil {
--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -154,14 +154,14 @@
 		return min(plainWait, remaining/shortWaitParts)
 	}
 	if situation.NoEndpoint {
-		return min(situation.Route.Target/shortWaitParts, remaining/shortWaitParts)
+		return min(situation.Route.TargetLatency/shortWaitParts, remaining/shortWaitParts)
 	}
 	return min(time.Duration(float64(SilenceTimeout(situation.Route))*waitShare), remaining/streamWaitParts)
 }
 
 // SilenceTimeout is after how long a silence callers give a stream of a route up.
 func SilenceTimeout(route *deployment.Route) time.Duration {
-	return max(leastSilenceTimeout, silenceTargets*route.Target, silencePauses*route.PauseTarget)
+	return max(leastSilenceTimeout, silenceTargets*route.TargetLatency, silencePauses*route.TargetPause)
 }
 
 // retryAfter is when a caller whose adapter is not there should come back: when it is expected.
--- a/services/entry/admission/decide_test.go
+++ b/services/entry/admission/decide_test.go
@@ -15,8 +15,8 @@
 
 var (
 	start  = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	stream = &deployment.Route{Kind: deployment.Streaming, Target: 800 * time.Millisecond, PauseTarget: 250 * time.Millisecond}
-	plain  = &deployment.Route{Kind: deployment.Unsafe, Target: 150 * time.Millisecond}
+	stream = &deployment.Route{Kind: deployment.Streaming, TargetLatency: 800 * time.Millisecond, TargetPause: 250 * time.Millisecond}
+	plain  = &deployment.Route{Kind: deployment.Unsafe, TargetLatency: 150 * time.Millisecond}
 )
 
 func TestARequestWaitsForItsAdapterOnlyWithinItsCallersSilenceTimeout(t *testing.T) {
@@ -31,7 +31,7 @@
 func TestWithoutAnyEndpointTheRefusalComesSoon(t *testing.T) {
 	for _, route := range []*deployment.Route{stream, plain} {
 		situation := admission.Situation{Route: route, Arrived: start, Deadline: start.Add(15 * time.Second), NoEndpoint: true}
-		decision := admission.Decide(start.Add(route.Target), situation)
+		decision := admission.Decide(start.Add(route.TargetLatency), situation)
 		assert.False(t, decision.Wait)
 		assert.Equal(t, admission.NoEndpoint, decision.Reason)
 		assert.Positive(t, decision.RetryAfter)
@@ -74,6 +74,6 @@
 func TestTheSilenceTimeoutIsTheLongestOfItsThreeBounds(t *testing.T) {
 	assert.Equal(t, 3200*time.Millisecond, admission.SilenceTimeout(stream))
 	assert.Equal(t, 2*time.Second, admission.SilenceTimeout(plain))
-	slow := &deployment.Route{PauseTarget: time.Second}
+	slow := &deployment.Route{TargetPause: time.Second}
 	assert.Equal(t, 8*time.Second, admission.SilenceTimeout(slow))
 }
--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -94,7 +94,7 @@
 			continue
 		}
 		// A stream that goes on where it was takes the place that it had, which requests that waited would take first otherwise.
-		if required.Request.UsesModel() && required.Request.Only == "" && options.Limit.Reached(endpoint) {
+		if required.Request.UsesModel() && required.Request.OnlyEndpoint == "" && options.Limit.Reached(endpoint) {
 			verdict = Saturated
 			continue
 		}
@@ -124,8 +124,8 @@
 
 // admits reports whether the request may be sent to an endpoint, by where it was sent before.
 func (r *Requirement) admits(id deployment.EndpointID) bool {
-	if r.Request.Only != "" {
-		return id == r.Request.Only
+	if r.Request.OnlyEndpoint != "" {
+		return id == r.Request.OnlyEndpoint
 	}
 	return !slices.Contains(r.Tried, id)
 }
@@ -133,7 +133,7 @@
 // versionAt is the lowest version that may run the request at an endpoint. Where the wait there is not known, or nothing would show in
 // time that it is longer, the request might run after the time of older versions is over: they are not allowed.
 func (r *Requirement) versionAt(now time.Time, endpoint *directory.EndpointStatus) int64 {
-	if r.Version == 0 || r.FormerWait <= 0 || !r.Request.BeginShows() {
+	if r.Version == 0 || r.FormerWait <= 0 || !r.Request.StartIsVisible() {
 		return r.Version
 	}
 	wait, known := endpoint.ExpectedWait(now, r.Request.Route.Priority, r.OthersKnown)
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -89,11 +89,11 @@
 	full.Slots = 20
 	d := build(full, holder("free", "near"))
 	d.Endpoint("full").OthersRequests = 20
-	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter, Only: "full"}, Tried: []deployment.EndpointID{"full"}}
+	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter, OnlyEndpoint: "full"}, Tried: []deployment.EndpointID{"full"}}
 	endpoint, verdict := choose(d, required)
 	require.Equal(t, balance.Chosen, verdict)
 	assert.Equal(t, deployment.EndpointID("full"), endpoint.ID)
-	required.Request = &deployment.Request{Adapter: adapter, Only: "gone"}
+	required.Request = &deployment.Request{Adapter: adapter, OnlyEndpoint: "gone"}
 	_, verdict = choose(d, required)
 	assert.Equal(t, balance.NoEndpoint, verdict)
 }
--- a/services/entry/balance/held_test.go
+++ b/services/entry/balance/held_test.go
@@ -22,7 +22,7 @@
 	chosen, verdict := choose(d, balance.Requirement{Request: request})
 	assert.Nil(t, chosen)
 	assert.Equal(t, balance.Limited, verdict)
-	chosen, verdict = choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter, Only: "resting"}})
+	chosen, verdict = choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter, OnlyEndpoint: "resting"}})
 	assert.Nil(t, chosen, "nor for a stream that would go on there")
 	assert.Equal(t, balance.Resting, verdict)
 
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -198,7 +198,7 @@
 	if configuration := c.current.Load(); configuration != nil {
 		rank.Place, rank.Of = configuration.PriorityRank(request.Service, request.Route.Priority)
 	}
-	slack := request.Arrived.Add(request.Route.Target).Sub(now) - status.Speed.ReadTime(request.Prompt)
+	slack := request.Arrived.Add(request.Route.TargetLatency).Sub(now) - status.Speed.ReadTime(request.Prompt)
 	return rank.Urgency(slack)
 }
 
@@ -234,7 +234,7 @@
 		return true
 	}
 	if decision.Reason == admission.AdapterNotLoaded {
-		c.demand.ExpectBack(w.Key(), now.Add(decision.RetryAfter), w.Route.Target)
+		c.demand.ExpectBack(w.Key(), now.Add(decision.RetryAfter), w.Route.TargetLatency)
 	}
 	if decision.Reason == admission.Limited {
 		c.noteMissed(now, w)
--- a/services/entry/coordinator/leaving.go
+++ b/services/entry/coordinator/leaving.go
@@ -51,7 +51,7 @@
 func (c *Coordinator) takeLeaving(now time.Time, starts []wire.Start) {
 	for _, start := range starts {
 		status := c.directory.Endpoint(start.ID)
-		if status == nil || (start.Born != 0 && status.IsAnotherStart(time.UnixMilli(start.Born))) {
+		if status == nil || (start.Born != 0 && status.IsOtherIncarnation(time.UnixMilli(start.Born))) {
 			continue
 		}
 		c.noteLeaving(now, status, "peer")
--- a/services/entry/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -96,7 +96,7 @@
 // AddWaiting counts a request that waits now.
 func (c *Collection) AddWaiting(key deployment.ServiceAdapter, request *deployment.Request) {
 	if !key.Adapter.IsZero() {
-		c.wait(key, request.Arrived.Add(request.Route.Target).Sub(c.now))
+		c.wait(key, request.Arrived.Add(request.Route.TargetLatency).Sub(c.now))
 	}
 }
 
--- a/services/entry/coordinator/report/growth_test.go
+++ b/services/entry/coordinator/report/growth_test.go
@@ -30,7 +30,7 @@
 		key := one
 		key.Adapter = deployment.Adapter{Model: "base", Name: fmt.Sprint("new-", i)}
 		counter.Arrived(key, 0)
-		counter.ExpectBack(key, now.Add(time.Second), route.Target)
+		counter.ExpectBack(key, now.Add(time.Second), route.TargetLatency)
 		counter.Untold(now)
 		counter.Sweep(now)
 	}
@@ -52,7 +52,7 @@
 
 func TestACallerThatIsExpectedBackIsKeptWhileNobodyIsTold(t *testing.T) {
 	counter := report.NewCounter()
-	counter.ExpectBack(one, start.Add(time.Second), route.Target)
+	counter.ExpectBack(one, start.Add(time.Second), route.TargetLatency)
 	counter.Untold(start)
 	list := counter.Collect(start.Add(time.Second), 0).List()
 	assert.Len(t, list, 1)
--- a/services/entry/coordinator/report/report_test.go
+++ b/services/entry/coordinator/report/report_test.go
@@ -27,7 +27,7 @@
 	one   = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base", Name: "a1"}}
 	other = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base", Name: "a2"}}
 	plain = deployment.ServiceAdapter{Service: "chat", Adapter: deployment.Adapter{Model: "base"}}
-	route = &deployment.Route{Target: 800 * time.Millisecond}
+	route = &deployment.Route{TargetLatency: 800 * time.Millisecond}
 )
 
 func TestPausesGrowWithFleetsAboveSixteen(t *testing.T) {
@@ -137,12 +137,12 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			demand := report.NewCounter()
-			demand.ExpectBack(one, back, route.Target)
+			demand.ExpectBack(one, back, route.TargetLatency)
 			list := demand.Collect(c.now, 0).List()
 			require.Equal(t, c.asked, len(list) == 1)
 			if c.asked {
 				assert.Equal(t, 1, list[0].Waiting)
-				assert.Equal(t, back.Add(route.Target).Sub(c.now), list[0].InTime)
+				assert.Equal(t, back.Add(route.TargetLatency).Sub(c.now), list[0].InTime)
 				assert.Len(t, demand.Collect(c.now, 0).List(), 1, "each report tells it anew")
 			}
 		})
@@ -151,8 +151,8 @@
 
 func TestAReturnThatIsOverIsForgotten(t *testing.T) {
 	demand := report.NewCounter()
-	demand.ExpectBack(one, start, route.Target)
-	demand.ExpectBack(other, start.Add(time.Hour), route.Target)
+	demand.ExpectBack(one, start, route.TargetLatency)
+	demand.ExpectBack(other, start.Add(time.Hour), route.TargetLatency)
 	assert.Empty(t, demand.Collect(start.Add(time.Second), 0).List())
 	assert.Empty(t, demand.Collect(start, 0).List(), "an earlier time brings it not back")
 	assert.Contains(t, byName(demand.Collect(start.Add(time.Hour), 0).List()), "a2")
--- a/services/entry/coordinator/site_test.go
+++ b/services/entry/coordinator/site_test.go
@@ -44,7 +44,7 @@
 var (
 	selfAddress = netip.MustParseAddrPort("127.0.0.1:1001")
 	peerAddress = netip.MustParseAddrPort("127.0.0.1:1002")
-	route       = &deployment.Route{Name: "chat", Kind: deployment.Streaming, Target: 800 * time.Millisecond, PauseTarget: 250 * time.Millisecond}
+	route       = &deployment.Route{Name: "chat", Kind: deployment.Streaming, TargetLatency: 800 * time.Millisecond, TargetPause: 250 * time.Millisecond}
 )
 
 func adapter(name string) deployment.Adapter {
--- a/services/entry/coordinator/takeback.go
+++ b/services/entry/coordinator/takeback.go
@@ -15,7 +15,7 @@
 // It is nil for routes whose answers come whole: their begin does not show before their end, so that nothing tells whether they may
 // still be taken back.
 func (c *Coordinator) trackBegin(request *deployment.Request, held int64) *unbegun.Recall {
-	if request.Adapter.IsZero() || !request.BeginShows() {
+	if request.Adapter.IsZero() || !request.StartIsVisible() {
 		return nil
 	}
 	recall := &unbegun.Recall{}
--- a/services/entry/coordinator/takeback_test.go
+++ b/services/entry/coordinator/takeback_test.go
@@ -108,7 +108,7 @@
 	s := newSite()
 	s.start(t)
 	s.sendSoon(t)
-	whole := &deployment.Route{Name: "whole", Kind: deployment.Safe, Target: time.Second}
+	whole := &deployment.Route{Name: "whole", Kind: deployment.Safe, TargetLatency: time.Second}
 	now := time.Now()
 	for _, request := range []*deployment.Request{
 		{Route: whole, Service: service, Adapter: adapter("a1"), Arrived: now, Deadline: now.Add(waitLimit)},
--- a/services/entry/coordinator/whole_former_test.go
+++ b/services/entry/coordinator/whole_former_test.go
@@ -26,7 +26,7 @@
 	s.namedLine(t, "a1")
 	now := time.Now()
 	request := &deployment.Request{
-		Route: &deployment.Route{Name: "whole", Kind: deployment.Safe, Target: time.Second}, Service: service, Adapter: adapter("a1"),
+		Route: &deployment.Route{Name: "whole", Kind: deployment.Safe, TargetLatency: time.Second}, Service: service, Adapter: adapter("a1"),
 		Arrived: now, Deadline: now.Add(waitLimit),
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), versionLimit/4)
--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -52,7 +52,7 @@
 		return false
 	}
 	status, ok := d.endpoints[endpoint.ID]
-	if ok && status.IsAnotherStart(endpoint.Born) {
+	if ok && status.IsOtherIncarnation(endpoint.Born) {
 		if revision <= status.Revision {
 			return false
 		}
@@ -92,7 +92,7 @@
 		d.draining[endpoint.ID] = endpoint.Born
 		return deployment.Draining
 	}
-	if drained, ok := d.draining[endpoint.ID]; ok && !endpoint.IsAnotherStart(drained) {
+	if drained, ok := d.draining[endpoint.ID]; ok && !endpoint.IsOtherIncarnation(drained) {
 		return deployment.Draining
 	}
 	return endpoint.State
--- a/services/entry/loading/restart.go
+++ b/services/entry/loading/restart.go
@@ -11,12 +11,12 @@
 
 // startedAnew tells whether a description is of a later start than the plan's.
 func (e *endpointPlan) startedAnew(described *deployment.Endpoint, revision int64) bool {
-	return e.endpoint.IsAnotherStart(described.Born) && revision > e.revision && !described.Born.Equal(e.formerBorn)
+	return e.endpoint.IsOtherIncarnation(described.Born) && revision > e.revision && !described.Born.Equal(e.formerBorn)
 }
 
 // isFormer tells whether a description is of an earlier start than the plan's.
 func (e *endpointPlan) isFormer(described *deployment.Endpoint) bool {
-	return e.endpoint.IsAnotherStart(described.Born)
+	return e.endpoint.IsOtherIncarnation(described.Born)
 }
 
 // restart begins the plan of an endpoint anew, which came back under its name: it holds nothing, and has taken no order.
--- a/services/entry/loading/result.go
+++ b/services/entry/loading/result.go
@@ -39,7 +39,7 @@
 		return
 	}
 	plan.busy = false
-	if plan.endpoint.IsAnotherStart(result.Order.Endpoint.Born) {
+	if plan.endpoint.IsOtherIncarnation(result.Order.Endpoint.Born) {
 		plan.doneWithFormer(now, result)
 		return
 	}
@@ -60,7 +60,7 @@
 		plan.restUntil = now.Add(restAfterFailure)
 		return
 	}
-	if plan.endpoint.IsAnotherStart(result.Report.Born) {
+	if plan.endpoint.IsOtherIncarnation(result.Report.Born) {
 		plan = p.restart(now, plan, result.Report.Born)
 	}
 	before := plan.count.sequence
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -266,7 +266,7 @@
 		Callers: options.Callers, Ready: options.Ready, Metrics: options.Metrics, Handler: service,
 		MetricsHandler: withQuarantineRoutes(metrics.Handler(), control, log),
 		IsReady:        control.Ready, Now: time.Now, Log: log, ObserveConnection: metrics.ObserveConnection,
-		Ending: proxy.ErrProcessEnds,
+		CutOffCause: proxy.ErrProcessEnds,
 		Limits: func() *deployment.Limits {
 			if configuration := control.Configuration(); configuration != nil {
 				return &configuration.Limits
--- a/services/entry/proxy/attempt/retry_test.go
+++ b/services/entry/proxy/attempt/retry_test.go
@@ -17,11 +17,11 @@
 	now      = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
 	deadline = now.Add(10 * time.Second)
 
-	safe      = &deployment.Route{Kind: deployment.Safe, MaxAttempts: 2, Target: 100 * time.Millisecond}
-	unsafe    = &deployment.Route{Kind: deployment.Unsafe, MaxAttempts: 2, Target: 100 * time.Millisecond}
-	stream    = &deployment.Route{Kind: deployment.Streaming, MaxAttempts: 2, Target: 800 * time.Millisecond, PauseTarget: 250 * time.Millisecond}
+	safe      = &deployment.Route{Kind: deployment.Safe, MaxAttempts: 2, TargetLatency: 100 * time.Millisecond}
+	unsafe    = &deployment.Route{Kind: deployment.Unsafe, MaxAttempts: 2, TargetLatency: 100 * time.Millisecond}
+	stream    = &deployment.Route{Kind: deployment.Streaming, MaxAttempts: 2, TargetLatency: 800 * time.Millisecond, TargetPause: 250 * time.Millisecond}
 	resumable = &deployment.Route{
-		Kind: deployment.Streaming, MaxAttempts: 2, Target: 800 * time.Millisecond, PauseTarget: 250 * time.Millisecond, Resumable: true,
+		Kind: deployment.Streaming, MaxAttempts: 2, TargetLatency: 800 * time.Millisecond, TargetPause: 250 * time.Millisecond, Resumable: true,
 	}
 )
 
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -67,7 +67,7 @@
 	case !s.HeadPassed:
 		after = admission.SilenceTimeout(s.Route)
 	case s.EventPassed:
-		after = resumePauses * s.Route.PauseTarget
+		after = resumePauses * s.Route.TargetPause
 	}
 	return after, after >= leastSearch && after < left
 }
--- a/services/entry/proxy/attempt/timeout_test.go
+++ b/services/entry/proxy/attempt/timeout_test.go
@@ -57,7 +57,7 @@
 }
 
 func TestWhenAnotherEndpointIsLookedFor(t *testing.T) {
-	unknownPause := &deployment.Route{Kind: deployment.Streaming, MaxAttempts: 2, Target: 800 * time.Millisecond, Resumable: true}
+	unknownPause := &deployment.Route{Kind: deployment.Streaming, MaxAttempts: 2, TargetLatency: 800 * time.Millisecond, Resumable: true}
 	const least = 50 * time.Millisecond
 	for name, test := range map[string]struct {
 		situation attempt.Situation
--- a/services/entry/proxy/placement.go
+++ b/services/entry/proxy/placement.go
@@ -33,7 +33,7 @@
 // one that has just arrived, since its wait begins now.
 func (r *run) placeToResume(ctx context.Context, tried []deployment.EndpointID, only deployment.EndpointID) (placement, error) {
 	resumed := *r.request
-	resumed.Arrived, resumed.Only = r.service.options.Now(), only
+	resumed.Arrived, resumed.OnlyEndpoint = r.service.options.Now(), only
 	assignment, err := r.service.control.Acquire(ctx, &resumed, tried)
 	return placement{assignment: assignment, request: &resumed}, err
 }
--- a/services/entry/proxy/proxy_test.go
+++ b/services/entry/proxy/proxy_test.go
@@ -88,7 +88,7 @@
 	route := func(name string, kind deployment.RouteKind, resumable bool) *deployment.Route {
 		return &deployment.Route{
 			Name: name, Host: "h", PathPrefix: "/" + name, Kind: kind, Resumable: resumable, MaxAttempts: 2, Timeout: 10 * time.Second,
-			Target: time.Second, PauseTarget: time.Second, Backends: []deployment.Backend{{Service: "s", Weight: 1}},
+			TargetLatency: time.Second, TargetPause: time.Second, Backends: []deployment.Backend{{Service: "s", Weight: 1}},
 		}
 	}
 	s.configuration = deployment.NewConfiguration(1, []*deployment.Route{
@@ -163,7 +163,7 @@
 		return s.acquires(ctx, request, tried)
 	}
 	for _, endpoint := range s.endpoints {
-		if endpoint.ID == request.Only || (request.Only == "" && !slices.Contains(tried, endpoint.ID)) {
+		if endpoint.ID == request.OnlyEndpoint || (request.OnlyEndpoint == "" && !slices.Contains(tried, endpoint.ID)) {
 			return coordinator.Assignment{Endpoint: endpoint, Recall: s.recalls[endpoint.ID]}, nil
 		}
 	}
--- a/services/entry/proxy/resume_test.go
+++ b/services/entry/proxy/resume_test.go
@@ -93,5 +93,5 @@
 
 // pauseTarget sets the pause target of the route that may be resumed.
 func (s *site) pauseTarget(target time.Duration) {
-	s.configuration.Match("h", "/resumable").PauseTarget = target
+	s.configuration.Match("h", "/resumable").TargetPause = target
 }
--- a/services/entry/proxy/silence_test.go
+++ b/services/entry/proxy/silence_test.go
@@ -186,7 +186,7 @@
 func (s *site) shortTargets() {
 	for _, path := range []string{"/stream", "/resumable"} {
 		route := s.configuration.Match("h", path)
-		route.Target, route.PauseTarget = scriptPause, scriptPause
+		route.TargetLatency, route.TargetPause = scriptPause, scriptPause
 	}
 }
 
--- a/tests/capacity/entry_connection_test.go
+++ b/tests/capacity/entry_connection_test.go
@@ -134,7 +134,7 @@
 	route := func(name string, kind deployment.RouteKind, resumable bool) *deployment.Route {
 		return &deployment.Route{
 			Name: name, Host: caller, PathPrefix: "/" + name, Kind: kind, Resumable: resumable, MaxAttempts: 1, Timeout: time.Minute,
-			Target: time.Minute, PauseTarget: time.Minute, Backends: []deployment.Backend{{Service: serviceName, Weight: 1}},
+			TargetLatency: time.Minute, TargetPause: time.Minute, Backends: []deployment.Backend{{Service: serviceName, Weight: 1}},
 		}
 	}
 	configuration := deployment.NewConfiguration(1, []*deployment.Route{
