--- a/cmd/shelfledge-entry/main.go
+++ b/cmd/shelfledge-entry/main.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command shelfledge-entry serves callers on one instance of the users' platform and plans
-// with its peers which adapters sit on which endpoints.
+// Command shelfledge-entry serves callers on one instance of the users' platform. Together with its peers it plans which adapters are
+// loaded on which endpoints.
 package main
 
 import (
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/process"
 )
 
-// Exit codes of the program, beside 0; operators' scripts go by them.
+// Exit codes other than 0; operators' scripts depend on them.
 const (
 	exitFailed      = 1
 	exitBadSettings = 2
@@ -32,7 +32,7 @@
 }
 
 func main() {
-	// First of all: a signal that comes before it is taken ends the process, SIGHUP too.
+	// Signals are received from the start: before that, each of them ends the process, including SIGHUP.
 	signals := process.NotifySignals()
 	var args arguments
 	kong.Parse(&args, kong.Name("shelfledge-entry"), kong.Description("Serves callers and plans adapters on one machine of the users' platform."))
