--- a/modules/entry/peerstream/stream.go
+++ b/modules/entry/peerstream/stream.go
@@ -133,7 +133,7 @@
 	return s.queued.Load()
 }
 
-// Receive returns the next message. It waits for the begin of a message for at most the given silence; a message that has begun gets its
+// Receive returns the next message. It waits for the start of a message for at most the given silence; a message that has begun gets its
 // transfer time on a slow link in addition. Receive returns ErrTooLarge, or an error of the connection or of decoding. The stream cannot be
 // used after any of them.
 func (s *Stream[M]) Receive(silence time.Duration, now func() time.Time) (M, error) {
--- a/modules/entry/store/store.go
+++ b/modules/entry/store/store.go
@@ -63,12 +63,12 @@
 	// Watch waits up to a time for changes under a prefix after a revision, and returns the revision to continue from. It returns
 	// ErrCompacted if changes after the revision are no longer in the history.
 	Watch func(ctx context.Context, prefix string, after int64, wait time.Duration) ([]Event, int64, error)
-	// Commit applies a transaction and returns its revision. It returns a ConflictError if a condition does not hold, and ErrLeaseGone if a
-	// write names an expired lease.
+	// Commit applies a transaction and returns its revision. It returns a ConflictError if a condition does not hold, and ErrLeaseExpired
+	// if a write names an expired lease.
 	Commit func(ctx context.Context, transaction Transaction) (int64, error)
 	// GrantLease creates a lease that lasts for a time unless it is renewed.
 	GrantLease func(ctx context.Context, ttl time.Duration) (int64, error)
-	// RenewLease renews a lease for its full time. It returns ErrLeaseGone if the lease has expired.
+	// RenewLease renews a lease for its full time. It returns ErrLeaseExpired if the lease has expired.
 	RenewLease func(ctx context.Context, lease int64) error
 }
 
--- a/modules/entry/tcp/dialer.go
+++ b/modules/entry/tcp/dialer.go
@@ -36,7 +36,7 @@
 	return conn, nil
 }
 
-// prepare sets the socket options: reset on close, and the limit of Unacknowledged.
+// prepare sets the socket options: reset on close, and UserTimeout.
 func (d Dialer) prepare(conn *net.TCPConn) error {
 	if err := conn.SetLinger(0); err != nil {
 		return err
@@ -58,7 +58,7 @@
 	return setUserTimeout(conn, unanswered)
 }
 
-// DisableKeepAlive undoes Probe and restores the given limit for unacknowledged sent bytes.
+// DisableKeepAlive undoes EnableKeepAlive and restores the given limit for unacknowledged sent bytes.
 func DisableKeepAlive(conn *net.TCPConn, unacknowledged time.Duration) error {
 	if err := conn.SetKeepAlive(false); err != nil {
 		return err
--- a/modules/entry/upstream/error.go
+++ b/modules/entry/upstream/error.go
@@ -49,6 +49,6 @@
 
 // NotSent reports whether an error proves that no byte of the request was written.
 func NotSent(err error) bool {
-	var failed *ExchangeError
-	return errors.As(err, &failed) && failed.Stage == Connecting
+	var exchangeErr *ExchangeError
+	return errors.As(err, &exchangeErr) && exchangeErr.Stage == Connecting
 }
--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -183,7 +183,7 @@
 }
 
 // Begin counts a request as in flight at an endpoint. A request for a model counts as waiting in the endpoint's own queue until Running or
-// Leave is called for it.
+// LeaveQueue is called for it.
 func (d *Directory) Begin(now time.Time, id deployment.EndpointID, request *deployment.Request) {
 	status, ok := d.endpoints[id]
 	if !ok {
--- a/services/entry/directory/status.go
+++ b/services/entry/directory/status.go
@@ -77,8 +77,8 @@
 	if !ok || resident < version {
 		return false
 	}
-	at, gone := s.missing[adapter]
-	return !gone || now.Sub(at) > missingRetention
+	reportedAt, isMissing := s.missing[adapter]
+	return !isMissing || now.Sub(reportedAt) > missingRetention
 }
 
 // Avoided reports whether the endpoint gets requests only where no other can run them: it is ejected, or its hall cannot be reached.
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -211,8 +211,8 @@
 // a suspension of the host they end late by its length, which does no harm.
 func newClock(log *logrus.Entry) *clock.Clock {
 	sources := clock.System()
-	sources.Noticed = func(span time.Duration) {
-		log.WithField("suspended_ms", span.Milliseconds()).Warn("the host was suspended")
+	sources.Noticed = func(suspension time.Duration) {
+		log.WithField("suspended_ms", suspension.Milliseconds()).Warn("the host was suspended")
 	}
 	c, err := clock.New(sources)
 	if err == nil {
--- a/services/quarantine/hold.go
+++ b/services/quarantine/hold.go
@@ -51,8 +51,8 @@
 	if evidence == nil {
 		return Hold{}, false
 	}
-	left := t.suspects[request].lastCrash().Add(t.holdDuration(request, evidence)).Sub(now)
-	return Hold{Left: left, Endpoints: evidence}, left > 0
+	remaining := t.suspects[request].lastCrash().Add(t.holdDuration(request, evidence)).Sub(now)
+	return Hold{Left: remaining, Endpoints: evidence}, remaining > 0
 }
 
 // Admit decides whether an arriving request is held back. After a hold it admits one request at a time as a trial, whose outcome is the
@@ -63,8 +63,8 @@
 		return hold, held
 	}
 	known := t.suspects[request]
-	if left := known.triedAt.Add(trialTimeout).Sub(now); !known.triedAt.IsZero() && left > 0 {
-		return Hold{Left: min(left, trialRetryAfter), Endpoints: hold.Endpoints}, true
+	if remaining := known.triedAt.Add(trialTimeout).Sub(now); !known.triedAt.IsZero() && remaining > 0 {
+		return Hold{Left: min(remaining, trialRetryAfter), Endpoints: hold.Endpoints}, true
 	}
 	known.triedAt = now
 	// Other instances make no trial meanwhile.
--- a/services/quarantine/table.go
+++ b/services/quarantine/table.go
@@ -174,14 +174,14 @@
 
 // TakeUnsent returns the records that changed on this instance since the last call.
 func (t *Table) TakeUnsent(now time.Time) []Crash {
-	taken := make([]Crash, 0, len(t.unsent))
+	crashes := make([]Crash, 0, len(t.unsent))
 	for _, entry := range t.unsent {
 		// The age grows while a record waits to be sent. Otherwise ends at different times would look simultaneous to the receiver.
 		entry.crash.Age = now.Sub(entry.at)
-		taken = append(taken, entry.crash)
+		crashes = append(crashes, entry.crash)
 	}
 	t.unsent = nil
-	return taken
+	return crashes
 }
 
 // publish queues a record to be sent to the other instances.
