--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -78,7 +78,7 @@
 	for request, hold := range holding {
 		if _, known := c.holding[request]; !known {
 			c.options.Log.WithFields(logrus.Fields{
-				"fingerprint": request.String(), "endpoints": hold.Endpoints, "held_ms": hold.Left.Milliseconds(),
+				"fingerprint": request.String(), "endpoints": hold.Endpoints, "held_ms": hold.Remaining.Milliseconds(),
 			}).Warn("a request is held back, since endpoints ended while they had it")
 		}
 	}
@@ -125,7 +125,7 @@
 
 // refusedByQuarantine is the answer to a request that is held back.
 func refusedByQuarantine(hold quarantine.Hold) acquired {
-	return acquired{err: &Refusal{Reason: admission.Quarantined, RetryAfter: hold.Left}}
+	return acquired{err: &Refusal{Reason: admission.Quarantined, RetryAfter: hold.Remaining}}
 }
 
 // holdBack refuses a request that waits, if it is held back since.
--- a/services/entry/process/quarantine.go
+++ b/services/entry/process/quarantine.go
@@ -27,7 +27,7 @@
 	mux.HandleFunc("GET /quarantine", func(writer http.ResponseWriter, _ *http.Request) {
 		held := []heldRequest{}
 		for request, hold := range control.HeldRequests() {
-			held = append(held, heldRequest{Fingerprint: request.String(), Endpoints: hold.Endpoints, HeldMS: hold.Left.Milliseconds()})
+			held = append(held, heldRequest{Fingerprint: request.String(), Endpoints: hold.Endpoints, HeldMS: hold.Remaining.Milliseconds()})
 		}
 		writer.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(writer).Encode(held); err != nil {
--- a/services/quarantine/hold.go
+++ b/services/quarantine/hold.go
@@ -29,8 +29,8 @@
 
 // Hold describes why and for how long a request is held back.
 type Hold struct {
-	// Left is the time until the request may be sent again.
-	Left time.Duration
+	// Remaining is the time until the request may be sent again.
+	Remaining time.Duration
 	// Endpoints are the endpoints that ended while they had the request in flight.
 	Endpoints []string
 }
@@ -52,7 +52,7 @@
 		return Hold{}, false
 	}
 	remaining := t.suspects[request].lastCrash().Add(t.holdDuration(request, evidence)).Sub(now)
-	return Hold{Left: remaining, Endpoints: evidence}, remaining > 0
+	return Hold{Remaining: remaining, Endpoints: evidence}, remaining > 0
 }
 
 // Admit decides whether an arriving request is held back. After a hold it admits one request at a time as a trial, whose outcome is the
@@ -64,7 +64,7 @@
 	}
 	known := t.suspects[request]
 	if remaining := known.triedAt.Add(trialTimeout).Sub(now); !known.triedAt.IsZero() && remaining > 0 {
-		return Hold{Left: min(remaining, trialRetryAfter), Endpoints: hold.Endpoints}, true
+		return Hold{Remaining: min(remaining, trialRetryAfter), Endpoints: hold.Endpoints}, true
 	}
 	known.triedAt = now
 	// Other instances make no trial meanwhile.
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -57,7 +57,7 @@
 	s.crash("c", 1)
 	hold, held := s.Held(s.now, request(1))
 	assert.True(t, held)
-	assert.Equal(t, 5*time.Minute-crashInterval, hold.Left)
+	assert.Equal(t, 5*time.Minute-crashInterval, hold.Remaining)
 	assert.Equal(t, []string{"a", "b", "c"}, hold.Endpoints)
 	assert.False(t, s.held(2), "another request")
 }
@@ -174,7 +174,7 @@
 		assert.False(t, held, "trial %d", trial)
 		other, held := s.Admit(s.now, request(1))
 		assert.True(t, held, "a second request during trial %d", trial)
-		assert.Equal(t, time.Second, other.Left)
+		assert.Equal(t, time.Second, other.Remaining)
 		s.Sweep(s.now)
 		s.crash(fmt.Sprint("trial", trial), 1)
 	}
