--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -62,12 +62,12 @@
 
 // Server listens for callers, for the load balancer and for metrics.
 type Server struct {
-	options         Options
-	callers         *http.Server
-	listener        *callerconn.Listener
-	internalServers []*http.Server
-	stopping        atomic.Int64
-	inFlight        atomic.Int64
+	options      Options
+	callers      *http.Server
+	listener     *callerconn.Listener
+	internalHTTP []*http.Server
+	stopping     atomic.Int64
+	inFlight     atomic.Int64
 	// baseContext is the context of all requests; cutOff cancels it.
 	baseContext context.Context
 	cutOff      context.CancelCauseFunc
@@ -151,12 +151,12 @@
 	if err := s.listen(ready, s.options.Ready); err != nil {
 		return err
 	}
-	s.internalServers = append(s.internalServers, ready)
+	s.internalHTTP = append(s.internalHTTP, ready)
 	if !s.options.Metrics.IsValid() || s.options.MetricsHandler == nil {
 		return nil
 	}
 	metrics := &http.Server{Handler: s.options.MetricsHandler, ReadHeaderTimeout: headerTimeout}
-	s.internalServers = append(s.internalServers, metrics)
+	s.internalHTTP = append(s.internalHTTP, metrics)
 	return s.listen(metrics, s.options.Metrics)
 }
 
@@ -208,7 +208,7 @@
 	if s.listener != nil {
 		s.stopCallers(ctx)
 	}
-	s.closeInternalServers()
+	s.closeInternal()
 }
 
 // stopCallers closes the listener for callers and waits for their connections.
@@ -233,13 +233,13 @@
 func (s *Server) Close() {
 	// An error has no consequence, since the process ends.
 	_ = s.callers.Close()
-	s.closeInternalServers()
+	s.closeInternal()
 }
 
-// closeInternalServers closes the listeners for the load balancer and for metrics, ignoring errors as Close does.
-func (s *Server) closeInternalServers() {
-	for _, other := range s.internalServers {
-		_ = other.Close()
+// closeInternal closes the listeners for the load balancer and for metrics, ignoring errors as Close does.
+func (s *Server) closeInternal() {
+	for _, internal := range s.internalHTTP {
+		_ = internal.Close()
 	}
 }
 
--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -110,7 +110,8 @@
 	return true
 }
 
-// Remove removes an endpoint that was gone as of a revision. It reports whether the endpoint was known.
+// Remove removes an endpoint that was gone as of a revision, unless a newer description is known. It reports whether an endpoint was
+// removed.
 func (d *Directory) Remove(id deployment.EndpointID, revision int64) bool {
 	status, ok := d.endpoints[id]
 	if ok && status.Revision > revision {
--- a/services/quarantine/hold.go
+++ b/services/quarantine/hold.go
@@ -67,7 +67,7 @@
 		return Hold{Remaining: min(remaining, trialRetryAfter), Endpoints: hold.Endpoints}, true
 	}
 	known.triedAt = now
-	// Other instances make no trial meanwhile.
+	// Publishing the trial keeps the other instances from making one at the same time.
 	t.publish(Crash{Request: request}, now)
 	return Hold{}, false
 }
