--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -161,14 +161,14 @@
 		return min(maxPlainWait, remaining/shortWaitDivisor)
 	}
 	if situation.NoEndpoint {
-		return min(situation.Route.Target/shortWaitDivisor, remaining/shortWaitDivisor)
+		return min(situation.Route.TargetLatency/shortWaitDivisor, remaining/shortWaitDivisor)
 	}
 	return min(time.Duration(float64(SilenceTimeout(situation.Route))*silenceWaitShare), remaining/streamWaitDivisor)
 }
 
 // SilenceTimeout returns the silence after which callers give up a stream of a route.
 func SilenceTimeout(route *deployment.Route) time.Duration {
-	return max(minSilenceTimeout, silenceTargetFactor*route.Target, silencePauseTargetFactor*route.PauseTarget)
+	return max(minSilenceTimeout, silenceTargetFactor*route.TargetLatency, silencePauseTargetFactor*route.TargetPause)
 }
 
 // retryAfter returns when a caller whose adapter is not resident should retry: when the adapter is expected.
--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -87,18 +87,18 @@
 			continue
 		}
 		verdict = max(verdict, NotResident)
-		if endpoint.Lost() && required.Request.UsesModel() {
+		if endpoint.ReportedUnreachable() && required.Request.UsesModel() {
 			continue
 		}
 		if required.Request.UsesModel() && !endpoint.Holds(now, required.Request.Adapter, required.requiredVersion(now, endpoint)) {
 			continue
 		}
 		// A stream that is resumed at its endpoint may exceed the limit: waiting requests would otherwise take the place that it had.
-		if required.Request.UsesModel() && required.Request.Only == "" && options.Limit.Reached(endpoint) {
+		if required.Request.UsesModel() && required.Request.OnlyEndpoint == "" && options.Limit.Reached(endpoint) {
 			verdict = Saturated
 			continue
 		}
-		if endpoint.Rests(now) {
+		if endpoint.IsResting(now) {
 			verdict = max(verdict, Resting)
 			continue
 		}
@@ -124,8 +124,8 @@
 
 // allowsEndpoint reports whether the request may be sent to an endpoint, considering where it was sent before.
 func (r *Requirement) allowsEndpoint(id deployment.EndpointID) bool {
-	if r.Request.Only != "" {
-		return id == r.Request.Only
+	if r.Request.OnlyEndpoint != "" {
+		return id == r.Request.OnlyEndpoint
 	}
 	return !slices.Contains(r.Tried, id)
 }
@@ -134,7 +134,7 @@
 // the endpoint is unknown, or if a longer wait would not become visible in time: the request might then run after the time during
 // which older versions are allowed.
 func (r *Requirement) requiredVersion(now time.Time, endpoint *directory.EndpointStatus) int64 {
-	if r.Version == 0 || r.FormerWait <= 0 || !r.Request.BeginShows() {
+	if r.Version == 0 || r.FormerWait <= 0 || !r.Request.StartIsVisible() {
 		return r.Version
 	}
 	wait, known := endpoint.ExpectedWait(now, r.Request.Route.Priority, r.OthersKnown)
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -60,7 +60,7 @@
 
 func TestChoosePrefersLeastLoadedCountingOtherInstances(t *testing.T) {
 	d := newDirectory(endpointWithAdapter("a", "near"), endpointWithAdapter("b", "near"))
-	d.Endpoint("a").Others = 3
+	d.Endpoint("a").OthersRequests = 3
 	d.Begin(start, "b", &deployment.Request{Adapter: adapter})
 	endpoint, _ := choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter}})
 	assert.Equal(t, deployment.EndpointID("b"), endpoint.ID)
@@ -71,7 +71,7 @@
 	request := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
 	endpoint, _ := choose(d, request)
 	assert.Equal(t, deployment.EndpointID("near"), endpoint.ID)
-	d.Endpoint("near").Others = 2
+	d.Endpoint("near").OthersRequests = 2
 	endpoint, _ = choose(d, request)
 	assert.Equal(t, deployment.EndpointID("far"), endpoint.ID)
 }
@@ -88,12 +88,12 @@
 	full := endpointWithAdapter("full", "near")
 	full.Slots = 20
 	d := newDirectory(full, endpointWithAdapter("free", "near"))
-	d.Endpoint("full").Others = 20
-	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter, Only: "full"}, Tried: []deployment.EndpointID{"full"}}
+	d.Endpoint("full").OthersRequests = 20
+	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter, OnlyEndpoint: "full"}, Tried: []deployment.EndpointID{"full"}}
 	endpoint, verdict := choose(d, required)
 	require.Equal(t, balance.Chosen, verdict)
 	assert.Equal(t, deployment.EndpointID("full"), endpoint.ID)
-	required.Request = &deployment.Request{Adapter: adapter, Only: "gone"}
+	required.Request = &deployment.Request{Adapter: adapter, OnlyEndpoint: "gone"}
 	_, verdict = choose(d, required)
 	assert.Equal(t, balance.NoEndpoint, verdict)
 }
@@ -128,16 +128,16 @@
 	bounded := options
 	bounded.Limit.Share = 0.5
 	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}}
-	d.Endpoint("full").Others = 1
+	d.Endpoint("full").OthersRequests = 1
 	_, verdict := balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Chosen, verdict)
-	d.Endpoint("full").Others = 2
+	d.Endpoint("full").OthersRequests = 2
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	bounded.Limit.Min = 3
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Chosen, verdict, "the minimum limit applies to small batches")
-	d.Endpoint("full").Others = 3
+	d.Endpoint("full").OthersRequests = 3
 	_, verdict = balance.Choose(start, d.Service("service"), required, bounded)
 	assert.Equal(t, balance.Saturated, verdict)
 	plain := balance.Requirement{Request: &deployment.Request{}}
--- a/services/entry/balance/limited_test.go
+++ b/services/entry/balance/limited_test.go
@@ -16,13 +16,13 @@
 
 func TestLimitedAndRestingEndpointsAreNeverChosen(t *testing.T) {
 	d := newDirectory(endpointWithAdapter("resting", "near"), endpointWithAdapter("limited", "near"))
-	d.Endpoint("resting").NoteRest(start.Add(time.Second))
+	d.Endpoint("resting").RecordRest(start.Add(time.Second))
 	d.Endpoint("limited").Allowance.ObserveResponse(start, start, new(1.0))
 	request := &deployment.Request{Adapter: adapter}
 	chosen, verdict := choose(d, balance.Requirement{Request: request})
 	assert.Nil(t, chosen)
 	assert.Equal(t, balance.Limited, verdict)
-	chosen, verdict = choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter, Only: "resting"}})
+	chosen, verdict = choose(d, balance.Requirement{Request: &deployment.Request{Adapter: adapter, OnlyEndpoint: "resting"}})
 	assert.Nil(t, chosen, "the endpoint is not chosen for a stream to be resumed there either")
 	assert.Equal(t, balance.Resting, verdict)
 
--- a/services/entry/balance/spread.go
+++ b/services/entry/balance/spread.go
@@ -74,7 +74,7 @@
 	}
 	others := 0
 	for _, c := range candidates {
-		others += c.endpoint.Others
+		others += c.endpoint.OthersRequests
 	}
 	return float64(others) * age.Seconds() / stay.Seconds()
 }
--- a/services/entry/balance/spread_test.go
+++ b/services/entry/balance/spread_test.go
@@ -55,7 +55,7 @@
 		if now.Seconds()-renewed >= s.countInterval.Seconds() {
 			renewed = now.Seconds()
 			for _, endpoint := range endpoints {
-				endpoint.Others = running[endpoint.ID]
+				endpoint.OthersRequests = running[endpoint.ID]
 			}
 		}
 		if random.Float64() < float64(s.perSecond)*step.Seconds() {
--- a/services/entry/balance/version_test.go
+++ b/services/entry/balance/version_test.go
@@ -35,7 +35,7 @@
 		"waits of other instances unknown":        {func(*directory.Directory) {}, time.Hour, false, balance.NotResident},
 		"wait below the limit":                    {addWait, wait + 1, true, balance.Chosen},
 		"wait equal to the limit":                 {addWait, wait, true, balance.NotResident},
-		"other instances' requests, wait unknown": {func(d *directory.Directory) { d.Endpoint("old").Others = 1 }, time.Hour, true, balance.NotResident},
+		"other instances' requests, wait unknown": {func(d *directory.Directory) { d.Endpoint("old").OthersRequests = 1 }, time.Hour, true, balance.NotResident},
 		"held version too old":                    {func(*directory.Directory) {}, time.Hour, true, balance.NotResident},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			endpoint := endpointWithAdapter("new", "near")
 			endpoint.Adapters = map[deployment.Adapter]int64{adapter: 3}
 			d = newDirectory(endpoint)
-			d.Endpoint("new").Others = 1
+			d.Endpoint("new").OthersRequests = 1
 			_, verdict = choose(d, required)
 			assert.Equal(t, balance.Chosen, verdict, "the named version must be allowed in any case")
 		})
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -201,7 +201,7 @@
 	if configuration := c.current.Load(); configuration != nil {
 		rank.Position, rank.Total = configuration.PriorityRank(request.Service, request.Route.Priority)
 	}
-	slack := request.Arrived.Add(request.Route.Target).Sub(now) - status.Speed.ReadTime(request.Prompt)
+	slack := request.Arrived.Add(request.Route.TargetLatency).Sub(now) - status.Speed.ReadTime(request.Prompt)
 	return rank.Urgency(slack)
 }
 
@@ -237,7 +237,7 @@
 		return true
 	}
 	if decision.Reason == admission.AdapterNotLoaded {
-		c.demand.ExpectRetry(w.Key(), now.Add(decision.RetryAfter), w.Route.Target)
+		c.demand.ExpectRetry(w.Key(), now.Add(decision.RetryAfter), w.Route.TargetLatency)
 	}
 	if decision.Reason == admission.Limited {
 		c.recordLimitRefusal(now, w)
@@ -289,7 +289,7 @@
 		return
 	}
 	c.directory.NoteStay(request.Service, now.Sub(assignment.Assigned))
-	c.directory.Leave(now, assignment.Endpoint.ID, assignment.Assigned, request)
+	c.directory.LeaveQueue(now, assignment.Endpoint.ID, assignment.Assigned, request)
 	c.directory.End(now, assignment.Endpoint.ID, request.Adapter, outcome)
 	if (outcome == directory.Unreached || outcome == directory.Ended) && assignment.status.Health.Unreached(now) {
 		// This report informs the other instances, which would otherwise find out by failed requests of their own.
@@ -308,7 +308,7 @@
 	c.loop.Post(func(now time.Time) {
 		c.endRequest(now, assignment, request, outcome)
 		if missing && c.sameIncarnation(assignment) {
-			c.directory.NoteMissing(now, assignment.Endpoint.ID, request.Adapter)
+			c.directory.MarkMissing(now, assignment.Endpoint.ID, request.Adapter)
 			c.missing = append(c.missing, wire.Copy{ID: assignment.Endpoint.ID, Model: request.Adapter.Model, Name: request.Adapter.Name})
 		}
 	})
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -223,7 +223,7 @@
 // sweep removes outdated state.
 func (c *Coordinator) sweep(now time.Time) {
 	c.sweptAt = now
-	c.directory.RememberHeld(now)
+	c.directory.UpdateHeld(now)
 	c.demand.Sweep(now)
 	c.reviewCrashes(now)
 	if now.Sub(c.seedAnswer.at) >= seedAnswerTTL {
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -63,7 +63,7 @@
 	crashes := make([]quarantine.Crash, 0, len(reported))
 	for _, crash := range reported {
 		if crash.Age < recentCrashAge && !c.crashes.HasEnded(string(crash.Endpoint)) {
-			c.directory.NoteEnded(now, crash.Endpoint)
+			c.directory.MarkEnded(now, crash.Endpoint)
 		}
 		crashes = append(crashes, quarantine.Crash{Request: crash.Request, Endpoint: string(crash.Endpoint), Age: crash.Age, Answered: crash.Answered})
 	}
@@ -75,11 +75,11 @@
 func (c *Coordinator) reviewCrashes(now time.Time) {
 	c.crashes.Sweep(now)
 	c.crashRecords.Store(int64(c.crashes.Size()))
-	quarantined := c.crashes.Holding(now)
+	quarantined := c.crashes.AllHeld(now)
 	for request, hold := range quarantined {
 		if _, known := c.quarantined[request]; !known {
 			c.options.Log.WithFields(logrus.Fields{
-				"fingerprint": request.String(), "endpoints": hold.Endpoints, "held_ms": hold.Left.Milliseconds(),
+				"fingerprint": request.String(), "endpoints": hold.Endpoints, "held_ms": hold.Remaining.Milliseconds(),
 			}).Warn("a request is held back, since endpoints ended while they had it")
 		}
 	}
@@ -93,7 +93,7 @@
 
 // publishCrashes sends unpublished crashes to the other instances, in a report or, at the planner, in a view.
 func (c *Coordinator) publishCrashes(now time.Time) {
-	if !c.crashes.Untold() {
+	if !c.crashes.HasUnsent() {
 		return
 	}
 	if c.planner != nil {
@@ -110,9 +110,9 @@
 	case c.planner != nil:
 		return nil
 	case c.follower.ratesDue:
-		return wireCrashes(c.crashes.Own(now))
+		return wireCrashes(c.crashes.OwnRecords(now))
 	default:
-		return wireCrashes(c.crashes.TakeUntold(now))
+		return wireCrashes(c.crashes.TakeUnsent(now))
 	}
 }
 
@@ -127,7 +127,7 @@
 
 // quarantineRefusal returns the result for a request that is quarantined.
 func quarantineRefusal(hold quarantine.Hold) acquireResult {
-	return acquireResult{err: &Refusal{Reason: admission.Quarantined, RetryAfter: hold.Left}}
+	return acquireResult{err: &Refusal{Reason: admission.Quarantined, RetryAfter: hold.Remaining}}
 }
 
 // refuseHeld refuses a waiting request that has been quarantined since it began to wait, and reports whether it
@@ -143,7 +143,7 @@
 // QuarantinedRequests returns the requests that are quarantined.
 func (c *Coordinator) QuarantinedRequests() map[fingerprint.Fingerprint]quarantine.Hold {
 	var holding map[fingerprint.Fingerprint]quarantine.Hold
-	c.loop.Call(func(now time.Time) { holding = c.crashes.Holding(now) })
+	c.loop.Call(func(now time.Time) { holding = c.crashes.AllHeld(now) })
 	return holding
 }
 
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -200,7 +200,7 @@
 		c.planner.endpointsRevision = max(c.planner.endpointsRevision, upTo)
 	}
 	for _, event := range events {
-		if event.Gone {
+		if event.Deleted {
 			c.removeEndpoint(c.environment.EndpointOf(event.Key), event.Revision)
 			continue
 		}
--- a/services/entry/coordinator/follower.go
+++ b/services/entry/coordinator/follower.go
@@ -241,7 +241,7 @@
 // resetOthersInFlight clears the in-flight requests of the other instances.
 func (c *Coordinator) resetOthersInFlight() {
 	for _, status := range c.directory.Endpoints() {
-		status.Others, status.OthersUnread = 0, 0
+		status.OthersRequests, status.OthersUnread = 0, 0
 	}
 }
 
@@ -249,7 +249,7 @@
 // this instance's part of that total.
 func (c *Coordinator) setOthersInFlight(id deployment.EndpointID, total, own member.InFlight) {
 	if status := c.directory.Endpoint(id); status != nil {
-		status.Others = max(0, total.Requests-own.Requests)
+		status.OthersRequests = max(0, total.Requests-own.Requests)
 		status.OthersUnread = max(0, total.Unread-own.Unread)
 	}
 }
--- a/services/entry/coordinator/gathering.go
+++ b/services/entry/coordinator/gathering.go
@@ -195,7 +195,7 @@
 	var counts []wire.Count
 	c.follower.inFlight = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
 	for id, status := range c.directory.Endpoints() {
-		if status.Own > 0 {
+		if status.OwnRequests > 0 {
 			inFlight := ownInFlight(status)
 			c.follower.inFlight[id] = inFlight
 			counts = append(counts, wire.Count{ID: id, Requests: inFlight.Requests, Unread: inFlight.Unread})
--- a/services/entry/coordinator/leaving.go
+++ b/services/entry/coordinator/leaving.go
@@ -15,7 +15,7 @@
 // markLeaving records that an endpoint announced in a response, to this instance or to a peer, that it leaves. The
 // announcement is as final for this start of the endpoint as a notice in the store, and it may arrive before that notice.
 func (c *Coordinator) markLeaving(now time.Time, status *directory.EndpointStatus, source string) {
-	if !c.directory.NoteLeaving(status.ID) {
+	if !c.directory.MarkDraining(status.ID) {
 		return
 	}
 	c.announcedLeaving[status.ID] = true
@@ -52,7 +52,7 @@
 func (c *Coordinator) mergeLeaving(now time.Time, starts []wire.Start) {
 	for _, start := range starts {
 		status := c.directory.Endpoint(start.ID)
-		if status == nil || (start.Born != 0 && status.IsAnotherStart(time.UnixMilli(start.Born))) {
+		if status == nil || (start.Born != 0 && status.IsOtherIncarnation(time.UnixMilli(start.Born))) {
 			continue
 		}
 		c.markLeaving(now, status, "peer")
--- a/services/entry/coordinator/limits.go
+++ b/services/entry/coordinator/limits.go
@@ -184,7 +184,7 @@
 // allLimitedOrResting reports whether each ready endpoint of a service has a limit or rests.
 func (c *Coordinator) allLimitedOrResting(now time.Time, service string) bool {
 	return !slices.ContainsFunc(c.directory.Service(service), func(status *directory.EndpointStatus) bool {
-		return status.State == deployment.Ready && !status.Allowance.HasLimit() && !status.Rests(now)
+		return status.State == deployment.Ready && !status.Allowance.HasLimit() && !status.IsResting(now)
 	})
 }
 
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -187,7 +187,7 @@
 // isSuspect reports whether enough instances suspect an endpoint.
 func (p *Plans) isSuspect(now time.Time, id deployment.EndpointID) bool {
 	status := p.directory.Endpoint(id)
-	return p.members.IsSuspect(id, status != nil && (status.Health.Ejected(now) || status.Rests(now)))
+	return p.members.IsSuspect(id, status != nil && (status.Health.Ejected(now) || status.IsResting(now)))
 }
 
 // Sweep removes outdated state of the service plans.
--- a/services/entry/coordinator/recall.go
+++ b/services/entry/coordinator/recall.go
@@ -15,7 +15,7 @@
 // endpoint's own queue, and that queue may grow. It returns nil for routes whose answers are sent as a whole. Their begin
 // is not visible before their end, so nothing shows whether they may still be recalled.
 func (c *Coordinator) trackUnbegun(request *deployment.Request, held int64) *unbegun.Recall {
-	if request.Adapter.IsZero() || !request.BeginShows() {
+	if request.Adapter.IsZero() || !request.StartIsVisible() {
 		return nil
 	}
 	recall := &unbegun.Recall{}
--- a/services/entry/coordinator/recall_test.go
+++ b/services/entry/coordinator/recall_test.go
@@ -110,7 +110,7 @@
 	f := newFixture()
 	f.start(t)
 	f.assignRequest(t)
-	whole := &deployment.Route{Name: "whole", Kind: deployment.Safe, Target: time.Second}
+	whole := &deployment.Route{Name: "whole", Kind: deployment.Safe, TargetLatency: time.Second}
 	now := time.Now()
 	for _, request := range []*deployment.Request{
 		{Route: whole, Service: service, Adapter: adapter("a1"), Arrived: now, Deadline: now.Add(waitLimit)},
--- a/services/entry/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -97,7 +97,7 @@
 // AddWaiting counts a request that is waiting now.
 func (c *Collection) AddWaiting(key deployment.ServiceAdapter, request *deployment.Request) {
 	if !key.Adapter.IsZero() {
-		c.addWaiting(key, request.Arrived.Add(request.Route.Target).Sub(c.now))
+		c.addWaiting(key, request.Arrived.Add(request.Route.TargetLatency).Sub(c.now))
 	}
 }
 
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -46,12 +46,12 @@
 	c.missing = nil
 	c.follower.inFlight = make(map[deployment.EndpointID]member.InFlight, c.directory.Size())
 	for id, status := range c.directory.Endpoints() {
-		if status.Own > 0 {
+		if status.OwnRequests > 0 {
 			inFlight := ownInFlight(status)
 			r.InFlight = append(r.InFlight, wire.EndpointCount{ID: id, Count: inFlight.Requests, Unread: inFlight.Unread})
 			c.follower.inFlight[id] = inFlight
 		}
-		if status.Health.Ejected(now) || status.Rests(now) {
+		if status.Health.Ejected(now) || status.IsResting(now) {
 			r.Suspects = append(r.Suspects, id)
 		}
 		if status.Health.Unreached(now) {
@@ -82,7 +82,7 @@
 
 // ownInFlight returns this instance's requests in flight at an endpoint.
 func ownInFlight(status *directory.EndpointStatus) member.InFlight {
-	return member.InFlight{Requests: status.Own, Unread: status.OwnUnread()}
+	return member.InFlight{Requests: status.OwnRequests, Unread: status.OwnUnread()}
 }
 
 // takeKeysForReport reports whether the next report carries the operators' keys that the planner lacks, and records them
--- a/services/entry/coordinator/resting.go
+++ b/services/entry/coordinator/resting.go
@@ -13,8 +13,8 @@
 
 // recordRest records that an endpoint rejected a request of this instance and asked for no requests from it for some time.
 func (c *Coordinator) recordRest(now time.Time, status *directory.EndpointStatus, rest time.Duration) {
-	alreadyRests := status.Rests(now)
-	status.NoteRest(now.Add(rest))
+	alreadyRests := status.IsResting(now)
+	status.RecordRest(now.Add(rest))
 	if alreadyRests {
 		return
 	}
@@ -29,7 +29,7 @@
 func (c *Coordinator) earliestRestEnd(now time.Time, w *waiter) time.Time {
 	var earliest time.Time
 	for _, status := range c.directory.Service(w.Service) {
-		if status.Rests(now) && c.couldRun(now, status, w) && (earliest.IsZero() || status.RestEnds().Before(earliest)) {
+		if status.IsResting(now) && c.couldRun(now, status, w) && (earliest.IsZero() || status.RestEnds().Before(earliest)) {
 			earliest = status.RestEnds()
 		}
 	}
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -50,15 +50,15 @@
 			status.Planner, status.Term = c.options.Instance, c.planner.lease.Record().Term
 		}
 		status.Limited = len(c.endpointLimits.known)
-		status.Quarantined = len(c.crashes.Holding(now))
+		status.Quarantined = len(c.crashes.AllHeld(now))
 		if !c.othersInFlightAt.IsZero() {
 			status.CountsAge = now.Sub(c.othersInFlightAt)
 		}
 		for _, endpoint := range c.directory.Endpoints() {
-			status.InFlight += endpoint.Own
-			status.OthersInFlight += endpoint.Others
+			status.InFlight += endpoint.OwnRequests
+			status.OthersInFlight += endpoint.OthersRequests
 			status.ResidentCopies += len(endpoint.Offered)
-			if endpoint.Rests(now) {
+			if endpoint.IsResting(now) {
 				status.Resting++
 			}
 			if endpoint.Health.Ejected(now) {
@@ -73,14 +73,14 @@
 func (c *Coordinator) peerQueueBytes() int64 {
 	var sum int64
 	if c.follower.stream != nil {
-		sum += c.follower.stream.Queued()
+		sum += c.follower.stream.QueuedBytes()
 	}
 	if c.planner == nil {
 		return sum
 	}
 	for _, m := range c.planner.members.All() {
 		if m.Link != nil {
-			sum += m.Link.Queued()
+			sum += m.Link.QueuedBytes()
 		}
 	}
 	return sum
--- a/services/entry/coordinator/viewround.go
+++ b/services/entry/coordinator/viewround.go
@@ -305,7 +305,7 @@
 		return
 	}
 	if errors.Is(err, peerstream.ErrCongested) {
-		p.coordinator.recordLinkClosed(m.Link.Queued(), err)
+		p.coordinator.recordLinkClosed(m.Link.QueuedBytes(), err)
 	}
 	p.keysInFlight.Ended(m.Link)
 	m.Link = nil
--- a/services/entry/coordinator/views.go
+++ b/services/entry/coordinator/views.go
@@ -66,7 +66,7 @@
 	changes.Removed = changed.Removed
 	p.addUnreachable(changes, withTotals)
 	p.addLimitChanges(now, changes, withTotals)
-	changes.Crashes = wireCrashes(p.coordinator.crashes.TakeUntold(now))
+	changes.Crashes = wireCrashes(p.coordinator.crashes.TakeUnsent(now))
 	return changes
 }
 
@@ -122,7 +122,7 @@
 
 // nothingToSend reports whether all members have the last state of the plan.
 func (p *planner) nothingToSend(now time.Time) bool {
-	return p.plans.Changes().Empty() && !p.coordinator.crashes.Untold() && !p.members.AnyNeedsOwnView() && !p.gatherers.changed && !p.unreachableChanged &&
+	return p.plans.Changes().Empty() && !p.coordinator.crashes.HasUnsent() && !p.members.AnyNeedsOwnView() && !p.gatherers.changed && !p.unreachableChanged &&
 		len(p.limitAllocation.grants) == 0 && !p.limitsChanged(now)
 }
 
--- a/services/entry/directory/forget_test.go
+++ b/services/entry/directory/retention_test.go
@@ -14,8 +14,8 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// TestEndpointsLongGoneAreForgotten plays an hour in which endpoints come and go, every second one after it said that it leaves.
-func TestEndpointsLongGoneAreForgotten(t *testing.T) {
+// TestRemovedEndpointsAreForgotten adds and removes an endpoint each second for an hour, every second one draining.
+func TestRemovedEndpointsAreForgotten(t *testing.T) {
 	d := directory.New()
 	now := start
 	for i := range 3600 {
@@ -24,38 +24,39 @@
 		d.Put(endpoint(id, state), int64(2*i+1))
 		d.Remove(deployment.EndpointID(id), int64(2*i+2))
 		now = now.Add(time.Second)
-		d.RememberHeld(now)
+		d.UpdateHeld(now)
 	}
-	// Ten minutes and the second until the next look.
+	// The retention is ten minutes, and the next sweep follows one second later.
 	assert.LessOrEqual(t, d.Remembered(), 601)
 }
 
-// TestWhatIsGoneIsRememberedAsLongAsItMayBeTold: neither an older description nor one that says ready brings it back.
-func TestWhatIsGoneIsRememberedAsLongAsItMayBeTold(t *testing.T) {
+// TestRemovedEndpointIsNotAddedByOlderDescription: within the retention, neither an older description nor one with another state adds a
+// removed endpoint again.
+func TestRemovedEndpointIsNotAddedByOlderDescription(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Draining), 5)
 	d.Remove("e", 7)
 	for _, passed := range []time.Duration{0, time.Minute, 9 * time.Minute} {
-		d.RememberHeld(start.Add(passed))
+		d.UpdateHeld(start.Add(passed))
 		assert.False(t, d.Put(endpoint("e", deployment.Ready), 6), passed)
 	}
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 8))
 	assert.Equal(t, deployment.Draining, d.Endpoint("e").State)
-	d.RememberHeld(start.Add(time.Hour))
-	assert.False(t, d.Put(endpoint("e", deployment.Ready), 7), "what is known is not forgotten")
+	d.UpdateHeld(start.Add(time.Hour))
+	assert.False(t, d.Put(endpoint("e", deployment.Ready), 7), "a known endpoint keeps its revision")
 	assert.True(t, d.Put(endpoint("e", deployment.Ready), 9))
-	assert.Equal(t, deployment.Draining, d.Endpoint("e").State, "an incarnation that leaves stays so while it is known")
+	assert.Equal(t, deployment.Draining, d.Endpoint("e").State, "an incarnation stays draining while it is known")
 }
 
-// TestAdaptersThatWereMissingAreForgotten asks an endpoint for adapters that it does not hold.
-func TestAdaptersThatWereMissingAreForgotten(t *testing.T) {
+// TestMissingAdaptersAreForgotten records adapters as missing and checks that they are deleted after their retention.
+func TestMissingAdaptersAreForgotten(t *testing.T) {
 	d := directory.New()
 	d.Put(endpoint("e", deployment.Ready), 5)
 	for i := range 1000 {
-		d.NoteMissing(start, "e", deployment.Adapter{Model: "base", Name: fmt.Sprint("a", i)})
+		d.MarkMissing(start, "e", deployment.Adapter{Model: "base", Name: fmt.Sprint("a", i)})
 	}
-	d.RememberHeld(start.Add(time.Second))
+	d.UpdateHeld(start.Add(time.Second))
 	assert.Equal(t, 1000, d.Endpoint("e").Missing())
-	d.RememberHeld(start.Add(2 * time.Second))
+	d.UpdateHeld(start.Add(2 * time.Second))
 	assert.Zero(t, d.Endpoint("e").Missing())
 }
--- a/services/entry/loading/restart.go
+++ b/services/entry/loading/restart.go
@@ -11,13 +11,13 @@
 
 // hasRestarted reports whether a description is of a later incarnation than the plan's.
 func (e *endpointPlan) hasRestarted(described *deployment.Endpoint, revision int64) bool {
-	return e.endpoint.IsAnotherStart(described.Born) && revision > e.revision && !described.Born.Equal(e.previousBorn)
+	return e.endpoint.IsOtherIncarnation(described.Born) && revision > e.revision && !described.Born.Equal(e.previousBorn)
 }
 
 // describesOtherStart reports whether a description is of a different incarnation than the plan's, which after
 // planFor can only be an earlier one.
 func (e *endpointPlan) describesOtherStart(described *deployment.Endpoint) bool {
-	return e.endpoint.IsAnotherStart(described.Born)
+	return e.endpoint.IsOtherIncarnation(described.Born)
 }
 
 // replaceRestarted replaces the plan of an endpoint that restarted with the same ID. The new incarnation holds
--- a/services/entry/loading/result.go
+++ b/services/entry/loading/result.go
@@ -40,7 +40,7 @@
 		return
 	}
 	plan.orderInFlight = false
-	if plan.endpoint.IsAnotherStart(result.Order.Endpoint.Born) {
+	if plan.endpoint.IsOtherIncarnation(result.Order.Endpoint.Born) {
 		plan.handleResultFromBeforeRestart(now, result)
 		return
 	}
@@ -61,7 +61,7 @@
 		plan.pausedUntil = now.Add(failurePause)
 		return
 	}
-	if plan.endpoint.IsAnotherStart(result.Report.Born) {
+	if plan.endpoint.IsOtherIncarnation(result.Report.Born) {
 		plan = p.replaceRestarted(now, plan, result.Report.Born)
 	}
 	before := plan.tracker.sequence
--- a/services/entry/proxy/acquire.go
+++ b/services/entry/proxy/acquire.go
@@ -33,7 +33,7 @@
 // The request is passed to the coordinator as one that has just arrived, because its wait starts now.
 func (r *inflight) acquireToResume(ctx context.Context, tried []deployment.EndpointID, only deployment.EndpointID) (placement, error) {
 	resumed := *r.request
-	resumed.Arrived, resumed.Only = r.service.options.Now(), only
+	resumed.Arrived, resumed.OnlyEndpoint = r.service.options.Now(), only
 	assignment, err := r.service.control.Acquire(ctx, &resumed, tried)
 	return placement{assignment: assignment, request: &resumed}, err
 }
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -68,7 +68,7 @@
 	case !s.HeadForwarded:
 		after = admission.SilenceTimeout(s.Route)
 	case s.EventForwarded:
-		after = hedgePauseTargets * s.Route.PauseTarget
+		after = hedgePauseTargets * s.Route.TargetPause
 	}
 	return after, after >= minHedgeDelay && after < left
 }
--- a/services/entry/proxy/endpoint_silence_test.go
+++ b/services/entry/proxy/endpoint_silence_test.go
@@ -184,7 +184,7 @@
 func (p *testProxy) setShortTargets() {
 	for _, path := range []string{"/stream", "/resumable"} {
 		route := p.configuration.Match("h", path)
-		route.Target, route.PauseTarget = scriptPause, scriptPause
+		route.TargetLatency, route.TargetPause = scriptPause, scriptPause
 	}
 }
 
--- a/services/entry/proxy/proxy_test.go
+++ b/services/entry/proxy/proxy_test.go
@@ -89,7 +89,7 @@
 	route := func(name string, kind deployment.RouteKind, resumable bool) *deployment.Route {
 		return &deployment.Route{
 			Name: name, Host: "h", PathPrefix: "/" + name, Kind: kind, Resumable: resumable, MaxAttempts: 2, Timeout: 10 * time.Second,
-			Target: time.Second, PauseTarget: time.Second, Backends: []deployment.Backend{{Service: "s", Weight: 1}},
+			TargetLatency: time.Second, TargetPause: time.Second, Backends: []deployment.Backend{{Service: "s", Weight: 1}},
 		}
 	}
 	p.configuration = deployment.NewConfiguration(1, []*deployment.Route{
@@ -164,7 +164,7 @@
 		return p.acquireHook(ctx, request, tried)
 	}
 	for _, endpoint := range p.endpoints {
-		if endpoint.ID == request.Only || (request.Only == "" && !slices.Contains(tried, endpoint.ID)) {
+		if endpoint.ID == request.OnlyEndpoint || (request.OnlyEndpoint == "" && !slices.Contains(tried, endpoint.ID)) {
 			return coordinator.Assignment{Endpoint: endpoint, Recall: p.recalls[endpoint.ID]}, nil
 		}
 	}
--- a/services/entry/proxy/resume_test.go
+++ b/services/entry/proxy/resume_test.go
@@ -90,5 +90,5 @@
 
 // setPauseTarget sets the pause target of the resumable route.
 func (p *testProxy) setPauseTarget(target time.Duration) {
-	p.configuration.Match("h", "/resumable").PauseTarget = target
+	p.configuration.Match("h", "/resumable").TargetPause = target
 }
