--- a/services/daemon/placement/bid.go
+++ b/services/daemon/placement/bid.go
@@ -10,67 +10,68 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Bid is the most valuable load that a pool asks a permit for.
+// Bid is the most valuable load of a pool, for which it requests a permit.
 type Bid struct {
 	Adapter fleet.AdapterRef
 	Value   float64
-	// Preload is true while nobody waits for the adapter.
+	// Preload is true if no request waits for the adapter.
 	Preload bool
 }
 
-// Bid gives the most valuable load of the pool, if any load is worth a permit.
+// Bid returns the most valuable load of the pool, if any load is worth a permit.
 func (p *Placer) Bid(now time.Time) (Bid, bool) {
-	if p.bid.fresh && now.Sub(p.bid.at) < bidFresh {
-		return p.bid.bid, p.bid.wants
+	if p.bid.valid && now.Sub(p.bid.computedAt) < bidCacheTTL {
+		return p.bid.bid, p.bid.found
 	}
 	bid, _ := p.bestDemand(now)
-	wants := bid.Value > 0
-	if !wants {
-		bid, _, wants = p.bestPreload(now)
+	found := bid.Value > 0
+	if !found {
+		bid, _, found = p.bestPreload(now)
 	}
-	p.bid = madeBid{bid: bid, wants: wants, at: now, fresh: true}
-	return bid, wants
+	p.bid = cachedBid{bid: bid, found: found, computedAt: now, valid: true}
+	return bid, found
 }
 
-// madeBid is a bid that holds until the pool changes, or for a short while.
-type madeBid struct {
-	bid   Bid
-	wants bool
-	at    time.Time
-	fresh bool
+// cachedBid is a bid that is valid until the state of the pool changes, for at most bidCacheTTL.
+type cachedBid struct {
+	bid        Bid
+	found      bool
+	computedAt time.Time
+	valid      bool
 }
 
-// bidFresh is how long a bid is good for in a pool where nothing happens. Longer weighs the demands less often, shorter sees them age
-// sooner.
-const bidFresh = 200 * time.Millisecond
+// bidCacheTTL is how long a bid is reused while the state of the pool does not change. A longer time evaluates the demands less often, a
+// shorter one reflects their age sooner.
+const bidCacheTTL = 200 * time.Millisecond
 
-// UsePermit spends a permit of the weight store on the best load of this moment;
-// it reports false where no load is wanted any more, so that the permit goes back.
+// UsePermit uses a permit of the weight store for the load that is most valuable now. It
+// returns false if no load is needed any more, so that the permit can be returned.
 func (p *Placer) UsePermit(now time.Time) ([]Effect, bool) {
-	bid, place := p.bestDemand(now)
+	bid, target := p.bestDemand(now)
 	if bid.Value <= 0 {
 		var ok bool
-		bid, place, ok = p.bestPreload(now)
+		bid, target, ok = p.bestPreload(now)
 		if !ok {
-			return p.take(), false
+			return p.takeEffects(), false
 		}
 	}
-	if place.endpoint == nil {
-		return p.take(), false
+	if target.endpoint == nil {
+		return p.takeEffects(), false
 	}
-	p.startLoad(now, bid, place)
-	return p.take(), true
+	p.startLoad(now, bid, target)
+	return p.takeEffects(), true
 }
 
-// demand is one adapter that requests wait for, with the worth of its load.
+// demand is an adapter with waiting requests and the value of loading it.
 type demand struct {
 	ref   fleet.AdapterRef
 	value float64
 }
 
-// bestDemand weighs every adapter that requests wait for, and looks for a slot for the
-// most valuable ones only, since that costs much more than the weighing.
-func (p *Placer) bestDemand(now time.Time) (Bid, placeFor) {
+// bestDemand returns the most valuable load of an adapter with waiting requests. It computes
+// the value of all of them but searches a slot only for the most valuable ones, since the
+// search costs much more.
+func (p *Placer) bestDemand(now time.Time) (Bid, loadTarget) {
 	demands := p.demands(now)
 	for len(demands) > 0 {
 		best := 0
@@ -80,28 +81,28 @@
 			}
 		}
 		d := demands[best]
-		if place, ok := p.findPlace(now, d.ref, math.Inf(1)); ok {
-			return Bid{Adapter: d.ref, Value: d.value}, place
+		if target, ok := p.findLoadTarget(now, d.ref, math.Inf(1)); ok {
+			return Bid{Adapter: d.ref, Value: d.value}, target
 		}
 		if a, ok := p.queue.Adapter(d.ref); ok {
-			p.makeRoom(now, d.ref, a)
+			p.closeSlotFor(now, d.ref, a)
 		}
 		demands[best] = demands[len(demands)-1]
 		demands = demands[:len(demands)-1]
-		if p.full(now) {
-			return Bid{}, placeFor{}
+		if p.noSlotAvailable(now) {
+			return Bid{}, loadTarget{}
 		}
 	}
-	return Bid{}, placeFor{}
+	return Bid{}, loadTarget{}
 }
 
-// full tells whether no endpoint has a slot to give, for whatever adapter.
-func (p *Placer) full(now time.Time) bool {
+// noSlotAvailable reports whether no endpoint has a slot that is free or may be evicted, for any adapter.
+func (p *Placer) noSlotAvailable(now time.Time) bool {
 	for _, e := range p.endpoints {
-		if !e.takesLoads(now) {
+		if !e.acceptsLoads(now) {
 			continue
 		}
-		if _, ok := p.placeOn(now, e); ok {
+		if _, ok := p.cheapestSlot(now, e); ok {
 			return false
 		}
 	}
@@ -109,7 +110,7 @@
 }
 
 func (p *Placer) demands(now time.Time) []demand {
-	out := p.scratch[:0]
+	out := p.demandBuffer[:0]
 	for ref, a := range p.queue.Adapters() {
 		if ref.IsZero() {
 			continue
@@ -118,6 +119,6 @@
 			out = append(out, demand{ref: ref, value: value})
 		}
 	}
-	p.scratch = out
+	p.demandBuffer = out
 	return out
 }
--- a/services/daemon/placement/customer_loads.go
+++ b/services/daemon/placement/customer_loads.go
@@ -8,42 +8,43 @@
 	"time"
 )
 
-// customerLoadLife is the half-life of the count of loads made for a customer. Longer
-// holds a flood of different adapters back for longer, shorter forgets it.
-const customerLoadLife = 30 * time.Second
-
-// leastCustomerLoads is the count of loads below which a customer is forgotten: one load, 20 half-lives or 10 minutes after it, which
-// divides the value of a load by less than 1.000001. Higher frees memory sooner, lower is more exact.
-const leastCustomerLoads = 1e-6
-
-// customerLoads counts the recent loads that each customer waited for, by its name.
-type customerLoads map[string]recentLoads
-
-// recentLoads is a fading count of loads, as of last.
-type recentLoads struct {
-	count float64
-	last  time.Time
+// customerLoadHalfLife is the half-life of the count of loads made for a customer. A longer
+// half-life holds back a customer that requests many different adapters for longer, a shorter
+// one lets that customer compete again sooner.
+const customerLoadHalfLife = 30 * time.Second
+
+// minCustomerLoads is the count of loads below which a customer is dropped. A single load decays to it in 20 half-lives, or 10 minutes; it
+// then divides the value of a load by less than 1.000001. A higher limit frees memory sooner, a lower one is more exact.
+const minCustomerLoads = 1e-6
+
+// customerLoads holds, by customer name, the decaying count of loads for which the customer's requests waited.
+type customerLoads map[string]decayingCount
+
+// decayingCount is a decaying count of loads as of updatedAt.
+type decayingCount struct {
+	count     float64
+	updatedAt time.Time
 }
 
-// recent gives a customer's count at the present.
-func (c customerLoads) recent(now time.Time, customer string) float64 {
+// current returns a customer's count at the given time.
+func (c customerLoads) current(now time.Time, customer string) float64 {
 	r, ok := c[customer]
 	if !ok {
 		return 0
 	}
-	dt := now.Sub(r.last).Seconds()
-	return r.count * math.Exp2(-dt/customerLoadLife.Seconds())
+	dt := now.Sub(r.updatedAt).Seconds()
+	return r.count * math.Exp2(-dt/customerLoadHalfLife.Seconds())
 }
 
-// add counts a part of a load.
+// add adds a share of a load to a customer's count.
 func (c customerLoads) add(now time.Time, customer string, part float64) {
-	c[customer] = recentLoads{count: c.recent(now, customer) + part, last: now}
+	c[customer] = decayingCount{count: c.current(now, customer) + part, updatedAt: now}
 }
 
-// forget drops the customers whose counts have faded, which bounds the memory.
-func (c customerLoads) forget(now time.Time) {
+// prune drops the customers whose counts have decayed, which limits the memory.
+func (c customerLoads) prune(now time.Time) {
 	for customer := range c {
-		if c.recent(now, customer) < leastCustomerLoads {
+		if c.current(now, customer) < minCustomerLoads {
 			delete(c, customer)
 		}
 	}
--- a/services/daemon/placement/demand.go
+++ b/services/daemon/placement/demand.go
@@ -12,37 +12,40 @@
 )
 
 const (
-	// waitGrowth is the wait that doubles the value of a load, against starvation. Longer follows popularity more, shorter the order of
-	// arrival.
-	waitGrowth = 20 * time.Second
-	// horizon is the time over which expected calls count in the value of a load. Longer follows popularity more, shorter those who wait.
-	horizon = 30 * time.Second
-	// copyDiscount is the value of one more copy, as a part of that of the first. Higher spends permits and slots on what is loaded
-	// somewhere.
-	copyDiscount = 0.25
+	// waitDoubling is the waiting time that doubles the value of a load, which prevents starvation. A longer time favors popular adapters, a
+	// shorter one the order of arrival.
+	waitDoubling = 20 * time.Second
+	// arrivalHorizon is the time over which expected arrivals add to the value of a load. A longer time favors popular adapters, a shorter one
+	// those with waiting requests.
+	arrivalHorizon = 30 * time.Second
+	// extraCopyFactor is the value of another copy relative to that of the first. A higher factor uses more permits and slots for adapters that
+	// are already loaded on an endpoint.
+	extraCopyFactor = 0.25
 )
 
-// demandValue is the waiting that a load would remove: waiters by weight and the
-// arrivals to expect, raised with the wait so that no one starves.
+// demandValue returns the value of loading an adapter: the stall weight of the waiting
+// requests and of the expected arrivals, raised with the waiting time to prevent starvation
+// and lowered by the recent loads of the customers that wait.
 func (p *Placer) demandValue(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) float64 {
 	if p.failures.Waiting(now, ref) {
 		return 0
 	}
 	wait := now.Sub(a.Since())
-	value := a.Weight() + p.popular.Rate(now, ref)*horizon.Seconds()
-	value *= 1 + wait.Seconds()/waitGrowth.Seconds()
-	value /= 1 + p.leastLoads(now, a)
+	value := a.Weight() + p.arrivalRates.Rate(now, ref)*arrivalHorizon.Seconds()
+	value *= 1 + wait.Seconds()/waitDoubling.Seconds()
+	value /= 1 + p.minRecentLoads(now, a)
 	if len(p.copies[ref]) == 0 {
 		return value
 	}
 	if !p.wantsCopy(now, ref, a) {
 		return 0
 	}
-	return value * copyDiscount
+	return value * extraCopyFactor
 }
 
-// wantsCopy tells whether an adapter with copies deserves one more: its queue
-// waits for a place, and no copy is on its way.
+// wantsCopy reports whether an adapter that is already loaded should be loaded once more:
+// its oldest request has waited for SecondCopyWait, every copy is resident and none has a
+// free place. It returns false while all waiting requests are patient and still held back.
 func (p *Placer) wantsCopy(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) bool {
 	if !a.Urgent() && now.Before(a.HoldUntil()) {
 		return false
@@ -52,18 +55,18 @@
 	}
 	for _, e := range p.copies[ref] {
 		s := e.slots[ref]
-		if s.state != slotResident || s.closing || (e.takesWork() && e.free() > 0) {
+		if s.state != slotResident || s.closing || (e.acceptsRequests() && e.freePlaces() > 0) {
 			return false
 		}
 	}
 	return true
 }
 
-// leastLoads gives the recent loads made for the customers that wait, the least of them.
-func (p *Placer) leastLoads(now time.Time, a *queue.Adapter) float64 {
+// minRecentLoads returns the lowest count of recent loads among the customers that wait for the adapter.
+func (p *Placer) minRecentLoads(now time.Time, a *queue.Adapter) float64 {
 	least := math.Inf(1)
 	for customer := range a.Customers() {
-		least = math.Min(least, p.loadsOf.recent(now, customer))
+		least = math.Min(least, p.loadsByCustomer.current(now, customer))
 	}
 	if math.IsInf(least, 1) {
 		return 0
@@ -71,13 +74,13 @@
 	return least
 }
 
-// countLoad shares a load among the customers that wait for it.
-func (p *Placer) countLoad(now time.Time, ref fleet.AdapterRef) {
+// recordLoad divides a load among the customers that wait for it.
+func (p *Placer) recordLoad(now time.Time, ref fleet.AdapterRef) {
 	a, ok := p.queue.Adapter(ref)
 	if !ok {
 		return
 	}
 	for customer := range a.Customers() {
-		p.loadsOf.add(now, customer, 1/float64(a.Lanes()))
+		p.loadsByCustomer.add(now, customer, 1/float64(a.Lanes()))
 	}
 }
--- a/services/daemon/placement/dispatch.go
+++ b/services/daemon/placement/dispatch.go
@@ -11,22 +11,21 @@
 )
 
 const (
-	// prefixBonus is what a prompt prefix that ran on an endpoint adds to its score, against a filled part of the batch of 1. Higher keeps
-	// prefixes together and batches uneven.
+	// prefixBonus is added to the score of the endpoint that last ran a request with the same prompt prefix; a full batch scores 1. A higher
+	// bonus keeps requests with equal prefixes together but fills batches less evenly.
 	prefixBonus = 0.3
-	// crowdedFill is the filled part of a batch above which an emptier endpoint is better for interactive work. Higher makes fuller
-	// batches, lower shorter steps.
+	// crowdedFill is the used share of a batch above which interactive requests prefer a less loaded endpoint. A higher share makes fuller
+	// batches, a lower one shorter steps.
 	crowdedFill = 0.85
-	// quietInterval is the time without interactive work after which patient work may have the places that are kept for it. Longer leaves
-	// places idle, shorter makes the first interactive request wait.
-	quietInterval = 10 * time.Minute
-	// leastCustomerSeats is the number of places in a batch that one customer may always have, so that a small batch is of use to a single
-	// customer.
-	leastCustomerSeats = 2
+	// interactiveQuietPeriod is the time without interactive requests after which patient requests may use the places reserved for them. A
+	// longer time leaves places idle, a shorter one makes the first interactive request wait.
+	interactiveQuietPeriod = 10 * time.Minute
+	// minCustomerPlaces is the number of places in a batch that one customer may always use, so that a single customer can use a small batch.
+	minCustomerPlaces = 2
 )
 
-// choose picks the endpoint for a request among those where its adapter is resident.
-func (p *Placer) choose(now time.Time, r fleet.Request, class fleet.Class) *endpointState {
+// chooseEndpoint returns the endpoint with the highest score among those that can start the request now, or nil.
+func (p *Placer) chooseEndpoint(now time.Time, r fleet.Request, class fleet.Class) *endpointState {
 	var best *endpointState
 	var bestScore float64
 	for _, e := range p.candidates(r) {
@@ -41,7 +40,7 @@
 	return best
 }
 
-// candidates lists the endpoints that hold the request's adapter, or all for plain services.
+// candidates returns the endpoints with a copy of the request's adapter, or all endpoints if the request names no adapter.
 func (p *Placer) candidates(r fleet.Request) []*endpointState {
 	if r.Adapter.IsZero() {
 		return p.endpoints
@@ -49,9 +48,9 @@
 	return p.copies[r.Adapter]
 }
 
-// mayStart tells whether the request may take a place in the endpoint's batch now.
+// mayStart reports whether the request may take a place in the endpoint's batch now.
 func (p *Placer) mayStart(now time.Time, e *endpointState, r fleet.Request, class fleet.Class) bool {
-	if !e.takesWork() || e.free() <= 0 || !e.spec.Serves(r.Base) {
+	if !e.acceptsRequests() || e.freePlaces() <= 0 || !e.spec.Serves(r.Base) {
 		return false
 	}
 	if r.Avoid == e.spec.Name && len(p.candidates(r)) > 1 {
@@ -63,37 +62,38 @@
 			return false
 		}
 	}
-	if !p.customerFits(e, r) {
+	if !p.withinCustomerShare(e, r) {
 		return false
 	}
 	if class.Patient {
-		return p.patientFits(now, e)
+		return p.patientMayStart(now, e)
 	}
 	return true
 }
 
-// customerFits keeps one customer from taking a whole batch while others may come.
-func (p *Placer) customerFits(e *endpointState, r fleet.Request) bool {
+// withinCustomerShare reports whether the request's customer may use another place of the batch, so that one customer does not fill it.
+func (p *Placer) withinCustomerShare(e *endpointState, r fleet.Request) bool {
 	limit := int(p.options.CustomerBatchShare * float64(e.spec.MaxBatch))
-	limit = max(limit, leastCustomerSeats)
-	return e.customers[r.Caller] < limit
+	limit = max(limit, minCustomerPlaces)
+	return e.ticketsByCustomer[r.Caller] < limit
 }
 
-// patientFits keeps a reserve for interactive work and holds patient work back
-// until it rides along with running work or fills a good part of a batch.
-func (p *Placer) patientFits(now time.Time, e *endpointState) bool {
+// patientMayStart reports whether a patient request may start on the endpoint. It keeps a
+// reserve of places for interactive requests, and holds patient requests back until other
+// requests are running or enough patient requests wait for a batch.
+func (p *Placer) patientMayStart(now time.Time, e *endpointState) bool {
 	reserve := 0
-	if now.Sub(p.lastBusy) < quietInterval {
+	if now.Sub(p.lastInteractive) < interactiveQuietPeriod {
 		reserve = max(1, int(p.options.ReserveShare*float64(e.spec.MaxBatch)))
 	}
-	if e.free() <= reserve {
+	if e.freePlaces() <= reserve {
 		return false
 	}
-	return e.running > 0 || p.gathered(now, e)
+	return e.running > 0 || p.enoughPatientWaiting(now, e)
 }
 
-// gathered tells whether enough patient work waits for the endpoint's adapters.
-func (p *Placer) gathered(now time.Time, e *endpointState) bool {
+// enoughPatientWaiting reports whether enough patient requests wait for the endpoint's adapters, or one of them may not be held any longer.
+func (p *Placer) enoughPatientWaiting(now time.Time, e *endpointState) bool {
 	waiting := 0
 	for ref, s := range e.slots {
 		a, ok := p.queue.Adapter(ref)
@@ -111,20 +111,21 @@
 	return float64(waiting) >= p.options.GatherShare*float64(e.spec.MaxBatch)
 }
 
-// score prefers fuller batches up to the crowded mark, then emptier ones, and a prefix hint.
+// score rates an endpoint for a request. Fuller batches score higher up to crowdedFill; above it, less full ones do if the
+// request is interactive. An endpoint that last ran the same prompt prefix gets a bonus.
 func (p *Placer) score(e *endpointState, r fleet.Request, class fleet.Class) float64 {
-	fill := e.fill()
-	score := fill
-	if fill > crowdedFill && !class.Patient {
-		score = crowdedFill - fill
+	batchFill := e.batchFill()
+	score := batchFill
+	if batchFill > crowdedFill && !class.Patient {
+		score = crowdedFill - batchFill
 	}
-	if r.Prefix != 0 && p.prefixes.place[r.Prefix] == e.spec.Name {
+	if r.Prefix != 0 && p.prefixes.endpointByPrefix[r.Prefix] == e.spec.Name {
 		score += prefixBonus
 	}
 	return score
 }
 
-// grant gives the request a place; stalled is the part of its wait that a load caused.
+// grant assigns the request a place on the endpoint. stalled is the part of its waiting time that was caused by a load.
 func (p *Placer) grant(now time.Time, e *endpointState, r fleet.Request, queued time.Time, stalled time.Duration) {
 	ticket := fleet.Ticket{
 		ID:          p.nextTicketID(),
@@ -134,25 +135,25 @@
 		Incarnation: e.incarnation,
 		Adapter:     r.Adapter,
 		Fence:       e.fence,
-		Placer:      p.self,
+		Placer:      p.instance,
 		Entry:       r.Entry,
 		StartWithin: p.options.StartWithin,
 		Queued:      now.Sub(queued),
 		Stalled:     stalled,
 	}
-	held := &heldTicket{ticket: ticket, request: r, granted: now}
-	p.tickets[ticket.ID] = held
-	p.byRequest[r.ID] = held
-	e.enter(ticket, r.Caller)
+	granted := &grantedTicket{ticket: ticket, request: r, grantedAt: now}
+	p.tickets[ticket.ID] = granted
+	p.ticketByRequest[r.ID] = granted
+	e.addTicket(ticket, r.Caller)
 	if s, ok := e.slots[r.Adapter]; ok {
 		s.lastUsed = now
 	}
 	p.prefixes.set(r.Prefix, e.spec.Name)
 	p.effects = append(p.effects, Grant{Request: r, Ticket: ticket})
-	p.note(now, fleet.Event{Kind: fleet.EventGrant, Request: r.ID, Adapter: r.Adapter.String(), Endpoint: e.spec.Name, Fence: e.fence, Value: now.Sub(queued).Seconds()})
+	p.recordEvent(now, fleet.Event{Kind: fleet.EventGrant, Request: r.ID, Adapter: r.Adapter.String(), Endpoint: e.spec.Name, Fence: e.fence, Value: now.Sub(queued).Seconds()})
 }
 
-// dispatchAdapter starts what waits for one adapter wherever there is room.
+// dispatchAdapter starts waiting requests on the endpoints that hold the adapter, or on all endpoints if no adapter is named.
 func (p *Placer) dispatchAdapter(now time.Time, ref fleet.AdapterRef) {
 	if ref.IsZero() {
 		for _, e := range p.endpoints {
@@ -165,20 +166,20 @@
 	}
 }
 
-// dispatchEndpoint fills the endpoint's batch from the queue, the first in rank first.
+// dispatchEndpoint fills the endpoint's batch from the queue in the order of Waiter.Before.
 func (p *Placer) dispatchEndpoint(now time.Time, e *endpointState) {
-	for e.takesWork() && e.free() > 0 {
-		w := p.next(now, e)
+	for e.acceptsRequests() && e.freePlaces() > 0 {
+		w := p.nextWaiter(now, e)
 		if w == nil {
 			return
 		}
 		p.queue.Dispatch(w)
-		p.grant(now, e, w.Request, w.Queued, p.stallOf(now, e, w))
+		p.grant(now, e, w.Request, w.Queued, p.loadStall(now, e, w))
 	}
 }
 
-// stallOf splits a wait into the part that a load caused and the rest.
-func (p *Placer) stallOf(now time.Time, e *endpointState, w *queue.Waiter) time.Duration {
+// loadStall returns the part of a request's waiting time that was caused by the load of its adapter.
+func (p *Placer) loadStall(now time.Time, e *endpointState, w *queue.Waiter) time.Duration {
 	s, ok := e.slots[w.Request.Adapter]
 	if !ok || !s.since.After(w.Queued) {
 		return 0
@@ -186,22 +187,22 @@
 	return min(s.since.Sub(w.Queued), now.Sub(w.Queued))
 }
 
-// next finds the waiter that should have the endpoint's next free place.
-func (p *Placer) next(now time.Time, e *endpointState) *queue.Waiter {
+// nextWaiter returns the waiter that gets the next free place of the endpoint, or nil.
+func (p *Placer) nextWaiter(now time.Time, e *endpointState) *queue.Waiter {
 	var best *queue.Waiter
 	if p.queue.Len() == 0 {
 		return nil
 	}
 	if e.spec.Kind == fleet.KindPlain {
-		return p.nextFor(now, e, fleet.AdapterRef{}, best)
+		return p.nextWaiterOf(now, e, fleet.AdapterRef{}, best)
 	}
 	for ref := range e.slots {
-		best = p.nextFor(now, e, ref, best)
+		best = p.nextWaiterOf(now, e, ref, best)
 	}
 	return best
 }
 
-func (p *Placer) nextFor(now time.Time, e *endpointState, ref fleet.AdapterRef, best *queue.Waiter) *queue.Waiter {
+func (p *Placer) nextWaiterOf(now time.Time, e *endpointState, ref fleet.AdapterRef, best *queue.Waiter) *queue.Waiter {
 	a, ok := p.queue.Adapter(ref)
 	if !ok {
 		return best
@@ -218,7 +219,7 @@
 	return best
 }
 
-// waitCause says why a request had to queue.
+// waitCause returns the reason why a request is queued.
 func (p *Placer) waitCause(r fleet.Request) string {
 	copies := p.copies[r.Adapter]
 	if r.Adapter.IsZero() {
--- a/services/daemon/placement/doc.go
+++ b/services/daemon/placement/doc.go
@@ -1,25 +1,26 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package placement decides, for the endpoints of one pool, which adapters sit in the
-// slots, which endpoint takes each request and when to make room. The instance that runs a
-// pool's Placer is called the pool's placer. The entry program decides the same for all its
-// endpoints in services/entry/loading and services/entry/balance: there one planner orders
-// loads and each instance chooses endpoints itself, here the placer does both.
+// Package placement schedules the endpoints of one pool: it decides which adapters occupy
+// the slots, which endpoint runs each request, and when to evict an adapter. The instance
+// that runs a pool's Placer is called the pool's placer. The entry program makes the same
+// decisions in services/entry/loading and services/entry/balance. There, one planner orders
+// loads and each instance chooses endpoints itself; here, the placer does both.
 //
-// A Placer is a plain state machine: each call takes the present time and returns typed
-// effects, so that the daemon, the replay tool and the fuzz test drive the same code.
+// A Placer is a state machine without I/O: each call takes the current time and returns
+// typed effects, so that the daemon, the replay tool and the fuzz test run the same code.
 //
 //   - submit.go: admission
-//   - dispatch.go, prefix.go: which endpoint a request gets
-//   - ticket.go: what was granted, and to whom
-//   - demand.go, customer_loads.go, preload.go, bid.go: which load is worth how much
-//   - place.go, load.go: where a load goes, what it evicts, and how it ends
-//   - inspection.go, endpoint_state.go: an endpoint's own list against what is known of it
-//   - restriction.go: what may not be done on an endpoint, and until when
-//   - view.go: what other instances and operators see
+//   - dispatch.go, prefix.go: choice of the endpoint for a request
+//   - ticket.go: granted tickets and the entries that hold them
+//   - demand.go, customer_loads.go, preload.go, bid.go: value of each possible load
+//   - place.go, load.go: target slot, eviction and result of a load
+//   - inspection.go, endpoint_state.go: reconciliation with the state an endpoint reports
+//   - restriction.go: time-limited restrictions on the use of an endpoint
+//   - view.go: state reported to other instances and to operators
 //
-// It owns this state for one pool and relies on its packages queue (what waits, and in which
-// order), popularity (arrival rates) and backoff (failed loads). What nobody has asked for in a long time is forgotten
-// (placer.go). It starts no goroutines, reads no clock and is not safe for concurrent use.
+// The state of a pool is kept in Placer and in the packages queue (waiting requests),
+// popularity (arrival rates) and backoff (failed loads). State of adapters and customers
+// without recent requests is pruned (placer.go). The package starts no goroutines, does not
+// read the clock and is not safe for concurrent use.
 package placement
--- a/services/daemon/placement/effect.go
+++ b/services/daemon/placement/effect.go
@@ -9,22 +9,22 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Effect is something that a decision asks its caller to carry out.
+// Effect is an action that the caller of a Placer method has to carry out.
 type Effect interface{ isEffect() }
 
-// Grant hands a ticket to the request's entry.
+// Grant sends a ticket to the request's entry.
 type Grant struct {
 	Request fleet.Request
 	Ticket  fleet.Ticket
 }
 
-// Refuse tells the request's entry that the request was not run.
+// Refuse notifies the request's entry that the request was not run.
 type Refuse struct {
 	Request fleet.Request
 	Refusal fleet.Refusal
 }
 
-// Load orders an endpoint to unload Evict, if named, and to load Adapter.
+// Load orders an endpoint to unload Evict, if set, and to load Adapter.
 type Load struct {
 	Pool        string
 	Endpoint    string
@@ -32,17 +32,17 @@
 	Fence       uint64
 	Adapter     fleet.AdapterRef
 	Evict       fleet.AdapterRef
-	// NotAfter is when the right to send the order ends; the zero time means never.
+	// NotAfter is the time after which the order must not be sent; the zero time means no limit.
 	NotAfter time.Time
 }
 
-// Inspect asks for an endpoint's own list, after an order with an uncertain end.
+// Inspect requests an inspection of an endpoint, after an order whose effect is not known.
 type Inspect struct {
 	Pool     string
 	Endpoint string
 }
 
-// Retake asks for an endpoint to be taken again, since it has forgotten the fence.
+// Retake requests that an endpoint be acquired again under a new fence.
 type Retake struct {
 	Endpoint string
 }
@@ -59,10 +59,10 @@
 func (Retake) isEffect()  {}
 func (Note) isEffect()    {}
 
-// LoadResult is how an ordered load ended.
+// LoadResult is the result of an ordered load.
 type LoadResult string
 
-// The ends of a load.
+// The results of a load.
 const (
 	LoadDone    LoadResult = "done"
 	LoadFailed  LoadResult = "failed"
--- a/services/daemon/placement/endpoint_state.go
+++ b/services/daemon/placement/endpoint_state.go
@@ -10,7 +10,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// slotState tells what is known of a slot.
+// slotState is the last known state of a slot.
 type slotState int
 
 const (
@@ -19,20 +19,21 @@
 	slotUnknown
 )
 
-// slot is one adapter's place on an endpoint.
+// slot is an adapter slot of an endpoint.
 type slot struct {
 	adapter fleet.AdapterRef
 	state   slotState
-	// foreign is true while the endpoint reports work that no ticket explains.
-	foreign  bool
+	// foreign is true while the endpoint reports running requests for which the placer has no ticket.
+	foreign bool
+	// closing is true while the slot gets no new requests so that it can be evicted.
 	closing  bool
 	since    time.Time
 	lastUsed time.Time
-	// evicting is, while the slot is loading, the adapter that the same order unloads, if any.
+	// evicting is the adapter that the pending load order unloads, or the zero value.
 	evicting fleet.AdapterRef
 }
 
-// endpointState is what the placer knows of one endpoint.
+// endpointState is the placer's state of one endpoint.
 type endpointState struct {
 	spec        fleet.Endpoint
 	incarnation string
@@ -40,99 +41,105 @@
 	up          bool
 	leaving     bool
 	drained     bool
-	uncertain   bool
-	running     int
-	customers   map[string]int
-	slots       map[fleet.AdapterRef]*slot
-	// using counts the tickets of each adapter, whether or not its slot is known yet: a
-	// ticket may be declared before the slot is found.
-	using   map[fleet.AdapterRef]int
-	loading int
-	// formerOrders holds orders that were sent to a former life of an endpoint without fences, with the time until which each may
-	// still arrive in this life.
-	formerOrders map[formerOrder]time.Time
-	frozenUntil  time.Time
-	// ordersUntil is when the right to order ends, on a leased endpoint; the zero time means that there is none.
-	ordersUntil time.Time
-	// leased is true where a lease gives the right to order, in place of fences.
-	leased bool
-	// owned is true once the lease was held: only then does every successor wait for
-	// this placer's grants to end, and only then may it grant.
-	owned bool
-	// fenceLost is true from a refusal for the fence until the endpoint is taken again.
+	// uncertain is true while the content of the slots must be confirmed by an inspection; until
+	// then no load is ordered.
+	uncertain         bool
+	running           int
+	ticketsByCustomer map[string]int
+	slots             map[fleet.AdapterRef]*slot
+	// ticketsByAdapter counts the tickets of each adapter. It is kept apart from the slots because
+	// a ticket may be declared before an inspection reports the slot.
+	ticketsByAdapter map[fleet.AdapterRef]int
+	pendingLoads     int
+	// previousOrders holds the orders that were sent to an earlier incarnation of an endpoint without fences, with the time
+	// until which each may still reach the current incarnation.
+	previousOrders map[previousOrder]time.Time
+	frozenUntil    time.Time
+	// orderDeadline is when the lease that allows load orders ends; the zero time means that no lease is held. It applies only if
+	// usesLease is set.
+	orderDeadline time.Time
+	// usesLease is true if load orders are protected by a lease instead of by fences.
+	usesLease bool
+	// leaseWasHeld is true once the lease was held. Only from then on does every later placer
+	// wait for the grants of this one to end, so only from then on may this placer grant.
+	leaseWasHeld bool
+	// fenceLost is true from a refusal because of the fence until the endpoint is acquired again.
 	fenceLost bool
-	// lateUnloads holds, for each adapter whose unload was ordered and whose answer was lost, until when that order may still
-	// arrive; only for endpoints without fences, which refuse no old order.
-	lateUnloads map[fleet.AdapterRef]time.Time
-	// seen is when the last list that was taken in began to be read.
-	seen time.Time
+	// unansweredUnloads holds the adapters whose unload was ordered but not answered, with the time until which the order may
+	// still arrive. It is used only for endpoints without fences, which do not refuse old orders.
+	unansweredUnloads map[fleet.AdapterRef]time.Time
+	// inspectedAt is when the last applied inspection began.
+	inspectedAt time.Time
 }
 
-// formerOrder names an order that was sent to a life of an endpoint which has ended since.
-type formerOrder struct {
+// previousOrder identifies an order that was sent to an earlier incarnation of an endpoint.
+type previousOrder struct {
 	incarnation string
 	adapter     fleet.AdapterRef
 }
 
 func newEndpointState(spec fleet.Endpoint) *endpointState {
 	return &endpointState{
-		spec:         spec,
-		customers:    make(map[string]int),
-		slots:        make(map[fleet.AdapterRef]*slot),
-		using:        make(map[fleet.AdapterRef]int),
-		formerOrders: make(map[formerOrder]time.Time),
-		lateUnloads:  make(map[fleet.AdapterRef]time.Time),
+		spec:              spec,
+		ticketsByCustomer: make(map[string]int),
+		slots:             make(map[fleet.AdapterRef]*slot),
+		ticketsByAdapter:  make(map[fleet.AdapterRef]int),
+		previousOrders:    make(map[previousOrder]time.Time),
+		unansweredUnloads: make(map[fleet.AdapterRef]time.Time),
 	}
 }
 
-// inUse tells whether unloading the slot could cut off a running request.
+// inUse reports whether unloading the slot could abort a running request.
 func (e *endpointState) inUse(s *slot) bool {
-	return e.using[s.adapter] > 0 || s.foreign
+	return e.ticketsByAdapter[s.adapter] > 0 || s.foreign
 }
 
-// admits tells whether a ticket's request may still start: without fences nothing refuses that of a former life.
-func (e *endpointState) admits(t fleet.Ticket) bool {
+// ticketMayRun reports whether the request of a ticket may run on the endpoint. An endpoint without fences does not refuse
+// tickets of an earlier incarnation.
+func (e *endpointState) ticketMayRun(t fleet.Ticket) bool {
 	return !e.spec.ChecksFence || t.Incarnation == e.incarnation
 }
 
-// beginLife starts a new life. Where fences are checked, nothing of the former one counts any more; elsewhere its tickets
-// go on counting until they come back, and its orders until they have ended or the limit has passed since they were sent.
-func (e *endpointState) beginLife(incarnation string, limit time.Duration) {
-	former := e.incarnation
+// setIncarnation records a restart of the endpoint. An endpoint that checks fences refuses all tickets and orders of the
+// previous incarnation, so their state is cleared. On other endpoints, previous tickets count until they are returned, and
+// previous orders until they end or until limit has passed since they were sent.
+func (e *endpointState) setIncarnation(incarnation string, limit time.Duration) {
+	previous := e.incarnation
 	e.incarnation = incarnation
-	e.loading = 0
+	e.pendingLoads = 0
 	e.uncertain = false
 	if !e.spec.ChecksFence {
 		for ref, s := range e.slots {
 			if s.state == slotLoading {
-				e.formerOrders[formerOrder{incarnation: former, adapter: ref}] = s.since.Add(limit)
+				e.previousOrders[previousOrder{incarnation: previous, adapter: ref}] = s.since.Add(limit)
 			}
 		}
 		return
 	}
 	e.running = 0
-	clear(e.customers)
-	clear(e.using)
+	clear(e.ticketsByCustomer)
+	clear(e.ticketsByAdapter)
 }
 
-// awaitsOrders tells whether an order of a former life may still arrive; it drops those that no longer can.
-func (e *endpointState) awaitsOrders(now time.Time) bool {
-	maps.DeleteFunc(e.formerOrders, func(_ formerOrder, until time.Time) bool { return !until.After(now) })
-	return len(e.formerOrders) > 0
+// previousOrderMayArrive reports whether an order for an earlier incarnation may still arrive. It drops the orders that no
+// longer can.
+func (e *endpointState) previousOrderMayArrive(now time.Time) bool {
+	maps.DeleteFunc(e.previousOrders, func(_ previousOrder, until time.Time) bool { return !until.After(now) })
+	return len(e.previousOrders) > 0
 }
 
-// unloadPending tells whether an unload of the adapter may still take effect. Until it cannot, neither a list nor the end
-// of another load shows that the adapter stays, and so none is ordered.
+// unloadPending reports whether an unload of the adapter may still take effect. Until then, neither an inspection nor the
+// result of another load proves that the adapter stays loaded, so no load of it is ordered.
 func (e *endpointState) unloadPending(now time.Time, ref fleet.AdapterRef) bool {
-	return e.unloadMayBeLate(now, ref) || e.unloadOrdered(ref)
+	return e.unansweredUnloadMayArrive(now, ref) || e.unloadOrdered(ref)
 }
 
-// unloadMayBeLate tells whether an unload of the adapter whose answer was lost may still arrive.
-func (e *endpointState) unloadMayBeLate(now time.Time, ref fleet.AdapterRef) bool {
-	return e.lateUnloads[ref].After(now)
+// unansweredUnloadMayArrive reports whether an unanswered order to unload the adapter may still arrive.
+func (e *endpointState) unansweredUnloadMayArrive(now time.Time, ref fleet.AdapterRef) bool {
+	return e.unansweredUnloads[ref].After(now)
 }
 
-// unloadOrdered tells whether an order that has not been answered unloads the adapter.
+// unloadOrdered reports whether a pending load order unloads the adapter.
 func (e *endpointState) unloadOrdered(ref fleet.AdapterRef) bool {
 	for _, s := range e.slots {
 		if s.state == slotLoading && s.evicting == ref {
@@ -142,63 +149,63 @@
 	return false
 }
 
-// enter counts a ticket.
-func (e *endpointState) enter(t fleet.Ticket, caller string) {
+// addTicket adds a ticket to the counts.
+func (e *endpointState) addTicket(t fleet.Ticket, caller string) {
 	e.running++
-	e.customers[caller]++
-	e.using[t.Adapter]++
+	e.ticketsByCustomer[caller]++
+	e.ticketsByAdapter[t.Adapter]++
 }
 
-// leave takes a ticket out of the counts.
-func (e *endpointState) leave(t fleet.Ticket, caller string) {
+// removeTicket removes a ticket from the counts.
+func (e *endpointState) removeTicket(t fleet.Ticket, caller string) {
 	e.running--
-	drop(e.customers, caller)
-	drop(e.using, t.Adapter)
+	decrement(e.ticketsByCustomer, caller)
+	decrement(e.ticketsByAdapter, t.Adapter)
 }
 
-// drop lowers a count and forgets it at zero.
-func drop[K comparable](counts map[K]int, key K) {
+// decrement lowers a count and deletes it at zero.
+func decrement[K comparable](counts map[K]int, key K) {
 	counts[key]--
 	if counts[key] <= 0 {
 		delete(counts, key)
 	}
 }
 
-// takesWork tells whether new requests may go to the endpoint.
-func (e *endpointState) takesWork() bool {
-	if e.leased && !e.owned {
+// acceptsRequests reports whether new requests may be sent to the endpoint.
+func (e *endpointState) acceptsRequests() bool {
+	if e.usesLease && !e.leaseWasHeld {
 		return false
 	}
 	return e.up && !e.leaving && !e.drained && !e.fenceLost
 }
 
-// takesLoads tells whether slots may be filled.
-func (e *endpointState) takesLoads(now time.Time) bool {
-	if e.leased && !now.Before(e.ordersUntil) {
+// acceptsLoads reports whether adapters may be loaded on the endpoint.
+func (e *endpointState) acceptsLoads(now time.Time) bool {
+	if e.usesLease && !now.Before(e.orderDeadline) {
 		return false
 	}
-	return e.takesWork() && !e.uncertain && e.spec.Kind != fleet.KindPlain
+	return e.acceptsRequests() && !e.uncertain && e.spec.Kind != fleet.KindPlain
 }
 
-// mayUnload tells whether in-use knowledge is complete enough to unload.
+// mayUnload reports whether all running requests are known, so that unused adapters may be unloaded.
 func (e *endpointState) mayUnload(now time.Time) bool {
 	return !e.uncertain && !now.Before(e.frozenUntil)
 }
 
-func (e *endpointState) free() int {
+func (e *endpointState) freePlaces() int {
 	return e.spec.MaxBatch - e.running
 }
 
-// fill gives the used part of the batch, from 0 to 1.
-func (e *endpointState) fill() float64 {
+// batchFill returns the used share of the batch, from 0 to 1.
+func (e *endpointState) batchFill() float64 {
 	if e.spec.MaxBatch == 0 {
 		return 1
 	}
 	return float64(e.running) / float64(e.spec.MaxBatch)
 }
 
-// loadTime gives the expected time of a load at full speed.
-func (e *endpointState) loadTime() time.Duration {
+// expectedLoadTime returns the expected duration of a load at full speed.
+func (e *endpointState) expectedLoadTime() time.Duration {
 	if e.spec.Load <= 0 {
 		return defaultLoadTime
 	}
--- a/services/daemon/placement/load.go
+++ b/services/daemon/placement/load.go
@@ -10,33 +10,33 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// placeFor is where a load would go and what it would displace.
-type placeFor struct {
+// loadTarget is the endpoint for a load, the slot that it would evict, if any, and the cost of that eviction.
+type loadTarget struct {
 	endpoint *endpointState
 	victim   *slot
 	cost     float64
 }
 
-// startLoad orders the load and forgets the slot's adapter first.
-func (p *Placer) startLoad(now time.Time, bid Bid, place placeFor) {
-	e := place.endpoint
-	order := Load{Pool: p.pool, Endpoint: e.spec.Name, Incarnation: e.incarnation, Fence: e.fence, Adapter: bid.Adapter, NotAfter: e.ordersUntil}
+// startLoad orders a load. It removes the evicted adapter from the state at once, so that the adapter is no longer granted.
+func (p *Placer) startLoad(now time.Time, bid Bid, target loadTarget) {
+	e := target.endpoint
+	order := Load{Pool: p.pool, Endpoint: e.spec.Name, Incarnation: e.incarnation, Fence: e.fence, Adapter: bid.Adapter, NotAfter: e.orderDeadline}
 	s := &slot{adapter: bid.Adapter, state: slotLoading, since: now, lastUsed: now}
-	if place.victim != nil {
-		order.Evict = place.victim.adapter
+	if target.victim != nil {
+		order.Evict = target.victim.adapter
 		s.evicting = order.Evict
-		p.dropCopy(e, order.Evict)
-		p.note(now, fleet.Event{
-			Kind: fleet.EventEvict, Adapter: order.Evict.String(), Other: bid.Adapter.String(), Endpoint: e.spec.Name, Fence: e.fence, Value: place.cost,
+		p.removeCopy(e, order.Evict)
+		p.recordEvent(now, fleet.Event{
+			Kind: fleet.EventEvict, Adapter: order.Evict.String(), Other: bid.Adapter.String(), Endpoint: e.spec.Name, Fence: e.fence, Value: target.cost,
 			Cause: "least expected calls among " + strconv.Itoa(len(e.slots)+1) + " slots, none in use",
 		})
 	}
 	p.addCopy(e, s)
-	e.loading++
-	p.loads++
-	p.countLoad(now, bid.Adapter)
+	e.pendingLoads++
+	p.loadCount++
+	p.recordLoad(now, bid.Adapter)
 	p.effects = append(p.effects, order)
-	p.note(now, fleet.Event{Kind: fleet.EventLoad, Adapter: bid.Adapter.String(), Endpoint: e.spec.Name, Fence: e.fence, Value: bid.Value, Cause: loadCause(bid)})
+	p.recordEvent(now, fleet.Event{Kind: fleet.EventLoad, Adapter: bid.Adapter.String(), Endpoint: e.spec.Name, Fence: e.fence, Value: bid.Value, Cause: loadCause(bid)})
 }
 
 func loadCause(b Bid) string {
@@ -46,44 +46,45 @@
 	return "requests wait for it"
 }
 
-// Loaded takes the end of an ordered load.
+// Loaded handles the result of an ordered load.
 func (p *Placer) Loaded(now time.Time, endpoint, incarnation string, ref fleet.AdapterRef, result LoadResult, cause string) []Effect {
-	e := p.byName[endpoint]
+	e := p.endpointByName[endpoint]
 	if e == nil {
-		return p.take()
+		return p.takeEffects()
 	}
 	if e.incarnation != incarnation {
-		p.endFormerOrder(now, e, formerOrder{incarnation: incarnation, adapter: ref}, result)
-		return p.take()
+		p.endPreviousOrder(now, e, previousOrder{incarnation: incarnation, adapter: ref}, result)
+		return p.takeEffects()
 	}
 	s := e.slots[ref]
 	if s == nil || s.state != slotLoading {
-		return p.take()
+		return p.takeEffects()
 	}
-	e.loading--
+	e.pendingLoads--
 	switch result {
 	case LoadDone:
 		s.state = slotResident
 		s.since = now
 		s.lastUsed = now
 		p.failures.Succeed(ref)
-		p.note(now, fleet.Event{Kind: fleet.EventLoaded, Adapter: ref.String(), Endpoint: endpoint})
+		p.recordEvent(now, fleet.Event{Kind: fleet.EventLoaded, Adapter: ref.String(), Endpoint: endpoint})
 		p.dispatchEndpoint(now, e)
 	case LoadFailed:
-		p.dropCopy(e, ref)
-		p.failed(now, ref, endpoint, cause)
-		p.inspect(e)
+		p.removeCopy(e, ref)
+		p.handleLoadFailure(now, ref, endpoint, cause)
+		p.requestInspection(e)
 	case LoadUnknown:
 		s.state = slotUnknown
-		p.note(now, fleet.Event{Kind: fleet.EventSlotUnknown, Adapter: ref.String(), Endpoint: endpoint, Cause: cause})
-		p.inspect(e)
+		p.recordEvent(now, fleet.Event{Kind: fleet.EventSlotUnknown, Adapter: ref.String(), Endpoint: endpoint, Cause: cause})
+		p.requestInspection(e)
 		p.guardLateOrder(now, e, s.evicting)
 	}
-	return p.take()
+	return p.takeEffects()
 }
 
-// guardLateOrder guards against an order whose end is not known, and which may only be late: under a new fence the endpoint
-// refuses it; where no fence is checked, what it unloads is not used until it must have arrived.
+// guardLateOrder protects against an unanswered order that may still arrive. An endpoint that checks fences is acquired
+// under a new fence, under which it refuses the order. On other endpoints, the adapter that the order unloads is not used
+// until the order can no longer arrive.
 func (p *Placer) guardLateOrder(now time.Time, e *endpointState, evicted fleet.AdapterRef) {
 	if e.spec.ChecksFence {
 		e.fenceLost = true
@@ -91,34 +92,35 @@
 		return
 	}
 	if !evicted.IsZero() {
-		e.lateUnloads[evicted] = now.Add(p.options.OrderMargin)
+		e.unansweredUnloads[evicted] = now.Add(p.options.OrderMargin)
 	}
 }
 
-// endFormerOrder takes the end of an order of a former life: the endpoint is used again by a list that began after it.
-func (p *Placer) endFormerOrder(now time.Time, e *endpointState, order formerOrder, result LoadResult) {
-	if _, ok := e.formerOrders[order]; !ok {
+// endPreviousOrder handles the result of an order that was sent to an earlier incarnation. The endpoint is used again after
+// an inspection that began after this result.
+func (p *Placer) endPreviousOrder(now time.Time, e *endpointState, order previousOrder, result LoadResult) {
+	if _, ok := e.previousOrders[order]; !ok {
 		return
 	}
 	if result == LoadUnknown {
-		e.formerOrders[order] = now.Add(p.options.OrderMargin)
+		e.previousOrders[order] = now.Add(p.options.OrderMargin)
 		return
 	}
-	delete(e.formerOrders, order)
-	e.seen = now
-	p.inspect(e)
+	delete(e.previousOrders, order)
+	e.inspectedAt = now
+	p.requestInspection(e)
 }
 
-// inspect holds further orders back until the endpoint's own list is known.
-func (p *Placer) inspect(e *endpointState) {
+// requestInspection requests the endpoint's report and blocks further orders until it arrives.
+func (p *Placer) requestInspection(e *endpointState) {
 	e.uncertain = true
 	p.effects = append(p.effects, Inspect{Pool: p.pool, Endpoint: e.spec.Name})
 }
 
-// failed counts a failed load, backs off and refuses the waiters when it keeps failing.
-func (p *Placer) failed(now time.Time, ref fleet.AdapterRef, endpoint, cause string) {
+// handleLoadFailure counts a failed load, delays the next one and, after repeated failures, refuses the waiting requests.
+func (p *Placer) handleLoadFailure(now time.Time, ref fleet.AdapterRef, endpoint, cause string) {
 	f := p.failures.Fail(now, ref)
-	p.note(now, fleet.Event{Kind: fleet.EventLoadFailed, Adapter: ref.String(), Endpoint: endpoint, Cause: cause, Value: float64(f.Count)})
+	p.recordEvent(now, fleet.Event{Kind: fleet.EventLoadFailed, Adapter: ref.String(), Endpoint: endpoint, Cause: cause, Value: float64(f.Count)})
 	if !p.failures.GivenUp(f) || len(p.copies[ref]) > 0 {
 		return
 	}
@@ -141,7 +143,7 @@
 	p.copies[s.adapter] = append(p.copies[s.adapter], e)
 }
 
-func (p *Placer) dropCopy(e *endpointState, ref fleet.AdapterRef) {
+func (p *Placer) removeCopy(e *endpointState, ref fleet.AdapterRef) {
 	delete(e.slots, ref)
 	list := p.copies[ref]
 	for i, other := range list {
--- a/services/daemon/placement/options.go
+++ b/services/daemon/placement/options.go
@@ -9,99 +9,102 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Options are the settings of a placer's decisions.
+// Options configures a Placer.
 type Options struct {
 	Classes []fleet.Class
 	// AgingStep is the wait that raises a request by one priority level.
 	AgingStep time.Duration
-	// CustomerShare bounds one customer's part of a class's queue, from 0 to 1; the setting's
-	// name is tenant_share.
+	// CustomerShare limits the share of a class's queue that one customer may use, from 0 to 1;
+	// the setting's name is tenant_share.
 	CustomerShare float64
 	// FastHalfLife and SlowHalfLife are the half-lives of the two popularity estimates.
 	FastHalfLife time.Duration
 	SlowHalfLife time.Duration
-	// SlowWeight scales the slow estimate against the fast one.
+	// SlowWeight multiplies the slow estimate before it is compared with the fast one.
 	SlowWeight float64
-	// GatherShare is the part of a batch that patient work waits to fill.
+	// GatherShare is the share of a batch for which patient requests must be waiting before they start.
 	GatherShare float64
-	// GatherLimit is the longest that patient work is held back.
+	// GatherLimit is the longest time for which patient requests are held back.
 	GatherLimit time.Duration
-	// ReserveShare is the part of a batch kept from patient work.
+	// ReserveShare is the share of a batch that is reserved for interactive requests.
 	ReserveShare float64
-	// CustomerBatchShare bounds one customer's part of a batch, from 0 to 1; the setting's name
-	// is tenant_batch_share.
+	// CustomerBatchShare limits the share of a batch that one customer may use, from 0 to 1; the
+	// setting's name is tenant_batch_share.
 	CustomerBatchShare float64
-	// PreloadGain is how much more valuable a preload must be than what it evicts.
+	// PreloadGain is the factor by which the value of a preload must exceed that of the evicted adapter.
 	PreloadGain float64
-	// BackoffBase and BackoffMax bound the wait after failed loads of one adapter.
+	// BackoffBase and BackoffMax limit the delay after failed loads of one adapter.
 	BackoffBase time.Duration
 	BackoffMax  time.Duration
-	// GiveUpFailures is the number of failed loads after which waiters are refused.
+	// GiveUpFailures is the number of failed loads after which waiting requests are refused.
 	GiveUpFailures int
-	// SecondCopyWait is the queue wait that justifies another copy.
+	// SecondCopyWait is the queueing delay that justifies loading another copy of an adapter.
 	SecondCopyWait time.Duration
-	// StartWithin bounds the time between a grant and the request's start.
+	// StartWithin limits the time between a grant and the start of the request.
 	StartWithin time.Duration
-	// TicketLife bounds how long a lost entry's ticket keeps an adapter in use; an entry that has
-	// not named its ticket for so long counts as lost.
+	// TicketLife limits how long the ticket of a lost entry keeps an adapter in use. An entry that
+	// has not confirmed its ticket for this long is treated as lost.
 	TicketLife time.Duration
-	// LoadTimeout is when a load without an answer makes its slot unknown.
+	// LoadTimeout is the time after which the state of a slot is taken from the endpoint's
+	// report because its load was not answered.
 	LoadTimeout time.Duration
-	// OrderMargin bounds how late an order may arrive after its failure was told, where no fence refuses it.
+	// OrderMargin limits how long after its reported failure an order may still reach an endpoint that does not check fences.
 	OrderMargin time.Duration
-	// EvictInUse is a seeded fault, for the proof that the tests find it.
+	// EvictInUse is an injected fault: adapters in use may be evicted. It is set only to check that the tests detect it.
 	EvictInUse bool
-	// PlainQueue skips the fair order inside a class, for comparison only.
+	// PlainQueue disables fair queueing within a class. It is used for comparison only.
 	PlainQueue bool
 }
 
-// The settings where the settings file is silent. The rows named are those of docs/design/0003; a pair of figures is the weighted stall in
-// ms on dakar and plovdiv.
+// Default settings; see docs/design/0003.
 const (
-	// defaultAgingStep: longer keeps the classes' order, shorter lets long waits overtake it.
+	// defaultAgingStep: a longer step keeps the order of the priorities, a shorter one lets requests that wait long overtake higher priorities.
 	defaultAgingStep = 30 * time.Second
-	// defaultCustomerShare: higher lets one customer fill more of a class's queue, lower refuses a burst of one customer sooner.
+	// defaultCustomerShare: a higher share lets one customer fill more of a class's queue, a lower one refuses a burst of one customer sooner.
 	defaultCustomerShare = 0.5
-	// defaultFastHalfLife: longer reacts later to a rise, shorter forgets in a pause.
+	// defaultFastHalfLife: a longer half-life reacts later to rising demand, a shorter one decays more during a pause.
 	defaultFastHalfLife = 2 * time.Minute
-	// defaultSlowHalfLife: longer remembers the day, shorter the hour.
+	// defaultSlowHalfLife: a longer half-life reflects the demand of the day, a shorter one that of the hour.
 	defaultSlowHalfLife = 40 * time.Minute
-	// defaultSlowWeight: higher trusts the past over the present.
+	// defaultSlowWeight: a higher weight favors past demand over current demand.
 	defaultSlowWeight = 1
-	// defaultGatherShare: higher makes fuller batches of patient work, and interactive work waits more for its adapters.
+	// defaultGatherShare: a higher share makes fuller batches of patient requests, but interactive requests wait longer for their adapters.
 	defaultGatherShare = 0.5
-	// defaultGatherLimit: longer fills batches better, shorter starts patient work sooner. It rarely counts, since patient work waits for a
-	// fifth of its caller's time at most.
+	// defaultGatherLimit: a longer limit fills batches better, a shorter one starts patient requests sooner. It rarely applies, because a
+	// patient request is held back for at most a fifth of the time until its deadline.
 	defaultGatherLimit = 10 * time.Minute
-	// defaultReserveShare: higher leaves places idle, lower makes interactive work wait behind patient work.
+	// defaultReserveShare: a higher share leaves places idle, a lower one makes interactive requests wait behind patient ones.
 	defaultReserveShare = 0.1
-	// defaultCustomerBatchShare: higher lets a flood hold places for the whole length of its requests, lower leaves places idle.
+	// defaultCustomerBatchShare: a higher share lets a burst of one customer hold places until its requests end, a lower one leaves places idle.
 	defaultCustomerBatchShare = 0.85
-	// defaultPreloadGain: higher preloads less.
+	// defaultPreloadGain: a higher factor makes preloads rarer.
 	defaultPreloadGain = 3
-	// defaultBackoffBase, defaultBackoffMax: longer spends less of the weight store on loads that fail, shorter brings an adapter back
-	// sooner.
+	// defaultBackoffBase, defaultBackoffMax: longer delays spend less of the weight store's rate on loads that fail, shorter ones retry an
+	// adapter sooner.
 	defaultBackoffBase = 2 * time.Second
 	defaultBackoffMax  = time.Minute
-	// defaultGiveUpFailures: higher lets requests wait longer for an adapter that cannot be loaded, lower refuses them for a passing fault.
+	// defaultGiveUpFailures: a higher number lets requests wait longer for an adapter that cannot be loaded, a lower one refuses them because of
+	// a transient fault.
 	defaultGiveUpFailures = 5
-	// defaultSecondCopyWait: longer queues more at the first copy, shorter spends slots on copies of what is briefly in demand.
+	// defaultSecondCopyWait: a longer wait queues more requests at the first copy, a shorter one uses slots for copies of adapters that are in
+	// demand only briefly.
 	defaultSecondCopyWait = 500 * time.Millisecond
-	// defaultStartWithin: longer lets a pause pass between a grant and its start, shorter lets a successor unload sooner (assumption A3 of
-	// docs/design/0002).
+	// defaultStartWithin: a longer time tolerates a longer pause of the entry between the grant and the start of the request, a shorter one
+	// lets the next placer unload sooner (assumption A3 of docs/design/0002).
 	defaultStartWithin = 2 * time.Second
-	// defaultTicketLife: longer protects a request of a lost entry that still runs, shorter frees its slot where the endpoint does not show
-	// that it has ended.
+	// defaultTicketLife: a longer time protects a running request of a lost entry, a shorter one frees its slot sooner if the endpoint does not
+	// report the end of the request.
 	defaultTicketLife = 10 * time.Minute
-	// defaultLoadTimeout: longer waits for a slow load, shorter asks the endpoint sooner.
+	// defaultLoadTimeout: a longer time-out tolerates slow loads, a shorter one relies on the endpoint's report sooner.
 	defaultLoadTimeout = 30 * time.Second
-	// defaultMaxQueuedTokens bounds a class's queue that sets no bound: higher lets requests wait longer, lower refuses them sooner.
+	// defaultMaxQueuedTokens limits the queue of a class without a limit of its own: a higher limit lets requests wait longer, a lower one
+	// refuses them sooner.
 	defaultMaxQueuedTokens = 400_000
-	// defaultLoadTime is the expected time of a load on an endpoint that names none.
+	// defaultLoadTime is the expected duration of a load on an endpoint that does not specify one.
 	defaultLoadTime = time.Second
 )
 
-// DefaultOptions gives the settings in use where the settings file is silent.
+// DefaultOptions returns the default settings.
 func DefaultOptions() Options {
 	return Options{
 		AgingStep:          defaultAgingStep,
@@ -124,8 +127,8 @@
 	}
 }
 
-// classOf finds a class's settings; an unknown class counts as weight one, priority one.
-func classOf(classes map[string]fleet.Class, name string) fleet.Class {
+// classByName returns the settings of a class. An unknown class has priority 1 and stall weight 1.
+func classByName(classes map[string]fleet.Class, name string) fleet.Class {
 	if c, ok := classes[name]; ok {
 		return c
 	}
--- a/services/daemon/placement/place.go
+++ b/services/daemon/placement/place.go
@@ -11,44 +11,44 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
-// findPlace finds the slot whose loss costs least, below the given worth.
-func (p *Placer) findPlace(now time.Time, ref fleet.AdapterRef, worth float64) (placeFor, bool) {
-	var best placeFor
+// findLoadTarget returns the slot with the lowest eviction cost on any endpoint that can load the adapter, if that cost is below maxCost.
+func (p *Placer) findLoadTarget(now time.Time, ref fleet.AdapterRef, maxCost float64) (loadTarget, bool) {
+	var best loadTarget
 	found := false
 	for _, e := range p.endpoints {
-		if !e.takesLoads(now) || !e.spec.Serves(p.bases[ref]) || e.slots[ref] != nil || e.unloadPending(now, ref) {
+		if !e.acceptsLoads(now) || !e.spec.Serves(p.baseByAdapter[ref]) || e.slots[ref] != nil || e.unloadPending(now, ref) {
 			continue
 		}
-		place, ok := p.placeOn(now, e)
-		if !ok || place.cost >= worth {
+		target, ok := p.cheapestSlot(now, e)
+		if !ok || target.cost >= maxCost {
 			continue
 		}
-		if !found || place.cost < best.cost || (place.cost == best.cost && emptier(place.endpoint, best.endpoint)) {
-			best, found = place, true
+		if !found || target.cost < best.cost || (target.cost == best.cost && lessLoaded(target.endpoint, best.endpoint)) {
+			best, found = target, true
 		}
 	}
 	return best, found
 }
 
-// emptier compares two endpoints with equal cost: free slots first, then free places.
-func emptier(a, b *endpointState) bool {
+// lessLoaded reports whether endpoint a is preferred at equal eviction cost: by used slots, then by running requests.
+func lessLoaded(a, b *endpointState) bool {
 	if len(a.slots) != len(b.slots) {
 		return len(a.slots) < len(b.slots)
 	}
 	return a.running < b.running
 }
 
-// placeOn finds the cheapest slot of one endpoint.
-func (p *Placer) placeOn(now time.Time, e *endpointState) (placeFor, bool) {
+// cheapestSlot returns the slot of an endpoint with the lowest eviction cost; a free slot costs nothing.
+func (p *Placer) cheapestSlot(now time.Time, e *endpointState) (loadTarget, bool) {
 	if len(e.slots) < e.spec.Slots {
-		return placeFor{endpoint: e}, true
+		return loadTarget{endpoint: e}, true
 	}
 	if !e.mayUnload(now) {
-		return placeFor{}, false
+		return loadTarget{}, false
 	}
-	best := placeFor{endpoint: e, cost: math.Inf(1)}
+	best := loadTarget{endpoint: e, cost: math.Inf(1)}
 	for _, s := range e.slots {
-		cost, ok := p.keepValue(now, e, s)
+		cost, ok := p.evictionCost(now, e, s)
 		if !ok {
 			continue
 		}
@@ -59,37 +59,37 @@
 	return best, best.victim != nil
 }
 
-// keepValue is what it would cost to evict the slot; false where it must not be evicted.
-func (p *Placer) keepValue(now time.Time, e *endpointState, s *slot) (float64, bool) {
+// evictionCost returns the cost of evicting the slot, or false if it must not be evicted.
+func (p *Placer) evictionCost(now time.Time, e *endpointState, s *slot) (float64, bool) {
 	if s.state != slotResident || (e.inUse(s) && !p.options.EvictInUse) || p.pinned[s.adapter] {
 		return 0, false
 	}
-	if a, ok := p.queue.Adapter(s.adapter); ok && !s.closing && (a.Urgent() || e.takesWork()) {
+	if a, ok := p.queue.Adapter(s.adapter); ok && !s.closing && (a.Urgent() || e.acceptsRequests()) {
 		return 0, false
 	}
-	rate := p.popular.Rate(now, s.adapter)
+	rate := p.arrivalRates.Rate(now, s.adapter)
 	if len(p.copies[s.adapter]) > 1 {
-		rate *= copyDiscount
+		rate *= extraCopyFactor
 	}
 	return rate, true
 }
 
-// makeRoom closes the least valuable busy slot to new work, so that it becomes free for ref.
-func (p *Placer) makeRoom(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) {
-	if len(p.copies[ref]) > 0 || p.hasClosing() {
+// closeSlotFor closes the least valuable busy slot to new requests, so that it can be evicted for ref.
+func (p *Placer) closeSlotFor(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) {
+	if len(p.copies[ref]) > 0 || p.anySlotClosing() {
 		return
 	}
 	var least *slot
 	leastCost := math.Inf(1)
 	for _, e := range p.endpoints {
-		if !e.takesLoads(now) || !e.mayUnload(now) || !e.spec.Serves(p.bases[ref]) {
+		if !e.acceptsLoads(now) || !e.mayUnload(now) || !e.spec.Serves(p.baseByAdapter[ref]) {
 			continue
 		}
 		for _, s := range e.slots {
 			if s.state != slotResident || p.pinned[s.adapter] || s.foreign {
 				continue
 			}
-			cost := p.popular.Rate(now, s.adapter) * float64(1+e.using[s.adapter])
+			cost := p.arrivalRates.Rate(now, s.adapter) * float64(1+e.ticketsByAdapter[s.adapter])
 			if cost < leastCost || (cost == leastCost && s.adapter.String() < least.adapter.String()) {
 				least, leastCost = s, cost
 			}
@@ -100,7 +100,7 @@
 	}
 }
 
-func (p *Placer) hasClosing() bool {
+func (p *Placer) anySlotClosing() bool {
 	for _, e := range p.endpoints {
 		for _, s := range e.slots {
 			if s.closing {
@@ -111,8 +111,8 @@
 	return false
 }
 
-// reopen takes back closings that nobody needs any more.
-func (p *Placer) reopen(e *endpointState) {
+// reopenSlots reopens the closed slots of an endpoint once every adapter with waiting requests has a copy.
+func (p *Placer) reopenSlots(e *endpointState) {
 	for ref := range p.queue.Adapters() {
 		if len(p.copies[ref]) == 0 {
 			return
--- a/services/daemon/placement/placer.go
+++ b/services/daemon/placement/placer.go
@@ -15,74 +15,75 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
-// Placer decides for the endpoints of one pool; it is not safe for concurrent use.
+// Placer schedules loads and requests on the endpoints of one pool. It is not safe for
+// concurrent use.
 type Placer struct {
-	pool      string
-	self      string
-	epoch     string
-	options   Options
-	classes   map[string]fleet.Class
-	endpoints []*endpointState
-	byName    map[string]*endpointState
-	copies    map[fleet.AdapterRef][]*endpointState
-	queue     *queue.Queue
-	popular   *popularity.Estimates
-	tickets   map[string]*heldTicket
-	byRequest map[string]*heldTicket
-	failures  *backoff.Failures
-	pinned    map[fleet.AdapterRef]bool
-	loadsOf   customerLoads
-	prefixes  prefixHints
-	sequence  uint64
-	// sweeps counts the sweeps, for those that forget.
-	sweeps    uint64
-	loads     int
-	lastSweep time.Time
-	effects   []Effect
-	preload   []fleet.AdapterRef
-	// bases has the base of each adapter that a load may be worth.
-	bases    map[fleet.AdapterRef]string
-	lastBusy time.Time
-	absent   Bid
-	absentAt time.Time
-	scratch  []demand
-	bid      madeBid
+	pool            string
+	instance        string
+	epoch           string
+	options         Options
+	classes         map[string]fleet.Class
+	endpoints       []*endpointState
+	endpointByName  map[string]*endpointState
+	copies          map[fleet.AdapterRef][]*endpointState
+	queue           *queue.Queue
+	arrivalRates    *popularity.Estimates
+	tickets         map[string]*grantedTicket
+	ticketByRequest map[string]*grantedTicket
+	failures        *backoff.Failures
+	pinned          map[fleet.AdapterRef]bool
+	loadsByCustomer customerLoads
+	prefixes        prefixHints
+	sequence        uint64
+	// sweepCount counts the sweeps; every sweepsPerPrune-th one prunes old state.
+	sweepCount        uint64
+	loadCount         int
+	lastSweep         time.Time
+	effects           []Effect
+	requestedPreloads []fleet.AdapterRef
+	// baseByAdapter holds the base model of each adapter that may be worth loading.
+	baseByAdapter    map[fleet.AdapterRef]string
+	lastInteractive  time.Time
+	preloadCandidate Bid
+	preloadScannedAt time.Time
+	demandBuffer     []demand
+	bid              cachedBid
 }
 
-// NewPlacer makes the placer of a pool, run by the instance self.
-func NewPlacer(pool, self string, endpoints []fleet.Endpoint, o Options) *Placer {
+// NewPlacer returns the placer of a pool. instance is the name of the instance that runs it.
+func NewPlacer(pool, instance string, endpoints []fleet.Endpoint, o Options) *Placer {
 	p := &Placer{
-		pool:      pool,
-		self:      self,
-		options:   o,
-		classes:   indexClasses(o.Classes),
-		byName:    make(map[string]*endpointState, len(endpoints)),
-		copies:    make(map[fleet.AdapterRef][]*endpointState),
-		queue:     queue.New(o.PlainQueue),
-		popular:   popularity.New(popularity.Options{FastHalfLife: o.FastHalfLife, SlowHalfLife: o.SlowHalfLife, SlowWeight: o.SlowWeight}),
-		tickets:   make(map[string]*heldTicket),
-		byRequest: make(map[string]*heldTicket),
-		failures:  backoff.New(backoff.Options{Base: o.BackoffBase, Max: o.BackoffMax, GiveUp: o.GiveUpFailures}),
-		pinned:    make(map[fleet.AdapterRef]bool),
-		loadsOf:   make(customerLoads),
-		prefixes:  newPrefixHints(),
-		bases:     make(map[fleet.AdapterRef]string),
+		pool:            pool,
+		instance:        instance,
+		options:         o,
+		classes:         indexClasses(o.Classes),
+		endpointByName:  make(map[string]*endpointState, len(endpoints)),
+		copies:          make(map[fleet.AdapterRef][]*endpointState),
+		queue:           queue.New(o.PlainQueue),
+		arrivalRates:    popularity.New(popularity.Options{FastHalfLife: o.FastHalfLife, SlowHalfLife: o.SlowHalfLife, SlowWeight: o.SlowWeight}),
+		tickets:         make(map[string]*grantedTicket),
+		ticketByRequest: make(map[string]*grantedTicket),
+		failures:        backoff.New(backoff.Options{Base: o.BackoffBase, Max: o.BackoffMax, GiveUp: o.GiveUpFailures}),
+		pinned:          make(map[fleet.AdapterRef]bool),
+		loadsByCustomer: make(customerLoads),
+		prefixes:        newPrefixHints(),
+		baseByAdapter:   make(map[fleet.AdapterRef]string),
 	}
 	for _, spec := range endpoints {
 		e := newEndpointState(spec)
 		p.endpoints = append(p.endpoints, e)
-		p.byName[spec.Name] = e
+		p.endpointByName[spec.Name] = e
 	}
 	slices.SortFunc(p.endpoints, func(a, b *endpointState) int { return cmp.Compare(a.spec.Name, b.spec.Name) })
 	return p
 }
 
-// SetClasses replaces the service classes, for a changed configuration.
+// SetClasses replaces the service classes after a configuration change.
 func (p *Placer) SetClasses(list []fleet.Class) {
 	p.classes = indexClasses(list)
 }
 
-// SetPinned replaces the adapters that are never evicted.
+// SetPinned replaces the set of adapters that are never evicted.
 func (p *Placer) SetPinned(refs []fleet.AdapterRef) {
 	clear(p.pinned)
 	for _, ref := range refs {
@@ -90,74 +91,75 @@
 	}
 }
 
-// SetPreload replaces the adapters that operators asked to have loaded.
+// SetPreload replaces the list of adapters whose preload was requested by operators.
 func (p *Placer) SetPreload(refs []fleet.AdapterRef, base func(fleet.AdapterRef) string) {
-	p.preload = refs
+	p.requestedPreloads = refs
 	for _, ref := range refs {
-		p.bases[ref] = base(ref)
+		p.baseByAdapter[ref] = base(ref)
 	}
 }
 
-// Tick refuses what has expired, forgets old estimates and starts held-back work.
+// Tick refuses expired requests, prunes old state and starts requests that were held back.
 func (p *Placer) Tick(now time.Time) []Effect {
 	for _, w := range p.queue.Expired(now) {
 		p.refuse(now, w.Request, fleet.Refusal{Reason: fleet.ReasonExpired})
 	}
-	if now.Sub(p.lastSweep) >= sweepEvery {
+	if now.Sub(p.lastSweep) >= sweepInterval {
 		p.lastSweep = now
 		p.sweep(now)
 	}
-	return p.take()
+	return p.takeEffects()
 }
 
-// sweepEvery is the time between two sweeps. Longer starts held-back patient work later, shorter looks at every endpoint more often.
-const sweepEvery = time.Second
+// sweepInterval is the time between two sweeps. A longer interval starts held-back patient requests later, a shorter one checks every
+// endpoint more often.
+const sweepInterval = time.Second
 
-// forgetEvery is the number of sweeps between two scans for adapters and customers that are long gone; it bounds the cost of the scan.
-const forgetEvery = 256
+// sweepsPerPrune is the number of sweeps between two scans for idle adapters and customers; it limits the cost of these scans.
+const sweepsPerPrune = 256
 
-// sweep does the work of once a second.
+// sweep does the periodic work of Tick.
 func (p *Placer) sweep(now time.Time) {
-	p.sweeps++
-	if p.sweeps%forgetEvery == 0 {
-		p.forget(now)
+	p.sweepCount++
+	if p.sweepCount%sweepsPerPrune == 0 {
+		p.prune(now)
 	}
 	for _, e := range p.endpoints {
-		p.reopen(e)
+		p.reopenSlots(e)
 		p.dispatchEndpoint(now, e)
 	}
 	p.sweepTickets(now)
 }
 
-// forget drops what has faded of adapters and customers that nobody has asked for or heard of in a long time.
-func (p *Placer) forget(now time.Time) {
-	p.popular.Forget(now)
-	p.loadsOf.forget(now)
+// prune drops the state of adapters and customers without recent requests, which limits the memory.
+func (p *Placer) prune(now time.Time) {
+	p.arrivalRates.Forget(now)
+	p.loadsByCustomer.prune(now)
 	p.failures.Forget(now)
 	p.queue.Forget(now)
-	p.forgetBases()
+	p.pruneBases()
 }
 
-// forgetBases drops the bases of adapters of which no load is worth anything: nobody waits for them, no call is expected and no
-// operator asked for them.
-func (p *Placer) forgetBases() {
-	asked := make(map[fleet.AdapterRef]bool, len(p.preload))
-	for _, ref := range p.preload {
+// pruneBases drops the base models of adapters that are not worth loading: no request waits for them, none is expected and no
+// operator requested a preload.
+func (p *Placer) pruneBases() {
+	asked := make(map[fleet.AdapterRef]bool, len(p.requestedPreloads))
+	for _, ref := range p.requestedPreloads {
 		asked[ref] = true
 	}
-	for ref := range p.bases {
+	for ref := range p.baseByAdapter {
 		_, waits := p.queue.Adapter(ref)
-		if !waits && !asked[ref] && !p.popular.Knows(ref) {
-			delete(p.bases, ref)
+		if !waits && !asked[ref] && !p.arrivalRates.Knows(ref) {
+			delete(p.baseByAdapter, ref)
 		}
 	}
 }
 
-// NextWake gives the next time at which Tick has something to do, or the zero time.
+// NextWake returns the next time at which Tick has work to do, or the zero time.
 func (p *Placer) NextWake() time.Time {
 	next := p.queue.NextDeadline()
 	if p.queue.Len() > 0 {
-		sweep := p.lastSweep.Add(sweepEvery)
+		sweep := p.lastSweep.Add(sweepInterval)
 		if next.IsZero() || sweep.Before(next) {
 			next = sweep
 		}
@@ -165,23 +167,23 @@
 	return next
 }
 
-// SetEpoch makes the ticket names of this placer differ from those of every other
-// life of the instance and every other term.
+// SetEpoch sets the boot number of the instance and the term of its ownership, which
+// become part of every ticket ID. They make ticket IDs unique over restarts and terms.
 func (p *Placer) SetEpoch(boot, term uint64) {
 	p.epoch = strconv.FormatUint(boot, 36) + "." + strconv.FormatUint(term, 36)
 }
 
-func (p *Placer) note(now time.Time, e fleet.Event) {
+func (p *Placer) recordEvent(now time.Time, e fleet.Event) {
 	e.At = now
-	e.Instance = p.self
+	e.Instance = p.instance
 	e.Pool = p.pool
 	p.effects = append(p.effects, Note{Event: e})
 }
 
-// take hands over the effects gathered since the last call.
-func (p *Placer) take() []Effect {
+// takeEffects returns the effects collected since the last call and clears them.
+func (p *Placer) takeEffects() []Effect {
 	out := p.effects
 	p.effects = nil
-	p.bid.fresh = p.bid.fresh && len(out) == 0
+	p.bid.valid = p.bid.valid && len(out) == 0
 	return out
 }
--- a/services/daemon/placement/placer_test.go
+++ b/services/daemon/placement/placer_test.go
@@ -34,7 +34,7 @@
 	return fleet.Request{ID: id, Caller: "caller", Class: "c", Base: "base", Adapter: ref(adapter), PromptTokens: 10, OutputTokens: 10, Entry: "i1"}
 }
 
-// newPlacer makes a placer whose endpoints are up and empty.
+// newPlacer returns a placer whose endpoints are up and hold no adapters.
 func newPlacer(endpoints ...fleet.Endpoint) *placement.Placer {
 	o := placement.DefaultOptions()
 	o.Classes = []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1}, {Name: "patient", Priority: 1, StallWeight: 0.1, Patient: true}}
@@ -45,7 +45,7 @@
 	return p
 }
 
-func only[T placement.Effect](effects []placement.Effect) []T {
+func effectsOfType[T placement.Effect](effects []placement.Effect) []T {
 	var out []T
 	for _, e := range effects {
 		if x, ok := e.(T); ok {
@@ -55,17 +55,17 @@
 	return out
 }
 
-// load spends a permit and ends the load at once.
-func load(t *testing.T, p *placement.Placer, now time.Time) placement.Load {
+// orderLoad uses a permit and returns the load that the placer orders.
+func orderLoad(t *testing.T, p *placement.Placer, now time.Time) placement.Load {
 	t.Helper()
 	effects, used := p.UsePermit(now)
 	require.True(t, used)
-	orders := only[placement.Load](effects)
+	orders := effectsOfType[placement.Load](effects)
 	require.Len(t, orders, 1)
 	return orders[0]
 }
 
-func TestTicketDeclaredBeforeItsSlotIsKnown(t *testing.T) {
+func TestTicketDeclaredBeforeItsSlotIsReported(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	held := fleet.Ticket{ID: "t1", RequestID: "q1", Endpoint: "e1", Incarnation: "e1-1", Adapter: ref("a"), Entry: "i2"}
 	p.Redeclare(at(1), held, request("q1", "a"))
@@ -74,73 +74,73 @@
 	})
 	p.Submit(at(3), request("q2", "b"))
 	_, used := p.UsePermit(at(4))
-	require.False(t, used, "the only slot is in use by a ticket and must not be evicted")
+	require.False(t, used, "the adapter of the only slot is in use by a ticket and must not be evicted")
 	p.Return(at(5), "t1")
-	require.Equal(t, ref("a"), load(t, p, at(6)).Evict)
+	require.Equal(t, ref("a"), orderLoad(t, p, at(6)).Evict)
 }
 
-func TestOwnTicketDoesNotHideAFormerPlacersRequest(t *testing.T) {
+func TestOwnTicketDoesNotHideRequestOfPreviousPlacer(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	listed := func(began int, running ...fleet.AdapterRef) placement.Inspection {
 		return placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(began), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: running}
 	}
 	p.Adopt(at(2), listed(1, ref("a")), 2, at(2))
-	granted := only[placement.Grant](p.Submit(at(3), request("q1", "a")))
+	granted := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	require.Len(t, granted, 1)
 	p.Inspected(at(5), listed(4, ref("a")))
 	p.Return(at(6), granted[0].Ticket.ID)
 	p.Submit(at(7), request("q2", "b"))
 	_, used := p.UsePermit(at(8))
-	require.False(t, used, "a request of the former placer may still run on the adapter")
+	require.False(t, used, "a request granted by the previous placer may still use the adapter")
 	p.Inspected(at(10), listed(9))
-	require.Equal(t, ref("a"), load(t, p, at(11)).Evict)
+	require.Equal(t, ref("a"), orderLoad(t, p, at(11)).Evict)
 }
 
-func TestOlderListIsNotTakenIn(t *testing.T) {
+func TestOlderInspectionIsIgnored(t *testing.T) {
 	p := newPlacer(endpoint(1))
-	young := placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(5), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")}}
-	p.Inspected(at(6), young)
+	newer := placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(5), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")}}
+	p.Inspected(at(6), newer)
 	p.Inspected(at(7), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(3), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	p.Submit(at(8), request("q1", "b"))
 	_, used := p.UsePermit(at(9))
-	require.False(t, used, "the older list does not show the request that the younger one does")
+	require.False(t, used, "the older inspection lacks the running request that the newer one reports")
 }
 
-func TestRestartedEndpointIsTakenAgainBeforeUse(t *testing.T) {
+func TestRestartedEndpointIsNotUsedBeforeItIsAcquiredAgain(t *testing.T) {
 	p := newPlacer(endpoint(2))
 	effects := p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", Began: at(1), Up: true})
-	require.Len(t, only[placement.Retake](effects), 1)
+	require.Len(t, effectsOfType[placement.Retake](effects), 1)
 	p.Submit(at(3), request("q1", "a"))
 	_, used := p.UsePermit(at(4))
-	require.False(t, used, "the restarted endpoint has forgotten the fence")
+	require.False(t, used, "the restarted endpoint has lost the fence")
 	p.Adopt(at(6), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", Began: at(5), Up: true}, 2, at(6))
 	p.Submit(at(7), request("q2", "a"))
-	require.Equal(t, "e1-2", load(t, p, at(8)).Incarnation)
+	require.Equal(t, "e1-2", orderLoad(t, p, at(8)).Incarnation)
 }
 
-func TestNoGrantWithoutFencesBeforeTheLeaseWasHeld(t *testing.T) {
+func TestUnfencedEndpointIsNotGrantedBeforeLeaseIsHeld(t *testing.T) {
 	e := endpoint(1)
 	e.ChecksFence = false
 	p := newPlacer(e)
 	p.AllowOrders("e1", time.Time{})
 	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
-	require.Empty(t, only[placement.Grant](p.Submit(at(3), request("q1", "a"))), "the owner may unload the adapter at any time")
+	require.Empty(t, effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a"))), "the lease holder may unload the adapter at any time")
 	p.AllowOrders("e1", at(5))
-	require.Len(t, only[placement.Grant](p.Submit(at(4), request("q2", "a"))), 1)
-	require.Len(t, only[placement.Grant](p.Submit(at(50), request("q3", "a"))), 1, "after the lapse what is resident is served on")
+	require.Len(t, effectsOfType[placement.Grant](p.Submit(at(4), request("q2", "a"))), 1)
+	require.Len(t, effectsOfType[placement.Grant](p.Submit(at(50), request("q3", "a"))), 1, "resident adapters are granted after the lease has expired")
 	p.Submit(at(51), request("q4", "b"))
 	_, used := p.UsePermit(at(52))
-	require.False(t, used, "no orders after the lapse")
+	require.False(t, used, "no load is ordered after the lease has expired")
 }
 
-func TestRepeatedGrantIsYoungAgain(t *testing.T) {
+func TestRepeatedGrantRestartsItsAge(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
-	first := only[placement.Grant](p.Submit(at(3), request("q1", "a")))
-	again := only[placement.Grant](p.Submit(at(20000), request("q1", "a")))
+	first := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
+	again := effectsOfType[placement.Grant](p.Submit(at(20000), request("q1", "a")))
 	require.Equal(t, first[0].Ticket.ID, again[0].Ticket.ID)
 	p.Reconfirm(at(20010), "i1", nil, 10*time.Second)
 	p.Submit(at(20020), request("q2", "b"))
 	_, used := p.UsePermit(at(20030))
-	require.False(t, used, "the entry may have the repeated grant by now")
+	require.False(t, used, "the entry may have received the repeated grant")
 }
--- a/services/daemon/placement/prefix.go
+++ b/services/daemon/placement/prefix.go
@@ -3,29 +3,29 @@
 
 package placement
 
-// maxPrefixHints bounds the memory of prompt prefixes of one pool; the first known is the first to go.
+// maxPrefixHints limits the number of prompt prefixes kept for one pool; the oldest entry is dropped first.
 const maxPrefixHints = 4096
 
-// prefixHints remembers where a prompt prefix was last run; a hint, never a promise.
+// prefixHints records the endpoint on which each prompt prefix was last run. The endpoint may no longer have the prefix cached.
 type prefixHints struct {
-	place map[uint64]string
-	order []uint64
+	endpointByPrefix map[uint64]string
+	insertionOrder   []uint64
 }
 
 func newPrefixHints() prefixHints {
-	return prefixHints{place: make(map[uint64]string)}
+	return prefixHints{endpointByPrefix: make(map[uint64]string)}
 }
 
 func (h *prefixHints) set(prefix uint64, endpoint string) {
 	if prefix == 0 {
 		return
 	}
-	if _, ok := h.place[prefix]; !ok {
-		h.order = append(h.order, prefix)
+	if _, ok := h.endpointByPrefix[prefix]; !ok {
+		h.insertionOrder = append(h.insertionOrder, prefix)
 	}
-	h.place[prefix] = endpoint
-	if len(h.order) > maxPrefixHints {
-		delete(h.place, h.order[0])
-		h.order = h.order[1:]
+	h.endpointByPrefix[prefix] = endpoint
+	if len(h.insertionOrder) > maxPrefixHints {
+		delete(h.endpointByPrefix, h.insertionOrder[0])
+		h.insertionOrder = h.insertionOrder[1:]
 	}
 }
--- a/services/daemon/placement/preload.go
+++ b/services/daemon/placement/preload.go
@@ -9,55 +9,56 @@
 )
 
 const (
-	// minPreloadRate is the least steady rate, in weighted arrivals a second, of an adapter that is loaded before anyone waits for it: one
-	// in about three hours. Lower spends idle permits on adapters that are hardly asked for.
+	// minPreloadRate is the minimum slow rate, in weighted arrivals per second, of an adapter that is loaded before a request waits for it: one
+	// arrival in about three hours. A lower rate spends idle permits on adapters that are rarely requested.
 	minPreloadRate = 1e-4
-	// coldStartFactor turns the rate of an adapter into the value of its preload's bid, so that a preload never goes before a load that
-	// someone waits for.
-	coldStartFactor = 0.02
-	// askedPreloadValue is the value of the bid for a preload that operators asked for: above that of any adapter called for less than 50
-	// times a second.
-	askedPreloadValue = 1
-	// preloadScanEvery is the time between two scans of all known adapters for a preload; longer finds one later, shorter spends processor
-	// time with the number of adapters.
-	preloadScanEvery = time.Second
+	// preloadBidFactor converts the rate of an adapter into the value of the bid for its preload, so that a preload never precedes a load for
+	// which requests wait.
+	preloadBidFactor = 0.02
+	// requestedPreloadValue is the value of the bid for a preload that an operator requested. It exceeds that of any adapter with fewer than 50
+	// weighted arrivals per second.
+	requestedPreloadValue = 1
+	// preloadScanInterval is the time between two scans of all known adapters for a preload. A longer interval finds one later; a shorter one
+	// costs processor time proportional to the number of adapters.
+	preloadScanInterval = time.Second
 )
 
-// bestPreload finds an adapter worth loading before anyone waits for it.
-func (p *Placer) bestPreload(now time.Time) (Bid, placeFor, bool) {
-	for _, ref := range p.preload {
+// bestPreload returns the best load of an adapter for which no request waits. Preloads requested by operators come first.
+func (p *Placer) bestPreload(now time.Time) (Bid, loadTarget, bool) {
+	for _, ref := range p.requestedPreloads {
 		if len(p.copies[ref]) > 0 || p.failures.Waiting(now, ref) {
 			continue
 		}
-		if place, ok := p.findPlace(now, ref, math.Inf(1)); ok {
-			return Bid{Adapter: ref, Value: askedPreloadValue, Preload: true}, place, true
+		if target, ok := p.findLoadTarget(now, ref, math.Inf(1)); ok {
+			return Bid{Adapter: ref, Value: requestedPreloadValue, Preload: true}, target, true
 		}
 	}
-	best := p.popularAbsent(now)
+	best := p.mostPopularAbsent(now)
 	if best.Value == 0 {
-		return Bid{}, placeFor{}, false
+		return Bid{}, loadTarget{}, false
 	}
-	place, ok := p.findPlace(now, best.Adapter, best.Value/p.options.PreloadGain)
+	target, ok := p.findLoadTarget(now, best.Adapter, best.Value/p.options.PreloadGain)
 	if !ok {
-		return Bid{}, placeFor{}, false
+		return Bid{}, loadTarget{}, false
 	}
-	best.Value *= coldStartFactor
-	return best, place, true
+	best.Value *= preloadBidFactor
+	return best, target, true
 }
 
-// popularAbsent finds the adapter most called for that is not loaded; the scan of
-// all known adapters is made once in a while, since it only serves idle permits.
-func (p *Placer) popularAbsent(now time.Time) Bid {
-	best := p.absent
-	if now.Sub(p.absentAt) < preloadScanEvery {
+// mostPopularAbsent returns the adapter with the highest slow rate that is not loaded. All
+// known adapters are scanned once per preloadScanInterval only, since the result is used only
+// for idle permits.
+func (p *Placer) mostPopularAbsent(now time.Time) Bid {
+	best := p.preloadCandidate
+	if now.Sub(p.preloadScannedAt) < preloadScanInterval {
 		if len(p.copies[best.Adapter]) > 0 || p.failures.Waiting(now, best.Adapter) {
 			return Bid{}
 		}
 		return best
 	}
 	best = Bid{}
-	for ref := range p.popular.Adapters() {
-		rate := p.popular.Steady(now, ref)
+	for ref := range p.arrivalRates.Adapters() {
+		rate := p.arrivalRates.Steady(now, ref)
 		if rate < minPreloadRate || rate < best.Value || len(p.copies[ref]) > 0 || p.failures.Waiting(now, ref) {
 			continue
 		}
@@ -66,6 +67,6 @@
 		}
 		best = Bid{Adapter: ref, Value: rate, Preload: true}
 	}
-	p.absent, p.absentAt = best, now
+	p.preloadCandidate, p.preloadScannedAt = best, now
 	return best
 }
--- /dev/null
+++ b/services/daemon/placement/prune_test.go
@@ -0,0 +1,242 @@
+// Copyright 2026 The shelfledge Authors. All rights reserved.
+// SPDX-License-Identifier: MIT
+
+package placement_test
+
+import (
+	"fmt"
+	"reflect"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"github.com/shelfledge/shelfledge/models/daemon/fleet"
+	"github.com/shelfledge/shelfledge/services/daemon/placement"
+	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
+)
+
+// keyCount is the number of customers or adapters that are used once.
+const keyCount = 200
+
+// retainedEntries counts the entries of all maps, slices and arrays that are reachable from v.
+func retainedEntries(v any) int {
+	seen := make(map[uintptr]bool)
+	return countEntries(reflect.ValueOf(v), seen)
+}
+
+func countEntries(v reflect.Value, seen map[uintptr]bool) int {
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Map:
+		if v.IsNil() || seen[v.Pointer()] {
+			return 0
+		}
+		seen[v.Pointer()] = true
+	default:
+	}
+	sum := 0
+	switch v.Kind() {
+	case reflect.Pointer, reflect.Interface:
+		return countEntries(v.Elem(), seen)
+	case reflect.Struct:
+		for i := range v.NumField() {
+			sum += countEntries(v.Field(i), seen)
+		}
+	case reflect.Map:
+		for entries := v.MapRange(); entries.Next(); {
+			sum += 1 + countEntries(entries.Value(), seen)
+		}
+	case reflect.Slice, reflect.Array:
+		for i := range v.Len() {
+			sum += 1 + countEntries(v.Index(i), seen)
+		}
+	default:
+	}
+	return sum
+}
+
+// tickForOneDay calls Tick every second for a day without requests.
+func tickForOneDay(p *placement.Placer, now time.Time) {
+	for end := now.Add(24 * time.Hour); now.Before(end); now = now.Add(time.Second) {
+		p.Tick(now)
+	}
+}
+
+// placerAfterServing returns a placer that loaded adapter a once, ran the requests of the given number of customers and was
+// then idle for a day.
+func placerAfterServing(t *testing.T, customers int, o placement.Options) *placement.Placer {
+	t.Helper()
+	e := endpoint(1)
+	e.MaxBatch = keyCount
+	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{e}, o)
+	p.Adopt(begin, inspection(0), 1, begin)
+	for i := range keyCount {
+		r := request(fmt.Sprint("q", i), "a")
+		r.Caller = fmt.Sprint("customer", i%customers)
+		p.Submit(at(1), r)
+	}
+	orderLoad(t, p, at(2))
+	granted := effectsOfType[placement.Grant](p.Loaded(at(3), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
+	require.NotEmpty(t, granted)
+	for len(granted) > 0 {
+		next := p.Return(at(4), granted[0].Ticket.ID)
+		granted = append(granted[1:], effectsOfType[placement.Grant](next)...)
+	}
+	require.Zero(t, p.Summary().Waiting)
+	tickForOneDay(p, at(5))
+	return p
+}
+
+// TestPrunesLoadCountsOfIdleCustomers checks that the decaying load counts of idle customers are dropped.
+func TestPrunesLoadCountsOfIdleCustomers(t *testing.T) {
+	o := placement.DefaultOptions()
+	// Without fair queueing, the queue keeps no state of customers without waiting requests.
+	o.PlainQueue = true
+	require.Less(t, retainedEntries(placerAfterServing(t, keyCount, o))-retainedEntries(placerAfterServing(t, 1, o)), keyCount/2)
+}
+
+// TestCustomerLoadCountLowersBidUntilItDecays lets a customer with a recent load request a, and another customer request b.
+// The bid is for b while the recent load counts; after that both values are equal and a precedes b by name.
+func TestCustomerLoadCountLowersBidUntilItDecays(t *testing.T) {
+	const countedFor = 10 * time.Minute
+	for _, row := range []struct {
+		later time.Duration
+		first string
+	}{{time.Second, "b"}, {countedFor - 10*time.Second, "b"}, {2 * countedFor, "a"}} {
+		p := newPlacer(endpoint(2))
+		p.Submit(at(1), request("q", "x"))
+		orderLoad(t, p, at(2))
+		p.Cancel(at(3), "q")
+		now := at(2)
+		for end := now.Add(row.later); now.Before(end); now = now.Add(time.Second) {
+			p.Tick(now)
+		}
+		p.Submit(now, request("q1", "a"))
+		other := request("q2", "b")
+		other.Caller = "other"
+		p.Submit(now, other)
+		bid, wants := p.Bid(now)
+		require.True(t, wants)
+		require.Equal(t, ref(row.first), bid.Adapter, "after %v", row.later)
+	}
+}
+
+// TestPrunesFailuresOfIdleAdapters compares a placer whose last load of each adapter failed with one whose loads succeeded.
+// Their other state is the same.
+func TestPrunesFailuresOfIdleAdapters(t *testing.T) {
+	after := func(result placement.LoadResult) int {
+		p := newPlacer(endpoint(1))
+		for i := range keyCount {
+			now, name := at(100*i+1), fmt.Sprint("a", i)
+			id := "q" + name
+			p.Submit(now, request(id, name))
+			order := orderLoad(t, p, now)
+			for _, g := range effectsOfType[placement.Grant](p.Loaded(now, "e1", "e1-1", order.Adapter, result, "no such file")) {
+				p.Return(now, g.Ticket.ID)
+			}
+			p.Cancel(now, id)
+			var resident []fleet.AdapterRef
+			if result == placement.LoadDone {
+				resident = append(resident, order.Adapter)
+			}
+			p.Inspected(now.Add(2*time.Millisecond), inspection(100*i+2, resident...))
+		}
+		tickForOneDay(p, at(100*keyCount))
+		return retainedEntries(p)
+	}
+	require.Less(t, after(placement.LoadFailed)-after(placement.LoadDone), keyCount/2)
+}
+
+// TestPrunesTagsPassedByVirtualTime lets the virtual time of the class pass the tags of customers that send one request each.
+func TestPrunesTagsPassedByVirtualTime(t *testing.T) {
+	q := queue.New(false)
+	class := fleet.Class{Name: "c"}
+	serve := func(r fleet.Request) {
+		q.Push(begin, r, class, 0)
+		w, ok := q.Find(r.ID)
+		require.True(t, ok)
+		q.Dispatch(w)
+	}
+	for i := range keyCount {
+		r := request(fmt.Sprint("q", i), "a")
+		r.Caller = fmt.Sprint("customer", i)
+		serve(r)
+	}
+	for i := range keyCount {
+		serve(request(fmt.Sprint("later", i), "a"))
+	}
+	require.Zero(t, q.Len())
+	require.Less(t, retainedEntries(q), keyCount/2, "virtual time has passed every tag")
+}
+
+// TestPrunesTagsOfOneTimeCustomers covers the case in which the virtual time does not advance, since each customer starts at the same tag.
+func TestPrunesTagsOfOneTimeCustomers(t *testing.T) {
+	o := placement.DefaultOptions()
+	require.Less(t, retainedEntries(placerAfterServing(t, keyCount, o))-retainedEntries(placerAfterServing(t, 1, o)), keyCount/2)
+}
+
+// TestPrunesStateOfClassesUsedOnce uses a different class for each request, since callers may send any class name.
+func TestPrunesStateOfClassesUsedOnce(t *testing.T) {
+	after := func(classes int) int {
+		p := newPlacer(endpoint(1))
+		for i := range keyCount {
+			r := request(fmt.Sprint("q", i), "a")
+			r.Class = fmt.Sprint("class", i%classes)
+			p.Submit(at(i), r)
+		}
+		p.RefuseAll(at(keyCount), fleet.ReasonStopping, 0)
+		tickForOneDay(p, at(keyCount))
+		return retainedEntries(p)
+	}
+	require.Less(t, after(keyCount)-after(1), keyCount/2)
+}
+
+// TestPruningDoesNotDependOnNumberOfGrants makes 255 grants between two sweeps, so that the sum of grants and sweeps is never
+// a multiple of 256 at a sweep. It guards against a counter shared by ticket IDs and sweeps.
+func TestPruningDoesNotDependOnNumberOfGrants(t *testing.T) {
+	const grantsPerSweep, idleTime = 255, 12 * time.Hour
+	p := newPlacer(endpoint(2))
+	p.Inspected(at(2), inspection(1, ref("a")))
+	p.Submit(at(3), request("once", "b"))
+	p.Cancel(at(3), "once")
+	before := retainedEntries(p)
+	now := begin.Add(idleTime)
+	for range 1024 {
+		now = now.Add(time.Second)
+		p.Tick(now)
+		for range grantsPerSweep {
+			granted := effectsOfType[placement.Grant](p.Submit(now, request("q", "a")))
+			require.Len(t, granted, 1)
+			p.Return(now, granted[0].Ticket.ID)
+		}
+	}
+	require.Less(t, retainedEntries(p), before+2, "state of a was added, that of b was pruned")
+}
+
+// TestPrunesBasesOfIdleAdapters compares many adapters with one request each with one adapter that has the same number of requests.
+func TestPrunesBasesOfIdleAdapters(t *testing.T) {
+	after := func(adapters int) int {
+		p := newPlacer(endpoint(1))
+		for i := range keyCount {
+			id := fmt.Sprint("q", i)
+			p.Submit(at(i), request(id, fmt.Sprint("a", i%adapters)))
+			p.Cancel(at(i), id)
+		}
+		tickForOneDay(p, at(keyCount))
+		return retainedEntries(p)
+	}
+	require.Less(t, after(keyCount)-after(1), keyCount/2)
+}
+
+// TestKeepsBaseOfAdapterWithWaitingRequest lets the rate of an adapter decay while a request still waits for it.
+func TestKeepsBaseOfAdapterWithWaitingRequest(t *testing.T) {
+	p := newPlacer(endpoint(1))
+	p.SetPreload([]fleet.AdapterRef{ref("preloaded")}, func(fleet.AdapterRef) string { return "base" })
+	p.Submit(at(1), request("q1", "a"))
+	tickForOneDay(p, at(2))
+	now := at(2).Add(24 * time.Hour)
+	require.Equal(t, ref("a"), orderLoad(t, p, now).Adapter)
+	p.Cancel(now, "q1")
+	p.Loaded(now, "e1", "e1-1", ref("a"), placement.LoadDone, "")
+	require.Equal(t, ref("preloaded"), orderLoad(t, p, now).Adapter)
+}
--- a/services/daemon/placement/restriction.go
+++ b/services/daemon/placement/restriction.go
@@ -9,77 +9,78 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// SetLeaving stops or allows new work on an endpoint that the platform lists as leaving.
+// SetLeaving stops new requests on an endpoint while the platform lists it as leaving.
 func (p *Placer) SetLeaving(now time.Time, endpoint string, leaving bool) []Effect {
-	e := p.byName[endpoint]
+	e := p.endpointByName[endpoint]
 	if e == nil || e.leaving == leaving {
 		return nil
 	}
 	e.leaving = leaving
-	p.note(now, fleet.Event{Kind: fleet.EventDrain, Endpoint: endpoint, Cause: "the platform lists the endpoint as leaving: " + boolWord(leaving)})
+	p.recordEvent(now, fleet.Event{Kind: fleet.EventDrain, Endpoint: endpoint, Cause: "the platform lists the endpoint as leaving: " + yesNo(leaving)})
 	p.dispatchEndpoint(now, e)
-	return p.take()
+	return p.takeEffects()
 }
 
-// SetDrained stops or allows new work on an endpoint by an operator's command.
+// SetDrained stops or allows new requests on an endpoint by an operator's command.
 func (p *Placer) SetDrained(now time.Time, endpoint string, drained bool) []Effect {
-	e := p.byName[endpoint]
+	e := p.endpointByName[endpoint]
 	if e == nil || e.drained == drained {
 		return nil
 	}
 	e.drained = drained
-	p.note(now, fleet.Event{Kind: fleet.EventDrain, Endpoint: endpoint, Cause: "an operator drains the endpoint: " + boolWord(drained)})
+	p.recordEvent(now, fleet.Event{Kind: fleet.EventDrain, Endpoint: endpoint, Cause: "an operator drains the endpoint: " + yesNo(drained)})
 	p.dispatchEndpoint(now, e)
-	return p.take()
+	return p.takeEffects()
 }
 
-func boolWord(b bool) string {
+func yesNo(b bool) string {
 	if b {
 		return "yes"
 	}
 	return "no"
 }
 
-// Freeze forbids unloading on an endpoint until the given time.
+// Freeze forbids unloading on an endpoint until the given time. A shorter freeze than the current one is ignored.
 func (p *Placer) Freeze(now time.Time, endpoint string, until time.Time, cause string) []Effect {
-	e := p.byName[endpoint]
+	e := p.endpointByName[endpoint]
 	if e == nil || !until.After(e.frozenUntil) {
 		return nil
 	}
 	e.frozenUntil = until
-	p.note(now, fleet.Event{Kind: fleet.EventFreeze, Endpoint: endpoint, Fence: e.fence, Cause: cause})
-	return p.take()
+	p.recordEvent(now, fleet.Event{Kind: fleet.EventFreeze, Endpoint: endpoint, Fence: e.fence, Cause: cause})
+	return p.takeEffects()
 }
 
-// Thaw lifts a freeze, once no grant of a former placer can start any more.
+// Thaw ends a freeze. It is called once no grant of a previous placer can start any more.
 func (p *Placer) Thaw(now time.Time, endpoint string, cause string) []Effect {
-	e := p.byName[endpoint]
+	e := p.endpointByName[endpoint]
 	if e == nil || !e.frozenUntil.After(now) {
 		return nil
 	}
 	e.frozenUntil = now
-	p.note(now, fleet.Event{Kind: fleet.EventThaw, Endpoint: endpoint, Fence: e.fence, Cause: cause})
-	return p.take()
+	p.recordEvent(now, fleet.Event{Kind: fleet.EventThaw, Endpoint: endpoint, Fence: e.fence, Cause: cause})
+	return p.takeEffects()
 }
 
-// AllowOrders bounds the right to order loads and unloads on an endpoint that checks no
-// fences; the zero time gives none. It forbids all use, too, until the lease was held once;
-// after that, what is resident is granted on without the right.
+// AllowOrders sets the time until which the lease of an endpoint without fences allows load
+// and unload orders; the zero time allows none. Until the lease has been held once, the
+// endpoint is not used at all. After that, requests for resident adapters are granted even
+// without the lease.
 func (p *Placer) AllowOrders(endpoint string, until time.Time) {
-	e := p.byName[endpoint]
+	e := p.endpointByName[endpoint]
 	if e == nil {
 		return
 	}
-	e.leased = true
-	e.owned = e.owned || !until.IsZero()
-	e.ordersUntil = until
-	// A right that begins makes room for loads that found none, one that ends takes it.
-	p.bid.fresh = false
+	e.usesLease = true
+	e.leaseWasHeld = e.leaseWasHeld || !until.IsZero()
+	e.orderDeadline = until
+	// The lease decides which loads are possible, so the cached bid is no longer valid.
+	p.bid.valid = false
 }
 
-// LoseFence stops all use of an endpoint that obeys another instance, until it is adopted again.
+// LoseFence stops all use of an endpoint that another instance has acquired, until it is adopted again.
 func (p *Placer) LoseFence(endpoint string) {
-	if e := p.byName[endpoint]; e != nil {
+	if e := p.endpointByName[endpoint]; e != nil {
 		e.fenceLost = true
 	}
 }
--- a/services/daemon/placement/submit_test.go
+++ b/services/daemon/placement/submit_test.go
@@ -13,9 +13,9 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// bounded makes a placer whose class lets 120 tokens wait, half of them of one customer;
-// each request has 20.
-func bounded() *placement.Placer {
+// placerWithQueueLimits returns a placer whose class has a queue limit of 120 tokens, half
+// of which one customer may use. Each request has 20 tokens.
+func placerWithQueueLimits() *placement.Placer {
 	o := placement.DefaultOptions()
 	o.Classes = []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1, MaxQueuedTokens: 120}}
 	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{endpoint(1)}, o)
@@ -23,16 +23,16 @@
 	return p
 }
 
-// refusal gives the reason of the only refusal among effects, or none.
-func refusal(effects []placement.Effect) fleet.Reason {
-	for _, r := range only[placement.Refuse](effects) {
+// refusalReason returns the reason of the first refusal among effects, or an empty reason.
+func refusalReason(effects []placement.Effect) fleet.Reason {
+	for _, r := range effectsOfType[placement.Refuse](effects) {
 		return r.Refusal.Reason
 	}
 	return ""
 }
 
-func TestQueueIsBoundedByCustomerAndByClass(t *testing.T) {
-	p := bounded()
+func TestQueueLimitsPerCustomerAndPerClass(t *testing.T) {
+	p := placerWithQueueLimits()
 	for _, row := range []struct {
 		id, customer string
 		reason       fleet.Reason
@@ -49,24 +49,24 @@
 	} {
 		r := request(row.id, "a")
 		r.Caller = row.customer
-		require.Equal(t, row.reason, refusal(p.Submit(at(1), r)), "%+v", row)
+		require.Equal(t, row.reason, refusalReason(p.Submit(at(1), r)), "%+v", row)
 	}
-	require.Len(t, p.Waiting(), 6, "a repeated request waits once")
+	require.Len(t, p.Waiting(), 6, "a repeated request is queued once")
 	p.Cancel(at(2), "q1")
-	require.Empty(t, p.Cancel(at(2), "q1"), "a repeated withdrawal does nothing")
+	require.Empty(t, p.Cancel(at(2), "q1"), "a repeated cancellation has no effect")
 	r := request("q9", "a")
 	r.Caller = "x"
-	require.Empty(t, refusal(p.Submit(at(3), r)), "the room of a withdrawn request is free again")
+	require.Empty(t, refusalReason(p.Submit(at(3), r)), "the tokens of a canceled request no longer count")
 }
 
-func TestFirstRequestOfACustomerIsAdmittedWhateverItsSize(t *testing.T) {
-	p := bounded()
+func TestFirstRequestOfCustomerIsAdmittedRegardlessOfSize(t *testing.T) {
+	p := placerWithQueueLimits()
 	r := request("q1", "a")
 	r.OutputTokens = 1000
-	require.Empty(t, refusal(p.Submit(at(1), r)))
+	require.Empty(t, refusalReason(p.Submit(at(1), r)))
 }
 
-func TestRequestThatCannotBeMetIsRefusedAtOnce(t *testing.T) {
+func TestRequestThatCannotBeServedIsRefusedOnSubmit(t *testing.T) {
 	const load = 300
 	for _, row := range []struct {
 		name     string
@@ -74,8 +74,8 @@
 		deadline int
 		reason   fleet.Reason
 	}{
-		{"in time", "base", 1 + load, ""},
-		{"a load too late", "base", load, fleet.ReasonDeadline},
+		{"deadline after the load", "base", 1 + load, ""},
+		{"deadline before the load ends", "base", load, fleet.ReasonDeadline},
 		{"expired", "base", 1, fleet.ReasonExpired},
 		{"no deadline", "base", 0, ""},
 		{"no endpoint", "other", 0, fleet.ReasonNoEndpoint},
@@ -85,33 +85,33 @@
 		if row.deadline > 0 {
 			r.Deadline = at(row.deadline)
 		}
-		require.Equal(t, row.reason, refusal(bounded().Submit(at(1), r)), row.name)
+		require.Equal(t, row.reason, refusalReason(placerWithQueueLimits().Submit(at(1), r)), row.name)
 	}
 }
 
 func TestWaitingRequestExpiresAtItsDeadline(t *testing.T) {
-	p := bounded()
+	p := placerWithQueueLimits()
 	r := request("q", "a")
 	r.Deadline = at(5000)
 	p.Submit(at(1), r)
-	require.Empty(t, refusal(p.Tick(at(4999))))
-	require.Equal(t, fleet.ReasonExpired, refusal(p.Tick(at(5000))))
-	require.Empty(t, refusal(p.Tick(at(5001))), "once")
+	require.Empty(t, refusalReason(p.Tick(at(4999))))
+	require.Equal(t, fleet.ReasonExpired, refusalReason(p.Tick(at(5000))))
+	require.Empty(t, refusalReason(p.Tick(at(5001))), "the request is refused once")
 }
 
-func TestAllThatWaitsIsRefusedInItsOrderWhenThePoolIsLetGo(t *testing.T) {
-	p := bounded()
+func TestRefuseAllRefusesWaitingRequestsInArrivalOrder(t *testing.T) {
+	p := placerWithQueueLimits()
 	for _, id := range []string{"q2", "q1"} {
 		p.Submit(at(1), request(id, "a"))
 	}
-	refused := only[placement.Refuse](p.RefuseAll(at(2), fleet.ReasonNoPlacer, time.Second))
+	refused := effectsOfType[placement.Refuse](p.RefuseAll(at(2), fleet.ReasonNoPlacer, time.Second))
 	require.Len(t, refused, 2)
 	require.Equal(t, "q2", refused[0].Request.ID)
 	require.Equal(t, fleet.Refusal{RequestID: "q1", Reason: fleet.ReasonNoPlacer, RetryAfter: time.Second}, refused[1].Refusal)
 	require.Empty(t, p.RefuseAll(at(3), fleet.ReasonNoPlacer, time.Second))
 }
 
-func TestRequestsThatNameNoClassHaveTheOneWithoutAName(t *testing.T) {
+func TestRequestWithoutClassUsesUnnamedClass(t *testing.T) {
 	for _, row := range []struct {
 		classes []fleet.Class
 		first   string
@@ -125,8 +125,8 @@
 		named.Class, none.Class = "named", ""
 		p.Submit(at(1), none)
 		p.Submit(at(1), named)
-		load(t, p, at(3))
-		granted := only[placement.Grant](p.Loaded(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
+		orderLoad(t, p, at(3))
+		granted := effectsOfType[placement.Grant](p.Loaded(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
 		require.Len(t, granted, 2)
 		require.Equal(t, row.first, granted[0].Request.ID, "%+v", row.classes)
 	}
--- a/services/daemon/placement/ticket.go
+++ b/services/daemon/placement/ticket.go
@@ -13,111 +13,112 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
-// heldTicket is a granted ticket that has not come back.
-type heldTicket struct {
-	ticket  fleet.Ticket
-	request fleet.Request
-	granted time.Time
-	// named is when the entry last said that it uses the ticket, or the zero time.
-	named time.Time
-	// orphaned is when the entry was lost, or the zero time.
-	orphaned time.Time
+// grantedTicket is a granted ticket that has not been returned.
+type grantedTicket struct {
+	ticket    fleet.Ticket
+	request   fleet.Request
+	grantedAt time.Time
+	// confirmedAt is when the entry last reported that it uses the ticket, or the zero time.
+	confirmedAt time.Time
+	// orphanedAt is when the entry was lost, or the zero time.
+	orphanedAt time.Time
 }
 
-// silent tells whether the entry has not named the ticket for the given time.
-func (h *heldTicket) silent(now time.Time, limit time.Duration) bool {
-	return now.Sub(h.granted) > limit && now.Sub(h.named) > limit
+// unconfirmedFor reports whether the ticket was neither granted nor confirmed by its entry within limit before now.
+func (h *grantedTicket) unconfirmedFor(now time.Time, limit time.Duration) bool {
+	return now.Sub(h.grantedAt) > limit && now.Sub(h.confirmedAt) > limit
 }
 
 func (p *Placer) nextTicketID() string {
 	p.sequence++
-	return p.self + "/" + p.pool + "/" + p.epoch + "/" + strconv.FormatUint(p.sequence, 10)
+	return p.instance + "/" + p.pool + "/" + p.epoch + "/" + strconv.FormatUint(p.sequence, 10)
 }
 
-// Return takes a ticket back after its request has ended on the endpoint.
+// Return removes a ticket after its request has ended on the endpoint.
 func (p *Placer) Return(now time.Time, ticketID string) []Effect {
-	held, ok := p.tickets[ticketID]
+	granted, ok := p.tickets[ticketID]
 	if !ok {
 		return nil
 	}
-	e := p.release(now, held)
+	e := p.dropTicket(now, granted)
 	if e != nil {
 		p.dispatchEndpoint(now, e)
 	}
-	return p.take()
+	return p.takeEffects()
 }
 
-func (p *Placer) release(now time.Time, held *heldTicket) *endpointState {
-	p.bid.fresh = false
-	delete(p.tickets, held.ticket.ID)
-	if p.byRequest[held.request.ID] == held {
-		delete(p.byRequest, held.request.ID)
+func (p *Placer) dropTicket(now time.Time, granted *grantedTicket) *endpointState {
+	p.bid.valid = false
+	delete(p.tickets, granted.ticket.ID)
+	if p.ticketByRequest[granted.request.ID] == granted {
+		delete(p.ticketByRequest, granted.request.ID)
 	}
-	e := p.byName[held.ticket.Endpoint]
-	if e == nil || !e.admits(held.ticket) {
+	e := p.endpointByName[granted.ticket.Endpoint]
+	if e == nil || !e.ticketMayRun(granted.ticket) {
 		return e
 	}
-	e.leave(held.ticket, held.request.Caller)
-	if s, ok := e.slots[held.ticket.Adapter]; ok {
+	e.removeTicket(granted.ticket, granted.request.Caller)
+	if s, ok := e.slots[granted.ticket.Adapter]; ok {
 		s.lastUsed = now
 	}
 	return e
 }
 
-// Redeclare enters a ticket that an entry still holds from a former placer.
+// Redeclare adds a ticket that an entry still holds from a previous placer.
 func (p *Placer) Redeclare(now time.Time, t fleet.Ticket, r fleet.Request) []Effect {
 	if _, ok := p.tickets[t.ID]; ok {
 		return nil
 	}
-	e := p.byName[t.Endpoint]
-	if e == nil || !e.admits(t) {
+	e := p.endpointByName[t.Endpoint]
+	if e == nil || !e.ticketMayRun(t) {
 		return nil
 	}
-	held := &heldTicket{ticket: t, request: r, granted: now}
-	p.tickets[t.ID] = held
-	p.byRequest[r.ID] = held
-	e.enter(t, r.Caller)
-	return p.take()
+	granted := &grantedTicket{ticket: t, request: r, grantedAt: now}
+	p.tickets[t.ID] = granted
+	p.ticketByRequest[r.ID] = granted
+	e.addTicket(t, r.Caller)
+	return p.takeEffects()
 }
 
-// EntryLost marks the tickets of a lost entry; they stay in use until the endpoint shows otherwise.
+// EntryLost marks the tickets of a lost entry as orphaned and removes its waiting requests. The tickets count as in use until the endpoint
+// reports that their requests have ended.
 func (p *Placer) EntryLost(now time.Time, entry string) []Effect {
-	p.orphan(now, p.heldBy(entry))
-	for _, w := range p.waitersOf(entry) {
+	p.markOrphaned(now, p.ticketsOfEntry(entry))
+	for _, w := range p.waitersOfEntry(entry) {
 		p.queue.Remove(w)
 	}
-	return p.take()
+	return p.takeEffects()
 }
 
-// orphan marks tickets whose entries are lost.
-func (p *Placer) orphan(now time.Time, tickets []*heldTicket) {
+// markOrphaned marks tickets whose entries are lost.
+func (p *Placer) markOrphaned(now time.Time, tickets []*grantedTicket) {
 	retake := make(map[string]bool)
-	for _, held := range tickets {
-		if !held.orphaned.IsZero() {
+	for _, granted := range tickets {
+		if !granted.orphanedAt.IsZero() {
 			continue
 		}
-		held.orphaned = now
-		e := p.byName[held.ticket.Endpoint]
+		granted.orphanedAt = now
+		e := p.endpointByName[granted.ticket.Endpoint]
 		if e != nil && e.spec.ChecksFence && !retake[e.spec.Name] {
-			// Under a new fence the endpoint refuses what the lost entry may still send.
+			// Under a new fence, the endpoint refuses requests that the lost entry may still send.
 			retake[e.spec.Name] = true
 			p.effects = append(p.effects, Retake{Endpoint: e.spec.Name})
 		}
 	}
 }
 
-// sweepTickets takes entries that have long not named a ticket for lost, since a loss is told of entries in the pool's hall
-// alone, and lets the tickets of lost entries go after their life.
+// sweepTickets marks tickets as orphaned that their entries have not confirmed for TicketLife, because the loss of an entry
+// is reported only within the pool's hall. It removes tickets that have been orphaned for TicketLife.
 func (p *Placer) sweepTickets(now time.Time) {
-	p.orphan(now, p.heldWhere(func(held *heldTicket) bool { return held.silent(now, p.options.TicketLife) }))
-	for _, held := range p.tickets {
-		if !held.orphaned.IsZero() && now.Sub(held.orphaned) > p.options.TicketLife {
-			p.release(now, held)
+	p.markOrphaned(now, p.ticketsWhere(func(granted *grantedTicket) bool { return granted.unconfirmedFor(now, p.options.TicketLife) }))
+	for _, granted := range p.tickets {
+		if !granted.orphanedAt.IsZero() && now.Sub(granted.orphanedAt) > p.options.TicketLife {
+			p.dropTicket(now, granted)
 		}
 	}
 }
 
-func (p *Placer) waitersOf(entry string) []*queue.Waiter {
+func (p *Placer) waitersOfEntry(entry string) []*queue.Waiter {
 	var out []*queue.Waiter
 	for _, w := range p.queue.Sorted() {
 		if w.Request.Entry == entry {
@@ -127,51 +128,51 @@
 	return out
 }
 
-// Reconfirm compares what was granted with the tickets that an entry says it uses: one that
-// the entry does not know, and whose grant is too old to be on its way, has ended. One that it
-// names is not, or no more, that of a lost entry.
+// Reconfirm compares the granted tickets of an entry with the tickets that it reports as used.
+// A ticket that the entry does not report has ended if its grant is older than tooOld and so can
+// no longer be in transit. A reported ticket is not orphaned, or no longer so.
 func (p *Placer) Reconfirm(now time.Time, entry string, uses []fleet.TicketUse, tooOld time.Duration) []Effect {
-	known := make(map[string]bool, len(uses))
+	reported := make(map[string]bool, len(uses))
 	for _, u := range uses {
-		known[u.Ticket.ID] = true
+		reported[u.Ticket.ID] = true
 		p.effects = append(p.effects, p.Redeclare(now, u.Ticket, u.Request)...)
-		if held, ok := p.tickets[u.Ticket.ID]; ok {
-			held.named = now
-			held.orphaned = time.Time{}
+		if granted, ok := p.tickets[u.Ticket.ID]; ok {
+			granted.confirmedAt = now
+			granted.orphanedAt = time.Time{}
 		}
 	}
-	for _, held := range p.heldBy(entry) {
-		if known[held.ticket.ID] || now.Sub(held.granted) < tooOld {
+	for _, granted := range p.ticketsOfEntry(entry) {
+		if reported[granted.ticket.ID] || now.Sub(granted.grantedAt) < tooOld {
 			continue
 		}
-		if e := p.release(now, held); e != nil {
+		if e := p.dropTicket(now, granted); e != nil {
 			p.dispatchEndpoint(now, e)
 		}
 	}
-	return p.take()
+	return p.takeEffects()
 }
 
-func (p *Placer) heldBy(entry string) []*heldTicket {
-	return p.heldWhere(func(held *heldTicket) bool { return held.ticket.Entry == entry })
+func (p *Placer) ticketsOfEntry(entry string) []*grantedTicket {
+	return p.ticketsWhere(func(granted *grantedTicket) bool { return granted.ticket.Entry == entry })
 }
 
-// heldWhere lists the tickets of one kind by their names.
-func (p *Placer) heldWhere(match func(held *heldTicket) bool) []*heldTicket {
-	var out []*heldTicket
-	for _, held := range p.tickets {
-		if match(held) {
-			out = append(out, held)
+// ticketsWhere returns the tickets that match, sorted by ID.
+func (p *Placer) ticketsWhere(match func(granted *grantedTicket) bool) []*grantedTicket {
+	var out []*grantedTicket
+	for _, granted := range p.tickets {
+		if match(granted) {
+			out = append(out, granted)
 		}
 	}
-	slices.SortFunc(out, func(a, b *heldTicket) int { return cmp.Compare(a.ticket.ID, b.ticket.ID) })
+	slices.SortFunc(out, func(a, b *grantedTicket) int { return cmp.Compare(a.ticket.ID, b.ticket.ID) })
 	return out
 }
 
-// Uses lists the granted tickets with their requests, for a successor.
+// Uses returns the granted tickets with their requests, for the next placer of the pool.
 func (p *Placer) Uses() []fleet.TicketUse {
 	out := make([]fleet.TicketUse, 0, len(p.tickets))
-	for _, held := range p.tickets {
-		out = append(out, fleet.TicketUse{Ticket: held.ticket, Request: held.request})
+	for _, granted := range p.tickets {
+		out = append(out, fleet.TicketUse{Ticket: granted.ticket, Request: granted.request})
 	}
 	slices.SortFunc(out, func(a, b fleet.TicketUse) int { return cmp.Compare(a.Ticket.ID, b.Ticket.ID) })
 	return out
--- a/services/daemon/placement/view.go
+++ b/services/daemon/placement/view.go
@@ -11,14 +11,14 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Summary is what other instances need to know of a pool to route requests to it.
+// Summary is the state of a pool that other instances need for routing requests to it.
 type Summary struct {
 	Pool     string
 	Hall     string
 	Bases    []string
 	Resident []ResidentCopy
 	Loading  []fleet.AdapterRef
-	// Free is the number of free batch places on endpoints that take work.
+	// Free is the number of free batch places on endpoints that accept requests.
 	Free    int
 	Places  int
 	Slots   int
@@ -26,21 +26,21 @@
 	Tokens  int
 }
 
-// ResidentCopy tells where an adapter is loaded and how much room that leaves.
+// ResidentCopy is a loaded adapter with the number of free places on the endpoints that hold it.
 type ResidentCopy struct {
 	Adapter fleet.AdapterRef
 	Free    int
 }
 
-// Summary gives the pool's state for routing.
+// Summary returns the state of the pool for routing.
 func (p *Placer) Summary() Summary {
 	s := Summary{Pool: p.pool, Waiting: p.queue.Len(), Tokens: p.queue.Tokens()}
 	for _, e := range p.endpoints {
-		if !e.takesWork() {
+		if !e.acceptsRequests() {
 			continue
 		}
 		s.Hall = e.spec.Hall
-		s.Free += max(0, e.free())
+		s.Free += max(0, e.freePlaces())
 		s.Places += e.spec.MaxBatch
 		s.Slots += e.spec.Slots
 		for _, base := range e.spec.Bases {
@@ -57,19 +57,19 @@
 	var resident []ResidentCopy
 	var loading []fleet.AdapterRef
 	for ref, endpoints := range p.copies {
-		free, ready := 0, false
+		freePlaces, ready := 0, false
 		for _, e := range endpoints {
 			s := e.slots[ref]
-			if !e.takesWork() || s.closing {
+			if !e.acceptsRequests() || s.closing {
 				continue
 			}
 			if s.state == slotResident {
 				ready = true
-				free += max(0, e.free())
+				freePlaces += max(0, e.freePlaces())
 			}
 		}
 		if ready {
-			resident = append(resident, ResidentCopy{Adapter: ref, Free: free})
+			resident = append(resident, ResidentCopy{Adapter: ref, Free: freePlaces})
 			continue
 		}
 		loading = append(loading, ref)
@@ -86,7 +86,7 @@
 	return cmp.Compare(a.Version, b.Version)
 }
 
-// SlotView is one slot as operators see it.
+// SlotView is a slot as shown to operators.
 type SlotView struct {
 	Endpoint string
 	Adapter  string
@@ -100,15 +100,15 @@
 	Value    float64
 }
 
-// Slots lists the slots of the pool.
+// Slots returns the slots of the pool, sorted by endpoint and adapter.
 func (p *Placer) Slots(now time.Time) []SlotView {
 	var out []SlotView
 	for _, e := range p.endpoints {
 		for _, s := range e.slots {
 			out = append(out, SlotView{
 				Endpoint: e.spec.Name, Adapter: s.adapter.String(), State: s.state.String(),
-				Running: e.using[s.adapter], Foreign: s.foreign, Closing: s.closing, Pinned: p.pinned[s.adapter],
-				Since: s.since, LastUsed: s.lastUsed, Value: p.popular.Rate(now, s.adapter),
+				Running: e.ticketsByAdapter[s.adapter], Foreign: s.foreign, Closing: s.closing, Pinned: p.pinned[s.adapter],
+				Since: s.since, LastUsed: s.lastUsed, Value: p.arrivalRates.Rate(now, s.adapter),
 			})
 		}
 	}
@@ -121,12 +121,12 @@
 	return out
 }
 
-// String names the state.
+// String returns the name of the state.
 func (s slotState) String() string {
 	return [...]string{"loading", "resident", "unknown"}[s]
 }
 
-// EndpointView is one endpoint as operators see it.
+// EndpointView is an endpoint as shown to operators.
 type EndpointView struct {
 	Endpoint    string
 	Incarnation string
@@ -142,7 +142,7 @@
 	Used        int
 }
 
-// Endpoints lists the endpoints of the pool.
+// Endpoints returns the endpoints of the pool.
 func (p *Placer) Endpoints(now time.Time) []EndpointView {
 	out := make([]EndpointView, 0, len(p.endpoints))
 	for _, e := range p.endpoints {
@@ -155,7 +155,7 @@
 	return out
 }
 
-// WaitingView is one queued request as operators see it.
+// WaitingView is a queued request as shown to operators.
 type WaitingView struct {
 	Request string
 	Caller  string
@@ -166,7 +166,7 @@
 	Cause   string
 }
 
-// Waiting lists the queued requests, the oldest first.
+// Waiting returns the queued requests, the oldest first.
 func (p *Placer) Waiting() []WaitingView {
 	out := make([]WaitingView, 0, p.queue.Len())
 	for _, w := range p.queue.Sorted() {
@@ -180,7 +180,7 @@
 	return out
 }
 
-// Tickets lists the granted tickets that have not come back.
+// Tickets returns the granted tickets that have not been returned.
 func (p *Placer) Tickets() []fleet.Ticket {
 	out := make([]fleet.Ticket, 0, len(p.tickets))
 	for _, held := range p.tickets {
