--- a/services/daemon/placement/backoff/doc.go
+++ b/services/daemon/placement/backoff/doc.go
@@ -1,9 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package backoff counts the failed loads of each adapter, says how long the next one
-// waits, and when to give an adapter up. Forget drops those that no load was tried of for long.
+// Package backoff counts the failed loads of each adapter and decides how long the next load
+// is delayed and when requests for the adapter are refused. Forget drops the failures of
+// adapters that have not been loaded in a long time.
 //
-// It owns these counts and relies on nothing. It starts no goroutines, reads no clock and
-// is not safe for concurrent use.
+// The package starts no goroutines, does not read the clock and is not safe for concurrent use.
 package backoff
--- a/services/daemon/placement/backoff/failures.go
+++ b/services/daemon/placement/backoff/failures.go
@@ -11,94 +11,94 @@
 )
 
 const (
-	// maxDoublings bounds the exponent of the wait, before Max does; it keeps the product within a time.Duration.
+	// maxDoublings limits the exponent of the delay before Max is applied, so that the product does not overflow a time.Duration.
 	maxDoublings = 9
-	// leastJitter and jitterSteps spread the waits of different adapters from 0.5 to 1.5 of the wait, so that they do not fail together
-	// again.
-	leastJitter = 0.5
+	// minJitter and jitterSteps spread the delays of different adapters over 0.5 to 1.5 times the nominal delay, so that their loads are not
+	// retried, and do not fail, at the same time again.
+	minJitter   = 0.5
 	jitterSteps = 1000
-	// forgetAfter is how long after the end of its wait an adapter's failures still count, if no load of it is tried. Longer spares the
-	// weight store loads that are likely to fail, shorter frees memory sooner; a load is tried each Max at least while somebody waits for
-	// the adapter.
-	forgetAfter = time.Hour
+	// failureRetention is how long the failures of an adapter still count after the end of its delay if no load is tried. A longer time
+	// saves the weight store loads that are likely to fail, a shorter one frees memory sooner. While requests wait for the adapter, a load
+	// is tried at least once per Max.
+	failureRetention = time.Hour
 )
 
-// Options are the settings of the wait after failed loads.
+// Options configures the delay after failed loads.
 type Options struct {
-	// Base is the wait after the first failure; it doubles with each, up to Max.
+	// Base is the delay after the first failure. It doubles with each further failure, up to Max.
 	Base, Max time.Duration
-	// GiveUp is the number of failures after which those who wait are refused.
+	// GiveUp is the number of failures after which waiting requests are refused.
 	GiveUp int
 }
 
-// Failure is the state of an adapter whose last load failed.
+// Failure is the backoff state of an adapter whose last load failed.
 type Failure struct {
-	// Count is the number of failures since the last success, or since the adapter was forgotten.
+	// Count is the number of failures since the last success, or since Forget dropped the adapter.
 	Count int
 	// Until is when the next load may start.
 	Until time.Time
 }
 
-// Failures keeps the adapters whose last load failed, until Forget drops them.
+// Failures records the adapters whose last load failed, until Forget drops them.
 type Failures struct {
-	options Options
-	byRef   map[fleet.AdapterRef]Failure
+	options   Options
+	byAdapter map[fleet.AdapterRef]Failure
 }
 
-// New makes a record without failures.
+// New returns an empty record of failures.
 func New(o Options) *Failures {
-	return &Failures{options: o, byRef: make(map[fleet.AdapterRef]Failure)}
+	return &Failures{options: o, byAdapter: make(map[fleet.AdapterRef]Failure)}
 }
 
-// Fail counts a failed load.
+// Fail counts a failed load and returns the adapter's new state.
 func (f *Failures) Fail(now time.Time, ref fleet.AdapterRef) Failure {
-	failure := f.byRef[ref]
+	failure := f.byAdapter[ref]
 	failure.Count++
 	doublings := min(failure.Count-1, maxDoublings)
-	wait := float64(f.options.Base) * float64(int64(1)<<doublings) * jitter(ref, failure.Count)
+	wait := float64(f.options.Base) * float64(int64(1)<<doublings) * jitterFactor(ref, failure.Count)
 	failure.Until = now.Add(min(time.Duration(wait), f.options.Max))
-	f.byRef[ref] = failure
+	f.byAdapter[ref] = failure
 	return failure
 }
 
-// Succeed forgets an adapter's failures.
+// Succeed drops an adapter's failures after a successful load.
 func (f *Failures) Succeed(ref fleet.AdapterRef) {
-	delete(f.byRef, ref)
+	delete(f.byAdapter, ref)
 }
 
-// Forget drops the adapters of which no load was tried in a long time, which bounds the memory.
+// Forget drops the adapters of which no load has been tried for failureRetention after their delay, which limits the memory.
 func (f *Failures) Forget(now time.Time) {
-	for ref, failure := range f.byRef {
-		if now.Sub(failure.Until) > forgetAfter {
-			delete(f.byRef, ref)
+	for ref, failure := range f.byAdapter {
+		if now.Sub(failure.Until) > failureRetention {
+			delete(f.byAdapter, ref)
 		}
 	}
 }
 
-// Waiting tells whether the next load of an adapter has to wait.
+// Waiting reports whether the next load of an adapter is still delayed.
 func (f *Failures) Waiting(now time.Time, ref fleet.AdapterRef) bool {
-	return now.Before(f.byRef[ref].Until)
+	return now.Before(f.byAdapter[ref].Until)
 }
 
-// GivenUp tells whether a failure is the one, or one after it, at which those who wait are refused.
+// GivenUp reports whether the number of failures has reached GiveUp, so that waiting requests are refused.
 func (f *Failures) GivenUp(failure Failure) bool {
 	return failure.Count >= f.options.GiveUp
 }
 
-// Refuses tells whether a new request for an adapter is refused at once, and for how long
-// that will be so: it was given up, and its next load has to wait.
+// Refuses reports whether new requests for an adapter are refused, and for how much longer:
+// the adapter was given up and its next load is still delayed.
 func (f *Failures) Refuses(now time.Time, ref fleet.AdapterRef) (time.Duration, bool) {
-	failure, ok := f.byRef[ref]
+	failure, ok := f.byAdapter[ref]
 	if !ok || !f.GivenUp(failure) || !now.Before(failure.Until) {
 		return 0, false
 	}
 	return failure.Until.Sub(now), true
 }
 
-// jitter gives an adapter's own factor of the wait, without a random source.
-func jitter(ref fleet.AdapterRef, count int) float64 {
+// jitterFactor returns the factor that is applied to the delay of an adapter. It is derived from a hash, so that it needs no random source.
+func jitterFactor(ref fleet.AdapterRef, count int) float64 {
 	h := fnv.New32a()
-	_, _ = h.Write([]byte(ref.Name)) // A hash never fails.
+	_, _ = h.Write([]byte(ref.Name)) // Writing to a hash never returns an error.
 	_, _ = h.Write([]byte{byte(count)})
-	return leastJitter + float64(h.Sum32()%jitterSteps)/jitterSteps
+	return minJitter + float64(h.Sum32()%jitterSteps)/jitterSteps
 }
--- a/services/daemon/placement/backoff/failures_test.go
+++ b/services/daemon/placement/backoff/failures_test.go
@@ -20,7 +20,7 @@
 	b       = fleet.AdapterRef{Name: "b", Version: 1}
 )
 
-func TestWaitDoublesWithinItsSpreadUpToABound(t *testing.T) {
+func TestDelayDoublesWithJitterUpToMax(t *testing.T) {
 	f := backoff.New(options)
 	for count, nominal := range []time.Duration{2, 4, 8, 16, 32, 64, 128, 256, 512, 1024, 1024, 1024} {
 		nominal *= time.Second
@@ -32,13 +32,13 @@
 	}
 }
 
-func TestWaitIsTheSameForTheSameAdapterAndDiffersBetweenAdapters(t *testing.T) {
+func TestDelayIsDeterministicPerAdapter(t *testing.T) {
 	one, other := backoff.New(options), backoff.New(options)
 	require.Equal(t, one.Fail(begin, a), other.Fail(begin, a))
 	require.NotEqual(t, one.Fail(begin, a).Until, one.Fail(begin, b).Until)
 }
 
-func TestWaitEndsAtItsTime(t *testing.T) {
+func TestDelayEndsAtUntil(t *testing.T) {
 	f := backoff.New(options)
 	require.False(t, f.Waiting(begin, a))
 	until := f.Fail(begin, a).Until
@@ -47,10 +47,10 @@
 	require.False(t, f.Waiting(begin, b), "another adapter")
 	f.Succeed(a)
 	require.False(t, f.Waiting(begin, a))
-	require.Equal(t, 1, f.Fail(begin, a).Count, "a success begins the count anew")
+	require.Equal(t, 1, f.Fail(begin, a).Count, "a success resets the count")
 }
 
-func TestAdapterIsGivenUpAfterSoManyFailures(t *testing.T) {
+func TestAdapterIsGivenUpAfterGiveUpFailures(t *testing.T) {
 	f := backoff.New(options)
 	for count := 1; count <= options.GiveUp+1; count++ {
 		failure := f.Fail(begin, a)
@@ -61,18 +61,18 @@
 			require.Equal(t, failure.Until.Sub(begin), wait)
 		}
 		_, refused = f.Refuses(failure.Until, a)
-		require.False(t, refused, "the next try may succeed")
+		require.False(t, refused, "requests are admitted once the delay has ended")
 	}
 	_, refused := f.Refuses(begin, b)
 	require.False(t, refused)
 }
 
-func TestFailuresAreForgottenAfterTheirSpan(t *testing.T) {
-	const span = time.Hour
+func TestForgetDropsFailuresAfterRetention(t *testing.T) {
+	const retention = time.Hour
 	for _, row := range []struct {
 		later time.Duration
 		count int
-	}{{0, options.GiveUp + 1}, {span, options.GiveUp + 1}, {span + 1, 1}} {
+	}{{0, options.GiveUp + 1}, {retention, options.GiveUp + 1}, {retention + 1, 1}} {
 		f := backoff.New(options)
 		var failure backoff.Failure
 		for range options.GiveUp {
@@ -80,11 +80,11 @@
 		}
 		now := failure.Until.Add(row.later)
 		f.Forget(now)
-		require.Equal(t, row.count, f.Fail(now, a).Count, "%v after the wait", row.later)
+		require.Equal(t, row.count, f.Fail(now, a).Count, "%v after the end of the delay", row.later)
 	}
 }
 
-func TestForgettingEndsNoWait(t *testing.T) {
+func TestForgetDoesNotEndDelay(t *testing.T) {
 	f := backoff.New(backoff.Options{Base: 24 * time.Hour, Max: 24 * time.Hour, GiveUp: 1})
 	until := f.Fail(begin, a).Until
 	f.Forget(until.Add(-1))
