--- a/services/daemon/placement/popularity/estimates.go
+++ b/services/daemon/placement/popularity/estimates.go
@@ -12,39 +12,39 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// forgetRate is the weighted arrivals a second below which an adapter is forgotten: one in 116 days. Higher frees memory sooner and forgets
-// what was asked for once.
-const forgetRate = 1e-7
+// minRate is the rate in weighted arrivals per second below which an adapter is dropped: one arrival in 116 days. A higher rate frees memory
+// sooner but drops adapters that were requested only once.
+const minRate = 1e-7
 
-// Options are the settings of the estimates.
+// Options configures the estimates.
 type Options struct {
 	// FastHalfLife and SlowHalfLife are the half-lives of the two rates.
 	FastHalfLife, SlowHalfLife time.Duration
-	// SlowWeight scales the slow rate against the fast one.
+	// SlowWeight multiplies the slow rate before it is compared with the fast one.
 	SlowWeight float64
 }
 
-// Estimates keeps a fast and a slow arrival rate for each adapter, weighted by stall weight.
+// Estimates holds a fast and a slow arrival rate for each adapter, weighted by stall weight.
 type Estimates struct {
-	// The mean lives, in seconds.
-	fastLife, slowLife float64
-	slowWeight         float64
-	rates              map[fleet.AdapterRef]*rates
+	// fastMeanLife and slowMeanLife are the time constants of the decay, in seconds.
+	fastMeanLife, slowMeanLife float64
+	slowWeight                 float64
+	rates                      map[fleet.AdapterRef]*rates
 }
 
-// rates are weighted arrivals a second, as of last.
+// rates are in weighted arrivals per second, as of updatedAt.
 type rates struct {
 	fast, slow float64
-	last       time.Time
+	updatedAt  time.Time
 }
 
-// New makes estimates without any arrival.
+// New returns estimates without arrivals.
 func New(o Options) *Estimates {
 	return &Estimates{
-		fastLife:   o.FastHalfLife.Seconds() / math.Ln2,
-		slowLife:   o.SlowHalfLife.Seconds() / math.Ln2,
-		slowWeight: o.SlowWeight,
-		rates:      make(map[fleet.AdapterRef]*rates),
+		fastMeanLife: o.FastHalfLife.Seconds() / math.Ln2,
+		slowMeanLife: o.SlowHalfLife.Seconds() / math.Ln2,
+		slowWeight:   o.SlowWeight,
+		rates:        make(map[fleet.AdapterRef]*rates),
 	}
 }
 
@@ -52,27 +52,27 @@
 func (p *Estimates) Add(now time.Time, ref fleet.AdapterRef, weight float64) {
 	r, ok := p.rates[ref]
 	if !ok {
-		r = &rates{last: now}
+		r = &rates{updatedAt: now}
 		p.rates[ref] = r
 	}
 	p.decay(now, r)
-	r.fast += weight / p.fastLife
-	r.slow += weight / p.slowLife
+	r.fast += weight / p.fastMeanLife
+	r.slow += weight / p.slowMeanLife
 }
 
-// decay brings the rates up to the present; a clock that was set back leaves them as they are.
+// decay updates the rates to the given time. A time before the last update leaves them unchanged.
 func (p *Estimates) decay(now time.Time, r *rates) {
-	dt := now.Sub(r.last).Seconds()
+	dt := now.Sub(r.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	r.fast *= math.Exp(-dt / p.fastLife)
-	r.slow *= math.Exp(-dt / p.slowLife)
-	r.last = now
+	r.fast *= math.Exp(-dt / p.fastMeanLife)
+	r.slow *= math.Exp(-dt / p.slowMeanLife)
+	r.updatedAt = now
 }
 
-// Rate estimates the weighted arrivals a second to expect: the larger of the two rates, so
-// that a rise counts at once and a pause does not make an adapter be forgotten.
+// Rate returns the expected weighted arrivals per second: the larger of the two rates, so that
+// a rise takes effect immediately and a short pause does not reduce the rate to zero.
 func (p *Estimates) Rate(now time.Time, ref fleet.AdapterRef) float64 {
 	r, ok := p.rates[ref]
 	if !ok {
@@ -82,7 +82,7 @@
 	return math.Max(r.fast, p.slowWeight*r.slow)
 }
 
-// Steady estimates the weighted arrivals a second from the slow rate alone.
+// Steady returns the slow rate, in weighted arrivals per second.
 func (p *Estimates) Steady(now time.Time, ref fleet.AdapterRef) float64 {
 	r, ok := p.rates[ref]
 	if !ok {
@@ -92,22 +92,22 @@
 	return r.slow
 }
 
-// Adapters gives every adapter that is not forgotten, in no order.
+// Adapters returns all recorded adapters in no particular order.
 func (p *Estimates) Adapters() iter.Seq[fleet.AdapterRef] {
 	return maps.Keys(p.rates)
 }
 
-// Knows tells whether an adapter is not forgotten.
+// Knows reports whether the adapter has recorded rates.
 func (p *Estimates) Knows(ref fleet.AdapterRef) bool {
 	_, ok := p.rates[ref]
 	return ok
 }
 
-// Forget drops adapters whose rates have faded, which bounds the memory.
+// Forget drops adapters whose rates have decayed below minRate, which limits the memory.
 func (p *Estimates) Forget(now time.Time) {
 	for ref, r := range p.rates {
 		p.decay(now, r)
-		if r.fast < forgetRate && r.slow < forgetRate {
+		if r.fast < minRate && r.slow < minRate {
 			delete(p.rates, ref)
 		}
 	}
--- a/services/daemon/placement/popularity/estimates_test.go
+++ b/services/daemon/placement/popularity/estimates_test.go
@@ -34,7 +34,7 @@
 	return popularity.New(popularity.Options{FastHalfLife: fast, SlowHalfLife: slow, SlowWeight: 1})
 }
 
-func TestRateHalvesWithItsHalfLife(t *testing.T) {
+func TestRateHalvesAfterHalfLife(t *testing.T) {
 	p := newEstimates()
 	p.Add(begin, a, 1)
 	first := p.Rate(begin, a)
@@ -42,10 +42,10 @@
 	require.InDelta(t, first/2, p.Rate(after(fast), a), 1e-12)
 	require.InDelta(t, first/4, p.Rate(after(2*fast), a), 1e-12)
 	require.InDelta(t, math.Ln2/slow.Seconds()/2, p.Steady(after(slow), a), 1e-12)
-	require.InDelta(t, p.Steady(after(slow), a), p.Rate(after(slow), a), 1e-12, "the slow rate is the larger by then")
+	require.InDelta(t, p.Steady(after(slow), a), p.Rate(after(slow), a), 1e-12, "the slow rate is the larger one after its half-life")
 }
 
-func TestWeightsAddUp(t *testing.T) {
+func TestRateSumsWeights(t *testing.T) {
 	p := newEstimates()
 	p.Add(begin, a, 1)
 	p.Add(begin, a, 0.5)
@@ -53,7 +53,7 @@
 	require.InDelta(t, p.Rate(begin, b), p.Rate(begin, a), 1e-12)
 }
 
-func TestClockSetBackChangesNothing(t *testing.T) {
+func TestClockSetBackLeavesRatesUnchanged(t *testing.T) {
 	p := newEstimates()
 	p.Add(begin, a, 1)
 	rate := p.Rate(begin, a)
@@ -67,16 +67,16 @@
 	require.InDelta(t, 100*p.Steady(begin, a), p.Rate(begin, a), 1e-12)
 }
 
-func TestFadedAdapterIsForgotten(t *testing.T) {
+func TestForgetDropsAdaptersWithDecayedRates(t *testing.T) {
 	p := newEstimates()
 	require.Zero(t, p.Rate(begin, a))
 	require.Zero(t, p.Steady(begin, a))
 	p.Add(begin, a, 1)
 	p.Add(after(5*time.Hour), b, 1)
 	p.Forget(after(5 * time.Hour))
-	require.ElementsMatch(t, []fleet.AdapterRef{a, b}, slices.Collect(p.Adapters()), "at 1.6e-6 a second it is still known")
+	require.ElementsMatch(t, []fleet.AdapterRef{a, b}, slices.Collect(p.Adapters()), "at 1.6e-6 per second adapter a is kept")
 	p.Forget(after(10 * time.Hour))
-	require.Equal(t, []fleet.AdapterRef{b}, slices.Collect(p.Adapters()), "below 1e-7 a second it is not")
+	require.Equal(t, []fleet.AdapterRef{b}, slices.Collect(p.Adapters()), "below 1e-7 per second adapter a is dropped")
 	require.False(t, p.Knows(a))
 	require.True(t, p.Knows(b))
 	require.Zero(t, p.Rate(after(10*time.Hour), a))
