--- a/services/daemon/placement/queue/adapter.go
+++ b/services/daemon/placement/queue/adapter.go
@@ -9,37 +9,37 @@
 	"time"
 )
 
-// Adapter holds what waits for one adapter, a lane for each class and customer.
+// Adapter holds the requests that wait for one adapter, in one lane for each class and customer.
 type Adapter struct {
-	// lanes has no lane without a waiter.
+	// lanes contains only lanes with at least one waiter.
 	lanes  map[customerKey]*lane
 	count  int
 	weight float64
-	// holds has the waiting patient work, the first that must start at the front.
-	holds holdHeap
+	// patientHolds holds the waiting patient requests, with the earliest holdUntil at the front.
+	patientHolds holdHeap
 }
 
 func newAdapter() *Adapter {
 	return &Adapter{lanes: make(map[customerKey]*lane)}
 }
 
-// Patient gives the number of waiting requests of patient classes.
+// Patient returns the number of waiting requests of patient classes.
 func (a *Adapter) Patient() int {
-	return len(a.holds)
+	return len(a.patientHolds)
 }
 
-// Urgent tells whether a request waits that is not patient.
+// Urgent reports whether an interactive request is waiting.
 func (a *Adapter) Urgent() bool {
-	return a.count > len(a.holds)
+	return a.count > len(a.patientHolds)
 }
 
-// Weight sums the stall weights of those who wait.
+// Weight returns the sum of the stall weights of the waiting requests.
 func (a *Adapter) Weight() float64 {
 	return a.weight
 }
 
-// Since gives the time at which the oldest of those who wait was queued: how long one request waits, and not since when
-// somebody does, makes a load worth more and justifies a further copy.
+// Since returns the time at which the oldest waiting request was queued. The value of a load and the need for another copy
+// depend on the waiting time of a single request, not on how long the queue has been non-empty.
 func (a *Adapter) Since() time.Time {
 	var oldest time.Time
 	for _, l := range a.lanes {
@@ -51,22 +51,22 @@
 	return oldest
 }
 
-// HoldUntil gives the time at which the first of the waiting patient work must start, gathered or not; the zero time where
-// none waits.
+// HoldUntil returns the earliest time at which a waiting patient request must start even if too few of them wait for a batch,
+// or the zero time if no patient request waits.
 func (a *Adapter) HoldUntil() time.Time {
-	if len(a.holds) == 0 {
+	if len(a.patientHolds) == 0 {
 		return time.Time{}
 	}
-	return a.holds[0].holdUntil
+	return a.patientHolds[0].holdUntil
 }
 
-// Lanes gives the number of lanes.
+// Lanes returns the number of lanes.
 func (a *Adapter) Lanes() int {
 	return len(a.lanes)
 }
 
-// Customers gives the customer of each lane, in no order; a customer who waits in two
-// classes comes twice.
+// Customers returns the customer of each lane in no particular order. A customer that waits in
+// two classes is returned twice.
 func (a *Adapter) Customers() iter.Seq[string] {
 	return func(yield func(string) bool) {
 		for key := range a.lanes {
@@ -77,7 +77,7 @@
 	}
 }
 
-// Heads gives the first waiter of each lane, in no order.
+// Heads returns the first waiter of each lane in no particular order.
 func (a *Adapter) Heads() iter.Seq[*Waiter] {
 	return func(yield func(*Waiter) bool) {
 		for _, l := range a.lanes {
@@ -88,12 +88,12 @@
 	}
 }
 
-// All gives every waiter, in no order of lanes; the queue may be changed meanwhile.
+// All returns every waiter, lane by lane in no particular order of lanes. The queue may be changed during the iteration.
 func (a *Adapter) All() iter.Seq[*Waiter] {
 	return func(yield func(*Waiter) bool) {
 		for _, l := range a.lanes {
 			for _, w := range l.waiters {
-				if w == nil || w.gone {
+				if w == nil || w.removed {
 					continue
 				}
 				if !yield(w) {
@@ -114,11 +114,11 @@
 	a.count++
 	a.weight += w.Class.StallWeight
 	if w.Class.Patient {
-		heap.Push(&a.holds, w)
+		heap.Push(&a.patientHolds, w)
 	}
 }
 
-// remove takes out a waiter that is marked as gone.
+// remove updates the lane and the counts for a waiter that has been marked as removed.
 func (a *Adapter) remove(w *Waiter, key customerKey) {
 	if l := a.lanes[key]; l.remove() == 0 {
 		delete(a.lanes, key)
@@ -126,6 +126,6 @@
 	a.count--
 	a.weight -= w.Class.StallWeight
 	if w.Class.Patient {
-		heap.Remove(&a.holds, w.holdIndex)
+		heap.Remove(&a.patientHolds, w.holdIndex)
 	}
 }
--- a/services/daemon/placement/queue/doc.go
+++ b/services/daemon/placement/queue/doc.go
@@ -1,15 +1,15 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package queue holds the requests that wait in one pool: bounded by tokens, in a fair
-// order inside a class (Queue), and what waits for one adapter (Adapter).
+// Package queue holds the waiting requests of one pool. Queue counts their tokens and orders
+// them fairly within a class; Adapter holds the requests that wait for one adapter.
 //
-// The order is start-time fair queuing by tokens: a customer's next request starts where
-// its last one ended in virtual time, so that a flood queues behind itself. Priorities rise
-// with the wait (docs/design/0003, queues). A customer's place in that order is forgotten when none of its requests has
-// waited for long (Queue.Forget).
+// The order is start-time fair queuing by tokens: a customer's next request starts at the
+// virtual time at which the customer's previous request ended, so that a burst of one customer
+// delays only that customer. Priorities rise with the waiting time (docs/design/0003, queues).
+// The virtual end time of a customer's last request is dropped once the customer has had no
+// waiting request for a long time (Queue.Forget).
 //
-// It owns the waiting requests and relies on nothing; whom to admit, and what may start
-// where, is services/daemon/placement's. It starts no goroutines, reads no clock and is not
-// safe for concurrent use.
+// Admission and the choice of the request to start are decided in services/daemon/placement.
+// The package starts no goroutines, does not read the clock and is not safe for concurrent use.
 package queue
--- a/services/daemon/placement/queue/fair.go
+++ b/services/daemon/placement/queue/fair.go
@@ -6,74 +6,75 @@
 import "time"
 
 const (
-	// tagLife is how long a customer's last tag counts after a request of it was last seen to wait. Longer holds a flood back for longer
-	// after a pause, shorter frees memory sooner.
-	tagLife = 10 * time.Minute
-	// leastScan is the least number of requests that start between two scans for tags that virtual time has passed; it bounds the cost of a
-	// scan in a small queue.
-	leastScan = 64
+	// tagRetention is how long a customer's last tag is kept after the customer's last request was seen waiting. A longer time still delays a
+	// customer after a burst and a pause, a shorter one frees memory sooner.
+	tagRetention = 10 * time.Minute
+	// minScanInterval is the minimum number of started requests between two scans for tags that virtual time has passed; it limits the cost
+	// of the scans in a small queue.
+	minScanInterval = 64
 )
 
-// fairOrder gives the start tags of start-time fair queuing.
+// fairOrder assigns the start tags of start-time fair queuing.
 type fairOrder struct {
-	// virtual is each class's virtual time, in tokens.
-	virtual map[string]float64
-	tags    map[customerKey]lastTag
-	// untilScan is the number of requests that start before the next scan.
-	untilScan int
+	// virtualTime is the virtual time of each class, in tokens.
+	virtualTime map[string]float64
+	tags        map[customerKey]lastTag
+	// startsUntilScan is the number of requests that start before the next scan.
+	startsUntilScan int
 }
 
-// lastTag is where a customer's last request ends in the virtual time of its class, in tokens.
+// lastTag is the finish tag of a customer's last request in the virtual time of its class, in tokens.
 type lastTag struct {
 	finish float64
-	// seen is when a request of the customer was last seen to wait.
-	seen time.Time
+	// lastWaiting is when a request of the customer was last seen waiting.
+	lastWaiting time.Time
 }
 
 func newFairOrder() fairOrder {
-	return fairOrder{virtual: make(map[string]float64), tags: make(map[customerKey]lastTag), untilScan: leastScan}
+	return fairOrder{virtualTime: make(map[string]float64), tags: make(map[customerKey]lastTag), startsUntilScan: minScanInterval}
 }
 
-// begin gives the start tag of a customer's next request.
-func (f *fairOrder) begin(now time.Time, key customerKey, tokens int) float64 {
-	tag := max(f.virtual[key.class], f.tags[key].finish)
-	f.tags[key] = lastTag{finish: tag + float64(tokens), seen: now}
+// nextTag returns the start tag of a customer's next request and records its finish tag.
+func (f *fairOrder) nextTag(now time.Time, key customerKey, tokens int) float64 {
+	tag := max(f.virtualTime[key.class], f.tags[key].finish)
+	f.tags[key] = lastTag{finish: tag + float64(tokens), lastWaiting: now}
 	return tag
 }
 
-// advance moves a class's virtual time on to the tag of a request that starts.
+// advance sets a class's virtual time to the tag of a request that starts, and scans for tags that virtual time has passed.
 func (f *fairOrder) advance(class string, tag float64, waits func(customerKey) bool) {
-	f.virtual[class] = max(f.virtual[class], tag)
-	f.untilScan--
-	if f.untilScan > 0 {
+	f.virtualTime[class] = max(f.virtualTime[class], tag)
+	f.startsUntilScan--
+	if f.startsUntilScan > 0 {
 		return
 	}
 	for key, last := range f.tags {
-		if last.finish <= f.virtual[key.class] && !waits(key) {
+		if last.finish <= f.virtualTime[key.class] && !waits(key) {
 			delete(f.tags, key)
 		}
 	}
-	// With as many starts between two scans as there are tags, a scan costs each start one step.
-	f.untilScan = max(leastScan, len(f.tags))
+	// With as many starts between two scans as there are tags, the amortized cost of a scan is one step per start.
+	f.startsUntilScan = max(minScanInterval, len(f.tags))
 }
 
-// forget drops tags after their life, and the virtual time of each class without a tag: its next request begins anew at zero.
-func (f *fairOrder) forget(now time.Time, waits func(customerKey) bool) {
+// prune drops tags that are older than tagRetention, and the virtual time of each class without tags. The next request of such a class starts
+// at virtual time zero.
+func (f *fairOrder) prune(now time.Time, waits func(customerKey) bool) {
 	tagged := make(map[string]bool)
 	for key, last := range f.tags {
 		switch {
 		case waits(key):
-			last.seen = now
+			last.lastWaiting = now
 			f.tags[key] = last
-		case now.Sub(last.seen) > tagLife:
+		case now.Sub(last.lastWaiting) > tagRetention:
 			delete(f.tags, key)
 			continue
 		}
 		tagged[key.class] = true
 	}
-	for class := range f.virtual {
+	for class := range f.virtualTime {
 		if !tagged[class] {
-			delete(f.virtual, class)
+			delete(f.virtualTime, class)
 		}
 	}
 }
--- a/services/daemon/placement/queue/heap.go
+++ b/services/daemon/placement/queue/heap.go
@@ -3,7 +3,7 @@
 
 package queue
 
-// deadlineHeap orders waiters by the time at which their callers stop waiting.
+// deadlineHeap orders waiters by their deadlines.
 type deadlineHeap []*Waiter
 
 func (h deadlineHeap) Len() int { return len(h) }
--- a/services/daemon/placement/queue/lane.go
+++ b/services/daemon/placement/queue/lane.go
@@ -3,13 +3,13 @@
 
 package queue
 
-// keptParts is how many times as many entries as waiters a lane may have before those who have gone are dropped. Higher copies a lane less
-// often, lower keeps less of those who have gone.
-const keptParts = 2
+// compactionRatio is the ratio of entries to waiters of a lane above which removed entries are dropped. A higher ratio copies lanes less
+// often, a lower one keeps fewer removed entries in memory.
+const compactionRatio = 2
 
-// lane holds one customer's waiters of one class for one adapter, first come first served.
+// lane holds the waiters of one customer and class for one adapter, in order of arrival.
 type lane struct {
-	// waiters begins with one who waits; of the others some may have gone.
+	// waiters starts with a waiter that is not removed; later entries may be removed.
 	waiters []*Waiter
 	waiting int
 }
@@ -19,32 +19,32 @@
 	l.waiting++
 }
 
-// head gives the first waiter of a lane that has one.
+// head returns the first waiter. The lane must not be empty.
 func (l *lane) head() *Waiter {
 	return l.waiters[0]
 }
 
-// remove takes account of one waiter who has gone, and gives the number of those left.
+// remove updates the lane after one of its waiters was marked as removed, and returns the number of remaining waiters.
 func (l *lane) remove() int {
 	l.waiting--
 	if l.waiting == 0 {
 		return 0
 	}
-	for l.waiters[0].gone {
+	for l.waiters[0].removed {
 		l.waiters[0] = nil
 		l.waiters = l.waiters[1:]
 	}
-	if len(l.waiters) > keptParts*l.waiting {
+	if len(l.waiters) > compactionRatio*l.waiting {
 		l.compact()
 	}
 	return l.waiting
 }
 
-// compact drops those who have gone. It makes a new slice, since somebody may be listing the present one.
+// compact drops removed entries. It allocates a new slice, since the current one may be in use by an iteration.
 func (l *lane) compact() {
 	kept := make([]*Waiter, 0, l.waiting)
 	for _, w := range l.waiters {
-		if !w.gone {
+		if !w.removed {
 			kept = append(kept, w)
 		}
 	}
--- a/services/daemon/placement/queue/memory_test.go
+++ b/services/daemon/placement/queue/memory_test.go
@@ -14,14 +14,14 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
-// many is the number of requests that come and go, and mostHeap the bytes that may be left of them.
+// requestCount is the number of requests that are queued and removed, and maxRetainedBytes the heap that may remain in use after them.
 const (
-	many     = 20_000
-	mostHeap = 1 << 20
+	requestCount     = 20_000
+	maxRetainedBytes = 1 << 20
 )
 
-// heapOf gives the bytes that a queue keeps after use.
-func heapOf(use func(q *queue.Queue)) int {
+// heapGrowth returns the heap bytes that a queue retains after use.
+func heapGrowth(use func(q *queue.Queue)) int {
 	measure := func() int {
 		var m runtime.MemStats
 		runtime.GC()
@@ -36,28 +36,28 @@
 	return grown
 }
 
-// TestRequestsOfAnAdapterThatNeverLoadsAreForgotten keeps one request waiting, so that the adapter's own entry stays.
-func TestRequestsOfAnAdapterThatNeverLoadsAreForgotten(t *testing.T) {
-	require.Less(t, heapOf(func(q *queue.Queue) {
-		q.Push(begin, request("stays", "c"), urgent, hold)
-		for i := range many {
+// TestExpiredRequestsOfUnloadedAdapterAreFreed keeps one request waiting, so that the queue keeps the entry of the adapter.
+func TestExpiredRequestsOfUnloadedAdapterAreFreed(t *testing.T) {
+	require.Less(t, heapGrowth(func(q *queue.Queue) {
+		q.Push(begin, request("stays", "c"), interactive, hold)
+		for i := range requestCount {
 			r := request(fmt.Sprint("q", i), "c")
 			r.Deadline = after(time.Duration(i) * time.Second)
-			q.Push(after(time.Duration(i)*time.Second), r, urgent, hold)
+			q.Push(after(time.Duration(i)*time.Second), r, interactive, hold)
 			require.Len(t, q.Expired(after(time.Duration(i)*time.Second)), 1)
 		}
-	}), mostHeap)
+	}), maxRetainedBytes)
 }
 
-func TestRequestsWithDistantDeadlinesAreForgottenOnceTheyStart(t *testing.T) {
-	require.Less(t, heapOf(func(q *queue.Queue) {
-		for i := range many {
+func TestStartedRequestsWithDistantDeadlinesAreFreed(t *testing.T) {
+	require.Less(t, heapGrowth(func(q *queue.Queue) {
+		for i := range requestCount {
 			r := request(fmt.Sprint("q", i), "c")
 			r.Deadline = after(24 * time.Hour)
-			q.Push(begin, r, urgent, hold)
+			q.Push(begin, r, interactive, hold)
 			w, ok := q.Find(r.ID)
 			require.True(t, ok)
 			q.Dispatch(w)
 		}
-	}), mostHeap)
+	}), maxRetainedBytes)
 }
--- a/services/daemon/placement/queue/queue.go
+++ b/services/daemon/placement/queue/queue.go
@@ -14,55 +14,55 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Queue holds all waiting requests of a pool.
+// Queue holds the waiting requests of a pool.
 type Queue struct {
 	adapters map[fleet.AdapterRef]*Adapter
 	byID     map[string]*Waiter
-	// deadlines has the waiters with a deadline, the earliest at the front.
-	deadlines  deadlineHeap
-	fair       fairOrder
-	byClass    map[string]int
-	byCustomer map[customerKey]int
-	sequence   uint64
-	plain      bool
+	// deadlines holds the waiters with a deadline, the earliest at the front.
+	deadlines        deadlineHeap
+	fair             fairOrder
+	tokensByClass    map[string]int
+	tokensByCustomer map[customerKey]int
+	sequence         uint64
+	plain            bool
 }
 
-// customerKey names one customer inside one class.
+// customerKey identifies a customer within a class.
 type customerKey struct {
 	class    string
 	customer string
 }
 
-func keyOf(w *Waiter) customerKey {
+func customerKeyOf(w *Waiter) customerKey {
 	return customerKey{class: w.Class.Name, customer: w.Request.Caller}
 }
 
-// New makes an empty queue; a plain one skips the fair order inside a class, for
-// comparison only.
+// New returns an empty queue. If plain is set, fair queueing within a class is disabled; this
+// is used for comparison only.
 func New(plain bool) *Queue {
 	return &Queue{
-		adapters:   make(map[fleet.AdapterRef]*Adapter),
-		byID:       make(map[string]*Waiter),
-		fair:       newFairOrder(),
-		byClass:    make(map[string]int),
-		byCustomer: make(map[customerKey]int),
-		plain:      plain,
+		adapters:         make(map[fleet.AdapterRef]*Adapter),
+		byID:             make(map[string]*Waiter),
+		fair:             newFairOrder(),
+		tokensByClass:    make(map[string]int),
+		tokensByCustomer: make(map[customerKey]int),
+		plain:            plain,
 	}
 }
 
-// Push queues a request under its start tag: a customer's next request starts
-// where its last one ended in virtual time, so a flood queues behind itself. Patient work
-// is held back for hold at most.
+// Push adds a request to the queue and assigns its start tag. A customer's next request starts
+// at the virtual time at which its previous one ended, so that a burst of one customer delays
+// only that customer. A patient request is held back for at most hold.
 func (q *Queue) Push(now time.Time, r fleet.Request, c fleet.Class, hold time.Duration) {
 	q.sequence++
 	w := &Waiter{Request: r, Class: c, Queued: now, sequence: q.sequence}
 	w.holdUntil = now.Add(w.holdLimit(now, hold))
-	key := keyOf(w)
+	key := customerKeyOf(w)
 	if !q.plain {
-		w.tag = q.fair.begin(now, key, r.Tokens())
+		w.startTag = q.fair.nextTag(now, key, r.Tokens())
 	}
-	q.byClass[c.Name] += r.Tokens()
-	q.byCustomer[key] += r.Tokens()
+	q.tokensByClass[c.Name] += r.Tokens()
+	q.tokensByCustomer[key] += r.Tokens()
 	q.byID[r.ID] = w
 	a, ok := q.adapters[r.Adapter]
 	if !ok {
@@ -75,25 +75,25 @@
 	}
 }
 
-// Remove takes a waiter out, once.
+// Remove removes a waiter from the queue. Removing it again has no effect.
 func (q *Queue) Remove(w *Waiter) {
-	if w.gone {
+	if w.removed {
 		return
 	}
-	w.gone = true
+	w.removed = true
 	r := w.Request
 	delete(q.byID, r.ID)
 	if !r.Deadline.IsZero() {
 		heap.Remove(&q.deadlines, w.deadlineIndex)
 	}
-	key := keyOf(w)
-	q.byClass[w.Class.Name] -= r.Tokens()
-	if q.byClass[w.Class.Name] <= 0 {
-		delete(q.byClass, w.Class.Name)
+	key := customerKeyOf(w)
+	q.tokensByClass[w.Class.Name] -= r.Tokens()
+	if q.tokensByClass[w.Class.Name] <= 0 {
+		delete(q.tokensByClass, w.Class.Name)
 	}
-	q.byCustomer[key] -= r.Tokens()
-	if q.byCustomer[key] <= 0 {
-		delete(q.byCustomer, key)
+	q.tokensByCustomer[key] -= r.Tokens()
+	if q.tokensByCustomer[key] <= 0 {
+		delete(q.tokensByCustomer, key)
 	}
 	a := q.adapters[r.Adapter]
 	a.remove(w, key)
@@ -102,26 +102,26 @@
 	}
 }
 
-// Dispatch takes a waiter out that starts, and moves its class's virtual time on.
+// Dispatch removes a waiter that starts and advances the virtual time of its class.
 func (q *Queue) Dispatch(w *Waiter) {
 	q.Remove(w)
 	if !q.plain {
-		q.fair.advance(w.Class.Name, w.tag, q.waits)
+		q.fair.advance(w.Class.Name, w.startTag, q.hasWaiting)
 	}
 }
 
-// Forget drops the tags of customers who have asked for nothing in a long time, which bounds the memory.
+// Forget drops the tags of customers without recent waiting requests, which limits the memory.
 func (q *Queue) Forget(now time.Time) {
-	q.fair.forget(now, q.waits)
+	q.fair.prune(now, q.hasWaiting)
 }
 
-// waits tells whether a request of a customer waits in a class.
-func (q *Queue) waits(key customerKey) bool {
-	_, ok := q.byCustomer[key]
+// hasWaiting reports whether a request of the customer is waiting in the class.
+func (q *Queue) hasWaiting(key customerKey) bool {
+	_, ok := q.tokensByCustomer[key]
 	return ok
 }
 
-// Expired takes out and returns the waiters whose callers have stopped waiting.
+// Expired removes and returns the waiters whose deadlines have passed.
 func (q *Queue) Expired(now time.Time) []*Waiter {
 	var out []*Waiter
 	for len(q.deadlines) > 0 && q.deadlines[0].Request.Expired(now) {
@@ -132,7 +132,7 @@
 	return out
 }
 
-// NextDeadline gives the earliest deadline of a waiter, or the zero time.
+// NextDeadline returns the earliest deadline of a waiter, or the zero time.
 func (q *Queue) NextDeadline() time.Time {
 	if len(q.deadlines) == 0 {
 		return time.Time{}
@@ -140,48 +140,48 @@
 	return q.deadlines[0].Request.Deadline
 }
 
-// Len gives the number of waiters.
+// Len returns the number of waiters.
 func (q *Queue) Len() int {
 	return len(q.byID)
 }
 
-// Find finds the waiter of a request.
+// Find returns the waiter of a request.
 func (q *Queue) Find(requestID string) (*Waiter, bool) {
 	w, ok := q.byID[requestID]
 	return w, ok
 }
 
-// Sorted lists the waiters, the first queued first.
+// Sorted returns the waiters in the order in which they were queued.
 func (q *Queue) Sorted() []*Waiter {
 	return slices.SortedFunc(maps.Values(q.byID), func(a, b *Waiter) int { return cmp.Compare(a.sequence, b.sequence) })
 }
 
-// Adapter gives what waits for an adapter, and false where nothing does.
+// Adapter returns the requests that wait for an adapter, or false if there are none.
 func (q *Queue) Adapter(ref fleet.AdapterRef) (*Adapter, bool) {
 	a, ok := q.adapters[ref]
 	return a, ok
 }
 
-// Adapters gives every adapter that something waits for, in no order.
+// Adapters returns all adapters with waiting requests, in no particular order.
 func (q *Queue) Adapters() iter.Seq2[fleet.AdapterRef, *Adapter] {
 	return maps.All(q.adapters)
 }
 
-// Tokens gives the tokens of all that waits.
+// Tokens returns the tokens of all waiting requests.
 func (q *Queue) Tokens() int {
 	sum := 0
-	for _, n := range q.byClass {
+	for _, n := range q.tokensByClass {
 		sum += n
 	}
 	return sum
 }
 
-// ClassTokens gives the tokens that wait in a class.
+// ClassTokens returns the tokens of the waiting requests of a class.
 func (q *Queue) ClassTokens(class string) int {
-	return q.byClass[class]
+	return q.tokensByClass[class]
 }
 
-// CustomerTokens gives the tokens of one customer that wait in a class.
+// CustomerTokens returns the tokens of a customer's waiting requests in a class.
 func (q *Queue) CustomerTokens(class, customer string) int {
-	return q.byCustomer[customerKey{class: class, customer: customer}]
+	return q.tokensByCustomer[customerKey{class: class, customer: customer}]
 }
--- a/services/daemon/placement/queue/queue_test.go
+++ b/services/daemon/placement/queue/queue_test.go
@@ -21,23 +21,23 @@
 )
 
 var (
-	begin   = time.Unix(1000, 0)
-	urgent  = fleet.Class{Name: "urgent", StallWeight: 1}
-	patient = fleet.Class{Name: "patient", StallWeight: 0.25, Patient: true}
-	a       = fleet.AdapterRef{Name: "a", Version: 1}
-	b       = fleet.AdapterRef{Name: "b", Version: 1}
+	begin       = time.Unix(1000, 0)
+	interactive = fleet.Class{Name: "urgent", StallWeight: 1}
+	patient     = fleet.Class{Name: "patient", StallWeight: 0.25, Patient: true}
+	a           = fleet.AdapterRef{Name: "a", Version: 1}
+	b           = fleet.AdapterRef{Name: "b", Version: 1}
 )
 
 func after(d time.Duration) time.Time {
 	return begin.Add(d)
 }
 
-// request makes a request of 10 tokens for adapter a.
+// request returns a request of 10 tokens for adapter a.
 func request(id, customer string) fleet.Request {
 	return fleet.Request{ID: id, Caller: customer, Adapter: a, PromptTokens: 4, OutputTokens: 6}
 }
 
-// drain takes all that waits for an adapter out in the order in which it would start.
+// drain dispatches all requests that wait for adapter a, and returns their IDs in the order of their start.
 func drain(q *queue.Queue, now time.Time) []string {
 	var ids []string
 	for {
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestFloodQueuesBehindItself(t *testing.T) {
+func TestBurstOfOneCustomerDoesNotDelayOthers(t *testing.T) {
 	for _, row := range []struct {
 		plain bool
 		want  []string
@@ -66,27 +66,27 @@
 	} {
 		q := queue.New(row.plain)
 		for i := range 4 {
-			q.Push(begin, request("f"+strconv.Itoa(i+1), "flood"), urgent, hold)
+			q.Push(begin, request("f"+strconv.Itoa(i+1), "flood"), interactive, hold)
 		}
-		q.Push(begin, request("q1", "quiet"), urgent, hold)
+		q.Push(begin, request("q1", "quiet"), interactive, hold)
 		require.Equal(t, row.want, drain(q, begin), "plain: %v", row.plain)
 	}
 }
 
-func TestIdleTimeSavesUpNoTurns(t *testing.T) {
+func TestIdleCustomerGainsNoPriority(t *testing.T) {
 	q := queue.New(false)
 	for i := range 3 {
-		q.Push(begin, request("x"+strconv.Itoa(i+1), "early"), urgent, hold)
+		q.Push(begin, request("x"+strconv.Itoa(i+1), "early"), interactive, hold)
 	}
 	drain(q, begin)
 	for i := range 2 {
-		q.Push(begin, request("e"+strconv.Itoa(i+1), "early"), urgent, hold)
-		q.Push(begin, request("l"+strconv.Itoa(i+1), "late"), urgent, hold)
+		q.Push(begin, request("e"+strconv.Itoa(i+1), "early"), interactive, hold)
+		q.Push(begin, request("l"+strconv.Itoa(i+1), "late"), interactive, hold)
 	}
-	require.Equal(t, []string{"l1", "e1", "l2", "e2"}, drain(q, begin), "late begins at the present virtual time, not at zero")
+	require.Equal(t, []string{"l1", "e1", "l2", "e2"}, drain(q, begin), "the late customer starts at the current virtual time, not at zero")
 }
 
-func TestPriorityRisesWithTheWait(t *testing.T) {
+func TestPriorityRisesWithWaitingTime(t *testing.T) {
 	for _, row := range []struct {
 		wait, aging time.Duration
 		overtakes   bool
@@ -96,15 +96,15 @@
 		low, high := request("low", "c"), request("high", "d")
 		high.Priority = 2
 		q := queue.New(false)
-		q.Push(after(-row.wait), low, urgent, hold)
+		q.Push(after(-row.wait), low, interactive, hold)
 		q.Push(begin, high, fleet.Class{Name: "other"}, hold)
 		waiters := q.Sorted()
 		require.Equal(t, row.overtakes, waiters[0].Before(waiters[1], begin, row.aging), "after %v", row.wait)
-		require.Equal(t, !row.overtakes, waiters[1].Before(waiters[0], begin, row.aging), "one of two goes first")
+		require.Equal(t, !row.overtakes, waiters[1].Before(waiters[0], begin, row.aging), "exactly one of two waiters is first")
 	}
 }
 
-func TestPatientWorkIsHeldForAFifthOfItsTime(t *testing.T) {
+func TestPatientRequestIsHeldForAtMostAFifthOfItsDeadline(t *testing.T) {
 	for _, row := range []struct {
 		deadline, held time.Duration
 	}{{0, hold}, {time.Minute, 12 * time.Second}, {50 * time.Minute, hold}, {time.Hour, hold}} {
@@ -118,18 +118,18 @@
 		require.True(t, ok)
 		require.Equal(t, after(row.held), adapter.HoldUntil(), "deadline in %v", row.deadline)
 		q.Push(begin, request("later", "c"), patient, hold)
-		require.Equal(t, after(row.held), adapter.HoldUntil(), "the first to have to start counts")
+		require.Equal(t, after(row.held), adapter.HoldUntil(), "the earliest hold of the waiting requests applies")
 	}
 }
 
-func TestCountsOfWhatWaits(t *testing.T) {
+func TestCountsOfWaitingRequests(t *testing.T) {
 	q := queue.New(false)
-	q.Push(begin, request("u1", "c"), urgent, hold)
+	q.Push(begin, request("u1", "c"), interactive, hold)
 	q.Push(after(time.Second), request("p1", "c"), patient, hold)
-	q.Push(after(time.Second), request("u2", "d"), urgent, hold)
+	q.Push(after(time.Second), request("u2", "d"), interactive, hold)
 	other := request("o1", "d")
 	other.Adapter = b
-	q.Push(begin, other, urgent, hold)
+	q.Push(begin, other, interactive, hold)
 	adapter, _ := q.Adapter(a)
 	require.Equal(t, 4, q.Len())
 	require.Equal(t, 40, q.Tokens())
@@ -147,33 +147,33 @@
 		q.Remove(w)
 		q.Remove(w)
 	}
-	require.False(t, adapter.Urgent(), "only patient work is left")
-	require.Equal(t, 10, q.ClassTokens("urgent"), "a repeated withdrawal changes nothing")
+	require.False(t, adapter.Urgent(), "only a patient request is left")
+	require.Equal(t, 10, q.ClassTokens("urgent"), "a repeated removal has no effect")
 	require.Equal(t, 10, q.CustomerTokens("urgent", "d"))
 	var left []string
 	for w := range adapter.All() {
 		left = append(left, w.Request.ID)
 	}
 	require.Equal(t, []string{"p1"}, left)
-	require.Equal(t, 1, adapter.Lanes(), "lanes without waiters are dropped at once")
+	require.Equal(t, 1, adapter.Lanes(), "lanes without waiters are dropped immediately")
 	require.Equal(t, []string{"c"}, slices.Collect(adapter.Customers()))
 	for w := range adapter.Heads() {
 		require.Equal(t, "p1", w.Request.ID)
 	}
 }
 
-func TestRequestsEndAtTheirDeadlines(t *testing.T) {
+func TestRequestsExpireAtTheirDeadlines(t *testing.T) {
 	q := queue.New(false)
 	require.Zero(t, q.NextDeadline())
 	for id, deadline := range map[string]time.Duration{"second": 2 * time.Second, "first": time.Second, "gone": time.Millisecond} {
 		r := request(id, "c")
 		r.Deadline = after(deadline)
-		q.Push(begin, r, urgent, hold)
+		q.Push(begin, r, interactive, hold)
 	}
-	q.Push(begin, request("forever", "c"), urgent, hold)
+	q.Push(begin, request("forever", "c"), interactive, hold)
 	w, _ := q.Find("gone")
 	q.Remove(w)
-	require.Equal(t, after(time.Second), q.NextDeadline(), "a request that was withdrawn has no deadline")
+	require.Equal(t, after(time.Second), q.NextDeadline(), "the deadline of a removed request does not count")
 	expired := func(at time.Duration) []string {
 		var ids []string
 		for _, w := range q.Expired(after(at)) {
--- a/services/daemon/placement/queue/removal_test.go
+++ b/services/daemon/placement/queue/removal_test.go
@@ -19,51 +19,51 @@
 	q.Remove(w)
 }
 
-func TestSinceIsWhenTheOldestOfThoseLeftWasQueued(t *testing.T) {
+func TestSinceReturnsQueueTimeOfOldestRemainingRequest(t *testing.T) {
 	q := queue.New(false)
-	q.Push(begin, request("q1", "c"), urgent, hold)
-	q.Push(after(time.Second), request("q2", "d"), urgent, hold)
-	q.Push(after(2*time.Second), request("q3", "c"), urgent, hold)
+	q.Push(begin, request("q1", "c"), interactive, hold)
+	q.Push(after(time.Second), request("q2", "d"), interactive, hold)
+	q.Push(after(2*time.Second), request("q3", "c"), interactive, hold)
 	adapter, ok := q.Adapter(a)
 	require.True(t, ok)
 	require.Equal(t, begin, adapter.Since())
 	remove(t, q, "q1")
-	require.Equal(t, after(time.Second), adapter.Since(), "q2 is the oldest now")
+	require.Equal(t, after(time.Second), adapter.Since(), "q2 is the oldest remaining request")
 	remove(t, q, "q2")
 	require.Equal(t, after(2*time.Second), adapter.Since())
 }
 
-func TestHoldEndsWithThePatientRequestThatSetIt(t *testing.T) {
+func TestHoldUntilFollowsRemainingPatientRequests(t *testing.T) {
 	q := queue.New(false)
 	short := request("short", "c")
 	short.Deadline = after(time.Minute)
-	q.Push(begin, request("u", "c"), urgent, hold)
+	q.Push(begin, request("u", "c"), interactive, hold)
 	adapter, ok := q.Adapter(a)
 	require.True(t, ok)
-	require.Zero(t, adapter.HoldUntil(), "no patient work waits")
+	require.Zero(t, adapter.HoldUntil(), "no patient request is waiting")
 	q.Push(begin, short, patient, hold)
 	q.Push(after(time.Second), request("long", "c"), patient, hold)
 	require.Equal(t, after(12*time.Second), adapter.HoldUntil())
 	remove(t, q, "short")
-	require.Equal(t, after(time.Second+hold), adapter.HoldUntil(), "the request that is left may wait for longer")
+	require.Equal(t, after(time.Second+hold), adapter.HoldUntil(), "the remaining request may be held for longer")
 	remove(t, q, "long")
-	require.Zero(t, adapter.HoldUntil(), "no patient work waits any more")
+	require.Zero(t, adapter.HoldUntil(), "no patient request is left")
 }
 
-func TestLaneGoesWithItsLastWaiter(t *testing.T) {
+func TestLaneIsRemovedWithItsLastWaiter(t *testing.T) {
 	q := queue.New(false)
-	q.Push(begin, request("stays", "c"), urgent, hold)
-	q.Push(begin, request("goes", "d"), urgent, hold)
+	q.Push(begin, request("stays", "c"), interactive, hold)
+	q.Push(begin, request("goes", "d"), interactive, hold)
 	adapter, ok := q.Adapter(a)
 	require.True(t, ok)
 	remove(t, q, "goes")
-	require.Equal(t, 1, adapter.Lanes(), "a customer who waits no more has no part in the adapter's loads")
+	require.Equal(t, 1, adapter.Lanes(), "a customer without waiting requests gets no share of the adapter's loads")
 }
 
-func TestOrderInsideALaneOutlastsTheRemovalOfOthers(t *testing.T) {
+func TestRemovalsKeepOrderOfLane(t *testing.T) {
 	q := queue.New(false)
 	for _, id := range []string{"q1", "q2", "q3", "q4", "q5", "q6"} {
-		q.Push(begin, request(id, "c"), urgent, hold)
+		q.Push(begin, request(id, "c"), interactive, hold)
 	}
 	for _, id := range []string{"q2", "q5", "q3", "q1"} {
 		remove(t, q, id)
@@ -71,11 +71,11 @@
 	require.Equal(t, []string{"q4", "q6"}, drain(q, begin))
 }
 
-func TestAllMayBeRemovedWhileTheyAreListed(t *testing.T) {
+func TestWaitersMayBeRemovedDuringIteration(t *testing.T) {
 	q := queue.New(false)
 	for _, id := range []string{"q1", "q2", "q3", "q4", "q5"} {
-		q.Push(begin, request(id, "c"), urgent, hold)
-		q.Push(begin, request("other "+id, "d"), urgent, hold)
+		q.Push(begin, request(id, "c"), interactive, hold)
+		q.Push(begin, request("other "+id, "d"), interactive, hold)
 	}
 	adapter, ok := q.Adapter(a)
 	require.True(t, ok)
@@ -84,6 +84,6 @@
 		q.Remove(w)
 		count++
 	}
-	require.Equal(t, 10, count, "each is listed, and once")
+	require.Equal(t, 10, count, "each waiter is returned exactly once")
 	require.Zero(t, q.Len())
 }
--- a/services/daemon/placement/queue/tag_retention_test.go
+++ b/services/daemon/placement/queue/tag_retention_test.go
@@ -13,12 +13,12 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement/queue"
 )
 
-// TestTagIsKeptForItsSpan looks at the customer who is ahead of another: both have a request again, and the one whose tag
-// is kept goes second.
-func TestTagIsKeptForItsSpan(t *testing.T) {
-	const span = 10 * time.Minute
+// TestTagIsKeptForRetentionTime queues one request each of a customer that was served before and of a new one. The first
+// customer's request starts second as long as its tag is kept.
+func TestTagIsKeptForRetentionTime(t *testing.T) {
+	const retention = 10 * time.Minute
 	serve := func(q *queue.Queue, now time.Time, r fleet.Request) {
-		q.Push(now, r, urgent, hold)
+		q.Push(now, r, interactive, hold)
 		w, ok := q.Find(r.ID)
 		require.True(t, ok)
 		q.Dispatch(w)
@@ -26,24 +26,24 @@
 	for _, row := range []struct {
 		quiet time.Duration
 		first string
-	}{{0, "quiet"}, {span, "quiet"}, {span + 1, "flood"}} {
+	}{{0, "quiet"}, {retention, "quiet"}, {retention + 1, "flood"}} {
 		q := queue.New(false)
 		serve(q, begin, request("f1", "flood"))
 		q.Forget(after(row.quiet))
-		q.Push(after(row.quiet), request("flood", "flood"), urgent, hold)
-		q.Push(after(row.quiet), request("quiet", "quiet"), urgent, hold)
+		q.Push(after(row.quiet), request("flood", "flood"), interactive, hold)
+		q.Push(after(row.quiet), request("quiet", "quiet"), interactive, hold)
 		require.Equal(t, row.first, drain(q, after(row.quiet))[0], "after %v", row.quiet)
 	}
 }
 
-func TestTagOfACustomerWhoWaitsIsKept(t *testing.T) {
+func TestTagOfCustomerWithWaitingRequestIsKept(t *testing.T) {
 	q := queue.New(false)
-	q.Push(begin, request("f1", "flood"), urgent, hold)
-	q.Push(begin, request("f2", "flood"), urgent, hold)
+	q.Push(begin, request("f1", "flood"), interactive, hold)
+	q.Push(begin, request("f2", "flood"), interactive, hold)
 	q.Forget(after(time.Hour))
 	remove(t, q, "f1")
 	remove(t, q, "f2")
-	q.Push(after(time.Hour), request("f3", "flood"), urgent, hold)
-	q.Push(after(time.Hour), request("quiet", "quiet"), urgent, hold)
-	require.Equal(t, []string{"quiet", "f3"}, drain(q, after(time.Hour)), "the span begins when nothing of it waits")
+	q.Push(after(time.Hour), request("f3", "flood"), interactive, hold)
+	q.Push(after(time.Hour), request("quiet", "quiet"), interactive, hold)
+	require.Equal(t, []string{"quiet", "f3"}, drain(q, after(time.Hour)), "the retention time starts when the customer has no waiting request")
 }
--- a/services/daemon/placement/queue/waiter.go
+++ b/services/daemon/placement/queue/waiter.go
@@ -9,57 +9,59 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// holdShare is the part of a caller's wait that patient work may be held back. Higher fills batches better and leaves less time to run.
-const holdShare = 0.2
+// maxHoldShare is the share of the time until its deadline for which a patient request may be held back. A higher share fills batches better
+// but leaves less time to run the request.
+const maxHoldShare = 0.2
 
-// Waiter is one queued request.
+// Waiter is a queued request.
 type Waiter struct {
 	Request fleet.Request
 	Class   fleet.Class
 	// Queued is when the request was queued.
 	Queued time.Time
-	// tag is where the request starts in its class's virtual time, in tokens.
-	tag      float64
+	// startTag is the start of the request in the virtual time of its class, in tokens.
+	startTag float64
 	sequence uint64
-	gone     bool
-	// holdUntil is when the request must start if it is patient, and holdIndex its place in its adapter's holds.
+	removed  bool
+	// holdUntil is when the request must start if it is patient, and holdIndex its index in the adapter's patientHolds.
 	holdUntil time.Time
 	holdIndex int
-	// deadlineIndex is the place of a request with a deadline among all of them.
+	// deadlineIndex is the index of a request with a deadline in the queue's deadlines.
 	deadlineIndex int
 }
 
-// Before tells whether w goes before other: priority raised by waiting, one level each
-// aging, then the fair order; other may be nil.
+// Before reports whether w starts before other, which may be nil. The priority, raised by one
+// level per aging of waiting time, is compared first, then the class name, the start tag and
+// the order of arrival.
 func (w *Waiter) Before(other *Waiter, now time.Time, aging time.Duration) bool {
 	if other == nil {
 		return true
 	}
-	a, b := w.level(now, aging), other.level(now, aging)
+	a, b := w.effectivePriority(now, aging), other.effectivePriority(now, aging)
 	if a != b {
 		return a > b
 	}
 	if w.Class.Name != other.Class.Name {
 		return w.Class.Name < other.Class.Name
 	}
-	if w.tag != other.tag {
-		return w.tag < other.tag
+	if w.startTag != other.startTag {
+		return w.startTag < other.startTag
 	}
 	return w.sequence < other.sequence
 }
 
-func (w *Waiter) level(now time.Time, aging time.Duration) int {
-	level := w.Request.Priority
+func (w *Waiter) effectivePriority(now time.Time, aging time.Duration) int {
+	effectivePriority := w.Request.Priority
 	if aging > 0 {
-		level += int(now.Sub(w.Queued) / aging)
+		effectivePriority += int(now.Sub(w.Queued) / aging)
 	}
-	return level
+	return effectivePriority
 }
 
-// holdLimit is how long a request may be held back to fill a batch.
+// holdLimit returns how long a patient request may be held back to fill a batch.
 func (w *Waiter) holdLimit(now time.Time, hold time.Duration) time.Duration {
 	if w.Request.Deadline.IsZero() {
 		return hold
 	}
-	return min(hold, time.Duration(holdShare*float64(w.Request.Deadline.Sub(now))))
+	return min(hold, time.Duration(maxHoldShare*float64(w.Request.Deadline.Sub(now))))
 }
