--- a/services/daemon/routing/change_log.go
+++ b/services/daemon/routing/change_log.go
@@ -10,47 +10,47 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// recentSpan is how far back a partial summary reaches, so that a few lost ones do no harm: longer survives more losses without a whole
-// summary, shorter makes each message smaller.
-const recentSpan = 3 * time.Second
+// changeRetention is how long a change is included in partial summaries, so that a few of them may be lost. A longer time tolerates more
+// losses without a full summary, a shorter one makes each message smaller.
+const changeRetention = 3 * time.Second
 
-// summaryChange tells when an adapter came to a pool or left it.
-type summaryChange struct {
+// adapterChange records when an adapter was added to a pool or removed from it.
+type adapterChange struct {
 	name string
 	seq  uint64
 	at   time.Time
 }
 
-// recentLog remembers which adapters came or went in the last seconds.
-type recentLog struct {
-	changes []summaryChange
-	// floor is the number up to which the log is known to be complete backwards.
-	floor uint64
+// changeLog records the adapters that were added or removed within changeRetention.
+type changeLog struct {
+	changes []adapterChange
+	// completeSince is the sequence number after which the log contains every change.
+	completeSince uint64
 }
 
-// reset starts anew after a whole summary of the given number.
-func (l *recentLog) reset(seq uint64) {
+// reset clears the log after a full summary with the given sequence number.
+func (l *changeLog) reset(seq uint64) {
 	l.changes = nil
-	l.floor = seq
+	l.completeSince = seq
 }
 
-func (l *recentLog) add(now time.Time, name string, seq uint64) {
-	l.changes = append(l.changes, summaryChange{name: name, seq: seq, at: now})
+func (l *changeLog) add(now time.Time, name string, seq uint64) {
+	l.changes = append(l.changes, adapterChange{name: name, seq: seq, at: now})
 }
 
-func (l *recentLog) forget(now time.Time) {
+func (l *changeLog) prune(now time.Time) {
 	old := 0
-	for old < len(l.changes) && now.Sub(l.changes[old].at) > recentSpan {
-		l.floor = max(l.floor, l.changes[old].seq)
+	for old < len(l.changes) && now.Sub(l.changes[old].at) > changeRetention {
+		l.completeSince = max(l.completeSince, l.changes[old].seq)
 		old++
 	}
 	l.changes = l.changes[old:]
 }
 
-// fill puts the recent changes into a partial summary.
-func (l *recentLog) fill(now time.Time, present map[string]bool, out *fleet.PoolSummary) {
-	l.forget(now)
-	out.Base = l.floor
+// addTo adds the recent changes to a partial summary.
+func (l *changeLog) addTo(now time.Time, present map[string]bool, out *fleet.PoolSummary) {
+	l.prune(now)
+	out.Base = l.completeSince
 	seen := make(map[string]bool, len(l.changes))
 	for _, c := range l.changes {
 		if seen[c.name] {
--- a/services/daemon/routing/choose.go
+++ b/services/daemon/routing/choose.go
@@ -5,43 +5,44 @@
 
 import "github.com/shelfledge/shelfledge/models/daemon/fleet"
 
-// boundSlack is added to the bound, in requests for each place, so that an idle fleet's first requests do not exceed the bound of a mean
-// near zero.
-const boundSlack = 0.1
+// loadBoundSlack is added to the load limit, in requests per place, so that the first requests of an idle fleet do not exceed a limit that
+// is derived from a mean load near zero.
+const loadBoundSlack = 0.1
 
-// choice is what the choice between the usable pools depends on, beside the pools themselves.
-type choice struct {
-	// hall is that of the entry.
+// poolChooser chooses one of several usable pools for a request.
+type poolChooser struct {
+	// hall is the hall of the entry.
 	hall string
-	// adapter is the one the request names, or zero.
+	// adapter is the adapter that the request names, or the zero value.
 	adapter fleet.AdapterRef
-	// boundedLoad is how many times the mean load a pool may have to be a cold adapter's home.
+	// boundedLoad is the maximum load of a cold adapter's home pool, as a multiple of the mean load.
 	boundedLoad float64
 }
 
-// pick prefers where the adapter is, the own hall among equals, and else the adapter's home.
-func (c choice) pick(usable []*knownPool) *knownPool {
+// choosePool returns a pool that holds the adapter, with preference for the own hall, or else the adapter's home pool.
+func (c poolChooser) choosePool(usable []*poolState) *poolState {
 	if c.adapter.IsZero() {
-		return c.nearest(usable)
+		return c.localOrLeastLoaded(usable)
 	}
 	name := c.adapter.String()
-	var holding []*knownPool
+	var holding []*poolState
 	for _, k := range usable {
-		if k.present[name] {
+		if k.adapters[name] {
 			holding = append(holding, k)
 		}
 	}
 	if len(holding) > 0 {
-		return c.nearest(holding)
+		return c.localOrLeastLoaded(holding)
 	}
-	return c.home(usable)
+	return c.homePool(usable)
 }
 
-// nearest takes the own hall while it has room, and else the pool with the lightest load.
-func (c choice) nearest(list []*knownPool) *knownPool {
+// localOrLeastLoaded returns a pool of the own hall if it has free places, or else the pool with the lowest load, with
+// preference for the own hall at equal load.
+func (c poolChooser) localOrLeastLoaded(list []*poolState) *poolState {
 	best := list[0]
 	for _, k := range list {
-		if k.pool.Hall == c.hall && k.room() > 0 {
+		if k.pool.Hall == c.hall && k.freePlaces() > 0 {
 			return k
 		}
 		if k.load() < best.load() || (k.load() == best.load() && k.pool.Hall == c.hall) {
@@ -51,16 +52,16 @@
 	return best
 }
 
-// home gives a cold adapter one pool over all halls, so that two halls do not both
-// load it; a pool far above the mean load is passed over.
-func (c choice) home(usable []*knownPool) *knownPool {
+// homePool returns the same pool for a cold adapter in all halls, so that two halls do not both
+// load the adapter. A pool with a load far above the mean is skipped.
+func (c poolChooser) homePool(usable []*poolState) *poolState {
 	mean := 0.0
 	for _, k := range usable {
 		mean += k.load()
 	}
 	mean /= float64(len(usable))
-	limit := c.boundedLoad*mean + boundSlack
-	var best, light *knownPool
+	limit := c.boundedLoad*mean + loadBoundSlack
+	var best, light *poolState
 	var bestScore uint64
 	for _, k := range usable {
 		if light == nil || k.load() < light.load() {
@@ -69,7 +70,7 @@
 		if k.load() > limit {
 			continue
 		}
-		s := k.weighted(c.adapter.Name)
+		s := k.homeScore(c.adapter.Name)
 		if best == nil || s > bestScore {
 			best, bestScore = k, s
 		}
--- a/services/daemon/routing/doc.go
+++ b/services/daemon/routing/doc.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package routing chooses, at a request's entry, the pool of endpoints that is asked for a place: the hall where the
-// adapter is loaded, or the one hall that is to load it. It works from summaries that lag, and counts what it has sent
-// since.
+// Package routing chooses, at a request's entry, the pool of endpoints to which the request is sent: a pool where the
+// adapter is loaded, or the pool that should load it. Summaries of pools arrive with a delay, so the package also counts
+// the requests that were sent to a pool since its last summary.
 //
-// A Router owns what is known of each pool, a Publisher the summaries of one pool that this instance places. Both are
-// the control thread's alone (services/daemon/node), get the present time from it, do no I/O and start no goroutines.
+// A Router holds the state of each pool as received in summaries; a Publisher creates the summaries of a pool whose placer
+// runs on this instance. A Router and a Publisher may be used only by the control thread (services/daemon/node), which
+// passes the current time. They do no I/O and start no goroutines.
 package routing
--- a/services/daemon/routing/options.go
+++ b/services/daemon/routing/options.go
@@ -5,24 +5,24 @@
 
 import "time"
 
-// Options are the settings of the choice between pools.
+// Options configures the choice between pools.
 type Options struct {
-	// Fresh is the age up to which another hall's summary counts.
+	// Fresh is the maximum age of a summary from another hall.
 	Fresh time.Duration
-	// BoundedLoad is how far above the mean a pool may be loaded before cold adapters go elsewhere.
+	// BoundedLoad is the load relative to the mean above which a pool gets no requests for cold adapters.
 	BoundedLoad float64
 }
 
 const (
-	// defaultFresh trades requests sent on old news for requests kept from a hall that is slow to tell; twenty digests fit into it at their
-	// default pace.
+	// defaultFresh: a longer age sends requests based on outdated summaries, a shorter one sends none to a hall whose summaries are delayed.
+	// Twenty digests fit into this time at their default interval.
 	defaultFresh = 5 * time.Second
-	// defaultBoundedLoad trades an even load for adapters that stay in one hall.
+	// defaultBoundedLoad: a higher bound keeps adapters in one hall, a lower one balances the load more evenly.
 	defaultBoundedLoad = 1.25
 )
 
-// DefaultOptions gives the settings for where no settings file is read; in the daemon the setting bounded_load, with an
-// equal default, replaces BoundedLoad.
+// DefaultOptions returns the settings that apply without a settings file. In the daemon, the setting bounded_load, which has
+// the same default, replaces BoundedLoad.
 func DefaultOptions() Options {
 	return Options{Fresh: defaultFresh, BoundedLoad: defaultBoundedLoad}
 }
--- a/services/daemon/routing/pool.go
+++ b/services/daemon/routing/pool.go
@@ -10,85 +10,86 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
-// fullLoad is the load of a pool without places: above that of every pool with some.
-const fullLoad = 1e9
+// noPlacesLoad is the load of a pool without places. It exceeds the load of every pool with places.
+const noPlacesLoad = 1e9
 
-// knownPool is what is known of one pool, from summaries and from what was sent there since.
-type knownPool struct {
+// poolState is the state of a pool, from its summaries and the requests sent to it since the last one.
+type poolState struct {
 	pool fleet.Pool
-	// epoch and seq are the numbers of the latest summary's publisher and state; present names its adapters.
-	epoch   uint64
-	seq     uint64
-	present map[string]bool
-	// heard is when the latest summary came, or was vouched for.
-	heard time.Time
-	// free, places, slots and waiting are as the summary counts them, sent is what was sent there since.
-	free    int
-	places  int
-	slots   int
-	waiting int
-	sent    int
-	// cut is true while the pool's hall cannot be reached, gap while a change between two summaries is missing.
-	cut    bool
-	gap    bool
-	recent recentLog
+	// epoch and seq identify the publisher and the state of the latest summary; adapters holds the adapters of the pool.
+	epoch    uint64
+	seq      uint64
+	adapters map[string]bool
+	// refreshedAt is when the latest summary was received or confirmed as unchanged.
+	refreshedAt time.Time
+	// free, places, slots and waiting are the values of the latest summary; sentSince counts the requests sent to the pool since.
+	free      int
+	places    int
+	slots     int
+	waiting   int
+	sentSince int
+	// unreachable is true while the pool's hall cannot be reached; incomplete is true while changes between two summaries are
+	// missing.
+	unreachable   bool
+	incomplete    bool
+	recentChanges changeLog
 }
 
-// stale tells whether the latest summary is older than fresh.
-func (k *knownPool) stale(now time.Time, fresh time.Duration) bool {
-	return now.Sub(k.heard) > fresh
+// stale reports whether the latest summary is older than fresh.
+func (k *poolState) stale(now time.Time, fresh time.Duration) bool {
+	return now.Sub(k.refreshedAt) > fresh
 }
 
-// learn takes a summary; it reports false where a part is missing and the whole is needed. One of an earlier publisher or
-// state is late and changes nothing, unless nothing newer was heard for longer than fresh.
-func (k *knownPool) learn(now time.Time, s fleet.PoolSummary, fresh time.Duration) bool {
+// applySummary updates the state from a summary. It returns false if changes are missing and a full summary is needed. A
+// summary of an earlier publisher or state is ignored, unless the latest summary is older than fresh.
+func (k *poolState) applySummary(now time.Time, s fleet.PoolSummary, fresh time.Duration) bool {
 	if !k.stale(now, fresh) && (s.Epoch < k.epoch || (s.Epoch == k.epoch && s.Seq < k.seq)) {
 		return true
 	}
-	k.heard = now
-	k.free, k.places, k.slots, k.waiting, k.sent = s.Free, s.Places, s.Slots, s.Waiting, 0
+	k.refreshedAt = now
+	k.free, k.places, k.slots, k.waiting, k.sentSince = s.Free, s.Places, s.Slots, s.Waiting, 0
 	if s.Full {
-		k.present = make(map[string]bool, len(s.Added))
-		k.gap = false
+		k.adapters = make(map[string]bool, len(s.Added))
+		k.incomplete = false
 	}
 	if !s.Full && (s.Epoch != k.epoch || s.Base > k.seq) {
-		k.gap = true
+		k.incomplete = true
 	}
 	k.epoch, k.seq = s.Epoch, s.Seq
 	if s.Full {
-		k.recent.reset(s.Seq)
+		k.recentChanges.reset(s.Seq)
 	}
 	for _, name := range s.Added {
-		if !k.present[name] {
-			k.recent.add(now, name, s.Seq)
+		if !k.adapters[name] {
+			k.recentChanges.add(now, name, s.Seq)
 		}
-		k.present[name] = true
+		k.adapters[name] = true
 	}
 	for _, name := range s.Removed {
-		if k.present[name] {
-			k.recent.add(now, name, s.Seq)
+		if k.adapters[name] {
+			k.recentChanges.add(now, name, s.Seq)
 		}
-		delete(k.present, name)
+		delete(k.adapters, name)
 	}
-	return !k.gap
+	return !k.incomplete
 }
 
-// room is how many more requests find a place at once.
-func (k *knownPool) room() int {
-	return k.free - k.sent - k.waiting
+// freePlaces returns the number of further requests that could start immediately.
+func (k *poolState) freePlaces() int {
+	return k.free - k.sentSince - k.waiting
 }
 
-// load gives the waiting and running work for each place.
-func (k *knownPool) load() float64 {
+// load returns the number of waiting and running requests per place.
+func (k *poolState) load() float64 {
 	if k.places == 0 {
-		return fullLoad
+		return noPlacesLoad
 	}
-	return float64(k.places-k.free+k.waiting+k.sent) / float64(k.places)
+	return float64(k.places-k.free+k.waiting+k.sentSince) / float64(k.places)
 }
 
-// weighted gives the pool's best score with one draw for each endpoint, so that
-// pools take cold adapters in proportion to their size.
-func (k *knownPool) weighted(adapter string) uint64 {
+// homeScore returns the highest rendezvous score of the pool's endpoints for an adapter. With
+// one score per endpoint, pools become home of cold adapters in proportion to their size.
+func (k *poolState) homeScore(adapter string) uint64 {
 	var best uint64
 	for _, e := range k.pool.Endpoints {
 		best = max(best, ring.Score(adapter, e.Name))
--- a/services/daemon/routing/publisher.go
+++ b/services/daemon/routing/publisher.go
@@ -11,21 +11,21 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// Publisher turns a pool's successive states into full and partial summaries.
+// Publisher creates full and partial summaries from the successive states of a pool.
 type Publisher struct {
-	epoch   uint64
-	seq     uint64
-	present map[string]bool
-	recent  recentLog
-	last    fleet.PoolSummary
+	epoch         uint64
+	seq           uint64
+	adapters      map[string]bool
+	recentChanges changeLog
+	latest        fleet.PoolSummary
 }
 
-// NewPublisher makes a publisher; epoch must be higher than that of every earlier publisher of the pool.
+// NewPublisher returns a publisher. Its epoch must be higher than that of every earlier publisher of the pool.
 func NewPublisher(epoch uint64) *Publisher {
-	return &Publisher{epoch: epoch, present: make(map[string]bool)}
+	return &Publisher{epoch: epoch, adapters: make(map[string]bool)}
 }
 
-// Update takes the pool's present state.
+// Update records the current state of the pool.
 func (p *Publisher) Update(now time.Time, s placement.Summary) {
 	held := make(map[string]bool, len(s.Resident)+len(s.Loading))
 	for _, c := range s.Resident {
@@ -36,35 +36,35 @@
 	}
 	p.seq++
 	for name := range held {
-		if !p.present[name] {
-			p.recent.add(now, name, p.seq)
+		if !p.adapters[name] {
+			p.recentChanges.add(now, name, p.seq)
 		}
 	}
-	for name := range p.present {
+	for name := range p.adapters {
 		if !held[name] {
-			p.recent.add(now, name, p.seq)
+			p.recentChanges.add(now, name, p.seq)
 		}
 	}
-	p.present = held
-	p.last = fleet.PoolSummary{
+	p.adapters = held
+	p.latest = fleet.PoolSummary{
 		Pool: s.Pool, Epoch: p.epoch, Seq: p.seq, Free: s.Free, Places: s.Places, Slots: s.Slots, Waiting: s.Waiting,
 	}
-	p.recent.forget(now)
+	p.recentChanges.prune(now)
 }
 
-// Recent gives the state with the changes of the last seconds.
+// Recent returns a partial summary: the current state with the adapters changed within changeRetention.
 func (p *Publisher) Recent(now time.Time) fleet.PoolSummary {
-	out := p.last
-	p.recent.fill(now, p.present, &out)
+	out := p.latest
+	p.recentChanges.addTo(now, p.adapters, &out)
 	return out
 }
 
-// Full gives the whole present state, for receivers that know nothing or too little.
+// Full returns a full summary, for receivers that have no earlier summary or missed changes.
 func (p *Publisher) Full() fleet.PoolSummary {
-	out := p.last
+	out := p.latest
 	out.Full = true
-	out.Added = make([]string, 0, len(p.present))
-	for name := range p.present {
+	out.Added = make([]string, 0, len(p.adapters))
+	for name := range p.adapters {
 		out.Added = append(out.Added, name)
 	}
 	slices.Sort(out.Added)
--- a/services/daemon/routing/publisher_test.go
+++ b/services/daemon/routing/publisher_test.go
@@ -31,12 +31,12 @@
 	})
 }
 
-func choose(r *routing.Router, now time.Time, name string) string {
+func choosePool(r *routing.Router, now time.Time, name string) string {
 	pool, _ := r.Choose(now, fleet.Request{Base: "base", Adapter: fleet.AdapterRef{Name: name, Version: 1}}, nil)
 	return pool
 }
 
-func TestUnchangedPoolNeedsNoWholeSummary(t *testing.T) {
+func TestUnchangedPoolNeedsNoFullSummary(t *testing.T) {
 	p := routing.NewPublisher(1)
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 	p.Update(begin, state("a"))
@@ -48,7 +48,7 @@
 	}
 }
 
-func TestLostSummariesAreMadeGood(t *testing.T) {
+func TestRouterRecoversFromLostSummaries(t *testing.T) {
 	p := routing.NewPublisher(1)
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 	p.Update(begin, state("a"))
@@ -57,27 +57,27 @@
 	p.Update(soon, state("a", "b"))
 	p.Update(soon.Add(time.Second), state("b"))
 	now := soon.Add(2 * time.Second)
-	require.True(t, r.Learn(now, p.Recent(now)), "two lost ones are within the span of a partial summary")
-	require.Equal(t, "h2/base", choose(r, now, "b"))
+	require.True(t, r.Learn(now, p.Recent(now)), "a partial summary contains the changes of two lost summaries")
+	require.Equal(t, "h2/base", choosePool(r, now, "b"))
 	late := now.Add(10 * time.Second)
 	p.Update(late, state("c"))
 	p.Update(late.Add(10*time.Second), state("c"))
 	now = late.Add(11 * time.Second)
-	require.False(t, r.Learn(now, p.Recent(now)), "the change was missed")
+	require.False(t, r.Learn(now, p.Recent(now)), "the change is no longer in the partial summary")
 	require.True(t, r.Learn(now, p.Full()))
-	require.Equal(t, "h2/base", choose(r, now, "c"))
+	require.Equal(t, "h2/base", choosePool(r, now, "c"))
 }
 
-func TestSilentHallIsNotChosen(t *testing.T) {
+func TestHallWithStaleSummaryIsNotChosen(t *testing.T) {
 	p := routing.NewPublisher(1)
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 	p.Update(begin, state("a"))
 	r.Learn(begin, p.Full())
-	require.Equal(t, "h2/base", choose(r, begin, "a"))
-	require.Equal(t, "h1/base", choose(r, begin.Add(time.Minute), "a"))
+	require.Equal(t, "h2/base", choosePool(r, begin, "a"))
+	require.Equal(t, "h1/base", choosePool(r, begin.Add(time.Minute), "a"))
 }
 
-func TestAHerdIsSpread(t *testing.T) {
+func TestBurstIsSpreadOverPools(t *testing.T) {
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 	for _, hall := range []string{"h1", "h2"} {
 		p := routing.NewPublisher(1)
@@ -88,8 +88,8 @@
 	}
 	counts := make(map[string]int)
 	for range 40 {
-		counts[choose(r, begin, "a")]++
+		counts[choosePool(r, begin, "a")]++
 	}
-	require.Greater(t, counts["h2/base"], 10, "what was sent since the last summary counts")
+	require.Greater(t, counts["h2/base"], 10, "requests sent since the last summary count as load")
 	require.Greater(t, counts["h1/base"], 10)
 }
--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -11,19 +11,19 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Router holds the summaries of all pools; it is not safe for concurrent use.
+// Router holds the state of all pools and chooses among them. It is not safe for concurrent use.
 type Router struct {
 	hall    string
 	options Options
-	pools   []*knownPool
-	byName  map[string]*knownPool
+	pools   []*poolState
+	byName  map[string]*poolState
 }
 
-// NewRouter makes the router of an entry in the given hall over the fleet's pools.
+// NewRouter returns the router of an entry in the given hall for the fleet's pools.
 func NewRouter(hall string, pools []fleet.Pool, o Options) *Router {
-	r := &Router{hall: hall, options: o, byName: make(map[string]*knownPool, len(pools))}
+	r := &Router{hall: hall, options: o, byName: make(map[string]*poolState, len(pools))}
 	for _, p := range pools {
-		k := &knownPool{pool: p, present: make(map[string]bool)}
+		k := &poolState{pool: p, adapters: make(map[string]bool)}
 		for _, e := range p.Endpoints {
 			k.places += e.MaxBatch
 			k.slots += e.Slots
@@ -36,38 +36,38 @@
 	return r
 }
 
-// Learn takes a summary; it reports false where a part is missing and the whole is needed.
+// Learn updates the state of a pool from a summary. It returns false if changes are missing and a full summary is needed.
 func (r *Router) Learn(now time.Time, s fleet.PoolSummary) bool {
 	k := r.byName[s.Pool]
 	if k == nil {
 		return true
 	}
-	return k.learn(now, s, r.options.Fresh)
+	return k.applySummary(now, s, r.options.Fresh)
 }
 
-// SetCut marks a hall that cannot be reached, or can again.
-func (r *Router) SetCut(hall string, cut bool) {
+// SetCut marks a hall as unreachable or as reachable again.
+func (r *Router) SetCut(hall string, unreachable bool) {
 	for _, k := range r.pools {
 		if k.pool.Hall == hall {
-			k.cut = cut
+			k.unreachable = unreachable
 		}
 	}
 }
 
-// Choose picks the pool for a request; halls, if any, limits it to those halls.
+// Choose returns the pool for a request, or false if no pool is usable. If halls is not empty, only pools of those halls are used.
 func (r *Router) Choose(now time.Time, q fleet.Request, halls []string) (string, bool) {
 	usable := r.usable(now, q, halls)
 	if len(usable) == 0 {
 		return "", false
 	}
-	k := choice{hall: r.hall, adapter: q.Adapter, boundedLoad: r.options.BoundedLoad}.pick(usable)
-	k.sent++
+	k := poolChooser{hall: r.hall, adapter: q.Adapter, boundedLoad: r.options.BoundedLoad}.choosePool(usable)
+	k.sentSince++
 	return k.pool.Name, true
 }
 
-// usable lists the pools that run the base and can be reached.
-func (r *Router) usable(now time.Time, q fleet.Request, halls []string) []*knownPool {
-	var out []*knownPool
+// usable returns the pools that serve the request's base model and can be reached.
+func (r *Router) usable(now time.Time, q fleet.Request, halls []string) []*poolState {
+	var out []*poolState
 	for _, k := range r.pools {
 		if !k.pool.Serves(q.Base) || (len(halls) > 0 && !slices.Contains(halls, k.pool.Hall)) {
 			continue
@@ -76,7 +76,7 @@
 			out = append(out, k)
 			continue
 		}
-		if k.cut || k.stale(now, r.options.Fresh) || k.places == 0 {
+		if k.unreachable || k.stale(now, r.options.Fresh) || k.places == 0 {
 			continue
 		}
 		out = append(out, k)
@@ -84,31 +84,31 @@
 	return out
 }
 
-// Heard renews the age of every summary that is not cut off, where the carrier
-// vouches that nothing has changed since.
+// Heard resets the age of every summary from a reachable hall, when its transport has
+// confirmed that nothing has changed.
 func (r *Router) Heard(now time.Time) {
 	for _, k := range r.pools {
-		if !k.cut {
-			k.heard = now
+		if !k.unreachable {
+			k.refreshedAt = now
 		}
 	}
 }
 
-// Changing tells whether adapters came to a pool or left it in the last seconds.
+// Changing reports whether adapters were added to a pool or removed from it within changeRetention.
 func (r *Router) Changing(now time.Time, pool string) bool {
 	k := r.byName[pool]
 	if k == nil {
 		return false
 	}
-	k.recent.forget(now)
-	return len(k.recent.changes) > 0
+	k.recentChanges.prune(now)
+	return len(k.recentChanges.changes) > 0
 }
 
-// Export passes on what this router knows of a pool, whole or only with the
-// latest part, under the numbers of its source.
+// Export returns the state of a pool as a full or partial summary, with the epoch and sequence
+// number of its publisher, for forwarding. It returns false if the state is not complete.
 func (r *Router) Export(now time.Time, pool string, whole bool) (fleet.PoolSummary, bool) {
 	k := r.byName[pool]
-	if k == nil || k.epoch == 0 || k.gap {
+	if k == nil || k.epoch == 0 || k.incomplete {
 		return fleet.PoolSummary{}, false
 	}
 	out := fleet.PoolSummary{
@@ -116,12 +116,12 @@
 	}
 	if whole {
 		out.Full = true
-		for name := range k.present {
+		for name := range k.adapters {
 			out.Added = append(out.Added, name)
 		}
 		slices.Sort(out.Added)
 		return out, true
 	}
-	k.recent.fill(now, k.present, &out)
+	k.recentChanges.addTo(now, k.adapters, &out)
 	return out, true
 }
--- a/services/daemon/routing/router_test.go
+++ b/services/daemon/routing/router_test.go
@@ -13,55 +13,55 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// summary is a whole summary of a hall's one pool, with 8 places.
-func summary(hall string, epoch, seq uint64, free int, adapters ...string) fleet.PoolSummary {
+// fullSummary returns a full summary of a hall's only pool, which has 8 places.
+func fullSummary(hall string, epoch, seq uint64, free int, adapters ...string) fleet.PoolSummary {
 	return fleet.PoolSummary{Pool: hall + "/base", Epoch: epoch, Seq: seq, Full: true, Added: adapters, Free: free, Places: 8, Slots: 4}
 }
 
-// router knows both halls' pools, with the given places free.
-func router(freeHere, freeThere int, adaptersThere ...string) *routing.Router {
+// routerWithSummaries returns a router of hall h1 with summaries of both halls' pools that report the given free places.
+func routerWithSummaries(freeHere, freeThere int, adaptersThere ...string) *routing.Router {
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
-	r.Learn(begin, summary("h1", 1, 1, freeHere))
-	r.Learn(begin, summary("h2", 1, 1, freeThere, adaptersThere...))
+	r.Learn(begin, fullSummary("h1", 1, 1, freeHere))
+	r.Learn(begin, fullSummary("h2", 1, 1, freeThere, adaptersThere...))
 	return r
 }
 
-func TestThePoolThatHoldsTheAdapterIsChosen(t *testing.T) {
-	require.Equal(t, "h2/base", choose(router(8, 8, "a@1"), begin, "a"))
-	require.Equal(t, "h2/base", choose(router(8, 0, "a@1"), begin, "a"), "also where it has no room")
+func TestPoolThatHoldsAdapterIsChosen(t *testing.T) {
+	require.Equal(t, "h2/base", choosePool(routerWithSummaries(8, 8, "a@1"), begin, "a"))
+	require.Equal(t, "h2/base", choosePool(routerWithSummaries(8, 0, "a@1"), begin, "a"), "the pool has no free places")
 }
 
-func TestOfTwoThatHoldItTheOwnHallIsChosenWhileItHasRoom(t *testing.T) {
-	r := router(1, 8, "a@1")
-	r.Learn(begin, summary("h1", 1, 2, 1, "a@1"))
-	require.Equal(t, "h1/base", choose(r, begin, "a"))
-	require.Equal(t, "h2/base", choose(r, begin, "a"), "what was sent took the last place")
+func TestOwnHallIsChosenWhileItHasFreePlaces(t *testing.T) {
+	r := routerWithSummaries(1, 8, "a@1")
+	r.Learn(begin, fullSummary("h1", 1, 2, 1, "a@1"))
+	require.Equal(t, "h1/base", choosePool(r, begin, "a"))
+	require.Equal(t, "h2/base", choosePool(r, begin, "a"), "the first request took the last place")
 }
 
-func TestAColdAdapterHasOneHomeUnlessItsPoolIsCrowded(t *testing.T) {
-	home := choose(router(8, 8), begin, "cold")
-	require.Equal(t, home, choose(router(8, 8), begin, "cold"), "the same for every entry")
-	crowded, other := router(0, 8), "h2/base"
+func TestColdAdapterHasOneHomePoolUnlessOverloaded(t *testing.T) {
+	home := choosePool(routerWithSummaries(8, 8), begin, "cold")
+	require.Equal(t, home, choosePool(routerWithSummaries(8, 8), begin, "cold"), "the home pool is the same for every entry")
+	crowded, other := routerWithSummaries(0, 8), "h2/base"
 	if home == other {
-		crowded, other = router(8, 0), "h1/base"
+		crowded, other = routerWithSummaries(8, 0), "h1/base"
 	}
-	require.Equal(t, other, choose(crowded, begin, "cold"))
+	require.Equal(t, other, choosePool(crowded, begin, "cold"))
 }
 
-func TestAHallThatIsCutOrNotHeardOfIsNotChosen(t *testing.T) {
-	r := router(0, 8, "a@1")
+func TestUnreachableOrStaleHallIsNotChosen(t *testing.T) {
+	r := routerWithSummaries(0, 8, "a@1")
 	r.SetCut("h2", true)
-	require.Equal(t, "h1/base", choose(r, begin, "a"))
+	require.Equal(t, "h1/base", choosePool(r, begin, "a"))
 	r.SetCut("h2", false)
 	fresh := routing.DefaultOptions().Fresh
-	require.Equal(t, "h2/base", choose(r, begin.Add(fresh), "a"))
-	require.Equal(t, "h1/base", choose(r, begin.Add(fresh+1), "a"))
+	require.Equal(t, "h2/base", choosePool(r, begin.Add(fresh), "a"))
+	require.Equal(t, "h1/base", choosePool(r, begin.Add(fresh+1), "a"))
 	r.Heard(begin.Add(fresh + 1))
-	require.Equal(t, "h2/base", choose(r, begin.Add(fresh+1), "a"), "its carrier vouches that nothing has changed")
+	require.Equal(t, "h2/base", choosePool(r, begin.Add(fresh+1), "a"), "the summary was confirmed as unchanged")
 }
 
-func TestOnlyPoolsOfTheBaseAndTheHallsNamedAreChosen(t *testing.T) {
-	r := router(8, 8, "a@1")
+func TestChoiceIsLimitedToBaseAndGivenHalls(t *testing.T) {
+	r := routerWithSummaries(8, 8, "a@1")
 	q := fleet.Request{Base: "base", Adapter: fleet.AdapterRef{Name: "a", Version: 1}}
 	pool, ok := r.Choose(begin, q, []string{"h1"})
 	require.True(t, ok)
@@ -73,44 +73,44 @@
 	require.False(t, ok)
 }
 
-func TestALateOrRepeatedSummaryTakesNothingBack(t *testing.T) {
-	r := router(8, 8, "a@1")
-	require.True(t, r.Learn(begin, summary("h2", 1, 3, 8, "b@1")))
-	require.True(t, r.Learn(begin, summary("h2", 1, 2, 8, "a@1")), "late: nothing is missing")
-	require.Equal(t, "h2/base", choose(r, begin, "b"))
-	require.True(t, r.Learn(begin, summary("h2", 1, 3, 8, "b@1")))
-	require.Equal(t, "h2/base", choose(r, begin, "b"))
-	require.True(t, r.Learn(begin, fleet.PoolSummary{Pool: "h9/base", Seq: 1}), "an unknown pool needs nothing")
+func TestLateOrRepeatedSummaryIsIgnored(t *testing.T) {
+	r := routerWithSummaries(8, 8, "a@1")
+	require.True(t, r.Learn(begin, fullSummary("h2", 1, 3, 8, "b@1")))
+	require.True(t, r.Learn(begin, fullSummary("h2", 1, 2, 8, "a@1")), "a late summary requires no full summary")
+	require.Equal(t, "h2/base", choosePool(r, begin, "b"))
+	require.True(t, r.Learn(begin, fullSummary("h2", 1, 3, 8, "b@1")))
+	require.Equal(t, "h2/base", choosePool(r, begin, "b"))
+	require.True(t, r.Learn(begin, fleet.PoolSummary{Pool: "h9/base", Seq: 1}), "an unknown pool requires no full summary")
 }
 
-func TestANewPublisherNeedsAWholeSummaryFirst(t *testing.T) {
-	r := router(8, 8, "a@1")
+func TestNewPublisherRequiresFullSummary(t *testing.T) {
+	r := routerWithSummaries(8, 8, "a@1")
 	part := fleet.PoolSummary{Pool: "h2/base", Epoch: 2, Seq: 5, Base: 0, Free: 8, Places: 8}
 	require.False(t, r.Learn(begin, part))
-	require.False(t, r.Learn(begin, part), "still")
+	require.False(t, r.Learn(begin, part), "a repeated partial summary does not close the gap")
 	_, ok := r.Export(begin, "h2/base", true)
-	require.False(t, ok, "what has a gap is not passed on")
-	require.True(t, r.Learn(begin, summary("h2", 2, 6, 8, "c@1")))
+	require.False(t, ok, "an incomplete state is not exported")
+	require.True(t, r.Learn(begin, fullSummary("h2", 2, 6, 8, "c@1")))
 	out, ok := r.Export(begin, "h2/base", true)
 	require.True(t, ok)
 	require.Equal(t, []string{"c@1"}, out.Added)
 }
 
-func TestAnOlderPublisherIsHeardAgainOnceTheNewerIsSilent(t *testing.T) {
-	r := router(8, 8)
-	require.True(t, r.Learn(begin, summary("h2", 7, 1, 8, "new@1")))
-	require.True(t, r.Learn(begin, summary("h2", 3, 9, 8, "old@1")))
-	require.Equal(t, "h2/base", choose(r, begin, "new"))
+func TestOlderPublisherIsAcceptedAfterNewerTimesOut(t *testing.T) {
+	r := routerWithSummaries(8, 8)
+	require.True(t, r.Learn(begin, fullSummary("h2", 7, 1, 8, "new@1")))
+	require.True(t, r.Learn(begin, fullSummary("h2", 3, 9, 8, "old@1")))
+	require.Equal(t, "h2/base", choosePool(r, begin, "new"))
 	later := begin.Add(routing.DefaultOptions().Fresh + 1)
-	require.True(t, r.Learn(later, summary("h2", 3, 9, 8, "old@1")))
-	require.Equal(t, "h2/base", choose(r, later, "old"))
+	require.True(t, r.Learn(later, fullSummary("h2", 3, 9, 8, "old@1")))
+	require.Equal(t, "h2/base", choosePool(r, later, "old"))
 }
 
-func TestChangesCountAsRecentForAFewSeconds(t *testing.T) {
-	r := router(8, 8)
+func TestChangingReportsChangesWithinRetention(t *testing.T) {
+	r := routerWithSummaries(8, 8)
 	require.False(t, r.Changing(begin.Add(time.Minute), "h2/base"))
 	now := begin.Add(time.Minute)
-	r.Learn(now, summary("h2", 1, 2, 8, "a@1"))
+	r.Learn(now, fullSummary("h2", 1, 2, 8, "a@1"))
 	require.True(t, r.Changing(now.Add(3*time.Second), "h2/base"))
 	require.False(t, r.Changing(now.Add(3*time.Second+1), "h2/base"))
 	require.False(t, r.Changing(now, "h9/base"))
