--- a/services/daemon/budget/doc.go
+++ b/services/daemon/budget/doc.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package budget shares the weight store's rate among the pools of all halls: a permit
-// goes to the most valuable load first, and a hall that is cut off keeps its own part of
-// the rate.
+// Package budget divides the load rate of the weight store among the pools of all halls. The
+// most valuable load gets the next permit, and a hall that is cut off from the others keeps
+// its own share of the rate.
 //
-// It owns the bids in force and the permits that have not come back, and relies on
-// nothing: which instance has the ledger and how bids and permits travel is the node's. It
-// starts no goroutines, reads no clock and is not safe for concurrent use.
+// The ledger holds the current bids and the outstanding permits. Package node decides which
+// instance runs the ledger, and transmits bids and permits. The package starts no goroutines,
+// does not read the clock and is not safe for concurrent use.
 package budget
--- a/services/daemon/budget/ledger.go
+++ b/services/daemon/budget/ledger.go
@@ -8,13 +8,13 @@
 	"time"
 )
 
-// Limits are the weight store's rate and the loads at once that run at full speed.
+// Limits are the load rate of the weight store and the number of concurrent loads that it serves at full speed.
 type Limits struct {
 	LoadsPerSecond float64
 	AtFullSpeed    int
 }
 
-// Part gives the limits of a group of halls that sees only some of all halls.
+// Part returns the limits for a group of halls in which only some of all halls are visible.
 func (l Limits) Part(visible, all int) Limits {
 	if all <= 0 || visible >= all {
 		return l
@@ -24,86 +24,86 @@
 	return Limits{LoadsPerSecond: l.LoadsPerSecond * share, AtFullSpeed: max(1, atOnce)}
 }
 
-// Ledger grants permits; it is not safe for concurrent use.
+// Ledger grants permits to the highest bids. It is not safe for concurrent use.
 type Ledger struct {
-	limits  Limits
-	tokens  float64
-	last    time.Time
-	bids    map[string]bid
-	out     map[uint64]permit
-	counter uint64
-	life    time.Duration
+	limits      Limits
+	tokens      float64
+	refilledAt  time.Time
+	bids        map[string]bid
+	outstanding map[uint64]permit
+	lastID      uint64
+	permitTTL   time.Duration
 }
 
 type bid struct {
-	value   float64
-	preload bool
-	at      time.Time
+	value    float64
+	preload  bool
+	issuedAt time.Time
 }
 
 type permit struct {
-	pool string
-	at   time.Time
+	pool     string
+	issuedAt time.Time
 }
 
-// Permit is one load that a pool may start.
+// Permit allows a pool to start one load.
 type Permit struct {
 	ID   uint64
 	Pool string
 }
 
 const (
-	// bidLife is the time after which a bid that was not renewed is forgotten. Longer gives permits to pools that have gone silent, shorter
-	// forgets a pool after lost messages.
-	bidLife = 5 * time.Second
-	// burst is the number of loads that the rate saves up while nobody bids. Higher starts more loads at once after a pause, and above 1
-	// exceeds the rate over a short time.
-	burst = 1.0
+	// bidTTL is the time after which a bid that was not renewed is dropped. A longer time gives permits to pools that no longer respond, a
+	// shorter one drops the bid of a pool after lost messages.
+	bidTTL = 5 * time.Second
+	// maxSavedTokens is the number of tokens that accumulate while there are no bids. A higher number starts more loads at once after a pause;
+	// above 1, the rate is exceeded for a short time.
+	maxSavedTokens = 1.0
 )
 
-// NewLedger makes a ledger with no tokens saved; a permit not given back within life is forgotten.
-func NewLedger(now time.Time, l Limits, life time.Duration) *Ledger {
-	return &Ledger{limits: l, last: now, bids: make(map[string]bid), out: make(map[uint64]permit), life: life}
+// NewLedger returns a ledger without saved tokens. A permit that is not returned within permitTTL is dropped.
+func NewLedger(now time.Time, l Limits, permitTTL time.Duration) *Ledger {
+	return &Ledger{limits: l, refilledAt: now, bids: make(map[string]bid), outstanding: make(map[uint64]permit), permitTTL: permitTTL}
 }
 
-// SetLimits changes the rate, for a changed configuration or a changed view of the halls.
+// SetLimits changes the limits after a change of the configuration or of the visible halls.
 func (l *Ledger) SetLimits(now time.Time, limits Limits) {
 	l.refill(now)
 	l.limits = limits
 }
 
-// Limits gives the limits in force.
+// Limits returns the current limits.
 func (l *Ledger) Limits() Limits {
 	return l.limits
 }
 
-// Out gives the number of permits that have not come back.
+// Out returns the number of outstanding permits.
 func (l *Ledger) Out() int {
-	return len(l.out)
+	return len(l.outstanding)
 }
 
-// Bid enters or, with a value of zero, withdraws a pool's bid.
+// Bid sets a pool's bid. A value of zero or less withdraws it.
 func (l *Ledger) Bid(now time.Time, pool string, value float64, preload bool) {
 	if value <= 0 {
 		delete(l.bids, pool)
 		return
 	}
-	l.bids[pool] = bid{value: value, preload: preload, at: now}
+	l.bids[pool] = bid{value: value, preload: preload, issuedAt: now}
 }
 
-// Next grants a permit to the highest bid, if the rate and the full speed allow one.
+// Next grants a permit to the highest bid, if a token is available and fewer than AtFullSpeed permits are outstanding.
 func (l *Ledger) Next(now time.Time) (Permit, bool) {
 	l.refill(now)
-	l.forget(now)
-	if l.tokens < 1 || len(l.out) >= l.limits.AtFullSpeed {
+	l.expire(now)
+	if l.tokens < 1 || len(l.outstanding) >= l.limits.AtFullSpeed {
 		return Permit{}, false
 	}
 	best, found := "", false
 	for pool, b := range l.bids {
-		if b.preload && !l.spare() {
+		if b.preload && !l.preloadAllowed() {
 			continue
 		}
-		if !found || l.ahead(pool, best) {
+		if !found || l.precedes(pool, best) {
 			best, found = pool, true
 		}
 	}
@@ -111,18 +111,19 @@
 		return Permit{}, false
 	}
 	l.tokens--
-	l.counter++
+	l.lastID++
 	delete(l.bids, best)
-	l.out[l.counter] = permit{pool: best, at: now}
-	return Permit{ID: l.counter, Pool: best}, true
+	l.outstanding[l.lastID] = permit{pool: best, issuedAt: now}
+	return Permit{ID: l.lastID, Pool: best}, true
 }
 
-// spare keeps the last place at full speed for loads that someone waits for.
-func (l *Ledger) spare() bool {
-	return l.limits.AtFullSpeed <= 1 || len(l.out) < l.limits.AtFullSpeed-1
+// preloadAllowed reports whether a preload may get a permit. The last permit within AtFullSpeed is kept for loads for which
+// requests wait.
+func (l *Ledger) preloadAllowed() bool {
+	return l.limits.AtFullSpeed <= 1 || len(l.outstanding) < l.limits.AtFullSpeed-1
 }
 
-func (l *Ledger) ahead(pool, other string) bool {
+func (l *Ledger) precedes(pool, other string) bool {
 	a, b := l.bids[pool], l.bids[other]
 	if a.preload != b.preload {
 		return !a.preload
@@ -133,24 +134,24 @@
 	return pool < other
 }
 
-// Done takes a permit back; one that was not used gives its token back too.
+// Done returns a permit. If it was not used, its token becomes available again.
 func (l *Ledger) Done(now time.Time, id uint64, used bool) {
 	l.refill(now)
-	if _, ok := l.out[id]; !ok {
+	if _, ok := l.outstanding[id]; !ok {
 		return
 	}
-	delete(l.out, id)
+	delete(l.outstanding, id)
 	if !used {
-		l.tokens = math.Min(burst, l.tokens+1)
+		l.tokens = math.Min(maxSavedTokens, l.tokens+1)
 	}
 }
 
-// NextWake gives the time at which the next token will be there, or the zero time
-// where a token is there already or would not help.
+// NextWake returns the time at which the next token will be available, or the zero time if one
+// is already available or no permit could be granted with it.
 func (l *Ledger) NextWake(now time.Time) time.Time {
 	l.refill(now)
 	missing := 1 - l.tokens
-	if missing <= 0 || l.limits.LoadsPerSecond <= 0 || len(l.out) >= l.limits.AtFullSpeed {
+	if missing <= 0 || l.limits.LoadsPerSecond <= 0 || len(l.outstanding) >= l.limits.AtFullSpeed {
 		return time.Time{}
 	}
 	wait := time.Duration(missing / l.limits.LoadsPerSecond * float64(time.Second))
@@ -158,30 +159,30 @@
 }
 
 func (l *Ledger) refill(now time.Time) {
-	dt := now.Sub(l.last).Seconds()
+	dt := now.Sub(l.refilledAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	l.last = now
-	l.tokens = math.Min(burst, l.tokens+dt*l.limits.LoadsPerSecond)
+	l.refilledAt = now
+	l.tokens = math.Min(maxSavedTokens, l.tokens+dt*l.limits.LoadsPerSecond)
 }
 
-// forget drops bids and permits whose pools have gone silent.
-func (l *Ledger) forget(now time.Time) {
+// expire drops bids that were not renewed and permits that were not returned in time.
+func (l *Ledger) expire(now time.Time) {
 	for pool, b := range l.bids {
-		if now.Sub(b.at) > bidLife {
+		if now.Sub(b.issuedAt) > bidTTL {
 			delete(l.bids, pool)
 		}
 	}
-	for id, p := range l.out {
-		if now.Sub(p.at) > l.life {
-			delete(l.out, id)
+	for id, p := range l.outstanding {
+		if now.Sub(p.issuedAt) > l.permitTTL {
+			delete(l.outstanding, id)
 		}
 	}
 }
 
-// Open tells whether a permit could be granted now, so that bids are worth making.
+// Open reports whether a permit could be granted now. Otherwise, bids need not be computed.
 func (l *Ledger) Open(now time.Time) bool {
 	l.refill(now)
-	return len(l.out) < l.limits.AtFullSpeed && l.tokens >= 1
+	return len(l.outstanding) < l.limits.AtFullSpeed && l.tokens >= 1
 }
--- a/services/daemon/budget/ledger_test.go
+++ b/services/daemon/budget/ledger_test.go
@@ -12,7 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/budget"
 )
 
-const permitLife = 45 * time.Second
+const permitTTL = 45 * time.Second
 
 var begin = time.Unix(1000, 0)
 
@@ -20,18 +20,18 @@
 	return begin.Add(d)
 }
 
-// newLedger makes a ledger of one load a second that has its first token saved at begin.
+// newLedger returns a ledger with a rate of one load per second, whose first token is available at begin.
 func newLedger(atFullSpeed int) *budget.Ledger {
-	return budget.NewLedger(after(-time.Second), budget.Limits{LoadsPerSecond: 1, AtFullSpeed: atFullSpeed}, permitLife)
+	return budget.NewLedger(after(-time.Second), budget.Limits{LoadsPerSecond: 1, AtFullSpeed: atFullSpeed}, permitTTL)
 }
 
-// next gives the pool of the next permit, or an empty name.
-func next(l *budget.Ledger, now time.Time) string {
+// nextPool returns the pool of the next permit, or an empty name.
+func nextPool(l *budget.Ledger, now time.Time) string {
 	p, _ := l.Next(now)
 	return p.Pool
 }
 
-func TestPermitsComeAtTheRateAndSaveUpOne(t *testing.T) {
+func TestPermitsFollowRateAndSaveOneToken(t *testing.T) {
 	l := newLedger(100)
 	bid := func(at time.Time) { l.Bid(at, "a", 1, false) }
 	for _, row := range []struct {
@@ -51,12 +51,12 @@
 	l.Bid(begin, "a", 1, false)
 	l.Bid(begin, "p", 9, true)
 	for i, want := range []string{"b", "c", "a", "p", ""} {
-		require.Equal(t, want, next(l, after(time.Duration(i)*time.Second)), "permit %d", i+1)
+		require.Equal(t, want, nextPool(l, after(time.Duration(i)*time.Second)), "permit %d", i+1)
 	}
 }
 
-func TestBidIsWithdrawnRepeatedOrForgotten(t *testing.T) {
-	const bidLife = 5 * time.Second
+func TestBidIsWithdrawnRenewedOrExpired(t *testing.T) {
+	const bidTTL = 5 * time.Second
 	for _, row := range []struct {
 		name string
 		bid  func(l *budget.Ledger)
@@ -64,27 +64,27 @@
 		want string
 	}{
 		{"withdrawn", func(l *budget.Ledger) { l.Bid(begin, "a", 0, false) }, 0, ""},
-		{"withdrawn, repeated", func(l *budget.Ledger) { l.Bid(begin, "a", 0, false); l.Bid(begin, "a", -1, false) }, 0, ""},
+		{"withdrawn twice", func(l *budget.Ledger) { l.Bid(begin, "a", 0, false); l.Bid(begin, "a", -1, false) }, 0, ""},
 		{"repeated", func(l *budget.Ledger) { l.Bid(begin, "a", 1, false) }, 0, "a"},
-		{"not renewed", func(*budget.Ledger) {}, bidLife, "a"},
-		{"not renewed for longer than its life", func(*budget.Ledger) {}, bidLife + 1, ""},
-		{"renewed", func(l *budget.Ledger) { l.Bid(after(1), "a", 1, false) }, bidLife + 1, "a"},
+		{"not renewed", func(*budget.Ledger) {}, bidTTL, "a"},
+		{"not renewed, expired", func(*budget.Ledger) {}, bidTTL + 1, ""},
+		{"renewed", func(l *budget.Ledger) { l.Bid(after(1), "a", 1, false) }, bidTTL + 1, "a"},
 	} {
 		l := newLedger(100)
 		l.Bid(begin, "a", 1, false)
 		row.bid(l)
-		require.Equal(t, row.want, next(l, after(row.at)), row.name)
+		require.Equal(t, row.want, nextPool(l, after(row.at)), row.name)
 	}
 }
 
-func TestAGrantedBidIsNotGrantedTwice(t *testing.T) {
+func TestBidIsGrantedOnce(t *testing.T) {
 	l := newLedger(100)
 	l.Bid(begin, "a", 1, false)
-	require.Equal(t, "a", next(l, begin))
-	require.Empty(t, next(l, after(time.Second)))
+	require.Equal(t, "a", nextPool(l, begin))
+	require.Empty(t, nextPool(l, after(time.Second)))
 }
 
-func TestPlacesAtFullSpeed(t *testing.T) {
+func TestConcurrentLoadsAreLimited(t *testing.T) {
 	l := newLedger(2)
 	grant := func(at time.Duration, preload bool) (budget.Permit, bool) {
 		l.Bid(after(at), "a", 1, preload)
@@ -93,11 +93,11 @@
 	first, ok := grant(0, true)
 	require.True(t, ok)
 	_, ok = grant(time.Second, true)
-	require.False(t, ok, "the last place is kept for a load that someone waits for")
+	require.False(t, ok, "the last permit is kept for a load for which requests wait")
 	_, ok = grant(time.Second, false)
 	require.True(t, ok)
 	_, ok = grant(2*time.Second, false)
-	require.False(t, ok, "both places are taken")
+	require.False(t, ok, "both permits are outstanding")
 	require.False(t, l.Open(after(2*time.Second)))
 	l.Done(after(2*time.Second), first.ID, true)
 	l.Done(after(2*time.Second), first.ID, true)
@@ -105,10 +105,10 @@
 	_, ok = grant(2*time.Second, false)
 	require.True(t, ok)
 	_, ok = grant(3*time.Second, false)
-	require.False(t, ok, "a repeated return frees one place only")
+	require.False(t, ok, "a permit that is returned twice is counted once")
 }
 
-func TestUnusedPermitGivesItsTokenBackOnce(t *testing.T) {
+func TestUnusedPermitReturnsItsTokenOnce(t *testing.T) {
 	l := newLedger(100)
 	l.Bid(begin, "a", 1, false)
 	p, _ := l.Next(begin)
@@ -116,28 +116,28 @@
 	l.Done(begin, p.ID, false)
 	l.Done(begin, p.ID, false)
 	l.Bid(begin, "a", 1, false)
-	require.Equal(t, "a", next(l, begin))
+	require.Equal(t, "a", nextPool(l, begin))
 	l.Bid(begin, "a", 1, false)
-	require.Empty(t, next(l, begin))
+	require.Empty(t, nextPool(l, begin))
 	l.Done(begin, 999, false)
-	require.Empty(t, next(l, begin), "a permit of another ledger is not known")
+	require.Empty(t, nextPool(l, begin), "returning an unknown permit has no effect")
 }
 
-func TestPermitThatDoesNotComeBackIsForgotten(t *testing.T) {
+func TestUnreturnedPermitExpires(t *testing.T) {
 	for _, row := range []struct {
 		at      time.Duration
 		granted bool
-	}{{permitLife, false}, {permitLife + 1, true}} {
+	}{{permitTTL, false}, {permitTTL + 1, true}} {
 		l := newLedger(1)
 		l.Bid(begin, "a", 1, false)
-		require.Equal(t, "a", next(l, begin))
+		require.Equal(t, "a", nextPool(l, begin))
 		l.Bid(after(row.at), "b", 1, false)
 		_, ok := l.Next(after(row.at))
 		require.Equal(t, row.granted, ok, "after %v", row.at)
 	}
 }
 
-func TestPartOfTheRateByHallsInSight(t *testing.T) {
+func TestLimitsOfVisibleHalls(t *testing.T) {
 	whole := budget.Limits{LoadsPerSecond: 12, AtFullSpeed: 5}
 	for _, row := range []struct {
 		visible, all int
@@ -154,24 +154,24 @@
 	}
 }
 
-func TestChangedRateCountsFromItsChange(t *testing.T) {
+func TestChangedRateAppliesFromChange(t *testing.T) {
 	l := newLedger(100)
 	l.Bid(begin, "a", 1, false)
-	require.Equal(t, "a", next(l, begin))
+	require.Equal(t, "a", nextPool(l, begin))
 	l.SetLimits(after(500*time.Millisecond), budget.Limits{LoadsPerSecond: 10, AtFullSpeed: 100})
 	l.Bid(after(500*time.Millisecond), "a", 1, false)
-	require.Empty(t, next(l, after(549*time.Millisecond)))
-	require.Equal(t, "a", next(l, after(551*time.Millisecond)), "half a token at the old rate, half at the new")
+	require.Empty(t, nextPool(l, after(549*time.Millisecond)))
+	require.Equal(t, "a", nextPool(l, after(551*time.Millisecond)), "half of the token accrues at the old rate, half at the new rate")
 }
 
-func TestWakesWhenTheNextTokenIsThere(t *testing.T) {
+func TestNextWakeIsTimeOfNextToken(t *testing.T) {
 	l := newLedger(1)
-	require.Zero(t, l.NextWake(begin), "a token is there")
+	require.Zero(t, l.NextWake(begin), "a token is available")
 	l.Bid(begin, "a", 1, false)
 	p, _ := l.Next(begin)
-	require.Zero(t, l.NextWake(begin), "a token would not help, since no place is free")
+	require.Zero(t, l.NextWake(begin), "a token does not allow a permit while AtFullSpeed permits are outstanding")
 	l.Done(begin, p.ID, true)
 	require.Equal(t, after(time.Second+time.Millisecond), l.NextWake(begin))
 	l.SetLimits(begin, budget.Limits{AtFullSpeed: 1})
-	require.Zero(t, l.NextWake(begin), "no rate, no token")
+	require.Zero(t, l.NextWake(begin), "no token accrues at a rate of zero")
 }
