--- a/services/daemon/budget/ledger.go
+++ b/services/daemon/budget/ledger.go
@@ -14,8 +14,8 @@
 	AtFullSpeed    int
 }
 
-// Part returns the limits for a group of halls in which only some of all halls are visible.
-func (l Limits) Part(visible, all int) Limits {
+// Scale returns the limits for a group of halls in which only some of all halls are visible.
+func (l Limits) Scale(visible, all int) Limits {
 	if all <= 0 || visible >= all {
 		return l
 	}
@@ -77,8 +77,8 @@
 	return l.limits
 }
 
-// Out returns the number of outstanding permits.
-func (l *Ledger) Out() int {
+// Outstanding returns the number of outstanding permits.
+func (l *Ledger) Outstanding() int {
 	return len(l.outstanding)
 }
 
@@ -91,8 +91,8 @@
 	l.bids[pool] = bid{value: value, preload: preload, issuedAt: now}
 }
 
-// Next grants a permit to the highest bid, if a token is available and fewer than AtFullSpeed permits are outstanding.
-func (l *Ledger) Next(now time.Time) (Permit, bool) {
+// Grant grants a permit to the highest bid, if a token is available and fewer than AtFullSpeed permits are outstanding.
+func (l *Ledger) Grant(now time.Time) (Permit, bool) {
 	l.refill(now)
 	l.expire(now)
 	if l.tokens < 1 || len(l.outstanding) >= l.limits.AtFullSpeed {
@@ -134,8 +134,8 @@
 	return pool < other
 }
 
-// Done returns a permit. If it was not used, its token becomes available again.
-func (l *Ledger) Done(now time.Time, id uint64, used bool) {
+// ReturnPermit returns a permit. If it was not used, its token becomes available again.
+func (l *Ledger) ReturnPermit(now time.Time, id uint64, used bool) {
 	l.refill(now)
 	if _, ok := l.outstanding[id]; !ok {
 		return
@@ -181,8 +181,8 @@
 	}
 }
 
-// Open reports whether a permit could be granted now. Otherwise, bids need not be computed.
-func (l *Ledger) Open(now time.Time) bool {
+// CanGrant reports whether a permit could be granted now. Otherwise, bids need not be computed.
+func (l *Ledger) CanGrant(now time.Time) bool {
 	l.refill(now)
 	return len(l.outstanding) < l.limits.AtFullSpeed && l.tokens >= 1
 }
--- a/services/daemon/budget/ledger_test.go
+++ b/services/daemon/budget/ledger_test.go
@@ -27,7 +27,7 @@
 
 // nextPool returns the pool of the next permit, or an empty name.
 func nextPool(l *budget.Ledger, now time.Time) string {
-	p, _ := l.Next(now)
+	p, _ := l.Grant(now)
 	return p.Pool
 }
 
@@ -39,7 +39,7 @@
 		granted bool
 	}{{0, true}, {0, false}, {time.Second - 1, false}, {time.Second, true}, {time.Minute, true}, {time.Minute, false}} {
 		bid(after(row.at))
-		_, ok := l.Next(after(row.at))
+		_, ok := l.Grant(after(row.at))
 		require.Equal(t, row.granted, ok, "at %v", row.at)
 	}
 }
@@ -88,7 +88,7 @@
 	l := newLedger(2)
 	grant := func(at time.Duration, preload bool) (budget.Permit, bool) {
 		l.Bid(after(at), "a", 1, preload)
-		return l.Next(after(at))
+		return l.Grant(after(at))
 	}
 	first, ok := grant(0, true)
 	require.True(t, ok)
@@ -98,10 +98,10 @@
 	require.True(t, ok)
 	_, ok = grant(2*time.Second, false)
 	require.False(t, ok, "both permits are outstanding")
-	require.False(t, l.Open(after(2*time.Second)))
-	l.Done(after(2*time.Second), first.ID, true)
-	l.Done(after(2*time.Second), first.ID, true)
-	require.True(t, l.Open(after(2*time.Second)))
+	require.False(t, l.CanGrant(after(2*time.Second)))
+	l.ReturnPermit(after(2*time.Second), first.ID, true)
+	l.ReturnPermit(after(2*time.Second), first.ID, true)
+	require.True(t, l.CanGrant(after(2*time.Second)))
 	_, ok = grant(2*time.Second, false)
 	require.True(t, ok)
 	_, ok = grant(3*time.Second, false)
@@ -111,15 +111,15 @@
 func TestUnusedPermitReturnsItsTokenOnce(t *testing.T) {
 	l := newLedger(100)
 	l.Bid(begin, "a", 1, false)
-	p, _ := l.Next(begin)
-	require.False(t, l.Open(begin))
-	l.Done(begin, p.ID, false)
-	l.Done(begin, p.ID, false)
+	p, _ := l.Grant(begin)
+	require.False(t, l.CanGrant(begin))
+	l.ReturnPermit(begin, p.ID, false)
+	l.ReturnPermit(begin, p.ID, false)
 	l.Bid(begin, "a", 1, false)
 	require.Equal(t, "a", nextPool(l, begin))
 	l.Bid(begin, "a", 1, false)
 	require.Empty(t, nextPool(l, begin))
-	l.Done(begin, 999, false)
+	l.ReturnPermit(begin, 999, false)
 	require.Empty(t, nextPool(l, begin), "returning an unknown permit has no effect")
 }
 
@@ -132,7 +132,7 @@
 		l.Bid(begin, "a", 1, false)
 		require.Equal(t, "a", nextPool(l, begin))
 		l.Bid(after(row.at), "b", 1, false)
-		_, ok := l.Next(after(row.at))
+		_, ok := l.Grant(after(row.at))
 		require.Equal(t, row.granted, ok, "after %v", row.at)
 	}
 }
@@ -150,7 +150,7 @@
 		{1, 3, budget.Limits{LoadsPerSecond: 4, AtFullSpeed: 1}},
 		{1, 6, budget.Limits{LoadsPerSecond: 2, AtFullSpeed: 1}},
 	} {
-		require.Equal(t, row.want, whole.Part(row.visible, row.all), "%d of %d halls", row.visible, row.all)
+		require.Equal(t, row.want, whole.Scale(row.visible, row.all), "%d of %d halls", row.visible, row.all)
 	}
 }
 
@@ -168,9 +168,9 @@
 	l := newLedger(1)
 	require.Zero(t, l.NextWake(begin), "a token is available")
 	l.Bid(begin, "a", 1, false)
-	p, _ := l.Next(begin)
+	p, _ := l.Grant(begin)
 	require.Zero(t, l.NextWake(begin), "a token does not allow a permit while AtFullSpeed permits are outstanding")
-	l.Done(begin, p.ID, true)
+	l.ReturnPermit(begin, p.ID, true)
 	require.Equal(t, after(time.Second+time.Millisecond), l.NextWake(begin))
 	l.SetLimits(begin, budget.Limits{AtFullSpeed: 1})
 	require.Zero(t, l.NextWake(begin), "no token accrues at a rate of zero")
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -111,7 +111,7 @@
 
 func inspection(endpoint string, began time.Time, status engine.Status) placement.Inspection {
 	return placement.Inspection{
-		Endpoint: endpoint, Incarnation: status.Incarnation, Began: began, Resident: status.Resident, Running: status.Running, Up: true,
+		Endpoint: endpoint, Incarnation: status.Incarnation, StartedAt: began, Resident: status.Resident, Running: status.Running, Up: true,
 	}
 }
 
@@ -127,7 +127,7 @@
 func (s *Service) inspect(i node.Inspect) {
 	began := s.options.Now()
 	status, err := s.options.Dialect.Status(s.ctx, i.Endpoint)
-	in := placement.Inspection{Endpoint: i.Endpoint.Name, Began: began}
+	in := placement.Inspection{Endpoint: i.Endpoint.Name, StartedAt: began}
 	if err == nil {
 		in = inspection(i.Endpoint.Name, began, status)
 	}
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -34,7 +34,7 @@
 		if ps == nil || ps.mine {
 			continue
 		}
-		ps.gap = !n.router.Learn(now, s)
+		ps.gap = !n.router.ApplySummary(now, s)
 	}
 }
 
@@ -56,7 +56,7 @@
 // changing tells whether the slots of a pool of this hall changed a short while ago.
 func (n *Node) changing(now time.Time) bool {
 	for _, ps := range n.order {
-		if ps.own && n.router.Changing(now, ps.pool.Name) {
+		if ps.own && n.router.HasRecentChanges(now, ps.pool.Name) {
 			return true
 		}
 	}
@@ -136,7 +136,7 @@
 		}
 	}
 	for _, s := range d.Pools {
-		r.SetGap(s.Pool, !n.router.Learn(now, s))
+		r.SetGap(s.Pool, !n.router.ApplySummary(now, s))
 	}
 	n.setCut(now, r, false)
 	n.config.Hear(d.Highest)
--- a/services/daemon/node/handover.go
+++ b/services/daemon/node/handover.go
@@ -62,7 +62,7 @@
 	ps.maxTerm = max(ps.maxTerm, e.Release.Term)
 	if ps.mine {
 		for _, u := range e.Release.Uses {
-			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
+			n.run(now, ps, ps.placer.RestoreTicket(now, u.Ticket, u.Request))
 		}
 		return
 	}
--- a/services/daemon/node/lease.go
+++ b/services/daemon/node/lease.go
@@ -160,7 +160,7 @@
 
 // thaw lifts the freeze on an endpoint whose list is younger than every grant of the former owners.
 func (n *Node) thaw(now time.Time, ps *poolState, in placement.Inspection) {
-	if !in.Up || !ps.former.Covers(in.Began, n.options.Timing.GrantAge+n.options.Placement.StartWithin) {
+	if !in.Up || !ps.former.Covers(in.StartedAt, n.options.Timing.GrantAge+n.options.Placement.StartWithin) {
 		return
 	}
 	n.run(now, ps, ps.placer.Thaw(now, in.Endpoint, "the former placers have ended and their last grants are too old to start"))
--- a/services/daemon/node/loads.go
+++ b/services/daemon/node/loads.go
@@ -44,7 +44,7 @@
 	if b := n.config.Catalog().Budget; b.LoadsPerSecond > 0 && b.AtFullSpeed > 0 {
 		limits.LoadsPerSecond, limits.AtFullSpeed = b.LoadsPerSecond, b.AtFullSpeed
 	}
-	n.ledger.SetLimits(now, limits.Part(len(n.visibleHalls()), len(n.remotes)+1))
+	n.ledger.SetLimits(now, limits.Scale(len(n.visibleHalls()), len(n.remotes)+1))
 	n.spend(now)
 }
 
@@ -91,13 +91,13 @@
 
 func (n *Node) grantPermits(now time.Time) {
 	for {
-		permit, ok := n.ledger.Next(now)
+		permit, ok := n.ledger.Grant(now)
 		if !ok {
 			return
 		}
 		ps := n.pools[permit.Pool]
 		if ps == nil {
-			n.ledger.Done(now, permit.ID, false)
+			n.ledger.ReturnPermit(now, permit.ID, false)
 			continue
 		}
 		if ps.mine {
@@ -106,7 +106,7 @@
 		}
 		to, found := n.placerOf(ps)
 		if !found {
-			n.ledger.Done(now, permit.ID, false)
+			n.ledger.ReturnPermit(now, permit.ID, false)
 			continue
 		}
 		n.send(to, fleet.Envelope{Permit: &fleet.Permit{Pool: permit.Pool, ID: permit.ID, Within: loads.PermitWithin}})
@@ -144,7 +144,7 @@
 
 func (n *Node) permitDone(now time.Time, pool string, held loads.Held, used bool) {
 	if held.From.ID == n.options.Self.ID {
-		n.ledger.Done(now, held.ID, used)
+		n.ledger.ReturnPermit(now, held.ID, used)
 		return
 	}
 	n.send(held.From, fleet.Envelope{PermitDone: &fleet.PermitDone{Pool: pool, ID: held.ID, Used: used}})
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -61,7 +61,7 @@
 func (n *Node) entryLost(now time.Time, id string) {
 	for _, ps := range n.order {
 		if ps.mine && ps.placer != nil {
-			n.run(now, ps, ps.placer.EntryLost(now, id))
+			n.run(now, ps, ps.placer.HandleEntryLoss(now, id))
 		}
 	}
 }
@@ -173,8 +173,8 @@
 			continue
 		}
 		ps.publisher.Update(now, ps.placer.Summary())
-		if !n.router.Learn(now, ps.publisher.Recent(now)) {
-			n.router.Learn(now, ps.publisher.Full())
+		if !n.router.ApplySummary(now, ps.publisher.Recent(now)) {
+			n.router.ApplySummary(now, ps.publisher.Full())
 		}
 	}
 }
--- a/services/daemon/node/node.go
+++ b/services/daemon/node/node.go
@@ -106,7 +106,7 @@
 	case e.Permit != nil:
 		n.permitted(now, e)
 	case e.PermitDone != nil:
-		n.ledger.Done(now, e.PermitDone.ID, e.PermitDone.Used)
+		n.ledger.ReturnPermit(now, e.PermitDone.ID, e.PermitDone.Used)
 	case e.WantRecords != nil:
 		n.wanted(now, e)
 	case e.Records != nil:
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -162,12 +162,12 @@
 	n.run(now, ps, ps.placer.Adopt(now, r.Inspection, r.Fence, frozen))
 	for _, u := range ps.handed {
 		if u.Ticket.Endpoint == endpoint {
-			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
+			n.run(now, ps, ps.placer.RestoreTicket(now, u.Ticket, u.Request))
 		}
 	}
 	for _, u := range n.uses.OfPool(ps.pool.Name) {
 		if u.Ticket.Endpoint == endpoint {
-			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
+			n.run(now, ps, ps.placer.RestoreTicket(now, u.Ticket, u.Request))
 		}
 	}
 	n.applyDrains(now, ps)
--- a/services/daemon/node/placing.go
+++ b/services/daemon/node/placing.go
@@ -73,7 +73,7 @@
 		return
 	}
 	for _, id := range r.Tickets {
-		n.run(now, ps, ps.placer.Return(now, id))
+		n.run(now, ps, ps.placer.ReturnTicket(now, id))
 	}
 }
 
@@ -102,7 +102,7 @@
 		case placement.Retake:
 			ps.takeover.Retake(e.Endpoint)
 			n.retryTakes(now, ps)
-		case placement.Note:
+		case placement.RecordEvent:
 			event := e.Event
 			n.note(now, event)
 		}
@@ -135,7 +135,7 @@
 	p, ok := n.pending.FindAttempt(g.Ticket.RequestID, g.Request.Attempt)
 	if !ok {
 		if !n.uses.Has(g.Ticket.ID) {
-			n.run(now, ps, ps.placer.Return(now, g.Ticket.ID))
+			n.run(now, ps, ps.placer.ReturnTicket(now, g.Ticket.ID))
 		}
 		return
 	}
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -72,7 +72,7 @@
 		return
 	}
 	if ps.mine {
-		n.run(now, ps, ps.placer.Return(now, t.ID))
+		n.run(now, ps, ps.placer.ReturnTicket(now, t.ID))
 		return
 	}
 	if to, ok := n.placerOf(ps); ok {
--- a/services/daemon/node/view_test.go
+++ b/services/daemon/node/view_test.go
@@ -90,7 +90,7 @@
 	require.False(t, pools[0].Endpoints[0].Up, "not taken yet")
 	result := node.TakeResult{
 		Pool: "h1/base", Term: 5, OK: true, Fence: 1 << 16,
-		Inspection: placement.Inspection{Endpoint: take.Endpoint.Name, Incarnation: "e1-1", Began: now, Up: true},
+		Inspection: placement.Inspection{Endpoint: take.Endpoint.Name, Incarnation: "e1-1", StartedAt: now, Up: true},
 	}
 	n.Taken(now, result)
 	require.True(t, n.Pools(now)[0].Endpoints[0].Up)
--- a/services/daemon/placement/backoff/failures.go
+++ b/services/daemon/placement/backoff/failures.go
@@ -35,8 +35,8 @@
 type Failure struct {
 	// Count is the number of failures since the last success, or since Forget dropped the adapter.
 	Count int
-	// Until is when the next load may start.
-	Until time.Time
+	// RetryAt is when the next load may start.
+	RetryAt time.Time
 }
 
 // Failures records the adapters whose last load failed, until Forget drops them.
@@ -50,34 +50,34 @@
 	return &Failures{options: o, byAdapter: make(map[fleet.AdapterRef]Failure)}
 }
 
-// Fail counts a failed load and returns the adapter's new state.
-func (f *Failures) Fail(now time.Time, ref fleet.AdapterRef) Failure {
+// RecordFailure counts a failed load and returns the adapter's new state.
+func (f *Failures) RecordFailure(now time.Time, ref fleet.AdapterRef) Failure {
 	failure := f.byAdapter[ref]
 	failure.Count++
 	doublings := min(failure.Count-1, maxDoublings)
 	wait := float64(f.options.Base) * float64(int64(1)<<doublings) * jitterFactor(ref, failure.Count)
-	failure.Until = now.Add(min(time.Duration(wait), f.options.Max))
+	failure.RetryAt = now.Add(min(time.Duration(wait), f.options.Max))
 	f.byAdapter[ref] = failure
 	return failure
 }
 
-// Succeed drops an adapter's failures after a successful load.
-func (f *Failures) Succeed(ref fleet.AdapterRef) {
+// RecordSuccess drops an adapter's failures after a successful load.
+func (f *Failures) RecordSuccess(ref fleet.AdapterRef) {
 	delete(f.byAdapter, ref)
 }
 
-// Forget drops the adapters of which no load has been tried for failureRetention after their delay, which limits the memory.
-func (f *Failures) Forget(now time.Time) {
+// Prune drops the adapters of which no load has been tried for failureRetention after their delay, which limits the memory.
+func (f *Failures) Prune(now time.Time) {
 	for ref, failure := range f.byAdapter {
-		if now.Sub(failure.Until) > failureRetention {
+		if now.Sub(failure.RetryAt) > failureRetention {
 			delete(f.byAdapter, ref)
 		}
 	}
 }
 
-// Waiting reports whether the next load of an adapter is still delayed.
-func (f *Failures) Waiting(now time.Time, ref fleet.AdapterRef) bool {
-	return now.Before(f.byAdapter[ref].Until)
+// Delayed reports whether the next load of an adapter is still delayed.
+func (f *Failures) Delayed(now time.Time, ref fleet.AdapterRef) bool {
+	return now.Before(f.byAdapter[ref].RetryAt)
 }
 
 // GivenUp reports whether the number of failures has reached GiveUp, so that waiting requests are refused.
@@ -89,10 +89,10 @@
 // the adapter was given up and its next load is still delayed.
 func (f *Failures) Refuses(now time.Time, ref fleet.AdapterRef) (time.Duration, bool) {
 	failure, ok := f.byAdapter[ref]
-	if !ok || !f.GivenUp(failure) || !now.Before(failure.Until) {
+	if !ok || !f.GivenUp(failure) || !now.Before(failure.RetryAt) {
 		return 0, false
 	}
-	return failure.Until.Sub(now), true
+	return failure.RetryAt.Sub(now), true
 }
 
 // jitterFactor returns the factor that is applied to the delay of an adapter. It is derived from a hash, so that it needs no random source.
--- a/services/daemon/placement/demand.go
+++ b/services/daemon/placement/demand.go
@@ -27,10 +27,10 @@
 // requests and of the expected arrivals, raised with the waiting time to prevent starvation
 // and lowered by the recent loads of the customers that wait.
 func (p *Placer) demandValue(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) float64 {
-	if p.failures.Waiting(now, ref) {
+	if p.failures.Delayed(now, ref) {
 		return 0
 	}
-	wait := now.Sub(a.Since())
+	wait := now.Sub(a.OldestQueued())
 	value := a.Weight() + p.arrivalRates.Rate(now, ref)*arrivalHorizon.Seconds()
 	value *= 1 + wait.Seconds()/waitDoubling.Seconds()
 	value /= 1 + p.minRecentLoads(now, a)
@@ -47,10 +47,10 @@
 // its oldest request has waited for SecondCopyWait, every copy is resident and none has a
 // free place. It returns false while all waiting requests are patient and still held back.
 func (p *Placer) wantsCopy(now time.Time, ref fleet.AdapterRef, a *queue.Adapter) bool {
-	if !a.Urgent() && now.Before(a.HoldUntil()) {
+	if !a.HasInteractive() && now.Before(a.HoldUntil()) {
 		return false
 	}
-	if now.Sub(a.Since()) < p.options.SecondCopyWait {
+	if now.Sub(a.OldestQueued()) < p.options.SecondCopyWait {
 		return false
 	}
 	for _, e := range p.copies[ref] {
@@ -81,6 +81,6 @@
 		return
 	}
 	for customer := range a.Customers() {
-		p.loadsByCustomer.add(now, customer, 1/float64(a.Lanes()))
+		p.loadsByCustomer.add(now, customer, 1/float64(a.LaneCount()))
 	}
 }
--- a/services/daemon/placement/dispatch.go
+++ b/services/daemon/placement/dispatch.go
@@ -100,10 +100,10 @@
 		if !ok || s.state != slotResident {
 			continue
 		}
-		if a.Patient() == 0 {
+		if a.PatientCount() == 0 {
 			continue
 		}
-		waiting += a.Patient()
+		waiting += a.PatientCount()
 		if now.After(a.HoldUntil()) {
 			return true
 		}
--- a/services/daemon/placement/effect.go
+++ b/services/daemon/placement/effect.go
@@ -47,17 +47,17 @@
 	Endpoint string
 }
 
-// Note records an event.
-type Note struct {
+// RecordEvent records an event.
+type RecordEvent struct {
 	Event fleet.Event
 }
 
-func (Grant) isEffect()   {}
-func (Refuse) isEffect()  {}
-func (Load) isEffect()    {}
-func (Inspect) isEffect() {}
-func (Retake) isEffect()  {}
-func (Note) isEffect()    {}
+func (Grant) isEffect()       {}
+func (Refuse) isEffect()      {}
+func (Load) isEffect()        {}
+func (Inspect) isEffect()     {}
+func (Retake) isEffect()      {}
+func (RecordEvent) isEffect() {}
 
 // LoadResult is the result of an ordered load.
 type LoadResult string
--- a/services/daemon/placement/inspection.go
+++ b/services/daemon/placement/inspection.go
@@ -15,7 +15,7 @@
 type Inspection struct {
 	Endpoint    string
 	Incarnation string
-	Began       time.Time
+	StartedAt   time.Time
 	Resident    []fleet.AdapterRef
 	// Running lists the adapters for which the endpoint runs or queues requests.
 	Running []fleet.AdapterRef
@@ -50,11 +50,11 @@
 	if e == nil {
 		return nil
 	}
-	if in.Began.Before(e.inspectedAt) {
+	if in.StartedAt.Before(e.inspectedAt) {
 		// A newer inspection has already been applied.
 		return p.takeEffects()
 	}
-	e.inspectedAt = in.Began
+	e.inspectedAt = in.StartedAt
 	if !in.Up {
 		p.markDown(now, e)
 		return p.takeEffects()
@@ -68,7 +68,7 @@
 			return p.takeEffects()
 		}
 	}
-	if e.previousOrderMayArrive(in.Began) {
+	if e.previousOrderMayArrive(in.StartedAt) {
 		// The report may list an adapter that such an order is about to unload; only an inspection that began after the order
 		// ended is reliable.
 		e.uncertain = true
@@ -102,14 +102,14 @@
 		switch {
 		case s.state == slotLoading && s.since.Add(p.options.LoadTimeout).After(now):
 			pendingLoads = true
-		case s.since.After(in.Began):
+		case s.since.After(in.StartedAt):
 		case !listed:
 			if s.state == slotLoading {
 				e.pendingLoads--
 			}
 			p.removeCopy(e, ref)
 			p.recordEvent(now, fleet.Event{Kind: fleet.EventUnloaded, Adapter: ref.String(), Endpoint: e.spec.Name, Cause: "the endpoint no longer lists it"})
-		case s.state == slotUnknown && e.unansweredUnloadMayArrive(in.Began, ref):
+		case s.state == slotUnknown && e.unansweredUnloadMayArrive(in.StartedAt, ref):
 			// The report may precede the unload: the slot stays unknown, so it is neither granted nor evicted.
 		case s.state == slotUnknown || s.state == slotLoading:
 			if s.state == slotLoading {
@@ -120,10 +120,10 @@
 		}
 	}
 	for _, ref := range in.Resident {
-		p.addReportedSlot(now, in.Began, e, ref)
+		p.addReportedSlot(now, in.StartedAt, e, ref)
 	}
 	p.markForeign(now, e, in, adopting)
-	maps.DeleteFunc(e.unansweredUnloads, func(_ fleet.AdapterRef, until time.Time) bool { return !until.After(in.Began) })
+	maps.DeleteFunc(e.unansweredUnloads, func(_ fleet.AdapterRef, until time.Time) bool { return !until.After(in.StartedAt) })
 	if !pendingLoads {
 		e.uncertain = false
 	}
@@ -174,7 +174,7 @@
 	if e.spec.ChecksFence {
 		return e.fence > granted.ticket.Fence
 	}
-	return in.Began.After(granted.orphanedAt.Add(p.options.StartWithin))
+	return in.StartedAt.After(granted.orphanedAt.Add(p.options.StartWithin))
 }
 
 // markDown takes an endpoint out of use until an inspection shows that it is up.
--- a/services/daemon/placement/load.go
+++ b/services/daemon/placement/load.go
@@ -66,7 +66,7 @@
 		s.state = slotResident
 		s.since = now
 		s.lastUsed = now
-		p.failures.Succeed(ref)
+		p.failures.RecordSuccess(ref)
 		p.recordEvent(now, fleet.Event{Kind: fleet.EventLoaded, Adapter: ref.String(), Endpoint: endpoint})
 		p.dispatchEndpoint(now, e)
 	case LoadFailed:
@@ -119,12 +119,12 @@
 
 // handleLoadFailure counts a failed load, delays the next one and, after repeated failures, refuses the waiting requests.
 func (p *Placer) handleLoadFailure(now time.Time, ref fleet.AdapterRef, endpoint, cause string) {
-	f := p.failures.Fail(now, ref)
+	f := p.failures.RecordFailure(now, ref)
 	p.recordEvent(now, fleet.Event{Kind: fleet.EventLoadFailed, Adapter: ref.String(), Endpoint: endpoint, Cause: cause, Value: float64(f.Count)})
 	if !p.failures.GivenUp(f) || len(p.copies[ref]) > 0 {
 		return
 	}
-	p.refuseAdapter(now, ref, fleet.Refusal{Reason: fleet.ReasonLoadFailing, RetryAfter: f.Until.Sub(now)})
+	p.refuseAdapter(now, ref, fleet.Refusal{Reason: fleet.ReasonLoadFailing, RetryAfter: f.RetryAt.Sub(now)})
 }
 
 func (p *Placer) refuseAdapter(now time.Time, ref fleet.AdapterRef, refusal fleet.Refusal) {
--- a/services/daemon/placement/load_test.go
+++ b/services/daemon/placement/load_test.go
@@ -15,7 +15,7 @@
 
 // inspection returns an inspection of the first incarnation of endpoint e1 that began at the given time.
 func inspection(began int, resident ...fleet.AdapterRef) placement.Inspection {
-	return placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(began), Up: true, Resident: resident}
+	return placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(began), Up: true, Resident: resident}
 }
 
 // placerWithPendingLoad returns a placer with one slot whose load of adapter a was ordered at 2 ms.
@@ -137,7 +137,7 @@
 			require.Equal(t, fleet.ReasonLoadFailing, refusalReason(effects))
 		}
 		now = now.Add(2 * time.Minute)
-		p.Inspected(now, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: now, Up: true})
+		p.Inspected(now, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: now, Up: true})
 	}
 	require.Empty(t, refusalReason(p.Submit(now, request("q2", "a"))), "after the delay the load is tried again")
 }
--- a/services/daemon/placement/options.go
+++ b/services/daemon/placement/options.go
@@ -42,9 +42,9 @@
 	SecondCopyWait time.Duration
 	// StartWithin limits the time between a grant and the start of the request.
 	StartWithin time.Duration
-	// TicketLife limits how long the ticket of a lost entry keeps an adapter in use. An entry that
+	// TicketTTL limits how long the ticket of a lost entry keeps an adapter in use. An entry that
 	// has not confirmed its ticket for this long is treated as lost.
-	TicketLife time.Duration
+	TicketTTL time.Duration
 	// LoadTimeout is the time after which the state of a slot is taken from the endpoint's
 	// report because its load was not answered.
 	LoadTimeout time.Duration
@@ -52,8 +52,8 @@
 	OrderMargin time.Duration
 	// EvictInUse is an injected fault: adapters in use may be evicted. It is set only to check that the tests detect it.
 	EvictInUse bool
-	// PlainQueue disables fair queueing within a class. It is used for comparison only.
-	PlainQueue bool
+	// DisableFairQueue disables fair queueing within a class. It is used for comparison only.
+	DisableFairQueue bool
 }
 
 // Default settings; see docs/design/0003.
@@ -122,7 +122,7 @@
 		GiveUpFailures:     defaultGiveUpFailures,
 		SecondCopyWait:     defaultSecondCopyWait,
 		StartWithin:        defaultStartWithin,
-		TicketLife:         defaultTicketLife,
+		TicketTTL:          defaultTicketLife,
 		LoadTimeout:        defaultLoadTimeout,
 	}
 }
--- a/services/daemon/placement/pending_evict_test.go
+++ b/services/daemon/placement/pending_evict_test.go
@@ -34,10 +34,10 @@
 	second.Name = "e2"
 	p := newPlacer(endpoint(1), second)
 	p.Inspected(at(2), inspection(1, ref("a")))
-	p.Inspected(at(2), placement.Inspection{Endpoint: "e2", Incarnation: "e2-1", Began: at(1), Up: false})
+	p.Inspected(at(2), placement.Inspection{Endpoint: "e2", Incarnation: "e2-1", StartedAt: at(1), Up: false})
 	p.Submit(at(3), request("q1", "c"))
 	require.Equal(t, ref("a"), orderLoad(t, p, at(4)).Evict)
-	p.Inspected(at(6), placement.Inspection{Endpoint: "e2", Incarnation: "e2-1", Began: at(5), Up: true})
+	p.Inspected(at(6), placement.Inspection{Endpoint: "e2", Incarnation: "e2-1", StartedAt: at(5), Up: true})
 	p.Submit(at(7), request("q2", "a"))
 	require.Equal(t, "e2", orderLoad(t, p, at(8)).Endpoint)
 }
--- a/services/daemon/placement/place.go
+++ b/services/daemon/placement/place.go
@@ -64,7 +64,7 @@
 	if s.state != slotResident || (e.inUse(s) && !p.options.EvictInUse) || p.pinned[s.adapter] {
 		return 0, false
 	}
-	if a, ok := p.queue.Adapter(s.adapter); ok && !s.closing && (a.Urgent() || e.acceptsRequests()) {
+	if a, ok := p.queue.Adapter(s.adapter); ok && !s.closing && (a.HasInteractive() || e.acceptsRequests()) {
 		return 0, false
 	}
 	rate := p.arrivalRates.Rate(now, s.adapter)
@@ -95,7 +95,7 @@
 			}
 		}
 	}
-	if least != nil && a.Urgent() {
+	if least != nil && a.HasInteractive() {
 		least.closing = true
 	}
 }
--- a/services/daemon/placement/placer.go
+++ b/services/daemon/placement/placer.go
@@ -59,7 +59,7 @@
 		classes:         indexClasses(o.Classes),
 		endpointByName:  make(map[string]*endpointState, len(endpoints)),
 		copies:          make(map[fleet.AdapterRef][]*endpointState),
-		queue:           queue.New(o.PlainQueue),
+		queue:           queue.New(o.DisableFairQueue),
 		arrivalRates:    popularity.New(popularity.Options{FastHalfLife: o.FastHalfLife, SlowHalfLife: o.SlowHalfLife, SlowWeight: o.SlowWeight}),
 		tickets:         make(map[string]*grantedTicket),
 		ticketByRequest: make(map[string]*grantedTicket),
@@ -133,10 +133,10 @@
 
 // prune drops the state of adapters and customers without recent requests, which limits the memory.
 func (p *Placer) prune(now time.Time) {
-	p.arrivalRates.Forget(now)
+	p.arrivalRates.Prune(now)
 	p.loadsByCustomer.prune(now)
-	p.failures.Forget(now)
-	p.queue.Forget(now)
+	p.failures.Prune(now)
+	p.queue.Prune(now)
 	p.pruneBases()
 }
 
@@ -149,7 +149,7 @@
 	}
 	for ref := range p.baseByAdapter {
 		_, waits := p.queue.Adapter(ref)
-		if !waits && !asked[ref] && !p.arrivalRates.Knows(ref) {
+		if !waits && !asked[ref] && !p.arrivalRates.Contains(ref) {
 			delete(p.baseByAdapter, ref)
 		}
 	}
@@ -177,7 +177,7 @@
 	e.At = now
 	e.Instance = p.instance
 	e.Pool = p.pool
-	p.effects = append(p.effects, Note{Event: e})
+	p.effects = append(p.effects, RecordEvent{Event: e})
 }
 
 // takeEffects returns the effects collected since the last call and clears them.
--- a/services/daemon/placement/placer_test.go
+++ b/services/daemon/placement/placer_test.go
@@ -40,7 +40,7 @@
 	o.Classes = []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1}, {Name: "patient", Priority: 1, StallWeight: 0.1, Patient: true}}
 	p := placement.NewPlacer("h1/base", "i1", endpoints, o)
 	for _, e := range endpoints {
-		p.Adopt(begin, placement.Inspection{Endpoint: e.Name, Incarnation: e.Name + "-1", Began: begin, Up: true}, 1, begin)
+		p.Adopt(begin, placement.Inspection{Endpoint: e.Name, Incarnation: e.Name + "-1", StartedAt: begin, Up: true}, 1, begin)
 	}
 	return p
 }
@@ -68,27 +68,27 @@
 func TestTicketDeclaredBeforeItsSlotIsReported(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	held := fleet.Ticket{ID: "t1", RequestID: "q1", Endpoint: "e1", Incarnation: "e1-1", Adapter: ref("a"), Entry: "i2"}
-	p.Redeclare(at(1), held, request("q1", "a"))
+	p.RestoreTicket(at(1), held, request("q1", "a"))
 	p.Inspected(at(2), placement.Inspection{
-		Endpoint: "e1", Incarnation: "e1-1", Began: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")},
+		Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")},
 	})
 	p.Submit(at(3), request("q2", "b"))
 	_, used := p.UsePermit(at(4))
 	require.False(t, used, "the adapter of the only slot is in use by a ticket and must not be evicted")
-	p.Return(at(5), "t1")
+	p.ReturnTicket(at(5), "t1")
 	require.Equal(t, ref("a"), orderLoad(t, p, at(6)).Evict)
 }
 
 func TestOwnTicketDoesNotHideRequestOfPreviousPlacer(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	listed := func(began int, running ...fleet.AdapterRef) placement.Inspection {
-		return placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(began), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: running}
+		return placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(began), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: running}
 	}
 	p.Adopt(at(2), listed(1, ref("a")), 2, at(2))
 	granted := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	require.Len(t, granted, 1)
 	p.Inspected(at(5), listed(4, ref("a")))
-	p.Return(at(6), granted[0].Ticket.ID)
+	p.ReturnTicket(at(6), granted[0].Ticket.ID)
 	p.Submit(at(7), request("q2", "b"))
 	_, used := p.UsePermit(at(8))
 	require.False(t, used, "a request granted by the previous placer may still use the adapter")
@@ -98,9 +98,9 @@
 
 func TestOlderInspectionIsIgnored(t *testing.T) {
 	p := newPlacer(endpoint(1))
-	newer := placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(5), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")}}
+	newer := placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(5), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")}}
 	p.Inspected(at(6), newer)
-	p.Inspected(at(7), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(3), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
+	p.Inspected(at(7), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(3), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	p.Submit(at(8), request("q1", "b"))
 	_, used := p.UsePermit(at(9))
 	require.False(t, used, "the older inspection lacks the running request that the newer one reports")
@@ -108,12 +108,12 @@
 
 func TestRestartedEndpointIsNotUsedBeforeItIsAcquiredAgain(t *testing.T) {
 	p := newPlacer(endpoint(2))
-	effects := p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", Began: at(1), Up: true})
+	effects := p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", StartedAt: at(1), Up: true})
 	require.Len(t, effectsOfType[placement.Retake](effects), 1)
 	p.Submit(at(3), request("q1", "a"))
 	_, used := p.UsePermit(at(4))
 	require.False(t, used, "the restarted endpoint has lost the fence")
-	p.Adopt(at(6), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", Began: at(5), Up: true}, 2, at(6))
+	p.Adopt(at(6), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", StartedAt: at(5), Up: true}, 2, at(6))
 	p.Submit(at(7), request("q2", "a"))
 	require.Equal(t, "e1-2", orderLoad(t, p, at(8)).Incarnation)
 }
@@ -123,7 +123,7 @@
 	e.ChecksFence = false
 	p := newPlacer(e)
 	p.AllowOrders("e1", time.Time{})
-	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
+	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	require.Empty(t, effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a"))), "the lease holder may unload the adapter at any time")
 	p.AllowOrders("e1", at(5))
 	require.Len(t, effectsOfType[placement.Grant](p.Submit(at(4), request("q2", "a"))), 1)
@@ -135,7 +135,7 @@
 
 func TestRepeatedGrantRestartsItsAge(t *testing.T) {
 	p := newPlacer(endpoint(1))
-	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
+	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	first := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	again := effectsOfType[placement.Grant](p.Submit(at(20000), request("q1", "a")))
 	require.Equal(t, first[0].Ticket.ID, again[0].Ticket.ID)
--- a/services/daemon/placement/popularity/estimates.go
+++ b/services/daemon/placement/popularity/estimates.go
@@ -82,8 +82,8 @@
 	return math.Max(r.fast, p.slowWeight*r.slow)
 }
 
-// Steady returns the slow rate, in weighted arrivals per second.
-func (p *Estimates) Steady(now time.Time, ref fleet.AdapterRef) float64 {
+// SlowRate returns the slow rate, in weighted arrivals per second.
+func (p *Estimates) SlowRate(now time.Time, ref fleet.AdapterRef) float64 {
 	r, ok := p.rates[ref]
 	if !ok {
 		return 0
@@ -97,14 +97,14 @@
 	return maps.Keys(p.rates)
 }
 
-// Knows reports whether the adapter has recorded rates.
-func (p *Estimates) Knows(ref fleet.AdapterRef) bool {
+// Contains reports whether the adapter has recorded rates.
+func (p *Estimates) Contains(ref fleet.AdapterRef) bool {
 	_, ok := p.rates[ref]
 	return ok
 }
 
-// Forget drops adapters whose rates have decayed below minRate, which limits the memory.
-func (p *Estimates) Forget(now time.Time) {
+// Prune drops adapters whose rates have decayed below minRate, which limits the memory.
+func (p *Estimates) Prune(now time.Time) {
 	for ref, r := range p.rates {
 		p.decay(now, r)
 		if r.fast < minRate && r.slow < minRate {
--- a/services/daemon/placement/popularity/estimates_test.go
+++ b/services/daemon/placement/popularity/estimates_test.go
@@ -41,8 +41,8 @@
 	require.InDelta(t, math.Ln2/fast.Seconds(), first, 1e-12)
 	require.InDelta(t, first/2, p.Rate(after(fast), a), 1e-12)
 	require.InDelta(t, first/4, p.Rate(after(2*fast), a), 1e-12)
-	require.InDelta(t, math.Ln2/slow.Seconds()/2, p.Steady(after(slow), a), 1e-12)
-	require.InDelta(t, p.Steady(after(slow), a), p.Rate(after(slow), a), 1e-12, "the slow rate is the larger one after its half-life")
+	require.InDelta(t, math.Ln2/slow.Seconds()/2, p.SlowRate(after(slow), a), 1e-12)
+	require.InDelta(t, p.SlowRate(after(slow), a), p.Rate(after(slow), a), 1e-12, "the slow rate is the larger one after its half-life")
 }
 
 func TestRateSumsWeights(t *testing.T) {
@@ -64,20 +64,20 @@
 func TestSlowWeightScalesTheSlowRate(t *testing.T) {
 	p := popularity.New(popularity.Options{FastHalfLife: fast, SlowHalfLife: slow, SlowWeight: 100})
 	p.Add(begin, a, 1)
-	require.InDelta(t, 100*p.Steady(begin, a), p.Rate(begin, a), 1e-12)
+	require.InDelta(t, 100*p.SlowRate(begin, a), p.Rate(begin, a), 1e-12)
 }
 
 func TestForgetDropsAdaptersWithDecayedRates(t *testing.T) {
 	p := newEstimates()
 	require.Zero(t, p.Rate(begin, a))
-	require.Zero(t, p.Steady(begin, a))
+	require.Zero(t, p.SlowRate(begin, a))
 	p.Add(begin, a, 1)
 	p.Add(after(5*time.Hour), b, 1)
-	p.Forget(after(5 * time.Hour))
+	p.Prune(after(5 * time.Hour))
 	require.ElementsMatch(t, []fleet.AdapterRef{a, b}, slices.Collect(p.Adapters()), "at 1.6e-6 per second adapter a is kept")
-	p.Forget(after(10 * time.Hour))
+	p.Prune(after(10 * time.Hour))
 	require.Equal(t, []fleet.AdapterRef{b}, slices.Collect(p.Adapters()), "below 1e-7 per second adapter a is dropped")
-	require.False(t, p.Knows(a))
-	require.True(t, p.Knows(b))
+	require.False(t, p.Contains(a))
+	require.True(t, p.Contains(b))
 	require.Zero(t, p.Rate(after(10*time.Hour), a))
 }
--- a/services/daemon/placement/preload.go
+++ b/services/daemon/placement/preload.go
@@ -26,7 +26,7 @@
 // bestPreload returns the best load of an adapter for which no request waits. Preloads requested by operators come first.
 func (p *Placer) bestPreload(now time.Time) (Bid, loadTarget, bool) {
 	for _, ref := range p.requestedPreloads {
-		if len(p.copies[ref]) > 0 || p.failures.Waiting(now, ref) {
+		if len(p.copies[ref]) > 0 || p.failures.Delayed(now, ref) {
 			continue
 		}
 		if target, ok := p.findLoadTarget(now, ref, math.Inf(1)); ok {
@@ -51,15 +51,15 @@
 func (p *Placer) mostPopularAbsent(now time.Time) Bid {
 	best := p.preloadCandidate
 	if now.Sub(p.preloadScannedAt) < preloadScanInterval {
-		if len(p.copies[best.Adapter]) > 0 || p.failures.Waiting(now, best.Adapter) {
+		if len(p.copies[best.Adapter]) > 0 || p.failures.Delayed(now, best.Adapter) {
 			return Bid{}
 		}
 		return best
 	}
 	best = Bid{}
 	for ref := range p.arrivalRates.Adapters() {
-		rate := p.arrivalRates.Steady(now, ref)
-		if rate < minPreloadRate || rate < best.Value || len(p.copies[ref]) > 0 || p.failures.Waiting(now, ref) {
+		rate := p.arrivalRates.SlowRate(now, ref)
+		if rate < minPreloadRate || rate < best.Value || len(p.copies[ref]) > 0 || p.failures.Delayed(now, ref) {
 			continue
 		}
 		if rate == best.Value && ref.String() > best.Adapter.String() {
--- a/services/daemon/placement/prune_test.go
+++ b/services/daemon/placement/prune_test.go
@@ -79,7 +79,7 @@
 	granted := effectsOfType[placement.Grant](p.Loaded(at(3), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
 	require.NotEmpty(t, granted)
 	for len(granted) > 0 {
-		next := p.Return(at(4), granted[0].Ticket.ID)
+		next := p.ReturnTicket(at(4), granted[0].Ticket.ID)
 		granted = append(granted[1:], effectsOfType[placement.Grant](next)...)
 	}
 	require.Zero(t, p.Summary().Waiting)
@@ -91,7 +91,7 @@
 func TestPrunesLoadCountsOfIdleCustomers(t *testing.T) {
 	o := placement.DefaultOptions()
 	// Without fair queueing, the queue keeps no state of customers without waiting requests.
-	o.PlainQueue = true
+	o.DisableFairQueue = true
 	require.Less(t, retainedEntries(placerAfterServing(t, keyCount, o))-retainedEntries(placerAfterServing(t, 1, o)), keyCount/2)
 }
 
@@ -132,7 +132,7 @@
 			p.Submit(now, request(id, name))
 			order := orderLoad(t, p, now)
 			for _, g := range effectsOfType[placement.Grant](p.Loaded(now, "e1", "e1-1", order.Adapter, result, "no such file")) {
-				p.Return(now, g.Ticket.ID)
+				p.ReturnTicket(now, g.Ticket.ID)
 			}
 			p.Cancel(now, id)
 			var resident []fleet.AdapterRef
@@ -207,7 +207,7 @@
 		for range grantsPerSweep {
 			granted := effectsOfType[placement.Grant](p.Submit(now, request("q", "a")))
 			require.Len(t, granted, 1)
-			p.Return(now, granted[0].Ticket.ID)
+			p.ReturnTicket(now, granted[0].Ticket.ID)
 		}
 	}
 	require.Less(t, retainedEntries(p), before+2, "state of a was added, that of b was pruned")
--- a/services/daemon/placement/queue/adapter.go
+++ b/services/daemon/placement/queue/adapter.go
@@ -23,13 +23,13 @@
 	return &Adapter{lanes: make(map[customerKey]*lane)}
 }
 
-// Patient returns the number of waiting requests of patient classes.
-func (a *Adapter) Patient() int {
+// PatientCount returns the number of waiting requests of patient classes.
+func (a *Adapter) PatientCount() int {
 	return len(a.patientHolds)
 }
 
-// Urgent reports whether an interactive request is waiting.
-func (a *Adapter) Urgent() bool {
+// HasInteractive reports whether an interactive request is waiting.
+func (a *Adapter) HasInteractive() bool {
 	return a.count > len(a.patientHolds)
 }
 
@@ -38,9 +38,9 @@
 	return a.weight
 }
 
-// Since returns the time at which the oldest waiting request was queued. The value of a load and the need for another copy
+// OldestQueued returns the time at which the oldest waiting request was queued. The value of a load and the need for another copy
 // depend on the waiting time of a single request, not on how long the queue has been non-empty.
-func (a *Adapter) Since() time.Time {
+func (a *Adapter) OldestQueued() time.Time {
 	var oldest time.Time
 	for _, l := range a.lanes {
 		queued := l.head().Queued
@@ -60,8 +60,8 @@
 	return a.patientHolds[0].holdUntil
 }
 
-// Lanes returns the number of lanes.
-func (a *Adapter) Lanes() int {
+// LaneCount returns the number of lanes.
+func (a *Adapter) LaneCount() int {
 	return len(a.lanes)
 }
 
--- a/services/daemon/placement/queue/queue.go
+++ b/services/daemon/placement/queue/queue.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Forget drops the tags of customers without recent waiting requests, which limits the memory.
-func (q *Queue) Forget(now time.Time) {
+// Prune drops the tags of customers without recent waiting requests, which limits the memory.
+func (q *Queue) Prune(now time.Time) {
 	q.fair.prune(now, q.hasWaiting)
 }
 
@@ -151,8 +151,8 @@
 	return w, ok
 }
 
-// Sorted returns the waiters in the order in which they were queued.
-func (q *Queue) Sorted() []*Waiter {
+// InArrivalOrder returns the waiters in the order in which they were queued.
+func (q *Queue) InArrivalOrder() []*Waiter {
 	return slices.SortedFunc(maps.Values(q.byID), func(a, b *Waiter) int { return cmp.Compare(a.sequence, b.sequence) })
 }
 
--- a/services/daemon/placement/queue/queue_test.go
+++ b/services/daemon/placement/queue/queue_test.go
@@ -98,7 +98,7 @@
 		q := queue.New(false)
 		q.Push(after(-row.wait), low, interactive, hold)
 		q.Push(begin, high, fleet.Class{Name: "other"}, hold)
-		waiters := q.Sorted()
+		waiters := q.InArrivalOrder()
 		require.Equal(t, row.overtakes, waiters[0].Before(waiters[1], begin, row.aging), "after %v", row.wait)
 		require.Equal(t, !row.overtakes, waiters[1].Before(waiters[0], begin, row.aging), "exactly one of two waiters is first")
 	}
@@ -135,19 +135,19 @@
 	require.Equal(t, 40, q.Tokens())
 	require.Equal(t, 30, q.ClassTokens("urgent"))
 	require.Equal(t, 20, q.CustomerTokens("urgent", "d"))
-	require.Equal(t, 1, adapter.Patient())
+	require.Equal(t, 1, adapter.PatientCount())
 	require.InDelta(t, 2.25, adapter.Weight(), 1e-12)
-	require.Equal(t, begin, adapter.Since())
-	require.Equal(t, 3, adapter.Lanes())
+	require.Equal(t, begin, adapter.OldestQueued())
+	require.Equal(t, 3, adapter.LaneCount())
 	require.ElementsMatch(t, []string{"c", "c", "d"}, slices.Collect(adapter.Customers()))
-	require.True(t, adapter.Urgent())
+	require.True(t, adapter.HasInteractive())
 	for _, id := range []string{"u1", "u2"} {
 		w, ok := q.Find(id)
 		require.True(t, ok)
 		q.Remove(w)
 		q.Remove(w)
 	}
-	require.False(t, adapter.Urgent(), "only a patient request is left")
+	require.False(t, adapter.HasInteractive(), "only a patient request is left")
 	require.Equal(t, 10, q.ClassTokens("urgent"), "a repeated removal has no effect")
 	require.Equal(t, 10, q.CustomerTokens("urgent", "d"))
 	var left []string
@@ -155,7 +155,7 @@
 		left = append(left, w.Request.ID)
 	}
 	require.Equal(t, []string{"p1"}, left)
-	require.Equal(t, 1, adapter.Lanes(), "lanes without waiters are dropped immediately")
+	require.Equal(t, 1, adapter.LaneCount(), "lanes without waiters are dropped immediately")
 	require.Equal(t, []string{"c"}, slices.Collect(adapter.Customers()))
 	for w := range adapter.Heads() {
 		require.Equal(t, "p1", w.Request.ID)
@@ -185,5 +185,5 @@
 	require.Equal(t, []string{"first", "second"}, expired(time.Minute))
 	require.Empty(t, expired(time.Minute), "each is reported once")
 	require.Equal(t, 1, q.Len())
-	require.Equal(t, "forever", q.Sorted()[0].Request.ID)
+	require.Equal(t, "forever", q.InArrivalOrder()[0].Request.ID)
 }
--- a/services/daemon/placement/queue/removal_test.go
+++ b/services/daemon/placement/queue/removal_test.go
@@ -26,11 +26,11 @@
 	q.Push(after(2*time.Second), request("q3", "c"), interactive, hold)
 	adapter, ok := q.Adapter(a)
 	require.True(t, ok)
-	require.Equal(t, begin, adapter.Since())
+	require.Equal(t, begin, adapter.OldestQueued())
 	remove(t, q, "q1")
-	require.Equal(t, after(time.Second), adapter.Since(), "q2 is the oldest remaining request")
+	require.Equal(t, after(time.Second), adapter.OldestQueued(), "q2 is the oldest remaining request")
 	remove(t, q, "q2")
-	require.Equal(t, after(2*time.Second), adapter.Since())
+	require.Equal(t, after(2*time.Second), adapter.OldestQueued())
 }
 
 func TestHoldUntilFollowsRemainingPatientRequests(t *testing.T) {
@@ -57,7 +57,7 @@
 	adapter, ok := q.Adapter(a)
 	require.True(t, ok)
 	remove(t, q, "goes")
-	require.Equal(t, 1, adapter.Lanes(), "a customer without waiting requests gets no share of the adapter's loads")
+	require.Equal(t, 1, adapter.LaneCount(), "a customer without waiting requests gets no share of the adapter's loads")
 }
 
 func TestRemovalsKeepOrderOfLane(t *testing.T) {
--- a/services/daemon/placement/queue/tag_retention_test.go
+++ b/services/daemon/placement/queue/tag_retention_test.go
@@ -29,7 +29,7 @@
 	}{{0, "quiet"}, {retention, "quiet"}, {retention + 1, "flood"}} {
 		q := queue.New(false)
 		serve(q, begin, request("f1", "flood"))
-		q.Forget(after(row.quiet))
+		q.Prune(after(row.quiet))
 		q.Push(after(row.quiet), request("flood", "flood"), interactive, hold)
 		q.Push(after(row.quiet), request("quiet", "quiet"), interactive, hold)
 		require.Equal(t, row.first, drain(q, after(row.quiet))[0], "after %v", row.quiet)
@@ -40,7 +40,7 @@
 	q := queue.New(false)
 	q.Push(begin, request("f1", "flood"), interactive, hold)
 	q.Push(begin, request("f2", "flood"), interactive, hold)
-	q.Forget(after(time.Hour))
+	q.Prune(after(time.Hour))
 	remove(t, q, "f1")
 	remove(t, q, "f2")
 	q.Push(after(time.Hour), request("f3", "flood"), interactive, hold)
--- a/services/daemon/placement/queue_wait_test.go
+++ b/services/daemon/placement/queue_wait_test.go
@@ -23,7 +23,7 @@
 	require.Len(t, running, 1)
 	p.Submit(at(4), request("q2", "a"))
 	p.Submit(at(800), request("q3", "a"))
-	require.Equal(t, 1, countGrants(p.Return(at(801), running[0].Ticket.ID)), "q2 starts")
+	require.Equal(t, 1, countGrants(p.ReturnTicket(at(801), running[0].Ticket.ID)), "q2 starts")
 	_, wants := p.Bid(at(802))
 	require.False(t, wants, "q3 has waited for 2 ms, less than SecondCopyWait")
 	_, wants = p.Bid(at(1400))
--- a/services/daemon/placement/restart_test.go
+++ b/services/daemon/placement/restart_test.go
@@ -26,7 +26,7 @@
 // inspectionWithA returns an inspection of the given incarnation that began at the given time and reports adapter a as resident.
 func inspectionWithA(incarnation string, began int, running ...fleet.AdapterRef) placement.Inspection {
 	return placement.Inspection{
-		Endpoint: "e1", Incarnation: incarnation, Began: at(began), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: running,
+		Endpoint: "e1", Incarnation: incarnation, StartedAt: at(began), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: running,
 	}
 }
 
@@ -64,7 +64,7 @@
 	p.Submit(at(7), request("q2", "b"))
 	_, used := p.UsePermit(at(8))
 	require.False(t, used, "the request of the first ticket may start after the restart, since the endpoint does not check the incarnation")
-	p.Return(at(9), granted[0].Ticket.ID)
+	p.ReturnTicket(at(9), granted[0].Ticket.ID)
 	require.Equal(t, ref("a"), orderLoad(t, p, at(10)).Evict)
 }
 
--- a/services/daemon/placement/submit.go
+++ b/services/daemon/placement/submit.go
@@ -65,7 +65,7 @@
 	if !ok {
 		return false
 	}
-	return a.Urgent()
+	return a.HasInteractive()
 }
 
 // checkAdmission applies the queue limits of the class and the customer, and refuses requests that cannot be served. The second result is
@@ -147,7 +147,7 @@
 
 // RefuseAll refuses all waiting requests, for a planned stop or after the pool was lost to another instance.
 func (p *Placer) RefuseAll(now time.Time, reason fleet.Reason, retryAfter time.Duration) []Effect {
-	for _, w := range p.queue.Sorted() {
+	for _, w := range p.queue.InArrivalOrder() {
 		p.queue.Remove(w)
 		p.refuse(now, w.Request, fleet.Refusal{Reason: reason, RetryAfter: retryAfter})
 	}
--- a/services/daemon/placement/submit_test.go
+++ b/services/daemon/placement/submit_test.go
@@ -19,7 +19,7 @@
 	o := placement.DefaultOptions()
 	o.Classes = []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1, MaxQueuedTokens: 120}}
 	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{endpoint(1)}, o)
-	p.Adopt(begin, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", Began: begin, Up: true}, 1, begin)
+	p.Adopt(begin, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: begin, Up: true}, 1, begin)
 	return p
 }
 
--- a/services/daemon/placement/ticket.go
+++ b/services/daemon/placement/ticket.go
@@ -34,8 +34,8 @@
 	return p.instance + "/" + p.pool + "/" + p.epoch + "/" + strconv.FormatUint(p.sequence, 10)
 }
 
-// Return removes a ticket after its request has ended on the endpoint.
-func (p *Placer) Return(now time.Time, ticketID string) []Effect {
+// ReturnTicket removes a ticket after its request has ended on the endpoint.
+func (p *Placer) ReturnTicket(now time.Time, ticketID string) []Effect {
 	granted, ok := p.tickets[ticketID]
 	if !ok {
 		return nil
@@ -64,8 +64,8 @@
 	return e
 }
 
-// Redeclare adds a ticket that an entry still holds from a previous placer.
-func (p *Placer) Redeclare(now time.Time, t fleet.Ticket, r fleet.Request) []Effect {
+// RestoreTicket adds a ticket that an entry still holds from a previous placer.
+func (p *Placer) RestoreTicket(now time.Time, t fleet.Ticket, r fleet.Request) []Effect {
 	if _, ok := p.tickets[t.ID]; ok {
 		return nil
 	}
@@ -80,9 +80,9 @@
 	return p.takeEffects()
 }
 
-// EntryLost marks the tickets of a lost entry as orphaned and removes its waiting requests. The tickets count as in use until the endpoint
+// HandleEntryLoss marks the tickets of a lost entry as orphaned and removes its waiting requests. The tickets count as in use until the endpoint
 // reports that their requests have ended.
-func (p *Placer) EntryLost(now time.Time, entry string) []Effect {
+func (p *Placer) HandleEntryLoss(now time.Time, entry string) []Effect {
 	p.markOrphaned(now, p.ticketsOfEntry(entry))
 	for _, w := range p.waitersOfEntry(entry) {
 		p.queue.Remove(w)
@@ -110,9 +110,9 @@
 // sweepTickets marks tickets as orphaned that their entries have not confirmed for TicketLife, because the loss of an entry
 // is reported only within the pool's hall. It removes tickets that have been orphaned for TicketLife.
 func (p *Placer) sweepTickets(now time.Time) {
-	p.markOrphaned(now, p.ticketsWhere(func(granted *grantedTicket) bool { return granted.unconfirmedFor(now, p.options.TicketLife) }))
+	p.markOrphaned(now, p.ticketsWhere(func(granted *grantedTicket) bool { return granted.unconfirmedFor(now, p.options.TicketTTL) }))
 	for _, granted := range p.tickets {
-		if !granted.orphanedAt.IsZero() && now.Sub(granted.orphanedAt) > p.options.TicketLife {
+		if !granted.orphanedAt.IsZero() && now.Sub(granted.orphanedAt) > p.options.TicketTTL {
 			p.dropTicket(now, granted)
 		}
 	}
@@ -120,7 +120,7 @@
 
 func (p *Placer) waitersOfEntry(entry string) []*queue.Waiter {
 	var out []*queue.Waiter
-	for _, w := range p.queue.Sorted() {
+	for _, w := range p.queue.InArrivalOrder() {
 		if w.Request.Entry == entry {
 			out = append(out, w)
 		}
@@ -135,7 +135,7 @@
 	reported := make(map[string]bool, len(uses))
 	for _, u := range uses {
 		reported[u.Ticket.ID] = true
-		p.effects = append(p.effects, p.Redeclare(now, u.Ticket, u.Request)...)
+		p.effects = append(p.effects, p.RestoreTicket(now, u.Ticket, u.Request)...)
 		if granted, ok := p.tickets[u.Ticket.ID]; ok {
 			granted.confirmedAt = now
 			granted.orphanedAt = time.Time{}
--- a/services/daemon/placement/ticket_test.go
+++ b/services/daemon/placement/ticket_test.go
@@ -36,8 +36,8 @@
 func TestReturnedTicketFreesSlotOnce(t *testing.T) {
 	p, ticket := placerWithTicket(t)
 	require.False(t, canEvict(p, at(4)))
-	p.Return(at(5), ticket.ID)
-	require.Empty(t, p.Return(at(5), ticket.ID))
+	p.ReturnTicket(at(5), ticket.ID)
+	require.Empty(t, p.ReturnTicket(at(5), ticket.ID))
 	require.Empty(t, p.Tickets())
 	require.True(t, canEvict(p, at(6)))
 }
@@ -77,12 +77,12 @@
 		{"idle under the fence of the ticket", 1, inspection(20, ref("a")), 1},
 		{"idle under a newer fence", 2, inspection(20, ref("a")), 0},
 		{"running under a newer fence", 2, placement.Inspection{
-			Endpoint: "e1", Incarnation: "e1-1", Began: at(20), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")},
+			Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(20), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")},
 		}, 1},
 	} {
 		p, _ := placerWithTicket(t)
-		require.Len(t, effectsOfType[placement.Retake](p.EntryLost(at(10), "i2")), 1, "under a new fence no request of the lost entry can start")
-		require.Empty(t, p.EntryLost(at(11), "i2"), "a repeated report of the loss has no effect")
+		require.Len(t, effectsOfType[placement.Retake](p.HandleEntryLoss(at(10), "i2")), 1, "under a new fence no request of the lost entry can start")
+		require.Empty(t, p.HandleEntryLoss(at(11), "i2"), "a repeated report of the loss has no effect")
 		p.Adopt(at(21), row.inspection, row.fence, at(21))
 		require.Len(t, p.Tickets(), row.left, row.name)
 	}
@@ -96,7 +96,7 @@
 		p := newPlacer(e)
 		p.Inspected(at(2), inspection(1, ref("a")))
 		p.Submit(at(3), request("q1", "a"))
-		require.Empty(t, effectsOfType[placement.Retake](p.EntryLost(at(lost), "i1")))
+		require.Empty(t, effectsOfType[placement.Retake](p.HandleEntryLoss(at(lost), "i1")))
 		p.Inspected(at(row.began+1), inspection(row.began, ref("a")))
 		require.Len(t, p.Tickets(), row.left, "inspection began at %d", row.began)
 	}
@@ -132,7 +132,7 @@
 func TestTicketConfirmedAgainByItsEntryIsKept(t *testing.T) {
 	p, ticket := placerWithTicket(t)
 	uses := []fleet.TicketUse{{Ticket: ticket, Request: fleet.Request{ID: "q1"}}}
-	p.EntryLost(at(10), "i2")
+	p.HandleEntryLoss(at(10), "i2")
 	p.Reconfirm(at(20), "i2", uses, 10*time.Second)
 	p.Adopt(at(22), inspection(21, ref("a")), 2, at(22))
 	require.Len(t, p.Tickets(), 1, "the entry uses the ticket")
@@ -143,14 +143,14 @@
 		p.Tick(later)
 	}
 	require.Len(t, p.Tickets(), 1)
-	p.Return(later, ticket.ID)
+	p.ReturnTicket(later, ticket.ID)
 	require.Empty(t, p.Tickets())
 }
 
 func TestQueuedRequestsOfLostEntryAreRemoved(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	p.Submit(at(1), request("q1", "a"))
-	p.EntryLost(at(2), "i1")
+	p.HandleEntryLoss(at(2), "i1")
 	require.Empty(t, p.Waiting())
 }
 
@@ -176,7 +176,7 @@
 		func(on bool) []placement.Effect { return p.SetDrained(at(3), "e1", on) },
 	} {
 		require.Empty(t, stop(false))
-		require.Len(t, effectsOfType[placement.Note](stop(true)), 1)
+		require.Len(t, effectsOfType[placement.RecordEvent](stop(true)), 1)
 		require.Empty(t, stop(true), "setting the same state again has no effect")
 		require.Equal(t, fleet.ReasonNoEndpoint, refusalReason(p.Submit(at(3), request("r"+strconv.Itoa(i), "a"))))
 		stop(false)
--- a/services/daemon/placement/view.go
+++ b/services/daemon/placement/view.go
@@ -169,7 +169,7 @@
 // Waiting returns the queued requests, the oldest first.
 func (p *Placer) Waiting() []WaitingView {
 	out := make([]WaitingView, 0, p.queue.Len())
-	for _, w := range p.queue.Sorted() {
+	for _, w := range p.queue.InArrivalOrder() {
 		r := w.Request
 		out = append(out, WaitingView{
 			Request: r.ID, Caller: r.Caller, Class: r.Class, Adapter: r.Adapter.String(),
--- a/services/daemon/routing/choose_test.go
+++ b/services/daemon/routing/choose_test.go
@@ -47,8 +47,8 @@
 		r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 		here, there := fullSummary("h1", 1, 1, row.freeHere, "a@1"), fullSummary("h2", 1, 1, row.freeThere, "a@1")
 		here.Waiting, there.Waiting = row.waitingHere, row.waitingThere
-		r.Learn(begin, here)
-		r.Learn(begin, there)
+		r.ApplySummary(begin, here)
+		r.ApplySummary(begin, there)
 		require.Equal(t, row.chosen, choosePool(r, begin, "a"), row.name)
 	}
 }
@@ -57,7 +57,7 @@
 	for _, hall := range []string{"h1", "h2"} {
 		r := routerWithSummaries(8, 8)
 		none := fleet.PoolSummary{Pool: hall + "/base", Epoch: 1, Seq: 2, Full: true, Added: []string{"a@1"}}
-		r.Learn(begin, none)
+		r.ApplySummary(begin, none)
 		require.Equal(t, "h1/base", choosePool(r, begin, "a"), "%s has no places", hall)
 	}
 }
@@ -65,8 +65,8 @@
 func TestOwnHallIsPreferredAtEqualLoad(t *testing.T) {
 	for _, own := range []string{"h1", "h2"} {
 		r := routing.NewRouter(own, pools(), routing.DefaultOptions())
-		r.Learn(begin, fullSummary("h1", 1, 1, 0, "a@1"))
-		r.Learn(begin, fullSummary("h2", 1, 1, 0, "a@1"))
+		r.ApplySummary(begin, fullSummary("h1", 1, 1, 0, "a@1"))
+		r.ApplySummary(begin, fullSummary("h2", 1, 1, 0, "a@1"))
 		require.Equal(t, own+"/base", choosePool(r, begin, "a"))
 	}
 }
--- a/services/daemon/routing/options.go
+++ b/services/daemon/routing/options.go
@@ -7,8 +7,8 @@
 
 // Options configures the choice between pools.
 type Options struct {
-	// Fresh is the maximum age of a summary from another hall.
-	Fresh time.Duration
+	// MaxSummaryAge is the maximum age of a summary from another hall.
+	MaxSummaryAge time.Duration
 	// BoundedLoad is the load relative to the mean above which a pool gets no requests for cold adapters.
 	BoundedLoad float64
 }
@@ -24,5 +24,5 @@
 // DefaultOptions returns the settings that apply without a settings file. In the daemon, the setting bounded_load, which has
 // the same default, replaces BoundedLoad.
 func DefaultOptions() Options {
-	return Options{Fresh: defaultFresh, BoundedLoad: defaultBoundedLoad}
+	return Options{MaxSummaryAge: defaultFresh, BoundedLoad: defaultBoundedLoad}
 }
--- a/services/daemon/routing/publisher_test.go
+++ b/services/daemon/routing/publisher_test.go
@@ -40,11 +40,11 @@
 	p := routing.NewPublisher(1)
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 	p.Update(begin, state("a"))
-	require.True(t, r.Learn(begin, p.Full()))
+	require.True(t, r.ApplySummary(begin, p.Full()))
 	for i := 1; i <= 100; i++ {
 		now := begin.Add(time.Duration(i) * 250 * time.Millisecond)
 		p.Update(now, state("a"))
-		require.True(t, r.Learn(now, p.Recent(now)), "summary %d", i)
+		require.True(t, r.ApplySummary(now, p.Recent(now)), "summary %d", i)
 	}
 }
 
@@ -52,19 +52,19 @@
 	p := routing.NewPublisher(1)
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 	p.Update(begin, state("a"))
-	require.True(t, r.Learn(begin, p.Full()))
+	require.True(t, r.ApplySummary(begin, p.Full()))
 	soon := begin.Add(time.Second)
 	p.Update(soon, state("a", "b"))
 	p.Update(soon.Add(time.Second), state("b"))
 	now := soon.Add(2 * time.Second)
-	require.True(t, r.Learn(now, p.Recent(now)), "a partial summary contains the changes of two lost summaries")
+	require.True(t, r.ApplySummary(now, p.Recent(now)), "a partial summary contains the changes of two lost summaries")
 	require.Equal(t, "h2/base", choosePool(r, now, "b"))
 	late := now.Add(10 * time.Second)
 	p.Update(late, state("c"))
 	p.Update(late.Add(10*time.Second), state("c"))
 	now = late.Add(11 * time.Second)
-	require.False(t, r.Learn(now, p.Recent(now)), "the change is no longer in the partial summary")
-	require.True(t, r.Learn(now, p.Full()))
+	require.False(t, r.ApplySummary(now, p.Recent(now)), "the change is no longer in the partial summary")
+	require.True(t, r.ApplySummary(now, p.Full()))
 	require.Equal(t, "h2/base", choosePool(r, now, "c"))
 }
 
@@ -72,7 +72,7 @@
 	p := routing.NewPublisher(1)
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
 	p.Update(begin, state("a"))
-	r.Learn(begin, p.Full())
+	r.ApplySummary(begin, p.Full())
 	require.Equal(t, "h2/base", choosePool(r, begin, "a"))
 	require.Equal(t, "h1/base", choosePool(r, begin.Add(time.Minute), "a"))
 }
@@ -84,7 +84,7 @@
 		s := state("a")
 		s.Pool = hall + "/base"
 		p.Update(begin, s)
-		r.Learn(begin, p.Full())
+		r.ApplySummary(begin, p.Full())
 	}
 	counts := make(map[string]int)
 	for range 40 {
--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -36,13 +36,13 @@
 	return r
 }
 
-// Learn updates the state of a pool from a summary. It returns false if changes are missing and a full summary is needed.
-func (r *Router) Learn(now time.Time, s fleet.PoolSummary) bool {
+// ApplySummary updates the state of a pool from a summary. It returns false if changes are missing and a full summary is needed.
+func (r *Router) ApplySummary(now time.Time, s fleet.PoolSummary) bool {
 	k := r.byName[s.Pool]
 	if k == nil {
 		return true
 	}
-	return k.applySummary(now, s, r.options.Fresh)
+	return k.applySummary(now, s, r.options.MaxSummaryAge)
 }
 
 // SetCut marks a hall as unreachable or as reachable again.
@@ -76,7 +76,7 @@
 			out = append(out, k)
 			continue
 		}
-		if k.unreachable || k.stale(now, r.options.Fresh) || k.places == 0 {
+		if k.unreachable || k.stale(now, r.options.MaxSummaryAge) || k.places == 0 {
 			continue
 		}
 		out = append(out, k)
@@ -84,9 +84,9 @@
 	return out
 }
 
-// Heard resets the age of every summary from a reachable hall, when its transport has
+// ConfirmSummaries resets the age of every summary from a reachable hall, when its transport has
 // confirmed that nothing has changed.
-func (r *Router) Heard(now time.Time) {
+func (r *Router) ConfirmSummaries(now time.Time) {
 	for _, k := range r.pools {
 		if !k.unreachable {
 			k.refreshedAt = now
@@ -94,8 +94,8 @@
 	}
 }
 
-// Changing reports whether adapters were added to a pool or removed from it within changeRetention.
-func (r *Router) Changing(now time.Time, pool string) bool {
+// HasRecentChanges reports whether adapters were added to a pool or removed from it within changeRetention.
+func (r *Router) HasRecentChanges(now time.Time, pool string) bool {
 	k := r.byName[pool]
 	if k == nil {
 		return false
--- a/services/daemon/routing/router_test.go
+++ b/services/daemon/routing/router_test.go
@@ -21,8 +21,8 @@
 // routerWithSummaries returns a router of hall h1 with summaries of both halls' pools that report the given free places.
 func routerWithSummaries(freeHere, freeThere int, adaptersThere ...string) *routing.Router {
 	r := routing.NewRouter("h1", pools(), routing.DefaultOptions())
-	r.Learn(begin, fullSummary("h1", 1, 1, freeHere))
-	r.Learn(begin, fullSummary("h2", 1, 1, freeThere, adaptersThere...))
+	r.ApplySummary(begin, fullSummary("h1", 1, 1, freeHere))
+	r.ApplySummary(begin, fullSummary("h2", 1, 1, freeThere, adaptersThere...))
 	return r
 }
 
@@ -33,7 +33,7 @@
 
 func TestOwnHallIsChosenWhileItHasFreePlaces(t *testing.T) {
 	r := routerWithSummaries(1, 8, "a@1")
-	r.Learn(begin, fullSummary("h1", 1, 2, 1, "a@1"))
+	r.ApplySummary(begin, fullSummary("h1", 1, 2, 1, "a@1"))
 	require.Equal(t, "h1/base", choosePool(r, begin, "a"))
 	require.Equal(t, "h2/base", choosePool(r, begin, "a"), "the first request took the last place")
 }
@@ -53,10 +53,10 @@
 	r.SetCut("h2", true)
 	require.Equal(t, "h1/base", choosePool(r, begin, "a"))
 	r.SetCut("h2", false)
-	fresh := routing.DefaultOptions().Fresh
+	fresh := routing.DefaultOptions().MaxSummaryAge
 	require.Equal(t, "h2/base", choosePool(r, begin.Add(fresh), "a"))
 	require.Equal(t, "h1/base", choosePool(r, begin.Add(fresh+1), "a"))
-	r.Heard(begin.Add(fresh + 1))
+	r.ConfirmSummaries(begin.Add(fresh + 1))
 	require.Equal(t, "h2/base", choosePool(r, begin.Add(fresh+1), "a"), "the summary was confirmed as unchanged")
 }
 
@@ -75,22 +75,22 @@
 
 func TestLateOrRepeatedSummaryIsIgnored(t *testing.T) {
 	r := routerWithSummaries(8, 8, "a@1")
-	require.True(t, r.Learn(begin, fullSummary("h2", 1, 3, 8, "b@1")))
-	require.True(t, r.Learn(begin, fullSummary("h2", 1, 2, 8, "a@1")), "a late summary requires no full summary")
+	require.True(t, r.ApplySummary(begin, fullSummary("h2", 1, 3, 8, "b@1")))
+	require.True(t, r.ApplySummary(begin, fullSummary("h2", 1, 2, 8, "a@1")), "a late summary requires no full summary")
 	require.Equal(t, "h2/base", choosePool(r, begin, "b"))
-	require.True(t, r.Learn(begin, fullSummary("h2", 1, 3, 8, "b@1")))
+	require.True(t, r.ApplySummary(begin, fullSummary("h2", 1, 3, 8, "b@1")))
 	require.Equal(t, "h2/base", choosePool(r, begin, "b"))
-	require.True(t, r.Learn(begin, fleet.PoolSummary{Pool: "h9/base", Seq: 1}), "an unknown pool requires no full summary")
+	require.True(t, r.ApplySummary(begin, fleet.PoolSummary{Pool: "h9/base", Seq: 1}), "an unknown pool requires no full summary")
 }
 
 func TestNewPublisherRequiresFullSummary(t *testing.T) {
 	r := routerWithSummaries(8, 8, "a@1")
 	part := fleet.PoolSummary{Pool: "h2/base", Epoch: 2, Seq: 5, Base: 0, Free: 8, Places: 8}
-	require.False(t, r.Learn(begin, part))
-	require.False(t, r.Learn(begin, part), "a repeated partial summary does not close the gap")
+	require.False(t, r.ApplySummary(begin, part))
+	require.False(t, r.ApplySummary(begin, part), "a repeated partial summary does not close the gap")
 	_, ok := r.Export(begin, "h2/base", true)
 	require.False(t, ok, "an incomplete state is not exported")
-	require.True(t, r.Learn(begin, fullSummary("h2", 2, 6, 8, "c@1")))
+	require.True(t, r.ApplySummary(begin, fullSummary("h2", 2, 6, 8, "c@1")))
 	out, ok := r.Export(begin, "h2/base", true)
 	require.True(t, ok)
 	require.Equal(t, []string{"c@1"}, out.Added)
@@ -98,20 +98,20 @@
 
 func TestOlderPublisherIsAcceptedAfterNewerTimesOut(t *testing.T) {
 	r := routerWithSummaries(8, 8)
-	require.True(t, r.Learn(begin, fullSummary("h2", 7, 1, 8, "new@1")))
-	require.True(t, r.Learn(begin, fullSummary("h2", 3, 9, 8, "old@1")))
+	require.True(t, r.ApplySummary(begin, fullSummary("h2", 7, 1, 8, "new@1")))
+	require.True(t, r.ApplySummary(begin, fullSummary("h2", 3, 9, 8, "old@1")))
 	require.Equal(t, "h2/base", choosePool(r, begin, "new"))
-	later := begin.Add(routing.DefaultOptions().Fresh + 1)
-	require.True(t, r.Learn(later, fullSummary("h2", 3, 9, 8, "old@1")))
+	later := begin.Add(routing.DefaultOptions().MaxSummaryAge + 1)
+	require.True(t, r.ApplySummary(later, fullSummary("h2", 3, 9, 8, "old@1")))
 	require.Equal(t, "h2/base", choosePool(r, later, "old"))
 }
 
 func TestChangingReportsChangesWithinRetention(t *testing.T) {
 	r := routerWithSummaries(8, 8)
-	require.False(t, r.Changing(begin.Add(time.Minute), "h2/base"))
+	require.False(t, r.HasRecentChanges(begin.Add(time.Minute), "h2/base"))
 	now := begin.Add(time.Minute)
-	r.Learn(now, fullSummary("h2", 1, 2, 8, "a@1"))
-	require.True(t, r.Changing(now.Add(3*time.Second), "h2/base"))
-	require.False(t, r.Changing(now.Add(3*time.Second+1), "h2/base"))
-	require.False(t, r.Changing(now, "h9/base"))
+	r.ApplySummary(now, fullSummary("h2", 1, 2, 8, "a@1"))
+	require.True(t, r.HasRecentChanges(now.Add(3*time.Second), "h2/base"))
+	require.False(t, r.HasRecentChanges(now.Add(3*time.Second+1), "h2/base"))
+	require.False(t, r.HasRecentChanges(now, "h9/base"))
 }
--- a/tests/capacity/capacity_test.go
+++ b/tests/capacity/capacity_test.go
@@ -94,7 +94,7 @@
 	p := placement.NewPlacer("h1/base", "i1", specs, o)
 	var resident []fleet.AdapterRef
 	for n, spec := range specs {
-		in := placement.Inspection{Endpoint: spec.Name, Incarnation: spec.Name, Began: now, Up: true}
+		in := placement.Inspection{Endpoint: spec.Name, Incarnation: spec.Name, StartedAt: now, Up: true}
 		for i := range slots {
 			in.Resident = append(in.Resident, fleet.AdapterRef{Name: fmt.Sprintf("a-%d", n*slots+i), Version: 1})
 		}
@@ -110,7 +110,7 @@
 		now = now.Add(100 * time.Microsecond)
 		for _, e := range p.Submit(now, ask(fmt.Sprintf("q%d", i), resident[i*7%len(resident)], now)) {
 			if g, ok := e.(placement.Grant); ok {
-				p.Return(now, g.Ticket.ID)
+				p.ReturnTicket(now, g.Ticket.ID)
 			}
 		}
 	}
@@ -227,7 +227,7 @@
 	}
 	before := heapInUse()
 	r := routing.NewRouter("h1", []fleet.Pool{pool}, routing.DefaultOptions())
-	r.Learn(time.Unix(1000, 0), summary)
+	r.ApplySummary(time.Unix(1000, 0), summary)
 	used := heapInUse() - before
 	runtime.KeepAlive(r)
 	runtime.KeepAlive(summary)
--- a/tests/capacity/fleet_test.go
+++ b/tests/capacity/fleet_test.go
@@ -136,7 +136,7 @@
 }
 
 func (f *simFleet) inspect(endpoint string) placement.Inspection {
-	return placement.Inspection{Endpoint: endpoint, Incarnation: endpoint, Began: f.now, Up: true, Resident: f.resident[endpoint]}
+	return placement.Inspection{Endpoint: endpoint, Incarnation: endpoint, StartedAt: f.now, Up: true, Resident: f.resident[endpoint]}
 }
 
 func (f *simFleet) send(s *simNode, e fleet.Envelope) {
--- a/tests/fuzz/endpoint_test.go
+++ b/tests/fuzz/endpoint_test.go
@@ -70,7 +70,7 @@
 }
 
 func (e *fakeEndpoint) status(began time.Time) placement.Inspection {
-	in := placement.Inspection{Endpoint: e.spec.Name, Incarnation: e.name(), Began: began, Up: true}
+	in := placement.Inspection{Endpoint: e.spec.Name, Incarnation: e.name(), StartedAt: began, Up: true}
 	for name := range e.resident {
 		ref, _ := fleet.ParseAdapterRef(name)
 		in.Resident = append(in.Resident, ref)
--- a/tests/fuzz/order_test.go
+++ b/tests/fuzz/order_test.go
@@ -58,11 +58,11 @@
 func (w *world) inspect(n *fakeNode, i node.Inspect) {
 	e := w.endpoints[i.Endpoint.Name]
 	began := n.clock()
-	in := placement.Inspection{Endpoint: e.spec.Name, Began: began}
+	in := placement.Inspection{Endpoint: e.spec.Name, StartedAt: began}
 	w.toEndpoint(n, e, func() { in = e.status(began) },
 		func() { n.do(n.node.Inspected(n.clock(), i.Pool, i.Term, in)) },
 		func() {
-			n.do(n.node.Inspected(n.clock(), i.Pool, i.Term, placement.Inspection{Endpoint: e.spec.Name, Began: began}))
+			n.do(n.node.Inspected(n.clock(), i.Pool, i.Term, placement.Inspection{Endpoint: e.spec.Name, StartedAt: began}))
 		})
 }
 
--- a/tools/replay/sim/policy_budget.go
+++ b/tools/replay/sim/policy_budget.go
@@ -62,14 +62,14 @@
 		}
 	}
 	for group, l := range b.ledgers {
-		l.SetLimits(now, b.limits.Part(sizes[group], len(halls)))
+		l.SetLimits(now, b.limits.Scale(sizes[group], len(halls)))
 	}
 }
 
 // spend collects the bids and uses the permits that the ledgers give.
 func (b *budgets) spend(now time.Time) {
 	for _, pl := range b.product.pools {
-		if l := b.ledgers[b.groupOf(pl.Hall)]; l != nil && l.Open(now) {
+		if l := b.ledgers[b.groupOf(pl.Hall)]; l != nil && l.CanGrant(now) {
 			bid(now, l, pl)
 		}
 	}
@@ -93,7 +93,7 @@
 
 func (b *budgets) spendOf(now time.Time, l *budget.Ledger) {
 	for {
-		permit, ok := l.Next(now)
+		permit, ok := l.Grant(now)
 		if !ok {
 			break
 		}
@@ -105,7 +105,7 @@
 func (b *budgets) use(now time.Time, l *budget.Ledger, permit budget.Permit) {
 	pl := b.product.byName[permit.Pool]
 	if pl.placer == nil {
-		l.Done(now, permit.ID, false)
+		l.ReturnPermit(now, permit.ID, false)
 		return
 	}
 	effects, used := pl.placer.UsePermit(now)
@@ -116,7 +116,7 @@
 	}
 	b.product.run(now, pl, effects)
 	if !used {
-		l.Done(now, permit.ID, false)
+		l.ReturnPermit(now, permit.ID, false)
 		return
 	}
 	bid(now, l, pl)
@@ -127,7 +127,7 @@
 	key := loadKey{e, ref}
 	if held, ok := b.permits[key]; ok {
 		delete(b.permits, key)
-		held.ledger.Done(now, held.id, true)
+		held.ledger.ReturnPermit(now, held.id, true)
 	}
 }
 
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -94,7 +94,7 @@
 
 func (p *product) inspect(now time.Time, endpoint string) placement.Inspection {
 	e := p.world.engines[endpoint]
-	in := placement.Inspection{Endpoint: endpoint, Incarnation: strconv.Itoa(e.incarnation), Began: now, Up: true}
+	in := placement.Inspection{Endpoint: endpoint, Incarnation: strconv.Itoa(e.incarnation), StartedAt: now, Up: true}
 	in.Resident = slices.SortedFunc(maps.Keys(e.resident), func(a, b fleet.AdapterRef) int { return strings.Compare(a.String(), b.String()) })
 	in.Running = slices.Collect(maps.Keys(e.using))
 	return in
@@ -110,7 +110,7 @@
 }
 
 func (p *product) arrive(now time.Time, r *request) {
-	p.routers[r.Hall].Heard(now)
+	p.routers[r.Hall].ConfirmSummaries(now)
 	name, ok := p.routers[r.Hall].Choose(now, r.Request, nil)
 	if !ok {
 		p.world.refuse(now, r)
@@ -132,7 +132,7 @@
 func (p *product) ended(now time.Time, r *request, _ *engine) {
 	pl, ticket := p.byName[r.pool], r.ticket
 	r.pool, r.ticket = "", ""
-	p.decide(now, pl, func(placer *placement.Placer) []placement.Effect { return placer.Return(now, ticket) })
+	p.decide(now, pl, func(placer *placement.Placer) []placement.Effect { return placer.ReturnTicket(now, ticket) })
 }
 
 func (p *product) expired(now time.Time, r *request) {
@@ -209,7 +209,7 @@
 			pl.placer, pl.owner = nil, ring.Best(pl.Name, p.world.liveIn(pl.Hall))
 			p.world.agenda.Add(now.Add(takeoverDelay), func(at time.Time) { p.takeover(at, pl) })
 		} else if pl.placer != nil {
-			p.run(now, pl, pl.placer.EntryLost(now, instance))
+			p.run(now, pl, pl.placer.HandleEntryLoss(now, instance))
 		}
 	}
 }
@@ -221,7 +221,7 @@
 		switch {
 		case r.pool != pl.Name:
 		case r.run != nil:
-			p.run(now, pl, pl.placer.Redeclare(now, ticketOf(r), r.Request))
+			p.run(now, pl, pl.placer.RestoreTicket(now, ticketOf(r), r.Request))
 		default:
 			waiting = append(waiting, r)
 		}
@@ -305,13 +305,13 @@
 		pl.publisher.Update(now, pl.placer.Summary())
 		recent := pl.publisher.Recent(now)
 		for hall, r := range p.routers {
-			if !p.world.apart(hall, pl.Hall) && !r.Learn(now, recent) {
-				r.Learn(now, pl.publisher.Full())
+			if !p.world.apart(hall, pl.Hall) && !r.ApplySummary(now, recent) {
+				r.ApplySummary(now, pl.publisher.Full())
 			}
 		}
 	}
 	for _, r := range p.routers {
-		r.Heard(now)
+		r.ConfirmSummaries(now)
 	}
 }
 
