--- a/services/daemon/placement/backoff/failures.go
+++ b/services/daemon/placement/backoff/failures.go
@@ -33,13 +33,13 @@
 
 // Failure is the backoff state of an adapter whose last load failed.
 type Failure struct {
-	// Count is the number of failures since the last success, or since Forget dropped the adapter.
+	// Count is the number of failures since the last success, or since Prune dropped the adapter.
 	Count int
 	// RetryAt is when the next load may start.
 	RetryAt time.Time
 }
 
-// Failures records the adapters whose last load failed, until Forget drops them.
+// Failures records the adapters whose last load failed, until Prune drops them.
 type Failures struct {
 	options   Options
 	byAdapter map[fleet.AdapterRef]Failure
--- a/services/daemon/placement/backoff/failures_test.go
+++ b/services/daemon/placement/backoff/failures_test.go
@@ -38,7 +38,7 @@
 	require.NotEqual(t, one.RecordFailure(begin, a).RetryAt, one.RecordFailure(begin, b).RetryAt)
 }
 
-func TestDelayEndsAtUntil(t *testing.T) {
+func TestDelayEndsAtRetryAt(t *testing.T) {
 	f := backoff.New(options)
 	require.False(t, f.Delayed(begin, a))
 	until := f.RecordFailure(begin, a).RetryAt
@@ -67,7 +67,7 @@
 	require.False(t, refused)
 }
 
-func TestForgetDropsFailuresAfterRetention(t *testing.T) {
+func TestPruneDropsFailuresAfterRetention(t *testing.T) {
 	const retention = time.Hour
 	for _, row := range []struct {
 		later time.Duration
@@ -84,7 +84,7 @@
 	}
 }
 
-func TestForgetDoesNotEndDelay(t *testing.T) {
+func TestPruneDoesNotEndDelay(t *testing.T) {
 	f := backoff.New(backoff.Options{Base: 24 * time.Hour, Max: 24 * time.Hour, GiveUp: 1})
 	until := f.RecordFailure(begin, a).RetryAt
 	f.Prune(until.Add(-1))
--- a/services/daemon/placement/inspection.go
+++ b/services/daemon/placement/inspection.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Inspection is the state that an endpoint reports. It reflects every order that ended before Began.
+// Inspection is the state that an endpoint reports. It reflects every order that ended before StartedAt.
 type Inspection struct {
 	Endpoint    string
 	Incarnation string
--- a/services/daemon/placement/options.go
+++ b/services/daemon/placement/options.go
@@ -52,7 +52,7 @@
 	OrderMargin time.Duration
 	// EvictInUse is an injected fault: adapters in use may be evicted. It is set only to check that the tests detect it.
 	EvictInUse bool
-	// DisableFairQueue disables fair queueing within a class. It is used for comparison only.
+	// DisableFairQueue disables fair queuing within a class. It is used for comparison only.
 	DisableFairQueue bool
 }
 
@@ -92,9 +92,9 @@
 	// defaultStartWithin: a longer time tolerates a longer pause of the entry between the grant and the start of the request, a shorter one
 	// lets the next placer unload sooner (assumption A3 of docs/design/0002).
 	defaultStartWithin = 2 * time.Second
-	// defaultTicketLife: a longer time protects a running request of a lost entry, a shorter one frees its slot sooner if the endpoint does not
+	// defaultTicketTTL: a longer time protects a running request of a lost entry, a shorter one frees its slot sooner if the endpoint does not
 	// report the end of the request.
-	defaultTicketLife = 10 * time.Minute
+	defaultTicketTTL = 10 * time.Minute
 	// defaultLoadTimeout: a longer time-out tolerates slow loads, a shorter one relies on the endpoint's report sooner.
 	defaultLoadTimeout = 30 * time.Second
 	// defaultMaxQueuedTokens limits the queue of a class without a limit of its own: a higher limit lets requests wait longer, a lower one
@@ -122,7 +122,7 @@
 		GiveUpFailures:     defaultGiveUpFailures,
 		SecondCopyWait:     defaultSecondCopyWait,
 		StartWithin:        defaultStartWithin,
-		TicketTTL:          defaultTicketLife,
+		TicketTTL:          defaultTicketTTL,
 		LoadTimeout:        defaultLoadTimeout,
 	}
 }
--- a/services/daemon/placement/pending_evict_test.go
+++ b/services/daemon/placement/pending_evict_test.go
@@ -22,8 +22,8 @@
 	p.Submit(at(5), request("q2", "a"))
 	_, used := p.UsePermit(at(6))
 	require.False(t, used, "the order that evicts a may still arrive")
-	_, wants := p.Bid(at(300))
-	require.False(t, wants)
+	_, found := p.Bid(at(300))
+	require.False(t, found)
 	require.Equal(t, 1, countGrants(p.Loaded(at(301), "e1", "e1-1", ref("c"), placement.LoadDone, "")))
 	require.Equal(t, ref("a"), orderLoad(t, p, at(302)).Adapter, "the order that evicts a has ended")
 }
--- a/services/daemon/placement/place.go
+++ b/services/daemon/placement/place.go
@@ -38,7 +38,8 @@
 	return a.running < b.running
 }
 
-// cheapestSlot returns the slot of an endpoint with the lowest eviction cost; a free slot costs nothing.
+// cheapestSlot returns the slot of an endpoint with the lowest eviction cost; a free slot costs nothing. It returns false if no
+// slot is free or may be evicted.
 func (p *Placer) cheapestSlot(now time.Time, e *endpointState) (loadTarget, bool) {
 	if len(e.slots) < e.spec.Slots {
 		return loadTarget{endpoint: e}, true
--- a/services/daemon/placement/placer.go
+++ b/services/daemon/placement/placer.go
@@ -143,13 +143,13 @@
 // pruneBases drops the base models of adapters that are not worth loading: no request waits for them, none is expected and no
 // operator requested a preload.
 func (p *Placer) pruneBases() {
-	asked := make(map[fleet.AdapterRef]bool, len(p.requestedPreloads))
+	requested := make(map[fleet.AdapterRef]bool, len(p.requestedPreloads))
 	for _, ref := range p.requestedPreloads {
-		asked[ref] = true
+		requested[ref] = true
 	}
 	for ref := range p.baseByAdapter {
 		_, waits := p.queue.Adapter(ref)
-		if !waits && !asked[ref] && !p.arrivalRates.Contains(ref) {
+		if !waits && !requested[ref] && !p.arrivalRates.Contains(ref) {
 			delete(p.baseByAdapter, ref)
 		}
 	}
--- a/services/daemon/placement/popularity/estimates.go
+++ b/services/daemon/placement/popularity/estimates.go
@@ -49,66 +49,66 @@
 }
 
 // Add counts an arrival of the given weight.
-func (p *Estimates) Add(now time.Time, ref fleet.AdapterRef, weight float64) {
-	r, ok := p.rates[ref]
+func (e *Estimates) Add(now time.Time, ref fleet.AdapterRef, weight float64) {
+	r, ok := e.rates[ref]
 	if !ok {
 		r = &rates{updatedAt: now}
-		p.rates[ref] = r
+		e.rates[ref] = r
 	}
-	p.decay(now, r)
-	r.fast += weight / p.fastMeanLife
-	r.slow += weight / p.slowMeanLife
+	e.decay(now, r)
+	r.fast += weight / e.fastMeanLife
+	r.slow += weight / e.slowMeanLife
 }
 
 // decay updates the rates to the given time. A time before the last update leaves them unchanged.
-func (p *Estimates) decay(now time.Time, r *rates) {
+func (e *Estimates) decay(now time.Time, r *rates) {
 	dt := now.Sub(r.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	r.fast *= math.Exp(-dt / p.fastMeanLife)
-	r.slow *= math.Exp(-dt / p.slowMeanLife)
+	r.fast *= math.Exp(-dt / e.fastMeanLife)
+	r.slow *= math.Exp(-dt / e.slowMeanLife)
 	r.updatedAt = now
 }
 
 // Rate returns the expected weighted arrivals per second: the larger of the two rates, so that
 // a rise takes effect immediately and a short pause does not reduce the rate to zero.
-func (p *Estimates) Rate(now time.Time, ref fleet.AdapterRef) float64 {
-	r, ok := p.rates[ref]
+func (e *Estimates) Rate(now time.Time, ref fleet.AdapterRef) float64 {
+	r, ok := e.rates[ref]
 	if !ok {
 		return 0
 	}
-	p.decay(now, r)
-	return math.Max(r.fast, p.slowWeight*r.slow)
+	e.decay(now, r)
+	return math.Max(r.fast, e.slowWeight*r.slow)
 }
 
 // SlowRate returns the slow rate, in weighted arrivals per second.
-func (p *Estimates) SlowRate(now time.Time, ref fleet.AdapterRef) float64 {
-	r, ok := p.rates[ref]
+func (e *Estimates) SlowRate(now time.Time, ref fleet.AdapterRef) float64 {
+	r, ok := e.rates[ref]
 	if !ok {
 		return 0
 	}
-	p.decay(now, r)
+	e.decay(now, r)
 	return r.slow
 }
 
 // Adapters returns all recorded adapters in no particular order.
-func (p *Estimates) Adapters() iter.Seq[fleet.AdapterRef] {
-	return maps.Keys(p.rates)
+func (e *Estimates) Adapters() iter.Seq[fleet.AdapterRef] {
+	return maps.Keys(e.rates)
 }
 
 // Contains reports whether the adapter has recorded rates.
-func (p *Estimates) Contains(ref fleet.AdapterRef) bool {
-	_, ok := p.rates[ref]
+func (e *Estimates) Contains(ref fleet.AdapterRef) bool {
+	_, ok := e.rates[ref]
 	return ok
 }
 
 // Prune drops adapters whose rates have decayed below minRate, which limits the memory.
-func (p *Estimates) Prune(now time.Time) {
-	for ref, r := range p.rates {
-		p.decay(now, r)
+func (e *Estimates) Prune(now time.Time) {
+	for ref, r := range e.rates {
+		e.decay(now, r)
 		if r.fast < minRate && r.slow < minRate {
-			delete(p.rates, ref)
+			delete(e.rates, ref)
 		}
 	}
 }
--- a/services/daemon/placement/popularity/estimates_test.go
+++ b/services/daemon/placement/popularity/estimates_test.go
@@ -67,7 +67,7 @@
 	require.InDelta(t, 100*p.SlowRate(begin, a), p.Rate(begin, a), 1e-12)
 }
 
-func TestForgetDropsAdaptersWithDecayedRates(t *testing.T) {
+func TestPruneDropsAdaptersWithDecayedRates(t *testing.T) {
 	p := newEstimates()
 	require.Zero(t, p.Rate(begin, a))
 	require.Zero(t, p.SlowRate(begin, a))
--- a/services/daemon/placement/prune_test.go
+++ b/services/daemon/placement/prune_test.go
@@ -90,7 +90,7 @@
 // TestPrunesLoadCountsOfIdleCustomers checks that the decaying load counts of idle customers are dropped.
 func TestPrunesLoadCountsOfIdleCustomers(t *testing.T) {
 	o := placement.DefaultOptions()
-	// Without fair queueing, the queue keeps no state of customers without waiting requests.
+	// Without fair queuing, the queue keeps no state of customers without waiting requests.
 	o.DisableFairQueue = true
 	require.Less(t, retainedEntries(placerAfterServing(t, keyCount, o))-retainedEntries(placerAfterServing(t, 1, o)), keyCount/2)
 }
@@ -115,8 +115,8 @@
 		other := request("q2", "b")
 		other.Caller = "other"
 		p.Submit(now, other)
-		bid, wants := p.Bid(now)
-		require.True(t, wants)
+		bid, found := p.Bid(now)
+		require.True(t, found)
 		require.Equal(t, ref(row.first), bid.Adapter, "after %v", row.later)
 	}
 }
--- a/services/daemon/placement/queue/doc.go
+++ b/services/daemon/placement/queue/doc.go
@@ -8,7 +8,7 @@
 // virtual time at which the customer's previous request ended, so that a burst of one customer
 // delays only that customer. Priorities rise with the waiting time (docs/design/0003, queues).
 // The virtual end time of a customer's last request is dropped once the customer has had no
-// waiting request for a long time (Queue.Forget).
+// waiting request for a long time (Queue.Prune).
 //
 // Admission and the choice of the request to start are decided in services/daemon/placement.
 // The package starts no goroutines, does not read the clock and is not safe for concurrent use.
--- a/services/daemon/placement/queue/queue.go
+++ b/services/daemon/placement/queue/queue.go
@@ -37,7 +37,7 @@
 	return customerKey{class: w.Class.Name, customer: w.Request.Caller}
 }
 
-// New returns an empty queue. If plain is set, fair queueing within a class is disabled; this
+// New returns an empty queue. If plain is set, fair queuing within a class is disabled; this
 // is used for comparison only.
 func New(plain bool) *Queue {
 	return &Queue{
--- a/services/daemon/placement/queue/removal_test.go
+++ b/services/daemon/placement/queue/removal_test.go
@@ -19,7 +19,7 @@
 	q.Remove(w)
 }
 
-func TestSinceReturnsQueueTimeOfOldestRemainingRequest(t *testing.T) {
+func TestOldestQueuedFollowsRemainingRequests(t *testing.T) {
 	q := queue.New(false)
 	q.Push(begin, request("q1", "c"), interactive, hold)
 	q.Push(after(time.Second), request("q2", "d"), interactive, hold)
--- a/services/daemon/placement/queue_wait_test.go
+++ b/services/daemon/placement/queue_wait_test.go
@@ -24,10 +24,10 @@
 	p.Submit(at(4), request("q2", "a"))
 	p.Submit(at(800), request("q3", "a"))
 	require.Equal(t, 1, countGrants(p.ReturnTicket(at(801), running[0].Ticket.ID)), "q2 starts")
-	_, wants := p.Bid(at(802))
-	require.False(t, wants, "q3 has waited for 2 ms, less than SecondCopyWait")
-	_, wants = p.Bid(at(1400))
-	require.True(t, wants, "q3 has waited for 600 ms")
+	_, found := p.Bid(at(802))
+	require.False(t, found, "q3 has waited for 2 ms, less than SecondCopyWait")
+	_, found = p.Bid(at(1400))
+	require.True(t, found, "q3 has waited for 600 ms")
 }
 
 // TestCanceledPatientRequestDoesNotEndHoldOfOthers cancels the patient request whose hold ends first.
--- a/services/daemon/placement/ticket.go
+++ b/services/daemon/placement/ticket.go
@@ -24,9 +24,9 @@
 	orphanedAt time.Time
 }
 
-// unconfirmedFor reports whether the ticket was neither granted nor confirmed by its entry within limit before now.
-func (h *grantedTicket) unconfirmedFor(now time.Time, limit time.Duration) bool {
-	return now.Sub(h.grantedAt) > limit && now.Sub(h.confirmedAt) > limit
+// unconfirmedFor reports whether more than limit has passed both since the grant and since the last confirmation by the entry.
+func (t *grantedTicket) unconfirmedFor(now time.Time, limit time.Duration) bool {
+	return now.Sub(t.grantedAt) > limit && now.Sub(t.confirmedAt) > limit
 }
 
 func (p *Placer) nextTicketID() string {
@@ -107,8 +107,8 @@
 	}
 }
 
-// sweepTickets marks tickets as orphaned that their entries have not confirmed for TicketLife, because the loss of an entry
-// is reported only within the pool's hall. It removes tickets that have been orphaned for TicketLife.
+// sweepTickets marks tickets as orphaned that their entries have not confirmed for TicketTTL, because the loss of an entry
+// is reported only within the pool's hall. It removes tickets that have been orphaned for TicketTTL.
 func (p *Placer) sweepTickets(now time.Time) {
 	p.markOrphaned(now, p.ticketsWhere(func(granted *grantedTicket) bool { return granted.unconfirmedFor(now, p.options.TicketTTL) }))
 	for _, granted := range p.tickets {
--- a/services/daemon/placement/ticket_test.go
+++ b/services/daemon/placement/ticket_test.go
@@ -104,17 +104,17 @@
 
 // TestUnconfirmedTicketIsTreatedAsOrphaned covers an entry of another hall, whose loss is not reported to the placer.
 func TestUnconfirmedTicketIsTreatedAsOrphaned(t *testing.T) {
-	const granted, ticketLife, confirmed = 3, 600_000, 300_000
+	const granted, ticketTTL, confirmed = 3, 600_000, 300_000
 	for _, row := range []struct {
 		name     string
 		now      int
 		confirms bool
 		left     int
 	}{
-		{"at the limit after the grant", granted + ticketLife, false, 1},
-		{"past the limit after the grant", granted + ticketLife + 1, false, 0},
-		{"at the limit after the confirmation", confirmed + ticketLife, true, 1},
-		{"past the limit after the confirmation", confirmed + ticketLife + 1, true, 0},
+		{"at the limit after the grant", granted + ticketTTL, false, 1},
+		{"past the limit after the grant", granted + ticketTTL + 1, false, 0},
+		{"at the limit after the confirmation", confirmed + ticketTTL, true, 1},
+		{"past the limit after the confirmation", confirmed + ticketTTL + 1, true, 0},
 	} {
 		p, ticket := placerWithTicket(t)
 		if row.confirms {
@@ -128,7 +128,7 @@
 }
 
 // TestTicketConfirmedAgainByItsEntryIsKept lets an entry that was reported as lost confirm its ticket again, then confirm it
-// every 2 s for longer than TicketLife.
+// every 2 s for longer than TicketTTL.
 func TestTicketConfirmedAgainByItsEntryIsKept(t *testing.T) {
 	p, ticket := placerWithTicket(t)
 	uses := []fleet.TicketUse{{Ticket: ticket, Request: fleet.Request{ID: "q1"}}}
--- a/services/daemon/routing/change_log.go
+++ b/services/daemon/routing/change_log.go
@@ -48,7 +48,7 @@
 }
 
 // addTo adds the recent changes to a partial summary.
-func (l *changeLog) addTo(now time.Time, present map[string]bool, out *fleet.PoolSummary) {
+func (l *changeLog) addTo(now time.Time, adapters map[string]bool, out *fleet.PoolSummary) {
 	l.prune(now)
 	out.Base = l.completeSince
 	seen := make(map[string]bool, len(l.changes))
@@ -57,7 +57,7 @@
 			continue
 		}
 		seen[c.name] = true
-		if present[c.name] {
+		if adapters[c.name] {
 			out.Added = append(out.Added, c.name)
 			continue
 		}
--- a/services/daemon/routing/choose.go
+++ b/services/daemon/routing/choose.go
@@ -26,9 +26,9 @@
 	}
 	name := c.adapter.String()
 	var holding []*poolState
-	for _, k := range usable {
-		if k.adapters[name] {
-			holding = append(holding, k)
+	for _, ps := range usable {
+		if ps.adapters[name] {
+			holding = append(holding, ps)
 		}
 	}
 	if len(holding) > 0 {
@@ -41,12 +41,12 @@
 // preference for the own hall at equal load.
 func (c poolChooser) localOrLeastLoaded(list []*poolState) *poolState {
 	best := list[0]
-	for _, k := range list {
-		if k.pool.Hall == c.hall && k.freePlaces() > 0 {
-			return k
+	for _, ps := range list {
+		if ps.pool.Hall == c.hall && ps.freePlaces() > 0 {
+			return ps
 		}
-		if k.load() < best.load() || (k.load() == best.load() && k.pool.Hall == c.hall) {
-			best = k
+		if ps.load() < best.load() || (ps.load() == best.load() && ps.pool.Hall == c.hall) {
+			best = ps
 		}
 	}
 	return best
@@ -56,23 +56,23 @@
 // load the adapter. A pool with a load far above the mean is skipped.
 func (c poolChooser) homePool(usable []*poolState) *poolState {
 	mean := 0.0
-	for _, k := range usable {
-		mean += k.load()
+	for _, ps := range usable {
+		mean += ps.load()
 	}
 	mean /= float64(len(usable))
 	limit := c.boundedLoad*mean + loadBoundSlack
 	var best, light *poolState
 	var bestScore uint64
-	for _, k := range usable {
-		if light == nil || k.load() < light.load() {
-			light = k
+	for _, ps := range usable {
+		if light == nil || ps.load() < light.load() {
+			light = ps
 		}
-		if k.load() > limit {
+		if ps.load() > limit {
 			continue
 		}
-		s := k.homeScore(c.adapter.Name)
+		s := ps.homeScore(c.adapter.Name)
 		if best == nil || s > bestScore {
-			best, bestScore = k, s
+			best, bestScore = ps, s
 		}
 	}
 	if best == nil {
--- a/services/daemon/routing/options.go
+++ b/services/daemon/routing/options.go
@@ -14,9 +14,9 @@
 }
 
 const (
-	// defaultFresh: a longer age sends requests based on outdated summaries, a shorter one sends none to a hall whose summaries are delayed.
+	// defaultMaxSummaryAge: a longer age sends requests based on outdated summaries, a shorter one sends none to a hall whose summaries are delayed.
 	// Twenty digests fit into this time at their default interval.
-	defaultFresh = 5 * time.Second
+	defaultMaxSummaryAge = 5 * time.Second
 	// defaultBoundedLoad: a higher bound keeps adapters in one hall, a lower one balances the load more evenly.
 	defaultBoundedLoad = 1.25
 )
@@ -24,5 +24,5 @@
 // DefaultOptions returns the settings that apply without a settings file. In the daemon, the setting bounded_load, which has
 // the same default, replaces BoundedLoad.
 func DefaultOptions() Options {
-	return Options{MaxSummaryAge: defaultFresh, BoundedLoad: defaultBoundedLoad}
+	return Options{MaxSummaryAge: defaultMaxSummaryAge, BoundedLoad: defaultBoundedLoad}
 }
--- a/services/daemon/routing/pool.go
+++ b/services/daemon/routing/pool.go
@@ -35,63 +35,63 @@
 	recentChanges changeLog
 }
 
-// stale reports whether the latest summary is older than fresh.
-func (k *poolState) stale(now time.Time, fresh time.Duration) bool {
-	return now.Sub(k.refreshedAt) > fresh
+// stale reports whether the latest summary is older than maxAge.
+func (ps *poolState) stale(now time.Time, maxAge time.Duration) bool {
+	return now.Sub(ps.refreshedAt) > maxAge
 }
 
 // applySummary updates the state from a summary. It returns false if changes are missing and a full summary is needed. A
-// summary of an earlier publisher or state is ignored, unless the latest summary is older than fresh.
-func (k *poolState) applySummary(now time.Time, s fleet.PoolSummary, fresh time.Duration) bool {
-	if !k.stale(now, fresh) && (s.Epoch < k.epoch || (s.Epoch == k.epoch && s.Seq < k.seq)) {
+// summary of an earlier publisher or state is ignored, unless the latest summary is older than maxAge.
+func (ps *poolState) applySummary(now time.Time, s fleet.PoolSummary, maxAge time.Duration) bool {
+	if !ps.stale(now, maxAge) && (s.Epoch < ps.epoch || (s.Epoch == ps.epoch && s.Seq < ps.seq)) {
 		return true
 	}
-	k.refreshedAt = now
-	k.free, k.places, k.slots, k.waiting, k.sentSince = s.Free, s.Places, s.Slots, s.Waiting, 0
+	ps.refreshedAt = now
+	ps.free, ps.places, ps.slots, ps.waiting, ps.sentSince = s.Free, s.Places, s.Slots, s.Waiting, 0
 	if s.Full {
-		k.adapters = make(map[string]bool, len(s.Added))
-		k.incomplete = false
+		ps.adapters = make(map[string]bool, len(s.Added))
+		ps.incomplete = false
 	}
-	if !s.Full && (s.Epoch != k.epoch || s.Base > k.seq) {
-		k.incomplete = true
+	if !s.Full && (s.Epoch != ps.epoch || s.Base > ps.seq) {
+		ps.incomplete = true
 	}
-	k.epoch, k.seq = s.Epoch, s.Seq
+	ps.epoch, ps.seq = s.Epoch, s.Seq
 	if s.Full {
-		k.recentChanges.reset(s.Seq)
+		ps.recentChanges.reset(s.Seq)
 	}
 	for _, name := range s.Added {
-		if !k.adapters[name] {
-			k.recentChanges.add(now, name, s.Seq)
+		if !ps.adapters[name] {
+			ps.recentChanges.add(now, name, s.Seq)
 		}
-		k.adapters[name] = true
+		ps.adapters[name] = true
 	}
 	for _, name := range s.Removed {
-		if k.adapters[name] {
-			k.recentChanges.add(now, name, s.Seq)
+		if ps.adapters[name] {
+			ps.recentChanges.add(now, name, s.Seq)
 		}
-		delete(k.adapters, name)
+		delete(ps.adapters, name)
 	}
-	return !k.incomplete
+	return !ps.incomplete
 }
 
 // freePlaces returns the number of further requests that could start immediately.
-func (k *poolState) freePlaces() int {
-	return k.free - k.sentSince - k.waiting
+func (ps *poolState) freePlaces() int {
+	return ps.free - ps.sentSince - ps.waiting
 }
 
 // load returns the number of waiting and running requests per place.
-func (k *poolState) load() float64 {
-	if k.places == 0 {
+func (ps *poolState) load() float64 {
+	if ps.places == 0 {
 		return noPlacesLoad
 	}
-	return float64(k.places-k.free+k.waiting+k.sentSince) / float64(k.places)
+	return float64(ps.places-ps.free+ps.waiting+ps.sentSince) / float64(ps.places)
 }
 
 // homeScore returns the highest rendezvous score of the pool's endpoints for an adapter. With
 // one score per endpoint, pools become home of cold adapters in proportion to their size.
-func (k *poolState) homeScore(adapter string) uint64 {
+func (ps *poolState) homeScore(adapter string) uint64 {
 	var best uint64
-	for _, e := range k.pool.Endpoints {
+	for _, e := range ps.pool.Endpoints {
 		best = max(best, ring.Score(adapter, e.Name))
 	}
 	return best
--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -23,14 +23,14 @@
 func NewRouter(hall string, pools []fleet.Pool, o Options) *Router {
 	r := &Router{hall: hall, options: o, byName: make(map[string]*poolState, len(pools))}
 	for _, p := range pools {
-		k := &poolState{pool: p, adapters: make(map[string]bool)}
+		ps := &poolState{pool: p, adapters: make(map[string]bool)}
 		for _, e := range p.Endpoints {
-			k.places += e.MaxBatch
-			k.slots += e.Slots
+			ps.places += e.MaxBatch
+			ps.slots += e.Slots
 		}
-		k.free = k.places
-		r.pools = append(r.pools, k)
-		r.byName[p.Name] = k
+		ps.free = ps.places
+		r.pools = append(r.pools, ps)
+		r.byName[p.Name] = ps
 	}
 	sort.Slice(r.pools, func(i, j int) bool { return r.pools[i].pool.Name < r.pools[j].pool.Name })
 	return r
@@ -38,48 +38,48 @@
 
 // ApplySummary updates the state of a pool from a summary. It returns false if changes are missing and a full summary is needed.
 func (r *Router) ApplySummary(now time.Time, s fleet.PoolSummary) bool {
-	k := r.byName[s.Pool]
-	if k == nil {
+	ps := r.byName[s.Pool]
+	if ps == nil {
 		return true
 	}
-	return k.applySummary(now, s, r.options.MaxSummaryAge)
+	return ps.applySummary(now, s, r.options.MaxSummaryAge)
 }
 
 // SetCut marks a hall as unreachable or as reachable again.
 func (r *Router) SetCut(hall string, unreachable bool) {
-	for _, k := range r.pools {
-		if k.pool.Hall == hall {
-			k.unreachable = unreachable
+	for _, ps := range r.pools {
+		if ps.pool.Hall == hall {
+			ps.unreachable = unreachable
 		}
 	}
 }
 
 // Choose returns the pool for a request, or false if no pool is usable. If halls is not empty, only pools of those halls are used.
-func (r *Router) Choose(now time.Time, q fleet.Request, halls []string) (string, bool) {
-	usable := r.usable(now, q, halls)
+func (r *Router) Choose(now time.Time, req fleet.Request, halls []string) (string, bool) {
+	usable := r.usable(now, req, halls)
 	if len(usable) == 0 {
 		return "", false
 	}
-	k := poolChooser{hall: r.hall, adapter: q.Adapter, boundedLoad: r.options.BoundedLoad}.choosePool(usable)
-	k.sentSince++
-	return k.pool.Name, true
+	ps := poolChooser{hall: r.hall, adapter: req.Adapter, boundedLoad: r.options.BoundedLoad}.choosePool(usable)
+	ps.sentSince++
+	return ps.pool.Name, true
 }
 
 // usable returns the pools that serve the request's base model and can be reached.
-func (r *Router) usable(now time.Time, q fleet.Request, halls []string) []*poolState {
+func (r *Router) usable(now time.Time, req fleet.Request, halls []string) []*poolState {
 	var out []*poolState
-	for _, k := range r.pools {
-		if !k.pool.Serves(q.Base) || (len(halls) > 0 && !slices.Contains(halls, k.pool.Hall)) {
+	for _, ps := range r.pools {
+		if !ps.pool.Serves(req.Base) || (len(halls) > 0 && !slices.Contains(halls, ps.pool.Hall)) {
 			continue
 		}
-		if k.pool.Hall == r.hall {
-			out = append(out, k)
+		if ps.pool.Hall == r.hall {
+			out = append(out, ps)
 			continue
 		}
-		if k.unreachable || k.stale(now, r.options.MaxSummaryAge) || k.places == 0 {
+		if ps.unreachable || ps.stale(now, r.options.MaxSummaryAge) || ps.places == 0 {
 			continue
 		}
-		out = append(out, k)
+		out = append(out, ps)
 	}
 	return out
 }
@@ -87,41 +87,41 @@
 // ConfirmSummaries resets the age of every summary from a reachable hall, when its transport has
 // confirmed that nothing has changed.
 func (r *Router) ConfirmSummaries(now time.Time) {
-	for _, k := range r.pools {
-		if !k.unreachable {
-			k.refreshedAt = now
+	for _, ps := range r.pools {
+		if !ps.unreachable {
+			ps.refreshedAt = now
 		}
 	}
 }
 
 // HasRecentChanges reports whether adapters were added to a pool or removed from it within changeRetention.
 func (r *Router) HasRecentChanges(now time.Time, pool string) bool {
-	k := r.byName[pool]
-	if k == nil {
+	ps := r.byName[pool]
+	if ps == nil {
 		return false
 	}
-	k.recentChanges.prune(now)
-	return len(k.recentChanges.changes) > 0
+	ps.recentChanges.prune(now)
+	return len(ps.recentChanges.changes) > 0
 }
 
 // Export returns the state of a pool as a full or partial summary, with the epoch and sequence
 // number of its publisher, for forwarding. It returns false if the state is not complete.
-func (r *Router) Export(now time.Time, pool string, whole bool) (fleet.PoolSummary, bool) {
-	k := r.byName[pool]
-	if k == nil || k.epoch == 0 || k.incomplete {
+func (r *Router) Export(now time.Time, pool string, full bool) (fleet.PoolSummary, bool) {
+	ps := r.byName[pool]
+	if ps == nil || ps.epoch == 0 || ps.incomplete {
 		return fleet.PoolSummary{}, false
 	}
 	out := fleet.PoolSummary{
-		Pool: pool, Epoch: k.epoch, Seq: k.seq, Free: k.free, Places: k.places, Slots: k.slots, Waiting: k.waiting,
+		Pool: pool, Epoch: ps.epoch, Seq: ps.seq, Free: ps.free, Places: ps.places, Slots: ps.slots, Waiting: ps.waiting,
 	}
-	if whole {
+	if full {
 		out.Full = true
-		for name := range k.adapters {
+		for name := range ps.adapters {
 			out.Added = append(out.Added, name)
 		}
 		slices.Sort(out.Added)
 		return out, true
 	}
-	k.recentChanges.addTo(now, k.adapters, &out)
+	ps.recentChanges.addTo(now, ps.adapters, &out)
 	return out, true
 }
--- a/services/daemon/routing/router_test.go
+++ b/services/daemon/routing/router_test.go
@@ -53,11 +53,11 @@
 	r.SetCut("h2", true)
 	require.Equal(t, "h1/base", choosePool(r, begin, "a"))
 	r.SetCut("h2", false)
-	fresh := routing.DefaultOptions().MaxSummaryAge
-	require.Equal(t, "h2/base", choosePool(r, begin.Add(fresh), "a"))
-	require.Equal(t, "h1/base", choosePool(r, begin.Add(fresh+1), "a"))
-	r.ConfirmSummaries(begin.Add(fresh + 1))
-	require.Equal(t, "h2/base", choosePool(r, begin.Add(fresh+1), "a"), "the summary was confirmed as unchanged")
+	maxAge := routing.DefaultOptions().MaxSummaryAge
+	require.Equal(t, "h2/base", choosePool(r, begin.Add(maxAge), "a"))
+	require.Equal(t, "h1/base", choosePool(r, begin.Add(maxAge+1), "a"))
+	r.ConfirmSummaries(begin.Add(maxAge + 1))
+	require.Equal(t, "h2/base", choosePool(r, begin.Add(maxAge+1), "a"), "the summary was confirmed as unchanged")
 }
 
 func TestChoiceIsLimitedToBaseAndGivenHalls(t *testing.T) {
@@ -106,7 +106,7 @@
 	require.Equal(t, "h2/base", choosePool(r, later, "old"))
 }
 
-func TestChangingReportsChangesWithinRetention(t *testing.T) {
+func TestHasRecentChangesWithinRetention(t *testing.T) {
 	r := routerWithSummaries(8, 8)
 	require.False(t, r.HasRecentChanges(begin.Add(time.Minute), "h2/base"))
 	now := begin.Add(time.Minute)
