--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -106,7 +106,7 @@
 	if whole {
 		return ps.publisher.Full(), true
 	}
-	return ps.publisher.Recent(now), true
+	return ps.publisher.Partial(now), true
 }
 
 // announcedPlacer gives what to tell other halls of a pool's placer, if one is known.
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -163,7 +163,7 @@
 	if slices.Contains(peer.wants, ps.pool.Name) {
 		return ps.publisher.Full()
 	}
-	return ps.publisher.Recent(now)
+	return ps.publisher.Partial(now)
 }
 
 // updateSummaries brings the publishers of held pools up to the present.
@@ -173,7 +173,7 @@
 			continue
 		}
 		ps.publisher.Update(now, ps.placer.Summary())
-		if !n.router.ApplySummary(now, ps.publisher.Recent(now)) {
+		if !n.router.ApplySummary(now, ps.publisher.Partial(now)) {
 			n.router.ApplySummary(now, ps.publisher.Full())
 		}
 	}
--- a/services/daemon/routing/publisher.go
+++ b/services/daemon/routing/publisher.go
@@ -52,8 +52,8 @@
 	p.recentChanges.prune(now)
 }
 
-// Recent returns a partial summary: the current state with the adapters changed within changeRetention.
-func (p *Publisher) Recent(now time.Time) fleet.PoolSummary {
+// Partial returns a partial summary: the current state with the adapters changed within changeRetention.
+func (p *Publisher) Partial(now time.Time) fleet.PoolSummary {
 	out := p.latest
 	p.recentChanges.addTo(now, p.adapters, &out)
 	return out
--- a/services/daemon/routing/publisher_test.go
+++ b/services/daemon/routing/publisher_test.go
@@ -44,7 +44,7 @@
 	for i := 1; i <= 100; i++ {
 		now := begin.Add(time.Duration(i) * 250 * time.Millisecond)
 		p.Update(now, state("a"))
-		require.True(t, r.ApplySummary(now, p.Recent(now)), "summary %d", i)
+		require.True(t, r.ApplySummary(now, p.Partial(now)), "summary %d", i)
 	}
 }
 
@@ -57,13 +57,13 @@
 	p.Update(soon, state("a", "b"))
 	p.Update(soon.Add(time.Second), state("b"))
 	now := soon.Add(2 * time.Second)
-	require.True(t, r.ApplySummary(now, p.Recent(now)), "a partial summary contains the changes of two lost summaries")
+	require.True(t, r.ApplySummary(now, p.Partial(now)), "a partial summary contains the changes of two lost summaries")
 	require.Equal(t, "h2/base", choosePool(r, now, "b"))
 	late := now.Add(10 * time.Second)
 	p.Update(late, state("c"))
 	p.Update(late.Add(10*time.Second), state("c"))
 	now = late.Add(11 * time.Second)
-	require.False(t, r.ApplySummary(now, p.Recent(now)), "the change is no longer in the partial summary")
+	require.False(t, r.ApplySummary(now, p.Partial(now)), "the change is no longer in the partial summary")
 	require.True(t, r.ApplySummary(now, p.Full()))
 	require.Equal(t, "h2/base", choosePool(r, now, "c"))
 }
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -303,7 +303,7 @@
 		}
 		pl.changed = false
 		pl.publisher.Update(now, pl.placer.Summary())
-		recent := pl.publisher.Recent(now)
+		recent := pl.publisher.Partial(now)
 		for hall, r := range p.routers {
 			if !p.world.apart(hall, pl.Hall) && !r.ApplySummary(now, recent) {
 				r.ApplySummary(now, pl.publisher.Full())
