--- a/services/daemon/placement/popularity/estimates.go
+++ b/services/daemon/placement/popularity/estimates.go
@@ -12,103 +12,103 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// forgetRate is the weighted arrivals a second below which an adapter is forgotten: one in 116 days. Higher frees memory sooner and forgets
-// what was asked for once.
-const forgetRate = 1e-7
+// minRate is the rate in weighted arrivals per second below which an adapter is dropped: one arrival in 116 days. A higher rate frees memory
+// sooner but drops adapters that were requested only once.
+const minRate = 1e-7
 
-// Options are the settings of the estimates.
+// Options configures the estimates.
 type Options struct {
 	// FastHalfLife and SlowHalfLife are the half-lives of the two rates.
 	FastHalfLife, SlowHalfLife time.Duration
-	// SlowWeight scales the slow rate against the fast one.
+	// SlowWeight multiplies the slow rate before it is compared with the fast one.
 	SlowWeight float64
 }
 
-// Estimates keeps a fast and a slow arrival rate for each adapter, weighted by stall weight.
+// Estimates holds a fast and a slow arrival rate for each adapter, weighted by stall weight.
 type Estimates struct {
-	// The mean lives, in seconds.
-	fastLife, slowLife float64
-	slowWeight         float64
-	rates              map[fleet.AdapterRef]*rates
+	// fastMeanLife and slowMeanLife are the time constants of the decay, in seconds.
+	fastMeanLife, slowMeanLife float64
+	slowWeight                 float64
+	rates                      map[fleet.AdapterRef]*rates
 }
 
-// rates are weighted arrivals a second, as of last.
+// rates are in weighted arrivals per second, as of updatedAt.
 type rates struct {
 	fast, slow float64
-	last       time.Time
+	updatedAt  time.Time
 }
 
-// New makes estimates without any arrival.
+// New returns estimates without arrivals.
 func New(o Options) *Estimates {
 	return &Estimates{
-		fastLife:   o.FastHalfLife.Seconds() / math.Ln2,
-		slowLife:   o.SlowHalfLife.Seconds() / math.Ln2,
-		slowWeight: o.SlowWeight,
-		rates:      make(map[fleet.AdapterRef]*rates),
+		fastMeanLife: o.FastHalfLife.Seconds() / math.Ln2,
+		slowMeanLife: o.SlowHalfLife.Seconds() / math.Ln2,
+		slowWeight:   o.SlowWeight,
+		rates:        make(map[fleet.AdapterRef]*rates),
 	}
 }
 
 // Add counts an arrival of the given weight.
-func (p *Estimates) Add(now time.Time, ref fleet.AdapterRef, weight float64) {
-	r, ok := p.rates[ref]
+func (e *Estimates) Add(now time.Time, ref fleet.AdapterRef, weight float64) {
+	r, ok := e.rates[ref]
 	if !ok {
-		r = &rates{last: now}
-		p.rates[ref] = r
+		r = &rates{updatedAt: now}
+		e.rates[ref] = r
 	}
-	p.decay(now, r)
-	r.fast += weight / p.fastLife
-	r.slow += weight / p.slowLife
+	e.decay(now, r)
+	r.fast += weight / e.fastMeanLife
+	r.slow += weight / e.slowMeanLife
 }
 
-// decay brings the rates up to the present; a clock that was set back leaves them as they are.
-func (p *Estimates) decay(now time.Time, r *rates) {
-	dt := now.Sub(r.last).Seconds()
+// decay updates the rates to the given time. A time before the last update leaves them unchanged.
+func (e *Estimates) decay(now time.Time, r *rates) {
+	dt := now.Sub(r.updatedAt).Seconds()
 	if dt <= 0 {
 		return
 	}
-	r.fast *= math.Exp(-dt / p.fastLife)
-	r.slow *= math.Exp(-dt / p.slowLife)
-	r.last = now
+	r.fast *= math.Exp(-dt / e.fastMeanLife)
+	r.slow *= math.Exp(-dt / e.slowMeanLife)
+	r.updatedAt = now
 }
 
-// Rate estimates the weighted arrivals a second to expect: the larger of the two rates, so
-// that a rise counts at once and a pause does not make an adapter be forgotten.
-func (p *Estimates) Rate(now time.Time, ref fleet.AdapterRef) float64 {
-	r, ok := p.rates[ref]
+// Rate returns the expected weighted arrivals per second: the larger of the two rates, so that
+// a rise takes effect immediately and a short pause does not reduce the rate to zero.
+func (e *Estimates) Rate(now time.Time, ref fleet.AdapterRef) float64 {
+	r, ok := e.rates[ref]
 	if !ok {
 		return 0
 	}
-	p.decay(now, r)
-	return math.Max(r.fast, p.slowWeight*r.slow)
+	e.decay(now, r)
+	return math.Max(r.fast, e.slowWeight*r.slow)
 }
 
-// Steady estimates the weighted arrivals a second from the slow rate alone.
-func (p *Estimates) Steady(now time.Time, ref fleet.AdapterRef) float64 {
-	r, ok := p.rates[ref]
+// SlowRate returns the slow rate, in weighted arrivals per second.
+func (e *Estimates) SlowRate(now time.Time, ref fleet.AdapterRef) float64 {
+	r, ok := e.rates[ref]
 	if !ok {
 		return 0
 	}
-	p.decay(now, r)
+	e.decay(now, r)
 	return r.slow
 }
 
-// Adapters gives every adapter that is not forgotten, in no order.
-func (p *Estimates) Adapters() iter.Seq[fleet.AdapterRef] {
-	return maps.Keys(p.rates)
+// Adapters returns all recorded adapters in no particular order.
+func (e *Estimates) Adapters() iter.Seq[fleet.AdapterRef] {
+	return maps.Keys(e.rates)
 }
 
-// Knows tells whether an adapter is not forgotten.
-func (p *Estimates) Knows(ref fleet.AdapterRef) bool {
-	_, ok := p.rates[ref]
+// Contains reports whether the adapter has recorded rates.
+func (e *Estimates) Contains(ref fleet.AdapterRef) bool {
+	_, ok := e.rates[ref]
 	return ok
 }
 
-// Forget drops adapters whose rates have faded, which bounds the memory.
-func (p *Estimates) Forget(now time.Time) {
-	for ref, r := range p.rates {
-		p.decay(now, r)
-		if r.fast < forgetRate && r.slow < forgetRate {
-			delete(p.rates, ref)
+// Prune drops adapters whose rates have decayed below minRate, which limits the memory.
+func (e *Estimates) Prune(now time.Time) {
+	for ref, r := range e.rates {
+		e.decay(now, r)
+		if r.fast < minRate && r.slow < minRate {
+			delete(e.rates, ref)
 		}
 	}
 }
