--- a/services/daemon/access/access.go
+++ b/services/daemon/access/access.go
@@ -14,10 +14,10 @@
 	"time"
 )
 
-// Role is what an operator may do; each includes those below it.
+// Role is the permission level of an operator. Each role includes the permissions of all lower roles.
 type Role int
 
-// The roles.
+// The roles, from the lowest to the highest.
 const (
 	RoleNone Role = iota
 	RoleRead
@@ -25,64 +25,65 @@
 	RoleAdmin
 )
 
-// ParseRole reads a role's name; an unknown one gives RoleNone.
+// ParseRole returns the role with the given name, or RoleNone if the name is unknown.
 func ParseRole(name string) Role {
 	return map[string]Role{"read": RoleRead, "change": RoleChange, "admin": RoleAdmin}[name]
 }
 
-// String names the role.
+// String returns the name of the role.
 func (r Role) String() string {
 	return [...]string{"none", "read", "change", "admin"}[r]
 }
 
-// Operator is who asks.
+// Operator identifies an operator and its role.
 type Operator struct {
 	Name string
 	Role Role
 }
 
-// Key is one operator's key, by its hash.
+// Key is the key of one operator. It holds the hash of the key, not the key itself.
 type Key struct {
 	Operator Operator
-	SHA256   string
+	// SHA256 is the SHA-256 hash of the key in hexadecimal digits.
+	SHA256 string
 }
 
-// ErrDenied reports a key that is missing, wrong or not enough.
+// ErrDenied reports a missing or unknown key, or an operator whose role does not permit the operation.
 type ErrDenied struct {
 	Reason string
 }
 
-// Error gives the reason, never the key.
+// Error returns the reason. The text never contains the key.
 func (e ErrDenied) Error() string { return "denied: " + e.Reason }
 
-// IsErrDenied tells whether an error is an ErrDenied.
+// IsErrDenied reports whether err is an ErrDenied.
 func IsErrDenied(err error) bool {
 	var e ErrDenied
 	return errors.As(err, &e)
 }
 
-// ErrTooMany reports an address with too many failures.
+// ErrTooMany reports that the client address has too many recent authentication failures.
 type ErrTooMany struct {
 	RetryAfter time.Duration
 }
 
-// Error gives the time to wait.
+// Error returns a message that contains the time to wait.
 func (e ErrTooMany) Error() string {
 	return fmt.Sprintf("too many failed attempts; try again in %s", e.RetryAfter.Round(time.Second))
 }
 
-// IsErrTooMany tells whether an error is an ErrTooMany.
+// IsErrTooMany reports whether err is an ErrTooMany.
 func IsErrTooMany(err error) bool {
 	var e ErrTooMany
 	return errors.As(err, &e)
 }
 
-// Service checks keys; it is safe for concurrent use.
+// Service authenticates and authorizes operators. It is safe for concurrent use.
 type Service struct {
-	keys     []hashedKey
-	most     int
-	mutex    sync.Mutex
-	failures map[netip.Addr]*failures
+	keys        []hashedKey
+	maxFailures int
+	mutex       sync.Mutex
+	failures    map[netip.Addr]*failures
 }
 
 type hashedKey struct {
@@ -90,37 +91,40 @@
 	hash     []byte
 }
 
-// failures are the failed attempts of one address in the present minute.
+// failures counts the failed attempts of one address in the window that begins at windowStart.
 type failures struct {
-	since time.Time
-	count int
+	windowStart time.Time
+	count       int
 }
 
 const (
-	// window is how long failures of an address count, from its first one on; the setting failures_per_minute names its unit.
-	window = time.Minute
-	// maxAddresses bounds the addresses with failures that are remembered, so that a flood from many of them cannot exhaust the memory:
-	// more remember a longer flood.
-	maxAddresses = 10000
+	// failureWindow is the time, from the first failure of an address, in which its failures are counted together. It must be a
+	// minute, since the setting failures_per_minute is given in that unit.
+	failureWindow = time.Minute
+	// maxTrackedAddresses limits the number of addresses whose failures are counted, so that failures from very many addresses
+	// cannot exhaust the memory. A higher limit keeps the counts for longer under such a flood.
+	maxTrackedAddresses = 10000
 )
 
-// New makes a service that allows so many failures of one address in a minute; it gives ErrDenied for a hash that is not valid.
+// New returns a service that blocks an address after failuresPerMinute failures within a minute. It returns ErrDenied if the
+// hash of a key is invalid.
 func New(keys []Key, failuresPerMinute int) (*Service, error) {
-	s := &Service{most: failuresPerMinute, failures: make(map[netip.Addr]*failures)}
+	s := &Service{maxFailures: failuresPerMinute, failures: make(map[netip.Addr]*failures)}
 	for _, k := range keys {
 		hash, err := hex.DecodeString(k.SHA256)
 		if err != nil || len(hash) != sha256.Size {
-			return nil, ErrDenied{Reason: "the hash of a key is not valid"}
+			return nil, ErrDenied{Reason: "the hash of an operator's key is not a SHA-256 hash in hexadecimal digits"}
 		}
 		s.keys = append(s.keys, hashedKey{operator: k.Operator, hash: hash})
 	}
 	return s, nil
 }
 
-// Check finds the operator of a key and makes sure of the role. It gives ErrTooMany for an address with too many failures,
-// whatever its key, and ErrDenied for an unknown key or too low a role; only an unknown key counts as a failure.
+// Check returns the operator that the key belongs to, if its role is at least need. It returns ErrTooMany if the address has
+// too many failures, even with a valid key, and ErrDenied if the key is unknown or the role too low. Only an unknown key
+// counts as a failure.
 func (s *Service) Check(now time.Time, from netip.Addr, key string, need Role) (Operator, error) {
-	if wait := s.blocked(now, from); wait > 0 {
+	if wait := s.blockedFor(now, from); wait > 0 {
 		return Operator{}, ErrTooMany{RetryAfter: wait}
 	}
 	hash := sha256.Sum256([]byte(key))
@@ -131,7 +135,7 @@
 		}
 	}
 	if key == "" || found.Role == RoleNone {
-		s.failed(now, from)
+		s.recordFailure(now, from)
 		return Operator{}, ErrDenied{Reason: "no such key"}
 	}
 	if found.Role < need {
@@ -140,40 +144,40 @@
 	return found, nil
 }
 
-// blocked tells how long an address must wait, or zero.
-func (s *Service) blocked(now time.Time, from netip.Addr) time.Duration {
+// blockedFor returns how long an address remains blocked, or zero if it is not blocked.
+func (s *Service) blockedFor(now time.Time, from netip.Addr) time.Duration {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	f := s.failures[from]
-	if f == nil || now.Sub(f.since) > window || f.count < s.most {
+	if f == nil || now.Sub(f.windowStart) > failureWindow || f.count < s.maxFailures {
 		return 0
 	}
-	return window - now.Sub(f.since)
+	return failureWindow - now.Sub(f.windowStart)
 }
 
-// failed counts a failure of an address.
-func (s *Service) failed(now time.Time, from netip.Addr) {
+// recordFailure counts a failure of an address.
+func (s *Service) recordFailure(now time.Time, from netip.Addr) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	if len(s.failures) >= maxAddresses {
-		s.forget(now)
+	if len(s.failures) >= maxTrackedAddresses {
+		s.pruneFailures(now)
 	}
 	f := s.failures[from]
-	if f == nil || now.Sub(f.since) > window {
-		f = &failures{since: now}
+	if f == nil || now.Sub(f.windowStart) > failureWindow {
+		f = &failures{windowStart: now}
 		s.failures[from] = f
 	}
 	f.count++
 }
 
-// forget drops old failures and, under a flood from very many addresses, all of them.
-func (s *Service) forget(now time.Time) {
+// pruneFailures removes expired failure counts. If the address limit is still reached, it removes all counts.
+func (s *Service) pruneFailures(now time.Time) {
 	for a, f := range s.failures {
-		if now.Sub(f.since) > window {
+		if now.Sub(f.windowStart) > failureWindow {
 			delete(s.failures, a)
 		}
 	}
-	if len(s.failures) >= maxAddresses {
+	if len(s.failures) >= maxTrackedAddresses {
 		clear(s.failures)
 	}
 }
--- a/services/daemon/access/access_test.go
+++ b/services/daemon/access/access_test.go
@@ -16,9 +16,9 @@
 )
 
 var (
-	start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
-	here  = netip.MustParseAddr("127.0.0.1")
-	there = netip.MustParseAddr("127.0.0.2")
+	start         = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+	clientAddress = netip.MustParseAddr("127.0.0.1")
+	otherAddress  = netip.MustParseAddr("127.0.0.2")
 )
 
 const allowedFailures = 3
@@ -40,7 +40,7 @@
 	return s
 }
 
-func fail(t *testing.T, s *access.Service, now time.Time, from netip.Addr, times int) {
+func failAttempts(t *testing.T, s *access.Service, now time.Time, from netip.Addr, times int) {
 	t.Helper()
 	for range times {
 		_, err := s.Check(now, from, "wrong", access.RoleRead)
@@ -48,82 +48,82 @@
 	}
 }
 
-func TestARoleIncludesThoseBelowIt(t *testing.T) {
+func TestRoleIncludesLowerRoles(t *testing.T) {
 	s := newService(t)
 	for _, need := range []access.Role{access.RoleRead, access.RoleChange, access.RoleAdmin} {
-		found, err := s.Check(start, here, "key-a", need)
+		found, err := s.Check(start, clientAddress, "key-a", need)
 		require.NoError(t, err)
 		require.Equal(t, "ana", found.Name)
 	}
-	_, err := s.Check(start, here, "key-b", access.RoleRead)
+	_, err := s.Check(start, clientAddress, "key-b", access.RoleRead)
 	require.NoError(t, err)
 }
 
-func TestTooLowARoleIsDeniedByNameAndIsNoFailure(t *testing.T) {
+func TestInsufficientRoleIsDeniedWithoutCountingFailure(t *testing.T) {
 	s := newService(t)
 	for range allowedFailures + 1 {
-		found, err := s.Check(start, here, "key-b", access.RoleChange)
+		found, err := s.Check(start, clientAddress, "key-b", access.RoleChange)
 		require.True(t, access.IsErrDenied(err))
 		require.Equal(t, "ben", found.Name)
 	}
-	_, err := s.Check(start, here, "key-b", access.RoleRead)
+	_, err := s.Check(start, clientAddress, "key-b", access.RoleRead)
 	require.NoError(t, err)
 }
 
-func TestUnknownEmptyAndRolelessKeysAreDeniedWithoutAnOperator(t *testing.T) {
+func TestUnknownEmptyAndRolelessKeysAreDenied(t *testing.T) {
 	for _, key := range []string{"wrong", "", "key-n", "key-a "} {
-		found, err := newService(t).Check(start, here, key, access.RoleNone)
+		found, err := newService(t).Check(start, clientAddress, key, access.RoleNone)
 		require.True(t, access.IsErrDenied(err), "%q", key)
 		require.Zero(t, found)
 	}
 }
 
-func TestAnAddressWithTooManyFailuresWaitsEvenWithTheRightKey(t *testing.T) {
+func TestAddressIsBlockedAfterTooManyFailuresEvenWithValidKey(t *testing.T) {
 	s := newService(t)
-	fail(t, s, start, here, allowedFailures-1)
-	_, err := s.Check(start, here, "key-a", access.RoleRead)
-	require.NoError(t, err, "one failure fewer than allowed")
-	fail(t, s, start.Add(10*time.Second), here, 1)
-	_, err = s.Check(start.Add(20*time.Second), here, "key-a", access.RoleRead)
+	failAttempts(t, s, start, clientAddress, allowedFailures-1)
+	_, err := s.Check(start, clientAddress, "key-a", access.RoleRead)
+	require.NoError(t, err, "one failure below the limit must not block")
+	failAttempts(t, s, start.Add(10*time.Second), clientAddress, 1)
+	_, err = s.Check(start.Add(20*time.Second), clientAddress, "key-a", access.RoleRead)
 	require.Equal(t, access.ErrTooMany{RetryAfter: 40 * time.Second}, err)
-	_, err = s.Check(start.Add(20*time.Second), there, "key-a", access.RoleRead)
-	require.NoError(t, err, "another address")
+	_, err = s.Check(start.Add(20*time.Second), otherAddress, "key-a", access.RoleRead)
+	require.NoError(t, err, "another address must not be blocked")
 }
 
-func TestFailuresAreForgottenAMinuteAfterTheFirst(t *testing.T) {
+func TestFailureCountExpiresOneMinuteAfterFirstFailure(t *testing.T) {
 	s := newService(t)
-	fail(t, s, start, here, allowedFailures)
-	_, err := s.Check(start.Add(time.Minute-1), here, "key-a", access.RoleRead)
+	failAttempts(t, s, start, clientAddress, allowedFailures)
+	_, err := s.Check(start.Add(time.Minute-1), clientAddress, "key-a", access.RoleRead)
 	require.True(t, access.IsErrTooMany(err))
 	after := start.Add(time.Minute + 1)
-	fail(t, s, after, here, allowedFailures-1)
-	_, err = s.Check(after, here, "key-a", access.RoleRead)
-	require.NoError(t, err, "the count began anew")
+	failAttempts(t, s, after, clientAddress, allowedFailures-1)
+	_, err = s.Check(after, clientAddress, "key-a", access.RoleRead)
+	require.NoError(t, err, "a new window must start with a count of zero")
 }
 
-func TestAFloodFromManyAddressesForgetsOldFailuresFirst(t *testing.T) {
+func TestAddressLimitDropsExpiredFailuresFirst(t *testing.T) {
 	s := newService(t)
-	fail(t, s, start, here, allowedFailures)
+	failAttempts(t, s, start, clientAddress, allowedFailures)
 	now := start.Add(time.Minute + 1)
-	fail(t, s, now, there, allowedFailures)
+	failAttempts(t, s, now, otherAddress, allowedFailures)
 	address := netip.MustParseAddr("10.0.0.0")
 	for range 9998 {
 		address = address.Next()
-		fail(t, s, now, address, 1)
+		failAttempts(t, s, now, address, 1)
 	}
-	fail(t, s, now, address.Next(), 1)
-	_, err := s.Check(now, there, "key-a", access.RoleRead)
-	require.True(t, access.IsErrTooMany(err), "only what was older than a minute is forgotten")
+	failAttempts(t, s, now, address.Next(), 1)
+	_, err := s.Check(now, otherAddress, "key-a", access.RoleRead)
+	require.True(t, access.IsErrTooMany(err), "failures from the last minute must be kept")
 }
 
-func TestAHashThatIsNotValidIsRefused(t *testing.T) {
+func TestNewRejectsInvalidKeyHash(t *testing.T) {
 	for _, hash := range []string{"", "zz", hashOf("x")[:62]} {
 		_, err := access.New([]access.Key{{SHA256: hash}}, allowedFailures)
 		require.True(t, access.IsErrDenied(err), "%q", hash)
 	}
 }
 
-func TestRolesAreReadByName(t *testing.T) {
+func TestParseRoleReadsRoleNames(t *testing.T) {
 	for _, role := range []access.Role{access.RoleRead, access.RoleChange, access.RoleAdmin} {
 		require.Equal(t, role, access.ParseRole(role.String()))
 	}
--- a/services/daemon/access/doc.go
+++ b/services/daemon/access/doc.go
@@ -1,8 +1,8 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package access decides which operator a key belongs to and what it may do.
+// Package access authenticates operators by their keys and checks their roles.
 //
-// A Service owns the hashes of the keys and, in memory only, the failures of each address in the present minute. It
-// relies on the time that its caller gives, and starts no goroutines.
+// A Service holds the hashes of the keys and, in memory only, the number of recent authentication failures of each
+// client address. The caller passes the current time to each call. A Service starts no goroutines.
 package access
