--- a/services/daemon/command/doc.go
+++ b/services/daemon/command/doc.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package command turns operators' commands into changes of the configuration, commits them and waits until they are in
-// force in the halls.
+// Package command translates operators' commands into configuration changes, commits the changes and waits until they
+// are in force in all halls.
 //
-// A Service owns no state. It relies on modules/daemon/language for the parsed commands, on
-// services/daemon/configuration for the commit and on the control thread for the halls' revisions; it starts no
-// goroutines.
+// A Service has no state of its own and starts no goroutines. modules/daemon/language parses the commands,
+// services/daemon/configuration commits the changes, and the control thread supplies the revision in force in each hall.
 package command
--- a/services/daemon/command/service.go
+++ b/services/daemon/command/service.go
@@ -14,45 +14,50 @@
 	"github.com/shelfledge/shelfledge/services/daemon/configuration"
 )
 
-// Options are what the service works with.
+// Options holds the dependencies of a Service.
 type Options struct {
 	Store *configuration.Store
-	// Current gives the configuration in force here, Offer puts an accepted record in force here.
+	// Current returns the configuration in force on this instance.
 	Current func() *catalog.Catalog
-	Offer   func(r fleet.Records)
-	// Halls gives each hall's revision in force, with its age.
+	// Offer puts committed records in force on this instance.
+	Offer func(r fleet.Records)
+	// Halls returns, for each hall, the revision in force and the age of that information.
 	Halls func() []HallState
 	Now   func() time.Time
 }
 
-// HallState is a hall's revision in force as known here.
+// HallState is the configuration revision in force in a hall, as last reported to this instance.
 type HallState struct {
 	Hall     string
 	Revision int64
-	Age      time.Duration
-	Silent   bool
+	// Age is the time since the last report of the hall.
+	Age time.Duration
+	// Silent reports whether the hall has stopped sending reports.
+	Silent bool
 }
 
-// Service carries out commands.
+// Service executes operators' commands.
 type Service struct {
 	options Options
 }
 
-// New makes a service.
+// New returns a service with the given dependencies.
 func New(o Options) *Service {
 	return &Service{options: o}
 }
 
-// Request is one batch of commands, all or none.
+// Request is a batch of commands that is committed as a whole or not at all.
 type Request struct {
+	// ID identifies the batch, so that a repeated request is committed only once.
 	ID       string
 	Operator string
 	Text     string
-	Wait     time.Duration
-	Changes  []*language.Change
+	// Wait is how long to wait, at most, until the changes are in force in all halls.
+	Wait    time.Duration
+	Changes []*language.Change
 }
 
-// HallResult tells whether a change is in force in a hall.
+// HallResult reports whether and after what time a change was in force in a hall.
 type HallResult struct {
 	Hall    string        `json:"hall"`
 	InForce bool          `json:"in_force"`
@@ -60,7 +65,7 @@
 	Silent  bool          `json:"silent"`
 }
 
-// Result is what became of a batch.
+// Result is the outcome of a batch.
 type Result struct {
 	Revision int64        `json:"revision"`
 	ID       string       `json:"id"`
@@ -70,7 +75,7 @@
 	Halls    []HallResult `json:"halls"`
 }
 
-// InForce tells whether the change is in force in every hall.
+// InForce reports whether the change is in force in every hall.
 func (r Result) InForce() bool {
 	for _, h := range r.Halls {
 		if !h.InForce {
@@ -80,10 +85,11 @@
 	return true
 }
 
-// Execute commits a batch and waits, up to its limit, until it is in force in every hall.
+// Execute commits a batch and waits until it is in force in every hall, but no longer than r.Wait. If any command of the
+// batch is a dry run, Execute returns the changes without storing them.
 func (s *Service) Execute(ctx context.Context, r Request) (Result, error) {
 	began := s.options.Now()
-	p, dry, err := s.propose(ctx, r)
+	p, dry, err := s.buildProposal(ctx, r)
 	if err != nil {
 		return Result{}, err
 	}
@@ -97,14 +103,15 @@
 	if !c.Repeated {
 		s.options.Offer(fleet.Records{Head: c.Record.Revision, Records: [][]byte{c.Encoded}})
 	}
-	result := Result{Revision: c.Record.Revision, ID: p.ID, Repeated: c.Repeated, Changes: describe(c.Record.Changes)}
-	result.Halls = s.wait(ctx, c.Record.Revision, began, r.Wait)
+	result := Result{Revision: c.Record.Revision, ID: p.ID, Repeated: c.Repeated, Changes: describeChanges(c.Record.Changes)}
+	result.Halls = s.waitUntilInForce(ctx, c.Record.Revision, began, r.Wait)
 	return result, nil
 }
 
-func (s *Service) propose(ctx context.Context, r Request) (configuration.Proposal, bool, error) {
-	p := configuration.Proposal{ID: r.ID, Operator: r.Operator, Command: shorten(r.Text)}
-	t := translator{current: s.options.Current(), undo: func(revision int64) ([]catalog.Change, error) { return s.inverse(ctx, revision) }}
+// buildProposal translates the commands of a request into a proposal and reports whether the request is a dry run.
+func (s *Service) buildProposal(ctx context.Context, r Request) (configuration.Proposal, bool, error) {
+	p := configuration.Proposal{ID: r.ID, Operator: r.Operator, Command: truncateCommand(r.Text)}
+	t := translator{current: s.options.Current(), inverseOf: func(revision int64) ([]catalog.Change, error) { return s.inverseChanges(ctx, revision) }}
 	dry := false
 	for _, c := range r.Changes {
 		changes, err := t.translate(c)
@@ -120,23 +127,24 @@
 	return p, dry, nil
 }
 
-// maxCommandText bounds a command's text as it is stored with the record, in bytes.
-const maxCommandText = 400
+// maxCommandTextBytes is the maximum length of the command text that is stored with a record, in bytes.
+const maxCommandTextBytes = 400
 
-func shorten(text string) string {
-	if len(text) <= maxCommandText {
+func truncateCommand(text string) string {
+	if len(text) <= maxCommandTextBytes {
 		return text
 	}
-	return text[:maxCommandText] + "..."
+	return text[:maxCommandTextBytes] + "..."
 }
 
-func (s *Service) inverse(ctx context.Context, revision int64) ([]catalog.Change, error) {
+// inverseChanges returns the changes that undo a stored revision.
+func (s *Service) inverseChanges(ctx context.Context, revision int64) ([]catalog.Change, error) {
 	r, found, err := s.options.Store.Record(ctx, revision)
 	if err != nil {
 		return nil, err
 	}
 	if !found {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("revision %d is not stored any more, or never was", revision)}
+		return nil, ErrMeaning{Reason: fmt.Sprintf("revision %d is not stored: it was deleted or never existed", revision)}
 	}
 	return r.Inverse, nil
 }
@@ -146,21 +154,21 @@
 	if err != nil {
 		return Result{}, err
 	}
-	return Result{Revision: r.Revision, ID: p.ID, DryRun: true, Changes: describe(r.Changes)}, nil
+	return Result{Revision: r.Revision, ID: p.ID, DryRun: true, Changes: describeChanges(r.Changes)}, nil
 }
 
 const (
-	// maxDescribed bounds the changes that an answer describes one by one.
-	maxDescribed = 50
-	// waitPoll is how often the halls' revisions are looked at, in memory, while a command waits; a change is in force
-	// everywhere after 264 ms (docs/design/0004-data-path.md). Not varied.
-	waitPoll = 10 * time.Millisecond
+	// maxDescribedChanges is the maximum number of changes that a result describes individually.
+	maxDescribedChanges = 50
+	// hallPollInterval is the interval at which a waiting command reads the halls' revisions, which are in memory. A change is in
+	// force in all halls after 264 ms (docs/design/0004-data-path.md).
+	hallPollInterval = 10 * time.Millisecond
 )
 
-func describe(changes []catalog.Change) []string {
+func describeChanges(changes []catalog.Change) []string {
 	var out []string
 	for i, c := range changes {
-		if i == maxDescribed {
+		if i == maxDescribedChanges {
 			return append(out, fmt.Sprintf("and %d more", len(changes)-i))
 		}
 		out = append(out, Describe(c))
@@ -168,7 +176,7 @@
 	return out
 }
 
-// Describe tells a change in plain words.
+// Describe returns a short description of a change for operators.
 func Describe(c catalog.Change) string {
 	name := c.Name
 	if c.Version > 0 {
@@ -189,33 +197,35 @@
 	return fmt.Sprintf("%s %s", c.Kind, name)
 }
 
-// wait looks until every hall has the revision in force or the time is up.
-func (s *Service) wait(ctx context.Context, revision int64, began time.Time, limit time.Duration) []HallResult {
+// waitUntilInForce polls the halls until the revision is in force in all of them, limit has passed since began, or ctx ends.
+func (s *Service) waitUntilInForce(ctx context.Context, revision int64, began time.Time, limit time.Duration) []HallResult {
 	after := make(map[string]time.Duration)
 	for {
 		states := s.options.Halls()
-		results, all := s.results(states, revision, began, after)
+		hallResults, all := s.hallResults(states, revision, began, after)
 		if all || s.options.Now().Sub(began) >= limit {
-			return results
+			return hallResults
 		}
 		select {
 		case <-ctx.Done():
-			return results
-		case <-time.After(waitPoll):
+			return hallResults
+		case <-time.After(hallPollInterval):
 		}
 	}
 }
 
-func (s *Service) results(states []HallState, revision int64, began time.Time, after map[string]time.Duration) ([]HallResult, bool) {
+// hallResults returns the result of each hall and reports whether the revision is in force in all of them. It records in after
+// the time at which each hall was first seen with the revision in force.
+func (s *Service) hallResults(states []HallState, revision int64, began time.Time, after map[string]time.Duration) ([]HallResult, bool) {
 	all := true
-	results := make([]HallResult, 0, len(states))
+	hallResults := make([]HallResult, 0, len(states))
 	for _, h := range states {
-		in := h.Revision >= revision
-		if _, known := after[h.Hall]; in && !known {
+		inForce := h.Revision >= revision
+		if _, recorded := after[h.Hall]; inForce && !recorded {
 			after[h.Hall] = s.options.Now().Sub(began)
 		}
-		all = all && in
-		results = append(results, HallResult{Hall: h.Hall, InForce: in, After: after[h.Hall], Silent: h.Silent})
+		all = all && inForce
+		hallResults = append(hallResults, HallResult{Hall: h.Hall, InForce: inForce, After: after[h.Hall], Silent: h.Silent})
 	}
-	return results, all
+	return hallResults, all
 }
--- a/services/daemon/command/service_test.go
+++ b/services/daemon/command/service_test.go
@@ -23,19 +23,19 @@
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
-// operator is an operator at one daemon, where each accepted change is in force at once.
-type operator struct {
+// testOperator executes commands against a service on which each committed change is in force immediately.
+type testOperator struct {
 	*command.Service
-	kv      *standin.KV
-	catalog *catalog.Catalog
-	halls   func(revision int64) []command.HallState
-	offers  int
-	count   int
+	kv           *standin.KV
+	catalog      *catalog.Catalog
+	halls        func(revision int64) []command.HallState
+	appliedCount int
+	commandCount int
 }
 
-func newOperator(t *testing.T) *operator {
+func newTestOperator(t *testing.T) *testOperator {
 	t.Helper()
-	o := &operator{kv: standin.NewKV(), catalog: catalog.New()}
+	o := &testOperator{kv: standin.NewKV(), catalog: catalog.New()}
 	server := httptest.NewServer(o.kv.Handler())
 	t.Cleanup(server.Close)
 	client := kv.New(kv.Options{Addresses: []netip.AddrPort{netip.MustParseAddrPort(server.Listener.Addr().String())}})
@@ -48,7 +48,7 @@
 			next, err := history.Advance(o.catalog, r.Snapshot, r.Records, false)
 			require.NoError(t, err)
 			o.catalog = next
-			o.offers++
+			o.appliedCount++
 		},
 		Halls: func() []command.HallState { return o.halls(o.catalog.Revision) },
 		Now:   time.Now,
@@ -56,13 +56,13 @@
 	return o
 }
 
-// do executes a text as one batch, under an identifier of its own unless one is given.
-func (o *operator) do(t *testing.T, text string, id ...string) (command.Result, error) {
+// execute runs the commands of text as one batch, with the given identifier or, by default, a new one.
+func (o *testOperator) execute(t *testing.T, text string, id ...string) (command.Result, error) {
 	t.Helper()
 	statements, err := language.Parse(text)
 	require.NoError(t, err, text)
-	o.count++
-	r := command.Request{ID: fmt.Sprint("c", o.count), Operator: "ana", Text: text, Wait: 5 * time.Second}
+	o.commandCount++
+	r := command.Request{ID: fmt.Sprint("c", o.commandCount), Operator: "ana", Text: text, Wait: 5 * time.Second}
 	if len(id) > 0 {
 		r.ID = id[0]
 	}
@@ -73,17 +73,17 @@
 	return o.Execute(context.Background(), r)
 }
 
-func (o *operator) must(t *testing.T, text string) command.Result {
+func (o *testOperator) mustExecute(t *testing.T, text string) command.Result {
 	t.Helper()
-	r, err := o.do(t, text)
+	r, err := o.execute(t, text)
 	require.NoError(t, err, text)
 	return r
 }
 
-const setUp = "create adapter a base b version 1; create version a@2; create service s as a@1"
+const createAdapterAndService = "create adapter a base b version 1; create version a@2; create service s as a@1"
 
-// shares gives the shares of service s.
-func (o *operator) shares() string {
+// shares returns the shares of service s as text.
+func (o *testOperator) shares() string {
 	var out []string
 	for _, s := range o.catalog.Services["s"].Shares {
 		out = append(out, fmt.Sprintf("%s@%d %d", s.Adapter, s.Version, s.Percent))
@@ -91,103 +91,103 @@
 	return strings.Join(out, ", ")
 }
 
-func TestABatchIsOneRevisionOrNone(t *testing.T) {
-	o := newOperator(t)
-	r := o.must(t, setUp)
+func TestBatchIsCommittedAsOneRevisionOrNotAtAll(t *testing.T) {
+	o := newTestOperator(t)
+	r := o.mustExecute(t, createAdapterAndService)
 	require.Equal(t, int64(1), r.Revision)
 	require.True(t, r.InForce())
 	require.Len(t, r.Changes, 3)
-	_, err := o.do(t, "create adapter c base b; create adapter a base b")
+	_, err := o.execute(t, "create adapter c base b; create adapter a base b")
 	require.ErrorContains(t, err, "it exists already")
 	require.Nil(t, o.catalog.Adapters["c"])
 	require.Equal(t, int64(1), o.catalog.Revision)
 }
 
-func TestARollGivesTheNewVersionItsShareAndTheOldOneTheRest(t *testing.T) {
-	o := newOperator(t)
-	o.must(t, setUp)
-	o.must(t, "roll service s to a@2 at 10%")
+func TestRollSplitsSharesBetweenNewAndOldVersion(t *testing.T) {
+	o := newTestOperator(t)
+	o.mustExecute(t, createAdapterAndService)
+	o.mustExecute(t, "roll service s to a@2 at 10%")
 	require.Equal(t, "a@1 90, a@2 10", o.shares())
-	o.must(t, "roll service s to a@2 at 50%")
+	o.mustExecute(t, "roll service s to a@2 at 50%")
 	require.Equal(t, "a@1 50, a@2 50", o.shares())
-	o.must(t, "roll back service s")
+	o.mustExecute(t, "roll back service s")
 	require.Equal(t, "a@1 100", o.shares())
-	o.must(t, "roll service s to a@2")
+	o.mustExecute(t, "roll service s to a@2")
 	require.Equal(t, "a@2 100", o.shares())
 }
 
-func TestRollsThatCannotBeMeantAreRefused(t *testing.T) {
-	o := newOperator(t)
-	o.must(t, setUp)
+func TestInvalidServiceAndRuleCommandsAreRejected(t *testing.T) {
+	o := newTestOperator(t)
+	o.mustExecute(t, createAdapterAndService)
 	for text, reason := range map[string]string{
 		"roll service x to a@2":            `no service "x"`,
 		"roll service s to a@2 at 101%":    "a share is at most 100%",
-		"roll service s to a@1 at 10%":     "the service has no other version to keep the rest",
-		"roll back service s":              `service "s" is not between two versions; use undo revision`,
+		"roll service s to a@1 at 10%":     "the service has no other version to take the remaining share",
+		"roll back service s":              `service "s" has a single version and cannot be rolled back; use undo revision`,
 		"roll back service x":              `no service "x"`,
 		"create service s as a@2":          `service "s" exists already; use change service`,
 		"change service x as a@2":          `no service "x"`,
 		"change rule x for class y refuse": `no rule "x"`,
 	} {
-		_, err := o.do(t, text)
+		_, err := o.execute(t, text)
 		require.ErrorContains(t, err, reason, text)
 	}
-	require.Equal(t, 1, o.offers)
+	require.Equal(t, 1, o.appliedCount)
 }
 
-func TestAnUndoneRevisionRestoresWhatWasBefore(t *testing.T) {
-	o := newOperator(t)
-	o.must(t, setUp)
-	r := o.must(t, "change service s as a@2; pin a@2")
-	o.must(t, fmt.Sprintf("undo revision %d", r.Revision))
+func TestUndoRestoresPreviousConfiguration(t *testing.T) {
+	o := newTestOperator(t)
+	o.mustExecute(t, createAdapterAndService)
+	r := o.mustExecute(t, "change service s as a@2; pin a@2")
+	o.mustExecute(t, fmt.Sprintf("undo revision %d", r.Revision))
 	require.Equal(t, "a@1 100", o.shares())
 	require.Empty(t, o.catalog.Pins)
-	_, err := o.do(t, "undo revision 99")
-	require.EqualError(t, err, "revision 99 is not stored any more, or never was")
+	_, err := o.execute(t, "undo revision 99")
+	require.EqualError(t, err, "revision 99 is not stored: it was deleted or never existed")
 }
 
-func TestARepeatedCommandIsCarriedOutOnce(t *testing.T) {
-	o := newOperator(t)
-	_, err := o.do(t, setUp, "same")
+func TestRepeatedIdentifierIsCommittedOnce(t *testing.T) {
+	o := newTestOperator(t)
+	_, err := o.execute(t, createAdapterAndService, "same")
 	require.NoError(t, err)
-	again, err := o.do(t, "create adapter z base b", "same")
+	again, err := o.execute(t, "create adapter z base b", "same")
 	require.NoError(t, err)
 	require.True(t, again.Repeated)
 	require.Equal(t, int64(1), again.Revision)
-	require.Equal(t, 1, o.offers)
+	require.Equal(t, 1, o.appliedCount)
 }
 
-func TestADryRunChangesNothing(t *testing.T) {
-	o := newOperator(t)
-	r := o.must(t, "dry run create adapter a base b")
+func TestDryRunStoresNothing(t *testing.T) {
+	o := newTestOperator(t)
+	r := o.mustExecute(t, "dry run create adapter a base b")
 	require.True(t, r.DryRun)
 	require.Equal(t, int64(1), r.Revision)
 	require.Empty(t, o.kv.Dump())
-	require.Zero(t, o.offers)
+	require.Zero(t, o.appliedCount)
 }
 
-func TestAChangeBasedOnAnOldRevisionIsRefused(t *testing.T) {
-	o := newOperator(t)
-	o.must(t, setUp)
-	o.must(t, "pin a@1")
-	_, err := o.do(t, "pin a@2 if revision 1")
+func TestChangeBasedOnOldRevisionIsRejected(t *testing.T) {
+	o := newTestOperator(t)
+	o.mustExecute(t, createAdapterAndService)
+	o.mustExecute(t, "pin a@1")
+	_, err := o.execute(t, "pin a@2 if revision 1")
 	require.True(t, catalog.IsErrRevisionConflict(err), "%v", err)
-	o.must(t, "pin a@2 if revision 2")
+	o.mustExecute(t, "pin a@2 if revision 2")
 }
 
-func TestAHallThatIsBehindIsWaitedForUpToTheLimit(t *testing.T) {
-	o := newOperator(t)
-	looks := 0
+func TestExecuteWaitsForHallsUpToWaitLimit(t *testing.T) {
+	o := newTestOperator(t)
+	polls := 0
 	o.halls = func(revision int64) []command.HallState {
-		looks++
+		polls++
 		behind := command.HallState{Hall: "h2", Revision: revision - 1}
-		if looks > 3 {
+		if polls > 3 {
 			behind.Revision = revision
 		}
 		return []command.HallState{{Hall: "h1", Revision: revision}, behind}
 	}
-	require.True(t, o.must(t, setUp).InForce())
-	require.Equal(t, 4, looks)
+	require.True(t, o.mustExecute(t, createAdapterAndService).InForce())
+	require.Equal(t, 4, polls)
 
 	o.halls = func(revision int64) []command.HallState {
 		return []command.HallState{{Hall: "h1", Revision: revision}, {Hall: "h2", Silent: true}}
@@ -201,23 +201,23 @@
 	require.True(t, r.Halls[1].Silent)
 }
 
-func TestTimesOfDayBoundARule(t *testing.T) {
-	o := newOperator(t)
-	o.must(t, "create rule night for class x between 22:30 and 06:00 in UTC refuse")
+func TestRuleWindowIsParsedAsMinutesOfDay(t *testing.T) {
+	o := newTestOperator(t)
+	o.mustExecute(t, "create rule night for class x between 22:30 and 06:00 in UTC refuse")
 	require.Equal(t, 22*60+30, o.catalog.Rules[0].From)
 	require.Equal(t, 6*60, o.catalog.Rules[0].To)
 	for _, text := range []string{"25:00", "08:60"} {
-		_, err := o.do(t, "create rule other for class x between "+text+" and 06:00 refuse")
-		require.ErrorContains(t, err, "is no time of day", text)
+		_, err := o.execute(t, "create rule other for class x between "+text+" and 06:00 refuse")
+		require.ErrorContains(t, err, "is not a time of day", text)
 	}
 }
 
-func TestTheClassOfRequestsThatNameNoneMayBeSetAndReset(t *testing.T) {
-	o := newOperator(t)
+func TestDefaultClassCanBeSetAndReset(t *testing.T) {
+	o := newTestOperator(t)
 	for _, name := range []string{"''", `""`} {
-		o.must(t, "set class "+name+" priority 7 weight 2 queue 1000 patient")
+		o.mustExecute(t, "set class "+name+" priority 7 weight 2 queue 1000 patient")
 		require.Equal(t, map[string]fleet.Class{"": {Priority: 7, StallWeight: 2, MaxQueuedTokens: 1000, Patient: true}}, o.catalog.Classes)
-		o.must(t, "reset class "+name)
+		o.mustExecute(t, "reset class "+name)
 		require.Empty(t, o.catalog.Classes)
 	}
 }
--- a/services/daemon/command/translate.go
+++ b/services/daemon/command/translate.go
@@ -13,19 +13,19 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
-// ErrMeaning reports a command that is well formed and makes no sense.
+// ErrMeaning reports a command that is syntactically correct but invalid, such as one that names an unknown service.
 type ErrMeaning struct {
 	Reason string
 }
 
-// Error gives the reason.
+// Error returns the reason.
 func (e ErrMeaning) Error() string { return e.Reason }
 
-// translator turns statements into changes; what the present configuration says is only read.
+// translator translates parsed commands into configuration changes. It reads the current configuration and does not modify it.
 type translator struct {
 	current *catalog.Catalog
-	// undo finds the inverse of a revision.
-	undo func(revision int64) ([]catalog.Change, error)
+	// inverseOf returns the changes that undo a revision.
+	inverseOf func(revision int64) ([]catalog.Change, error)
 }
 
 func (t translator) translate(c *language.Change) ([]catalog.Change, error) {
@@ -37,72 +37,73 @@
 	case c.Retire != nil:
 		return t.retire(c.Retire)
 	case c.Restore != nil:
-		return refChange(catalog.RestoreVersion, c.Restore)
+		return adapterRefChange(catalog.RestoreVersion, c.Restore)
 	case c.Live != nil:
-		return refChange(catalog.SetLive, c.Live)
+		return adapterRefChange(catalog.SetLive, c.Live)
 	case c.Budget != nil:
 		b := catalog.Budget{LoadsPerSecond: float64(*c.Budget.Rate), AtFullSpeed: int(*c.Budget.AtOnce)}
-		return one(catalog.Change{Kind: catalog.SetBudget, Budget: &b})
+		return singleChange(catalog.Change{Kind: catalog.SetBudget, Budget: &b})
 	case c.Class != nil:
-		return class(c.Class)
+		return classChange(c.Class)
 	case c.ResetClass != nil:
-		return one(catalog.Change{Kind: catalog.ResetClass, Name: c.ResetClass.Text})
+		return singleChange(catalog.Change{Kind: catalog.ResetClass, Name: c.ResetClass.Text})
 	case c.Roll != nil:
 		return t.roll(c.Roll)
 	case c.Undo != nil:
-		return t.undo(int64(*c.Undo))
+		return t.inverseOf(int64(*c.Undo))
 	}
-	return t.mark(c)
+	return t.translateMarker(c)
 }
 
-func (t translator) mark(c *language.Change) ([]catalog.Change, error) {
+// translateMarker translates the commands that set or clear a marker: pins, preloads and drains.
+func (t translator) translateMarker(c *language.Change) ([]catalog.Change, error) {
 	switch {
 	case c.Pin != nil:
-		return refChange(catalog.SetPin, c.Pin)
+		return adapterRefChange(catalog.SetPin, c.Pin)
 	case c.Unpin != nil:
-		return refChange(catalog.ClearPin, c.Unpin)
+		return adapterRefChange(catalog.ClearPin, c.Unpin)
 	case c.Preload != nil:
-		return refChange(catalog.SetPreload, c.Preload)
+		return adapterRefChange(catalog.SetPreload, c.Preload)
 	case c.Unpreload != nil:
-		return refChange(catalog.ClearPreload, c.Unpreload)
+		return adapterRefChange(catalog.ClearPreload, c.Unpreload)
 	case c.Drain != nil:
-		return one(catalog.Change{Kind: catalog.SetDrain, Name: c.Drain.Endpoint + c.Drain.Hall})
+		return singleChange(catalog.Change{Kind: catalog.SetDrain, Name: c.Drain.Endpoint + c.Drain.Hall})
 	case c.Undrain != nil:
-		return one(catalog.Change{Kind: catalog.ClearDrain, Name: c.Undrain.Endpoint + c.Undrain.Hall})
+		return singleChange(catalog.Change{Kind: catalog.ClearDrain, Name: c.Undrain.Endpoint + c.Undrain.Hall})
 	}
 	return nil, ErrMeaning{Reason: "the command is empty"}
 }
 
-func one(c catalog.Change) ([]catalog.Change, error) {
+func singleChange(c catalog.Change) ([]catalog.Change, error) {
 	return []catalog.Change{c}, nil
 }
 
-func refChange(kind catalog.ChangeKind, r *language.Ref) ([]catalog.Change, error) {
+func adapterRefChange(kind catalog.ChangeKind, r *language.Ref) ([]catalog.Change, error) {
 	ref, err := fleet.ParseAdapterRef(r.Text)
 	if err != nil {
 		return nil, ErrMeaning{Reason: fmt.Sprintf("column %d: %s", r.Pos.Column, err)}
 	}
-	return one(catalog.Change{Kind: kind, Name: ref.Name, Version: ref.Version})
+	return singleChange(catalog.Change{Kind: kind, Name: ref.Name, Version: ref.Version})
 }
 
 func (t translator) create(c *language.Create) ([]catalog.Change, error) {
 	switch {
 	case c.Adapter != nil:
-		return adapter(c.Adapter)
+		return adapterChange(c.Adapter)
 	case c.Version != nil:
-		return version(c.Version)
+		return versionChanges(c.Version)
 	case c.Service != nil:
 		if t.current.Services[c.Service.Name] != nil {
 			return nil, ErrMeaning{Reason: fmt.Sprintf("service %q exists already; use change service", c.Service.Name)}
 		}
-		return service(c.Service)
+		return serviceChange(c.Service)
 	}
 	for _, r := range t.current.Rules {
 		if r.Name == c.Rule.Name {
 			return nil, ErrMeaning{Reason: fmt.Sprintf("rule %q exists already; use change rule", c.Rule.Name)}
 		}
 	}
-	return rule(c.Rule)
+	return ruleChange(c.Rule)
 }
 
 func (t translator) alter(c *language.Alter) ([]catalog.Change, error) {
@@ -110,11 +111,11 @@
 		if t.current.Services[c.Service.Name] == nil {
 			return nil, ErrMeaning{Reason: fmt.Sprintf("no service %q", c.Service.Name)}
 		}
-		return service(c.Service)
+		return serviceChange(c.Service)
 	}
 	for _, r := range t.current.Rules {
 		if r.Name == c.Rule.Name {
-			return rule(c.Rule)
+			return ruleChange(c.Rule)
 		}
 	}
 	return nil, ErrMeaning{Reason: fmt.Sprintf("no rule %q", c.Rule.Name)}
@@ -123,25 +124,25 @@
 func (t translator) retire(c *language.Retire) ([]catalog.Change, error) {
 	switch {
 	case c.Adapter != nil:
-		return one(catalog.Change{Kind: catalog.RetireAdapter, Name: c.Adapter.Text})
+		return singleChange(catalog.Change{Kind: catalog.RetireAdapter, Name: c.Adapter.Text})
 	case c.Version != nil:
-		return refChange(catalog.RetireVersion, c.Version)
+		return adapterRefChange(catalog.RetireVersion, c.Version)
 	case c.Service != nil:
-		return one(catalog.Change{Kind: catalog.RetireService, Name: c.Service.Text})
+		return singleChange(catalog.Change{Kind: catalog.RetireService, Name: c.Service.Text})
 	}
-	return one(catalog.Change{Kind: catalog.RetireRule, Name: c.Rule.Text})
+	return singleChange(catalog.Change{Kind: catalog.RetireRule, Name: c.Rule.Text})
 }
 
-func adapter(c *language.AdapterClause) ([]catalog.Change, error) {
+func adapterChange(c *language.AdapterClause) ([]catalog.Change, error) {
 	ch := catalog.Change{Kind: catalog.CreateAdapter, Name: c.Name, Base: c.Base, Source: c.Source}
 	if c.Version != nil {
 		ch.Version = int(*c.Version)
 	}
-	return one(ch)
+	return singleChange(ch)
 }
 
-func version(c *language.VersionClause) ([]catalog.Change, error) {
-	changes, err := refChange(catalog.CreateVersion, c.Ref)
+func versionChanges(c *language.VersionClause) ([]catalog.Change, error) {
+	changes, err := adapterRefChange(catalog.CreateVersion, c.Ref)
 	if err != nil {
 		return nil, err
 	}
@@ -152,7 +153,7 @@
 	return changes, nil
 }
 
-func service(c *language.ServiceClause) ([]catalog.Change, error) {
+func serviceChange(c *language.ServiceClause) ([]catalog.Change, error) {
 	var shares []catalog.Share
 	for _, s := range c.Shares {
 		share := catalog.Share{Adapter: s.Adapter, Percent: catalog.WholePercent}
@@ -164,10 +165,11 @@
 		}
 		shares = append(shares, share)
 	}
-	return one(catalog.Change{Kind: catalog.SetService, Name: c.Name, Shares: shares})
+	return singleChange(catalog.Change{Kind: catalog.SetService, Name: c.Name, Shares: shares})
 }
 
-// roll gives the new version its share and leaves the rest where most of the service was.
+// roll assigns the requested share of a service to the new version and the remaining share to the first other version of the
+// service.
 func (t translator) roll(c *language.Roll) ([]catalog.Change, error) {
 	if c.Back != nil {
 		return t.rollBack(c.Back.Text)
@@ -190,18 +192,19 @@
 	next := catalog.Share{Adapter: ref.Name, Version: ref.Version, Percent: percent}
 	shares := []catalog.Share{next}
 	if percent < catalog.WholePercent {
-		old, found := oldShare(s, next)
+		old, found := previousShare(s, next)
 		if !found {
-			return nil, ErrMeaning{Reason: "the service has no other version to keep the rest"}
+			return nil, ErrMeaning{Reason: "the service has no other version to take the remaining share"}
 		}
 		old.Percent = catalog.WholePercent - percent
-		// The old version stays first, which is what rolling back returns to.
+		// The old version must come first, because rollBack returns to the first share.
 		shares = []catalog.Share{old, next}
 	}
-	return one(catalog.Change{Kind: catalog.SetService, Name: c.Service, Shares: shares})
+	return singleChange(catalog.Change{Kind: catalog.SetService, Name: c.Service, Shares: shares})
 }
 
-func oldShare(s *catalog.Service, next catalog.Share) (catalog.Share, bool) {
+// previousShare returns the first share of the service whose adapter or version differs from that of next.
+func previousShare(s *catalog.Service, next catalog.Share) (catalog.Share, bool) {
 	for _, share := range s.Shares {
 		if share.Adapter != next.Adapter || share.Version != next.Version {
 			return share, true
@@ -210,30 +213,31 @@
 	return catalog.Share{}, false
 }
 
+// rollBack assigns the whole service to its first share, which is the version before the last roll.
 func (t translator) rollBack(name string) ([]catalog.Change, error) {
 	s := t.current.Services[name]
 	if s == nil {
 		return nil, ErrMeaning{Reason: fmt.Sprintf("no service %q", name)}
 	}
 	if len(s.Shares) <= 1 {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("service %q is not between two versions; use undo revision", name)}
+		return nil, ErrMeaning{Reason: fmt.Sprintf("service %q has a single version and cannot be rolled back; use undo revision", name)}
 	}
 	old := s.Shares[0]
 	old.Percent = catalog.WholePercent
-	return one(catalog.Change{Kind: catalog.SetService, Name: name, Shares: []catalog.Share{old}})
+	return singleChange(catalog.Change{Kind: catalog.SetService, Name: name, Shares: []catalog.Share{old}})
 }
 
-// class sets a class. The empty name is meant: it is the class of the requests that name none. The settings refuse it, since
-// there it can't be told from a name that was left out.
-func class(c *language.ClassClause) ([]catalog.Change, error) {
+// classChange translates a command that sets a class. An empty name is valid: it denotes the class of requests that name no
+// class. The settings file does not accept the empty name, because there it cannot be distinguished from an omitted name.
+func classChange(c *language.ClassClause) ([]catalog.Change, error) {
 	f := fleet.Class{Name: c.Name, Priority: int(*c.Priority), StallWeight: float64(*c.Weight), Patient: c.Patient}
 	if c.Queue != nil {
 		f.MaxQueuedTokens = int(*c.Queue)
 	}
-	return one(catalog.Change{Kind: catalog.SetClass, Name: c.Name, Class: &f})
+	return singleChange(catalog.Change{Kind: catalog.SetClass, Name: c.Name, Class: &f})
 }
 
-func rule(c *language.RuleClause) ([]catalog.Change, error) {
+func ruleChange(c *language.RuleClause) ([]catalog.Change, error) {
 	r := catalog.Rule{Name: c.Name}
 	for _, condition := range c.Conditions {
 		setCondition(&r, condition)
@@ -250,7 +254,7 @@
 			r.Priority = int(*a.Priority)
 		}
 	}
-	return one(catalog.Change{Kind: catalog.SetRule, Name: c.Name, Rule: &r})
+	return singleChange(catalog.Change{Kind: catalog.SetRule, Name: c.Name, Rule: &r})
 }
 
 func setCondition(r *catalog.Rule, c *language.RuleCondition) {
@@ -286,14 +290,14 @@
 	minutesPerHour = 60
 )
 
-// minuteOfDay reads a time such as 08:30 as minutes after midnight; 24:00 ends a day.
+// minuteOfDay parses a time of day such as 08:30 and returns the minutes since midnight; 24:00 is the end of the day.
 func minuteOfDay(text string) (int, error) {
-	// Without a colon the minutes are empty, which Atoi refuses below.
+	// If the text has no colon, m is empty and Atoi below returns an error.
 	h, m, _ := strings.Cut(text, ":")
 	hour, errHour := strconv.Atoi(h)
 	minute, errMinute := strconv.Atoi(m)
 	if errHour != nil || errMinute != nil || hour > hoursPerDay || minute >= minutesPerHour {
-		return 0, ErrMeaning{Reason: fmt.Sprintf("%q is no time of day", text)}
+		return 0, ErrMeaning{Reason: fmt.Sprintf("%q is not a time of day", text)}
 	}
 	return hour*minutesPerHour + minute, nil
 }
