--- a/services/daemon/configuration/configuration_test.go
+++ b/services/daemon/configuration/configuration_test.go
@@ -27,24 +27,24 @@
 
 const (
 	prefix = "/test"
-	// waitLimit bounds the wait of a test for what must come.
+	// waitLimit is how long a test waits for an expected event before it fails.
 	waitLimit = 10 * time.Second
 )
 
-// service is a key-value service with a switch for answers that are lost together with the service.
-type service struct {
+// kvService is a key-value service that can be made to fail right after a write.
+type kvService struct {
 	*standin.KV
 	address netip.AddrPort
-	// downAfterWrite has the service go down right after the next write, whose answer is lost.
-	downAfterWrite atomic.Bool
+	// stopAfterWrite makes the service fail right after the next write, whose response is lost.
+	stopAfterWrite atomic.Bool
 }
 
-func newService(t *testing.T) *service {
+func newKVService(t *testing.T) *kvService {
 	t.Helper()
-	s := &service{KV: standin.NewKV()}
+	s := &kvService{KV: standin.NewKV()}
 	inner := s.Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		if q.URL.Path != "/v3/kv/txn" || !s.downAfterWrite.CompareAndSwap(true, false) {
+		if q.URL.Path != "/v3/kv/txn" || !s.stopAfterWrite.CompareAndSwap(true, false) {
 			inner.ServeHTTP(w, q)
 			return
 		}
@@ -60,15 +60,15 @@
 	return s
 }
 
-func (s *service) client() *kv.Client {
+func (s *kvService) client() *kv.Client {
 	return kv.New(kv.Options{Addresses: []netip.AddrPort{s.address}})
 }
 
-func (s *service) store() *configuration.Store {
+func (s *kvService) store() *configuration.Store {
 	return configuration.NewStore(s.client(), prefix, func() time.Time { return time.Unix(0, 0) })
 }
 
-// proposal creates one adapter.
+// proposal returns a proposal that creates one adapter.
 func proposal(id string) configuration.Proposal {
 	return configuration.Proposal{ID: id, Operator: "ana", Command: "create", Changes: []catalog.Change{
 		{Kind: catalog.CreateAdapter, Name: "adapter-" + id, Base: "base"},
@@ -82,8 +82,8 @@
 	return c
 }
 
-func TestARepeatedProposalIsCommittedOnce(t *testing.T) {
-	kvs := newService(t)
+func TestRepeatedProposalIsCommittedOnce(t *testing.T) {
+	kvs := newKVService(t)
 	first := commit(t, kvs.store(), proposal("a"))
 	require.Equal(t, int64(1), first.Record.Revision)
 	again := commit(t, kvs.store(), proposal("a"))
@@ -92,18 +92,18 @@
 	require.Equal(t, int64(2), commit(t, kvs.store(), proposal("b")).Record.Revision)
 }
 
-func TestALostAnswerIsSettledByReading(t *testing.T) {
-	kvs := newService(t)
+func TestCommitReadsBackAfterLostResponse(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	kvs.SetFaults(standin.KVFaults{LoseAnswers: 1})
 	require.Equal(t, int64(1), commit(t, s, proposal("a")).Record.Revision)
-	require.Equal(t, int64(2), commit(t, s, proposal("b")).Record.Revision, "the first was stored once")
+	require.Equal(t, int64(2), commit(t, s, proposal("b")).Record.Revision, "the first proposal must be stored only once")
 }
 
-func TestAWriteWhoseEndCannotBeReadIsUnsettledUntilItIsRepeated(t *testing.T) {
-	kvs := newService(t)
+func TestCommitWithUnknownOutcomeIsResolvedByRepeating(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
-	kvs.downAfterWrite.Store(true)
+	kvs.stopAfterWrite.Store(true)
 	_, err := s.Commit(context.Background(), proposal("a"))
 	require.True(t, configuration.IsErrUnsettled(err), "%v", err)
 	require.ErrorContains(t, err, "change a may or may not have been accepted")
@@ -111,8 +111,8 @@
 	require.True(t, commit(t, s, proposal("a")).Repeated)
 }
 
-func TestNothingIsChangedWhileTheServiceIsDown(t *testing.T) {
-	kvs := newService(t)
+func TestCommitChangesNothingWhileServiceIsDown(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	kvs.SetFaults(standin.KVFaults{Down: true})
 	_, err := s.Commit(context.Background(), proposal("a"))
@@ -122,19 +122,19 @@
 	require.False(t, commit(t, s, proposal("a")).Repeated)
 }
 
-func TestAStoreFollowsTheChangesOfOthers(t *testing.T) {
-	kvs := newService(t)
-	one, other := kvs.store(), kvs.store()
-	commit(t, one, proposal("a"))
-	commit(t, other, proposal("b"))
-	require.Equal(t, int64(3), commit(t, one, proposal("c")).Record.Revision)
-	_, err := other.Commit(context.Background(), configuration.Proposal{ID: "d", Changes: proposal("c").Changes})
+func TestStoreIncludesCommitsOfOtherStores(t *testing.T) {
+	kvs := newKVService(t)
+	first, second := kvs.store(), kvs.store()
+	commit(t, first, proposal("a"))
+	commit(t, second, proposal("b"))
+	require.Equal(t, int64(3), commit(t, first, proposal("c")).Record.Revision)
+	_, err := second.Commit(context.Background(), configuration.Proposal{ID: "d", Changes: proposal("c").Changes})
 	var bad catalog.ErrBadChange
-	require.ErrorAs(t, err, &bad, "the adapter exists already")
+	require.ErrorAs(t, err, &bad, "the adapter already exists")
 }
 
-func TestAProposalBasedOnAnOlderRevisionNamesTheChangeThatCameFirst(t *testing.T) {
-	kvs := newService(t)
+func TestRevisionConflictNamesInterveningChange(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	commit(t, s, proposal("a"))
 	commit(t, s, proposal("b"))
@@ -150,8 +150,8 @@
 	require.Equal(t, int64(4), commit(t, s, p).Record.Revision)
 }
 
-func TestAPreviewStoresNothing(t *testing.T) {
-	kvs := newService(t)
+func TestPreviewStoresNothing(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	r, err := s.Preview(context.Background(), proposal("a"))
 	require.NoError(t, err)
@@ -159,11 +159,11 @@
 	require.Empty(t, kvs.Dump())
 }
 
-func TestChangesLargerThanAStoredValueAreRefused(t *testing.T) {
-	kvs := newService(t)
+func TestCommitRejectsChangesLargerThanOneValue(t *testing.T) {
+	kvs := newKVService(t)
 	p := proposal("a")
 	for i := range 60_000 {
-		// Names that differ everywhere, so that they are not compressed away.
+		// The names differ in all digits, so that compression does not reduce the size of the record.
 		p.Changes = append(p.Changes, catalog.Change{Kind: catalog.CreateAdapter, Name: fmt.Sprintf("%x", uint64(i+1)*0x9e3779b97f4a7c15), Base: "base"})
 	}
 	_, err := kvs.store().Commit(context.Background(), p)
@@ -172,8 +172,8 @@
 	require.Empty(t, kvs.Dump())
 }
 
-func TestAHeadThatWentBackIsNotFollowed(t *testing.T) {
-	kvs := newService(t)
+func TestCommitRejectsHeadThatMovedBackward(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	commit(t, s, proposal("a"))
 	older := kvs.Dump()
@@ -181,11 +181,11 @@
 	kvs.Restore(older)
 	_, err := s.Commit(context.Background(), proposal("c"))
 	require.True(t, configuration.IsErrUnavailable(err))
-	require.ErrorContains(t, err, "it went back from revision 2 to 1")
+	require.ErrorContains(t, err, "it moved back from revision 2 to 1")
 }
 
-func TestANewStoreReadsSnapshotAndRecords(t *testing.T) {
-	kvs := newService(t)
+func TestNewStoreReadsSnapshotAndRecords(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	const changes = 205
 	for i := range changes {
@@ -197,11 +197,11 @@
 			snapshots++
 		}
 	}
-	require.Equal(t, 1, snapshots, "written once after 200 records")
+	require.Equal(t, 1, snapshots, "one snapshot must be written after 200 records")
 	fresh := kvs.store()
 	require.Equal(t, int64(changes+1), commit(t, fresh, proposal("next")).Record.Revision)
 	_, err := fresh.Commit(context.Background(), configuration.Proposal{ID: "x", Changes: proposal("0").Changes})
-	require.ErrorContains(t, err, "it exists already", "what the snapshot alone holds is known")
+	require.ErrorContains(t, err, "it exists already", "the adapter is stored only in the snapshot")
 	r, found, err := fresh.Record(context.Background(), 7)
 	require.NoError(t, err)
 	require.True(t, found)
@@ -211,44 +211,44 @@
 	require.False(t, found)
 }
 
-// followed is a follower with what it has offered, of which the head is taken as in force at once.
-type followed struct {
+// testFollower is a follower whose published records are collected and whose published head is in force immediately.
+type testFollower struct {
 	*configuration.Follower
-	offers   chan fleet.Records
-	revision atomic.Int64
+	published chan fleet.Records
+	revision  atomic.Int64
 }
 
-func follow(t *testing.T, kvs *service) *followed {
+func newTestFollower(t *testing.T, kvs *kvService) *testFollower {
 	t.Helper()
-	f := &followed{offers: make(chan fleet.Records, 100)}
+	f := &testFollower{published: make(chan fleet.Records, 100)}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
-	offer := func(r fleet.Records) {
+	publish := func(r fleet.Records) {
 		f.revision.Store(r.Head)
-		f.offers <- r
+		f.published <- r
 	}
-	f.Follower = configuration.NewFollower(kvs.client(), prefix, offer, f.revision.Load, logrus.NewEntry(log), time.Now)
+	f.Follower = configuration.NewFollower(kvs.client(), prefix, publish, f.revision.Load, logrus.NewEntry(log), time.Now)
 	t.Cleanup(f.Stop)
 	return f
 }
 
-func (f *followed) next(t *testing.T) fleet.Records {
+func (f *testFollower) next(t *testing.T) fleet.Records {
 	t.Helper()
 	select {
-	case r := <-f.offers:
+	case r := <-f.published:
 		return r
 	case <-time.After(waitLimit):
-		require.FailNow(t, "nothing was offered")
+		require.FailNow(t, "the follower published nothing")
 	}
 	return fleet.Records{}
 }
 
-func TestAFollowerOffersWhatIsThereAndWhatComes(t *testing.T) {
-	kvs := newService(t)
+func TestFollowerPublishesStoredAndNewRecords(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	commit(t, s, proposal("a"))
 	commit(t, s, proposal("b"))
-	f := follow(t, kvs)
+	f := newTestFollower(t, kvs)
 	f.SetWatching(true)
 	r := f.next(t)
 	require.Equal(t, int64(2), r.Head)
@@ -257,14 +257,14 @@
 	require.Equal(t, fleet.Records{Head: 3, Records: [][]byte{encoded}}, f.next(t))
 }
 
-func TestAFollowerThatIsFarBehindGetsTheSnapshotAndOnlyWhatFollows(t *testing.T) {
-	kvs := newService(t)
+func TestFollowerFarBehindReadsSnapshotAndLaterRecords(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	const changes = 205
 	for i := range changes {
 		commit(t, s, proposal(fmt.Sprint(i)))
 	}
-	f := follow(t, kvs)
+	f := newTestFollower(t, kvs)
 	f.SetWatching(true)
 	r := f.next(t)
 	require.Equal(t, int64(changes), r.Head)
@@ -276,11 +276,11 @@
 	require.Equal(t, int64(changes), last.Revision)
 }
 
-func TestAFollowerGoesOnAfterAnOutage(t *testing.T) {
-	kvs := newService(t)
+func TestFollowerResumesAfterOutage(t *testing.T) {
+	kvs := newKVService(t)
 	s := kvs.store()
 	commit(t, s, proposal("a"))
-	f := follow(t, kvs)
+	f := newTestFollower(t, kvs)
 	f.SetWatching(true)
 	f.next(t)
 	kvs.SetFaults(standin.KVFaults{Down: true})
@@ -289,18 +289,18 @@
 	require.Equal(t, int64(2), f.next(t).Head)
 }
 
-func TestAFollowerOffersAHeadThatWentBackForTheAlarm(t *testing.T) {
-	kvs := newService(t)
+func TestFollowerPublishesHeadThatMovedBackward(t *testing.T) {
+	kvs := newKVService(t)
 	commit(t, kvs.store(), proposal("a"))
-	f := follow(t, kvs)
+	f := newTestFollower(t, kvs)
 	f.revision.Store(5)
 	f.SetWatching(true)
 	require.Equal(t, fleet.Records{Head: 1}, f.next(t))
 }
 
-func TestAFollowerThatWasStoppedDoesNotWatchAgain(t *testing.T) {
-	kvs := newService(t)
-	f := follow(t, kvs)
+func TestStoppedFollowerDoesNotWatchAgain(t *testing.T) {
+	kvs := newKVService(t)
+	f := newTestFollower(t, kvs)
 	f.SetWatching(true)
 	f.Stop()
 	commit(t, kvs.store(), proposal("a"))
@@ -308,6 +308,6 @@
 	f.SetWatching(true)
 	require.Never(t, func() bool {
 		after, _, _, _ := kvs.Usage()
-		return after != reads || len(f.offers) > 0
+		return after != reads || len(f.published) > 0
 	}, 100*time.Millisecond, 5*time.Millisecond)
 }
--- a/services/daemon/configuration/follower.go
+++ b/services/daemon/configuration/follower.go
@@ -15,25 +15,28 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-// Follower watches the head for its hall and offers what is new; one instance of a hall watches at a time.
+// Follower watches the head key and publishes new records. In each hall, only one instance watches at a time.
 type Follower struct {
-	reader   reader
-	offer    func(fleet.Records)
-	revision func() int64
-	log      *logrus.Entry
-	now      func() time.Time
-	mutex    sync.Mutex
-	cancel   context.CancelFunc
-	done     sync.WaitGroup
-	stopped  bool
+	reader reader
+	// publish passes records to the control thread.
+	publish func(fleet.Records)
+	// currentRevision returns the revision in force on this instance.
+	currentRevision func() int64
+	log             *logrus.Entry
+	now             func() time.Time
+	mutex           sync.Mutex
+	cancel          context.CancelFunc
+	running         sync.WaitGroup
+	stopped         bool
 }
 
-// NewFollower makes a follower that does not watch yet; revision gives what is in force here.
-func NewFollower(client *kv.Client, prefix string, offer func(fleet.Records), revision func() int64, log *logrus.Entry, now func() time.Time) *Follower {
-	return &Follower{reader: reader{client: client, keys: keys{prefix: prefix}}, offer: offer, revision: revision, log: log, now: now}
+// NewFollower returns a follower that does not watch until SetWatching is called. The function publish receives the records
+// that are read, and currentRevision returns the revision in force on this instance.
+func NewFollower(client *kv.Client, prefix string, publish func(fleet.Records), currentRevision func() int64, log *logrus.Entry, now func() time.Time) *Follower {
+	return &Follower{reader: reader{client: client, keys: keys{prefix: prefix}}, publish: publish, currentRevision: currentRevision, log: log, now: now}
 }
 
-// SetWatching begins or ends the watch.
+// SetWatching starts or stops the watch. It has no effect after Stop.
 func (f *Follower) SetWatching(on bool) {
 	f.mutex.Lock()
 	defer f.mutex.Unlock()
@@ -46,11 +49,11 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	f.cancel = cancel
-	f.done.Add(1)
-	go f.follow(ctx)
+	f.running.Add(1)
+	go f.run(ctx)
 }
 
-// Stop ends the watch for good and waits for it.
+// Stop ends the watch permanently and waits until its goroutine has returned.
 func (f *Follower) Stop() {
 	f.mutex.Lock()
 	f.stopped = true
@@ -59,39 +62,39 @@
 		f.cancel = nil
 	}
 	f.mutex.Unlock()
-	f.done.Wait()
+	f.running.Wait()
 }
 
 const (
-	// retryLeast and retryMost bound the wait before the watch is tried again: longer spares the service after an outage, shorter has
-	// changes in force sooner.
-	retryLeast = 200 * time.Millisecond
-	retryMost  = 3 * time.Second
-	// retryGrowth is the factor of one wait to the next.
-	retryGrowth = 2
-	// retryFloor is the part of a wait, one over this, that its jitter leaves certain.
-	retryFloor = 2
+	// minRetryDelay and maxRetryDelay limit the backoff before the watch is restarted. Longer delays reduce the load on the
+	// key-value service after an outage; shorter delays bring changes in force sooner.
+	minRetryDelay = 200 * time.Millisecond
+	maxRetryDelay = 3 * time.Second
+	// retryBackoffFactor is the factor by which the backoff grows after each attempt.
+	retryBackoffFactor = 2
+	// retryJitterDivisor sets the minimum delay with jitter: the backoff divided by this number.
+	retryJitterDivisor = 2
 )
 
-// follow makes rounds until ctx ends.
-func (f *Follower) follow(ctx context.Context) {
-	defer f.done.Done()
-	wait := retryLeast
+// run watches the configuration, and restarts the watch with backoff, until ctx ends.
+func (f *Follower) run(ctx context.Context) {
+	defer f.running.Done()
+	backoff := minRetryDelay
 	for ctx.Err() == nil {
 		began := f.now()
-		err := f.round(ctx)
+		err := f.watchOnce(ctx)
 		if ctx.Err() != nil {
 			return
 		}
 		if err != nil {
 			f.log.WithError(err).Debug("following the configuration")
 		}
-		if f.now().Sub(began) > retryMost {
-			wait = retryLeast
+		if f.now().Sub(began) > maxRetryDelay {
+			backoff = minRetryDelay
 		}
-		// The jitter keeps the halls from coming back all at once after an outage.
-		sleep := wait/retryFloor + rand.N(wait)
-		wait = min(retryGrowth*wait, retryMost)
+		// The jitter prevents the followers of all halls from reconnecting at the same time after an outage.
+		sleep := backoff/retryJitterDivisor + rand.N(backoff)
+		backoff = min(retryBackoffFactor*backoff, maxRetryDelay)
 		select {
 		case <-time.After(sleep):
 		case <-ctx.Done():
@@ -99,9 +102,9 @@
 	}
 }
 
-// round reads the head once and then watches it until the watch breaks off.
-func (f *Follower) round(ctx context.Context) error {
-	h, mod, err := f.reader.headNow(ctx)
+// watchOnce reads the head and then watches it until the watch ends or fails.
+func (f *Follower) watchOnce(ctx context.Context) error {
+	h, mod, err := f.reader.readHead(ctx)
 	if err != nil {
 		return err
 	}
@@ -118,16 +121,17 @@
 	})
 }
 
-// catchUp offers what is new, and also a head that is older than what is in force, for the alarm.
+// catchUp publishes the records between the revision in force and the head. It also publishes a head that is older than the
+// revision in force, without records, so that the receiver can raise an alarm.
 func (f *Follower) catchUp(ctx context.Context, h head) error {
-	have := f.revision()
-	if h.Revision == have {
+	current := f.currentRevision()
+	if h.Revision == current {
 		return nil
 	}
-	records, err := f.reader.since(ctx, h, have)
+	records, err := f.reader.recordsSince(ctx, h, current)
 	if err != nil {
 		return err
 	}
-	f.offer(records)
+	f.publish(records)
 	return nil
 }
--- a/services/daemon/configuration/keys.go
+++ b/services/daemon/configuration/keys.go
@@ -8,29 +8,30 @@
 	"fmt"
 )
 
-// head is the value of the one key that says which revision is the latest.
+// head is the value of the head key, which names the latest revision and snapshot.
 type head struct {
 	Revision int64 `json:"revision"`
-	// Snapshot is the revision of the latest snapshot, and Parts its number of values.
+	// Snapshot is the revision of the latest snapshot, and Parts is the number of values that the snapshot is split into.
 	Snapshot int64 `json:"snapshot"`
 	Parts    int   `json:"parts"`
-	// Last is the latest record itself while it is small, to save its readers a call.
+	// Last is the latest record, if it has at most maxInlineRecordBytes. It saves readers the call that would read the record.
 	Last []byte `json:"last,omitempty"`
 }
 
 const (
-	// partBytes is the largest value written, in bytes, well below the service's limit of a megabyte.
-	partBytes = 700 << 10
-	// inlineBytes is the largest record that rides along in the head, in bytes: it saves each reader a call for each change, and makes the
-	// head that all watch larger.
-	inlineBytes = 16 << 10
-	// snapshotEvery is the number of records after which a new snapshot is written: fewer cost writes, more cost an instance that starts a
-	// longer read.
-	snapshotEvery = 200
-	// keepRecords is how many records before the latest stay, for history and undo.
-	keepRecords = 512
+	// maxValueBytes is the maximum size of a stored value, in bytes. It is well below the service's limit of one megabyte.
+	maxValueBytes = 700 << 10
+	// maxInlineRecordBytes is the maximum size of a record that is included in the head, in bytes. An included record saves each
+	// reader one call for each change, but makes the head larger, which all followers watch.
+	maxInlineRecordBytes = 16 << 10
+	// snapshotInterval is the number of records after which a new snapshot is written. A lower number costs more writes; a higher
+	// number makes a starting instance read more records.
+	snapshotInterval = 200
+	// retainedRecords is the number of records before the latest that are kept for history and undo.
+	retainedRecords = 512
 )
 
+// keys builds the keys of the configuration in the key-value service.
 type keys struct {
 	prefix string
 }
@@ -45,24 +46,24 @@
 	return fmt.Sprintf("%s/config/snapshot/%016d/%04d", k.prefix, revision, part)
 }
 
-// ErrBadHead reports a head that cannot be read.
+// ErrBadHead reports a head that is invalid or inconsistent with the stored records.
 type ErrBadHead struct {
 	Reason string
 }
 
-// Error tells why.
+// Error returns a message that contains the reason.
 func (e ErrBadHead) Error() string {
 	return "the configuration's head cannot be read: " + e.Reason
 }
 
-// parseHead reads the head's value, or gives ErrBadHead.
+// parseHead decodes the value of the head key. It returns ErrBadHead if the value is invalid.
 func parseHead(value []byte) (head, error) {
 	var h head
 	if err := json.Unmarshal(value, &h); err != nil {
 		return head{}, ErrBadHead{Reason: err.Error()}
 	}
 	if h.Revision < 0 || h.Snapshot > h.Revision || h.Parts < 0 {
-		return head{}, ErrBadHead{Reason: "its numbers make no sense"}
+		return head{}, ErrBadHead{Reason: "its revision, snapshot or number of parts is out of range"}
 	}
 	return h, nil
 }
--- a/services/daemon/configuration/reader.go
+++ b/services/daemon/configuration/reader.go
@@ -10,14 +10,14 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-// reader reads what leads from a revision in hand to the head.
+// reader reads the head, and the snapshot and records that lead from a given revision to the head.
 type reader struct {
 	client *kv.Client
 	keys   keys
 }
 
-// headNow reads the head; a revision of zero means that nothing was ever stored.
-func (r reader) headNow(ctx context.Context) (head, int64, error) {
+// readHead returns the head and the modification revision of its key. Both are zero if no configuration was ever stored.
+func (r reader) readHead(ctx context.Context) (head, int64, error) {
 	pair, found, err := r.client.Get(ctx, r.keys.head())
 	if err != nil || !found {
 		return head{}, 0, err
@@ -26,18 +26,19 @@
 	return h, pair.ModRevision, err
 }
 
-// since reads the records after a revision, and the snapshot if they do not reach back that far.
-func (r reader) since(ctx context.Context, h head, have int64) (fleet.Records, error) {
+// recordsSince returns the records after the given revision, up to the head. If the snapshot is newer than the revision, it
+// returns the snapshot and the records after the snapshot.
+func (r reader) recordsSince(ctx context.Context, h head, revision int64) (fleet.Records, error) {
 	out := fleet.Records{Head: h.Revision}
-	if h.Revision <= have {
+	if h.Revision <= revision {
 		return out, nil
 	}
-	if h.Revision == have+1 && len(h.Last) > 0 {
+	if h.Revision == revision+1 && len(h.Last) > 0 {
 		out.Records = [][]byte{h.Last}
 		return out, nil
 	}
-	from := have
-	if have < h.Snapshot {
+	from := revision
+	if revision < h.Snapshot {
 		snapshot, err := r.snapshot(ctx, h)
 		if err != nil {
 			return out, err
@@ -58,13 +59,14 @@
 	return out, nil
 }
 
+// snapshot reads all parts of the latest snapshot and joins them.
 func (r reader) snapshot(ctx context.Context, h head) ([]byte, error) {
 	resp, err := r.client.Range(ctx, kv.RangeRequest{Key: []byte(r.keys.part(h.Snapshot, 0)), RangeEnd: []byte(r.keys.part(h.Snapshot, h.Parts))})
 	if err != nil {
 		return nil, err
 	}
 	if len(resp.KVs) != h.Parts {
-		return nil, ErrBadHead{Reason: "parts of the snapshot are missing"}
+		return nil, ErrBadHead{Reason: "parts of its snapshot are missing"}
 	}
 	var out []byte
 	for _, pair := range resp.KVs {
--- a/services/daemon/configuration/store.go
+++ b/services/daemon/configuration/store.go
@@ -15,112 +15,116 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-// Store commits changes; it is safe for concurrent use and commits one at a time.
+// Store commits configuration changes, one commit at a time. It is safe for concurrent use.
 type Store struct {
-	mutex   sync.Mutex
-	reader  reader
+	mutex  sync.Mutex
+	reader reader
+	// current is the configuration as of the last synchronization with the key-value service.
 	current *catalog.Catalog
 	history *catalog.History
 	now     func() time.Time
 }
 
-// ErrTooLarge reports a set of changes that does not fit into one stored value.
+// ErrTooLarge reports a set of changes whose record exceeds the maximum size of a stored value.
 type ErrTooLarge struct {
 	Bytes int
 }
 
-// Error gives the size.
+// Error returns a message that contains the size and its limit.
 func (e ErrTooLarge) Error() string {
-	return fmt.Sprintf("the changes take %d bytes, more than the %d of one stored value; give them in several batches", e.Bytes, partBytes)
+	return fmt.Sprintf("the changes take %d bytes, more than the %d of one stored value; give them in several batches", e.Bytes, maxValueBytes)
 }
 
-// ErrUnsettled reports a commit whose end could not be found out in time.
+// ErrUnsettled reports a commit whose outcome could not be determined in time.
 type ErrUnsettled struct {
 	ID     string
 	Reason string
 }
 
-// Error names the change, by which it can be asked for later.
+// Error returns a message that contains the identifier of the change. Repeating the command with this identifier determines
+// the outcome.
 func (e ErrUnsettled) Error() string {
 	return fmt.Sprintf("change %s may or may not have been accepted: %s; repeat the command with the same identifier to find out", e.ID, e.Reason)
 }
 
-// IsErrUnsettled tells whether an error is an ErrUnsettled.
+// IsErrUnsettled reports whether err is an ErrUnsettled.
 func IsErrUnsettled(err error) bool {
 	var e ErrUnsettled
 	return errors.As(err, &e)
 }
 
-// ErrUnavailable reports that the key-value service could not be used, and nothing was changed.
+// ErrUnavailable reports that the key-value service could not be used and that nothing was changed.
 type ErrUnavailable struct {
 	Reason string
 }
 
-// Error tells why.
+// Error returns a message that contains the reason.
 func (e ErrUnavailable) Error() string {
 	return "the change was not accepted: " + e.Reason
 }
 
-// IsErrUnavailable tells whether an error is an ErrUnavailable.
+// IsErrUnavailable reports whether err is an ErrUnavailable.
 func IsErrUnavailable(err error) bool {
 	var e ErrUnavailable
 	return errors.As(err, &e)
 }
 
-// NewStore makes a store over the key-value service.
+// NewStore returns a store that keeps its keys below prefix in the key-value service.
 func NewStore(client *kv.Client, prefix string, now func() time.Time) *Store {
 	return &Store{reader: reader{client: client, keys: keys{prefix: prefix}}, current: catalog.New(), history: catalog.NewHistory(), now: now}
 }
 
-// Proposal is a set of changes to be committed, all or none.
+// Proposal is a set of changes that is committed as a whole or not at all.
 type Proposal struct {
-	// ID names the proposal, so that it is committed once however often it is sent.
+	// ID identifies the proposal, so that it is committed only once even if it is sent repeatedly.
 	ID       string
 	Operator string
 	Command  string
 	Changes  []catalog.Change
-	// BasedOn, if above zero, is the only revision that the changes may follow.
+	// BasedOn, if above zero, is the revision that must be the latest one for the changes to be committed.
 	BasedOn int64
 }
 
-// Committed is an accepted record in its stored form.
+// Committed is a committed record and its encoded form.
 type Committed struct {
 	Record  catalog.Record
 	Encoded []byte
-	// Repeated is true where the proposal had been accepted before.
+	// Repeated reports whether the proposal had already been committed earlier. Encoded is then empty.
 	Repeated bool
 }
 
-// commitTries bounds the tries of one commit, of which each loses to another operator's change or has an unknown end.
-const commitTries = 8
+// maxCommitAttempts is the maximum number of attempts of one commit. An attempt is repeated if another operator's change was
+// committed first or if its outcome is unknown.
+const maxCommitAttempts = 8
 
-// Commit stores a proposal as the next revision. It gives ErrUnsettled where it may or may not have been stored, and for what
-// surely was not: ErrUnavailable, ErrTooLarge, catalog.ErrRevisionConflict or catalog.ErrBadChange.
+// Commit stores a proposal as the next revision. It returns ErrUnsettled if the proposal may or may not have been stored. If
+// the proposal was definitely not stored, it returns ErrUnavailable, ErrTooLarge, catalog.ErrRevisionConflict or
+// catalog.ErrBadChange.
 func (s *Store) Commit(ctx context.Context, p Proposal) (Committed, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	uncertain := ""
-	for range commitTries {
+	for range maxCommitAttempts {
 		h, mod, err := s.sync(ctx)
 		if err != nil {
-			return Committed{}, s.unavailable(p, uncertain, err)
+			return Committed{}, s.commitError(p, uncertain, err)
 		}
-		if r, ok := s.find(p.ID); ok {
+		if r, ok := s.findRecord(p.ID); ok {
 			return Committed{Record: r, Repeated: true}, nil
 		}
-		if err := s.conflict(p, h.Revision); err != nil {
+		if err := s.checkBasedOn(p, h.Revision); err != nil {
 			return Committed{}, err
 		}
-		c, next, err := s.prepare(p)
+		c, next, err := s.prepareRecord(p)
 		if err != nil {
 			return Committed{}, err
 		}
-		done, err := s.write(ctx, h, mod, c)
+		done, err := s.writeRecord(ctx, h, mod, c)
 		if err == nil && done {
 			return c, s.advance(c, next)
 		}
 		if err != nil && !kv.IsErrUnknown(err) {
-			return Committed{}, s.unavailable(p, uncertain, err)
+			return Committed{}, s.commitError(p, uncertain, err)
 		}
 		if err != nil {
 			uncertain = err.Error()
@@ -129,27 +133,28 @@
 	if uncertain != "" {
 		return Committed{}, ErrUnsettled{ID: p.ID, Reason: uncertain}
 	}
-	return Committed{}, ErrUnavailable{Reason: "other operators' changes came first every time"}
+	return Committed{}, ErrUnavailable{Reason: "other operators' changes were committed first in every attempt"}
 }
 
-// unavailable says for sure that nothing happened only if no earlier try was uncertain.
-func (s *Store) unavailable(p Proposal, uncertain string, err error) error {
+// commitError returns ErrUnavailable, which states that nothing was changed, only if no earlier attempt had an unknown
+// outcome. Otherwise it returns ErrUnsettled with the reason in uncertain.
+func (s *Store) commitError(p Proposal, uncertain string, err error) error {
 	if uncertain != "" {
 		return ErrUnsettled{ID: p.ID, Reason: uncertain}
 	}
 	return ErrUnavailable{Reason: err.Error()}
 }
 
-// sync brings the catalog in hand up to the head.
+// sync updates the current catalog to the stored head and returns the head and the modification revision of its key.
 func (s *Store) sync(ctx context.Context) (head, int64, error) {
-	h, mod, err := s.reader.headNow(ctx)
+	h, mod, err := s.reader.readHead(ctx)
 	if err != nil {
 		return h, mod, err
 	}
 	if h.Revision < s.current.Revision {
-		return h, mod, ErrBadHead{Reason: fmt.Sprintf("it went back from revision %d to %d", s.current.Revision, h.Revision)}
+		return h, mod, ErrBadHead{Reason: fmt.Sprintf("it moved back from revision %d to %d", s.current.Revision, h.Revision)}
 	}
-	records, err := s.reader.since(ctx, h, s.current.Revision)
+	records, err := s.reader.recordsSince(ctx, h, s.current.Revision)
 	if err != nil {
 		return h, mod, err
 	}
@@ -161,12 +166,13 @@
 		s.current = next
 	}
 	if s.current.Revision != h.Revision {
-		return h, mod, ErrBadHead{Reason: "records before it are missing"}
+		return h, mod, ErrBadHead{Reason: "records up to its revision are missing"}
 	}
 	return h, mod, nil
 }
 
-func (s *Store) find(id string) (catalog.Record, bool) {
+// findRecord returns the recent record of the proposal with the given identifier.
+func (s *Store) findRecord(id string) (catalog.Record, bool) {
 	for _, r := range s.history.Records() {
 		if r.ID == id {
 			return r, true
@@ -175,8 +181,9 @@
 	return catalog.Record{}, false
 }
 
-// conflict names the change that came between a proposal and the revision it was based on.
-func (s *Store) conflict(p Proposal, current int64) error {
+// checkBasedOn returns ErrRevisionConflict if the proposal is based on a revision other than the current one. The error names
+// the first change after that revision.
+func (s *Store) checkBasedOn(p Proposal, current int64) error {
 	if p.BasedOn <= 0 || p.BasedOn == current {
 		return nil
 	}
@@ -189,7 +196,8 @@
 	return e
 }
 
-func (s *Store) prepare(p Proposal) (Committed, *catalog.Catalog, error) {
+// prepareRecord applies a proposal to the current catalog. It returns the encoded record and the resulting catalog.
+func (s *Store) prepareRecord(p Proposal) (Committed, *catalog.Catalog, error) {
 	revision := s.current.Revision + 1
 	next, inverse, err := s.current.Apply(revision, p.Changes)
 	if err != nil {
@@ -202,26 +210,26 @@
 	if err != nil {
 		return Committed{}, nil, err
 	}
-	if len(encoded) > partBytes {
+	if len(encoded) > maxValueBytes {
 		return Committed{}, nil, ErrTooLarge{Bytes: len(encoded)}
 	}
 	return Committed{Record: r, Encoded: encoded}, next, nil
 }
 
-// write moves the head; false tells that another change came first.
-func (s *Store) write(ctx context.Context, h head, mod int64, c Committed) (bool, error) {
+// writeRecord stores a record and updates the head in one transaction. It returns false if another change was committed first.
+func (s *Store) writeRecord(ctx context.Context, h head, mod int64, c Committed) (bool, error) {
 	next := head{Revision: c.Record.Revision, Snapshot: h.Snapshot, Parts: h.Parts}
-	if len(c.Encoded) <= inlineBytes {
+	if len(c.Encoded) <= maxInlineRecordBytes {
 		next.Last = c.Encoded
 	}
-	var drop []kv.Op
-	if s.current.Revision-h.Snapshot >= snapshotEvery {
+	var deletes []kv.Op
+	if s.current.Revision-h.Snapshot >= snapshotInterval {
 		parts, err := s.writeSnapshot(ctx)
 		if err != nil {
 			return false, err
 		}
 		next.Snapshot, next.Parts = s.current.Revision, parts
-		drop = s.oldRecords(h)
+		deletes = s.obsoleteKeyDeletes(h)
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -232,12 +240,13 @@
 		Success: append([]kv.Op{
 			{Put: &kv.PutRequest{Key: []byte(s.reader.keys.record(c.Record.Revision)), Value: c.Encoded}},
 			{Put: &kv.PutRequest{Key: []byte(s.reader.keys.head()), Value: value}},
-		}, drop...),
+		}, deletes...),
 	})
 	return resp.Succeeded, err
 }
 
-// writeSnapshot stores the catalog in hand in parts; until the head names them they are never read.
+// writeSnapshot stores the current catalog as a snapshot and returns the number of its parts. The parts are not read until the
+// head refers to them.
 func (s *Store) writeSnapshot(ctx context.Context) (int, error) {
 	data, err := catalog.EncodeSnapshot(s.current)
 	if err != nil {
@@ -245,10 +254,10 @@
 	}
 	parts := 0
 	for len(data) > 0 {
-		size := min(len(data), partBytes)
+		size := min(len(data), maxValueBytes)
 		put := &kv.PutRequest{Key: []byte(s.reader.keys.part(s.current.Revision, parts)), Value: data[:size]}
 		if _, err := s.reader.client.Txn(ctx, kv.TxnRequest{Success: []kv.Op{{Put: put}}}); err != nil {
-			// Nothing was committed yet, whatever became of this part.
+			// The head does not refer to this snapshot yet, so nothing was committed even if this part was written.
 			return 0, kv.ErrNotDone{Call: "snapshot", Reason: err.Error()}
 		}
 		data = data[size:]
@@ -257,28 +266,30 @@
 	return parts, nil
 }
 
-// oldRecords removes what the former snapshot needed and no history shows any more.
-func (s *Store) oldRecords(h head) []kv.Op {
+// obsoleteKeyDeletes returns the operations that delete the snapshots before the previous one and the records that are older
+// than the retained history.
+func (s *Store) obsoleteKeyDeletes(h head) []kv.Op {
 	ops := []kv.Op{{Delete: &kv.DeleteRequest{Key: []byte(s.reader.keys.part(0, 0)), RangeEnd: []byte(s.reader.keys.part(h.Snapshot, 0))}}}
-	if limit := s.current.Revision - keepRecords; limit > 0 {
+	if limit := s.current.Revision - retainedRecords; limit > 0 {
 		ops = append(ops, kv.Op{Delete: &kv.DeleteRequest{Key: []byte(s.reader.keys.record(0)), RangeEnd: []byte(s.reader.keys.record(limit))}})
 	}
 	return ops
 }
 
+// advance replaces the current catalog by the one after the committed record.
 func (s *Store) advance(c Committed, next *catalog.Catalog) error {
 	advanced, err := s.history.Advance(s.current, nil, [][]byte{c.Encoded}, false)
 	if err != nil {
 		return err
 	}
 	if advanced == nil || advanced.Revision != next.Revision {
-		return ErrBadHead{Reason: "the accepted record does not follow on the one in hand"}
+		return ErrBadHead{Reason: "the committed record does not follow the current revision"}
 	}
 	s.current = advanced
 	return nil
 }
 
-// Preview applies a proposal to the latest configuration without storing it.
+// Preview applies a proposal to the latest configuration and returns the resulting record without storing it.
 func (s *Store) Preview(ctx context.Context, p Proposal) (catalog.Record, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -286,14 +297,14 @@
 	if err != nil {
 		return catalog.Record{}, ErrUnavailable{Reason: err.Error()}
 	}
-	if err := s.conflict(p, h.Revision); err != nil {
+	if err := s.checkBasedOn(p, h.Revision); err != nil {
 		return catalog.Record{}, err
 	}
-	c, _, err := s.prepare(p)
+	c, _, err := s.prepareRecord(p)
 	return c.Record, err
 }
 
-// Record finds a recent record by its revision.
+// Record returns the stored record with the given revision and reports whether it was found.
 func (s *Store) Record(ctx context.Context, revision int64) (catalog.Record, bool, error) {
 	pair, found, err := s.reader.client.Get(ctx, s.reader.keys.record(revision))
 	if err != nil {
