--- a/services/daemon/journal/doc.go
+++ b/services/daemon/journal/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package journal keeps a daemon's recent events in a bounded ring and finds them again.
+// Package journal stores a daemon's recent events in a ring buffer of fixed size and searches them.
 //
-// A Journal owns the events, in memory only. It relies on models/daemon/fleet for their form, and starts no goroutines.
+// A Journal holds the events in memory only. models/daemon/fleet defines the event type. A Journal starts no goroutines.
 package journal
--- a/services/daemon/journal/journal.go
+++ b/services/daemon/journal/journal.go
@@ -10,20 +10,21 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Journal is the ring; it is safe for concurrent use.
+// Journal is a ring buffer of events. It is safe for concurrent use.
 type Journal struct {
 	mutex  sync.Mutex
 	events []fleet.Event
-	next   int
-	full   bool
+	// next is the index that the next event is written to.
+	next int
+	full bool
 }
 
-// New makes a journal that holds so many events.
+// New returns an empty journal that holds at most size events.
 func New(size int) *Journal {
 	return &Journal{events: make([]fleet.Event, size)}
 }
 
-// Add enters an event and drops the oldest if the ring is full.
+// Add appends an event and, if the ring buffer is full, overwrites the oldest event.
 func (j *Journal) Add(e fleet.Event) {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
@@ -34,30 +35,32 @@
 	}
 }
 
-// FindEventsOptions choose events; empty fields match all.
+// FindEventsOptions selects events. An event must match every field that is set.
 type FindEventsOptions struct {
-	Kind     fleet.EventKind
-	Request  string
+	Kind    fleet.EventKind
+	Request string
+	// Adapter matches the adapter of an event and the other adapter involved in it, such as the one that replaces an evicted adapter.
 	Adapter  string
 	Endpoint string
 	Revision int64
-	Since    time.Time
-	// Limit keeps the latest so many; zero keeps all.
+	// Since matches events at or after this time.
+	Since time.Time
+	// Limit is the maximum number of events to return, the latest ones; zero means no limit.
 	Limit int
 }
 
-// Find lists the matching events, the oldest first.
+// Find returns the matching events, the oldest first.
 func (j *Journal) Find(o FindEventsOptions) []fleet.Event {
 	j.mutex.Lock()
 	defer j.mutex.Unlock()
 	var out []fleet.Event
 	count := j.next
-	begin := 0
+	oldest := 0
 	if j.full {
-		count, begin = len(j.events), j.next
+		count, oldest = len(j.events), j.next
 	}
 	for i := range count {
-		e := j.events[(begin+i)%len(j.events)]
+		e := j.events[(oldest+i)%len(j.events)]
 		if o.matches(e) {
 			out = append(out, e)
 		}
--- a/services/daemon/journal/journal_test.go
+++ b/services/daemon/journal/journal_test.go
@@ -15,8 +15,9 @@
 
 var start = time.Unix(1000, 0)
 
-// filled holds events of revisions 1 to count, a second apart.
-func filled(size, count int) *journal.Journal {
+// newFilledJournal returns a journal of the given size to which count events were added, one second apart, with the revisions
+// 1 to count.
+func newFilledJournal(size, count int) *journal.Journal {
 	j := journal.New(size)
 	for i := 1; i <= count; i++ {
 		j.Add(fleet.Event{At: start.Add(time.Duration(i) * time.Second), Revision: int64(i)})
@@ -32,19 +33,19 @@
 	return out
 }
 
-func TestTheLatestEventsAreKeptInOrder(t *testing.T) {
+func TestJournalKeepsLatestEventsInOrder(t *testing.T) {
 	for count, want := range map[int][]int64{0: {}, 2: {1, 2}, 3: {1, 2, 3}, 4: {2, 3, 4}, 6: {4, 5, 6}, 7: {5, 6, 7}} {
-		require.Equal(t, want, revisions(filled(3, count).Find(journal.FindEventsOptions{})), "%d events", count)
+		require.Equal(t, want, revisions(newFilledJournal(3, count).Find(journal.FindEventsOptions{})), "%d events", count)
 	}
 }
 
-func TestALimitKeepsTheLatest(t *testing.T) {
-	j := filled(3, 5)
+func TestFindLimitReturnsLatestEvents(t *testing.T) {
+	j := newFilledJournal(3, 5)
 	require.Equal(t, []int64{4, 5}, revisions(j.Find(journal.FindEventsOptions{Limit: 2})))
 	require.Equal(t, []int64{3, 4, 5}, revisions(j.Find(journal.FindEventsOptions{Limit: 9})))
 }
 
-func TestEventsAreFoundByEachField(t *testing.T) {
+func TestFindMatchesEachField(t *testing.T) {
 	j := journal.New(10)
 	j.Add(fleet.Event{At: start, Kind: fleet.EventEvict, Request: "r", Adapter: "a@1", Other: "b@1", Endpoint: "e", Revision: 7})
 	j.Add(fleet.Event{At: start.Add(-1), Kind: fleet.EventLoad})
@@ -55,5 +56,5 @@
 		require.Len(t, found, 1, "%+v", o)
 		require.Equal(t, fleet.EventEvict, found[0].Kind, "%+v", o)
 	}
-	require.Empty(t, j.Find(journal.FindEventsOptions{Kind: fleet.EventLoad, Endpoint: "e"}), "all must match")
+	require.Empty(t, j.Find(journal.FindEventsOptions{Kind: fleet.EventLoad, Endpoint: "e"}), "an event must match every field that is set")
 }
