--- a/services/daemon/membership/doc.go
+++ b/services/daemon/membership/doc.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package membership keeps an instance's picture of the instances of its hall: who is known, who is alive, who is
-// leaving and what each of them holds. One that has been silent for long is forgotten, and not known again from others'
-// word while they may still name it.
+// Package membership maintains an instance's view of the instances in its hall: which instances are known, alive or
+// leaving, and which pools each of them places. An instance without heartbeats for a long time is forgotten. It is not
+// added again from the lists of other instances while these may still contain it.
 //
-// A State owns that picture; it decides from heartbeats, the platform's list and the present time, all of which its
-// caller gives, and does no I/O. It is the control thread's alone (services/daemon/node) and starts no goroutines.
+// A State holds this view and derives it from heartbeats, the platform's list of instances and the current time, which
+// the caller passes in. It performs no I/O and starts no goroutines. Only the control thread uses it
+// (services/daemon/node).
 package membership
--- a/services/daemon/membership/forgotten_test.go
+++ b/services/daemon/membership/forgotten_test.go
@@ -13,15 +13,16 @@
 	"github.com/shelfledge/shelfledge/services/daemon/membership"
 )
 
-// TestTwoInstancesDoNotKeepNamingOneThatIsGone lets two instances, which heard a third one last a moment apart, name to
-// each other whom they know wherever they differ.
-func TestTwoInstancesDoNotKeepNamingOneThatIsGone(t *testing.T) {
+// TestInstancesDoNotReintroduceForgottenInstanceToEachOther has two instances receive the last heartbeat of a third instance at
+// slightly different times, and therefore forget it at different times. As long as their hashes differ, they send each other
+// the instances that they know. Without the record of forgotten instances, each would add the third instance again.
+func TestInstancesDoNotReintroduceForgottenInstanceToEachOther(t *testing.T) {
 	const step = 100 * time.Millisecond
 	o := membership.DefaultOptions()
 	a, b := membership.New(instance("a"), o), membership.New(instance("b"), o)
 	a.Heard(start, 1, heartbeat("gone", 1))
 	b.Heard(start.Add(3*step), 1, heartbeat("gone", 2))
-	name := func(now time.Time, id string, from, to *membership.State) {
+	send := func(now time.Time, id string, from, to *membership.State) {
 		hb := heartbeat(id, now.Sub(start)+1)
 		if from.Hash() != to.Hash() {
 			hb.Known = from.Known()
@@ -32,49 +33,49 @@
 	for now := start.Add(3 * step); now.Before(end); now = now.Add(step) {
 		a.Sweep(now)
 		b.Sweep(now)
-		name(now, "a", a, b)
-		name(now, "b", b, a)
+		send(now, "a", a, b)
+		send(now, "b", b, a)
 	}
 	require.Equal(t, []fleet.Instance{instance("a"), instance("b")}, a.Known())
 	require.Equal(t, []fleet.Instance{instance("b"), instance("a")}, b.Known())
 }
 
-func TestAForgottenInstanceIsKnownAgainOnceItIsHeardOrListed(t *testing.T) {
+func TestForgottenInstanceIsAddedAgainOnHeartbeatOrListing(t *testing.T) {
 	o := membership.DefaultOptions()
-	for name, again := range map[string]func(now time.Time, s *membership.State){
-		"heard":  func(now time.Time, s *membership.State) { s.Heard(now, 2, heartbeat("b", 1)) },
-		"listed": func(now time.Time, s *membership.State) { s.SetListed(now, []fleet.Instance{instance("b")}) },
+	for name, addAgain := range map[string]func(now time.Time, s *membership.State){
+		"heartbeat": func(now time.Time, s *membership.State) { s.Heard(now, 2, heartbeat("b", 1)) },
+		"listed":    func(now time.Time, s *membership.State) { s.SetListed(now, []fleet.Instance{instance("b")}) },
 	} {
 		s := newState()
 		s.Heard(start, 1, heartbeat("b", 1))
 		now := start.Add(o.ForgetAfter + o.Interval)
 		sweepUntil(s, start, now)
-		naming := heartbeat("a", 1)
-		naming.Known = []fleet.Instance{instance("b"), instance("c")}
-		s.Heard(now, 1, naming)
+		listing := heartbeat("a", 1)
+		listing.Known = []fleet.Instance{instance("b"), instance("c")}
+		s.Heard(now, 1, listing)
 		require.Nil(t, s.Member("b"), name)
-		require.NotNil(t, s.Member("c"), "it was never forgotten")
-		again(now, s)
+		require.NotNil(t, s.Member("c"), "an instance that was never forgotten must be added")
+		addAgain(now, s)
 		require.NotNil(t, s.Member("b"), name)
 	}
 }
 
-func TestAForgottenInstanceMayBeNamedAgainAfterALongTime(t *testing.T) {
+func TestForgottenInstanceIsAcceptedFromPeersAfterForgetAfter(t *testing.T) {
 	o := membership.DefaultOptions()
 	s := newState()
 	s.Know(start, instance("b"))
 	forgotten := start.Add(o.ForgetAfter + 100*time.Millisecond)
 	sweepUntil(s, start, forgotten)
 	require.Nil(t, s.Member("b"))
-	for _, row := range []struct {
+	for _, c := range []struct {
 		after time.Duration
 		known bool
 	}{{o.ForgetAfter, false}, {o.ForgetAfter + 1, true}} {
-		now := forgotten.Add(row.after)
+		now := forgotten.Add(c.after)
 		s.Sweep(now)
-		naming := heartbeat("a", row.after)
-		naming.Known = []fleet.Instance{instance("b")}
-		s.Heard(now, 1, naming)
-		require.Equal(t, row.known, s.Member("b") != nil, "%v after it was forgotten", row.after)
+		listing := heartbeat("a", c.after)
+		listing.Known = []fleet.Instance{instance("b")}
+		s.Heard(now, 1, listing)
+		require.Equal(t, c.known, s.Member("b") != nil, "%v after the instance was forgotten", c.after)
 	}
 }
--- a/services/daemon/membership/member.go
+++ b/services/daemon/membership/member.go
@@ -9,49 +9,50 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Member is what is known of another instance.
+// Member is the state of another instance of the hall, as seen by this instance.
 type Member struct {
 	Instance fleet.Instance
-	// Boot is the number of its present life, 0 until a heartbeat came.
+	// Boot is the boot number of the member's current process, which changes at each restart. It is 0 before the first heartbeat.
 	Boot    uint64
 	Alive   bool
 	Leaving bool
-	// Listed tells whether the platform's list names it.
+	// Listed reports whether the platform's list contains the member.
 	Listed bool
-	// Heard is when the last heartbeat came, or when it became known; a pause of this instance itself is added.
+	// Heard is the time of the last heartbeat or, before the first one, the time at which the member was added. The duration
+	// of each pause of this instance is added to it.
 	Heard time.Time
-	// Sent is when the last heartbeat was sent to it, zero where none was.
+	// Sent is the time of the last heartbeat sent to the member, or zero if none was sent.
 	Sent time.Time
-	// Stamp is the member's own clock as last heard, for it to judge the age of grants.
+	// Stamp is the member's own clock in its last heartbeat. It is returned to the member, which derives the age of grants from it.
 	Stamp time.Duration
-	// Revision is the highest of the configuration that it had in force in this life.
+	// Revision is the highest configuration revision that the member had in force since its last restart.
 	Revision int64
-	// Held lists the pools that it places.
+	// Held lists the pools that the member places.
 	Held []fleet.HeldPool
-	// former holds the boots of earlier lives, whose late messages are ignored.
-	former []uint64
+	// formerBoots holds earlier boot numbers of the member. Late messages with these numbers are ignored.
+	formerBoots []uint64
 }
 
-// formerLives is how many earlier boots of a member are remembered, so that their late messages are told from a new life's; messages of a
-// life that many restarts ago are taken as long gone.
-const formerLives = 8
+// maxFormerBoots is the number of earlier boot numbers that are stored for each member to distinguish late messages from messages after
+// a new restart. Messages from before that many restarts are assumed to have been delivered or lost.
+const maxFormerBoots = 8
 
-// retire remembers the present life as a former one; the clock may have been
-// set back since, so that the order of boots tells nothing.
-func (m *Member) retire() {
+// recordFormerBoot adds the current boot number to the former ones. They must be stored, because the clock that they come
+// from may have been set back, so that a lower number is not necessarily an older one.
+func (m *Member) recordFormerBoot() {
 	if m.Boot == 0 {
 		return
 	}
-	m.former = append(m.former, m.Boot)
-	if len(m.former) > formerLives {
-		m.former = m.former[1:]
+	m.formerBoots = append(m.formerBoots, m.Boot)
+	if len(m.formerBoots) > maxFormerBoots {
+		m.formerBoots = m.formerBoots[1:]
 	}
 }
 
-// ChangeKind names what became known of a member.
+// ChangeKind is the kind of a change of a member's state.
 type ChangeKind string
 
-// The kinds of change.
+// The kinds of changes.
 const (
 	Joined    ChangeKind = "joined"
 	Restarted ChangeKind = "restarted"
@@ -59,7 +60,7 @@
 	Left      ChangeKind = "left"
 )
 
-// Change tells that a member joined, restarted, was lost or is leaving.
+// Change reports that a member joined, restarted, was lost or is leaving.
 type Change struct {
 	Kind   ChangeKind
 	Member *Member
--- a/services/daemon/membership/members.go
+++ b/services/daemon/membership/members.go
@@ -13,34 +13,35 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// State is the picture itself; it is not safe for concurrent use.
+// State is an instance's view of its hall. It is not safe for concurrent use.
 type State struct {
 	self      fleet.Instance
 	options   Options
 	members   map[string]*Member
 	lastSweep time.Time
-	// forgotten holds when instances were forgotten, for as long as others may still name them.
+	// forgotten holds the time at which each instance was forgotten. Entries are kept as long as other instances may still send
+	// the instance in their lists.
 	forgotten map[string]time.Time
 }
 
-// New makes a picture that holds only the instance itself.
+// New returns a state that contains only the instance itself.
 func New(self fleet.Instance, o Options) *State {
 	return &State{self: self, options: o, members: make(map[string]*Member), forgotten: make(map[string]time.Time)}
 }
 
-// SetListed takes the platform's list of the hall's instances, which lags.
+// SetListed applies the platform's list of the hall's instances. The list may be out of date.
 func (s *State) SetListed(now time.Time, list []fleet.Instance) {
 	listed := make(map[string]bool, len(list))
-	for _, i := range list {
-		listed[i.ID] = true
-		s.Know(now, i)
+	for _, instance := range list {
+		listed[instance.ID] = true
+		s.Know(now, instance)
 	}
 	for id, m := range s.members {
 		m.Listed = listed[id]
 	}
 }
 
-// Know adds an instance that someone named, without a claim that it is alive.
+// Know adds an instance that is not known yet, without marking it as alive.
 func (s *State) Know(now time.Time, i fleet.Instance) {
 	if i.ID == s.self.ID || i.Hall != s.self.Hall || s.members[i.ID] != nil {
 		return
@@ -49,8 +50,8 @@
 	delete(s.forgotten, i.ID)
 }
 
-// Heard takes a heartbeat and gives what it changed. One of a former life of its sender, one older than the last that was
-// heard, and one of another hall or of the instance itself change nothing.
+// Heard applies a heartbeat and returns the resulting changes. It ignores a heartbeat from before a restart of its sender, one
+// older than the last applied heartbeat, one from another hall, and one from the instance itself.
 func (s *State) Heard(now time.Time, boot uint64, hb *fleet.Heartbeat) []Change {
 	if hb.Instance.ID == s.self.ID || hb.Instance.Hall != s.self.Hall {
 		return nil
@@ -62,13 +63,13 @@
 	}
 	s.Know(now, hb.Instance)
 	m := s.members[hb.Instance.ID]
-	if slices.Contains(m.former, boot) || (boot == m.Boot && hb.Stamp < m.Stamp) {
+	if slices.Contains(m.formerBoots, boot) || (boot == m.Boot && hb.Stamp < m.Stamp) {
 		return nil
 	}
 	if boot != m.Boot {
-		m.retire()
+		m.recordFormerBoot()
 	}
-	changes := s.note(m, boot, hb)
+	changes := s.heartbeatChanges(m, boot, hb)
 	m.Instance = hb.Instance
 	m.Boot = boot
 	m.Alive = true
@@ -80,8 +81,9 @@
 	return changes
 }
 
-// note gives the changes that a heartbeat brings, before the member takes its content.
-func (s *State) note(m *Member, boot uint64, hb *fleet.Heartbeat) []Change {
+// heartbeatChanges returns the changes that a heartbeat causes. It must be called before the heartbeat is applied to the member.
+// If the member has restarted, heartbeatChanges resets its revision.
+func (s *State) heartbeatChanges(m *Member, boot uint64, hb *fleet.Heartbeat) []Change {
 	var changes []Change
 	switch {
 	case m.Alive && m.Boot != boot:
@@ -96,29 +98,30 @@
 	return changes
 }
 
-// instances is how many instances of the hall are known, this one among them.
-func (s *State) instances() int {
+// instanceCount returns the number of known instances of the hall, including this instance.
+func (s *State) instanceCount() int {
 	return len(s.members) + 1
 }
 
-// Sweep finds members that have gone silent, and forgets those that have been for long. Others may forget them a little
-// later; until then, what they name is not taken for news. A pause of this instance itself is not held against the others.
+// Sweep marks members without recent heartbeats as lost and forgets those without heartbeats for a long time. Other instances
+// may forget these a little later and list them until then, so the forgotten instances are recorded and not added again from such
+// lists. The time in which this instance itself was paused is not counted as silence of the members.
 func (s *State) Sweep(now time.Time) []Change {
-	if pause := s.options.ownPause(now, s.lastSweep); pause > 0 {
+	if pause := s.options.localPause(now, s.lastSweep); pause > 0 {
 		for _, m := range s.members {
 			m.Heard = m.Heard.Add(pause)
 		}
 	}
 	s.lastSweep = now
 	var changes []Change
-	for _, m := range s.sorted() {
-		silent := now.Sub(m.Heard)
-		if m.Alive && s.options.lost(silent, s.instances()) {
+	for _, m := range s.sortedMembers() {
+		silence := now.Sub(m.Heard)
+		if m.Alive && s.options.isLost(silence, s.instanceCount()) {
 			m.Alive = false
 			m.Held = nil
 			changes = append(changes, Change{Kind: Lost, Member: m})
 		}
-		if !m.Alive && !m.Listed && silent > s.options.ForgetAfter {
+		if !m.Alive && !m.Listed && silence > s.options.ForgetAfter {
 			delete(s.members, m.Instance.ID)
 			s.forgotten[m.Instance.ID] = now
 		}
@@ -127,11 +130,11 @@
 	return changes
 }
 
-// Due lists the members that are to get a heartbeat now, and counts it as sent.
+// Due returns the members to which a heartbeat must be sent now, and records the heartbeats as sent.
 func (s *State) Due(now time.Time) []*Member {
 	var due []*Member
-	for _, m := range s.sorted() {
-		if !s.options.due(now, m.Sent, m.Alive, s.instances()) {
+	for _, m := range s.sortedMembers() {
+		if !s.options.due(now, m.Sent, m.Alive, s.instanceCount()) {
 			continue
 		}
 		m.Sent = now
@@ -140,15 +143,15 @@
 	return due
 }
 
-// Member finds a member by its identifier, or nil.
+// Member returns the member with the given identifier, or nil if it is not known.
 func (s *State) Member(id string) *Member {
 	return s.members[id]
 }
 
-// Alive lists the live members without the instance itself.
+// Alive returns the live members, excluding the instance itself.
 func (s *State) Alive() []*Member {
 	var out []*Member
-	for _, m := range s.sorted() {
+	for _, m := range s.sortedMembers() {
 		if m.Alive {
 			out = append(out, m)
 		}
@@ -156,7 +159,8 @@
 	return out
 }
 
-// Candidates names the live instances that are not leaving, the instance itself among them unless selfLeaving.
+// Candidates returns the sorted identifiers of the live instances that are not leaving. It includes the instance itself unless
+// selfLeaving is set.
 func (s *State) Candidates(selfLeaving bool) []string {
 	var out []string
 	if !selfLeaving {
@@ -171,29 +175,30 @@
 	return out
 }
 
-// Known lists every instance of the hall that is known, the instance itself first.
+// Known returns all known instances of the hall, the instance itself first.
 func (s *State) Known() []fleet.Instance {
 	out := []fleet.Instance{s.self}
-	for _, m := range s.sorted() {
+	for _, m := range s.sortedMembers() {
 		out = append(out, m.Instance)
 	}
 	return out
 }
 
-// Hash sums up who is known, so that heartbeats need the list only where it differs.
+// Hash returns a hash of the identifiers of the known instances. A heartbeat needs to contain the list only if the hashes of
+// sender and receiver differ.
 func (s *State) Hash() uint64 {
 	var sum uint64
-	for _, i := range s.Known() {
+	for _, instance := range s.Known() {
 		h := fnv.New64a()
-		// Write of a hash.Hash never gives an error.
-		_, _ = h.Write([]byte(i.ID))
+		// The Write method of a hash.Hash never returns an error.
+		_, _ = h.Write([]byte(instance.ID))
 		sum += h.Sum64()
 	}
 	return sum
 }
 
-// sorted lists the members by identifier, so that equal pictures act alike.
-func (s *State) sorted() []*Member {
+// sortedMembers returns the members sorted by identifier, so that equal states behave identically.
+func (s *State) sortedMembers() []*Member {
 	out := make([]*Member, 0, len(s.members))
 	for _, m := range s.members {
 		out = append(out, m)
--- a/services/daemon/membership/members_test.go
+++ b/services/daemon/membership/members_test.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-// sweepUntil sweeps as often as the control thread does, so that no pause is seen.
+// sweepUntil calls Sweep at the interval of the control thread, so that no pause of this instance is detected.
 func sweepUntil(s *membership.State, from, to time.Time) []membership.Change {
 	var changes []membership.Change
 	for now := from; !now.After(to); now = now.Add(100 * time.Millisecond) {
@@ -45,36 +45,36 @@
 	return changes
 }
 
-func TestAFirstHeartbeatJoinsAndARepeatedOneChangesNothing(t *testing.T) {
+func TestFirstHeartbeatJoinsAndRepeatedHeartbeatChangesNothing(t *testing.T) {
 	s := newState()
 	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Heard(start, 1, heartbeat("a", time.Second))))
 	require.Empty(t, s.Heard(start, 1, heartbeat("a", time.Second)))
 	require.Equal(t, []string{"a", "self"}, s.Candidates(false))
 }
 
-func TestADelayedHeartbeatDoesNotTakeNewsBack(t *testing.T) {
+func TestDelayedHeartbeatDoesNotOverwriteNewerState(t *testing.T) {
 	s := newState()
 	newer := heartbeat("a", 2*time.Second)
 	newer.Leaving = true
 	s.Heard(start, 1, newer)
 	require.Empty(t, s.Heard(start.Add(time.Second), 1, heartbeat("a", time.Second)))
 	require.True(t, s.Member("a").Leaving)
-	require.Equal(t, start, s.Member("a").Heard, "a late message shows nothing of the sender's present life")
+	require.Equal(t, start, s.Member("a").Heard, "a late heartbeat must not count as a sign of life")
 }
 
-func TestARestartIsToldOnceAndItsFormerLifeIsIgnored(t *testing.T) {
+func TestRestartIsReportedOnceAndFormerBootIsIgnored(t *testing.T) {
 	s := newState()
-	before := heartbeat("a", time.Hour)
-	before.Revision = 9
-	s.Heard(start, 7, before)
-	// The clock was set back: the boot is lower, its stamp starts anew, and its revision too.
+	beforeRestart := heartbeat("a", time.Hour)
+	beforeRestart.Revision = 9
+	s.Heard(start, 7, beforeRestart)
+	// The member restarted after its clock was set back: its boot number is lower, and its stamp and revision start from 0.
 	require.Equal(t, []membership.ChangeKind{membership.Restarted}, kinds(s.Heard(start, 5, heartbeat("a", 0))))
 	require.Zero(t, s.Member("a").Revision)
-	require.Empty(t, s.Heard(start, 7, before), "late, of the former life")
+	require.Empty(t, s.Heard(start, 7, beforeRestart), "late heartbeat from before the restart")
 	require.Equal(t, uint64(5), s.Member("a").Boot)
 }
 
-func TestLeavingIsToldOnceAndEndsTheCandidacy(t *testing.T) {
+func TestLeavingIsReportedOnceAndEndsCandidacy(t *testing.T) {
 	s := newState()
 	s.Heard(start, 1, heartbeat("a", 1))
 	leaving := heartbeat("a", 2)
@@ -85,7 +85,7 @@
 	require.Empty(t, s.Candidates(true))
 }
 
-func TestAMemberIsLostJustAfterTheSilenceAndOnlyOnce(t *testing.T) {
+func TestMemberIsLostOnceAfterLostAfter(t *testing.T) {
 	s := newState()
 	o := membership.DefaultOptions()
 	s.Heard(start, 1, heartbeat("a", 1))
@@ -97,7 +97,7 @@
 	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Heard(start.Add(o.LostAfter+3), 1, heartbeat("a", 2))))
 }
 
-func TestAPauseOfThisInstanceLosesNobody(t *testing.T) {
+func TestLocalPauseDoesNotMarkMembersLost(t *testing.T) {
 	s := newState()
 	s.Heard(start, 1, heartbeat("a", 1))
 	s.Sweep(start)
@@ -105,7 +105,7 @@
 	require.Len(t, s.Alive(), 1)
 }
 
-func TestTheSilenceGrowsWithTheHallAboveTenInstances(t *testing.T) {
+func TestLostAfterScalesAboveTenInstances(t *testing.T) {
 	lostAfter := membership.DefaultOptions().LostAfter
 	for count, silence := range map[int]time.Duration{9: lostAfter, 10: lostAfter * 11 / 10, 39: 4 * lostAfter} {
 		s := newState()
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestHeartbeatsAreDueByIntervalAndProbesMoreRarely(t *testing.T) {
+func TestDueUsesLongerIntervalForMembersThatAreNotAlive(t *testing.T) {
 	s := newState()
 	o := membership.DefaultOptions()
 	s.Heard(start, 1, heartbeat("alive", 1))
@@ -130,7 +130,7 @@
 	require.Len(t, s.Due(start.Add(o.ProbeEvery)), 2)
 }
 
-func TestOnlyUnlistedInstancesAreForgotten(t *testing.T) {
+func TestSweepForgetsOnlyUnlistedInstances(t *testing.T) {
 	s := newState()
 	o := membership.DefaultOptions()
 	s.SetListed(start, []fleet.Instance{instance("listed"), instance("self")})
@@ -145,7 +145,7 @@
 	require.Equal(t, []fleet.Instance{instance("self")}, s.Known())
 }
 
-func TestOtherHallsAndTheInstanceItselfAreNoMembers(t *testing.T) {
+func TestOtherHallsAndSelfAreNotMembers(t *testing.T) {
 	s := newState()
 	other := heartbeat("b", 1)
 	other.Instance.Hall = "h2"
@@ -154,17 +154,17 @@
 	require.Len(t, s.Known(), 1)
 }
 
-func TestNamesArePassedOnWithoutAClaimOfLifeAndChangeTheHash(t *testing.T) {
+func TestKnownInstancesAreAddedAsNotAliveAndChangeHash(t *testing.T) {
 	s := newState()
 	before := s.Hash()
 	hb := heartbeat("a", 1)
 	hb.Known = []fleet.Instance{instance("b"), instance("self")}
 	s.Heard(start, 1, hb)
-	require.Equal(t, []string{"a", "self"}, s.Candidates(false), "b is only known")
+	require.Equal(t, []string{"a", "self"}, s.Candidates(false), "b is known but not alive")
 	require.Len(t, s.Known(), 3)
 	require.NotEqual(t, before, s.Hash())
 	same := newState()
 	same.Know(start, instance("b"))
 	same.Know(start, instance("a"))
-	require.Equal(t, s.Hash(), same.Hash(), "whatever the order")
+	require.Equal(t, s.Hash(), same.Hash(), "the hash must not depend on the order of addition")
 }
--- a/services/daemon/membership/options.go
+++ b/services/daemon/membership/options.go
@@ -5,39 +5,41 @@
 
 import "time"
 
-// Options are the timings of membership.
+// Options holds the intervals and timeouts of the membership protocol.
 type Options struct {
-	// Interval is the time between two heartbeats to the same instance.
+	// Interval is the time between two heartbeats to the same live instance.
 	Interval time.Duration
-	// LostAfter is the silence after which an instance counts as lost.
+	// LostAfter is the time without heartbeats after which an instance is considered lost.
 	LostAfter time.Duration
-	// Settle is how long a new instance listens before it takes anything over; services/daemon/node applies it.
+	// Settle is how long a new instance receives heartbeats before it takes over any pool. services/daemon/node applies it.
 	Settle time.Duration
-	// ProbeEvery is the time between two heartbeats to an instance that does not answer.
+	// ProbeEvery is the time between two heartbeats to an instance that is not alive.
 	ProbeEvery time.Duration
-	// ForgetAfter is the silence after which an instance the platform does not list is forgotten.
+	// ForgetAfter is the time without heartbeats after which an instance that the platform does not list is forgotten.
 	ForgetAfter time.Duration
 }
 
 const (
-	// defaultInterval trades traffic for how soon a change is known: 10.1 KB/s are sent by an instance in a large hall
-	// (docs/capacity-shelfledged.md).
-	defaultInterval = 250 * time.Millisecond
-	// defaultLostAfter trades sooner takeovers for takeovers from instances that were only slow.
+	// defaultHeartbeatInterval balances network traffic against the delay until a change is known to all instances. An instance in a
+	// large hall sends 10.1 KB/s (docs/capacity-shelfledged.md).
+	defaultHeartbeatInterval = 250 * time.Millisecond
+	// defaultLostAfter balances early takeovers from failed instances against unnecessary takeovers from slow instances.
 	defaultLostAfter = 1200 * time.Millisecond
-	// defaultSettle is above defaultLostAfter, so that a new instance has heard every live one before it takes a pool over.
+	// defaultSettle is longer than defaultLostAfter, so that a new instance has received a heartbeat of every live instance before it
+	// takes over a pool.
 	defaultSettle = 1500 * time.Millisecond
-	// defaultProbeEvery trades traffic to instances that are gone for how soon one that came back is noticed.
-	defaultProbeEvery = time.Second
-	// defaultForgetAfter trades memory and probes for instances that were cut off that long.
+	// defaultProbeInterval balances traffic to failed instances against the delay until a recovered instance is detected.
+	defaultProbeInterval = time.Second
+	// defaultForgetAfter balances the memory and probes spent on instances that are gone against keeping instances that were
+	// disconnected for a long time.
 	defaultForgetAfter = 10 * time.Minute
 )
 
-// DefaultOptions gives the timings for where no settings file is read. In the daemon the settings' own defaults of
-// Interval, LostAfter and Settle, which are equal, replace these three.
+// DefaultOptions returns the options for use without a settings file. In the daemon, the settings replace Interval, LostAfter and
+// Settle; the defaults of these settings are equal to the values here.
 func DefaultOptions() Options {
 	return Options{
-		Interval: defaultInterval, LostAfter: defaultLostAfter, Settle: defaultSettle,
-		ProbeEvery: defaultProbeEvery, ForgetAfter: defaultForgetAfter,
+		Interval: defaultHeartbeatInterval, LostAfter: defaultLostAfter, Settle: defaultSettle,
+		ProbeEvery: defaultProbeInterval, ForgetAfter: defaultForgetAfter,
 	}
 }
