--- a/services/daemon/once/claimer.go
+++ b/services/daemon/once/claimer.go
@@ -14,83 +14,87 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-// Result is the end of a claim.
+// Result is the outcome of a claim.
 type Result string
 
-// The ends of a claim.
+// The outcomes of a claim.
 const (
-	// Claimed means that the request is this instance's to run, once.
+	// Claimed means that this instance holds the claim and may run the request once.
 	Claimed Result = "claimed"
-	// Taken means that the request was claimed before, and may have run.
+	// Taken means that the request was claimed earlier and may have run.
 	Taken Result = "taken"
-	// Impossible means that no claim could be made; the request must not run.
+	// Impossible means that the claim could not be made. The request must not run.
 	Impossible Result = "impossible"
 )
 
-// Store is what a claimer needs of the key-value service.
+// Store holds the calls of the key-value service that a claimer uses.
 type Store struct {
 	Txn   func(ctx context.Context, r kv.TxnRequest) (kv.TxnResponse, error)
 	Get   func(ctx context.Context, key string) (kv.Pair, bool, error)
 	Grant func(ctx context.Context, ttl time.Duration) (int64, error)
 }
 
-// Options are the settings of a claimer.
+// Options holds the settings of a claimer.
 type Options struct {
+	// Prefix is the prefix of all keys.
 	Prefix string
-	// Owner tells this life of this instance from all others.
+	// Owner identifies this process. It differs from that of all other instances and changes at each restart.
 	Owner string
-	// TTL is how long a claim lasts at least.
+	// TTL is the minimum lifetime of a claim.
 	TTL time.Duration
-	// Gather is how long the first claim of a batch waits for others.
+	// Gather is how long the first claim of a batch waits for more claims.
 	Gather time.Duration
-	// MaxBatch is the most claims in one write.
+	// MaxBatch is the maximum number of claims in one write.
 	MaxBatch int
-	// MaxWaiting is the most claims that wait for their turn; more are impossible.
+	// MaxWaiting is the capacity of the queue of pending claims. While the queue is full, new claims fail with Impossible.
 	MaxWaiting int
-	// Timeout bounds one claim as a whole.
+	// Timeout is the maximum duration of one claim, including its time in the queue.
 	Timeout time.Duration
 }
 
 const (
-	// defaultTTL trades keys in the service for how late a repeated request is still recognised.
+	// defaultTTL balances the number of keys in the service against how long a repeated request is recognized.
 	defaultTTL = 24 * time.Hour
-	// defaultGather trades a claim's delay for fewer writes: 27 claims a write with 300 requests at once (docs/design/0004-data-path.md).
-	defaultGather = 5 * time.Millisecond
-	// defaultMaxBatch bounds one transaction, in claims; 1 to 32 at once share one write each (docs/capacity-shelfledged.md).
+	// defaultBatchDelay balances the delay of a claim against the number of writes. With 300 concurrent requests, one write holds 27
+	// claims (docs/design/0004-data-path.md).
+	defaultBatchDelay = 5 * time.Millisecond
+	// defaultMaxBatch limits the size of a transaction, in claims. 1 to 32 concurrent claims share one write (docs/capacity-shelfledged.md).
 	defaultMaxBatch = 32
-	// defaultMaxWaiting trades memory for claims that are refused while the service is slow.
+	// defaultMaxWaiting balances memory against the number of claims that fail while the service is slow.
 	defaultMaxWaiting = 1024
-	// defaultTimeout holds a lost write and the read that settles it, at the client's 2 s for each call.
+	// defaultTimeout is long enough for a write whose response is lost and the read that determines its outcome, at the client's
+	// timeout of 2 s for each call.
 	defaultTimeout = 4 * time.Second
 
-	// leaseTTLs is the life of a lease in TTLs. A lease takes new claims for a TTL at most, so that each lasts a TTL at least.
-	leaseTTLs = 2
-	// leaseParts divides the TTL in which a lease takes claims: it is renewed after the first part, and goes on through the
-	// second only where no new one is granted.
-	leaseParts = 2
-	// serialBase writes serial numbers with letters and digits.
+	// leaseTTLFactor is the lifetime of a lease, as a multiple of the TTL. New claims are bound to a lease for at most one TTL, so
+	// each claim exists for at least one TTL.
+	leaseTTLFactor = 2
+	// leaseRenewDivisor divides the TTL during which claims are bound to a lease. After the first part, a new lease is requested;
+	// during the second part, the old lease is still used if no new lease could be granted.
+	leaseRenewDivisor = 2
+	// serialBase is the base in which serial numbers are written. Base 36 uses the digits and the letters.
 	serialBase = 36
 )
 
-// DefaultOptions gives the settings for where no settings file is read; in the daemon the setting claim_ttl replaces TTL.
+// DefaultOptions returns the options for use without a settings file. In the daemon, the setting claim_ttl replaces TTL.
 func DefaultOptions(prefix, owner string) Options {
 	return Options{
-		Prefix: prefix, Owner: owner, TTL: defaultTTL, Gather: defaultGather, MaxBatch: defaultMaxBatch, MaxWaiting: defaultMaxWaiting,
+		Prefix: prefix, Owner: owner, TTL: defaultTTL, Gather: defaultBatchDelay, MaxBatch: defaultMaxBatch, MaxWaiting: defaultMaxWaiting,
 		Timeout: defaultTimeout,
 	}
 }
 
-// Claimer makes claims in batches; it is safe for concurrent use.
+// Claimer makes claims in batches. It is safe for concurrent use.
 type Claimer struct {
 	store   Store
 	options Options
-	waiting chan *claim
+	queue   chan *claim
 	serial  atomic.Uint64
 	lease   lease
 	now     func() time.Time
 }
 
-// claim is one request to be claimed.
+// claim is a pending claim of one request.
 type claim struct {
 	ctx   context.Context
 	key   string
@@ -98,37 +102,38 @@
 	done  chan Result
 }
 
-// lease is what claims are bound to, so that they go away by themselves; one lease
-// serves all claims of some hours.
+// lease is a lease of the key-value service. Claims are bound to a lease so that the service deletes them when the lease
+// expires. All claims made within some hours share one lease.
 type lease struct {
 	id      int64
 	renewAt time.Time
 }
 
-// New makes a claimer; Run must be running for Claim to end.
+// New returns a claimer. Claims are processed only while Run is running; without it, they time out with Impossible.
 func New(s Store, o Options, now func() time.Time) *Claimer {
-	return &Claimer{store: s, options: o, waiting: make(chan *claim, o.MaxWaiting), now: now}
+	return &Claimer{store: s, options: o, queue: make(chan *claim, o.MaxWaiting), now: now}
 }
 
-// Claim claims a request; the caller and the request's identifier together name it.
+// Claim claims a request, which is identified by its caller and its identifier together.
 func (c *Claimer) Claim(ctx context.Context, caller, requestID string) Result {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
-	x := &claim{ctx: ctx, key: c.key(caller, requestID), value: c.token(), done: make(chan Result, 1)}
+	pending := &claim{ctx: ctx, key: c.key(caller, requestID), value: c.uniqueValue(), done: make(chan Result, 1)}
 	select {
-	case c.waiting <- x:
+	case c.queue <- pending:
 	default:
 		return Impossible
 	}
 	select {
-	case r := <-x.done:
+	case r := <-pending.done:
 		return r
 	case <-ctx.Done():
 		return Impossible
 	}
 }
 
-// Release takes a claim back whose request was surely not run; a failure leaves the claim standing, which is safe.
+// Release deletes the claim of a request that was definitely not run. It does nothing if the claim belongs to another owner. If
+// Release fails, the claim remains, which is safe.
 func (c *Claimer) Release(ctx context.Context, caller, requestID string) error {
 	key := []byte(c.key(caller, requestID))
 	pair, found, err := c.store.Get(ctx, string(key))
@@ -145,43 +150,44 @@
 	return err
 }
 
+// key returns the key of the claim of a request.
 func (c *Claimer) key(caller, requestID string) string {
 	return fmt.Sprintf("%s/once/%s/%s", c.options.Prefix, strconv.Quote(caller), requestID)
 }
 
-// token gives a value that no other claim has, by which a write with an unknown end is recognised.
-func (c *Claimer) token() []byte {
+// uniqueValue returns a value that no other claim has. It identifies the claim's own write after a write with an unknown outcome.
+func (c *Claimer) uniqueValue() []byte {
 	return []byte(c.options.Owner + "/" + strconv.FormatUint(c.serial.Add(1), serialBase))
 }
 
-// Run makes the claims until ctx ends.
+// Run processes claims in batches until ctx ends.
 func (c *Claimer) Run(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case first := <-c.waiting:
-			c.settle(ctx, c.gather(ctx, first))
+		case first := <-c.queue:
+			c.processBatch(ctx, c.collectBatch(ctx, first))
 		}
 	}
 }
 
-// gather collects the claims that come within a short time of the first.
-func (c *Claimer) gather(ctx context.Context, first *claim) []*claim {
+// collectBatch collects the claims that arrive within the batch delay after the first claim, up to the maximum batch size.
+func (c *Claimer) collectBatch(ctx context.Context, first *claim) []*claim {
 	batch := []*claim{first}
 	seen := map[string]bool{first.key: true}
 	timer := time.NewTimer(c.options.Gather)
 	defer timer.Stop()
 	for len(batch) < c.options.MaxBatch {
 		select {
-		case x := <-c.waiting:
-			if seen[x.key] {
-				// Two callers' repeats at this instance: the first one has it.
-				x.done <- Taken
+		case pending := <-c.queue:
+			if seen[pending.key] {
+				// The same request is already claimed in this batch, so this claim is a repeat.
+				pending.done <- Taken
 				continue
 			}
-			seen[x.key] = true
-			batch = append(batch, x)
+			seen[pending.key] = true
+			batch = append(batch, pending)
 		case <-timer.C:
 			return batch
 		case <-ctx.Done():
@@ -191,43 +197,45 @@
 	return batch
 }
 
-// settle writes a batch at once and, where that fails, each claim by itself.
-func (c *Claimer) settle(ctx context.Context, batch []*claim) {
+// processBatch writes a batch in one transaction. If a key of the batch already exists, it writes each claim separately. If the
+// outcome of the transaction is unknown, it reads back each claim.
+func (c *Claimer) processBatch(ctx context.Context, batch []*claim) {
 	if err := c.ensureLease(ctx); err != nil {
-		finish(batch, Impossible)
+		finishAll(batch, Impossible)
 		return
 	}
-	resp, err := c.put(ctx, batch)
+	resp, err := c.writeClaims(ctx, batch)
 	if err == nil && resp.Succeeded {
-		finish(batch, Claimed)
+		finishAll(batch, Claimed)
 		return
 	}
 	if kv.IsErrNotDone(err) {
-		finish(batch, Impossible)
+		finishAll(batch, Impossible)
 		return
 	}
-	for _, x := range batch {
+	for _, pending := range batch {
 		if err != nil || len(batch) == 1 {
-			x.done <- c.read(x)
+			pending.done <- c.resolveByReading(pending)
 			continue
 		}
-		x.done <- c.single(x)
+		pending.done <- c.claimSingly(pending)
 	}
 }
 
-// finish ends all claims of a batch alike.
-func finish(batch []*claim, r Result) {
-	for _, x := range batch {
-		x.done <- r
+// finishAll ends all claims of a batch with the same result.
+func finishAll(batch []*claim, r Result) {
+	for _, pending := range batch {
+		pending.done <- r
 	}
 }
 
-// put writes claims in one transaction that succeeds only if none of their keys exists.
-func (c *Claimer) put(ctx context.Context, batch []*claim) (kv.TxnResponse, error) {
+// writeClaims writes claims in one transaction, which succeeds only if none of their keys exists. If the lease no longer exists,
+// writeClaims discards it and returns kv.ErrNotDone.
+func (c *Claimer) writeClaims(ctx context.Context, batch []*claim) (kv.TxnResponse, error) {
 	var r kv.TxnRequest
-	for _, x := range batch {
-		r.Compare = append(r.Compare, kv.Compare{Key: []byte(x.key), Target: kv.TargetCreate, Result: kv.ResultEqual})
-		r.Success = append(r.Success, kv.Op{Put: &kv.PutRequest{Key: []byte(x.key), Value: x.value, Lease: c.lease.id}})
+	for _, pending := range batch {
+		r.Compare = append(r.Compare, kv.Compare{Key: []byte(pending.key), Target: kv.TargetCreate, Result: kv.ResultEqual})
+		r.Success = append(r.Success, kv.Op{Put: &kv.PutRequest{Key: []byte(pending.key), Value: pending.value, Lease: c.lease.id}})
 	}
 	resp, err := c.store.Txn(ctx, r)
 	if kv.IsErrLeaseGone(err) {
@@ -237,44 +245,45 @@
 	return resp, err
 }
 
-// single makes one claim of a batch that failed as a whole since some key of it exists.
-func (c *Claimer) single(x *claim) Result {
-	resp, err := c.put(x.ctx, []*claim{x})
+// claimSingly makes one claim of a batch whose transaction failed because at least one of its keys exists.
+func (c *Claimer) claimSingly(pending *claim) Result {
+	resp, err := c.writeClaims(pending.ctx, []*claim{pending})
 	switch {
 	case err == nil && resp.Succeeded:
 		return Claimed
 	case kv.IsErrNotDone(err):
 		return Impossible
 	}
-	return c.read(x)
+	return c.resolveByReading(pending)
 }
 
-// read settles a claim whose write has an unknown end, or that found another's.
-func (c *Claimer) read(x *claim) Result {
-	pair, found, err := c.store.Get(x.ctx, x.key)
+// resolveByReading determines the result of a claim whose write has an unknown outcome or whose key already exists.
+func (c *Claimer) resolveByReading(pending *claim) Result {
+	pair, found, err := c.store.Get(pending.ctx, pending.key)
 	switch {
 	case err != nil || !found:
-		// Not found: the write may still be on its way, so the request must not run.
+		// If the key was not found, the write may still be in progress, so the request must not run.
 		return Impossible
-	case bytes.Equal(pair.Value, x.value):
+	case bytes.Equal(pair.Value, pending.value):
 		return Claimed
 	}
 	return Taken
 }
 
-// ensureLease has a lease that outlasts every claim bound to it by the TTL.
+// ensureLease obtains a new lease if the current lease is missing or due for renewal. The lease outlasts the time in which claims
+// are bound to it by at least the TTL. If no new lease can be granted, the current one is used for the second part of the TTL.
 func (c *Claimer) ensureLease(ctx context.Context) error {
 	now := c.now()
 	if c.lease.id != 0 && now.Before(c.lease.renewAt) {
 		return nil
 	}
-	id, err := c.store.Grant(ctx, leaseTTLs*c.options.TTL)
+	id, err := c.store.Grant(ctx, leaseTTLFactor*c.options.TTL)
 	if err != nil {
-		if c.lease.id != 0 && now.Before(c.lease.renewAt.Add(c.options.TTL/leaseParts)) {
+		if c.lease.id != 0 && now.Before(c.lease.renewAt.Add(c.options.TTL/leaseRenewDivisor)) {
 			return nil
 		}
 		return err
 	}
-	c.lease = lease{id: id, renewAt: now.Add(c.options.TTL / leaseParts)}
+	c.lease = lease{id: id, renewAt: now.Add(c.options.TTL / leaseRenewDivisor)}
 	return nil
 }
--- a/services/daemon/once/claimer_test.go
+++ b/services/daemon/once/claimer_test.go
@@ -15,20 +15,20 @@
 	"github.com/shelfledge/shelfledge/services/daemon/once"
 )
 
-// memory is a key-value service that can lose answers and be down.
-type memory struct {
-	mutex  sync.Mutex
-	values map[string][]byte
-	lose   int
-	down   bool
-	writes int
+// memoryKV is an in-memory key-value service that can lose responses or be unavailable.
+type memoryKV struct {
+	mutex         sync.Mutex
+	values        map[string][]byte
+	lostResponses int
+	down          bool
+	writes        int
 }
 
-func (m *memory) store() once.Store {
+func (m *memoryKV) store() once.Store {
 	return once.Store{Txn: m.txn, Get: m.get, Grant: func(context.Context, time.Duration) (int64, error) { return 1, nil }}
 }
 
-func (m *memory) txn(_ context.Context, r kv.TxnRequest) (kv.TxnResponse, error) {
+func (m *memoryKV) txn(_ context.Context, r kv.TxnRequest) (kv.TxnResponse, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.down {
@@ -36,21 +36,21 @@
 	}
 	m.writes++
 	for _, c := range r.Compare {
-		if _, taken := m.values[string(c.Key)]; taken {
+		if _, exists := m.values[string(c.Key)]; exists {
 			return kv.TxnResponse{}, nil
 		}
 	}
 	for _, op := range r.Success {
 		m.values[string(op.Put.Key)] = op.Put.Value
 	}
-	if m.lose > 0 {
-		m.lose--
+	if m.lostResponses > 0 {
+		m.lostResponses--
 		return kv.TxnResponse{}, kv.ErrUnknown{Call: "txn"}
 	}
 	return kv.TxnResponse{Succeeded: true}, nil
 }
 
-func (m *memory) get(_ context.Context, key string) (kv.Pair, bool, error) {
+func (m *memoryKV) get(_ context.Context, key string) (kv.Pair, bool, error) {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
 	if m.down {
@@ -60,7 +60,7 @@
 	return kv.Pair{Key: []byte(key), Value: v}, ok, nil
 }
 
-func claimer(t *testing.T, m *memory, owner string) *once.Claimer {
+func newClaimer(t *testing.T, m *memoryKV, owner string) *once.Claimer {
 	c := once.New(m.store(), once.DefaultOptions("/x", owner), time.Now)
 	ctx, cancel := context.WithCancel(context.Background())
 	t.Cleanup(cancel)
@@ -68,9 +68,9 @@
 	return c
 }
 
-func TestOneOfManyInstancesGetsTheClaim(t *testing.T) {
-	m := &memory{values: make(map[string][]byte)}
-	a, b := claimer(t, m, "a"), claimer(t, m, "b")
+func TestConcurrentClaimsSucceedOnce(t *testing.T) {
+	m := &memoryKV{values: make(map[string][]byte)}
+	a, b := newClaimer(t, m, "a"), newClaimer(t, m, "b")
 	results := make(chan once.Result, 40)
 	for range 20 {
 		go func() { results <- a.Claim(context.Background(), "caller", "q") }()
@@ -83,21 +83,21 @@
 	require.Equal(t, map[once.Result]int{once.Claimed: 1, once.Taken: 39}, counts)
 }
 
-func TestLostAnswerIsSettledByReading(t *testing.T) {
-	m := &memory{values: make(map[string][]byte), lose: 1}
-	c := claimer(t, m, "a")
+func TestClaimReadsBackAfterLostResponse(t *testing.T) {
+	m := &memoryKV{values: make(map[string][]byte), lostResponses: 1}
+	c := newClaimer(t, m, "a")
 	require.Equal(t, once.Claimed, c.Claim(context.Background(), "caller", "q"))
 	require.Equal(t, once.Taken, c.Claim(context.Background(), "caller", "q"))
 }
 
-func TestNoServiceNoClaim(t *testing.T) {
-	m := &memory{values: make(map[string][]byte), down: true}
-	require.Equal(t, once.Impossible, claimer(t, m, "a").Claim(context.Background(), "caller", "q"))
+func TestClaimIsImpossibleWhileServiceIsDown(t *testing.T) {
+	m := &memoryKV{values: make(map[string][]byte), down: true}
+	require.Equal(t, once.Impossible, newClaimer(t, m, "a").Claim(context.Background(), "caller", "q"))
 }
 
-func TestCallersDoNotTakeEachOthersIdentifiers(t *testing.T) {
-	m := &memory{values: make(map[string][]byte)}
-	c := claimer(t, m, "a")
+func TestClaimsOfDifferentCallersDoNotCollide(t *testing.T) {
+	m := &memoryKV{values: make(map[string][]byte)}
+	c := newClaimer(t, m, "a")
 	require.Equal(t, once.Claimed, c.Claim(context.Background(), "x", "q"))
 	require.Equal(t, once.Claimed, c.Claim(context.Background(), "y", "q"))
 }
--- a/services/daemon/once/doc.go
+++ b/services/daemon/once/doc.go
@@ -1,10 +1,12 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package once claims requests that must not be repeated, in the platform's key-value service, so that neither another
-// instance nor a successor of this one runs them a second time. Claims that come together share one write.
+// Package once claims requests that must run at most once. A claim is a key in the platform's key-value service. It
+// prevents other instances, and this instance after a restart, from running the request a second time. Claims that
+// arrive at about the same time are written in one transaction.
 //
-// A Claimer owns the claims that wait and the lease that its claims are bound to; the claims themselves are the
-// service's. It relies on three calls of modules/daemon/kv and on their telling "not done" from "unknown". Its one
-// goroutine is Run's, which the caller starts.
+// A Claimer holds the queue of pending claims and the lease that its claims are bound to. The claims themselves are
+// stored in the service. The Claimer uses three calls of modules/daemon/kv and depends on their errors to distinguish
+// writes that were not done from writes with an unknown outcome. The caller must run Run in a goroutine; the Claimer
+// starts no others.
 package once
