--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -36,7 +36,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// listeners are the three open listeners.
+// listeners holds the open listeners for callers, operators and peers.
 type listeners struct {
 	callers, operators, peers net.Listener
 }
@@ -44,37 +44,39 @@
 func (l listeners) close() {
 	for _, x := range []net.Listener{l.callers, l.operators, l.peers} {
 		if x != nil {
-			// The start has failed already, for a reason that is told.
+			// The start has already failed and returns that error, so an error of Close adds nothing.
 			_ = x.Close()
 		}
 	}
 }
 
+// listen opens the listeners and stores their actual addresses. If one cannot be opened, listen closes the others.
 func (d *Daemon) listen() (listeners, error) {
 	var l listeners
 	for _, x := range []struct {
-		name string
-		at   netip.AddrPort
-		into *net.Listener
-		real *netip.AddrPort
+		name          string
+		address       netip.AddrPort
+		listener      *net.Listener
+		actualAddress *netip.AddrPort
 	}{
 		{"callers' listener", d.settings.Listen.Callers.Address, &l.callers, &d.addresses.Callers},
 		{"operators' listener", d.settings.Listen.Operators.Address, &l.operators, &d.addresses.Operators},
 		{"peers' listener", d.settings.Listen.Peers.Address, &l.peers, &d.addresses.Peers},
 	} {
-		opened, err := net.Listen("tcp", x.at.String())
+		opened, err := net.Listen("tcp", x.address.String())
 		if err != nil {
 			l.close()
 			return l, ErrNotStarted{Part: x.name, Reason: err.Error()}
 		}
-		*x.into = opened
-		*x.real = opened.Addr().(*net.TCPAddr).AddrPort()
+		*x.listener = opened
+		*x.actualAddress = opened.Addr().(*net.TCPAddr).AddrPort()
 	}
 	d.self = fleet.Instance{ID: d.settings.Instance.ID, Hall: d.settings.Instance.Hall, Address: d.addresses.Peers, Operator: d.addresses.Operators}
 	return l, nil
 }
 
-// newClock gives the clock of all that decides; certificates go by the time of day.
+// newClock returns the clock that all decisions are based on. Only certificates are checked against the time of day. The
+// clock logs a warning when it detects that the host was suspended.
 func newClock(log *logrus.Entry) (*clock.Clock, error) {
 	sources := clock.System()
 	sources.Noticed = func(span time.Duration) {
@@ -87,6 +89,7 @@
 	return c, nil
 }
 
+// build creates all parts of the daemon without starting the control thread or the servers.
 func (d *Daemon) build(ctx context.Context, o Options, l listeners) error {
 	var err error
 	if d.clock, err = newClock(d.log); err != nil {
@@ -94,7 +97,7 @@
 	}
 	dialect := engine.NewVLLM(engine.VLLMOptions{
 		Transport: engine.NewTransport(engine.TransportOptions{
-			DialTimeout: dialTimeout, HeaderTimeout: d.settings.Limits.EndpointSilent.Duration(), IdleTimeout: idleTimeout, MaxIdlePerHost: idlePerHost,
+			DialTimeout: dialTimeout, HeaderTimeout: d.settings.Limits.EndpointSilent.Duration(), IdleTimeout: idleTimeout, MaxIdlePerHost: maxIdlePerHost,
 		}),
 		Timeout: statusTimeout, LoadTimeout: d.settings.Decision.LoadTimeout.Duration() - loadMargin,
 	})
@@ -108,6 +111,7 @@
 	return d.buildOperators(l)
 }
 
+// buildControl creates the control service, the query service and the links to peers.
 func (d *Daemon) buildControl(o Options, l listeners, dialect engine.Dialect) error {
 	links := peerlink.Options{
 		Receive: func(e fleet.Envelope) { d.control.Receive(e) },
@@ -115,7 +119,7 @@
 		Blocked: o.Blocked,
 	}
 	if t := d.settings.Listen.Peers.TLS; t.Enabled() {
-		r, err := reloader(t)
+		r, err := newCertificateReloader(t)
 		if err != nil {
 			return err
 		}
@@ -143,7 +147,7 @@
 	return nil
 }
 
-func reloader(t setting.TLS) (*certificate.Reloader, error) {
+func newCertificateReloader(t setting.TLS) (*certificate.Reloader, error) {
 	r, err := certificate.New(certificate.Files{Cert: t.Cert, Key: t.Key, CA: t.ClientCA}, time.Now)
 	if err != nil {
 		return nil, ErrNotStarted{Part: "certificate", Reason: err.Error()}
@@ -151,30 +155,32 @@
 	return r, nil
 }
 
+// serverTLS returns the TLS configuration of a server, or nil if TLS is disabled.
 func serverTLS(t setting.TLS) (*tls.Config, error) {
 	if !t.Enabled() {
 		return nil, nil
 	}
-	r, err := reloader(t)
+	r, err := newCertificateReloader(t)
 	if err != nil {
 		return nil, err
 	}
 	return r.Server(), nil
 }
 
-// refuses looks whether nothing listens any more at an address.
-func refuses(ctx context.Context, address netip.AddrPort) bool {
+// refusesConnections reports whether an address refuses connections, which means that no process listens there any more.
+func refusesConnections(ctx context.Context, address netip.AddrPort) bool {
 	var dialer net.Dialer
 	open := func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address.String()) }
-	// Connections are opened only to see that they can be; that one cannot be closed tells nothing more.
+	// The connections serve only as a probe, so an error of Close is irrelevant.
 	discard := func(conn net.Conn) { _ = conn.Close() }
-	kept, refused := refusal.Look(ctx, open, discard)
-	if kept != nil {
-		discard(kept)
+	openConn, refused := refusal.Look(ctx, open, discard)
+	if openConn != nil {
+		discard(openConn)
 	}
 	return refused
 }
 
+// buildRelay creates and starts the claimer and creates the relay.
 func (d *Daemon) buildRelay(ctx context.Context, dialect engine.Dialect) {
 	s := d.settings
 	owner := fmt.Sprintf("%s.%d", d.self.ID, time.Now().UnixNano())
@@ -186,8 +192,8 @@
 		Control: relay.Control{Submit: d.control.Submit, Abandon: d.control.Abandon, Finish: d.control.Finish, Note: d.control.Note},
 		Claims:  relay.Claims{Claim: d.claimer.Claim, Release: d.claimer.Release},
 		Dialect: dialect, Endpoints: s.FleetEndpoints(), Metrics: d.metrics, MaxAttempts: s.Limits.MaxAttempts, RetryShare: s.Limits.RetryShare,
-		SlowReader: s.Limits.SlowReader.Duration(), EndpointSilent: s.Limits.EndpointSilent.Duration(), CancelLife: cancelLife, Now: d.clock.Now,
-		Timer: d.clock.Timer, Refuses: refuses,
+		SlowReader: s.Limits.SlowReader.Duration(), EndpointSilent: s.Limits.EndpointSilent.Duration(), CancelLife: cancelRetryPeriod, Now: d.clock.Now,
+		Timer: d.clock.Timer, Refuses: refusesConnections,
 	})
 }
 
@@ -198,12 +204,12 @@
 		Endpoints: s.FleetEndpoints(), Now: d.clock.Now, MaxBodyBytes: s.Limits.MaxBodyBytes, MaxRequests: int64(s.Limits.MaxRequests),
 		BytesPerToken: s.Limits.BytesPerToken, OutputTokens: s.Limits.OutputTokens, DefaultWait: s.Limits.DefaultWait.Duration(),
 	})
-	config, err := serverTLS(s.Listen.Callers.TLS)
+	tlsConfig, err := serverTLS(s.Listen.Callers.TLS)
 	if err != nil {
 		return err
 	}
 	d.callers, err = httpserver.New(httpserver.Options{
-		Name: "callers", Listener: l.callers, Routes: router.Routes(), NotFound: router.NotFound(), TLS: config,
+		Name: "callers", Listener: l.callers, Routes: router.Routes(), NotFound: router.NotFound(), TLS: tlsConfig,
 	})
 	return err
 }
@@ -220,17 +226,18 @@
 	}
 	store := configuration.NewStore(d.kv, s.KV.Prefix, time.Now)
 	router := operator.New(operator.Options{
-		Access: checker, Metrics: d.metrics, Refresh: d.refresh, Ready: d.Ready, Now: d.clock.Now, Query: d.query,
+		Access: checker, Metrics: d.metrics, Refresh: d.refreshGauges, Ready: d.Ready, Now: d.clock.Now, Query: d.query,
 		Command: command.New(command.Options{Store: store, Current: d.control.Catalog, Offer: d.control.Offer, Halls: d.hallStates, Now: d.clock.Now}),
 	})
-	config, err := serverTLS(s.Listen.Operators.TLS)
+	tlsConfig, err := serverTLS(s.Listen.Operators.TLS)
 	if err != nil {
 		return err
 	}
-	d.operators, err = httpserver.New(httpserver.Options{Name: "operators", Listener: l.operators, Routes: router.Routes(), TLS: config})
+	d.operators, err = httpserver.New(httpserver.Options{Name: "operators", Listener: l.operators, Routes: router.Routes(), TLS: tlsConfig})
 	return err
 }
 
+// hallStates returns the configuration revision in force in each hall, as known to this instance.
 func (d *Daemon) hallStates() []command.HallState {
 	var out []command.HallState
 	d.control.View(func(now time.Time, n *node.Node) {
--- a/services/daemon/process/daemon.go
+++ b/services/daemon/process/daemon.go
@@ -29,15 +29,15 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// Options are what a daemon is made of besides its settings.
+// Options holds the settings of a daemon and what it needs in addition.
 type Options struct {
 	Settings *setting.Settings
 	Log      *logrus.Entry
-	// Blocked, if set, cuts messages to peers off, for tests.
+	// Blocked, if set, reports whether messages to an address are dropped. Tests use it to simulate network partitions.
 	Blocked func(to netip.AddrPort) bool
 }
 
-// Daemon is one running daemon.
+// Daemon is a running daemon.
 type Daemon struct {
 	settings  *setting.Settings
 	log       *logrus.Entry
@@ -59,47 +59,50 @@
 	ended     chan struct{}
 }
 
-// Addresses are where a daemon really listens.
+// Addresses holds the actual addresses that a daemon listens on.
 type Addresses struct {
 	Callers   netip.AddrPort
 	Operators netip.AddrPort
 	Peers     netip.AddrPort
 }
 
-// ErrNotStarted reports a daemon that could not start.
+// ErrNotStarted reports that the daemon could not be started.
 type ErrNotStarted struct {
 	Part   string
 	Reason string
 }
 
-// Error names the part at fault.
+// Error returns a message that contains the part that failed and the reason.
 func (e ErrNotStarted) Error() string {
 	return fmt.Sprintf("the daemon could not start: %s: %s", e.Part, e.Reason)
 }
 
 const (
-	// journalSize is in events: 3.4 MB for the places of 20,000, their texts come on top (docs/capacity-shelfledged.md).
+	// journalSize is the capacity of the journal, in events. The ring buffer for 20,000 events takes 3.4 MB, plus the memory of their
+	// strings (docs/capacity-shelfledged.md).
 	journalSize = 20000
-	// loadMargin is how much sooner an order to load gives up than its placer, so that the answer comes before that.
+	// loadMargin is how much earlier a load order times out than the placer that waits for it, so that the placer receives the
+	// answer before its own time-out.
 	loadMargin = 2 * time.Second
-	// queryTimeout bounds the wait for other instances' parts of a query: longer gives more complete answers, shorter ones
-	// sooner.
+	// queryTimeout limits the wait for the parts of a query's result from other instances. A longer time-out gives more complete
+	// results, a shorter one gives faster results.
 	queryTimeout = time.Second
-	// dialTimeout bounds a connection to an endpoint: a retry elsewhere comes sooner, or a slow endpoint is still reached.
+	// dialTimeout limits the time to connect to an endpoint. A shorter time-out leads to an earlier retry at another endpoint; a longer
+	// one still reaches slow endpoints.
 	dialTimeout = time.Second
-	// idleTimeout and idlePerHost bound the idle connections to endpoints, kept to save connecting again.
-	idleTimeout = time.Minute
-	idlePerHost = 1024
-	// cancelLife is how long a request that may still run is cancelled again and again; a ticket lasts no longer
-	// (docs/design/0002-ownership-and-tickets.md).
-	cancelLife = 10 * time.Minute
-	// statusTimeout bounds lists of, and short orders to, an endpoint.
+	// idleTimeout and maxIdlePerHost limit the idle connections to endpoints, which are kept to avoid new connections.
+	idleTimeout    = time.Minute
+	maxIdlePerHost = 1024
+	// cancelRetryPeriod is how long the cancellation of a request that may still be running is retried. A ticket is not valid for
+	// longer than this (docs/design/0002-ownership-and-tickets.md).
+	cancelRetryPeriod = 10 * time.Minute
+	// statusTimeout limits the calls that list the state of an endpoint and short orders to an endpoint.
 	statusTimeout = 2 * time.Second
-	// permitMargin is how long after the longest load a permit lapses that was not given back.
+	// permitMargin is the time after the load time-out at which a permit that was not returned expires.
 	permitMargin = 15 * time.Second
 )
 
-// Start opens the listeners and starts the daemon.
+// Start opens the listeners and starts all parts of the daemon.
 func Start(o Options) (*Daemon, error) {
 	s := o.Settings
 	d := &Daemon{
@@ -120,17 +123,18 @@
 		listeners.close()
 		return nil, err
 	}
-	d.run()
+	d.startServing()
 	return d, nil
 }
 
-// refresh brings the gauges up to date that nobody sets as it happens.
-func (d *Daemon) refresh() {
+// refreshGauges updates the metrics that are not updated when their values change.
+func (d *Daemon) refreshGauges() {
 	d.metrics.Dropped.Set(float64(d.links.Dropped()))
 	d.metrics.SetKVCalls(d.kv.Counts())
 }
 
-func (d *Daemon) run() {
+// startServing starts the control thread and the servers for callers and operators.
+func (d *Daemon) startServing() {
 	go func() {
 		defer close(d.ended)
 		d.control.Run()
@@ -145,17 +149,17 @@
 	d.log.WithFields(logrus.Fields{"callers": d.addresses.Callers, "operators": d.addresses.Operators, "peers": d.addresses.Peers}).Info("the daemon runs")
 }
 
-// Addresses tells where the daemon listens.
+// Addresses returns the actual addresses that the daemon listens on.
 func (d *Daemon) Addresses() Addresses {
 	return d.addresses
 }
 
-// Control gives the control service, for tests and measurements.
+// Control returns the control service, for tests and measurements.
 func (d *Daemon) Control() *control.Service {
 	return d.control
 }
 
-// Ready tells whether callers may be sent here.
+// Ready reports whether the daemon accepts requests from callers.
 func (d *Daemon) Ready() bool {
 	if d.stopping.Load() {
 		return false
@@ -165,8 +169,8 @@
 	return ready
 }
 
-// Stop ends the daemon by plan: it reports itself unready, gives the balancer time to
-// see that, hands its pools over, waits for what is in flight, and only then leaves.
+// Stop shuts the daemon down gracefully. The daemon reports that it is not ready, waits for the configured notice time so that
+// load balancers detect this, hands over its pools, waits for the requests in flight, and then stops all parts.
 func (d *Daemon) Stop() {
 	d.stopping.Store(true)
 	d.log.Info("a planned stop begins")
@@ -175,27 +179,28 @@
 	limit := d.settings.Limits.DrainLimit.Duration()
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
-	d.drain(ctx, max(limit-tellingTime, limit/drainShare))
-	d.waitFor(ctx)
-	// Its one error is the drain limit, and an operator's open request is no reason to go on.
+	d.drain(ctx, max(limit-drainNoticeTime, limit/drainDivisor))
+	d.waitForRelay(ctx)
+	// The only expected error is that the drain limit was reached. Open requests of operators do not delay the shutdown further.
 	_ = d.operators.Shutdown(ctx)
-	d.end()
+	d.shutDown()
 	d.log.Info("the daemon has stopped")
 }
 
 const (
-	// tellingTime is how long before the drain limit requests are ended that are still open, so that their callers are told before their
-	// connections end with the process.
-	tellingTime = 500 * time.Millisecond
-	// drainShare is the part of a short drain limit in which requests go on all the same, as a divisor.
-	drainShare = 2
+	// drainNoticeTime is how long before the drain limit the requests in flight are ended, so that their callers receive an error
+	// before the process closes their connections.
+	drainNoticeTime = 500 * time.Millisecond
+	// drainDivisor divides the drain limit. If the drain limit is short, requests may continue for this part of it nevertheless.
+	drainDivisor = 2
 )
 
-// drain waits for the callers' open requests, for so long, and then has the rest be told what became of them.
-func (d *Daemon) drain(ctx context.Context, patience time.Duration) {
-	waiting, cancel := context.WithTimeout(ctx, patience)
+// drain waits for the callers' requests in flight until timeout has passed. It then ends the remaining requests and waits, until
+// ctx ends, for their callers to receive the outcome.
+func (d *Daemon) drain(ctx context.Context, timeout time.Duration) {
+	drainCtx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	err := d.callers.Shutdown(waiting)
+	err := d.callers.Shutdown(drainCtx)
 	if err == nil {
 		return
 	}
@@ -206,7 +211,8 @@
 	}
 }
 
-func (d *Daemon) waitFor(ctx context.Context) {
+// waitForRelay waits until the relay has finished or ctx ends.
+func (d *Daemon) waitForRelay(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
 		d.relay.Wait()
@@ -218,15 +224,16 @@
 	}
 }
 
-// Kill ends the daemon at once, as a crash would, for tests.
+// Kill stops the daemon immediately, without a graceful shutdown. Tests use it to simulate a crash.
 func (d *Daemon) Kill() {
-	// A crash tells nobody of errors either.
+	// A crash does not report errors, so they are ignored here.
 	_ = d.callers.Close()
 	_ = d.operators.Close()
-	d.end()
+	d.shutDown()
 }
 
-func (d *Daemon) end() {
+// shutDown stops the control thread and waits until it has ended, and then closes the links to peers.
+func (d *Daemon) shutDown() {
 	d.cancel()
 	d.control.Stop()
 	<-d.ended
--- a/services/daemon/process/defaults_test.go
+++ b/services/daemon/process/defaults_test.go
@@ -16,16 +16,17 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// least is a settings file that sets nothing that has a default.
-const least = `{
+// minimalSettings is a settings file that omits all settings with a default.
+const minimalSettings = `{
 	"instance": {"id": "i1", "hall": "h1"}, "halls": ["h1"],
 	"listen": {"callers": {"address": "127.0.0.1:1"}, "operators": {"address": "127.0.0.1:2"}, "peers": {"address": "127.0.0.1:3"}},
 	"kv": {"addresses": ["127.0.0.1:4"]}
 }`
 
-// The reasons of these values stand beside the services' constants; the settings repeat the values alone.
-func TestDefaultsOfTheSettingsAreThoseOfTheServices(t *testing.T) {
-	s, err := setting.Parse("least", []byte(least))
+// TestSettingDefaultsMatchServiceDefaults guards against settings whose defaults differ from the constants of the services. The
+// settings package repeats these values; their reasons are documented at the constants.
+func TestSettingDefaultsMatchServiceDefaults(t *testing.T) {
+	s, err := setting.Parse("minimal", []byte(minimalSettings))
 	require.NoError(t, err)
 	p, d := placement.DefaultOptions(), s.Decision
 	require.Equal(t, p.AgingStep, d.AgingStep.Duration())
--- a/services/daemon/process/doc.go
+++ b/services/daemon/process/doc.go
@@ -1,8 +1,10 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package process puts a daemon together from its settings, runs it and stops it without cutting off what is in flight.
+// Package process builds a daemon from its settings, runs it and stops it gracefully, so that requests in flight can
+// finish.
 //
-// A Daemon owns the listeners and the life of all other parts. Its goroutines: the control thread, the claimer, and one
-// server each for callers and operators; the parts' own are named in their packages.
+// A Daemon owns the listeners and starts and stops all other parts. It starts goroutines for the control thread, the
+// claimer, the server for callers and the server for operators. The packages of the other parts describe their own
+// goroutines.
 package process
--- a/services/daemon/process/options.go
+++ b/services/daemon/process/options.go
@@ -13,12 +13,12 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// nodeOptions turns settings into the options of the control state.
+// nodeOptions converts the settings to the options of the control state.
 func nodeOptions(s *setting.Settings, self fleet.Instance, boot uint64) node.Options {
 	return node.Options{
 		Self: self, Boot: boot, Halls: s.Halls, Endpoints: s.FleetEndpoints(), Classes: s.FleetClasses(),
 		Placement: placementOptions(s), Routing: routingOptions(s), Membership: membershipOptions(s),
-		Budget: budget.Limits{LoadsPerSecond: s.Store.LoadsPerSecond, AtFullSpeed: s.Store.AtFullSpeed}, Timing: timing(s),
+		Budget: budget.Limits{LoadsPerSecond: s.Store.LoadsPerSecond, AtFullSpeed: s.Store.AtFullSpeed}, Timing: nodeTiming(s),
 	}
 }
 
@@ -54,7 +54,7 @@
 	return o
 }
 
-func timing(s *setting.Settings) node.Timing {
+func nodeTiming(s *setting.Settings) node.Timing {
 	t := node.DefaultTiming()
 	c := s.Timing
 	t.Digest = c.Digest.Duration()
