--- a/services/daemon/query/doc.go
+++ b/services/daemon/query/doc.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package query answers operators' queries: it builds the tables of this instance, gathers those of others, filters,
-// groups and sorts, and explains single cases.
+// Package query answers operators' queries. It builds the tables of this instance, collects the tables of other
+// instances, filters, groups and sorts the rows, and explains what happened to a request, adapter, slot or revision.
 //
-// A Service owns no state: rows are built for each query from the catalog, the control thread's view and the journal.
-// It relies on modules/daemon/language for the parsed query and on modules/daemon/peerlink for the other instances'
-// parts. A query of the whole fleet has one goroutine for each instance or hall that is asked, and waits for all of
-// them.
+// A Service has no state of its own: it builds the rows for each query from the catalog, the control thread's view and
+// the journal. modules/daemon/language parses the queries, and modules/daemon/peerlink transfers the parts of other
+// instances. A query of the whole fleet runs one goroutine for each instance or hall that is asked, and waits for all
+// of them.
 package query
--- a/services/daemon/query/error.go
+++ b/services/daemon/query/error.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// ErrNoColumn reports a column that a table does not have.
+// ErrNoColumn reports a query that names a column that the table does not have.
 type ErrNoColumn struct {
 	Name    string
 	Columns []string
 }
 
-// Error names the columns that there are.
+// Error returns a message that lists the existing columns.
 func (e ErrNoColumn) Error() string {
 	return fmt.Sprintf("no column %q; there are %s", e.Name, strings.Join(e.Columns, ", "))
 }
 
-// ErrNoTable reports an unknown table.
+// ErrNoTable reports a query that names an unknown table.
 type ErrNoTable struct {
 	Name string
 }
 
-// Error names the tables that there are.
+// Error returns a message that lists the existing tables.
 func (e ErrNoTable) Error() string {
 	return fmt.Sprintf("no table %q; there are %s", e.Name, strings.Join(Tables(), ", "))
 }
--- a/services/daemon/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -14,10 +14,10 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
-// predicate tells whether a row is wanted.
+// predicate reports whether a row matches a condition.
 type predicate func(row []table.Value) bool
 
-// Evaluate filters, groups, sorts and cuts a table as a query asks.
+// Evaluate applies the conditions, grouping, order and limit of a query to a table and returns the result.
 func Evaluate(q *language.Show, t *table.Table) (*table.Table, error) {
 	out := &table.Table{Columns: t.Columns, Rows: t.Rows}
 	if q.Where != nil {
@@ -25,13 +25,13 @@
 		if err != nil {
 			return nil, err
 		}
-		out.Rows = filter(t.Rows, keep)
+		out.Rows = filterRows(t.Rows, keep)
 	}
-	out, err := group(q, out)
+	out, err := groupRows(q, out)
 	if err != nil {
 		return nil, err
 	}
-	if err := order(q, out); err != nil {
+	if err := sortRows(q, out); err != nil {
 		return nil, err
 	}
 	if q.Limit != nil && len(out.Rows) > int(*q.Limit) {
@@ -40,7 +40,7 @@
 	return out, nil
 }
 
-func filter(rows [][]table.Value, keep predicate) [][]table.Value {
+func filterRows(rows [][]table.Value, keep predicate) [][]table.Value {
 	var out [][]table.Value
 	for _, row := range rows {
 		if keep(row) {
@@ -99,16 +99,16 @@
 	if c.Group != nil {
 		return compileOr(c.Group, t)
 	}
-	at, err := columnOf(t, c.Column)
+	at, err := columnIndex(t, c.Column)
 	if err != nil {
 		return nil, err
 	}
 	if strings.EqualFold(c.Op, "like") {
 		if _, err := path.Match(c.Value, ""); err != nil {
-			return nil, fmt.Errorf("%q is no pattern", c.Value)
+			return nil, fmt.Errorf("%q is not a valid pattern", c.Value)
 		}
 		return func(row []table.Value) bool {
-			// The pattern was found good above.
+			// The pattern was validated above, so Match returns no error.
 			ok, _ := path.Match(c.Value, row[at].String())
 			return ok
 		}, nil
@@ -116,24 +116,26 @@
 	return compare(c, t.Columns[at].Kind, at)
 }
 
+// compare returns the predicate of a comparison between the column at index at and the value of the condition.
 func compare(c *language.Condition, kind table.Kind, at int) (predicate, error) {
 	other := table.T(c.Value)
 	if kind == table.Number {
 		n, err := strconv.ParseFloat(c.Value, 64)
 		if err != nil {
-			return nil, fmt.Errorf("column %q holds numbers, and %q is none", c.Column, c.Value)
+			return nil, fmt.Errorf("column %q holds numbers, but %q is not a number", c.Column, c.Value)
 		}
 		other = table.N(n)
 	}
-	holds := map[string]func(int) bool{
+	matches := map[string]func(int) bool{
 		"=": func(o int) bool { return o == 0 }, "!=": func(o int) bool { return o != 0 },
 		"<": func(o int) bool { return o < 0 }, "<=": func(o int) bool { return o <= 0 },
 		">": func(o int) bool { return o > 0 }, ">=": func(o int) bool { return o >= 0 },
 	}[c.Op]
-	return func(row []table.Value) bool { return holds(table.Compare(row[at], other)) }, nil
+	return func(row []table.Value) bool { return matches(table.Compare(row[at], other)) }, nil
 }
 
-func columnOf(t *table.Table, name string) (int, error) {
+// columnIndex returns the index of a column, whose name is matched without regard to case, or ErrNoColumn.
+func columnIndex(t *table.Table, name string) (int, error) {
 	if at := t.Index(strings.ToLower(name)); at >= 0 {
 		return at, nil
 	}
@@ -144,10 +146,12 @@
 	return 0, e
 }
 
+// countColumn is the name of the column that holds the number of rows.
 const countColumn = "count"
 
-// group counts the rows, whole or for each value of a column.
-func group(q *language.Show, t *table.Table) (*table.Table, error) {
+// groupRows counts all rows or, if the query groups by a column, the rows for each value of this column. Without grouping or
+// count, it returns the table unchanged.
+func groupRows(q *language.Show, t *table.Table) (*table.Table, error) {
 	if q.Group == "" {
 		if !q.Count {
 			return t, nil
@@ -156,7 +160,7 @@
 		out.Add(table.N(len(t.Rows)))
 		return out, nil
 	}
-	at, err := columnOf(t, q.Group)
+	at, err := columnIndex(t, q.Group)
 	if err != nil {
 		return nil, err
 	}
@@ -176,10 +180,11 @@
 	return out, nil
 }
 
-func order(q *language.Show, t *table.Table) error {
+// sortRows sorts the rows in place by the columns of the query's order clause.
+func sortRows(q *language.Show, t *table.Table) error {
 	for i := len(q.Order) - 1; i >= 0; i-- {
 		o := q.Order[i]
-		at, err := columnOf(t, o.Column)
+		at, err := columnIndex(t, o.Column)
 		if err != nil {
 			return err
 		}
--- a/services/daemon/query/evaluate_test.go
+++ b/services/daemon/query/evaluate_test.go
@@ -13,7 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
-func sample() *table.Table {
+func sampleTable() *table.Table {
 	t := &table.Table{Columns: []table.Column{
 		{Name: "name", Kind: table.Text}, {Name: "hall", Kind: table.Text}, {Name: "slots", Kind: table.Number}, {Name: "up", Kind: table.Bool},
 	}}
@@ -23,18 +23,18 @@
 	return t
 }
 
-// show parses a query, as an operator writes it, and evaluates it over the sample.
-func show(t *testing.T, text string) (*table.Table, error) {
+// evaluateQuery parses the text of a query and evaluates it over the sample table.
+func evaluateQuery(t *testing.T, text string) (*table.Table, error) {
 	t.Helper()
 	statements, err := language.Parse(text)
 	require.NoError(t, err, text)
 	require.Len(t, statements, 1)
 	require.NotNil(t, statements[0].Show, text)
-	return query.Evaluate(statements[0].Show, sample())
+	return query.Evaluate(statements[0].Show, sampleTable())
 }
 
-// first gives the texts of the first column.
-func first(t *table.Table) []string {
+// firstColumn returns the values of the first column as text.
+func firstColumn(t *table.Table) []string {
 	out := []string{}
 	for _, row := range t.Rows {
 		out = append(out, row[0].String())
@@ -42,7 +42,7 @@
 	return out
 }
 
-func TestConditionsChooseRows(t *testing.T) {
+func TestConditionsSelectRows(t *testing.T) {
 	for _, c := range []struct {
 		where string
 		want  []string
@@ -66,22 +66,22 @@
 		{"not ( hall = h1 and up = true )", []string{"e2", "e10"}},
 		{"name = none", []string{}},
 	} {
-		out, err := show(t, "show endpoints where "+c.where)
+		out, err := evaluateQuery(t, "show endpoints where "+c.where)
 		require.NoError(t, err, c.where)
-		require.Equal(t, c.want, first(out), c.where)
+		require.Equal(t, c.want, firstColumn(out), c.where)
 	}
 }
 
-func TestTextsAreComparedAsTextsAndNumbersBySize(t *testing.T) {
-	out, err := show(t, "show endpoints where name < e2")
+func TestTextsCompareLexicallyAndNumbersByValue(t *testing.T) {
+	out, err := evaluateQuery(t, "show endpoints where name < e2")
 	require.NoError(t, err)
-	require.Equal(t, []string{"e1", "e10"}, first(out))
-	out, err = show(t, "show endpoints where slots < 100")
+	require.Equal(t, []string{"e1", "e10"}, firstColumn(out))
+	out, err = evaluateQuery(t, "show endpoints where slots < 100")
 	require.NoError(t, err)
-	require.Equal(t, []string{"e1", "e2"}, first(out))
+	require.Equal(t, []string{"e1", "e2"}, firstColumn(out))
 }
 
-func TestRowsAreSortedByEachColumnInTurnAndCut(t *testing.T) {
+func TestOrderSortsByEachColumnAndLimitTruncates(t *testing.T) {
 	for text, want := range map[string][]string{
 		"show endpoints order by slots desc":                   {"e10", "e2", "e1"},
 		"show endpoints order by hall desc , slots":            {"e10", "e1", "e2"},
@@ -91,38 +91,38 @@
 		"show endpoints limit 4":                               {"e1", "e2", "e10"},
 		"show endpoints where up = true order by name limit 1": {"e1"},
 	} {
-		out, err := show(t, text)
+		out, err := evaluateQuery(t, text)
 		require.NoError(t, err, text)
-		require.Equal(t, want, first(out), text)
+		require.Equal(t, want, firstColumn(out), text)
 	}
 }
 
-func TestRowsAreCountedWholeAndByColumn(t *testing.T) {
-	out, err := show(t, "show count endpoints where up = true")
+func TestCountAndGroupByCountRows(t *testing.T) {
+	out, err := evaluateQuery(t, "show count endpoints where up = true")
 	require.NoError(t, err)
 	require.Equal(t, []table.Column{{Name: "count", Kind: table.Number}}, out.Columns)
 	require.Equal(t, [][]table.Value{{table.N(2)}}, out.Rows)
 
-	out, err = show(t, "show endpoints group by hall")
+	out, err = evaluateQuery(t, "show endpoints group by hall")
 	require.NoError(t, err)
 	require.Equal(t, [][]table.Value{{table.T("h1"), table.N(2)}, {table.T("h2"), table.N(1)}}, out.Rows)
 
-	out, err = show(t, "show endpoints group by hall order by count limit 1")
+	out, err = evaluateQuery(t, "show endpoints group by hall order by count limit 1")
 	require.NoError(t, err)
 	require.Equal(t, [][]table.Value{{table.T("h2"), table.N(1)}}, out.Rows)
 }
 
-func TestWhatAQueryCannotMeanIsAnError(t *testing.T) {
+func TestInvalidQueriesAreRejected(t *testing.T) {
 	for text, message := range map[string]string{
 		"show endpoints where color = red":         `no column "color"; there are name, hall, slots, up`,
 		"show endpoints group by color":            `no column "color"; there are name, hall, slots, up`,
 		"show endpoints order by color":            `no column "color"; there are name, hall, slots, up`,
-		"show endpoints where slots = many":        `column "slots" holds numbers, and "many" is none`,
-		"show endpoints where name like \"[\"":     `"[" is no pattern`,
+		"show endpoints where slots = many":        `column "slots" holds numbers, but "many" is not a number`,
+		"show endpoints where name like \"[\"":     `"[" is not a valid pattern`,
 		"show endpoints where not color = red":     `no column "color"; there are name, hall, slots, up`,
 		"show endpoints group by hall order by up": `no column "up"; there are hall, count`,
 	} {
-		_, err := show(t, text)
+		_, err := evaluateQuery(t, text)
 		require.EqualError(t, err, message, text)
 	}
 }
--- a/services/daemon/query/explain.go
+++ b/services/daemon/query/explain.go
@@ -13,17 +13,17 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// Explanation is an account in plain sentences.
+// Explanation describes a case in sentences for operators.
 type Explanation struct {
 	Lines []string `json:"lines"`
 	Parts []Part   `json:"parts"`
 }
 
-// Explain tells why something is as it is, from the events that were kept.
+// Explain describes what happened to a request, an adapter, a slot or a revision, based on the stored events and records.
 func (s *Service) Explain(ctx context.Context, e *language.Explain) (Explanation, error) {
 	switch {
 	case e.Request != nil:
-		return s.explainEvents(ctx, "request "+e.Request.Text, func(v shownEvent) bool {
+		return s.explainEvents(ctx, "request "+e.Request.Text, func(v eventRow) bool {
 			return v.request == e.Request.Text || strings.HasPrefix(v.request, e.Request.Text+"~")
 		})
 	case e.Adapter != nil:
@@ -34,17 +34,18 @@
 	return s.explainRevision(int64(*e.Revision))
 }
 
-func (s *Service) explainEvents(ctx context.Context, what string, wanted func(shownEvent) bool) (Explanation, error) {
-	t, parts, err := s.gather(ctx, "events")
+// explainEvents describes the matching events of the whole fleet in the order of their times.
+func (s *Service) explainEvents(ctx context.Context, what string, wanted func(eventRow) bool) (Explanation, error) {
+	t, parts, err := s.gatherTable(ctx, "events")
 	if err != nil {
 		return Explanation{}, err
 	}
-	if err := order(&language.Show{Order: []*language.Order{{Column: "at"}}}, t); err != nil {
+	if err := sortRows(&language.Show{Order: []*language.Order{{Column: "at"}}}, t); err != nil {
 		return Explanation{}, err
 	}
 	out := Explanation{Parts: parts}
 	for _, row := range t.Rows {
-		if v := eventOf(t, row); wanted(v) {
+		if v := newEventRow(t, row); wanted(v) {
 			out.Lines = append(out.Lines, v.sentence())
 		}
 	}
@@ -55,11 +56,11 @@
 }
 
 func (s *Service) explainAdapter(ctx context.Context, name string) (Explanation, error) {
-	out, err := s.explainEvents(ctx, "adapter "+name, func(v shownEvent) bool { return names(v.adapter, name) || names(v.other, name) })
+	out, err := s.explainEvents(ctx, "adapter "+name, func(v eventRow) bool { return matchesAdapter(v.adapter, name) || matchesAdapter(v.other, name) })
 	if err != nil {
 		return out, err
 	}
-	// A name without a version is the adapter's own.
+	// The catalog lists adapters by their names without a version.
 	bare, _, _ := strings.Cut(name, "@")
 	a := s.options.Catalog().Adapters[bare]
 	if a == nil {
@@ -71,13 +72,15 @@
 	return out, nil
 }
 
-// names tells whether an event's adapter is the named one, at any version unless one is named.
-func names(adapter, name string) bool {
+// matchesAdapter reports whether the adapter of an event has the given name. If the name contains no version, any version matches.
+func matchesAdapter(adapter, name string) bool {
 	return adapter == name || strings.HasPrefix(adapter, name+"@")
 }
 
+// explainSlot describes the events and the current state of a slot. If no adapter is given, it describes the events of the endpoint
+// that concern no request, and all its slots.
 func (s *Service) explainSlot(ctx context.Context, slot *language.Slot) (Explanation, error) {
-	out, err := s.explainEvents(ctx, "slot "+slot.Endpoint+" "+slot.Adapter, func(v shownEvent) bool {
+	out, err := s.explainEvents(ctx, "slot "+slot.Endpoint+" "+slot.Adapter, func(v eventRow) bool {
 		if v.endpoint != slot.Endpoint {
 			return false
 		}
@@ -89,7 +92,7 @@
 	if err != nil {
 		return out, err
 	}
-	t, _, err := s.gather(ctx, "slots")
+	t, _, err := s.gatherTable(ctx, "slots")
 	if err != nil {
 		return out, err
 	}
@@ -101,6 +104,7 @@
 	return out, nil
 }
 
+// explainRevision describes a revision's record and whether the revision is in force in each hall.
 func (s *Service) explainRevision(revision int64) (Explanation, error) {
 	var out Explanation
 	s.options.View(func(now time.Time, n *node.Node) {
--- a/services/daemon/query/gather.go
+++ b/services/daemon/query/gather.go
@@ -17,50 +17,52 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// gather builds a table of this instance's part and, where the table is wide, of all others' parts that come in time.
-func (s *Service) gather(ctx context.Context, name string) (*table.Table, []Part, error) {
+// gatherTable returns a table with this instance's rows and, if the table is fleet-wide, the rows of all other instances that
+// answer within the time-out.
+func (s *Service) gatherTable(ctx context.Context, name string) (*table.Table, []Part, error) {
 	t, err := s.Local(name)
 	if err != nil {
 		return nil, nil, err
 	}
-	if !definitions[name].wide {
+	if !tableDefinitions[name].fleetWide {
 		return t, nil, nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, s.options.Timeout)
 	defer cancel()
-	parts := s.gatherHalls(ctx, name, t)
+	parts := s.gatherParts(ctx, name, t)
 	slices.SortFunc(parts, func(a, b Part) int { return strings.Compare(a.Hall, b.Hall) })
 	return t, parts, nil
 }
 
-// source is one instance that is asked for a part: its own, or by wide that of its whole hall.
-type source struct {
-	hall    string
-	id      string
-	address netip.AddrPort
-	wide    bool
+// partSource is an instance that is asked for its own part of a table or, if hallWide is set, for the part of its whole hall.
+type partSource struct {
+	hall     string
+	id       string
+	address  netip.AddrPort
+	hallWide bool
 }
 
-// sources lists the other instances of the hall, and one instance of each other hall, its speaker.
-func (s *Service) sources() []source {
-	var out []source
+// sources returns the other instances of this hall and one instance of each other hall, its speaker.
+func (s *Service) sources() []partSource {
+	var out []partSource
 	s.options.View(func(now time.Time, n *node.Node) {
 		for _, i := range n.Instances(now)[1:] {
 			if i.Alive || i.Listed {
-				out = append(out, source{hall: i.Instance.Hall, id: i.Instance.ID, address: i.Instance.Address})
+				out = append(out, partSource{hall: i.Instance.Hall, id: i.Instance.ID, address: i.Instance.Address})
 			}
 		}
 		for _, h := range n.Halls(now) {
 			if h.Hall != s.options.Self.Hall {
-				out = append(out, source{hall: h.Hall, id: h.Speaker.ID, address: h.Speaker.Address, wide: true})
+				out = append(out, partSource{hall: h.Hall, id: h.Speaker.ID, address: h.Speaker.Address, hallWide: true})
 			}
 		}
 	})
 	return out
 }
 
-// gatherHalls asks the hall's instances and the other halls' speakers at once.
-func (s *Service) gatherHalls(ctx context.Context, name string, t *table.Table) []Part {
+// gatherParts asks the instances of this hall and the speakers of the other halls concurrently and adds their rows to the
+// table. It returns one Part for each hall.
+func (s *Service) gatherParts(ctx context.Context, name string, t *table.Table) []Part {
 	parts := map[string]*Part{s.options.Self.Hall: {Hall: s.options.Self.Hall}}
 	var mutex sync.Mutex
 	var asked sync.WaitGroup
@@ -72,10 +74,10 @@
 		go func() {
 			defer asked.Done()
 			began := s.options.Now()
-			answer, err := s.ask(ctx, src, name)
+			answer, err := s.askSource(ctx, src, name)
 			mutex.Lock()
 			defer mutex.Unlock()
-			s.merge(parts[src.hall], src, t, answer, err, s.options.Now().Sub(began))
+			s.mergePart(parts[src.hall], src, t, answer, err, s.options.Now().Sub(began))
 		}()
 	}
 	asked.Wait()
@@ -86,22 +88,23 @@
 	return out
 }
 
-// ask gets one source's part, or peerlink.ErrUnreachable where its address is not known.
-func (s *Service) ask(ctx context.Context, src source, name string) (peerlink.Answer, error) {
+// askSource requests the part of one source. It returns peerlink.ErrUnreachable if the address of the source is not known.
+func (s *Service) askSource(ctx context.Context, src partSource, name string) (peerlink.Answer, error) {
 	if !src.address.IsValid() {
 		return peerlink.Answer{}, peerlink.ErrUnreachable{To: src.address, Reason: "its address is not known"}
 	}
-	return s.options.Ask(ctx, src.address, peerlink.Question{Table: name, HallWide: src.wide})
+	return s.options.Ask(ctx, src.address, peerlink.Question{Table: name, HallWide: src.hallWide})
 }
 
-// merge adds one part's rows, or notes its silence.
-func (s *Service) merge(p *Part, src source, t *table.Table, a peerlink.Answer, err error, took time.Duration) {
+// mergePart adds the rows of an answer to the table. If the source did not answer or its answer is invalid, mergePart records
+// this in p.
+func (s *Service) mergePart(p *Part, src partSource, t *table.Table, a peerlink.Answer, err error, took time.Duration) {
 	var rows [][]table.Value
 	if err == nil {
 		err = json.Unmarshal(a.Rows, &rows)
 	}
 	if err != nil {
-		if src.wide {
+		if src.hallWide {
 			p.Silent = true
 			return
 		}
@@ -117,7 +120,7 @@
 	}
 }
 
-// Answer answers a peer's question with this instance's part, or with the whole hall's.
+// Answer answers a peer's question with the part of this instance or, if the question is hall-wide, of the whole hall.
 func (s *Service) Answer(ctx context.Context, q peerlink.Question) (peerlink.Answer, error) {
 	t, err := s.Local(q.Table)
 	if err != nil {
@@ -125,21 +128,22 @@
 	}
 	var silent []string
 	if q.HallWide {
-		silent = s.hallPart(ctx, q.Table, t)
+		silent = s.mergeHallParts(ctx, q.Table, t)
 	}
 	rows, err := json.Marshal(t.Rows)
 	return peerlink.Answer{Rows: rows, Silent: silent}, err
 }
 
-// hallPart adds the parts of this hall's other instances to a table and names those that did not answer.
-func (s *Service) hallPart(ctx context.Context, name string, t *table.Table) []string {
+// mergeHallParts adds the rows of the other instances of this hall to a table and returns the identifiers of the instances that
+// did not answer.
+func (s *Service) mergeHallParts(ctx context.Context, name string, t *table.Table) []string {
 	part := &Part{}
 	for _, src := range s.sources() {
-		if src.wide {
+		if src.hallWide {
 			continue
 		}
-		answer, err := s.ask(ctx, src, name)
-		s.merge(part, src, t, answer, err, 0)
+		answer, err := s.askSource(ctx, src, name)
+		s.mergePart(part, src, t, answer, err, 0)
 	}
 	return part.Missing
 }
--- a/services/daemon/query/sentence.go
+++ b/services/daemon/query/sentence.go
@@ -11,32 +11,34 @@
 	"github.com/shelfledge/shelfledge/models/daemon/table"
 )
 
-// shownEvent is one event as the events table shows it.
-type shownEvent struct {
+// eventRow is one row of the events table.
+type eventRow struct {
 	at, instance, kind, request, adapter, endpoint, pool, other, cause string
 
 	fence, revision, value float64
 }
 
-func eventOf(t *table.Table, row []table.Value) shownEvent {
+// newEventRow reads the cells of a row of the events table.
+func newEventRow(t *table.Table, row []table.Value) eventRow {
 	get := func(name string) table.Value { return row[t.Index(name)] }
-	return shownEvent{
+	return eventRow{
 		at: get("at").Text, instance: get("instance").Text, kind: get("kind").Text, request: get("request").Text, adapter: get("adapter").Text,
 		endpoint: get("endpoint").Text, pool: get("pool").Text, other: get("other").Text, cause: get("cause").Text,
 		fence: get("fence").Number, revision: get("revision").Number, value: get("value").Number,
 	}
 }
 
-// sentence tells an event in plain words.
-func (v shownEvent) sentence() string {
-	when := v.at
+// sentence returns a sentence that describes the event, with its time and instance.
+func (v eventRow) sentence() string {
+	timeOfDay := v.at
 	if at, err := time.Parse(time.RFC3339Nano, v.at); err == nil {
-		when = at.Format("15:04:05.000")
+		timeOfDay = at.Format("15:04:05.000")
 	}
-	return when + " " + v.instance + ": " + v.words()
+	return timeOfDay + " " + v.instance + ": " + v.description()
 }
 
-func (v shownEvent) words() string {
+// description returns the sentence without the time and instance.
+func (v eventRow) description() string {
 	switch v.kind {
 	case "queued":
 		return fmt.Sprintf("request %s waits for %s, because %s.", v.request, v.adapter, v.cause)
@@ -64,7 +66,8 @@
 	return strings.ReplaceAll(v.kind, "_", " ") + v.details() + ": " + v.cause + "."
 }
 
-func (v shownEvent) details() string {
+// details lists the fields that are set, for events without a sentence of their own.
+func (v eventRow) details() string {
 	var b strings.Builder
 	for _, part := range []struct{ name, value string }{
 		{"pool", v.pool}, {"endpoint", v.endpoint}, {"adapter", v.adapter}, {"with", v.other}, {"request", v.request},
@@ -79,6 +82,7 @@
 	return b.String()
 }
 
+// slotSentence returns a sentence that describes the current state of a slot, from a row of the slots table.
 func slotSentence(t *table.Table, row []table.Value) string {
 	get := func(name string) table.Value { return row[t.Index(name)] }
 	return fmt.Sprintf("Now %s on %s is %s for %s s, with %s requests running, last used %s s ago; it expects %.4f weighted calls a second.",
--- a/services/daemon/query/service.go
+++ b/services/daemon/query/service.go
@@ -17,15 +17,17 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// Options are what the service works with.
+// Options holds the dependencies and settings of a Service.
 type Options struct {
 	Self    fleet.Instance
 	Classes []fleet.Class
 	Catalog func() *catalog.Catalog
-	View    func(read func(now time.Time, n *node.Node))
+	// View calls read with the state of the control thread.
+	View func(read func(now time.Time, n *node.Node))
+	// Ask sends a question to a peer and returns its answer.
 	Ask     func(ctx context.Context, to netip.AddrPort, q peerlink.Question) (peerlink.Answer, error)
 	Journal *journal.Journal
-	// Timeout bounds the wait for other instances' parts.
+	// Timeout limits the wait for the parts of other instances.
 	Timeout time.Duration
 	Now     func() time.Time
 }
@@ -35,27 +37,29 @@
 	options Options
 }
 
-// New makes a service.
+// New returns a service with the given options.
 func New(o Options) *Service {
 	return &Service{options: o}
 }
 
-// Part tells how one hall's part of an answer came about.
+// Part describes how complete and how old the rows of one hall are.
 type Part struct {
-	Hall   string        `json:"hall"`
-	Age    time.Duration `json:"age_ns"`
-	Silent bool          `json:"silent"`
-	// Missing names instances of the hall that did not answer.
+	Hall string `json:"hall"`
+	// Age is the longest time that a source of the hall took to answer.
+	Age time.Duration `json:"age_ns"`
+	// Silent reports whether the hall as a whole did not answer.
+	Silent bool `json:"silent"`
+	// Missing lists the instances of the hall that did not answer.
 	Missing []string `json:"missing,omitempty"`
 }
 
-// Result is an answer with the account of its parts.
+// Result is the result of a query. Parts has an entry for each hall if the query covers the whole fleet.
 type Result struct {
 	Table table.Table `json:"table"`
 	Parts []Part      `json:"parts"`
 }
 
-// Complete tells whether every hall and instance answered.
+// Complete reports whether every hall and instance answered.
 func (r Result) Complete() bool {
 	for _, p := range r.Parts {
 		if p.Silent || len(p.Missing) > 0 {
@@ -65,9 +69,9 @@
 	return true
 }
 
-// Show answers a query, for the whole fleet where the table is made of every instance's part.
+// Show answers a query. If the table is fleet-wide, the result includes the rows of all instances that answer in time.
 func (s *Service) Show(ctx context.Context, q *language.Show) (Result, error) {
-	all, parts, err := s.gather(ctx, q.Table)
+	all, parts, err := s.gatherTable(ctx, q.Table)
 	if err != nil {
 		return Result{}, err
 	}
--- a/services/daemon/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -18,15 +18,17 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// definition is one table: its columns, and how its rows are made here.
-type definition struct {
+// tableDefinition defines the columns of a table and the function that builds the rows of this instance.
+type tableDefinition struct {
 	columns []table.Column
-	// wide tables are the sum of every instance's part.
-	wide  bool
-	build func(s *Service, t *table.Table)
+	// fleetWide marks tables that consist of the rows of all instances. The other tables contain only the rows of the instance that answers.
+	fleetWide bool
+	build     func(s *Service, t *table.Table)
 }
 
-func text(names ...string) []table.Column {
+// newColumns returns columns with the given names. The prefix # marks a column of numbers and ? a column of booleans; all other
+// columns hold text.
+func newColumns(names ...string) []table.Column {
 	out := make([]table.Column, 0, len(names))
 	for _, name := range names {
 		kind := table.Text
@@ -41,37 +43,37 @@
 	return out
 }
 
-// definitions lists the tables; # marks columns of numbers, ? those of true and false.
-var definitions = map[string]definition{
-	"adapters":  {columns: text("name", "base", "#live", "#versions"), build: adapters},
-	"versions":  {columns: text("adapter", "#version", "source", "?live", "?retired", "?pinned", "?preload"), build: versions},
-	"services":  {columns: text("name", "adapter", "#version", "#percent"), build: services},
-	"rules":     {columns: text("#position", "name", "class", "caller", "base", "adapter", "hall", "from", "to", "zone", "halls", "#priority", "?refuse"), build: rules},
-	"classes":   {columns: text("name", "#priority", "#weight", "#queue", "?patient"), build: classes},
-	"revisions": {columns: text("#revision", "at", "operator", "id", "#changes", "command"), build: revisions},
-	"halls":     {columns: text("hall", "#revision", "#age", "?cut", "speaker"), build: halls},
-	"instances": {columns: text("instance", "hall", "address", "?alive", "?leaving", "?listed", "#revision", "#age", "pools"), wide: true, build: instances},
-	"endpoints": {columns: text("endpoint", "hall", "pool", "placer", "?up", "?leaving", "?drained", "?frozen", "?uncertain", "#running", "#max_batch", "#used", "#slots", "#fence", "incarnation"), wide: true, build: endpoints},
-	"slots":     {columns: text("endpoint", "hall", "adapter", "state", "#running", "?foreign", "?closing", "?pinned", "#age", "#idle", "#value"), wide: true, build: slots},
-	"loads":     {columns: text("endpoint", "hall", "adapter", "#age"), wide: true, build: loads},
-	"waiting":   {columns: text("request", "hall", "pool", "caller", "class", "adapter", "#tokens", "#age", "cause"), wide: true, build: waiting},
-	"tickets":   {columns: text("ticket", "hall", "request", "endpoint", "adapter", "entry", "#fence"), wide: true, build: tickets},
-	"events":    {columns: text("at", "instance", "kind", "request", "adapter", "endpoint", "pool", "other", "#fence", "#revision", "#value", "cause"), wide: true, build: events},
-}
-
-// Tables lists the names of all tables.
+// tableDefinitions holds all tables by name.
+var tableDefinitions = map[string]tableDefinition{
+	"adapters":  {columns: newColumns("name", "base", "#live", "#versions"), build: buildAdapters},
+	"versions":  {columns: newColumns("adapter", "#version", "source", "?live", "?retired", "?pinned", "?preload"), build: buildVersions},
+	"services":  {columns: newColumns("name", "adapter", "#version", "#percent"), build: buildServices},
+	"rules":     {columns: newColumns("#position", "name", "class", "caller", "base", "adapter", "hall", "from", "to", "zone", "halls", "#priority", "?refuse"), build: buildRules},
+	"classes":   {columns: newColumns("name", "#priority", "#weight", "#queue", "?patient"), build: buildClasses},
+	"revisions": {columns: newColumns("#revision", "at", "operator", "id", "#changes", "command"), build: buildRevisions},
+	"halls":     {columns: newColumns("hall", "#revision", "#age", "?cut", "speaker"), build: buildHalls},
+	"instances": {columns: newColumns("instance", "hall", "address", "?alive", "?leaving", "?listed", "#revision", "#age", "pools"), fleetWide: true, build: buildInstances},
+	"endpoints": {columns: newColumns("endpoint", "hall", "pool", "placer", "?up", "?leaving", "?drained", "?frozen", "?uncertain", "#running", "#max_batch", "#used", "#slots", "#fence", "incarnation"), fleetWide: true, build: buildEndpoints},
+	"slots":     {columns: newColumns("endpoint", "hall", "adapter", "state", "#running", "?foreign", "?closing", "?pinned", "#age", "#idle", "#value"), fleetWide: true, build: buildSlots},
+	"loads":     {columns: newColumns("endpoint", "hall", "adapter", "#age"), fleetWide: true, build: buildLoads},
+	"waiting":   {columns: newColumns("request", "hall", "pool", "caller", "class", "adapter", "#tokens", "#age", "cause"), fleetWide: true, build: buildWaiting},
+	"tickets":   {columns: newColumns("ticket", "hall", "request", "endpoint", "adapter", "entry", "#fence"), fleetWide: true, build: buildTickets},
+	"events":    {columns: newColumns("at", "instance", "kind", "request", "adapter", "endpoint", "pool", "other", "#fence", "#revision", "#value", "cause"), fleetWide: true, build: buildEvents},
+}
+
+// Tables returns the sorted names of all tables.
 func Tables() []string {
-	out := make([]string, 0, len(definitions))
-	for name := range definitions {
+	out := make([]string, 0, len(tableDefinitions))
+	for name := range tableDefinitions {
 		out = append(out, name)
 	}
 	sort.Strings(out)
 	return out
 }
 
-// Local makes this instance's part of a table.
+// Local returns a table with the rows of this instance only, or ErrNoTable if the table is unknown.
 func (s *Service) Local(name string) (*table.Table, error) {
-	d, ok := definitions[name]
+	d, ok := tableDefinitions[name]
 	if !ok {
 		return nil, ErrNoTable{Name: name}
 	}
@@ -80,7 +82,7 @@
 	return t, nil
 }
 
-func adapters(s *Service, t *table.Table) {
+func buildAdapters(s *Service, t *table.Table) {
 	all := s.options.Catalog().Adapters
 	t.Rows = make([][]table.Value, 0, len(all))
 	for _, name := range sortedNames(all) {
@@ -89,12 +91,12 @@
 	}
 }
 
-// sortedNames puts a map's names in order, which is cheaper than sorting the rows made from it.
+// sortedNames returns the sorted keys of a map. Sorting the keys is cheaper than sorting the rows that are built from the map.
 func sortedNames[V any](all map[string]V) []string {
 	return slices.Sorted(maps.Keys(all))
 }
 
-func versions(s *Service, t *table.Table) {
+func buildVersions(s *Service, t *table.Table) {
 	c := s.options.Catalog()
 	for _, name := range sortedNames(c.Adapters) {
 		a := c.Adapters[name]
@@ -105,31 +107,32 @@
 	}
 }
 
-func services(s *Service, t *table.Table) {
+func buildServices(s *Service, t *table.Table) {
 	all := s.options.Catalog().Services
 	for _, name := range sortedNames(all) {
-		x := all[name]
-		for _, share := range x.Shares {
-			t.Add(table.T(x.Name), table.T(share.Adapter), table.N(share.Version), table.N(share.Percent))
+		service := all[name]
+		for _, share := range service.Shares {
+			t.Add(table.T(service.Name), table.T(share.Adapter), table.N(share.Version), table.N(share.Percent))
 		}
 	}
 }
 
-func rules(s *Service, t *table.Table) {
+func buildRules(s *Service, t *table.Table) {
 	for i, r := range s.options.Catalog().Rules {
 		t.Add(table.N(i+1), table.T(r.Name), table.T(r.Class), table.T(r.Caller), table.T(r.Base), table.T(r.Adapter), table.T(r.Hall),
-			table.T(clock(r.From)), table.T(clock(r.To)), table.T(r.Zone), table.T(strings.Join(r.Halls, "+")), table.N(r.Priority), table.B(r.Refuse))
+			table.T(formatMinuteOfDay(r.From)), table.T(formatMinuteOfDay(r.To)), table.T(r.Zone), table.T(strings.Join(r.Halls, "+")), table.N(r.Priority), table.B(r.Refuse))
 	}
 }
 
-// minutesPerHour turns minutes after midnight into a time of day.
+// minutesPerHour is used to convert minutes since midnight to a time of day.
 const minutesPerHour = int(time.Hour / time.Minute)
 
-func clock(minute int) string {
+// formatMinuteOfDay formats minutes since midnight as a time of day, such as 08:30.
+func formatMinuteOfDay(minute int) string {
 	return fmt.Sprintf("%02d:%02d", minute/minutesPerHour, minute%minutesPerHour)
 }
 
-func classes(s *Service, t *table.Table) {
+func buildClasses(s *Service, t *table.Table) {
 	list := s.options.Catalog().ClassList(s.options.Classes)
 	slices.SortFunc(list, func(a, b fleet.Class) int { return strings.Compare(a.Name, b.Name) })
 	for _, c := range list {
@@ -137,7 +140,7 @@
 	}
 }
 
-func revisions(s *Service, t *table.Table) {
+func buildRevisions(s *Service, t *table.Table) {
 	var records []catalog.Record
 	s.options.View(func(_ time.Time, n *node.Node) { records = n.Records() })
 	for _, r := range records {
@@ -145,7 +148,7 @@
 	}
 }
 
-func halls(s *Service, t *table.Table) {
+func buildHalls(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		for _, h := range n.Halls(now) {
 			t.Add(table.T(h.Hall), table.N(h.Revision), table.D(h.Age), table.B(h.Cut), table.T(h.Speaker.ID))
@@ -153,8 +156,9 @@
 	})
 }
 
-// instances gives only this instance's own line, so that the sum over all shows each once, as it sees itself.
-func instances(s *Service, t *table.Table) {
+// buildInstances adds only the row of this instance, so that the fleet-wide table contains each instance once, with the state
+// that the instance itself reports.
+func buildInstances(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		i := n.Instances(now)[0]
 		t.Add(table.T(i.Instance.ID), table.T(i.Instance.Hall), table.T(i.Instance.Address.String()), table.B(i.Alive), table.B(i.Leaving),
@@ -162,16 +166,17 @@
 	})
 }
 
-func (s *Service) eachPool(use func(now time.Time, p node.PoolView)) {
+// forEachPool calls visit for each pool that this instance places.
+func (s *Service) forEachPool(visit func(now time.Time, p node.PoolView)) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		for _, p := range n.Pools(now) {
-			use(now, p)
+			visit(now, p)
 		}
 	})
 }
 
-func endpoints(s *Service, t *table.Table) {
-	s.eachPool(func(_ time.Time, p node.PoolView) {
+func buildEndpoints(s *Service, t *table.Table) {
+	s.forEachPool(func(_ time.Time, p node.PoolView) {
 		for _, e := range p.Endpoints {
 			t.Add(table.T(e.Endpoint), table.T(s.options.Self.Hall), table.T(p.Pool), table.T(s.options.Self.ID), table.B(e.Up), table.B(e.Leaving),
 				table.B(e.Drained), table.B(e.Frozen), table.B(e.Uncertain), table.N(e.Running), table.N(e.MaxBatch), table.N(e.Used), table.N(e.Slots),
@@ -180,27 +185,27 @@
 	})
 }
 
-func slots(s *Service, t *table.Table) {
-	s.eachPool(func(now time.Time, p node.PoolView) {
-		for _, x := range p.Slots {
-			t.Add(table.T(x.Endpoint), table.T(s.options.Self.Hall), table.T(x.Adapter), table.T(x.State), table.N(x.Running), table.B(x.Foreign),
-				table.B(x.Closing), table.B(x.Pinned), table.D(now.Sub(x.Since)), table.D(now.Sub(x.LastUsed)), table.N(x.Value))
+func buildSlots(s *Service, t *table.Table) {
+	s.forEachPool(func(now time.Time, p node.PoolView) {
+		for _, slot := range p.Slots {
+			t.Add(table.T(slot.Endpoint), table.T(s.options.Self.Hall), table.T(slot.Adapter), table.T(slot.State), table.N(slot.Running), table.B(slot.Foreign),
+				table.B(slot.Closing), table.B(slot.Pinned), table.D(now.Sub(slot.Since)), table.D(now.Sub(slot.LastUsed)), table.N(slot.Value))
 		}
 	})
 }
 
-func loads(s *Service, t *table.Table) {
-	s.eachPool(func(now time.Time, p node.PoolView) {
-		for _, x := range p.Slots {
-			if x.State == "loading" {
-				t.Add(table.T(x.Endpoint), table.T(s.options.Self.Hall), table.T(x.Adapter), table.D(now.Sub(x.Since)))
+func buildLoads(s *Service, t *table.Table) {
+	s.forEachPool(func(now time.Time, p node.PoolView) {
+		for _, slot := range p.Slots {
+			if slot.State == "loading" {
+				t.Add(table.T(slot.Endpoint), table.T(s.options.Self.Hall), table.T(slot.Adapter), table.D(now.Sub(slot.Since)))
 			}
 		}
 	})
 }
 
-func waiting(s *Service, t *table.Table) {
-	s.eachPool(func(now time.Time, p node.PoolView) {
+func buildWaiting(s *Service, t *table.Table) {
+	s.forEachPool(func(now time.Time, p node.PoolView) {
 		for _, w := range p.Waiting {
 			t.Add(table.T(w.Request), table.T(s.options.Self.Hall), table.T(p.Pool), table.T(w.Caller), table.T(w.Class), table.T(w.Adapter),
 				table.N(w.Tokens), table.D(now.Sub(w.Queued)), table.T(w.Cause))
@@ -208,15 +213,16 @@
 	})
 }
 
-func tickets(s *Service, t *table.Table) {
-	s.eachPool(func(_ time.Time, p node.PoolView) {
-		for _, x := range p.Tickets {
-			t.Add(table.T(x.ID), table.T(s.options.Self.Hall), table.T(x.RequestID), table.T(x.Endpoint), table.T(x.Adapter.String()), table.T(x.Entry), table.N(x.Fence))
+func buildTickets(s *Service, t *table.Table) {
+	s.forEachPool(func(_ time.Time, p node.PoolView) {
+		for _, ticket := range p.Tickets {
+			t.Add(table.T(ticket.ID), table.T(s.options.Self.Hall), table.T(ticket.RequestID), table.T(ticket.Endpoint), table.T(ticket.Adapter.String()), table.T(ticket.Entry),
+				table.N(ticket.Fence))
 		}
 	})
 }
 
-func events(s *Service, t *table.Table) {
+func buildEvents(s *Service, t *table.Table) {
 	for _, e := range s.options.Journal.Find(journal.FindEventsOptions{}) {
 		addEvent(t, e)
 	}
