--- a/routers/daemon/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -89,7 +89,7 @@
 	}
 	var in RunRequest
 	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxBody)).Decode(&in); err != nil {
-		writeError(w, q, command.ErrMeaning{Reason: "the request could not be read: " + err.Error()})
+		writeError(w, q, command.ErrInvalidCommand{Reason: "the request could not be read: " + err.Error()})
 		return
 	}
 	statements, err := language.Parse(in.Text)
@@ -115,7 +115,7 @@
 	key, _ := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
 	// The server gives an address and port; any other text would share the failures of the zero address.
 	from, _ := netip.ParseAddrPort(q.RemoteAddr)
-	who, err := r.options.Access.Check(r.options.Now(), from.Addr(), key, need)
+	who, err := r.options.Access.Authorize(r.options.Now(), from.Addr(), key, need)
 	result := "ok"
 	if err != nil {
 		result = "denied"
@@ -214,7 +214,7 @@
 }
 
 func writeError(w http.ResponseWriter, q *http.Request, err error) {
-	var many access.ErrTooMany
+	var many access.ErrTooManyFailures
 	if errors.As(err, &many) {
 		w.Header().Set("Retry-After", strconv.Itoa(int(many.RetryAfter/time.Second)+1))
 	}
@@ -229,11 +229,11 @@
 	switch {
 	case access.IsErrDenied(err):
 		return KindDenied
-	case access.IsErrTooMany(err):
+	case access.IsErrTooManyFailures(err):
 		return KindTooMany
 	case catalog.IsErrRevisionConflict(err):
 		return KindConflict
-	case configuration.IsErrUnsettled(err):
+	case configuration.IsErrOutcomeUnknown(err):
 		return KindUnsettled
 	case configuration.IsErrUnavailable(err):
 		return KindUnavailable
--- a/routers/daemon/operator/router_test.go
+++ b/routers/daemon/operator/router_test.go
@@ -63,7 +63,7 @@
 		Access: checker, Metrics: metric.New(metric.Options{}), Now: now, Query: query.New(query.Options{Catalog: current}),
 		Command: command.New(command.Options{
 			Store: configuration.NewStore(client, "/test", now), Current: current, Offer: offer, Now: now,
-			Halls: func() []command.HallState { return []command.HallState{{Hall: "h1", Revision: d.catalog.Revision}} },
+			HallStates: func() []command.HallState { return []command.HallState{{Hall: "h1", Revision: d.catalog.Revision}} },
 		}),
 	}).Routes()[0].Handler
 	return d
--- a/services/daemon/access/access.go
+++ b/services/daemon/access/access.go
@@ -62,19 +62,19 @@
 	return errors.As(err, &e)
 }
 
-// ErrTooMany reports that the client address has too many recent authentication failures.
-type ErrTooMany struct {
+// ErrTooManyFailures reports that the client address has too many recent authentication failures.
+type ErrTooManyFailures struct {
 	RetryAfter time.Duration
 }
 
 // Error returns a message that contains the time to wait.
-func (e ErrTooMany) Error() string {
+func (e ErrTooManyFailures) Error() string {
 	return fmt.Sprintf("too many failed attempts; try again in %s", e.RetryAfter.Round(time.Second))
 }
 
-// IsErrTooMany reports whether err is an ErrTooMany.
-func IsErrTooMany(err error) bool {
-	var e ErrTooMany
+// IsErrTooManyFailures reports whether err is an ErrTooMany.
+func IsErrTooManyFailures(err error) bool {
+	var e ErrTooManyFailures
 	return errors.As(err, &e)
 }
 
@@ -120,12 +120,12 @@
 	return s, nil
 }
 
-// Check returns the operator that the key belongs to, if its role is at least need. It returns ErrTooMany if the address has
+// Authorize returns the operator that the key belongs to, if its role is at least need. It returns ErrTooMany if the address has
 // too many failures, even with a valid key, and ErrDenied if the key is unknown or the role too low. Only an unknown key
 // counts as a failure.
-func (s *Service) Check(now time.Time, from netip.Addr, key string, need Role) (Operator, error) {
+func (s *Service) Authorize(now time.Time, from netip.Addr, key string, need Role) (Operator, error) {
 	if wait := s.blockedFor(now, from); wait > 0 {
-		return Operator{}, ErrTooMany{RetryAfter: wait}
+		return Operator{}, ErrTooManyFailures{RetryAfter: wait}
 	}
 	hash := sha256.Sum256([]byte(key))
 	found := Operator{}
--- a/services/daemon/access/access_test.go
+++ b/services/daemon/access/access_test.go
@@ -43,7 +43,7 @@
 func failAttempts(t *testing.T, s *access.Service, now time.Time, from netip.Addr, times int) {
 	t.Helper()
 	for range times {
-		_, err := s.Check(now, from, "wrong", access.RoleRead)
+		_, err := s.Authorize(now, from, "wrong", access.RoleRead)
 		require.True(t, access.IsErrDenied(err))
 	}
 }
@@ -51,28 +51,28 @@
 func TestRoleIncludesLowerRoles(t *testing.T) {
 	s := newService(t)
 	for _, need := range []access.Role{access.RoleRead, access.RoleChange, access.RoleAdmin} {
-		found, err := s.Check(start, clientAddress, "key-a", need)
+		found, err := s.Authorize(start, clientAddress, "key-a", need)
 		require.NoError(t, err)
 		require.Equal(t, "ana", found.Name)
 	}
-	_, err := s.Check(start, clientAddress, "key-b", access.RoleRead)
+	_, err := s.Authorize(start, clientAddress, "key-b", access.RoleRead)
 	require.NoError(t, err)
 }
 
 func TestInsufficientRoleIsDeniedWithoutCountingFailure(t *testing.T) {
 	s := newService(t)
 	for range allowedFailures + 1 {
-		found, err := s.Check(start, clientAddress, "key-b", access.RoleChange)
+		found, err := s.Authorize(start, clientAddress, "key-b", access.RoleChange)
 		require.True(t, access.IsErrDenied(err))
 		require.Equal(t, "ben", found.Name)
 	}
-	_, err := s.Check(start, clientAddress, "key-b", access.RoleRead)
+	_, err := s.Authorize(start, clientAddress, "key-b", access.RoleRead)
 	require.NoError(t, err)
 }
 
 func TestUnknownEmptyAndRolelessKeysAreDenied(t *testing.T) {
 	for _, key := range []string{"wrong", "", "key-n", "key-a "} {
-		found, err := newService(t).Check(start, clientAddress, key, access.RoleNone)
+		found, err := newService(t).Authorize(start, clientAddress, key, access.RoleNone)
 		require.True(t, access.IsErrDenied(err), "%q", key)
 		require.Zero(t, found)
 	}
@@ -81,23 +81,23 @@
 func TestAddressIsBlockedAfterTooManyFailuresEvenWithValidKey(t *testing.T) {
 	s := newService(t)
 	failAttempts(t, s, start, clientAddress, allowedFailures-1)
-	_, err := s.Check(start, clientAddress, "key-a", access.RoleRead)
+	_, err := s.Authorize(start, clientAddress, "key-a", access.RoleRead)
 	require.NoError(t, err, "one failure below the limit must not block")
 	failAttempts(t, s, start.Add(10*time.Second), clientAddress, 1)
-	_, err = s.Check(start.Add(20*time.Second), clientAddress, "key-a", access.RoleRead)
-	require.Equal(t, access.ErrTooMany{RetryAfter: 40 * time.Second}, err)
-	_, err = s.Check(start.Add(20*time.Second), otherAddress, "key-a", access.RoleRead)
+	_, err = s.Authorize(start.Add(20*time.Second), clientAddress, "key-a", access.RoleRead)
+	require.Equal(t, access.ErrTooManyFailures{RetryAfter: 40 * time.Second}, err)
+	_, err = s.Authorize(start.Add(20*time.Second), otherAddress, "key-a", access.RoleRead)
 	require.NoError(t, err, "another address must not be blocked")
 }
 
 func TestFailureCountExpiresOneMinuteAfterFirstFailure(t *testing.T) {
 	s := newService(t)
 	failAttempts(t, s, start, clientAddress, allowedFailures)
-	_, err := s.Check(start.Add(time.Minute-1), clientAddress, "key-a", access.RoleRead)
-	require.True(t, access.IsErrTooMany(err))
+	_, err := s.Authorize(start.Add(time.Minute-1), clientAddress, "key-a", access.RoleRead)
+	require.True(t, access.IsErrTooManyFailures(err))
 	after := start.Add(time.Minute + 1)
 	failAttempts(t, s, after, clientAddress, allowedFailures-1)
-	_, err = s.Check(after, clientAddress, "key-a", access.RoleRead)
+	_, err = s.Authorize(after, clientAddress, "key-a", access.RoleRead)
 	require.NoError(t, err, "a new window must start with a count of zero")
 }
 
@@ -112,8 +112,8 @@
 		failAttempts(t, s, now, address, 1)
 	}
 	failAttempts(t, s, now, address.Next(), 1)
-	_, err := s.Check(now, otherAddress, "key-a", access.RoleRead)
-	require.True(t, access.IsErrTooMany(err), "failures from the last minute must be kept")
+	_, err := s.Authorize(now, otherAddress, "key-a", access.RoleRead)
+	require.True(t, access.IsErrTooManyFailures(err), "failures from the last minute must be kept")
 }
 
 func TestNewRejectsInvalidKeyHash(t *testing.T) {
--- a/services/daemon/command/service.go
+++ b/services/daemon/command/service.go
@@ -21,8 +21,8 @@
 	Current func() *catalog.Catalog
 	// Offer puts committed records in force on this instance.
 	Offer func(r fleet.Records)
-	// Halls returns, for each hall, the revision in force and the age of that information.
-	Halls func() []HallState
+	// HallStates returns, for each hall, the revision in force and the age of that information.
+	HallStates func() []HallState
 	Now   func() time.Time
 }
 
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	if !found {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("revision %d is not stored: it was deleted or never existed", revision)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("revision %d is not stored: it was deleted or never existed", revision)}
 	}
 	return r.Inverse, nil
 }
@@ -201,7 +201,7 @@
 func (s *Service) waitUntilInForce(ctx context.Context, revision int64, began time.Time, limit time.Duration) []HallResult {
 	after := make(map[string]time.Duration)
 	for {
-		states := s.options.Halls()
+		states := s.options.HallStates()
 		hallResults, all := s.hallResults(states, revision, began, after)
 		if all || s.options.Now().Sub(began) >= limit {
 			return hallResults
--- a/services/daemon/command/service_test.go
+++ b/services/daemon/command/service_test.go
@@ -50,7 +50,7 @@
 			o.catalog = next
 			o.appliedCount++
 		},
-		Halls: func() []command.HallState { return o.halls(o.catalog.Revision) },
+		HallStates: func() []command.HallState { return o.halls(o.catalog.Revision) },
 		Now:   time.Now,
 	})
 	return o
--- a/services/daemon/command/translate.go
+++ b/services/daemon/command/translate.go
@@ -13,13 +13,13 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
-// ErrMeaning reports a command that is syntactically correct but invalid, such as one that names an unknown service.
-type ErrMeaning struct {
+// ErrInvalidCommand reports a command that is syntactically correct but invalid, such as one that names an unknown service.
+type ErrInvalidCommand struct {
 	Reason string
 }
 
 // Error returns the reason.
-func (e ErrMeaning) Error() string { return e.Reason }
+func (e ErrInvalidCommand) Error() string { return e.Reason }
 
 // translator translates parsed commands into configuration changes. It reads the current configuration and does not modify it.
 type translator struct {
@@ -71,7 +71,7 @@
 	case c.Undrain != nil:
 		return singleChange(catalog.Change{Kind: catalog.ClearDrain, Name: c.Undrain.Endpoint + c.Undrain.Hall})
 	}
-	return nil, ErrMeaning{Reason: "the command is empty"}
+	return nil, ErrInvalidCommand{Reason: "the command is empty"}
 }
 
 func singleChange(c catalog.Change) ([]catalog.Change, error) {
@@ -81,7 +81,7 @@
 func adapterRefChange(kind catalog.ChangeKind, r *language.Ref) ([]catalog.Change, error) {
 	ref, err := fleet.ParseAdapterRef(r.Text)
 	if err != nil {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("column %d: %s", r.Pos.Column, err)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("column %d: %s", r.Pos.Column, err)}
 	}
 	return singleChange(catalog.Change{Kind: kind, Name: ref.Name, Version: ref.Version})
 }
@@ -94,13 +94,13 @@
 		return versionChanges(c.Version)
 	case c.Service != nil:
 		if t.current.Services[c.Service.Name] != nil {
-			return nil, ErrMeaning{Reason: fmt.Sprintf("service %q exists already; use change service", c.Service.Name)}
+			return nil, ErrInvalidCommand{Reason: fmt.Sprintf("service %q exists already; use change service", c.Service.Name)}
 		}
 		return serviceChange(c.Service)
 	}
 	for _, r := range t.current.Rules {
 		if r.Name == c.Rule.Name {
-			return nil, ErrMeaning{Reason: fmt.Sprintf("rule %q exists already; use change rule", c.Rule.Name)}
+			return nil, ErrInvalidCommand{Reason: fmt.Sprintf("rule %q exists already; use change rule", c.Rule.Name)}
 		}
 	}
 	return ruleChange(c.Rule)
@@ -109,7 +109,7 @@
 func (t translator) alter(c *language.Alter) ([]catalog.Change, error) {
 	if c.Service != nil {
 		if t.current.Services[c.Service.Name] == nil {
-			return nil, ErrMeaning{Reason: fmt.Sprintf("no service %q", c.Service.Name)}
+			return nil, ErrInvalidCommand{Reason: fmt.Sprintf("no service %q", c.Service.Name)}
 		}
 		return serviceChange(c.Service)
 	}
@@ -118,7 +118,7 @@
 			return ruleChange(c.Rule)
 		}
 	}
-	return nil, ErrMeaning{Reason: fmt.Sprintf("no rule %q", c.Rule.Name)}
+	return nil, ErrInvalidCommand{Reason: fmt.Sprintf("no rule %q", c.Rule.Name)}
 }
 
 func (t translator) retire(c *language.Retire) ([]catalog.Change, error) {
@@ -176,25 +176,25 @@
 	}
 	s := t.current.Services[c.Service]
 	if s == nil {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("no service %q", c.Service)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("no service %q", c.Service)}
 	}
 	ref, err := fleet.ParseAdapterRef(c.To.Text)
 	if err != nil {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("column %d: %s", c.To.Pos.Column, err)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("column %d: %s", c.To.Pos.Column, err)}
 	}
 	percent := catalog.WholePercent
 	if c.Percent != nil {
 		percent = int(*c.Percent)
 	}
 	if percent > catalog.WholePercent {
-		return nil, ErrMeaning{Reason: "a share is at most 100%"}
+		return nil, ErrInvalidCommand{Reason: "a share is at most 100%"}
 	}
 	next := catalog.Share{Adapter: ref.Name, Version: ref.Version, Percent: percent}
 	shares := []catalog.Share{next}
 	if percent < catalog.WholePercent {
 		old, found := previousShare(s, next)
 		if !found {
-			return nil, ErrMeaning{Reason: "the service has no other version to take the remaining share"}
+			return nil, ErrInvalidCommand{Reason: "the service has no other version to take the remaining share"}
 		}
 		old.Percent = catalog.WholePercent - percent
 		// The old version must come first, because rollBack returns to the first share.
@@ -217,10 +217,10 @@
 func (t translator) rollBack(name string) ([]catalog.Change, error) {
 	s := t.current.Services[name]
 	if s == nil {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("no service %q", name)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("no service %q", name)}
 	}
 	if len(s.Shares) <= 1 {
-		return nil, ErrMeaning{Reason: fmt.Sprintf("service %q has a single version and cannot be rolled back; use undo revision", name)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("service %q has a single version and cannot be rolled back; use undo revision", name)}
 	}
 	old := s.Shares[0]
 	old.Percent = catalog.WholePercent
@@ -297,7 +297,7 @@
 	hour, errHour := strconv.Atoi(h)
 	minute, errMinute := strconv.Atoi(m)
 	if errHour != nil || errMinute != nil || hour > hoursPerDay || minute >= minutesPerHour {
-		return 0, ErrMeaning{Reason: fmt.Sprintf("%q is not a time of day", text)}
+		return 0, ErrInvalidCommand{Reason: fmt.Sprintf("%q is not a time of day", text)}
 	}
 	return hour*minutesPerHour + minute, nil
 }
--- a/services/daemon/configuration/configuration_test.go
+++ b/services/daemon/configuration/configuration_test.go
@@ -105,7 +105,7 @@
 	s := kvs.store()
 	kvs.stopAfterWrite.Store(true)
 	_, err := s.Commit(context.Background(), proposal("a"))
-	require.True(t, configuration.IsErrUnsettled(err), "%v", err)
+	require.True(t, configuration.IsErrOutcomeUnknown(err), "%v", err)
 	require.ErrorContains(t, err, "change a may or may not have been accepted")
 	kvs.SetFaults(standin.KVFaults{})
 	require.True(t, commit(t, s, proposal("a")).Repeated)
--- a/services/daemon/configuration/keys.go
+++ b/services/daemon/configuration/keys.go
@@ -46,13 +46,13 @@
 	return fmt.Sprintf("%s/config/snapshot/%016d/%04d", k.prefix, revision, part)
 }
 
-// ErrBadHead reports a head that is invalid or inconsistent with the stored records.
-type ErrBadHead struct {
+// ErrInvalidHead reports a head that is invalid or inconsistent with the stored records.
+type ErrInvalidHead struct {
 	Reason string
 }
 
 // Error returns a message that contains the reason.
-func (e ErrBadHead) Error() string {
+func (e ErrInvalidHead) Error() string {
 	return "the configuration's head cannot be read: " + e.Reason
 }
 
@@ -60,10 +60,10 @@
 func parseHead(value []byte) (head, error) {
 	var h head
 	if err := json.Unmarshal(value, &h); err != nil {
-		return head{}, ErrBadHead{Reason: err.Error()}
+		return head{}, ErrInvalidHead{Reason: err.Error()}
 	}
 	if h.Revision < 0 || h.Snapshot > h.Revision || h.Parts < 0 {
-		return head{}, ErrBadHead{Reason: "its revision, snapshot or number of parts is out of range"}
+		return head{}, ErrInvalidHead{Reason: "its revision, snapshot or number of parts is out of range"}
 	}
 	return h, nil
 }
--- a/services/daemon/configuration/store.go
+++ b/services/daemon/configuration/store.go
@@ -35,21 +35,21 @@
 	return fmt.Sprintf("the changes take %d bytes, more than the %d of one stored value; give them in several batches", e.Bytes, maxValueBytes)
 }
 
-// ErrUnsettled reports a commit whose outcome could not be determined in time.
-type ErrUnsettled struct {
+// ErrOutcomeUnknown reports a commit whose outcome could not be determined in time.
+type ErrOutcomeUnknown struct {
 	ID     string
 	Reason string
 }
 
 // Error returns a message that contains the identifier of the change. Repeating the command with this identifier determines
 // the outcome.
-func (e ErrUnsettled) Error() string {
+func (e ErrOutcomeUnknown) Error() string {
 	return fmt.Sprintf("change %s may or may not have been accepted: %s; repeat the command with the same identifier to find out", e.ID, e.Reason)
 }
 
-// IsErrUnsettled reports whether err is an ErrUnsettled.
-func IsErrUnsettled(err error) bool {
-	var e ErrUnsettled
+// IsErrOutcomeUnknown reports whether err is an ErrUnsettled.
+func IsErrOutcomeUnknown(err error) bool {
+	var e ErrOutcomeUnknown
 	return errors.As(err, &e)
 }
 
@@ -131,7 +131,7 @@
 		}
 	}
 	if uncertain != "" {
-		return Committed{}, ErrUnsettled{ID: p.ID, Reason: uncertain}
+		return Committed{}, ErrOutcomeUnknown{ID: p.ID, Reason: uncertain}
 	}
 	return Committed{}, ErrUnavailable{Reason: "other operators' changes were committed first in every attempt"}
 }
@@ -140,7 +140,7 @@
 // outcome. Otherwise it returns ErrUnsettled with the reason in uncertain.
 func (s *Store) commitError(p Proposal, uncertain string, err error) error {
 	if uncertain != "" {
-		return ErrUnsettled{ID: p.ID, Reason: uncertain}
+		return ErrOutcomeUnknown{ID: p.ID, Reason: uncertain}
 	}
 	return ErrUnavailable{Reason: err.Error()}
 }
@@ -152,7 +152,7 @@
 		return h, mod, err
 	}
 	if h.Revision < s.current.Revision {
-		return h, mod, ErrBadHead{Reason: fmt.Sprintf("it moved back from revision %d to %d", s.current.Revision, h.Revision)}
+		return h, mod, ErrInvalidHead{Reason: fmt.Sprintf("it moved back from revision %d to %d", s.current.Revision, h.Revision)}
 	}
 	records, err := s.reader.recordsSince(ctx, h, s.current.Revision)
 	if err != nil {
@@ -166,7 +166,7 @@
 		s.current = next
 	}
 	if s.current.Revision != h.Revision {
-		return h, mod, ErrBadHead{Reason: "records up to its revision are missing"}
+		return h, mod, ErrInvalidHead{Reason: "records up to its revision are missing"}
 	}
 	return h, mod, nil
 }
@@ -283,7 +283,7 @@
 		return err
 	}
 	if advanced == nil || advanced.Revision != next.Revision {
-		return ErrBadHead{Reason: "the committed record does not follow the current revision"}
+		return ErrInvalidHead{Reason: "the committed record does not follow the current revision"}
 	}
 	s.current = advanced
 	return nil
--- a/services/daemon/membership/forgotten_test.go
+++ b/services/daemon/membership/forgotten_test.go
@@ -20,14 +20,14 @@
 	const step = 100 * time.Millisecond
 	o := membership.DefaultOptions()
 	a, b := membership.New(instance("a"), o), membership.New(instance("b"), o)
-	a.Heard(start, 1, heartbeat("gone", 1))
-	b.Heard(start.Add(3*step), 1, heartbeat("gone", 2))
+	a.Received(start, 1, heartbeat("gone", 1))
+	b.Received(start.Add(3*step), 1, heartbeat("gone", 2))
 	send := func(now time.Time, id string, from, to *membership.State) {
 		hb := heartbeat(id, now.Sub(start)+1)
 		if from.Hash() != to.Hash() {
 			hb.Known = from.Known()
 		}
-		to.Heard(now, 1, hb)
+		to.Received(now, 1, hb)
 	}
 	end := start.Add(3 * o.ForgetAfter)
 	for now := start.Add(3 * step); now.Before(end); now = now.Add(step) {
@@ -43,16 +43,16 @@
 func TestForgottenInstanceIsAddedAgainOnHeartbeatOrListing(t *testing.T) {
 	o := membership.DefaultOptions()
 	for name, addAgain := range map[string]func(now time.Time, s *membership.State){
-		"heartbeat": func(now time.Time, s *membership.State) { s.Heard(now, 2, heartbeat("b", 1)) },
+		"heartbeat": func(now time.Time, s *membership.State) { s.Received(now, 2, heartbeat("b", 1)) },
 		"listed":    func(now time.Time, s *membership.State) { s.SetListed(now, []fleet.Instance{instance("b")}) },
 	} {
 		s := newState()
-		s.Heard(start, 1, heartbeat("b", 1))
-		now := start.Add(o.ForgetAfter + o.Interval)
+		s.Received(start, 1, heartbeat("b", 1))
+		now := start.Add(o.ForgetAfter + o.HeartbeatInterval)
 		sweepUntil(s, start, now)
 		listing := heartbeat("a", 1)
 		listing.Known = []fleet.Instance{instance("b"), instance("c")}
-		s.Heard(now, 1, listing)
+		s.Received(now, 1, listing)
 		require.Nil(t, s.Member("b"), name)
 		require.NotNil(t, s.Member("c"), "an instance that was never forgotten must be added")
 		addAgain(now, s)
@@ -63,7 +63,7 @@
 func TestForgottenInstanceIsAcceptedFromPeersAfterForgetAfter(t *testing.T) {
 	o := membership.DefaultOptions()
 	s := newState()
-	s.Know(start, instance("b"))
+	s.AddInstance(start, instance("b"))
 	forgotten := start.Add(o.ForgetAfter + 100*time.Millisecond)
 	sweepUntil(s, start, forgotten)
 	require.Nil(t, s.Member("b"))
@@ -75,7 +75,7 @@
 		s.Sweep(now)
 		listing := heartbeat("a", c.after)
 		listing.Known = []fleet.Instance{instance("b")}
-		s.Heard(now, 1, listing)
+		s.Received(now, 1, listing)
 		require.Equal(t, c.known, s.Member("b") != nil, "%v after the instance was forgotten", c.after)
 	}
 }
--- a/services/daemon/membership/member.go
+++ b/services/daemon/membership/member.go
@@ -18,9 +18,9 @@
 	Leaving bool
 	// Listed reports whether the platform's list contains the member.
 	Listed bool
-	// Heard is the time of the last heartbeat or, before the first one, the time at which the member was added. The duration
+	// Received is the time of the last heartbeat or, before the first one, the time at which the member was added. The duration
 	// of each pause of this instance is added to it.
-	Heard time.Time
+	Received time.Time
 	// Sent is the time of the last heartbeat sent to the member, or zero if none was sent.
 	Sent time.Time
 	// Stamp is the member's own clock in its last heartbeat. It is returned to the member, which derives the age of grants from it.
--- a/services/daemon/membership/members.go
+++ b/services/daemon/membership/members.go
@@ -34,34 +34,34 @@
 	listed := make(map[string]bool, len(list))
 	for _, instance := range list {
 		listed[instance.ID] = true
-		s.Know(now, instance)
+		s.AddInstance(now, instance)
 	}
 	for id, m := range s.members {
 		m.Listed = listed[id]
 	}
 }
 
-// Know adds an instance that is not known yet, without marking it as alive.
-func (s *State) Know(now time.Time, i fleet.Instance) {
+// AddInstance adds an instance that is not known yet, without marking it as alive.
+func (s *State) AddInstance(now time.Time, i fleet.Instance) {
 	if i.ID == s.self.ID || i.Hall != s.self.Hall || s.members[i.ID] != nil {
 		return
 	}
-	s.members[i.ID] = &Member{Instance: i, Heard: now}
+	s.members[i.ID] = &Member{Instance: i, Received: now}
 	delete(s.forgotten, i.ID)
 }
 
-// Heard applies a heartbeat and returns the resulting changes. It ignores a heartbeat from before a restart of its sender, one
+// Received applies a heartbeat and returns the resulting changes. It ignores a heartbeat from before a restart of its sender, one
 // older than the last applied heartbeat, one from another hall, and one from the instance itself.
-func (s *State) Heard(now time.Time, boot uint64, hb *fleet.Heartbeat) []Change {
+func (s *State) Received(now time.Time, boot uint64, hb *fleet.Heartbeat) []Change {
 	if hb.Instance.ID == s.self.ID || hb.Instance.Hall != s.self.Hall {
 		return nil
 	}
 	for _, i := range hb.Known {
 		if _, ok := s.forgotten[i.ID]; !ok {
-			s.Know(now, i)
+			s.AddInstance(now, i)
 		}
 	}
-	s.Know(now, hb.Instance)
+	s.AddInstance(now, hb.Instance)
 	m := s.members[hb.Instance.ID]
 	if slices.Contains(m.formerBoots, boot) || (boot == m.Boot && hb.Stamp < m.Stamp) {
 		return nil
@@ -73,7 +73,7 @@
 	m.Instance = hb.Instance
 	m.Boot = boot
 	m.Alive = true
-	m.Heard = now
+	m.Received = now
 	m.Stamp = hb.Stamp
 	m.Leaving = hb.Leaving
 	m.Revision = max(m.Revision, hb.Revision)
@@ -109,13 +109,13 @@
 func (s *State) Sweep(now time.Time) []Change {
 	if pause := s.options.localPause(now, s.lastSweep); pause > 0 {
 		for _, m := range s.members {
-			m.Heard = m.Heard.Add(pause)
+			m.Received = m.Received.Add(pause)
 		}
 	}
 	s.lastSweep = now
 	var changes []Change
 	for _, m := range s.sortedMembers() {
-		silence := now.Sub(m.Heard)
+		silence := now.Sub(m.Received)
 		if m.Alive && s.options.isLost(silence, s.instanceCount()) {
 			m.Alive = false
 			m.Held = nil
@@ -130,8 +130,8 @@
 	return changes
 }
 
-// Due returns the members to which a heartbeat must be sent now, and records the heartbeats as sent.
-func (s *State) Due(now time.Time) []*Member {
+// DueHeartbeats returns the members to which a heartbeat must be sent now, and records the heartbeats as sent.
+func (s *State) DueHeartbeats(now time.Time) []*Member {
 	var due []*Member
 	for _, m := range s.sortedMembers() {
 		if !s.options.due(now, m.Sent, m.Alive, s.instanceCount()) {
--- a/services/daemon/membership/members_test.go
+++ b/services/daemon/membership/members_test.go
@@ -47,8 +47,8 @@
 
 func TestFirstHeartbeatJoinsAndRepeatedHeartbeatChangesNothing(t *testing.T) {
 	s := newState()
-	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Heard(start, 1, heartbeat("a", time.Second))))
-	require.Empty(t, s.Heard(start, 1, heartbeat("a", time.Second)))
+	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Received(start, 1, heartbeat("a", time.Second))))
+	require.Empty(t, s.Received(start, 1, heartbeat("a", time.Second)))
 	require.Equal(t, []string{"a", "self"}, s.Candidates(false))
 }
 
@@ -56,31 +56,31 @@
 	s := newState()
 	newer := heartbeat("a", 2*time.Second)
 	newer.Leaving = true
-	s.Heard(start, 1, newer)
-	require.Empty(t, s.Heard(start.Add(time.Second), 1, heartbeat("a", time.Second)))
+	s.Received(start, 1, newer)
+	require.Empty(t, s.Received(start.Add(time.Second), 1, heartbeat("a", time.Second)))
 	require.True(t, s.Member("a").Leaving)
-	require.Equal(t, start, s.Member("a").Heard, "a late heartbeat must not count as a sign of life")
+	require.Equal(t, start, s.Member("a").Received, "a late heartbeat must not count as a sign of life")
 }
 
 func TestRestartIsReportedOnceAndFormerBootIsIgnored(t *testing.T) {
 	s := newState()
 	beforeRestart := heartbeat("a", time.Hour)
 	beforeRestart.Revision = 9
-	s.Heard(start, 7, beforeRestart)
+	s.Received(start, 7, beforeRestart)
 	// The member restarted after its clock was set back: its boot number is lower, and its stamp and revision start from 0.
-	require.Equal(t, []membership.ChangeKind{membership.Restarted}, kinds(s.Heard(start, 5, heartbeat("a", 0))))
+	require.Equal(t, []membership.ChangeKind{membership.Restarted}, kinds(s.Received(start, 5, heartbeat("a", 0))))
 	require.Zero(t, s.Member("a").Revision)
-	require.Empty(t, s.Heard(start, 7, beforeRestart), "late heartbeat from before the restart")
+	require.Empty(t, s.Received(start, 7, beforeRestart), "late heartbeat from before the restart")
 	require.Equal(t, uint64(5), s.Member("a").Boot)
 }
 
 func TestLeavingIsReportedOnceAndEndsCandidacy(t *testing.T) {
 	s := newState()
-	s.Heard(start, 1, heartbeat("a", 1))
+	s.Received(start, 1, heartbeat("a", 1))
 	leaving := heartbeat("a", 2)
 	leaving.Leaving = true
-	require.Equal(t, []membership.ChangeKind{membership.Left}, kinds(s.Heard(start, 1, leaving)))
-	require.Empty(t, s.Heard(start, 1, leaving))
+	require.Equal(t, []membership.ChangeKind{membership.Left}, kinds(s.Received(start, 1, leaving)))
+	require.Empty(t, s.Received(start, 1, leaving))
 	require.Equal(t, []string{"self"}, s.Candidates(false))
 	require.Empty(t, s.Candidates(true))
 }
@@ -88,18 +88,18 @@
 func TestMemberIsLostOnceAfterLostAfter(t *testing.T) {
 	s := newState()
 	o := membership.DefaultOptions()
-	s.Heard(start, 1, heartbeat("a", 1))
+	s.Received(start, 1, heartbeat("a", 1))
 	require.Empty(t, sweepUntil(s, start, start.Add(o.LostAfter)))
 	lost := s.Sweep(start.Add(o.LostAfter + 1))
 	require.Equal(t, []membership.ChangeKind{membership.Lost}, kinds(lost))
 	require.Empty(t, s.Alive())
 	require.Empty(t, s.Sweep(start.Add(o.LostAfter+2)))
-	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Heard(start.Add(o.LostAfter+3), 1, heartbeat("a", 2))))
+	require.Equal(t, []membership.ChangeKind{membership.Joined}, kinds(s.Received(start.Add(o.LostAfter+3), 1, heartbeat("a", 2))))
 }
 
 func TestLocalPauseDoesNotMarkMembersLost(t *testing.T) {
 	s := newState()
-	s.Heard(start, 1, heartbeat("a", 1))
+	s.Received(start, 1, heartbeat("a", 1))
 	s.Sweep(start)
 	require.Empty(t, s.Sweep(start.Add(time.Hour)))
 	require.Len(t, s.Alive(), 1)
@@ -110,7 +110,7 @@
 	for count, silence := range map[int]time.Duration{9: lostAfter, 10: lostAfter * 11 / 10, 39: 4 * lostAfter} {
 		s := newState()
 		for i := range count {
-			s.Heard(start, 1, heartbeat(fmt.Sprintf("i%02d", i), 1))
+			s.Received(start, 1, heartbeat(fmt.Sprintf("i%02d", i), 1))
 		}
 		require.Empty(t, sweepUntil(s, start, start.Add(silence)), "%d others", count)
 		require.Len(t, s.Sweep(start.Add(silence+1)), count, "%d others", count)
@@ -120,21 +120,21 @@
 func TestDueUsesLongerIntervalForMembersThatAreNotAlive(t *testing.T) {
 	s := newState()
 	o := membership.DefaultOptions()
-	s.Heard(start, 1, heartbeat("alive", 1))
-	s.Know(start, instance("silent"))
-	require.Len(t, s.Due(start), 2)
-	require.Empty(t, s.Due(start.Add(o.Interval-1)))
-	due := s.Due(start.Add(o.Interval))
+	s.Received(start, 1, heartbeat("alive", 1))
+	s.AddInstance(start, instance("silent"))
+	require.Len(t, s.DueHeartbeats(start), 2)
+	require.Empty(t, s.DueHeartbeats(start.Add(o.HeartbeatInterval-1)))
+	due := s.DueHeartbeats(start.Add(o.HeartbeatInterval))
 	require.Len(t, due, 1)
 	require.Equal(t, "alive", due[0].Instance.ID)
-	require.Len(t, s.Due(start.Add(o.ProbeEvery)), 2)
+	require.Len(t, s.DueHeartbeats(start.Add(o.ProbeInterval)), 2)
 }
 
 func TestSweepForgetsOnlyUnlistedInstances(t *testing.T) {
 	s := newState()
 	o := membership.DefaultOptions()
 	s.SetListed(start, []fleet.Instance{instance("listed"), instance("self")})
-	s.Know(start, instance("named"))
+	s.AddInstance(start, instance("named"))
 	end := start.Add(o.ForgetAfter)
 	sweepUntil(s, start, end)
 	require.Len(t, s.Known(), 3)
@@ -149,8 +149,8 @@
 	s := newState()
 	other := heartbeat("b", 1)
 	other.Instance.Hall = "h2"
-	require.Empty(t, s.Heard(start, 1, other))
-	require.Empty(t, s.Heard(start, 1, heartbeat("self", 1)))
+	require.Empty(t, s.Received(start, 1, other))
+	require.Empty(t, s.Received(start, 1, heartbeat("self", 1)))
 	require.Len(t, s.Known(), 1)
 }
 
@@ -159,12 +159,12 @@
 	before := s.Hash()
 	hb := heartbeat("a", 1)
 	hb.Known = []fleet.Instance{instance("b"), instance("self")}
-	s.Heard(start, 1, hb)
+	s.Received(start, 1, hb)
 	require.Equal(t, []string{"a", "self"}, s.Candidates(false), "b is known but not alive")
 	require.Len(t, s.Known(), 3)
 	require.NotEqual(t, before, s.Hash())
 	same := newState()
-	same.Know(start, instance("b"))
-	same.Know(start, instance("a"))
+	same.AddInstance(start, instance("b"))
+	same.AddInstance(start, instance("a"))
 	require.Equal(t, s.Hash(), same.Hash(), "the hash must not depend on the order of addition")
 }
--- a/services/daemon/membership/options.go
+++ b/services/daemon/membership/options.go
@@ -7,14 +7,14 @@
 
 // Options holds the intervals and timeouts of the membership protocol.
 type Options struct {
-	// Interval is the time between two heartbeats to the same live instance.
-	Interval time.Duration
+	// HeartbeatInterval is the time between two heartbeats to the same live instance.
+	HeartbeatInterval time.Duration
 	// LostAfter is the time without heartbeats after which an instance is considered lost.
 	LostAfter time.Duration
 	// Settle is how long a new instance receives heartbeats before it takes over any pool. services/daemon/node applies it.
 	Settle time.Duration
-	// ProbeEvery is the time between two heartbeats to an instance that is not alive.
-	ProbeEvery time.Duration
+	// ProbeInterval is the time between two heartbeats to an instance that is not alive.
+	ProbeInterval time.Duration
 	// ForgetAfter is the time without heartbeats after which an instance that the platform does not list is forgotten.
 	ForgetAfter time.Duration
 }
@@ -39,7 +39,7 @@
 // Settle; the defaults of these settings are equal to the values here.
 func DefaultOptions() Options {
 	return Options{
-		Interval: defaultHeartbeatInterval, LostAfter: defaultLostAfter, Settle: defaultSettle,
-		ProbeEvery: defaultProbeInterval, ForgetAfter: defaultForgetAfter,
+		HeartbeatInterval: defaultHeartbeatInterval, LostAfter: defaultLostAfter, Settle: defaultSettle,
+		ProbeInterval: defaultProbeInterval, ForgetAfter: defaultForgetAfter,
 	}
 }
--- a/services/daemon/membership/timing.go
+++ b/services/daemon/membership/timing.go
@@ -39,9 +39,9 @@
 // due reports whether a heartbeat must be sent to a member now. This is always the case if none was sent yet, that is, if sent
 // is zero.
 func (o Options) due(now, sent time.Time, alive bool, instances int) bool {
-	interval := o.ProbeEvery
+	interval := o.ProbeInterval
 	if alive {
-		interval = o.Interval
+		interval = o.HeartbeatInterval
 	}
 	return sent.IsZero() || now.Sub(sent) >= scaleWithHall(interval, instances)
 }
--- a/services/daemon/membership/timing_test.go
+++ b/services/daemon/membership/timing_test.go
@@ -24,7 +24,7 @@
 		{"one second is a pause", time.Second, lostAfter + time.Second},
 	} {
 		s := newState()
-		s.Heard(start, 1, heartbeat("a", 1))
+		s.Received(start, 1, heartbeat("a", 1))
 		require.Empty(t, s.Sweep(start), c.name)
 		from := start.Add(c.first)
 		require.Empty(t, sweepUntil(s, from, start.Add(c.lost)), c.name)
@@ -35,7 +35,7 @@
 
 func TestFirstSweepDetectsNoLocalPause(t *testing.T) {
 	s := newState()
-	s.Heard(start, 1, heartbeat("a", 1))
+	s.Received(start, 1, heartbeat("a", 1))
 	late := start.Add(membership.DefaultOptions().LostAfter + 1)
 	require.Equal(t, []membership.ChangeKind{membership.Lost}, kinds(s.Sweep(late)))
 }
@@ -44,11 +44,11 @@
 	const boots = 10
 	s := newState()
 	for boot := uint64(1); boot <= boots; boot++ {
-		s.Heard(start, boot, heartbeat("a", 1))
+		s.Received(start, boot, heartbeat("a", 1))
 	}
 	for boot := uint64(2); boot < boots; boot++ {
-		require.Empty(t, s.Heard(start, boot, heartbeat("a", time.Hour)), "boot %d", boot)
+		require.Empty(t, s.Received(start, boot, heartbeat("a", time.Hour)), "boot %d", boot)
 	}
 	require.Equal(t, uint64(boots), s.Member("a").Boot)
-	require.Equal(t, []membership.ChangeKind{membership.Restarted}, kinds(s.Heard(start, 1, heartbeat("a", 1))), "the oldest boot number must have been discarded")
+	require.Equal(t, []membership.ChangeKind{membership.Restarted}, kinds(s.Received(start, 1, heartbeat("a", 1))), "the oldest boot number must have been discarded")
 }
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -70,7 +70,7 @@
 func (n *Node) heartbeat(now time.Time, e fleet.Envelope) {
 	hb := e.Heartbeat
 	n.learnEntry(now, hb.Instance, hb.Stamp)
-	for _, c := range n.members.Heard(now, e.Boot, hb) {
+	for _, c := range n.members.Received(now, e.Boot, hb) {
 		n.memberChanged(now, c)
 	}
 	m := n.members.Member(hb.Instance.ID)
@@ -117,7 +117,7 @@
 
 // sendHeartbeats sends to each peer whose turn has come, with the pools' changes.
 func (n *Node) sendHeartbeats(now time.Time) {
-	due := n.members.Due(now)
+	due := n.members.DueHeartbeats(now)
 	if len(due) == 0 {
 		return
 	}
--- a/services/daemon/node/view.go
+++ b/services/daemon/node/view.go
@@ -64,7 +64,7 @@
 	out := []InstanceView{self}
 	for _, i := range n.members.Known()[1:] {
 		m := n.members.Member(i.ID)
-		v := InstanceView{Instance: i, Alive: m.Alive, Leaving: m.Leaving, Listed: m.Listed, Revision: m.Revision, Age: now.Sub(m.Heard)}
+		v := InstanceView{Instance: i, Alive: m.Alive, Leaving: m.Leaving, Listed: m.Listed, Revision: m.Revision, Age: now.Sub(m.Received)}
 		for _, h := range m.Held {
 			v.Pools = append(v.Pools, h.Pool)
 		}
--- a/services/daemon/once/claimer.go
+++ b/services/daemon/once/claimer.go
@@ -21,8 +21,8 @@
 const (
 	// Claimed means that this instance holds the claim and may run the request once.
 	Claimed Result = "claimed"
-	// Taken means that the request was claimed earlier and may have run.
-	Taken Result = "taken"
+	// AlreadyClaimed means that the request was claimed earlier and may have run.
+	AlreadyClaimed Result = "taken"
 	// Impossible means that the claim could not be made. The request must not run.
 	Impossible Result = "impossible"
 )
@@ -42,12 +42,12 @@
 	Owner string
 	// TTL is the minimum lifetime of a claim.
 	TTL time.Duration
-	// Gather is how long the first claim of a batch waits for more claims.
-	Gather time.Duration
+	// BatchDelay is how long the first claim of a batch waits for more claims.
+	BatchDelay time.Duration
 	// MaxBatch is the maximum number of claims in one write.
 	MaxBatch int
-	// MaxWaiting is the capacity of the queue of pending claims. While the queue is full, new claims fail with Impossible.
-	MaxWaiting int
+	// MaxPending is the capacity of the queue of pending claims. While the queue is full, new claims fail with Impossible.
+	MaxPending int
 	// Timeout is the maximum duration of one claim, including its time in the queue.
 	Timeout time.Duration
 }
@@ -60,8 +60,8 @@
 	defaultBatchDelay = 5 * time.Millisecond
 	// defaultMaxBatch limits the size of a transaction, in claims. 1 to 32 concurrent claims share one write (docs/capacity-shelfledged.md).
 	defaultMaxBatch = 32
-	// defaultMaxWaiting balances memory against the number of claims that fail while the service is slow.
-	defaultMaxWaiting = 1024
+	// defaultMaxPending balances memory against the number of claims that fail while the service is slow.
+	defaultMaxPending = 1024
 	// defaultTimeout is long enough for a write whose response is lost and the read that determines its outcome, at the client's
 	// timeout of 2 s for each call.
 	defaultTimeout = 4 * time.Second
@@ -79,7 +79,7 @@
 // DefaultOptions returns the options for use without a settings file. In the daemon, the setting claim_ttl replaces TTL.
 func DefaultOptions(prefix, owner string) Options {
 	return Options{
-		Prefix: prefix, Owner: owner, TTL: defaultTTL, Gather: defaultBatchDelay, MaxBatch: defaultMaxBatch, MaxWaiting: defaultMaxWaiting,
+		Prefix: prefix, Owner: owner, TTL: defaultTTL, BatchDelay: defaultBatchDelay, MaxBatch: defaultMaxBatch, MaxPending: defaultMaxPending,
 		Timeout: defaultTimeout,
 	}
 }
@@ -111,7 +111,7 @@
 
 // New returns a claimer. Claims are processed only while Run is running; without it, they time out with Impossible.
 func New(s Store, o Options, now func() time.Time) *Claimer {
-	return &Claimer{store: s, options: o, queue: make(chan *claim, o.MaxWaiting), now: now}
+	return &Claimer{store: s, options: o, queue: make(chan *claim, o.MaxPending), now: now}
 }
 
 // Claim claims a request, which is identified by its caller and its identifier together.
@@ -176,14 +176,14 @@
 func (c *Claimer) collectBatch(ctx context.Context, first *claim) []*claim {
 	batch := []*claim{first}
 	seen := map[string]bool{first.key: true}
-	timer := time.NewTimer(c.options.Gather)
+	timer := time.NewTimer(c.options.BatchDelay)
 	defer timer.Stop()
 	for len(batch) < c.options.MaxBatch {
 		select {
 		case pending := <-c.queue:
 			if seen[pending.key] {
 				// The same request is already claimed in this batch, so this claim is a repeat.
-				pending.done <- Taken
+				pending.done <- AlreadyClaimed
 				continue
 			}
 			seen[pending.key] = true
@@ -267,7 +267,7 @@
 	case bytes.Equal(pair.Value, pending.value):
 		return Claimed
 	}
-	return Taken
+	return AlreadyClaimed
 }
 
 // ensureLease obtains a new lease if the current lease is missing or due for renewal. The lease outlasts the time in which claims
--- a/services/daemon/once/claimer_test.go
+++ b/services/daemon/once/claimer_test.go
@@ -80,14 +80,14 @@
 	for range 40 {
 		counts[<-results]++
 	}
-	require.Equal(t, map[once.Result]int{once.Claimed: 1, once.Taken: 39}, counts)
+	require.Equal(t, map[once.Result]int{once.Claimed: 1, once.AlreadyClaimed: 39}, counts)
 }
 
 func TestClaimReadsBackAfterLostResponse(t *testing.T) {
 	m := &memoryKV{values: make(map[string][]byte), lostResponses: 1}
 	c := newClaimer(t, m, "a")
 	require.Equal(t, once.Claimed, c.Claim(context.Background(), "caller", "q"))
-	require.Equal(t, once.Taken, c.Claim(context.Background(), "caller", "q"))
+	require.Equal(t, once.AlreadyClaimed, c.Claim(context.Background(), "caller", "q"))
 }
 
 func TestClaimIsImpossibleWhileServiceIsDown(t *testing.T) {
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -227,7 +227,7 @@
 	store := configuration.NewStore(d.kv, s.KV.Prefix, time.Now)
 	router := operator.New(operator.Options{
 		Access: checker, Metrics: d.metrics, Refresh: d.refreshGauges, Ready: d.Ready, Now: d.clock.Now, Query: d.query,
-		Command: command.New(command.Options{Store: store, Current: d.control.Catalog, Offer: d.control.Offer, Halls: d.hallStates, Now: d.clock.Now}),
+		Command: command.New(command.Options{Store: store, Current: d.control.Catalog, Offer: d.control.Offer, HallStates: d.hallStates, Now: d.clock.Now}),
 	})
 	tlsConfig, err := serverTLS(s.Listen.Operators.TLS)
 	if err != nil {
--- a/services/daemon/process/defaults_test.go
+++ b/services/daemon/process/defaults_test.go
@@ -44,7 +44,7 @@
 	require.Equal(t, routing.DefaultOptions().BoundedLoad, d.BoundedLoad)
 
 	m := membership.DefaultOptions()
-	require.Equal(t, m.Interval, s.Timing.Heartbeat.Duration())
+	require.Equal(t, m.HeartbeatInterval, s.Timing.Heartbeat.Duration())
 	require.Equal(t, m.LostAfter, s.Timing.LostAfter.Duration())
 	require.Equal(t, m.Settle, s.Timing.Settle.Duration())
 
--- a/services/daemon/process/options.go
+++ b/services/daemon/process/options.go
@@ -48,7 +48,7 @@
 
 func membershipOptions(s *setting.Settings) membership.Options {
 	o := membership.DefaultOptions()
-	o.Interval = s.Timing.Heartbeat.Duration()
+	o.HeartbeatInterval = s.Timing.Heartbeat.Duration()
 	o.LostAfter = s.Timing.LostAfter.Duration()
 	o.Settle = s.Timing.Settle.Duration()
 	return o
--- a/services/daemon/query/error.go
+++ b/services/daemon/query/error.go
@@ -8,23 +8,23 @@
 	"strings"
 )
 
-// ErrNoColumn reports a query that names a column that the table does not have.
-type ErrNoColumn struct {
+// ErrUnknownColumn reports a query that names a column that the table does not have.
+type ErrUnknownColumn struct {
 	Name    string
 	Columns []string
 }
 
 // Error returns a message that lists the existing columns.
-func (e ErrNoColumn) Error() string {
+func (e ErrUnknownColumn) Error() string {
 	return fmt.Sprintf("no column %q; there are %s", e.Name, strings.Join(e.Columns, ", "))
 }
 
-// ErrNoTable reports a query that names an unknown table.
-type ErrNoTable struct {
+// ErrUnknownTable reports a query that names an unknown table.
+type ErrUnknownTable struct {
 	Name string
 }
 
 // Error returns a message that lists the existing tables.
-func (e ErrNoTable) Error() string {
+func (e ErrUnknownTable) Error() string {
 	return fmt.Sprintf("no table %q; there are %s", e.Name, strings.Join(Tables(), ", "))
 }
--- a/services/daemon/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -139,7 +139,7 @@
 	if at := t.Index(strings.ToLower(name)); at >= 0 {
 		return at, nil
 	}
-	e := ErrNoColumn{Name: name}
+	e := ErrUnknownColumn{Name: name}
 	for _, c := range t.Columns {
 		e.Columns = append(e.Columns, c.Name)
 	}
--- a/services/daemon/query/gather.go
+++ b/services/daemon/query/gather.go
@@ -20,7 +20,7 @@
 // gatherTable returns a table with this instance's rows and, if the table is fleet-wide, the rows of all other instances that
 // answer within the time-out.
 func (s *Service) gatherTable(ctx context.Context, name string) (*table.Table, []Part, error) {
-	t, err := s.Local(name)
+	t, err := s.LocalTable(name)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -122,7 +122,7 @@
 
 // Answer answers a peer's question with the part of this instance or, if the question is hall-wide, of the whole hall.
 func (s *Service) Answer(ctx context.Context, q peerlink.Question) (peerlink.Answer, error) {
-	t, err := s.Local(q.Table)
+	t, err := s.LocalTable(q.Table)
 	if err != nil {
 		return peerlink.Answer{}, err
 	}
--- a/services/daemon/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -71,11 +71,11 @@
 	return out
 }
 
-// Local returns a table with the rows of this instance only, or ErrNoTable if the table is unknown.
-func (s *Service) Local(name string) (*table.Table, error) {
+// LocalTable returns a table with the rows of this instance only, or ErrNoTable if the table is unknown.
+func (s *Service) LocalTable(name string) (*table.Table, error) {
 	d, ok := tableDefinitions[name]
 	if !ok {
-		return nil, ErrNoTable{Name: name}
+		return nil, ErrUnknownTable{Name: name}
 	}
 	t := &table.Table{Columns: d.columns}
 	d.build(s, t)
--- a/services/daemon/relay/relay_test.go
+++ b/services/daemon/relay/relay_test.go
@@ -203,7 +203,7 @@
 }
 
 func TestNoClaimNoRun(t *testing.T) {
-	for claim, check := range map[once.Result]func(error) bool{once.Impossible: relay.IsErrNotRun, once.Taken: relay.IsErrUnknown} {
+	for claim, check := range map[once.Result]func(error) bool{once.Impossible: relay.IsErrNotRun, once.AlreadyClaimed: relay.IsErrUnknown} {
 		b := newBench(attempt{body: one + done})
 		b.claim = claim
 		_, err := b.serve(true)
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -73,7 +73,7 @@
 	case once.Claimed:
 		r.claimed = true
 		return nil
-	case once.Taken:
+	case once.AlreadyClaimed:
 		return ErrUnknown{Claimed: true, Detail: "a request with this identifier was claimed before and is not run again"}
 	}
 	return ErrNotRun{Reason: fleet.ReasonClaimImpossib, RetryAfter: claimRetryAfter, Detail: "the claim that keeps it from running twice could not be made"}
--- a/tests/capacity/capacity_test.go
+++ b/tests/capacity/capacity_test.go
@@ -207,7 +207,7 @@
 		panic(err)
 	}
 	return best(func() {
-		t, err := s.Local("adapters")
+		t, err := s.LocalTable("adapters")
 		if err != nil {
 			panic(err)
 		}
