--- a/services/daemon/access/access.go
+++ b/services/daemon/access/access.go
@@ -72,7 +72,7 @@
 	return fmt.Sprintf("too many failed attempts; try again in %s", e.RetryAfter.Round(time.Second))
 }
 
-// IsErrTooManyFailures reports whether err is an ErrTooMany.
+// IsErrTooManyFailures reports whether err is an ErrTooManyFailures.
 func IsErrTooManyFailures(err error) bool {
 	var e ErrTooManyFailures
 	return errors.As(err, &e)
@@ -120,7 +120,7 @@
 	return s, nil
 }
 
-// Authorize returns the operator that the key belongs to, if its role is at least need. It returns ErrTooMany if the address has
+// Authorize returns the operator that the key belongs to, if its role is at least need. It returns ErrTooManyFailures if the address has
 // too many failures, even with a valid key, and ErrDenied if the key is unknown or the role too low. Only an unknown key
 // counts as a failure.
 func (s *Service) Authorize(now time.Time, from netip.Addr, key string, need Role) (Operator, error) {
--- a/services/daemon/command/service.go
+++ b/services/daemon/command/service.go
@@ -23,7 +23,7 @@
 	Offer func(r fleet.Records)
 	// HallStates returns, for each hall, the revision in force and the age of that information.
 	HallStates func() []HallState
-	Now   func() time.Time
+	Now        func() time.Time
 }
 
 // HallState is the configuration revision in force in a hall, as last reported to this instance.
--- a/services/daemon/command/service_test.go
+++ b/services/daemon/command/service_test.go
@@ -51,7 +51,7 @@
 			o.appliedCount++
 		},
 		HallStates: func() []command.HallState { return o.halls(o.catalog.Revision) },
-		Now:   time.Now,
+		Now:        time.Now,
 	})
 	return o
 }
--- a/services/daemon/configuration/keys.go
+++ b/services/daemon/configuration/keys.go
@@ -53,10 +53,10 @@
 
 // Error returns a message that contains the reason.
 func (e ErrInvalidHead) Error() string {
-	return "the configuration's head cannot be read: " + e.Reason
+	return "the configuration's head is invalid: " + e.Reason
 }
 
-// parseHead decodes the value of the head key. It returns ErrBadHead if the value is invalid.
+// parseHead decodes the value of the head key. It returns ErrInvalidHead if the value is invalid.
 func parseHead(value []byte) (head, error) {
 	var h head
 	if err := json.Unmarshal(value, &h); err != nil {
--- a/services/daemon/configuration/store.go
+++ b/services/daemon/configuration/store.go
@@ -47,7 +47,7 @@
 	return fmt.Sprintf("change %s may or may not have been accepted: %s; repeat the command with the same identifier to find out", e.ID, e.Reason)
 }
 
-// IsErrOutcomeUnknown reports whether err is an ErrUnsettled.
+// IsErrOutcomeUnknown reports whether err is an ErrOutcomeUnknown.
 func IsErrOutcomeUnknown(err error) bool {
 	var e ErrOutcomeUnknown
 	return errors.As(err, &e)
@@ -97,17 +97,17 @@
 // committed first or if its outcome is unknown.
 const maxCommitAttempts = 8
 
-// Commit stores a proposal as the next revision. It returns ErrUnsettled if the proposal may or may not have been stored. If
+// Commit stores a proposal as the next revision. It returns ErrOutcomeUnknown if the proposal may or may not have been stored. If
 // the proposal was definitely not stored, it returns ErrUnavailable, ErrTooLarge, catalog.ErrRevisionConflict or
 // catalog.ErrBadChange.
 func (s *Store) Commit(ctx context.Context, p Proposal) (Committed, error) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	uncertain := ""
+	unknownOutcome := ""
 	for range maxCommitAttempts {
 		h, mod, err := s.sync(ctx)
 		if err != nil {
-			return Committed{}, s.commitError(p, uncertain, err)
+			return Committed{}, s.commitError(p, unknownOutcome, err)
 		}
 		if r, ok := s.findRecord(p.ID); ok {
 			return Committed{Record: r, Repeated: true}, nil
@@ -124,23 +124,23 @@
 			return c, s.advance(c, next)
 		}
 		if err != nil && !kv.IsErrUnknown(err) {
-			return Committed{}, s.commitError(p, uncertain, err)
+			return Committed{}, s.commitError(p, unknownOutcome, err)
 		}
 		if err != nil {
-			uncertain = err.Error()
+			unknownOutcome = err.Error()
 		}
 	}
-	if uncertain != "" {
-		return Committed{}, ErrOutcomeUnknown{ID: p.ID, Reason: uncertain}
+	if unknownOutcome != "" {
+		return Committed{}, ErrOutcomeUnknown{ID: p.ID, Reason: unknownOutcome}
 	}
 	return Committed{}, ErrUnavailable{Reason: "other operators' changes were committed first in every attempt"}
 }
 
 // commitError returns ErrUnavailable, which states that nothing was changed, only if no earlier attempt had an unknown
-// outcome. Otherwise it returns ErrUnsettled with the reason in uncertain.
-func (s *Store) commitError(p Proposal, uncertain string, err error) error {
-	if uncertain != "" {
-		return ErrOutcomeUnknown{ID: p.ID, Reason: uncertain}
+// outcome. Otherwise it returns ErrOutcomeUnknown with unknownOutcome, the error of that attempt, as the reason.
+func (s *Store) commitError(p Proposal, unknownOutcome string, err error) error {
+	if unknownOutcome != "" {
+		return ErrOutcomeUnknown{ID: p.ID, Reason: unknownOutcome}
 	}
 	return ErrUnavailable{Reason: err.Error()}
 }
--- a/services/daemon/membership/members_test.go
+++ b/services/daemon/membership/members_test.go
@@ -117,7 +117,7 @@
 	}
 }
 
-func TestDueUsesLongerIntervalForMembersThatAreNotAlive(t *testing.T) {
+func TestDueHeartbeatsUsesProbeIntervalForMembersThatAreNotAlive(t *testing.T) {
 	s := newState()
 	o := membership.DefaultOptions()
 	s.Received(start, 1, heartbeat("alive", 1))
--- a/services/daemon/membership/options.go
+++ b/services/daemon/membership/options.go
@@ -35,7 +35,7 @@
 	defaultForgetAfter = 10 * time.Minute
 )
 
-// DefaultOptions returns the options for use without a settings file. In the daemon, the settings replace Interval, LostAfter and
+// DefaultOptions returns the options for use without a settings file. In the daemon, the settings replace HeartbeatInterval, LostAfter and
 // Settle; the defaults of these settings are equal to the values here.
 func DefaultOptions() Options {
 	return Options{
--- a/services/daemon/once/claimer.go
+++ b/services/daemon/once/claimer.go
@@ -36,7 +36,7 @@
 
 // Options holds the settings of a claimer.
 type Options struct {
-	// Prefix is the prefix of all keys.
+	// Prefix is the prefix of the keys of the claims.
 	Prefix string
 	// Owner identifies this process. It differs from that of all other instances and changes at each restart.
 	Owner string
--- a/services/daemon/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -134,7 +134,7 @@
 	return func(row []table.Value) bool { return matches(table.Compare(row[at], other)) }, nil
 }
 
-// columnIndex returns the index of a column, whose name is matched without regard to case, or ErrNoColumn.
+// columnIndex returns the index of a column, whose name is matched without regard to case, or ErrUnknownColumn.
 func columnIndex(t *table.Table, name string) (int, error) {
 	if at := t.Index(strings.ToLower(name)); at >= 0 {
 		return at, nil
--- a/services/daemon/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -71,7 +71,7 @@
 	return out
 }
 
-// LocalTable returns a table with the rows of this instance only, or ErrNoTable if the table is unknown.
+// LocalTable returns a table with the rows of this instance only, or ErrUnknownTable if the table is unknown.
 func (s *Service) LocalTable(name string) (*table.Table, error) {
 	d, ok := tableDefinitions[name]
 	if !ok {
