--- a/services/daemon/process/daemon.go
+++ b/services/daemon/process/daemon.go
@@ -127,7 +127,7 @@
 	return d, nil
 }
 
-// refreshGauges updates the metrics that are not updated when their values change.
+// refreshGauges updates the metrics whose values are collected only when the metrics are read.
 func (d *Daemon) refreshGauges() {
 	d.metrics.Dropped.Set(float64(d.links.Dropped()))
 	d.metrics.SetKVCalls(d.kv.Counts())
@@ -159,7 +159,7 @@
 	return d.control
 }
 
-// Ready reports whether the daemon accepts requests from callers.
+// Ready reports whether load balancers may send requests of callers to this daemon.
 func (d *Daemon) Ready() bool {
 	if d.stopping.Load() {
 		return false
