--- a/services/daemon/node/digest/doc.go
+++ b/services/daemon/node/digest/doc.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package digest holds what a node knows of another hall through the digests of that
-// hall's speaker (Hall), and when its own hall's speaker sends digests (Schedule).
+// Package digest holds the state of another hall as received in the digests of that
+// hall's speaker (Hall), and the schedule by which the speaker of the own hall sends digests (Schedule).
 //
-// It owns each other hall's last account, the numbers of the digests heard, by which late ones are told, and the times
-// and number of the own digests. It relies on
-// modules/daemon/ring for the choice of a speaker; the node makes, sends and routes the
-// messages. It starts no goroutines and reads no clock.
+// It owns the last received state of each other hall, the numbers of the received digests, which identify late digests,
+// and the send times and the number of the own digests. It relies on
+// modules/daemon/ring for the choice of a speaker. The node creates, sends and routes the
+// messages. The package starts no goroutines and reads no clock.
 package digest
--- a/services/daemon/node/digest/hall.go
+++ b/services/daemon/node/digest/hall.go
@@ -12,89 +12,91 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
-// Speaker names the instance that speaks for a hall, among the hall's live instances
-// that are not leaving; the empty string where there are none.
+// Speaker returns the identifier of a hall's speaker, chosen among the candidates: the hall's
+// live instances that are not leaving. It returns the empty string if there are none.
 func Speaker(hall string, candidates []string) string {
 	return ring.Best("speaker/"+hall, candidates)
 }
 
-// rememberedLives is how many lives of a hall's speakers are remembered, so that their late digests are told from new ones; what a life
-// before those said is taken as long gone.
-const rememberedLives = 8
+// maxSpeakerRuns is the number of speaker runs per hall whose last digest number is kept to detect late digests. Digests of earlier runs
+// are assumed to be no longer in transit.
+const maxSpeakerRuns = 8
 
-// speakerLife is one life of an instance that spoke for a hall, with the number of the last digest of it that was taken.
-type speakerLife struct {
+// speakerRun is one run of an instance that was a hall's speaker, with the number of its last applied digest.
+type speakerRun struct {
 	id     string
 	boot   uint64
 	number uint64
 }
 
-// Hall is what is known of another hall.
+// Hall is the state of another hall as received in its digests.
 type Hall struct {
-	name      string
-	speaker   fleet.Instance
-	instances []fleet.Instance
-	placers   map[string]fleet.PlacerOf
-	heard     time.Time
-	cut       bool
-	revision  int64
-	// gaps names the pools of which a summary was missed; wants those that the hall misses.
-	gaps  map[string]bool
-	wants []string
-	turn  int
-	// lives are those that spoke for the hall, in the order in which they began to be heard.
-	lives []speakerLife
-}
-
-// NewHall makes the state of a hall that was never heard; it counts as cut off.
+	name         string
+	speaker      fleet.Instance
+	instances    []fleet.Instance
+	placers      map[string]fleet.PlacerOf
+	lastDigestAt time.Time
+	cut          bool
+	revision     int64
+	// missedSummaries contains the pools of the hall of which a summary was missed; wants contains the pools whose full summary the
+	// hall has requested.
+	missedSummaries map[string]bool
+	wantedSummaries []string
+	rotation        int
+	// speakerRuns are the hall's speaker runs, in the order of their first applied digests.
+	speakerRuns []speakerRun
+}
+
+// NewHall returns the state of a hall from which no digest has arrived. It counts as cut off.
 func NewHall(name string) *Hall {
-	return &Hall{name: name, placers: make(map[string]fleet.PlacerOf), gaps: make(map[string]bool), cut: true}
+	return &Hall{name: name, placers: make(map[string]fleet.PlacerOf), missedSummaries: make(map[string]bool), cut: true}
 }
 
-// Name gives the hall's name.
+// Name returns the name of the hall.
 func (h *Hall) Name() string {
 	return h.name
 }
 
-// Late tells whether a digest was made before one that was taken already, or by a former life of its speaker. Nothing
-// is known of the order of digests of different speakers, nor of those that are not numbered.
+// Late reports whether a digest is older than one applied before, or was made by a former run of its speaker. Digests
+// of different speakers and digests without a number have no known order and are not late.
 func (h *Hall) Late(d *fleet.Digest) bool {
-	i := h.lifeOf(d)
+	i := h.runIndex(d)
 	if d.Number == 0 || i < 0 {
 		return false
 	}
-	// A life that began later has the higher boot, unless the instance's clock was set back.
-	restarted := slices.ContainsFunc(h.lives[i:], func(l speakerLife) bool { return l.id == d.Speaker.ID && l.boot > d.Boot })
-	return restarted || d.Number <= h.lives[i].number
+	// A later run has the higher boot, unless the instance's clock was set back. Therefore only runs whose first digest
+	// arrived after that of this run count as later.
+	restarted := slices.ContainsFunc(h.speakerRuns[i:], func(l speakerRun) bool { return l.id == d.Speaker.ID && l.boot > d.Boot })
+	return restarted || d.Number <= h.speakerRuns[i].number
 }
 
-// lifeOf finds the life that made a digest, or -1.
-func (h *Hall) lifeOf(d *fleet.Digest) int {
-	return slices.IndexFunc(h.lives, func(l speakerLife) bool { return l.id == d.Speaker.ID && l.boot == d.Boot })
+// runIndex returns the index of the run that made a digest, or -1.
+func (h *Hall) runIndex(d *fleet.Digest) int {
+	return slices.IndexFunc(h.speakerRuns, func(l speakerRun) bool { return l.id == d.Speaker.ID && l.boot == d.Boot })
 }
 
-// remember notes the number of a digest that is taken.
-func (h *Hall) remember(d *fleet.Digest) {
+// storeNumber stores the number of an applied digest.
+func (h *Hall) storeNumber(d *fleet.Digest) {
 	if d.Number == 0 {
 		return
 	}
-	if i := h.lifeOf(d); i >= 0 {
-		h.lives[i].number = d.Number
+	if i := h.runIndex(d); i >= 0 {
+		h.speakerRuns[i].number = d.Number
 		return
 	}
-	h.lives = append(h.lives, speakerLife{id: d.Speaker.ID, boot: d.Boot, number: d.Number})
-	if len(h.lives) > rememberedLives {
-		h.lives = slices.Delete(h.lives, 0, 1)
+	h.speakerRuns = append(h.speakerRuns, speakerRun{id: d.Speaker.ID, boot: d.Boot, number: d.Number})
+	if len(h.speakerRuns) > maxSpeakerRuns {
+		h.speakerRuns = slices.Delete(h.speakerRuns, 0, 1)
 	}
 }
 
-// Take enters a digest's account of the hall, save its placers and pools. What the hall
-// misses is heard only from its speaker itself: a relayed digest tells it to others.
+// Take applies a digest to the state of the hall, except for the digest's placers and pools. The
+// requested summaries of a relayed digest are ignored, since they were requested from the relaying instance.
 func (h *Hall) Take(now time.Time, d *fleet.Digest) {
-	h.remember(d)
-	h.heard = now.Add(-d.Age)
+	h.storeNumber(d)
+	h.lastDigestAt = now.Add(-d.Age)
 	if !d.Relayed {
-		h.wants = d.Wants
+		h.wantedSummaries = d.Wants
 	}
 	h.speaker = d.Speaker
 	if len(d.Instances) > 0 {
@@ -103,8 +105,8 @@
 	h.revision = d.Revision
 }
 
-// LearnPlacer enters the placer of one of the hall's pools, unless its term is below the
-// one known. It reports true where the placer or its term is new.
+// LearnPlacer stores the placer of one of the hall's pools, unless its term is below the
+// stored one. It reports whether the placer or its term has changed.
 func (h *Hall) LearnPlacer(p fleet.PlacerOf) bool {
 	old, ok := h.placers[p.Pool]
 	if ok && old.Term > p.Term {
@@ -114,48 +116,48 @@
 	return !ok || old.Instance.ID != p.Instance.ID || old.Term != p.Term
 }
 
-// Placer finds the instance that places a pool of the hall.
+// Placer returns the last known placer of a pool of the hall.
 func (h *Hall) Placer(pool string) (fleet.Instance, bool) {
 	p, ok := h.placers[pool]
 	return p.Instance, ok
 }
 
-// SetGap notes whether a pool's summary was missed, so that the whole one is asked for.
+// SetGap stores whether a pool's summary was missed, so that the full summary must be requested.
 func (h *Hall) SetGap(pool string, missed bool) {
 	if missed {
-		h.gaps[pool] = true
+		h.missedSummaries[pool] = true
 		return
 	}
-	delete(h.gaps, pool)
+	delete(h.missedSummaries, pool)
 }
 
-// Gaps lists the pools whose whole summary to ask for, by name.
+// Gaps returns the pools whose full summary must be requested, sorted by name.
 func (h *Hall) Gaps() []string {
 	var out []string
-	for name := range h.gaps {
+	for name := range h.missedSummaries {
 		out = append(out, name)
 	}
 	slices.Sort(out)
 	return out
 }
 
-// Wants tells whether the hall has asked for the whole summary of a pool.
+// Wants reports whether the hall has requested the full summary of a pool.
 func (h *Hall) Wants(pool string) bool {
-	return slices.Contains(h.wants, pool)
+	return slices.Contains(h.wantedSummaries, pool)
 }
 
-// WantsInstances tells whether the hall is to be told of every instance: where it is cut
-// off, it may know none to answer to, and where it has missed something, it may be new.
+// WantsInstances reports whether digests to the hall must list all instances. A hall that is cut
+// off may know no instance to answer to, and a hall that has missed a summary may have just started.
 func (h *Hall) WantsInstances() bool {
-	return h.cut || len(h.wants) > 0
+	return h.cut || len(h.wantedSummaries) > 0
 }
 
-// Speaker gives the instance that spoke for the hall last, and false before any did.
+// Speaker returns the hall's last known speaker, and false if no digest has arrived yet.
 func (h *Hall) Speaker() (fleet.Instance, bool) {
 	return h.speaker, h.speaker.ID != ""
 }
 
-// Instance finds an instance that the hall has named.
+// Instance returns the instance with the identifier, if the hall's digests listed it.
 func (h *Hall) Instance(id string) (fleet.Instance, bool) {
 	for _, i := range h.instances {
 		if i.ID == id {
@@ -165,30 +167,30 @@
 	return fleet.Instance{}, false
 }
 
-// Revision gives the lowest revision in force in the hall by its last account.
+// Revision returns the lowest revision in force in the hall, by its last digest.
 func (h *Hall) Revision() int64 {
 	return h.revision
 }
 
-// Silence gives the time since the hall was heard, or zero where it never was.
+// Silence returns the time since the hall's last digest was made, or zero if none has arrived.
 func (h *Hall) Silence(now time.Time) time.Duration {
-	if h.heard.IsZero() {
+	if h.lastDigestAt.IsZero() {
 		return 0
 	}
-	return now.Sub(h.heard)
+	return now.Sub(h.lastDigestAt)
 }
 
-// FallsSilent tells whether a hall that is in reach was not heard for longer than the limit.
+// FallsSilent reports whether a hall that does not count as cut off has sent no digest for longer than the limit.
 func (h *Hall) FallsSilent(now time.Time, limit time.Duration) bool {
-	return !h.cut && now.Sub(h.heard) > limit
+	return !h.cut && now.Sub(h.lastDigestAt) > limit
 }
 
-// Cut tells whether the hall counts as cut off from this one.
+// Cut reports whether the hall counts as cut off from this one.
 func (h *Hall) Cut() bool {
 	return h.cut
 }
 
-// SetCut marks the hall as cut off or in reach; it reports false where that is known.
+// SetCut marks the hall as cut off or reachable. It reports whether that changed the state.
 func (h *Hall) SetCut(cut bool) bool {
 	if h.cut == cut {
 		return false
@@ -197,8 +199,8 @@
 	return true
 }
 
-// Targets names whom to tell in the hall: its speaker while it is heard, and else one of
-// the instances that it named or the platform lists, another each time.
+// Targets returns the instances of the hall that receive the next digest: its speaker while the hall is
+// reachable, and otherwise one of the instances listed by its digests or by the platform, in rotation.
 func (h *Hall) Targets(listed map[string]fleet.Instance) []fleet.Instance {
 	if s, ok := h.Speaker(); ok && !h.cut {
 		return []fleet.Instance{s}
@@ -213,6 +215,6 @@
 		return nil
 	}
 	slices.SortFunc(known, func(a, b fleet.Instance) int { return cmp.Compare(a.ID, b.ID) })
-	h.turn++
-	return []fleet.Instance{known[h.turn%len(known)]}
+	h.rotation++
+	return []fleet.Instance{known[h.rotation%len(known)]}
 }
--- a/services/daemon/node/digest/hall_test.go
+++ b/services/daemon/node/digest/hall_test.go
@@ -37,18 +37,18 @@
 	return out
 }
 
-// heard gives a hall in reach, whose speaker is i1.
-func heard() *digest.Hall {
+// reachableHall returns a reachable hall whose speaker is i1.
+func reachableHall() *digest.Hall {
 	h := digest.NewHall("h2")
 	h.Take(begin, &fleet.Digest{Speaker: instance("i1"), Instances: []fleet.Instance{instance("i1"), instance("i2")}, Revision: 3})
 	h.SetCut(false)
 	return h
 }
 
-func TestHallThatWasNeverHeardCountsAsCutOff(t *testing.T) {
+func TestNewHallCountsAsCutOff(t *testing.T) {
 	h := digest.NewHall("h2")
 	require.True(t, h.Cut())
-	require.False(t, h.FallsSilent(after(time.Hour), time.Second), "it cannot fall silent")
+	require.False(t, h.FallsSilent(after(time.Hour), time.Second), "a hall that is cut off does not become silent")
 	require.Zero(t, h.Silence(after(time.Hour)))
 	require.True(t, h.WantsInstances())
 	require.Empty(t, h.Targets(nil))
@@ -56,25 +56,25 @@
 	require.False(t, ok)
 }
 
-func TestSilenceOfAHall(t *testing.T) {
+func TestHallBecomesSilentAfterLimit(t *testing.T) {
 	const limit = 3 * time.Second
 	for _, row := range []struct {
 		at     time.Duration
 		silent bool
 	}{{0, false}, {limit, false}, {limit + 1, true}} {
-		require.Equal(t, row.silent, heard().FallsSilent(after(row.at), limit), "%v after the last digest", row.at)
+		require.Equal(t, row.silent, reachableHall().FallsSilent(after(row.at), limit), "%v after the last digest", row.at)
 	}
-	h := heard()
+	h := reachableHall()
 	require.Equal(t, limit, h.Silence(after(limit)))
 	h.Take(after(time.Second), &fleet.Digest{Speaker: instance("i1"), Age: 400 * time.Millisecond})
-	require.Equal(t, 400*time.Millisecond, h.Silence(after(time.Second)), "the time at a relay counts")
+	require.Equal(t, 400*time.Millisecond, h.Silence(after(time.Second)), "the age of a relayed digest counts")
 	require.True(t, h.SetCut(true))
-	require.False(t, h.SetCut(true), "a hall is cut off once")
+	require.False(t, h.SetCut(true), "the hall is cut off already")
 	require.False(t, h.FallsSilent(after(time.Hour), limit))
 }
 
-func TestAccountWithoutInstancesKeepsThoseKnown(t *testing.T) {
-	h := heard()
+func TestDigestWithoutInstancesKeepsKnownInstances(t *testing.T) {
+	h := reachableHall()
 	h.Take(after(time.Second), &fleet.Digest{Speaker: instance("i2"), Revision: 4})
 	_, ok := h.Instance("i1")
 	require.True(t, ok)
@@ -85,20 +85,20 @@
 	require.False(t, ok)
 }
 
-func TestOnlyTheSpeakerItselfSaysWhatTheHallMisses(t *testing.T) {
-	h := heard()
+func TestRelayedDigestDoesNotChangeRequestedSummaries(t *testing.T) {
+	h := reachableHall()
 	h.Take(begin, &fleet.Digest{Wants: []string{"h1/base"}})
 	require.True(t, h.Wants("h1/base"))
 	require.True(t, h.WantsInstances())
 	h.Take(begin, &fleet.Digest{Relayed: true})
-	require.True(t, h.Wants("h1/base"), "a relayed digest is another's")
+	require.True(t, h.Wants("h1/base"), "a relayed digest requests summaries from another instance")
 	h.Take(begin, &fleet.Digest{})
 	require.False(t, h.Wants("h1/base"))
 	require.False(t, h.WantsInstances())
 }
 
-func TestLatePlacerRecordTurnsNothingBack(t *testing.T) {
-	h := heard()
+func TestLatePlacerRecordIsIgnored(t *testing.T) {
+	h := reachableHall()
 	for _, row := range []struct {
 		name   string
 		record fleet.PlacerOf
@@ -121,8 +121,8 @@
 	require.False(t, ok)
 }
 
-func TestMissedSummariesAreAskedForUntilTheyCome(t *testing.T) {
-	h := heard()
+func TestMissedSummariesAreRequestedUntilReceived(t *testing.T) {
+	h := reachableHall()
 	h.SetGap("h2/b", true)
 	h.SetGap("h2/a", true)
 	h.SetGap("h2/a", true)
@@ -132,36 +132,36 @@
 	require.Equal(t, []string{"h2/b"}, h.Gaps())
 }
 
-func TestWhomToTell(t *testing.T) {
+func TestDigestRecipients(t *testing.T) {
 	listed := map[string]fleet.Instance{
 		"i2": instance("i2"), "i3": instance("i3"), "x": {ID: "x", Hall: "h3"},
 	}
-	h := heard()
+	h := reachableHall()
 	require.Equal(t, []string{"i1"}, ids(h.Targets(listed)))
-	require.Equal(t, []string{"i1"}, ids(h.Targets(listed)), "the speaker, each time")
+	require.Equal(t, []string{"i1"}, ids(h.Targets(listed)), "the speaker each time")
 	h.SetCut(true)
-	var told []string
+	var recipients []string
 	for range 4 {
-		told = append(told, ids(h.Targets(listed))...)
+		recipients = append(recipients, ids(h.Targets(listed))...)
 	}
-	require.Equal(t, []string{"i2", "i3", "i1", "i2"}, told, "in turn, since some may be lost; none of another hall")
+	require.Equal(t, []string{"i2", "i3", "i1", "i2"}, recipients, "in rotation, since some instances may be lost; none of another hall")
 }
 
-func TestOneInstanceSpeaksForAHall(t *testing.T) {
+func TestAllMembersChooseTheSameSpeaker(t *testing.T) {
 	require.Empty(t, digest.Speaker("h1", nil))
 	require.Equal(t, "i1", digest.Speaker("h1", []string{"i1"}))
-	all := digest.Speaker("h1", []string{"i1", "i2", "i3"})
-	require.Equal(t, all, digest.Speaker("h1", []string{"i3", "i2", "i1"}), "members that know the same choose the same")
+	speaker := digest.Speaker("h1", []string{"i1", "i2", "i3"})
+	require.Equal(t, speaker, digest.Speaker("h1", []string{"i3", "i2", "i1"}), "the choice does not depend on the order of the candidates")
 }
 
-// numbered gives a digest of a life of an instance.
-func numbered(id string, boot, number uint64) *fleet.Digest {
+// numberedDigest returns a numbered digest of one run of an instance.
+func numberedDigest(id string, boot, number uint64) *fleet.Digest {
 	return &fleet.Digest{Speaker: instance(id), Boot: boot, Number: number}
 }
 
-func TestWhichDigestsAreLate(t *testing.T) {
+func TestLateDigests(t *testing.T) {
 	h := digest.NewHall("h2")
-	for _, d := range []*fleet.Digest{numbered("i1", 5, 7), numbered("i1", 6, 1), numbered("i2", 3, 4)} {
+	for _, d := range []*fleet.Digest{numberedDigest("i1", 5, 7), numberedDigest("i1", 6, 1), numberedDigest("i2", 3, 4)} {
 		require.False(t, h.Late(d))
 		h.Take(begin, d)
 	}
@@ -170,36 +170,36 @@
 		digest *fleet.Digest
 		late   bool
 	}{
-		{"the last one once more", numbered("i2", 3, 4), true},
-		{"one before it", numbered("i2", 3, 3), true},
-		{"the next", numbered("i2", 3, 5), false},
-		{"the next of the speaker before", numbered("i1", 6, 2), false},
-		{"one before that", numbered("i1", 6, 1), true},
-		{"the next of a former life", numbered("i1", 5, 8), true},
-		{"the first of a new life", numbered("i1", 7, 1), false},
-		{"the first of a life whose clock was set back", numbered("i1", 2, 1), false},
-		{"of a speaker that does not number them", numbered("i2", 0, 0), false},
+		{"the last digest again", numberedDigest("i2", 3, 4), true},
+		{"an earlier digest of the speaker", numberedDigest("i2", 3, 3), true},
+		{"the next digest of the speaker", numberedDigest("i2", 3, 5), false},
+		{"the next digest of the former speaker", numberedDigest("i1", 6, 2), false},
+		{"the last digest of the former speaker again", numberedDigest("i1", 6, 1), true},
+		{"the next digest of a former run", numberedDigest("i1", 5, 8), true},
+		{"the first digest of a new run", numberedDigest("i1", 7, 1), false},
+		{"the first digest of a run whose clock was set back", numberedDigest("i1", 2, 1), false},
+		{"a digest without a number", numberedDigest("i2", 0, 0), false},
 	} {
 		require.Equal(t, row.late, h.Late(row.digest), row.name)
 	}
 }
 
-func TestALifeWhoseClockWasSetBackGoesOnBeingHeard(t *testing.T) {
+func TestRunWithClockSetBackIsNotLate(t *testing.T) {
 	h := digest.NewHall("h2")
-	for _, d := range []*fleet.Digest{numbered("i1", 6, 9), numbered("i1", 2, 1), numbered("i1", 2, 2)} {
+	for _, d := range []*fleet.Digest{numberedDigest("i1", 6, 9), numberedDigest("i1", 2, 1), numberedDigest("i1", 2, 2)} {
 		require.False(t, h.Late(d))
 		h.Take(begin, d)
 	}
-	h.Take(begin, numbered("i1", 4, 1))
-	require.False(t, h.Late(numbered("i1", 6, 10)), "a life that was heard first ends none that goes on")
+	h.Take(begin, numberedDigest("i1", 4, 1))
+	require.False(t, h.Late(numberedDigest("i1", 6, 10)), "a run with a lower boot does not make another run's digests late")
 }
 
-func TestOnlyTheLastEightLivesOfSpeakersAreRemembered(t *testing.T) {
+func TestOnlyTheLastEightSpeakerRunsAreRemembered(t *testing.T) {
 	const lives = 10
 	h := digest.NewHall("h2")
 	for boot := uint64(1); boot <= lives; boot++ {
-		h.Take(begin, numbered("i1", boot, 1))
+		h.Take(begin, numberedDigest("i1", boot, 1))
 	}
-	require.True(t, h.Late(numbered("i1", lives-7, 1)))
-	require.False(t, h.Late(numbered("i1", lives-8, 1)), "it is remembered no more")
+	require.True(t, h.Late(numberedDigest("i1", lives-7, 1)))
+	require.False(t, h.Late(numberedDigest("i1", lives-8, 1)), "the run has been dropped")
 }
--- a/services/daemon/node/digest/schedule.go
+++ b/services/daemon/node/digest/schedule.go
@@ -5,60 +5,60 @@
 
 import "time"
 
-// quietFactor stretches the interval between two digests that tell nothing new. Higher sends less and lets a hall's silence show later; it
-// must leave the stretched interval below the silence after which a hall counts as cut off.
+// quietFactor multiplies the interval between two digests while nothing changes. A higher factor sends less and detects the silence of a
+// hall later. The resulting interval must stay below the silence after which a hall counts as cut off.
 const quietFactor = 4
 
-// News is what other halls must learn soon, besides the state of the slots.
+// News is the state, besides that of the slots, whose changes other halls must receive soon.
 type News struct {
-	// Revision is the highest revision in force here, Lowest the lowest in the hall.
+	// Revision is the revision in force on this instance; Lowest is the lowest revision in force in the hall.
 	Revision, Lowest int64
-	// Terms is the sum of the placers' terms, Placed the number of pools with a placer.
+	// Terms is the sum of the placers' terms; Placed is the number of pools with a placer.
 	Terms  uint64
 	Placed int
 }
 
-// Schedule decides when a hall's speaker sends digests, and which of them are whole.
+// Schedule decides when a hall's speaker sends digests, and which of them contain full summaries.
 type Schedule struct {
-	interval time.Duration
-	full     time.Duration
-	sentAt   time.Time
-	fullAt   time.Time
-	told     News
-	number   uint64
+	interval     time.Duration
+	fullInterval time.Duration
+	sentAt       time.Time
+	fullSentAt   time.Time
+	sentState    News
+	number       uint64
 }
 
-// NewSchedule makes a schedule that sends each interval while there is news, and whole
-// summaries each time that full has passed.
-func NewSchedule(interval, full time.Duration) Schedule {
-	return Schedule{interval: interval, full: full}
+// NewSchedule returns a schedule that sends digests each interval while the state changes, and
+// full summaries each time that fullInterval has passed.
+func NewSchedule(interval, fullInterval time.Duration) Schedule {
+	return Schedule{interval: interval, fullInterval: fullInterval}
 }
 
-// Due tells whether digests are to be sent: the interval is short while there is news or
-// slots change, and longer while there is neither.
+// Due reports whether digests must be sent now. The interval is short while the state or the slots
+// change, and longer otherwise.
 func (s *Schedule) Due(now time.Time, news News, changing func() bool) bool {
 	interval := s.interval
-	if news == s.told && !changing() {
+	if news == s.sentState && !changing() {
 		interval *= quietFactor
 	}
 	return now.Sub(s.sentAt) >= interval
 }
 
-// Sent counts digests with the given news as sent now; it reports true where they have to
-// be whole. A lost digest is made good by a later one, since each tells the whole of the
-// news and the receiver asks for a summary that it has missed.
+// Sent records that digests with the given state are sent now. It reports whether they must contain full
+// summaries. Later digests make up for a lost one, since each contains the complete state, and the
+// receiver requests the summaries that it has missed.
 func (s *Schedule) Sent(now time.Time, news News) bool {
 	s.sentAt = now
-	s.told = news
+	s.sentState = news
 	s.number++
-	whole := now.Sub(s.fullAt) >= s.full
-	if whole {
-		s.fullAt = now
+	full := now.Sub(s.fullSentAt) >= s.fullInterval
+	if full {
+		s.fullSentAt = now
 	}
-	return whole
+	return full
 }
 
-// Number counts the times that digests were sent.
+// Number returns the number of times that digests were sent.
 func (s *Schedule) Number() uint64 {
 	return s.number
 }
