--- a/services/daemon/node/followed/answers.go
+++ b/services/daemon/node/followed/answers.go
@@ -9,140 +9,141 @@
 )
 
 const (
-	// SmallAnswer is up to which size, in bytes, an answer is sent whenever it is asked for: some ten records of 300 B
-	// (docs/capacity-shelfledged.md), which take 3 ms of a link of 10 Mbit/s, so that a repeat costs little. More sends more repeats, less
-	// keeps more from being sent at once.
+	// SmallAnswer is the maximum size in bytes of an answer that is sent at once on each request: about ten records of 300 B
+	// (docs/capacity-shelfledged.md), which take 3 ms on a 10 Mbit/s link, so that a repeated answer costs little. A higher limit repeats
+	// more bytes; a lower one delays more answers.
 	SmallAnswer = 4096
-	// WindowBytes is how many bytes of larger answers may be under way to all askers before the next one waits, 1 MiB, as the entry
-	// program's planner has it (services/entry/coordinator/relay): more reaches many askers sooner, less takes less memory and less of the
-	// link. What is larger goes to one asker at a time.
+	// WindowBytes is the maximum number of bytes of larger answers in transit to all askers, 1 MiB; further answers wait. The entry
+	// program's planner uses the same limit (services/entry/coordinator/relay). A higher limit reaches many askers sooner; a lower one
+	// uses less memory and less of the link. An answer larger than the limit is sent while no other answer is in transit.
 	WindowBytes = 1048576
-	// slowLink is what an instance's link carries at the least, in bytes a second: 10 Mbit/s, the slowest of the users' instances. More
-	// repeats what is still under way, less sends what was lost later.
-	slowLink = 1_250_000
-	// An asker in line is told to ask again after a part of the time of its answer, shortestParts of partsOfTime for the first in line and
-	// one part more for each place behind it, up to places: by then others may have what it asks for, and those who wait should not all ask
-	// the same one. Shorter sends more requests and, to those who stand in two lines, more answers twice; longer leaves those unasked that
-	// have it meanwhile.
-	shortestParts = 1
-	partsOfTime   = 4
-	places        = 8
+	// minLinkRate is the assumed minimum rate of an instance's link in bytes per second: 10 Mbit/s, the slowest of the users' instances. A
+	// higher rate repeats answers that are still in transit; a lower one repeats lost answers later.
+	minLinkRate = 1_250_000
+	// A queued asker is told when to ask again: after a fraction of the transfer time of its answer, firstWaitParts/waitParts for the first in
+	// the queue and one part more for each position behind it, repeating after waitPositions positions. By then other peers may have the
+	// configuration, and the waiting askers should not all ask the same peer. A shorter time sends more requests, and repeats more answers
+	// to askers that wait in two queues; a longer one delays requests to peers that have received the configuration meanwhile.
+	firstWaitParts = 1
+	waitParts      = 4
+	waitPositions  = 8
 )
 
-// transfer gives the time after which so many bytes have arrived, or are lost.
-func transfer(bytes int) time.Duration {
-	return askEvery + time.Duration(bytes)*time.Second/slowLink
+// transferTimeout returns the time after which an answer of the given size has either arrived or is considered lost.
+func transferTimeout(bytes int) time.Duration {
+	return requestInterval + time.Duration(bytes)*time.Second/minLinkRate
 }
 
-// Asker is an instance in one life, which asks for the configuration after a revision.
+// Asker is one run of an instance that requests the configuration after a revision.
 type Asker struct {
 	ID    string
 	Boot  uint64
 	After int64
 }
 
-// answer is one that is under way.
-type answer struct {
+// answerInTransit is a large answer in transit.
+type answerInTransit struct {
 	boot uint64
 	head int64
 	size int
-	// until is when it counts as lost.
+	// until is the time from which the answer is considered lost.
 	until time.Time
 }
 
-// waiter is an asker in line.
-type waiter struct {
+// queuedAsker is a queued asker.
+type queuedAsker struct {
 	Asker
 	size int
-	// coming is what it is told to wait for, in bytes, and until when it keeps its place without asking again: a little longer
-	// than it waits, and no more, since it then asks another one.
+	// coming is the number of bytes that the asker is told to wait for. The asker keeps its position until the time until, without
+	// asking again. That is a little longer than it waits and no more, since it may then ask another peer.
 	coming int
 	until  time.Time
 }
 
-// Answers notes which large answers are under way and who waits for one, so that none is sent twice and few are sent at a time. The
-// askers get theirs in the order in which they began to ask. The zero value has sent none.
+// Answers tracks the large answers in transit and the queue of askers, so that no answer is sent twice and few are in transit at a
+// time. Askers are served in the order of their first requests. The zero value is an empty queue.
 type Answers struct {
-	underWay map[string]answer
-	waiting  []waiter
+	inTransit map[string]answerInTransit
+	queue     []queuedAsker
 }
 
-// Ask enters an asker, whose answer has a size in bytes, into the line, unless what it asks for is under way to it.
+// Ask queues an asker whose answer has the given size in bytes, unless that answer is in transit already.
 func (a *Answers) Ask(now time.Time, asker Asker, size int) {
 	a.expire(now)
-	if sent, ok := a.underWay[asker.ID]; ok && sent.boot == asker.Boot && asker.After < sent.head {
+	if sent, ok := a.inTransit[asker.ID]; ok && sent.boot == asker.Boot && asker.After < sent.head {
 		return
 	}
-	delete(a.underWay, asker.ID)
-	at := a.place(asker.ID)
+	delete(a.inTransit, asker.ID)
+	at := a.position(asker.ID)
 	if at < 0 {
-		at = len(a.waiting)
-		a.waiting = append(a.waiting, waiter{})
+		at = len(a.queue)
+		a.queue = append(a.queue, queuedAsker{})
 	}
-	coming := size * (shortestParts + at%places) / partsOfTime
-	a.waiting[at] = waiter{Asker: asker, size: size, coming: coming, until: now.Add(transfer(coming) + askEvery)}
+	coming := size * (firstWaitParts + at%waitPositions) / waitParts
+	a.queue[at] = queuedAsker{Asker: asker, size: size, coming: coming, until: now.Add(transferTimeout(coming) + requestInterval)}
 }
 
-// Next takes the first asker out of the line, if an answer may be sent now.
+// Next removes and returns the first asker of the queue, if an answer may be sent now.
 func (a *Answers) Next(now time.Time) (Asker, bool) {
 	a.expire(now)
-	if len(a.waiting) == 0 || (len(a.underWay) > 0 && a.bytes()+a.waiting[0].size > WindowBytes) {
+	if len(a.queue) == 0 || (len(a.inTransit) > 0 && a.bytesInTransit()+a.queue[0].size > WindowBytes) {
 		return Asker{}, false
 	}
-	first := a.waiting[0]
-	a.waiting = a.waiting[1:]
+	first := a.queue[0]
+	a.queue = a.queue[1:]
 	return first.Asker, true
 }
 
-// Sent notes that an answer up to a revision, of a size in bytes, is sent to an asker.
+// Sent records that an answer up to the revision head, of the given size in bytes, is sent to an asker.
 func (a *Answers) Sent(now time.Time, asker Asker, head int64, size int) {
-	if a.underWay == nil {
-		a.underWay = make(map[string]answer)
+	if a.inTransit == nil {
+		a.inTransit = make(map[string]answerInTransit)
 	}
-	a.underWay[asker.ID] = answer{boot: asker.Boot, head: head, size: size, until: now.Add(transfer(a.bytes() + size))}
+	a.inTransit[asker.ID] = answerInTransit{boot: asker.Boot, head: head, size: size, until: now.Add(transferTimeout(a.bytesInTransit() + size))}
 }
 
-// Reached notes that an instance has a revision in force.
+// Reached records that an instance has a revision in force.
 func (a *Answers) Reached(id string, revision int64) {
-	if sent, ok := a.underWay[id]; ok && revision >= sent.head {
-		delete(a.underWay, id)
+	if sent, ok := a.inTransit[id]; ok && revision >= sent.head {
+		delete(a.inTransit, id)
 	}
-	if at := a.place(id); at >= 0 && revision > a.waiting[at].After {
-		a.waiting = slices.Delete(a.waiting, at, at+1)
+	if at := a.position(id); at >= 0 && revision > a.queue[at].After {
+		a.queue = slices.Delete(a.queue, at, at+1)
 	}
 }
 
-// Coming gives how many bytes pass until an asker has its answer or should ask again; zero means that it has none to wait for.
+// Coming returns the number of bytes to wait for until an asker has its answer or should ask again. Zero means that no answer to
+// the asker is in transit or queued.
 func (a *Answers) Coming(now time.Time, id string) int {
-	if sent, ok := a.underWay[id]; ok {
-		left := max(0, sent.until.Sub(now)-askEvery)
-		return max(1, int(left*slowLink/time.Second))
+	if sent, ok := a.inTransit[id]; ok {
+		left := max(0, sent.until.Sub(now)-requestInterval)
+		return max(1, int(left*minLinkRate/time.Second))
 	}
-	if at := a.place(id); at >= 0 {
-		return a.waiting[at].coming
+	if at := a.position(id); at >= 0 {
+		return a.queue[at].coming
 	}
 	return 0
 }
 
-func (a *Answers) place(id string) int {
-	return slices.IndexFunc(a.waiting, func(w waiter) bool { return w.ID == id })
+func (a *Answers) position(id string) int {
+	return slices.IndexFunc(a.queue, func(w queuedAsker) bool { return w.ID == id })
 }
 
-// bytes sums what is under way.
-func (a *Answers) bytes() int {
+// bytesInTransit returns the total size of the answers in transit.
+func (a *Answers) bytesInTransit() int {
 	sum := 0
-	for _, sent := range a.underWay {
+	for _, sent := range a.inTransit {
 		sum += sent.size
 	}
 	return sum
 }
 
-// expire forgets answers that count as lost and askers that ask no more.
+// expire removes the answers considered lost and the askers that did not ask again in time.
 func (a *Answers) expire(now time.Time) {
-	for id, sent := range a.underWay {
+	for id, sent := range a.inTransit {
 		if !now.Before(sent.until) {
-			delete(a.underWay, id)
+			delete(a.inTransit, id)
 		}
 	}
-	a.waiting = slices.DeleteFunc(a.waiting, func(w waiter) bool { return !now.Before(w.until) })
+	a.queue = slices.DeleteFunc(a.queue, func(w queuedAsker) bool { return !now.Before(w.until) })
 }
--- a/services/daemon/node/followed/configuration.go
+++ b/services/daemon/node/followed/configuration.go
@@ -11,78 +11,82 @@
 )
 
 const (
-	// askEvery is the least time between two requests for missing records, whoever is asked, and the time of an answer on its way besides
-	// its bytes. Longer sends less while several peers are ahead, and takes longer after a lost answer; it is well below the 0.26 s median
-	// in which a change is in force everywhere (docs/capacity-shelfledged.md, the worst minute).
-	askEvery = 100 * time.Millisecond
-	// askRise is the factor of one wait to the next while nothing comes, and askMost the longest wait: larger ones send less where nobody
-	// tells how much is under way, as peers of the version before, and take longer after several losses.
-	askRise = 2
-	askMost = 800 * time.Millisecond
-	// mostComing bounds what a peer may tell is under way, 32 MiB, the largest message between peers: 27 s of the slowest link.
-	mostComing = 33554432
+	// requestInterval is the minimum time between two requests for missing records, to any peer. It is also the assumed latency of an answer
+	// besides the transfer time of its bytes. A longer time sends less while several peers have a higher revision, and recovers later from
+	// a lost answer. It is well below the 0.26 s median after which a change is in force everywhere (docs/capacity-shelfledged.md, the
+	// worst minute).
+	requestInterval = 100 * time.Millisecond
+	// requestBackoff multiplies the time between requests while no answer arrives; maxRequestInterval is the upper limit of that time.
+	// Larger values send less to peers that do not announce how many bytes are in transit, such as peers of the previous version, and
+	// recover later from several lost answers.
+	requestBackoff     = 2
+	maxRequestInterval = 800 * time.Millisecond
+	// maxExpectedBytes is the maximum of announced bytes that a peer is believed, 32 MiB, the largest message between peers. Their transfer takes
+	// 27 s on the slowest link.
+	maxExpectedBytes = 33554432
 )
 
-// Configuration is the followed configuration with what is needed to pass it on.
+// Configuration is the followed configuration, with the records that are needed to send it to peers.
 type Configuration struct {
 	catalog *catalog.Catalog
 	history *catalog.History
 	head    int64
-	// askAt is when to ask again, and wait the time between the last two requests.
-	askAt time.Time
-	wait  time.Duration
+	// nextRequestAt is the time of the next request; wait is the time between the last two requests.
+	nextRequestAt time.Time
+	requestWait   time.Duration
 }
 
-// New gives the configuration of a node that has heard of none: revision zero.
+// New returns an empty configuration of revision zero.
 func New() *Configuration {
 	return &Configuration{catalog: catalog.New(), history: catalog.NewHistory()}
 }
 
-// Catalog gives the catalog in force; it must not be changed.
+// Catalog returns the catalog in force, which must not be modified.
 func (c *Configuration) Catalog() *catalog.Catalog {
 	return c.catalog
 }
 
-// Revision gives the revision in force.
+// Revision returns the revision in force.
 func (c *Configuration) Revision() int64 {
 	return c.catalog.Revision
 }
 
-// Head gives the highest revision that anyone has named.
+// Head returns the highest revision that any peer or the key-value service has announced.
 func (c *Configuration) Head() int64 {
 	return c.head
 }
 
-// Hear notes a revision that someone has named.
+// Hear records an announced revision.
 func (c *Configuration) Hear(revision int64) {
 	c.head = max(c.head, revision)
 }
 
-// Recent lists the kept records, the oldest first.
+// Recent returns the kept records, the oldest first.
 func (c *Configuration) Recent() []catalog.Record {
 	return c.history.Records()
 }
 
-// AskDue tells whether to ask a peer that is ahead for what is missing, and counts it as asked.
+// AskDue reports whether to request missing records now. If so, it counts the request as sent.
 func (c *Configuration) AskDue(now time.Time) bool {
-	if now.Before(c.askAt) {
+	if now.Before(c.nextRequestAt) {
 		return false
 	}
-	c.wait = min(max(askEvery, askRise*c.wait), askMost)
-	c.askAt = now.Add(c.wait)
+	c.requestWait = min(max(requestInterval, requestBackoff*c.requestWait), maxRequestInterval)
+	c.nextRequestAt = now.Add(c.requestWait)
 	return true
 }
 
-// Expect notes that what is missing here is under way, and how many bytes of it; it is asked for again after the time these take.
+// Expect records that missing configuration is in transit and how many bytes are coming. The next request is due after their
+// transfer time.
 func (c *Configuration) Expect(now time.Time, head int64, coming int) {
 	c.Hear(head)
 	if head > c.Revision() {
-		c.askAt = now.Add(transfer(min(coming, mostComing)))
+		c.nextRequestAt = now.Add(transferTimeout(min(coming, maxExpectedBytes)))
 	}
 }
 
-// After gives what leads from a peer's revision to the one in force here: records, or a
-// snapshot where the kept records do not reach back that far.
+// After returns the records that lead from a peer's revision to the one in force here, or a
+// snapshot if the kept records do not reach back that far.
 func (c *Configuration) After(revision int64) (*fleet.Records, error) {
 	snapshot, records, err := c.history.After(c.catalog, revision)
 	if err != nil {
@@ -91,20 +95,19 @@
 	return &fleet.Records{Head: c.Revision(), Snapshot: snapshot, Records: records}, nil
 }
 
-// Outcome is what became of offered records.
+// Outcome is the result of Advance.
 type Outcome struct {
-	// Older is true where the sender is behind: its head is below the revision in force.
+	// Older is true if the sender's head is below the revision in force.
 	Older bool
-	// Err says why the records, or the rest of them, could not be applied: a record is
-	// missing before them (catalog.ErrGap) or one is malformed. What came before it is in force.
+	// Err is the reason why the records, or the rest of them, could not be applied: a preceding
+	// record is missing (catalog.ErrGap) or one is malformed. The records before it are in force.
 	Err error
-	// Changed is true where another revision is in force now.
+	// Changed is true if the call changed the revision in force.
 	Changed bool
 }
 
-// Advance puts newer configuration in force. Records that are in force already, repeated
-// or late, are passed over; older ones are never applied, unless allowLower, a seeded
-// fault, is true.
+// Advance applies newer configuration. Repeated or late records that are in force already are
+// skipped. Older configuration is never applied, unless the seeded fault allowLower is true.
 func (c *Configuration) Advance(r fleet.Records, allowLower bool) Outcome {
 	before := c.Revision()
 	c.Hear(r.Head)
@@ -118,7 +121,7 @@
 		return out
 	}
 	c.catalog = next
-	c.askAt, c.wait = time.Time{}, 0
+	c.nextRequestAt, c.requestWait = time.Time{}, 0
 	out.Changed = true
 	return out
 }
--- a/services/daemon/node/followed/configuration_test.go
+++ b/services/daemon/node/followed/configuration_test.go
@@ -35,8 +35,8 @@
 	return out
 }
 
-// at gives a configuration at the given revision.
-func at(t *testing.T, revision int64) *followed.Configuration {
+// configurationAt returns a configuration at the given revision.
+func configurationAt(t *testing.T, revision int64) *followed.Configuration {
 	t.Helper()
 	c := followed.New()
 	var all []int64
@@ -49,15 +49,15 @@
 	return c
 }
 
-// snapshotAt gives the stored form of the configuration at a revision.
+// snapshotAt returns the stored form of the configuration at a revision.
 func snapshotAt(t *testing.T, revision int64) []byte {
 	t.Helper()
-	data, err := catalog.EncodeSnapshot(at(t, revision).Catalog())
+	data, err := catalog.EncodeSnapshot(configurationAt(t, revision).Catalog())
 	require.NoError(t, err)
 	return data
 }
 
-func TestRecordsUnderLossDelayAndRepetition(t *testing.T) {
+func TestAdvanceWithLostLateAndRepeatedRecords(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		head      int64
@@ -66,17 +66,17 @@
 		revision  int64
 	}{
 		{"the next record", 4, []int64{4}, followed.Outcome{Changed: true}, 4},
-		{"two at once", 5, []int64{4, 5}, followed.Outcome{Changed: true}, 5},
-		{"some known already", 4, []int64{2, 3, 4}, followed.Outcome{Changed: true}, 4},
+		{"two records at once", 5, []int64{4, 5}, followed.Outcome{Changed: true}, 5},
+		{"some records in force already", 4, []int64{2, 3, 4}, followed.Outcome{Changed: true}, 4},
 		{"repeated", 3, []int64{2, 3}, followed.Outcome{}, 3},
 		{"empty", 3, nil, followed.Outcome{}, 3},
-		{"a sender that is behind", 2, []int64{2}, followed.Outcome{Older: true}, 3},
-		{"a sender that is behind offers more", 2, []int64{4}, followed.Outcome{Older: true}, 3},
-		{"one was lost before", 5, []int64{5}, followed.Outcome{Err: catalog.ErrGap{Have: 3, Got: 5}}, 3},
-		{"one was lost between", 6, []int64{4, 6}, followed.Outcome{Err: catalog.ErrGap{Have: 4, Got: 6}, Changed: true}, 4},
+		{"a sender with a lower head", 2, []int64{2}, followed.Outcome{Older: true}, 3},
+		{"a sender with a lower head sends a higher record", 2, []int64{4}, followed.Outcome{Older: true}, 3},
+		{"the preceding record was lost", 5, []int64{5}, followed.Outcome{Err: catalog.ErrGap{Have: 3, Got: 5}}, 3},
+		{"a record in between was lost", 6, []int64{4, 6}, followed.Outcome{Err: catalog.ErrGap{Have: 4, Got: 6}, Changed: true}, 4},
 		{"the head alone", 9, nil, followed.Outcome{}, 3},
 	} {
-		c := at(t, 3)
+		c := configurationAt(t, 3)
 		require.Equal(t, row.outcome, c.Advance(fleet.Records{Head: row.head, Records: records(t, row.revisions...)}, false), row.name)
 		require.Equal(t, row.revision, c.Revision(), row.name)
 		require.Equal(t, max(row.head, 3), c.Head(), row.name)
@@ -84,8 +84,8 @@
 	}
 }
 
-func TestMalformedRecordsLeaveTheConfigurationAsItIs(t *testing.T) {
-	c := at(t, 3)
+func TestMalformedRecordsDoNotChangeConfiguration(t *testing.T) {
+	c := configurationAt(t, 3)
 	for _, r := range []fleet.Records{{Head: 4, Records: [][]byte{{1}}}, {Head: 4, Snapshot: []byte("x")}} {
 		out := c.Advance(r, false)
 		require.Error(t, out.Err)
@@ -94,18 +94,18 @@
 	require.EqualValues(t, 3, c.Revision())
 }
 
-func TestOlderSnapshotIsNotPutInForce(t *testing.T) {
-	old, err := catalog.EncodeSnapshot(at(t, 2).Catalog())
+func TestOlderSnapshotIsNotApplied(t *testing.T) {
+	old, err := catalog.EncodeSnapshot(configurationAt(t, 2).Catalog())
 	require.NoError(t, err)
-	c := at(t, 3)
+	c := configurationAt(t, 3)
 	require.Equal(t, followed.Outcome{}, c.Advance(fleet.Records{Head: 3, Snapshot: old}, false))
 	require.EqualValues(t, 3, c.Revision())
-	require.True(t, c.Advance(fleet.Records{Head: 2, Snapshot: old}, true).Changed, "the seeded fault goes back")
+	require.True(t, c.Advance(fleet.Records{Head: 2, Snapshot: old}, true).Changed, "the seeded fault applies the lower revision")
 	require.EqualValues(t, 2, c.Revision())
 }
 
-func TestPeerThatIsBehindGetsWhatItMisses(t *testing.T) {
-	c := at(t, 3)
+func TestOutdatedPeerGetsMissingRecordsOrSnapshot(t *testing.T) {
+	c := configurationAt(t, 3)
 	for _, row := range []struct {
 		revision int64
 		records  int
@@ -122,28 +122,28 @@
 	require.True(t, bySnapshot.Advance(fleet.Records{Head: 3, Snapshot: snapshot}, false).Changed)
 	out, err := bySnapshot.After(1)
 	require.NoError(t, err)
-	require.NotEmpty(t, out.Snapshot, "its kept records do not reach back to revision 1")
+	require.NotEmpty(t, out.Snapshot, "the kept records do not reach back to revision 1")
 	require.Len(t, c.Recent(), 3)
 	require.Empty(t, bySnapshot.Recent())
 }
 
-func TestMissingRecordsAreAskedForAtMostTenTimesASecond(t *testing.T) {
+func TestMissingRecordsAreRequestedAtMostTenTimesPerSecond(t *testing.T) {
 	const every = 100 * time.Millisecond
-	c := at(t, 1)
+	c := configurationAt(t, 1)
 	require.True(t, c.AskDue(begin))
 	require.False(t, c.AskDue(after(every-1)))
-	require.True(t, c.AskDue(after(every)), "a lost answer is asked for again")
+	require.True(t, c.AskDue(after(every)), "the request is repeated after a lost answer")
 	c.Advance(fleet.Records{Head: 2, Records: records(t, 2)}, false)
-	require.True(t, c.AskDue(after(every)), "after progress the next is asked for at once")
+	require.True(t, c.AskDue(after(every)), "after progress the next request is due at once")
 	c.Advance(fleet.Records{Head: 2, Records: records(t, 2)}, false)
 	require.False(t, c.AskDue(after(every)), "a repeated answer is no progress")
 }
 
-func TestHeadIsTheHighestRevisionNamed(t *testing.T) {
-	c := at(t, 3)
-	for _, row := range []struct{ named, head int64 }{{2, 3}, {7, 7}, {5, 7}, {-1, 7}} {
-		c.Hear(row.named)
+func TestHeadIsHighestAnnouncedRevision(t *testing.T) {
+	c := configurationAt(t, 3)
+	for _, row := range []struct{ announced, head int64 }{{2, 3}, {7, 7}, {5, 7}, {-1, 7}} {
+		c.Hear(row.announced)
 		require.Equal(t, row.head, c.Head())
 	}
-	require.EqualValues(t, 3, c.Revision(), "to be named changes nothing")
+	require.EqualValues(t, 3, c.Revision(), "an announcement does not change the revision in force")
 }
