--- a/services/daemon/node/lease/lease.go
+++ b/services/daemon/node/lease/lease.go
@@ -5,48 +5,48 @@
 
 import "time"
 
-// Forever is the end of a freeze that evidence must lift, and of a right that a test's fault leaves without an end. It must be longer than
-// any life of the program.
+// Forever is the duration of a freeze that only evidence may lift, and of the lease under the seeded fault NeverLapses. It must be longer
+// than any process runs.
 const Forever = 100 * 365 * 24 * time.Hour
 
 // Options are the timings of a lease.
 type Options struct {
-	// TTL is the life of the lease at the key-value service without a renewal.
+	// TTL is the time after which the lease expires at the key-value service without a renewal.
 	TTL time.Duration
-	// Margin is how long before the end of TTL the node stops ordering by its own clock.
+	// Margin is the time before the end of TTL, by the node's own clock, from which the node sends no more orders.
 	Margin time.Duration
-	// Renew is the time between two renewals.
+	// Renew is the interval between two renewals.
 	Renew time.Duration
-	// Retry is the time after which an unanswered request for a pool is repeated.
+	// Retry is the time after which an unanswered request for the ownership of a pool is repeated.
 	Retry time.Duration
-	// NeverLapses is a seeded fault, for the proof that the tests find it.
+	// NeverLapses is a seeded fault that verifies that the tests detect it.
 	NeverLapses bool
 }
 
-// Lease is the node's one lease at the key-value service, and the pools owned under it. After a lapse the node gets
-// another one, of a higher number, which says nothing about the pools of the one before.
+// Lease is the node's only lease at the key-value service, and the pools owned under it. After a lapse the node gets
+// a new lease with a higher number. The pools of the former lease are not owned under the new one.
 type Lease struct {
 	options Options
-	// number is that of the lease which the rest is about, or of the next one after a lapse.
+	// number is the number of the current lease, or of the next lease after a lapse.
 	number     uint64
 	validUntil time.Time
 	renewAt    time.Time
 	owned      map[string]bool
-	askAt      map[string]time.Time
+	requestAt  map[string]time.Time
 }
 
-// New makes a lease that was never held.
+// New returns the state before any lease was granted.
 func New(o Options) *Lease {
-	return &Lease{options: o, owned: make(map[string]bool), askAt: make(map[string]time.Time)}
+	return &Lease{options: o, owned: make(map[string]bool), requestAt: make(map[string]time.Time)}
 }
 
-// Number gives the number of the lease; what was answered about one of a lower number came too late.
+// Number returns the number of the lease. Answers about a lease with a lower number are late and must be ignored.
 func (l *Lease) Number() uint64 {
 	return l.number
 }
 
-// Begin makes the lease of the given number the node's. Pools and right of the one before are gone; it reports true
-// where there were any.
+// Begin makes the lease with the given number the current one, if the number is higher than the current one. The pools
+// and the validity of the former lease are dropped. It reports whether there were any.
 func (l *Lease) Begin(number uint64) bool {
 	if number <= l.number {
 		return false
@@ -56,12 +56,12 @@
 	return had
 }
 
-// Owns tells whether the pool is owned under the lease.
+// Owns reports whether the pool is owned under the lease.
 func (l *Lease) Owns(pool string) bool {
 	return l.owned[pool]
 }
 
-// Own enters a pool that the key-value service has given; it reports false for a repeated answer.
+// Own adds a pool whose ownership the key-value service has granted. It reports false if the pool is owned already.
 func (l *Lease) Own(pool string) bool {
 	if l.owned[pool] {
 		return false
@@ -70,14 +70,14 @@
 	return true
 }
 
-// Forget drops a pool, so that it is asked for at once if it is wanted again.
+// Forget removes a pool, so that its next request is due at once.
 func (l *Lease) Forget(pool string) {
 	delete(l.owned, pool)
-	delete(l.askAt, pool)
+	delete(l.requestAt, pool)
 }
 
-// Lapse drops the pools and the right of the lease of the given number, after the key-value service has forgotten it.
-// It reports true where there were any.
+// Lapse drops the pools and the validity of the lease with the given number, which has expired at the key-value service.
+// It reports whether there were any.
 func (l *Lease) Lapse(number uint64) bool {
 	if number < l.number {
 		return false
@@ -86,7 +86,7 @@
 	return l.drop()
 }
 
-// drop forgets the pools and the right to order, and reports true where there were any.
+// drop removes the pools and the validity of the lease, and reports whether there were any.
 func (l *Lease) drop() bool {
 	had := len(l.owned) > 0 || !l.validUntil.IsZero()
 	for pool := range l.owned {
@@ -96,16 +96,16 @@
 	return had
 }
 
-// AskDue tells whether to ask for a pool now, and counts it as asked for.
+// AskDue reports whether to request the ownership of a pool now. If so, it counts the request as sent.
 func (l *Lease) AskDue(now time.Time, pool string) bool {
-	if l.owned[pool] || now.Before(l.askAt[pool]) {
+	if l.owned[pool] || now.Before(l.requestAt[pool]) {
 		return false
 	}
-	l.askAt[pool] = now.Add(l.options.Retry)
+	l.requestAt[pool] = now.Add(l.options.Retry)
 	return true
 }
 
-// RenewDue tells whether to renew the lease now, and counts it as renewed.
+// RenewDue reports whether to renew the lease now. If so, it counts the renewal as sent.
 func (l *Lease) RenewDue(now time.Time) bool {
 	if len(l.owned) == 0 || now.Before(l.renewAt) {
 		return false
@@ -114,9 +114,9 @@
 	return true
 }
 
-// Extend moves the right to order on: by this node's own clock, from when the renewal
-// was sent, a margin before the lease can lapse at the service. An answer that was
-// overtaken by that of a later renewal takes nothing away. It gives the end of the right.
+// Extend extends the time until which the node may send orders, and returns that time. By this node's
+// own clock, it ends Margin before the lease can expire at the service, counted from the time at which the
+// renewal was sent. The late answer to an earlier renewal does not shorten it.
 func (l *Lease) Extend(sent time.Time) time.Time {
 	until := sent.Add(l.options.TTL - l.options.Margin)
 	if l.options.NeverLapses {
--- a/services/daemon/node/lease/lease_test.go
+++ b/services/daemon/node/lease/lease_test.go
@@ -24,7 +24,7 @@
 	return lease.New(lease.Options{TTL: 10 * time.Second, Margin: 3 * time.Second, Renew: 3 * time.Second, Retry: time.Second})
 }
 
-func TestLostAnswerIsAskedForAgainAfterTheRetryTime(t *testing.T) {
+func TestUnansweredPoolRequestIsRepeatedAfterRetryTime(t *testing.T) {
 	l := newLease()
 	require.True(t, l.AskDue(begin, pool))
 	for _, row := range []struct {
@@ -36,52 +36,52 @@
 	require.True(t, l.AskDue(after(2*time.Second), "h1/other"), "each pool has a retry time of its own")
 }
 
-func TestOwnedPoolIsNotAskedForUntilItIsForgotten(t *testing.T) {
+func TestOwnedPoolIsNotRequestedUntilRemoved(t *testing.T) {
 	l := newLease()
 	require.True(t, l.AskDue(begin, pool))
 	require.True(t, l.Own(pool))
 	require.False(t, l.AskDue(after(time.Hour), pool))
 	l.Forget(pool)
 	require.False(t, l.Owns(pool))
-	require.True(t, l.AskDue(after(time.Millisecond), pool), "a new takeover asks at once, without the retry time")
+	require.True(t, l.AskDue(after(time.Millisecond), pool), "a new takeover requests the pool at once, without the retry time")
 }
 
-func TestRepeatedAnswerOwnsNothingAnew(t *testing.T) {
+func TestRepeatedOwnershipAnswerHasNoEffect(t *testing.T) {
 	l := newLease()
 	require.True(t, l.Own(pool))
-	require.False(t, l.Own(pool), "the formers of a repeated answer must not restart the wait for them")
+	require.False(t, l.Own(pool), "a repeated answer must not restart the wait for the former owners")
 	require.True(t, l.Owns(pool))
 }
 
-func TestRenewalIsDueOnlyWhileSomethingIsOwned(t *testing.T) {
+func TestRenewalIsDueOnlyWhilePoolsAreOwned(t *testing.T) {
 	l := newLease()
 	require.False(t, l.RenewDue(begin))
 	l.Own(pool)
 	require.True(t, l.RenewDue(begin))
 	require.False(t, l.RenewDue(after(3*time.Second-1)))
-	require.True(t, l.RenewDue(after(3*time.Second)), "a lost answer does not keep the next renewal back")
+	require.True(t, l.RenewDue(after(3*time.Second)), "a lost answer does not delay the next renewal")
 	require.True(t, l.Lapse(0))
 	require.False(t, l.RenewDue(after(time.Minute)))
-	require.True(t, l.AskDue(after(time.Minute), pool), "after a lapse the pool is asked for at once")
+	require.True(t, l.AskDue(after(time.Minute), pool), "after a lapse the pool is requested at once")
 }
 
-func TestRightToOrderCountsFromWhenTheRenewalWasSent(t *testing.T) {
+func TestLeaseValidityCountsFromRenewalSendTime(t *testing.T) {
 	l := newLease()
 	for _, row := range []struct {
 		name        string
 		sent, until time.Duration
 	}{
 		{"first answer", 0, 7 * time.Second},
-		{"the same answer once more", 0, 7 * time.Second},
+		{"the same answer again", 0, 7 * time.Second},
 		{"later renewal", 3 * time.Second, 10 * time.Second},
-		{"answer that a later one overtook", 2 * time.Second, 10 * time.Second},
-		{"renewal after losses", 9 * time.Second, 16 * time.Second},
+		{"late answer to an earlier renewal", 2 * time.Second, 10 * time.Second},
+		{"renewal after lost answers", 9 * time.Second, 16 * time.Second},
 	} {
 		require.Equal(t, after(row.until), l.Extend(after(row.sent)), row.name)
 	}
 }
 
-func TestALapseEndsPoolsAndRightAndIsToldOnce(t *testing.T) {
+func TestLapseDropsPoolsAndValidityOnce(t *testing.T) {
 	l := newLease()
 	require.False(t, l.Begin(1), "no lease was lost")
 	l.Own(pool)
@@ -89,28 +89,28 @@
 	require.True(t, l.Lapse(1))
 	require.False(t, l.Owns(pool))
 	require.False(t, l.Lapse(1))
-	require.Less(t, uint64(1), l.Number(), "what comes of the lapsed lease now is late")
-	require.Equal(t, after(8*time.Second), l.Extend(after(time.Second)), "the right of the lapsed lease does not go on")
+	require.Less(t, uint64(1), l.Number(), "answers about the lapsed lease are late")
+	require.Equal(t, after(8*time.Second), l.Extend(after(time.Second)), "the validity of the lapsed lease does not continue")
 }
 
-func TestALaterLeaseSaysNothingAboutThePoolsOfTheOneBefore(t *testing.T) {
+func TestLaterLeaseDoesNotOwnPoolsOfFormerLease(t *testing.T) {
 	l := newLease()
 	require.True(t, l.AskDue(begin, "h1/other"))
-	require.False(t, l.Begin(1), "the first")
-	require.False(t, l.AskDue(begin, "h1/other"), "the call of before is still under way")
+	require.False(t, l.Begin(1), "the first lease")
+	require.False(t, l.AskDue(begin, "h1/other"), "the earlier request is still in progress")
 	l.Own(pool)
 	l.Extend(begin)
-	require.False(t, l.Begin(1), "the same")
+	require.False(t, l.Begin(1), "the same lease")
 	require.True(t, l.Owns(pool))
 	require.True(t, l.Begin(2))
 	require.False(t, l.Owns(pool))
-	require.True(t, l.AskDue(after(time.Millisecond), pool), "the pool is asked for at once")
-	require.False(t, l.Begin(1), "late")
-	require.False(t, l.Lapse(1), "late, too")
+	require.True(t, l.AskDue(after(time.Millisecond), pool), "the pool is requested at once")
+	require.False(t, l.Begin(1), "a late answer about the former lease")
+	require.False(t, l.Lapse(1), "a late lapse of the former lease")
 	require.Equal(t, uint64(2), l.Number())
 }
 
-func TestSeededFaultNeverLapses(t *testing.T) {
+func TestSeededFaultNeverLapsesLease(t *testing.T) {
 	l := lease.New(lease.Options{TTL: time.Second, NeverLapses: true})
 	require.True(t, l.Extend(begin).After(after(time.Hour)))
 }
--- a/services/daemon/node/lease/stored.go
+++ b/services/daemon/node/lease/stored.go
@@ -5,23 +5,23 @@
 
 import "slices"
 
-// StoredOwner is what the key-value service holds of a pool's last owner, in JSON; it
-// outlives the lease.
+// StoredOwner is the record of a pool's last owner in the key-value service, in JSON. It
+// remains after the owner's lease has expired.
 type StoredOwner struct {
 	Holder string `json:"holder"`
 	Boot   uint64 `json:"boot"`
-	// Formers are the owners before this one that nobody has seen end; each successor
-	// must wait for all of them, since any may still serve what was resident.
+	// Formers are the former owners that are not known to have ended. Each successor must
+	// wait for all of them, since any of them may still run requests on resident adapters.
 	Formers []FormerOwner `json:"formers,omitempty"`
 }
 
-// Is tells whether the given life of an instance is the owner.
+// Is reports whether the given run of an instance is the owner.
 func (s StoredOwner) Is(id string, boot uint64) bool {
 	return s.Holder == id && s.Boot == boot
 }
 
-// Successor gives what to store when the given life owns the pool next: it waits for the
-// owner before it, too, unless that is this life itself, whose answer was lost.
+// Successor returns the record to store when the given run becomes the pool's next owner. The
+// current owner is added to the former owners, unless it is the same run, whose answer was lost.
 func (s StoredOwner) Successor(id string, boot uint64) StoredOwner {
 	formers := s.Formers
 	if s.Holder != "" && !s.Is(id, boot) {
@@ -30,7 +30,7 @@
 	return StoredOwner{Holder: id, Boot: boot, Formers: formers}
 }
 
-// Settled gives what to store once all former owners were seen to have ended.
+// Settled returns the record to store once all former owners are known to have ended.
 func (s StoredOwner) Settled() StoredOwner {
 	s.Formers = nil
 	return s
--- a/services/daemon/node/lease/stored_test.go
+++ b/services/daemon/node/lease/stored_test.go
@@ -12,7 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
 )
 
-func TestEachOwnerWaitsForAllBeforeItThatNobodySawEnd(t *testing.T) {
+func TestSuccessorWaitsForAllFormerOwnersNotKnownToHaveEnded(t *testing.T) {
 	var s lease.StoredOwner
 	for _, row := range []struct {
 		name    string
@@ -20,10 +20,10 @@
 		boot    uint64
 		formers []lease.FormerOwner
 	}{
-		{"nobody before", "i1", 4, nil},
-		{"its answer was lost, and it asks again", "i1", 4, nil},
-		{"another", "i2", 7, []lease.FormerOwner{first}},
-		{"a later life of the same", "i2", 8, []lease.FormerOwner{first, second}},
+		{"no former owner", "i1", 4, nil},
+		{"the same run again after a lost answer", "i1", 4, nil},
+		{"another instance", "i2", 7, []lease.FormerOwner{first}},
+		{"a later run of the same instance", "i2", 8, []lease.FormerOwner{first, second}},
 	} {
 		s = s.Successor(row.id, row.boot)
 		require.Equal(t, lease.StoredOwner{Holder: row.id, Boot: row.boot, Formers: row.formers}, s, row.name)
@@ -34,11 +34,11 @@
 	require.Equal(t, lease.StoredOwner{Holder: "i2", Boot: 8}, s.Settled())
 }
 
-func TestStoredFormOfAnOwner(t *testing.T) {
+func TestStoredOwnerEncoding(t *testing.T) {
 	const stored = `{"holder":"i2","boot":7,"formers":[{"ID":"i1","Boot":4}]}`
 	data, err := json.Marshal(lease.StoredOwner{Holder: "i2", Boot: 7, Formers: []lease.FormerOwner{first}})
 	require.NoError(t, err)
-	require.Equal(t, stored, string(data), "other versions of the program read it")
+	require.Equal(t, stored, string(data), "other versions of the program read this form")
 	data, err = json.Marshal(lease.StoredOwner{Holder: "i2", Boot: 7})
 	require.NoError(t, err)
 	require.Equal(t, `{"holder":"i2","boot":7}`, string(data))
--- a/services/daemon/node/lease/succession.go
+++ b/services/daemon/node/lease/succession.go
@@ -5,33 +5,34 @@
 
 import "time"
 
-// FormerOwner is one life of an instance that owned a pool and may still grant. It is
-// stored with the pool's owner under the names of its fields, which must not change.
+// FormerOwner is one run of an instance that owned a pool and may still grant tickets. It is
+// stored with the pool's owner under its field names, which must not change.
 type FormerOwner struct {
 	ID   string
 	Boot uint64
 }
 
-// absentFor is how long the platform's list must have left an instance out before it counts as gone; it must exceed the list's lag. Longer
-// keeps a pool frozen after a loss, shorter trusts the list too soon. Assumption A2 of docs/design/0002.
-const absentFor = 10 * time.Second
+// minAbsence is the time for which an instance must be missing from the platform's list before it counts as gone. It must exceed the lag of
+// the list. A longer time keeps a pool frozen longer after a loss; a shorter one relies on the list too soon (assumption A2 of
+// docs/design/0002).
+const minAbsence = 10 * time.Second
 
-// Evidence is what a node knows of a former owner at one moment.
+// Evidence is a node's information about a former owner at one moment.
 type Evidence struct {
-	// Self is true for a life of the node itself: it knows its own grants.
+	// Self is true if the former owner is a run of the node's own instance, whose grants the node knows.
 	Self bool
-	// Alive is true while the instance is heard; Boot and Holds are what it says of itself.
+	// Alive is true while heartbeats of the instance arrive. Boot and Holds are taken from them.
 	Alive bool
 	Boot  uint64
-	// Holds is true while it announces the pool as its own.
+	// Holds is true while the instance announces that it is the pool's placer.
 	Holds bool
-	// GoneSince is since when the platform's list leaves the instance out; zero while it does not.
+	// GoneSince is the time since which the instance has been missing from the platform's list; zero if it is listed.
 	GoneSince time.Time
 }
 
-// Ended tells whether the evidence shows that the former owner grants no more: it is
-// heard in a later life or without the pool, or is gone by the platform's list.
-// Silence alone shows nothing.
+// Ended reports whether the evidence shows that the former owner no longer grants tickets: its
+// heartbeats come from another run or do not announce the pool, or the platform's list has not
+// contained it for minAbsence. Missing heartbeats alone are no evidence.
 func (f FormerOwner) Ended(now time.Time, e Evidence) bool {
 	if e.Self {
 		return true
@@ -39,11 +40,11 @@
 	if e.Alive {
 		return e.Boot != f.Boot || !e.Holds
 	}
-	return !e.GoneSince.IsZero() && now.Sub(e.GoneSince) >= absentFor
+	return !e.GoneSince.IsZero() && now.Sub(e.GoneSince) >= minAbsence
 }
 
-// Succession is the wait of a pool's new owner for the end of the owners before it.
-// Its zero value waits for nobody.
+// Succession tracks a new owner's wait for the end of a pool's former owners.
+// The zero value waits for no former owner.
 type Succession struct {
 	waiting []FormerOwner
 	frozen  bool
@@ -51,13 +52,13 @@
 	settled bool
 }
 
-// Unknown is the succession before the pool's stored owner was read: nothing may be unloaded.
+// Unknown returns the succession before the pool's stored owner has been read. Nothing may be unloaded.
 func Unknown() Succession {
 	return Succession{frozen: true}
 }
 
-// Follow is the succession after the former owners that are stored for a pool, save the life
-// that handed the pool over itself.
+// Follow returns the succession to the former owners that are stored for a pool, without the run
+// that handed the pool over.
 func Follow(stored []FormerOwner, handedBy FormerOwner) Succession {
 	var s Succession
 	for _, f := range stored {
@@ -69,24 +70,24 @@
 	return s
 }
 
-// Unfrozen is the same succession without a freeze: a seeded fault, for the proof that
-// the tests find it.
+// Unfrozen returns the succession without its freeze. It is a seeded fault that verifies that
+// the tests detect it.
 func (s Succession) Unfrozen() Succession {
 	s.frozen = false
 	return s
 }
 
-// Frozen tells whether unloading has to wait for the end of former owners.
+// Frozen reports whether unloading must wait for the end of former owners.
 func (s *Succession) Frozen() bool {
 	return s.frozen
 }
 
-// Waiting lists the former owners that were not known to have ended at the takeover.
+// Waiting returns the former owners that were not known to have ended at the takeover.
 func (s *Succession) Waiting() []FormerOwner {
 	return s.waiting
 }
 
-// Check looks for the end of all former owners, and remembers when it was first seen.
+// Check tests whether all former owners have ended, and stores the time of the first check at which they had.
 func (s *Succession) Check(now time.Time, ended func(FormerOwner) bool) {
 	if !s.frozen || !s.ended.IsZero() {
 		return
@@ -99,9 +100,9 @@
 	s.ended = now
 }
 
-// Covers tells whether an endpoint's list that began to be read at the given time shows
-// every request that a former owner granted; grantLife is the longest time from a grant
-// to the start of its request. It is false where no freeze has to be lifted.
+// Covers reports whether an endpoint inspection that began at the given time shows every
+// request that a former owner granted. grantLife is the maximum time from a grant to the
+// start of its request. Covers returns false if there is no freeze to lift.
 func (s *Succession) Covers(began time.Time, grantLife time.Duration) bool {
 	if !s.frozen || s.ended.IsZero() {
 		return false
@@ -109,7 +110,7 @@
 	return !began.Before(s.ended.Add(grantLife))
 }
 
-// Settle reports true once: the first time that the end of the former owners is to be stored.
+// Settle reports whether the end of the former owners must be stored now: true on the first call only.
 func (s *Succession) Settle() bool {
 	if s.settled {
 		return false
--- a/services/daemon/node/lease/succession_test.go
+++ b/services/daemon/node/lease/succession_test.go
@@ -19,19 +19,19 @@
 	second = lease.FormerOwner{ID: "i2", Boot: 7}
 )
 
-func TestEndOfAFormerOwnerNeedsEvidence(t *testing.T) {
+func TestFormerOwnerEndsOnlyByEvidence(t *testing.T) {
 	gone := after(-10 * time.Second)
 	for _, row := range []struct {
 		name     string
 		evidence lease.Evidence
 		ended    bool
 	}{
-		{"nothing is known", lease.Evidence{}, false},
-		{"a life of the node itself", lease.Evidence{Self: true}, true},
-		{"heard with the pool", lease.Evidence{Alive: true, Boot: 4, Holds: true}, false},
-		{"heard without the pool", lease.Evidence{Alive: true, Boot: 4}, true},
-		{"heard in another life with the pool", lease.Evidence{Alive: true, Boot: 5, Holds: true}, true},
-		{"heard, though the list leaves it out", lease.Evidence{Alive: true, Boot: 4, Holds: true, GoneSince: gone}, false},
+		{"no evidence", lease.Evidence{}, false},
+		{"a run of the node's own instance", lease.Evidence{Self: true}, true},
+		{"alive, with the pool", lease.Evidence{Alive: true, Boot: 4, Holds: true}, false},
+		{"alive, without the pool", lease.Evidence{Alive: true, Boot: 4}, true},
+		{"alive in another run, with the pool", lease.Evidence{Alive: true, Boot: 5, Holds: true}, true},
+		{"alive, but not listed", lease.Evidence{Alive: true, Boot: 4, Holds: true, GoneSince: gone}, false},
 		{"silent, listed", lease.Evidence{Boot: 5}, false},
 		{"silent, not listed for less than the list's lag", lease.Evidence{GoneSince: gone.Add(1)}, false},
 		{"silent, not listed for long enough", lease.Evidence{GoneSince: gone}, true},
@@ -40,20 +40,20 @@
 	}
 }
 
-func TestSuccessionWaitsForEveryFormerOwnerButTheOneThatHandedOver(t *testing.T) {
+func TestSuccessionExcludesOwnerThatHandedOver(t *testing.T) {
 	s := lease.Follow([]lease.FormerOwner{first, {}, second}, second)
 	require.True(t, s.Frozen())
 	require.Equal(t, []lease.FormerOwner{first}, s.Waiting())
-	earlierLife := lease.FormerOwner{ID: second.ID, Boot: second.Boot - 1}
-	s = lease.Follow([]lease.FormerOwner{second}, earlierLife)
-	require.True(t, s.Frozen(), "a hand-over by another life counts for nothing")
+	earlierRun := lease.FormerOwner{ID: second.ID, Boot: second.Boot - 1}
+	s = lease.Follow([]lease.FormerOwner{second}, earlierRun)
+	require.True(t, s.Frozen(), "a handover by another run has no effect")
 	s = lease.Follow([]lease.FormerOwner{second}, second)
 	require.False(t, s.Frozen())
 	s = lease.Follow(nil, lease.FormerOwner{})
 	require.False(t, s.Frozen())
 }
 
-func TestListMustBeYoungerThanEveryGrantOfTheFormerOwners(t *testing.T) {
+func TestInspectionCoversGrantsOnlyAfterGrantLife(t *testing.T) {
 	s := lease.Follow([]lease.FormerOwner{first, second}, lease.FormerOwner{})
 	ended := map[lease.FormerOwner]bool{first: true}
 	check := func(at time.Time) { s.Check(at, func(f lease.FormerOwner) bool { return ended[f] }) }
@@ -66,20 +66,20 @@
 		began  time.Duration
 		covers bool
 	}{{0, false}, {time.Second, false}, {6*time.Second - 1, false}, {6 * time.Second, true}, {time.Hour, true}} {
-		require.Equal(t, row.covers, s.Covers(after(row.began), grantLife), "list begun at %v, end first seen at 1s", row.began)
+		require.Equal(t, row.covers, s.Covers(after(row.began), grantLife), "inspection begun at %v, end first seen at 1s", row.began)
 	}
 	ended[first] = false
 	check(after(2 * time.Minute))
-	require.True(t, s.Covers(after(6*time.Second), grantLife), "an end that was seen once is not taken back")
+	require.True(t, s.Covers(after(6*time.Second), grantLife), "an end that was seen once stays")
 }
 
-func TestEndIsPutOnRecordOnce(t *testing.T) {
+func TestSettleReportsTrueOnce(t *testing.T) {
 	s := lease.Follow([]lease.FormerOwner{first}, lease.FormerOwner{})
 	require.True(t, s.Settle())
-	require.False(t, s.Settle(), "the list of a second endpoint needs no second write")
+	require.False(t, s.Settle(), "the inspection of a second endpoint needs no second write")
 }
 
-func TestBeforeTheRecordIsReadNothingMayBeUnloaded(t *testing.T) {
+func TestUnknownSuccessionIsFrozen(t *testing.T) {
 	s := lease.Unknown()
 	require.True(t, s.Frozen())
 	require.Empty(t, s.Waiting())
