--- a/services/daemon/node/listing/doc.go
+++ b/services/daemon/node/listing/doc.go
@@ -1,11 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package listing holds what the platform's list of instances and endpoints has shown, as
-// far as it matters after the next look: since when an instance is missing, and which
-// endpoints are leaving. The list lags, and a later look may show an older state. What has
-// been gone for long is forgotten.
+// Package listing holds the state of the platform's list of instances and endpoints over
+// several reads of the list: since when an instance has been missing, and which endpoints
+// are leaving. The list lags, and a later read may return an older state. Instances that have
+// been gone for long are dropped.
 //
-// It owns the last look and these times, and relies on nothing. It starts no goroutines
-// and reads no clock.
+// The package owns the last read list and these times, and uses no other service. It starts no
+// goroutines and reads no clock.
 package listing
--- a/services/daemon/node/listing/list.go
+++ b/services/daemon/node/listing/list.go
@@ -10,35 +10,36 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// leavingMemory is how long an endpoint counts as leaving after it was last shown so: the list lags, and a later look may show an older
-// state. Longer keeps an endpoint idle that has come back, shorter sends work to one that leaves.
-const leavingMemory = 4 * time.Second
+// leavingRetention is the time for which an endpoint counts as leaving after it was last reported as leaving. The list lags, and a later read
+// may return an older state. A longer time keeps an endpoint idle longer that is no longer leaving; a shorter one sends requests to an
+// endpoint that is leaving.
+const leavingRetention = 4 * time.Second
 
-// goneMemory is how long an instance is known after the list first left it out, so that it is spoken to when a hall comes back that the
-// list did not show, and since when it is gone is known. Longer finds it again after a longer cut, shorter frees memory sooner and speaks
-// less to addresses that others may have by now.
-const goneMemory = time.Hour
+// goneRetention is the time for which an instance is kept after the list first omitted it. Meanwhile it can still be contacted when its hall
+// becomes reachable again, and the time since which it is gone is available. A longer time finds the instance again after a longer
+// partition; a shorter one frees memory sooner and sends less to addresses that may have been reassigned.
+const goneRetention = time.Hour
 
-// List is the platform's list as this instance has seen it.
+// List is the platform's list as read by this instance.
 type List struct {
-	known   map[string]fleet.Instance
-	listed  map[string]bool
-	gone    map[string]time.Time
-	leaving map[string]time.Time
+	known             map[string]fleet.Instance
+	listed            map[string]bool
+	goneSince         map[string]time.Time
+	leavingReportedAt map[string]time.Time
 }
 
-// New makes a list that was never seen.
+// New returns the state before the first read of the list.
 func New() *List {
 	return &List{
 		known: make(map[string]fleet.Instance), listed: make(map[string]bool),
-		gone: make(map[string]time.Time), leaving: make(map[string]time.Time),
+		goneSince: make(map[string]time.Time), leavingReportedAt: make(map[string]time.Time),
 	}
 }
 
-// SetInstances enters a look at the list. An instance counts as gone from the first look
-// that leaves it out, if an earlier one showed it or if it is among the awaited ones,
-// whose end somebody waits for; a look that shows it takes that back. One that is gone for
-// goneMemory is forgotten, unless it is awaited.
+// SetInstances stores the instances of a read of the list. An instance counts as gone from the
+// first read that omits it, if an earlier read contained it or if it is awaited. Awaited are the
+// instances for whose end the caller waits. A later read that contains the instance resets this.
+// An instance that has been gone for longer than goneRetention is dropped, unless it is awaited.
 func (l *List) SetInstances(now time.Time, instances []fleet.Instance, awaited []string) {
 	present := make(map[string]bool, len(instances))
 	for _, i := range instances {
@@ -46,8 +47,8 @@
 		l.known[i.ID] = i
 	}
 	missing := func(id string) {
-		if !present[id] && l.gone[id].IsZero() {
-			l.gone[id] = now
+		if !present[id] && l.goneSince[id].IsZero() {
+			l.goneSince[id] = now
 		}
 	}
 	for id := range l.listed {
@@ -57,61 +58,63 @@
 		missing(id)
 	}
 	for id := range present {
-		delete(l.gone, id)
+		delete(l.goneSince, id)
 	}
 	l.listed = present
-	l.forget(now, awaited)
+	l.dropExpired(now, awaited)
 }
 
-// forget drops what is known of instances that are long gone and that nobody awaits.
-func (l *List) forget(now time.Time, awaited []string) {
-	for id, since := range l.gone {
-		if now.Sub(since) > goneMemory && !slices.Contains(awaited, id) {
-			delete(l.gone, id)
+// dropExpired drops the instances that have been gone for longer than goneRetention and are not awaited.
+func (l *List) dropExpired(now time.Time, awaited []string) {
+	for id, since := range l.goneSince {
+		if now.Sub(since) > goneRetention && !slices.Contains(awaited, id) {
+			delete(l.goneSince, id)
 			delete(l.known, id)
 		}
 	}
 }
 
-// SetLeaving enters the endpoints that a look shows as leaving.
+// SetLeaving stores the endpoints that a read of the list reports as leaving.
 func (l *List) SetLeaving(now time.Time, endpoints []string) {
 	for _, name := range endpoints {
-		l.leaving[name] = now
+		l.leavingReportedAt[name] = now
 	}
-	for name, seen := range l.leaving {
-		if now.Sub(seen) > leavingMemory {
-			delete(l.leaving, name)
+	for name, seen := range l.leavingReportedAt {
+		if now.Sub(seen) > leavingRetention {
+			delete(l.leavingReportedAt, name)
 		}
 	}
 }
 
-// EndpointLeaving enters an endpoint's own account that it leaves, ahead of the list.
+// EndpointLeaving stores an endpoint's own report that it is leaving, which may precede the list.
 func (l *List) EndpointLeaving(now time.Time, endpoint string) {
-	l.leaving[endpoint] = now
+	l.leavingReportedAt[endpoint] = now
 }
 
-// Leaving tells whether an endpoint counts as leaving.
+// Leaving reports whether an endpoint counts as leaving.
 func (l *List) Leaving(endpoint string) bool {
-	return !l.leaving[endpoint].IsZero()
+	return !l.leavingReportedAt[endpoint].IsZero()
 }
 
-// GoneSince gives the first look that left an instance out, or the zero time, also for one that is forgotten.
+// GoneSince returns the time of the first read that omitted an instance. It returns the zero time if the instance is listed,
+// was never listed or awaited, or was dropped.
 func (l *List) GoneSince(id string) time.Time {
-	return l.gone[id]
+	return l.goneSince[id]
 }
 
-// Listed tells whether the last look showed an instance.
+// Listed reports whether the last read contained an instance.
 func (l *List) Listed(id string) bool {
 	return l.listed[id]
 }
 
-// Instance finds an instance that a look has shown and that is not forgotten.
+// Instance returns an instance that some read contained and that has not been dropped.
 func (l *List) Instance(id string) (fleet.Instance, bool) {
 	i, ok := l.known[id]
 	return i, ok
 }
 
-// Instances gives every instance that a look has shown and that is not forgotten, by name; it must not be changed.
+// Instances returns all instances that some read contained and that have not been dropped, by identifier. The map must not be
+// modified.
 func (l *List) Instances() map[string]fleet.Instance {
 	return l.known
 }
--- a/services/daemon/node/listing/list_test.go
+++ b/services/daemon/node/listing/list_test.go
@@ -27,76 +27,76 @@
 	return out
 }
 
-func TestInstanceIsGoneFromTheFirstLookThatLeavesItOut(t *testing.T) {
+func TestInstanceIsGoneSinceFirstReadThatOmitsIt(t *testing.T) {
 	l := listing.New()
-	for _, look := range []struct {
+	for _, read := range []struct {
 		name    string
 		at      time.Duration
-		shown   []fleet.Instance
+		listed  []fleet.Instance
 		awaited []string
 		gone    time.Time
 	}{
-		{"never shown, nobody waits", 0, instances("i1"), nil, time.Time{}},
-		{"shown", time.Second, instances("i1", "i2"), nil, time.Time{}},
-		{"left out", 2 * time.Second, instances("i1"), nil, after(2 * time.Second)},
-		{"still left out", 3 * time.Second, instances("i1"), []string{"i2"}, after(2 * time.Second)},
+		{"never listed, not awaited", 0, instances("i1"), nil, time.Time{}},
+		{"listed", time.Second, instances("i1", "i2"), nil, time.Time{}},
+		{"omitted", 2 * time.Second, instances("i1"), nil, after(2 * time.Second)},
+		{"still omitted", 3 * time.Second, instances("i1"), []string{"i2"}, after(2 * time.Second)},
 		{"an older state of the list", 4 * time.Second, instances("i1", "i2"), nil, time.Time{}},
-		{"left out again", 5 * time.Second, nil, nil, after(5 * time.Second)},
+		{"omitted again", 5 * time.Second, nil, nil, after(5 * time.Second)},
 	} {
-		l.SetInstances(after(look.at), look.shown, look.awaited)
-		require.Equal(t, look.gone, l.GoneSince("i2"), look.name)
+		l.SetInstances(after(read.at), read.listed, read.awaited)
+		require.Equal(t, read.gone, l.GoneSince("i2"), read.name)
 	}
 	require.Equal(t, after(5*time.Second), l.GoneSince("i1"))
 }
 
-func TestAwaitedInstanceThatWasNeverShownIsGone(t *testing.T) {
+func TestAwaitedInstanceThatWasNeverListedIsGone(t *testing.T) {
 	l := listing.New()
 	l.SetInstances(begin, instances("i1"), []string{"i1", "i9"})
 	require.Equal(t, begin, l.GoneSince("i9"))
 	require.Zero(t, l.GoneSince("i1"))
 }
 
-func TestInstanceIsKnownAfterTheListHasLeftItOut(t *testing.T) {
+func TestInstanceIsKeptAfterListOmitsIt(t *testing.T) {
 	l := listing.New()
 	l.SetInstances(begin, instances("i1", "i2"), nil)
 	l.SetInstances(after(time.Second), instances("i1"), nil)
 	require.True(t, l.Listed("i1"))
 	require.False(t, l.Listed("i2"))
 	i, ok := l.Instance("i2")
-	require.True(t, ok, "a message to it may still be due")
+	require.True(t, ok, "a message to the instance may still be due")
 	require.Equal(t, "i2", i.ID)
 	require.Len(t, l.Instances(), 2)
 	_, ok = l.Instance("i3")
 	require.False(t, ok)
 }
 
-func TestLeavingEndpointIsRememberedBeyondAnOlderLook(t *testing.T) {
-	const memory = 4 * time.Second
+func TestLeavingEndpointIsKeptForRetentionTime(t *testing.T) {
+	const retention = 4 * time.Second
 	for _, row := range []struct {
 		at      time.Duration
-		shown   []string
+		listed  []string
 		leaving bool
 	}{
 		{time.Millisecond, nil, true},
-		{memory, nil, true},
-		{memory + 1, nil, false},
-		{memory + 1, []string{"e1"}, true},
-		{memory + 1, []string{"e2"}, false},
+		{retention, nil, true},
+		{retention + 1, nil, false},
+		{retention + 1, []string{"e1"}, true},
+		{retention + 1, []string{"e2"}, false},
 	} {
 		l := listing.New()
 		l.SetLeaving(begin, []string{"e1"})
-		l.SetLeaving(after(row.at), row.shown)
+		l.SetLeaving(after(row.at), row.listed)
 		require.Equal(t, row.leaving, l.Leaving("e1"), "%+v", row)
 	}
 }
 
-func TestEndpointSaysItselfThatItLeaves(t *testing.T) {
+func TestEndpointReportsThatItIsLeaving(t *testing.T) {
 	l := listing.New()
 	require.False(t, l.Leaving("e1"))
 	l.EndpointLeaving(begin, "e1")
 	l.EndpointLeaving(after(time.Second), "e1")
 	l.SetLeaving(after(2*time.Second), nil)
-	require.True(t, l.Leaving("e1"), "ahead of the list")
+	require.True(t, l.Leaving("e1"), "the endpoint's report precedes the list")
 	l.SetLeaving(after(5*time.Second+1), nil)
 	require.False(t, l.Leaving("e1"))
 }
