--- a/services/daemon/node/loads/bidder_test.go
+++ b/services/daemon/node/loads/bidder_test.go
@@ -23,19 +23,19 @@
 	return begin.Add(d)
 }
 
-func TestPoolBidsInTurnWhileItWantsALoad(t *testing.T) {
+func TestPoolBidsEachIntervalWhileItWantsLoad(t *testing.T) {
 	b := loads.NewBidder(interval)
 	require.True(t, b.Due(begin))
-	require.False(t, b.Make(begin, false), "there is nothing to bid for and nothing to withdraw")
-	require.True(t, b.Due(begin), "and no turn is used")
+	require.False(t, b.Make(begin, false), "there is no bid to make or to withdraw")
+	require.True(t, b.Due(begin), "the next bid stays due")
 	require.True(t, b.Make(begin, true))
 	require.False(t, b.Due(after(interval-1)))
 	require.True(t, b.Due(after(interval)))
 	require.True(t, b.Make(after(interval), false), "the open bid is withdrawn")
-	require.False(t, b.Make(after(2*interval), false), "once")
+	require.False(t, b.Make(after(2*interval), false), "the bid is withdrawn once")
 }
 
-func TestBidIsSentAgainWhenItRisesOrMayBeLost(t *testing.T) {
+func TestBidIsResentWhenRaisedOrAfterDelay(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		after time.Duration
@@ -45,10 +45,10 @@
 	}{
 		{"the same value", 0, 4, true, false},
 		{"a lower value", 0, 1, true, false},
-		{"just not risen enough", 0, 6, true, false},
+		{"risen by exactly half", 0, 6, true, false},
 		{"risen by more than half", 0, 6.01, true, true},
-		{"the same value, a while later", resend - 1, 4, true, false},
-		{"the same value, since the first may be lost", resend, 4, true, true},
+		{"the same value, just before the delay", resend - 1, 4, true, false},
+		{"the same value, after the delay", resend, 4, true, true},
 		{"withdrawn", 0, 0, false, true},
 	} {
 		b := loads.NewBidder(interval)
@@ -57,7 +57,7 @@
 	}
 }
 
-func TestAfterAPermitTheNextBidGoesOutAtOnce(t *testing.T) {
+func TestBidIsDueAtOnceAfterPermit(t *testing.T) {
 	b := loads.NewBidder(interval)
 	b.Make(begin, true)
 	b.Send(begin, 4, true)
@@ -67,17 +67,17 @@
 	require.True(t, b.Send(begin, 0.1, true), "a lower value too, since the receiver has dropped the old bid")
 	b.Spend()
 	b.Spend()
-	require.True(t, b.Due(begin), "a repeated permit does no harm")
+	require.True(t, b.Due(begin), "a repeated permit has no further effect")
 }
 
-func TestHallsThatSeeTheSameChooseOneBudgetHolder(t *testing.T) {
+func TestHallsWithSameViewChooseSameBudgetHall(t *testing.T) {
 	require.Empty(t, loads.Hall(nil))
-	require.Equal(t, "h1", loads.Hall([]string{"h1"}), "a hall that is cut off shares out its own part")
+	require.Equal(t, "h1", loads.Hall([]string{"h1"}), "a hall that is cut off divides its own part")
 	require.Equal(t, loads.Hall([]string{"h1", "h2", "h3"}), loads.Hall([]string{"h3", "h1", "h2"}))
 }
 
-// waits gives how long a pool recovers, to the millisecond.
-func waits(pool string, spread time.Duration) time.Duration {
+// recoveryTime returns the time for which a pool recovers, to the millisecond.
+func recoveryTime(pool string, spread time.Duration) time.Duration {
 	age := time.Duration(0)
 	for loads.Recovering(age, pool, "i1", spread) {
 		age += time.Millisecond
@@ -85,13 +85,13 @@
 	return age
 }
 
-func TestPoolsRecoverAtTimesOfTheirOwn(t *testing.T) {
-	require.False(t, loads.Recovering(0, "h1/base", "i1", 0), "no spread, no wait")
+func TestPoolsRecoverAtDifferentTimes(t *testing.T) {
+	require.False(t, loads.Recovering(0, "h1/base", "i1", 0), "without a spread there is no wait")
 	require.False(t, loads.Recovering(-time.Second, "h1/base", "i1", 0))
 	different := map[time.Duration]bool{}
 	for _, pool := range []string{"h1/a", "h1/b", "h1/c", "h2/a", "h2/b"} {
-		d := waits(pool, time.Second)
-		require.Equal(t, d, waits(pool, time.Second), "the same each time it is asked for")
+		d := recoveryTime(pool, time.Second)
+		require.Equal(t, d, recoveryTime(pool, time.Second), "the time is the same on each call")
 		require.Less(t, d, time.Second)
 		different[d] = true
 	}
