--- a/services/daemon/node/ownership/decide.go
+++ b/services/daemon/node/ownership/decide.go
@@ -5,14 +5,14 @@
 
 import "github.com/shelfledge/shelfledge/modules/daemon/ring"
 
-// Claim is an instance's announcement that it holds a pool under a term.
+// Claim is an instance's announcement that it is the placer of a pool under a term.
 type Claim struct {
 	Instance string
 	Term     uint64
 }
 
-// Highest gives the claim that the others of a pool have to yield to, and false where
-// nobody claims the pool: the highest term, and among equals the higher score.
+// Highest returns the claim to which all other claims on a pool yield: the one with the highest
+// term, and among equal terms the one with the highest score. It returns false if there are no claims.
 func Highest(pool string, claims []Claim) (Claim, bool) {
 	if len(claims) == 0 {
 		return Claim{}, false
@@ -26,8 +26,8 @@
 	return best, true
 }
 
-// Yields tells whether the instance with one claim on a pool lets it go to another's. Two
-// instances that hold the same two claims never both yield, nor both stay.
+// Yields reports whether the claim own on a pool yields to the claim other. Of two different
+// instances that compare the same two claims, exactly one yields.
 func Yields(pool string, own, other Claim) bool {
 	if own.Term != other.Term {
 		return other.Term > own.Term
@@ -35,41 +35,41 @@
 	return ring.Score(pool, other.Instance) > ring.Score(pool, own.Instance)
 }
 
-// Action is what a node has to do about a pool of its hall.
+// Action is a node's decision about a pool of its hall.
 type Action string
 
 // The actions.
 const (
-	// Keep goes on holding the pool.
+	// Keep keeps this node as the pool's placer.
 	Keep Action = "keep"
-	// StepDown lets the pool go to the announced placer.
+	// StepDown releases the pool to the announced placer.
 	StepDown Action = "step down"
-	// Follow takes the announced placer, or nobody, as the pool's placer.
+	// Follow accepts the announced placer, or none, as the pool's placer.
 	Follow Action = "follow"
 	// TakeOver makes this node the pool's placer under a new term.
 	TakeOver Action = "take over"
 )
 
-// Situation is what a node knows of a pool of its hall at one moment.
+// Situation is a node's state of a pool of its hall at one moment.
 type Situation struct {
 	Pool string
-	// Own is the node's claim; its term counts only while Mine is true.
+	// Own is the node's claim. Its term is valid only while Mine is true. Mine is true while the node is the pool's placer.
 	Own  Claim
 	Mine bool
-	// Announced is the highest claim among the live members, if Claimed is true.
+	// Announced is the highest claim among the live members. It is valid only if Claimed is true.
 	Announced Claim
 	Claimed   bool
 	// Leaving is true once the node's planned stop has begun.
 	Leaving bool
-	// Listening is true while the node is too young to have heard every member.
+	// Listening is true while the node may not yet have received heartbeats of all members after its start.
 	Listening bool
-	// Candidates names the live instances that are not leaving. It is called only where
-	// nobody claims the pool, since to name them costs more than the other rules.
+	// Candidates returns the live instances that are not leaving. It is called only if
+	// no instance claims the pool, since it costs more than the other rules.
 	Candidates func() []string
 }
 
-// Decide gives what to do about a pool. The answer depends on the situation alone, so a
-// message that is lost, late or repeated changes it only by what the members announce.
+// Decide returns the action for a pool. It depends on the situation alone, so a lost, late or
+// repeated message has an effect only through the members' announcements.
 func Decide(s Situation) Action {
 	if s.Mine {
 		if s.Claimed && Yields(s.Pool, s.Own, s.Announced) {
@@ -86,8 +86,9 @@
 	return Follow
 }
 
-// NextTerm gives the term of a takeover, above every term that was heard. A new life of
-// a lone instance has heard none, so its boot, which grows with each life, is a floor.
+// NextTerm returns the term of a takeover, which is above every received term. A restarted
+// instance without peers has received no term, so the term is at least its boot number, which
+// increases with each restart.
 func NextTerm(highest, boot uint64) uint64 {
 	return max(highest+1, boot)
 }
--- a/services/daemon/node/ownership/decide_test.go
+++ b/services/daemon/node/ownership/decide_test.go
@@ -20,15 +20,15 @@
 	return ownership.Claim{Instance: instance, Term: term}
 }
 
-// rank gives three instances, the best candidate for the pool first.
-func rank() []string {
+// rankedInstances returns three instances, the best candidate for the pool first.
+func rankedInstances() []string {
 	out := []string{"i1", "i2", "i3"}
 	slices.SortFunc(out, func(a, b string) int { return cmp.Compare(ring.Score(pool, b), ring.Score(pool, a)) })
 	return out
 }
 
-func TestHighestClaimIsTheSameInAnyOrderOfArrival(t *testing.T) {
-	r := rank()
+func TestHighestClaimDoesNotDependOnOrder(t *testing.T) {
+	r := rankedInstances()
 	for _, row := range []struct {
 		name   string
 		claims []ownership.Claim
@@ -45,14 +45,14 @@
 			row.claims[i], row.claims[j] = row.claims[j], row.claims[i]
 		}
 		got, _ = ownership.Highest(pool, row.claims)
-		require.Equal(t, row.want, got, row.name+", the other way round")
+		require.Equal(t, row.want, got, row.name+", in reverse order")
 	}
 	_, ok := ownership.Highest(pool, nil)
 	require.False(t, ok)
 }
 
-func TestOfTwoHoldersExactlyOneYields(t *testing.T) {
-	r := rank()
+func TestExactlyOneOfTwoClaimsYields(t *testing.T) {
+	r := rankedInstances()
 	for _, pair := range [][2]ownership.Claim{
 		{claim(r[0], 4), claim(r[1], 4)},
 		{claim(r[0], 4), claim(r[1], 5)},
@@ -61,14 +61,14 @@
 		there, back := ownership.Yields(pool, pair[0], pair[1]), ownership.Yields(pool, pair[1], pair[0])
 		require.NotEqual(t, there, back, "%v", pair)
 	}
-	require.False(t, ownership.Yields(pool, claim(r[0], 4), claim(r[0], 4)), "an echo of the own claim changes nothing")
+	require.False(t, ownership.Yields(pool, claim(r[0], 4), claim(r[0], 4)), "a claim does not yield to itself")
 }
 
 func TestDecision(t *testing.T) {
-	r := rank()
+	r := rankedInstances()
 	all := func() []string { return r }
 	costly := func() []string {
-		t.Fatal("candidates are named only where they decide")
+		t.Fatal("candidates must be requested only if the decision depends on them")
 		return nil
 	}
 	best, other := r[0], r[1]
@@ -77,27 +77,27 @@
 		s    ownership.Situation
 		want ownership.Action
 	}{
-		{"nobody holds the pool, best candidate", ownership.Situation{Own: claim(best, 0), Candidates: all}, ownership.TakeOver},
-		{"nobody holds the pool, another is better", ownership.Situation{Own: claim(other, 0), Candidates: all}, ownership.Follow},
-		{"the better one was lost", ownership.Situation{Own: claim(other, 0), Candidates: func() []string { return r[1:] }}, ownership.TakeOver},
+		{"no claim, best candidate", ownership.Situation{Own: claim(best, 0), Candidates: all}, ownership.TakeOver},
+		{"no claim, another candidate is better", ownership.Situation{Own: claim(other, 0), Candidates: all}, ownership.Follow},
+		{"no claim, the better candidate was lost", ownership.Situation{Own: claim(other, 0), Candidates: func() []string { return r[1:] }}, ownership.TakeOver},
 		{"no candidates", ownership.Situation{Own: claim(other, 0), Candidates: func() []string { return nil }}, ownership.Follow},
-		{"too young", ownership.Situation{Own: claim(best, 0), Listening: true, Candidates: costly}, ownership.Follow},
+		{"settling after the start", ownership.Situation{Own: claim(best, 0), Listening: true, Candidates: costly}, ownership.Follow},
 		{"stopping", ownership.Situation{Own: claim(best, 0), Leaving: true, Candidates: costly}, ownership.Follow},
-		{"announced by a worse one", ownership.Situation{Own: claim(best, 0), Announced: claim(other, 1), Claimed: true, Candidates: costly}, ownership.Follow},
-		{"held, nobody else claims", ownership.Situation{Own: claim(other, 3), Mine: true, Candidates: costly}, ownership.Keep},
+		{"announced by a worse candidate", ownership.Situation{Own: claim(best, 0), Announced: claim(other, 1), Claimed: true, Candidates: costly}, ownership.Follow},
+		{"held, no other claim", ownership.Situation{Own: claim(other, 3), Mine: true, Candidates: costly}, ownership.Keep},
 		{"held, a late claim of an older term", ownership.Situation{Own: claim(other, 3), Mine: true, Announced: claim(best, 2), Claimed: true, Candidates: costly}, ownership.Keep},
 		{"held, equal term, lower score", ownership.Situation{Own: claim(other, 3), Mine: true, Announced: claim(best, 3), Claimed: true, Candidates: costly}, ownership.StepDown},
 		{"held, equal term, higher score", ownership.Situation{Own: claim(best, 3), Mine: true, Announced: claim(other, 3), Claimed: true, Candidates: costly}, ownership.Keep},
 		{"held, higher term", ownership.Situation{Own: claim(best, 3), Mine: true, Announced: claim(other, 4), Claimed: true, Candidates: costly}, ownership.StepDown},
 		{"held while stopping", ownership.Situation{Own: claim(best, 3), Mine: true, Leaving: true, Candidates: costly}, ownership.Keep},
-		{"held while young, after a hand-over", ownership.Situation{Own: claim(best, 3), Mine: true, Listening: true, Candidates: costly}, ownership.Keep},
+		{"held while settling, after a handover", ownership.Situation{Own: claim(best, 3), Mine: true, Listening: true, Candidates: costly}, ownership.Keep},
 	} {
 		row.s.Pool = pool
 		require.Equal(t, row.want, ownership.Decide(row.s), row.name)
 	}
 }
 
-func TestTermOfATakeoverIsAboveEveryTermHeard(t *testing.T) {
+func TestNextTermIsAboveEveryReceivedTerm(t *testing.T) {
 	for _, row := range []struct{ highest, boot, want uint64 }{
 		{0, 0, 1}, {0, 1, 1}, {4, 5, 5}, {5, 5, 6}, {9, 5, 10}, {0, 1 << 40, 1 << 40},
 	} {
--- a/services/daemon/node/ownership/takeover.go
+++ b/services/daemon/node/ownership/takeover.go
@@ -10,116 +10,116 @@
 )
 
 const (
-	// HoldRequests is how long requests wait for the last endpoint of a pool to answer a takeover. Longer gives a fuller choice of
-	// endpoints, shorter an earlier start.
+	// HoldRequests is the maximum time for which requests wait until the last endpoint of a pool has answered a takeover. A longer time
+	// offers more endpoints to choose from; a shorter one starts requests sooner.
 	HoldRequests = 400 * time.Millisecond
-	// maxFenceLosses bounds the doubling of the pause after an endpoint has obeyed another instance: 31 retry times at most. Two instances
-	// that cannot hear each other spend the endpoint's time on taking it from each other without it.
+	// maxFenceLosses limits the doubling of the pause after an endpoint's fence was lost to another instance, to at most 31 retry times.
+	// Without the pause, two instances that cannot reach each other would keep the endpoint busy by taking it over from each other.
 	maxFenceLosses = 5
-	// forgetLosses is the time without such a loss after which the pause is short again.
-	forgetLosses = time.Minute
+	// fenceLossWindow is the time without a fence loss after which the pause starts from its minimum again.
+	fenceLossWindow = time.Minute
 )
 
-// Takeover is the progress of one takeover over the endpoints of a pool, and the
+// Takeover tracks the progress of a takeover of a pool's endpoints, and the endpoints'
 // inspections after it.
 type Takeover struct {
 	began     time.Time
 	endpoints []fleet.Endpoint
 	retry     time.Duration
 	inspect   time.Duration
-	// adopted has an entry for each endpoint that has answered this takeover; the entry is
-	// false where the endpoint has to be taken again.
-	adopted   map[string]bool
-	asked     map[string]time.Time
-	inspected map[string]time.Time
-	losses    int
-	lostAt    time.Time
+	// takenOver has an entry for each endpoint that has answered this takeover. The entry is
+	// false if the endpoint must be taken over again.
+	takenOver       map[string]bool
+	orderedAt       map[string]time.Time
+	inspectedAt     map[string]time.Time
+	fenceLosses     int
+	lastFenceLossAt time.Time
 }
 
-// NewTakeover begins a takeover: an unanswered order is repeated after retry, and an
-// endpoint's list is read each time that inspect has passed.
+// NewTakeover starts a takeover. An unanswered takeover order is repeated after retry, and an
+// endpoint is inspected each time that inspect has passed.
 func NewTakeover(now time.Time, endpoints []fleet.Endpoint, retry, inspect time.Duration) *Takeover {
 	return &Takeover{
 		began: now, endpoints: endpoints, retry: retry, inspect: inspect,
-		adopted: make(map[string]bool), asked: make(map[string]time.Time), inspected: make(map[string]time.Time),
+		takenOver: make(map[string]bool), orderedAt: make(map[string]time.Time), inspectedAt: make(map[string]time.Time),
 	}
 }
 
-// Age gives the time since the takeover began.
+// Age returns the time since the takeover began.
 func (t *Takeover) Age(now time.Time) time.Duration {
 	return now.Sub(t.began)
 }
 
-// TakesDue lists the endpoints to take now, and counts them as asked.
+// TakesDue returns the endpoints to which to send takeover orders now, and counts the orders as sent.
 func (t *Takeover) TakesDue(now time.Time) []fleet.Endpoint {
 	var due []fleet.Endpoint
 	for _, e := range t.endpoints {
-		last := t.asked[e.Name]
-		if t.adopted[e.Name] || (!last.IsZero() && now.Sub(last) < t.retry) {
+		last := t.orderedAt[e.Name]
+		if t.takenOver[e.Name] || (!last.IsZero() && now.Sub(last) < t.retry) {
 			continue
 		}
-		t.asked[e.Name] = now
+		t.orderedAt[e.Name] = now
 		due = append(due, e)
 	}
 	return due
 }
 
-// Adopted tells whether the endpoint obeys this takeover.
+// Adopted reports whether the endpoint has been taken over.
 func (t *Takeover) Adopted(endpoint string) bool {
-	return t.adopted[endpoint]
+	return t.takenOver[endpoint]
 }
 
-// Adopt counts an endpoint as taken, by an answer that held its list.
+// Adopt marks an endpoint as taken over and, since the answer contained an inspection, as inspected.
 func (t *Takeover) Adopt(now time.Time, endpoint string) {
-	t.adopted[endpoint] = true
-	t.inspected[endpoint] = now
+	t.takenOver[endpoint] = true
+	t.inspectedAt[endpoint] = now
 }
 
-// Retake makes an endpoint be asked again at once, since it has forgotten the fence.
+// Retake makes a new takeover order to an endpoint due at once, after the endpoint has lost its fence by a restart.
 func (t *Takeover) Retake(endpoint string) {
-	t.adopted[endpoint] = false
-	t.asked[endpoint] = time.Time{}
+	t.takenOver[endpoint] = false
+	t.orderedAt[endpoint] = time.Time{}
 }
 
-// LoseFence makes an endpoint that obeys another instance be asked again later. Two
-// instances that cannot hear each other may both take themselves for the pool's placer; each
-// comes back more slowly every time.
+// LoseFence schedules a new takeover order to an endpoint that holds another instance's fence. Two
+// instances that cannot reach each other may both consider themselves the pool's placer, so the
+// pause doubles with each loss.
 func (t *Takeover) LoseFence(now time.Time, endpoint string) {
-	if now.Sub(t.lostAt) > forgetLosses {
-		t.losses = 0
+	if now.Sub(t.lastFenceLossAt) > fenceLossWindow {
+		t.fenceLosses = 0
 	}
-	t.lostAt = now
-	t.losses = min(t.losses+1, maxFenceLosses)
-	t.adopted[endpoint] = false
-	// The endpoint is asked a retry time after this: after 1, 3, 7, 15 and 31 of them.
-	pause := t.retry * (1<<t.losses - 1)
-	t.asked[endpoint] = now.Add(pause - t.retry)
+	t.lastFenceLossAt = now
+	t.fenceLosses = min(t.fenceLosses+1, maxFenceLosses)
+	t.takenOver[endpoint] = false
+	// The order is due one retry time after asked, that is 1, 3, 7, 15 and 31 retry times after the loss.
+	pause := t.retry * (1<<t.fenceLosses - 1)
+	t.orderedAt[endpoint] = now.Add(pause - t.retry)
 }
 
-// Answered tells whether every endpoint has answered this takeover at least once.
+// Answered reports whether every endpoint has answered this takeover at least once.
 func (t *Takeover) Answered() bool {
-	return len(t.adopted) >= len(t.endpoints)
+	return len(t.takenOver) >= len(t.endpoints)
 }
 
-// Holds tells whether new requests wait for more endpoints to answer.
+// Holds reports whether new requests must wait for more endpoints to answer.
 func (t *Takeover) Holds(now time.Time) bool {
 	return !t.Answered() && t.Age(now) <= HoldRequests
 }
 
-// InspectionsDue lists the taken endpoints whose list is to be read now, and counts them as read.
+// InspectionsDue returns the taken-over endpoints to inspect now, and counts them as inspected.
 func (t *Takeover) InspectionsDue(now time.Time) []fleet.Endpoint {
 	var due []fleet.Endpoint
 	for _, e := range t.endpoints {
-		if !t.adopted[e.Name] || now.Sub(t.inspected[e.Name]) < t.inspect {
+		if !t.takenOver[e.Name] || now.Sub(t.inspectedAt[e.Name]) < t.inspect {
 			continue
 		}
-		t.inspected[e.Name] = now
+		t.inspectedAt[e.Name] = now
 		due = append(due, e)
 	}
 	return due
 }
 
-// Inspect counts an endpoint's list as read now.
+// Inspect counts an endpoint as inspected now.
 func (t *Takeover) Inspect(now time.Time, endpoint string) {
-	t.inspected[endpoint] = now
+	t.inspectedAt[endpoint] = now
 }
--- a/services/daemon/node/ownership/takeover_test.go
+++ b/services/daemon/node/ownership/takeover_test.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-func TestUnansweredOrderIsRepeatedAfterTheRetryTime(t *testing.T) {
+func TestUnansweredTakeoverOrderIsRepeatedAfterRetryTime(t *testing.T) {
 	o := newTakeover()
 	require.Equal(t, []string{"e1", "e2"}, names(o.TakesDue(begin)))
 	require.Empty(t, o.TakesDue(after(retry-1)))
@@ -46,7 +46,7 @@
 	require.Equal(t, []string{"e2"}, names(o.TakesDue(after(2*retry))))
 }
 
-func TestRequestsAreHeldUntilAllHaveAnsweredOrTimeIsUp(t *testing.T) {
+func TestRequestsAreHeldUntilAllEndpointsAnswerOrTimeout(t *testing.T) {
 	for _, row := range []struct {
 		at       time.Duration
 		answered []string
@@ -68,19 +68,19 @@
 	}
 }
 
-func TestRestartedEndpointIsTakenAgainAtOnceAndHoldsNothingBack(t *testing.T) {
+func TestRestartedEndpointIsTakenOverAgainWithoutHoldingRequests(t *testing.T) {
 	o := newTakeover()
 	o.TakesDue(begin)
 	o.Adopt(begin, "e1")
 	o.Adopt(begin, "e2")
 	o.Retake("e1")
 	require.False(t, o.Adopted("e1"))
-	require.False(t, o.Holds(after(time.Millisecond)), "the pool has answered once; requests go to the other endpoint meanwhile")
+	require.False(t, o.Holds(after(time.Millisecond)), "all endpoints have answered once; requests go to the other endpoint meanwhile")
 	require.Equal(t, []string{"e1"}, names(o.TakesDue(after(time.Millisecond))))
 	require.Empty(t, o.TakesDue(after(2*time.Millisecond)))
 }
 
-func TestPauseAfterALostFenceDoublesUpToABound(t *testing.T) {
+func TestPauseAfterFenceLossDoublesUpToLimit(t *testing.T) {
 	o := newTakeover()
 	o.TakesDue(begin)
 	now := begin
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestLostFencesAreForgottenAfterAMinute(t *testing.T) {
+func TestFenceLossesAreResetAfterMinute(t *testing.T) {
 	for _, row := range []struct{ quiet, pause time.Duration }{{time.Minute, 3 * retry}, {time.Minute + 1, retry}} {
 		o := newTakeover()
 		o.LoseFence(begin, "e1")
@@ -106,16 +106,16 @@
 	}
 }
 
-func TestListsAreReadInTurnOnTakenEndpointsOnly(t *testing.T) {
+func TestOnlyTakenEndpointsAreInspectedEachInterval(t *testing.T) {
 	o := newTakeover()
 	o.TakesDue(begin)
 	o.Adopt(begin, "e1")
-	require.Empty(t, o.InspectionsDue(after(inspect-1)), "the answer to the takeover held a list")
+	require.Empty(t, o.InspectionsDue(after(inspect-1)), "the answer to the takeover contained an inspection")
 	require.Equal(t, []string{"e1"}, names(o.InspectionsDue(after(inspect))))
-	require.Empty(t, o.InspectionsDue(after(inspect)), "a lost reading is made good by the next one")
+	require.Empty(t, o.InspectionsDue(after(inspect)), "the next inspection makes up for a lost one")
 	require.Equal(t, []string{"e1"}, names(o.InspectionsDue(after(2*inspect))))
 	o.Inspect(after(2*inspect+inspect/2), "e1")
-	require.Empty(t, o.InspectionsDue(after(3*inspect)), "a reading out of turn moves the next one")
+	require.Empty(t, o.InspectionsDue(after(3*inspect)), "an additional inspection postpones the next one")
 	o.LoseFence(after(3*inspect), "e1")
 	require.Empty(t, o.InspectionsDue(after(time.Hour)))
 }
