--- a/services/daemon/node/waiting/request.go
+++ b/services/daemon/node/waiting/request.go
@@ -11,97 +11,97 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// elsewhereDelay is the wait before a request is asked for again whose placer said that it is the placer no more. Shorter repeats the
-// question before the new placer is known, longer adds to the request's wait.
-const elsewhereDelay = 50 * time.Millisecond
+// wrongPlacerDelay is the time after which a request is submitted again if the instance it was sent to is not the pool's placer. A shorter
+// time submits the request before the new placer is known; a longer one prolongs the request's wait.
+const wrongPlacerDelay = 50 * time.Millisecond
 
 // Request is a request of this instance that waits for a ticket.
 type Request struct {
 	Request fleet.Request
 	// Halls are the halls that a rule allows; empty for all.
 	Halls []string
-	// Pool is the pool chosen for it, and Asked the placer asked last; empty before the first.
+	// Pool is the chosen pool; Asked is the placer to which the request was last submitted. They are empty before that.
 	Pool  string
 	Asked fleet.Instance
-	// resendAt is when to ask again, lostAt since when the pool has had no placer.
-	resendAt time.Time
-	lostAt   time.Time
+	// submitAt is the time of the next submission; lostAt is the time since which the pool has had no placer.
+	submitAt      time.Time
+	noPlacerSince time.Time
 }
 
-// Ask counts the request as asked for now; without an answer it is asked for again after retry.
+// Ask counts the request as submitted now. Without an answer it is submitted again after retry.
 func (r *Request) Ask(now time.Time, retry time.Duration) {
-	r.resendAt = now.Add(retry)
+	r.submitAt = now.Add(retry)
 }
 
-// AskedOf notes the placer that was asked.
+// AskedOf stores the placer to which the request was submitted.
 func (r *Request) AskedOf(placer fleet.Instance) {
-	r.lostAt = time.Time{}
+	r.noPlacerSince = time.Time{}
 	r.Asked = placer
 }
 
-// NoPlacer notes that the pool has no placer now; it reports true once that has been so for the limit.
+// NoPlacer records that the pool has no placer now. It reports whether that has been the case for at least limit.
 func (r *Request) NoPlacer(now time.Time, limit time.Duration) bool {
-	if r.lostAt.IsZero() {
-		r.lostAt = now
+	if r.noPlacerSince.IsZero() {
+		r.noPlacerSince = now
 	}
-	return now.Sub(r.lostAt) >= limit
+	return now.Sub(r.noPlacerSince) >= limit
 }
 
-// Elsewhere makes the request be asked for again soon, after its placer has said that
-// another places the pool.
+// Elsewhere schedules the next submission after wrongPlacerDelay, because the instance it was
+// sent to is not the pool's placer.
 func (r *Request) Elsewhere(now time.Time) {
-	r.resendAt = now.Add(elsewhereDelay)
+	r.submitAt = now.Add(wrongPlacerDelay)
 }
 
-// Hurry makes the request be asked for again at once.
+// Hurry makes the next submission due at once.
 func (r *Request) Hurry(now time.Time) {
-	r.resendAt = now
+	r.submitAt = now
 }
 
-// AskDue tells whether to ask again.
+// AskDue reports whether the next submission is due.
 func (r *Request) AskDue(now time.Time) bool {
-	return !now.Before(r.resendAt)
+	return !now.Before(r.submitAt)
 }
 
-// Requests are the requests that wait, by their names.
+// Requests are the waiting requests, by identifier.
 type Requests struct {
 	byID map[string]*Request
 }
 
-// NewRequests makes an empty list.
+// NewRequests returns an empty set.
 func NewRequests() Requests {
 	return Requests{byID: make(map[string]*Request)}
 }
 
-// Add enters a request.
+// Add adds a request.
 func (q Requests) Add(r *Request) {
 	q.byID[r.Request.ID] = r
 }
 
-// Find finds a request by its name.
+// Find returns the waiting request with the identifier.
 func (q Requests) Find(id string) (*Request, bool) {
 	r, ok := q.byID[id]
 	return r, ok
 }
 
-// FindAttempt finds a request by its name, if the given attempt is the one that waits; an
-// answer to an earlier attempt is late and concerns nobody.
+// FindAttempt returns the waiting request with the identifier, if its current attempt is the given
+// one. An answer to an earlier attempt is late and must be ignored.
 func (q Requests) FindAttempt(id string, attempt int) (*Request, bool) {
 	r, ok := q.byID[id]
 	return r, ok && r.Request.Attempt == attempt
 }
 
-// Remove takes a request out.
+// Remove removes a request.
 func (q Requests) Remove(id string) {
 	delete(q.byID, id)
 }
 
-// Empty tells whether nothing waits.
+// Empty reports whether no request waits.
 func (q Requests) Empty() bool {
 	return len(q.byID) == 0
 }
 
-// Sorted lists the requests by their names.
+// Sorted returns the requests, sorted by identifier.
 func (q Requests) Sorted() []*Request {
 	out := make([]*Request, 0, len(q.byID))
 	for _, r := range q.byID {
--- a/services/daemon/node/waiting/ticket.go
+++ b/services/daemon/node/waiting/ticket.go
@@ -11,31 +11,31 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Verdict is what to do with a grant.
+// Verdict is the decision about a received grant.
 type Verdict string
 
 // The verdicts.
 const (
 	// Use runs the request with the ticket.
 	Use Verdict = "use"
-	// Return gives the ticket back: no request waits for it.
+	// Return returns the ticket to the placer, since no request waits for it.
 	Return Verdict = "return"
-	// Repeated does nothing: the ticket is in use already.
+	// Repeated ignores the grant, since the ticket is in use already.
 	Repeated Verdict = "repeated"
-	// TooOld does nothing but ask again: the placer may have dropped the ticket by now.
+	// TooOld ignores the grant and submits the request again, since the placer may have dropped the ticket by now.
 	TooOld Verdict = "too old"
 )
 
-// Grant is what an instance knows of a grant that has come.
+// Grant is the state on which the decision about a received grant depends.
 type Grant struct {
-	// InUse is true where the ticket is in use here.
+	// InUse is true if the ticket is in use by this instance.
 	InUse bool
-	// Awaited is true where the request waits, in the attempt that the grant names.
+	// Awaited is true if the request is waiting, in the attempt of the grant.
 	Awaited bool
-	// Age is the time since the instance sent the stamp that the grant echoes, by its own
-	// clock, and Limit the greatest age of a grant that is used.
+	// Age is the time, by the instance's own clock, since it sent the stamp that the grant echoes.
+	// Limit is the maximum age of a grant that is used.
 	Age, Limit time.Duration
-	// AcceptOld is a seeded fault, for the proof that the tests find it.
+	// AcceptOld is a seeded fault that verifies that the tests detect it.
 	AcceptOld bool
 }
 
@@ -54,40 +54,40 @@
 	return Use
 }
 
-// Uses are the tickets in use by this instance, by their names.
+// Uses are the tickets in use by this instance, by identifier.
 type Uses struct {
 	byID map[string]fleet.TicketUse
 }
 
-// NewUses makes an empty list.
+// NewUses returns an empty set.
 func NewUses() Uses {
 	return Uses{byID: make(map[string]fleet.TicketUse)}
 }
 
-// Add enters a ticket with its request.
+// Add adds a ticket with its request.
 func (u Uses) Add(t fleet.Ticket, r fleet.Request) {
 	u.byID[t.ID] = fleet.TicketUse{Ticket: t, Request: r}
 }
 
-// Has tells whether a ticket is in use.
+// Has reports whether a ticket is in use.
 func (u Uses) Has(ticketID string) bool {
 	_, ok := u.byID[ticketID]
 	return ok
 }
 
-// Remove takes a ticket out; it reports false for one that is not in use, or not any more.
+// Remove removes a ticket and returns it. It returns false if the ticket is not in use.
 func (u Uses) Remove(ticketID string) (fleet.Ticket, bool) {
 	use, ok := u.byID[ticketID]
 	delete(u.byID, ticketID)
 	return use.Ticket, ok
 }
 
-// Empty tells whether no ticket is in use.
+// Empty reports whether no ticket is in use.
 func (u Uses) Empty() bool {
 	return len(u.byID) == 0
 }
 
-// OfPool lists the tickets of a pool that are in use, by their names.
+// OfPool returns the tickets in use of a pool, sorted by identifier.
 func (u Uses) OfPool(pool string) []fleet.TicketUse {
 	var out []fleet.TicketUse
 	for _, use := range u.byID {
--- a/services/daemon/node/waiting/waiting_test.go
+++ b/services/daemon/node/waiting/waiting_test.go
@@ -25,7 +25,7 @@
 	return &waiting.Request{Request: fleet.Request{ID: id, Attempt: attempt}}
 }
 
-func TestGrantUnderLossDelayAndRepetition(t *testing.T) {
+func TestVerdictOnLateAndRepeatedGrants(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		grant waiting.Grant
@@ -36,10 +36,10 @@
 		{"awaited, too old", waiting.Grant{Awaited: true, Age: limit + 1}, waiting.TooOld},
 		{"repeated while in use", waiting.Grant{InUse: true}, waiting.Repeated},
 		{"repeated and old", waiting.Grant{InUse: true, Age: time.Hour}, waiting.Repeated},
-		{"for a request that waits no more", waiting.Grant{}, waiting.Return},
-		{"the same, late", waiting.Grant{Age: time.Hour}, waiting.Return},
+		{"for a request that no longer waits", waiting.Grant{}, waiting.Return},
+		{"for a request that no longer waits, old", waiting.Grant{Age: time.Hour}, waiting.Return},
 		{"seeded fault: too old", waiting.Grant{Awaited: true, Age: time.Hour, AcceptOld: true}, waiting.Use},
-		{"seeded fault: nobody waits", waiting.Grant{AcceptOld: true}, waiting.Use},
+		{"seeded fault: no waiting request", waiting.Grant{AcceptOld: true}, waiting.Use},
 		{"seeded fault: in use", waiting.Grant{InUse: true, AcceptOld: true}, waiting.Repeated},
 	} {
 		row.grant.Limit = limit
@@ -47,35 +47,35 @@
 	}
 }
 
-func TestRequestIsAskedForAgain(t *testing.T) {
+func TestRequestIsSubmittedAgain(t *testing.T) {
 	const retry = time.Second
 	r := request("q", 0)
-	require.True(t, r.AskDue(begin), "at once, the first time")
+	require.True(t, r.AskDue(begin), "the first submission is due at once")
 	r.Ask(begin, retry)
 	require.False(t, r.AskDue(after(retry-1)))
-	require.True(t, r.AskDue(after(retry)), "the question or its answer may be lost")
+	require.True(t, r.AskDue(after(retry)), "the submission or its answer may have been lost")
 	r.Ask(begin, retry)
 	r.Elsewhere(begin)
 	require.False(t, r.AskDue(after(50*time.Millisecond-1)))
 	require.True(t, r.AskDue(after(50*time.Millisecond)), "the placer has changed")
 	r.Ask(begin, retry)
 	r.Hurry(after(1))
-	require.True(t, r.AskDue(after(1)), "the grant came too late")
+	require.True(t, r.AskDue(after(1)), "the grant arrived too late")
 }
 
-func TestTimeoutOfAPoolWithoutPlacer(t *testing.T) {
-	const longest = 5 * time.Second
+func TestTimeoutOfPoolWithoutPlacer(t *testing.T) {
+	const timeout = 5 * time.Second
 	r := request("q", 0)
-	require.False(t, r.NoPlacer(begin, longest))
-	require.False(t, r.NoPlacer(after(longest-1), longest))
-	require.True(t, r.NoPlacer(after(longest), longest))
+	require.False(t, r.NoPlacer(begin, timeout))
+	require.False(t, r.NoPlacer(after(timeout-1), timeout))
+	require.True(t, r.NoPlacer(after(timeout), timeout))
 	r.AskedOf(fleet.Instance{ID: "i2"})
 	require.Equal(t, "i2", r.Asked.ID)
-	require.False(t, r.NoPlacer(after(longest), longest), "the time counts anew once a placer was known")
-	require.True(t, r.NoPlacer(after(2*longest), longest))
+	require.False(t, r.NoPlacer(after(timeout), timeout), "the time restarts after a placer was known")
+	require.True(t, r.NoPlacer(after(2*timeout), timeout))
 }
 
-func TestOnlyTheWaitingAttemptIsFound(t *testing.T) {
+func TestFindAttemptReturnsOnlyCurrentAttempt(t *testing.T) {
 	q := waiting.NewRequests()
 	require.True(t, q.Empty())
 	for _, r := range []*waiting.Request{request("b", 1), request("a", 0), request("c", 0)} {
@@ -102,7 +102,7 @@
 	require.True(t, q.Empty())
 }
 
-func TestTicketIsGivenBackOnce(t *testing.T) {
+func TestTicketIsRemovedOnce(t *testing.T) {
 	u := waiting.NewUses()
 	u.Add(fleet.Ticket{ID: "t2", Pool: "p"}, fleet.Request{ID: "q2"})
 	u.Add(fleet.Ticket{ID: "t1", Pool: "p"}, fleet.Request{ID: "q1"})
@@ -116,7 +116,7 @@
 	require.True(t, ok)
 	require.Equal(t, "p", ticket.Pool)
 	_, ok = u.Remove("t1")
-	require.False(t, ok, "a repeated end of a request gives nothing back")
+	require.False(t, ok, "a repeated end of a request returns no ticket")
 	require.False(t, u.Has("t1"))
 	require.False(t, u.Empty())
 	u.Remove("t2")
