--- a/services/daemon/node/configuration.go
+++ b/services/daemon/node/configuration.go
@@ -12,15 +12,15 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// want asks a peer that is ahead for what is missing here.
-func (n *Node) want(now time.Time, from fleet.Instance) {
+// requestRecords requests the missing configuration records from a peer with a higher revision.
+func (n *Node) requestRecords(now time.Time, from fleet.Instance) {
 	if n.config.AskDue(now) {
 		n.send(from, fleet.Envelope{WantRecords: &fleet.WantRecords{After: n.config.Revision()}})
 	}
 }
 
-// wanted passes configuration on to a peer that is behind: what is small at once, what is large in its turn.
-func (n *Node) wanted(now time.Time, e fleet.Envelope) {
+// handleWantRecords answers a peer that requests configuration records: small answers at once, large ones through the answer queue.
+func (n *Node) handleWantRecords(now time.Time, e fleet.Envelope) {
 	to, ok := n.instanceOf(e.From)
 	if !ok {
 		return
@@ -35,27 +35,27 @@
 		n.send(to, fleet.Envelope{Records: records})
 		return
 	}
-	n.answers.Ask(now, asker, size)
+	n.answerQueue.Ask(now, asker, size)
 	n.sendAnswers(now)
-	if coming := n.answers.Coming(now, asker.ID); coming > 0 {
+	if coming := n.answerQueue.Coming(now, asker.ID); coming > 0 {
 		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: n.config.Revision(), Coming: coming}})
 	}
 }
 
-// recordsFor gives what leads an asker to the configuration in force.
+// recordsFor returns the records or the snapshot that bring the asking peer to the configuration in force.
 func (n *Node) recordsFor(now time.Time, asker followed.Asker) (*fleet.Records, bool) {
 	records, err := n.config.After(asker.After)
 	if err != nil {
-		n.note(now, fleet.Event{Kind: fleet.EventRevisionBehind, Other: asker.ID, Cause: err.Error()})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventRevisionBehind, Other: asker.ID, Cause: err.Error()})
 		return nil, false
 	}
 	return records, true
 }
 
-// sendAnswers sends the large answers whose turn has come, each after word of how much is coming.
+// sendAnswers sends the large answers that are due, each after a message with the number of bytes to follow.
 func (n *Node) sendAnswers(now time.Time) {
 	for {
-		asker, ok := n.answers.Next(now)
+		asker, ok := n.answerQueue.Next(now)
 		if !ok {
 			return
 		}
@@ -64,49 +64,49 @@
 		if !known || !ok {
 			continue
 		}
-		n.answers.Sent(now, asker, records.Head, records.Size())
-		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: records.Head, Coming: n.answers.Coming(now, asker.ID)}})
+		n.answerQueue.Sent(now, asker, records.Head, records.Size())
+		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: records.Head, Coming: n.answerQueue.Coming(now, asker.ID)}})
 		n.send(to, fleet.Envelope{Records: records})
 	}
 }
 
-// TakeRecords puts newer configuration in force, from a peer or the key-value service; older is never applied.
+// TakeRecords applies configuration records of a peer or of the key-value service. Older configuration is never applied.
 func (n *Node) TakeRecords(now time.Time, r fleet.Records) []Effect {
-	n.takeRecords(now, r)
-	return n.take()
+	n.applyRecords(now, r)
+	return n.takeEffects()
 }
 
-func (n *Node) takeRecords(now time.Time, r fleet.Records) {
+func (n *Node) applyRecords(now time.Time, r fleet.Records) {
 	if r.Coming > 0 {
 		n.config.Expect(now, r.Head, r.Coming)
 		return
 	}
 	outcome := n.config.Advance(r, n.options.Defects.AcceptLowerRevision)
 	if outcome.Older {
-		n.note(now, fleet.Event{Kind: fleet.EventRevisionBehind, Revision: r.Head, Cause: "an older configuration was offered and not applied"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventRevisionBehind, Revision: r.Head, Cause: "an older configuration was offered and not applied"})
 	}
 	if outcome.Err != nil {
-		n.note(now, fleet.Event{Kind: fleet.EventRevisionBehind, Revision: r.Head, Cause: outcome.Err.Error()})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventRevisionBehind, Revision: r.Head, Cause: outcome.Err.Error()})
 	}
 	if outcome.Changed {
-		n.inForce(now, n.config.Catalog())
+		n.publishCatalog(now, n.config.Catalog())
 	}
 }
 
-// inForce passes a new catalog on to the traffic, the placers and all peers.
-func (n *Node) inForce(now time.Time, c *catalog.Catalog) {
-	n.note(now, fleet.Event{Kind: fleet.EventRevision, Revision: c.Revision, Cause: "the configuration came into force"})
+// publishCatalog distributes a new catalog to the traffic path, the placers and all peers.
+func (n *Node) publishCatalog(now time.Time, c *catalog.Catalog) {
+	n.recordEvent(now, fleet.Event{Kind: fleet.EventRevision, Revision: c.Revision, Cause: "the configuration came into force"})
 	n.emit(Publish{Catalog: c})
 	n.applyConfiguration(now)
 	n.heartbeatAll(now)
-	n.digests.Hurry()
+	n.digestSchedule.Hurry()
 	n.sendDigests(now)
 }
 
 func (n *Node) applyConfiguration(now time.Time) {
 	classes := n.config.Catalog().ClassList(n.options.Classes)
-	for _, ps := range n.order {
-		if !ps.mine {
+	for _, ps := range n.poolList {
+		if !ps.isPlacer {
 			continue
 		}
 		ps.placer.SetClasses(classes)
@@ -115,7 +115,7 @@
 	}
 }
 
-// applyCatalog puts what the configuration says of adapters into a placer.
+// applyCatalog sets the pinned and preloaded adapters of the configuration on a placer.
 func applyCatalog(p *placement.Placer, c *catalog.Catalog) {
 	pins := make([]fleet.AdapterRef, 0, len(c.Pins))
 	for ref := range c.Pins {
@@ -134,8 +134,8 @@
 	})
 }
 
-// chooseWatcher makes the hall's speaker the one that reads the key-value service.
-func (n *Node) chooseWatcher() {
+// updateWatch starts or stops watching the key-value service, so that in each hall only the speaker watches it.
+func (n *Node) updateWatch() {
 	on := n.isSpeaker()
 	if on == n.watching {
 		return
--- a/services/daemon/node/delayed_digest_test.go
+++ b/services/daemon/node/delayed_digest_test.go
@@ -18,7 +18,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// speakerOfH2 makes a node that speaks for hall h2 and finds instance i1 of h1 on the list.
+// speakerOfH2 creates the speaker of hall h2, whose platform list contains instance i1 of h1.
 func speakerOfH2() *node.Node {
 	n := node.New(begin, node.Options{
 		Self: fleet.Instance{ID: "j1", Hall: "h2", Address: instance("", 9).Address}, Boot: 5, Halls: []string{"h1", "h2"},
@@ -29,14 +29,14 @@
 	return n
 }
 
-// twoDigests gives two digests of hall h2, made a second apart: the first under revision 0,
-// the second under revision 1.
-func twoDigests(t *testing.T) (older, younger fleet.Envelope) {
+// twoDigests returns two digests of hall h2, created one second apart: the first at revision 0,
+// the second at revision 1.
+func twoDigests(t *testing.T) (older, newer fleet.Envelope) {
 	t.Helper()
 	n := speakerOfH2()
 	digest := func(at time.Time) fleet.Envelope {
 		var out []fleet.Envelope
-		for _, s := range only[node.Send](n.Tick(at)) {
+		for _, s := range effectsOf[node.Send](n.Tick(at)) {
 			if s.Envelope.Digest != nil {
 				out = append(out, s.Envelope)
 			}
@@ -53,24 +53,24 @@
 	return older, digest(begin.Add(3 * time.Second))
 }
 
-func TestDelayedDigestDoesNotReplaceAYoungerOne(t *testing.T) {
-	older, younger := twoDigests(t)
+func TestDelayedDigestDoesNotReplaceNewerDigest(t *testing.T) {
+	older, newer := twoDigests(t)
 	n := newNode()
 	now := begin.Add(3 * time.Second)
-	n.Handle(now, younger)
+	n.Handle(now, newer)
 	require.EqualValues(t, 1, n.Halls(now)[1].Revision)
 	n.Handle(now.Add(time.Millisecond), older)
-	require.EqualValues(t, 1, n.Halls(now)[1].Revision, "the hall has not gone back")
+	require.EqualValues(t, 1, n.Halls(now)[1].Revision, "the hall's revision must not decrease")
 }
 
-// A digest that was made before the last one that was heard brings no hall back in reach.
-func TestDelayedDigestIsNoSignOfLife(t *testing.T) {
-	older, younger := twoDigests(t)
+// A digest older than the last received one must not make a cut-off hall count as reachable.
+func TestDelayedDigestDoesNotMakeHallReachable(t *testing.T) {
+	older, newer := twoDigests(t)
 	n := newNode()
-	n.Handle(begin.Add(3*time.Second), younger)
+	n.Handle(begin.Add(3*time.Second), newer)
 	now := begin.Add(10 * time.Second)
 	n.Tick(now)
-	require.True(t, n.Halls(now)[1].Cut, "silent for 7 s")
+	require.True(t, n.Halls(now)[1].Cut, "no digest for 7 s")
 	n.Handle(now, older)
-	require.True(t, n.Halls(now)[1].Cut, "the digest was made before the silence")
+	require.True(t, n.Halls(now)[1].Cut, "the digest was created before the last received one")
 }
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -10,7 +10,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node/digest"
 )
 
-// speaker finds the instance that speaks for this hall.
+// speaker returns the speaker of this hall: the instance that exchanges digests with other halls.
 func (n *Node) speaker() (fleet.Instance, bool) {
 	id := digest.Speaker(n.options.Self.Hall, n.members.Candidates(n.leaving))
 	if id == n.options.Self.ID {
@@ -27,47 +27,47 @@
 	return ok && s.ID == n.options.Self.ID
 }
 
-// learnPools takes the pools' summaries that a member of the hall carries.
-func (n *Node) learnPools(now time.Time, hb *fleet.Heartbeat) {
+// storePoolSummaries stores the pool summaries in the heartbeat of a member of this hall.
+func (n *Node) storePoolSummaries(now time.Time, hb *fleet.Heartbeat) {
 	for _, s := range hb.Pools {
 		ps := n.pools[s.Pool]
-		if ps == nil || ps.mine {
+		if ps == nil || ps.isPlacer {
 			continue
 		}
-		ps.gap = !n.router.Learn(now, s)
+		ps.summaryMissed = !n.router.Learn(now, s)
 	}
 }
 
-// sendDigests tells the other halls' speakers about this hall.
+// sendDigests sends digests of this hall to the other halls' speakers, if they are due.
 func (n *Node) sendDigests(now time.Time) {
-	n.judgeCuts(now)
-	news := n.news()
-	if !n.digests.Due(now, news, func() bool { return n.changing(now) }) || !n.isSpeaker() {
+	n.markSilentHalls(now)
+	announcedState := n.announcedState()
+	if !n.digestSchedule.Due(now, announcedState, func() bool { return n.slotsChanging(now) }) || !n.isSpeaker() {
 		return
 	}
-	full := n.digests.Sent(now, news)
+	full := n.digestSchedule.Sent(now, announcedState)
 	for _, hall := range n.options.Halls {
-		if r := n.remotes[hall]; r != nil {
+		if r := n.remoteHalls[hall]; r != nil {
 			n.sendDigest(now, r, full)
 		}
 	}
 }
 
-// changing tells whether the slots of a pool of this hall changed a short while ago.
-func (n *Node) changing(now time.Time) bool {
-	for _, ps := range n.order {
-		if ps.own && n.router.Changing(now, ps.pool.Name) {
+// slotsChanging reports whether the slots of a pool of this hall changed recently.
+func (n *Node) slotsChanging(now time.Time) bool {
+	for _, ps := range n.poolList {
+		if ps.inOwnHall && n.router.Changing(now, ps.pool.Name) {
 			return true
 		}
 	}
 	return false
 }
 
-// news sums up what other halls must learn soon besides the slots.
-func (n *Node) news() digest.News {
+// announcedState returns the state, besides the slots, whose changes other halls must receive soon.
+func (n *Node) announcedState() digest.News {
 	out := digest.News{Revision: n.config.Revision(), Lowest: n.hallRevision()}
-	for _, ps := range n.order {
-		if p, ok := n.announcedPlacer(ps); ok && ps.own {
+	for _, ps := range n.poolList {
+		if p, ok := n.announcedPlacer(ps); ok && ps.inOwnHall {
 			out.Terms += p.Term
 			out.Placed++
 		}
@@ -77,8 +77,8 @@
 
 func (n *Node) sendDigest(now time.Time, r *digest.Hall, full bool) {
 	d := &fleet.Digest{Hall: n.options.Self.Hall, Revision: n.hallRevision(), Highest: n.config.Revision()}
-	for _, ps := range n.order {
-		if !ps.own {
+	for _, ps := range n.poolList {
+		if !ps.inOwnHall {
 			continue
 		}
 		if p, ok := n.announcedPlacer(ps); ok {
@@ -88,106 +88,106 @@
 			d.Pools = append(d.Pools, s)
 		}
 	}
-	d.Speaker, d.Boot, d.Number = n.options.Self, n.options.Boot, n.digests.Number()
+	d.Speaker, d.Boot, d.Number = n.options.Self, n.options.Boot, n.digestSchedule.Number()
 	if full || r.WantsInstances() {
 		d.Instances = append(d.Instances, n.members.Known()...)
 	}
 	d.Wants = r.Gaps()
-	for _, to := range r.Targets(n.list.Instances()) {
+	for _, to := range r.Targets(n.platformList.Instances()) {
 		n.send(to, fleet.Envelope{Digest: d})
 	}
 }
 
-// summaryOf gives a pool's summary, from the placer if it is here, and else as it was heard.
-func (n *Node) summaryOf(now time.Time, ps *poolState, whole bool) (fleet.PoolSummary, bool) {
-	if !ps.mine {
-		return n.router.Export(now, ps.pool.Name, whole)
+// summaryOf returns a pool's summary: from the local placer, or else as last received.
+func (n *Node) summaryOf(now time.Time, ps *poolState, full bool) (fleet.PoolSummary, bool) {
+	if !ps.isPlacer {
+		return n.router.Export(now, ps.pool.Name, full)
 	}
-	if whole {
+	if full {
 		return ps.publisher.Full(), true
 	}
 	return ps.publisher.Recent(now), true
 }
 
-// announcedPlacer gives what to tell other halls of a pool's placer, if one is known.
+// announcedPlacer returns the placer of a pool as digests announce it, and false if none is known.
 func (n *Node) announcedPlacer(ps *poolState) (fleet.PlacerOf, bool) {
-	if ps.mine {
+	if ps.isPlacer {
 		return fleet.PlacerOf{Pool: ps.pool.Name, Term: ps.term, Instance: n.options.Self}, true
 	}
-	m := n.members.Member(ps.placedBy)
+	m := n.members.Member(ps.placerID)
 	if m == nil || !m.Alive {
 		return fleet.PlacerOf{}, false
 	}
 	return fleet.PlacerOf{Pool: ps.pool.Name, Term: heldTerm(m, ps.pool.Name), Instance: m.Instance}, true
 }
 
-// digest takes another hall's account, and passes it on inside the hall if it came from outside. A late one says
-// nothing of the hall as it is now, nor that it is in reach.
-func (n *Node) digest(now time.Time, e fleet.Envelope) {
+// handleDigest processes another hall's digest and relays it within this hall, unless it was relayed already. A late digest
+// is ignored: it describes a former state of the hall and does not show that the hall is reachable now.
+func (n *Node) handleDigest(now time.Time, e fleet.Envelope) {
 	d := e.Digest
-	r := n.remotes[d.Hall]
+	r := n.remoteHalls[d.Hall]
 	if r == nil || r.Late(d) {
 		return
 	}
 	r.Take(now, d)
 	for _, p := range d.Placers {
 		if r.LearnPlacer(p) {
-			n.placerMoved(now, p)
+			n.remotePlacerChanged(now, p)
 		}
 	}
 	for _, s := range d.Pools {
 		r.SetGap(s.Pool, !n.router.Learn(now, s))
 	}
-	n.setCut(now, r, false)
+	n.setHallCut(now, r, false)
 	n.config.Hear(d.Highest)
-	n.answers.Reached(d.Speaker.ID, d.Highest)
+	n.answerQueue.Reached(d.Speaker.ID, d.Highest)
 	if speaker, ok := r.Speaker(); ok && d.Highest > n.config.Revision() {
-		n.want(now, speaker)
+		n.requestRecords(now, speaker)
 	}
 	if !d.Relayed {
-		n.relay(*d)
+		n.relayDigest(*d)
 	}
 }
 
-// placerMoved follows a change of placer in another hall.
-func (n *Node) placerMoved(now time.Time, p fleet.PlacerOf) {
+// remotePlacerChanged declares the tickets in use to a pool's new placer in another hall and resubmits the waiting requests to it.
+func (n *Node) remotePlacerChanged(now time.Time, p fleet.PlacerOf) {
 	if ps := n.pools[p.Pool]; ps != nil {
 		n.declareUses(ps, p.Instance)
 		n.resubmitPool(now, ps)
 	}
 }
 
-// relay passes another hall's digest on to the members of this one.
-func (n *Node) relay(d fleet.Digest) {
+// relayDigest sends another hall's digest to the live members of this hall.
+func (n *Node) relayDigest(d fleet.Digest) {
 	d.Relayed = true
 	for _, m := range n.members.Alive() {
 		n.send(m.Instance, fleet.Envelope{Digest: &d})
 	}
 }
 
-// judgeCuts marks halls that have gone silent.
-func (n *Node) judgeCuts(now time.Time) {
+// markSilentHalls marks halls as cut off that have sent no digest for Timing.HallSilence.
+func (n *Node) markSilentHalls(now time.Time) {
 	for _, name := range n.options.Halls {
-		r := n.remotes[name]
+		r := n.remoteHalls[name]
 		if r != nil && r.FallsSilent(now, n.options.Timing.HallSilence) {
-			n.setCut(now, r, true)
+			n.setHallCut(now, r, true)
 		}
 	}
 }
 
-func (n *Node) setCut(now time.Time, r *digest.Hall, cut bool) {
+func (n *Node) setHallCut(now time.Time, r *digest.Hall, cut bool) {
 	if !r.SetCut(cut) {
 		return
 	}
 	n.router.SetCut(r.Name(), cut)
-	kind, cause := fleet.EventThaw, "the hall is heard again"
+	kind, cause := fleet.EventThaw, "digests of the hall arrive again"
 	if cut {
-		kind, cause = fleet.EventFreeze, "the hall has gone silent; requests stay in reachable halls"
+		kind, cause = fleet.EventFreeze, "no digest of the hall arrived in time; requests go to reachable halls only"
 	}
-	n.note(now, fleet.Event{Kind: kind, Other: r.Name(), Cause: cause})
+	n.recordEvent(now, fleet.Event{Kind: kind, Other: r.Name(), Cause: cause})
 }
 
-// hallRevision is the lowest revision in force among this hall's live instances.
+// hallRevision returns the lowest revision in force among this hall's live instances.
 func (n *Node) hallRevision() int64 {
 	lowest := n.config.Revision()
 	for _, m := range n.members.Alive() {
--- a/services/daemon/node/effect.go
+++ b/services/daemon/node/effect.go
@@ -11,73 +11,73 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// Effect is something that a node asks the control service to carry out.
+// Effect is an action that a node requests from the control service.
 type Effect interface{ isEffect() }
 
-// Send passes an envelope to a peer; it may be lost.
+// Send sends an envelope to a peer. Delivery is not guaranteed.
 type Send struct {
 	Envelope fleet.Envelope
 }
 
-// Deliver gives a waiting request its ticket; the request must start before NotAfter.
+// Deliver passes a ticket to its waiting request, which must start before NotAfter.
 type Deliver struct {
 	RequestID string
 	Ticket    fleet.Ticket
 	NotAfter  time.Time
 }
 
-// Reject tells a waiting request that it was not run.
+// Reject ends a waiting request with a refusal. The request was not run.
 type Reject struct {
 	RequestID string
 	Refusal   fleet.Refusal
 }
 
-// Take asks an endpoint to obey this node and for its own list after that.
+// Take sets this node's fence on an endpoint and requests the endpoint's inspection.
 type Take struct {
 	Pool     string
 	Term     uint64
 	Endpoint fleet.Endpoint
 }
 
-// Inspect asks an endpoint for its own list.
+// Inspect requests the list of an endpoint's resident adapters and of its adapters with running or queued requests.
 type Inspect struct {
 	Pool     string
 	Term     uint64
 	Endpoint fleet.Endpoint
 }
 
-// Order sends a load, with the eviction it needs, to an endpoint.
+// Order sends an endpoint a load, together with the eviction that frees its slot.
 type Order struct {
 	Term     uint64
 	Endpoint fleet.Endpoint
 	Load     placement.Load
 }
 
-// AcquireOwner asks the key-value service for the ownership of a pool under this node's lease; the answer names the term.
+// AcquireOwner requests the ownership of a pool from the key-value service under this node's lease. The answer carries Term.
 type AcquireOwner struct {
 	Pool string
 	Term uint64
 }
 
-// ReleaseOwner gives the ownership of a pool back to the key-value service.
+// ReleaseOwner deletes this node's ownership of a pool from the key-value service.
 type ReleaseOwner struct {
 	Pool string
 }
 
-// SettleOwner records that no former owner of a pool can grant any more.
+// SettleOwner records in the key-value service that no former owner of a pool can grant tickets any more.
 type SettleOwner struct {
 	Pool string
 }
 
-// RenewLease keeps this node's lease alive.
+// RenewLease renews this node's lease at the key-value service.
 type RenewLease struct{}
 
-// Publish puts a configuration in force for traffic.
+// Publish makes the traffic path use a new configuration.
 type Publish struct {
 	Catalog *catalog.Catalog
 }
 
-// Watch starts or stops following the head of the configuration in the key-value service.
+// Watch starts or stops the watch of the configuration's head revision in the key-value service.
 type Watch struct {
 	On bool
 }
--- a/services/daemon/node/endpoints.go
+++ b/services/daemon/node/endpoints.go
@@ -10,38 +10,38 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// tickPools lets the placers work and looks at the endpoints in turn.
+// tickPools runs the placers of this node's pools and requests the endpoint inspections that are due.
 func (n *Node) tickPools(now time.Time) {
-	for _, ps := range n.order {
-		if !ps.mine {
+	for _, ps := range n.poolList {
+		if !ps.isPlacer {
 			continue
 		}
-		n.run(now, ps, ps.placer.Tick(now))
-		n.inspectDue(now, ps)
-		n.thawDue(now, ps)
+		n.applyPlacerEffects(now, ps, ps.placer.Tick(now))
+		n.sendDueInspections(now, ps)
+		n.checkFormerOwners(now, ps)
 	}
 }
 
-func (n *Node) inspectDue(now time.Time, ps *poolState) {
+func (n *Node) sendDueInspections(now time.Time, ps *poolState) {
 	for _, e := range ps.takeover.InspectionsDue(now) {
 		n.emit(Inspect{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
 	}
 }
 
-// Inspected takes an endpoint's own list, which corrects what the placer knows and may lift a freeze.
+// Inspected processes an endpoint's inspection, which corrects the placer's state and may lift a freeze.
 func (n *Node) Inspected(now time.Time, pool string, term uint64, in placement.Inspection) []Effect {
 	ps := n.pools[pool]
-	if ps == nil || !ps.mine || ps.term != term {
+	if ps == nil || !ps.isPlacer || ps.term != term {
 		return nil
 	}
 	ps.takeover.Inspect(now, in.Endpoint)
-	n.run(now, ps, ps.placer.Inspected(now, in))
+	n.applyPlacerEffects(now, ps, ps.placer.Inspected(now, in))
 	n.thaw(now, ps, in)
-	n.spend(now)
-	return n.take()
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
-// LoadResult is the end of an ordered load.
+// LoadResult is the result of an ordered load.
 type LoadResult struct {
 	Pool        string
 	Term        uint64
@@ -50,30 +50,30 @@
 	Adapter     fleet.AdapterRef
 	Result      placement.LoadResult
 	Cause       string
-	// FenceLost is true where the endpoint obeys another fence by now.
+	// FenceLost is true if the endpoint holds another instance's fence by now.
 	FenceLost bool
 }
 
-// Loaded takes the end of an ordered load.
+// Loaded processes the result of an ordered load.
 func (n *Node) Loaded(now time.Time, r LoadResult) []Effect {
 	ps := n.pools[r.Pool]
-	if ps == nil || !ps.mine || ps.term != r.Term {
+	if ps == nil || !ps.isPlacer || ps.term != r.Term {
 		return nil
 	}
-	if held, ok := ps.permits[r.Adapter]; ok {
-		delete(ps.permits, r.Adapter)
+	if held, ok := ps.permitsInUse[r.Adapter]; ok {
+		delete(ps.permitsInUse, r.Adapter)
 		n.permitDone(now, r.Pool, held, true)
 	}
 	if r.FenceLost {
-		n.note(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Endpoint, Adapter: r.Adapter.String(), Cause: r.Cause})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Endpoint, Adapter: r.Adapter.String(), Cause: r.Cause})
 		n.loseFence(now, ps, r.Endpoint)
 	}
-	n.run(now, ps, ps.placer.Loaded(now, r.Endpoint, r.Incarnation, r.Adapter, r.Result, r.Cause))
-	n.spend(now)
-	return n.take()
+	n.applyPlacerEffects(now, ps, ps.placer.Loaded(now, r.Endpoint, r.Incarnation, r.Adapter, r.Result, r.Cause))
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
-// loseFence stops the use of an endpoint that obeys another instance.
+// loseFence stops the use of an endpoint that holds another instance's fence.
 func (n *Node) loseFence(now time.Time, ps *poolState, endpoint string) {
 	ps.takeover.LoseFence(now, endpoint)
 	ps.placer.LoseFence(endpoint)
--- a/services/daemon/node/forgotten_entry_test.go
+++ b/services/daemon/node/entry_retention_test.go
@@ -13,25 +13,25 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// month is a time after which nothing needs to be known any more of what has gone.
+// month is far longer than any retention time of a node.
 const month = 30 * 24 * time.Hour
 
-// That a node knows an instance which submitted a request is seen by its answer to a permit.
-func TestEntryThatIsLongGoneIsForgotten(t *testing.T) {
+// A node answers a permit only if it has the sender's address, so the answer shows whether the entry is still stored.
+func TestSilentEntryIsRemoved(t *testing.T) {
 	permit := fleet.Envelope{From: "j1", Boot: 1, Permit: &fleet.Permit{Pool: "h1/base", ID: 1}}
 	n := newNode()
-	require.Empty(t, only[node.Send](n.Handle(begin, permit)), "a stranger")
+	require.Empty(t, effectsOf[node.Send](n.Handle(begin, permit)), "the sender is unknown")
 	n.Handle(begin, fleet.Envelope{From: "j1", Boot: 1, Submit: &fleet.Submit{
 		Pool: "h1/base", Request: fleet.Request{ID: "q", Base: "base", Hall: "h2"}, Reply: instance("", 9).Address, Stamp: 1,
 	}})
 	for now := begin; now.Before(begin.Add(month)); now = now.Add(time.Hour) {
 		n.Tick(now)
 	}
-	require.Empty(t, only[node.Send](n.Handle(begin.Add(month), permit)), "unheard for a month")
+	require.Empty(t, effectsOf[node.Send](n.Handle(begin.Add(month), permit)), "no message for a month")
 }
 
-func TestEntryIsKnownUntilItsSilenceIsLong(t *testing.T) {
-	const memory, sweep = 10 * time.Minute, time.Minute
+func TestEntryIsKeptForRetentionTime(t *testing.T) {
+	const retention, sweepInterval = 10 * time.Minute, time.Minute
 	submit := fleet.Envelope{From: "j1", Boot: 1, Submit: &fleet.Submit{
 		Pool: "h1/base", Request: fleet.Request{ID: "q", Base: "base", Hall: "h2"}, Reply: instance("", 9).Address, Stamp: 1,
 	}}
@@ -39,28 +39,28 @@
 	n := newNode()
 	n.Handle(begin, submit)
 	n.Handle(begin.Add(time.Minute), submit)
-	heard := begin.Add(time.Minute)
+	lastMessage := begin.Add(time.Minute)
 	for _, row := range []struct {
 		silence time.Duration
 		known   bool
-	}{{memory - 1, true}, {memory, true}, {memory + sweep, false}} {
-		now := heard.Add(row.silence)
+	}{{retention - 1, true}, {retention, true}, {retention + sweepInterval, false}} {
+		now := lastMessage.Add(row.silence)
 		n.Tick(now)
-		require.Equal(t, row.known, len(only[node.Send](n.Handle(now, permit))) > 0, "after %v", row.silence)
+		require.Equal(t, row.known, len(effectsOf[node.Send](n.Handle(now, permit))) > 0, "after %v", row.silence)
 	}
 }
 
-// TestWantsOfAMemberThatIsLongGoneAreForgotten looks at the summary that the member gets when the list names it again.
-func TestWantsOfAMemberThatIsLongGoneAreForgotten(t *testing.T) {
+// A removed member that the platform lists again must get recent summaries, not the full ones that it requested before.
+func TestSummaryRequestsOfRemovedMemberAreDropped(t *testing.T) {
 	const step = 500 * time.Millisecond
-	n, now, _ := alone(t)
-	wanting := heartbeat()
-	wanting.Heartbeat.Wants = []string{"h1/base"}
-	n.Handle(now, wanting)
-	whole := func(until time.Time) []bool {
+	n, now, _ := solePlacer(t)
+	requesting := peerHeartbeat()
+	requesting.Heartbeat.Wants = []string{"h1/base"}
+	n.Handle(now, requesting)
+	fullSummaries := func(until time.Time) []bool {
 		var out []bool
 		for ; now.Before(until); now = now.Add(step) {
-			for _, s := range only[node.Send](n.Tick(now)) {
+			for _, s := range effectsOf[node.Send](n.Tick(now)) {
 				if hb := s.Envelope.Heartbeat; hb != nil && len(hb.Pools) == 1 {
 					out = append(out, hb.Pools[0].Full)
 				}
@@ -68,10 +68,10 @@
 		}
 		return out
 	}
-	require.Contains(t, whole(now.Add(time.Second)), true, "it has asked for it")
-	whole(now.Add(15 * time.Minute))
+	require.Contains(t, fullSummaries(now.Add(time.Second)), true, "the member requested the full summary")
+	fullSummaries(now.Add(15 * time.Minute))
 	n.SetListed(now, []fleet.Instance{instance("i2", 2)}, nil)
-	again := whole(now.Add(5 * time.Second))
+	again := fullSummaries(now.Add(5 * time.Second))
 	require.NotEmpty(t, again)
 	require.NotContains(t, again, true)
 }
--- a/services/daemon/node/large_configuration_test.go
+++ b/services/daemon/node/large_configuration_test.go
@@ -23,45 +23,45 @@
 )
 
 const (
-	// linkRate is that of a link of 10 Mbit/s, in bytes a second.
+	// linkRate is the rate of a 10 Mbit/s link in bytes per second.
 	linkRate = 1_250_000
-	// smallBytes is taken as the size of each envelope on the wire that is no configuration.
+	// smallBytes is the assumed wire size of each envelope without configuration.
 	smallBytes = 300
-	// linkDelay and linkStep are the time of an envelope on its way, and the step of the time of the test.
+	// linkDelay is the latency of an envelope besides its transfer time; linkStep is the time step of the simulation.
 	linkDelay = time.Millisecond
 	linkStep  = 5 * time.Millisecond
 )
 
-// flight is an envelope on its way to a member of a hall.
-type flight struct {
+// envelopeInTransit is an envelope in transit to a member of the hall.
+type envelopeInTransit struct {
 	from     string
 	envelope fleet.Envelope
 	size     int
 	arrives  time.Time
 }
 
-// hall is some nodes of one hall, each behind a link that carries large envelopes one after the other in each direction. A small one waits only for
-// those of its own sender, as on connections that share a link.
-type hall struct {
+// simulatedHall simulates the nodes of one hall. Each node has a link that transfers large envelopes one after the other in each direction. A small
+// envelope waits only for envelopes of the same sender, as on separate connections that share a link.
+type simulatedHall struct {
 	now     time.Time
 	nodes   map[netip.AddrPort]*node.Node
 	members []fleet.Instance
-	links   map[netip.AddrPort][]flight
-	// sending is until when the link of each carries large envelopes away.
-	sending map[string]time.Time
-	// lose is how many large answers get lost.
-	lose int
-	// answered counts the bytes of configuration sent to each, and mostUnderWay is the most that were on all links at a time.
-	answered     map[netip.AddrPort]int
-	mostUnderWay int
-	inForce      map[netip.AddrPort]time.Duration
+	links   map[netip.AddrPort][]envelopeInTransit
+	// busyUntil is the time, by sender, until which the sender's link transfers large envelopes.
+	busyUntil map[string]time.Time
+	// answersToDrop is the number of further large answers to drop.
+	answersToDrop int
+	// sentConfigBytes counts the configuration bytes sent to each node; maxInTransit is the maximum number of bytes on all links at a time.
+	sentConfigBytes map[netip.AddrPort]int
+	maxInTransit    int
+	inForceAfter    map[netip.AddrPort]time.Duration
 }
 
-func newHall(count int) *hall {
-	h := &hall{
-		now: begin, nodes: make(map[netip.AddrPort]*node.Node), links: make(map[netip.AddrPort][]flight),
-		sending:  make(map[string]time.Time),
-		answered: make(map[netip.AddrPort]int), inForce: make(map[netip.AddrPort]time.Duration),
+func newSimulatedHall(count int) *simulatedHall {
+	h := &simulatedHall{
+		now: begin, nodes: make(map[netip.AddrPort]*node.Node), links: make(map[netip.AddrPort][]envelopeInTransit),
+		busyUntil:       make(map[string]time.Time),
+		sentConfigBytes: make(map[netip.AddrPort]int), inForceAfter: make(map[netip.AddrPort]time.Duration),
 	}
 	for i := range count {
 		self := instance(fmt.Sprintf("i%d", i), uint16(i+1))
@@ -72,21 +72,21 @@
 		})
 	}
 	for _, m := range h.members {
-		h.do(h.nodes[m.Address].SetListed(begin, h.members, nil))
+		h.sendEnvelopes(h.nodes[m.Address].SetListed(begin, h.members, nil))
 	}
 	return h
 }
 
-// do puts what a node sends on the links.
-func (h *hall) do(effects []node.Effect) {
-	for _, s := range only[node.Send](effects) {
+// sendEnvelopes puts the envelopes that a node sends on the links.
+func (h *simulatedHall) sendEnvelopes(effects []node.Effect) {
+	for _, s := range effectsOf[node.Send](effects) {
 		e := s.Envelope
 		size := smallBytes
 		if r := e.Records; r != nil {
 			size += len(r.Snapshot)
-			h.answered[e.To] += len(r.Snapshot)
-			if len(r.Snapshot) > 0 && h.lose > 0 {
-				h.lose--
+			h.sentConfigBytes[e.To] += len(r.Snapshot)
+			if len(r.Snapshot) > 0 && h.answersToDrop > 0 {
+				h.answersToDrop--
 				continue
 			}
 		}
@@ -96,21 +96,21 @@
 				leaves = f.arrives
 			}
 		}
-		if free := h.sending[e.From]; size > smallBytes && free.After(leaves) {
+		if free := h.busyUntil[e.From]; size > smallBytes && free.After(leaves) {
 			leaves = free
 		}
 		arrives := leaves.Add(linkDelay + time.Duration(size)*time.Second/linkRate)
 		if size > smallBytes {
-			h.sending[e.From] = arrives
+			h.busyUntil[e.From] = arrives
 		}
-		h.links[e.To] = append(h.links[e.To], flight{from: e.From, envelope: e, size: size, arrives: arrives})
+		h.links[e.To] = append(h.links[e.To], envelopeInTransit{from: e.From, envelope: e, size: size, arrives: arrives})
 	}
 }
 
-// arrived takes what has arrived at a member from its link.
-func (h *hall) arrived(at netip.AddrPort) []fleet.Envelope {
+// receive removes the envelopes that have arrived at a member from its link and returns them.
+func (h *simulatedHall) receive(at netip.AddrPort) []fleet.Envelope {
 	var out []fleet.Envelope
-	var left []flight
+	var left []envelopeInTransit
 	for _, f := range h.links[at] {
 		if f.arrives.After(h.now) {
 			left = append(left, f)
@@ -122,39 +122,39 @@
 	return out
 }
 
-// step lets a little time pass.
-func (h *hall) step() {
+// step advances the simulation by linkStep.
+func (h *simulatedHall) step() {
 	h.now = h.now.Add(linkStep)
-	underWay := 0
+	inTransit := 0
 	for _, m := range h.members {
 		n := h.nodes[m.Address]
-		for _, e := range h.arrived(m.Address) {
-			h.do(n.Handle(h.now, e))
+		for _, e := range h.receive(m.Address) {
+			h.sendEnvelopes(n.Handle(h.now, e))
 		}
-		h.do(n.Tick(h.now))
-		if _, known := h.inForce[m.Address]; !known && n.Catalog().Revision > 0 {
-			h.inForce[m.Address] = h.now.Sub(begin)
+		h.sendEnvelopes(n.Tick(h.now))
+		if _, known := h.inForceAfter[m.Address]; !known && n.Catalog().Revision > 0 {
+			h.inForceAfter[m.Address] = h.now.Sub(begin)
 		}
 	}
 	for _, link := range h.links {
 		for _, f := range link {
-			underWay += f.size
+			inTransit += f.size
 		}
 	}
-	h.mostUnderWay = max(h.mostUnderWay, underWay)
+	h.maxInTransit = max(h.maxInTransit, inTransit)
 }
 
-// run lets the nodes run for a time, at the start of which the first ones get a configuration.
-func (h *hall) run(snapshot []byte, ahead int, span time.Duration) {
+// run returns the snapshot to the first nodes and then runs the simulation for span.
+func (h *simulatedHall) run(snapshot []byte, ahead int, span time.Duration) {
 	for _, m := range h.members[:ahead] {
-		h.do(h.nodes[m.Address].TakeRecords(h.now, fleet.Records{Head: 1, Snapshot: snapshot}))
+		h.sendEnvelopes(h.nodes[m.Address].TakeRecords(h.now, fleet.Records{Head: 1, Snapshot: snapshot}))
 	}
 	for end := h.now.Add(span); h.now.Before(end); {
 		h.step()
 	}
 }
 
-// largeSnapshot gives the stored form of a catalog of about so many bytes.
+// largeSnapshot returns the stored form of a catalog of about the given size.
 func largeSnapshot(t *testing.T, bytes int) []byte {
 	t.Helper()
 	const sourceBytes = 4096
@@ -174,63 +174,63 @@
 	return data
 }
 
-// largest is the size of a large configuration, in bytes: 0.8 s of a link of 10 Mbit/s.
-const largest = 1_000_000
+// largeConfigBytes is the size of a large configuration in bytes. Its transfer takes 0.8 s on a 10 Mbit/s link.
+const largeConfigBytes = 1_000_000
 
-func TestALargeConfigurationIsSentOnceToOneThatLacksIt(t *testing.T) {
-	snapshot := largeSnapshot(t, largest)
+func TestLargeConfigurationIsSentOnceToOutdatedPeer(t *testing.T) {
+	snapshot := largeSnapshot(t, largeConfigBytes)
 	const ahead = 4
-	h := newHall(ahead + 1)
+	h := newSimulatedHall(ahead + 1)
 	h.run(snapshot, ahead, 5*time.Second)
 	slow := h.members[ahead].Address
-	t.Logf("%d bytes of %d, in force after %v", h.answered[slow], len(snapshot), h.inForce[slow])
-	require.Less(t, h.inForce[slow], 2*time.Second)
-	require.NotZero(t, h.inForce[slow])
-	require.Less(t, h.answered[slow], 2*len(snapshot), "the link carries it once")
+	t.Logf("%d bytes of %d, in force after %v", h.sentConfigBytes[slow], len(snapshot), h.inForceAfter[slow])
+	require.Less(t, h.inForceAfter[slow], 2*time.Second)
+	require.NotZero(t, h.inForceAfter[slow])
+	require.Less(t, h.sentConfigBytes[slow], 2*len(snapshot), "the configuration is sent once")
 }
 
-func TestALargeConfigurationThatWasLostIsSentAgainWithinSeconds(t *testing.T) {
-	snapshot := largeSnapshot(t, largest)
-	h := newHall(2)
-	h.lose = 1
+func TestLostLargeConfigurationIsSentAgainWithinSeconds(t *testing.T) {
+	snapshot := largeSnapshot(t, largeConfigBytes)
+	h := newSimulatedHall(2)
+	h.answersToDrop = 1
 	h.run(snapshot, 1, 8*time.Second)
 	slow := h.members[1].Address
-	t.Logf("%d bytes of %d, in force after %v", h.answered[slow], len(snapshot), h.inForce[slow])
-	require.NotZero(t, h.inForce[slow])
-	require.Less(t, h.inForce[slow], 5*time.Second)
-	require.Less(t, h.answered[slow], 3*len(snapshot), "one was lost")
+	t.Logf("%d bytes of %d, in force after %v", h.sentConfigBytes[slow], len(snapshot), h.inForceAfter[slow])
+	require.NotZero(t, h.inForceAfter[slow])
+	require.Less(t, h.inForceAfter[slow], 5*time.Second)
+	require.Less(t, h.sentConfigBytes[slow], 3*len(snapshot), "one answer was lost")
 }
 
-func TestManyThatLackALargeConfigurationGetItInTurn(t *testing.T) {
-	snapshot := largeSnapshot(t, largest)
+func TestManyOutdatedPeersGetLargeConfigurationInTurn(t *testing.T) {
+	snapshot := largeSnapshot(t, largeConfigBytes)
 	const askers = 24
-	h := newHall(1 + askers)
+	h := newSimulatedHall(1 + askers)
 	h.run(snapshot, 1, 200*time.Millisecond)
-	first := h.mostUnderWay
+	first := h.maxInTransit
 	h.run(snapshot, 0, 15*time.Second)
 	total, last := 0, time.Duration(0)
 	for _, m := range h.members[1:] {
-		require.NotZero(t, h.inForce[m.Address], "%s has it", m.ID)
-		last = max(last, h.inForce[m.Address])
-		total += h.answered[m.Address]
+		require.NotZero(t, h.inForceAfter[m.Address], "%s has the configuration", m.ID)
+		last = max(last, h.inForceAfter[m.Address])
+		total += h.sentConfigBytes[m.Address]
 	}
-	t.Logf("%d answers to %d askers, in force at the last after %v; at most %d bytes under way from one that has it, %d from all",
-		total/len(snapshot), askers, last, first, h.mostUnderWay)
+	t.Logf("%d answers to %d askers, in force at the last after %v; at most %d bytes in transit from one node with the configuration, %d from all",
+		total/len(snapshot), askers, last, first, h.maxInTransit)
 	require.Less(t, last, 10*time.Second)
 	require.Less(t, total, (askers+askers/4)*len(snapshot))
-	require.Less(t, first, 3*len(snapshot), "one that has it passes few on at a time")
+	require.Less(t, first, 3*len(snapshot), "one node sends few answers at a time")
 }
 
-func TestLostAnswersKeepNobodyFromALargeConfiguration(t *testing.T) {
-	snapshot := largeSnapshot(t, largest)
+func TestAllPeersGetLargeConfigurationDespiteLostAnswers(t *testing.T) {
+	snapshot := largeSnapshot(t, largeConfigBytes)
 	const askers = 12
-	h := newHall(1 + askers)
-	h.lose = askers / 2
+	h := newSimulatedHall(1 + askers)
+	h.answersToDrop = askers / 2
 	h.run(snapshot, 1, 20*time.Second)
 	last := time.Duration(0)
 	for _, m := range h.members[1:] {
-		require.NotZero(t, h.inForce[m.Address], "%s has it", m.ID)
-		last = max(last, h.inForce[m.Address])
+		require.NotZero(t, h.inForceAfter[m.Address], "%s has the configuration", m.ID)
+		last = max(last, h.inForceAfter[m.Address])
 	}
 	t.Logf("in force at the last of %d askers after %v, %d answers lost", askers, last, askers/2)
 	require.Less(t, last, 12*time.Second)
--- a/services/daemon/node/lease.go
+++ b/services/daemon/node/lease.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// FormerOwner is one life of an instance that owned a pool and may still grant.
+// FormerOwner is one run of an instance that owned a pool and may still grant tickets.
 type FormerOwner = lease.FormerOwner
 
 func newLease(o Options) *lease.Lease {
@@ -21,10 +21,10 @@
 	})
 }
 
-// tickLease asks for what is not owned yet and renews the lease of what is.
+// tickLease requests the ownership of pools that need it and are not owned yet, and renews the lease.
 func (n *Node) tickLease(now time.Time) {
-	for _, ps := range n.order {
-		if ps.mine && len(ps.unfenced()) > 0 && n.lease.AskDue(now, ps.pool.Name) {
+	for _, ps := range n.poolList {
+		if ps.isPlacer && len(ps.unfenced()) > 0 && n.lease.AskDue(now, ps.pool.Name) {
 			n.emit(AcquireOwner{Pool: ps.pool.Name, Term: ps.term})
 		}
 	}
@@ -33,94 +33,95 @@
 	}
 }
 
-// OwnerResult is the key-value service's answer to a request for a pool's ownership.
+// OwnerResult is the key-value service's answer to AcquireOwner.
 type OwnerResult struct {
 	Pool string
-	// Term is that of the request. One of an earlier term may name a key that was given back since.
+	// Term is the term of the request. The key of an earlier term may have been released since.
 	Term uint64
 	OK   bool
-	// Lease numbers the lease under which the pool's key was written: the first of this life is 1, each later one more.
+	// Lease is the number of the lease under which the pool's key was written. It starts at 1 with each process and
+	// increases by 1 with each new lease.
 	Lease uint64
-	// SentAt is when the request for the lease behind it was sent, by this node's clock.
+	// SentAt is the time, by this node's clock, at which the request for that lease was sent.
 	SentAt time.Time
-	// Formers are the owners before this one that no owner has seen end.
+	// Formers are the former owners for which no later owner has established that they ended.
 	Formers []FormerOwner
 }
 
-// Owned takes the answer to a request for ownership.
+// Owned processes the answer to a request for ownership.
 func (n *Node) Owned(now time.Time, r OwnerResult) []Effect {
 	ps := n.pools[r.Pool]
 	if ps == nil || !r.OK || r.Lease < n.lease.Number() {
 		return nil
 	}
 	if n.lease.Begin(r.Lease) {
-		n.endOrders(now)
+		n.stopOrders(now)
 	}
-	if !ps.mine {
+	if !ps.isPlacer {
 		n.emit(ReleaseOwner{Pool: r.Pool})
-		return n.take()
+		return n.takeEffects()
 	}
 	if r.Term != ps.term {
-		return n.take()
+		return n.takeEffects()
 	}
 	if n.lease.Own(r.Pool) {
-		n.succeed(now, ps, r)
+		n.freezeFormerGrants(now, ps, r)
 	}
-	n.extend(r.SentAt)
-	n.spend(now)
-	return n.take()
+	n.extendOrders(r.SentAt)
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
-// succeed freezes what former owners may still have granted, save the one that handed
-// the pool over itself.
-func (n *Node) succeed(now time.Time, ps *poolState, r OwnerResult) {
-	ps.former = lease.Follow(r.Formers, ps.handedBy)
+// freezeFormerGrants freezes the pool's unfenced endpoints while former owners may still grant tickets for them. A former owner
+// that handed the pool over itself is left out.
+func (n *Node) freezeFormerGrants(now time.Time, ps *poolState, r OwnerResult) {
+	ps.succession = lease.Follow(r.Formers, ps.handedOverBy)
 	if n.options.Defects.SkipFreeze {
-		ps.former = ps.former.Unfrozen()
+		ps.succession = ps.succession.Unfrozen()
 	}
-	// A hand-over says nothing about who owns the pool after it.
-	ps.handedBy = FormerOwner{}
+	// A handover counts only for the first ownership after it: another instance may own the pool in between.
+	ps.handedOverBy = FormerOwner{}
 	for _, e := range ps.unfenced() {
-		if ps.former.Frozen() {
-			n.run(now, ps, ps.placer.Freeze(now, e.Name, now.Add(lease.Forever), "a former owner may have granted what still starts"))
+		if ps.succession.Frozen() {
+			n.applyPlacerEffects(now, ps, ps.placer.Freeze(now, e.Name, now.Add(lease.Forever), "a former owner may have granted tickets whose requests have not started yet"))
 			continue
 		}
-		n.run(now, ps, ps.placer.Thaw(now, e.Name, "the pool was never another's, or was handed over"))
+		n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, e.Name, "the pool had no other owner, or the former owner handed it over"))
 	}
-	if len(r.Formers) > 0 && !ps.former.Frozen() {
+	if len(r.Formers) > 0 && !ps.succession.Frozen() {
 		n.emit(SettleOwner{Pool: ps.pool.Name})
 	}
 }
 
-// LeaseResult is the key-value service's answer to a renewal.
+// LeaseResult is the key-value service's answer to RenewLease.
 type LeaseResult struct {
 	OK bool
-	// Gone is true where the service no longer knows the lease.
+	// Gone is true if the lease has expired at the service.
 	Gone bool
-	// Lease numbers the lease, as in OwnerResult.
+	// Lease is the number of the lease, as in OwnerResult.
 	Lease  uint64
 	SentAt time.Time
 }
 
-// Renewed takes the answer to a renewal.
+// Renewed processes the answer to a lease renewal.
 func (n *Node) Renewed(now time.Time, r LeaseResult) []Effect {
 	switch {
 	case r.Gone:
 		if n.lease.Lapse(r.Lease) {
-			n.endOrders(now)
+			n.stopOrders(now)
 		}
 	case r.OK && r.Lease == n.lease.Number():
-		n.extend(r.SentAt)
+		n.extendOrders(r.SentAt)
 	}
-	return n.take()
+	return n.takeEffects()
 }
 
-// endOrders takes the right to order from all pools, after the lease under which their keys were written has lapsed: the
-// keys may be others' by now. What is resident is granted on.
-func (n *Node) endOrders(now time.Time) {
-	n.note(now, fleet.Event{Kind: fleet.EventFreeze, Cause: "the lease lapsed; no orders to endpoints without fences"})
-	for _, ps := range n.order {
-		if !ps.mine {
+// stopOrders stops orders to the unfenced endpoints of all pools after the lease has lapsed under which the pools' keys
+// were written: other instances may own the pools by now. Tickets for resident adapters are still granted.
+func (n *Node) stopOrders(now time.Time) {
+	n.recordEvent(now, fleet.Event{Kind: fleet.EventFreeze, Cause: "the lease lapsed; no orders to endpoints without fences"})
+	for _, ps := range n.poolList {
+		if !ps.isPlacer {
 			continue
 		}
 		for _, e := range ps.unfenced() {
@@ -129,11 +130,11 @@
 	}
 }
 
-// extend moves the placers' right to order on after a renewal that was sent at the given time.
-func (n *Node) extend(sent time.Time) {
+// extendOrders extends the time until which the placers may send orders, after a renewal that was sent at the given time.
+func (n *Node) extendOrders(sent time.Time) {
 	until := n.lease.Extend(sent)
-	for _, ps := range n.order {
-		if !ps.mine || !n.lease.Owns(ps.pool.Name) {
+	for _, ps := range n.poolList {
+		if !ps.isPlacer || !n.lease.Owns(ps.pool.Name) {
 			continue
 		}
 		for _, e := range ps.unfenced() {
@@ -142,29 +143,29 @@
 	}
 }
 
-// thawDue looks for evidence that the former owners grant no more.
-func (n *Node) thawDue(now time.Time, ps *poolState) {
+// checkFormerOwners checks whether the former owners of a pool have ended.
+func (n *Node) checkFormerOwners(now time.Time, ps *poolState) {
 	if !n.lease.Owns(ps.pool.Name) {
 		return
 	}
-	ps.former.Check(now, func(f FormerOwner) bool { return f.Ended(now, n.evidence(ps, f)) })
+	ps.succession.Check(now, func(f FormerOwner) bool { return f.Ended(now, n.evidence(ps, f)) })
 }
 
 func (n *Node) evidence(ps *poolState, f FormerOwner) lease.Evidence {
-	e := lease.Evidence{Self: f.ID == n.options.Self.ID, GoneSince: n.list.GoneSince(f.ID)}
+	e := lease.Evidence{Self: f.ID == n.options.Self.ID, GoneSince: n.platformList.GoneSince(f.ID)}
 	if m := n.members.Member(f.ID); m != nil && m.Alive {
 		e.Alive, e.Boot, e.Holds = true, m.Boot, heldTerm(m, ps.pool.Name) != 0
 	}
 	return e
 }
 
-// thaw lifts the freeze on an endpoint whose list is younger than every grant of the former owners.
+// thaw lifts the freeze on an endpoint whose inspection is recent enough to show every request that former owners granted.
 func (n *Node) thaw(now time.Time, ps *poolState, in placement.Inspection) {
-	if !in.Up || !ps.former.Covers(in.Began, n.options.Timing.GrantAge+n.options.Placement.StartWithin) {
+	if !in.Up || !ps.succession.Covers(in.Began, n.options.Timing.GrantAge+n.options.Placement.StartWithin) {
 		return
 	}
-	n.run(now, ps, ps.placer.Thaw(now, in.Endpoint, "the former placers have ended and their last grants are too old to start"))
-	if ps.former.Settle() {
+	n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, in.Endpoint, "the former placers have ended and their last grants are too old to start"))
+	if ps.succession.Settle() {
 		n.emit(SettleOwner{Pool: ps.pool.Name})
 	}
 }
--- a/services/daemon/node/loads.go
+++ b/services/daemon/node/loads.go
@@ -12,24 +12,24 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// ledgerHost finds the instance that shares out the weight store's rate among
-// the halls in sight: the speaker of the hall that the rate's name hashes to.
+// ledgerHost returns the instance that divides the weight store's rate among the
+// reachable halls: the speaker of the hall that loads.Hall chooses by hashing.
 func (n *Node) ledgerHost() (fleet.Instance, bool) {
 	hall := loads.Hall(n.visibleHalls())
 	if hall == n.options.Self.Hall {
 		return n.speaker()
 	}
-	r := n.remotes[hall]
+	r := n.remoteHalls[hall]
 	if r == nil {
 		return fleet.Instance{}, false
 	}
 	return r.Speaker()
 }
 
-// visibleHalls names the halls that are not cut off from this one, itself included.
+// visibleHalls returns the names of the halls that are not cut off from this one, including this one.
 func (n *Node) visibleHalls() []string {
 	halls := []string{n.options.Self.Hall}
-	for name, r := range n.remotes {
+	for name, r := range n.remoteHalls {
 		if !r.Cut() {
 			halls = append(halls, name)
 		}
@@ -38,26 +38,26 @@
 	return halls
 }
 
-// tickBudget makes the bids of the held pools and, where the ledger is, grants permits.
+// tickBudget updates the ledger's limits, makes the bids of this node's pools and grants permits if the ledger is here.
 func (n *Node) tickBudget(now time.Time) {
 	limits := n.options.Budget
 	if b := n.config.Catalog().Budget; b.LoadsPerSecond > 0 && b.AtFullSpeed > 0 {
 		limits.LoadsPerSecond, limits.AtFullSpeed = b.LoadsPerSecond, b.AtFullSpeed
 	}
-	n.ledger.SetLimits(now, limits.Part(len(n.visibleHalls()), len(n.remotes)+1))
-	n.spend(now)
+	n.ledger.SetLimits(now, limits.Part(len(n.visibleHalls()), len(n.remoteHalls)+1))
+	n.bidAndGrantPermits(now)
 }
 
-// spend bids for the pools whose turn has come and grants what the rate allows.
-func (n *Node) spend(now time.Time) {
+// bidAndGrantPermits makes the bids that are due and, if the ledger is here, grants the permits that the rate allows.
+func (n *Node) bidAndGrantPermits(now time.Time) {
 	host, ok := n.ledgerHost()
 	if !ok {
 		return
 	}
 	self := host.ID == n.options.Self.ID
-	for _, ps := range n.order {
-		if ps.mine && ps.bids.Due(now) {
-			n.bid(now, ps, host, self)
+	for _, ps := range n.poolList {
+		if ps.isPlacer && ps.bidder.Due(now) {
+			n.makeBid(now, ps, host, self)
 		}
 	}
 	if self {
@@ -65,12 +65,12 @@
 	}
 }
 
-func (n *Node) bid(now time.Time, ps *poolState, host fleet.Instance, self bool) {
+func (n *Node) makeBid(now time.Time, ps *poolState, host fleet.Instance, self bool) {
 	if loads.Recovering(ps.takeover.Age(now), ps.pool.Name, n.options.Self.ID, n.options.Timing.RecoveryDelay) {
 		return
 	}
 	b, wants := ps.placer.Bid(now)
-	if !ps.bids.Make(now, wants) {
+	if !ps.bidder.Make(now, wants) {
 		return
 	}
 	if !wants {
@@ -80,12 +80,12 @@
 		n.ledger.Bid(now, ps.pool.Name, b.Value, b.Preload)
 		return
 	}
-	if ps.bids.Send(now, b.Value, wants) {
+	if ps.bidder.Send(now, b.Value, wants) {
 		n.send(host, fleet.Envelope{Bid: &fleet.Bid{Pool: ps.pool.Name, Value: b.Value, Preload: b.Preload}})
 	}
 }
 
-func (n *Node) bidFrom(now time.Time, e fleet.Envelope) {
+func (n *Node) handleBid(now time.Time, e fleet.Envelope) {
 	n.ledger.Bid(now, e.Bid.Pool, e.Bid.Value, e.Bid.Preload)
 }
 
@@ -100,7 +100,7 @@
 			n.ledger.Done(now, permit.ID, false)
 			continue
 		}
-		if ps.mine {
+		if ps.isPlacer {
 			n.usePermit(now, ps, loads.Held{From: n.options.Self, ID: permit.ID})
 			continue
 		}
@@ -113,30 +113,30 @@
 	}
 }
 
-func (n *Node) permitted(now time.Time, e fleet.Envelope) {
+func (n *Node) handlePermit(now time.Time, e fleet.Envelope) {
 	from, ok := n.instanceOf(e.From)
 	if !ok {
 		return
 	}
 	held := loads.Held{From: from, ID: e.Permit.ID}
 	ps := n.pools[e.Permit.Pool]
-	if ps == nil || !ps.mine {
+	if ps == nil || !ps.isPlacer {
 		n.permitDone(now, e.Permit.Pool, held, false)
 		return
 	}
 	n.usePermit(now, ps, held)
 }
 
-// usePermit starts the load that is most valuable at this moment.
+// usePermit starts the pool's most valuable load, and returns the permit if there is no load to start.
 func (n *Node) usePermit(now time.Time, ps *poolState, held loads.Held) {
 	effects, used := ps.placer.UsePermit(now)
 	for _, effect := range effects {
 		if l, ok := effect.(placement.Load); ok {
-			ps.permits[l.Adapter] = held
+			ps.permitsInUse[l.Adapter] = held
 		}
 	}
-	n.run(now, ps, effects)
-	ps.bids.Spend()
+	n.applyPlacerEffects(now, ps, effects)
+	ps.bidder.Spend()
 	if !used {
 		n.permitDone(now, ps.pool.Name, held, false)
 	}
@@ -150,7 +150,7 @@
 	n.send(held.From, fleet.Envelope{PermitDone: &fleet.PermitDone{Pool: pool, ID: held.ID, Used: used}})
 }
 
-// instanceOf finds an instance by its identifier among peers, remote speakers and listed ones.
+// instanceOf returns the instance with the identifier, from the members, the entries, the other halls or the platform's list.
 func (n *Node) instanceOf(id string) (fleet.Instance, bool) {
 	if m := n.members.Member(id); m != nil {
 		return m.Instance, true
@@ -158,10 +158,10 @@
 	if p := n.entries[id]; p != nil {
 		return p.instance, true
 	}
-	for _, r := range n.remotes {
+	for _, r := range n.remoteHalls {
 		if i, ok := r.Instance(id); ok {
 			return i, true
 		}
 	}
-	return n.list.Instance(id)
+	return n.platformList.Instance(id)
 }
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -13,25 +13,26 @@
 )
 
 const (
-	// entryMemory is the silence after which an instance that submitted requests or sent heartbeats is forgotten. An entry with a waiting
-	// request is heard each Timing.Resubmit. Longer answers permits of instances that nobody else names, shorter takes less memory.
-	entryMemory = 10 * time.Minute
-	// entrySweep is the time between two looks for such instances. Longer looks at them less often, shorter forgets them nearer to their
-	// time.
-	entrySweep = time.Minute
+	// entryRetention is the silence after which the address of an instance that submitted requests or sent heartbeats is dropped. An entry
+	// with a waiting request sends a message each Timing.Resubmit. A longer time lets the node answer permits of instances that it knows
+	// from no other source; a shorter time uses less memory.
+	entryRetention = 10 * time.Minute
+	// entrySweepInterval is the interval between two searches for silent instances. A longer interval costs less work; a shorter one drops
+	// silent instances closer to the end of the retention time.
+	entrySweepInterval = time.Minute
 )
 
-// entryPeer is what a placer knows of an instance that submits requests.
+// entryPeer is the address and the latest stamp of an instance that submits requests to this node or sends it heartbeats.
 type entryPeer struct {
-	instance fleet.Instance
-	stamp    time.Duration
-	heard    time.Time
+	instance      fleet.Instance
+	stamp         time.Duration
+	lastMessageAt time.Time
 }
 
-// peerState is what a peer of the hall last said of itself.
+// peerState holds the member hash and the wanted pool summaries of a peer's last heartbeat.
 type peerState struct {
-	hash  uint64
-	wants []string
+	memberHash      uint64
+	wantedSummaries []string
 }
 
 func (n *Node) peer(id string) *peerState {
@@ -43,33 +44,33 @@
 	return p
 }
 
-// memberChanged notes that a member has joined, left or been lost.
+// memberChanged records that a member has joined, left or been lost, and drops the tickets of a lost one.
 func (n *Node) memberChanged(now time.Time, c membership.Change) {
 	id := c.Member.Instance.ID
 	switch c.Kind {
 	case membership.Joined:
-		n.note(now, fleet.Event{Kind: fleet.EventMemberJoined, Other: id, Cause: "first heartbeat since it was last lost or unknown"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberJoined, Other: id, Cause: "first heartbeat since it was last lost or unknown"})
 	case membership.Left:
-		n.note(now, fleet.Event{Kind: fleet.EventMemberLeft, Other: id, Cause: "it announced a planned stop"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLeft, Other: id, Cause: "the instance announced a planned stop"})
 	case membership.Lost, membership.Restarted:
-		n.note(now, fleet.Event{Kind: fleet.EventMemberLost, Other: id, Cause: "no heartbeat in time, or a new life of the instance"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLost, Other: id, Cause: "no heartbeat in time, or the instance restarted"})
 		n.entryLost(now, id)
 	}
 }
 
-// entryLost gives up the tickets of an instance that was lost or has begun a new life.
+// entryLost drops the tickets of an instance that was lost or has restarted.
 func (n *Node) entryLost(now time.Time, id string) {
-	for _, ps := range n.order {
-		if ps.mine && ps.placer != nil {
-			n.run(now, ps, ps.placer.EntryLost(now, id))
+	for _, ps := range n.poolList {
+		if ps.isPlacer && ps.placer != nil {
+			n.applyPlacerEffects(now, ps, ps.placer.EntryLost(now, id))
 		}
 	}
 }
 
-// heartbeat takes a peer's heartbeat.
-func (n *Node) heartbeat(now time.Time, e fleet.Envelope) {
+// handleHeartbeat processes a peer's heartbeat.
+func (n *Node) handleHeartbeat(now time.Time, e fleet.Envelope) {
 	hb := e.Heartbeat
-	n.learnEntry(now, hb.Instance, hb.Stamp)
+	n.storeEntry(now, hb.Instance, hb.Stamp)
 	for _, c := range n.members.Heard(now, e.Boot, hb) {
 		n.memberChanged(now, c)
 	}
@@ -77,21 +78,21 @@
 	if m == nil {
 		return
 	}
-	n.learnHeld(now, m)
-	n.learnPools(now, hb)
+	n.handleHeldPools(now, m)
+	n.storePoolSummaries(now, hb)
 	n.config.Hear(hb.Revision)
-	n.answers.Reached(hb.Instance.ID, hb.Revision)
+	n.answerQueue.Reached(hb.Instance.ID, hb.Revision)
 	if hb.Revision > n.config.Revision() {
-		n.want(now, hb.Instance)
+		n.requestRecords(now, hb.Instance)
 	}
 	p := n.peer(m.Instance.ID)
-	p.hash = hb.Members
-	p.wants = hb.Wants
+	p.memberHash = hb.Members
+	p.wantedSummaries = hb.Wants
 }
 
-// learnEntry remembers where an instance is and the latest of its stamps. An instance that
-// has moved is in a new life, whose clock began anew.
-func (n *Node) learnEntry(now time.Time, i fleet.Instance, stamp time.Duration) {
+// storeEntry stores an instance's address and the latest of its stamps. An instance whose
+// address changed has restarted, so its stamps start from zero again.
+func (n *Node) storeEntry(now time.Time, i fleet.Instance, stamp time.Duration) {
 	p, ok := n.entries[i.ID]
 	if !ok {
 		p = &entryPeer{}
@@ -102,34 +103,34 @@
 	}
 	p.instance = i
 	p.stamp = max(p.stamp, stamp)
-	p.heard = now
+	p.lastMessageAt = now
 }
 
-// tickForget forgets instances that have been silent for long, and what peers said that are members no more.
-func (n *Node) tickForget(now time.Time) {
-	if now.Sub(n.forgot) < entrySweep {
+// tickSweep drops the entries that have been silent for entryRetention and the state of peers that are no longer members.
+func (n *Node) tickSweep(now time.Time) {
+	if now.Sub(n.sweptAt) < entrySweepInterval {
 		return
 	}
-	n.forgot = now
-	maps.DeleteFunc(n.entries, func(_ string, p *entryPeer) bool { return now.Sub(p.heard) > entryMemory })
+	n.sweptAt = now
+	maps.DeleteFunc(n.entries, func(_ string, p *entryPeer) bool { return now.Sub(p.lastMessageAt) > entryRetention })
 	maps.DeleteFunc(n.peers, func(id string, _ *peerState) bool { return n.members.Member(id) == nil })
 }
 
-// sendHeartbeats sends to each peer whose turn has come, with the pools' changes.
+// sendHeartbeats sends the heartbeats that are due, with the recent changes of the pools.
 func (n *Node) sendHeartbeats(now time.Time) {
 	due := n.members.Due(now)
 	if len(due) == 0 {
 		return
 	}
-	n.updateSummaries(now)
+	n.updatePoolSummaries(now)
 	for _, m := range due {
 		n.sendHeartbeat(now, m)
 	}
 }
 
-// heartbeatAll tells every live peer at once, for news that cannot wait.
+// heartbeatAll sends a heartbeat to every live peer at once, for changes that must not wait for the next interval.
 func (n *Node) heartbeatAll(now time.Time) {
-	n.updateSummaries(now)
+	n.updatePoolSummaries(now)
 	for _, m := range n.members.Alive() {
 		m.Sent = now
 		n.sendHeartbeat(now, m)
@@ -141,35 +142,35 @@
 	hb := &fleet.Heartbeat{
 		Instance: n.options.Self, Stamp: n.stamp(now), Revision: n.config.Revision(), Leaving: n.leaving, Members: n.members.Hash(),
 	}
-	if peer.hash != hb.Members {
+	if peer.memberHash != hb.Members {
 		hb.Known = n.members.Known()
 	}
-	for _, ps := range n.order {
-		if ps.mine {
+	for _, ps := range n.poolList {
+		if ps.isPlacer {
 			hb.Held = append(hb.Held, fleet.HeldPool{Pool: ps.pool.Name, Term: ps.term})
 		}
-		if ps.mine {
+		if ps.isPlacer {
 			hb.Pools = append(hb.Pools, n.summaryFor(now, peer, ps))
 		}
-		if ps.own && !ps.mine && ps.gap {
+		if ps.inOwnHall && !ps.isPlacer && ps.summaryMissed {
 			hb.Wants = append(hb.Wants, ps.pool.Name)
 		}
 	}
 	n.send(m.Instance, fleet.Envelope{Heartbeat: hb})
 }
 
-// summaryFor gives the whole summary where the peer asked for it, and else the changes.
+// summaryFor returns the full pool summary if the peer requested it, and the recent changes otherwise.
 func (n *Node) summaryFor(now time.Time, peer *peerState, ps *poolState) fleet.PoolSummary {
-	if slices.Contains(peer.wants, ps.pool.Name) {
+	if slices.Contains(peer.wantedSummaries, ps.pool.Name) {
 		return ps.publisher.Full()
 	}
 	return ps.publisher.Recent(now)
 }
 
-// updateSummaries brings the publishers of held pools up to the present.
-func (n *Node) updateSummaries(now time.Time) {
-	for _, ps := range n.order {
-		if !ps.mine || ps.placer == nil {
+// updatePoolSummaries updates the publishers and the router with the current summaries of this node's pools.
+func (n *Node) updatePoolSummaries(now time.Time) {
+	for _, ps := range n.poolList {
+		if !ps.isPlacer || ps.placer == nil {
 			continue
 		}
 		ps.publisher.Update(now, ps.placer.Summary())
--- a/services/daemon/node/node.go
+++ b/services/daemon/node/node.go
@@ -18,113 +18,113 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// Node is the control state of one daemon; one goroutine owns it.
+// Node is the control state of one daemon. It must be used by one goroutine only.
 type Node struct {
-	options  Options
-	started  time.Time
-	members  *membership.State
-	router   *routing.Router
-	pools    map[string]*poolState
-	order    []*poolState
-	remotes  map[string]*digest.Hall
-	pending  waiting.Requests
-	uses     waiting.Uses
-	entries  map[string]*entryPeer
-	peers    map[string]*peerState
-	ledger   *budget.Ledger
-	config   *followed.Configuration
-	answers  followed.Answers
-	lease    *lease.Lease
-	leaving  bool
-	watching bool
-	list     *listing.List
-	redo     time.Time
-	forgot   time.Time
-	digests  digest.Schedule
-	effects  []Effect
+	options        Options
+	started        time.Time
+	members        *membership.State
+	router         *routing.Router
+	pools          map[string]*poolState
+	poolList       []*poolState
+	remoteHalls    map[string]*digest.Hall
+	pending        waiting.Requests
+	ticketUses     waiting.Uses
+	entries        map[string]*entryPeer
+	peers          map[string]*peerState
+	ledger         *budget.Ledger
+	config         *followed.Configuration
+	answerQueue    followed.Answers
+	lease          *lease.Lease
+	leaving        bool
+	watching       bool
+	platformList   *listing.List
+	reconfirmedAt  time.Time
+	sweptAt        time.Time
+	digestSchedule digest.Schedule
+	effects        []Effect
 }
 
-// New makes the node of an instance that starts now with nothing in hand.
+// New creates the node of an instance that starts at now, without pools, tickets or configuration.
 func New(now time.Time, o Options) *Node {
 	n := &Node{
-		options: o,
-		started: now,
-		members: membership.New(o.Self, o.Membership),
-		pools:   make(map[string]*poolState),
-		remotes: make(map[string]*digest.Hall),
-		pending: waiting.NewRequests(),
-		uses:    waiting.NewUses(),
-		entries: make(map[string]*entryPeer),
-		peers:   make(map[string]*peerState),
-		list:    listing.New(),
-		config:  followed.New(),
-		lease:   newLease(o),
-		digests: digest.NewSchedule(o.Timing.Digest, o.Timing.FullSummary),
+		options:        o,
+		started:        now,
+		members:        membership.New(o.Self, o.Membership),
+		pools:          make(map[string]*poolState),
+		remoteHalls:    make(map[string]*digest.Hall),
+		pending:        waiting.NewRequests(),
+		ticketUses:     waiting.NewUses(),
+		entries:        make(map[string]*entryPeer),
+		peers:          make(map[string]*peerState),
+		platformList:   listing.New(),
+		config:         followed.New(),
+		lease:          newLease(o),
+		digestSchedule: digest.NewSchedule(o.Timing.Digest, o.Timing.FullSummary),
 	}
 	pools := fleet.BuildPools(o.Endpoints)
 	n.router = routing.NewRouter(o.Self.Hall, pools, o.Routing)
 	for _, pool := range pools {
 		ps := newPoolState(pool, pool.Hall == o.Self.Hall, o.Timing.Bid)
 		n.pools[pool.Name] = ps
-		n.order = append(n.order, ps)
+		n.poolList = append(n.poolList, ps)
 	}
 	for _, hall := range o.Halls {
 		if hall != o.Self.Hall {
-			n.remotes[hall] = digest.NewHall(hall)
+			n.remoteHalls[hall] = digest.NewHall(hall)
 		}
 	}
 	n.ledger = budget.NewLedger(now, o.Budget, o.Timing.PermitLife)
 	return n
 }
 
-// Stamp gives the node's own clock, which peers echo and never interpret.
+// stamp returns the time since the node's start. Peers echo it and never interpret it.
 func (n *Node) stamp(now time.Time) time.Duration {
 	return now.Sub(n.started)
 }
 
-// Handle takes a message from a peer.
+// Handle processes a message from a peer.
 func (n *Node) Handle(now time.Time, e fleet.Envelope) []Effect {
 	switch {
 	case e.Heartbeat != nil:
-		n.heartbeat(now, e)
+		n.handleHeartbeat(now, e)
 	case e.Submit != nil:
-		n.submitted(now, e)
+		n.handleSubmit(now, e)
 	case e.Withdraw != nil:
-		n.withdrawn(now, e)
+		n.handleWithdraw(now, e)
 	case e.Granted != nil:
-		n.granted(now, e)
+		n.handleGranted(now, e)
 	case e.Refused != nil:
-		n.refused(now, e)
+		n.handleRefused(now, e)
 	case e.Returned != nil:
-		n.returned(now, e.Returned)
+		n.handleReturned(now, e.Returned)
 	case e.Redeclare != nil:
-		n.redeclared(now, e)
+		n.handleRedeclare(now, e)
 	case e.Release != nil:
-		n.released(now, e)
+		n.handleRelease(now, e)
 	case e.Bid != nil:
-		n.bidFrom(now, e)
+		n.handleBid(now, e)
 	case e.Permit != nil:
-		n.permitted(now, e)
+		n.handlePermit(now, e)
 	case e.PermitDone != nil:
 		n.ledger.Done(now, e.PermitDone.ID, e.PermitDone.Used)
 	case e.WantRecords != nil:
-		n.wanted(now, e)
+		n.handleWantRecords(now, e)
 	case e.Records != nil:
-		n.takeRecords(now, *e.Records)
+		n.applyRecords(now, *e.Records)
 	case e.Digest != nil:
-		n.digest(now, e)
+		n.handleDigest(now, e)
 	}
-	n.spend(now)
-	return n.take()
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
-// Tick does what the passing of time asks for.
+// Tick runs the periodic work that is due at now.
 func (n *Node) Tick(now time.Time) []Effect {
 	for _, c := range n.members.Sweep(now) {
 		n.memberChanged(now, c)
 	}
-	for _, ps := range n.order {
-		if ps.own {
+	for _, ps := range n.poolList {
+		if ps.inOwnHall {
 			n.evaluate(now, ps)
 		}
 	}
@@ -135,30 +135,30 @@
 	n.sendDigests(now)
 	n.tickBudget(now)
 	n.tickReconfirm(now)
-	n.tickForget(now)
+	n.tickSweep(now)
 	n.sendAnswers(now)
-	n.chooseWatcher()
-	return n.take()
+	n.updateWatch()
+	return n.takeEffects()
 }
 
-// Leave begins a planned stop: no new work is taken and the pools are handed over.
+// Leave begins a planned stop: the node rejects new requests and hands its pools over.
 func (n *Node) Leave(now time.Time) []Effect {
 	n.leaving = true
-	for _, ps := range n.order {
-		if ps.mine {
+	for _, ps := range n.poolList {
+		if ps.isPlacer {
 			n.handOver(now, ps)
 		}
 	}
 	n.heartbeatAll(now)
-	return n.take()
+	return n.takeEffects()
 }
 
-// Idle tells whether nothing waits or runs through this instance any more.
+// Idle reports whether this instance has neither waiting requests nor tickets in use.
 func (n *Node) Idle() bool {
-	return n.pending.Empty() && n.uses.Empty()
+	return n.pending.Empty() && n.ticketUses.Empty()
 }
 
-func (n *Node) note(now time.Time, e fleet.Event) {
+func (n *Node) recordEvent(now time.Time, e fleet.Event) {
 	e.At = now
 	e.Instance = n.options.Self.ID
 	n.effects = append(n.effects, Note{Event: e})
@@ -175,14 +175,14 @@
 	n.effects = append(n.effects, e)
 }
 
-// take hands over the effects gathered since the last call.
-func (n *Node) take() []Effect {
+// takeEffects returns the effects collected since the last call and clears them.
+func (n *Node) takeEffects() []Effect {
 	out := n.effects
 	n.effects = nil
 	return out
 }
 
-// Catalog gives the configuration in force.
+// Catalog returns the configuration in force.
 func (n *Node) Catalog() *catalog.Catalog {
 	return n.config.Catalog()
 }
--- a/services/daemon/node/node_test.go
+++ b/services/daemon/node/node_test.go
@@ -37,7 +37,7 @@
 	})
 }
 
-func only[T node.Effect](effects []node.Effect) []T {
+func effectsOf[T node.Effect](effects []node.Effect) []T {
 	var out []T
 	for _, e := range effects {
 		if x, ok := e.(T); ok {
@@ -47,70 +47,70 @@
 	return out
 }
 
-// alone lets the node settle as its hall's only instance and take its pool over.
-func alone(t *testing.T) (*node.Node, time.Time, node.Take) {
+// solePlacer returns a node that is its hall's only instance and has begun to take its pool over.
+func solePlacer(t *testing.T) (*node.Node, time.Time, node.Take) {
 	n := newNode()
 	now := begin.Add(2 * time.Second)
-	takes := only[node.Take](n.Tick(now))
+	takes := effectsOf[node.Take](n.Tick(now))
 	require.Len(t, takes, 2)
 	return n, now, takes[0]
 }
 
-// heartbeat makes the heartbeat of the other instance of the hall, in its first life.
-func heartbeat(held ...fleet.HeldPool) fleet.Envelope {
+// peerHeartbeat returns a heartbeat of the hall's other instance, i2, in its first run.
+func peerHeartbeat(held ...fleet.HeldPool) fleet.Envelope {
 	return fleet.Envelope{From: "i2", Boot: 1, Heartbeat: &fleet.Heartbeat{Instance: instance("i2", 2), Stamp: 1, Held: held}}
 }
 
-func TestNothingIsTakenOverBeforeTheNodeHasListened(t *testing.T) {
+func TestNodeTakesNoPoolOverBeforeSettleTime(t *testing.T) {
 	n := newNode()
-	require.Empty(t, only[node.Take](n.Tick(begin.Add(time.Second))))
-	n.Handle(begin.Add(1200*time.Millisecond), heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
-	require.Empty(t, only[node.Take](n.Tick(begin.Add(2*time.Second))), "another instance holds the pool")
+	require.Empty(t, effectsOf[node.Take](n.Tick(begin.Add(time.Second))))
+	n.Handle(begin.Add(1200*time.Millisecond), peerHeartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
+	require.Empty(t, effectsOf[node.Take](n.Tick(begin.Add(2*time.Second))), "another instance holds the pool")
 }
 
-func TestLowerTermYieldsAndHandsItsTicketsOver(t *testing.T) {
-	n, now, _ := alone(t)
-	effects := n.Handle(now.Add(time.Millisecond), heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 1 << 40}))
+func TestPlacerWithLowerTermReleasesPool(t *testing.T) {
+	n, now, _ := solePlacer(t)
+	effects := n.Handle(now.Add(time.Millisecond), peerHeartbeat(fleet.HeldPool{Pool: "h1/base", Term: 1 << 40}))
 	var released []*fleet.Release
-	for _, s := range only[node.Send](effects) {
+	for _, s := range effectsOf[node.Send](effects) {
 		if s.Envelope.Release != nil {
 			released = append(released, s.Envelope.Release)
 		}
 	}
 	require.Len(t, released, 1)
-	require.NotEmpty(t, only[node.ReleaseOwner](effects), "the lease goes to the successor")
+	require.NotEmpty(t, effectsOf[node.ReleaseOwner](effects), "the ownership is released for the successor")
 	require.Empty(t, n.Pools(now))
 }
 
-func TestOldGrantIsNotUsed(t *testing.T) {
+func TestOldGrantIsNotDelivered(t *testing.T) {
 	n := newNode()
 	now := begin.Add(2 * time.Second)
-	n.Handle(now, heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
+	n.Handle(now, peerHeartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
 	n.Submit(now, fleet.Request{ID: "q", Base: "base", Adapter: fleet.AdapterRef{Name: "a", Version: 1}, Deadline: now.Add(time.Minute)})
 	ticket := fleet.Ticket{ID: "t", RequestID: "q", Pool: "h1/base", Endpoint: "e1", StartWithin: time.Second}
 	late := now.Add(10 * time.Second)
 	old := n.Handle(late, fleet.Envelope{From: "i2", Boot: 1, Granted: &fleet.Granted{Ticket: ticket, Stamp: 2 * time.Second}})
-	require.Empty(t, only[node.Deliver](old), "by the entry's own clock the grant is up to 10 s old")
+	require.Empty(t, effectsOf[node.Deliver](old), "the grant is up to 10 s old by the entry's own clock")
 	fresh := n.Handle(late, fleet.Envelope{From: "i2", Boot: 1, Granted: &fleet.Granted{Ticket: ticket, Stamp: 11 * time.Second}})
-	require.Len(t, only[node.Deliver](fresh), 1)
+	require.Len(t, effectsOf[node.Deliver](fresh), 1)
 	again := n.Handle(late, fleet.Envelope{From: "i2", Boot: 1, Granted: &fleet.Granted{Ticket: fleet.Ticket{ID: "t2", RequestID: "q", Pool: "h1/base"}, Stamp: 11 * time.Second}})
-	require.Empty(t, only[node.Deliver](again), "a second ticket for the same request goes back")
-	require.NotEmpty(t, only[node.Send](again))
+	require.Empty(t, effectsOf[node.Deliver](again), "a second ticket for the same request is returned")
+	require.NotEmpty(t, effectsOf[node.Send](again))
 }
 
-func TestOlderConfigurationIsAnAlarmAndNothingElse(t *testing.T) {
+func TestOlderConfigurationOnlyRecordsEvent(t *testing.T) {
 	n := newNode()
 	effects := n.TakeRecords(begin, fleet.Records{Head: -1})
-	require.Empty(t, only[node.Publish](effects))
-	notes := only[node.Note](effects)
+	require.Empty(t, effectsOf[node.Publish](effects))
+	notes := effectsOf[node.Note](effects)
 	require.Len(t, notes, 1)
 	require.Equal(t, fleet.EventRevisionBehind, notes[0].Event.Kind)
 }
 
-// FuzzHandle feeds a node whatever a peer might send.
+// FuzzHandle passes arbitrary decodable peer messages to a node.
 func FuzzHandle(f *testing.F) {
 	for _, e := range []fleet.Envelope{
-		heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}),
+		peerHeartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}),
 		{From: "i2", Submit: &fleet.Submit{Pool: "h1/base", Request: fleet.Request{ID: "q", Base: "base"}}},
 		{From: "i2", Granted: &fleet.Granted{Ticket: fleet.Ticket{ID: "t"}}},
 		{From: "i2", Digest: &fleet.Digest{Hall: "h2", Pools: []fleet.PoolSummary{{Pool: "h1/base", Full: true}}}},
@@ -134,24 +134,24 @@
 	})
 }
 
-func TestHandOverCountsOnlyForTheLifeThatMadeIt(t *testing.T) {
+func TestHandoverCountsOnlyForRunThatMadeIt(t *testing.T) {
 	n := newNode()
 	now := begin.Add(2 * time.Second)
-	n.Handle(now, heartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
+	n.Handle(now, peerHeartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
 	n.Handle(now, fleet.Envelope{From: "i2", Boot: 1, Release: &fleet.Release{Pool: "h1/base", Term: 9}})
 	require.Len(t, n.Pools(now), 1)
-	asked := only[node.AcquireOwner](n.Tick(now))
+	asked := effectsOf[node.AcquireOwner](n.Tick(now))
 	require.Len(t, asked, 1)
 	owned := func(at time.Time, lease uint64, formers ...node.FormerOwner) bool {
 		effects := n.Owned(at, node.OwnerResult{Pool: "h1/base", Term: asked[0].Term, OK: true, Lease: lease, SentAt: at, Formers: formers})
-		for _, note := range only[node.Note](effects) {
+		for _, note := range effectsOf[node.Note](effects) {
 			if note.Event.Kind == fleet.EventFreeze && note.Event.Endpoint == "e2" {
 				return false
 			}
 		}
 		return true
 	}
-	require.True(t, owned(now, 1, node.FormerOwner{ID: "i2", Boot: 1}), "the life that handed the pool over grants no more")
+	require.True(t, owned(now, 1, node.FormerOwner{ID: "i2", Boot: 1}), "the run that handed the pool over no longer grants")
 	n.Renewed(now.Add(20*time.Second), node.LeaseResult{Gone: true, Lease: 1})
-	require.False(t, owned(now.Add(21*time.Second), 2, node.FormerOwner{ID: "i2", Boot: 2}), "a later life owned it meanwhile and may still grant")
+	require.False(t, owned(now.Add(21*time.Second), 2, node.FormerOwner{ID: "i2", Boot: 2}), "a later run owned the pool in between and may still grant")
 }
--- a/services/daemon/node/options.go
+++ b/services/daemon/node/options.go
@@ -16,7 +16,7 @@
 // Options are the settings of a node.
 type Options struct {
 	Self fleet.Instance
-	// Boot tells this life of the instance from earlier ones and grows with them.
+	// Boot identifies this run of the instance. It increases with each restart.
 	Boot       uint64
 	Halls      []string
 	Endpoints  []fleet.Endpoint
@@ -26,82 +26,85 @@
 	Membership membership.Options
 	Budget     budget.Limits
 	Timing     Timing
-	// Defects are seeded faults, for the proof that the tests find them.
+	// Defects are seeded faults that verify that the tests detect them.
 	Defects Defects
 }
 
-// Timing holds the intervals and limits of the joint action of nodes.
+// Timing holds the intervals and time limits of the protocol between nodes.
 type Timing struct {
-	// Resubmit is the time after which an unanswered request is asked for again.
+	// Resubmit is the time after which an unanswered ticket request is submitted again.
 	Resubmit time.Duration
-	// NoPlacer is the longest that a request waits for a pool without a placer.
+	// NoPlacer is the maximum time that a request waits for a pool without a placer.
 	NoPlacer time.Duration
-	// GrantAge is the greatest age of a grant that an entry accepts, by its own clock.
+	// GrantAge is the maximum age, by the entry's own clock, of a grant that the entry accepts.
 	GrantAge time.Duration
-	// Reconfirm is the time between two full lists of tickets in use.
+	// Reconfirm is the interval at which an entry sends placers the full list of its tickets in use.
 	Reconfirm time.Duration
-	// Inspect is the time between two looks at an endpoint's own list.
+	// Inspect is the interval between two inspections of an endpoint.
 	Inspect time.Duration
-	// TakeRetry is the time after which a takeover order is repeated.
+	// TakeRetry is the time after which an unanswered takeover order to an endpoint is repeated.
 	TakeRetry time.Duration
-	// Digest is the time between two digests to another hall.
+	// Digest is the interval between two digests to another hall.
 	Digest time.Duration
-	// FullSummary is the time between two whole summaries to another hall.
+	// FullSummary is the interval between two digests with full pool summaries.
 	FullSummary time.Duration
-	// HallSilence is the silence after which another hall counts as cut off.
+	// HallSilence is the time without a digest after which another hall counts as cut off.
 	HallSilence time.Duration
-	// LeaseTTL, LeaseMargin and LeaseRenew govern orders to endpoints that check no fences.
+	// LeaseTTL, LeaseMargin and LeaseRenew limit the time during which orders may be sent to endpoints that check no fences.
 	LeaseTTL    time.Duration
 	LeaseMargin time.Duration
 	LeaseRenew  time.Duration
-	// Bid is the time between two bids of a pool for load permits.
+	// Bid is the interval between two bids of a pool for load permits.
 	Bid time.Duration
-	// PermitLife is the time after which a permit not given back is forgotten.
+	// PermitLife is the time after which a permit that was not returned expires.
 	PermitLife time.Duration
-	// RecoveryDelay spreads the bids after a restart of many endpoints; zero for none.
+	// RecoveryDelay is the time over which the first bids after takeovers are spread; zero disables it.
 	RecoveryDelay time.Duration
 }
 
-// The timings where the settings file is silent.
+// Defaults for timings that the settings file does not set.
 const (
-	// defaultResubmit: longer leaves a request idle after a lost message, shorter repeats questions that are only late.
+	// defaultResubmit: a longer time leaves a request idle longer after a lost message; a shorter one repeats submissions whose answers
+	// are only late.
 	defaultResubmit = time.Second
-	// defaultNoPlacer: longer lets a request outlive the takeover of a pool (1.2 s median after a loss in a hall of 3,
-	// docs/capacity-shelfledged.md), shorter refuses it sooner.
+	// defaultNoPlacer: a longer time lets a request survive the takeover of a pool (1.2 s median after the loss of an instance in a hall
+	// of 3, docs/capacity-shelfledged.md); a shorter one refuses the request sooner.
 	defaultNoPlacer = 5 * time.Second
-	// defaultGrantAge: longer uses grants that come late, shorter lets a successor unload sooner (docs/design/0002, endpoints that check no
-	// fences, 3).
+	// defaultGrantAge: a longer time accepts grants that arrive later; a shorter one lets a successor unload sooner (docs/design/0002,
+	// endpoints that check no fences, 3).
 	defaultGrantAge = 3 * time.Second
-	// defaultReconfirm: longer sends less, shorter frees a slot sooner after a lost return.
+	// defaultReconfirm: a longer interval sends less; a shorter one frees a slot sooner after a ticket's return was lost.
 	defaultReconfirm = 2 * time.Second
-	// defaultInspect: longer asks an endpoint less, shorter sees its restart and its slots sooner.
+	// defaultInspect: a longer interval puts less load on an endpoint; a shorter one detects its restart and the state of its slots sooner.
 	defaultInspect = 500 * time.Millisecond
-	// defaultTakeRetry: longer leaves an endpoint without a placer after a lost order, shorter asks more of one that is slow.
+	// defaultTakeRetry: a longer time leaves an endpoint without a placer longer after a lost order; a shorter one sends more orders to
+	// an endpoint that is slow to answer.
 	defaultTakeRetry = time.Second
-	// defaultDigest: longer sends less, shorter shows other halls the slots sooner; bytes at this value stand in
+	// defaultDigest: a longer interval sends less; a shorter one shows other halls the slots sooner. The bytes sent at this value are in
 	// docs/capacity-shelfledged.md, slopes (speaker, member).
 	defaultDigest = 250 * time.Millisecond
-	// defaultFullSummary: longer sends less, shorter makes good sooner what nobody missed.
+	// defaultFullSummary: a longer interval sends less; a shorter one corrects sooner lost changes whose loss the receiver did not detect.
 	defaultFullSummary = 30 * time.Second
-	// defaultHallSilence: longer sends requests to a hall that is cut off, shorter freezes a hall whose digests were lost.
-	// Quiet digests are a second apart.
+	// defaultHallSilence: a longer time keeps sending requests to a hall that is cut off; a shorter one marks a reachable hall as cut off
+	// after a few lost digests. Digests without changes are one second apart.
 	defaultHallSilence = 3 * time.Second
-	// defaultLeaseTTL: longer keeps a pool from its successor after a loss, shorter lapses in a short outage of the key-value service.
+	// defaultLeaseTTL: a longer time delays the successor of a lost instance; a shorter one lets the lease lapse in a short outage of the
+	// key-value service.
 	defaultLeaseTTL = 10 * time.Second
-	// defaultLeaseMargin: longer ends the right to order sooner, shorter trusts that an order arrives sooner after it was sent (assumption
-	// A1 of docs/design/0002).
+	// defaultLeaseMargin: a longer margin stops orders sooner; a shorter one relies on orders arriving sooner after they were sent
+	// (assumption A1 of docs/design/0002).
 	defaultLeaseMargin = 3 * time.Second
-	// defaultLeaseRenew: longer writes less (1.2 writes a second with 6 daemons and 3 such pools, docs/capacity-shelfledged.md), shorter
-	// survives more lost renewals.
+	// defaultLeaseRenew: a longer interval writes less (1.2 writes a second with 6 daemons and 3 pools with endpoints that check no fences,
+	// docs/capacity-shelfledged.md); a shorter one survives more lost renewals.
 	defaultLeaseRenew = 3 * time.Second
-	// defaultBid: longer weighs demands less often, shorter starts a load sooner.
+	// defaultBid: a longer interval compares the pools' demands less often; a shorter one starts a load sooner.
 	defaultBid = 20 * time.Millisecond
-	// defaultPermitLife: longer keeps a place at the weight store after a lost message, shorter gives it away while a load still runs; it
-	// must exceed the load's time-out.
+	// defaultPermitLife: a longer time keeps a place at the weight store occupied longer after a lost message; a shorter one reuses the
+	// place while a load still runs. It must exceed the load's timeout.
 	defaultPermitLife = 45 * time.Second
 )
 
-// DefaultTiming gives the timings in use where the settings file is silent.
+// DefaultTiming returns the timings that apply where the settings file sets none.
 func DefaultTiming() Timing {
 	return Timing{
 		Resubmit: defaultResubmit, NoPlacer: defaultNoPlacer, GrantAge: defaultGrantAge, Reconfirm: defaultReconfirm,
@@ -111,18 +114,18 @@
 	}
 }
 
-// Defects are faults that a test can switch on to show that its oracle finds them.
+// Defects are faults that a test can enable to verify that its oracle detects them.
 type Defects struct {
 	// UnloadWithoutTickets lets a placer evict an adapter that is in use.
 	UnloadWithoutTickets bool
-	// AcceptOldGrants lets an entry use a grant of any age, or a second one.
+	// AcceptOldGrants lets an entry use a grant of any age, or a second grant for the same request.
 	AcceptOldGrants bool
-	// AcceptLowerRevision lets a configuration go back.
+	// AcceptLowerRevision lets the node apply a configuration of a lower revision than the one in force.
 	AcceptLowerRevision bool
-	// IgnoreLeaving sends new work to endpoints that leave.
+	// IgnoreLeaving sends new requests to endpoints that are leaving.
 	IgnoreLeaving bool
-	// SkipFreeze unloads on endpoints without fences before former grants have ended.
+	// SkipFreeze allows unloading on endpoints without fences while grants of former owners may still be used.
 	SkipFreeze bool
-	// OrderAfterLapse orders on endpoints without fences although the lease has lapsed.
+	// OrderAfterLapse allows orders to endpoints without fences after the lease has lapsed.
 	OrderAfterLapse bool
 }
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -15,10 +15,10 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// evaluate decides whether to take a pool over, to keep it or to let it go.
+// evaluate decides whether to take over, keep or release a pool, and carries the decision out.
 func (n *Node) evaluate(now time.Time, ps *poolState) {
 	situation := ownership.Situation{
-		Pool: ps.pool.Name, Own: ownership.Claim{Instance: n.options.Self.ID, Term: ps.term}, Mine: ps.mine,
+		Pool: ps.pool.Name, Own: ownership.Claim{Instance: n.options.Self.ID, Term: ps.term}, Mine: ps.isPlacer,
 		Leaving: n.leaving, Listening: now.Sub(n.started) < n.options.Membership.Settle,
 		Candidates: func() []string { return n.members.Candidates(n.leaving) },
 	}
@@ -26,7 +26,7 @@
 	announced := n.members.Member(situation.Announced.Instance)
 	switch ownership.Decide(situation) {
 	case ownership.Keep:
-		n.retryTakes(now, ps)
+		n.sendTakeOrders(now, ps)
 	case ownership.StepDown:
 		n.stepDown(now, ps, announced.Instance, "another instance holds the pool under a higher term")
 	case ownership.Follow:
@@ -37,7 +37,7 @@
 	}
 }
 
-// announced finds the highest claim of the live members on the pool.
+// announced returns the highest claim on the pool among the live members.
 func (n *Node) announced(ps *poolState) (ownership.Claim, bool) {
 	var claims []ownership.Claim
 	for _, m := range n.members.Alive() {
@@ -48,7 +48,7 @@
 	return ownership.Highest(ps.pool.Name, claims)
 }
 
-// heldTerm gives the term under which a member announces the pool, or zero.
+// heldTerm returns the term under which a member announces the pool, or zero.
 func heldTerm(m *membership.Member, pool string) uint64 {
 	for _, h := range m.Held {
 		if h.Pool == pool {
@@ -58,28 +58,28 @@
 	return 0
 }
 
-// learnHeld notes the terms that a member announces.
-func (n *Node) learnHeld(now time.Time, m *membership.Member) {
+// handleHeldPools processes the pools and terms that a member announces.
+func (n *Node) handleHeldPools(now time.Time, m *membership.Member) {
 	for _, h := range m.Held {
 		if ps := n.pools[h.Pool]; ps != nil {
 			ps.maxTerm = max(ps.maxTerm, h.Term)
-			if ps.own {
+			if ps.inOwnHall {
 				n.evaluate(now, ps)
 			}
 		}
 	}
 }
 
-// setPlacer follows a change of placer: tickets are declared to it and waiting requests asked for anew.
+// setPlacer stores a pool's new placer, declares the tickets in use to it and resubmits the waiting requests.
 func (n *Node) setPlacer(now time.Time, ps *poolState, m *membership.Member) {
 	id := ""
 	if m != nil {
 		id = m.Instance.ID
 	}
-	if id == ps.placedBy {
+	if id == ps.placerID {
 		return
 	}
-	ps.placedBy = id
+	ps.placerID = id
 	if id == "" {
 		return
 	}
@@ -87,20 +87,20 @@
 	n.resubmitPool(now, ps)
 }
 
-// takeOver makes the node the pool's placer under a new term.
-func (n *Node) takeOver(now time.Time, ps *poolState, handed []fleet.TicketUse, cause string) {
-	ps.mine = true
+// takeOver makes this node the pool's placer under a new term.
+func (n *Node) takeOver(now time.Time, ps *poolState, handedOverUses []fleet.TicketUse, cause string) {
+	ps.isPlacer = true
 	ps.maxTerm = ownership.NextTerm(ps.maxTerm, n.options.Boot)
 	ps.term = ps.maxTerm
-	ps.placedBy = n.options.Self.ID
+	ps.placerID = n.options.Self.ID
 	ps.takeover = ownership.NewTakeover(now, ps.pool.Endpoints, n.options.Timing.TakeRetry, n.options.Timing.Inspect)
-	ps.handed = handed
-	if handed == nil {
-		ps.handedBy = FormerOwner{}
+	ps.handedOverUses = handedOverUses
+	if handedOverUses == nil {
+		ps.handedOverBy = FormerOwner{}
 	}
-	ps.former = lease.Unknown()
+	ps.succession = lease.Unknown()
 	if n.options.Defects.SkipFreeze {
-		ps.former = ps.former.Unfrozen()
+		ps.succession = ps.succession.Unfrozen()
 	}
 	options := n.options.Placement
 	options.OrderMargin = n.options.Timing.LeaseMargin
@@ -110,19 +110,20 @@
 	ps.placer.SetEpoch(n.options.Boot, ps.term)
 	applyCatalog(ps.placer, n.config.Catalog())
 	ps.publisher = routing.NewPublisher(ps.term)
-	clear(ps.permits)
-	n.note(now, fleet.Event{Kind: fleet.EventTakeover, Pool: ps.pool.Name, Fence: ps.term, Cause: cause})
+	clear(ps.permitsInUse)
+	n.recordEvent(now, fleet.Event{Kind: fleet.EventTakeover, Pool: ps.pool.Name, Fence: ps.term, Cause: cause})
 	for _, e := range ps.unfenced() {
 		ps.placer.AllowOrders(e.Name, time.Time{})
 	}
 	n.lease.Forget(ps.pool.Name)
-	n.retryTakes(now, ps)
+	n.sendTakeOrders(now, ps)
 	n.heartbeatAll(now)
 	n.resubmitPool(now, ps)
 }
 
-// retryTakes asks the endpoints that have not answered yet.
-func (n *Node) retryTakes(now time.Time, ps *poolState) {
+// sendTakeOrders sends takeover orders to the endpoints that have not answered, and stops holding requests back after
+// ownership.HoldRequests.
+func (n *Node) sendTakeOrders(now time.Time, ps *poolState) {
 	for _, e := range ps.takeover.TakesDue(now) {
 		n.emit(Take{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
 	}
@@ -141,52 +142,52 @@
 	Inspection placement.Inspection
 }
 
-// Taken takes an endpoint's answer to a takeover order.
+// Taken processes an endpoint's answer to a takeover order.
 func (n *Node) Taken(now time.Time, r TakeResult) []Effect {
 	ps := n.pools[r.Pool]
-	if ps == nil || !ps.mine || ps.term != r.Term || ps.takeover.Adopted(r.Inspection.Endpoint) {
+	if ps == nil || !ps.isPlacer || ps.term != r.Term || ps.takeover.Adopted(r.Inspection.Endpoint) {
 		return nil
 	}
 	if !r.OK {
 		if r.Refused {
-			n.note(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Inspection.Endpoint, Fence: r.Fence, Cause: "the endpoint obeys a higher fence"})
+			n.recordEvent(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Inspection.Endpoint, Fence: r.Fence, Cause: "the endpoint holds a higher fence"})
 		}
-		return n.take()
+		return n.takeEffects()
 	}
 	endpoint := r.Inspection.Endpoint
 	ps.takeover.Adopt(now, endpoint)
 	frozen := now
-	if ps.former.Frozen() && n.isUnfenced(ps, endpoint) {
+	if ps.succession.Frozen() && n.isUnfenced(ps, endpoint) {
 		frozen = now.Add(lease.Forever)
 	}
-	n.run(now, ps, ps.placer.Adopt(now, r.Inspection, r.Fence, frozen))
-	for _, u := range ps.handed {
+	n.applyPlacerEffects(now, ps, ps.placer.Adopt(now, r.Inspection, r.Fence, frozen))
+	for _, u := range ps.handedOverUses {
 		if u.Ticket.Endpoint == endpoint {
-			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
+			n.applyPlacerEffects(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
 		}
 	}
-	for _, u := range n.uses.OfPool(ps.pool.Name) {
+	for _, u := range n.ticketUses.OfPool(ps.pool.Name) {
 		if u.Ticket.Endpoint == endpoint {
-			n.run(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
+			n.applyPlacerEffects(now, ps, ps.placer.Redeclare(now, u.Ticket, u.Request))
 		}
 	}
 	n.applyDrains(now, ps)
 	if ps.takeover.Answered() {
 		n.flushWaiting(now, ps)
 	}
-	n.spend(now)
-	return n.take()
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
 func (n *Node) isUnfenced(ps *poolState, endpoint string) bool {
 	return slices.ContainsFunc(ps.unfenced(), func(e fleet.Endpoint) bool { return e.Name == endpoint })
 }
 
-// flushWaiting submits what came while the pool was being taken over.
+// flushWaiting submits the requests that arrived during the takeover of the pool.
 func (n *Node) flushWaiting(now time.Time, ps *poolState) {
-	waiting := ps.waiting
-	ps.waiting = nil
-	for _, e := range waiting {
-		n.place(now, ps, e)
+	heldRequests := ps.heldRequests
+	ps.heldRequests = nil
+	for _, e := range heldRequests {
+		n.submitToPlacer(now, ps, e)
 	}
 }
--- a/services/daemon/node/placing.go
+++ b/services/daemon/node/placer.go
@@ -10,45 +10,45 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// maxWaitingTaken bounds the requests of a pool that wait for its takeover; one above it is placed at once, and refused if no endpoint has
-// answered. It bounds the memory in a rush after a loss.
-const maxWaitingTaken = 20000
+// maxWaitingForTakeover is the maximum number of requests that wait for a pool's takeover. Further requests go to the placer at once and are
+// refused if no endpoint has answered. The limit bounds the memory used by a burst of requests after the loss of an instance.
+const maxWaitingForTakeover = 20000
 
-// submitted takes a request for a ticket.
-func (n *Node) submitted(now time.Time, e fleet.Envelope) {
+// handleSubmit processes a request for a ticket.
+func (n *Node) handleSubmit(now time.Time, e fleet.Envelope) {
 	ps := n.pools[e.Submit.Pool]
-	if ps == nil || !ps.mine {
-		n.learnReply(now, e)
-		n.elsewhere(e, e.Submit.Pool)
+	if ps == nil || !ps.isPlacer {
+		n.storeSubmitter(now, e)
+		n.replyNotPlacer(e, e.Submit.Pool)
 		return
 	}
-	n.learnReply(now, e)
-	if ps.takeover.Holds(now) && len(ps.waiting) < maxWaitingTaken {
-		ps.waiting = append(ps.waiting, e)
+	n.storeSubmitter(now, e)
+	if ps.takeover.Holds(now) && len(ps.heldRequests) < maxWaitingForTakeover {
+		ps.heldRequests = append(ps.heldRequests, e)
 		return
 	}
-	n.place(now, ps, e)
+	n.submitToPlacer(now, ps, e)
 }
 
-// learnReply remembers where a request's entry is and the latest of its stamps.
-func (n *Node) learnReply(now time.Time, e fleet.Envelope) {
+// storeSubmitter stores the address and the latest stamp of a request's entry.
+func (n *Node) storeSubmitter(now time.Time, e fleet.Envelope) {
 	hall := e.Submit.Request.Hall
-	n.learnEntry(now, fleet.Instance{ID: e.From, Hall: hall, Address: e.Submit.Reply}, e.Submit.Stamp)
+	n.storeEntry(now, fleet.Instance{ID: e.From, Hall: hall, Address: e.Submit.Reply}, e.Submit.Stamp)
 }
 
-// place puts a request before the placer; its deadline is counted from now by this node's clock.
-func (n *Node) place(now time.Time, ps *poolState, e fleet.Envelope) {
+// submitToPlacer submits a request to the placer. The deadline is recomputed from the remaining wait by this node's clock.
+func (n *Node) submitToPlacer(now time.Time, ps *poolState, e fleet.Envelope) {
 	r := e.Submit.Request
 	r.Entry = e.From
 	r.Arrived = now
 	if !r.Deadline.IsZero() {
 		r.Deadline = now.Add(e.Submit.Wait)
 	}
-	n.run(now, ps, ps.placer.Submit(now, r))
+	n.applyPlacerEffects(now, ps, ps.placer.Submit(now, r))
 }
 
-// elsewhere tells an entry that this node does not place the pool.
-func (n *Node) elsewhere(e fleet.Envelope, pool string) {
+// replyNotPlacer informs an entry that this node is not the pool's placer.
+func (n *Node) replyNotPlacer(e fleet.Envelope, pool string) {
 	r := e.Submit.Request
 	refused := &fleet.Refused{Pool: pool, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonNoPlacer}, Elsewhere: true, Attempt: r.Attempt}
 	if e.From == n.options.Self.ID {
@@ -59,41 +59,41 @@
 	}
 }
 
-func (n *Node) withdrawn(now time.Time, e fleet.Envelope) {
+func (n *Node) handleWithdraw(now time.Time, e fleet.Envelope) {
 	ps := n.pools[e.Withdraw.Pool]
-	if ps == nil || !ps.mine {
+	if ps == nil || !ps.isPlacer {
 		return
 	}
-	n.run(now, ps, ps.placer.Cancel(now, e.Withdraw.RequestID))
+	n.applyPlacerEffects(now, ps, ps.placer.Cancel(now, e.Withdraw.RequestID))
 }
 
-func (n *Node) returned(now time.Time, r *fleet.Returned) {
+func (n *Node) handleReturned(now time.Time, r *fleet.Returned) {
 	ps := n.pools[r.Pool]
-	if ps == nil || !ps.mine {
+	if ps == nil || !ps.isPlacer {
 		return
 	}
 	for _, id := range r.Tickets {
-		n.run(now, ps, ps.placer.Return(now, id))
+		n.applyPlacerEffects(now, ps, ps.placer.Return(now, id))
 	}
 }
 
-// redeclared takes an entry's full list of the pool's tickets in use.
-func (n *Node) redeclared(now time.Time, e fleet.Envelope) {
+// handleRedeclare processes an entry's full list of its tickets in use of the pool.
+func (n *Node) handleRedeclare(now time.Time, e fleet.Envelope) {
 	ps := n.pools[e.Redeclare.Pool]
-	if ps == nil || !ps.mine {
+	if ps == nil || !ps.isPlacer {
 		return
 	}
-	n.run(now, ps, ps.placer.Reconfirm(now, e.From, e.Redeclare.Uses, n.tooOld()))
+	n.applyPlacerEffects(now, ps, ps.placer.Reconfirm(now, e.From, e.Redeclare.Uses, n.grantLossAge()))
 }
 
-// run carries a placer's effects on.
-func (n *Node) run(now time.Time, ps *poolState, effects []placement.Effect) {
+// applyPlacerEffects carries out a placer's effects.
+func (n *Node) applyPlacerEffects(now time.Time, ps *poolState, effects []placement.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case placement.Grant:
-			n.grant(now, ps, e)
+			n.sendGrant(now, ps, e)
 		case placement.Refuse:
-			n.refuse(now, ps, e)
+			n.sendRefusal(now, ps, e)
 		case placement.Load:
 			n.emit(Order{Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint), Load: e})
 		case placement.Inspect:
@@ -101,10 +101,10 @@
 			n.emit(Inspect{Pool: ps.pool.Name, Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint)})
 		case placement.Retake:
 			ps.takeover.Retake(e.Endpoint)
-			n.retryTakes(now, ps)
+			n.sendTakeOrders(now, ps)
 		case placement.Note:
 			event := e.Event
-			n.note(now, event)
+			n.recordEvent(now, event)
 		}
 	}
 }
@@ -118,10 +118,10 @@
 	return fleet.Endpoint{Name: name}
 }
 
-func (n *Node) grant(now time.Time, ps *poolState, g placement.Grant) {
+func (n *Node) sendGrant(now time.Time, ps *poolState, g placement.Grant) {
 	entry := g.Request.Entry
 	if entry == n.options.Self.ID {
-		n.grantSelf(now, ps, g)
+		n.grantLocally(now, ps, g)
 		return
 	}
 	p := n.entries[entry]
@@ -131,11 +131,11 @@
 	n.send(p.instance, fleet.Envelope{Granted: &fleet.Granted{Ticket: g.Ticket, Stamp: p.stamp, Attempt: g.Request.Attempt}})
 }
 
-func (n *Node) grantSelf(now time.Time, ps *poolState, g placement.Grant) {
+func (n *Node) grantLocally(now time.Time, ps *poolState, g placement.Grant) {
 	p, ok := n.pending.FindAttempt(g.Ticket.RequestID, g.Request.Attempt)
 	if !ok {
-		if !n.uses.Has(g.Ticket.ID) {
-			n.run(now, ps, ps.placer.Return(now, g.Ticket.ID))
+		if !n.ticketUses.Has(g.Ticket.ID) {
+			n.applyPlacerEffects(now, ps, ps.placer.Return(now, g.Ticket.ID))
 		}
 		return
 	}
@@ -143,10 +143,10 @@
 	n.deliver(now, g.Ticket, p.Request)
 }
 
-func (n *Node) refuse(now time.Time, ps *poolState, r placement.Refuse) {
+func (n *Node) sendRefusal(now time.Time, ps *poolState, r placement.Refuse) {
 	elsewhere := r.Refusal.Reason == fleet.ReasonNoPlacer
 	if r.Request.Entry == n.options.Self.ID {
-		n.refuseSelf(now, r, elsewhere)
+		n.refuseLocally(now, r, elsewhere)
 		return
 	}
 	p := n.entries[r.Request.Entry]
@@ -156,7 +156,7 @@
 	n.send(p.instance, fleet.Envelope{Refused: &fleet.Refused{Pool: ps.pool.Name, Refusal: r.Refusal, Elsewhere: elsewhere, Attempt: r.Request.Attempt}})
 }
 
-func (n *Node) refuseSelf(now time.Time, r placement.Refuse, elsewhere bool) {
+func (n *Node) refuseLocally(now time.Time, r placement.Refuse, elsewhere bool) {
 	p, ok := n.pending.FindAttempt(r.Request.ID, r.Request.Attempt)
 	if !ok {
 		return
--- a/services/daemon/node/pool.go
+++ b/services/daemon/node/pool.go
@@ -14,43 +14,44 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// poolState is what a node knows of one pool, and its own part in it.
+// poolState is the node's state of one pool.
 type poolState struct {
 	pool fleet.Pool
-	// own tells whether the pool is in the node's hall.
-	own bool
-	// mine tells whether the node takes itself for the pool's placer.
-	mine bool
-	// term is the node's term as placer, maxTerm the highest that was heard or used.
+	// inOwnHall is true if the pool is in the node's hall.
+	inOwnHall bool
+	// isPlacer is true while the node considers itself the pool's placer.
+	isPlacer bool
+	// term is the node's term as placer; maxTerm is the highest term received or used.
 	term    uint64
 	maxTerm uint64
-	// placedBy names the instance that places the pool, as far as is known; empty for none.
-	placedBy string
-	// gap tells that a summary from the pool's placer was missed, so that the whole is asked for.
-	gap bool
-	// dealt tells that this instance has asked the pool for a ticket.
-	dealt bool
-
-	// The rest is of use only while the node places the pool.
+	// placerID is the identifier of the pool's last known placer; empty for none.
+	placerID string
+	// summaryMissed is true if a summary of the pool's placer was missed, so that the full summary must be requested.
+	summaryMissed bool
+	// ticketRequested is true once this instance has requested a ticket of the pool.
+	ticketRequested bool
+
+	// The remaining fields are used only while the node is the pool's placer.
+
 	placer    *placement.Placer
 	publisher *routing.Publisher
 	takeover  *ownership.Takeover
-	// waiting are the requests that came before the endpoints had answered the takeover.
-	waiting []fleet.Envelope
-	// handed are the tickets that a former placer handed over, and handedBy its life.
-	handed   []fleet.TicketUse
-	handedBy FormerOwner
-	former   lease.Succession
-	bids     loads.Bidder
-	// permits are those of the loads under way.
-	permits map[fleet.AdapterRef]loads.Held
+	// heldRequests are the requests that arrived before the endpoints answered the takeover.
+	heldRequests []fleet.Envelope
+	// handedOverUses are the tickets that a former placer handed over; handedOverBy identifies that placer's run.
+	handedOverUses []fleet.TicketUse
+	handedOverBy   FormerOwner
+	succession     lease.Succession
+	bidder         loads.Bidder
+	// permitsInUse are the permits of the loads in progress, by adapter.
+	permitsInUse map[fleet.AdapterRef]loads.Held
 }
 
-func newPoolState(pool fleet.Pool, own bool, bid time.Duration) *poolState {
-	return &poolState{pool: pool, own: own, bids: loads.NewBidder(bid), permits: make(map[fleet.AdapterRef]loads.Held)}
+func newPoolState(pool fleet.Pool, inOwnHall bool, bid time.Duration) *poolState {
+	return &poolState{pool: pool, inOwnHall: inOwnHall, bidder: loads.NewBidder(bid), permitsInUse: make(map[fleet.AdapterRef]loads.Held)}
 }
 
-// unfenced lists the endpoints on which orders need the lease.
+// unfenced returns the endpoints that check no fences, so that orders to them require the lease.
 func (ps *poolState) unfenced() []fleet.Endpoint {
 	var out []fleet.Endpoint
 	for _, e := range ps.pool.Endpoints {
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -11,20 +11,20 @@
 )
 
 const (
-	// retryStopping is when to send a request again that a stopping instance refuses; the next try goes to another instance.
-	retryStopping = time.Second
-	// retryNoEndpoint is when to send a request again that no endpoint or placer can take.
-	retryNoEndpoint = 2 * time.Second
-	// oldGrants is by how many times the greatest age of a usable grant, with the time to start, a grant must be older before its entry's
-	// silence about it counts. Higher keeps a slot in use longer after a lost return.
-	oldGrants = 2
+	// retryAfterStopping is the retry delay that callers get from a stopping instance; the next attempt goes to another instance.
+	retryAfterStopping = time.Second
+	// retryAfterNoEndpoint is the retry delay that callers get if no endpoint or placer can take the request.
+	retryAfterNoEndpoint = 2 * time.Second
+	// lostGrantAgeFactor is multiplied by the sum of the maximum usable age of a grant and the time to start. A grant of at least this age that
+	// its entry does not list as in use is released. A higher factor keeps a slot occupied longer after a ticket's return was lost.
+	lostGrantAgeFactor = 2
 )
 
-// Submit takes a caller's request; the answer is a Deliver or a Reject, now or later.
+// Submit accepts a caller's request. The result is a Deliver or a Reject effect of this or of a later call.
 func (n *Node) Submit(now time.Time, r fleet.Request) []Effect {
 	if n.leaving && r.Attempt == 0 {
-		n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonStopping, RetryAfter: retryStopping}})
-		return n.take()
+		n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonStopping, RetryAfter: retryAfterStopping}})
+		return n.takeEffects()
 	}
 	r.Entry = n.options.Self.ID
 	r.Hall = n.options.Self.Hall
@@ -32,18 +32,18 @@
 	if rule, ok := n.config.Catalog().Decide(now, r); ok {
 		if rule.Refuse {
 			n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonRule}})
-			return n.take()
+			return n.takeEffects()
 		}
 		p.Halls = rule.Halls
 		p.Request.Priority = rule.Priority
 	}
 	n.pending.Add(p)
 	n.route(now, p)
-	n.spend(now)
-	return n.take()
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
-// Abandon withdraws a request whose caller has gone before a ticket came.
+// Abandon withdraws a request whose caller disconnected before a ticket arrived.
 func (n *Node) Abandon(now time.Time, requestID string) []Effect {
 	p, ok := n.pending.Find(requestID)
 	if !ok {
@@ -51,28 +51,28 @@
 	}
 	n.pending.Remove(requestID)
 	n.withdraw(now, p)
-	n.spend(now)
-	return n.take()
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
-// Finish gives a ticket back after its request has ended on the endpoint, or never started.
+// Finish returns a ticket to its placer after its request has ended on the endpoint or was never started.
 func (n *Node) Finish(now time.Time, ticketID string) []Effect {
-	t, ok := n.uses.Remove(ticketID)
+	t, ok := n.ticketUses.Remove(ticketID)
 	if !ok {
 		return nil
 	}
-	n.giveBack(now, t)
-	n.spend(now)
-	return n.take()
+	n.returnTicket(now, t)
+	n.bidAndGrantPermits(now)
+	return n.takeEffects()
 }
 
-func (n *Node) giveBack(now time.Time, t fleet.Ticket) {
+func (n *Node) returnTicket(now time.Time, t fleet.Ticket) {
 	ps := n.pools[t.Pool]
 	if ps == nil {
 		return
 	}
-	if ps.mine {
-		n.run(now, ps, ps.placer.Return(now, t.ID))
+	if ps.isPlacer {
+		n.applyPlacerEffects(now, ps, ps.placer.Return(now, t.ID))
 		return
 	}
 	if to, ok := n.placerOf(ps); ok {
@@ -80,67 +80,67 @@
 	}
 }
 
-// placerOf finds the instance that places a pool, as far as this node knows.
+// placerOf returns the last known placer of a pool, other than this node.
 func (n *Node) placerOf(ps *poolState) (fleet.Instance, bool) {
-	if !ps.own {
-		r := n.remotes[ps.pool.Hall]
+	if !ps.inOwnHall {
+		r := n.remoteHalls[ps.pool.Hall]
 		if r == nil {
 			return fleet.Instance{}, false
 		}
 		return r.Placer(ps.pool.Name)
 	}
-	if m := n.members.Member(ps.placedBy); m != nil && m.Alive {
+	if m := n.members.Member(ps.placerID); m != nil && m.Alive {
 		return m.Instance, true
 	}
 	return fleet.Instance{}, false
 }
 
-// route chooses a pool for a waiting request and asks its placer.
+// route chooses a pool for a waiting request and submits the request to the pool's placer.
 func (n *Node) route(now time.Time, p *waiting.Request) {
 	name, ok := n.router.Choose(now, p.Request, p.Halls)
 	if !ok {
 		n.pending.Remove(p.Request.ID)
-		n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonNoEndpoint, RetryAfter: retryNoEndpoint}})
+		n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonNoEndpoint, RetryAfter: retryAfterNoEndpoint}})
 		return
 	}
 	if p.Pool != "" && p.Pool != name {
 		n.withdraw(now, p)
 	}
 	p.Pool = name
-	n.ask(now, p)
+	n.submitRequest(now, p)
 }
 
-// ask submits a waiting request to its pool's placer, if there is one.
-func (n *Node) ask(now time.Time, p *waiting.Request) {
+// submitRequest submits a waiting request to its pool's placer, if there is one.
+func (n *Node) submitRequest(now time.Time, p *waiting.Request) {
 	ps := n.pools[p.Pool]
-	ps.dealt = true
+	ps.ticketRequested = true
 	p.Ask(now, n.options.Timing.Resubmit)
 	submit := &fleet.Submit{Pool: p.Pool, Request: p.Request, Reply: n.options.Self.Address, Stamp: n.stamp(now)}
 	if !p.Request.Deadline.IsZero() {
 		submit.Wait = p.Request.Deadline.Sub(now)
 	}
 	envelope := fleet.Envelope{From: n.options.Self.ID, Boot: n.options.Boot, Submit: submit}
-	if ps.mine {
+	if ps.isPlacer {
 		p.AskedOf(n.options.Self)
-		n.submitted(now, envelope)
+		n.handleSubmit(now, envelope)
 		return
 	}
 	to, ok := n.placerOf(ps)
 	if !ok {
-		n.noPlacer(now, p)
+		n.waitForPlacer(now, p)
 		return
 	}
 	p.AskedOf(to)
 	n.send(to, envelope)
 }
 
-// noPlacer lets a request wait a while for a pool without a placer.
-func (n *Node) noPlacer(now time.Time, p *waiting.Request) {
+// waitForPlacer rejects a request whose pool has had no placer for Timing.NoPlacer; until then the request waits.
+func (n *Node) waitForPlacer(now time.Time, p *waiting.Request) {
 	if !p.NoPlacer(now, n.options.Timing.NoPlacer) {
 		return
 	}
 	n.pending.Remove(p.Request.ID)
-	n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonNoPlacer, RetryAfter: retryNoEndpoint}})
+	n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonNoPlacer, RetryAfter: retryAfterNoEndpoint}})
 }
 
 func (n *Node) withdraw(now time.Time, p *waiting.Request) {
@@ -148,14 +148,14 @@
 	if ps == nil || p.Asked.ID == "" {
 		return
 	}
-	if ps.mine {
-		n.run(now, ps, ps.placer.Cancel(now, p.Request.ID))
+	if ps.isPlacer {
+		n.applyPlacerEffects(now, ps, ps.placer.Cancel(now, p.Request.ID))
 		return
 	}
 	n.send(p.Asked, fleet.Envelope{Withdraw: &fleet.Withdraw{Pool: p.Pool, RequestID: p.Request.ID}})
 }
 
-// tickPending refuses what has expired and asks again for what got no answer.
+// tickPending rejects the waiting requests that have expired and resubmits the unanswered ones.
 func (n *Node) tickPending(now time.Time) {
 	for _, p := range n.pending.Sorted() {
 		if p.Request.Expired(now) {
@@ -167,48 +167,49 @@
 		if !p.AskDue(now) {
 			continue
 		}
-		if n.placeable(p) {
-			n.ask(now, p)
+		if n.placerReachable(p) {
+			n.submitRequest(now, p)
 			continue
 		}
 		n.route(now, p)
 	}
 }
 
-// placeable tells whether the pool chosen for a request can still be asked.
-func (n *Node) placeable(p *waiting.Request) bool {
+// placerReachable reports whether the placer of the pool chosen for a request can still be reached.
+func (n *Node) placerReachable(p *waiting.Request) bool {
 	ps := n.pools[p.Pool]
 	if ps == nil {
 		return false
 	}
-	if ps.own {
+	if ps.inOwnHall {
 		return true
 	}
-	r := n.remotes[ps.pool.Hall]
+	r := n.remoteHalls[ps.pool.Hall]
 	_, ok := r.Placer(ps.pool.Name)
 	return ok && !r.Cut()
 }
 
-// resubmitPool asks a pool's new placer for everything that waits for the pool.
+// resubmitPool submits all requests that wait for a pool to its new placer.
 func (n *Node) resubmitPool(now time.Time, ps *poolState) {
 	for _, p := range n.pending.Sorted() {
 		if p.Pool == ps.pool.Name {
-			n.ask(now, p)
+			n.submitRequest(now, p)
 		}
 	}
 }
 
-// granted takes a ticket, unless the request needs none or the grant is too old to be used.
-func (n *Node) granted(now time.Time, e fleet.Envelope) {
+// handleGranted processes a grant. The ticket is used unless it is in use already, its request no longer waits, or the grant is
+// too old.
+func (n *Node) handleGranted(now time.Time, e fleet.Envelope) {
 	g := e.Granted
 	p, awaited := n.pending.FindAttempt(g.Ticket.RequestID, g.Attempt)
 	verdict := waiting.Judge(waiting.Grant{
-		InUse: n.uses.Has(g.Ticket.ID), Awaited: awaited, Age: n.stamp(now) - g.Stamp, Limit: n.options.Timing.GrantAge,
+		InUse: n.ticketUses.Has(g.Ticket.ID), Awaited: awaited, Age: n.stamp(now) - g.Stamp, Limit: n.options.Timing.GrantAge,
 		AcceptOld: n.options.Defects.AcceptOldGrants,
 	})
 	switch verdict {
 	case waiting.Return:
-		n.returnTo(e, g.Ticket)
+		n.returnUnusedGrant(e, g.Ticket)
 	case waiting.TooOld:
 		p.Hurry(now)
 	case waiting.Use:
@@ -222,7 +223,7 @@
 	}
 }
 
-func (n *Node) returnTo(e fleet.Envelope, t fleet.Ticket) {
+func (n *Node) returnUnusedGrant(e fleet.Envelope, t fleet.Ticket) {
 	if p := n.entries[e.From]; p != nil {
 		n.send(p.instance, fleet.Envelope{Returned: &fleet.Returned{Pool: t.Pool, Tickets: []string{t.ID}}})
 		return
@@ -235,12 +236,12 @@
 }
 
 func (n *Node) deliver(now time.Time, t fleet.Ticket, r fleet.Request) {
-	n.uses.Add(t, r)
+	n.ticketUses.Add(t, r)
 	n.emit(Deliver{RequestID: t.RequestID, Ticket: t, NotAfter: now.Add(t.StartWithin)})
 }
 
-// refused takes a placer's refusal, or its answer that another instance is the placer.
-func (n *Node) refused(now time.Time, e fleet.Envelope) {
+// handleRefused processes a placer's refusal, or its answer that another instance is the placer.
+func (n *Node) handleRefused(now time.Time, e fleet.Envelope) {
 	p, ok := n.pending.FindAttempt(e.Refused.Refusal.RequestID, e.Refused.Attempt)
 	if !ok || p.Pool != e.Refused.Pool {
 		return
@@ -254,28 +255,28 @@
 }
 
 func (n *Node) declareUses(ps *poolState, to fleet.Instance) {
-	n.send(to, fleet.Envelope{Redeclare: &fleet.Redeclare{Pool: ps.pool.Name, Uses: n.uses.OfPool(ps.pool.Name)}})
+	n.send(to, fleet.Envelope{Redeclare: &fleet.Redeclare{Pool: ps.pool.Name, Uses: n.ticketUses.OfPool(ps.pool.Name)}})
 }
 
-// tickReconfirm tells the placers now and then which tickets are in use, so that a lost return does no lasting harm.
+// tickReconfirm sends the placers the tickets in use each Timing.Reconfirm, so that tickets whose return was lost are freed.
 func (n *Node) tickReconfirm(now time.Time) {
-	if now.Sub(n.redo) < n.options.Timing.Reconfirm {
+	if now.Sub(n.reconfirmedAt) < n.options.Timing.Reconfirm {
 		return
 	}
-	n.redo = now
-	for _, ps := range n.order {
-		if ps.mine {
-			n.run(now, ps, ps.placer.Reconfirm(now, n.options.Self.ID, n.uses.OfPool(ps.pool.Name), n.tooOld()))
+	n.reconfirmedAt = now
+	for _, ps := range n.poolList {
+		if ps.isPlacer {
+			n.applyPlacerEffects(now, ps, ps.placer.Reconfirm(now, n.options.Self.ID, n.ticketUses.OfPool(ps.pool.Name), n.grantLossAge()))
 			continue
 		}
 		to, ok := n.placerOf(ps)
-		if ok && ps.dealt {
+		if ok && ps.ticketRequested {
 			n.declareUses(ps, to)
 		}
 	}
 }
 
-// tooOld is the age at which a grant that its entry does not know cannot be on its way any more.
-func (n *Node) tooOld() time.Duration {
-	return oldGrants * (n.options.Timing.GrantAge + n.options.Placement.StartWithin)
+// grantLossAge returns the age from which a grant that its entry does not list cannot still be in transit.
+func (n *Node) grantLossAge() time.Duration {
+	return lostGrantAgeFactor * (n.options.Timing.GrantAge + n.options.Placement.StartWithin)
 }
--- a/services/daemon/node/view.go
+++ b/services/daemon/node/view.go
@@ -12,7 +12,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// HallView tells how a hall stands, as far as this instance knows.
+// HallView is the state of a hall as this instance knows it.
 type HallView struct {
 	Hall     string
 	Revision int64
@@ -21,12 +21,12 @@
 	Speaker  fleet.Instance
 }
 
-// Halls lists the halls with the revision in force in each.
+// Halls returns the halls with the revision in force in each.
 func (n *Node) Halls(now time.Time) []HallView {
 	speaker, _ := n.speaker()
 	out := []HallView{{Hall: n.options.Self.Hall, Revision: n.hallRevision(), Speaker: speaker}}
 	for _, name := range n.options.Halls {
-		r := n.remotes[name]
+		r := n.remoteHalls[name]
 		if r == nil {
 			continue
 		}
@@ -42,7 +42,7 @@
 	return out
 }
 
-// InstanceView is one instance of the hall as operators see it.
+// InstanceView is the state of one instance of the hall, for operators.
 type InstanceView struct {
 	Instance fleet.Instance
 	Alive    bool
@@ -53,11 +53,11 @@
 	Pools    []string
 }
 
-// Instances lists the hall's instances, this one included.
+// Instances returns the hall's instances, including this one.
 func (n *Node) Instances(now time.Time) []InstanceView {
-	self := InstanceView{Instance: n.options.Self, Alive: true, Leaving: n.leaving, Listed: n.list.Listed(n.options.Self.ID), Revision: n.config.Revision()}
-	for _, ps := range n.order {
-		if ps.mine {
+	self := InstanceView{Instance: n.options.Self, Alive: true, Leaving: n.leaving, Listed: n.platformList.Listed(n.options.Self.ID), Revision: n.config.Revision()}
+	for _, ps := range n.poolList {
+		if ps.isPlacer {
 			self.Pools = append(self.Pools, ps.pool.Name)
 		}
 	}
@@ -73,7 +73,7 @@
 	return out
 }
 
-// PoolView is one pool that this instance places.
+// PoolView is the state of one pool whose placer is this instance.
 type PoolView struct {
 	Pool      string
 	Term      uint64
@@ -83,11 +83,11 @@
 	Tickets   []fleet.Ticket
 }
 
-// Pools lists the pools that this instance places.
+// Pools returns the pools whose placer is this instance.
 func (n *Node) Pools(now time.Time) []PoolView {
 	var out []PoolView
-	for _, ps := range n.order {
-		if !ps.mine {
+	for _, ps := range n.poolList {
+		if !ps.isPlacer {
 			continue
 		}
 		out = append(out, PoolView{
@@ -98,17 +98,17 @@
 	return out
 }
 
-// Revision gives the revision in force here and the highest that anyone has named.
+// Revision returns the revision in force here and the highest revision that any peer or the key-value service has reported.
 func (n *Node) Revision() (int64, int64) {
 	return n.config.Revision(), n.config.Head()
 }
 
-// Records lists the recent records of the configuration, the oldest first.
+// Records returns the recent records of the configuration, the oldest first.
 func (n *Node) Records() []catalog.Record {
 	return n.config.Recent()
 }
 
-// Peers lists the live instances of the hall, without this one.
+// Peers returns the live instances of the hall, without this one.
 func (n *Node) Peers() []fleet.Instance {
 	var out []fleet.Instance
 	for _, m := range n.members.Alive() {
@@ -117,16 +117,16 @@
 	return out
 }
 
-// Ready tells whether every pool of the hall has a placer and the hall's configuration is known.
+// Ready reports whether every pool of the hall has a known placer and this instance is not leaving.
 func (n *Node) Ready() bool {
 	if n.leaving {
 		return false
 	}
-	for _, ps := range n.order {
-		if !ps.own {
+	for _, ps := range n.poolList {
+		if !ps.inOwnHall {
 			continue
 		}
-		if _, ok := n.placerOf(ps); !ok && !ps.mine {
+		if _, ok := n.placerOf(ps); !ok && !ps.isPlacer {
 			return false
 		}
 	}
--- a/services/daemon/node/view_test.go
+++ b/services/daemon/node/view_test.go
@@ -14,20 +14,20 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// held is the announcement of the hall's pool under a term above that of a first takeover.
-var held = fleet.HeldPool{Pool: "h1/base", Term: 9}
+// heldByPeer announces the hall's pool under a term above the term of a first takeover.
+var heldByPeer = fleet.HeldPool{Pool: "h1/base", Term: 9}
 
 func digestOfH2(revision int64) fleet.Envelope {
 	speaker := fleet.Instance{ID: "j1", Hall: "h2"}
 	return fleet.Envelope{From: "j1", Digest: &fleet.Digest{Hall: "h2", Speaker: speaker, Revision: revision, Highest: revision}}
 }
 
-func TestViewOfHalls(t *testing.T) {
+func TestHallViews(t *testing.T) {
 	n := newNode()
 	halls := n.Halls(begin)
 	require.Len(t, halls, 2)
 	require.Equal(t, node.HallView{Hall: "h1", Speaker: instance("i1", 1)}, halls[0])
-	require.Equal(t, node.HallView{Hall: "h2", Cut: true}, halls[1], "never heard")
+	require.Equal(t, node.HallView{Hall: "h2", Cut: true}, halls[1], "no digest received yet")
 
 	at := begin.Add(time.Second)
 	n.Handle(at, digestOfH2(4))
@@ -43,14 +43,14 @@
 		}, n.Halls(now)[1])
 	}
 	here, highest := n.Revision()
-	require.Zero(t, here, "to hear of a revision puts nothing in force")
+	require.Zero(t, here, "an announced revision is not yet in force")
 	require.EqualValues(t, 4, highest)
 }
 
-func TestViewOfInstances(t *testing.T) {
+func TestInstanceViews(t *testing.T) {
 	n := newNode()
 	n.SetListed(begin, []fleet.Instance{instance("i1", 1), instance("i3", 3)}, nil)
-	n.Handle(begin.Add(time.Second), heartbeat(held))
+	n.Handle(begin.Add(time.Second), peerHeartbeat(heldByPeer))
 	now := begin.Add(2 * time.Second)
 	require.Equal(t, []node.InstanceView{
 		{Instance: instance("i1", 1), Alive: true, Listed: true},
@@ -62,41 +62,41 @@
 	n.Tick(begin.Add(1500 * time.Millisecond))
 	n.Tick(begin.Add(2 * time.Second))
 	n.Tick(begin.Add(2200*time.Millisecond + 1))
-	require.Empty(t, n.Peers(), "silent for longer than 1.2 s")
+	require.Empty(t, n.Peers(), "no heartbeat for longer than 1.2 s")
 	lost := n.Instances(now)[1]
 	require.False(t, lost.Alive)
-	require.Empty(t, lost.Pools, "what it held is not known any more")
+	require.Empty(t, lost.Pools, "the pools of a lost member are unknown")
 }
 
-func TestReadyOnceThePoolsOfTheHallHaveAHolder(t *testing.T) {
+func TestReadyOnceAllPoolsOfHallHavePlacers(t *testing.T) {
 	n := newNode()
 	require.False(t, n.Ready())
-	n.Handle(begin, heartbeat(held))
+	n.Handle(begin, peerHeartbeat(heldByPeer))
 	n.Tick(begin)
-	require.True(t, n.Ready(), "another holds the pool")
-	alone, now, _ := alone(t)
-	require.True(t, alone.Ready(), "the node holds it itself")
-	alone.Leave(now)
-	require.False(t, alone.Ready())
-	require.True(t, alone.Idle())
+	require.True(t, n.Ready(), "another instance holds the pool")
+	solePlacer, now, _ := solePlacer(t)
+	require.True(t, solePlacer.Ready(), "the node holds the pool itself")
+	solePlacer.Leave(now)
+	require.False(t, solePlacer.Ready())
+	require.True(t, solePlacer.Idle())
 }
 
-func TestViewOfPoolsShowsOnlyWhatTheNodeHolds(t *testing.T) {
-	n, now, take := alone(t)
+func TestPoolViewsShowOnlyPoolsOfThisPlacer(t *testing.T) {
+	n, now, take := solePlacer(t)
 	pools := n.Pools(now)
 	require.Len(t, pools, 1)
-	require.EqualValues(t, 5, pools[0].Term, "the boot, for want of an earlier term")
+	require.EqualValues(t, 5, pools[0].Term, "the boot number, since there is no earlier term")
 	require.Len(t, pools[0].Endpoints, 2)
-	require.False(t, pools[0].Endpoints[0].Up, "not taken yet")
+	require.False(t, pools[0].Endpoints[0].Up, "not taken over yet")
 	result := node.TakeResult{
 		Pool: "h1/base", Term: 5, OK: true, Fence: 1 << 16,
 		Inspection: placement.Inspection{Endpoint: take.Endpoint.Name, Incarnation: "e1-1", Began: now, Up: true},
 	}
 	n.Taken(now, result)
 	require.True(t, n.Pools(now)[0].Endpoints[0].Up)
-	require.Empty(t, n.Taken(now, result), "a repeated answer changes nothing")
+	require.Empty(t, n.Taken(now, result), "a repeated answer has no effect")
 	result.Term = 4
-	require.Empty(t, n.Taken(now, result), "nor does a late one, of an earlier term")
-	n.Handle(now, heartbeat(held))
+	require.Empty(t, n.Taken(now, result), "a late answer of an earlier term has no effect")
+	n.Handle(now, peerHeartbeat(heldByPeer))
 	require.Empty(t, n.Pools(now))
 }
