--- a/services/daemon/control/claim/answer.go
+++ b/services/daemon/control/claim/answer.go
@@ -83,7 +83,7 @@
 // Renewal gives what the node is told of a call to keep its lease alive that was sent at the given time.
 func Renewal(sent time.Time, standing Standing) node.LeaseResult {
 	if standing == Lapsed {
-		return node.LeaseResult{Gone: true}
+		return node.LeaseResult{Expired: true}
 	}
 	return node.LeaseResult{OK: standing == Alive, SentAt: sent}
 }
--- a/services/daemon/control/claim/claim_test.go
+++ b/services/daemon/control/claim/claim_test.go
@@ -83,7 +83,7 @@
 	own, anothers := grant(t, c), grant(t, c)
 	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))))
 	require.False(t, acquire(t, c, attempt(anotherID, anothers, read(t, c))))
-	require.True(t, read(t, c).Owner.Is(ownID, boot), "a vain attempt leaves the owner as it was")
+	require.True(t, read(t, c).Owner.IsRun(ownID, boot), "a vain attempt leaves the owner as it was")
 }
 
 func TestAnAttemptWhoseAnswerWasLostIsRepeatedWithSuccess(t *testing.T) {
@@ -93,7 +93,7 @@
 	require.True(t, acquire(t, c, attempt(ownID, own, before)))
 	require.True(t, acquire(t, c, attempt(ownID, own, before)), "the very same call, sent twice")
 	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))), "a new one")
-	require.Empty(t, read(t, c).Owner.Formers, "it does not wait for itself")
+	require.Empty(t, read(t, c).Owner.FormerOwners, "it does not wait for itself")
 }
 
 func TestALateAttemptDoesNotOverwriteAnOwnerThatCameInBetween(t *testing.T) {
@@ -104,7 +104,7 @@
 	require.NoError(t, c.Revoke(context.Background(), anothers))
 	require.False(t, acquire(t, c, attempt(ownID, own, before)), "it was read before the other's time")
 	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))))
-	require.Equal(t, []lease.FormerOwner{{ID: anotherID, Boot: boot}}, read(t, c).Owner.Formers)
+	require.Equal(t, []lease.FormerOwner{{ID: anotherID, Boot: boot}}, read(t, c).Owner.FormerOwners)
 }
 
 func TestTheKeyOfALapsedLeaseIsNotHeldUnderANewOne(t *testing.T) {
@@ -199,7 +199,7 @@
 		result   node.LeaseResult
 	}{
 		{"answered", nil, claim.Alive, node.LeaseResult{OK: true, SentAt: sent}},
-		{"the lease is gone", kv.ErrLeaseGone{ID: 3}, claim.Lapsed, node.LeaseResult{Gone: true}},
+		{"the lease is gone", kv.ErrLeaseGone{ID: 3}, claim.Lapsed, node.LeaseResult{Expired: true}},
 		{"not sent or refused", kv.ErrNotDone{}, claim.Unclear, node.LeaseResult{SentAt: sent}},
 		{"its answer was lost", kv.ErrUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sent}},
 		{"any other", errors.New("cause"), claim.Unclear, node.LeaseResult{SentAt: sent}},
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -38,12 +38,12 @@
 			s.owner.settle(e.Pool)
 		case node.RenewLease:
 			s.owner.renew()
-		case node.Publish:
+		case node.PublishCatalog:
 			s.catalog.Store(e.Catalog)
 			s.options.Metrics.Revision.Set(float64(e.Catalog.Revision))
-		case node.Watch:
+		case node.WatchConfiguration:
 			s.follower.SetWatching(e.On)
-		case node.Note:
+		case node.RecordEvent:
 			s.noteEvent(e.Event)
 		}
 	}
--- a/services/daemon/control/input.go
+++ b/services/daemon/control/input.go
@@ -101,7 +101,7 @@
 type recordsInput struct{ records fleet.Records }
 
 func (i recordsInput) apply(now time.Time, s *Service) []node.Effect {
-	return s.node.TakeRecords(now, i.records)
+	return s.node.ApplyRecords(now, i.records)
 }
 
 type listedInput struct {
--- a/services/daemon/control/owner_lease.go
+++ b/services/daemon/control/owner_lease.go
@@ -44,7 +44,7 @@
 // lapse tells the node that the lease is gone, with the keys of all pools, before it gets another one.
 func (o *owner) lapse() {
 	o.lease = 0
-	o.service.put(renewedInput{result: node.LeaseResult{Gone: true, Lease: o.leaseNumber}})
+	o.service.put(renewedInput{result: node.LeaseResult{Expired: true, Lease: o.leaseNumber}})
 }
 
 // tryRenew prolongs the lease; where it has lapsed, the next claim of a pool gets a new one.
--- a/services/daemon/control/owner_pool.go
+++ b/services/daemon/control/owner_pool.go
@@ -35,7 +35,7 @@
 	if !claim.Holds(answer, o.lease) {
 		return result
 	}
-	result.OK, result.Lease, result.SentAt, result.Formers = true, o.leaseNumber, sent, next.Formers
+	result.OK, result.Lease, result.SentAt, result.FormerOwners = true, o.leaseNumber, sent, next.FormerOwners
 	return result
 }
 
@@ -76,7 +76,7 @@
 func (o *owner) trySettle(pool string) {
 	self := o.service.options.Node
 	last, ok := o.readLast(pool)
-	if !ok || !last.Owner.Is(self.Self.ID, self.Boot) || len(last.Owner.Formers) == 0 {
+	if !ok || !last.Owner.IsRun(self.Self.ID, self.Boot) || len(last.Owner.FormerOwners) == 0 {
 		return
 	}
 	if _, err := o.service.options.KV.Txn(o.service.ctx, claim.Settle(o.keys(pool), last.Revision, last.Owner)); err != nil {
--- a/services/daemon/node/configuration.go
+++ b/services/daemon/node/configuration.go
@@ -14,7 +14,7 @@
 
 // requestRecords requests the missing configuration records from a peer with a higher revision.
 func (n *Node) requestRecords(now time.Time, from fleet.Instance) {
-	if n.config.AskDue(now) {
+	if n.config.RequestDue(now) {
 		n.send(from, fleet.Envelope{WantRecords: &fleet.WantRecords{After: n.config.Revision()}})
 	}
 }
@@ -31,11 +31,11 @@
 		return
 	}
 	size := records.Size()
-	if size <= followed.SmallAnswer {
+	if size <= followed.MaxImmediateAnswer {
 		n.send(to, fleet.Envelope{Records: records})
 		return
 	}
-	n.answerQueue.Ask(now, asker, size)
+	n.answerQueue.Enqueue(now, asker, size)
 	n.sendAnswers(now)
 	if coming := n.answerQueue.Coming(now, asker.ID); coming > 0 {
 		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: n.config.Revision(), Coming: coming}})
@@ -64,14 +64,14 @@
 		if !known || !ok {
 			continue
 		}
-		n.answerQueue.Sent(now, asker, records.Head, records.Size())
+		n.answerQueue.RecordSent(now, asker, records.Head, records.Size())
 		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: records.Head, Coming: n.answerQueue.Coming(now, asker.ID)}})
 		n.send(to, fleet.Envelope{Records: records})
 	}
 }
 
-// TakeRecords applies configuration records of a peer or of the key-value service. Older configuration is never applied.
-func (n *Node) TakeRecords(now time.Time, r fleet.Records) []Effect {
+// ApplyRecords applies configuration records of a peer or of the key-value service. Older configuration is never applied.
+func (n *Node) ApplyRecords(now time.Time, r fleet.Records) []Effect {
 	n.applyRecords(now, r)
 	return n.takeEffects()
 }
@@ -96,10 +96,10 @@
 // publishCatalog distributes a new catalog to the traffic path, the placers and all peers.
 func (n *Node) publishCatalog(now time.Time, c *catalog.Catalog) {
 	n.recordEvent(now, fleet.Event{Kind: fleet.EventRevision, Revision: c.Revision, Cause: "the configuration came into force"})
-	n.emit(Publish{Catalog: c})
+	n.emit(PublishCatalog{Catalog: c})
 	n.applyConfiguration(now)
 	n.heartbeatAll(now)
-	n.digestSchedule.Hurry()
+	n.digestSchedule.MakeDue()
 	n.sendDigests(now)
 }
 
@@ -141,5 +141,5 @@
 		return
 	}
 	n.watching = on
-	n.emit(Watch{On: on})
+	n.emit(WatchConfiguration{On: on})
 }
--- a/services/daemon/node/delayed_digest_test.go
+++ b/services/daemon/node/delayed_digest_test.go
@@ -49,7 +49,7 @@
 		{Kind: catalog.CreateAdapter, Name: "a", Base: "base"},
 	}})
 	require.NoError(t, err)
-	n.TakeRecords(begin.Add(2*time.Second), fleet.Records{Head: 1, Records: [][]byte{record}})
+	n.ApplyRecords(begin.Add(2*time.Second), fleet.Records{Head: 1, Records: [][]byte{record}})
 	return older, digest(begin.Add(3 * time.Second))
 }
 
--- a/services/daemon/node/digest/hall.go
+++ b/services/daemon/node/digest/hall.go
@@ -90,9 +90,9 @@
 	}
 }
 
-// Take applies a digest to the state of the hall, except for the digest's placers and pools. The
+// ApplyDigest applies a digest to the state of the hall, except for the digest's placers and pools. The
 // requested summaries of a relayed digest are ignored, since they were requested from the relaying instance.
-func (h *Hall) Take(now time.Time, d *fleet.Digest) {
+func (h *Hall) ApplyDigest(now time.Time, d *fleet.Digest) {
 	h.storeNumber(d)
 	h.lastDigestAt = now.Add(-d.Age)
 	if !d.Relayed {
@@ -105,9 +105,9 @@
 	h.revision = d.Revision
 }
 
-// LearnPlacer stores the placer of one of the hall's pools, unless its term is below the
+// UpdatePlacer stores the placer of one of the hall's pools, unless its term is below the
 // stored one. It reports whether the placer or its term has changed.
-func (h *Hall) LearnPlacer(p fleet.PlacerOf) bool {
+func (h *Hall) UpdatePlacer(p fleet.PlacerOf) bool {
 	old, ok := h.placers[p.Pool]
 	if ok && old.Term > p.Term {
 		return false
@@ -122,8 +122,8 @@
 	return p.Instance, ok
 }
 
-// SetGap stores whether a pool's summary was missed, so that the full summary must be requested.
-func (h *Hall) SetGap(pool string, missed bool) {
+// SetSummaryMissed stores whether a pool's summary was missed, so that the full summary must be requested.
+func (h *Hall) SetSummaryMissed(pool string, missed bool) {
 	if missed {
 		h.missedSummaries[pool] = true
 		return
@@ -131,8 +131,8 @@
 	delete(h.missedSummaries, pool)
 }
 
-// Gaps returns the pools whose full summary must be requested, sorted by name.
-func (h *Hall) Gaps() []string {
+// MissedSummaries returns the pools whose full summary must be requested, sorted by name.
+func (h *Hall) MissedSummaries() []string {
 	var out []string
 	for name := range h.missedSummaries {
 		out = append(out, name)
@@ -180,8 +180,8 @@
 	return now.Sub(h.lastDigestAt)
 }
 
-// FallsSilent reports whether a hall that does not count as cut off has sent no digest for longer than the limit.
-func (h *Hall) FallsSilent(now time.Time, limit time.Duration) bool {
+// BecameSilent reports whether a hall that does not count as cut off has sent no digest for longer than the limit.
+func (h *Hall) BecameSilent(now time.Time, limit time.Duration) bool {
 	return !h.cut && now.Sub(h.lastDigestAt) > limit
 }
 
@@ -199,9 +199,9 @@
 	return true
 }
 
-// Targets returns the instances of the hall that receive the next digest: its speaker while the hall is
+// Recipients returns the instances of the hall that receive the next digest: its speaker while the hall is
 // reachable, and otherwise one of the instances listed by its digests or by the platform, in rotation.
-func (h *Hall) Targets(listed map[string]fleet.Instance) []fleet.Instance {
+func (h *Hall) Recipients(listed map[string]fleet.Instance) []fleet.Instance {
 	if s, ok := h.Speaker(); ok && !h.cut {
 		return []fleet.Instance{s}
 	}
--- a/services/daemon/node/digest/hall_test.go
+++ b/services/daemon/node/digest/hall_test.go
@@ -40,7 +40,7 @@
 // reachableHall returns a reachable hall whose speaker is i1.
 func reachableHall() *digest.Hall {
 	h := digest.NewHall("h2")
-	h.Take(begin, &fleet.Digest{Speaker: instance("i1"), Instances: []fleet.Instance{instance("i1"), instance("i2")}, Revision: 3})
+	h.ApplyDigest(begin, &fleet.Digest{Speaker: instance("i1"), Instances: []fleet.Instance{instance("i1"), instance("i2")}, Revision: 3})
 	h.SetCut(false)
 	return h
 }
@@ -48,10 +48,10 @@
 func TestNewHallCountsAsCutOff(t *testing.T) {
 	h := digest.NewHall("h2")
 	require.True(t, h.Cut())
-	require.False(t, h.FallsSilent(after(time.Hour), time.Second), "a hall that is cut off does not become silent")
+	require.False(t, h.BecameSilent(after(time.Hour), time.Second), "a hall that is cut off does not become silent")
 	require.Zero(t, h.Silence(after(time.Hour)))
 	require.True(t, h.WantsInstances())
-	require.Empty(t, h.Targets(nil))
+	require.Empty(t, h.Recipients(nil))
 	_, ok := h.Speaker()
 	require.False(t, ok)
 }
@@ -62,20 +62,20 @@
 		at     time.Duration
 		silent bool
 	}{{0, false}, {limit, false}, {limit + 1, true}} {
-		require.Equal(t, row.silent, reachableHall().FallsSilent(after(row.at), limit), "%v after the last digest", row.at)
+		require.Equal(t, row.silent, reachableHall().BecameSilent(after(row.at), limit), "%v after the last digest", row.at)
 	}
 	h := reachableHall()
 	require.Equal(t, limit, h.Silence(after(limit)))
-	h.Take(after(time.Second), &fleet.Digest{Speaker: instance("i1"), Age: 400 * time.Millisecond})
+	h.ApplyDigest(after(time.Second), &fleet.Digest{Speaker: instance("i1"), Age: 400 * time.Millisecond})
 	require.Equal(t, 400*time.Millisecond, h.Silence(after(time.Second)), "the age of a relayed digest counts")
 	require.True(t, h.SetCut(true))
 	require.False(t, h.SetCut(true), "the hall is cut off already")
-	require.False(t, h.FallsSilent(after(time.Hour), limit))
+	require.False(t, h.BecameSilent(after(time.Hour), limit))
 }
 
 func TestDigestWithoutInstancesKeepsKnownInstances(t *testing.T) {
 	h := reachableHall()
-	h.Take(after(time.Second), &fleet.Digest{Speaker: instance("i2"), Revision: 4})
+	h.ApplyDigest(after(time.Second), &fleet.Digest{Speaker: instance("i2"), Revision: 4})
 	_, ok := h.Instance("i1")
 	require.True(t, ok)
 	require.EqualValues(t, 4, h.Revision())
@@ -87,12 +87,12 @@
 
 func TestRelayedDigestDoesNotChangeRequestedSummaries(t *testing.T) {
 	h := reachableHall()
-	h.Take(begin, &fleet.Digest{Wants: []string{"h1/base"}})
+	h.ApplyDigest(begin, &fleet.Digest{Wants: []string{"h1/base"}})
 	require.True(t, h.Wants("h1/base"))
 	require.True(t, h.WantsInstances())
-	h.Take(begin, &fleet.Digest{Relayed: true})
+	h.ApplyDigest(begin, &fleet.Digest{Relayed: true})
 	require.True(t, h.Wants("h1/base"), "a relayed digest requests summaries from another instance")
-	h.Take(begin, &fleet.Digest{})
+	h.ApplyDigest(begin, &fleet.Digest{})
 	require.False(t, h.Wants("h1/base"))
 	require.False(t, h.WantsInstances())
 }
@@ -112,7 +112,7 @@
 		{"another under the same term", placer("i2", 5), true, "i2"},
 		{"another under a higher term", placer("i3", 6), true, "i3"},
 	} {
-		require.Equal(t, row.moved, h.LearnPlacer(row.record), row.name)
+		require.Equal(t, row.moved, h.UpdatePlacer(row.record), row.name)
 		got, ok := h.Placer(pool)
 		require.True(t, ok)
 		require.Equal(t, row.placer, got.ID, row.name)
@@ -123,13 +123,13 @@
 
 func TestMissedSummariesAreRequestedUntilReceived(t *testing.T) {
 	h := reachableHall()
-	h.SetGap("h2/b", true)
-	h.SetGap("h2/a", true)
-	h.SetGap("h2/a", true)
-	require.Equal(t, []string{"h2/a", "h2/b"}, h.Gaps())
-	h.SetGap("h2/a", false)
-	h.SetGap("h2/c", false)
-	require.Equal(t, []string{"h2/b"}, h.Gaps())
+	h.SetSummaryMissed("h2/b", true)
+	h.SetSummaryMissed("h2/a", true)
+	h.SetSummaryMissed("h2/a", true)
+	require.Equal(t, []string{"h2/a", "h2/b"}, h.MissedSummaries())
+	h.SetSummaryMissed("h2/a", false)
+	h.SetSummaryMissed("h2/c", false)
+	require.Equal(t, []string{"h2/b"}, h.MissedSummaries())
 }
 
 func TestDigestRecipients(t *testing.T) {
@@ -137,12 +137,12 @@
 		"i2": instance("i2"), "i3": instance("i3"), "x": {ID: "x", Hall: "h3"},
 	}
 	h := reachableHall()
-	require.Equal(t, []string{"i1"}, ids(h.Targets(listed)))
-	require.Equal(t, []string{"i1"}, ids(h.Targets(listed)), "the speaker each time")
+	require.Equal(t, []string{"i1"}, ids(h.Recipients(listed)))
+	require.Equal(t, []string{"i1"}, ids(h.Recipients(listed)), "the speaker each time")
 	h.SetCut(true)
 	var recipients []string
 	for range 4 {
-		recipients = append(recipients, ids(h.Targets(listed))...)
+		recipients = append(recipients, ids(h.Recipients(listed))...)
 	}
 	require.Equal(t, []string{"i2", "i3", "i1", "i2"}, recipients, "in rotation, since some instances may be lost; none of another hall")
 }
@@ -163,7 +163,7 @@
 	h := digest.NewHall("h2")
 	for _, d := range []*fleet.Digest{numberedDigest("i1", 5, 7), numberedDigest("i1", 6, 1), numberedDigest("i2", 3, 4)} {
 		require.False(t, h.Late(d))
-		h.Take(begin, d)
+		h.ApplyDigest(begin, d)
 	}
 	for _, row := range []struct {
 		name   string
@@ -188,9 +188,9 @@
 	h := digest.NewHall("h2")
 	for _, d := range []*fleet.Digest{numberedDigest("i1", 6, 9), numberedDigest("i1", 2, 1), numberedDigest("i1", 2, 2)} {
 		require.False(t, h.Late(d))
-		h.Take(begin, d)
+		h.ApplyDigest(begin, d)
 	}
-	h.Take(begin, numberedDigest("i1", 4, 1))
+	h.ApplyDigest(begin, numberedDigest("i1", 4, 1))
 	require.False(t, h.Late(numberedDigest("i1", 6, 10)), "a run with a lower boot does not make another run's digests late")
 }
 
@@ -198,7 +198,7 @@
 	const lives = 10
 	h := digest.NewHall("h2")
 	for boot := uint64(1); boot <= lives; boot++ {
-		h.Take(begin, numberedDigest("i1", boot, 1))
+		h.ApplyDigest(begin, numberedDigest("i1", boot, 1))
 	}
 	require.True(t, h.Late(numberedDigest("i1", lives-7, 1)))
 	require.False(t, h.Late(numberedDigest("i1", lives-8, 1)), "the run has been dropped")
--- a/services/daemon/node/digest/schedule.go
+++ b/services/daemon/node/digest/schedule.go
@@ -9,13 +9,13 @@
 // hall later. The resulting interval must stay below the silence after which a hall counts as cut off.
 const quietFactor = 4
 
-// News is the state, besides that of the slots, whose changes other halls must receive soon.
-type News struct {
+// AnnouncedState is the state, besides that of the slots, whose changes other halls must receive soon.
+type AnnouncedState struct {
 	// Revision is the revision in force on this instance; Lowest is the lowest revision in force in the hall.
-	Revision, Lowest int64
-	// Terms is the sum of the placers' terms; Placed is the number of pools with a placer.
-	Terms  uint64
-	Placed int
+	Revision, LowestRevision int64
+	// TermSum is the sum of the placers' terms; Placed is the number of pools with a placer.
+	TermSum         uint64
+	PoolsWithPlacer int
 }
 
 // Schedule decides when a hall's speaker sends digests, and which of them contain full summaries.
@@ -24,7 +24,7 @@
 	fullInterval time.Duration
 	sentAt       time.Time
 	fullSentAt   time.Time
-	sentState    News
+	sentState    AnnouncedState
 	number       uint64
 }
 
@@ -36,7 +36,7 @@
 
 // Due reports whether digests must be sent now. The interval is short while the state or the slots
 // change, and longer otherwise.
-func (s *Schedule) Due(now time.Time, news News, changing func() bool) bool {
+func (s *Schedule) Due(now time.Time, news AnnouncedState, changing func() bool) bool {
 	interval := s.interval
 	if news == s.sentState && !changing() {
 		interval *= quietFactor
@@ -44,10 +44,10 @@
 	return now.Sub(s.sentAt) >= interval
 }
 
-// Sent records that digests with the given state are sent now. It reports whether they must contain full
+// RecordSent records that digests with the given state are sent now. It reports whether they must contain full
 // summaries. Later digests make up for a lost one, since each contains the complete state, and the
 // receiver requests the summaries that it has missed.
-func (s *Schedule) Sent(now time.Time, news News) bool {
+func (s *Schedule) RecordSent(now time.Time, news AnnouncedState) bool {
 	s.sentAt = now
 	s.sentState = news
 	s.number++
@@ -63,7 +63,7 @@
 	return s.number
 }
 
-// Hurry makes the next digests due at once.
-func (s *Schedule) Hurry() {
+// MakeDue makes the next digests due at once.
+func (s *Schedule) MakeDue() {
 	s.sentAt = time.Time{}
 }
--- a/services/daemon/node/digest/schedule_test.go
+++ b/services/daemon/node/digest/schedule_test.go
@@ -18,22 +18,22 @@
 )
 
 func TestIntervalIsShortOnlyWhileStateChanges(t *testing.T) {
-	sent := digest.News{Revision: 3, Lowest: 3, Terms: 9, Placed: 1}
+	sent := digest.AnnouncedState{Revision: 3, LowestRevision: 3, TermSum: 9, PoolsWithPlacer: 1}
 	for _, row := range []struct {
 		name     string
-		news     digest.News
+		news     digest.AnnouncedState
 		changing bool
 		due      time.Duration
 	}{
 		{"no change", sent, false, 4 * interval},
 		{"slots change", sent, true, interval},
-		{"new revision", digest.News{Revision: 4, Lowest: 3, Terms: 9, Placed: 1}, false, interval},
-		{"an instance is behind", digest.News{Revision: 3, Lowest: 2, Terms: 9, Placed: 1}, false, interval},
-		{"new term", digest.News{Revision: 3, Lowest: 3, Terms: 10, Placed: 1}, false, interval},
-		{"a pool without placer", digest.News{Revision: 3, Lowest: 3}, false, interval},
+		{"new revision", digest.AnnouncedState{Revision: 4, LowestRevision: 3, TermSum: 9, PoolsWithPlacer: 1}, false, interval},
+		{"an instance is behind", digest.AnnouncedState{Revision: 3, LowestRevision: 2, TermSum: 9, PoolsWithPlacer: 1}, false, interval},
+		{"new term", digest.AnnouncedState{Revision: 3, LowestRevision: 3, TermSum: 10, PoolsWithPlacer: 1}, false, interval},
+		{"a pool without placer", digest.AnnouncedState{Revision: 3, LowestRevision: 3}, false, interval},
 	} {
 		s := digest.NewSchedule(interval, fullInterval)
-		s.Sent(begin, sent)
+		s.RecordSent(begin, sent)
 		changing := func() bool { return row.changing }
 		require.False(t, s.Due(after(row.due-1), row.news, changing), row.name)
 		require.True(t, s.Due(after(row.due), row.news, changing), row.name)
@@ -43,11 +43,11 @@
 func TestSentStateCountsAsUnchanged(t *testing.T) {
 	unchanged := func() bool { return false }
 	s := digest.NewSchedule(interval, fullInterval)
-	news := digest.News{Revision: 1}
+	news := digest.AnnouncedState{Revision: 1}
 	require.True(t, s.Due(begin, news, unchanged), "the first digests are due at once")
-	s.Sent(begin, news)
+	s.RecordSent(begin, news)
 	require.False(t, s.Due(after(interval), news, unchanged))
-	s.Hurry()
+	s.MakeDue()
 	require.True(t, s.Due(after(1), news, unchanged), "a new configuration is announced at once")
 }
 
@@ -57,6 +57,6 @@
 		at   time.Duration
 		full bool
 	}{{0, true}, {interval, false}, {fullInterval - 1, false}, {fullInterval, true}, {fullInterval + 1, false}, {2*fullInterval - 1, false}, {2 * fullInterval, true}} {
-		require.Equal(t, row.full, s.Sent(after(row.at), digest.News{}), "at %v", row.at)
+		require.Equal(t, row.full, s.RecordSent(after(row.at), digest.AnnouncedState{}), "at %v", row.at)
 	}
 }
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -45,7 +45,7 @@
 	if !n.digestSchedule.Due(now, announcedState, func() bool { return n.slotsChanging(now) }) || !n.isSpeaker() {
 		return
 	}
-	full := n.digestSchedule.Sent(now, announcedState)
+	full := n.digestSchedule.RecordSent(now, announcedState)
 	for _, hall := range n.options.Halls {
 		if r := n.remoteHalls[hall]; r != nil {
 			n.sendDigest(now, r, full)
@@ -64,12 +64,12 @@
 }
 
 // announcedState returns the state, besides the slots, whose changes other halls must receive soon.
-func (n *Node) announcedState() digest.News {
-	out := digest.News{Revision: n.config.Revision(), Lowest: n.hallRevision()}
+func (n *Node) announcedState() digest.AnnouncedState {
+	out := digest.AnnouncedState{Revision: n.config.Revision(), LowestRevision: n.hallRevision()}
 	for _, ps := range n.poolList {
 		if p, ok := n.announcedPlacer(ps); ok && ps.inOwnHall {
-			out.Terms += p.Term
-			out.Placed++
+			out.TermSum += p.Term
+			out.PoolsWithPlacer++
 		}
 	}
 	return out
@@ -92,8 +92,8 @@
 	if full || r.WantsInstances() {
 		d.Instances = append(d.Instances, n.members.Known()...)
 	}
-	d.Wants = r.Gaps()
-	for _, to := range r.Targets(n.platformList.Instances()) {
+	d.Wants = r.MissedSummaries()
+	for _, to := range r.Recipients(n.platformList.Instances()) {
 		n.send(to, fleet.Envelope{Digest: d})
 	}
 }
@@ -129,18 +129,18 @@
 	if r == nil || r.Late(d) {
 		return
 	}
-	r.Take(now, d)
+	r.ApplyDigest(now, d)
 	for _, p := range d.Placers {
-		if r.LearnPlacer(p) {
+		if r.UpdatePlacer(p) {
 			n.remotePlacerChanged(now, p)
 		}
 	}
 	for _, s := range d.Pools {
-		r.SetGap(s.Pool, !n.router.Learn(now, s))
+		r.SetSummaryMissed(s.Pool, !n.router.Learn(now, s))
 	}
 	n.setHallCut(now, r, false)
-	n.config.Hear(d.Highest)
-	n.answerQueue.Reached(d.Speaker.ID, d.Highest)
+	n.config.RecordRevision(d.Highest)
+	n.answerQueue.RevisionReached(d.Speaker.ID, d.Highest)
 	if speaker, ok := r.Speaker(); ok && d.Highest > n.config.Revision() {
 		n.requestRecords(now, speaker)
 	}
@@ -169,7 +169,7 @@
 func (n *Node) markSilentHalls(now time.Time) {
 	for _, name := range n.options.Halls {
 		r := n.remoteHalls[name]
-		if r != nil && r.FallsSilent(now, n.options.Timing.HallSilence) {
+		if r != nil && r.BecameSilent(now, n.options.Timing.HallSilence) {
 			n.setHallCut(now, r, true)
 		}
 	}
--- a/services/daemon/node/effect.go
+++ b/services/daemon/node/effect.go
@@ -72,31 +72,31 @@
 // RenewLease renews this node's lease at the key-value service.
 type RenewLease struct{}
 
-// Publish makes the traffic path use a new configuration.
-type Publish struct {
+// PublishCatalog makes the traffic path use a new configuration.
+type PublishCatalog struct {
 	Catalog *catalog.Catalog
 }
 
-// Watch starts or stops the watch of the configuration's head revision in the key-value service.
-type Watch struct {
+// WatchConfiguration starts or stops the watch of the configuration's head revision in the key-value service.
+type WatchConfiguration struct {
 	On bool
 }
 
-// Note records an event.
-type Note struct {
+// RecordEvent records an event.
+type RecordEvent struct {
 	Event fleet.Event
 }
 
-func (Send) isEffect()         {}
-func (Deliver) isEffect()      {}
-func (Reject) isEffect()       {}
-func (Take) isEffect()         {}
-func (Inspect) isEffect()      {}
-func (Order) isEffect()        {}
-func (AcquireOwner) isEffect() {}
-func (ReleaseOwner) isEffect() {}
-func (SettleOwner) isEffect()  {}
-func (RenewLease) isEffect()   {}
-func (Publish) isEffect()      {}
-func (Watch) isEffect()        {}
-func (Note) isEffect()         {}
+func (Send) isEffect()               {}
+func (Deliver) isEffect()            {}
+func (Reject) isEffect()             {}
+func (Take) isEffect()               {}
+func (Inspect) isEffect()            {}
+func (Order) isEffect()              {}
+func (AcquireOwner) isEffect()       {}
+func (ReleaseOwner) isEffect()       {}
+func (SettleOwner) isEffect()        {}
+func (RenewLease) isEffect()         {}
+func (PublishCatalog) isEffect()     {}
+func (WatchConfiguration) isEffect() {}
+func (RecordEvent) isEffect()        {}
--- a/services/daemon/node/followed/answers.go
+++ b/services/daemon/node/followed/answers.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// SmallAnswer is the maximum size in bytes of an answer that is sent at once on each request: about ten records of 300 B
+	// MaxImmediateAnswer is the maximum size in bytes of an answer that is sent at once on each request: about ten records of 300 B
 	// (docs/capacity-shelfledged.md), which take 3 ms on a 10 Mbit/s link, so that a repeated answer costs little. A higher limit repeats
 	// more bytes; a lower one delays more answers.
-	SmallAnswer = 4096
+	MaxImmediateAnswer = 4096
 	// WindowBytes is the maximum number of bytes of larger answers in transit to all askers, 1 MiB; further answers wait. The entry
 	// program's planner uses the same limit (services/entry/coordinator/relay). A higher limit reaches many askers sooner; a lower one
 	// uses less memory and less of the link. An answer larger than the limit is sent while no other answer is in transit.
@@ -60,15 +60,15 @@
 	until  time.Time
 }
 
-// Answers tracks the large answers in transit and the queue of askers, so that no answer is sent twice and few are in transit at a
+// AnswerQueue tracks the large answers in transit and the queue of askers, so that no answer is sent twice and few are in transit at a
 // time. Askers are served in the order of their first requests. The zero value is an empty queue.
-type Answers struct {
+type AnswerQueue struct {
 	inTransit map[string]answerInTransit
 	queue     []queuedAsker
 }
 
-// Ask queues an asker whose answer has the given size in bytes, unless that answer is in transit already.
-func (a *Answers) Ask(now time.Time, asker Asker, size int) {
+// Enqueue queues an asker whose answer has the given size in bytes, unless that answer is in transit already.
+func (a *AnswerQueue) Enqueue(now time.Time, asker Asker, size int) {
 	a.expire(now)
 	if sent, ok := a.inTransit[asker.ID]; ok && sent.boot == asker.Boot && asker.After < sent.head {
 		return
@@ -84,7 +84,7 @@
 }
 
 // Next removes and returns the first asker of the queue, if an answer may be sent now.
-func (a *Answers) Next(now time.Time) (Asker, bool) {
+func (a *AnswerQueue) Next(now time.Time) (Asker, bool) {
 	a.expire(now)
 	if len(a.queue) == 0 || (len(a.inTransit) > 0 && a.bytesInTransit()+a.queue[0].size > WindowBytes) {
 		return Asker{}, false
@@ -94,16 +94,16 @@
 	return first.Asker, true
 }
 
-// Sent records that an answer up to the revision head, of the given size in bytes, is sent to an asker.
-func (a *Answers) Sent(now time.Time, asker Asker, head int64, size int) {
+// RecordSent records that an answer up to the revision head, of the given size in bytes, is sent to an asker.
+func (a *AnswerQueue) RecordSent(now time.Time, asker Asker, head int64, size int) {
 	if a.inTransit == nil {
 		a.inTransit = make(map[string]answerInTransit)
 	}
 	a.inTransit[asker.ID] = answerInTransit{boot: asker.Boot, head: head, size: size, until: now.Add(transferTimeout(a.bytesInTransit() + size))}
 }
 
-// Reached records that an instance has a revision in force.
-func (a *Answers) Reached(id string, revision int64) {
+// RevisionReached records that an instance has a revision in force.
+func (a *AnswerQueue) RevisionReached(id string, revision int64) {
 	if sent, ok := a.inTransit[id]; ok && revision >= sent.head {
 		delete(a.inTransit, id)
 	}
@@ -114,7 +114,7 @@
 
 // Coming returns the number of bytes to wait for until an asker has its answer or should ask again. Zero means that no answer to
 // the asker is in transit or queued.
-func (a *Answers) Coming(now time.Time, id string) int {
+func (a *AnswerQueue) Coming(now time.Time, id string) int {
 	if sent, ok := a.inTransit[id]; ok {
 		left := max(0, sent.until.Sub(now)-requestInterval)
 		return max(1, int(left*minLinkRate/time.Second))
@@ -125,12 +125,12 @@
 	return 0
 }
 
-func (a *Answers) position(id string) int {
+func (a *AnswerQueue) position(id string) int {
 	return slices.IndexFunc(a.queue, func(w queuedAsker) bool { return w.ID == id })
 }
 
 // bytesInTransit returns the total size of the answers in transit.
-func (a *Answers) bytesInTransit() int {
+func (a *AnswerQueue) bytesInTransit() int {
 	sum := 0
 	for _, sent := range a.inTransit {
 		sum += sent.size
@@ -139,7 +139,7 @@
 }
 
 // expire removes the answers considered lost and the askers that did not ask again in time.
-func (a *Answers) expire(now time.Time) {
+func (a *AnswerQueue) expire(now time.Time) {
 	for id, sent := range a.inTransit {
 		if !now.Before(sent.until) {
 			delete(a.inTransit, id)
--- a/services/daemon/node/followed/answers_test.go
+++ b/services/daemon/node/followed/answers_test.go
@@ -22,20 +22,20 @@
 )
 
 // requestAndSend requests an answer, sends the answers that may be sent now, and returns their askers.
-func requestAndSend(a *followed.Answers, now time.Time, asker followed.Asker, size int) []string {
-	a.Ask(now, asker, size)
+func requestAndSend(a *followed.AnswerQueue, now time.Time, asker followed.Asker, size int) []string {
+	a.Enqueue(now, asker, size)
 	return sendDue(a, now, size)
 }
 
 // sendDue sends the answers that may be sent now and returns their askers.
-func sendDue(a *followed.Answers, now time.Time, size int) []string {
+func sendDue(a *followed.AnswerQueue, now time.Time, size int) []string {
 	var out []string
 	for {
 		asker, ok := a.Next(now)
 		if !ok {
 			return out
 		}
-		a.Sent(now, asker, head, size)
+		a.RecordSent(now, asker, head, size)
 		out = append(out, asker.ID)
 	}
 }
@@ -53,32 +53,32 @@
 		{"in another run", followed.Asker{ID: "a", Boot: 2}, time.Millisecond, true},
 		{"after the answer is considered lost", followed.Asker{ID: "a", Boot: 1}, lostAt, true},
 	} {
-		var a followed.Answers
+		var a followed.AnswerQueue
 		require.Equal(t, []string{"a"}, requestAndSend(&a, begin, followed.Asker{ID: "a", Boot: 1}, megabyte), row.name)
 		require.Equal(t, row.again, len(requestAndSend(&a, after(row.at), row.asker, megabyte)) > 0, row.name)
 	}
 }
 
 func TestAnswersInTransitAreBoundedAndSentInOrder(t *testing.T) {
-	var a followed.Answers
+	var a followed.AnswerQueue
 	var got []string
 	for i := range 6 {
 		got = append(got, requestAndSend(&a, begin, followed.Asker{ID: fmt.Sprint(i)}, megabyte)...)
 	}
 	require.Equal(t, []string{"0"}, got)
-	a.Reached("0", head-1)
+	a.RevisionReached("0", head-1)
 	require.Empty(t, sendDue(&a, after(time.Millisecond), megabyte), "the asker has only reached an older revision")
-	a.Reached("2", head)
-	a.Reached("0", head)
+	a.RevisionReached("2", head)
+	a.RevisionReached("0", head)
 	require.Equal(t, []string{"1"}, sendDue(&a, after(time.Millisecond), megabyte))
-	a.Reached("1", head)
+	a.RevisionReached("1", head)
 	require.Equal(t, []string{"3"}, sendDue(&a, after(time.Millisecond), megabyte), "2 has the revision from another peer")
-	a.Ask(after(5*time.Second), followed.Asker{ID: "5"}, megabyte)
+	a.Enqueue(after(5*time.Second), followed.Asker{ID: "5"}, megabyte)
 	require.Equal(t, []string{"5"}, sendDue(&a, after(5*time.Second), megabyte), "an expired answer no longer counts against the window")
 }
 
 func TestSmallerAnswersShareTheWindow(t *testing.T) {
-	var a followed.Answers
+	var a followed.AnswerQueue
 	var got []string
 	for i := range 6 {
 		got = append(got, requestAndSend(&a, begin, followed.Asker{ID: fmt.Sprint(i)}, megabyte/4)...)
@@ -87,30 +87,30 @@
 }
 
 func TestAskerKeepsItsPositionOnlyIfItAsksAgain(t *testing.T) {
-	var a followed.Answers
+	var a followed.AnswerQueue
 	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "first"}, 2*megabyte), 1)
 	for _, id := range []string{"x", "y", "z"} {
-		a.Ask(begin, followed.Asker{ID: id}, megabyte)
+		a.Enqueue(begin, followed.Asker{ID: id}, megabyte)
 	}
 	// x is told to wait for 0.25 of its answer's bytes, which is 0.2 s plus 0.1 s of latency. It keeps its position 0.1 s longer.
 	require.Equal(t, megabyte/4, a.Coming(begin, "x"))
 	require.Equal(t, megabyte/2, a.Coming(begin, "y"))
-	a.Ask(after(300*time.Millisecond), followed.Asker{ID: "x"}, megabyte)
-	a.Ask(after(300*time.Millisecond), followed.Asker{ID: "z"}, megabyte)
-	a.Reached("first", head)
+	a.Enqueue(after(300*time.Millisecond), followed.Asker{ID: "x"}, megabyte)
+	a.Enqueue(after(300*time.Millisecond), followed.Asker{ID: "z"}, megabyte)
+	a.RevisionReached("first", head)
 	require.Equal(t, []string{"x"}, sendDue(&a, after(600*time.Millisecond), megabyte))
-	a.Reached("x", head)
+	a.RevisionReached("x", head)
 	require.Equal(t, []string{"z"}, sendDue(&a, after(601*time.Millisecond), megabyte), "y did not ask again")
 }
 
 func TestPendingBytesOfAsker(t *testing.T) {
-	var a followed.Answers
+	var a followed.AnswerQueue
 	require.Zero(t, a.Coming(begin, "a"), "the asker has not asked yet")
 	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "a"}, megabyte), 1)
 	require.Equal(t, megabyte, a.Coming(begin, "a"))
 	require.Equal(t, megabyte/2, a.Coming(after(400*time.Millisecond), "a"))
 	require.Equal(t, 1, a.Coming(after(lostAt-1), "a"))
-	a = followed.Answers{}
+	a = followed.AnswerQueue{}
 	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "a"}, megabyte/2), 1)
 	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "b"}, megabyte/4), 1)
 	require.Equal(t, megabyte*3/4, a.Coming(begin, "b"), "the two answers share the link")
@@ -118,25 +118,25 @@
 
 func TestExpectedAnswerDelaysNextRequest(t *testing.T) {
 	c := configurationAt(t, 1)
-	require.True(t, c.AskDue(begin))
+	require.True(t, c.RequestDue(begin))
 	c.Expect(begin, 2, megabyte)
 	require.EqualValues(t, 2, c.Head())
-	require.False(t, c.AskDue(after(lostAt-1)))
-	require.True(t, c.AskDue(after(lostAt)))
+	require.False(t, c.RequestDue(after(lostAt-1)))
+	require.True(t, c.RequestDue(after(lostAt)))
 	c.Expect(after(lostAt), 2, 1<<62)
-	require.True(t, c.AskDue(after(time.Minute)), "the announced bytes are limited")
+	require.True(t, c.RequestDue(after(time.Minute)), "the announced bytes are limited")
 	c.Expect(after(time.Minute), 2, megabyte)
 	require.True(t, c.Advance(fleet.Records{Head: 2, Records: records(t, 2)}, false).Changed)
-	require.True(t, c.AskDue(after(time.Minute)), "the expected records have arrived")
+	require.True(t, c.RequestDue(after(time.Minute)), "the expected records have arrived")
 	c.Expect(after(2*time.Minute), 2, megabyte)
-	require.True(t, c.AskDue(after(2*time.Minute)), "the announced revision is in force already")
+	require.True(t, c.RequestDue(after(2*time.Minute)), "the announced revision is in force already")
 }
 
 func TestUnansweredRequestsBackOff(t *testing.T) {
 	c := configurationAt(t, 1)
 	var asked []int
 	for ms := 0; ms < 3000; ms += 10 {
-		if c.AskDue(after(time.Duration(ms) * time.Millisecond)) {
+		if c.RequestDue(after(time.Duration(ms) * time.Millisecond)) {
 			asked = append(asked, ms)
 		}
 	}
--- a/services/daemon/node/followed/configuration.go
+++ b/services/daemon/node/followed/configuration.go
@@ -56,18 +56,18 @@
 	return c.head
 }
 
-// Hear records an announced revision.
-func (c *Configuration) Hear(revision int64) {
+// RecordRevision records an announced revision.
+func (c *Configuration) RecordRevision(revision int64) {
 	c.head = max(c.head, revision)
 }
 
-// Recent returns the kept records, the oldest first.
-func (c *Configuration) Recent() []catalog.Record {
+// RecentRecords returns the kept records, the oldest first.
+func (c *Configuration) RecentRecords() []catalog.Record {
 	return c.history.Records()
 }
 
-// AskDue reports whether to request missing records now. If so, it counts the request as sent.
-func (c *Configuration) AskDue(now time.Time) bool {
+// RequestDue reports whether to request missing records now. If so, it counts the request as sent.
+func (c *Configuration) RequestDue(now time.Time) bool {
 	if now.Before(c.nextRequestAt) {
 		return false
 	}
@@ -79,7 +79,7 @@
 // Expect records that missing configuration is in transit and how many bytes are coming. The next request is due after their
 // transfer time.
 func (c *Configuration) Expect(now time.Time, head int64, coming int) {
-	c.Hear(head)
+	c.RecordRevision(head)
 	if head > c.Revision() {
 		c.nextRequestAt = now.Add(transferTimeout(min(coming, maxExpectedBytes)))
 	}
@@ -110,7 +110,7 @@
 // skipped. Older configuration is never applied, unless the seeded fault allowLower is true.
 func (c *Configuration) Advance(r fleet.Records, allowLower bool) Outcome {
 	before := c.Revision()
-	c.Hear(r.Head)
+	c.RecordRevision(r.Head)
 	out := Outcome{Older: r.Head < before}
 	if out.Older && !allowLower {
 		return out
--- a/services/daemon/node/followed/configuration_test.go
+++ b/services/daemon/node/followed/configuration_test.go
@@ -123,26 +123,26 @@
 	out, err := bySnapshot.After(1)
 	require.NoError(t, err)
 	require.NotEmpty(t, out.Snapshot, "the kept records do not reach back to revision 1")
-	require.Len(t, c.Recent(), 3)
-	require.Empty(t, bySnapshot.Recent())
+	require.Len(t, c.RecentRecords(), 3)
+	require.Empty(t, bySnapshot.RecentRecords())
 }
 
 func TestMissingRecordsAreRequestedAtMostTenTimesPerSecond(t *testing.T) {
 	const every = 100 * time.Millisecond
 	c := configurationAt(t, 1)
-	require.True(t, c.AskDue(begin))
-	require.False(t, c.AskDue(after(every-1)))
-	require.True(t, c.AskDue(after(every)), "the request is repeated after a lost answer")
+	require.True(t, c.RequestDue(begin))
+	require.False(t, c.RequestDue(after(every-1)))
+	require.True(t, c.RequestDue(after(every)), "the request is repeated after a lost answer")
 	c.Advance(fleet.Records{Head: 2, Records: records(t, 2)}, false)
-	require.True(t, c.AskDue(after(every)), "after progress the next request is due at once")
+	require.True(t, c.RequestDue(after(every)), "after progress the next request is due at once")
 	c.Advance(fleet.Records{Head: 2, Records: records(t, 2)}, false)
-	require.False(t, c.AskDue(after(every)), "a repeated answer is no progress")
+	require.False(t, c.RequestDue(after(every)), "a repeated answer is no progress")
 }
 
 func TestHeadIsHighestAnnouncedRevision(t *testing.T) {
 	c := configurationAt(t, 3)
 	for _, row := range []struct{ announced, head int64 }{{2, 3}, {7, 7}, {5, 7}, {-1, 7}} {
-		c.Hear(row.announced)
+		c.RecordRevision(row.announced)
 		require.Equal(t, row.head, c.Head())
 	}
 	require.EqualValues(t, 3, c.Revision(), "an announcement does not change the revision in force")
--- a/services/daemon/node/handover.go
+++ b/services/daemon/node/handover.go
@@ -48,7 +48,7 @@
 	}
 	clear(ps.permitsInUse)
 	if len(ps.unfenced()) > 0 {
-		n.lease.Forget(ps.pool.Name)
+		n.lease.RemovePool(ps.pool.Name)
 		n.emit(ReleaseOwner{Pool: ps.pool.Name})
 	}
 }
--- a/services/daemon/node/large_configuration_test.go
+++ b/services/daemon/node/large_configuration_test.go
@@ -147,7 +147,7 @@
 // run returns the snapshot to the first nodes and then runs the simulation for span.
 func (h *simulatedHall) run(snapshot []byte, ahead int, span time.Duration) {
 	for _, m := range h.members[:ahead] {
-		h.sendEnvelopes(h.nodes[m.Address].TakeRecords(h.now, fleet.Records{Head: 1, Snapshot: snapshot}))
+		h.sendEnvelopes(h.nodes[m.Address].ApplyRecords(h.now, fleet.Records{Head: 1, Snapshot: snapshot}))
 	}
 	for end := h.now.Add(span); h.now.Before(end); {
 		h.step()
--- a/services/daemon/node/lease.go
+++ b/services/daemon/node/lease.go
@@ -24,7 +24,7 @@
 // tickLease requests the ownership of pools that need it and are not owned yet, and renews the lease.
 func (n *Node) tickLease(now time.Time) {
 	for _, ps := range n.poolList {
-		if ps.isPlacer && len(ps.unfenced()) > 0 && n.lease.AskDue(now, ps.pool.Name) {
+		if ps.isPlacer && len(ps.unfenced()) > 0 && n.lease.AcquireDue(now, ps.pool.Name) {
 			n.emit(AcquireOwner{Pool: ps.pool.Name, Term: ps.term})
 		}
 	}
@@ -44,8 +44,8 @@
 	Lease uint64
 	// SentAt is the time, by this node's clock, at which the request for that lease was sent.
 	SentAt time.Time
-	// Formers are the former owners for which no later owner has established that they ended.
-	Formers []FormerOwner
+	// FormerOwners are the former owners for which no later owner has established that they ended.
+	FormerOwners []FormerOwner
 }
 
 // Owned processes the answer to a request for ownership.
@@ -54,7 +54,7 @@
 	if ps == nil || !r.OK || r.Lease < n.lease.Number() {
 		return nil
 	}
-	if n.lease.Begin(r.Lease) {
+	if n.lease.SwitchTo(r.Lease) {
 		n.stopOrders(now)
 	}
 	if !ps.isPlacer {
@@ -64,7 +64,7 @@
 	if r.Term != ps.term {
 		return n.takeEffects()
 	}
-	if n.lease.Own(r.Pool) {
+	if n.lease.AddPool(r.Pool) {
 		n.freezeFormerGrants(now, ps, r)
 	}
 	n.extendOrders(r.SentAt)
@@ -75,7 +75,7 @@
 // freezeFormerGrants freezes the pool's unfenced endpoints while former owners may still grant tickets for them. A former owner
 // that handed the pool over itself is left out.
 func (n *Node) freezeFormerGrants(now time.Time, ps *poolState, r OwnerResult) {
-	ps.succession = lease.Follow(r.Formers, ps.handedOverBy)
+	ps.succession = lease.NewSuccession(r.FormerOwners, ps.handedOverBy)
 	if n.options.Defects.SkipFreeze {
 		ps.succession = ps.succession.Unfrozen()
 	}
@@ -88,7 +88,7 @@
 		}
 		n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, e.Name, "the pool had no other owner, or the former owner handed it over"))
 	}
-	if len(r.Formers) > 0 && !ps.succession.Frozen() {
+	if len(r.FormerOwners) > 0 && !ps.succession.Frozen() {
 		n.emit(SettleOwner{Pool: ps.pool.Name})
 	}
 }
@@ -96,8 +96,8 @@
 // LeaseResult is the key-value service's answer to RenewLease.
 type LeaseResult struct {
 	OK bool
-	// Gone is true if the lease has expired at the service.
-	Gone bool
+	// Expired is true if the lease has expired at the service.
+	Expired bool
 	// Lease is the number of the lease, as in OwnerResult.
 	Lease  uint64
 	SentAt time.Time
@@ -106,7 +106,7 @@
 // Renewed processes the answer to a lease renewal.
 func (n *Node) Renewed(now time.Time, r LeaseResult) []Effect {
 	switch {
-	case r.Gone:
+	case r.Expired:
 		if n.lease.Lapse(r.Lease) {
 			n.stopOrders(now)
 		}
@@ -148,7 +148,7 @@
 	if !n.lease.Owns(ps.pool.Name) {
 		return
 	}
-	ps.succession.Check(now, func(f FormerOwner) bool { return f.Ended(now, n.evidence(ps, f)) })
+	ps.succession.CheckEnded(now, func(f FormerOwner) bool { return f.Ended(now, n.evidence(ps, f)) })
 }
 
 func (n *Node) evidence(ps *poolState, f FormerOwner) lease.Evidence {
@@ -161,11 +161,11 @@
 
 // thaw lifts the freeze on an endpoint whose inspection is recent enough to show every request that former owners granted.
 func (n *Node) thaw(now time.Time, ps *poolState, in placement.Inspection) {
-	if !in.Up || !ps.succession.Covers(in.Began, n.options.Timing.GrantAge+n.options.Placement.StartWithin) {
+	if !in.Up || !ps.succession.CoversGrants(in.Began, n.options.Timing.GrantAge+n.options.Placement.StartWithin) {
 		return
 	}
 	n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, in.Endpoint, "the former placers have ended and their last grants are too old to start"))
-	if ps.succession.Settle() {
+	if ps.succession.SettleOnce() {
 		n.emit(SettleOwner{Pool: ps.pool.Name})
 	}
 }
--- a/services/daemon/node/lease/lease.go
+++ b/services/daemon/node/lease/lease.go
@@ -45,9 +45,9 @@
 	return l.number
 }
 
-// Begin makes the lease with the given number the current one, if the number is higher than the current one. The pools
+// SwitchTo makes the lease with the given number the current one, if the number is higher than the current one. The pools
 // and the validity of the former lease are dropped. It reports whether there were any.
-func (l *Lease) Begin(number uint64) bool {
+func (l *Lease) SwitchTo(number uint64) bool {
 	if number <= l.number {
 		return false
 	}
@@ -61,8 +61,8 @@
 	return l.owned[pool]
 }
 
-// Own adds a pool whose ownership the key-value service has granted. It reports false if the pool is owned already.
-func (l *Lease) Own(pool string) bool {
+// AddPool adds a pool whose ownership the key-value service has granted. It reports false if the pool is owned already.
+func (l *Lease) AddPool(pool string) bool {
 	if l.owned[pool] {
 		return false
 	}
@@ -70,8 +70,8 @@
 	return true
 }
 
-// Forget removes a pool, so that its next request is due at once.
-func (l *Lease) Forget(pool string) {
+// RemovePool removes a pool, so that its next request is due at once.
+func (l *Lease) RemovePool(pool string) {
 	delete(l.owned, pool)
 	delete(l.requestAt, pool)
 }
@@ -90,14 +90,14 @@
 func (l *Lease) drop() bool {
 	had := len(l.owned) > 0 || !l.validUntil.IsZero()
 	for pool := range l.owned {
-		l.Forget(pool)
+		l.RemovePool(pool)
 	}
 	l.validUntil = time.Time{}
 	return had
 }
 
-// AskDue reports whether to request the ownership of a pool now. If so, it counts the request as sent.
-func (l *Lease) AskDue(now time.Time, pool string) bool {
+// AcquireDue reports whether to request the ownership of a pool now. If so, it counts the request as sent.
+func (l *Lease) AcquireDue(now time.Time, pool string) bool {
 	if l.owned[pool] || now.Before(l.requestAt[pool]) {
 		return false
 	}
--- a/services/daemon/node/lease/lease_test.go
+++ b/services/daemon/node/lease/lease_test.go
@@ -26,43 +26,43 @@
 
 func TestUnansweredPoolRequestIsRepeatedAfterRetryTime(t *testing.T) {
 	l := newLease()
-	require.True(t, l.AskDue(begin, pool))
+	require.True(t, l.AcquireDue(begin, pool))
 	for _, row := range []struct {
 		at  time.Duration
 		due bool
 	}{{0, false}, {time.Second - 1, false}, {time.Second, true}, {time.Second, false}, {2*time.Second - 1, false}, {2 * time.Second, true}} {
-		require.Equal(t, row.due, l.AskDue(after(row.at), pool), "at %v", row.at)
+		require.Equal(t, row.due, l.AcquireDue(after(row.at), pool), "at %v", row.at)
 	}
-	require.True(t, l.AskDue(after(2*time.Second), "h1/other"), "each pool has a retry time of its own")
+	require.True(t, l.AcquireDue(after(2*time.Second), "h1/other"), "each pool has a retry time of its own")
 }
 
 func TestOwnedPoolIsNotRequestedUntilRemoved(t *testing.T) {
 	l := newLease()
-	require.True(t, l.AskDue(begin, pool))
-	require.True(t, l.Own(pool))
-	require.False(t, l.AskDue(after(time.Hour), pool))
-	l.Forget(pool)
+	require.True(t, l.AcquireDue(begin, pool))
+	require.True(t, l.AddPool(pool))
+	require.False(t, l.AcquireDue(after(time.Hour), pool))
+	l.RemovePool(pool)
 	require.False(t, l.Owns(pool))
-	require.True(t, l.AskDue(after(time.Millisecond), pool), "a new takeover requests the pool at once, without the retry time")
+	require.True(t, l.AcquireDue(after(time.Millisecond), pool), "a new takeover requests the pool at once, without the retry time")
 }
 
 func TestRepeatedOwnershipAnswerHasNoEffect(t *testing.T) {
 	l := newLease()
-	require.True(t, l.Own(pool))
-	require.False(t, l.Own(pool), "a repeated answer must not restart the wait for the former owners")
+	require.True(t, l.AddPool(pool))
+	require.False(t, l.AddPool(pool), "a repeated answer must not restart the wait for the former owners")
 	require.True(t, l.Owns(pool))
 }
 
 func TestRenewalIsDueOnlyWhilePoolsAreOwned(t *testing.T) {
 	l := newLease()
 	require.False(t, l.RenewDue(begin))
-	l.Own(pool)
+	l.AddPool(pool)
 	require.True(t, l.RenewDue(begin))
 	require.False(t, l.RenewDue(after(3*time.Second-1)))
 	require.True(t, l.RenewDue(after(3*time.Second)), "a lost answer does not delay the next renewal")
 	require.True(t, l.Lapse(0))
 	require.False(t, l.RenewDue(after(time.Minute)))
-	require.True(t, l.AskDue(after(time.Minute), pool), "after a lapse the pool is requested at once")
+	require.True(t, l.AcquireDue(after(time.Minute), pool), "after a lapse the pool is requested at once")
 }
 
 func TestLeaseValidityCountsFromRenewalSendTime(t *testing.T) {
@@ -83,8 +83,8 @@
 
 func TestLapseDropsPoolsAndValidityOnce(t *testing.T) {
 	l := newLease()
-	require.False(t, l.Begin(1), "no lease was lost")
-	l.Own(pool)
+	require.False(t, l.SwitchTo(1), "no lease was lost")
+	l.AddPool(pool)
 	l.Extend(begin)
 	require.True(t, l.Lapse(1))
 	require.False(t, l.Owns(pool))
@@ -95,17 +95,17 @@
 
 func TestLaterLeaseDoesNotOwnPoolsOfFormerLease(t *testing.T) {
 	l := newLease()
-	require.True(t, l.AskDue(begin, "h1/other"))
-	require.False(t, l.Begin(1), "the first lease")
-	require.False(t, l.AskDue(begin, "h1/other"), "the earlier request is still in progress")
-	l.Own(pool)
+	require.True(t, l.AcquireDue(begin, "h1/other"))
+	require.False(t, l.SwitchTo(1), "the first lease")
+	require.False(t, l.AcquireDue(begin, "h1/other"), "the earlier request is still in progress")
+	l.AddPool(pool)
 	l.Extend(begin)
-	require.False(t, l.Begin(1), "the same lease")
+	require.False(t, l.SwitchTo(1), "the same lease")
 	require.True(t, l.Owns(pool))
-	require.True(t, l.Begin(2))
+	require.True(t, l.SwitchTo(2))
 	require.False(t, l.Owns(pool))
-	require.True(t, l.AskDue(after(time.Millisecond), pool), "the pool is requested at once")
-	require.False(t, l.Begin(1), "a late answer about the former lease")
+	require.True(t, l.AcquireDue(after(time.Millisecond), pool), "the pool is requested at once")
+	require.False(t, l.SwitchTo(1), "a late answer about the former lease")
 	require.False(t, l.Lapse(1), "a late lapse of the former lease")
 	require.Equal(t, uint64(2), l.Number())
 }
--- a/services/daemon/node/lease/stored.go
+++ b/services/daemon/node/lease/stored.go
@@ -10,28 +10,28 @@
 type StoredOwner struct {
 	Holder string `json:"holder"`
 	Boot   uint64 `json:"boot"`
-	// Formers are the former owners that are not known to have ended. Each successor must
+	// FormerOwners are the former owners that are not known to have ended. Each successor must
 	// wait for all of them, since any of them may still run requests on resident adapters.
-	Formers []FormerOwner `json:"formers,omitempty"`
+	FormerOwners []FormerOwner `json:"formers,omitempty"`
 }
 
-// Is reports whether the given run of an instance is the owner.
-func (s StoredOwner) Is(id string, boot uint64) bool {
+// IsRun reports whether the given run of an instance is the owner.
+func (s StoredOwner) IsRun(id string, boot uint64) bool {
 	return s.Holder == id && s.Boot == boot
 }
 
 // Successor returns the record to store when the given run becomes the pool's next owner. The
 // current owner is added to the former owners, unless it is the same run, whose answer was lost.
 func (s StoredOwner) Successor(id string, boot uint64) StoredOwner {
-	formers := s.Formers
-	if s.Holder != "" && !s.Is(id, boot) {
+	formers := s.FormerOwners
+	if s.Holder != "" && !s.IsRun(id, boot) {
 		formers = append(slices.Clone(formers), FormerOwner{ID: s.Holder, Boot: s.Boot})
 	}
-	return StoredOwner{Holder: id, Boot: boot, Formers: formers}
+	return StoredOwner{Holder: id, Boot: boot, FormerOwners: formers}
 }
 
 // Settled returns the record to store once all former owners are known to have ended.
 func (s StoredOwner) Settled() StoredOwner {
-	s.Formers = nil
+	s.FormerOwners = nil
 	return s
 }
--- a/services/daemon/node/lease/stored_test.go
+++ b/services/daemon/node/lease/stored_test.go
@@ -26,17 +26,17 @@
 		{"a later run of the same instance", "i2", 8, []lease.FormerOwner{first, second}},
 	} {
 		s = s.Successor(row.id, row.boot)
-		require.Equal(t, lease.StoredOwner{Holder: row.id, Boot: row.boot, Formers: row.formers}, s, row.name)
+		require.Equal(t, lease.StoredOwner{Holder: row.id, Boot: row.boot, FormerOwners: row.formers}, s, row.name)
 	}
-	require.True(t, s.Is("i2", 8))
-	require.False(t, s.Is("i2", 7))
-	require.False(t, s.Is("i1", 8))
+	require.True(t, s.IsRun("i2", 8))
+	require.False(t, s.IsRun("i2", 7))
+	require.False(t, s.IsRun("i1", 8))
 	require.Equal(t, lease.StoredOwner{Holder: "i2", Boot: 8}, s.Settled())
 }
 
 func TestStoredOwnerEncoding(t *testing.T) {
 	const stored = `{"holder":"i2","boot":7,"formers":[{"ID":"i1","Boot":4}]}`
-	data, err := json.Marshal(lease.StoredOwner{Holder: "i2", Boot: 7, Formers: []lease.FormerOwner{first}})
+	data, err := json.Marshal(lease.StoredOwner{Holder: "i2", Boot: 7, FormerOwners: []lease.FormerOwner{first}})
 	require.NoError(t, err)
 	require.Equal(t, stored, string(data), "other versions of the program read this form")
 	data, err = json.Marshal(lease.StoredOwner{Holder: "i2", Boot: 7})
--- a/services/daemon/node/lease/succession.go
+++ b/services/daemon/node/lease/succession.go
@@ -52,14 +52,14 @@
 	settled bool
 }
 
-// Unknown returns the succession before the pool's stored owner has been read. Nothing may be unloaded.
-func Unknown() Succession {
+// UnknownSuccession returns the succession before the pool's stored owner has been read. Nothing may be unloaded.
+func UnknownSuccession() Succession {
 	return Succession{frozen: true}
 }
 
-// Follow returns the succession to the former owners that are stored for a pool, without the run
+// NewSuccession returns the succession to the former owners that are stored for a pool, without the run
 // that handed the pool over.
-func Follow(stored []FormerOwner, handedBy FormerOwner) Succession {
+func NewSuccession(stored []FormerOwner, handedBy FormerOwner) Succession {
 	var s Succession
 	for _, f := range stored {
 		if f != handedBy && f.ID != "" {
@@ -87,8 +87,8 @@
 	return s.waiting
 }
 
-// Check tests whether all former owners have ended, and stores the time of the first check at which they had.
-func (s *Succession) Check(now time.Time, ended func(FormerOwner) bool) {
+// CheckEnded tests whether all former owners have ended, and stores the time of the first check at which they had.
+func (s *Succession) CheckEnded(now time.Time, ended func(FormerOwner) bool) {
 	if !s.frozen || !s.ended.IsZero() {
 		return
 	}
@@ -100,18 +100,18 @@
 	s.ended = now
 }
 
-// Covers reports whether an endpoint inspection that began at the given time shows every
+// CoversGrants reports whether an endpoint inspection that began at the given time shows every
 // request that a former owner granted. grantLife is the maximum time from a grant to the
 // start of its request. Covers returns false if there is no freeze to lift.
-func (s *Succession) Covers(began time.Time, grantLife time.Duration) bool {
+func (s *Succession) CoversGrants(began time.Time, grantLife time.Duration) bool {
 	if !s.frozen || s.ended.IsZero() {
 		return false
 	}
 	return !began.Before(s.ended.Add(grantLife))
 }
 
-// Settle reports whether the end of the former owners must be stored now: true on the first call only.
-func (s *Succession) Settle() bool {
+// SettleOnce reports whether the end of the former owners must be stored now: true on the first call only.
+func (s *Succession) SettleOnce() bool {
 	if s.settled {
 		return false
 	}
--- a/services/daemon/node/lease/succession_test.go
+++ b/services/daemon/node/lease/succession_test.go
@@ -41,24 +41,24 @@
 }
 
 func TestSuccessionExcludesOwnerThatHandedOver(t *testing.T) {
-	s := lease.Follow([]lease.FormerOwner{first, {}, second}, second)
+	s := lease.NewSuccession([]lease.FormerOwner{first, {}, second}, second)
 	require.True(t, s.Frozen())
 	require.Equal(t, []lease.FormerOwner{first}, s.Waiting())
 	earlierRun := lease.FormerOwner{ID: second.ID, Boot: second.Boot - 1}
-	s = lease.Follow([]lease.FormerOwner{second}, earlierRun)
+	s = lease.NewSuccession([]lease.FormerOwner{second}, earlierRun)
 	require.True(t, s.Frozen(), "a handover by another run has no effect")
-	s = lease.Follow([]lease.FormerOwner{second}, second)
+	s = lease.NewSuccession([]lease.FormerOwner{second}, second)
 	require.False(t, s.Frozen())
-	s = lease.Follow(nil, lease.FormerOwner{})
+	s = lease.NewSuccession(nil, lease.FormerOwner{})
 	require.False(t, s.Frozen())
 }
 
 func TestInspectionCoversGrantsOnlyAfterGrantLife(t *testing.T) {
-	s := lease.Follow([]lease.FormerOwner{first, second}, lease.FormerOwner{})
+	s := lease.NewSuccession([]lease.FormerOwner{first, second}, lease.FormerOwner{})
 	ended := map[lease.FormerOwner]bool{first: true}
-	check := func(at time.Time) { s.Check(at, func(f lease.FormerOwner) bool { return ended[f] }) }
+	check := func(at time.Time) { s.CheckEnded(at, func(f lease.FormerOwner) bool { return ended[f] }) }
 	check(begin)
-	require.False(t, s.Covers(after(time.Hour), grantLife), "one of two former owners may still grant")
+	require.False(t, s.CoversGrants(after(time.Hour), grantLife), "one of two former owners may still grant")
 	ended[second] = true
 	check(after(time.Second))
 	check(after(time.Minute))
@@ -66,25 +66,25 @@
 		began  time.Duration
 		covers bool
 	}{{0, false}, {time.Second, false}, {6*time.Second - 1, false}, {6 * time.Second, true}, {time.Hour, true}} {
-		require.Equal(t, row.covers, s.Covers(after(row.began), grantLife), "inspection begun at %v, end first seen at 1s", row.began)
+		require.Equal(t, row.covers, s.CoversGrants(after(row.began), grantLife), "inspection begun at %v, end first seen at 1s", row.began)
 	}
 	ended[first] = false
 	check(after(2 * time.Minute))
-	require.True(t, s.Covers(after(6*time.Second), grantLife), "an end that was seen once stays")
+	require.True(t, s.CoversGrants(after(6*time.Second), grantLife), "an end that was seen once stays")
 }
 
 func TestSettleReportsTrueOnce(t *testing.T) {
-	s := lease.Follow([]lease.FormerOwner{first}, lease.FormerOwner{})
-	require.True(t, s.Settle())
-	require.False(t, s.Settle(), "the inspection of a second endpoint needs no second write")
+	s := lease.NewSuccession([]lease.FormerOwner{first}, lease.FormerOwner{})
+	require.True(t, s.SettleOnce())
+	require.False(t, s.SettleOnce(), "the inspection of a second endpoint needs no second write")
 }
 
 func TestUnknownSuccessionIsFrozen(t *testing.T) {
-	s := lease.Unknown()
+	s := lease.UnknownSuccession()
 	require.True(t, s.Frozen())
 	require.Empty(t, s.Waiting())
 	s = s.Unfrozen()
 	require.False(t, s.Frozen())
-	s.Check(begin, func(lease.FormerOwner) bool { return true })
-	require.False(t, s.Covers(after(time.Hour), grantLife), "without a freeze there is nothing to lift")
+	s.CheckEnded(begin, func(lease.FormerOwner) bool { return true })
+	require.False(t, s.CoversGrants(after(time.Hour), grantLife), "without a freeze there is nothing to lift")
 }
--- a/services/daemon/node/loads.go
+++ b/services/daemon/node/loads.go
@@ -56,7 +56,7 @@
 	}
 	self := host.ID == n.options.Self.ID
 	for _, ps := range n.poolList {
-		if ps.isPlacer && ps.bidder.Due(now) {
+		if ps.isPlacer && ps.bidder.BidDue(now) {
 			n.makeBid(now, ps, host, self)
 		}
 	}
@@ -70,7 +70,7 @@
 		return
 	}
 	b, wants := ps.placer.Bid(now)
-	if !ps.bidder.Make(now, wants) {
+	if !ps.bidder.RecordBid(now, wants) {
 		return
 	}
 	if !wants {
@@ -80,7 +80,7 @@
 		n.ledger.Bid(now, ps.pool.Name, b.Value, b.Preload)
 		return
 	}
-	if ps.bidder.Send(now, b.Value, wants) {
+	if ps.bidder.SendDue(now, b.Value, wants) {
 		n.send(host, fleet.Envelope{Bid: &fleet.Bid{Pool: ps.pool.Name, Value: b.Value, Preload: b.Preload}})
 	}
 }
@@ -101,7 +101,7 @@
 			continue
 		}
 		if ps.isPlacer {
-			n.usePermit(now, ps, loads.Held{From: n.options.Self, ID: permit.ID})
+			n.usePermit(now, ps, loads.HeldPermit{From: n.options.Self, ID: permit.ID})
 			continue
 		}
 		to, found := n.placerOf(ps)
@@ -118,7 +118,7 @@
 	if !ok {
 		return
 	}
-	held := loads.Held{From: from, ID: e.Permit.ID}
+	held := loads.HeldPermit{From: from, ID: e.Permit.ID}
 	ps := n.pools[e.Permit.Pool]
 	if ps == nil || !ps.isPlacer {
 		n.permitDone(now, e.Permit.Pool, held, false)
@@ -128,7 +128,7 @@
 }
 
 // usePermit starts the pool's most valuable load, and returns the permit if there is no load to start.
-func (n *Node) usePermit(now time.Time, ps *poolState, held loads.Held) {
+func (n *Node) usePermit(now time.Time, ps *poolState, held loads.HeldPermit) {
 	effects, used := ps.placer.UsePermit(now)
 	for _, effect := range effects {
 		if l, ok := effect.(placement.Load); ok {
@@ -136,13 +136,13 @@
 		}
 	}
 	n.applyPlacerEffects(now, ps, effects)
-	ps.bidder.Spend()
+	ps.bidder.ResetAfterPermit()
 	if !used {
 		n.permitDone(now, ps.pool.Name, held, false)
 	}
 }
 
-func (n *Node) permitDone(now time.Time, pool string, held loads.Held, used bool) {
+func (n *Node) permitDone(now time.Time, pool string, held loads.HeldPermit, used bool) {
 	if held.From.ID == n.options.Self.ID {
 		n.ledger.Done(now, held.ID, used)
 		return
--- a/services/daemon/node/loads/bidder.go
+++ b/services/daemon/node/loads/bidder.go
@@ -44,8 +44,8 @@
 	return age < time.Duration(float64(spread)*part)
 }
 
-// Held is a permit in use, with the instance that granted it.
-type Held struct {
+// HeldPermit is a permit in use, with the instance that granted it.
+type HeldPermit struct {
 	From fleet.Instance
 	ID   uint64
 }
@@ -65,14 +65,14 @@
 	return Bidder{interval: interval}
 }
 
-// Due reports whether the interval since the pool's last bid has passed.
-func (b *Bidder) Due(now time.Time) bool {
+// BidDue reports whether the interval since the pool's last bid has passed.
+func (b *Bidder) BidDue(now time.Time) bool {
 	return now.Sub(b.madeAt) >= b.interval
 }
 
-// Make records a bid; wants is true if the pool wants a load. It reports whether there is a bid
+// RecordBid records a bid; wants is true if the pool wants a load. It reports whether there is a bid
 // to make or to withdraw.
-func (b *Bidder) Make(now time.Time, wants bool) bool {
+func (b *Bidder) RecordBid(now time.Time, wants bool) bool {
 	if !wants && !b.hasOpenBid {
 		return false
 	}
@@ -81,10 +81,10 @@
 	return true
 }
 
-// Send reports whether to send the bid to the instance that grants permits now. If so, it counts the
+// SendDue reports whether to send the bid to the instance that grants permits now. If so, it counts the
 // bid as sent. A withdrawal is always sent. A bid is sent if its value has risen by more than
 // resendIncrease, and again after resendAfter, since it may have been lost.
-func (b *Bidder) Send(now time.Time, value float64, wants bool) bool {
+func (b *Bidder) SendDue(now time.Time, value float64, wants bool) bool {
 	if wants && now.Sub(b.sentAt) < resendAfter && value <= b.sentValue*resendIncrease {
 		return false
 	}
@@ -92,9 +92,9 @@
 	return true
 }
 
-// Spend makes the next bid due at once and lets Send accept any value. It is called after a permit was
+// ResetAfterPermit makes the next bid due at once and lets Send accept any value. It is called after a permit was
 // used or returned, since the receiver has dropped the bid that the permit answered.
-func (b *Bidder) Spend() {
+func (b *Bidder) ResetAfterPermit() {
 	b.madeAt = time.Time{}
 	b.sentValue = 0
 }
--- a/services/daemon/node/loads/bidder_test.go
+++ b/services/daemon/node/loads/bidder_test.go
@@ -25,14 +25,14 @@
 
 func TestPoolBidsEachIntervalWhileItWantsLoad(t *testing.T) {
 	b := loads.NewBidder(interval)
-	require.True(t, b.Due(begin))
-	require.False(t, b.Make(begin, false), "there is no bid to make or to withdraw")
-	require.True(t, b.Due(begin), "the next bid stays due")
-	require.True(t, b.Make(begin, true))
-	require.False(t, b.Due(after(interval-1)))
-	require.True(t, b.Due(after(interval)))
-	require.True(t, b.Make(after(interval), false), "the open bid is withdrawn")
-	require.False(t, b.Make(after(2*interval), false), "the bid is withdrawn once")
+	require.True(t, b.BidDue(begin))
+	require.False(t, b.RecordBid(begin, false), "there is no bid to make or to withdraw")
+	require.True(t, b.BidDue(begin), "the next bid stays due")
+	require.True(t, b.RecordBid(begin, true))
+	require.False(t, b.BidDue(after(interval-1)))
+	require.True(t, b.BidDue(after(interval)))
+	require.True(t, b.RecordBid(after(interval), false), "the open bid is withdrawn")
+	require.False(t, b.RecordBid(after(2*interval), false), "the bid is withdrawn once")
 }
 
 func TestBidIsResentWhenRaisedOrAfterDelay(t *testing.T) {
@@ -52,22 +52,22 @@
 		{"withdrawn", 0, 0, false, true},
 	} {
 		b := loads.NewBidder(interval)
-		require.True(t, b.Send(begin, 4, true))
-		require.Equal(t, row.sent, b.Send(after(row.after), row.value, row.wants), row.name)
+		require.True(t, b.SendDue(begin, 4, true))
+		require.Equal(t, row.sent, b.SendDue(after(row.after), row.value, row.wants), row.name)
 	}
 }
 
 func TestBidIsDueAtOnceAfterPermit(t *testing.T) {
 	b := loads.NewBidder(interval)
-	b.Make(begin, true)
-	b.Send(begin, 4, true)
-	b.Spend()
-	require.True(t, b.Due(begin))
-	require.True(t, b.Make(begin, true))
-	require.True(t, b.Send(begin, 0.1, true), "a lower value too, since the receiver has dropped the old bid")
-	b.Spend()
-	b.Spend()
-	require.True(t, b.Due(begin), "a repeated permit has no further effect")
+	b.RecordBid(begin, true)
+	b.SendDue(begin, 4, true)
+	b.ResetAfterPermit()
+	require.True(t, b.BidDue(begin))
+	require.True(t, b.RecordBid(begin, true))
+	require.True(t, b.SendDue(begin, 0.1, true), "a lower value too, since the receiver has dropped the old bid")
+	b.ResetAfterPermit()
+	b.ResetAfterPermit()
+	require.True(t, b.BidDue(begin), "a repeated permit has no further effect")
 }
 
 func TestHallsWithSameViewChooseSameBudgetHall(t *testing.T) {
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -80,8 +80,8 @@
 	}
 	n.handleHeldPools(now, m)
 	n.storePoolSummaries(now, hb)
-	n.config.Hear(hb.Revision)
-	n.answerQueue.Reached(hb.Instance.ID, hb.Revision)
+	n.config.RecordRevision(hb.Revision)
+	n.answerQueue.RevisionReached(hb.Instance.ID, hb.Revision)
 	if hb.Revision > n.config.Revision() {
 		n.requestRecords(now, hb.Instance)
 	}
--- a/services/daemon/node/node.go
+++ b/services/daemon/node/node.go
@@ -28,12 +28,12 @@
 	poolList       []*poolState
 	remoteHalls    map[string]*digest.Hall
 	pending        waiting.Requests
-	ticketUses     waiting.Uses
+	ticketUses     waiting.TicketUses
 	entries        map[string]*entryPeer
 	peers          map[string]*peerState
 	ledger         *budget.Ledger
 	config         *followed.Configuration
-	answerQueue    followed.Answers
+	answerQueue    followed.AnswerQueue
 	lease          *lease.Lease
 	leaving        bool
 	watching       bool
@@ -53,7 +53,7 @@
 		pools:          make(map[string]*poolState),
 		remoteHalls:    make(map[string]*digest.Hall),
 		pending:        waiting.NewRequests(),
-		ticketUses:     waiting.NewUses(),
+		ticketUses:     waiting.NewTicketUses(),
 		entries:        make(map[string]*entryPeer),
 		peers:          make(map[string]*peerState),
 		platformList:   listing.New(),
@@ -161,7 +161,7 @@
 func (n *Node) recordEvent(now time.Time, e fleet.Event) {
 	e.At = now
 	e.Instance = n.options.Self.ID
-	n.effects = append(n.effects, Note{Event: e})
+	n.effects = append(n.effects, RecordEvent{Event: e})
 }
 
 func (n *Node) send(to fleet.Instance, e fleet.Envelope) {
--- a/services/daemon/node/node_test.go
+++ b/services/daemon/node/node_test.go
@@ -100,9 +100,9 @@
 
 func TestOlderConfigurationOnlyRecordsEvent(t *testing.T) {
 	n := newNode()
-	effects := n.TakeRecords(begin, fleet.Records{Head: -1})
-	require.Empty(t, effectsOf[node.Publish](effects))
-	notes := effectsOf[node.Note](effects)
+	effects := n.ApplyRecords(begin, fleet.Records{Head: -1})
+	require.Empty(t, effectsOf[node.PublishCatalog](effects))
+	notes := effectsOf[node.RecordEvent](effects)
 	require.Len(t, notes, 1)
 	require.Equal(t, fleet.EventRevisionBehind, notes[0].Event.Kind)
 }
@@ -143,8 +143,8 @@
 	asked := effectsOf[node.AcquireOwner](n.Tick(now))
 	require.Len(t, asked, 1)
 	owned := func(at time.Time, lease uint64, formers ...node.FormerOwner) bool {
-		effects := n.Owned(at, node.OwnerResult{Pool: "h1/base", Term: asked[0].Term, OK: true, Lease: lease, SentAt: at, Formers: formers})
-		for _, note := range effectsOf[node.Note](effects) {
+		effects := n.Owned(at, node.OwnerResult{Pool: "h1/base", Term: asked[0].Term, OK: true, Lease: lease, SentAt: at, FormerOwners: formers})
+		for _, note := range effectsOf[node.RecordEvent](effects) {
 			if note.Event.Kind == fleet.EventFreeze && note.Event.Endpoint == "e2" {
 				return false
 			}
@@ -152,6 +152,6 @@
 		return true
 	}
 	require.True(t, owned(now, 1, node.FormerOwner{ID: "i2", Boot: 1}), "the run that handed the pool over no longer grants")
-	n.Renewed(now.Add(20*time.Second), node.LeaseResult{Gone: true, Lease: 1})
+	n.Renewed(now.Add(20*time.Second), node.LeaseResult{Expired: true, Lease: 1})
 	require.False(t, owned(now.Add(21*time.Second), 2, node.FormerOwner{ID: "i2", Boot: 2}), "a later run owned the pool in between and may still grant")
 }
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -18,11 +18,11 @@
 // evaluate decides whether to take over, keep or release a pool, and carries the decision out.
 func (n *Node) evaluate(now time.Time, ps *poolState) {
 	situation := ownership.Situation{
-		Pool: ps.pool.Name, Own: ownership.Claim{Instance: n.options.Self.ID, Term: ps.term}, Mine: ps.isPlacer,
-		Leaving: n.leaving, Listening: now.Sub(n.started) < n.options.Membership.Settle,
+		Pool: ps.pool.Name, OwnClaim: ownership.Claim{Instance: n.options.Self.ID, Term: ps.term}, IsPlacer: ps.isPlacer,
+		Leaving: n.leaving, Settling: now.Sub(n.started) < n.options.Membership.Settle,
 		Candidates: func() []string { return n.members.Candidates(n.leaving) },
 	}
-	situation.Announced, situation.Claimed = n.announced(ps)
+	situation.Announced, situation.HasAnnounced = n.announced(ps)
 	announced := n.members.Member(situation.Announced.Instance)
 	switch ownership.Decide(situation) {
 	case ownership.Keep:
@@ -45,7 +45,7 @@
 			claims = append(claims, ownership.Claim{Instance: m.Instance.ID, Term: term})
 		}
 	}
-	return ownership.Highest(ps.pool.Name, claims)
+	return ownership.HighestClaim(ps.pool.Name, claims)
 }
 
 // heldTerm returns the term under which a member announces the pool, or zero.
@@ -98,7 +98,7 @@
 	if handedOverUses == nil {
 		ps.handedOverBy = FormerOwner{}
 	}
-	ps.succession = lease.Unknown()
+	ps.succession = lease.UnknownSuccession()
 	if n.options.Defects.SkipFreeze {
 		ps.succession = ps.succession.Unfrozen()
 	}
@@ -115,7 +115,7 @@
 	for _, e := range ps.unfenced() {
 		ps.placer.AllowOrders(e.Name, time.Time{})
 	}
-	n.lease.Forget(ps.pool.Name)
+	n.lease.RemovePool(ps.pool.Name)
 	n.sendTakeOrders(now, ps)
 	n.heartbeatAll(now)
 	n.resubmitPool(now, ps)
@@ -124,10 +124,10 @@
 // sendTakeOrders sends takeover orders to the endpoints that have not answered, and stops holding requests back after
 // ownership.HoldRequests.
 func (n *Node) sendTakeOrders(now time.Time, ps *poolState) {
-	for _, e := range ps.takeover.TakesDue(now) {
+	for _, e := range ps.takeover.TakeOrdersDue(now) {
 		n.emit(Take{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
 	}
-	if ps.takeover.Age(now) > ownership.HoldRequests {
+	if ps.takeover.Age(now) > ownership.MaxRequestHold {
 		n.flushWaiting(now, ps)
 	}
 }
@@ -172,7 +172,7 @@
 		}
 	}
 	n.applyDrains(now, ps)
-	if ps.takeover.Answered() {
+	if ps.takeover.AllAnswered() {
 		n.flushWaiting(now, ps)
 	}
 	n.bidAndGrantPermits(now)
--- a/services/daemon/node/ownership/decide.go
+++ b/services/daemon/node/ownership/decide.go
@@ -11,9 +11,9 @@
 	Term     uint64
 }
 
-// Highest returns the claim to which all other claims on a pool yield: the one with the highest
+// HighestClaim returns the claim to which all other claims on a pool yield: the one with the highest
 // term, and among equal terms the one with the highest score. It returns false if there are no claims.
-func Highest(pool string, claims []Claim) (Claim, bool) {
+func HighestClaim(pool string, claims []Claim) (Claim, bool) {
 	if len(claims) == 0 {
 		return Claim{}, false
 	}
@@ -53,16 +53,16 @@
 // Situation is a node's state of a pool of its hall at one moment.
 type Situation struct {
 	Pool string
-	// Own is the node's claim. Its term is valid only while Mine is true. Mine is true while the node is the pool's placer.
-	Own  Claim
-	Mine bool
+	// OwnClaim is the node's claim. Its term is valid only while Mine is true. Mine is true while the node is the pool's placer.
+	OwnClaim Claim
+	IsPlacer bool
 	// Announced is the highest claim among the live members. It is valid only if Claimed is true.
-	Announced Claim
-	Claimed   bool
+	Announced    Claim
+	HasAnnounced bool
 	// Leaving is true once the node's planned stop has begun.
 	Leaving bool
-	// Listening is true while the node may not yet have received heartbeats of all members after its start.
-	Listening bool
+	// Settling is true while the node may not yet have received heartbeats of all members after its start.
+	Settling bool
 	// Candidates returns the live instances that are not leaving. It is called only if
 	// no instance claims the pool, since it costs more than the other rules.
 	Candidates func() []string
@@ -71,16 +71,16 @@
 // Decide returns the action for a pool. It depends on the situation alone, so a lost, late or
 // repeated message has an effect only through the members' announcements.
 func Decide(s Situation) Action {
-	if s.Mine {
-		if s.Claimed && Yields(s.Pool, s.Own, s.Announced) {
+	if s.IsPlacer {
+		if s.HasAnnounced && Yields(s.Pool, s.OwnClaim, s.Announced) {
 			return StepDown
 		}
 		return Keep
 	}
-	if s.Claimed || s.Leaving || s.Listening {
+	if s.HasAnnounced || s.Leaving || s.Settling {
 		return Follow
 	}
-	if ring.Best(s.Pool, s.Candidates()) == s.Own.Instance {
+	if ring.Best(s.Pool, s.Candidates()) == s.OwnClaim.Instance {
 		return TakeOver
 	}
 	return Follow
--- a/services/daemon/node/ownership/decide_test.go
+++ b/services/daemon/node/ownership/decide_test.go
@@ -38,16 +38,16 @@
 		{"equal terms, higher score", []ownership.Claim{claim(r[2], 4), claim(r[0], 4), claim(r[1], 4)}, claim(r[0], 4)},
 		{"repeated claim", []ownership.Claim{claim(r[1], 4), claim(r[1], 4)}, claim(r[1], 4)},
 	} {
-		got, ok := ownership.Highest(pool, row.claims)
+		got, ok := ownership.HighestClaim(pool, row.claims)
 		require.True(t, ok)
 		require.Equal(t, row.want, got, row.name)
 		for i, j := 0, len(row.claims)-1; i < j; i, j = i+1, j-1 {
 			row.claims[i], row.claims[j] = row.claims[j], row.claims[i]
 		}
-		got, _ = ownership.Highest(pool, row.claims)
+		got, _ = ownership.HighestClaim(pool, row.claims)
 		require.Equal(t, row.want, got, row.name+", in reverse order")
 	}
-	_, ok := ownership.Highest(pool, nil)
+	_, ok := ownership.HighestClaim(pool, nil)
 	require.False(t, ok)
 }
 
@@ -77,20 +77,20 @@
 		s    ownership.Situation
 		want ownership.Action
 	}{
-		{"no claim, best candidate", ownership.Situation{Own: claim(best, 0), Candidates: all}, ownership.TakeOver},
-		{"no claim, another candidate is better", ownership.Situation{Own: claim(other, 0), Candidates: all}, ownership.Follow},
-		{"no claim, the better candidate was lost", ownership.Situation{Own: claim(other, 0), Candidates: func() []string { return r[1:] }}, ownership.TakeOver},
-		{"no candidates", ownership.Situation{Own: claim(other, 0), Candidates: func() []string { return nil }}, ownership.Follow},
-		{"settling after the start", ownership.Situation{Own: claim(best, 0), Listening: true, Candidates: costly}, ownership.Follow},
-		{"stopping", ownership.Situation{Own: claim(best, 0), Leaving: true, Candidates: costly}, ownership.Follow},
-		{"announced by a worse candidate", ownership.Situation{Own: claim(best, 0), Announced: claim(other, 1), Claimed: true, Candidates: costly}, ownership.Follow},
-		{"held, no other claim", ownership.Situation{Own: claim(other, 3), Mine: true, Candidates: costly}, ownership.Keep},
-		{"held, a late claim of an older term", ownership.Situation{Own: claim(other, 3), Mine: true, Announced: claim(best, 2), Claimed: true, Candidates: costly}, ownership.Keep},
-		{"held, equal term, lower score", ownership.Situation{Own: claim(other, 3), Mine: true, Announced: claim(best, 3), Claimed: true, Candidates: costly}, ownership.StepDown},
-		{"held, equal term, higher score", ownership.Situation{Own: claim(best, 3), Mine: true, Announced: claim(other, 3), Claimed: true, Candidates: costly}, ownership.Keep},
-		{"held, higher term", ownership.Situation{Own: claim(best, 3), Mine: true, Announced: claim(other, 4), Claimed: true, Candidates: costly}, ownership.StepDown},
-		{"held while stopping", ownership.Situation{Own: claim(best, 3), Mine: true, Leaving: true, Candidates: costly}, ownership.Keep},
-		{"held while settling, after a handover", ownership.Situation{Own: claim(best, 3), Mine: true, Listening: true, Candidates: costly}, ownership.Keep},
+		{"no claim, best candidate", ownership.Situation{OwnClaim: claim(best, 0), Candidates: all}, ownership.TakeOver},
+		{"no claim, another candidate is better", ownership.Situation{OwnClaim: claim(other, 0), Candidates: all}, ownership.Follow},
+		{"no claim, the better candidate was lost", ownership.Situation{OwnClaim: claim(other, 0), Candidates: func() []string { return r[1:] }}, ownership.TakeOver},
+		{"no candidates", ownership.Situation{OwnClaim: claim(other, 0), Candidates: func() []string { return nil }}, ownership.Follow},
+		{"settling after the start", ownership.Situation{OwnClaim: claim(best, 0), Settling: true, Candidates: costly}, ownership.Follow},
+		{"stopping", ownership.Situation{OwnClaim: claim(best, 0), Leaving: true, Candidates: costly}, ownership.Follow},
+		{"announced by a worse candidate", ownership.Situation{OwnClaim: claim(best, 0), Announced: claim(other, 1), HasAnnounced: true, Candidates: costly}, ownership.Follow},
+		{"held, no other claim", ownership.Situation{OwnClaim: claim(other, 3), IsPlacer: true, Candidates: costly}, ownership.Keep},
+		{"held, a late claim of an older term", ownership.Situation{OwnClaim: claim(other, 3), IsPlacer: true, Announced: claim(best, 2), HasAnnounced: true, Candidates: costly}, ownership.Keep},
+		{"held, equal term, lower score", ownership.Situation{OwnClaim: claim(other, 3), IsPlacer: true, Announced: claim(best, 3), HasAnnounced: true, Candidates: costly}, ownership.StepDown},
+		{"held, equal term, higher score", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Announced: claim(other, 3), HasAnnounced: true, Candidates: costly}, ownership.Keep},
+		{"held, higher term", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Announced: claim(other, 4), HasAnnounced: true, Candidates: costly}, ownership.StepDown},
+		{"held while stopping", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Leaving: true, Candidates: costly}, ownership.Keep},
+		{"held while settling, after a handover", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Settling: true, Candidates: costly}, ownership.Keep},
 	} {
 		row.s.Pool = pool
 		require.Equal(t, row.want, ownership.Decide(row.s), row.name)
--- a/services/daemon/node/ownership/takeover.go
+++ b/services/daemon/node/ownership/takeover.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	// HoldRequests is the maximum time for which requests wait until the last endpoint of a pool has answered a takeover. A longer time
+	// MaxRequestHold is the maximum time for which requests wait until the last endpoint of a pool has answered a takeover. A longer time
 	// offers more endpoints to choose from; a shorter one starts requests sooner.
-	HoldRequests = 400 * time.Millisecond
+	MaxRequestHold = 400 * time.Millisecond
 	// maxFenceLosses limits the doubling of the pause after an endpoint's fence was lost to another instance, to at most 31 retry times.
 	// Without the pause, two instances that cannot reach each other would keep the endpoint busy by taking it over from each other.
 	maxFenceLosses = 5
@@ -50,8 +50,8 @@
 	return now.Sub(t.began)
 }
 
-// TakesDue returns the endpoints to which to send takeover orders now, and counts the orders as sent.
-func (t *Takeover) TakesDue(now time.Time) []fleet.Endpoint {
+// TakeOrdersDue returns the endpoints to which to send takeover orders now, and counts the orders as sent.
+func (t *Takeover) TakeOrdersDue(now time.Time) []fleet.Endpoint {
 	var due []fleet.Endpoint
 	for _, e := range t.endpoints {
 		last := t.orderedAt[e.Name]
@@ -96,14 +96,14 @@
 	t.orderedAt[endpoint] = now.Add(pause - t.retry)
 }
 
-// Answered reports whether every endpoint has answered this takeover at least once.
-func (t *Takeover) Answered() bool {
+// AllAnswered reports whether every endpoint has answered this takeover at least once.
+func (t *Takeover) AllAnswered() bool {
 	return len(t.takenOver) >= len(t.endpoints)
 }
 
-// Holds reports whether new requests must wait for more endpoints to answer.
-func (t *Takeover) Holds(now time.Time) bool {
-	return !t.Answered() && t.Age(now) <= HoldRequests
+// HoldsRequests reports whether new requests must wait for more endpoints to answer.
+func (t *Takeover) HoldsRequests(now time.Time) bool {
+	return !t.AllAnswered() && t.Age(now) <= MaxRequestHold
 }
 
 // InspectionsDue returns the taken-over endpoints to inspect now, and counts them as inspected.
--- a/services/daemon/node/ownership/takeover_test.go
+++ b/services/daemon/node/ownership/takeover_test.go
@@ -38,12 +38,12 @@
 
 func TestUnansweredTakeoverOrderIsRepeatedAfterRetryTime(t *testing.T) {
 	o := newTakeover()
-	require.Equal(t, []string{"e1", "e2"}, names(o.TakesDue(begin)))
-	require.Empty(t, o.TakesDue(after(retry-1)))
+	require.Equal(t, []string{"e1", "e2"}, names(o.TakeOrdersDue(begin)))
+	require.Empty(t, o.TakeOrdersDue(after(retry-1)))
 	o.Adopt(after(retry-1), "e1")
-	require.Equal(t, []string{"e2"}, names(o.TakesDue(after(retry))))
-	require.Empty(t, o.TakesDue(after(retry)))
-	require.Equal(t, []string{"e2"}, names(o.TakesDue(after(2*retry))))
+	require.Equal(t, []string{"e2"}, names(o.TakeOrdersDue(after(retry))))
+	require.Empty(t, o.TakeOrdersDue(after(retry)))
+	require.Equal(t, []string{"e2"}, names(o.TakeOrdersDue(after(2*retry))))
 }
 
 func TestRequestsAreHeldUntilAllEndpointsAnswerOrTimeout(t *testing.T) {
@@ -56,41 +56,41 @@
 		{0, []string{"e1"}, true},
 		{0, []string{"e1", "e1"}, true},
 		{0, []string{"e1", "e2"}, false},
-		{ownership.HoldRequests, []string{"e1"}, true},
-		{ownership.HoldRequests + 1, []string{"e1"}, false},
-		{ownership.HoldRequests + 1, nil, false},
+		{ownership.MaxRequestHold, []string{"e1"}, true},
+		{ownership.MaxRequestHold + 1, []string{"e1"}, false},
+		{ownership.MaxRequestHold + 1, nil, false},
 	} {
 		o := newTakeover()
 		for _, e := range row.answered {
 			o.Adopt(begin, e)
 		}
-		require.Equal(t, row.holds, o.Holds(after(row.at)), "%+v", row)
+		require.Equal(t, row.holds, o.HoldsRequests(after(row.at)), "%+v", row)
 	}
 }
 
 func TestRestartedEndpointIsTakenOverAgainWithoutHoldingRequests(t *testing.T) {
 	o := newTakeover()
-	o.TakesDue(begin)
+	o.TakeOrdersDue(begin)
 	o.Adopt(begin, "e1")
 	o.Adopt(begin, "e2")
 	o.Retake("e1")
 	require.False(t, o.Adopted("e1"))
-	require.False(t, o.Holds(after(time.Millisecond)), "all endpoints have answered once; requests go to the other endpoint meanwhile")
-	require.Equal(t, []string{"e1"}, names(o.TakesDue(after(time.Millisecond))))
-	require.Empty(t, o.TakesDue(after(2*time.Millisecond)))
+	require.False(t, o.HoldsRequests(after(time.Millisecond)), "all endpoints have answered once; requests go to the other endpoint meanwhile")
+	require.Equal(t, []string{"e1"}, names(o.TakeOrdersDue(after(time.Millisecond))))
+	require.Empty(t, o.TakeOrdersDue(after(2*time.Millisecond)))
 }
 
 func TestPauseAfterFenceLossDoublesUpToLimit(t *testing.T) {
 	o := newTakeover()
-	o.TakesDue(begin)
+	o.TakeOrdersDue(begin)
 	now := begin
 	for losses, pause := range []time.Duration{retry, 3 * retry, 7 * retry, 15 * retry, 31 * retry, 31 * retry} {
 		o.Adopt(now, "e1")
 		o.Adopt(now, "e2")
 		o.LoseFence(now, "e1")
-		require.Empty(t, o.TakesDue(now.Add(pause-1)), "loss %d", losses+1)
+		require.Empty(t, o.TakeOrdersDue(now.Add(pause-1)), "loss %d", losses+1)
 		now = now.Add(pause)
-		require.Equal(t, []string{"e1"}, names(o.TakesDue(now)), "loss %d", losses+1)
+		require.Equal(t, []string{"e1"}, names(o.TakeOrdersDue(now)), "loss %d", losses+1)
 	}
 }
 
@@ -99,16 +99,16 @@
 		o := newTakeover()
 		o.LoseFence(begin, "e1")
 		at := after(row.quiet)
-		o.TakesDue(at)
+		o.TakeOrdersDue(at)
 		o.LoseFence(at, "e1")
-		require.NotContains(t, names(o.TakesDue(at.Add(row.pause-1))), "e1", "%+v", row)
-		require.Contains(t, names(o.TakesDue(at.Add(row.pause))), "e1", "%+v", row)
+		require.NotContains(t, names(o.TakeOrdersDue(at.Add(row.pause-1))), "e1", "%+v", row)
+		require.Contains(t, names(o.TakeOrdersDue(at.Add(row.pause))), "e1", "%+v", row)
 	}
 }
 
 func TestOnlyTakenEndpointsAreInspectedEachInterval(t *testing.T) {
 	o := newTakeover()
-	o.TakesDue(begin)
+	o.TakeOrdersDue(begin)
 	o.Adopt(begin, "e1")
 	require.Empty(t, o.InspectionsDue(after(inspect-1)), "the answer to the takeover contained an inspection")
 	require.Equal(t, []string{"e1"}, names(o.InspectionsDue(after(inspect))))
--- a/services/daemon/node/placer.go
+++ b/services/daemon/node/placer.go
@@ -23,7 +23,7 @@
 		return
 	}
 	n.storeSubmitter(now, e)
-	if ps.takeover.Holds(now) && len(ps.heldRequests) < maxWaitingForTakeover {
+	if ps.takeover.HoldsRequests(now) && len(ps.heldRequests) < maxWaitingForTakeover {
 		ps.heldRequests = append(ps.heldRequests, e)
 		return
 	}
--- a/services/daemon/node/pool.go
+++ b/services/daemon/node/pool.go
@@ -44,11 +44,11 @@
 	succession     lease.Succession
 	bidder         loads.Bidder
 	// permitsInUse are the permits of the loads in progress, by adapter.
-	permitsInUse map[fleet.AdapterRef]loads.Held
+	permitsInUse map[fleet.AdapterRef]loads.HeldPermit
 }
 
 func newPoolState(pool fleet.Pool, inOwnHall bool, bid time.Duration) *poolState {
-	return &poolState{pool: pool, inOwnHall: inOwnHall, bidder: loads.NewBidder(bid), permitsInUse: make(map[fleet.AdapterRef]loads.Held)}
+	return &poolState{pool: pool, inOwnHall: inOwnHall, bidder: loads.NewBidder(bid), permitsInUse: make(map[fleet.AdapterRef]loads.HeldPermit)}
 }
 
 // unfenced returns the endpoints that check no fences, so that orders to them require the lease.
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -114,14 +114,14 @@
 func (n *Node) submitRequest(now time.Time, p *waiting.Request) {
 	ps := n.pools[p.Pool]
 	ps.ticketRequested = true
-	p.Ask(now, n.options.Timing.Resubmit)
+	p.MarkSubmitted(now, n.options.Timing.Resubmit)
 	submit := &fleet.Submit{Pool: p.Pool, Request: p.Request, Reply: n.options.Self.Address, Stamp: n.stamp(now)}
 	if !p.Request.Deadline.IsZero() {
 		submit.Wait = p.Request.Deadline.Sub(now)
 	}
 	envelope := fleet.Envelope{From: n.options.Self.ID, Boot: n.options.Boot, Submit: submit}
 	if ps.isPlacer {
-		p.AskedOf(n.options.Self)
+		p.SetPlacer(n.options.Self)
 		n.handleSubmit(now, envelope)
 		return
 	}
@@ -130,7 +130,7 @@
 		n.waitForPlacer(now, p)
 		return
 	}
-	p.AskedOf(to)
+	p.SetPlacer(to)
 	n.send(to, envelope)
 }
 
@@ -145,14 +145,14 @@
 
 func (n *Node) withdraw(now time.Time, p *waiting.Request) {
 	ps := n.pools[p.Pool]
-	if ps == nil || p.Asked.ID == "" {
+	if ps == nil || p.Placer.ID == "" {
 		return
 	}
 	if ps.isPlacer {
 		n.applyPlacerEffects(now, ps, ps.placer.Cancel(now, p.Request.ID))
 		return
 	}
-	n.send(p.Asked, fleet.Envelope{Withdraw: &fleet.Withdraw{Pool: p.Pool, RequestID: p.Request.ID}})
+	n.send(p.Placer, fleet.Envelope{Withdraw: &fleet.Withdraw{Pool: p.Pool, RequestID: p.Request.ID}})
 }
 
 // tickPending rejects the waiting requests that have expired and resubmits the unanswered ones.
@@ -164,7 +164,7 @@
 			n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonExpired}})
 			continue
 		}
-		if !p.AskDue(now) {
+		if !p.SubmitDue(now) {
 			continue
 		}
 		if n.placerReachable(p) {
@@ -203,7 +203,7 @@
 func (n *Node) handleGranted(now time.Time, e fleet.Envelope) {
 	g := e.Granted
 	p, awaited := n.pending.FindAttempt(g.Ticket.RequestID, g.Attempt)
-	verdict := waiting.Judge(waiting.Grant{
+	verdict := waiting.DecideGrant(waiting.GrantState{
 		InUse: n.ticketUses.Has(g.Ticket.ID), Awaited: awaited, Age: n.stamp(now) - g.Stamp, Limit: n.options.Timing.GrantAge,
 		AcceptOld: n.options.Defects.AcceptOldGrants,
 	})
@@ -211,7 +211,7 @@
 	case waiting.Return:
 		n.returnUnusedGrant(e, g.Ticket)
 	case waiting.TooOld:
-		p.Hurry(now)
+		p.ResubmitNow(now)
 	case waiting.Use:
 		var request fleet.Request
 		if p != nil {
--- a/services/daemon/node/view.go
+++ b/services/daemon/node/view.go
@@ -105,7 +105,7 @@
 
 // Records returns the recent records of the configuration, the oldest first.
 func (n *Node) Records() []catalog.Record {
-	return n.config.Recent()
+	return n.config.RecentRecords()
 }
 
 // Peers returns the live instances of the hall, without this one.
--- a/services/daemon/node/waiting/request.go
+++ b/services/daemon/node/waiting/request.go
@@ -21,22 +21,22 @@
 	// Halls are the halls that a rule allows; empty for all.
 	Halls []string
 	// Pool is the chosen pool; Asked is the placer to which the request was last submitted. They are empty before that.
-	Pool  string
-	Asked fleet.Instance
+	Pool   string
+	Placer fleet.Instance
 	// submitAt is the time of the next submission; lostAt is the time since which the pool has had no placer.
 	submitAt      time.Time
 	noPlacerSince time.Time
 }
 
-// Ask counts the request as submitted now. Without an answer it is submitted again after retry.
-func (r *Request) Ask(now time.Time, retry time.Duration) {
+// MarkSubmitted counts the request as submitted now. Without an answer it is submitted again after retry.
+func (r *Request) MarkSubmitted(now time.Time, retry time.Duration) {
 	r.submitAt = now.Add(retry)
 }
 
-// AskedOf stores the placer to which the request was submitted.
-func (r *Request) AskedOf(placer fleet.Instance) {
+// SetPlacer stores the placer to which the request was submitted.
+func (r *Request) SetPlacer(placer fleet.Instance) {
 	r.noPlacerSince = time.Time{}
-	r.Asked = placer
+	r.Placer = placer
 }
 
 // NoPlacer records that the pool has no placer now. It reports whether that has been the case for at least limit.
@@ -53,13 +53,13 @@
 	r.submitAt = now.Add(wrongPlacerDelay)
 }
 
-// Hurry makes the next submission due at once.
-func (r *Request) Hurry(now time.Time) {
+// ResubmitNow makes the next submission due at once.
+func (r *Request) ResubmitNow(now time.Time) {
 	r.submitAt = now
 }
 
-// AskDue reports whether the next submission is due.
-func (r *Request) AskDue(now time.Time) bool {
+// SubmitDue reports whether the next submission is due.
+func (r *Request) SubmitDue(now time.Time) bool {
 	return !now.Before(r.submitAt)
 }
 
--- a/services/daemon/node/waiting/ticket.go
+++ b/services/daemon/node/waiting/ticket.go
@@ -26,8 +26,8 @@
 	TooOld Verdict = "too old"
 )
 
-// Grant is the state on which the decision about a received grant depends.
-type Grant struct {
+// GrantState is the state on which the decision about a received grant depends.
+type GrantState struct {
 	// InUse is true if the ticket is in use by this instance.
 	InUse bool
 	// Awaited is true if the request is waiting, in the attempt of the grant.
@@ -39,8 +39,8 @@
 	AcceptOld bool
 }
 
-// Judge decides whether a grant is used.
-func Judge(g Grant) Verdict {
+// DecideGrant decides whether a grant is used.
+func DecideGrant(g GrantState) Verdict {
 	switch {
 	case g.InUse:
 		return Repeated
@@ -54,41 +54,41 @@
 	return Use
 }
 
-// Uses are the tickets in use by this instance, by identifier.
-type Uses struct {
+// TicketUses are the tickets in use by this instance, by identifier.
+type TicketUses struct {
 	byID map[string]fleet.TicketUse
 }
 
-// NewUses returns an empty set.
-func NewUses() Uses {
-	return Uses{byID: make(map[string]fleet.TicketUse)}
+// NewTicketUses returns an empty set.
+func NewTicketUses() TicketUses {
+	return TicketUses{byID: make(map[string]fleet.TicketUse)}
 }
 
 // Add adds a ticket with its request.
-func (u Uses) Add(t fleet.Ticket, r fleet.Request) {
+func (u TicketUses) Add(t fleet.Ticket, r fleet.Request) {
 	u.byID[t.ID] = fleet.TicketUse{Ticket: t, Request: r}
 }
 
 // Has reports whether a ticket is in use.
-func (u Uses) Has(ticketID string) bool {
+func (u TicketUses) Has(ticketID string) bool {
 	_, ok := u.byID[ticketID]
 	return ok
 }
 
 // Remove removes a ticket and returns it. It returns false if the ticket is not in use.
-func (u Uses) Remove(ticketID string) (fleet.Ticket, bool) {
+func (u TicketUses) Remove(ticketID string) (fleet.Ticket, bool) {
 	use, ok := u.byID[ticketID]
 	delete(u.byID, ticketID)
 	return use.Ticket, ok
 }
 
 // Empty reports whether no ticket is in use.
-func (u Uses) Empty() bool {
+func (u TicketUses) Empty() bool {
 	return len(u.byID) == 0
 }
 
 // OfPool returns the tickets in use of a pool, sorted by identifier.
-func (u Uses) OfPool(pool string) []fleet.TicketUse {
+func (u TicketUses) OfPool(pool string) []fleet.TicketUse {
 	var out []fleet.TicketUse
 	for _, use := range u.byID {
 		if use.Ticket.Pool == pool {
--- a/services/daemon/node/waiting/waiting_test.go
+++ b/services/daemon/node/waiting/waiting_test.go
@@ -28,39 +28,39 @@
 func TestVerdictOnLateAndRepeatedGrants(t *testing.T) {
 	for _, row := range []struct {
 		name  string
-		grant waiting.Grant
+		grant waiting.GrantState
 		want  waiting.Verdict
 	}{
-		{"awaited and fresh", waiting.Grant{Awaited: true}, waiting.Use},
-		{"awaited, as old as allowed", waiting.Grant{Awaited: true, Age: limit}, waiting.Use},
-		{"awaited, too old", waiting.Grant{Awaited: true, Age: limit + 1}, waiting.TooOld},
-		{"repeated while in use", waiting.Grant{InUse: true}, waiting.Repeated},
-		{"repeated and old", waiting.Grant{InUse: true, Age: time.Hour}, waiting.Repeated},
-		{"for a request that no longer waits", waiting.Grant{}, waiting.Return},
-		{"for a request that no longer waits, old", waiting.Grant{Age: time.Hour}, waiting.Return},
-		{"seeded fault: too old", waiting.Grant{Awaited: true, Age: time.Hour, AcceptOld: true}, waiting.Use},
-		{"seeded fault: no waiting request", waiting.Grant{AcceptOld: true}, waiting.Use},
-		{"seeded fault: in use", waiting.Grant{InUse: true, AcceptOld: true}, waiting.Repeated},
+		{"awaited and fresh", waiting.GrantState{Awaited: true}, waiting.Use},
+		{"awaited, as old as allowed", waiting.GrantState{Awaited: true, Age: limit}, waiting.Use},
+		{"awaited, too old", waiting.GrantState{Awaited: true, Age: limit + 1}, waiting.TooOld},
+		{"repeated while in use", waiting.GrantState{InUse: true}, waiting.Repeated},
+		{"repeated and old", waiting.GrantState{InUse: true, Age: time.Hour}, waiting.Repeated},
+		{"for a request that no longer waits", waiting.GrantState{}, waiting.Return},
+		{"for a request that no longer waits, old", waiting.GrantState{Age: time.Hour}, waiting.Return},
+		{"seeded fault: too old", waiting.GrantState{Awaited: true, Age: time.Hour, AcceptOld: true}, waiting.Use},
+		{"seeded fault: no waiting request", waiting.GrantState{AcceptOld: true}, waiting.Use},
+		{"seeded fault: in use", waiting.GrantState{InUse: true, AcceptOld: true}, waiting.Repeated},
 	} {
 		row.grant.Limit = limit
-		require.Equal(t, row.want, waiting.Judge(row.grant), row.name)
+		require.Equal(t, row.want, waiting.DecideGrant(row.grant), row.name)
 	}
 }
 
 func TestRequestIsSubmittedAgain(t *testing.T) {
 	const retry = time.Second
 	r := request("q", 0)
-	require.True(t, r.AskDue(begin), "the first submission is due at once")
-	r.Ask(begin, retry)
-	require.False(t, r.AskDue(after(retry-1)))
-	require.True(t, r.AskDue(after(retry)), "the submission or its answer may have been lost")
-	r.Ask(begin, retry)
+	require.True(t, r.SubmitDue(begin), "the first submission is due at once")
+	r.MarkSubmitted(begin, retry)
+	require.False(t, r.SubmitDue(after(retry-1)))
+	require.True(t, r.SubmitDue(after(retry)), "the submission or its answer may have been lost")
+	r.MarkSubmitted(begin, retry)
 	r.Elsewhere(begin)
-	require.False(t, r.AskDue(after(50*time.Millisecond-1)))
-	require.True(t, r.AskDue(after(50*time.Millisecond)), "the placer has changed")
-	r.Ask(begin, retry)
-	r.Hurry(after(1))
-	require.True(t, r.AskDue(after(1)), "the grant arrived too late")
+	require.False(t, r.SubmitDue(after(50*time.Millisecond-1)))
+	require.True(t, r.SubmitDue(after(50*time.Millisecond)), "the placer has changed")
+	r.MarkSubmitted(begin, retry)
+	r.ResubmitNow(after(1))
+	require.True(t, r.SubmitDue(after(1)), "the grant arrived too late")
 }
 
 func TestTimeoutOfPoolWithoutPlacer(t *testing.T) {
@@ -69,8 +69,8 @@
 	require.False(t, r.NoPlacer(begin, timeout))
 	require.False(t, r.NoPlacer(after(timeout-1), timeout))
 	require.True(t, r.NoPlacer(after(timeout), timeout))
-	r.AskedOf(fleet.Instance{ID: "i2"})
-	require.Equal(t, "i2", r.Asked.ID)
+	r.SetPlacer(fleet.Instance{ID: "i2"})
+	require.Equal(t, "i2", r.Placer.ID)
 	require.False(t, r.NoPlacer(after(timeout), timeout), "the time restarts after a placer was known")
 	require.True(t, r.NoPlacer(after(2*timeout), timeout))
 }
@@ -103,7 +103,7 @@
 }
 
 func TestTicketIsRemovedOnce(t *testing.T) {
-	u := waiting.NewUses()
+	u := waiting.NewTicketUses()
 	u.Add(fleet.Ticket{ID: "t2", Pool: "p"}, fleet.Request{ID: "q2"})
 	u.Add(fleet.Ticket{ID: "t1", Pool: "p"}, fleet.Request{ID: "q1"})
 	u.Add(fleet.Ticket{ID: "t3", Pool: "other"}, fleet.Request{ID: "q3"})
--- a/tests/fuzz/kv_test.go
+++ b/tests/fuzz/kv_test.go
@@ -89,7 +89,7 @@
 		if f.id != "" && (f.id != n.id || f.boot != n.boot) {
 			formers = append(formers, node.FormerOwner{ID: f.id, Boot: f.boot})
 		}
-		result.OK, result.Lease, result.SentAt, result.Formers = true, k.numbers[n.life()], sent, formers
+		result.OK, result.Lease, result.SentAt, result.FormerOwners = true, k.numbers[n.life()], sent, formers
 		k.former[pool] = formerOwner{id: n.id, boot: n.boot, formers: formers}
 	}, func() { n.do(n.node.Owned(n.clock(), result)) }, func() {})
 }
@@ -126,7 +126,7 @@
 	k.call(n, func() {
 		k.lapse()
 		if _, ok := k.leases[life]; !ok {
-			result = node.LeaseResult{Gone: true, Lease: k.numbers[life]}
+			result = node.LeaseResult{Expired: true, Lease: k.numbers[life]}
 			return
 		}
 		k.hold(n)
@@ -162,7 +162,7 @@
 		k.records = append(k.records, records)
 	}, func() {
 		if records.Head > 0 {
-			n.do(n.node.TakeRecords(n.clock(), records))
+			n.do(n.node.ApplyRecords(n.clock(), records))
 		}
 	}, func() {})
 }
@@ -177,7 +177,7 @@
 			return
 		}
 		answer = k.snapshot(int64(len(k.records)))
-	}, func() { n.do(n.node.TakeRecords(n.clock(), answer)) }, func() {})
+	}, func() { n.do(n.node.ApplyRecords(n.clock(), answer)) }, func() {})
 }
 
 // snapshot gives the whole configuration at a revision.
--- a/tests/fuzz/node_test.go
+++ b/tests/fuzz/node_test.go
@@ -126,7 +126,7 @@
 			w.deliver(n, e)
 		case node.Reject:
 			w.reject(n, e.RequestID)
-		case node.Note:
+		case node.RecordEvent:
 			w.log("%s %s %s %s %s %s: %s", n.id, e.Event.Kind, e.Event.Pool, e.Event.Endpoint, e.Event.Adapter, e.Event.Request, e.Event.Cause)
 		case node.Take:
 			w.take(n, e)
@@ -142,7 +142,7 @@
 			w.kv.settle(n, e.Pool)
 		case node.RenewLease:
 			w.kv.renew(n)
-		case node.Watch:
+		case node.WatchConfiguration:
 			n.watching = e.On
 			w.watch(n)
 		}
