--- a/services/daemon/node/digest/schedule.go
+++ b/services/daemon/node/digest/schedule.go
@@ -11,9 +11,9 @@
 
 // AnnouncedState is the state, besides that of the slots, whose changes other halls must receive soon.
 type AnnouncedState struct {
-	// Revision is the revision in force on this instance; Lowest is the lowest revision in force in the hall.
+	// Revision is the revision in force on this instance; LowestRevision is the lowest revision in force in the hall.
 	Revision, LowestRevision int64
-	// TermSum is the sum of the placers' terms; Placed is the number of pools with a placer.
+	// TermSum is the sum of the placers' terms; PoolsWithPlacer is the number of pools with a placer.
 	TermSum         uint64
 	PoolsWithPlacer int
 }
@@ -36,9 +36,9 @@
 
 // Due reports whether digests must be sent now. The interval is short while the state or the slots
 // change, and longer otherwise.
-func (s *Schedule) Due(now time.Time, news AnnouncedState, changing func() bool) bool {
+func (s *Schedule) Due(now time.Time, state AnnouncedState, changing func() bool) bool {
 	interval := s.interval
-	if news == s.sentState && !changing() {
+	if state == s.sentState && !changing() {
 		interval *= quietFactor
 	}
 	return now.Sub(s.sentAt) >= interval
@@ -47,9 +47,9 @@
 // RecordSent records that digests with the given state are sent now. It reports whether they must contain full
 // summaries. Later digests make up for a lost one, since each contains the complete state, and the
 // receiver requests the summaries that it has missed.
-func (s *Schedule) RecordSent(now time.Time, news AnnouncedState) bool {
+func (s *Schedule) RecordSent(now time.Time, state AnnouncedState) bool {
 	s.sentAt = now
-	s.sentState = news
+	s.sentState = state
 	s.number++
 	full := now.Sub(s.fullSentAt) >= s.fullInterval
 	if full {
--- a/services/daemon/node/digest/schedule_test.go
+++ b/services/daemon/node/digest/schedule_test.go
@@ -21,7 +21,7 @@
 	sent := digest.AnnouncedState{Revision: 3, LowestRevision: 3, TermSum: 9, PoolsWithPlacer: 1}
 	for _, row := range []struct {
 		name     string
-		news     digest.AnnouncedState
+		state    digest.AnnouncedState
 		changing bool
 		due      time.Duration
 	}{
@@ -35,20 +35,20 @@
 		s := digest.NewSchedule(interval, fullInterval)
 		s.RecordSent(begin, sent)
 		changing := func() bool { return row.changing }
-		require.False(t, s.Due(after(row.due-1), row.news, changing), row.name)
-		require.True(t, s.Due(after(row.due), row.news, changing), row.name)
+		require.False(t, s.Due(after(row.due-1), row.state, changing), row.name)
+		require.True(t, s.Due(after(row.due), row.state, changing), row.name)
 	}
 }
 
 func TestSentStateCountsAsUnchanged(t *testing.T) {
 	unchanged := func() bool { return false }
 	s := digest.NewSchedule(interval, fullInterval)
-	news := digest.AnnouncedState{Revision: 1}
-	require.True(t, s.Due(begin, news, unchanged), "the first digests are due at once")
-	s.RecordSent(begin, news)
-	require.False(t, s.Due(after(interval), news, unchanged))
+	state := digest.AnnouncedState{Revision: 1}
+	require.True(t, s.Due(begin, state, unchanged), "the first digests are due at once")
+	s.RecordSent(begin, state)
+	require.False(t, s.Due(after(interval), state, unchanged))
 	s.MakeDue()
-	require.True(t, s.Due(after(1), news, unchanged), "a new configuration is announced at once")
+	require.True(t, s.Due(after(1), state, unchanged), "a new configuration is announced at once")
 }
 
 func TestFullSummariesAreSentEachFullInterval(t *testing.T) {
--- a/services/daemon/node/lease/succession.go
+++ b/services/daemon/node/lease/succession.go
@@ -102,7 +102,7 @@
 
 // CoversGrants reports whether an endpoint inspection that began at the given time shows every
 // request that a former owner granted. grantLife is the maximum time from a grant to the
-// start of its request. Covers returns false if there is no freeze to lift.
+// start of its request. CoversGrants returns false if there is no freeze to lift.
 func (s *Succession) CoversGrants(began time.Time, grantLife time.Duration) bool {
 	if !s.frozen || s.ended.IsZero() {
 		return false
--- a/services/daemon/node/loads/bidder.go
+++ b/services/daemon/node/loads/bidder.go
@@ -92,7 +92,7 @@
 	return true
 }
 
-// ResetAfterPermit makes the next bid due at once and lets Send accept any value. It is called after a permit was
+// ResetAfterPermit makes the next bid due at once and lets SendDue accept any value. It is called after a permit was
 // used or returned, since the receiver has dropped the bid that the permit answered.
 func (b *Bidder) ResetAfterPermit() {
 	b.madeAt = time.Time{}
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -122,7 +122,7 @@
 }
 
 // sendTakeOrders sends takeover orders to the endpoints that have not answered, and stops holding requests back after
-// ownership.HoldRequests.
+// ownership.MaxRequestHold.
 func (n *Node) sendTakeOrders(now time.Time, ps *poolState) {
 	for _, e := range ps.takeover.TakeOrdersDue(now) {
 		n.emit(Take{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
--- a/services/daemon/node/ownership/decide.go
+++ b/services/daemon/node/ownership/decide.go
@@ -53,10 +53,10 @@
 // Situation is a node's state of a pool of its hall at one moment.
 type Situation struct {
 	Pool string
-	// OwnClaim is the node's claim. Its term is valid only while Mine is true. Mine is true while the node is the pool's placer.
+	// OwnClaim is the node's claim. Its term is valid only while IsPlacer is true. IsPlacer is true while the node is the pool's placer.
 	OwnClaim Claim
 	IsPlacer bool
-	// Announced is the highest claim among the live members. It is valid only if Claimed is true.
+	// Announced is the highest claim among the live members. It is valid only if HasAnnounced is true.
 	Announced    Claim
 	HasAnnounced bool
 	// Leaving is true once the node's planned stop has begun.
--- a/services/daemon/node/waiting/request.go
+++ b/services/daemon/node/waiting/request.go
@@ -20,7 +20,7 @@
 	Request fleet.Request
 	// Halls are the halls that a rule allows; empty for all.
 	Halls []string
-	// Pool is the chosen pool; Asked is the placer to which the request was last submitted. They are empty before that.
+	// Pool is the chosen pool; Placer is the placer to which the request was last submitted. They are empty before that.
 	Pool   string
 	Placer fleet.Instance
 	// submitAt is the time of the next submission; lostAt is the time since which the pool has had no placer.
