--- a/services/daemon/control/claim/answer.go
+++ b/services/daemon/control/claim/answer.go
@@ -13,25 +13,25 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
 )
 
-// ErrBadOwner reports a stored owner that cannot be read; the pool is not claimed over it.
+// ErrBadOwner reports a stored owner that cannot be decoded. The pool is then not claimed.
 type ErrBadOwner struct {
 	Key    string
 	Reason string
 }
 
-// Error names the key.
+// Error returns the message with the key.
 func (e ErrBadOwner) Error() string {
-	return fmt.Sprintf("the owner stored under %s cannot be read: %s", e.Key, e.Reason)
+	return fmt.Sprintf("cannot decode the owner stored under %s: %s", e.Key, e.Reason)
 }
 
-// Last is a pool's last owner as it was read.
+// Last is a pool's last owner as read from the key-value service.
 type Last struct {
 	Owner lease.StoredOwner
-	// Revision is that of the key, 0 where it does not exist.
+	// Revision is the revision of the key; 0 if the key does not exist.
 	Revision int64
 }
 
-// Decode reads the last owner; a key that was not found tells that the pool never had one. The error is ErrBadOwner.
+// Decode decodes the last owner. If the key was not found, the pool never had an owner. The error is an ErrBadOwner.
 func Decode(pair kv.Pair, found bool) (Last, error) {
 	if !found {
 		return Last{}, nil
@@ -43,8 +43,8 @@
 	return last, nil
 }
 
-// Holds tells from the answer to Acquire whether the pool is owned under the given lease: the transaction was done, or an
-// earlier one was, whose answer was lost.
+// Holds reports whether, by the answer to Acquire, the pool is owned under the given lease: because the transaction
+// succeeded, or because an earlier one had succeeded whose answer was lost.
 func Holds(answer kv.TxnResponse, leaseID int64) bool {
 	if answer.Succeeded {
 		return true
@@ -55,20 +55,20 @@
 	return answer.Responses[0].Range.KVs[0].Lease == leaseID
 }
 
-// Standing is what is known of a lease after a call to keep it alive.
+// Standing is the state of a lease after a keep-alive call.
 type Standing int
 
 // The standings of a lease.
 const (
-	// Alive leases last for their time from when the call was sent.
+	// Alive means that the lease lasts for its TTL from the time at which the call was sent.
 	Alive Standing = iota
-	// Lapsed leases are unknown to the service, with all keys under them; a new one may be asked for.
+	// Lapsed means that the service no longer has the lease or any key under it. A new lease may be requested.
 	Lapsed
-	// Unclear leases may last or not: the call was not answered. No right follows from them.
+	// Unclear means that the call was not answered, so the lease may or may not exist. Orders must not rely on it.
 	Unclear
 )
 
-// StandingAfter gives the standing of a lease after the call to keep it alive gave err, or nil.
+// StandingAfter returns the standing of a lease after a keep-alive call that returned err.
 func StandingAfter(err error) Standing {
 	switch {
 	case err == nil:
@@ -80,7 +80,7 @@
 	}
 }
 
-// Renewal gives what the node is told of a call to keep its lease alive that was sent at the given time.
+// Renewal returns the result that the node receives for a keep-alive call that was sent at the given time.
 func Renewal(sent time.Time, standing Standing) node.LeaseResult {
 	if standing == Lapsed {
 		return node.LeaseResult{Expired: true}
--- a/services/daemon/control/claim/claim_test.go
+++ b/services/daemon/control/claim/claim_test.go
@@ -31,12 +31,12 @@
 )
 
 var (
-	sent = time.Unix(1000, 0)
-	keys = claim.KeysOf(prefix, pool)
+	sentAt = time.Unix(1000, 0)
+	keys   = claim.KeysOf(prefix, pool)
 )
 
-// store gives a client of a key-value service of this test's own.
-func store(t *testing.T) *kv.Client {
+// newKVClient starts a key-value service for the test and returns a client of it.
+func newKVClient(t *testing.T) *kv.Client {
 	t.Helper()
 	server := httptest.NewServer(standin.NewKV().Handler())
 	t.Cleanup(server.Close)
@@ -51,8 +51,8 @@
 	return id
 }
 
-// read gives the pool's last owner.
-func read(t *testing.T, c *kv.Client) claim.Last {
+// readLastOwner returns the pool's last owner.
+func readLastOwner(t *testing.T, c *kv.Client) claim.Last {
 	t.Helper()
 	pair, found, err := c.Get(context.Background(), keys.Owner)
 	require.NoError(t, err)
@@ -61,12 +61,12 @@
 	return last
 }
 
-// attempt is one of the named instance with what it last read.
-func attempt(id string, leaseID int64, last claim.Last) claim.Attempt {
+// newAttempt returns an attempt of the instance with the identifier, based on the owner that it last read.
+func newAttempt(id string, leaseID int64, last claim.Last) claim.Attempt {
 	return claim.Attempt{Keys: keys, Lease: leaseID, Revision: last.Revision, Owner: last.Owner.Successor(id, boot)}
 }
 
-// acquire reports whether the attempt owns the pool.
+// acquire makes an attempt and reports whether the pool is owned under its lease.
 func acquire(t *testing.T, c *kv.Client, a claim.Attempt) bool {
 	t.Helper()
 	answer, err := c.Txn(context.Background(), claim.Acquire(a))
@@ -74,85 +74,85 @@
 	return claim.Holds(answer, a.Lease)
 }
 
-func TestTheKeysOfAPoolStayAsOtherVersionsKnowThem(t *testing.T) {
+func TestKeysOfPoolAreStable(t *testing.T) {
 	require.Equal(t, claim.Keys{Lease: "/test/lease/h1/x", Owner: "/test/owner/h1/x"}, keys)
 }
 
-func TestAPoolIsOwnedByOneInstanceAtATime(t *testing.T) {
-	c := store(t)
+func TestPoolIsOwnedByOneInstanceAtATime(t *testing.T) {
+	c := newKVClient(t)
 	own, anothers := grant(t, c), grant(t, c)
-	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))))
-	require.False(t, acquire(t, c, attempt(anotherID, anothers, read(t, c))))
-	require.True(t, read(t, c).Owner.IsRun(ownID, boot), "a vain attempt leaves the owner as it was")
+	require.True(t, acquire(t, c, newAttempt(ownID, own, readLastOwner(t, c))))
+	require.False(t, acquire(t, c, newAttempt(anotherID, anothers, readLastOwner(t, c))))
+	require.True(t, readLastOwner(t, c).Owner.IsRun(ownID, boot), "a failed attempt does not change the owner")
 }
 
-func TestAnAttemptWhoseAnswerWasLostIsRepeatedWithSuccess(t *testing.T) {
-	c := store(t)
+func TestAttemptSucceedsAgainAfterLostAnswer(t *testing.T) {
+	c := newKVClient(t)
 	own := grant(t, c)
-	before := read(t, c)
-	require.True(t, acquire(t, c, attempt(ownID, own, before)))
-	require.True(t, acquire(t, c, attempt(ownID, own, before)), "the very same call, sent twice")
-	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))), "a new one")
-	require.Empty(t, read(t, c).Owner.FormerOwners, "it does not wait for itself")
+	before := readLastOwner(t, c)
+	require.True(t, acquire(t, c, newAttempt(ownID, own, before)))
+	require.True(t, acquire(t, c, newAttempt(ownID, own, before)), "the same call, sent twice")
+	require.True(t, acquire(t, c, newAttempt(ownID, own, readLastOwner(t, c))), "a new attempt")
+	require.Empty(t, readLastOwner(t, c).Owner.FormerOwners, "an owner does not wait for itself")
 }
 
-func TestALateAttemptDoesNotOverwriteAnOwnerThatCameInBetween(t *testing.T) {
-	c := store(t)
+func TestLateAttemptDoesNotOverwriteOwner(t *testing.T) {
+	c := newKVClient(t)
 	own, anothers := grant(t, c), grant(t, c)
-	before := read(t, c)
-	require.True(t, acquire(t, c, attempt(anotherID, anothers, before)))
+	before := readLastOwner(t, c)
+	require.True(t, acquire(t, c, newAttempt(anotherID, anothers, before)))
 	require.NoError(t, c.Revoke(context.Background(), anothers))
-	require.False(t, acquire(t, c, attempt(ownID, own, before)), "it was read before the other's time")
-	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))))
-	require.Equal(t, []lease.FormerOwner{{ID: anotherID, Boot: boot}}, read(t, c).Owner.FormerOwners)
+	require.False(t, acquire(t, c, newAttempt(ownID, own, before)), "the owner was read before the other instance acquired the pool")
+	require.True(t, acquire(t, c, newAttempt(ownID, own, readLastOwner(t, c))))
+	require.Equal(t, []lease.FormerOwner{{ID: anotherID, Boot: boot}}, readLastOwner(t, c).Owner.FormerOwners)
 }
 
-func TestTheKeyOfALapsedLeaseIsNotHeldUnderANewOne(t *testing.T) {
-	c := store(t)
+func TestKeyOfFormerLeaseIsNotHeldUnderNewLease(t *testing.T) {
+	c := newKVClient(t)
 	first := grant(t, c)
-	require.True(t, acquire(t, c, attempt(ownID, first, read(t, c))))
+	require.True(t, acquire(t, c, newAttempt(ownID, first, readLastOwner(t, c))))
 	second := grant(t, c)
-	require.False(t, acquire(t, c, attempt(ownID, second, read(t, c))), "the key stands under the first lease and ends with it")
+	require.False(t, acquire(t, c, newAttempt(ownID, second, readLastOwner(t, c))), "the key belongs to the first lease and ends with it")
 }
 
-func TestAReleaseEndsOnlyTheKeyThatWasRead(t *testing.T) {
+func TestReleaseDeletesOnlyUnchangedKey(t *testing.T) {
 	ctx := context.Background()
-	c := store(t)
+	c := newKVClient(t)
 	own, anothers := grant(t, c), grant(t, c)
-	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))))
+	require.True(t, acquire(t, c, newAttempt(ownID, own, readLastOwner(t, c))))
 	pair, _, err := c.Get(ctx, keys.Lease)
 	require.NoError(t, err)
 	release := claim.Release(keys, pair.ModRevision)
 	answer, err := c.Txn(ctx, release)
 	require.NoError(t, err)
 	require.True(t, answer.Succeeded)
-	require.True(t, acquire(t, c, attempt(anotherID, anothers, read(t, c))))
+	require.True(t, acquire(t, c, newAttempt(anotherID, anothers, readLastOwner(t, c))))
 	answer, err = c.Txn(ctx, release)
 	require.NoError(t, err)
-	require.False(t, answer.Succeeded, "a repeated release does not end the successor's key")
+	require.False(t, answer.Succeeded, "a repeated release does not delete the successor's key")
 	_, found, err := c.Get(ctx, keys.Lease)
 	require.NoError(t, err)
 	require.True(t, found)
 }
 
-func TestSettlingEndsTheWaitForFormersUnlessTheOwnerChanged(t *testing.T) {
+func TestSettleRemovesFormerOwnersOnlyIfOwnerUnchanged(t *testing.T) {
 	ctx := context.Background()
-	c := store(t)
+	c := newKVClient(t)
 	anothers, own := grant(t, c), grant(t, c)
-	require.True(t, acquire(t, c, attempt(anotherID, anothers, read(t, c))))
+	require.True(t, acquire(t, c, newAttempt(anotherID, anothers, readLastOwner(t, c))))
 	require.NoError(t, c.Revoke(ctx, anothers))
-	require.True(t, acquire(t, c, attempt(ownID, own, read(t, c))))
-	settle := claim.Settle(keys, read(t, c).Revision, read(t, c).Owner)
+	require.True(t, acquire(t, c, newAttempt(ownID, own, readLastOwner(t, c))))
+	settle := claim.Settle(keys, readLastOwner(t, c).Revision, readLastOwner(t, c).Owner)
 	answer, err := c.Txn(ctx, settle)
 	require.NoError(t, err)
 	require.True(t, answer.Succeeded)
-	require.Equal(t, lease.StoredOwner{Holder: ownID, Boot: boot}, read(t, c).Owner)
+	require.Equal(t, lease.StoredOwner{Holder: ownID, Boot: boot}, readLastOwner(t, c).Owner)
 	answer, err = c.Txn(ctx, settle)
 	require.NoError(t, err)
-	require.False(t, answer.Succeeded, "late: the key was written since")
+	require.False(t, answer.Succeeded, "the key was written since it was read")
 }
 
-func TestWhatIsReadOfALastOwner(t *testing.T) {
+func TestDecodeLastOwner(t *testing.T) {
 	value := []byte(`{"holder":"i2","boot":7}`)
 	last, err := claim.Decode(kv.Pair{Value: value, ModRevision: 4}, true)
 	require.NoError(t, err)
@@ -167,7 +167,7 @@
 	}
 }
 
-func TestWhoHoldsAPoolAfterAnAttempt(t *testing.T) {
+func TestHoldsByAnswerToAcquire(t *testing.T) {
 	held := func(leases ...int64) kv.TxnResponse {
 		var pairs []kv.Pair
 		for _, id := range leases {
@@ -180,32 +180,32 @@
 		answer kv.TxnResponse
 		holds  bool
 	}{
-		{"done", kv.TxnResponse{Succeeded: true}, true},
-		{"not done, nothing told", kv.TxnResponse{}, false},
-		{"not done, another answer", kv.TxnResponse{Responses: []kv.OpResponse{{}}}, false},
-		{"not done, no key: the owner changed", held(), false},
-		{"not done, the own key", held(3), true},
-		{"not done, another's key", held(4), false},
+		{"succeeded", kv.TxnResponse{Succeeded: true}, true},
+		{"failed, no responses", kv.TxnResponse{}, false},
+		{"failed, a response without range", kv.TxnResponse{Responses: []kv.OpResponse{{}}}, false},
+		{"failed, no lease key since the owner changed", held(), false},
+		{"failed, the lease key is of the own lease", held(3), true},
+		{"failed, the lease key is of another lease", held(4), false},
 	} {
 		require.Equal(t, row.holds, claim.Holds(row.answer, 3), row.name)
 	}
 }
 
-func TestWhatFollowsFromACallToKeepALeaseAlive(t *testing.T) {
+func TestStandingAndRenewalAfterKeepAlive(t *testing.T) {
 	for _, row := range []struct {
 		name     string
 		err      error
 		standing claim.Standing
 		result   node.LeaseResult
 	}{
-		{"answered", nil, claim.Alive, node.LeaseResult{OK: true, SentAt: sent}},
+		{"answered", nil, claim.Alive, node.LeaseResult{OK: true, SentAt: sentAt}},
 		{"the lease is gone", kv.ErrLeaseGone{ID: 3}, claim.Lapsed, node.LeaseResult{Expired: true}},
-		{"not sent or refused", kv.ErrNotDone{}, claim.Unclear, node.LeaseResult{SentAt: sent}},
-		{"its answer was lost", kv.ErrUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sent}},
-		{"any other", errors.New("cause"), claim.Unclear, node.LeaseResult{SentAt: sent}},
+		{"not sent or refused", kv.ErrNotDone{}, claim.Unclear, node.LeaseResult{SentAt: sentAt}},
+		{"the answer was lost", kv.ErrUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sentAt}},
+		{"any other error", errors.New("cause"), claim.Unclear, node.LeaseResult{SentAt: sentAt}},
 	} {
 		standing := claim.StandingAfter(row.err)
 		require.Equal(t, row.standing, standing, row.name)
-		require.Equal(t, row.result, claim.Renewal(sent, standing), row.name)
+		require.Equal(t, row.result, claim.Renewal(sentAt, standing), row.name)
 	}
 }
--- a/services/daemon/control/claim/doc.go
+++ b/services/daemon/control/claim/doc.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package claim decides, without I/O, what the control goroutine's calls to the key-value service write and what their
-// answers mean, for pools whose endpoints check no fences: such a pool is an instance's while a key under its lease stands.
+// Package claim builds the transactions by which an instance acquires, releases and settles pools whose endpoints check no
+// fences, and interprets the answers of the key-value service. An instance owns such a pool while the pool's lease key
+// exists under the instance's lease.
 //
-// It owns no state and starts no goroutines; services/daemon/control makes the calls, services/daemon/node/lease gives the
-// stored form of an owner. Times are the caller's.
+// The package does no I/O, owns no state and starts no goroutines. services/daemon/control makes the calls, and
+// services/daemon/node/lease defines the stored form of an owner. The caller passes in the times.
 package claim
--- a/services/daemon/control/claim/transaction.go
+++ b/services/daemon/control/claim/transaction.go
@@ -10,32 +10,32 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
 )
 
-// Keys are a pool's two keys. Other versions of the program read both.
+// Keys are a pool's two keys in the key-value service. Other versions of the program read them, so they must not change.
 type Keys struct {
-	// Lease exists while an instance owns the pool; it lapses with that instance's lease.
+	// Lease is the key that exists while an instance owns the pool. It is deleted when that instance's lease lapses.
 	Lease string
-	// Owner outlives the lease and names the last owner.
+	// Owner is the key of the last owner. It remains after the lease has lapsed.
 	Owner string
 }
 
-// KeysOf gives the keys of a pool below the settings' prefix.
+// KeysOf returns the keys of a pool below the configured prefix.
 func KeysOf(prefix, pool string) Keys {
 	return Keys{Lease: prefix + "/lease/" + pool, Owner: prefix + "/owner/" + pool}
 }
 
-// Attempt is what a call to own a pool works with.
+// Attempt holds the parameters of an attempt to acquire a pool.
 type Attempt struct {
 	Keys Keys
 	// Lease is the identifier of the caller's lease at the service.
 	Lease int64
-	// Revision is the one at which the key of the last owner was read, 0 where there was none.
+	// Revision is the revision of the last owner's key when it was read; 0 if the key did not exist.
 	Revision int64
-	// Owner is what is to be stored as the last owner.
+	// Owner is the owner to store as the last owner.
 	Owner lease.StoredOwner
 }
 
-// Acquire gives the transaction that owns a pool: done only where no lease key stands and no other instance has
-// written the owner since it was read. Otherwise it answers with the lease key, for Holds.
+// Acquire returns the transaction that acquires a pool. It succeeds only if the lease key does not exist and the owner has
+// not been written since it was read. Otherwise the answer contains the lease key, which Holds evaluates.
 func Acquire(a Attempt) kv.TxnRequest {
 	leaseKey, ownerKey, value := []byte(a.Keys.Lease), []byte(a.Keys.Owner), encode(a.Owner)
 	return kv.TxnRequest{
@@ -51,7 +51,7 @@
 	}
 }
 
-// Release gives the transaction that deletes a pool's lease key if it still is as it was read at a revision.
+// Release returns the transaction that deletes a pool's lease key, if the key is unchanged since the given revision.
 func Release(keys Keys, revision int64) kv.TxnRequest {
 	key := []byte(keys.Lease)
 	return kv.TxnRequest{
@@ -60,7 +60,8 @@
 	}
 }
 
-// Settle gives the transaction that stores an owner without its former ones, if the key is as it was read at a revision.
+// Settle returns the transaction that stores an owner without its former owners, if the owner's key is unchanged since the
+// given revision.
 func Settle(keys Keys, revision int64, owner lease.StoredOwner) kv.TxnRequest {
 	key := []byte(keys.Owner)
 	return kv.TxnRequest{
@@ -70,6 +71,6 @@
 }
 
 func encode(owner lease.StoredOwner) []byte {
-	value, _ := json.Marshal(owner) // Names and numbers always have a JSON form.
+	value, _ := json.Marshal(owner) // Strings and numbers can always be encoded.
 	return value
 }
