--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -14,8 +14,8 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// carryOut does what the node asked for; nothing in it may wait.
-func (s *Service) carryOut(effects []node.Effect) {
+// applyEffects carries out the node's effects. It must not block.
+func (s *Service) applyEffects(effects []node.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case node.Send:
@@ -23,13 +23,13 @@
 		case node.Deliver:
 			s.deliver(e)
 		case node.Reject:
-			s.answer(e.RequestID, Answer{Refusal: e.Refusal})
+			s.sendAnswer(e.RequestID, Answer{Refusal: e.Refusal})
 		case node.Take:
-			s.tasks.start(func() { s.take(e) })
+			s.tasks.start(func() { s.takeEndpoint(e) })
 		case node.Inspect:
-			s.inspectLater(e)
+			s.startInspection(e)
 		case node.Order:
-			s.tasks.start(func() { s.order(e) })
+			s.tasks.start(func() { s.executeOrder(e) })
 		case node.AcquireOwner:
 			s.owner.acquire(e.Pool, e.Term)
 		case node.ReleaseOwner:
@@ -44,36 +44,36 @@
 		case node.WatchConfiguration:
 			s.follower.SetWatching(e.On)
 		case node.RecordEvent:
-			s.noteEvent(e.Event)
+			s.recordEvent(e.Event)
 		}
 	}
 }
 
-// deliver hands a ticket to its request; one that has gone meanwhile gives it back.
+// deliver passes a ticket to its request, or returns the ticket if the request no longer waits.
 func (s *Service) deliver(d node.Deliver) {
-	if s.answer(d.RequestID, Answer{Ticket: d.Ticket, NotAfter: d.NotAfter, Granted: true}) {
+	if s.sendAnswer(d.RequestID, Answer{Ticket: d.Ticket, NotAfter: d.NotAfter, Granted: true}) {
 		return
 	}
-	s.carryOut(s.node.Finish(s.options.Now(), d.Ticket.ID))
+	s.applyEffects(s.node.Finish(s.options.Now(), d.Ticket.ID))
 }
 
-func (s *Service) answer(requestID string, a Answer) bool {
-	waiter, ok := s.waiters[requestID]
+func (s *Service) sendAnswer(requestID string, a Answer) bool {
+	waiter, ok := s.answerChannels[requestID]
 	if !ok {
 		return false
 	}
-	delete(s.waiters, requestID)
+	delete(s.answerChannels, requestID)
 	waiter <- a
 	return true
 }
 
-// holderID gives this life's own bits of every fence that it chooses.
-func (s *Service) holderID() uint16 {
+// fenceHolderBits returns the bits that identify this run of the instance in every fence that it chooses.
+func (s *Service) fenceHolderBits() uint16 {
 	o := s.options.Node
 	return uint16(o.Boot) ^ uint16(hash32(o.Self.ID))
 }
 
-// foldBits folds a hash of 32 bits into the 16 bits that a fence has for its holder.
+// foldBits is the shift that folds a 32-bit hash into the 16 bits of a fence that identify its holder.
 const foldBits = 16
 
 func hash32(text string) uint32 {
@@ -86,13 +86,14 @@
 	return s.options.Node.Self.ID
 }
 
-// take makes an endpoint obey this node, and reads its list only after that: whatever
-// starts there later under an older fence is refused by the endpoint itself.
-func (s *Service) take(t node.Take) {
+// takeEndpoint sets this node's fence on an endpoint and inspects the endpoint only after that. From
+// then on the endpoint itself refuses requests with an older fence, so the inspection shows
+// every request that was started under one.
+func (s *Service) takeEndpoint(t node.Take) {
 	result := node.TakeResult{Pool: t.Pool, Term: t.Term, Inspection: placement.Inspection{Endpoint: t.Endpoint.Name}}
 	status, err := s.options.Dialect.Status(s.ctx, t.Endpoint)
 	if err == nil && t.Endpoint.ChecksFence {
-		result.Fence = engine.NextFence(status.Fence, s.holderID())
+		result.Fence = engine.NextFence(status.Fence, s.fenceHolderBits())
 		err = s.options.Dialect.Take(s.ctx, engine.Order{
 			Endpoint: t.Endpoint, Incarnation: status.Incarnation, Fence: result.Fence, Holder: s.holderName(),
 		})
@@ -106,7 +107,7 @@
 		result.OK = !t.Endpoint.ChecksFence || status.Fence == result.Fence
 		result.Inspection = inspection(t.Endpoint.Name, began, status)
 	}
-	s.put(takenInput{result: result})
+	s.enqueue(takenInput{result: result})
 }
 
 func inspection(endpoint string, began time.Time, status engine.Status) placement.Inspection {
@@ -115,8 +116,8 @@
 	}
 }
 
-// inspectLater reads an endpoint's list, one reading at a time.
-func (s *Service) inspectLater(i node.Inspect) {
+// startInspection starts an inspection of an endpoint, unless one is in progress.
+func (s *Service) startInspection(i node.Inspect) {
 	if s.inspecting[i.Endpoint.Name] {
 		return
 	}
@@ -131,11 +132,11 @@
 	if err == nil {
 		in = inspection(i.Endpoint.Name, began, status)
 	}
-	s.put(inspectedInput{pool: i.Pool, term: i.Term, inspection: in, leaving: status.Leaving})
+	s.enqueue(inspectedInput{pool: i.Pool, term: i.Term, inspection: in, leaving: status.Leaving})
 }
 
-// order evicts and loads; the right to order is looked at right before each write.
-func (s *Service) order(o node.Order) {
+// executeOrder evicts an adapter if necessary and loads another one. The time limit of the order is checked right before each call.
+func (s *Service) executeOrder(o node.Order) {
 	l := o.Load
 	result := node.LoadResult{
 		Pool: l.Pool, Term: o.Term, Endpoint: l.Endpoint, Incarnation: l.Incarnation, Adapter: l.Adapter, Result: placement.LoadDone,
@@ -144,28 +145,28 @@
 	if !l.Evict.IsZero() {
 		unload := base
 		unload.Adapter = l.Evict
-		if err := s.timely(o, s.options.Dialect.Unload, unload); err != nil {
-			s.put(loadedInput{result: s.failedOrder(result, err)})
+		if err := s.sendBeforeLimit(o, s.options.Dialect.Unload, unload); err != nil {
+			s.enqueue(loadedInput{result: s.failedResult(result, err)})
 			return
 		}
 	}
 	load := base
 	load.Adapter = l.Adapter
-	load.Source = s.source(l.Adapter)
-	if err := s.timely(o, s.options.Dialect.Load, load); err != nil {
-		result = s.failedOrder(result, err)
+	load.Source = s.adapterSource(l.Adapter)
+	if err := s.sendBeforeLimit(o, s.options.Dialect.Load, load); err != nil {
+		result = s.failedResult(result, err)
 	}
-	s.put(loadedInput{result: result})
+	s.enqueue(loadedInput{result: result})
 }
 
-func (s *Service) timely(o node.Order, send func(context.Context, engine.Order) error, order engine.Order) error {
+func (s *Service) sendBeforeLimit(o node.Order, send func(context.Context, engine.Order) error, order engine.Order) error {
 	if limit := o.Load.NotAfter; !limit.IsZero() && !s.options.Now().Before(limit) {
-		return engine.ErrNotRun{What: "order", Reason: "the right to order has lapsed"}
+		return engine.ErrNotRun{What: "order", Reason: "the time limit for orders under the lease has passed"}
 	}
 	return send(s.ctx, order)
 }
 
-func (s *Service) failedOrder(r node.LoadResult, err error) node.LoadResult {
+func (s *Service) failedResult(r node.LoadResult, err error) node.LoadResult {
 	r.Cause = err.Error()
 	r.Result = placement.LoadUnknown
 	switch {
@@ -177,7 +178,7 @@
 	return r
 }
 
-func (s *Service) source(ref fleet.AdapterRef) string {
+func (s *Service) adapterSource(ref fleet.AdapterRef) string {
 	a := s.Catalog().Adapters[ref.Name]
 	if a == nil {
 		return ref.String()
--- a/services/daemon/control/failure_log.go
+++ b/services/daemon/control/failure_log.go
@@ -9,7 +9,7 @@
 	"github.com/sirupsen/logrus"
 )
 
-// platformCall names a call to the platform in log lines.
+// platformCall is the name of a call to the platform in log lines.
 type platformCall string
 
 const (
@@ -20,56 +20,56 @@
 	callReadLease platformCall = "read lease"
 	callRelease   platformCall = "release"
 	callSettle    platformCall = "settle"
-	// callQueue is none that was made: no place was left among those that wait for the key-value service.
+	// callQueue stands for a call that was not made because the queue of calls to the key-value service was full.
 	callQueue platformCall = "queue"
 	callList  platformCall = "list"
 )
 
-// consequences tells what follows from the failure of each call.
-var consequences = map[platformCall]string{
-	callGrant:     "no lease, so that no pool is owned; asked for again",
-	callKeepAlive: "no renewal, so that the right to order ends by itself; tried again",
-	callReadOwner: "the last owner is not known, so that the pool is neither claimed nor settled",
-	callAcquire:   "the pool is not owned; asked for again",
-	callReadLease: "the pool's key stays until its lease lapses; tried again at the next renewal",
-	callRelease:   "the pool's key may stay until its lease lapses; tried again at the next renewal",
-	callSettle:    "successors wait once more for owners that have ended",
-	callQueue:     "too many calls wait; this one was not made",
-	callList:      "instances and leaving endpoints are those of the last list; read again",
+// failureEffects describes the effect of the failure of each call.
+var failureEffects = map[platformCall]string{
+	callGrant:     "without a lease no pool can be owned; the request will be repeated",
+	callKeepAlive: "the lease was not renewed, so orders stop when it ends; the renewal will be repeated",
+	callReadOwner: "the last owner is unknown, so the pool is neither claimed nor settled",
+	callAcquire:   "the pool is not owned; the request will be repeated",
+	callReadLease: "the pool's key stays until its lease lapses; the release will be repeated at the next renewal",
+	callRelease:   "the pool's key may stay until its lease lapses; the release will be repeated at the next renewal",
+	callSettle:    "successors wait again for owners that have ended",
+	callQueue:     "too many calls are waiting; this call was not made",
+	callList:      "instances and leaving endpoints are those of the last list; the list will be read again",
 }
 
-// failurePause is the least time between two lines about the same call; those in between are counted. Longer fills less of the log in an
-// outage, shorter shows sooner that it lasts.
-const failurePause = 10 * time.Second
+// failureLogInterval is the minimum time between two log lines about the same call; the failures in between are counted. A longer time writes
+// fewer lines during an outage; a shorter one shows sooner that the outage continues.
+const failureLogInterval = 10 * time.Second
 
-// failureLog writes lines about calls that failed; one goroutine uses it.
+// failureLog logs failed calls. It must be used by one goroutine only.
 type failureLog struct {
-	entry *logrus.Entry
-	now   func() time.Time
-	told  map[platformCall]toldFailure
+	entry  *logrus.Entry
+	now    func() time.Time
+	logged map[platformCall]loggedFailure
 }
 
-// toldFailure is when a call's last line was written, and how many more failures there were since.
-type toldFailure struct {
+// loggedFailure is the time of a call's last log line and the number of failures since then.
+type loggedFailure struct {
 	at         time.Time
 	suppressed int
 }
 
 func newFailureLog(o Options) *failureLog {
-	return &failureLog{entry: o.Log, now: o.Now, told: make(map[platformCall]toldFailure)}
+	return &failureLog{entry: o.Log, now: o.Now, logged: make(map[platformCall]loggedFailure)}
 }
 
-// tell writes a line about a call, and the pool if it was for one, unless a line was written a short while ago.
-func (l *failureLog) tell(call platformCall, pool string, err error) {
+// log logs a failed call, with its pool if it has one, unless the call was logged within failureLogInterval.
+func (l *failureLog) log(call platformCall, pool string, err error) {
 	now := l.now()
-	last, told := l.told[call]
-	if told && now.Sub(last.at) < failurePause {
+	last, logged := l.logged[call]
+	if logged && now.Sub(last.at) < failureLogInterval {
 		last.suppressed++
-		l.told[call] = last
+		l.logged[call] = last
 		return
 	}
-	l.told[call] = toldFailure{at: now}
+	l.logged[call] = loggedFailure{at: now}
 	l.entry.WithError(err).WithFields(logrus.Fields{
-		"call": call, "pool": pool, "reason": consequences[call], "suppressed": last.suppressed,
+		"call": call, "pool": pool, "reason": failureEffects[call], "suppressed": last.suppressed,
 	}).Warn("a call to the platform failed")
 }
--- a/services/daemon/control/failure_log_test.go
+++ b/services/daemon/control/failure_log_test.go
@@ -29,8 +29,8 @@
 
 const ownerOfX = "/test/owner/h1/x"
 
-// failing gives a key-value service that refuses each call for which fails is true.
-func failing(t *testing.T, fails func(path, body string) bool) *kv.Client {
+// failingKV returns a client of a key-value service that refuses each call for which fails returns true.
+func failingKV(t *testing.T, fails func(path, body string) bool) *kv.Client {
 	handler := standin.NewKV().Handler()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
@@ -46,10 +46,10 @@
 	return kv.New(kv.Options{Addresses: []netip.AddrPort{address}, ReadsPerSecond: 1000, WritesPerSecond: 1000})
 }
 
-// failures gives the lines about calls to the platform that failed.
-func (w *world) failures() []*logrus.Entry {
+// failures returns the log lines about failed calls to the platform.
+func (w *harness) failures() []*logrus.Entry {
 	var out []*logrus.Entry
-	for _, line := range w.lines.AllEntries() {
+	for _, line := range w.logHook.AllEntries() {
 		if line.Message == "a call to the platform failed" {
 			out = append(out, line)
 		}
@@ -57,8 +57,8 @@
 	return out
 }
 
-// awaitFailure waits for the first line about a call that failed, and checks what it tells.
-func (w *world) awaitFailure(call, pool string) {
+// awaitFailure waits for the first log line about a failed call and checks its fields.
+func (w *harness) awaitFailure(call, pool string) {
 	w.t.Helper()
 	require.Eventually(w.t, func() bool { return len(w.failures()) > 0 }, timeout, time.Millisecond)
 	line := w.failures()[0]
@@ -75,31 +75,31 @@
 	return fleet.Envelope{From: "i2", Boot: 1, Heartbeat: &fleet.Heartbeat{Instance: i2, Stamp: 1, Held: []fleet.HeldPool{{Pool: "h1/x", Term: 1 << 40}}}}
 }
 
-func TestEachCallForAPoolsOwnershipThatFailsIsLogged(t *testing.T) {
+func TestFailedOwnershipCallsAreLogged(t *testing.T) {
 	for _, row := range []struct {
 		call, pool, path, key string
-		// after is the number of such calls that succeed before.
+		// after is the number of matching calls that succeed before the failure.
 		after int64
-		// then is done once the pool is owned.
-		then func(w *world)
+		// then is called once the pool is owned.
+		then func(w *harness)
 	}{
 		{"grant", "", "/v3/lease/grant", "", 0, nil},
 		{"keepalive", "", "/v3/lease/keepalive", "", 0, nil},
 		{"read owner", "h1/x", "/v3/kv/range", ownerOfX, 0, nil},
 		{"acquire", "h1/x", "/v3/kv/txn", "", 0, nil},
-		{"read lease", "h1/x", "/v3/kv/range", leaseOfX, 0, func(w *world) { w.Receive(heartbeatOfI2()) }},
-		{"release", "h1/x", "/v3/kv/txn", "", 1, func(w *world) { w.Receive(heartbeatOfI2()) }},
+		{"read lease", "h1/x", "/v3/kv/range", leaseOfX, 0, func(w *harness) { w.Receive(heartbeatOfI2()) }},
+		{"release", "h1/x", "/v3/kv/txn", "", 1, func(w *harness) { w.Receive(heartbeatOfI2()) }},
 	} {
 		t.Run(row.call, func(t *testing.T) {
 			var calls, transactions atomic.Int64
-			client := failing(t, func(path, body string) bool {
+			client := failingKV(t, func(path, body string) bool {
 				if path == "/v3/kv/txn" {
 					transactions.Add(1)
 				}
 				return path == row.path && strings.Contains(body, base64.StdEncoding.EncodeToString([]byte(row.key))) && calls.Add(1) > row.after
 			})
-			w := newWorldOf(t, unfenced()[:1], client)
-			w.advance(settled)
+			w := newHarnessWithEndpoints(t, unfencedEndpoints()[:1], client)
+			w.advance(settleTime)
 			if row.then != nil {
 				require.Eventually(t, func() bool { return transactions.Load() > 0 }, timeout, time.Millisecond)
 				row.then(w)
@@ -109,46 +109,46 @@
 	}
 }
 
-func TestASettlementThatFailsIsLogged(t *testing.T) {
+func TestFailedSettlementIsLogged(t *testing.T) {
 	var transactions atomic.Int64
-	client := failing(t, func(path, _ string) bool { return path == "/v3/kv/txn" && transactions.Add(1) == 3 })
+	client := failingKV(t, func(path, _ string) bool { return path == "/v3/kv/txn" && transactions.Add(1) == 3 })
 	stored := kv.TxnRequest{Success: []kv.Op{{Put: &kv.PutRequest{Key: []byte(ownerOfX), Value: []byte(`{"holder":"i2","boot":1}`)}}}}
 	_, err := client.Txn(context.Background(), stored)
 	require.NoError(t, err)
-	w := newWorldOf(t, unfenced()[:1], client)
+	w := newHarnessWithEndpoints(t, unfencedEndpoints()[:1], client)
 	w.Receive(fleet.Envelope{From: "i2", Boot: 1, Release: &fleet.Release{Pool: "h1/x", Term: 9}})
 	w.awaitFailure("settle", "h1/x")
 }
 
-func TestAStoredOwnerThatCannotBeReadIsLogged(t *testing.T) {
-	client := failing(t, func(string, string) bool { return false })
+func TestUndecodableStoredOwnerIsLogged(t *testing.T) {
+	client := failingKV(t, func(string, string) bool { return false })
 	_, err := client.Txn(context.Background(), kv.TxnRequest{Success: []kv.Op{{Put: &kv.PutRequest{Key: []byte(ownerOfX), Value: []byte("{")}}}})
 	require.NoError(t, err)
-	w := newWorldOf(t, unfenced()[:1], client)
-	w.advance(settled)
+	w := newHarnessWithEndpoints(t, unfencedEndpoints()[:1], client)
+	w.advance(settleTime)
 	w.awaitFailure("read owner", "h1/x")
 	require.ErrorContains(t, w.failures()[0].Data[logrus.ErrorKey].(error), ownerOfX)
 }
 
-func TestAListThatCannotBeReadIsLogged(t *testing.T) {
-	w := newWorldWith(t, func(o *control.Options) {
-		o.KV = failing(t, func(string, string) bool { return true })
+func TestFailedReadOfPlatformListIsLogged(t *testing.T) {
+	w := newHarnessWith(t, func(o *control.Options) {
+		o.KV = failingKV(t, func(string, string) bool { return true })
 		o.ListEach = time.Millisecond
 		o.List = func(context.Context) (instancelist.List, error) { return instancelist.List{}, errors.New("test") }
 	})
 	w.awaitFailure("list", "")
 }
 
-func TestLinesAboutOneCallAreAPauseApartAndCountTheOthers(t *testing.T) {
+func TestRepeatedFailuresAreSuppressedAndCounted(t *testing.T) {
 	var grants atomic.Int64
-	client := failing(t, func(path, _ string) bool {
+	client := failingKV(t, func(path, _ string) bool {
 		if path == "/v3/lease/grant" {
 			grants.Add(1)
 		}
 		return true
 	})
-	w := newWorldOf(t, unfenced()[:1], client)
-	w.advance(settled)
+	w := newHarnessWithEndpoints(t, unfencedEndpoints()[:1], client)
+	w.advance(settleTime)
 	w.awaitFailure("grant", "")
 	const retry, pause = time.Second, 10 * time.Second
 	for asked := int64(2); asked <= int64(pause/retry); asked++ {
@@ -158,6 +158,6 @@
 	require.Len(t, w.failures(), 1)
 	w.advance(retry)
 	require.Eventually(t, func() bool { return len(w.failures()) == 2 }, timeout, time.Millisecond)
-	// The clock may move on between the call before this one and its line, which is then the second.
+	// The clock may advance between the previous call and its log line. That line is then the second one.
 	require.Contains(t, []int{8, 9}, w.failures()[1].Data["suppressed"])
 }
--- a/services/daemon/control/input.go
+++ b/services/daemon/control/input.go
@@ -11,23 +11,23 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// input is one thing that the control goroutine is told.
+// input is a message to the control goroutine.
 type input interface {
 	apply(now time.Time, s *Service) []node.Effect
 }
 
-// envelopeInput is a peer's envelope, which has room for its size until it is taken.
+// envelopeInput is a peer's envelope. Its size is held in the byte budget until the envelope is processed.
 type envelopeInput struct {
 	envelope fleet.Envelope
 	size     int64
 }
 
 func (i envelopeInput) apply(now time.Time, s *Service) []node.Effect {
-	s.received.Release(i.size)
+	s.receiveBudget.Release(i.size)
 	return s.node.Handle(now, i.envelope)
 }
 
-// Answer is what a submitted request gets: a ticket, or a refusal.
+// Answer is the answer to a submitted request: a ticket or a refusal.
 type Answer struct {
 	Ticket   fleet.Ticket
 	NotAfter time.Time
@@ -41,14 +41,14 @@
 }
 
 func (i submitInput) apply(now time.Time, s *Service) []node.Effect {
-	s.waiters[i.request.ID] = i.answer
+	s.answerChannels[i.request.ID] = i.answer
 	return s.node.Submit(now, i.request)
 }
 
 type abandonInput struct{ requestID string }
 
 func (i abandonInput) apply(now time.Time, s *Service) []node.Effect {
-	delete(s.waiters, i.requestID)
+	delete(s.answerChannels, i.requestID)
 	return s.node.Abandon(now, i.requestID)
 }
 
@@ -120,7 +120,7 @@
 	return s.node.Leave(now)
 }
 
-// viewInput lets a query read the node between two inputs; it must not change it.
+// viewInput lets a query read the node between two inputs. The query must not modify the node.
 type viewInput struct {
 	read func(now time.Time, n *node.Node)
 	done chan struct{}
--- a/services/daemon/control/lease_test.go
+++ b/services/daemon/control/lease_test.go
@@ -25,17 +25,17 @@
 	leaseOfY = "/test/lease/h1/y"
 )
 
-// unfenced gives two pools of one endpoint each that checks no fences.
-func unfenced() []fleet.Endpoint {
+// unfencedEndpoints returns the endpoints of two pools, one each, that check no fences.
+func unfencedEndpoints() []fleet.Endpoint {
 	return []fleet.Endpoint{
 		{Name: "e1", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"x"}, Slots: 1, MaxBatch: 4},
 		{Name: "e2", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"y"}, Slots: 1, MaxBatch: 4},
 	}
 }
 
-// The lease under which the service owned pool x has lapsed; the one that it gets to own pool y gives no right in pool x,
-// which is ordered in again only under a key of its own.
-func TestNewLeaseGivesNoRightToOrderInPoolsOfTheLapsedOne(t *testing.T) {
+// The lease under which the service owned pool x lapses, and the service gets a new lease to own pool y. The new lease must
+// not permit orders in pool x until the key of pool x has been written under it.
+func TestNewLeasePermitsNoOrdersInPoolsOfLapsedLease(t *testing.T) {
 	store := standin.NewKV()
 	var renewals atomic.Int64
 	handler := store.Handler()
@@ -54,13 +54,13 @@
 	_, err = client.Txn(ctx, kv.TxnRequest{Success: []kv.Op{{Put: &kv.PutRequest{Key: []byte(leaseOfY), Value: []byte("{}"), Lease: others}}}})
 	require.NoError(t, err)
 
-	w := newWorldOf(t, unfenced(), client)
+	w := newHarnessWithEndpoints(t, unfencedEndpoints(), client)
 	owned := func(key string) bool {
 		pair, found, err := client.Get(ctx, key)
 		return err == nil && found && pair.Lease != others
 	}
-	w.advance(settled)
-	// One renewal comes with the vain call for pool y, one of the lease itself; the next is due in 3 s.
+	w.advance(settleTime)
+	// One renewal is part of the failed claim of pool y, the other one is due by itself; the next is due in 3 s.
 	require.Eventually(t, func() bool { return owned(leaseOfX) && renewals.Load() == 2 }, timeout, time.Millisecond)
 	first, _, err := client.Get(ctx, leaseOfX)
 	require.NoError(t, err)
@@ -74,11 +74,11 @@
 		select {
 		case c := <-w.calls:
 			if c.name == "load" {
-				require.True(t, owned(leaseOfX), "an order in pool x without its key")
+				require.True(t, owned(leaseOfX), "order in pool x without the pool's key")
 				return
 			}
 		case <-time.After(timeout):
-			require.Fail(t, "no load")
+			require.Fail(t, "no load order")
 		}
 	}
 }
--- a/services/daemon/control/owner.go
+++ b/services/daemon/control/owner.go
@@ -9,18 +9,18 @@
 	"slices"
 )
 
-// owner keeps this instance's one lease and the pools owned under it, for endpoints
-// that check no fences. One goroutine makes its calls, one after the other.
+// owner maintains this instance's lease and the ownership of pools under it, for endpoints
+// that check no fences. One goroutine makes its calls, one at a time.
 type owner struct {
 	service *Service
 	jobs    chan ownerJob
 	lease   int64
-	// leaseNumber counts the leases of this life; it names the last of them to the node.
+	// leaseNumber is the number of leases granted to this process. It identifies the current lease to the node.
 	leaseNumber uint64
 	started     bool
-	// unreleased holds the pools whose release failed.
+	// unreleased are the pools whose release failed.
 	unreleased map[string]bool
-	// failures is of the goroutine that makes the calls, dropped of the one that asks for them.
+	// failures is used by the goroutine that makes the calls; dropped is used by the control goroutine.
 	failures *failureLog
 	dropped  *failureLog
 }
@@ -28,7 +28,7 @@
 type ownerJob struct {
 	kind ownerJobKind
 	pool string
-	// term is the node's term of the pool, for jobAcquire.
+	// term is the node's term of the pool. It is set for jobAcquire only.
 	term uint64
 }
 
@@ -41,35 +41,35 @@
 	jobSettle
 )
 
-// ErrQueueFull reports a call for which no place was left among those that wait.
+// ErrQueueFull reports that a call was dropped because the queue of calls to the key-value service was full.
 type ErrQueueFull struct {
 	Waiting int
 }
 
-// Error tells how many calls wait.
+// Error returns the message with the number of waiting calls.
 func (e ErrQueueFull) Error() string {
-	return fmt.Sprintf("%d calls wait for the key-value service", e.Waiting)
+	return fmt.Sprintf("queue of calls to the key-value service is full: %d calls are waiting", e.Waiting)
 }
 
-// ownerQueue bounds the calls that wait for the key-value service; one that finds no place is dropped, and the node asks again. Longer
-// queues answers that come too late.
-const ownerQueue = 64
+// ownerQueueSize is the maximum number of calls that wait for the key-value service. Further calls are dropped, and the node requests them
+// again. In a longer queue, calls wait so long that their answers arrive too late.
+const ownerQueueSize = 64
 
 func newOwner(s *Service) *owner {
 	return &owner{
-		service: s, jobs: make(chan ownerJob, ownerQueue), unreleased: make(map[string]bool), failures: newFailureLog(s.options), dropped: newFailureLog(s.options),
+		service: s, jobs: make(chan ownerJob, ownerQueueSize), unreleased: make(map[string]bool), failures: newFailureLog(s.options), dropped: newFailureLog(s.options),
 	}
 }
 
 func (o *owner) acquire(pool string, term uint64) {
-	o.add(ownerJob{kind: jobAcquire, pool: pool, term: term})
+	o.enqueueJob(ownerJob{kind: jobAcquire, pool: pool, term: term})
 }
 
-func (o *owner) release(pool string) { o.add(ownerJob{kind: jobRelease, pool: pool}) }
-func (o *owner) settle(pool string)  { o.add(ownerJob{kind: jobSettle, pool: pool}) }
-func (o *owner) renew()              { o.add(ownerJob{kind: jobRenew}) }
+func (o *owner) release(pool string) { o.enqueueJob(ownerJob{kind: jobRelease, pool: pool}) }
+func (o *owner) settle(pool string)  { o.enqueueJob(ownerJob{kind: jobSettle, pool: pool}) }
+func (o *owner) renew()              { o.enqueueJob(ownerJob{kind: jobRenew}) }
 
-func (o *owner) add(j ownerJob) {
+func (o *owner) enqueueJob(j ownerJob) {
 	if !o.started {
 		o.started = true
 		o.service.tasks.start(o.run)
@@ -77,14 +77,14 @@
 	select {
 	case o.jobs <- j:
 	default:
-		o.dropped.tell(callQueue, j.pool, ErrQueueFull{Waiting: ownerQueue})
+		o.dropped.log(callQueue, j.pool, ErrQueueFull{Waiting: ownerQueueSize})
 	}
 }
 
-// failed logs a call that failed, unless it was only cut off by the service's own stop.
-func (o *owner) failed(call platformCall, pool string, err error) {
+// logFailure logs a failed call, unless it failed because the service is stopping.
+func (o *owner) logFailure(call platformCall, pool string, err error) {
 	if o.service.ctx.Err() == nil {
-		o.failures.tell(call, pool, err)
+		o.failures.log(call, pool, err)
 	}
 }
 
@@ -94,28 +94,28 @@
 		case <-o.service.ctx.Done():
 			return
 		case j := <-o.jobs:
-			o.do(j)
+			o.execute(j)
 		}
 	}
 }
 
-func (o *owner) do(j ownerJob) {
+func (o *owner) execute(j ownerJob) {
 	switch j.kind {
 	case jobAcquire:
 		delete(o.unreleased, j.pool)
-		o.service.put(ownedInput{result: o.tryAcquire(j.pool, j.term)})
+		o.service.enqueue(ownedInput{result: o.tryAcquire(j.pool, j.term)})
 	case jobRelease:
-		o.giveUp(j.pool)
+		o.releaseOrKeep(j.pool)
 	case jobSettle:
 		o.trySettle(j.pool)
 	case jobRenew:
-		o.service.put(renewedInput{result: o.tryRenew()})
-		o.releaseAgain()
+		o.service.enqueue(renewedInput{result: o.tryRenew()})
+		o.retryReleases()
 	}
 }
 
-// giveUp gives a pool up, or remembers it where that fails: a renewal for other pools keeps its key, too.
-func (o *owner) giveUp(pool string) {
+// releaseOrKeep releases a pool. If that fails, the pool is stored for another attempt, since renewals for other pools would keep its key alive.
+func (o *owner) releaseOrKeep(pool string) {
 	if o.tryRelease(pool) {
 		delete(o.unreleased, pool)
 		return
@@ -123,9 +123,9 @@
 	o.unreleased[pool] = true
 }
 
-// releaseAgain gives up the pools whose release failed before.
-func (o *owner) releaseAgain() {
+// retryReleases releases the pools whose release failed before.
+func (o *owner) retryReleases() {
 	for _, pool := range slices.Sorted(maps.Keys(o.unreleased)) {
-		o.giveUp(pool)
+		o.releaseOrKeep(pool)
 	}
 }
--- a/services/daemon/control/owner_lease.go
+++ b/services/daemon/control/owner_lease.go
@@ -10,30 +10,30 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// keepAlive asks the key-value service to prolong the lease and gives what is known of it after that.
+// keepAlive renews the lease at the key-value service and returns the resulting standing.
 func (o *owner) keepAlive() claim.Standing {
 	err := o.service.options.KV.KeepAlive(o.service.ctx, o.lease)
 	standing := claim.StandingAfter(err)
 	if standing == claim.Unclear {
-		o.failed(callKeepAlive, "", err)
+		o.logFailure(callKeepAlive, "", err)
 	}
 	return standing
 }
 
-// ensureLease prolongs the lease, or gets a new one where there is none. It gives the time at which the call was sent,
-// from which the lease lasts, and false where there is no lease for sure.
+// ensureLease renews the lease, or requests a new one if there is none. It returns the time at which the call was sent,
+// from which the lease's TTL counts, and whether the lease is confirmed.
 func (o *owner) ensureLease() (time.Time, bool) {
 	sent := o.service.options.Now()
 	if o.lease != 0 {
 		if standing := o.keepAlive(); standing != claim.Lapsed {
 			return sent, standing == claim.Alive
 		}
-		o.lapse()
+		o.reportLapse()
 	}
 	sent = o.service.options.Now()
 	id, err := o.service.options.KV.Grant(o.service.ctx, o.service.options.Node.Timing.LeaseTTL)
 	if err != nil {
-		o.failed(callGrant, "", err)
+		o.logFailure(callGrant, "", err)
 		return sent, false
 	}
 	o.lease = id
@@ -41,13 +41,13 @@
 	return sent, true
 }
 
-// lapse tells the node that the lease is gone, with the keys of all pools, before it gets another one.
-func (o *owner) lapse() {
+// reportLapse reports to the node that the lease has lapsed, together with the keys of all pools, before a new lease is requested.
+func (o *owner) reportLapse() {
 	o.lease = 0
-	o.service.put(renewedInput{result: node.LeaseResult{Expired: true, Lease: o.leaseNumber}})
+	o.service.enqueue(renewedInput{result: node.LeaseResult{Expired: true, Lease: o.leaseNumber}})
 }
 
-// tryRenew prolongs the lease; where it has lapsed, the next claim of a pool gets a new one.
+// tryRenew renews the lease. If the lease has lapsed, the next claim of a pool requests a new one.
 func (o *owner) tryRenew() node.LeaseResult {
 	sent := o.service.options.Now()
 	standing := claim.Lapsed
--- a/services/daemon/control/owner_pool.go
+++ b/services/daemon/control/owner_pool.go
@@ -12,8 +12,8 @@
 	return claim.KeysOf(o.service.options.Prefix, pool)
 }
 
-// tryAcquire claims a pool under the lease. Where anything fails, or another instance owns it, the result is not OK, and
-// the node asks again.
+// tryAcquire claims a pool under the lease. If a call fails or another instance owns the pool, the result is not OK and
+// the node repeats the request.
 func (o *owner) tryAcquire(pool string, term uint64) node.OwnerResult {
 	result := node.OwnerResult{Pool: pool, Term: term}
 	sent, ok := o.ensureLease()
@@ -29,7 +29,7 @@
 	attempt := claim.Attempt{Keys: o.keys(pool), Lease: o.lease, Revision: last.Revision, Owner: next}
 	answer, err := o.service.options.KV.Txn(o.service.ctx, claim.Acquire(attempt))
 	if err != nil {
-		o.failed(callAcquire, pool, err)
+		o.logFailure(callAcquire, pool, err)
 		return result
 	}
 	if !claim.Holds(answer, o.lease) {
@@ -39,40 +39,40 @@
 	return result
 }
 
-// readLast reads a pool's last owner; it gives false where the service does not answer or holds what cannot be read.
+// readLast reads a pool's last owner. It returns false if the call fails or the stored owner cannot be decoded.
 func (o *owner) readLast(pool string) (claim.Last, bool) {
 	pair, found, err := o.service.options.KV.Get(o.service.ctx, o.keys(pool).Owner)
 	if err != nil {
-		o.failed(callReadOwner, pool, err)
+		o.logFailure(callReadOwner, pool, err)
 		return claim.Last{}, false
 	}
 	last, err := claim.Decode(pair, found)
 	if err != nil {
-		o.failed(callReadOwner, pool, err)
+		o.logFailure(callReadOwner, pool, err)
 		return claim.Last{}, false
 	}
 	return last, true
 }
 
-// tryRelease deletes a pool's key under the lease; it gives false where the key may still stand.
+// tryRelease deletes a pool's key under the lease. It returns false if the key may still exist.
 func (o *owner) tryRelease(pool string) bool {
 	keys := o.keys(pool)
 	pair, found, err := o.service.options.KV.Get(o.service.ctx, keys.Lease)
 	if err != nil {
-		o.failed(callReadLease, pool, err)
+		o.logFailure(callReadLease, pool, err)
 		return false
 	}
 	if !found || pair.Lease != o.lease {
 		return true
 	}
 	if _, err := o.service.options.KV.Txn(o.service.ctx, claim.Release(keys, pair.ModRevision)); err != nil {
-		o.failed(callRelease, pool, err)
+		o.logFailure(callRelease, pool, err)
 		return false
 	}
 	return true
 }
 
-// trySettle writes that the former owners have ended; a failure only makes successors wait for them again.
+// trySettle records that the former owners have ended. After a failure, successors only wait for them again.
 func (o *owner) trySettle(pool string) {
 	self := o.service.options.Node
 	last, ok := o.readLast(pool)
@@ -80,6 +80,6 @@
 		return
 	}
 	if _, err := o.service.options.KV.Txn(o.service.ctx, claim.Settle(o.keys(pool), last.Revision, last.Owner)); err != nil {
-		o.failed(callSettle, pool, err)
+		o.logFailure(callSettle, pool, err)
 	}
 }
--- a/services/daemon/control/received_test.go
+++ b/services/daemon/control/received_test.go
@@ -15,8 +15,8 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// hold keeps the control goroutine busy until the function that it gives is called, or the test ends.
-func (w *world) hold() func() {
+// blockControl blocks the control goroutine until the returned function is called or the test ends.
+func (w *harness) blockControl() func() {
 	held, release := make(chan struct{}), make(chan struct{})
 	go w.View(func(time.Time, *node.Node) {
 		close(held)
@@ -28,15 +28,15 @@
 	return once
 }
 
-func TestEnvelopesThatWaitAreBoundedInBytes(t *testing.T) {
+func TestWaitingEnvelopesAreBoundedInBytes(t *testing.T) {
 	const (
 		sent          = 64
 		snapshotBytes = 1 << 20
-		// most is how many of them may wait: 8 MiB.
-		most = 8
+		// maxWaiting is the number of envelopes that may wait: 8 MiB.
+		maxWaiting = 8
 	)
-	w := newWorld(t)
-	release := w.hold()
+	w := newHarness(t)
+	release := w.blockControl()
 	var taken atomic.Int64
 	go func() {
 		for range sent {
@@ -45,14 +45,14 @@
 		}
 	}()
 	require.Eventually(t, func() bool { return taken.Load() > 0 }, timeout, time.Millisecond)
-	require.Never(t, func() bool { return taken.Load() > most }, 200*time.Millisecond, time.Millisecond, "the peer waits")
+	require.Never(t, func() bool { return taken.Load() > maxWaiting }, 200*time.Millisecond, time.Millisecond, "the peer must wait")
 	release()
-	require.Eventually(t, func() bool { return taken.Load() == sent }, timeout, time.Millisecond, "all are taken in the end")
+	require.Eventually(t, func() bool { return taken.Load() == sent }, timeout, time.Millisecond, "all envelopes are accepted in the end")
 }
 
-func TestAPeerThatWaitsIsLetGoWhenTheServiceStops(t *testing.T) {
-	w := newWorld(t)
-	release := w.hold()
+func TestWaitingPeerIsReleasedWhenServiceStops(t *testing.T) {
+	w := newHarness(t)
+	release := w.blockControl()
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
@@ -65,6 +65,6 @@
 	select {
 	case <-done:
 	case <-time.After(timeout):
-		require.Fail(t, "it waits on")
+		require.Fail(t, "the peer still waits")
 	}
 }
--- a/services/daemon/control/release_test.go
+++ b/services/daemon/control/release_test.go
@@ -14,13 +14,13 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestAReleaseThatFailedIsMadeUpFor gives pool x up while the key-value service does not answer, and goes on to own
-// pool y, whose renewals keep the lease that the key of x is bound to alive.
-func TestAReleaseThatFailedIsMadeUpFor(t *testing.T) {
+// TestFailedReleaseIsRepeated releases pool x while the key-value service fails, and continues to own pool y. The renewals
+// for pool y keep the lease alive, and with it the key of pool x, so the release must be repeated.
+func TestFailedReleaseIsRepeated(t *testing.T) {
 	var down atomic.Bool
 	var refused atomic.Int64
 	key := base64.StdEncoding.EncodeToString([]byte(leaseOfX))
-	client := failing(t, func(path, body string) bool {
+	client := failingKV(t, func(path, body string) bool {
 		if !down.Load() || path != "/v3/kv/range" || !strings.Contains(body, key) {
 			return false
 		}
@@ -32,18 +32,18 @@
 		_, found, err := client.Get(ctx, key)
 		return err == nil && found
 	}
-	w := newWorldOf(t, unfenced(), client)
+	w := newHarnessWithEndpoints(t, unfencedEndpoints(), client)
 	go func() {
 		for {
 			select {
 			case <-w.calls:
-				// The endpoints are of no interest here.
+				// Discards the calls to the endpoints, which this test does not check.
 			case <-w.Done():
 				return
 			}
 		}
 	}()
-	w.advance(settled)
+	w.advance(settleTime)
 	require.Eventually(t, func() bool { return held(leaseOfX) && held(leaseOfY) }, timeout, time.Millisecond)
 	down.Store(true)
 	w.Receive(heartbeatOfI2())
@@ -51,7 +51,7 @@
 	down.Store(false)
 	require.True(t, held(leaseOfX))
 	require.Eventually(t, func() bool {
-		// Without heartbeats the successor would be lost, and the pool rightly taken back.
+		// Without heartbeats the successor would count as lost, and the service would take the pool over again.
 		w.Receive(heartbeatOfI2())
 		w.advance(100 * time.Millisecond)
 		return !held(leaseOfX)
--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -22,7 +22,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// Options are what a control service works with.
+// Options are the settings and dependencies of a control service.
 type Options struct {
 	Node     node.Options
 	Seeds    []fleet.Instance
@@ -39,52 +39,54 @@
 	Now func() time.Time
 }
 
-// Service is the control state of a daemon with the goroutines around it.
+// Service is the control state of a daemon with its goroutines.
 type Service struct {
-	options    Options
-	node       *node.Node
-	inputs     chan input
-	received   *bytebudget.Budget
-	waiters    map[string]chan Answer
-	inspecting map[string]bool
-	catalog    atomic.Pointer[catalog.Catalog]
-	follower   *configuration.Follower
-	owner      *owner
-	tasks      tasks
-	ctx        context.Context
-	cancel     context.CancelFunc
+	options        Options
+	node           *node.Node
+	inputs         chan input
+	receiveBudget  *bytebudget.Budget
+	answerChannels map[string]chan Answer
+	inspecting     map[string]bool
+	catalog        atomic.Pointer[catalog.Catalog]
+	follower       *configuration.Follower
+	owner          *owner
+	tasks          tasks
+	ctx            context.Context
+	cancel         context.CancelFunc
 }
 
 const (
-	// inputQueue bounds the inputs that wait for the control goroutine; whoever finds no place waits. Longer holds more of a rush, and
-	// answers it later.
-	inputQueue = 8192
-	// receivedBytes is how many bytes of peers' envelopes wait for the control goroutine, 8 MiB by fleet.Envelope.Size; a peer whose
-	// envelope finds no room waits, and is read no further. More holds more of a rush, less takes less memory; the least envelope counts
-	// half a KiB, so that of small ones inputQueue is the bound. A larger one goes alone.
-	receivedBytes = 8388608
-	// tickInterval is the time between two ticks of the node, the least time in which it acts without an input. Longer acts later, shorter
-	// spends processor time: at this value a node of a hall of 40 uses 3.74 ms a second (docs/capacity-shelfledged.md, slopes).
+	// inputQueueSize is the maximum number of inputs that wait for the control goroutine; senders of further inputs block. A longer queue
+	// absorbs a larger burst, but answers it later.
+	inputQueueSize = 8192
+	// maxReceivedBytes is the maximum number of bytes of peers' envelopes that wait for the control goroutine, 8 MiB by fleet.Envelope.Size.
+	// A peer whose envelope does not fit is not read from until there is room. A higher limit absorbs a larger burst; a lower one
+	// uses less memory. The smallest envelope counts half a KiB, so that small envelopes are limited by inputQueueSize. An envelope larger
+	// than the limit is accepted while no other one waits.
+	maxReceivedBytes = 8388608
+	// tickInterval is the time between two ticks of the node, the shortest time after which it acts without an input. A longer interval acts
+	// later; a shorter one uses more processor time: at this value a node in a hall of 40 uses 3.74 ms per second
+	// (docs/capacity-shelfledged.md, slopes).
 	tickInterval = 20 * time.Millisecond
 )
 
-// New makes a service; Run starts it.
+// New creates a service. Run starts it.
 func New(o Options) *Service {
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Service{
-		options: o, node: node.New(o.Now(), o.Node), inputs: make(chan input, inputQueue), received: bytebudget.New(receivedBytes),
-		waiters: make(map[string]chan Answer), inspecting: make(map[string]bool), ctx: ctx, cancel: cancel,
+		options: o, node: node.New(o.Now(), o.Node), inputs: make(chan input, inputQueueSize), receiveBudget: bytebudget.New(maxReceivedBytes),
+		answerChannels: make(map[string]chan Answer), inspecting: make(map[string]bool), ctx: ctx, cancel: cancel,
 	}
 	s.catalog.Store(catalog.New())
 	s.owner = newOwner(s)
-	s.follower = configuration.NewFollower(o.KV, o.Prefix, func(r fleet.Records) { s.put(recordsInput{records: r}) }, s.Revision, o.Log, o.Now)
+	s.follower = configuration.NewFollower(o.KV, o.Prefix, func(r fleet.Records) { s.enqueue(recordsInput{records: r}) }, s.Revision, o.Log, o.Now)
 	return s
 }
 
-// Run owns the node until ctx ends or Stop is called.
+// Run processes inputs and ticks until Stop is called.
 func (s *Service) Run() {
-	s.tasks.start(s.pollList)
-	s.carryOut(s.node.SetListed(s.options.Now(), s.options.Seeds, nil))
+	s.tasks.start(s.pollPlatformList)
+	s.applyEffects(s.node.SetListed(s.options.Now(), s.options.Seeds, nil))
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
@@ -92,14 +94,14 @@
 		case <-s.ctx.Done():
 			return
 		case i := <-s.inputs:
-			s.carryOut(i.apply(s.options.Now(), s))
+			s.applyEffects(i.apply(s.options.Now(), s))
 		case <-ticker.C:
-			s.carryOut(s.node.Tick(s.options.Now()))
+			s.applyEffects(s.node.Tick(s.options.Now()))
 		}
 	}
 }
 
-// Stop ends all goroutines and waits for the tasks; none begins after it.
+// Stop ends all goroutines and waits for the tasks. No task starts after Stop has returned.
 func (s *Service) Stop() {
 	s.cancel()
 	s.follower.Stop()
@@ -111,92 +113,92 @@
 	return s.ctx.Done()
 }
 
-func (s *Service) put(i input) {
+func (s *Service) enqueue(i input) {
 	select {
 	case s.inputs <- i:
 	case <-s.ctx.Done():
 	}
 }
 
-// Receive takes an envelope from a peer; it waits while too much of what peers sent waits already.
+// Receive accepts an envelope from a peer. It blocks while the envelopes that wait exceed maxReceivedBytes.
 func (s *Service) Receive(e fleet.Envelope) {
 	size := int64(e.Size())
-	if err := s.received.Acquire(s.ctx, size); err != nil {
-		// The service stops, and takes nothing more.
+	if err := s.receiveBudget.Acquire(s.ctx, size); err != nil {
+		// The service is stopping and accepts no more envelopes.
 		return
 	}
-	s.put(envelopeInput{envelope: e, size: size})
+	s.enqueue(envelopeInput{envelope: e, size: size})
 }
 
-// Submit asks for a ticket; the answer comes on the channel, which holds one.
+// Submit requests a ticket. The answer arrives on the returned channel, which is buffered.
 func (s *Service) Submit(r fleet.Request) <-chan Answer {
 	answer := make(chan Answer, 1)
-	s.put(submitInput{request: r, answer: answer})
+	s.enqueue(submitInput{request: r, answer: answer})
 	return answer
 }
 
-// Abandon withdraws a request that waits; a ticket that crosses it goes back by itself.
+// Abandon withdraws a waiting request. A ticket that is granted at the same time is returned automatically.
 func (s *Service) Abandon(requestID string) {
-	s.put(abandonInput{requestID: requestID})
+	s.enqueue(abandonInput{requestID: requestID})
 }
 
-// Finish gives a ticket back.
+// Finish returns a ticket.
 func (s *Service) Finish(ticketID string) {
-	s.put(finishInput{ticketID: ticketID})
+	s.enqueue(finishInput{ticketID: ticketID})
 }
 
 // Leave begins a planned stop and returns when the pools have been handed over.
 func (s *Service) Leave() {
 	done := make(chan struct{})
-	s.put(leaveInput{done: done})
+	s.enqueue(leaveInput{done: done})
 	select {
 	case <-done:
 	case <-s.ctx.Done():
 	}
 }
 
-// View reads the node; read must not change or keep it.
+// View calls read with the node on the control goroutine. read must not modify or retain the node.
 func (s *Service) View(read func(now time.Time, n *node.Node)) {
 	done := make(chan struct{})
-	s.put(viewInput{read: read, done: done})
+	s.enqueue(viewInput{read: read, done: done})
 	select {
 	case <-done:
 	case <-s.ctx.Done():
 	}
 }
 
-// Catalog gives the configuration in force here.
+// Catalog returns the configuration in force here.
 func (s *Service) Catalog() *catalog.Catalog {
 	return s.catalog.Load()
 }
 
-// Revision gives the revision in force here.
+// Revision returns the revision in force here.
 func (s *Service) Revision() int64 {
 	return s.catalog.Load().Revision
 }
 
-// Offer puts records in force that this daemon itself has just stored.
+// Offer applies configuration records that this daemon has just stored.
 func (s *Service) Offer(r fleet.Records) {
-	s.put(recordsInput{records: r})
+	s.enqueue(recordsInput{records: r})
 }
 
-// Note records an event of the traffic.
+// Note records an event of the traffic path.
 func (s *Service) Note(e fleet.Event) {
 	e.Instance = s.options.Node.Self.ID
-	s.noteEvent(e)
+	s.recordEvent(e)
 }
 
-// noteEvent enters an event in the journal and the metrics, and in the log if it is of a kind for an ordinary day.
-func (s *Service) noteEvent(e fleet.Event) {
+// recordEvent adds an event to the journal and the metrics, and to the log if its kind is important or the log level is debug.
+func (s *Service) recordEvent(e fleet.Event) {
 	s.options.Journal.Add(e)
 	s.options.Metrics.Events.WithLabelValues(string(e.Kind)).Inc()
-	if s.options.Log.Logger.IsLevelEnabled(logrus.DebugLevel) || important(e.Kind) {
+	if s.options.Log.Logger.IsLevelEnabled(logrus.DebugLevel) || isImportant(e.Kind) {
 		s.logEvent(e)
 	}
 }
 
-// important tells the events that belong in the log of an ordinary day.
-func important(k fleet.EventKind) bool {
+// isImportant reports whether events of the kind are logged even if the log level is not debug.
+func isImportant(k fleet.EventKind) bool {
 	switch k {
 	case fleet.EventTakeover, fleet.EventRelease, fleet.EventMemberJoined, fleet.EventMemberLost, fleet.EventMemberLeft,
 		fleet.EventRevision, fleet.EventRevisionBehind, fleet.EventOrderRefused, fleet.EventFreeze, fleet.EventThaw,
@@ -224,7 +226,7 @@
 	s.options.Log.WithFields(fields).Info(e.Cause)
 }
 
-func (s *Service) pollList() {
+func (s *Service) pollPlatformList() {
 	if s.options.List == nil {
 		return
 	}
@@ -235,9 +237,9 @@
 		list, err := s.options.List(s.ctx)
 		switch {
 		case err == nil:
-			s.put(listedInput{instances: list.Instances(), leaving: list.Leaving()})
+			s.enqueue(listedInput{instances: list.Instances(), leaving: list.Leaving()})
 		case s.ctx.Err() == nil:
-			failures.tell(callList, "", err)
+			failures.log(callList, "", err)
 		}
 		select {
 		case <-ticker.C:
--- a/services/daemon/control/service_test.go
+++ b/services/daemon/control/service_test.go
@@ -31,71 +31,71 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// timeout is how long a test waits for what must come; no test waits for it to pass.
+// timeout is the maximum time for which a test waits for an expected event. No test depends on it elapsing.
 const timeout = 10 * time.Second
 
 var (
-	settled = 2 * time.Second
-	a       = fleet.AdapterRef{Name: "a", Version: 1}
-	b       = fleet.AdapterRef{Name: "b", Version: 1}
+	settleTime = 2 * time.Second
+	a          = fleet.AdapterRef{Name: "a", Version: 1}
+	b          = fleet.AdapterRef{Name: "b", Version: 1}
 )
 
-// call is one call to the endpoint.
+// call is a recorded call to the endpoint.
 type call struct {
 	name  string
 	order engine.Order
 }
 
-// world is a service with one endpoint of one slot, a clock that only the test moves, and
-// a key-value service that never answers.
-type world struct {
+// harness is the test environment of a service: one endpoint with one slot, a clock that only
+// the test advances, and a key-value service that never answers unless the test provides one.
+type harness struct {
 	*control.Service
 	t       *testing.T
 	clock   atomic.Int64
 	calls   chan call
 	journal *journal.Journal
-	lines   *logtest.Hook
+	logHook *logtest.Hook
 
 	mutex  sync.Mutex
 	status engine.Status
-	// The errors of the next calls, by name.
-	fail map[string]error
+	// nextErrors contains the errors of the next calls, by call name.
+	nextErrors map[string]error
 }
 
-func (w *world) now() time.Time {
+func (w *harness) now() time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(w.clock.Load()))
 }
 
-func (w *world) advance(d time.Duration) {
+func (w *harness) advance(d time.Duration) {
 	w.clock.Add(int64(d))
 }
 
-// do records a call and gives its error.
-func (w *world) do(name string, o engine.Order) error {
+// recordCall records a call and returns the error set for it.
+func (w *harness) recordCall(name string, o engine.Order) error {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.calls <- call{name: name, order: o}
-	err := w.fail[name]
-	delete(w.fail, name)
+	err := w.nextErrors[name]
+	delete(w.nextErrors, name)
 	return err
 }
 
-func (w *world) failNext(name string, err error) {
+func (w *harness) failNext(name string, err error) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.fail[name] = err
+	w.nextErrors[name] = err
 }
 
-func (w *world) dialect() engine.Dialect {
+func (w *harness) dialect() engine.Dialect {
 	return engine.Dialect{
 		Status: func(context.Context, fleet.Endpoint) (engine.Status, error) {
-			err := w.do("status", engine.Order{})
+			err := w.recordCall("status", engine.Order{})
 			w.mutex.Lock()
 			defer w.mutex.Unlock()
 			return w.status, err
 		},
 		Take: func(_ context.Context, o engine.Order) error {
-			err := w.do("take", o)
+			err := w.recordCall("take", o)
 			if err == nil {
 				w.mutex.Lock()
 				defer w.mutex.Unlock()
@@ -103,40 +103,40 @@
 			}
 			return err
 		},
-		Load:   func(_ context.Context, o engine.Order) error { return w.do("load", o) },
-		Unload: func(_ context.Context, o engine.Order) error { return w.do("unload", o) },
+		Load:   func(_ context.Context, o engine.Order) error { return w.recordCall("load", o) },
+		Unload: func(_ context.Context, o engine.Order) error { return w.recordCall("unload", o) },
 	}
 }
 
 type noTransport struct{}
 
 func (noTransport) RoundTrip(*http.Request) (*http.Response, error) {
-	return nil, errors.New("the key-value service is not there")
+	return nil, errors.New("the key-value service is unreachable")
 }
 
-// newWorld makes a world with one endpoint that checks fences, and no key-value service.
-func newWorld(t *testing.T, resident ...fleet.AdapterRef) *world {
+// newHarness returns an environment with one endpoint that checks fences, and an unreachable key-value service.
+func newHarness(t *testing.T, resident ...fleet.AdapterRef) *harness {
 	endpoints := []fleet.Endpoint{
 		{Name: "e1", Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: 1, MaxBatch: 4, ChecksFence: true},
 	}
 	nobody := kv.Options{Addresses: []netip.AddrPort{netip.MustParseAddrPort("127.0.0.1:1")}, Client: &http.Client{Transport: noTransport{}}}
-	return newWorldOf(t, endpoints, kv.New(nobody), resident...)
+	return newHarnessWithEndpoints(t, endpoints, kv.New(nobody), resident...)
 }
 
-func newWorldOf(t *testing.T, endpoints []fleet.Endpoint, client *kv.Client, resident ...fleet.AdapterRef) *world {
-	return newWorldWith(t, func(o *control.Options) { o.Node.Endpoints, o.KV = endpoints, client }, resident...)
+func newHarnessWithEndpoints(t *testing.T, endpoints []fleet.Endpoint, client *kv.Client, resident ...fleet.AdapterRef) *harness {
+	return newHarnessWith(t, func(o *control.Options) { o.Node.Endpoints, o.KV = endpoints, client }, resident...)
 }
 
-// newWorldWith makes a world without endpoints or key-value service, save what adjust gives it.
-func newWorldWith(t *testing.T, adjust func(*control.Options), resident ...fleet.AdapterRef) *world {
-	w := &world{
-		t: t, calls: make(chan call, 64), journal: journal.New(1000), fail: make(map[string]error),
+// newHarnessWith returns an environment without endpoints or key-value service, except for those that adjust sets.
+func newHarnessWith(t *testing.T, adjust func(*control.Options), resident ...fleet.AdapterRef) *harness {
+	w := &harness{
+		t: t, calls: make(chan call, 64), journal: journal.New(1000), nextErrors: make(map[string]error),
 		status: engine.Status{Incarnation: "e1-1", Fence: 7 << 16, Resident: resident},
 	}
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	address := netip.MustParseAddrPort("127.0.0.1:1")
-	w.lines = logtest.NewLocal(log)
+	w.logHook = logtest.NewLocal(log)
 	options := control.Options{
 		Node: node.Options{
 			Self: fleet.Instance{ID: "i1", Hall: "h1", Address: address}, Boot: 5, Halls: []string{"h1"},
@@ -160,8 +160,8 @@
 	return w
 }
 
-// expect waits for calls to the endpoint in the given order and gives the last.
-func (w *world) expect(names ...string) call {
+// expectCalls waits for calls to the endpoint in the given order and returns the last one.
+func (w *harness) expectCalls(names ...string) call {
 	w.t.Helper()
 	var last call
 	for _, name := range names {
@@ -175,7 +175,7 @@
 	return last
 }
 
-func (w *world) answer(answers <-chan control.Answer) control.Answer {
+func (w *harness) answer(answers <-chan control.Answer) control.Answer {
 	w.t.Helper()
 	select {
 	case answer := <-answers:
@@ -186,11 +186,11 @@
 	}
 }
 
-// taken makes a world whose endpoint obeys the service, and is known to.
-func taken(t *testing.T, resident ...fleet.AdapterRef) *world {
-	w := newWorld(t, resident...)
-	w.advance(settled)
-	w.expect("status", "take", "status")
+// newTakenHarness returns an environment whose service has taken its endpoint over.
+func newTakenHarness(t *testing.T, resident ...fleet.AdapterRef) *harness {
+	w := newHarness(t, resident...)
+	w.advance(settleTime)
+	w.expectCalls("status", "take", "status")
 	require.Eventually(t, func() bool {
 		up := false
 		w.View(func(now time.Time, n *node.Node) { up = n.Pools(now)[0].Endpoints[0].Up })
@@ -203,36 +203,36 @@
 	return fleet.Request{ID: id, Base: "base", Adapter: ref}
 }
 
-func TestEndpointIsTakenUnderAHigherFenceAndOnlyThenRead(t *testing.T) {
-	w := newWorld(t)
-	w.advance(settled)
-	w.expect("status")
-	take := w.expect("take")
-	require.Equal(t, uint64(8), take.order.Fence>>16, "the fence seen was 7")
+func TestEndpointIsFencedBeforeInspection(t *testing.T) {
+	w := newHarness(t)
+	w.advance(settleTime)
+	w.expectCalls("status")
+	take := w.expectCalls("take")
+	require.Equal(t, uint64(8), take.order.Fence>>16, "one above the endpoint's fence, 7")
 	require.Equal(t, "e1-1", take.order.Incarnation)
 	require.Equal(t, "i1", take.order.Holder)
-	w.expect("status")
+	w.expectCalls("status")
 }
 
-func TestTakeoverIsRepeatedAfterALostOrRefusedOrder(t *testing.T) {
+func TestTakeoverIsRepeatedAfterLostOrRefusedOrder(t *testing.T) {
 	for name, err := range map[string]error{
 		"lost": engine.ErrUnknown{What: "take", Reason: "test"}, "refused": engine.ErrFenced{What: "take", Fence: 9 << 16},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w := newWorld(t)
+			w := newHarness(t)
 			w.failNext("take", err)
-			w.advance(settled)
-			w.expect("status", "take")
+			w.advance(settleTime)
+			w.expectCalls("status", "take")
 			w.advance(time.Second)
-			w.expect("status", "take", "status")
+			w.expectCalls("status", "take", "status")
 		})
 	}
 }
 
-func TestRequestGetsItsTicketOnceItsAdapterIsLoaded(t *testing.T) {
-	w := taken(t)
+func TestRequestGetsTicketOnceAdapterIsLoaded(t *testing.T) {
+	w := newTakenHarness(t)
 	answers := w.Submit(request("q", a))
-	load := w.expect("load")
+	load := w.expectCalls("load")
 	require.Equal(t, a, load.order.Adapter)
 	require.Equal(t, "a@1", load.order.Source, "an adapter without a catalog entry is its own source")
 	answer := w.answer(answers)
@@ -242,19 +242,19 @@
 	require.Equal(t, w.now().Add(2*time.Second), answer.NotAfter)
 	w.Finish(answer.Ticket.ID)
 	w.Finish(answer.Ticket.ID)
-	require.Equal(t, answer.Ticket.Endpoint, w.answer(w.Submit(request("r", a))).Ticket.Endpoint, "it is loaded now")
+	require.Equal(t, answer.Ticket.Endpoint, w.answer(w.Submit(request("r", a))).Ticket.Endpoint, "the adapter is resident now")
 }
 
-func TestLoadIsNotSentAfterAnUnloadThatFailed(t *testing.T) {
-	w := taken(t, b)
+func TestLoadIsNotSentAfterFailedUnload(t *testing.T) {
+	w := newTakenHarness(t, b)
 	w.failNext("unload", engine.ErrNotRun{What: "unload", Reason: "test"})
 	w.Submit(request("q", a))
-	unload := w.expect("unload")
+	unload := w.expectCalls("unload")
 	require.Equal(t, b, unload.order.Adapter)
-	w.expect("status")
+	w.expectCalls("status")
 }
 
-func TestEndOfAnOrderByItsError(t *testing.T) {
+func TestFailedOrderEventDependsOnError(t *testing.T) {
 	for _, row := range []struct {
 		name string
 		err  error
@@ -266,27 +266,27 @@
 		{"any other error", errors.New("test"), fleet.EventSlotUnknown},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := taken(t)
+			w := newTakenHarness(t)
 			w.failNext("load", row.err)
 			w.Submit(request("q", a))
-			w.expect("load", "status")
+			w.expectCalls("load", "status")
 			events := w.journal.Find(journal.FindEventsOptions{Kind: row.kind})
-			require.Len(t, events, 1, "before the list is read again")
+			require.Len(t, events, 1, "before the endpoint is inspected again")
 			require.Equal(t, row.err.Error(), events[0].Cause)
 		})
 	}
 }
 
-func TestRequestIsRefusedWhileTheInstanceStops(t *testing.T) {
-	w := taken(t)
+func TestRequestIsRefusedWhileInstanceIsStopping(t *testing.T) {
+	w := newTakenHarness(t)
 	w.Leave()
 	answer := w.answer(w.Submit(request("q", a)))
 	require.False(t, answer.Granted)
 	require.Equal(t, fleet.ReasonStopping, answer.Refusal.Reason)
 }
 
-func TestNothingWaitsForAServiceThatHasStopped(t *testing.T) {
-	w := taken(t)
+func TestCallsDoNotBlockAfterStop(t *testing.T) {
+	w := newTakenHarness(t)
 	w.Stop()
 	<-w.Done()
 	for range 2 * 8192 {
--- a/services/daemon/control/stop_test.go
+++ b/services/daemon/control/stop_test.go
@@ -5,13 +5,13 @@
 
 import "testing"
 
-// A stop waited for the tasks there were while the control goroutine could still begin
-// one, which then outlived the service with a call to its endpoint under way. The race
-// detector found it in a test of orders, and is what fails this one.
-func TestNoWorkBeginsAfterAStop(t *testing.T) {
+// Guards against a task that starts while Stop waits for the running tasks. Such a task
+// outlived the service with a call to its endpoint in progress. The failure shows only
+// under the race detector.
+func TestNoTaskStartsAfterStop(t *testing.T) {
 	for range 200 {
-		w := newWorld(t)
-		w.advance(settled)
+		w := newHarness(t)
+		w.advance(settleTime)
 		w.Submit(request("q", a))
 		w.Stop()
 	}
--- a/services/daemon/control/tasks.go
+++ b/services/daemon/control/tasks.go
@@ -5,7 +5,7 @@
 
 import "sync"
 
-// tasks are the goroutines of a service besides its control goroutine.
+// tasks tracks the goroutines of a service other than its control goroutine.
 type tasks struct {
 	mutex   sync.Mutex
 	stopped bool
@@ -16,14 +16,14 @@
 func (t *tasks) start(work func()) {
 	t.mutex.Lock()
 	defer t.mutex.Unlock()
-	// A goroutine that began beside the wait would outlive the service, and still send orders to endpoints.
+	// A goroutine that started during the wait in stop would outlive the service and could still send orders to endpoints.
 	if t.stopped {
 		return
 	}
 	t.group.Go(work)
 }
 
-// stop waits until all tasks have ended and lets no other one begin.
+// stop waits until all tasks have ended and prevents further ones from starting.
 func (t *tasks) stop() {
 	t.mutex.Lock()
 	t.stopped = true
