--- a/services/daemon/relay/answer_reader.go
+++ b/services/daemon/relay/answer_reader.go
@@ -15,68 +15,70 @@
 )
 
 const (
-	// maxAnswer bounds one answer that is not streamed, in bytes, 64 MiB, so that a faulty endpoint cannot exhaust the memory; a longer one
-	// is given up, never cut.
-	maxAnswer = 67108864
-	// smallAnswer is up to which size, in bytes, an answer is held without counting, 16 KiB, some times an answer of the 256 tokens that
-	// are assumed of a request: more keeps longer answers from waiting for large ones, less bounds better what limits.max_requests such
-	// answers take, 125 MiB of 8,000.
-	smallAnswer = 16384
-	// answerBytes is how many bytes of larger answers are held at a time, 128 MiB, two of the largest: more has fewer wait, less takes less
-	// memory. While one is read whose length was not stated, its buffer may take twice of it for a moment.
-	answerBytes = 134217728
+	// maxAnswerBytes is the maximum size in bytes of an answer that is not streamed, 64 MiB, so that a faulty endpoint cannot exhaust the
+	// memory. A longer answer is rejected, never truncated.
+	maxAnswerBytes = 67108864
+	// uncountedAnswerBytes is the maximum size in bytes of an answer that is held without counting against the byte budget, 16 KiB. That is a
+	// multiple of the size of an answer with 256 tokens, the assumed length. A higher limit lets longer answers pass without waiting for
+	// large ones; a lower one limits better the memory of limits.max_requests such answers, 125 MiB for 8,000.
+	uncountedAnswerBytes = 16384
+	// answerBudgetBytes is the maximum number of bytes of larger answers that are held at a time, 128 MiB, which is two answers of the maximum
+	// size. A higher limit makes fewer answers wait; a lower one uses less memory. While an answer without a stated length is read, its
+	// buffer may briefly take twice its size.
+	answerBudgetBytes = 134217728
 )
 
-// answerReader reads one answer that is not streamed, and holds the room for it until it is closed.
+// answerReader reads one answer that is not streamed, and holds its share of the byte budget until it is closed.
 type answerReader struct {
-	room   *bytebudget.Budget
-	held   int64
-	silent time.Duration
-	watch  *time.Timer
+	budget       *bytebudget.Budget
+	heldBytes    int64
+	silent       time.Duration
+	silenceTimer *time.Timer
 }
 
-// newAnswerReader makes a reader that gives an endpoint up by cancel once that has sent nothing for too long.
+// newAnswerReader returns a reader that calls cancel once the endpoint has sent nothing for Options.EndpointSilent.
 func (s *Service) newAnswerReader(cancel context.CancelFunc) *answerReader {
 	silent := s.options.EndpointSilent
-	return &answerReader{room: s.answers, silent: silent, watch: time.AfterFunc(silent, cancel)}
+	return &answerReader{budget: s.answerBudget, silent: silent, silenceTimer: time.AfterFunc(silent, cancel)}
 }
 
-// close gives the room back.
+// close releases the reader's share of the byte budget.
 func (a *answerReader) close() {
-	a.watch.Stop()
-	if a.held > 0 {
-		a.room.Release(a.held)
+	a.silenceTimer.Stop()
+	if a.heldBytes > 0 {
+		a.budget.Release(a.heldBytes)
 	}
 }
 
-// read gives the whole answer, whose stated length is -1 where none is stated. One that is large waits until there is room for it.
+// read returns the whole answer. stated is the stated length of the answer, or -1 if none is stated. Reading a large answer waits
+// until the byte budget has room for it.
 func (a *answerReader) read(ctx context.Context, from io.Reader, stated int64) ([]byte, error) {
-	defer a.watch.Stop()
-	if stated > maxAnswer {
+	defer a.silenceTimer.Stop()
+	if stated > maxAnswerBytes {
 		return nil, errAnswerTooLong()
 	}
-	if stated > smallAnswer {
+	if stated > uncountedAnswerBytes {
 		if err := a.acquire(ctx, stated); err != nil {
 			return nil, err
 		}
 	}
-	body, err := a.readUpTo(make([]byte, 0, max(stated, 0)+bytes.MinRead), from, smallAnswer)
-	if err != nil || len(body) <= smallAnswer {
+	body, err := a.readUpTo(make([]byte, 0, max(stated, 0)+bytes.MinRead), from, uncountedAnswerBytes)
+	if err != nil || len(body) <= uncountedAnswerBytes {
 		return body, err
 	}
-	if a.held == 0 {
-		if err := a.acquire(ctx, maxAnswer); err != nil {
+	if a.heldBytes == 0 {
+		if err := a.acquire(ctx, maxAnswerBytes); err != nil {
 			return nil, err
 		}
 	}
-	body, err = a.readUpTo(body, from, maxAnswer)
-	if err == nil && len(body) > maxAnswer {
+	body, err = a.readUpTo(body, from, maxAnswerBytes)
+	if err == nil && len(body) > maxAnswerBytes {
 		return nil, errAnswerTooLong()
 	}
 	return body, err
 }
 
-// statedLength gives the length that an answer states of its body; one to HEAD has no body, whatever it states.
+// statedLength returns the stated length of an answer's body. An answer to HEAD has no body, whatever length it states.
 func statedLength(method string, resp *http.Response) int64 {
 	if method == http.MethodHead {
 		return 0
@@ -85,41 +87,41 @@
 }
 
 func errAnswerTooLong() error {
-	return ErrUnknown{Detail: fmt.Sprintf("the answer is longer than the %d bytes that are passed on", maxAnswer)}
+	return ErrUnknown{Detail: fmt.Sprintf("the answer is longer than the %d bytes that are passed on", maxAnswerBytes)}
 }
 
-// acquire waits for room, in which time the endpoint is not read and so not silent.
+// acquire waits for room in the byte budget. The silence timer is stopped meanwhile, since the endpoint is not read.
 func (a *answerReader) acquire(ctx context.Context, size int64) error {
-	a.watch.Stop()
-	if err := a.room.Acquire(ctx, size); err != nil {
+	a.silenceTimer.Stop()
+	if err := a.budget.Acquire(ctx, size); err != nil {
 		return errBroken{reason: err.Error()}
 	}
-	a.held = size
-	a.watch.Reset(a.silent)
+	a.heldBytes = size
+	a.silenceTimer.Reset(a.silent)
 	return nil
 }
 
-// readUpTo reads on after what is there, until the end or until more than a number of bytes are there.
+// readUpTo appends to body until the end of the answer or until body is longer than limit.
 func (a *answerReader) readUpTo(body []byte, from io.Reader, limit int) ([]byte, error) {
 	out := bytes.NewBuffer(body)
-	_, err := out.ReadFrom(io.LimitReader(watched{from: from, reader: a}, int64(limit+1-len(body))))
+	_, err := out.ReadFrom(io.LimitReader(activityReader{from: from, reader: a}, int64(limit+1-len(body))))
 	if err != nil {
 		return nil, errBroken{reason: err.Error()}
 	}
 	return out.Bytes(), nil
 }
 
-// watched is an endpoint's answer; each part of it that comes shows that the endpoint is not silent.
-type watched struct {
+// activityReader reads an endpoint's answer and resets the silence timer with each part that arrives.
+type activityReader struct {
 	from   io.Reader
 	reader *answerReader
 }
 
 // Read implements io.Reader.
-func (w watched) Read(p []byte) (int, error) {
+func (w activityReader) Read(p []byte) (int, error) {
 	n, err := w.from.Read(p)
 	if n > 0 {
-		w.reader.watch.Reset(w.reader.silent)
+		w.reader.silenceTimer.Reset(w.reader.silent)
 	}
 	return n, err
 }
--- a/services/daemon/relay/answers_test.go
+++ b/services/daemon/relay/answers_test.go
@@ -22,27 +22,27 @@
 )
 
 const (
-	// mostBytes is the largest answer that is passed on.
-	mostBytes = 64 << 20
-	waitLimit = 20 * time.Second
+	// maxAnswerBytes is the maximum size of an answer that is forwarded.
+	maxAnswerBytes = 64 << 20
+	waitLimit      = 20 * time.Second
 )
 
-// largeAnswers is an endpoint of a plain service whose answers have a length, stated or not, and end when they are released.
+// largeAnswers is an endpoint of a plain service. Its answers have the given length, stated or not, and end once released is closed.
 type largeAnswers struct {
 	length int64
 	stated bool
-	// head is what an answer without a body states.
+	// head is the stated length of an answer to HEAD.
 	head     int64
 	released chan struct{}
-	// read counts the bytes that were read of all answers.
+	// read counts the bytes read from all answers.
 	read atomic.Int64
-	// small has the next answers be small and whole at once.
+	// small makes the next answers small and complete at once.
 	small atomic.Bool
 }
 
 const smallBytes = 4096
 
-// largeBody is the body of one such answer.
+// largeBody is the body of an answer of largeAnswers.
 type largeBody struct {
 	of   *largeAnswers
 	left int64
@@ -80,9 +80,9 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: http.Header{}, ContentLength: stated, Body: &largeBody{of: l, left: l.length, ctx: ctx}}, nil
 }
 
-// service makes a relay to this endpoint.
+// service returns a relay to this endpoint.
 func (l *largeAnswers) service(silent time.Duration) *relay.Service {
-	b := newBench()
+	b := newTestRelay()
 	return relay.New(relay.Options{
 		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) {}, Note: func(fleet.Event) {}},
 		Dialect: engine.Dialect{Start: l.start, Cancel: func(context.Context, fleet.Endpoint, string) error { return nil }},
@@ -91,30 +91,30 @@
 	})
 }
 
-// counted is a caller that counts what it gets.
-type counted struct {
+// countingCaller is a caller that counts the received bytes.
+type countingCaller struct {
 	header http.Header
 	bytes  int64
 }
 
-func (c *counted) Header() http.Header { return c.header }
+func (c *countingCaller) Header() http.Header { return c.header }
 
-func (c *counted) WriteHeader(int) {}
+func (c *countingCaller) WriteHeader(int) {}
 
-func (c *counted) Write(p []byte) (int, error) {
+func (c *countingCaller) Write(p []byte) (int, error) {
 	c.bytes += int64(len(p))
 	return len(p), nil
 }
 
 func serveLarge(ctx context.Context, s *relay.Service) (int64, error) {
-	caller := &counted{header: http.Header{}}
+	caller := &countingCaller{header: http.Header{}}
 	err := s.Serve(ctx, caller, relay.Job{Request: fleet.Request{ID: "q"}, Method: http.MethodGet, Path: "/tickets/1", Plain: true})
 	return caller.bytes, err
 }
 
-func TestAnAnswerOverItsBoundIsNotPassedOnCut(t *testing.T) {
+func TestTooLongAnswerIsRejectedNotTruncated(t *testing.T) {
 	for _, stated := range []bool{true, false} {
-		l := &largeAnswers{length: mostBytes + 1, stated: stated, released: make(chan struct{})}
+		l := &largeAnswers{length: maxAnswerBytes + 1, stated: stated, released: make(chan struct{})}
 		close(l.released)
 		s := l.service(time.Minute)
 		got, err := serveLarge(context.Background(), s)
@@ -124,23 +124,23 @@
 	}
 }
 
-func TestAnAnswerToHeadHasNoBodyHoweverLongItSaysItIs(t *testing.T) {
-	l := &largeAnswers{length: 0, head: mostBytes + 1, released: make(chan struct{})}
+func TestAnswerToHeadIgnoresStatedLength(t *testing.T) {
+	l := &largeAnswers{length: 0, head: maxAnswerBytes + 1, released: make(chan struct{})}
 	close(l.released)
-	caller := &counted{header: http.Header{}}
+	caller := &countingCaller{header: http.Header{}}
 	job := relay.Job{Request: fleet.Request{ID: "q"}, Method: http.MethodHead, Path: "/tickets/1", Plain: true}
 	require.NoError(t, l.service(time.Minute).Serve(context.Background(), caller, job))
 	require.Zero(t, caller.bytes)
 }
 
-func TestLargeAnswersAtOnceAreBoundedInBytes(t *testing.T) {
+func TestConcurrentLargeAnswersAreBoundedInBytes(t *testing.T) {
 	const (
 		requests = 6
-		// most is what may be held of them at a time: 128 MiB, and of each some KiB more.
-		most = 128<<20 + requests<<16
+		// maxHeld is the maximum number of bytes held of all answers at a time: 128 MiB and some KiB for each answer.
+		maxHeld = 128<<20 + requests<<16
 	)
 	for _, stated := range []bool{true, false} {
-		l := &largeAnswers{length: mostBytes, stated: stated, released: make(chan struct{})}
+		l := &largeAnswers{length: maxAnswerBytes, stated: stated, released: make(chan struct{})}
 		s := l.service(time.Minute)
 		var got atomic.Int64
 		var done sync.WaitGroup
@@ -152,22 +152,22 @@
 				}
 			})
 		}
-		require.Eventually(t, func() bool { return l.read.Load() >= 2*mostBytes }, waitLimit, time.Millisecond)
-		require.Never(t, func() bool { return l.read.Load() > most }, 200*time.Millisecond, time.Millisecond, "others wait")
+		require.Eventually(t, func() bool { return l.read.Load() >= 2*maxAnswerBytes }, waitLimit, time.Millisecond)
+		require.Never(t, func() bool { return l.read.Load() > maxHeld }, 200*time.Millisecond, time.Millisecond, "the other answers must wait")
 		close(l.released)
 		done.Wait()
-		require.EqualValues(t, requests*mostBytes, got.Load(), "each comes whole in the end")
+		require.EqualValues(t, requests*maxAnswerBytes, got.Load(), "each answer is complete in the end")
 	}
 }
 
-func TestASmallAnswerDoesNotWaitForLargeOnes(t *testing.T) {
-	l := &largeAnswers{length: mostBytes, stated: true, released: make(chan struct{})}
+func TestSmallAnswerDoesNotWaitForLargeAnswers(t *testing.T) {
+	l := &largeAnswers{length: maxAnswerBytes, stated: true, released: make(chan struct{})}
 	s := l.service(time.Minute)
 	var done sync.WaitGroup
 	for range 3 {
 		done.Go(func() { _, _ = serveLarge(context.Background(), s) })
 	}
-	require.Eventually(t, func() bool { return l.read.Load() >= 2*mostBytes }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return l.read.Load() >= 2*maxAnswerBytes }, waitLimit, time.Millisecond)
 	l.small.Store(true)
 	got, err := serveLarge(context.Background(), s)
 	require.NoError(t, err)
@@ -176,14 +176,14 @@
 	done.Wait()
 }
 
-func TestACallerThatGoesWhileItsAnswerWaitsLeavesTheRoomToOthers(t *testing.T) {
-	l := &largeAnswers{length: mostBytes, stated: true, released: make(chan struct{})}
+func TestCancelledWaitingAnswerLeavesRoomToOthers(t *testing.T) {
+	l := &largeAnswers{length: maxAnswerBytes, stated: true, released: make(chan struct{})}
 	s := l.service(time.Minute)
 	var done sync.WaitGroup
 	for range 2 {
 		done.Go(func() { _, _ = serveLarge(context.Background(), s) })
 	}
-	require.Eventually(t, func() bool { return l.read.Load() >= 2*mostBytes }, waitLimit, time.Millisecond)
+	require.Eventually(t, func() bool { return l.read.Load() >= 2*maxAnswerBytes }, waitLimit, time.Millisecond)
 	ctx, cancel := context.WithCancel(context.Background())
 	gone := make(chan error, 1)
 	go func() {
@@ -196,11 +196,11 @@
 	done.Wait()
 	got, err := serveLarge(context.Background(), s)
 	require.NoError(t, err)
-	require.EqualValues(t, mostBytes, got)
+	require.EqualValues(t, maxAnswerBytes, got)
 }
 
-func TestAnEndpointThatFallsSilentWithinAnAnswerIsGivenUp(t *testing.T) {
-	for _, length := range []int64{10, mostBytes} {
+func TestSilentEndpointIsCancelledWithinAnswer(t *testing.T) {
+	for _, length := range []int64{10, maxAnswerBytes} {
 		l := &largeAnswers{length: length, released: make(chan struct{})}
 		s := l.service(50 * time.Millisecond)
 		_, err := serveLarge(context.Background(), s)
--- a/services/daemon/relay/crash.go
+++ b/services/daemon/relay/crash.go
@@ -14,30 +14,30 @@
 	"github.com/shelfledge/shelfledge/services/quarantine"
 )
 
-// crashes keeps requests from endpoints that they would crash, by what this instance saw; it is safe for concurrent use.
-type crashes struct {
+// crashRecords holds back requests that crash endpoints, based on the crashes that this instance observed. It is safe for concurrent use.
+type crashRecords struct {
 	mutex   sync.Mutex
 	table   *quarantine.Table
 	sweptAt time.Time
 }
 
-// crashSweep is the pause between two sweeps of old records.
-const crashSweep = time.Second
+// crashSweepInterval is the interval between two removals of old records.
+const crashSweepInterval = time.Second
 
-func newCrashes() *crashes {
-	return &crashes{table: quarantine.NewTable()}
+func newCrashRecords() *crashRecords {
+	return &crashRecords{table: quarantine.NewTable()}
 }
 
-// admit gives the refusal of a request that is held back; nil for others.
-func (c *crashes) admit(now time.Time, request fingerprint.Fingerprint) error {
+// admit returns the refusal of a request that is held back, and nil for other requests.
+func (c *crashRecords) admit(now time.Time, request fingerprint.Fingerprint) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if now.Sub(c.sweptAt) >= crashSweep {
+	if now.Sub(c.sweptAt) >= crashSweepInterval {
 		c.sweptAt = now
 		c.table.Sweep(now)
 	}
 	hold, held := c.table.Admit(now, request)
-	// No other instance is told.
+	// Discards the updates for other instances, since this program does not send any.
 	c.table.TakeUntold(now)
 	if !held {
 		return nil
@@ -45,46 +45,46 @@
 	return ErrNotRun{Reason: fleet.ReasonCrashes, RetryAfter: hold.Left, Detail: "endpoints ended while they had the request " + request.String()}
 }
 
-// crashed notes that an endpoint has ended while it had a request.
-func (c *crashes) crashed(now time.Time, request fingerprint.Fingerprint, endpoint string) {
+// recordCrash records that an endpoint ended while it was running a request.
+func (c *crashRecords) recordCrash(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.table.Crashed(now, request, endpoint)
 }
 
-// unanswered notes that an endpoint that went on, as far as was seen, may still have a request.
-func (c *crashes) unanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
+// recordUnanswered records that a request got no answer from an endpoint that was not seen to end, so that the request may still run.
+func (c *crashRecords) recordUnanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.table.Unanswered(now, request, endpoint)
 }
 
-// answered notes a whole answer to a request.
-func (c *crashes) answered(now time.Time, request fingerprint.Fingerprint) {
+// recordAnswered records a complete answer to a request.
+func (c *crashRecords) recordAnswered(now time.Time, request fingerprint.Fingerprint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.table.Answered(now, request)
 }
 
-// fingerprint tells the job's request from others.
+// fingerprint returns the fingerprint of the job's request, which identifies repeats of the same request.
 func (j *Job) fingerprint() fingerprint.Fingerprint {
 	return fingerprint.Content{
 		Method: j.Method, Path: j.Path, Adapter: j.Request.Adapter.String(), Body: j.Body, Length: int64(len(j.Body)),
 	}.Fingerprint()
 }
 
-// noteEnd looks whether the endpoint has ended under the request, which then counts against the request: the next endpoint that gets it may
-// end, too. A whole answer speaks for it.
-func (r *run) noteEnd(ctx context.Context, err error) {
+// recordOutcome records whether the endpoint ended while it was running the request. That counts against the request, since it may crash the next
+// endpoint, too. A complete answer counts in its favor.
+func (r *run) recordOutcome(ctx context.Context, err error) {
 	now := r.service.options.Now()
 	endpoint := r.ticket.Endpoint + "/" + r.ticket.Incarnation
 	switch {
 	case err == nil:
-		r.service.crashes.answered(now, r.fingerprint)
+		r.service.crashRecords.recordAnswered(now, r.fingerprint)
 	case engine.IsErrNotRun(err):
 	case ctx.Err() == nil && r.service.options.Refuses(ctx, r.service.endpoints[r.ticket.Endpoint].Address):
-		r.service.crashes.crashed(now, r.fingerprint, endpoint)
+		r.service.crashRecords.recordCrash(now, r.fingerprint, endpoint)
 	default:
-		r.service.crashes.unanswered(now, r.fingerprint, endpoint)
+		r.service.crashRecords.recordUnanswered(now, r.fingerprint, endpoint)
 	}
 }
--- a/services/daemon/relay/crash_test.go
+++ b/services/daemon/relay/crash_test.go
@@ -24,9 +24,9 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// crashing gives a relay whose endpoints all break requests off, and whether they refuse connections since; each sending is at another
-// incarnation.
-func crashing(refuses bool, now func() time.Time, sent *int) *relay.Service {
+// newCrashingRelay returns a relay whose endpoints break off all requests and, if refuses is true, refuse connections after that. Each attempt gets
+// another incarnation.
+func newCrashingRelay(refuses bool, now func() time.Time, sent *int) *relay.Service {
 	return relay.New(relay.Options{
 		Control: relay.Control{
 			Submit: func(r fleet.Request) <-chan control.Answer {
@@ -53,12 +53,12 @@
 	})
 }
 
-// TestARequestThatCrashesItsEndpointsIsHeldBack: the daemon sent it to one endpoint after the other, as often as its caller came.
-func TestARequestThatCrashesItsEndpointsIsHeldBack(t *testing.T) {
+// Guards against a request that crashes its endpoints: the daemon sent it to one endpoint after the other, each time its caller repeated it.
+func TestRequestThatCrashesEndpointsIsHeldBack(t *testing.T) {
 	for name, refuses := range map[string]bool{"the endpoints end": true, "only connections are reset": false} {
 		t.Run(name, func(t *testing.T) {
 			now, sent := time.Now(), 0
-			service := crashing(refuses, func() time.Time { return now }, &sent)
+			service := newCrashingRelay(refuses, func() time.Time { return now }, &sent)
 			for range 8 {
 				err := service.Serve(t.Context(), httptest.NewRecorder(), relay.Job{Request: fleet.Request{ID: "q"}, Method: "POST", Path: "/p", Body: []byte("b"), Plain: true})
 				require.Error(t, err)
--- a/services/daemon/relay/error.go
+++ b/services/daemon/relay/error.go
@@ -11,14 +11,14 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// ErrNotRun tells a caller that its request was surely not run.
+// ErrNotRun reports that a request was certainly not run.
 type ErrNotRun struct {
 	Reason     fleet.Reason
 	RetryAfter time.Duration
 	Detail     string
 }
 
-// Error gives the reason.
+// Error returns the message with the reason and the detail.
 func (e ErrNotRun) Error() string {
 	if e.Detail != "" {
 		return fmt.Sprintf("the request was not run: %s: %s", e.Reason, e.Detail)
@@ -26,38 +26,38 @@
 	return fmt.Sprintf("the request was not run: %s", e.Reason)
 }
 
-// IsErrNotRun tells whether an error is an ErrNotRun.
+// IsErrNotRun reports whether an error is or wraps an ErrNotRun.
 func IsErrNotRun(err error) bool {
 	var e ErrNotRun
 	return errors.As(err, &e)
 }
 
-// ErrUnknown tells a caller that its request may or may not have run.
+// ErrUnknown reports that a request may or may not have run.
 type ErrUnknown struct {
 	Detail string
-	// Claimed is true where an earlier request of the same identifier was claimed.
+	// Claimed is true if an earlier request with the same identifier was claimed.
 	Claimed bool
 }
 
-// Error gives the detail.
+// Error returns the message with the detail.
 func (e ErrUnknown) Error() string {
 	return "the request may or may not have run: " + e.Detail
 }
 
-// IsErrUnknown tells whether an error is an ErrUnknown.
+// IsErrUnknown reports whether an error is or wraps an ErrUnknown.
 func IsErrUnknown(err error) bool {
 	var e ErrUnknown
 	return errors.As(err, &e)
 }
 
-// errBroken reports an answer that broke off, with the events that were passed on.
+// errBroken reports an answer that broke off.
 type errBroken struct {
 	reason string
 }
 
 func (e errBroken) Error() string { return "the answer broke off: " + e.reason }
 
-// errCallerGone reports a caller that has hung up or reads too slowly.
+// errCallerGone reports a caller that has disconnected or reads too slowly.
 type errCallerGone struct {
 	reason string
 }
--- a/services/daemon/relay/event_reader.go
+++ b/services/daemon/relay/event_reader.go
@@ -9,26 +9,26 @@
 	"io"
 )
 
-// eventReader cuts a stream of server-sent events into whole events.
+// eventReader splits a stream of server-sent events into events.
 type eventReader struct {
 	in    *bufio.Reader
 	event []byte
 }
 
 func newEventReader(in io.Reader) *eventReader {
-	return &eventReader{in: bufio.NewReaderSize(in, readBuffer)}
+	return &eventReader{in: bufio.NewReaderSize(in, readBufferBytes)}
 }
 
 func (e *eventReader) reset(in io.Reader) {
 	e.in.Reset(in)
-	if cap(e.event) > keptBuffers*readBuffer {
+	if cap(e.event) > maxKeptBuffers*readBufferBytes {
 		e.event = nil
 	}
 }
 
 var errEventTooLong = errors.New("an event is too long")
 
-// next gives the next event with its closing blank line; it is valid until the next call.
+// next returns the next event with its closing blank line. The event is valid until the next call.
 func (e *eventReader) next() ([]byte, error) {
 	e.event = e.event[:0]
 	begun := false
@@ -57,7 +57,7 @@
 	}
 }
 
-// buffered tells whether another event may be at hand already.
+// buffered reports whether bytes of another event have been buffered already.
 func (e *eventReader) buffered() bool {
 	return e.in.Buffered() > 0
 }
--- a/services/daemon/relay/exchange.go
+++ b/services/daemon/relay/exchange.go
@@ -17,18 +17,19 @@
 )
 
 const (
-	// readBuffer is each stream's buffer for events, in bytes: smaller saves memory, larger saves reads. 2 KB in place of 4 was part of 66
-	// to 58.6 KB a stream at the same time a token (docs/design/0004-data-path.md).
-	readBuffer = 2048
-	// maxEventBytes bounds one event, in bytes, so that a faulty endpoint cannot exhaust the memory.
+	// readBufferBytes is the size in bytes of each stream's buffer for events. A smaller buffer saves memory; a larger one saves reads. The
+	// reduction from 4 to 2 KB was part of the reduction from 66 to 58.6 KB per stream, with the same time per token
+	// (docs/design/0004-data-path.md).
+	readBufferBytes = 2048
+	// maxEventBytes is the maximum size of an event in bytes, so that a faulty endpoint cannot exhaust the memory.
 	maxEventBytes = 1048576
-	// keptBuffers is how many read buffers long an event's own buffer may be that is kept for the next stream.
-	keptBuffers = 16
+	// maxKeptBuffers is the maximum size, in multiples of readBufferBytes, of an event's buffer that is reused for the next stream.
+	maxKeptBuffers = 16
 )
 
-var buffers = sync.Pool{New: func() any { return newEventReader(nil) }}
+var eventReaders = sync.Pool{New: func() any { return newEventReader(nil) }}
 
-// exchange sends a request, or asks to resume it, and passes the answer on.
+// exchange sends a request, or a request to resume its stream, and forwards the answer to the caller.
 func (r *run) exchange(ctx context.Context, call engine.Call) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -39,7 +40,7 @@
 		}
 		return err
 	}
-	// Closing a body that was read tells nothing more of the answer.
+	// The error of Close is ignored, since the answer has been read by then.
 	defer func() { _ = resp.Body.Close() }()
 	if err := r.checkAnswer(resp); err != nil {
 		return err
@@ -50,7 +51,7 @@
 	return r.whole(ctx, cancel, resp)
 }
 
-// checkAnswer makes sure that the answer is this request's, and from the adapter and version named.
+// checkAnswer verifies that the answer belongs to this request and comes from the requested adapter and version.
 func (r *run) checkAnswer(resp *http.Response) error {
 	if id := resp.Header.Get(engine.HeaderRequestID); id != "" && id != r.job.Request.ID {
 		return ErrUnknown{Detail: "the endpoint answered another request"}
@@ -67,7 +68,7 @@
 	return nil
 }
 
-// modelOnly is the part of an answer or event that names the model.
+// modelOnly is the part of an answer or event that contains the model.
 type modelOnly struct {
 	Model string `json:"model"`
 }
@@ -83,7 +84,7 @@
 	return nil
 }
 
-// whole passes on an answer that is not streamed, once all of it is there.
+// whole forwards an answer that is not streamed, once it has been read completely.
 func (r *run) whole(ctx context.Context, cancel context.CancelFunc, resp *http.Response) error {
 	in := r.service.newAnswerReader(cancel)
 	defer in.close()
@@ -96,12 +97,12 @@
 			return err
 		}
 	}
-	r.begin(resp)
+	r.setHeaders(resp)
 	return r.out.whole(resp.StatusCode, body)
 }
 
-// begin sets the answer's headers, once.
-func (r *run) begin(resp *http.Response) {
+// setHeaders sets the headers of the answer, unless the answer has started already.
+func (r *run) setHeaders(resp *http.Response) {
 	if r.out.started {
 		return
 	}
@@ -114,18 +115,18 @@
 	}
 }
 
-// stream passes an answer on event by event, whole events only, so that a resumed
-// stream goes on exactly where it broke off. The endpoint counts as silent only while it is read: a caller that reads slowly holds the
-// reading up, and its stream was cut in its middle for that.
+// stream forwards an answer event by event. It forwards complete events only, so that a resumed stream continues exactly
+// where it broke off. The silence timer of the endpoint runs only while the endpoint is read. A caller that reads slowly
+// blocks the reading; if the timer ran meanwhile, the caller's stream would be aborted.
 func (r *run) stream(ctx context.Context, cancel context.CancelFunc, resp *http.Response) error {
 	silent := r.service.options.EndpointSilent
 	watch := time.AfterFunc(silent, cancel)
 	defer watch.Stop()
-	in := buffers.Get().(*eventReader)
+	in := eventReaders.Get().(*eventReader)
 	in.reset(resp.Body)
 	defer func() {
 		in.reset(nil)
-		buffers.Put(in)
+		eventReaders.Put(in)
 	}()
 	for {
 		event, err := in.next()
@@ -133,7 +134,7 @@
 			return r.brokenStream(ctx, err)
 		}
 		watch.Stop()
-		if err := r.pass(resp, event); err != nil {
+		if err := r.forwardEvent(resp, event); err != nil {
 			return err
 		}
 		if isDone(event) {
@@ -158,14 +159,14 @@
 	return errBroken{reason: err.Error()}
 }
 
-// pass writes one event, after a check of the first.
-func (r *run) pass(resp *http.Response, event []byte) error {
+// forwardEvent forwards one event to the caller. It checks the model of the first event.
+func (r *run) forwardEvent(resp *http.Response, event []byte) error {
 	if r.out.events == 0 && !isDone(event) {
 		if err := r.checkModel(eventData(event)); err != nil {
 			return err
 		}
 	}
-	r.begin(resp)
+	r.setHeaders(resp)
 	return r.out.event(event)
 }
 
--- a/services/daemon/relay/relay_test.go
+++ b/services/daemon/relay/relay_test.go
@@ -24,17 +24,17 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// attempt is what the fake endpoint does with one try.
+// attempt is the fake endpoint's reaction to one attempt.
 type attempt struct {
 	err  error
 	body string
-	// breaks ends the body with an error instead of its end.
+	// breaks makes the body end with an error instead of io.EOF.
 	breaks bool
 	model  string
 }
 
-// bench is a relay between a fake placer and a fake endpoint.
-type bench struct {
+// testRelay is a relay between a fake placer and a fake endpoint.
+type testRelay struct {
 	mutex    sync.Mutex
 	attempts []attempt
 	calls    []engine.Call
@@ -42,7 +42,7 @@
 	refusal  *fleet.Refusal
 	claim    once.Result
 	released int
-	// waits has no ticket come, silentStore no answer to the release of a claim.
+	// waits makes Submit grant no ticket; silentStore makes the release of a claim get no answer.
 	waits, silentStore bool
 	relay              *relay.Service
 }
@@ -57,8 +57,8 @@
 	return n, err
 }
 
-func newBench(attempts ...attempt) *bench {
-	b := &bench{attempts: attempts, claim: once.Claimed}
+func newTestRelay(attempts ...attempt) *testRelay {
+	b := &testRelay{attempts: attempts, claim: once.Claimed}
 	b.relay = relay.New(relay.Options{
 		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) { b.mutex.Lock(); b.finished++; b.mutex.Unlock() }, Note: func(fleet.Event) {}},
 		Claims: relay.Claims{
@@ -72,7 +72,7 @@
 	return b
 }
 
-func (b *bench) release(ctx context.Context, _, _ string) error {
+func (b *testRelay) release(ctx context.Context, _, _ string) error {
 	b.released++
 	if b.silentStore {
 		<-ctx.Done()
@@ -80,7 +80,7 @@
 	return ctx.Err()
 }
 
-func (b *bench) submit(r fleet.Request) <-chan control.Answer {
+func (b *testRelay) submit(r fleet.Request) <-chan control.Answer {
 	answers := make(chan control.Answer, 1)
 	if b.waits {
 		return answers
@@ -93,7 +93,7 @@
 	return answers
 }
 
-func (b *bench) start(_ context.Context, c engine.Call) (*http.Response, error) {
+func (b *testRelay) start(_ context.Context, c engine.Call) (*http.Response, error) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	a := b.attempts[len(b.calls)]
@@ -112,7 +112,7 @@
 	return &http.Response{StatusCode: http.StatusOK, Header: h, Body: io.NopCloser(body)}, nil
 }
 
-func (b *bench) serve(isOnce bool) (string, error) {
+func (b *testRelay) serve(isOnce bool) (string, error) {
 	w := httptest.NewRecorder()
 	err := b.relay.Serve(context.Background(), w, relay.Job{
 		Request: fleet.Request{ID: "q", Adapter: fleet.AdapterRef{Name: "a", Version: 1}, Once: isOnce}, ClaimID: "q", Stream: true, Method: http.MethodPost, Path: "/v1/completions",
@@ -122,10 +122,10 @@
 }
 
 const (
-	one   = "data: {\"model\":\"a@1\",\"n\":1}\n\n"
-	two   = "data: {\"model\":\"a@1\",\"n\":2}\n\n"
-	alien = "data: {\"model\":\"b@1\",\"n\":1}\n\n"
-	done  = "data: [DONE]\n\n"
+	one             = "data: {\"model\":\"a@1\",\"n\":1}\n\n"
+	two             = "data: {\"model\":\"a@1\",\"n\":2}\n\n"
+	otherModelEvent = "data: {\"model\":\"b@1\",\"n\":1}\n\n"
+	done            = "data: [DONE]\n\n"
 )
 
 var (
@@ -133,8 +133,8 @@
 	unknown = engine.ErrUnknown{What: "request", Reason: "broke off"}
 )
 
-func TestWholeStreamPassesUnchanged(t *testing.T) {
-	b := newBench(attempt{body: one + two + done, model: "a@1"})
+func TestCompleteStreamIsForwardedUnchanged(t *testing.T) {
+	b := newTestRelay(attempt{body: one + two + done, model: "a@1"})
 	text, err := b.serve(false)
 	require.NoError(t, err)
 	require.Equal(t, one+two+done, text)
@@ -142,7 +142,7 @@
 }
 
 func TestBrokenStreamIsResumedWithoutLossOrRepeat(t *testing.T) {
-	b := newBench(attempt{body: one + "data: {\"model\"", breaks: true}, attempt{body: two + done})
+	b := newTestRelay(attempt{body: one + "data: {\"model\"", breaks: true}, attempt{body: two + done})
 	text, err := b.serve(true)
 	require.NoError(t, err)
 	require.Equal(t, one+two+done, text)
@@ -150,25 +150,24 @@
 }
 
 func TestBrokenStreamThatCannotBeResumedIsUnknown(t *testing.T) {
-	b := newBench(attempt{body: one, breaks: true}, attempt{err: notRun}, attempt{err: notRun})
+	b := newTestRelay(attempt{body: one, breaks: true}, attempt{err: notRun}, attempt{err: notRun})
 	text, err := b.serve(false)
 	require.True(t, relay.IsErrUnknown(err), "%v", err)
 	require.Equal(t, one, text)
 }
 
-func TestNotRunIsTriedAgain(t *testing.T) {
-	b := newBench(attempt{err: notRun}, attempt{body: one + done})
+func TestRequestThatWasNotRunIsRetried(t *testing.T) {
+	b := newTestRelay(attempt{err: notRun}, attempt{body: one + done})
 	text, err := b.serve(true)
 	require.NoError(t, err)
 	require.Equal(t, one+done, text)
 }
 
-// TestAStopTellsARequestThatWasClaimedThoughTheStoreIsSilent: callers saw their connections close at a daemon's drain limit. The order of events:
-// the daemon's link to the key-value service is cut, the limit ends the requests that wait, and each that must not run twice takes its claim
-// back before it is answered, for up to 5 s; the process ends before. The cause: the last answers waited for the store like any other. The
-// evidence: in five soaks all 31 requests that were closed so were such ones, at daemons with a cut link at that moment.
-func TestAStopTellsARequestThatWasClaimedThoughTheStoreIsSilent(t *testing.T) {
-	b := newBench()
+// Guards against connections that close without an answer at a daemon's drain limit while the key-value service is unreachable. The limit
+// ends the waiting requests, and each claimed request releases its claim before it is answered. That took up to 5 s, and the process ended
+// earlier. In five soak runs, all 31 requests closed this way were claimed ones at daemons without a link to the key-value service.
+func TestClaimedRequestIsAnsweredAtStopWhileStoreIsSilent(t *testing.T) {
+	b := newTestRelay()
 	b.waits, b.silentStore = true, true
 	time.AfterFunc(50*time.Millisecond, b.relay.End)
 	began := time.Now()
@@ -177,34 +176,34 @@
 	require.ErrorAs(t, err, &refused)
 	require.Equal(t, fleet.ReasonStopping, refused.Reason)
 	require.Equal(t, 1, b.released)
-	require.Less(t, time.Since(began), 2*time.Second, "the process lives on for half a second")
+	require.Less(t, time.Since(began), 2*time.Second, "the process continues for half a second only")
 }
 
-func TestOnceIsNeverTriedAgainAfterAnUnknownEnd(t *testing.T) {
-	b := newBench(attempt{err: unknown}, attempt{body: one + done})
+func TestClaimedRequestIsNotRetriedAfterUnknownOutcome(t *testing.T) {
+	b := newTestRelay(attempt{err: unknown}, attempt{body: one + done})
 	_, err := b.serve(true)
 	require.True(t, relay.IsErrUnknown(err))
 	require.Len(t, b.calls, 1)
-	require.Zero(t, b.released, "the claim stands")
+	require.Zero(t, b.released, "the claim is kept")
 }
 
-func TestUnknownThenRefusedIsUnknown(t *testing.T) {
-	b := newBench(attempt{err: unknown}, attempt{err: notRun}, attempt{err: notRun})
+func TestOutcomeStaysUnknownAfterLaterRefusals(t *testing.T) {
+	b := newTestRelay(attempt{err: unknown}, attempt{err: notRun}, attempt{err: notRun})
 	_, err := b.serve(false)
 	require.True(t, relay.IsErrUnknown(err), "the first attempt may have run: %v", err)
 }
 
-func TestRefusedIsNotRunAndGivesTheClaimBack(t *testing.T) {
-	b := newBench()
+func TestRefusedRequestIsNotRunAndReleasesClaim(t *testing.T) {
+	b := newTestRelay()
 	b.refusal = &fleet.Refusal{Reason: fleet.ReasonQueueFull, RetryAfter: time.Second}
 	_, err := b.serve(true)
 	require.True(t, relay.IsErrNotRun(err))
 	require.Equal(t, 1, b.released)
 }
 
-func TestNoClaimNoRun(t *testing.T) {
+func TestRequestIsNotRunWithoutClaim(t *testing.T) {
 	for claim, check := range map[once.Result]func(error) bool{once.Impossible: relay.IsErrNotRun, once.Taken: relay.IsErrUnknown} {
-		b := newBench(attempt{body: one + done})
+		b := newTestRelay(attempt{body: one + done})
 		b.claim = claim
 		_, err := b.serve(true)
 		require.True(t, check(err), "%s: %v", claim, err)
@@ -212,9 +211,9 @@
 	}
 }
 
-func TestForeignAnswerIsNotPassedOn(t *testing.T) {
-	for name, a := range map[string]attempt{"by header": {body: one + done, model: "b@1"}, "by event": {body: alien + done}} {
-		b := newBench(a)
+func TestAnswerOfAnotherModelIsNotForwarded(t *testing.T) {
+	for name, a := range map[string]attempt{"by header": {body: one + done, model: "b@1"}, "by event": {body: otherModelEvent + done}} {
+		b := newTestRelay(a)
 		text, err := b.serve(false)
 		require.True(t, relay.IsErrUnknown(err), name)
 		require.Empty(t, text, name)
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/once"
 )
 
-// run is one job on its way, over all its attempts.
+// run is the state of one job over all its attempts.
 type run struct {
 	service *Service
 	job     Job
@@ -28,28 +28,30 @@
 	queued  time.Duration
 	stalled time.Duration
 	claimed bool
-	// mayHaveRun is true once an attempt had an unknown end; from then on the request
-	// as a whole can never be called "not run", whatever becomes of later attempts.
+	// mayHaveRun is true once an attempt ended with an unknown outcome. From then on the request
+	// must not be reported as "not run", whatever the outcome of later attempts.
 	mayHaveRun bool
-	// fingerprint is the request's, whenever it is sent again.
+	// fingerprint is the fingerprint of the request, which is the same for each attempt.
 	fingerprint fingerprint.Fingerprint
 }
 
 const (
-	// claimRetryAfter is what a caller is told to wait after a claim could not be made, about the time-out of one call to the key-value
-	// service.
+	// claimRetryAfter is the retry delay sent to the caller if a claim could not be made. It is about the timeout of one call to the
+	// key-value service.
 	claimRetryAfter = 2 * time.Second
-	// endpointRetryAfter is what a caller is told to wait where the endpoint that refused named no time.
+	// endpointRetryAfter is the retry delay sent to the caller if an endpoint refused the request without a delay of its own.
 	endpointRetryAfter = time.Second
-	// stoppingRetryAfter is what a caller is told to wait whose request did not run until this instance ended; the others are ready.
+	// stoppingRetryAfter is the retry delay sent to callers whose requests had not run when this instance stopped. Other instances are
+	// ready to take them.
 	stoppingRetryAfter = time.Second
-	// minEvents is how many events a stream needs for a mean time between its tokens: two tokens and the closing event.
+	// minEvents is the minimum number of events of a stream from which the mean time between tokens is computed: two tokens and the
+	// closing event.
 	minEvents = 3
 )
 
-// serve makes attempts until the request is answered, refused or unknown.
+// serve makes attempts until the request is answered, refused or its outcome is unknown.
 func (r *run) serve(ctx context.Context) error {
-	r.service.budget.earn()
+	r.service.retries.earn()
 	if r.job.Request.Once {
 		if err := r.claim(ctx); err != nil {
 			return err
@@ -60,7 +62,7 @@
 		err = ErrUnknown{Detail: "an earlier attempt broke off, and then " + err.Error()}
 	}
 	if r.claimed && IsErrNotRun(err) {
-		r.unclaim()
+		r.releaseClaim()
 	}
 	return err
 }
@@ -80,17 +82,19 @@
 }
 
 const (
-	// unclaimLimit bounds taking a claim back, a read and a write, after its request was not run; a claim that stays is safe.
-	unclaimLimit = 5 * time.Second
-	// lastUnclaimLimit is the same once all requests end: the caller is told only after that, and the process ends soon.
-	lastUnclaimLimit = 200 * time.Millisecond
+	// releaseClaimTimeout is the time limit for releasing a claim, a read and a write, after its request was not run. A claim that is not
+	// released is safe: the request is then not repeated.
+	releaseClaimTimeout = 5 * time.Second
+	// stoppingReleaseClaimTimeout is the same limit while all requests are being ended. The caller is answered only after the release, and the
+	// process ends soon.
+	stoppingReleaseClaimTimeout = 200 * time.Millisecond
 )
 
-// unclaim lets the caller try again with the same identifier.
-func (r *run) unclaim() {
-	limit := unclaimLimit
-	if r.service.ending.Err() != nil {
-		limit = lastUnclaimLimit
+// releaseClaim releases the claim, so that the caller can retry with the same identifier.
+func (r *run) releaseClaim() {
+	limit := releaseClaimTimeout
+	if r.service.stopping.Err() != nil {
+		limit = stoppingReleaseClaimTimeout
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
@@ -99,7 +103,7 @@
 	}
 }
 
-// attempts makes attempts until one succeeds or no other may follow.
+// attempts makes attempts until one succeeds or no further attempt is allowed.
 func (r *run) attempts(ctx context.Context) error {
 	for attempt := 0; ; attempt++ {
 		r.job.Request.Attempt = attempt
@@ -108,11 +112,11 @@
 			return nil
 		}
 		r.mayHaveRun = r.mayHaveRun || !IsErrNotRun(err) && !engine.IsErrNotRun(err)
-		again, final := r.judge(ctx, attempt, err)
+		again, final := r.decideRetry(ctx, attempt, err)
 		if !again {
 			return final
 		}
-		r.note(fleet.EventRetry, err.Error())
+		r.recordEvent(fleet.EventRetry, err.Error())
 		r.service.options.Metrics.Retries.WithLabelValues(retryCause(err)).Inc()
 		r.job.Request.Avoid = r.ticket.Endpoint
 	}
@@ -125,8 +129,8 @@
 	return "broken"
 }
 
-// judge decides whether an attempt that failed may be retried, and what the caller is told if not.
-func (r *run) judge(ctx context.Context, attempt int, err error) (bool, error) {
+// decideRetry returns whether a failed attempt may be retried, and the error for the caller if not.
+func (r *run) decideRetry(ctx context.Context, attempt int, err error) (bool, error) {
 	if IsErrNotRun(err) || IsErrUnknown(err) {
 		return false, err
 	}
@@ -135,18 +139,18 @@
 		return false, ErrUnknown{Detail: err.Error()}
 	}
 	notRun := engine.IsErrNotRun(err)
-	final := r.final(err, notRun)
+	finalError := r.finalError(err, notRun)
 	if !notRun && (r.job.Request.Once || r.job.SingleAttempt || r.out.started) {
-		return false, final
+		return false, finalError
 	}
-	if attempt+1 >= r.service.options.MaxAttempts || !r.service.budget.spend() {
-		return false, final
+	if attempt+1 >= r.service.options.MaxAttempts || !r.service.retries.spend() {
+		return false, finalError
 	}
-	return !r.job.Request.Expired(r.service.options.Now()), final
+	return !r.job.Request.Expired(r.service.options.Now()), finalError
 }
 
-// final gives what the caller is told if an attempt that failed is the last.
-func (r *run) final(err error, notRun bool) error {
+// finalError returns the error for the caller if a failed attempt is the last one.
+func (r *run) finalError(err error, notRun bool) error {
 	if !notRun {
 		return ErrUnknown{Detail: err.Error()}
 	}
@@ -158,12 +162,12 @@
 	return ErrNotRun{Reason: fleet.ReasonNoEndpoint, RetryAfter: retryAfter, Detail: err.Error()}
 }
 
-// attempt gets a ticket and uses it once.
+// attempt requests a ticket and uses it for one attempt.
 func (r *run) attempt(ctx context.Context) error {
-	if err := r.service.crashes.admit(r.service.options.Now(), r.fingerprint); err != nil {
+	if err := r.service.crashRecords.admit(r.service.options.Now(), r.fingerprint); err != nil {
 		return err
 	}
-	answer, err := r.wait(ctx)
+	answer, err := r.waitForTicket(ctx)
 	if err != nil {
 		return err
 	}
@@ -175,11 +179,11 @@
 		r.service.options.Control.Finish(r.ticket.ID)
 		return engine.ErrNotRun{What: "request", Reason: "the ticket came too late to be used"}
 	}
-	return r.use(ctx)
+	return r.runWithTicket(ctx)
 }
 
-// wait asks for a ticket and waits for it, the refusal, or the caller's end.
-func (r *run) wait(ctx context.Context) (control.Answer, error) {
+// waitForTicket requests a ticket and waits for the ticket, a refusal or the end of ctx.
+func (r *run) waitForTicket(ctx context.Context) (control.Answer, error) {
 	r.service.options.Metrics.Waiting.Inc()
 	defer r.service.options.Metrics.Waiting.Dec()
 	answers := r.service.options.Control.Submit(r.job.Request)
@@ -191,12 +195,12 @@
 		return a, nil
 	case <-ctx.Done():
 		r.service.options.Control.Abandon(r.job.Request.ID)
-		return control.Answer{}, r.abandoned(answers)
+		return control.Answer{}, r.abandonError(answers)
 	}
 }
 
-// abandoned gives back a ticket that came just as the caller went.
-func (r *run) abandoned(answers <-chan control.Answer) error {
+// abandonError returns a ticket that was granted while the request was being withdrawn, and returns the error for the caller.
+func (r *run) abandonError(answers <-chan control.Answer) error {
 	select {
 	case a := <-answers:
 		if a.Granted {
@@ -204,34 +208,35 @@
 		}
 	default:
 	}
-	if r.service.ending.Err() != nil {
+	if r.service.stopping.Err() != nil {
 		return ErrNotRun{Reason: fleet.ReasonStopping, RetryAfter: stoppingRetryAfter}
 	}
 	return ErrNotRun{Reason: fleet.ReasonCancelled}
 }
 
-// use runs the request under its ticket, and resumes a stream that breaks if it can.
-func (r *run) use(ctx context.Context) error {
+// runWithTicket runs the request under its ticket, and resumes a broken stream if that is allowed.
+func (r *run) runWithTicket(ctx context.Context) error {
 	call := r.call()
 	err := r.exchange(ctx, call)
 	var broken errBroken
 	for tries := 0; errors.As(err, &broken) && tries < maxResumes && r.resumable(ctx); tries++ {
 		call.ResumeFrom = r.out.events
-		r.note(fleet.EventResume, broken.reason)
+		r.recordEvent(fleet.EventResume, broken.reason)
 		err = r.exchange(ctx, call)
 	}
-	r.noteEnd(ctx, err)
-	r.settle(err)
+	r.recordOutcome(ctx, err)
+	r.settleTicket(err)
 	return err
 }
 
-// maxResumes bounds the resumes of one stream; more save streams over longer faults, each for a further connection.
+// maxResumes is the maximum number of resumes of one stream. A higher limit saves streams from longer faults, at one further connection for
+// each resume.
 const maxResumes = 2
 
-// resumable tells whether a broken stream may be asked for from where it broke off;
-// the endpoint runs the request once, whatever the number of connections.
+// resumable reports whether a broken stream may be resumed where it broke off. The endpoint
+// runs the request once, independent of the number of connections.
 func (r *run) resumable(ctx context.Context) bool {
-	return ctx.Err() == nil && r.job.Stream && !r.job.Plain && r.out.events > 0 && r.service.budget.spend()
+	return ctx.Err() == nil && r.job.Stream && !r.job.Plain && r.out.events > 0 && r.service.retries.spend()
 }
 
 func (r *run) call() engine.Call {
@@ -242,24 +247,25 @@
 	}
 }
 
-// settle gives the ticket back once the endpoint surely no longer runs the request.
-func (r *run) settle(err error) {
+// settleTicket returns the ticket once the endpoint certainly no longer runs the request.
+func (r *run) settleTicket(err error) {
 	if err == nil || engine.IsErrNotRun(err) {
 		r.service.options.Control.Finish(r.ticket.ID)
-		r.note(fleet.EventFinished, "answered")
+		r.recordEvent(fleet.EventFinished, "answered")
 		return
 	}
-	r.service.running.Add(1)
-	go r.service.cancelUntilGone(r.ticket, r.job.Request.ID)
+	r.service.inFlight.Add(1)
+	go r.service.cancelUntilAnswered(r.ticket, r.job.Request.ID)
 }
 
-// cancelEvery trades cancels of an endpoint that does not answer for how soon its ticket is free.
-const cancelEvery = 500 * time.Millisecond
+// cancelInterval is the interval between two cancel calls to an endpoint that does not answer. A shorter interval frees the ticket sooner at the
+// cost of more calls.
+const cancelInterval = 500 * time.Millisecond
 
-// cancelUntilGone cancels a request that may still run, and gives its ticket back
-// only when the endpoint has answered, or after the longest life of a request.
-func (s *Service) cancelUntilGone(t fleet.Ticket, requestID string) {
-	defer s.running.Done()
+// cancelUntilAnswered repeatedly cancels a request that may still run. It returns the request's ticket
+// once the endpoint has answered, or after Options.CancelLife.
+func (s *Service) cancelUntilAnswered(t fleet.Ticket, requestID string) {
+	defer s.inFlight.Done()
 	defer s.options.Control.Finish(t.ID)
 	e := s.endpoints[t.Endpoint]
 	until := s.options.Now().Add(s.options.CancelLife)
@@ -267,19 +273,19 @@
 		if s.options.Dialect.Cancel(context.Background(), e, requestID) == nil {
 			return
 		}
-		time.Sleep(cancelEvery)
+		time.Sleep(cancelInterval)
 	}
 }
 
-// note enters an event of the request into the journal.
-func (r *run) note(kind fleet.EventKind, cause string) {
+// recordEvent records an event of the request.
+func (r *run) recordEvent(kind fleet.EventKind, cause string) {
 	r.service.options.Control.Note(fleet.Event{
 		At: r.service.options.Now(), Kind: kind, Cause: cause, Request: r.job.Request.ID, Adapter: r.job.Request.Adapter.String(),
 		Endpoint: r.ticket.Endpoint, Pool: r.ticket.Pool, Fence: r.ticket.Fence,
 	})
 }
 
-// observe adds the request's end to the metrics.
+// observe records the request's outcome and timings in the metrics.
 func (r *run) observe(err error) {
 	now := r.service.options.Now()
 	o := metric.Observation{
@@ -302,7 +308,7 @@
 	r.service.options.Metrics.Observe(o)
 }
 
-// statusOK tells whether an answer is to be passed on as an answer.
+// statusOK reports whether an answer with this status is forwarded to the caller.
 func statusOK(resp *http.Response) bool {
 	return resp.StatusCode < http.StatusInternalServerError
 }
--- a/services/daemon/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -18,7 +18,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/once"
 )
 
-// Control is what the relay needs of the control service.
+// Control contains the functions of the control service that the relay uses.
 type Control struct {
 	Submit  func(r fleet.Request) <-chan control.Answer
 	Abandon func(requestID string)
@@ -26,7 +26,7 @@
 	Note    func(e fleet.Event)
 }
 
-// Claims is what the relay needs of the claimer.
+// Claims contains the functions by which the relay claims requests that must not run twice.
 type Claims struct {
 	Claim   func(ctx context.Context, caller, requestID string) once.Result
 	Release func(ctx context.Context, caller, requestID string) error
@@ -39,35 +39,36 @@
 	Dialect   engine.Dialect
 	Endpoints []fleet.Endpoint
 	Metrics   *metric.Metrics
-	// MaxAttempts bounds the attempts of one request, RetryShare the part of all requests that may be retried.
+	// MaxAttempts is the maximum number of attempts of one request. RetryShare is the share of all requests that may be retried.
 	MaxAttempts    int
 	RetryShare     float64
 	SlowReader     time.Duration
 	EndpointSilent time.Duration
-	// CancelLife is how long a request that may still run is cancelled again and again.
+	// CancelLife is the time for which cancel calls are repeated for a request that may still run.
 	CancelLife time.Duration
 	Now        func() time.Time
-	// Refuses looks whether nothing listens any more at an endpoint's address; nil never does.
+	// Refuses reports whether an endpoint's address refuses connections, since no process listens on it. If Refuses is nil, no
+	// address counts as refusing.
 	Refuses func(ctx context.Context, address netip.AddrPort) bool
-	// Timer gives the moment at which a timer must fire for a time of Now; nil where timers go by it.
+	// Timer returns the time at which a timer must fire for a time of Now. If Timer is nil, timers use the clock of Now.
 	Timer func(at time.Time) time.Time
 }
 
-// Service relays requests; it is safe for concurrent use.
+// Service relays requests. It is safe for concurrent use.
 type Service struct {
 	options   Options
 	endpoints map[string]fleet.Endpoint
-	budget    *retryBudget
-	// answers is the room for whole answers.
-	answers *bytebudget.Budget
-	crashes *crashes
-	running sync.WaitGroup
-	// ending ends with End, and with it each request.
-	ending context.Context
-	end    context.CancelFunc
+	retries   *retryBudget
+	// answerBudget is the byte budget for whole answers.
+	answerBudget *bytebudget.Budget
+	crashRecords *crashRecords
+	inFlight     sync.WaitGroup
+	// stopping is cancelled by End, which cancels each request.
+	stopping context.Context
+	stop     context.CancelFunc
 }
 
-// New makes a relay.
+// New creates a relay.
 func New(o Options) *Service {
 	if o.Refuses == nil {
 		o.Refuses = func(context.Context, netip.AddrPort) bool { return false }
@@ -75,23 +76,23 @@
 	if o.Timer == nil {
 		o.Timer = func(at time.Time) time.Time { return at }
 	}
-	s := &Service{options: o, endpoints: make(map[string]fleet.Endpoint), budget: newRetryBudget(o.RetryShare), answers: bytebudget.New(answerBytes), crashes: newCrashes()}
-	s.ending, s.end = context.WithCancel(context.Background())
+	s := &Service{options: o, endpoints: make(map[string]fleet.Endpoint), retries: newRetryBudget(o.RetryShare), answerBudget: bytebudget.New(answerBudgetBytes), crashRecords: newCrashRecords()}
+	s.stopping, s.stop = context.WithCancel(context.Background())
 	for _, e := range o.Endpoints {
 		s.endpoints[e.Name] = e
 	}
 	return s
 }
 
-// End ends all requests, now and from now on, so that their callers are told before the process is gone: those that wait for an endpoint have
-// not run, and the others may have.
+// End cancels all current and future requests, so that their callers are answered before the process ends. Requests that wait for an endpoint
+// are reported as not run, the others as unknown.
 func (s *Service) End() {
-	s.end()
+	s.stop()
 }
 
-// Wait returns when every request and every late cancel has ended.
+// Wait waits until all requests and all cancel calls have ended.
 func (s *Service) Wait() {
-	s.running.Wait()
+	s.inFlight.Wait()
 }
 
 // Job is one caller's request.
@@ -104,26 +105,26 @@
 	Body    []byte
 	Header  http.Header
 	Stream  bool
-	// SingleAttempt forbids repeats without a claim, for calls that cannot be told apart.
+	// SingleAttempt forbids a retry after an unknown outcome even without a claim, for calls whose repeats cannot be recognized.
 	SingleAttempt bool
-	// Plain is true for services that are no model engines.
+	// Plain is true for services that are not model engines.
 	Plain bool
-	// Headers is called once, before the first byte, to set what the caller is to be told.
+	// Headers is called once, before the first byte of the answer, to set the answer's headers.
 	Headers func(h http.Header, t fleet.Ticket)
 }
 
-// Serve runs a job and writes its answer; an error means that nothing was written,
-// unless w shows otherwise, and is to be told to the caller.
+// Serve runs a job and writes its answer to w. If it returns an error, the caller of Serve must send
+// the error to the client, unless a part of the answer has been written to w already.
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, j Job) error {
-	s.running.Add(1)
+	s.inFlight.Add(1)
 	s.options.Metrics.Streams.Inc()
 	defer func() {
 		s.options.Metrics.Streams.Dec()
-		s.running.Done()
+		s.inFlight.Done()
 	}()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	stop := context.AfterFunc(s.ending, cancel)
+	stop := context.AfterFunc(s.stopping, cancel)
 	defer stop()
 	run := &run{service: s, job: j, out: newWriter(w, s.options), arrived: s.options.Now(), fingerprint: j.fingerprint()}
 	err := run.serve(ctx)
@@ -131,8 +132,8 @@
 	return err
 }
 
-// retryBudget lets a part of all requests be retried, so that a fault that hits
-// many does not multiply the load.
+// retryBudget limits retries to a share of all requests, so that a fault that affects
+// many requests does not multiply the load.
 type retryBudget struct {
 	mutex  sync.Mutex
 	share  float64
@@ -140,20 +141,20 @@
 }
 
 const (
-	// budgetStart and budgetMost are the retries that a new instance may make at once, and that a quiet time saves up at most: more bridge
-	// a larger fault, fewer add less load to it.
-	budgetStart = 10.0
-	budgetMost  = 100.0
+	// initialRetries is the number of retries that a new instance may make at once; maxSavedRetries is the maximum number of retries that
+	// accumulate while none are used. More retries cover a larger fault; fewer add less load during it.
+	initialRetries  = 10.0
+	maxSavedRetries = 100.0
 )
 
 func newRetryBudget(share float64) *retryBudget {
-	return &retryBudget{share: share, tokens: budgetStart}
+	return &retryBudget{share: share, tokens: initialRetries}
 }
 
 func (b *retryBudget) earn() {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	b.tokens = min(budgetMost, b.tokens+b.share)
+	b.tokens = min(maxSavedRetries, b.tokens+b.share)
 }
 
 func (b *retryBudget) spend() bool {
--- a/services/daemon/relay/slow_reader_test.go
+++ b/services/daemon/relay/slow_reader_test.go
@@ -20,7 +20,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// slowCaller takes each part of an answer only after a while.
+// slowCaller pauses before it accepts each part of an answer.
 type slowCaller struct {
 	header http.Header
 	pause  time.Duration
@@ -38,35 +38,35 @@
 	return c.body.Write(p)
 }
 
-// endedBody fails once its exchange has ended, as one that comes from a connection.
-type endedBody struct {
+// contextBody fails once the context of its exchange has ended, like the body of a real connection.
+type contextBody struct {
 	io.Reader
 	ctx context.Context
 }
 
-func (b endedBody) Read(p []byte) (int, error) {
+func (b contextBody) Read(p []byte) (int, error) {
 	if err := b.ctx.Err(); err != nil {
 		return 0, err
 	}
 	return b.Reader.Read(p)
 }
 
-// TestACallerThatReadsSlowlyIsNoSilentEndpoint: while a write to the caller blocked, the time for which the endpoint may be silent went on,
-// so that a stream was cut in its middle although all of it was there to be read, and its caller read it.
-func TestACallerThatReadsSlowlyIsNoSilentEndpoint(t *testing.T) {
+// Guards against a stream that is aborted because its caller reads slowly: while a write to the caller blocked, the silence timer of the
+// endpoint kept running, although the rest of the stream could be read and the caller was still reading.
+func TestSlowCallerDoesNotCountAsSilentEndpoint(t *testing.T) {
 	const silent = 100 * time.Millisecond
 	var events strings.Builder
 	for range 100 {
 		fmt.Fprintf(&events, "data: {\"model\":\"a@1\",\"text\":%q}\n\n", strings.Repeat("x", 1000))
 	}
 	events.WriteString("data: [DONE]\n\n")
-	b := newBench()
+	b := newTestRelay()
 	service := relay.New(relay.Options{
 		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) {}, Note: func(fleet.Event) {}},
 		Dialect: engine.Dialect{
 			Start: func(ctx context.Context, c engine.Call) (*http.Response, error) {
 				header := http.Header{engine.HeaderRequestID: {c.RequestID}}
-				return &http.Response{StatusCode: http.StatusOK, Header: header, Body: io.NopCloser(endedBody{strings.NewReader(events.String()), ctx})}, nil
+				return &http.Response{StatusCode: http.StatusOK, Header: header, Body: io.NopCloser(contextBody{strings.NewReader(events.String()), ctx})}, nil
 			},
 			Cancel: func(context.Context, fleet.Endpoint, string) error { return nil },
 		},
--- a/services/daemon/relay/writer.go
+++ b/services/daemon/relay/writer.go
@@ -9,12 +9,12 @@
 	"time"
 )
 
-// writer passes an answer to the caller and counts what has been passed on.
+// writer writes an answer to the caller and counts the written events.
 type writer struct {
 	w          http.ResponseWriter
 	controller *http.ResponseController
 	flusher    http.Flusher
-	// timeout bounds how long the caller may take to read what is written.
+	// timeout is the maximum time that the caller may take to read the written data.
 	timeout  time.Duration
 	now      func() time.Time
 	timer    func(at time.Time) time.Time
@@ -26,7 +26,7 @@
 }
 
 func newWriter(w http.ResponseWriter, options Options) *writer {
-	// A writer without Flush, as of a test, leaves flusher nil, and nothing is flushed.
+	// If w does not implement http.Flusher, as in some tests, flusher is nil and nothing is flushed.
 	flusher, _ := w.(http.Flusher)
 	return &writer{w: w, controller: http.NewResponseController(w), flusher: flusher, timeout: options.SlowReader, now: options.Now, timer: options.Timer}
 }
@@ -35,17 +35,18 @@
 	return o.w.Header()
 }
 
-// renewalParts is the part of the time-out, one over this, in which a deadline that was set is left as it is: a write may end after half of
-// the time-out at the earliest, for one call in place of one an event.
-const renewalParts = 2
+// deadlineRenewalDivisor is the divisor of the timeout that gives the remaining time from which the write deadline is extended. Setting the
+// deadline that seldom avoids a call for each event, but a write may time out after half of the timeout already.
+const deadlineRenewalDivisor = 2
 
-// extend moves the caller's deadline on, at most once in a while, since it costs a call.
+// extend extends the caller's write deadline. It does so only if at most timeout/deadlineRenewalDivisor is left, since
+// each change costs a call.
 func (o *writer) extend(now time.Time) {
-	if o.deadline.Sub(now) > o.timeout/renewalParts {
+	if o.deadline.Sub(now) > o.timeout/deadlineRenewalDivisor {
 		return
 	}
 	o.deadline = now.Add(o.timeout)
-	// Not every writer knows deadlines; without one a slow reader is bounded by the connection itself.
+	// Not every ResponseWriter supports deadlines. Without one, only the connection itself limits a slow reader.
 	_ = o.controller.SetWriteDeadline(o.timer(o.deadline))
 }
 
