--- a/services/daemon/control/claim/answer.go
+++ b/services/daemon/control/claim/answer.go
@@ -13,32 +13,32 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
 )
 
-// ErrBadOwner reports a stored owner that cannot be decoded. The pool is then not claimed.
-type ErrBadOwner struct {
+// ErrInvalidOwner reports a stored owner that cannot be decoded. The pool is then not claimed.
+type ErrInvalidOwner struct {
 	Key    string
 	Reason string
 }
 
 // Error returns the message with the key.
-func (e ErrBadOwner) Error() string {
+func (e ErrInvalidOwner) Error() string {
 	return fmt.Sprintf("cannot decode the owner stored under %s: %s", e.Key, e.Reason)
 }
 
-// Last is a pool's last owner as read from the key-value service.
-type Last struct {
+// LastOwner is a pool's last owner as read from the key-value service.
+type LastOwner struct {
 	Owner lease.StoredOwner
 	// Revision is the revision of the key; 0 if the key does not exist.
 	Revision int64
 }
 
 // Decode decodes the last owner. If the key was not found, the pool never had an owner. The error is an ErrBadOwner.
-func Decode(pair kv.Pair, found bool) (Last, error) {
+func Decode(pair kv.Pair, found bool) (LastOwner, error) {
 	if !found {
-		return Last{}, nil
+		return LastOwner{}, nil
 	}
-	last := Last{Revision: pair.ModRevision}
+	last := LastOwner{Revision: pair.ModRevision}
 	if err := json.Unmarshal(pair.Value, &last.Owner); err != nil {
-		return Last{}, ErrBadOwner{Key: string(pair.Key), Reason: err.Error()}
+		return LastOwner{}, ErrInvalidOwner{Key: string(pair.Key), Reason: err.Error()}
 	}
 	return last, nil
 }
--- a/services/daemon/control/claim/claim_test.go
+++ b/services/daemon/control/claim/claim_test.go
@@ -52,7 +52,7 @@
 }
 
 // readLastOwner returns the pool's last owner.
-func readLastOwner(t *testing.T, c *kv.Client) claim.Last {
+func readLastOwner(t *testing.T, c *kv.Client) claim.LastOwner {
 	t.Helper()
 	pair, found, err := c.Get(context.Background(), keys.Owner)
 	require.NoError(t, err)
@@ -62,7 +62,7 @@
 }
 
 // newAttempt returns an attempt of the instance with the identifier, based on the owner that it last read.
-func newAttempt(id string, leaseID int64, last claim.Last) claim.Attempt {
+func newAttempt(id string, leaseID int64, last claim.LastOwner) claim.Attempt {
 	return claim.Attempt{Keys: keys, Lease: leaseID, Revision: last.Revision, Owner: last.Owner.Successor(id, boot)}
 }
 
@@ -156,13 +156,13 @@
 	value := []byte(`{"holder":"i2","boot":7}`)
 	last, err := claim.Decode(kv.Pair{Value: value, ModRevision: 4}, true)
 	require.NoError(t, err)
-	require.Equal(t, claim.Last{Owner: lease.StoredOwner{Holder: anotherID, Boot: boot}, Revision: 4}, last)
+	require.Equal(t, claim.LastOwner{Owner: lease.StoredOwner{Holder: anotherID, Boot: boot}, Revision: 4}, last)
 	last, err = claim.Decode(kv.Pair{}, false)
 	require.NoError(t, err)
 	require.Zero(t, last, "a pool that never had an owner")
 	for _, value := range []string{"", "{", `{"boot":-1}`, "[]"} {
 		_, err = claim.Decode(kv.Pair{Key: []byte(keys.Owner), Value: []byte(value), ModRevision: 4}, true)
-		require.ErrorAs(t, err, &claim.ErrBadOwner{}, "%q", value)
+		require.ErrorAs(t, err, &claim.ErrInvalidOwner{}, "%q", value)
 		require.ErrorContains(t, err, keys.Owner, "%q", value)
 	}
 }
--- a/services/daemon/control/failure_log_test.go
+++ b/services/daemon/control/failure_log_test.go
@@ -133,7 +133,7 @@
 func TestFailedReadOfPlatformListIsLogged(t *testing.T) {
 	w := newHarnessWith(t, func(o *control.Options) {
 		o.KV = failingKV(t, func(string, string) bool { return true })
-		o.ListEach = time.Millisecond
+		o.ListInterval = time.Millisecond
 		o.List = func(context.Context) (instancelist.List, error) { return instancelist.List{}, errors.New("test") }
 	})
 	w.awaitFailure("list", "")
--- a/services/daemon/control/owner_pool.go
+++ b/services/daemon/control/owner_pool.go
@@ -40,16 +40,16 @@
 }
 
 // readLast reads a pool's last owner. It returns false if the call fails or the stored owner cannot be decoded.
-func (o *owner) readLast(pool string) (claim.Last, bool) {
+func (o *owner) readLast(pool string) (claim.LastOwner, bool) {
 	pair, found, err := o.service.options.KV.Get(o.service.ctx, o.keys(pool).Owner)
 	if err != nil {
 		o.logFailure(callReadOwner, pool, err)
-		return claim.Last{}, false
+		return claim.LastOwner{}, false
 	}
 	last, err := claim.Decode(pair, found)
 	if err != nil {
 		o.logFailure(callReadOwner, pool, err)
-		return claim.Last{}, false
+		return claim.LastOwner{}, false
 	}
 	return last, true
 }
--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -24,17 +24,17 @@
 
 // Options are the settings and dependencies of a control service.
 type Options struct {
-	Node     node.Options
-	Seeds    []fleet.Instance
-	Dialect  engine.Dialect
-	KV       *kv.Client
-	Prefix   string
-	List     func(ctx context.Context) (instancelist.List, error)
-	ListEach time.Duration
-	Send     func(fleet.Envelope)
-	Log      *logrus.Entry
-	Metrics  *metric.Metrics
-	Journal  *journal.Journal
+	Node         node.Options
+	Seeds        []fleet.Instance
+	Dialect      engine.Dialect
+	KV           *kv.Client
+	Prefix       string
+	List         func(ctx context.Context) (instancelist.List, error)
+	ListInterval time.Duration
+	Send         func(fleet.Envelope)
+	Log          *logrus.Entry
+	Metrics      *metric.Metrics
+	Journal      *journal.Journal
 	// Now is the clock of the control goroutine.
 	Now func() time.Time
 }
@@ -182,8 +182,8 @@
 	s.enqueue(recordsInput{records: r})
 }
 
-// Note records an event of the traffic path.
-func (s *Service) Note(e fleet.Event) {
+// RecordEvent records an event of the traffic path.
+func (s *Service) RecordEvent(e fleet.Event) {
 	e.Instance = s.options.Node.Self.ID
 	s.recordEvent(e)
 }
@@ -230,7 +230,7 @@
 	if s.options.List == nil {
 		return
 	}
-	ticker := time.NewTicker(s.options.ListEach)
+	ticker := time.NewTicker(s.options.ListInterval)
 	defer ticker.Stop()
 	failures := newFailureLog(s.options)
 	for {
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -129,7 +129,7 @@
 	}
 	d.control = control.New(control.Options{
 		Node: nodeOptions(d.settings, d.self, uint64(time.Now().UnixMilli())), Seeds: d.settings.SeedInstances(), Dialect: dialect, KV: d.kv,
-		Prefix: d.settings.KV.Prefix, List: readList, ListEach: d.settings.Platform.Every.Duration(), Send: func(e fleet.Envelope) { d.links.Send(e) },
+		Prefix: d.settings.KV.Prefix, List: readList, ListInterval: d.settings.Platform.Every.Duration(), Send: func(e fleet.Envelope) { d.links.Send(e) },
 		Log: d.log, Metrics: d.metrics, Journal: d.journal, Now: d.clock.Now,
 	})
 	d.query = query.New(query.Options{
@@ -183,11 +183,11 @@
 	d.claimer = once.New(once.Store{Txn: d.kv.Txn, Get: d.kv.Get, Grant: d.kv.Grant}, options, d.clock.Now)
 	go d.claimer.Run(ctx)
 	d.relay = relay.New(relay.Options{
-		Control: relay.Control{Submit: d.control.Submit, Abandon: d.control.Abandon, Finish: d.control.Finish, Note: d.control.Note},
+		Control: relay.Control{Submit: d.control.Submit, Abandon: d.control.Abandon, Finish: d.control.Finish, RecordEvent: d.control.RecordEvent},
 		Claims:  relay.Claims{Claim: d.claimer.Claim, Release: d.claimer.Release},
 		Dialect: dialect, Endpoints: s.FleetEndpoints(), Metrics: d.metrics, MaxAttempts: s.Limits.MaxAttempts, RetryShare: s.Limits.RetryShare,
 		SlowReader: s.Limits.SlowReader.Duration(), EndpointSilent: s.Limits.EndpointSilent.Duration(), CancelLife: cancelLife, Now: d.clock.Now,
-		Timer: d.clock.Timer, Refuses: refuses,
+		Timer: d.clock.Timer, RefusesConnections: refuses,
 	})
 }
 
--- a/services/daemon/process/daemon.go
+++ b/services/daemon/process/daemon.go
@@ -200,7 +200,7 @@
 		return
 	}
 	d.log.WithError(err).Warn("requests are still in flight at the drain limit")
-	d.relay.End()
+	d.relay.EndRequests()
 	if err := d.callers.Wait(ctx); err != nil {
 		d.log.WithError(err).Warn("callers were not told in time that their requests end")
 	}
--- a/services/daemon/relay/crash.go
+++ b/services/daemon/relay/crash.go
@@ -82,7 +82,7 @@
 	case err == nil:
 		r.service.crashRecords.recordAnswered(now, r.fingerprint)
 	case engine.IsErrNotRun(err):
-	case ctx.Err() == nil && r.service.options.Refuses(ctx, r.service.endpoints[r.ticket.Endpoint].Address):
+	case ctx.Err() == nil && r.service.options.RefusesConnections(ctx, r.service.endpoints[r.ticket.Endpoint].Address):
 		r.service.crashRecords.recordCrash(now, r.fingerprint, endpoint)
 	default:
 		r.service.crashRecords.recordUnanswered(now, r.fingerprint, endpoint)
--- a/services/daemon/relay/crash_test.go
+++ b/services/daemon/relay/crash_test.go
@@ -34,7 +34,7 @@
 				answers <- control.Answer{Granted: true, NotAfter: now().Add(time.Hour), Ticket: fleet.Ticket{ID: "t", RequestID: r.ID, Endpoint: "e", Incarnation: fmt.Sprint(*sent)}}
 				return answers
 			},
-			Abandon: func(string) {}, Finish: func(string) {}, Note: func(fleet.Event) {},
+			Abandon: func(string) {}, Finish: func(string) {}, RecordEvent: func(fleet.Event) {},
 		},
 		Claims: relay.Claims{
 			Claim:   func(context.Context, string, string) once.Result { return once.Claimed },
@@ -47,8 +47,8 @@
 			},
 			Cancel: func(context.Context, fleet.Endpoint, string) error { return nil },
 		},
-		Refuses: func(context.Context, netip.AddrPort) bool { return refuses },
-		Metrics: metric.New(metric.Options{MaxCallers: 5, MaxClasses: 5}), MaxAttempts: 1, SlowReader: time.Minute, EndpointSilent: time.Minute,
+		RefusesConnections: func(context.Context, netip.AddrPort) bool { return refuses },
+		Metrics:            metric.New(metric.Options{MaxCallers: 5, MaxClasses: 5}), MaxAttempts: 1, SlowReader: time.Minute, EndpointSilent: time.Minute,
 		CancelLife: time.Second, Now: now,
 	})
 }
--- a/services/daemon/relay/relay_test.go
+++ b/services/daemon/relay/relay_test.go
@@ -60,7 +60,7 @@
 func newTestRelay(attempts ...attempt) *testRelay {
 	b := &testRelay{attempts: attempts, claim: once.Claimed}
 	b.relay = relay.New(relay.Options{
-		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) { b.mutex.Lock(); b.finished++; b.mutex.Unlock() }, Note: func(fleet.Event) {}},
+		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) { b.mutex.Lock(); b.finished++; b.mutex.Unlock() }, RecordEvent: func(fleet.Event) {}},
 		Claims: relay.Claims{
 			Claim:   func(context.Context, string, string) once.Result { return b.claim },
 			Release: b.release,
@@ -169,7 +169,7 @@
 func TestClaimedRequestIsAnsweredAtStopWhileStoreIsSilent(t *testing.T) {
 	b := newTestRelay()
 	b.waits, b.silentStore = true, true
-	time.AfterFunc(50*time.Millisecond, b.relay.End)
+	time.AfterFunc(50*time.Millisecond, b.relay.EndRequests)
 	began := time.Now()
 	_, err := b.serve(true)
 	var refused relay.ErrNotRun
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -279,7 +279,7 @@
 
 // recordEvent records an event of the request.
 func (r *run) recordEvent(kind fleet.EventKind, cause string) {
-	r.service.options.Control.Note(fleet.Event{
+	r.service.options.Control.RecordEvent(fleet.Event{
 		At: r.service.options.Now(), Kind: kind, Cause: cause, Request: r.job.Request.ID, Adapter: r.job.Request.Adapter.String(),
 		Endpoint: r.ticket.Endpoint, Pool: r.ticket.Pool, Fence: r.ticket.Fence,
 	})
--- a/services/daemon/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -20,10 +20,10 @@
 
 // Control contains the functions of the control service that the relay uses.
 type Control struct {
-	Submit  func(r fleet.Request) <-chan control.Answer
-	Abandon func(requestID string)
-	Finish  func(ticketID string)
-	Note    func(e fleet.Event)
+	Submit      func(r fleet.Request) <-chan control.Answer
+	Abandon     func(requestID string)
+	Finish      func(ticketID string)
+	RecordEvent func(e fleet.Event)
 }
 
 // Claims contains the functions by which the relay claims requests that must not run twice.
@@ -47,9 +47,9 @@
 	// CancelLife is the time for which cancel calls are repeated for a request that may still run.
 	CancelLife time.Duration
 	Now        func() time.Time
-	// Refuses reports whether an endpoint's address refuses connections, since no process listens on it. If Refuses is nil, no
+	// RefusesConnections reports whether an endpoint's address refuses connections, since no process listens on it. If Refuses is nil, no
 	// address counts as refusing.
-	Refuses func(ctx context.Context, address netip.AddrPort) bool
+	RefusesConnections func(ctx context.Context, address netip.AddrPort) bool
 	// Timer returns the time at which a timer must fire for a time of Now. If Timer is nil, timers use the clock of Now.
 	Timer func(at time.Time) time.Time
 }
@@ -70,8 +70,8 @@
 
 // New creates a relay.
 func New(o Options) *Service {
-	if o.Refuses == nil {
-		o.Refuses = func(context.Context, netip.AddrPort) bool { return false }
+	if o.RefusesConnections == nil {
+		o.RefusesConnections = func(context.Context, netip.AddrPort) bool { return false }
 	}
 	if o.Timer == nil {
 		o.Timer = func(at time.Time) time.Time { return at }
@@ -84,9 +84,9 @@
 	return s
 }
 
-// End cancels all current and future requests, so that their callers are answered before the process ends. Requests that wait for an endpoint
+// EndRequests cancels all current and future requests, so that their callers are answered before the process ends. Requests that wait for an endpoint
 // are reported as not run, the others as unknown.
-func (s *Service) End() {
+func (s *Service) EndRequests() {
 	s.stop()
 }
 
