--- a/services/daemon/control/claim/answer.go
+++ b/services/daemon/control/claim/answer.go
@@ -31,7 +31,7 @@
 	Revision int64
 }
 
-// Decode decodes the last owner. If the key was not found, the pool never had an owner. The error is an ErrBadOwner.
+// Decode decodes the last owner. If the key was not found, the pool never had an owner. The error is an ErrInvalidOwner.
 func Decode(pair kv.Pair, found bool) (LastOwner, error) {
 	if !found {
 		return LastOwner{}, nil
--- a/services/daemon/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -47,7 +47,7 @@
 	// CancelLife is the time for which cancel calls are repeated for a request that may still run.
 	CancelLife time.Duration
 	Now        func() time.Time
-	// RefusesConnections reports whether an endpoint's address refuses connections, since no process listens on it. If Refuses is nil, no
+	// RefusesConnections reports whether an endpoint's address refuses connections, since no process listens on it. If the function is nil, no
 	// address counts as refusing.
 	RefusesConnections func(ctx context.Context, address netip.AddrPort) bool
 	// Timer returns the time at which a timer must fire for a time of Now. If Timer is nil, timers use the clock of Now.
@@ -63,7 +63,7 @@
 	answerBudget *bytebudget.Budget
 	crashRecords *crashRecords
 	inFlight     sync.WaitGroup
-	// stopping is cancelled by End, which cancels each request.
+	// stopping is cancelled by EndRequests, which cancels each request.
 	stopping context.Context
 	stop     context.CancelFunc
 }
