--- a/services/daemon/node/digest/hall.go
+++ b/services/daemon/node/digest/hall.go
@@ -38,8 +38,8 @@
 	lastDigestAt time.Time
 	cut          bool
 	revision     int64
-	// missedSummaries contains the pools of the hall of which a summary was missed; wants contains the pools whose full summary the
-	// hall has requested.
+	// missedSummaries contains the pools of the hall of which a summary was missed; wantedSummaries contains the pools whose full
+	// summary the hall has requested.
 	missedSummaries map[string]bool
 	wantedSummaries []string
 	rotation        int
@@ -91,7 +91,7 @@
 }
 
 // ApplyDigest applies a digest to the state of the hall, except for the digest's placers and pools. The
-// requested summaries of a relayed digest are ignored, since they were requested from the relaying instance.
+// requested summaries of a relayed digest are ignored, since they were requested from the instance that relayed it.
 func (h *Hall) ApplyDigest(now time.Time, d *fleet.Digest) {
 	h.storeNumber(d)
 	h.lastDigestAt = now.Add(-d.Age)
--- a/services/daemon/node/doc.go
+++ b/services/daemon/node/doc.go
@@ -6,7 +6,7 @@
 // program's control state is the coordinator's: there one planner decides for all halls,
 // here each pool has a placer of its own.
 //
-// A Node is a deterministic state machine. Every call takes the current time and returns
+// A Node is a plain state machine without I/O. Every call takes the current time and returns
 // effects. The control service carries the effects out and reports their results by further
 // calls. A message that is lost, delayed or repeated is therefore a call that is missing,
 // late or repeated. The fuzz test connects several nodes by an in-memory message list and
--- a/services/daemon/node/followed/answers.go
+++ b/services/daemon/node/followed/answers.go
@@ -15,7 +15,7 @@
 	MaxImmediateAnswer = 4096
 	// WindowBytes is the maximum number of bytes of larger answers in transit to all askers, 1 MiB; further answers wait. The entry
 	// program's planner uses the same limit (services/entry/coordinator/relay). A higher limit reaches many askers sooner; a lower one
-	// uses less memory and less of the link. An answer larger than the limit is sent while no other answer is in transit.
+	// uses less memory and less of the link. An answer larger than the limit is sent only while no other answer is in transit.
 	WindowBytes = 1048576
 	// minLinkRate is the assumed minimum rate of an instance's link in bytes per second: 10 Mbit/s, the slowest of the users' instances. A
 	// higher rate repeats answers that are still in transit; a lower one repeats lost answers later.
@@ -50,7 +50,7 @@
 	until time.Time
 }
 
-// queuedAsker is a queued asker.
+// queuedAsker is an asker that waits for its answer.
 type queuedAsker struct {
 	Asker
 	size int
@@ -102,7 +102,8 @@
 	a.inTransit[asker.ID] = answerInTransit{boot: asker.Boot, head: head, size: size, until: now.Add(transferTimeout(a.bytesInTransit() + size))}
 }
 
-// RevisionReached records that an instance has a revision in force.
+// RevisionReached records that an instance has a revision in force, so that answers up to that revision are no longer in transit to it
+// and its outdated request leaves the queue.
 func (a *AnswerQueue) RevisionReached(id string, revision int64) {
 	if sent, ok := a.inTransit[id]; ok && revision >= sent.head {
 		delete(a.inTransit, id)
--- a/services/daemon/node/followed/configuration.go
+++ b/services/daemon/node/followed/configuration.go
@@ -31,7 +31,7 @@
 	catalog *catalog.Catalog
 	history *catalog.History
 	head    int64
-	// nextRequestAt is the time of the next request; wait is the time between the last two requests.
+	// nextRequestAt is the time of the next request; requestWait is the time between the last two requests.
 	nextRequestAt time.Time
 	requestWait   time.Duration
 }
--- a/services/daemon/node/lease/lease.go
+++ b/services/daemon/node/lease/lease.go
@@ -19,7 +19,7 @@
 	Renew time.Duration
 	// Retry is the time after which an unanswered request for the ownership of a pool is repeated.
 	Retry time.Duration
-	// NeverLapses is a seeded fault that verifies that the tests detect it.
+	// NeverLapses is a seeded fault. Tests enable it to verify that their checks detect it.
 	NeverLapses bool
 }
 
--- a/services/daemon/node/lease/succession.go
+++ b/services/daemon/node/lease/succession.go
@@ -70,8 +70,8 @@
 	return s
 }
 
-// Unfrozen returns the succession without its freeze. It is a seeded fault that verifies that
-// the tests detect it.
+// Unfrozen returns the succession without its freeze. It is a seeded fault, which tests enable to
+// verify that their checks detect it.
 func (s Succession) Unfrozen() Succession {
 	s.frozen = false
 	return s
--- a/services/daemon/node/options.go
+++ b/services/daemon/node/options.go
@@ -26,7 +26,7 @@
 	Membership membership.Options
 	Budget     budget.Limits
 	Timing     Timing
-	// Defects are seeded faults that verify that the tests detect them.
+	// Defects are seeded faults. Tests enable them to verify that their checks detect them.
 	Defects Defects
 }
 
--- a/services/daemon/node/ownership/takeover.go
+++ b/services/daemon/node/ownership/takeover.go
@@ -91,7 +91,7 @@
 	t.lastFenceLossAt = now
 	t.fenceLosses = min(t.fenceLosses+1, maxFenceLosses)
 	t.takenOver[endpoint] = false
-	// The order is due one retry time after asked, that is 1, 3, 7, 15 and 31 retry times after the loss.
+	// The order is due one retry time after orderedAt, that is 1, 3, 7, 15 and 31 retry times after the loss.
 	pause := t.retry * (1<<t.fenceLosses - 1)
 	t.orderedAt[endpoint] = now.Add(pause - t.retry)
 }
--- a/services/daemon/node/waiting/request.go
+++ b/services/daemon/node/waiting/request.go
@@ -23,7 +23,7 @@
 	// Pool is the chosen pool; Placer is the placer to which the request was last submitted. They are empty before that.
 	Pool   string
 	Placer fleet.Instance
-	// submitAt is the time of the next submission; lostAt is the time since which the pool has had no placer.
+	// submitAt is the time of the next submission; noPlacerSince is the time since which the pool has had no placer.
 	submitAt      time.Time
 	noPlacerSince time.Time
 }
--- a/services/daemon/node/waiting/ticket.go
+++ b/services/daemon/node/waiting/ticket.go
@@ -35,7 +35,7 @@
 	// Age is the time, by the instance's own clock, since it sent the stamp that the grant echoes.
 	// Limit is the maximum age of a grant that is used.
 	Age, Limit time.Duration
-	// AcceptOld is a seeded fault that verifies that the tests detect it.
+	// AcceptOld is a seeded fault. Tests enable it to verify that their checks detect it.
 	AcceptOld bool
 }
 
