--- a/services/daemon/relay/crash_test.go
+++ b/services/daemon/relay/crash_test.go
@@ -24,9 +24,9 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// crashing gives a relay whose endpoints all break requests off, and whether they refuse connections since; each sending is at another
-// incarnation.
-func crashing(refuses bool, now func() time.Time, sent *int) *relay.Service {
+// newCrashingRelay returns a relay whose endpoints break off all requests and, if refuses is true, refuse connections after that. Each attempt gets
+// another incarnation.
+func newCrashingRelay(refuses bool, now func() time.Time, sent *int) *relay.Service {
 	return relay.New(relay.Options{
 		Control: relay.Control{
 			Submit: func(r fleet.Request) <-chan control.Answer {
@@ -34,7 +34,7 @@
 				answers <- control.Answer{Granted: true, NotAfter: now().Add(time.Hour), Ticket: fleet.Ticket{ID: "t", RequestID: r.ID, Endpoint: "e", Incarnation: fmt.Sprint(*sent)}}
 				return answers
 			},
-			Abandon: func(string) {}, Finish: func(string) {}, Note: func(fleet.Event) {},
+			Abandon: func(string) {}, Finish: func(string) {}, RecordEvent: func(fleet.Event) {},
 		},
 		Claims: relay.Claims{
 			Claim:   func(context.Context, string, string) once.Result { return once.Claimed },
@@ -47,18 +47,18 @@
 			},
 			Cancel: func(context.Context, fleet.Endpoint, string) error { return nil },
 		},
-		Refuses: func(context.Context, netip.AddrPort) bool { return refuses },
-		Metrics: metric.New(metric.Options{MaxCallers: 5, MaxClasses: 5}), MaxAttempts: 1, SlowReader: time.Minute, EndpointSilent: time.Minute,
+		RefusesConnections: func(context.Context, netip.AddrPort) bool { return refuses },
+		Metrics:            metric.New(metric.Options{MaxCallers: 5, MaxClasses: 5}), MaxAttempts: 1, SlowReader: time.Minute, EndpointSilent: time.Minute,
 		CancelLife: time.Second, Now: now,
 	})
 }
 
-// TestARequestThatCrashesItsEndpointsIsHeldBack: the daemon sent it to one endpoint after the other, as often as its caller came.
-func TestARequestThatCrashesItsEndpointsIsHeldBack(t *testing.T) {
+// Guards against a request that crashes its endpoints: the daemon sent it to one endpoint after the other, each time its caller repeated it.
+func TestRequestThatCrashesEndpointsIsHeldBack(t *testing.T) {
 	for name, refuses := range map[string]bool{"the endpoints end": true, "only connections are reset": false} {
 		t.Run(name, func(t *testing.T) {
 			now, sent := time.Now(), 0
-			service := crashing(refuses, func() time.Time { return now }, &sent)
+			service := newCrashingRelay(refuses, func() time.Time { return now }, &sent)
 			for range 8 {
 				err := service.Serve(t.Context(), httptest.NewRecorder(), relay.Job{Request: fleet.Request{ID: "q"}, Method: "POST", Path: "/p", Body: []byte("b"), Plain: true})
 				require.Error(t, err)
