--- a/modules/shelfctl/operatorclient/client.go
+++ b/modules/shelfctl/operatorclient/client.go
@@ -18,82 +18,86 @@
 	"github.com/shelfledge/shelfledge/routers/daemon/operator"
 )
 
-// Options are the settings of a client.
+// Options configures a Client.
 type Options struct {
+	// Addresses are the daemons' operator listeners, in the order in which they are tried.
 	Addresses []netip.AddrPort
-	Key       string
-	// TLS makes the client use https by the given HTTP client.
+	// Key is sent as the bearer token.
+	Key string
+	// TLS selects the https scheme; HTTP then needs a transport with the TLS configuration.
 	TLS  bool
 	HTTP *http.Client
-	// Wait is how long changes are waited for until they are in force everywhere.
+	// Wait is how long a daemon waits for a change to be in force in every hall before it answers.
 	Wait time.Duration
-	// Rounds is how often all addresses are tried.
+	// Rounds is how many times the list of addresses is tried; values below 1 count as 1.
 	Rounds int
 }
 
-// ErrNoDaemon reports that no daemon answered.
+// ErrNoDaemon reports that no daemon gave a final answer.
 type ErrNoDaemon struct {
+	// Reason describes the failure of the last attempt.
 	Reason string
-	// Sent is true where some daemon may have taken the statements.
+	// Sent is true if a daemon may have executed the statements.
 	Sent bool
 }
 
-// Error gives the last reason.
+// Error implements error.
 func (e ErrNoDaemon) Error() string {
 	return "no daemon answered: " + e.Reason
 }
 
-// IsErrNoDaemon tells whether an error is an ErrNoDaemon.
+// IsErrNoDaemon reports whether err is an ErrNoDaemon.
 func IsErrNoDaemon(err error) bool {
 	var e ErrNoDaemon
 	return errors.As(err, &e)
 }
 
-// Client sends statements; it is safe for concurrent use.
+// Client sends operators' statements to daemons; it is safe for concurrent use.
 type Client struct {
 	options Options
 }
 
-// New makes a client.
+// New returns a client with the given options.
 func New(o Options) *Client {
 	return &Client{options: o}
 }
 
-// roundPause is the wait before all addresses are tried again.
+// roundPause is the wait between two rounds over all addresses.
 const roundPause = 300 * time.Millisecond
 
-// Run sends a text under one identifier, so that a repeat at another daemon changes nothing twice. It gives ErrNoDaemon where no
-// address gave an answer; what a daemon refused is in the answer.
+// Run sends the statements in text to the addresses in turn until a daemon gives a final answer. All attempts carry the same request
+// identifier, so that a retry at another daemon does not apply a change twice. Run returns ErrNoDaemon if no daemon answered; an error
+// that a daemon reports is in the response.
 func (c *Client) Run(ctx context.Context, text string) (operator.RunResponse, error) {
 	in := operator.RunRequest{Text: text, ID: uuid.NewString(), WaitMS: c.options.Wait.Milliseconds()}
-	last := ErrNoDaemon{Reason: "no address is given"}
+	lastErr := ErrNoDaemon{Reason: "no address is given"}
 	for round := range max(1, c.options.Rounds) {
 		if round > 0 {
 			time.Sleep(roundPause)
 		}
 		for _, address := range c.options.Addresses {
 			out, err := c.send(ctx, address, in)
-			if err == nil && !worthAnother(out) {
+			if err == nil && !isRetryable(out) {
 				return out, nil
 			}
 			if ctx.Err() != nil {
 				return out, ErrNoDaemon{Reason: ctx.Err().Error(), Sent: true}
 			}
 			if err == nil {
-				last = ErrNoDaemon{Reason: out.Error.Message, Sent: last.Sent || out.Error.Kind == operator.KindUnsettled}
+				lastErr = ErrNoDaemon{Reason: out.Error.Message, Sent: lastErr.Sent || out.Error.Kind == operator.KindUnsettled}
 				if round == max(1, c.options.Rounds)-1 {
 					return out, nil
 				}
 				continue
 			}
-			last = ErrNoDaemon{Reason: fmt.Sprintf("%s: %s", address, err), Sent: true}
+			lastErr = ErrNoDaemon{Reason: fmt.Sprintf("%s: %s", address, err), Sent: true}
 		}
 	}
-	return operator.RunResponse{}, last
+	return operator.RunResponse{}, lastErr
 }
 
-// worthAnother tells answers that another daemon, or a later try, may better.
-func worthAnother(r operator.RunResponse) bool {
+// isRetryable reports whether another daemon or a later attempt may succeed where this response reports an error.
+func isRetryable(r operator.RunResponse) bool {
 	return r.Error != nil && (r.Error.Kind == operator.KindUnavailable || r.Error.Kind == operator.KindUnsettled)
 }
 
@@ -101,7 +105,7 @@
 	var out operator.RunResponse
 	body, err := json.Marshal(in)
 	if err != nil {
-		return out, fmt.Errorf("encode: %w", err)
+		return out, fmt.Errorf("encode request: %w", err)
 	}
 	scheme := "http"
 	if c.options.TLS {
@@ -109,7 +113,7 @@
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, scheme+"://"+address.String()+"/operator/v1/run", bytes.NewReader(body))
 	if err != nil {
-		return out, fmt.Errorf("request: %w", err)
+		return out, fmt.Errorf("create request: %w", err)
 	}
 	req.Header.Set("Authorization", "Bearer "+c.options.Key)
 	req.Header.Set("Content-Type", "application/json")
@@ -117,10 +121,10 @@
 	if err != nil {
 		return out, fmt.Errorf("send: %w", err)
 	}
-	// The answer is whole once it was read.
+	// An error of Close is ignored: the response has been decoded by then.
 	defer func() { _ = resp.Body.Close() }()
 	if err := json.NewDecoder(resp.Body).Decode(&out); err != nil {
-		return out, fmt.Errorf("answer %s: %w", resp.Status, err)
+		return out, fmt.Errorf("decode response with status %q: %w", resp.Status, err)
 	}
 	return out, nil
 }
--- a/modules/shelfctl/operatorclient/client_test.go
+++ b/modules/shelfctl/operatorclient/client_test.go
@@ -19,16 +19,17 @@
 	"github.com/shelfledge/shelfledge/routers/daemon/operator"
 )
 
-// daemon answers with the given kinds of error in turn, and the last one for good; an empty kind is success.
-type daemon struct {
+// fakeDaemon answers successive requests with the given error kinds in order and repeats the last kind after that; an empty kind is a
+// success.
+type fakeDaemon struct {
 	address netip.AddrPort
 	calls   atomic.Int64
 	ids     chan string
 }
 
-func newDaemon(t *testing.T, kinds ...operator.ErrorKind) *daemon {
+func newFakeDaemon(t *testing.T, kinds ...operator.ErrorKind) *fakeDaemon {
 	t.Helper()
-	d := &daemon{ids: make(chan string, 100)}
+	d := &fakeDaemon{ids: make(chan string, 100)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		var in operator.RunRequest
 		if err := json.NewDecoder(q.Body).Decode(&in); err != nil {
@@ -48,7 +49,7 @@
 	return d
 }
 
-func run(rounds int, daemons ...*daemon) (operator.RunResponse, error) {
+func runStatements(rounds int, daemons ...*fakeDaemon) (operator.RunResponse, error) {
 	o := operatorclient.Options{HTTP: &http.Client{Timeout: 5 * time.Second}, Rounds: rounds}
 	for _, d := range daemons {
 		o.Addresses = append(o.Addresses, d.address)
@@ -56,52 +57,52 @@
 	return operatorclient.New(o).Run(context.Background(), "show adapters")
 }
 
-// closed is a daemon that does not listen any more.
-func closed() *daemon {
+// closedDaemon returns a daemon whose listener is closed.
+func closedDaemon() *fakeDaemon {
 	server := httptest.NewServer(http.NotFoundHandler())
-	d := &daemon{address: netip.MustParseAddrPort(server.Listener.Addr().String())}
+	d := &fakeDaemon{address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 	server.Close()
 	return d
 }
 
-func TestTheNextDaemonIsAskedWhereOneDoesNotAnswer(t *testing.T) {
-	d := newDaemon(t, "")
-	out, err := run(1, closed(), d)
+func TestRunTriesNextDaemonAfterConnectionFailure(t *testing.T) {
+	d := newFakeDaemon(t, "")
+	out, err := runStatements(1, closedDaemon(), d)
 	require.NoError(t, err)
 	require.Equal(t, "ana", out.Operator)
 }
 
-func TestOneAnswerIsFinalUnlessAnotherMayBeBetter(t *testing.T) {
-	for kind, others := range map[operator.ErrorKind]int64{
+func TestRunRetriesOnlyUnavailableAndUnsettled(t *testing.T) {
+	for kind, secondCalls := range map[operator.ErrorKind]int64{
 		"": 0, operator.KindSyntax: 0, operator.KindMeaning: 0, operator.KindConflict: 0, operator.KindDenied: 0, operator.KindTooMany: 0,
 		operator.KindUnavailable: 1, operator.KindUnsettled: 1,
 	} {
-		first, second := newDaemon(t, kind), newDaemon(t, "")
-		_, err := run(2, first, second)
+		first, second := newFakeDaemon(t, kind), newFakeDaemon(t, "")
+		_, err := runStatements(2, first, second)
 		require.NoError(t, err)
 		require.Equal(t, int64(1), first.calls.Load(), "%q", kind)
-		require.Equal(t, others, second.calls.Load(), "%q", kind)
+		require.Equal(t, secondCalls, second.calls.Load(), "%q", kind)
 	}
 }
 
-func TestEveryTryHasTheSameIdentifier(t *testing.T) {
-	d := newDaemon(t, operator.KindUnsettled, "")
-	_, err := run(3, d)
+func TestRunKeepsIdentifierOnRetry(t *testing.T) {
+	d := newFakeDaemon(t, operator.KindUnsettled, "")
+	_, err := runStatements(3, d)
 	require.NoError(t, err)
 	require.Equal(t, <-d.ids, <-d.ids)
 }
 
-func TestTheLastRoundsAnswerIsGiven(t *testing.T) {
-	d := newDaemon(t, operator.KindUnavailable)
-	out, err := run(2, d)
+func TestRunReturnsAnswerOfLastRound(t *testing.T) {
+	d := newFakeDaemon(t, operator.KindUnavailable)
+	out, err := runStatements(2, d)
 	require.NoError(t, err)
 	require.Equal(t, operator.KindUnavailable, out.Error.Kind)
 	require.Equal(t, int64(2), d.calls.Load())
 }
 
-func TestNoDaemonIsAnErrorOfItsOwn(t *testing.T) {
-	_, err := run(1)
+func TestRunReturnsErrNoDaemon(t *testing.T) {
+	_, err := runStatements(1)
 	require.Equal(t, operatorclient.ErrNoDaemon{Reason: "no address is given"}, err)
-	_, err = run(1, closed())
+	_, err = runStatements(1, closedDaemon())
 	require.True(t, operatorclient.IsErrNoDaemon(err))
 }
--- a/modules/shelfctl/operatorclient/doc.go
+++ b/modules/shelfctl/operatorclient/doc.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package operatorclient sends statements to the operators' listeners of several daemons in turn, until one answers.
+// Package operatorclient sends operators' statements to daemons. It tries the daemons' operator listeners in turn until
+// one answers.
 //
-// A Client owns no state but its HTTP client's connections. It relies on the types of routers/daemon/operator for the
-// wire and starts no goroutines.
+// A Client has no state except the connections of its HTTP client. It uses the wire types of routers/daemon/operator
+// and starts no goroutines.
 package operatorclient
