--- a/models/daemon/catalog/catalog.go
+++ b/models/daemon/catalog/catalog.go
@@ -10,45 +10,47 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Version is one immutable set of weights of an adapter.
+// Version is one version of an adapter: an immutable set of weights.
 type Version struct {
 	Number  int    `json:"n"`
 	Source  string `json:"s,omitempty"`
 	Retired bool   `json:"r,omitempty"`
 }
 
-// Adapter is one LoRA adapter with its versions.
+// Adapter is a LoRA adapter with its versions.
 type Adapter struct {
-	Name     string    `json:"name"`
-	Base     string    `json:"base"`
+	Name string `json:"name"`
+	// Base is the base model.
+	Base string `json:"base"`
+	// Live is the number of the version that requests without a version get; zero means none.
 	Live     int       `json:"live"`
 	Versions []Version `json:"versions"`
 }
 
-// WholePercent is what the shares of a service add up to, in percent.
+// WholePercent is the sum of the shares of a service, in percent.
 const WholePercent = 100
 
-// Share is one adapter version's part of a service's requests, in percent.
+// Share is the part of a service's requests that one adapter version gets.
 type Share struct {
 	Adapter string `json:"adapter"`
-	// Version zero means the adapter's live version.
+	// Version is zero for the adapter's live version.
 	Version int `json:"version,omitempty"`
 	Percent int `json:"percent"`
 }
 
-// Service is a name for callers that stands for one or more adapter versions.
+// Service is a model name that distributes its requests over one or more adapter versions.
 type Service struct {
 	Name   string  `json:"name"`
 	Shares []Share `json:"shares"`
 }
 
-// Budget is the weight store's rate, in loads a second and loads at once at full speed.
+// Budget limits the loads from the weight store: their rate and the number that can run at once at full speed.
 type Budget struct {
 	LoadsPerSecond float64 `json:"loads_per_second"`
 	AtFullSpeed    int     `json:"at_full_speed"`
 }
 
-// Catalog is the whole configuration at one revision.
+// Catalog is the complete operators' configuration at one revision.
 type Catalog struct {
 	Revision int64
 	Adapters map[string]*Adapter
@@ -57,11 +59,12 @@
 	Classes  map[string]fleet.Class
 	Pins     map[fleet.AdapterRef]bool
 	Preloads map[fleet.AdapterRef]bool
-	Drained  map[string]bool
-	Budget   Budget
+	// Drained holds the names of drained endpoints and halls.
+	Drained map[string]bool
+	Budget  Budget
 }
 
-// New gives the empty configuration, revision zero.
+// New returns an empty catalog with revision zero.
 func New() *Catalog {
 	return &Catalog{
 		Adapters: make(map[string]*Adapter),
@@ -73,7 +76,7 @@
 	}
 }
 
-// clone copies the catalog; adapters and services are shared until replaced.
+// clone returns a copy of the catalog that shares the adapters and services. A change replaces them and does not modify them.
 func (c *Catalog) clone() *Catalog {
 	out := *c
 	out.Adapters = maps.Clone(c.Adapters)
@@ -86,8 +89,8 @@
 	return &out
 }
 
-// inService tells whether the adapter has the version and it is not retired.
-func (a *Adapter) inService(number int) bool {
+// hasActiveVersion reports whether the adapter has the version and the version is not retired.
+func (a *Adapter) hasActiveVersion(number int) bool {
 	for _, v := range a.Versions {
 		if v.Number == number && !v.Retired {
 			return true
@@ -96,15 +99,16 @@
 	return false
 }
 
-// Target is what a caller's model name stands for.
+// Target is the adapter version that a model name resolves to.
 type Target struct {
-	Ref     fleet.AdapterRef
-	Base    string
+	Ref  fleet.AdapterRef
+	Base string
+	// Service is the name of the service through which the name was resolved, or empty.
 	Service string
 }
 
-// Resolve turns adapter@version, adapter or a service into one adapter version;
-// draw, from 0 to 99, picks among a service's shares.
+// Resolve returns the adapter version for a model name, which is adapter@version, an adapter or a service.
+// draw is a number from 0 to 99 that selects one of a service's shares.
 func (c *Catalog) Resolve(model string, draw int) (Target, error) {
 	if ref, err := fleet.ParseAdapterRef(model); err == nil {
 		return c.resolveVersion(ref)
@@ -124,7 +128,7 @@
 	if !ok {
 		return Target{}, ErrModelNotExist{Name: ref.Name}
 	}
-	if !a.inService(ref.Version) {
+	if !a.hasActiveVersion(ref.Version) {
 		return Target{}, ErrVersionNotExist{Ref: ref}
 	}
 	return Target{Ref: ref, Base: a.Base}, nil
@@ -148,7 +152,8 @@
 	return Target{}, ErrModelNotExist{Name: s.Name}
 }
 
-// ClassList gives the classes of the catalog laid over those of the settings.
+// ClassList returns the classes of the settings and of the catalog; a class of the catalog replaces the one of the same name in the
+// settings.
 func (c *Catalog) ClassList(settings []fleet.Class) []fleet.Class {
 	out := make([]fleet.Class, 0, len(settings)+len(c.Classes))
 	for _, s := range settings {
@@ -162,7 +167,7 @@
 	return out
 }
 
-// Decide applies the first rule that matches the request.
+// Decide returns the first rule that matches the request at the given time and reports whether there is one.
 func (c *Catalog) Decide(now time.Time, r fleet.Request) (Rule, bool) {
 	for _, rule := range c.Rules {
 		if rule.Matches(now, r) {
--- a/models/daemon/catalog/catalog_test.go
+++ b/models/daemon/catalog/catalog_test.go
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// TestMain fixes the seed, so that the verdict is the same every time.
+// TestMain sets a fixed seed for rapid, so that every run checks the same cases.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	if err := flag.Set("rapid.seed", "1"); err != nil {
@@ -26,8 +26,8 @@
 	os.Exit(m.Run())
 }
 
-// change draws any change over a few names.
-func change(t *rapid.T) catalog.Change {
+// drawChange draws a change of any kind, with one of three names.
+func drawChange(t *rapid.T) catalog.Change {
 	kinds := []catalog.ChangeKind{
 		catalog.CreateAdapter, catalog.RetireAdapter, catalog.CreateVersion, catalog.RetireVersion, catalog.RestoreVersion, catalog.SetLive,
 		catalog.SetService, catalog.RetireService, catalog.SetRule, catalog.RetireRule, catalog.SetClass, catalog.ResetClass, catalog.SetPin,
@@ -53,8 +53,8 @@
 	return c
 }
 
-// encoded gives the stored form without the revision, for comparisons.
-func encoded(t require.TestingT, c *catalog.Catalog) string {
+// encodeWithoutRevision returns the snapshot encoding of the catalog with revision zero, for comparison.
+func encodeWithoutRevision(t require.TestingT, c *catalog.Catalog) string {
 	copied := *c
 	copied.Revision = 0
 	data, err := catalog.EncodeSnapshot(&copied)
@@ -62,43 +62,43 @@
 	return string(data)
 }
 
-// TestUndoRestores makes sure that each accepted change's inverse leads back, that a refused
-// one changes nothing, and that the snapshot keeps all.
+// TestUndoRestores checks that the inverse of each accepted change restores the catalog, that a rejected change does not modify the
+// catalog, and that a snapshot preserves its content.
 func TestUndoRestores(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		current := catalog.New()
 		for i := range rapid.IntRange(1, 30).Draw(t, "changes") {
-			before := encoded(t, current)
-			c := change(t)
+			before := encodeWithoutRevision(t, current)
+			c := drawChange(t)
 			next, inverse, err := current.Apply(int64(i+1), []catalog.Change{c})
-			require.Equal(t, before, encoded(t, current), "a catalog never changes once built")
+			require.Equal(t, before, encodeWithoutRevision(t, current), "Apply must not modify the catalog")
 			if err != nil {
 				require.ErrorAs(t, err, new(catalog.ErrBadChange))
 				continue
 			}
-			back, _, err := next.Apply(int64(i+2), inverse)
+			restored, _, err := next.Apply(int64(i+2), inverse)
 			require.NoError(t, err, "%+v", c)
 			if c.Kind != catalog.CreateVersion {
-				require.Equal(t, before, encoded(t, back), "%+v", c)
+				require.Equal(t, before, encodeWithoutRevision(t, restored), "%+v", c)
 			}
 			data, err := catalog.EncodeSnapshot(next)
 			require.NoError(t, err)
-			read, err := catalog.DecodeSnapshot(data)
+			decoded, err := catalog.DecodeSnapshot(data)
 			require.NoError(t, err)
-			require.Equal(t, encoded(t, next), encoded(t, read))
+			require.Equal(t, encodeWithoutRevision(t, next), encodeWithoutRevision(t, decoded))
 			current = next
 		}
 	})
 }
 
-func TestAllOrNone(t *testing.T) {
+func TestApplyIsAtomic(t *testing.T) {
 	c := catalog.New()
 	_, _, err := c.Apply(1, []catalog.Change{{Kind: catalog.CreateAdapter, Name: "a", Base: "b"}, {Kind: catalog.SetLive, Name: "missing", Version: 1}})
 	require.ErrorContains(t, err, "change 2")
 	require.Empty(t, c.Adapters)
 }
 
-func TestVersionNumberIsNeverUsedTwice(t *testing.T) {
+func TestRemovedVersionNumberIsNotReused(t *testing.T) {
 	c, inverse, err := catalog.New().Apply(1, []catalog.Change{{Kind: catalog.CreateAdapter, Name: "a", Base: "b", Version: 1}})
 	require.NoError(t, err)
 	require.NotEmpty(t, inverse)
@@ -109,33 +109,33 @@
 	_, err = c.Resolve("a@2", 0)
 	require.ErrorAs(t, err, new(catalog.ErrVersionNotExist))
 	_, _, err = c.Apply(4, []catalog.Change{{Kind: catalog.CreateVersion, Name: "a", Version: 2, Source: "y"}})
-	require.Error(t, err, "the name a@2 must never mean other weights")
+	require.Error(t, err, "a@2 must not get different weights")
 }
 
-func TestHistoryNeverGoesBack(t *testing.T) {
+func TestAdvanceIgnoresOldRecordsAndRejectsGaps(t *testing.T) {
 	h, c := catalog.NewHistory(), catalog.New()
-	var all [][]byte
+	var records [][]byte
 	for i := int64(1); i <= 5; i++ {
 		data, err := catalog.EncodeRecord(catalog.Record{Revision: i, Changes: []catalog.Change{{Kind: catalog.CreateAdapter, Name: fmt.Sprintf("a%d", i), Base: "b"}}})
 		require.NoError(t, err)
-		all = append(all, data)
+		records = append(records, data)
 	}
-	c, err := h.Advance(c, nil, all[:3], false)
+	c, err := h.Advance(c, nil, records[:3], false)
 	require.NoError(t, err)
 	require.EqualValues(t, 3, c.Revision)
-	same, err := h.Advance(c, nil, all[:2], false)
+	same, err := h.Advance(c, nil, records[:2], false)
 	require.NoError(t, err)
 	require.EqualValues(t, 3, same.Revision)
-	_, err = h.Advance(c, nil, all[4:], false)
+	_, err = h.Advance(c, nil, records[4:], false)
 	require.ErrorContains(t, err, "does not follow")
-	old, err := catalog.EncodeSnapshot(catalog.New())
+	oldSnapshot, err := catalog.EncodeSnapshot(catalog.New())
 	require.NoError(t, err)
-	same, err = h.Advance(c, old, nil, false)
+	same, err = h.Advance(c, oldSnapshot, nil, false)
 	require.NoError(t, err)
 	require.EqualValues(t, 3, same.Revision)
 }
 
-func TestRuleWindowCrossesMidnight(t *testing.T) {
+func TestRuleMatchesWindowAcrossMidnight(t *testing.T) {
 	r := catalog.Rule{From: 22 * 60, To: 6 * 60, Zone: "UTC"}
 	for hour, want := range map[int]bool{21: false, 22: true, 23: true, 0: true, 5: true, 6: false, 12: false} {
 		require.Equal(t, want, r.Matches(time.Date(2026, 1, 1, hour, 0, 0, 0, time.UTC), fleet.Request{}), "hour %d", hour)
@@ -158,8 +158,9 @@
 	})
 }
 
-// TestARefusedRetirementNamesTheSameServiceEachTime: the services were looked at in the order of a map.
-func TestARefusedRetirementNamesTheSameServiceEachTime(t *testing.T) {
+// TestRetireAdapterErrorNamesFirstServiceByName guards against a search of the services in map order, which made the error name a
+// different service each time.
+func TestRetireAdapterErrorNamesFirstServiceByName(t *testing.T) {
 	changes := []catalog.Change{{Kind: catalog.CreateAdapter, Name: "fare", Base: "base", Version: 1}}
 	for _, name := range []string{"d", "b", "a", "c"} {
 		changes = append(changes, catalog.Change{Kind: catalog.SetService, Name: name, Shares: []catalog.Share{{Adapter: "fare", Version: 1, Percent: 100}}})
--- a/models/daemon/catalog/change.go
+++ b/models/daemon/catalog/change.go
@@ -12,7 +12,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// ChangeKind names what a change does.
+// ChangeKind is the kind of a change.
 type ChangeKind string
 
 // The kinds of change.
@@ -39,7 +39,7 @@
 	SetBudget      ChangeKind = "set_budget"
 )
 
-// Change is one step of a new revision; the kind tells which fields count.
+// Change is one change of a revision; Kind determines which of the other fields are used.
 type Change struct {
 	Kind    ChangeKind   `json:"k"`
 	Name    string       `json:"n,omitempty"`
@@ -53,7 +53,7 @@
 	Budget  *Budget      `json:"bu,omitempty"`
 }
 
-// Record is one accepted set of changes, which made one revision.
+// Record is a set of changes that was accepted as one revision.
 type Record struct {
 	ID       string    `json:"id"`
 	Revision int64     `json:"revision"`
@@ -61,11 +61,11 @@
 	At       time.Time `json:"at"`
 	Command  string    `json:"command"`
 	Changes  []Change  `json:"changes"`
-	// Inverse undoes the record, as a new change.
+	// Inverse holds the changes that undo the record when they are applied as a new revision.
 	Inverse []Change `json:"inverse"`
 }
 
-// Summary tells in a few words what the record changed.
+// Summary returns a short description of the changes.
 func (r Record) Summary() string {
 	if len(r.Changes) == 0 {
 		return "nothing"
@@ -78,23 +78,25 @@
 	return text
 }
 
-// Apply makes a new catalog at the given revision, all changes or none, and the changes that undo them.
+// Apply returns a new catalog with the changes applied and the given revision, and the changes that undo them. If one change is not
+// allowed, Apply returns ErrBadChange and applies none.
 func (c *Catalog) Apply(revision int64, changes []Change) (*Catalog, []Change, error) {
 	out := c.clone()
 	out.Revision = revision
 	inverse := make([]Change, 0, len(changes))
 	for i, ch := range changes {
-		back, reason := out.apply(ch)
+		undo, reason := out.apply(ch)
 		if reason != "" {
 			return nil, nil, ErrBadChange{Index: i, Kind: ch.Kind, Name: ch.Name, Reason: reason}
 		}
-		inverse = append(inverse, back)
+		inverse = append(inverse, undo)
 	}
 	slices.Reverse(inverse)
 	return out, inverse, nil
 }
 
-// apply carries out one change on a catalog not yet published, and gives its inverse or the reason why it is refused.
+// apply applies one change in place, to a catalog that is not published yet. It returns the inverse of the change, or the reason why
+// the change is not allowed.
 func (c *Catalog) apply(ch Change) (Change, string) {
 	switch ch.Kind {
 	case CreateAdapter, RetireAdapter, CreateVersion, RetireVersion, RestoreVersion, RemoveVersion, SetLive:
@@ -106,9 +108,9 @@
 	case SetClass, ResetClass:
 		return c.applyClass(ch)
 	case SetPin, ClearPin:
-		return c.applyMark(ch, c.Pins, SetPin, ClearPin)
+		return c.applyPinOrPreload(ch, c.Pins, SetPin, ClearPin)
 	case SetPreload, ClearPreload:
-		return c.applyMark(ch, c.Preloads, SetPreload, ClearPreload)
+		return c.applyPinOrPreload(ch, c.Preloads, SetPreload, ClearPreload)
 	case SetDrain, ClearDrain:
 		return c.applyDrain(ch)
 	case SetBudget:
--- a/models/daemon/catalog/change_adapter.go
+++ b/models/daemon/catalog/change_adapter.go
@@ -9,7 +9,7 @@
 	"slices"
 )
 
-// applyAdapter carries out the changes of an adapter and its versions.
+// applyAdapter applies a change of an adapter or of its versions.
 func (c *Catalog) applyAdapter(ch Change) (Change, string) {
 	a := c.Adapters[ch.Name]
 	if ch.Kind == CreateAdapter {
@@ -19,7 +19,7 @@
 		return Change{}, "no such adapter"
 	}
 	if ch.Kind == RetireAdapter {
-		if s := c.serviceUsing(ch.Name, 0); s != "" {
+		if s := c.firstServiceUsing(ch.Name, 0); s != "" {
 			return Change{}, fmt.Sprintf("service %q uses it", s)
 		}
 		delete(c.Adapters, ch.Name)
@@ -27,11 +27,11 @@
 	}
 	next := *a
 	next.Versions = append([]Version(nil), a.Versions...)
-	back, reason := c.applyVersion(&next, ch)
+	inverse, reason := c.applyVersion(&next, ch)
 	if reason == "" {
 		c.Adapters[ch.Name] = &next
 	}
-	return back, reason
+	return inverse, reason
 }
 
 func (c *Catalog) createAdapter(existing *Adapter, ch Change) (Change, string) {
@@ -59,16 +59,16 @@
 	return Change{Kind: RetireAdapter, Name: ch.Name}, ""
 }
 
-// applyVersion carries out the changes of one version on a copy of the adapter.
+// applyVersion applies a change of one version to a, which must be a copy of the adapter.
 func (c *Catalog) applyVersion(a *Adapter, ch Change) (Change, string) {
-	at := -1
+	index := -1
 	for i, v := range a.Versions {
 		if v.Number == ch.Version {
-			at = i
+			index = i
 		}
 	}
 	if ch.Kind == CreateVersion {
-		if at >= 0 {
+		if index >= 0 {
 			return Change{}, "a version is never made twice"
 		}
 		if ch.Version < 1 {
@@ -78,52 +78,52 @@
 		return Change{Kind: RemoveVersion, Name: ch.Name, Version: ch.Version}, ""
 	}
 	if ch.Kind == SetLive && ch.Version == 0 {
-		// Only an inverse says so: the adapter had no live version before.
-		back := Change{Kind: SetLive, Name: ch.Name, Version: a.Live}
+		// Version zero occurs only in an inverse change, for an adapter that had no live version before.
+		inverse := Change{Kind: SetLive, Name: ch.Name, Version: a.Live}
 		a.Live = 0
-		return back, ""
+		return inverse, ""
 	}
-	if at < 0 {
+	if index < 0 {
 		return Change{}, "no such version"
 	}
-	return c.changeVersion(a, at, ch)
+	return c.applyExistingVersion(a, index, ch)
 }
 
-// changeVersion carries out the changes of a version that the adapter has.
-func (c *Catalog) changeVersion(a *Adapter, at int, ch Change) (Change, string) {
+// applyExistingVersion applies a change of the existing version at the given index.
+func (c *Catalog) applyExistingVersion(a *Adapter, index int, ch Change) (Change, string) {
 	switch ch.Kind {
 	case SetLive:
-		if a.Versions[at].Retired {
+		if a.Versions[index].Retired {
 			return Change{}, "the version is retired"
 		}
-		back := Change{Kind: SetLive, Name: ch.Name, Version: a.Live}
+		inverse := Change{Kind: SetLive, Name: ch.Name, Version: a.Live}
 		a.Live = ch.Version
-		return back, ""
+		return inverse, ""
 	case RestoreVersion:
-		if !a.Versions[at].Retired {
+		if !a.Versions[index].Retired {
 			return Change{}, "it is not retired"
 		}
-		a.Versions[at].Retired = false
+		a.Versions[index].Retired = false
 		return Change{Kind: RetireVersion, Name: ch.Name, Version: ch.Version}, ""
 	}
 	if a.Live == ch.Version {
 		return Change{}, "it is the live version"
 	}
-	if a.Versions[at].Retired {
+	if a.Versions[index].Retired {
 		return Change{}, "it is retired already"
 	}
-	if s := c.serviceUsing(ch.Name, ch.Version); s != "" {
+	if s := c.firstServiceUsing(ch.Name, ch.Version); s != "" {
 		return Change{}, fmt.Sprintf("service %q uses it", s)
 	}
-	// A removed version, which only an inverse asks for, is retired too: its number stays taken, so that a name never
-	// means other weights.
-	a.Versions[at].Retired = true
+	// RemoveVersion, which occurs only in an inverse change, also retires the version. Its number remains in use, so that
+	// adapter@version never refers to different weights.
+	a.Versions[index].Retired = true
 	return Change{Kind: RestoreVersion, Name: ch.Name, Version: ch.Version}, ""
 }
 
-// serviceUsing finds the first service by name that names the adapter, at the version if it is not zero, so that the same refusal names
-// the same service each time.
-func (c *Catalog) serviceUsing(adapter string, version int) string {
+// firstServiceUsing returns the first service, in order of name, that has a share of the adapter, or an empty string. A version other
+// than zero restricts the search to shares of that version. The order makes the error of a rejected change deterministic.
+func (c *Catalog) firstServiceUsing(adapter string, version int) string {
 	for _, name := range slices.Sorted(maps.Keys(c.Services)) {
 		s := c.Services[name]
 		for _, share := range s.Shares {
--- a/models/daemon/catalog/change_class.go
+++ b/models/daemon/catalog/change_class.go
@@ -3,28 +3,28 @@
 
 package catalog
 
-// applyClass sets a class over that of the settings, or goes back to theirs.
+// applyClass overrides a class of the settings, or removes the override.
 func (c *Catalog) applyClass(ch Change) (Change, string) {
 	old, had := c.Classes[ch.Name]
-	back := Change{Kind: ResetClass, Name: ch.Name}
+	inverse := Change{Kind: ResetClass, Name: ch.Name}
 	if had {
-		back = Change{Kind: SetClass, Name: ch.Name, Class: &old}
+		inverse = Change{Kind: SetClass, Name: ch.Name, Class: &old}
 	}
 	if ch.Kind == ResetClass {
 		delete(c.Classes, ch.Name)
-		return back, ""
+		return inverse, ""
 	}
 	if ch.Class == nil || ch.Class.StallWeight < 0 || ch.Class.MaxQueuedTokens < 0 {
 		return Change{}, "a class needs a stall weight and a queue limit of zero or more"
 	}
 	c.Classes[ch.Name] = *ch.Class
-	return back, ""
+	return inverse, ""
 }
 
-// applyBudget sets the weight store's rate; its inverse restores the former one.
+// applyBudget sets the budget of the weight store.
 func (c *Catalog) applyBudget(ch Change) (Change, string) {
 	if ch.Budget == nil || ch.Budget.LoadsPerSecond < 0 || ch.Budget.AtFullSpeed < 0 {
-		return Change{}, "a budget is loads a second and loads at once, zero or more"
+		return Change{}, "a budget needs loads per second and loads at once of zero or more"
 	}
 	old := c.Budget
 	c.Budget = *ch.Budget
--- a/models/daemon/catalog/change_pin.go
+++ b/models/daemon/catalog/change_pin.go
@@ -7,8 +7,8 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// applyMark pins or preloads a version, or takes the mark away.
-func (c *Catalog) applyMark(ch Change, marks map[fleet.AdapterRef]bool, set, unset ChangeKind) (Change, string) {
+// applyPinOrPreload adds a version to marks, the pins or the preloads, or removes it from them.
+func (c *Catalog) applyPinOrPreload(ch Change, marks map[fleet.AdapterRef]bool, set, unset ChangeKind) (Change, string) {
 	ref := fleet.AdapterRef{Name: ch.Name, Version: ch.Version}
 	if ch.Kind == unset {
 		if !marks[ref] {
@@ -27,7 +27,7 @@
 	return Change{Kind: unset, Name: ch.Name, Version: ch.Version}, ""
 }
 
-// applyDrain drains an endpoint or a hall, or ends that; the name may be one that is not known here.
+// applyDrain starts or ends the drain of an endpoint or a hall. It accepts any name, since this instance may not know every endpoint.
 func (c *Catalog) applyDrain(ch Change) (Change, string) {
 	if ch.Kind == ClearDrain {
 		if !c.Drained[ch.Name] {
--- a/models/daemon/catalog/change_rule.go
+++ b/models/daemon/catalog/change_rule.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// applyRule sets or retires a rule. Of an inverse, which puts a retired rule back, Version is the former position from 1.
+// applyRule sets or retires a rule. In an inverse change that restores a retired rule, Version is the former position of the rule,
+// counted from 1.
 func (c *Catalog) applyRule(ch Change) (Change, string) {
-	at := -1
+	index := -1
 	for i, r := range c.Rules {
 		if r.Name == ch.Name {
-			at = i
+			index = i
 		}
 	}
 	if ch.Kind == RetireRule {
-		if at < 0 {
+		if index < 0 {
 			return Change{}, "no such rule"
 		}
-		old := c.Rules[at]
-		c.Rules = append(c.Rules[:at:at], c.Rules[at+1:]...)
-		// The place matters, since the first rule that matches decides.
-		return Change{Kind: SetRule, Name: ch.Name, Rule: &old, Version: at + 1}, ""
+		old := c.Rules[index]
+		c.Rules = append(c.Rules[:index:index], c.Rules[index+1:]...)
+		// The inverse keeps the position, since the first rule that matches applies.
+		return Change{Kind: SetRule, Name: ch.Name, Rule: &old, Version: index + 1}, ""
 	}
 	if ch.Rule == nil || !validName(ch.Name) {
 		return Change{}, "the rule is empty or its name is not valid"
@@ -32,15 +33,15 @@
 	if _, err := time.LoadLocation(ch.Rule.Zone); err != nil {
 		return Change{}, fmt.Sprintf("no time zone %q", ch.Rule.Zone)
 	}
-	if at < 0 {
-		place := len(c.Rules)
+	if index < 0 {
+		position := len(c.Rules)
 		if ch.Version > 0 {
-			place = min(place, ch.Version-1)
+			position = min(position, ch.Version-1)
 		}
-		c.Rules = slices.Insert(c.Rules, place, *ch.Rule)
+		c.Rules = slices.Insert(c.Rules, position, *ch.Rule)
 		return Change{Kind: RetireRule, Name: ch.Name}, ""
 	}
-	old := c.Rules[at]
-	c.Rules[at] = *ch.Rule
+	old := c.Rules[index]
+	c.Rules[index] = *ch.Rule
 	return Change{Kind: SetRule, Name: ch.Name, Rule: &old}, ""
 }
--- a/models/daemon/catalog/change_service.go
+++ b/models/daemon/catalog/change_service.go
@@ -7,19 +7,19 @@
 	"fmt"
 )
 
-// applyService sets or retires a service; its inverse restores the former shares.
+// applyService sets or retires a service. Its inverse restores the former shares.
 func (c *Catalog) applyService(ch Change) (Change, string) {
 	old := c.Services[ch.Name]
-	back := Change{Kind: RetireService, Name: ch.Name}
+	inverse := Change{Kind: RetireService, Name: ch.Name}
 	if old != nil {
-		back = Change{Kind: SetService, Name: ch.Name, Shares: old.Shares}
+		inverse = Change{Kind: SetService, Name: ch.Name, Shares: old.Shares}
 	}
 	if ch.Kind == RetireService {
 		if old == nil {
 			return Change{}, "no such service"
 		}
 		delete(c.Services, ch.Name)
-		return back, ""
+		return inverse, ""
 	}
 	if !validName(ch.Name) || c.Adapters[ch.Name] != nil {
 		return Change{}, "the name is not valid or an adapter has it"
@@ -28,10 +28,10 @@
 		return Change{}, reason
 	}
 	c.Services[ch.Name] = &Service{Name: ch.Name, Shares: ch.Shares}
-	return back, ""
+	return inverse, ""
 }
 
-// checkShares gives the reason why a service cannot have the shares, or nothing.
+// checkShares returns the reason why the shares are not valid for a service, or an empty string if they are valid.
 func (c *Catalog) checkShares(shares []Share) string {
 	sum := 0
 	base := ""
@@ -40,7 +40,7 @@
 		if a == nil {
 			return fmt.Sprintf("no adapter %q", s.Adapter)
 		}
-		if s.Version != 0 && !a.inService(s.Version) {
+		if s.Version != 0 && !a.hasActiveVersion(s.Version) {
 			return fmt.Sprintf("adapter %q has no version %d in service", s.Adapter, s.Version)
 		}
 		if base != "" && a.Base != base {
--- a/models/daemon/catalog/codec.go
+++ b/models/daemon/catalog/codec.go
@@ -13,28 +13,29 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// ErrBadEncoding reports stored configuration that cannot be read.
+// ErrBadEncoding reports a value of the stored configuration that cannot be encoded or decoded.
 type ErrBadEncoding struct {
+	// What is the kind of the value: "record", "snapshot" or "value".
 	What   string
 	Reason string
 }
 
-// Error tells what could not be read.
+// Error implements error.
 func (e ErrBadEncoding) Error() string {
 	return fmt.Sprintf("the stored %s cannot be read: %s", e.What, e.Reason)
 }
 
-// maxDecoded bounds what a stored value may unfold to, in bytes, so that a damaged one cannot exhaust the memory.
-const maxDecoded = 64 << 20
+// maxDecodedBytes limits the memory for the decompression of a stored value, so that a damaged value cannot exhaust it.
+const maxDecodedBytes = 64 << 20
 
-// The errors are of options that do not fit together, and these are constant.
+// The errors are ignored: they report incompatible options, and these options are constant.
 var (
 	encoder, _ = zstd.NewWriter(nil, zstd.WithEncoderConcurrency(1))
-	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecoded))
+	decoder, _ = zstd.NewReader(nil, zstd.WithDecoderConcurrency(1), zstd.WithDecoderMaxMemory(maxDecodedBytes))
 )
 
-// pack gives the compressed JSON of a value.
-func pack(v any) ([]byte, error) {
+// encodeCompressed returns the JSON encoding of v, compressed with zstd.
+func encodeCompressed(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
 		return nil, ErrBadEncoding{What: "value", Reason: err.Error()}
@@ -42,7 +43,8 @@
 	return encoder.EncodeAll(raw, nil), nil
 }
 
-func unpack(what string, data []byte, into any) error {
+// decodeCompressed is the inverse of encodeCompressed; what names the kind of the value in errors.
+func decodeCompressed(what string, data []byte, into any) error {
 	raw, err := decoder.DecodeAll(data, nil)
 	if err != nil {
 		return ErrBadEncoding{What: what, Reason: err.Error()}
@@ -53,19 +55,19 @@
 	return nil
 }
 
-// EncodeRecord gives a record's stored form.
+// EncodeRecord returns the stored form of a record.
 func EncodeRecord(r Record) ([]byte, error) {
-	return pack(r)
+	return encodeCompressed(r)
 }
 
-// DecodeRecord reads a record's stored form.
+// DecodeRecord decodes the stored form of a record.
 func DecodeRecord(data []byte) (Record, error) {
 	var r Record
-	err := unpack("record", data, &r)
+	err := decodeCompressed("record", data, &r)
 	return r, err
 }
 
-// snapshot is the stored form of a whole catalog.
+// snapshot is the JSON form of a catalog.
 type snapshot struct {
 	Revision int64         `json:"revision"`
 	Adapters []*Adapter    `json:"adapters"`
@@ -78,9 +80,9 @@
 	Budget   Budget        `json:"budget"`
 }
 
-// EncodeSnapshot gives the stored form of a whole catalog.
+// EncodeSnapshot returns the stored form of a catalog, with its lists sorted by name except for the rules.
 func EncodeSnapshot(c *Catalog) ([]byte, error) {
-	s := snapshot{Revision: c.Revision, Rules: append([]Rule(nil), c.Rules...), Budget: c.Budget, Pins: refNames(c.Pins), Preloads: refNames(c.Preloads)}
+	s := snapshot{Revision: c.Revision, Rules: append([]Rule(nil), c.Rules...), Budget: c.Budget, Pins: sortedRefNames(c.Pins), Preloads: sortedRefNames(c.Preloads)}
 	for _, a := range c.Adapters {
 		s.Adapters = append(s.Adapters, a)
 	}
@@ -97,10 +99,10 @@
 		s.Drained = append(s.Drained, name)
 	}
 	sort.Strings(s.Drained)
-	return pack(s)
+	return encodeCompressed(s)
 }
 
-func refNames(refs map[fleet.AdapterRef]bool) []string {
+func sortedRefNames(refs map[fleet.AdapterRef]bool) []string {
 	out := make([]string, 0, len(refs))
 	for ref := range refs {
 		out = append(out, ref.String())
@@ -109,10 +111,10 @@
 	return out
 }
 
-// DecodeSnapshot reads the stored form of a whole catalog.
+// DecodeSnapshot decodes the stored form of a catalog.
 func DecodeSnapshot(data []byte) (*Catalog, error) {
 	var s snapshot
-	if err := unpack("snapshot", data, &s); err != nil {
+	if err := decodeCompressed("snapshot", data, &s); err != nil {
 		return nil, err
 	}
 	c := New()
@@ -135,13 +137,13 @@
 	for _, name := range s.Drained {
 		c.Drained[name] = true
 	}
-	if err := readRefs(s.Pins, c.Pins); err != nil {
+	if err := parseRefs(s.Pins, c.Pins); err != nil {
 		return nil, err
 	}
-	return c, readRefs(s.Preloads, c.Preloads)
+	return c, parseRefs(s.Preloads, c.Preloads)
 }
 
-func readRefs(names []string, into map[fleet.AdapterRef]bool) error {
+func parseRefs(names []string, into map[fleet.AdapterRef]bool) error {
 	for _, name := range names {
 		ref, err := fleet.ParseAdapterRef(name)
 		if err != nil {
--- a/models/daemon/catalog/history.go
+++ b/models/daemon/catalog/history.go
@@ -5,33 +5,34 @@
 
 import "fmt"
 
-// ErrGap reports records that do not follow on the revision in hand.
+// ErrGap reports a record that does not directly follow the revision of the current catalog.
 type ErrGap struct {
+	// Have is the revision of the current catalog and Got the one of the record.
 	Have int64
 	Got  int64
 }
 
-// Error names both revisions.
+// Error implements error.
 func (e ErrGap) Error() string {
 	return fmt.Sprintf("revision %d does not follow on revision %d", e.Got, e.Have)
 }
 
 const (
-	// maxHistory and maxHistoryBytes bound the records kept, by number and by bytes of their stored form: they trade memory for snapshots
-	// sent to instances that were away.
-	maxHistory      = 512
-	maxHistoryBytes = 2 << 20
-	// maxKeptChanges bounds the changes of a kept record that are held decoded.
-	maxKeptChanges = 64
+	// maxHistoryRecords and maxHistoryBytes limit the number of records in a history and the bytes of their stored form. Higher limits take
+	// more memory; lower limits make more instances that were disconnected need a snapshot.
+	maxHistoryRecords = 512
+	maxHistoryBytes   = 2 << 20
+	// maxDecodedChanges limits the number of decoded changes that a history holds for each record.
+	maxDecodedChanges = 64
 )
 
-// History keeps the recent records in their stored form, to pass them on.
+// History holds the recent records in their stored form, so that they can be sent to other instances.
 type History struct {
 	records []storedRecord
 	bytes   int
-	// snapshot is the stored form of a catalog that was passed on, kept while that one is in force.
-	snapshot   []byte
-	snapshotOf *Catalog
+	// snapshot is the cached stored form of snapshotCatalog. Both are cleared when another catalog is in force.
+	snapshot        []byte
+	snapshotCatalog *Catalog
 }
 
 type storedRecord struct {
@@ -39,12 +40,13 @@
 	encoded []byte
 }
 
-// NewHistory gives an empty history.
+// NewHistory returns an empty history.
 func NewHistory() *History {
 	return &History{}
 }
 
-// Records lists the recent records, the oldest first.
+// Records returns the recent records, oldest first. A record with more than maxDecodedChanges changes is cut to
+// that many and has no inverse.
 func (h *History) Records() []Record {
 	out := make([]Record, 0, len(h.records))
 	for _, r := range h.records {
@@ -53,14 +55,14 @@
 	return out
 }
 
-// After gives what leads from a revision to the current catalog: the records
-// after it while the history reaches back that far, and else a snapshot.
+// After returns what an instance at the given revision needs to reach the current catalog: the encoded records after
+// the revision if the history still has all of them, and otherwise an encoded snapshot.
 func (h *History) After(current *Catalog, revision int64) ([]byte, [][]byte, error) {
 	if revision >= current.Revision {
 		return nil, nil, nil
 	}
 	if len(h.records) == 0 || h.records[0].record.Revision > revision+1 {
-		snapshot, err := h.snapshotFor(current)
+		snapshot, err := h.encodedSnapshot(current)
 		return snapshot, nil, err
 	}
 	var out [][]byte
@@ -72,27 +74,29 @@
 	return nil, out, nil
 }
 
-// snapshotFor gives the stored form of a catalog, which is made once.
-func (h *History) snapshotFor(current *Catalog) ([]byte, error) {
-	if h.snapshotOf == current {
+// encodedSnapshot returns the stored form of the current catalog and caches it.
+func (h *History) encodedSnapshot(current *Catalog) ([]byte, error) {
+	if h.snapshotCatalog == current {
 		return h.snapshot, nil
 	}
 	snapshot, err := EncodeSnapshot(current)
 	if err != nil {
 		return nil, err
 	}
-	h.snapshot, h.snapshotOf = snapshot, current
+	h.snapshot, h.snapshotCatalog = snapshot, current
 	return snapshot, nil
 }
 
-// Advance applies a snapshot, if newer than the current catalog, and the records
-// that follow; what is old already is passed over. It gives nil where nothing changed.
+// Advance returns the catalog after the given snapshot and records, or current itself if none of them is newer. A snapshot
+// that is not newer than the current catalog is ignored unless allowLower is set; records that are not newer are always
+// ignored. If a record is malformed, out of sequence or not applicable, Advance returns the error with the catalog before that
+// record. If the snapshot is malformed, the returned catalog is nil.
 func (h *History) Advance(current *Catalog, snapshot []byte, records [][]byte, allowLower bool) (*Catalog, error) {
 	next := current
 	defer func() {
-		// The snapshot of a catalog that is no longer in force is needed no more.
+		// The cached snapshot belongs to the former catalog.
 		if next != current {
-			h.snapshot, h.snapshotOf = nil, nil
+			h.snapshot, h.snapshotCatalog = nil, nil
 		}
 	}()
 	if len(snapshot) > 0 {
@@ -121,20 +125,20 @@
 			return next, err
 		}
 		next = applied
-		h.keep(r, data)
+		h.addRecord(r, data)
 	}
 	return next, nil
 }
 
-func (h *History) keep(r Record, data []byte) {
-	if len(r.Changes) > maxKeptChanges {
-		// The large ones are passed on as they are stored; their changes need not be held unfolded.
-		r.Changes = r.Changes[:maxKeptChanges:maxKeptChanges]
+func (h *History) addRecord(r Record, data []byte) {
+	if len(r.Changes) > maxDecodedChanges {
+		// A large record is sent to other instances in its stored form, so its decoded changes are not needed in full.
+		r.Changes = r.Changes[:maxDecodedChanges:maxDecodedChanges]
 		r.Inverse = nil
 	}
 	h.records = append(h.records, storedRecord{record: r, encoded: data})
 	h.bytes += len(data)
-	for len(h.records) > maxHistory || (h.bytes > maxHistoryBytes && len(h.records) > 1) {
+	for len(h.records) > maxHistoryRecords || (h.bytes > maxHistoryBytes && len(h.records) > 1) {
 		h.bytes -= len(h.records[0].encoded)
 		h.records = h.records[1:]
 	}
--- a/models/daemon/catalog/name.go
+++ b/models/daemon/catalog/name.go
@@ -5,11 +5,11 @@
 
 import "strings"
 
-// maxNameLength is the longest name of an adapter, service or rule, in bytes.
+// maxNameLength limits the length of the name of an adapter, service or rule, in bytes.
 const maxNameLength = 200
 
-// validName tells whether a name has an allowed length and only letters, digits and ._/-, so that no name holds the @ of
-// adapter@version or the space between an operator's words.
+// validName reports whether a name has an allowed length and consists of ASCII letters, digits and the characters ._/- only. A name
+// must not contain the @ of adapter@version or the space that separates the words of a statement.
 func validName(name string) bool {
 	if name == "" || len(name) > maxNameLength {
 		return false
--- a/models/daemon/catalog/rule.go
+++ b/models/daemon/catalog/rule.go
@@ -10,7 +10,8 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Rule says where matching work runs and at what priority; empty conditions match all.
+// Rule determines where matching requests run and at what priority, or rejects them. Class, Caller, Base, Adapter and Hall are glob
+// patterns; an empty pattern matches every request.
 type Rule struct {
 	Name    string `json:"name"`
 	Class   string `json:"class,omitempty"`
@@ -18,7 +19,7 @@
 	Base    string `json:"base,omitempty"`
 	Adapter string `json:"adapter,omitempty"`
 	Hall    string `json:"hall,omitempty"`
-	// From and To bound the time of day, in minutes after midnight in the time zone Zone.
+	// From and To limit the rule to a time of day, in minutes after midnight in the time zone Zone; equal values mean all day.
 	From int    `json:"from,omitempty"`
 	To   int    `json:"to,omitempty"`
 	Zone string `json:"zone,omitempty"`
@@ -28,15 +29,15 @@
 	Refuse   bool     `json:"refuse,omitempty"`
 }
 
-// minutesPerHour turns the time of day into From's and To's unit.
+// minutesPerHour converts the hour of the day into the unit of Rule.From and Rule.To.
 const minutesPerHour = int(time.Hour / time.Minute)
 
-// Matches tells whether the rule applies to the request at the time.
+// Matches reports whether the rule applies to the request at the given time.
 func (r Rule) Matches(now time.Time, q fleet.Request) bool {
-	if !glob(r.Class, q.Class) || !glob(r.Caller, q.Caller) || !glob(r.Base, q.Base) {
+	if !matchesGlob(r.Class, q.Class) || !matchesGlob(r.Caller, q.Caller) || !matchesGlob(r.Base, q.Base) {
 		return false
 	}
-	if !glob(r.Adapter, q.Adapter.Name) || !glob(r.Hall, q.Hall) {
+	if !matchesGlob(r.Adapter, q.Adapter.Name) || !matchesGlob(r.Hall, q.Hall) {
 		return false
 	}
 	return r.matchesTime(now)
@@ -48,7 +49,7 @@
 	}
 	location, err := time.LoadLocation(r.Zone)
 	if err != nil {
-		// A time zone is checked when the rule is set; one that this instance's tables lack is taken as UTC.
+		// The time zone was validated when the rule was set. UTC is used if this instance's time zone database lacks it.
 		location = time.UTC
 	}
 	local := now.In(location)
@@ -59,7 +60,7 @@
 	return minute >= r.From || minute < r.To
 }
 
-func glob(pattern, text string) bool {
+func matchesGlob(pattern, text string) bool {
 	if pattern == "" {
 		return true
 	}
