--- a/models/daemon/fleet/adapter_ref.go
+++ b/models/daemon/fleet/adapter_ref.go
@@ -9,41 +9,41 @@
 	"strings"
 )
 
-// AdapterRef names one immutable version of one adapter.
+// AdapterRef identifies a version of an adapter.
 type AdapterRef struct {
 	Name    string
 	Version int
 }
 
-// ErrBadAdapterRef reports a text that is no adapter@version.
+// ErrBadAdapterRef reports a text that is not of the form adapter@version.
 type ErrBadAdapterRef struct {
 	Text string
 }
 
-// Error describes the malformed reference.
+// Error implements error.
 func (e ErrBadAdapterRef) Error() string {
 	return fmt.Sprintf("%q is not of the form adapter@version", e.Text)
 }
 
-// String gives the engine's name of the version, adapter@version.
+// String returns adapter@version, which is the name that the engine uses for the version.
 func (r AdapterRef) String() string {
 	return r.Name + "@" + strconv.Itoa(r.Version)
 }
 
-// IsZero tells whether the reference names nothing, as for calls to plain services.
+// IsZero reports whether the reference names no adapter, as in a request to a plain service.
 func (r AdapterRef) IsZero() bool {
 	return r.Name == ""
 }
 
-// ParseAdapterRef reads adapter@version and returns ErrBadAdapterRef for any other text.
+// ParseAdapterRef parses adapter@version, with a version of 1 or more. It returns ErrBadAdapterRef for any other text.
 func ParseAdapterRef(text string) (AdapterRef, error) {
-	at := strings.LastIndexByte(text, '@')
-	if at <= 0 {
+	separator := strings.LastIndexByte(text, '@')
+	if separator <= 0 {
 		return AdapterRef{}, ErrBadAdapterRef{Text: text}
 	}
-	version, err := strconv.Atoi(text[at+1:])
+	version, err := strconv.Atoi(text[separator+1:])
 	if err != nil || version < 1 {
 		return AdapterRef{}, ErrBadAdapterRef{Text: text}
 	}
-	return AdapterRef{Name: text[:at], Version: version}, nil
+	return AdapterRef{Name: text[:separator], Version: version}, nil
 }
--- a/models/daemon/fleet/endpoint.go
+++ b/models/daemon/fleet/endpoint.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// EndpointKind tells model engines from plain services.
+// EndpointKind distinguishes model engines from plain services.
 type EndpointKind string
 
 // The kinds of endpoint.
@@ -20,36 +20,38 @@
 	KindPlain  EndpointKind = "plain"
 )
 
-// Endpoint describes one back end as the settings give it.
+// Endpoint describes an endpoint as configured in the settings.
 type Endpoint struct {
-	Name        string
-	Hall        string
-	Kind        EndpointKind
-	Address     netip.AddrPort
-	Bases       []string
-	Slots       int
-	MaxBatch    int
-	Step        time.Duration
-	Load        time.Duration
+	Name     string
+	Hall     string
+	Kind     EndpointKind
+	Address  netip.AddrPort
+	Bases    []string
+	Slots    int
+	MaxBatch int
+	Step     time.Duration
+	Load     time.Duration
+	// ChecksFence is true if the endpoint rejects orders and requests with an outdated fencing token.
 	ChecksFence bool
-	Prefix      string
+	// Prefix is the path prefix of a plain service.
+	Prefix string
 }
 
-// Serves tells whether the endpoint runs the base model.
+// Serves reports whether the endpoint runs the base model.
 func (e Endpoint) Serves(base string) bool {
 	return slices.Contains(e.Bases, base)
 }
 
-// Instance describes one entry instance.
+// Instance describes an instance of the daemon.
 type Instance struct {
 	ID      string
 	Hall    string
 	Address netip.AddrPort
-	// Operator is where the instance answers operators.
+	// Operator is the address of the listener for operators.
 	Operator netip.AddrPort
 }
 
-// Pool is a set of one hall's endpoints that share bases and so one placer.
+// Pool is a group of endpoints of one hall that are connected by common base models. Each pool has one placer.
 type Pool struct {
 	Name      string
 	Hall      string
@@ -57,12 +59,12 @@
 	Endpoints []Endpoint
 }
 
-// Serves tells whether the pool runs the base model.
+// Serves reports whether an endpoint of the pool runs the base model.
 func (p Pool) Serves(base string) bool {
 	return slices.Contains(p.Bases, base)
 }
 
-// ChecksFence tells whether every endpoint of the pool checks fences.
+// ChecksFence reports whether all endpoints of the pool check fencing tokens.
 func (p Pool) ChecksFence() bool {
 	for _, e := range p.Endpoints {
 		if !e.ChecksFence {
@@ -72,11 +74,12 @@
 	return true
 }
 
-// BuildPools groups the endpoints of each hall that share a base, directly or through others.
+// BuildPools groups the endpoints of each hall into pools, sorted by name. Endpoints with a common base model are in one pool, also
+// if they have it only through other endpoints.
 func BuildPools(endpoints []Endpoint) []Pool {
 	var pools []Pool
 	for _, e := range endpoints {
-		pools = addToPools(pools, e)
+		pools = mergeIntoPools(pools, e)
 	}
 	for i := range pools {
 		sort.Strings(pools[i].Bases)
@@ -86,7 +89,8 @@
 	return pools
 }
 
-func addToPools(pools []Pool, e Endpoint) []Pool {
+// mergeIntoPools merges e with all pools of its hall that have a base model in common with it.
+func mergeIntoPools(pools []Pool, e Endpoint) []Pool {
 	merged := Pool{Hall: e.Hall, Bases: slices.Clone(e.Bases), Endpoints: []Endpoint{e}}
 	kept := pools[:0]
 	for _, p := range pools {
@@ -113,7 +117,7 @@
 	return false
 }
 
-// PlainBase gives the name that stands in for the base of a plain service under a path prefix.
+// PlainBase returns the name that is used as the base model of the plain service with the given path prefix.
 func PlainBase(prefix string) string {
 	return "plain:" + prefix
 }
--- a/models/daemon/fleet/event.go
+++ b/models/daemon/fleet/event.go
@@ -5,7 +5,7 @@
 
 import "time"
 
-// EventKind names what the system did by itself.
+// EventKind is the kind of an event.
 type EventKind string
 
 // The kinds of event.
@@ -39,7 +39,7 @@
 	EventResume         EventKind = "resume"
 )
 
-// Event records one action of the system with its cause.
+// Event records an action that the system took without an operator, and its cause.
 type Event struct {
 	At       time.Time
 	Instance string
@@ -49,6 +49,8 @@
 	Adapter  string
 	Endpoint string
 	Pool     string
+	// Other is the second party of the event, such as the instance that joined, left or takes over a pool, the hall that became silent, or
+	// the adapter for which another adapter is evicted.
 	Other    string
 	Fence    uint64
 	Revision int64
--- a/models/daemon/fleet/fleet_test.go
+++ b/models/daemon/fleet/fleet_test.go
@@ -15,7 +15,7 @@
 
 var deadline = time.Unix(1000, 0)
 
-func TestAnAdapterIsReadAsItIsWritten(t *testing.T) {
+func TestParseAdapterRef(t *testing.T) {
 	for text, ref := range map[string]fleet.AdapterRef{
 		"a@1":                   {Name: "a", Version: 1},
 		"a@b@20":                {Name: "a@b", Version: 20},
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestARequestExpiresAtItsDeadlineAndNeverWithoutOne(t *testing.T) {
+func TestRequestExpired(t *testing.T) {
 	for _, row := range []struct {
 		deadline, now time.Time
 		expired       bool
@@ -49,13 +49,13 @@
 	require.Equal(t, 12, fleet.Request{PromptTokens: 5, OutputTokens: 7}.Tokens())
 }
 
-// endpoint is one with the given bases.
-func endpoint(name, hall string, bases ...string) fleet.Endpoint {
+// newEndpoint returns an endpoint with the given base models.
+func newEndpoint(name, hall string, bases ...string) fleet.Endpoint {
 	return fleet.Endpoint{Name: name, Hall: hall, Bases: bases}
 }
 
-// members names each pool with its endpoints.
-func members(pools []fleet.Pool) map[string][]string {
+// endpointNamesByPool returns the names of the endpoints in each pool.
+func endpointNamesByPool(pools []fleet.Pool) map[string][]string {
 	out := make(map[string][]string)
 	for _, p := range pools {
 		for _, e := range p.Endpoints {
@@ -65,23 +65,23 @@
 	return out
 }
 
-func TestEndpointsOfAHallThatShareABaseFormOnePool(t *testing.T) {
+func TestBuildPoolsGroupsEndpointsByHallAndSharedBase(t *testing.T) {
 	for _, row := range []struct {
 		name      string
 		endpoints []fleet.Endpoint
 		pools     map[string][]string
 	}{
-		{"none", nil, map[string][]string{}},
-		{"apart", []fleet.Endpoint{endpoint("e1", "h1", "x"), endpoint("e2", "h1", "y")}, map[string][]string{"h1/x": {"e1"}, "h1/y": {"e2"}}},
-		{"in two halls", []fleet.Endpoint{endpoint("e1", "h1", "x"), endpoint("e2", "h2", "x")}, map[string][]string{"h1/x": {"e1"}, "h2/x": {"e2"}}},
-		{"a shared base", []fleet.Endpoint{endpoint("e1", "h1", "y", "x"), endpoint("e2", "h1", "x")}, map[string][]string{"h1/x+y": {"e1", "e2"}}},
+		{"no endpoints", nil, map[string][]string{}},
+		{"no common base", []fleet.Endpoint{newEndpoint("e1", "h1", "x"), newEndpoint("e2", "h1", "y")}, map[string][]string{"h1/x": {"e1"}, "h1/y": {"e2"}}},
+		{"two halls", []fleet.Endpoint{newEndpoint("e1", "h1", "x"), newEndpoint("e2", "h2", "x")}, map[string][]string{"h1/x": {"e1"}, "h2/x": {"e2"}}},
+		{"common base", []fleet.Endpoint{newEndpoint("e1", "h1", "y", "x"), newEndpoint("e2", "h1", "x")}, map[string][]string{"h1/x+y": {"e1", "e2"}}},
 		{
-			"through a third, named last",
-			[]fleet.Endpoint{endpoint("e1", "h1", "x"), endpoint("e2", "h1", "z"), endpoint("e3", "h1", "z", "x")},
+			"common base through a later endpoint",
+			[]fleet.Endpoint{newEndpoint("e1", "h1", "x"), newEndpoint("e2", "h1", "z"), newEndpoint("e3", "h1", "z", "x")},
 			map[string][]string{"h1/x+z": {"e1", "e2", "e3"}},
 		},
 	} {
-		got := members(fleet.BuildPools(row.endpoints))
+		got := endpointNamesByPool(fleet.BuildPools(row.endpoints))
 		require.Len(t, got, len(row.pools), row.name)
 		for pool, endpoints := range row.pools {
 			require.ElementsMatch(t, endpoints, got[pool], "%s: %s", row.name, pool)
@@ -89,8 +89,8 @@
 	}
 }
 
-func TestPoolsAreOrderedByNameAndLeaveTheEndpointsAsTheyWere(t *testing.T) {
-	given := []fleet.Endpoint{endpoint("e1", "h2", "y", "x"), endpoint("e2", "h1", "x")}
+func TestBuildPoolsSortsByNameWithoutModifyingEndpoints(t *testing.T) {
+	given := []fleet.Endpoint{newEndpoint("e1", "h2", "y", "x"), newEndpoint("e2", "h1", "x")}
 	pools := fleet.BuildPools(given)
 	require.Equal(t, "h1/x", pools[0].Name)
 	require.Equal(t, "h2/x+y", pools[1].Name)
@@ -101,19 +101,19 @@
 	require.False(t, given[1].Serves("y"))
 }
 
-func TestAPoolChecksFencesOnlyIfAllItsEndpointsDo(t *testing.T) {
-	checks, not := fleet.Endpoint{ChecksFence: true}, fleet.Endpoint{}
-	require.True(t, fleet.Pool{Endpoints: []fleet.Endpoint{checks, checks}}.ChecksFence())
-	require.False(t, fleet.Pool{Endpoints: []fleet.Endpoint{checks, not}}.ChecksFence())
+func TestPoolChecksFenceRequiresAllEndpoints(t *testing.T) {
+	checking, notChecking := fleet.Endpoint{ChecksFence: true}, fleet.Endpoint{}
+	require.True(t, fleet.Pool{Endpoints: []fleet.Endpoint{checking, checking}}.ChecksFence())
+	require.False(t, fleet.Pool{Endpoints: []fleet.Endpoint{checking, notChecking}}.ChecksFence())
 	require.True(t, fleet.Pool{}.ChecksFence())
 }
 
-func TestAPlainServicesBaseIsNoModels(t *testing.T) {
+func TestPlainBase(t *testing.T) {
 	require.Equal(t, "plain:/search", fleet.PlainBase("/search"))
 }
 
-// earlierDigest is the form of fleet.Digest in the version before digests were numbered.
-type earlierDigest struct {
+// previousDigest is fleet.Digest of the version that did not number digests.
+type previousDigest struct {
 	Hall      string              `msgpack:"h"`
 	Instances []fleet.Instance    `msgpack:"i"`
 	Placers   []fleet.PlacerOf    `msgpack:"pl"`
@@ -126,29 +126,29 @@
 	Wants     []string            `msgpack:"w,omitempty"`
 }
 
-func TestDigestsAreReadByTheVersionBeforeAndItsByThisOne(t *testing.T) {
-	earlier := earlierDigest{
+func TestDigestIsCompatibleWithPreviousVersion(t *testing.T) {
+	previous := previousDigest{
 		Hall: "h2", Placers: []fleet.PlacerOf{{Pool: "h2/base", Term: 3}}, Revision: 4, Highest: 5, Relayed: true,
 		Speaker: fleet.Instance{ID: "j1", Hall: "h2"}, Age: time.Second, Wants: []string{"h1/base"},
 	}
-	data, err := msgpack.Marshal(&earlier)
+	data, err := msgpack.Marshal(&previous)
 	require.NoError(t, err)
 	var d fleet.Digest
 	require.NoError(t, msgpack.Unmarshal(data, &d))
 	require.Equal(t, fleet.Digest{
-		Hall: "h2", Placers: earlier.Placers, Revision: 4, Highest: 5, Relayed: true, Speaker: earlier.Speaker, Age: time.Second, Wants: earlier.Wants,
-	}, d, "it tells neither boot nor number")
-	again, err := msgpack.Marshal(&d)
+		Hall: "h2", Placers: previous.Placers, Revision: 4, Highest: 5, Relayed: true, Speaker: previous.Speaker, Age: time.Second, Wants: previous.Wants,
+	}, d, "a digest of the previous version has no boot and no number")
+	relayed, err := msgpack.Marshal(&d)
 	require.NoError(t, err)
-	require.Equal(t, data, again, "and is passed on as it came")
+	require.Equal(t, data, relayed, "a relay must not change the encoding")
 
 	d.Boot, d.Number = 6, 7
 	data, err = msgpack.Marshal(&d)
 	require.NoError(t, err)
-	var read earlierDigest
-	require.NoError(t, msgpack.Unmarshal(data, &read))
-	require.Equal(t, earlier, read)
-	var own fleet.Digest
-	require.NoError(t, msgpack.Unmarshal(data, &own))
-	require.Equal(t, d, own)
+	var decoded previousDigest
+	require.NoError(t, msgpack.Unmarshal(data, &decoded))
+	require.Equal(t, previous, decoded)
+	var current fleet.Digest
+	require.NoError(t, msgpack.Unmarshal(data, &current))
+	require.Equal(t, d, current)
 }
--- a/models/daemon/fleet/message.go
+++ b/models/daemon/fleet/message.go
@@ -8,9 +8,10 @@
 	"time"
 )
 
-// Envelope carries one message between two instances; exactly one body is set.
+// Envelope contains one message between two instances; exactly one of the message fields is set.
 type Envelope struct {
-	From string         `msgpack:"f"`
+	From string `msgpack:"f"`
+	// Boot identifies the run of the sending process.
 	Boot uint64         `msgpack:"b"`
 	To   netip.AddrPort `msgpack:"-"`
 
@@ -30,10 +31,10 @@
 	Digest      *Digest      `msgpack:"dg,omitempty"`
 }
 
-// Heartbeat tells a peer that the sender lives, what it holds and which revision is in force there.
+// Heartbeat reports to a peer that the sender is alive, which pools it places and which revision is in force at the sender.
 type Heartbeat struct {
 	Instance Instance `msgpack:"i"`
-	// Stamp is the sender's own clock, which the receiver only echoes.
+	// Stamp is a reading of the sender's clock. The receiver only echoes it.
 	Stamp    time.Duration `msgpack:"s"`
 	Revision int64         `msgpack:"r"`
 	Leaving  bool          `msgpack:"l,omitempty"`
@@ -41,18 +42,18 @@
 	Members  uint64        `msgpack:"m"`
 	Known    []Instance    `msgpack:"k,omitempty"`
 	Pools    []PoolSummary `msgpack:"p,omitempty"`
-	// Wants names the pools of which the sender needs a full summary.
+	// Wants lists the pools of which the sender needs a full summary.
 	Wants []string `msgpack:"w,omitempty"`
 }
 
-// HeldPool announces that the sender is the placer of a pool.
+// HeldPool identifies a pool that the sender places, with the term of its ownership.
 type HeldPool struct {
 	Pool string `msgpack:"p"`
 	Term uint64 `msgpack:"t"`
 }
 
-// PoolSummary is an account of a pool for routing: the whole of it, or what
-// changed after Base, for receivers that know the pool up to Base or later.
+// PoolSummary is the state of a pool for routing. A full summary lists in Added all adapter versions that are resident or loading. Any
+// other summary lists the ones added and removed after sequence Base, for receivers that have the state of sequence Base or later.
 type PoolSummary struct {
 	Pool    string   `msgpack:"p"`
 	Epoch   uint64   `msgpack:"e"`
@@ -61,13 +62,14 @@
 	Full    bool     `msgpack:"f,omitempty"`
 	Added   []string `msgpack:"a,omitempty"`
 	Removed []string `msgpack:"r,omitempty"`
-	Free    int      `msgpack:"fr"`
-	Places  int      `msgpack:"pl"`
-	Slots   int      `msgpack:"sl"`
-	Waiting int      `msgpack:"w"`
+	// Free is the number of requests that the endpoints can take at once in addition to the running ones, and Places the number in total.
+	Free    int `msgpack:"fr"`
+	Places  int `msgpack:"pl"`
+	Slots   int `msgpack:"sl"`
+	Waiting int `msgpack:"w"`
 }
 
-// Digest is what one hall's speaker tells another hall's speakers, who pass it on.
+// Digest is the state of a hall that its speaker sends to the speakers of the other halls, which relay it within their halls.
 type Digest struct {
 	Hall      string        `msgpack:"h"`
 	Instances []Instance    `msgpack:"i"`
@@ -75,50 +77,51 @@
 	Pools     []PoolSummary `msgpack:"p"`
 	Revision  int64         `msgpack:"r"`
 	Highest   int64         `msgpack:"hi"`
-	// Relayed is true where the receiving hall's speaker passes the digest on; Speaker is its source.
+	// Relayed is true if the speaker of the receiving hall relays the digest. Speaker is the instance that created it.
 	Relayed bool     `msgpack:"re,omitempty"`
 	Speaker Instance `msgpack:"sp"`
-	// Age is how long a relay held the digest.
+	// Age is the time that the relaying speaker held the digest.
 	Age time.Duration `msgpack:"a,omitempty"`
-	// Wants names the receiver's pools of which the sender needs a full summary.
+	// Wants lists the pools of the receiver's hall of which the sender needs a full summary.
 	Wants []string `msgpack:"w,omitempty"`
-	// Boot is the life of the speaker and Number counts the digests of that life from 1. A speaker of an earlier version
-	// sends neither; its digests count in the order in which they arrive.
+	// Boot identifies the run of the speaker's process, and Number numbers the digests of that run from 1. A speaker of an
+	// earlier version sends neither; its digests are ordered by arrival.
 	Boot   uint64 `msgpack:"b,omitempty"`
 	Number uint64 `msgpack:"n,omitempty"`
 }
 
-// PlacerOf names the instance that places a pool.
+// PlacerOf identifies the instance that is the placer of a pool in a term.
 type PlacerOf struct {
 	Pool     string   `msgpack:"p"`
 	Term     uint64   `msgpack:"t"`
 	Instance Instance `msgpack:"i"`
 }
 
-// Submit asks a pool's placer for a ticket.
+// Submit requests a ticket from the placer of a pool.
 type Submit struct {
 	Pool    string         `msgpack:"p"`
 	Request Request        `msgpack:"r"`
 	Reply   netip.AddrPort `msgpack:"rp"`
 	Stamp   time.Duration  `msgpack:"s"`
-	// Wait is what remains until the caller's deadline; zero means no limit.
+	// Wait is the time that remains until the caller's deadline; zero means no deadline.
 	Wait time.Duration `msgpack:"w"`
 }
 
-// Withdraw takes a submitted request back.
+// Withdraw cancels a submitted request.
 type Withdraw struct {
 	Pool      string `msgpack:"p"`
 	RequestID string `msgpack:"r"`
 }
 
-// Granted hands out a ticket; Stamp echoes the entry's clock, which bounds the grant's age.
+// Granted grants a ticket. Stamp echoes Submit.Stamp, so that the entry instance can limit the age of the grant by its own clock.
 type Granted struct {
 	Ticket  Ticket        `msgpack:"t"`
 	Stamp   time.Duration `msgpack:"s"`
 	Attempt int           `msgpack:"a,omitempty"`
 }
 
-// Refused tells an entry that its request was not run; Elsewhere asks it to find the placer anew.
+// Refused reports to the entry instance that its request was not run. If Elsewhere is true, the sender is not the placer of the pool, and
+// the entry instance submits the request to the current placer.
 type Refused struct {
 	Pool      string  `msgpack:"p"`
 	Refusal   Refusal `msgpack:"r"`
@@ -126,37 +129,38 @@
 	Attempt   int     `msgpack:"a,omitempty"`
 }
 
-// Returned gives tickets back after their requests have ended.
+// Returned returns tickets to the placer after their requests have ended.
 type Returned struct {
 	Pool    string   `msgpack:"p"`
 	Tickets []string `msgpack:"t"`
 }
 
-// TicketUse is a ticket in use with its request.
+// TicketUse is a ticket in use and the request that uses it.
 type TicketUse struct {
 	Ticket  Ticket  `msgpack:"t"`
 	Request Request `msgpack:"r"`
 }
 
-// Redeclare tells a new placer which tickets of a pool the sender still uses; it is always the whole list.
+// Redeclare reports to a new placer all tickets of a pool that the sender still uses.
 type Redeclare struct {
 	Pool string      `msgpack:"p"`
 	Term uint64      `msgpack:"t"`
 	Uses []TicketUse `msgpack:"u"`
 }
 
-// Release hands a pool over to a successor, with all tickets that are out.
+// Release hands a pool over to the next placer, with all tickets that are in use.
 type Release struct {
 	Pool string      `msgpack:"p"`
 	Term uint64      `msgpack:"t"`
 	Uses []TicketUse `msgpack:"u"`
 }
 
-// Bid asks the holder of the load budget for a permit.
+// Bid requests a permit for a load from the instance that holds the load budget.
 type Bid struct {
-	Pool  string  `msgpack:"p"`
+	Pool string `msgpack:"p"`
+	// Value is the expected benefit of the load, by which the budget holder ranks bids.
 	Value float64 `msgpack:"v"`
-	// Preload is true while nobody waits for the load.
+	// Preload is true if no request waits for the load.
 	Preload bool `msgpack:"pr,omitempty"`
 }
 
@@ -164,27 +168,29 @@
 type Permit struct {
 	Pool string `msgpack:"p"`
 	ID   uint64 `msgpack:"i"`
-	// Within is sent and not read; the budget's holder forgets a permit that is not given back after node.Timing.PermitLife.
+	// Within is sent, but no receiver reads it. The budget holder expires a permit that is not returned within node.Timing.PermitLife.
 	Within time.Duration `msgpack:"w"`
 }
 
-// PermitDone gives a permit back; Used is false where nothing was loaded.
+// PermitDone returns a permit. Used is false if nothing was loaded.
 type PermitDone struct {
 	Pool string `msgpack:"p"`
 	ID   uint64 `msgpack:"i"`
 	Used bool   `msgpack:"u"`
 }
 
-// WantRecords asks a peer for the configuration after a revision.
+// WantRecords requests the configuration after a revision from a peer.
 type WantRecords struct {
 	After int64 `msgpack:"a"`
 }
 
-// Records passes configuration on, as encoded records or a snapshot with the records after it.
+// Records contains configuration: encoded records, or a snapshot and the encoded records after it.
 type Records struct {
+	// Head is the revision of the sender's configuration.
 	Head     int64    `msgpack:"h"`
 	Snapshot []byte   `msgpack:"s,omitempty"`
 	Records  [][]byte `msgpack:"r,omitempty"`
-	// Coming tells that nothing is in this message, but some bytes are under way: ask again after the time that they take.
+	// Coming is the number of bytes of configuration in transit to the receiver. If it is not zero, this message contains no
+	// configuration, and the receiver must not request it again until that many bytes can have arrived.
 	Coming int `msgpack:"c,omitempty"`
 }
--- a/models/daemon/fleet/request.go
+++ b/models/daemon/fleet/request.go
@@ -5,18 +5,18 @@
 
 import "time"
 
-// Class is a service class with its weight in decisions.
+// Class is a service class. Its priority and weight influence placement and loading.
 type Class struct {
 	Name        string
 	Priority    int
 	StallWeight float64
-	// Patient work may be held back to fill batches.
+	// Patient is true if requests of the class may be delayed to fill batches.
 	Patient bool
-	// MaxQueuedTokens bounds what waits in this class in one pool, in tokens.
+	// MaxQueuedTokens limits the requests of the class that wait in one pool, in tokens.
 	MaxQueuedTokens int
 }
 
-// Request is what a decision needs to know of one caller's call.
+// Request contains the properties of a caller's request that decisions use.
 type Request struct {
 	ID           string
 	Caller       string
@@ -26,30 +26,32 @@
 	Adapter      AdapterRef
 	PromptTokens int
 	OutputTokens int
-	Once         bool
-	Arrived      time.Time
-	Deadline     time.Time
-	Prefix       uint64
-	Priority     int
-	// Entry is the instance that holds the caller's connection.
+	// Once is true if the request must not be executed twice.
+	Once     bool
+	Arrived  time.Time
+	Deadline time.Time
+	// Prefix is a hash of the beginning of the prompt, or zero if the prompt is too short.
+	Prefix   uint64
+	Priority int
+	// Entry is the ID of the instance that has the caller's connection.
 	Entry string
-	// Attempt counts from zero; retries pass admission again.
+	// Attempt numbers the attempts from zero. Every retry passes admission again.
 	Attempt int
-	// Avoid names an endpoint that just refused this request.
+	// Avoid is the name of the endpoint at which the previous attempt failed.
 	Avoid string
 }
 
-// Tokens gives the request's work in tokens.
+// Tokens returns the sum of the prompt and output tokens.
 func (r Request) Tokens() int {
 	return r.PromptTokens + r.OutputTokens
 }
 
-// Expired tells whether the caller has stopped waiting.
+// Expired reports whether the deadline has passed. A request without a deadline never expires.
 func (r Request) Expired(now time.Time) bool {
 	return !r.Deadline.IsZero() && !now.Before(r.Deadline)
 }
 
-// Ticket is a placer's permission to run one request on one endpoint.
+// Ticket is the permission of a placer to run one request on one endpoint.
 type Ticket struct {
 	ID          string
 	RequestID   string
@@ -60,23 +62,24 @@
 	Fence       uint64
 	Placer      string
 	Entry       string
-	// StartWithin bounds the time from the grant's arrival to the start of the request.
+	// StartWithin limits the time from the arrival of the grant to the start of the request.
 	StartWithin time.Duration
-	Queued      time.Duration
-	Stalled     time.Duration
+	// Queued is the time that the request waited for the ticket, and Stalled the part of this time that an adapter load caused.
+	Queued  time.Duration
+	Stalled time.Duration
 }
 
-// Outcome is how an attempt ended.
+// Outcome is the result of an attempt.
 type Outcome string
 
-// The three outcomes of an attempt.
+// The outcomes of an attempt. OutcomeUnknown means that the request may have been executed.
 const (
 	OutcomeAnswered Outcome = "answered"
 	OutcomeNotRun   Outcome = "not_run"
 	OutcomeUnknown  Outcome = "unknown"
 )
 
-// Reason names why a request was refused.
+// Reason is the reason why a request was refused.
 type Reason string
 
 // The reasons of a refusal.
@@ -96,7 +99,7 @@
 	ReasonRule          Reason = "rule"
 )
 
-// Refusal tells a caller that its request was not run and when to come back.
+// Refusal reports to a caller that its request was not run, and when to retry.
 type Refusal struct {
 	RequestID  string
 	Reason     Reason
--- a/models/daemon/fleet/size.go
+++ b/models/daemon/fleet/size.go
@@ -3,21 +3,21 @@
 
 package fleet
 
-// The sizes below are estimates of one item in msgpack, with its field names and strings of some ten bytes, in bytes; a test
-// holds the encoded form of messages against them.
+// The constants below estimate the bytes of one item in msgpack, with its field names and with strings of about ten bytes. A test
+// compares the estimates with the encoded messages.
 const (
-	// envelopeSize covers an envelope with what its body always has.
+	// envelopeSize covers an envelope with the fields of fixed size of its message.
 	envelopeSize = 512
-	// instanceSize covers an Instance, heldSize a HeldPool, nameSize a name in a list besides its letters, summarySize a PoolSummary
-	// besides its names, useSize a TicketUse.
-	instanceSize = 64
-	heldSize     = 32
-	nameSize     = 2
-	summarySize  = 96
-	useSize      = 640
+	// instanceSize covers an Instance, heldPoolSize a HeldPool, nameOverhead the bytes of a name in a list besides its characters,
+	// poolSummarySize a PoolSummary without its names, and ticketUseSize a TicketUse.
+	instanceSize    = 64
+	heldPoolSize    = 32
+	nameOverhead    = 2
+	poolSummarySize = 96
+	ticketUseSize   = 640
 )
 
-// Size estimates how many bytes the envelope takes where it waits or is under way; what may grow long is counted by its length.
+// Size estimates the bytes that the envelope takes in a queue or in transit. The fields that can grow large count by their length.
 func (e Envelope) Size() int {
 	size := envelopeSize
 	switch {
@@ -25,21 +25,21 @@
 		size += e.Records.Size()
 	case e.Heartbeat != nil:
 		h := e.Heartbeat
-		size += instanceSize*len(h.Known) + heldSize*len(h.Held) + summariesSize(h.Pools) + namesSize(h.Wants)
+		size += instanceSize*len(h.Known) + heldPoolSize*len(h.Held) + summariesSize(h.Pools) + namesSize(h.Wants)
 	case e.Digest != nil:
 		d := e.Digest
-		size += instanceSize*len(d.Instances) + (heldSize+instanceSize)*len(d.Placers) + summariesSize(d.Pools) + namesSize(d.Wants)
+		size += instanceSize*len(d.Instances) + (heldPoolSize+instanceSize)*len(d.Placers) + summariesSize(d.Pools) + namesSize(d.Wants)
 	case e.Returned != nil:
 		size += namesSize(e.Returned.Tickets)
 	case e.Redeclare != nil:
-		size += useSize * len(e.Redeclare.Uses)
+		size += ticketUseSize * len(e.Redeclare.Uses)
 	case e.Release != nil:
-		size += useSize * len(e.Release.Uses)
+		size += ticketUseSize * len(e.Release.Uses)
 	}
 	return size
 }
 
-// Size gives the bytes of the snapshot and the records.
+// Size returns the number of bytes of the snapshot and the records.
 func (r *Records) Size() int {
 	size := len(r.Snapshot)
 	for _, record := range r.Records {
@@ -51,7 +51,7 @@
 func summariesSize(summaries []PoolSummary) int {
 	size := 0
 	for _, s := range summaries {
-		size += summarySize + namesSize(s.Added) + namesSize(s.Removed)
+		size += poolSummarySize + namesSize(s.Added) + namesSize(s.Removed)
 	}
 	return size
 }
@@ -59,7 +59,7 @@
 func namesSize(names []string) int {
 	size := 0
 	for _, name := range names {
-		size += nameSize + len(name)
+		size += nameOverhead + len(name)
 	}
 	return size
 }
--- a/models/daemon/fleet/size_test.go
+++ b/models/daemon/fleet/size_test.go
@@ -15,8 +15,8 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// many gives so many items, each made of its number.
-func many[T any](count int, item func(i int) T) []T {
+// makeItems returns count items, each created from its index.
+func makeItems[T any](count int, item func(i int) T) []T {
 	out := make([]T, 0, count)
 	for i := range count {
 		out = append(out, item(i))
@@ -24,27 +24,27 @@
 	return out
 }
 
-func TestTheSizeOfAnEnvelopeIsNotFarFromItsEncodedForm(t *testing.T) {
+func TestEnvelopeSizeApproximatesEncodedSize(t *testing.T) {
 	const (
 		count = 3000
-		// least and most bound the estimate, in parts of the encoded size.
-		least = 0.7
-		most  = 1.6
+		// minRatio and maxRatio limit the ratio of the estimate to the encoded size.
+		minRatio = 0.7
+		maxRatio = 1.6
 	)
 	address := netip.MustParseAddrPort("10.20.30.40:8082")
-	instances := many(count, func(i int) fleet.Instance {
+	instances := makeItems(count, func(i int) fleet.Instance {
 		return fleet.Instance{ID: fmt.Sprintf("h1-i%d", i), Hall: "h1", Address: address, Operator: address}
 	})
-	names := many(count, func(i int) string { return fmt.Sprintf("adapter-%d@3", i) })
-	summaries := many(count, func(i int) fleet.PoolSummary {
+	names := makeItems(count, func(i int) string { return fmt.Sprintf("adapter-%d@3", i) })
+	summaries := makeItems(count, func(i int) fleet.PoolSummary {
 		return fleet.PoolSummary{Pool: fmt.Sprintf("h1/base-%d", i), Epoch: 1 << 40, Seq: 1 << 20, Base: 1 << 20, Added: names[:3], Free: 3, Places: 9, Slots: 8, Waiting: 70}
 	})
-	held := many(count, func(i int) fleet.HeldPool { return fleet.HeldPool{Pool: fmt.Sprintf("h1/base-%d", i), Term: 1 << 40} })
-	placers := many(count, func(i int) fleet.PlacerOf {
+	held := makeItems(count, func(i int) fleet.HeldPool { return fleet.HeldPool{Pool: fmt.Sprintf("h1/base-%d", i), Term: 1 << 40} })
+	placers := makeItems(count, func(i int) fleet.PlacerOf {
 		return fleet.PlacerOf{Pool: fmt.Sprintf("h1/base-%d", i), Term: 1 << 40, Instance: instances[i]}
 	})
 	now := time.Unix(1_800_000_000, 5)
-	uses := many(count, func(i int) fleet.TicketUse {
+	uses := makeItems(count, func(i int) fleet.TicketUse {
 		ref := fleet.AdapterRef{Name: "adapter", Version: 3}
 		return fleet.TicketUse{
 			Ticket: fleet.Ticket{ID: fmt.Sprint(i), RequestID: "request-12345", Pool: "h1/base-a", Endpoint: "h1-e1", Incarnation: "5", Adapter: ref, Fence: 1 << 40, Placer: "h1-i1", Entry: "h1-i2"},
@@ -55,7 +55,7 @@
 		}
 	})
 	for name, e := range map[string]fleet.Envelope{
-		"records":   {Records: &fleet.Records{Head: 3, Snapshot: make([]byte, 100_000), Records: many(count, func(int) []byte { return make([]byte, 300) })}},
+		"records":   {Records: &fleet.Records{Head: 3, Snapshot: make([]byte, 100_000), Records: makeItems(count, func(int) []byte { return make([]byte, 300) })}},
 		"known":     {Heartbeat: &fleet.Heartbeat{Known: instances}},
 		"held":      {Heartbeat: &fleet.Heartbeat{Held: held}},
 		"pools":     {Heartbeat: &fleet.Heartbeat{Pools: summaries}},
@@ -67,13 +67,13 @@
 	} {
 		data, err := msgpack.Marshal(&e)
 		require.NoError(t, err)
-		t.Logf("%s: %d bytes by the estimate, %d encoded", name, e.Size(), len(data))
-		part := float64(e.Size()) / float64(len(data))
-		require.Truef(t, part > least && part < most, "%s: %d bytes by the estimate, %d encoded", name, e.Size(), len(data))
+		t.Logf("%s: %d bytes estimated, %d encoded", name, e.Size(), len(data))
+		ratio := float64(e.Size()) / float64(len(data))
+		require.Truef(t, ratio > minRatio && ratio < maxRatio, "%s: %d bytes estimated, %d encoded", name, e.Size(), len(data))
 	}
 }
 
-func TestASmallEnvelopeCountsWithWhatItHolds(t *testing.T) {
+func TestEnvelopeSizeCoversSmallEnvelope(t *testing.T) {
 	data, err := msgpack.Marshal(&fleet.Envelope{From: "h1-i1", Boot: 1 << 40, Submit: &fleet.Submit{Pool: "h1/base", Request: fleet.Request{ID: "request"}}})
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, fleet.Envelope{Submit: &fleet.Submit{}}.Size(), len(data))
