--- a/models/daemon/table/doc.go
+++ b/models/daemon/table/doc.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package table holds the rows that queries give, with typed values.
+// Package table contains the result type of queries: a table with typed values.
 //
-// A Table is its builder's alone. The package relies on nothing of this program and starts no goroutines.
+// A Table is not safe for concurrent use. The package imports no other package of the program and starts no goroutines.
 package table
--- a/models/daemon/table/table.go
+++ b/models/daemon/table/table.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// Kind is the type of a column.
+// Kind is the type of a column or a value.
 type Kind string
 
-// The types of column.
+// The types of columns and values.
 const (
 	Text   Kind = "text"
 	Number Kind = "number"
@@ -26,14 +26,14 @@
 	Kind Kind   `json:"kind"`
 }
 
-// Value is one cell.
+// Value is the value of a cell. Text is set for the kinds Text and Bool, and Number for the kind Number.
 type Value struct {
 	Kind   Kind
 	Text   string
 	Number float64
 }
 
-// String gives the cell as people read it.
+// String returns the value as it is displayed.
 func (v Value) String() string {
 	if v.Kind == Number {
 		return strconv.FormatFloat(v.Number, 'f', -1, 64)
@@ -66,21 +66,21 @@
 	return json.Unmarshal(data, &v.Number)
 }
 
-// T makes a text cell.
+// T returns a text value.
 func T(text string) Value { return Value{Kind: Text, Text: text} }
 
-// N makes a number cell.
+// N returns a number value.
 func N[X int | int64 | uint64 | float64](n X) Value { return Value{Kind: Number, Number: float64(n)} }
 
-// B makes a cell of true or false.
+// B returns a boolean value.
 func B(b bool) Value { return Value{Kind: Bool, Text: strconv.FormatBool(b)} }
 
-// D makes a number cell of seconds.
+// D returns the duration as a number value in seconds, rounded to milliseconds.
 func D(d time.Duration) Value {
 	return Value{Kind: Number, Number: d.Round(time.Millisecond).Seconds()}
 }
 
-// Compare orders two cells: numbers by size, all else by text.
+// Compare returns the order of two values as cmp.Compare does: two numbers are compared as numbers, all others as text.
 func Compare(a, b Value) int {
 	if a.Kind == Number && b.Kind == Number {
 		return cmp.Compare(a.Number, b.Number)
@@ -88,13 +88,13 @@
 	return cmp.Compare(a.String(), b.String())
 }
 
-// Table is a list of rows under columns.
+// Table is a list of rows; each has one value for each column.
 type Table struct {
 	Columns []Column  `json:"columns"`
 	Rows    [][]Value `json:"rows"`
 }
 
-// Index finds a column by its name, or gives -1.
+// Index returns the index of the column with the given name, or -1 if there is none.
 func (t *Table) Index(name string) int {
 	for i, c := range t.Columns {
 		if c.Name == name {
@@ -104,7 +104,7 @@
 	return -1
 }
 
-// Add appends a row.
+// Add appends a row with the given values.
 func (t *Table) Add(values ...Value) {
 	t.Rows = append(t.Rows, values)
 }
--- a/models/daemon/table/table_test.go
+++ b/models/daemon/table/table_test.go
@@ -13,11 +13,11 @@
 	"github.com/shelfledge/shelfledge/models/daemon/table"
 )
 
-func TestACellIsShownAndEncodedByItsKind(t *testing.T) {
+func TestValueStringAndJSON(t *testing.T) {
 	for _, row := range []struct {
-		cell  table.Value
-		shown string
-		coded string
+		value     table.Value
+		displayed string
+		encoded   string
 	}{
 		{table.T(""), "", `""`},
 		{table.T(`a "b"`), `a "b"`, `"a \"b\""`},
@@ -33,23 +33,23 @@
 		{table.D(1499 * time.Microsecond), "0.001", "0.001"},
 		{table.D(0), "0", "0"},
 	} {
-		require.Equal(t, row.shown, row.cell.String())
-		data, err := json.Marshal(row.cell)
+		require.Equal(t, row.displayed, row.value.String())
+		data, err := json.Marshal(row.value)
 		require.NoError(t, err)
-		require.Equal(t, row.coded, string(data))
-		var back table.Value
-		require.NoError(t, json.Unmarshal(data, &back))
-		require.Equal(t, row.cell, back, "%s keeps its kind on the way to another instance", row.coded)
+		require.Equal(t, row.encoded, string(data))
+		var decoded table.Value
+		require.NoError(t, json.Unmarshal(data, &decoded))
+		require.Equal(t, row.value, decoded, "%s must keep its kind when it is decoded", row.encoded)
 	}
 }
 
-func TestAMalformedCellIsAnError(t *testing.T) {
+func TestValueRejectsMalformedJSON(t *testing.T) {
 	for _, data := range []string{"[]", "{}", "truth"} {
 		require.Error(t, json.Unmarshal([]byte(data), &table.Value{}), "%s", data)
 	}
 }
 
-func TestNumbersAreOrderedBySizeAndAllElseByText(t *testing.T) {
+func TestCompare(t *testing.T) {
 	for _, row := range []struct {
 		a, b  table.Value
 		order int
@@ -66,16 +66,16 @@
 	}
 }
 
-func TestATableFindsItsColumnsAndKeepsItsRowsInOrder(t *testing.T) {
-	made := table.Table{Columns: []table.Column{{Name: "name", Kind: table.Text}, {Name: "age", Kind: table.Number}}}
-	require.Equal(t, 1, made.Index("age"))
-	require.Equal(t, -1, made.Index("Age"))
-	made.Add(table.T("b"), table.N(2))
-	made.Add(table.T("a"), table.N(1))
-	data, err := json.Marshal(made)
+func TestTableIndexAndRowOrder(t *testing.T) {
+	original := table.Table{Columns: []table.Column{{Name: "name", Kind: table.Text}, {Name: "age", Kind: table.Number}}}
+	require.Equal(t, 1, original.Index("age"))
+	require.Equal(t, -1, original.Index("Age"))
+	original.Add(table.T("b"), table.N(2))
+	original.Add(table.T("a"), table.N(1))
+	data, err := json.Marshal(original)
 	require.NoError(t, err)
 	require.Equal(t, `{"columns":[{"name":"name","kind":"text"},{"name":"age","kind":"number"}],"rows":[["b",2],["a",1]]}`, string(data))
-	var back table.Table
-	require.NoError(t, json.Unmarshal(data, &back))
-	require.Equal(t, made, back)
+	var decoded table.Table
+	require.NoError(t, json.Unmarshal(data, &decoded))
+	require.Equal(t, original, decoded)
 }
