--- a/routers/daemon/operator/doc.go
+++ b/routers/daemon/operator/doc.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package operator serves operators: statements of their language over HTTP, metrics and health.
+// Package operator implements the HTTP interface for operators: statements of the operators' language, metrics and health
+// checks.
 //
-// A Router owns no state. It relies on services/daemon/access for who may ask, and on services/daemon/command and
-// services/daemon/query for the answers; it starts no goroutines.
+// A Router has no state. It uses services/daemon/access to authenticate operators, services/daemon/command to execute
+// changes and services/daemon/query to answer queries. The package starts no goroutines.
 package operator
--- a/routers/daemon/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -26,53 +26,53 @@
 	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
-// Options are what the operators' router works with.
+// Options contains the dependencies of a Router.
 type Options struct {
 	Access  *access.Service
 	Command *command.Service
 	Query   *query.Service
 	Metrics *metric.Metrics
-	// Refresh brings gauges up to date before the metrics page is made.
+	// Refresh updates the gauges; it is called before each response with metrics.
 	Refresh func()
 	Ready   func() bool
 	Now     func() time.Time
 }
 
-// Router serves operators.
+// Router serves the requests of operators.
 type Router struct {
 	options Options
 }
 
-// New makes a router.
+// New returns a router with the given options.
 func New(o Options) *Router {
 	return &Router{options: o}
 }
 
 const (
-	// maxBody bounds the body of one request, in bytes: the language's longest text, escaped a little, fits in.
-	maxBody = 9 << 20
-	// defaultWait is how long a change is waited for until it is in force, where the request names no time; 264 ms are usual
-	// (docs/design/0004-data-path.md). maxWait bounds what a request may name. Neither was varied.
+	// maxBodyBytes limits the body of a request, in bytes. The longest text of the language (8 MiB) fits in, with some characters escaped.
+	maxBodyBytes = 9 << 20
+	// defaultWait is how long the router waits for a change to be in force if the request specifies no time; 264 ms are usual
+	// (docs/design/0004-data-path.md). maxWait limits the time that a request can specify.
 	defaultWait = 4 * time.Second
 	maxWait     = time.Minute
 )
 
-// Routes lists the paths.
+// Routes returns the routes of the router.
 func (r *Router) Routes() []rest.Route {
 	return []rest.Route{
-		{Method: http.MethodPost, Path: "/operator/v1/run", Handler: r.run},
-		{Method: http.MethodGet, Path: "/metrics", Handler: r.metrics},
+		{Method: http.MethodPost, Path: "/operator/v1/run", Handler: r.handleRun},
+		{Method: http.MethodGet, Path: "/metrics", Handler: r.handleMetrics},
 		{Method: http.MethodGet, Path: "/healthz", Handler: func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }},
-		{Method: http.MethodGet, Path: "/readyz", Handler: r.ready},
+		{Method: http.MethodGet, Path: "/readyz", Handler: r.handleReady},
 	}
 }
 
-func (r *Router) metrics(w http.ResponseWriter, q *http.Request) {
+func (r *Router) handleMetrics(w http.ResponseWriter, q *http.Request) {
 	r.options.Refresh()
 	r.options.Metrics.Handler().ServeHTTP(w, q)
 }
 
-func (r *Router) ready(w http.ResponseWriter, _ *http.Request) {
+func (r *Router) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.options.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -80,40 +80,42 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (r *Router) run(w http.ResponseWriter, q *http.Request) {
-	// Who asks is settled before the body is read.
-	who, err := r.check(q, access.RoleRead)
+func (r *Router) handleRun(w http.ResponseWriter, q *http.Request) {
+	// The operator is authenticated before the body is read.
+	who, err := r.authenticate(q, access.RoleRead)
 	if err != nil {
 		writeError(w, q, err)
 		return
 	}
 	var in RunRequest
-	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxBody)).Decode(&in); err != nil {
+	if err := json.NewDecoder(http.MaxBytesReader(w, q.Body, maxBodyBytes)).Decode(&in); err != nil {
 		writeError(w, q, command.ErrMeaning{Reason: "the request could not be read: " + err.Error()})
 		return
 	}
 	statements, err := language.Parse(in.Text)
 	if err != nil {
-		writeSyntax(w, q, err, in.Text)
+		writeSyntaxError(w, q, err, in.Text)
 		return
 	}
-	if err := r.allowed(statements, who); err != nil {
+	if err := r.authorize(statements, who); err != nil {
 		writeError(w, q, err)
 		return
 	}
-	answers, err := r.carryOut(q.Context(), statements, in, who)
+	answers, err := r.execute(q.Context(), statements, in, who)
 	out := RunResponse{Operator: who.Name, Answers: answers}
 	if err != nil {
-		out.Error = errorOf(err)
+		out.Error = newError(err)
 	}
-	httpx.WriteJsonCtx(q.Context(), w, statusOf(err), out)
+	httpx.WriteJsonCtx(q.Context(), w, statusCode(err), out)
 }
 
-// check finds who asks, by the key in the Authorization header, and counts the log-in.
-func (r *Router) check(q *http.Request, need access.Role) (access.Operator, error) {
-	// A header of another form is taken as the key itself, which no key's hash matches.
+// authenticate returns the operator with the key in the Authorization header, who must have at least the role need, and counts the
+// login in the metrics.
+func (r *Router) authenticate(q *http.Request, need access.Role) (access.Operator, error) {
+	// A header without the prefix is used as the key, which then matches no configured hash.
 	key, _ := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
-	// The server gives an address and port; any other text would share the failures of the zero address.
+	// The error is ignored: the HTTP server always sets an address and port. An address that cannot be parsed would count its failed
+	// logins for the zero address.
 	from, _ := netip.ParseAddrPort(q.RemoteAddr)
 	who, err := r.options.Access.Check(r.options.Now(), from.Addr(), key, need)
 	result := "ok"
@@ -124,8 +126,8 @@
 	return who, err
 }
 
-// allowed looks at the whole text before any of it is done.
-func (r *Router) allowed(statements []*language.Statement, who access.Operator) error {
+// authorize checks the role of the operator for all statements of a text, so that no statement is executed if one is denied.
+func (r *Router) authorize(statements []*language.Statement, who access.Operator) error {
 	for _, s := range statements {
 		need := access.RoleRead
 		if s.Change != nil {
@@ -141,14 +143,15 @@
 	return nil
 }
 
-// carryOut does the statements in order; changes that follow one another are one batch.
-func (r *Router) carryOut(ctx context.Context, statements []*language.Statement, in RunRequest, who access.Operator) ([]Answer, error) {
+// execute executes the statements in order. Consecutive changes form one batch. If a statement fails, execute returns the answers of
+// the statements before it with the error.
+func (r *Router) execute(ctx context.Context, statements []*language.Statement, in RunRequest, who access.Operator) ([]Answer, error) {
 	var answers []Answer
 	batches := 0
 	for len(statements) > 0 {
 		changes := leadingChanges(statements)
 		if len(changes) == 0 {
-			a, err := r.ask(ctx, statements[0])
+			a, err := r.runQuery(ctx, statements[0])
 			if err != nil {
 				return answers, err
 			}
@@ -156,7 +159,7 @@
 			statements = statements[1:]
 			continue
 		}
-		result, err := r.options.Command.Execute(ctx, batchOf(changes, in, who, batches))
+		result, err := r.options.Command.Execute(ctx, newCommandRequest(changes, in, who, batches))
 		if err != nil {
 			return answers, err
 		}
@@ -167,7 +170,7 @@
 	return answers, nil
 }
 
-// leadingChanges gives the changes up to the first statement that is none.
+// leadingChanges returns the changes before the first statement that is not a change.
 func leadingChanges(statements []*language.Statement) []*language.Change {
 	var changes []*language.Change
 	for _, s := range statements {
@@ -179,7 +182,9 @@
 	return changes
 }
 
-func batchOf(changes []*language.Change, in RunRequest, who access.Operator, number int) command.Request {
+// newCommandRequest returns the request for the batch with the given number. All batches of a text after the first one get an
+// identifier of their own.
+func newCommandRequest(changes []*language.Change, in RunRequest, who access.Operator, number int) command.Request {
 	id := in.ID
 	if id == "" {
 		id = uuid.NewString()
@@ -194,7 +199,7 @@
 	return command.Request{ID: id, Operator: who.Name, Text: in.Text, Wait: wait, Changes: changes}
 }
 
-func (r *Router) ask(ctx context.Context, s *language.Statement) (Answer, error) {
+func (r *Router) runQuery(ctx context.Context, s *language.Statement) (Answer, error) {
 	if s.Explain != nil {
 		e, err := r.options.Query.Explain(ctx, s.Explain)
 		return Answer{Explain: &e, Parts: e.Parts}, err
@@ -203,7 +208,7 @@
 	return Answer{Table: &result.Table, Parts: result.Parts}, err
 }
 
-func writeSyntax(w http.ResponseWriter, q *http.Request, err error, text string) {
+func writeSyntaxError(w http.ResponseWriter, q *http.Request, err error, text string) {
 	var syntax language.ErrSyntax
 	if !errors.As(err, &syntax) {
 		writeError(w, q, err)
@@ -218,14 +223,14 @@
 	if errors.As(err, &many) {
 		w.Header().Set("Retry-After", strconv.Itoa(int(many.RetryAfter/time.Second)+1))
 	}
-	httpx.WriteJsonCtx(q.Context(), w, statusOf(err), RunResponse{Error: errorOf(err)})
+	httpx.WriteJsonCtx(q.Context(), w, statusCode(err), RunResponse{Error: newError(err)})
 }
 
-func errorOf(err error) *Error {
-	return &Error{Kind: kindOf(err), Message: err.Error()}
+func newError(err error) *Error {
+	return &Error{Kind: errorKind(err), Message: err.Error()}
 }
 
-func kindOf(err error) ErrorKind {
+func errorKind(err error) ErrorKind {
 	switch {
 	case access.IsErrDenied(err):
 		return KindDenied
@@ -241,11 +246,11 @@
 	return KindMeaning
 }
 
-func statusOf(err error) int {
+func statusCode(err error) int {
 	if err == nil {
 		return http.StatusOK
 	}
-	switch kindOf(err) {
+	switch errorKind(err) {
 	case KindDenied:
 		return http.StatusForbidden
 	case KindTooMany:
--- a/routers/daemon/operator/wire.go
+++ b/routers/daemon/operator/wire.go
@@ -9,23 +9,24 @@
 	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
-// RunRequest asks for statements to be carried out.
+// RunRequest is a request to execute statements.
 type RunRequest struct {
 	Text string `json:"text"`
-	// ID names the changes of the text, so that they are accepted once however often they are sent.
+	// ID identifies the changes of the text, so that they are accepted only once if the request is sent again.
 	ID string `json:"id"`
-	// WaitMS is how long to wait for changes to be in force everywhere.
+	// WaitMS is how long to wait for changes to be in force in every hall, in milliseconds; zero means the default.
 	WaitMS int64 `json:"wait_ms"`
 }
 
-// RunResponse holds one answer for each query or explanation, and one for each run of changes.
+// RunResponse contains an answer for each query or explanation, and one for each batch of consecutive changes.
 type RunResponse struct {
 	Operator string   `json:"operator"`
 	Answers  []Answer `json:"answers"`
 	Error    *Error   `json:"error,omitempty"`
 }
 
-// Answer is one answer; one of its parts is set.
+// Answer is the answer to a query (Table), a batch of changes (Change) or an explanation (Explain). Parts says which halls contributed to
+// a query or an explanation.
 type Answer struct {
 	Table   *table.Table       `json:"table,omitempty"`
 	Parts   []query.Part       `json:"parts,omitempty"`
@@ -33,10 +34,10 @@
 	Explain *query.Explanation `json:"explain,omitempty"`
 }
 
-// ErrorKind names what went wrong.
+// ErrorKind is the kind of an error.
 type ErrorKind string
 
-// The kinds of error; docs/operators.md gives the tool's exit code for each.
+// The kinds of error. docs/operators.md lists the exit code of shelfctl for each.
 const (
 	KindSyntax      ErrorKind = "syntax"
 	KindMeaning     ErrorKind = "meaning"
@@ -47,11 +48,12 @@
 	KindTooMany     ErrorKind = "too_many"
 )
 
-// Error tells why a statement was not carried out.
+// Error reports why a statement was not executed.
 type Error struct {
 	Kind    ErrorKind `json:"kind"`
 	Message string    `json:"message"`
-	Line    int       `json:"line,omitempty"`
-	Column  int       `json:"column,omitempty"`
-	Point   string    `json:"point,omitempty"`
+	// Line and Column are the position of a syntax error, and Point is that line with a mark under the column.
+	Line   int    `json:"line,omitempty"`
+	Column int    `json:"column,omitempty"`
+	Point  string `json:"point,omitempty"`
 }
