--- a/routers/daemon/caller/doc.go
+++ b/routers/daemon/caller/doc.go
@@ -1,10 +1,10 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package caller serves callers: OpenAI-compatible HTTP for adapters and services, and plain services under their own
-// path prefixes.
+// Package caller implements the HTTP interface for callers: an OpenAI-compatible API for adapters and services, and plain
+// services under their own path prefixes.
 //
-// A Router owns the count of open requests. It relies on services/daemon/relay to run a request, on the catalog in
-// force to resolve its model, and on modules/daemon/httpserver to serve its routes, each request on its connection's
-// goroutine; it starts none.
+// A Router owns the count of open requests. It uses services/daemon/relay to run a request and the current catalog to
+// resolve the model. modules/daemon/httpserver serves its routes, each request on the goroutine of its connection; the
+// package starts no goroutines.
 package caller
--- a/routers/daemon/caller/error_body.go
+++ b/routers/daemon/caller/error_body.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// errorBody is the OpenAI error object with this system's outcome.
+// errorBody is the body of an error response: the OpenAI error object with the additional fields outcome and request_id.
 type errorBody struct {
 	Error errorObject `json:"error"`
 }
@@ -28,8 +28,8 @@
 	RequestID string        `json:"request_id,omitempty"`
 }
 
-// failure is an answer that tells a caller why there is no other.
-type failure struct {
+// errorResponse is a response that reports to a caller why its request failed.
+type errorResponse struct {
 	status     int
 	kind       string
 	code       string
@@ -39,25 +39,25 @@
 	retryAfter time.Duration
 }
 
-func badRequest(code, param, message string) *failure {
-	return &failure{status: http.StatusBadRequest, kind: "invalid_request_error", code: code, param: param, message: message, outcome: fleet.OutcomeNotRun}
+func badRequest(code, param, message string) *errorResponse {
+	return &errorResponse{status: http.StatusBadRequest, kind: "invalid_request_error", code: code, param: param, message: message, outcome: fleet.OutcomeNotRun}
 }
 
-// failureOf turns the relay's errors into an answer.
-func failureOf(err error) *failure {
+// errorResponseFor returns the response for an error of the relay.
+func errorResponseFor(err error) *errorResponse {
 	var notRun relay.ErrNotRun
 	if errors.As(err, &notRun) {
-		return notRunFailure(notRun)
+		return notRunResponse(notRun)
 	}
 	var unknown relay.ErrUnknown
 	if errors.As(err, &unknown) && unknown.Claimed {
-		return &failure{status: http.StatusConflict, kind: "conflict_error", code: string(fleet.ReasonClaimed), message: err.Error(), outcome: fleet.OutcomeUnknown}
+		return &errorResponse{status: http.StatusConflict, kind: "conflict_error", code: string(fleet.ReasonClaimed), message: err.Error(), outcome: fleet.OutcomeUnknown}
 	}
-	return &failure{status: http.StatusBadGateway, kind: "server_error", code: "unknown", message: err.Error(), outcome: fleet.OutcomeUnknown}
+	return &errorResponse{status: http.StatusBadGateway, kind: "server_error", code: "unknown", message: err.Error(), outcome: fleet.OutcomeUnknown}
 }
 
-func notRunFailure(e relay.ErrNotRun) *failure {
-	f := &failure{
+func notRunResponse(e relay.ErrNotRun) *errorResponse {
+	f := &errorResponse{
 		status: http.StatusServiceUnavailable, kind: "server_error", code: string(e.Reason), message: e.Error(),
 		outcome: fleet.OutcomeNotRun, retryAfter: e.RetryAfter,
 	}
@@ -72,17 +72,17 @@
 	return f
 }
 
-func (f *failure) body(requestID string) []byte {
+func (f *errorResponse) body(requestID string) []byte {
 	o := errorObject{Message: f.message, Type: f.kind, Code: f.code, Outcome: f.outcome, RequestID: requestID}
 	if f.param != "" {
 		o.Param = &f.param
 	}
-	// A struct of strings always has a JSON form.
+	// The error is ignored, since a struct of strings can always be encoded.
 	data, _ := json.Marshal(errorBody{Error: o})
 	return data
 }
 
-func (f *failure) write(w http.ResponseWriter, requestID string) {
+func (f *errorResponse) write(w http.ResponseWriter, requestID string) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set(headerOutcome, string(f.outcome))
@@ -91,12 +91,12 @@
 		h.Set("Retry-After", strconv.Itoa(seconds))
 	}
 	w.WriteHeader(f.status)
-	// A caller that is gone reads no failure; the same holds for writeEvent.
+	// A write error is ignored, here and in writeEvent: the caller has closed the connection.
 	_, _ = w.Write(f.body(requestID))
 }
 
-// writeEvent tells the failure inside a stream that has begun.
-func (f *failure) writeEvent(w http.ResponseWriter, requestID string) {
+// writeEvent writes the error as a server-sent event of a stream that has started.
+func (f *errorResponse) writeEvent(w http.ResponseWriter, requestID string) {
 	_, _ = w.Write([]byte("data: "))
 	_, _ = w.Write(f.body(requestID))
 	_, _ = w.Write([]byte("\n\n"))
--- a/routers/daemon/caller/request.go
+++ b/routers/daemon/caller/request.go
@@ -19,7 +19,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// The headers by which callers say more than the OpenAI form lets them.
+// The request and response headers that extend the OpenAI API.
 const (
 	headerRequestID = "X-Request-Id"
 	headerCaller    = "X-Caller"
@@ -34,16 +34,17 @@
 )
 
 const (
-	// maxIDLength bounds identifiers of callers, in bytes: they become keys of the key-value service and labels of metrics.
+	// maxIDLength limits the length of the identifiers that callers send, in bytes, since they are used as keys of the key-value service
+	// and as metric labels.
 	maxIDLength = 128
-	// prefixBytes is how much of a prompt's beginning tells prompts apart that were run before.
-	prefixBytes = 512
-	// anonymous is the caller of requests that name none.
-	anonymous = "anonymous"
+	// promptPrefixBytes is the length of the beginning of a prompt by which earlier requests with the same prompt prefix are recognized.
+	promptPrefixBytes = 512
+	// anonymousCaller is the caller of requests that specify no caller.
+	anonymousCaller = "anonymous"
 )
 
-// metadata is the body's own way to say what the headers say.
-type metadata struct {
+// requestMetadata contains the options of a request that a caller sends in headers or in the metadata field of the body.
+type requestMetadata struct {
 	RequestID  string `json:"request_id"`
 	Caller     string `json:"caller"`
 	Class      string `json:"class"`
@@ -51,8 +52,8 @@
 	Once       bool   `json:"once"`
 }
 
-// knownFields are the fields of a body that this system looks at.
-type knownFields struct {
+// requestFields contains the fields of the body that the router evaluates.
+type requestFields struct {
 	Model               string          `json:"model"`
 	Stream              bool            `json:"stream"`
 	User                string          `json:"user"`
@@ -63,17 +64,19 @@
 	Metadata            json.RawMessage `json:"metadata"`
 }
 
-// parsed is a request as read, before it is resolved.
-type parsed struct {
-	fields    knownFields
-	all       map[string]json.RawMessage
+// parsedRequest is a decoded request whose model is not yet resolved.
+type parsedRequest struct {
+	fields requestFields
+	// rawFields contains all fields of the body, so that unknown fields reach the endpoint.
+	rawFields map[string]json.RawMessage
 	body      []byte
-	meta      metadata
+	metadata  requestMetadata
+	// callerID is the identifier that the caller sent, or empty; requestID is unique.
 	callerID  string
 	requestID string
 }
 
-func (r *Router) readBody(w http.ResponseWriter, q *http.Request) ([]byte, *failure) {
+func (r *Router) readBody(w http.ResponseWriter, q *http.Request) ([]byte, *errorResponse) {
 	body, err := io.ReadAll(http.MaxBytesReader(w, q.Body, r.options.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	if errors.As(err, &tooLarge) {
@@ -87,9 +90,9 @@
 	return body, nil
 }
 
-func (r *Router) parse(q *http.Request, body []byte) (*parsed, *failure) {
-	p := &parsed{body: body}
-	if err := json.Unmarshal(body, &p.all); err != nil {
+func (r *Router) parse(q *http.Request, body []byte) (*parsedRequest, *errorResponse) {
+	p := &parsedRequest{body: body}
+	if err := json.Unmarshal(body, &p.rawFields); err != nil {
 		return nil, badRequest("malformed_json", "", "the body is not a JSON object: "+err.Error())
 	}
 	if err := json.Unmarshal(body, &p.fields); err != nil {
@@ -99,37 +102,38 @@
 		return nil, badRequest("missing_model", "model", "model must name an adapter, adapter@version or service")
 	}
 	if len(p.fields.Metadata) > 0 {
-		// Metadata of other shapes is the caller's own affair and is passed on unread.
-		_ = json.Unmarshal(p.fields.Metadata, &p.meta)
+		// The error is ignored: metadata of any other form is not evaluated and is forwarded unchanged.
+		_ = json.Unmarshal(p.fields.Metadata, &p.metadata)
 	}
-	return p, p.identify(q)
+	return p, p.setIdentity(q)
 }
 
-// identify takes who asks, and under which identifier, from headers or metadata.
-func (p *parsed) identify(q *http.Request) *failure {
+// setIdentity sets the caller, the identifiers and the other options of the request from its headers, its metadata or the user field,
+// and validates them.
+func (p *parsedRequest) setIdentity(q *http.Request) *errorResponse {
 	headers, failed := readHeaders(q)
 	if failed != nil {
 		return failed
 	}
-	p.meta = headers.over(p.meta)
-	if p.meta.Caller == "" {
-		p.meta.Caller = p.fields.User
+	p.metadata = headers.withFallback(p.metadata)
+	if p.metadata.Caller == "" {
+		p.metadata.Caller = p.fields.User
 	}
-	if p.meta.Caller == "" {
-		p.meta.Caller = anonymous
+	if p.metadata.Caller == "" {
+		p.metadata.Caller = anonymousCaller
 	}
-	if !validID(p.meta.RequestID) || !validID(p.meta.Caller) || !validID(p.meta.Class) {
+	if !validID(p.metadata.RequestID) || !validID(p.metadata.Caller) || !validID(p.metadata.Class) {
 		return badRequest("bad_identifier", "", "identifiers have up to 128 printable characters without spaces")
 	}
-	if p.meta.Once && p.meta.RequestID == "" {
+	if p.metadata.Once && p.metadata.RequestID == "" {
 		return badRequest("missing_request_id", headerRequestID, "a request that must not be repeated needs an identifier of its caller's")
 	}
-	p.callerID = p.meta.RequestID
+	p.callerID = p.metadata.RequestID
 	p.requestID = newRequestID(p.callerID)
 	return nil
 }
 
-// newRequestID makes the caller's identifier unique, since nothing keeps callers from using one twice.
+// newRequestID returns a unique request identifier that starts with the caller's identifier, since callers may use an identifier twice.
 func newRequestID(callerID string) string {
 	id := uuid.NewString()
 	if callerID == "" {
@@ -138,8 +142,8 @@
 	return callerID + "~" + id[:8]
 }
 
-func readHeaders(q *http.Request) (metadata, *failure) {
-	m := metadata{RequestID: q.Header.Get(headerRequestID), Caller: q.Header.Get(headerCaller), Class: q.Header.Get(headerClass)}
+func readHeaders(q *http.Request) (requestMetadata, *errorResponse) {
+	m := requestMetadata{RequestID: q.Header.Get(headerRequestID), Caller: q.Header.Get(headerCaller), Class: q.Header.Get(headerClass)}
 	if text := q.Header.Get(headerDeadline); text != "" {
 		ms, err := strconv.ParseInt(text, 10, 64)
 		if err != nil || ms < 0 {
@@ -157,25 +161,26 @@
 	return m, nil
 }
 
-// over lays the headers over the body's metadata.
-func (m metadata) over(other metadata) metadata {
+// withFallback returns m with the unset fields taken from fallback.
+func (m requestMetadata) withFallback(fallback requestMetadata) requestMetadata {
 	if m.RequestID == "" {
-		m.RequestID = other.RequestID
+		m.RequestID = fallback.RequestID
 	}
 	if m.Caller == "" {
-		m.Caller = other.Caller
+		m.Caller = fallback.Caller
 	}
 	if m.Class == "" {
-		m.Class = other.Class
+		m.Class = fallback.Class
 	}
 	if m.DeadlineMS == 0 {
-		m.DeadlineMS = max(0, other.DeadlineMS)
+		m.DeadlineMS = max(0, fallback.DeadlineMS)
 	}
-	m.Once = m.Once || other.Once
+	m.Once = m.Once || fallback.Once
 	return m
 }
 
-// validID tells whether an identifier is short and has only printable ASCII without spaces; none at all is valid.
+// validID reports whether an identifier is not too long and consists of printable ASCII characters without spaces. An empty identifier
+// is valid.
 func validID(text string) bool {
 	if len(text) > maxIDLength {
 		return false
@@ -183,47 +188,50 @@
 	return strings.IndexFunc(text, func(c rune) bool { return c <= ' ' || c > '~' }) < 0
 }
 
-// request builds what the decisions need to know.
-func (r *Router) request(p *parsed, t catalog.Target, now time.Time) fleet.Request {
-	class := p.meta.Class
+// fleetRequest returns the properties of the request that placement uses. The prompt tokens are estimated from the size of the body.
+func (r *Router) fleetRequest(p *parsedRequest, t catalog.Target, now time.Time) fleet.Request {
+	class := p.metadata.Class
 	if class == "" {
 		class = r.options.DefaultClass
 	}
 	q := fleet.Request{
-		ID: p.requestID, Caller: p.meta.Caller, Class: class, Base: t.Base, Adapter: t.Ref, Once: p.meta.Once, Arrived: now,
-		PromptTokens: len(p.body) / r.options.BytesPerToken, OutputTokens: p.outputTokens(r.options.OutputTokens), Prefix: p.prefix(),
+		ID: p.requestID, Caller: p.metadata.Caller, Class: class, Base: t.Base, Adapter: t.Ref, Once: p.metadata.Once, Arrived: now,
+		PromptTokens: len(p.body) / r.options.BytesPerToken, OutputTokens: p.outputTokens(r.options.OutputTokens), Prefix: p.promptPrefixHash(),
 	}
 	wait := r.options.DefaultWait
-	if p.meta.DeadlineMS > 0 {
-		wait = time.Duration(p.meta.DeadlineMS) * time.Millisecond
+	if p.metadata.DeadlineMS > 0 {
+		wait = time.Duration(p.metadata.DeadlineMS) * time.Millisecond
 	}
 	q.Deadline = now.Add(wait)
 	return q
 }
 
-func (p *parsed) outputTokens(usual int) int {
+// outputTokens returns the limit of output tokens in the body, or defaultTokens if there is none.
+func (p *parsedRequest) outputTokens(defaultTokens int) int {
 	for _, n := range []int{p.fields.MaxCompletionTokens, p.fields.MaxTokens} {
 		if n > 0 {
 			return n
 		}
 	}
-	return usual
+	return defaultTokens
 }
 
-// prefix sums up the beginning of the prompt, for the hint where it was run before.
-func (p *parsed) prefix() uint64 {
+// promptPrefixHash returns a hash of the beginning of the prompt, or zero if the prompt is shorter than promptPrefixBytes. Placement
+// prefers the endpoint that ran a prompt with the same beginning before.
+func (p *parsedRequest) promptPrefixHash() uint64 {
 	text := []byte(p.fields.Messages)
 	if len(text) == 0 {
 		text = p.fields.Prompt
 	}
-	if len(text) < prefixBytes {
+	if len(text) < promptPrefixBytes {
 		return 0
 	}
-	return xxhash.Sum64(text[:prefixBytes])
+	return xxhash.Sum64(text[:promptPrefixBytes])
 }
 
-// draw picks a service's share, the same for every try of one request.
-func (p *parsed) draw() int {
+// shareDraw returns the number from 0 to 99 that selects one of a service's shares. It is the same for every attempt that has the same
+// caller identifier.
+func (p *parsedRequest) shareDraw() int {
 	id := p.callerID
 	if id == "" {
 		id = p.requestID
@@ -231,14 +239,14 @@
 	return int(xxhash.Sum64String(id) % catalog.WholePercent)
 }
 
-// forEndpoint gives the body that the endpoint gets: the model by its immutable name.
-func (p *parsed) forEndpoint(ref fleet.AdapterRef, priority int) ([]byte, error) {
+// endpointBody returns the body for the endpoint, with the model replaced by adapter@version and the priority set.
+func (p *parsedRequest) endpointBody(ref fleet.AdapterRef, priority int) ([]byte, error) {
 	model, err := json.Marshal(ref.String())
 	if err != nil {
 		return nil, err
 	}
-	p.all["model"] = model
-	// In vLLM's form a lower number goes first.
-	p.all["priority"] = json.RawMessage(strconv.Itoa(-priority))
-	return json.Marshal(p.all)
+	p.rawFields["model"] = model
+	// vLLM runs requests with a lower priority number first.
+	p.rawFields["priority"] = json.RawMessage(strconv.Itoa(-priority))
+	return json.Marshal(p.rawFields)
 }
--- a/routers/daemon/caller/request_test.go
+++ b/routers/daemon/caller/request_test.go
@@ -24,8 +24,8 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// router refuses every request that gets as far as a placer.
-func router(t testing.TB) *caller.Router {
+// newRouter returns a router whose placer refuses every request with ReasonQueueFull.
+func newRouter(t testing.TB) *caller.Router {
 	c, _, err := catalog.New().Apply(1, []catalog.Change{
 		{Kind: catalog.CreateAdapter, Name: "a", Base: "base", Version: 1}, {Kind: catalog.CreateVersion, Name: "a", Version: 2},
 		{Kind: catalog.SetService, Name: "s", Shares: []catalog.Share{{Adapter: "a", Version: 2, Percent: 100}}},
@@ -50,7 +50,7 @@
 	})
 }
 
-type failure struct {
+type errorResponse struct {
 	Error struct {
 		Code    string `json:"code"`
 		Outcome string `json:"outcome"`
@@ -58,19 +58,19 @@
 	} `json:"error"`
 }
 
-func post(t testing.TB, r *caller.Router, body string, headers map[string]string) (*httptest.ResponseRecorder, failure) {
+func post(t testing.TB, r *caller.Router, body string, headers map[string]string) (*httptest.ResponseRecorder, errorResponse) {
 	q := httptest.NewRequest(http.MethodPost, "/v1/completions", strings.NewReader(body))
 	for name, value := range headers {
 		q.Header.Set(name, value)
 	}
 	w := httptest.NewRecorder()
 	r.Routes()[1].Handler(w, q)
-	var f failure
+	var f errorResponse
 	require.NoError(t, json.Unmarshal(w.Body.Bytes(), &f), w.Body.String())
 	return w, f
 }
 
-func TestEveryRefusalHasItsCodeAndOutcome(t *testing.T) {
+func TestRejectedRequestHasCodeAndOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		body    string
 		headers map[string]string
@@ -91,7 +91,7 @@
 		"queue full":          {`{"model":"s"}`, nil, 429, "queue_full"},
 	} {
 		t.Run(name, func(t *testing.T) {
-			w, f := post(t, router(t), c.body, c.headers)
+			w, f := post(t, newRouter(t), c.body, c.headers)
 			require.Equal(t, c.status, w.Code)
 			require.Equal(t, c.code, f.Error.Code)
 			require.Equal(t, "not_run", f.Error.Outcome)
@@ -105,7 +105,7 @@
 func FuzzBody(f *testing.F) {
 	f.Add(`{"model":"a","stream":true,"metadata":{"once":true,"request_id":"1"}}`)
 	f.Add(`{"model":"a@1","messages":[{"role":"user","content":"x"}],"max_tokens":-5}`)
-	r := router(f)
+	r := newRouter(f)
 	f.Fuzz(func(t *testing.T, body string) {
 		w, failed := post(t, r, body, nil)
 		require.GreaterOrEqual(t, w.Code, 400)
--- a/routers/daemon/caller/router.go
+++ b/routers/daemon/caller/router.go
@@ -19,7 +19,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// Options are what the callers' router works with.
+// Options contains the dependencies and the settings of a Router.
 type Options struct {
 	Relay     *relay.Service
 	Catalog   func() *catalog.Catalog
@@ -37,49 +37,50 @@
 	DefaultClass  string
 }
 
-// Router serves callers.
+// Router serves the requests of callers.
 type Router struct {
-	options  Options
-	prefixes []string
-	open     atomic.Int64
-	priority map[string]int
+	options         Options
+	plainPrefixes   []string
+	openRequests    atomic.Int64
+	priorityByClass map[string]int
 }
 
-// New makes a router.
+// New returns a router with the given options.
 func New(o Options) *Router {
-	r := &Router{options: o, priority: make(map[string]int)}
+	r := &Router{options: o, priorityByClass: make(map[string]int)}
 	seen := make(map[string]bool)
 	for _, e := range o.Endpoints {
 		if e.Kind == fleet.KindPlain && !seen[e.Prefix] {
 			seen[e.Prefix] = true
-			r.prefixes = append(r.prefixes, e.Prefix)
+			r.plainPrefixes = append(r.plainPrefixes, e.Prefix)
 		}
 	}
-	// The longest prefix goes first.
-	sort.Slice(r.prefixes, func(i, j int) bool { return len(r.prefixes[i]) > len(r.prefixes[j]) })
+	// NotFound uses the first prefix that matches, which must be the longest.
+	sort.Slice(r.plainPrefixes, func(i, j int) bool { return len(r.plainPrefixes[i]) > len(r.plainPrefixes[j]) })
 	for _, c := range o.Classes {
-		r.priority[c.Name] = c.Priority
+		r.priorityByClass[c.Name] = c.Priority
 	}
 	return r
 }
 
-// Routes lists the fixed paths.
+// Routes returns the routes with fixed paths.
 func (r *Router) Routes() []rest.Route {
 	return []rest.Route{
-		{Method: http.MethodPost, Path: "/v1/chat/completions", Handler: r.complete},
-		{Method: http.MethodPost, Path: "/v1/completions", Handler: r.complete},
-		{Method: http.MethodGet, Path: "/v1/models", Handler: r.models},
-		{Method: http.MethodGet, Path: "/healthz", Handler: r.health},
-		{Method: http.MethodGet, Path: "/readyz", Handler: r.ready},
+		{Method: http.MethodPost, Path: "/v1/chat/completions", Handler: r.handleCompletion},
+		{Method: http.MethodPost, Path: "/v1/completions", Handler: r.handleCompletion},
+		{Method: http.MethodGet, Path: "/v1/models", Handler: r.handleModels},
+		{Method: http.MethodGet, Path: "/healthz", Handler: r.handleHealth},
+		{Method: http.MethodGet, Path: "/readyz", Handler: r.handleReady},
 	}
 }
 
-// NotFound serves the plain services' prefixes, and tells of everything else that it is not there.
+// NotFound returns the handler for all other paths. It forwards requests to plain services by their path prefix and responds with
+// status 404 to any other path.
 func (r *Router) NotFound() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
-		for _, prefix := range r.prefixes {
+		for _, prefix := range r.plainPrefixes {
 			if strings.HasPrefix(q.URL.Path, prefix) {
-				r.plain(w, q, prefix)
+				r.handlePlain(w, q, prefix)
 				return
 			}
 		}
@@ -89,24 +90,24 @@
 	})
 }
 
-// admit bounds the requests that are open at this instance at once.
+// admit counts a new open request and reports whether the limit of this instance allows it. Otherwise it writes the error response.
 func (r *Router) admit(w http.ResponseWriter) bool {
-	if r.open.Add(1) <= r.options.MaxRequests {
+	if r.openRequests.Add(1) <= r.options.MaxRequests {
 		return true
 	}
-	r.open.Add(-1)
-	(&failure{
+	r.openRequests.Add(-1)
+	(&errorResponse{
 		status: http.StatusTooManyRequests, kind: "rate_limit_error", code: "instance_full", message: "this instance has as many open requests as it may have",
 		outcome: fleet.OutcomeNotRun, retryAfter: time.Second,
 	}).write(w, "")
 	return false
 }
 
-func (r *Router) complete(w http.ResponseWriter, q *http.Request) {
+func (r *Router) handleCompletion(w http.ResponseWriter, q *http.Request) {
 	if !r.admit(w) {
 		return
 	}
-	defer r.open.Add(-1)
+	defer r.openRequests.Add(-1)
 	body, failed := r.readBody(w, q)
 	if failed != nil {
 		failed.write(w, q.Header.Get(headerRequestID))
@@ -117,32 +118,32 @@
 		failed.write(w, q.Header.Get(headerRequestID))
 		return
 	}
-	target, err := r.options.Catalog().Resolve(p.fields.Model, p.draw())
+	target, err := r.options.Catalog().Resolve(p.fields.Model, p.shareDraw())
 	if err != nil {
 		f := badRequest("model_not_found", "model", err.Error())
 		f.status = http.StatusNotFound
 		f.write(w, p.callerID)
 		return
 	}
-	r.run(w, q, p, target)
+	r.runCompletion(w, q, p, target)
 }
 
-func (r *Router) run(w http.ResponseWriter, q *http.Request, p *parsed, target catalog.Target) {
-	request := r.request(p, target, r.options.Now())
-	body, err := p.forEndpoint(target.Ref, r.priority[request.Class])
+func (r *Router) runCompletion(w http.ResponseWriter, q *http.Request, p *parsedRequest, target catalog.Target) {
+	fleetRequest := r.fleetRequest(p, target, r.options.Now())
+	body, err := p.endpointBody(target.Ref, r.priorityByClass[fleetRequest.Class])
 	if err != nil {
 		badRequest("malformed_json", "", err.Error()).write(w, p.callerID)
 		return
 	}
 	job := relay.Job{
-		Request: request, ClaimID: p.callerID, Method: http.MethodPost, Path: q.URL.Path, Body: body, Stream: p.fields.Stream,
-		Headers: func(h http.Header, t fleet.Ticket) { tell(h, request, t) },
+		Request: fleetRequest, ClaimID: p.callerID, Method: http.MethodPost, Path: q.URL.Path, Body: body, Stream: p.fields.Stream,
+		Headers: func(h http.Header, t fleet.Ticket) { setResultHeaders(h, fleetRequest, t) },
 	}
-	r.serve(w, q, job)
+	r.relayJob(w, q, job)
 }
 
-// tell names, in the answer's headers, what ran where and what it waited for.
-func tell(h http.Header, request fleet.Request, t fleet.Ticket) {
+// setResultHeaders sets the response headers that report the adapter version, the endpoint and the waiting times of the request.
+func setResultHeaders(h http.Header, request fleet.Request, t fleet.Ticket) {
 	h.Set(headerRequestID, request.ID)
 	if !request.Adapter.IsZero() {
 		h.Set(headerModel, request.Adapter.String())
@@ -153,13 +154,13 @@
 	h.Set(headerOutcome, string(fleet.OutcomeAnswered))
 }
 
-func (r *Router) serve(w http.ResponseWriter, q *http.Request, job relay.Job) {
+func (r *Router) relayJob(w http.ResponseWriter, q *http.Request, job relay.Job) {
 	tracked := &trackedWriter{ResponseWriter: w}
 	err := r.options.Relay.Serve(q.Context(), tracked, job)
 	if err == nil || q.Context().Err() != nil {
 		return
 	}
-	f := failureOf(err)
+	f := errorResponseFor(err)
 	if !tracked.started {
 		f.write(w, job.Request.ID)
 		return
@@ -168,11 +169,11 @@
 		f.writeEvent(w, job.Request.ID)
 		return
 	}
-	// An answer with a length that ends early must not look whole.
+	// The connection is aborted, so that the caller does not take a truncated response for a complete one.
 	panic(http.ErrAbortHandler)
 }
 
-// trackedWriter knows whether an answer has begun.
+// trackedWriter is a http.ResponseWriter that records whether the response has started.
 type trackedWriter struct {
 	http.ResponseWriter
 	started bool
@@ -197,50 +198,52 @@
 	}
 }
 
-// Unwrap lets http.ResponseController reach the connection.
+// Unwrap returns the underlying writer, for http.ResponseController.
 func (w *trackedWriter) Unwrap() http.ResponseWriter {
 	return w.ResponseWriter
 }
 
-// plain routes a call to a plain service.
-func (r *Router) plain(w http.ResponseWriter, q *http.Request, prefix string) {
+// handlePlain forwards a request to the plain service with the given path prefix.
+func (r *Router) handlePlain(w http.ResponseWriter, q *http.Request, prefix string) {
 	if !r.admit(w) {
 		return
 	}
-	defer r.open.Add(-1)
+	defer r.openRequests.Add(-1)
 	body, failed := r.readBody(w, q)
 	if failed != nil {
 		failed.write(w, q.Header.Get(headerRequestID))
 		return
 	}
-	p := &parsed{body: body}
-	if failed := p.identify(q); failed != nil {
+	p := &parsedRequest{body: body}
+	if failed := p.setIdentity(q); failed != nil {
 		failed.write(w, q.Header.Get(headerRequestID))
 		return
 	}
-	// A call that may change something is not repeated unless its caller says that it may be.
-	if !repeatable(q) {
-		p.meta.Once = p.meta.Once || q.Header.Get(headerOnce) == ""
+	// A request with an unsafe method is not retried unless the caller allows it with "X-Once: false".
+	if !isSafeMethod(q) {
+		p.metadata.Once = p.metadata.Once || q.Header.Get(headerOnce) == ""
 	}
-	request := r.request(p, catalog.Target{Base: fleet.PlainBase(prefix)}, r.options.Now())
+	fleetRequest := r.fleetRequest(p, catalog.Target{Base: fleet.PlainBase(prefix)}, r.options.Now())
 	job := relay.Job{
-		Request: request, ClaimID: p.callerID, Method: q.Method, Path: q.URL.RequestURI(), Body: body, Header: passedHeaders(q.Header), Plain: true,
-		Headers: func(h http.Header, t fleet.Ticket) { tell(h, request, t) },
+		Request: fleetRequest, ClaimID: p.callerID, Method: q.Method, Path: q.URL.RequestURI(), Body: body, Header: forwardedHeaders(q.Header), Plain: true,
+		Headers: func(h http.Header, t fleet.Ticket) { setResultHeaders(h, fleetRequest, t) },
 	}
 	if job.Request.Once && job.ClaimID == "" {
-		// Without an identifier no repeat can be told from a new call: one attempt, no claim.
+		// Without an identifier, a repeated request cannot be recognized. The request gets a single attempt and no claim.
 		job.Request.Once = false
 		job.SingleAttempt = true
 	}
-	r.serve(w, q, job)
+	r.relayJob(w, q, job)
 }
 
-func repeatable(q *http.Request) bool {
+// isSafeMethod reports whether the method of the request does not modify anything.
+func isSafeMethod(q *http.Request) bool {
 	return q.Method == http.MethodGet || q.Method == http.MethodHead || q.Method == http.MethodOptions
 }
 
-// passedHeaders keeps what a plain service may need, without this system's own and hop-by-hop headers.
-func passedHeaders(in http.Header) http.Header {
+// forwardedHeaders returns the headers that are forwarded to a plain service. Hop-by-hop headers and the X- headers of callers are not
+// forwarded.
+func forwardedHeaders(in http.Header) http.Header {
 	out := make(http.Header)
 	for _, name := range []string{"Accept", "Accept-Language", "Authorization", "Content-Type", "Cookie", "User-Agent"} {
 		if values := in.Values(name); len(values) > 0 {
@@ -250,7 +253,7 @@
 	return out
 }
 
-// modelEntry is one line of /v1/models.
+// modelEntry is an entry of the list at /v1/models.
 type modelEntry struct {
 	ID      string `json:"id"`
 	Object  string `json:"object"`
@@ -263,7 +266,7 @@
 	Data   []modelEntry `json:"data"`
 }
 
-func (r *Router) models(w http.ResponseWriter, q *http.Request) {
+func (r *Router) handleModels(w http.ResponseWriter, q *http.Request) {
 	c := r.options.Catalog()
 	body := modelsBody{Object: "list", Data: make([]modelEntry, 0, len(c.Adapters)+len(c.Services))}
 	for name, a := range c.Adapters {
@@ -278,7 +281,7 @@
 	httpx.WriteJsonCtx(q.Context(), w, http.StatusOK, body)
 }
 
-func (r *Router) health(w http.ResponseWriter, _ *http.Request) {
+func (r *Router) handleHealth(w http.ResponseWriter, _ *http.Request) {
 	if !r.options.Alive() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -286,7 +289,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-func (r *Router) ready(w http.ResponseWriter, _ *http.Request) {
+func (r *Router) handleReady(w http.ResponseWriter, _ *http.Request) {
 	if !r.options.Ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
