--- a/services/shelfctl/shell/exit_test.go
+++ b/services/shelfctl/shell/exit_test.go
@@ -19,46 +19,46 @@
 	"github.com/shelfledge/shelfledge/services/shelfctl/shell"
 )
 
-func answers(list ...operator.Answer) operator.RunResponse {
+func newResponse(list ...operator.Answer) operator.RunResponse {
 	return operator.RunResponse{Answers: list}
 }
 
-func change(inForce, dryRun bool) operator.Answer {
+func changeAnswer(inForce, dryRun bool) operator.Answer {
 	return operator.Answer{Change: &command.Result{DryRun: dryRun, Halls: []command.HallResult{{Hall: "h1", InForce: true}, {Hall: "h2", InForce: inForce}}}}
 }
 
-func TestTheExitCodeTellsWhatBecameOfTheStatements(t *testing.T) {
+func TestExitCode(t *testing.T) {
 	incomplete := operator.Answer{Parts: []query.Part{{Hall: "h1"}, {Hall: "h2", Missing: []string{"i1"}}}}
 	for name, c := range map[string]struct {
 		out  operator.RunResponse
 		want int
 	}{
-		"nothing":                   {answers(), shell.ExitOK},
-		"in force":                  {answers(change(true, false)), shell.ExitOK},
-		"not in force in each hall": {answers(change(false, false)), shell.ExitNotInForce},
-		"a dry run":                 {answers(change(false, true)), shell.ExitOK},
-		"a silent hall":             {answers(operator.Answer{Parts: []query.Part{{Hall: "h1", Silent: true}}}), shell.ExitIncomplete},
-		"a missing instance":        {answers(incomplete), shell.ExitIncomplete},
-		"both":                      {answers(incomplete, change(false, false)), shell.ExitNotInForce},
+		"no answers":                  {newResponse(), shell.ExitOK},
+		"in force":                    {newResponse(changeAnswer(true, false)), shell.ExitOK},
+		"not in force in one hall":    {newResponse(changeAnswer(false, false)), shell.ExitNotInForce},
+		"dry run":                     {newResponse(changeAnswer(false, true)), shell.ExitOK},
+		"silent hall":                 {newResponse(operator.Answer{Parts: []query.Part{{Hall: "h1", Silent: true}}}), shell.ExitIncomplete},
+		"missing instance":            {newResponse(incomplete), shell.ExitIncomplete},
+		"not in force and incomplete": {newResponse(incomplete, changeAnswer(false, false)), shell.ExitNotInForce},
 	} {
 		require.Equal(t, c.want, shell.ExitCode(c.out, nil), name)
 	}
 	for kind, want := range map[operator.ErrorKind]int{
 		operator.KindSyntax: shell.ExitUsage, operator.KindMeaning: shell.ExitUsage, operator.KindConflict: shell.ExitConflict,
 		operator.KindUnavailable: shell.ExitUnavailable, operator.KindUnsettled: shell.ExitUnsettled, operator.KindDenied: shell.ExitDenied,
-		operator.KindTooMany: shell.ExitDenied, "of a newer daemon": shell.ExitFailed,
+		operator.KindTooMany: shell.ExitDenied, "kind of a newer daemon": shell.ExitFailed,
 	} {
 		require.Equal(t, want, shell.ExitCode(operator.RunResponse{Error: &operator.Error{Kind: kind}}, nil), "%s", kind)
 	}
-	require.Equal(t, shell.ExitUnavailable, shell.ExitCode(answers(), operatorclient.ErrNoDaemon{}))
-	require.Equal(t, shell.ExitFailed, shell.ExitCode(answers(), errors.New("other")))
+	require.Equal(t, shell.ExitUnavailable, shell.ExitCode(newResponse(), operatorclient.ErrNoDaemon{}))
+	require.Equal(t, shell.ExitFailed, shell.ExitCode(newResponse(), errors.New("other")))
 }
 
-func TestAnswersArePrintedForPeople(t *testing.T) {
+func TestPrint(t *testing.T) {
 	rows := &table.Table{Columns: []table.Column{{Name: "name", Kind: table.Text}, {Name: "slots", Kind: table.Number}}}
 	rows.Add(table.T("e1"), table.N(12))
 	rows.Add(table.T(strings.Repeat("x", 61)), table.N(3))
-	out := answers(operator.Answer{Table: rows, Parts: []query.Part{{Hall: "h1", Age: 3 * time.Millisecond}, {Hall: "h2", Silent: true}}}, change(false, false))
+	out := newResponse(operator.Answer{Table: rows, Parts: []query.Part{{Hall: "h1", Age: 3 * time.Millisecond}, {Hall: "h2", Silent: true}}}, changeAnswer(false, false))
 	out.Error = &operator.Error{Kind: operator.KindTooMany, Message: "wait"}
 	var text strings.Builder
 	shell.Print(&text, out)
@@ -78,7 +78,7 @@
 	}, "\n"), text.String())
 }
 
-func TestALinesLastWordIsCompleted(t *testing.T) {
+func TestComplete(t *testing.T) {
 	require.Equal(t, []string{"show endpoints where"}, shell.Complete("show endpoints whe"))
 	require.Contains(t, shell.Complete("show e"), "show endpoints")
 	require.Equal(t, []string{"SHOW explain"}, shell.Complete("SHOW EXP"))
--- a/services/shelfctl/shell/print.go
+++ b/services/shelfctl/shell/print.go
@@ -18,7 +18,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
-// The exit codes of shelfctl; docs/operators.md explains them.
+// The exit codes of shelfctl. docs/operators.md describes them.
 const (
 	ExitOK          = 0
 	ExitFailed      = 1
@@ -31,7 +31,7 @@
 	ExitIncomplete  = 8
 )
 
-// ExitCode gives the exit code for an answer or the lack of one.
+// ExitCode returns the exit code for a response, or for the error of a request without a response.
 func ExitCode(out operator.RunResponse, err error) int {
 	if err != nil {
 		if operatorclient.IsErrNoDaemon(err) {
@@ -40,7 +40,7 @@
 		return ExitFailed
 	}
 	if out.Error != nil {
-		return errorCode(out.Error.Kind)
+		return exitCodeForKind(out.Error.Kind)
 	}
 	code := ExitOK
 	for _, a := range out.Answers {
@@ -54,7 +54,7 @@
 	return code
 }
 
-func errorCode(kind operator.ErrorKind) int {
+func exitCodeForKind(kind operator.ErrorKind) int {
 	switch kind {
 	case operator.KindConflict:
 		return ExitConflict
@@ -70,18 +70,18 @@
 	return ExitFailed
 }
 
-// PrintJSON prints an answer for programs.
+// PrintJSON writes a response as JSON.
 func PrintJSON(w io.Writer, out operator.RunResponse) error {
 	e := json.NewEncoder(w)
 	e.SetIndent("", "  ")
 	return e.Encode(out)
 }
 
-// Print prints an answer for people.
+// Print writes a response as text.
 func Print(w io.Writer, out operator.RunResponse) {
 	var text strings.Builder
 	printAnswers(&text, out)
-	// The exit code tells what became of the statements, also where nobody reads the answer.
+	// A write error is ignored: the exit code reports the result of the statements even if the output cannot be written.
 	_, _ = io.WriteString(w, text.String())
 }
 
@@ -124,21 +124,21 @@
 		fmt.Fprintf(w, "  %s\n", line)
 	}
 	for _, h := range c.Halls {
-		fmt.Fprintf(w, "  %-8s %s\n", h.Hall, hallWords(h))
+		fmt.Fprintf(w, "  %-8s %s\n", h.Hall, hallStatus(h))
 	}
 }
 
-func hallWords(h command.HallResult) string {
+func hallStatus(h command.HallResult) string {
 	switch {
 	case h.InForce:
 		return fmt.Sprintf("in force after %d ms", h.After.Milliseconds())
 	case h.Silent:
-		return "not known: the hall cannot be heard"
+		return "unknown: no answer from the hall"
 	}
 	return "not yet in force"
 }
 
-// printParts names what is missing from an answer, or how old its parts are.
+// printParts writes the age of the part of each hall in an answer, or which instances or halls did not answer.
 func printParts(w *strings.Builder, parts []query.Part) {
 	for _, p := range parts {
 		switch {
@@ -152,15 +152,15 @@
 	}
 }
 
-// maxCell is the widest that a cell is shown, in characters; longer ones are cut.
-const maxCell = 60
+// maxCellWidth limits the width of a table cell, in characters; longer values are truncated.
+const maxCellWidth = 60
 
 func printTable(w *strings.Builder, t table.Table) {
 	widths := make([]int, len(t.Columns))
 	for i, c := range t.Columns {
 		widths[i] = utf8.RuneCountInString(c.Name)
 		for _, row := range t.Rows {
-			widths[i] = max(widths[i], min(maxCell, utf8.RuneCountInString(row[i].String())))
+			widths[i] = max(widths[i], min(maxCellWidth, utf8.RuneCountInString(row[i].String())))
 		}
 	}
 	header := make([]string, len(t.Columns))
@@ -171,18 +171,18 @@
 	for _, row := range t.Rows {
 		cells := make([]string, len(row))
 		for i, v := range row {
-			cells[i] = cut(v.String())
+			cells[i] = truncate(v.String())
 		}
 		printRow(w, cells, widths, t.Columns)
 	}
 	fmt.Fprintf(w, "(%d rows)\n", len(t.Rows))
 }
 
-func cut(text string) string {
-	if utf8.RuneCountInString(text) <= maxCell {
+func truncate(text string) string {
+	if utf8.RuneCountInString(text) <= maxCellWidth {
 		return text
 	}
-	return string([]rune(text)[:maxCell-1]) + "…"
+	return string([]rune(text)[:maxCellWidth-1]) + "…"
 }
 
 func printRow(w *strings.Builder, cells []string, widths []int, columns []table.Column) {
--- a/services/shelfctl/shell/prompt.go
+++ b/services/shelfctl/shell/prompt.go
@@ -18,18 +18,19 @@
 	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
-var words = []string{
+// keywords are the words that the prompt completes, besides the names of tables.
+var keywords = []string{
 	"show", "count", "where", "order by", "group by", "limit", "like", "and", "or", "not", "desc", "explain", "request", "adapter", "slot",
 	"revision", "create", "change", "retire", "restore", "version", "service", "rule", "set", "live", "budget", "class", "reset", "roll", "back",
 	"pin", "unpin", "preload", "unpreload", "drain", "undrain", "endpoint", "hall", "undo", "dry run", "if revision", "exit",
 }
 
-// Complete gives the ways to go on from a line's last word.
+// Complete returns the possible completions of the last word of a line, each with the rest of the line before it.
 func Complete(line string) []string {
-	at := strings.LastIndexByte(line, ' ') + 1
-	head, last := line[:at], strings.ToLower(line[at:])
+	start := strings.LastIndexByte(line, ' ') + 1
+	head, last := line[:start], strings.ToLower(line[start:])
 	var out []string
-	for _, w := range append(query.Tables(), words...) {
+	for _, w := range append(query.Tables(), keywords...) {
 		if strings.HasPrefix(w, last) {
 			out = append(out, head+w)
 		}
@@ -38,15 +39,16 @@
 	return out
 }
 
-// Prompt reads statements from a terminal until its end; history is kept in the named file, if any.
+// Prompt reads statements from the terminal and executes them until the input ends or the user exits. If history is not empty, it is
+// the path of the file that keeps the history.
 func Prompt(ctx context.Context, client *operatorclient.Client, out io.Writer, history string) error {
 	line := liner.NewLiner()
-	// Closing gives the terminal its mode back; nothing can be done where that fails.
+	// Close restores the mode of the terminal. Its error is ignored, since no recovery is possible.
 	defer func() { _ = line.Close() }()
 	line.SetCtrlCAborts(true)
 	line.SetCompleter(Complete)
 	if f, err := os.Open(history); err == nil {
-		// A prompt without its history is as good a prompt.
+		// The errors are ignored: the prompt also works without the history.
 		_, _ = line.ReadHistory(f)
 		_ = f.Close()
 	}
@@ -67,33 +69,33 @@
 			return nil
 		}
 		line.AppendHistory(text)
-		answer(ctx, client, out, text)
+		runAndPrint(ctx, client, out, text)
 	}
 }
 
-func answer(ctx context.Context, client *operatorclient.Client, out io.Writer, text string) {
+func runAndPrint(ctx context.Context, client *operatorclient.Client, out io.Writer, text string) {
 	r, err := client.Run(ctx, text)
 	if err != nil {
-		// Nobody can be told where the terminal is gone.
+		// A write error is ignored, since it cannot be reported without the terminal.
 		_, _ = fmt.Fprintln(out, err)
 		return
 	}
 	Print(out, r)
 }
 
-// historyMode keeps the history its owner's alone, since commands may name what others need not know.
-const historyMode = 0o600
+// historyFileMode lets only the owner access the history, since statements may contain confidential names.
+const historyFileMode = 0o600
 
-// saveHistory keeps the history for the next prompt; one that cannot be written is given up.
+// saveHistory writes the history to the file. If the file cannot be written, the history is lost without an error.
 func saveHistory(line *liner.State, history string) {
 	if history == "" {
 		return
 	}
-	f, err := os.OpenFile(history, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, historyMode)
+	f, err := os.OpenFile(history, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, historyFileMode)
 	if err != nil {
 		return
 	}
-	// As for a file that cannot be opened.
+	// Errors are ignored, as for a file that cannot be opened.
 	_, _ = line.WriteHistory(f)
 	_ = f.Close()
 }
--- a/services/shelfctl/shell/top.go
+++ b/services/shelfctl/shell/top.go
@@ -13,21 +13,21 @@
 	"github.com/shelfledge/shelfledge/modules/shelfctl/operatorclient"
 )
 
-// topQuery is what the watch mode shows, a table under the other.
-const topQuery = `show halls;
+// topStatements are the statements whose results the watch mode shows, one below the other.
+const topStatements = `show halls;
 show endpoints order by hall, endpoint;
 show count of slots group by state;
 show count of waiting group by class;
 show waiting order by age desc limit 10;
 show loads order by age desc limit 10`
 
-// clearScreen moves to the first place of the terminal and clears all of it.
+// clearScreen is the escape sequence that moves the cursor to the upper left corner and clears the terminal.
 const clearScreen = "\x1b[H\x1b[2J"
 
-// Top shows halls, endpoints, slots and queues again and again until ctx ends.
+// Top shows halls, endpoints, slots and queues, and refreshes them at the given interval until ctx ends.
 func Top(ctx context.Context, client *operatorclient.Client, out io.Writer, every time.Duration, now func() time.Time) error {
 	for {
-		r, err := client.Run(ctx, topQuery)
+		r, err := client.Run(ctx, topStatements)
 		if ctx.Err() != nil {
 			return nil
 		}
@@ -36,7 +36,7 @@
 		if err != nil {
 			fmt.Fprintln(&head, err)
 		}
-		// Where the terminal is gone, the watch ends by its signal.
+		// A write error is ignored: if the terminal is closed, the signal ends the watch mode.
 		_, _ = io.WriteString(out, head.String())
 		Print(out, r)
 		select {
