--- a/cmd/shelfctl/main.go
+++ b/cmd/shelfctl/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command shelfctl is the operators' tool: queries, commands and explanations.
+// Command shelfctl is the command-line tool for operators: it sends queries, commands and requests for explanations to shelfledge daemons.
 package main
 
 import (
@@ -78,7 +78,7 @@
 	case "top":
 		err = shell.Top(ctx, client, os.Stdout, args.Top.Every, time.Now)
 	default:
-		return runText(ctx, client, args.Run)
+		return runStatements(ctx, client, args.Run)
 	}
 	if err != nil {
 		return fail(err)
@@ -91,7 +91,7 @@
 	return shell.ExitUsage
 }
 
-func runText(ctx context.Context, client *operatorclient.Client, c runCommand) int {
+func runStatements(ctx context.Context, client *operatorclient.Client, c runCommand) int {
 	text, err := c.text()
 	if err != nil {
 		return fail(err)
@@ -122,7 +122,7 @@
 		if err != nil {
 			return "", fmt.Errorf("statements: %w", err)
 		}
-		// A file that was read whole has nothing left to lose.
+		// The error of Close is ignored, since the file is only read.
 		defer func() { _ = f.Close() }()
 		in = f
 	}
@@ -134,14 +134,14 @@
 }
 
 const (
-	// rounds is how often all addresses are tried.
-	rounds = 3
-	// answerMargin is how much longer than a change's wait an answer may take.
+	// addressRounds is how many times the list of addresses is tried.
+	addressRounds = 3
+	// answerMargin is the time that a response may take in addition to the wait for a change.
 	answerMargin = 30 * time.Second
 )
 
 func newClient(args *arguments) (*operatorclient.Client, error) {
-	o := operatorclient.Options{Wait: args.Wait, Rounds: rounds, TLS: args.CA != "", HTTP: &http.Client{Timeout: args.Wait + answerMargin}}
+	o := operatorclient.Options{Wait: args.Wait, Rounds: addressRounds, TLS: args.CA != "", HTTP: &http.Client{Timeout: args.Wait + answerMargin}}
 	for _, text := range args.Address {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
--- a/cmd/shelfledged/main.go
+++ b/cmd/shelfledged/main.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command shelfledged is the daemon of an entry instance; it plays every role.
+// Command shelfledged is the daemon that runs on every entry instance and contains all roles.
 package main
 
 import (
