--- a/models/daemon/catalog/catalog.go
+++ b/models/daemon/catalog/catalog.go
@@ -27,8 +27,8 @@
 	Versions []Version `json:"versions"`
 }
 
-// WholePercent is the sum of the shares of a service, in percent.
-const WholePercent = 100
+// TotalPercent is the sum of the shares of a service, in percent.
+const TotalPercent = 100
 
 // Share is the part of a service's requests that one adapter version gets.
 type Share struct {
@@ -152,9 +152,9 @@
 	return Target{}, ErrModelNotExist{Name: s.Name}
 }
 
-// ClassList returns the classes of the settings and of the catalog; a class of the catalog replaces the one of the same name in the
+// EffectiveClasses returns the classes of the settings and of the catalog; a class of the catalog replaces the one of the same name in the
 // settings.
-func (c *Catalog) ClassList(settings []fleet.Class) []fleet.Class {
+func (c *Catalog) EffectiveClasses(settings []fleet.Class) []fleet.Class {
 	out := make([]fleet.Class, 0, len(settings)+len(c.Classes))
 	for _, s := range settings {
 		if _, ok := c.Classes[s.Name]; !ok {
@@ -167,8 +167,8 @@
 	return out
 }
 
-// Decide returns the first rule that matches the request at the given time and reports whether there is one.
-func (c *Catalog) Decide(now time.Time, r fleet.Request) (Rule, bool) {
+// MatchRule returns the first rule that matches the request at the given time and reports whether there is one.
+func (c *Catalog) MatchRule(now time.Time, r fleet.Request) (Rule, bool) {
 	for _, rule := range c.Rules {
 		if rule.Matches(now, r) {
 			return rule, true
--- a/models/daemon/catalog/change_service.go
+++ b/models/daemon/catalog/change_service.go
@@ -49,8 +49,8 @@
 		base = a.Base
 		sum += s.Percent
 	}
-	if sum != WholePercent {
-		return fmt.Sprintf("the shares add up to %d percent, not %d", sum, WholePercent)
+	if sum != TotalPercent {
+		return fmt.Sprintf("the shares add up to %d percent, not %d", sum, TotalPercent)
 	}
 	return ""
 }
--- a/models/daemon/catalog/codec.go
+++ b/models/daemon/catalog/codec.go
@@ -15,14 +15,14 @@
 
 // ErrBadEncoding reports a value of the stored configuration that cannot be encoded or decoded.
 type ErrBadEncoding struct {
-	// What is the kind of the value: "record", "snapshot" or "value".
-	What   string
+	// Object is the kind of the value: "record", "snapshot" or "value".
+	Object string
 	Reason string
 }
 
 // Error implements error.
 func (e ErrBadEncoding) Error() string {
-	return fmt.Sprintf("the stored %s cannot be read: %s", e.What, e.Reason)
+	return fmt.Sprintf("the stored %s cannot be read: %s", e.Object, e.Reason)
 }
 
 // maxDecodedBytes limits the memory for the decompression of a stored value, so that a damaged value cannot exhaust it.
@@ -38,7 +38,7 @@
 func encodeCompressed(v any) ([]byte, error) {
 	raw, err := json.Marshal(v)
 	if err != nil {
-		return nil, ErrBadEncoding{What: "value", Reason: err.Error()}
+		return nil, ErrBadEncoding{Object: "value", Reason: err.Error()}
 	}
 	return encoder.EncodeAll(raw, nil), nil
 }
@@ -47,10 +47,10 @@
 func decodeCompressed(what string, data []byte, into any) error {
 	raw, err := decoder.DecodeAll(data, nil)
 	if err != nil {
-		return ErrBadEncoding{What: what, Reason: err.Error()}
+		return ErrBadEncoding{Object: what, Reason: err.Error()}
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
-		return ErrBadEncoding{What: what, Reason: err.Error()}
+		return ErrBadEncoding{Object: what, Reason: err.Error()}
 	}
 	return nil
 }
@@ -121,13 +121,13 @@
 	c.Revision, c.Rules, c.Budget = s.Revision, s.Rules, s.Budget
 	for _, a := range s.Adapters {
 		if a == nil {
-			return nil, ErrBadEncoding{What: "snapshot", Reason: "an adapter is null"}
+			return nil, ErrBadEncoding{Object: "snapshot", Reason: "an adapter is null"}
 		}
 		c.Adapters[a.Name] = a
 	}
 	for _, service := range s.Services {
 		if service == nil {
-			return nil, ErrBadEncoding{What: "snapshot", Reason: "a service is null"}
+			return nil, ErrBadEncoding{Object: "snapshot", Reason: "a service is null"}
 		}
 		c.Services[service.Name] = service
 	}
@@ -147,7 +147,7 @@
 	for _, name := range names {
 		ref, err := fleet.ParseAdapterRef(name)
 		if err != nil {
-			return ErrBadEncoding{What: "snapshot", Reason: err.Error()}
+			return ErrBadEncoding{Object: "snapshot", Reason: err.Error()}
 		}
 		into[ref] = true
 	}
--- a/models/daemon/catalog/history.go
+++ b/models/daemon/catalog/history.go
@@ -5,15 +5,15 @@
 
 import "fmt"
 
-// ErrGap reports a record that does not directly follow the revision of the current catalog.
-type ErrGap struct {
+// ErrRevisionGap reports a record that does not directly follow the revision of the current catalog.
+type ErrRevisionGap struct {
 	// Have is the revision of the current catalog and Got the one of the record.
 	Have int64
 	Got  int64
 }
 
 // Error implements error.
-func (e ErrGap) Error() string {
+func (e ErrRevisionGap) Error() string {
 	return fmt.Sprintf("revision %d does not follow on revision %d", e.Got, e.Have)
 }
 
@@ -118,7 +118,7 @@
 			continue
 		}
 		if r.Revision != next.Revision+1 {
-			return next, ErrGap{Have: next.Revision, Got: r.Revision}
+			return next, ErrRevisionGap{Have: next.Revision, Got: r.Revision}
 		}
 		applied, _, err := next.Apply(r.Revision, r.Changes)
 		if err != nil {
--- a/models/daemon/fleet/fleet_test.go
+++ b/models/daemon/fleet/fleet_test.go
@@ -116,27 +116,27 @@
 type previousDigest struct {
 	Hall      string              `msgpack:"h"`
 	Instances []fleet.Instance    `msgpack:"i"`
-	Placers   []fleet.PlacerOf    `msgpack:"pl"`
+	Placers   []fleet.PoolPlacer  `msgpack:"pl"`
 	Pools     []fleet.PoolSummary `msgpack:"p"`
 	Revision  int64               `msgpack:"r"`
-	Highest   int64               `msgpack:"hi"`
+	HighestRevision   int64               `msgpack:"hi"`
 	Relayed   bool                `msgpack:"re,omitempty"`
 	Speaker   fleet.Instance      `msgpack:"sp"`
 	Age       time.Duration       `msgpack:"a,omitempty"`
-	Wants     []string            `msgpack:"w,omitempty"`
+	WantedSummaries     []string            `msgpack:"w,omitempty"`
 }
 
 func TestDigestIsCompatibleWithPreviousVersion(t *testing.T) {
 	previous := previousDigest{
-		Hall: "h2", Placers: []fleet.PlacerOf{{Pool: "h2/base", Term: 3}}, Revision: 4, Highest: 5, Relayed: true,
-		Speaker: fleet.Instance{ID: "j1", Hall: "h2"}, Age: time.Second, Wants: []string{"h1/base"},
+		Hall: "h2", Placers: []fleet.PoolPlacer{{Pool: "h2/base", Term: 3}}, Revision: 4, HighestRevision: 5, Relayed: true,
+		Speaker: fleet.Instance{ID: "j1", Hall: "h2"}, Age: time.Second, WantedSummaries: []string{"h1/base"},
 	}
 	data, err := msgpack.Marshal(&previous)
 	require.NoError(t, err)
 	var d fleet.Digest
 	require.NoError(t, msgpack.Unmarshal(data, &d))
 	require.Equal(t, fleet.Digest{
-		Hall: "h2", Placers: previous.Placers, Revision: 4, Highest: 5, Relayed: true, Speaker: previous.Speaker, Age: time.Second, Wants: previous.Wants,
+		Hall: "h2", Placers: previous.Placers, Revision: 4, HighestRevision: 5, Relayed: true, Speaker: previous.Speaker, Age: time.Second, WantedSummaries: previous.WantedSummaries,
 	}, d, "a digest of the previous version has no boot and no number")
 	relayed, err := msgpack.Marshal(&d)
 	require.NoError(t, err)
--- a/models/daemon/fleet/message.go
+++ b/models/daemon/fleet/message.go
@@ -15,20 +15,20 @@
 	Boot uint64         `msgpack:"b"`
 	To   netip.AddrPort `msgpack:"-"`
 
-	Heartbeat   *Heartbeat   `msgpack:"hb,omitempty"`
-	Submit      *Submit      `msgpack:"su,omitempty"`
-	Withdraw    *Withdraw    `msgpack:"wi,omitempty"`
-	Granted     *Granted     `msgpack:"gr,omitempty"`
-	Refused     *Refused     `msgpack:"re,omitempty"`
-	Returned    *Returned    `msgpack:"rt,omitempty"`
-	Redeclare   *Redeclare   `msgpack:"rd,omitempty"`
-	Release     *Release     `msgpack:"rl,omitempty"`
-	Bid         *Bid         `msgpack:"bi,omitempty"`
-	Permit      *Permit      `msgpack:"pe,omitempty"`
-	PermitDone  *PermitDone  `msgpack:"pd,omitempty"`
-	WantRecords *WantRecords `msgpack:"wr,omitempty"`
-	Records     *Records     `msgpack:"rc,omitempty"`
-	Digest      *Digest      `msgpack:"dg,omitempty"`
+	Heartbeat      *Heartbeat      `msgpack:"hb,omitempty"`
+	Submit         *Submit         `msgpack:"su,omitempty"`
+	Withdraw       *Withdraw       `msgpack:"wi,omitempty"`
+	Granted        *Granted        `msgpack:"gr,omitempty"`
+	Refused        *Refused        `msgpack:"re,omitempty"`
+	Returned       *Returned       `msgpack:"rt,omitempty"`
+	Redeclare      *Redeclare      `msgpack:"rd,omitempty"`
+	Release        *Release        `msgpack:"rl,omitempty"`
+	Bid            *Bid            `msgpack:"bi,omitempty"`
+	Permit         *Permit         `msgpack:"pe,omitempty"`
+	PermitDone     *PermitDone     `msgpack:"pd,omitempty"`
+	RecordsRequest *RecordsRequest `msgpack:"wr,omitempty"`
+	Records        *Records        `msgpack:"rc,omitempty"`
+	Digest         *Digest         `msgpack:"dg,omitempty"`
 }
 
 // Heartbeat reports to a peer that the sender is alive, which pools it places and which revision is in force at the sender.
@@ -42,8 +42,8 @@
 	Members  uint64        `msgpack:"m"`
 	Known    []Instance    `msgpack:"k,omitempty"`
 	Pools    []PoolSummary `msgpack:"p,omitempty"`
-	// Wants lists the pools of which the sender needs a full summary.
-	Wants []string `msgpack:"w,omitempty"`
+	// WantedSummaries lists the pools of which the sender needs a full summary.
+	WantedSummaries []string `msgpack:"w,omitempty"`
 }
 
 // HeldPool identifies a pool that the sender places, with the term of its ownership.
@@ -71,27 +71,27 @@
 
 // Digest is the state of a hall that its speaker sends to the speakers of the other halls, which relay it within their halls.
 type Digest struct {
-	Hall      string        `msgpack:"h"`
-	Instances []Instance    `msgpack:"i"`
-	Placers   []PlacerOf    `msgpack:"pl"`
-	Pools     []PoolSummary `msgpack:"p"`
-	Revision  int64         `msgpack:"r"`
-	Highest   int64         `msgpack:"hi"`
+	Hall            string        `msgpack:"h"`
+	Instances       []Instance    `msgpack:"i"`
+	Placers         []PoolPlacer  `msgpack:"pl"`
+	Pools           []PoolSummary `msgpack:"p"`
+	Revision        int64         `msgpack:"r"`
+	HighestRevision int64         `msgpack:"hi"`
 	// Relayed is true if the speaker of the receiving hall relays the digest. Speaker is the instance that created it.
 	Relayed bool     `msgpack:"re,omitempty"`
 	Speaker Instance `msgpack:"sp"`
 	// Age is the time that the relaying speaker held the digest.
 	Age time.Duration `msgpack:"a,omitempty"`
-	// Wants lists the pools of the receiver's hall of which the sender needs a full summary.
-	Wants []string `msgpack:"w,omitempty"`
+	// WantedSummaries lists the pools of the receiver's hall of which the sender needs a full summary.
+	WantedSummaries []string `msgpack:"w,omitempty"`
 	// Boot identifies the run of the speaker's process, and Number numbers the digests of that run from 1. A speaker of an
 	// earlier version sends neither; its digests are ordered by arrival.
 	Boot   uint64 `msgpack:"b,omitempty"`
 	Number uint64 `msgpack:"n,omitempty"`
 }
 
-// PlacerOf identifies the instance that is the placer of a pool in a term.
-type PlacerOf struct {
+// PoolPlacer identifies the instance that is the placer of a pool in a term.
+type PoolPlacer struct {
 	Pool     string   `msgpack:"p"`
 	Term     uint64   `msgpack:"t"`
 	Instance Instance `msgpack:"i"`
@@ -125,7 +125,7 @@
 type Refused struct {
 	Pool      string  `msgpack:"p"`
 	Refusal   Refusal `msgpack:"r"`
-	Elsewhere bool    `msgpack:"e,omitempty"`
+	NotPlacer bool    `msgpack:"e,omitempty"`
 	Attempt   int     `msgpack:"a,omitempty"`
 }
 
@@ -179,8 +179,8 @@
 	Used bool   `msgpack:"u"`
 }
 
-// WantRecords requests the configuration after a revision from a peer.
-type WantRecords struct {
+// RecordsRequest requests the configuration after a revision from a peer.
+type RecordsRequest struct {
 	After int64 `msgpack:"a"`
 }
 
@@ -190,7 +190,7 @@
 	Head     int64    `msgpack:"h"`
 	Snapshot []byte   `msgpack:"s,omitempty"`
 	Records  [][]byte `msgpack:"r,omitempty"`
-	// Coming is the number of bytes of configuration in transit to the receiver. If it is not zero, this message contains no
+	// BytesInTransit is the number of bytes of configuration in transit to the receiver. If it is not zero, this message contains no
 	// configuration, and the receiver must not request it again until that many bytes can have arrived.
-	Coming int `msgpack:"c,omitempty"`
+	BytesInTransit int `msgpack:"c,omitempty"`
 }
--- a/models/daemon/fleet/request.go
+++ b/models/daemon/fleet/request.go
@@ -84,19 +84,19 @@
 
 // The reasons of a refusal.
 const (
-	ReasonQueueFull     Reason = "queue_full"
-	ReasonCustomerLimit Reason = "tenant_limit"
-	ReasonDeadline      Reason = "deadline"
-	ReasonExpired       Reason = "expired"
-	ReasonNoEndpoint    Reason = "no_endpoint"
-	ReasonLoadFailing   Reason = "load_failing"
-	ReasonStopping      Reason = "stopping"
-	ReasonCrashes       Reason = "crashes_endpoints"
-	ReasonNoPlacer      Reason = "no_placer"
-	ReasonCancelled     Reason = "cancelled"
-	ReasonClaimed       Reason = "already_claimed"
-	ReasonClaimImpossib Reason = "claim_impossible"
-	ReasonRule          Reason = "rule"
+	ReasonQueueFull        Reason = "queue_full"
+	ReasonCustomerLimit    Reason = "tenant_limit"
+	ReasonDeadline         Reason = "deadline"
+	ReasonExpired          Reason = "expired"
+	ReasonNoEndpoint       Reason = "no_endpoint"
+	ReasonLoadFailing      Reason = "load_failing"
+	ReasonStopping         Reason = "stopping"
+	ReasonCrashesEndpoints Reason = "crashes_endpoints"
+	ReasonNoPlacer         Reason = "no_placer"
+	ReasonCancelled        Reason = "cancelled"
+	ReasonClaimed          Reason = "already_claimed"
+	ReasonClaimImpossible  Reason = "claim_impossible"
+	ReasonRule             Reason = "rule"
 )
 
 // Refusal reports to a caller that its request was not run, and when to retry.
--- a/models/daemon/fleet/size_test.go
+++ b/models/daemon/fleet/size_test.go
@@ -40,8 +40,8 @@
 		return fleet.PoolSummary{Pool: fmt.Sprintf("h1/base-%d", i), Epoch: 1 << 40, Seq: 1 << 20, Base: 1 << 20, Added: names[:3], Free: 3, Places: 9, Slots: 8, Waiting: 70}
 	})
 	held := makeItems(count, func(i int) fleet.HeldPool { return fleet.HeldPool{Pool: fmt.Sprintf("h1/base-%d", i), Term: 1 << 40} })
-	placers := makeItems(count, func(i int) fleet.PlacerOf {
-		return fleet.PlacerOf{Pool: fmt.Sprintf("h1/base-%d", i), Term: 1 << 40, Instance: instances[i]}
+	placers := makeItems(count, func(i int) fleet.PoolPlacer {
+		return fleet.PoolPlacer{Pool: fmt.Sprintf("h1/base-%d", i), Term: 1 << 40, Instance: instances[i]}
 	})
 	now := time.Unix(1_800_000_000, 5)
 	uses := makeItems(count, func(i int) fleet.TicketUse {
@@ -59,8 +59,8 @@
 		"known":     {Heartbeat: &fleet.Heartbeat{Known: instances}},
 		"held":      {Heartbeat: &fleet.Heartbeat{Held: held}},
 		"pools":     {Heartbeat: &fleet.Heartbeat{Pools: summaries}},
-		"wants":     {Heartbeat: &fleet.Heartbeat{Wants: names}},
-		"digest":    {Digest: &fleet.Digest{Instances: instances, Placers: placers, Pools: summaries, Wants: names}},
+		"wants":     {Heartbeat: &fleet.Heartbeat{WantedSummaries: names}},
+		"digest":    {Digest: &fleet.Digest{Instances: instances, Placers: placers, Pools: summaries, WantedSummaries: names}},
 		"returned":  {Returned: &fleet.Returned{Tickets: names}},
 		"redeclare": {Redeclare: &fleet.Redeclare{Uses: uses}},
 		"release":   {Release: &fleet.Release{Uses: uses}},
--- a/models/daemon/table/table.go
+++ b/models/daemon/table/table.go
@@ -66,17 +66,19 @@
 	return json.Unmarshal(data, &v.Number)
 }
 
-// T returns a text value.
-func T(text string) Value { return Value{Kind: Text, Text: text} }
+// NewText returns a text value.
+func NewText(text string) Value { return Value{Kind: Text, Text: text} }
 
-// N returns a number value.
-func N[X int | int64 | uint64 | float64](n X) Value { return Value{Kind: Number, Number: float64(n)} }
+// NewNumber returns a number value.
+func NewNumber[X int | int64 | uint64 | float64](n X) Value {
+	return Value{Kind: Number, Number: float64(n)}
+}
 
-// B returns a boolean value.
-func B(b bool) Value { return Value{Kind: Bool, Text: strconv.FormatBool(b)} }
+// NewBool returns a boolean value.
+func NewBool(b bool) Value { return Value{Kind: Bool, Text: strconv.FormatBool(b)} }
 
-// D returns the duration as a number value in seconds, rounded to milliseconds.
-func D(d time.Duration) Value {
+// NewSeconds returns the duration as a number value in seconds, rounded to milliseconds.
+func NewSeconds(d time.Duration) Value {
 	return Value{Kind: Number, Number: d.Round(time.Millisecond).Seconds()}
 }
 
--- a/models/daemon/table/table_test.go
+++ b/models/daemon/table/table_test.go
@@ -19,19 +19,19 @@
 		displayed string
 		encoded   string
 	}{
-		{table.T(""), "", `""`},
-		{table.T(`a "b"`), `a "b"`, `"a \"b\""`},
-		{table.T("true"), "true", `"true"`},
-		{table.T("7"), "7", `"7"`},
-		{table.N(7), "7", "7"},
-		{table.N(int64(-1)), "-1", "-1"},
-		{table.N(uint64(1 << 40)), "1099511627776", "1099511627776"},
-		{table.N(0.25), "0.25", "0.25"},
-		{table.B(true), "true", "true"},
-		{table.B(false), "false", "false"},
-		{table.D(1500 * time.Millisecond), "1.5", "1.5"},
-		{table.D(1499 * time.Microsecond), "0.001", "0.001"},
-		{table.D(0), "0", "0"},
+		{table.NewText(""), "", `""`},
+		{table.NewText(`a "b"`), `a "b"`, `"a \"b\""`},
+		{table.NewText("true"), "true", `"true"`},
+		{table.NewText("7"), "7", `"7"`},
+		{table.NewNumber(7), "7", "7"},
+		{table.NewNumber(int64(-1)), "-1", "-1"},
+		{table.NewNumber(uint64(1 << 40)), "1099511627776", "1099511627776"},
+		{table.NewNumber(0.25), "0.25", "0.25"},
+		{table.NewBool(true), "true", "true"},
+		{table.NewBool(false), "false", "false"},
+		{table.NewSeconds(1500 * time.Millisecond), "1.5", "1.5"},
+		{table.NewSeconds(1499 * time.Microsecond), "0.001", "0.001"},
+		{table.NewSeconds(0), "0", "0"},
 	} {
 		require.Equal(t, row.displayed, row.value.String())
 		data, err := json.Marshal(row.value)
@@ -54,12 +54,12 @@
 		a, b  table.Value
 		order int
 	}{
-		{table.N(9), table.N(10), -1},
-		{table.N(10), table.N(10), 0},
-		{table.T("9"), table.T("10"), 1},
-		{table.N(9), table.T("10"), 1},
-		{table.T(""), table.N(0), -1},
-		{table.B(false), table.B(true), -1},
+		{table.NewNumber(9), table.NewNumber(10), -1},
+		{table.NewNumber(10), table.NewNumber(10), 0},
+		{table.NewText("9"), table.NewText("10"), 1},
+		{table.NewNumber(9), table.NewText("10"), 1},
+		{table.NewText(""), table.NewNumber(0), -1},
+		{table.NewBool(false), table.NewBool(true), -1},
 	} {
 		require.Equal(t, row.order, table.Compare(row.a, row.b), "%s and %s", row.a, row.b)
 		require.Equal(t, -row.order, table.Compare(row.b, row.a), "%s and %s", row.b, row.a)
@@ -70,8 +70,8 @@
 	original := table.Table{Columns: []table.Column{{Name: "name", Kind: table.Text}, {Name: "age", Kind: table.Number}}}
 	require.Equal(t, 1, original.Index("age"))
 	require.Equal(t, -1, original.Index("Age"))
-	original.Add(table.T("b"), table.N(2))
-	original.Add(table.T("a"), table.N(1))
+	original.Add(table.NewText("b"), table.NewNumber(2))
+	original.Add(table.NewText("a"), table.NewNumber(1))
 	data, err := json.Marshal(original)
 	require.NoError(t, err)
 	require.Equal(t, `{"columns":[{"name":"name","kind":"text"},{"name":"age","kind":"number"}],"rows":[["b",2],["a",1]]}`, string(data))
--- a/modules/shelfctl/operatorclient/client_test.go
+++ b/modules/shelfctl/operatorclient/client_test.go
@@ -74,7 +74,7 @@
 
 func TestRunRetriesOnlyUnavailableAndUnsettled(t *testing.T) {
 	for kind, secondCalls := range map[operator.ErrorKind]int64{
-		"": 0, operator.KindSyntax: 0, operator.KindMeaning: 0, operator.KindConflict: 0, operator.KindDenied: 0, operator.KindTooMany: 0,
+		"": 0, operator.KindSyntax: 0, operator.KindSemantic: 0, operator.KindConflict: 0, operator.KindDenied: 0, operator.KindTooMany: 0,
 		operator.KindUnavailable: 1, operator.KindUnsettled: 1,
 	} {
 		first, second := newFakeDaemon(t, kind), newFakeDaemon(t, "")
--- a/routers/daemon/caller/request.go
+++ b/routers/daemon/caller/request.go
@@ -236,7 +236,7 @@
 	if id == "" {
 		id = p.requestID
 	}
-	return int(xxhash.Sum64String(id) % catalog.WholePercent)
+	return int(xxhash.Sum64String(id) % catalog.TotalPercent)
 }
 
 // endpointBody returns the body for the endpoint, with the model replaced by adapter@version and the priority set.
--- a/routers/daemon/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -243,7 +243,7 @@
 	case configuration.IsErrUnavailable(err):
 		return KindUnavailable
 	}
-	return KindMeaning
+	return KindSemantic
 }
 
 func statusCode(err error) int {
--- a/routers/daemon/operator/router_test.go
+++ b/routers/daemon/operator/router_test.go
@@ -127,7 +127,7 @@
 func TestAnswersBeforeErrorAreReturned(t *testing.T) {
 	w, out := newTestDaemon(t).send(t, "change", createStatement+"; show nothing; pin a@1")
 	require.Equal(t, http.StatusBadRequest, w.Code)
-	require.Equal(t, operator.KindMeaning, out.Error.Kind)
+	require.Equal(t, operator.KindSemantic, out.Error.Kind)
 	require.Len(t, out.Answers, 1)
 }
 
--- a/routers/daemon/operator/wire.go
+++ b/routers/daemon/operator/wire.go
@@ -40,7 +40,7 @@
 // The kinds of error. docs/operators.md lists the exit code of shelfctl for each.
 const (
 	KindSyntax      ErrorKind = "syntax"
-	KindMeaning     ErrorKind = "meaning"
+	KindSemantic    ErrorKind = "meaning"
 	KindConflict    ErrorKind = "conflict"
 	KindUnavailable ErrorKind = "unavailable"
 	KindUnsettled   ErrorKind = "unsettled"
--- a/services/daemon/command/translate.go
+++ b/services/daemon/command/translate.go
@@ -155,7 +155,7 @@
 func service(c *language.ServiceClause) ([]catalog.Change, error) {
 	var shares []catalog.Share
 	for _, s := range c.Shares {
-		share := catalog.Share{Adapter: s.Adapter, Percent: catalog.WholePercent}
+		share := catalog.Share{Adapter: s.Adapter, Percent: catalog.TotalPercent}
 		if ref, err := fleet.ParseAdapterRef(s.Adapter); err == nil {
 			share.Adapter, share.Version = ref.Name, ref.Version
 		}
@@ -180,21 +180,21 @@
 	if err != nil {
 		return nil, ErrMeaning{Reason: fmt.Sprintf("column %d: %s", c.To.Pos.Column, err)}
 	}
-	percent := catalog.WholePercent
+	percent := catalog.TotalPercent
 	if c.Percent != nil {
 		percent = int(*c.Percent)
 	}
-	if percent > catalog.WholePercent {
+	if percent > catalog.TotalPercent {
 		return nil, ErrMeaning{Reason: "a share is at most 100%"}
 	}
 	next := catalog.Share{Adapter: ref.Name, Version: ref.Version, Percent: percent}
 	shares := []catalog.Share{next}
-	if percent < catalog.WholePercent {
+	if percent < catalog.TotalPercent {
 		old, found := oldShare(s, next)
 		if !found {
 			return nil, ErrMeaning{Reason: "the service has no other version to keep the rest"}
 		}
-		old.Percent = catalog.WholePercent - percent
+		old.Percent = catalog.TotalPercent - percent
 		// The old version stays first, which is what rolling back returns to.
 		shares = []catalog.Share{old, next}
 	}
@@ -219,7 +219,7 @@
 		return nil, ErrMeaning{Reason: fmt.Sprintf("service %q is not between two versions; use undo revision", name)}
 	}
 	old := s.Shares[0]
-	old.Percent = catalog.WholePercent
+	old.Percent = catalog.TotalPercent
 	return one(catalog.Change{Kind: catalog.SetService, Name: name, Shares: []catalog.Share{old}})
 }
 
--- a/services/daemon/node/configuration.go
+++ b/services/daemon/node/configuration.go
@@ -15,7 +15,7 @@
 // want asks a peer that is ahead for what is missing here.
 func (n *Node) want(now time.Time, from fleet.Instance) {
 	if n.config.AskDue(now) {
-		n.send(from, fleet.Envelope{WantRecords: &fleet.WantRecords{After: n.config.Revision()}})
+		n.send(from, fleet.Envelope{RecordsRequest: &fleet.RecordsRequest{After: n.config.Revision()}})
 	}
 }
 
@@ -25,7 +25,7 @@
 	if !ok {
 		return
 	}
-	asker := followed.Asker{ID: e.From, Boot: e.Boot, After: e.WantRecords.After}
+	asker := followed.Asker{ID: e.From, Boot: e.Boot, After: e.RecordsRequest.After}
 	records, ok := n.recordsFor(now, asker)
 	if !ok {
 		return
@@ -38,7 +38,7 @@
 	n.answers.Ask(now, asker, size)
 	n.sendAnswers(now)
 	if coming := n.answers.Coming(now, asker.ID); coming > 0 {
-		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: n.config.Revision(), Coming: coming}})
+		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: n.config.Revision(), BytesInTransit: coming}})
 	}
 }
 
@@ -65,7 +65,7 @@
 			continue
 		}
 		n.answers.Sent(now, asker, records.Head, records.Size())
-		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: records.Head, Coming: n.answers.Coming(now, asker.ID)}})
+		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: records.Head, BytesInTransit: n.answers.Coming(now, asker.ID)}})
 		n.send(to, fleet.Envelope{Records: records})
 	}
 }
@@ -77,8 +77,8 @@
 }
 
 func (n *Node) takeRecords(now time.Time, r fleet.Records) {
-	if r.Coming > 0 {
-		n.config.Expect(now, r.Head, r.Coming)
+	if r.BytesInTransit > 0 {
+		n.config.Expect(now, r.Head, r.BytesInTransit)
 		return
 	}
 	outcome := n.config.Advance(r, n.options.Defects.AcceptLowerRevision)
@@ -104,7 +104,7 @@
 }
 
 func (n *Node) applyConfiguration(now time.Time) {
-	classes := n.config.Catalog().ClassList(n.options.Classes)
+	classes := n.config.Catalog().EffectiveClasses(n.options.Classes)
 	for _, ps := range n.order {
 		if !ps.mine {
 			continue
--- a/services/daemon/node/digest/hall.go
+++ b/services/daemon/node/digest/hall.go
@@ -34,7 +34,7 @@
 	name      string
 	speaker   fleet.Instance
 	instances []fleet.Instance
-	placers   map[string]fleet.PlacerOf
+	placers   map[string]fleet.PoolPlacer
 	heard     time.Time
 	cut       bool
 	revision  int64
@@ -48,7 +48,7 @@
 
 // NewHall makes the state of a hall that was never heard; it counts as cut off.
 func NewHall(name string) *Hall {
-	return &Hall{name: name, placers: make(map[string]fleet.PlacerOf), gaps: make(map[string]bool), cut: true}
+	return &Hall{name: name, placers: make(map[string]fleet.PoolPlacer), gaps: make(map[string]bool), cut: true}
 }
 
 // Name gives the hall's name.
@@ -94,7 +94,7 @@
 	h.remember(d)
 	h.heard = now.Add(-d.Age)
 	if !d.Relayed {
-		h.wants = d.Wants
+		h.wants = d.WantedSummaries
 	}
 	h.speaker = d.Speaker
 	if len(d.Instances) > 0 {
@@ -105,7 +105,7 @@
 
 // LearnPlacer enters the placer of one of the hall's pools, unless its term is below the
 // one known. It reports true where the placer or its term is new.
-func (h *Hall) LearnPlacer(p fleet.PlacerOf) bool {
+func (h *Hall) LearnPlacer(p fleet.PoolPlacer) bool {
 	old, ok := h.placers[p.Pool]
 	if ok && old.Term > p.Term {
 		return false
--- a/services/daemon/node/digest/hall_test.go
+++ b/services/daemon/node/digest/hall_test.go
@@ -25,8 +25,8 @@
 	return fleet.Instance{ID: id, Hall: "h2"}
 }
 
-func placer(id string, term uint64) fleet.PlacerOf {
-	return fleet.PlacerOf{Pool: pool, Term: term, Instance: instance(id)}
+func placer(id string, term uint64) fleet.PoolPlacer {
+	return fleet.PoolPlacer{Pool: pool, Term: term, Instance: instance(id)}
 }
 
 func ids(instances []fleet.Instance) []string {
@@ -87,7 +87,7 @@
 
 func TestOnlyTheSpeakerItselfSaysWhatTheHallMisses(t *testing.T) {
 	h := heard()
-	h.Take(begin, &fleet.Digest{Wants: []string{"h1/base"}})
+	h.Take(begin, &fleet.Digest{WantedSummaries: []string{"h1/base"}})
 	require.True(t, h.Wants("h1/base"))
 	require.True(t, h.WantsInstances())
 	h.Take(begin, &fleet.Digest{Relayed: true})
@@ -101,7 +101,7 @@
 	h := heard()
 	for _, row := range []struct {
 		name   string
-		record fleet.PlacerOf
+		record fleet.PoolPlacer
 		moved  bool
 		placer string
 	}{
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -76,7 +76,7 @@
 }
 
 func (n *Node) sendDigest(now time.Time, r *digest.Hall, full bool) {
-	d := &fleet.Digest{Hall: n.options.Self.Hall, Revision: n.hallRevision(), Highest: n.config.Revision()}
+	d := &fleet.Digest{Hall: n.options.Self.Hall, Revision: n.hallRevision(), HighestRevision: n.config.Revision()}
 	for _, ps := range n.order {
 		if !ps.own {
 			continue
@@ -92,7 +92,7 @@
 	if full || r.WantsInstances() {
 		d.Instances = append(d.Instances, n.members.Known()...)
 	}
-	d.Wants = r.Gaps()
+	d.WantedSummaries = r.Gaps()
 	for _, to := range r.Targets(n.list.Instances()) {
 		n.send(to, fleet.Envelope{Digest: d})
 	}
@@ -110,15 +110,15 @@
 }
 
 // announcedPlacer gives what to tell other halls of a pool's placer, if one is known.
-func (n *Node) announcedPlacer(ps *poolState) (fleet.PlacerOf, bool) {
+func (n *Node) announcedPlacer(ps *poolState) (fleet.PoolPlacer, bool) {
 	if ps.mine {
-		return fleet.PlacerOf{Pool: ps.pool.Name, Term: ps.term, Instance: n.options.Self}, true
+		return fleet.PoolPlacer{Pool: ps.pool.Name, Term: ps.term, Instance: n.options.Self}, true
 	}
 	m := n.members.Member(ps.placedBy)
 	if m == nil || !m.Alive {
-		return fleet.PlacerOf{}, false
+		return fleet.PoolPlacer{}, false
 	}
-	return fleet.PlacerOf{Pool: ps.pool.Name, Term: heldTerm(m, ps.pool.Name), Instance: m.Instance}, true
+	return fleet.PoolPlacer{Pool: ps.pool.Name, Term: heldTerm(m, ps.pool.Name), Instance: m.Instance}, true
 }
 
 // digest takes another hall's account, and passes it on inside the hall if it came from outside. A late one says
@@ -139,9 +139,9 @@
 		r.SetGap(s.Pool, !n.router.Learn(now, s))
 	}
 	n.setCut(now, r, false)
-	n.config.Hear(d.Highest)
-	n.answers.Reached(d.Speaker.ID, d.Highest)
-	if speaker, ok := r.Speaker(); ok && d.Highest > n.config.Revision() {
+	n.config.Hear(d.HighestRevision)
+	n.answers.Reached(d.Speaker.ID, d.HighestRevision)
+	if speaker, ok := r.Speaker(); ok && d.HighestRevision > n.config.Revision() {
 		n.want(now, speaker)
 	}
 	if !d.Relayed {
@@ -150,7 +150,7 @@
 }
 
 // placerMoved follows a change of placer in another hall.
-func (n *Node) placerMoved(now time.Time, p fleet.PlacerOf) {
+func (n *Node) placerMoved(now time.Time, p fleet.PoolPlacer) {
 	if ps := n.pools[p.Pool]; ps != nil {
 		n.declareUses(ps, p.Instance)
 		n.resubmitPool(now, ps)
--- a/services/daemon/node/followed/configuration_test.go
+++ b/services/daemon/node/followed/configuration_test.go
@@ -72,8 +72,8 @@
 		{"empty", 3, nil, followed.Outcome{}, 3},
 		{"a sender that is behind", 2, []int64{2}, followed.Outcome{Older: true}, 3},
 		{"a sender that is behind offers more", 2, []int64{4}, followed.Outcome{Older: true}, 3},
-		{"one was lost before", 5, []int64{5}, followed.Outcome{Err: catalog.ErrGap{Have: 3, Got: 5}}, 3},
-		{"one was lost between", 6, []int64{4, 6}, followed.Outcome{Err: catalog.ErrGap{Have: 4, Got: 6}, Changed: true}, 4},
+		{"one was lost before", 5, []int64{5}, followed.Outcome{Err: catalog.ErrRevisionGap{Have: 3, Got: 5}}, 3},
+		{"one was lost between", 6, []int64{4, 6}, followed.Outcome{Err: catalog.ErrRevisionGap{Have: 4, Got: 6}, Changed: true}, 4},
 		{"the head alone", 9, nil, followed.Outcome{}, 3},
 	} {
 		c := at(t, 3)
--- a/services/daemon/node/forgotten_entry_test.go
+++ b/services/daemon/node/forgotten_entry_test.go
@@ -55,7 +55,7 @@
 	const step = 500 * time.Millisecond
 	n, now, _ := alone(t)
 	wanting := heartbeat()
-	wanting.Heartbeat.Wants = []string{"h1/base"}
+	wanting.Heartbeat.WantedSummaries = []string{"h1/base"}
 	n.Handle(now, wanting)
 	whole := func(until time.Time) []bool {
 		var out []bool
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -86,7 +86,7 @@
 	}
 	p := n.peer(m.Instance.ID)
 	p.hash = hb.Members
-	p.wants = hb.Wants
+	p.wants = hb.WantedSummaries
 }
 
 // learnEntry remembers where an instance is and the latest of its stamps. An instance that
@@ -152,7 +152,7 @@
 			hb.Pools = append(hb.Pools, n.summaryFor(now, peer, ps))
 		}
 		if ps.own && !ps.mine && ps.gap {
-			hb.Wants = append(hb.Wants, ps.pool.Name)
+			hb.WantedSummaries = append(hb.WantedSummaries, ps.pool.Name)
 		}
 	}
 	n.send(m.Instance, fleet.Envelope{Heartbeat: hb})
--- a/services/daemon/node/node.go
+++ b/services/daemon/node/node.go
@@ -107,7 +107,7 @@
 		n.permitted(now, e)
 	case e.PermitDone != nil:
 		n.ledger.Done(now, e.PermitDone.ID, e.PermitDone.Used)
-	case e.WantRecords != nil:
+	case e.RecordsRequest != nil:
 		n.wanted(now, e)
 	case e.Records != nil:
 		n.takeRecords(now, *e.Records)
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -105,7 +105,7 @@
 	options := n.options.Placement
 	options.OrderMargin = n.options.Timing.LeaseMargin
 	options.EvictInUse = n.options.Defects.UnloadWithoutTickets
-	options.Classes = n.config.Catalog().ClassList(n.options.Classes)
+	options.Classes = n.config.Catalog().EffectiveClasses(n.options.Classes)
 	ps.placer = placement.NewPlacer(ps.pool.Name, n.options.Self.ID, ps.pool.Endpoints, options)
 	ps.placer.SetEpoch(n.options.Boot, ps.term)
 	applyCatalog(ps.placer, n.config.Catalog())
--- a/services/daemon/node/placing.go
+++ b/services/daemon/node/placing.go
@@ -50,7 +50,7 @@
 // elsewhere tells an entry that this node does not place the pool.
 func (n *Node) elsewhere(e fleet.Envelope, pool string) {
 	r := e.Submit.Request
-	refused := &fleet.Refused{Pool: pool, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonNoPlacer}, Elsewhere: true, Attempt: r.Attempt}
+	refused := &fleet.Refused{Pool: pool, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonNoPlacer}, NotPlacer: true, Attempt: r.Attempt}
 	if e.From == n.options.Self.ID {
 		return
 	}
@@ -153,7 +153,7 @@
 	if p == nil {
 		return
 	}
-	n.send(p.instance, fleet.Envelope{Refused: &fleet.Refused{Pool: ps.pool.Name, Refusal: r.Refusal, Elsewhere: elsewhere, Attempt: r.Request.Attempt}})
+	n.send(p.instance, fleet.Envelope{Refused: &fleet.Refused{Pool: ps.pool.Name, Refusal: r.Refusal, NotPlacer: elsewhere, Attempt: r.Request.Attempt}})
 }
 
 func (n *Node) refuseSelf(now time.Time, r placement.Refuse, elsewhere bool) {
--- a/services/daemon/node/placing_test.go
+++ b/services/daemon/node/placing_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 		require.Len(t, refused, 1, "each time it is asked")
-		require.True(t, refused[0].Elsewhere, "asks again, rather than refuse the request")
+		require.True(t, refused[0].NotPlacer, "asks again, rather than refuse the request")
 	}
 }
 
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -29,7 +29,7 @@
 	r.Entry = n.options.Self.ID
 	r.Hall = n.options.Self.Hall
 	p := &waiting.Request{Request: r}
-	if rule, ok := n.config.Catalog().Decide(now, r); ok {
+	if rule, ok := n.config.Catalog().MatchRule(now, r); ok {
 		if rule.Refuse {
 			n.emit(Reject{RequestID: r.ID, Refusal: fleet.Refusal{RequestID: r.ID, Reason: fleet.ReasonRule}})
 			return n.take()
@@ -245,7 +245,7 @@
 	if !ok || p.Pool != e.Refused.Pool {
 		return
 	}
-	if e.Refused.Elsewhere {
+	if e.Refused.NotPlacer {
 		p.Elsewhere(now)
 		return
 	}
--- a/services/daemon/node/view_test.go
+++ b/services/daemon/node/view_test.go
@@ -19,7 +19,7 @@
 
 func digestOfH2(revision int64) fleet.Envelope {
 	speaker := fleet.Instance{ID: "j1", Hall: "h2"}
-	return fleet.Envelope{From: "j1", Digest: &fleet.Digest{Hall: "h2", Speaker: speaker, Revision: revision, Highest: revision}}
+	return fleet.Envelope{From: "j1", Digest: &fleet.Digest{Hall: "h2", Speaker: speaker, Revision: revision, HighestRevision: revision}}
 }
 
 func TestViewOfHalls(t *testing.T) {
--- a/services/daemon/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -117,13 +117,13 @@
 }
 
 func compare(c *language.Condition, kind table.Kind, at int) (predicate, error) {
-	other := table.T(c.Value)
+	other := table.NewText(c.Value)
 	if kind == table.Number {
 		n, err := strconv.ParseFloat(c.Value, 64)
 		if err != nil {
 			return nil, fmt.Errorf("column %q holds numbers, and %q is none", c.Column, c.Value)
 		}
-		other = table.N(n)
+		other = table.NewNumber(n)
 	}
 	holds := map[string]func(int) bool{
 		"=": func(o int) bool { return o == 0 }, "!=": func(o int) bool { return o != 0 },
@@ -153,7 +153,7 @@
 			return t, nil
 		}
 		out := &table.Table{Columns: []table.Column{{Name: countColumn, Kind: table.Number}}}
-		out.Add(table.N(len(t.Rows)))
+		out.Add(table.NewNumber(len(t.Rows)))
 		return out, nil
 	}
 	at, err := columnOf(t, q.Group)
@@ -168,7 +168,7 @@
 		if !ok {
 			i = len(out.Rows)
 			index[key] = i
-			out.Add(row[at], table.N(0))
+			out.Add(row[at], table.NewNumber(0))
 		}
 		out.Rows[i][1].Number++
 	}
--- a/services/daemon/query/evaluate_test.go
+++ b/services/daemon/query/evaluate_test.go
@@ -17,9 +17,9 @@
 	t := &table.Table{Columns: []table.Column{
 		{Name: "name", Kind: table.Text}, {Name: "hall", Kind: table.Text}, {Name: "slots", Kind: table.Number}, {Name: "up", Kind: table.Bool},
 	}}
-	t.Add(table.T("e1"), table.T("h1"), table.N(9), table.B(true))
-	t.Add(table.T("e2"), table.T("h1"), table.N(10), table.B(false))
-	t.Add(table.T("e10"), table.T("h2"), table.N(100), table.B(true))
+	t.Add(table.NewText("e1"), table.NewText("h1"), table.NewNumber(9), table.NewBool(true))
+	t.Add(table.NewText("e2"), table.NewText("h1"), table.NewNumber(10), table.NewBool(false))
+	t.Add(table.NewText("e10"), table.NewText("h2"), table.NewNumber(100), table.NewBool(true))
 	return t
 }
 
@@ -101,15 +101,15 @@
 	out, err := show(t, "show count endpoints where up = true")
 	require.NoError(t, err)
 	require.Equal(t, []table.Column{{Name: "count", Kind: table.Number}}, out.Columns)
-	require.Equal(t, [][]table.Value{{table.N(2)}}, out.Rows)
+	require.Equal(t, [][]table.Value{{table.NewNumber(2)}}, out.Rows)
 
 	out, err = show(t, "show endpoints group by hall")
 	require.NoError(t, err)
-	require.Equal(t, [][]table.Value{{table.T("h1"), table.N(2)}, {table.T("h2"), table.N(1)}}, out.Rows)
+	require.Equal(t, [][]table.Value{{table.NewText("h1"), table.NewNumber(2)}, {table.NewText("h2"), table.NewNumber(1)}}, out.Rows)
 
 	out, err = show(t, "show endpoints group by hall order by count limit 1")
 	require.NoError(t, err)
-	require.Equal(t, [][]table.Value{{table.T("h2"), table.N(1)}}, out.Rows)
+	require.Equal(t, [][]table.Value{{table.NewText("h2"), table.NewNumber(1)}}, out.Rows)
 }
 
 func TestWhatAQueryCannotMeanIsAnError(t *testing.T) {
--- a/services/daemon/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -85,7 +85,7 @@
 	t.Rows = make([][]table.Value, 0, len(all))
 	for _, name := range sortedNames(all) {
 		a := all[name]
-		t.Add(table.T(a.Name), table.T(a.Base), table.N(a.Live), table.N(len(a.Versions)))
+		t.Add(table.NewText(a.Name), table.NewText(a.Base), table.NewNumber(a.Live), table.NewNumber(len(a.Versions)))
 	}
 }
 
@@ -100,7 +100,7 @@
 		a := c.Adapters[name]
 		for _, v := range a.Versions {
 			ref := fleet.AdapterRef{Name: a.Name, Version: v.Number}
-			t.Add(table.T(a.Name), table.N(v.Number), table.T(v.Source), table.B(v.Number == a.Live), table.B(v.Retired), table.B(c.Pins[ref]), table.B(c.Preloads[ref]))
+			t.Add(table.NewText(a.Name), table.NewNumber(v.Number), table.NewText(v.Source), table.NewBool(v.Number == a.Live), table.NewBool(v.Retired), table.NewBool(c.Pins[ref]), table.NewBool(c.Preloads[ref]))
 		}
 	}
 }
@@ -110,15 +110,15 @@
 	for _, name := range sortedNames(all) {
 		x := all[name]
 		for _, share := range x.Shares {
-			t.Add(table.T(x.Name), table.T(share.Adapter), table.N(share.Version), table.N(share.Percent))
+			t.Add(table.NewText(x.Name), table.NewText(share.Adapter), table.NewNumber(share.Version), table.NewNumber(share.Percent))
 		}
 	}
 }
 
 func rules(s *Service, t *table.Table) {
 	for i, r := range s.options.Catalog().Rules {
-		t.Add(table.N(i+1), table.T(r.Name), table.T(r.Class), table.T(r.Caller), table.T(r.Base), table.T(r.Adapter), table.T(r.Hall),
-			table.T(clock(r.From)), table.T(clock(r.To)), table.T(r.Zone), table.T(strings.Join(r.Halls, "+")), table.N(r.Priority), table.B(r.Refuse))
+		t.Add(table.NewNumber(i+1), table.NewText(r.Name), table.NewText(r.Class), table.NewText(r.Caller), table.NewText(r.Base), table.NewText(r.Adapter), table.NewText(r.Hall),
+			table.NewText(clock(r.From)), table.NewText(clock(r.To)), table.NewText(r.Zone), table.NewText(strings.Join(r.Halls, "+")), table.NewNumber(r.Priority), table.NewBool(r.Refuse))
 	}
 }
 
@@ -130,10 +130,10 @@
 }
 
 func classes(s *Service, t *table.Table) {
-	list := s.options.Catalog().ClassList(s.options.Classes)
+	list := s.options.Catalog().EffectiveClasses(s.options.Classes)
 	slices.SortFunc(list, func(a, b fleet.Class) int { return strings.Compare(a.Name, b.Name) })
 	for _, c := range list {
-		t.Add(table.T(c.Name), table.N(c.Priority), table.N(c.StallWeight), table.N(c.MaxQueuedTokens), table.B(c.Patient))
+		t.Add(table.NewText(c.Name), table.NewNumber(c.Priority), table.NewNumber(c.StallWeight), table.NewNumber(c.MaxQueuedTokens), table.NewBool(c.Patient))
 	}
 }
 
@@ -141,14 +141,14 @@
 	var records []catalog.Record
 	s.options.View(func(_ time.Time, n *node.Node) { records = n.Records() })
 	for _, r := range records {
-		t.Add(table.N(r.Revision), table.T(r.At.Format(time.RFC3339)), table.T(r.Operator), table.T(r.ID), table.N(len(r.Changes)), table.T(r.Command))
+		t.Add(table.NewNumber(r.Revision), table.NewText(r.At.Format(time.RFC3339)), table.NewText(r.Operator), table.NewText(r.ID), table.NewNumber(len(r.Changes)), table.NewText(r.Command))
 	}
 }
 
 func halls(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		for _, h := range n.Halls(now) {
-			t.Add(table.T(h.Hall), table.N(h.Revision), table.D(h.Age), table.B(h.Cut), table.T(h.Speaker.ID))
+			t.Add(table.NewText(h.Hall), table.NewNumber(h.Revision), table.NewSeconds(h.Age), table.NewBool(h.Cut), table.NewText(h.Speaker.ID))
 		}
 	})
 }
@@ -157,8 +157,8 @@
 func instances(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		i := n.Instances(now)[0]
-		t.Add(table.T(i.Instance.ID), table.T(i.Instance.Hall), table.T(i.Instance.Address.String()), table.B(i.Alive), table.B(i.Leaving),
-			table.B(i.Listed), table.N(i.Revision), table.D(i.Age), table.T(strings.Join(i.Pools, " ")))
+		t.Add(table.NewText(i.Instance.ID), table.NewText(i.Instance.Hall), table.NewText(i.Instance.Address.String()), table.NewBool(i.Alive), table.NewBool(i.Leaving),
+			table.NewBool(i.Listed), table.NewNumber(i.Revision), table.NewSeconds(i.Age), table.NewText(strings.Join(i.Pools, " ")))
 	})
 }
 
@@ -173,9 +173,9 @@
 func endpoints(s *Service, t *table.Table) {
 	s.eachPool(func(_ time.Time, p node.PoolView) {
 		for _, e := range p.Endpoints {
-			t.Add(table.T(e.Endpoint), table.T(s.options.Self.Hall), table.T(p.Pool), table.T(s.options.Self.ID), table.B(e.Up), table.B(e.Leaving),
-				table.B(e.Drained), table.B(e.Frozen), table.B(e.Uncertain), table.N(e.Running), table.N(e.MaxBatch), table.N(e.Used), table.N(e.Slots),
-				table.N(e.Fence), table.T(e.Incarnation))
+			t.Add(table.NewText(e.Endpoint), table.NewText(s.options.Self.Hall), table.NewText(p.Pool), table.NewText(s.options.Self.ID), table.NewBool(e.Up), table.NewBool(e.Leaving),
+				table.NewBool(e.Drained), table.NewBool(e.Frozen), table.NewBool(e.Uncertain), table.NewNumber(e.Running), table.NewNumber(e.MaxBatch), table.NewNumber(e.Used), table.NewNumber(e.Slots),
+				table.NewNumber(e.Fence), table.NewText(e.Incarnation))
 		}
 	})
 }
@@ -183,8 +183,8 @@
 func slots(s *Service, t *table.Table) {
 	s.eachPool(func(now time.Time, p node.PoolView) {
 		for _, x := range p.Slots {
-			t.Add(table.T(x.Endpoint), table.T(s.options.Self.Hall), table.T(x.Adapter), table.T(x.State), table.N(x.Running), table.B(x.Foreign),
-				table.B(x.Closing), table.B(x.Pinned), table.D(now.Sub(x.Since)), table.D(now.Sub(x.LastUsed)), table.N(x.Value))
+			t.Add(table.NewText(x.Endpoint), table.NewText(s.options.Self.Hall), table.NewText(x.Adapter), table.NewText(x.State), table.NewNumber(x.Running), table.NewBool(x.Foreign),
+				table.NewBool(x.Closing), table.NewBool(x.Pinned), table.NewSeconds(now.Sub(x.Since)), table.NewSeconds(now.Sub(x.LastUsed)), table.NewNumber(x.Value))
 		}
 	})
 }
@@ -193,7 +193,7 @@
 	s.eachPool(func(now time.Time, p node.PoolView) {
 		for _, x := range p.Slots {
 			if x.State == "loading" {
-				t.Add(table.T(x.Endpoint), table.T(s.options.Self.Hall), table.T(x.Adapter), table.D(now.Sub(x.Since)))
+				t.Add(table.NewText(x.Endpoint), table.NewText(s.options.Self.Hall), table.NewText(x.Adapter), table.NewSeconds(now.Sub(x.Since)))
 			}
 		}
 	})
@@ -202,8 +202,8 @@
 func waiting(s *Service, t *table.Table) {
 	s.eachPool(func(now time.Time, p node.PoolView) {
 		for _, w := range p.Waiting {
-			t.Add(table.T(w.Request), table.T(s.options.Self.Hall), table.T(p.Pool), table.T(w.Caller), table.T(w.Class), table.T(w.Adapter),
-				table.N(w.Tokens), table.D(now.Sub(w.Queued)), table.T(w.Cause))
+			t.Add(table.NewText(w.Request), table.NewText(s.options.Self.Hall), table.NewText(p.Pool), table.NewText(w.Caller), table.NewText(w.Class), table.NewText(w.Adapter),
+				table.NewNumber(w.Tokens), table.NewSeconds(now.Sub(w.Queued)), table.NewText(w.Cause))
 		}
 	})
 }
@@ -211,7 +211,7 @@
 func tickets(s *Service, t *table.Table) {
 	s.eachPool(func(_ time.Time, p node.PoolView) {
 		for _, x := range p.Tickets {
-			t.Add(table.T(x.ID), table.T(s.options.Self.Hall), table.T(x.RequestID), table.T(x.Endpoint), table.T(x.Adapter.String()), table.T(x.Entry), table.N(x.Fence))
+			t.Add(table.NewText(x.ID), table.NewText(s.options.Self.Hall), table.NewText(x.RequestID), table.NewText(x.Endpoint), table.NewText(x.Adapter.String()), table.NewText(x.Entry), table.NewNumber(x.Fence))
 		}
 	})
 }
@@ -223,6 +223,6 @@
 }
 
 func addEvent(t *table.Table, e fleet.Event) {
-	t.Add(table.T(e.At.UTC().Format(time.RFC3339Nano)), table.T(e.Instance), table.T(string(e.Kind)), table.T(e.Request), table.T(e.Adapter),
-		table.T(e.Endpoint), table.T(e.Pool), table.T(e.Other), table.N(e.Fence), table.N(e.Revision), table.N(e.Value), table.T(e.Cause))
+	t.Add(table.NewText(e.At.UTC().Format(time.RFC3339Nano)), table.NewText(e.Instance), table.NewText(string(e.Kind)), table.NewText(e.Request), table.NewText(e.Adapter),
+		table.NewText(e.Endpoint), table.NewText(e.Pool), table.NewText(e.Other), table.NewNumber(e.Fence), table.NewNumber(e.Revision), table.NewNumber(e.Value), table.NewText(e.Cause))
 }
--- a/services/daemon/relay/crash.go
+++ b/services/daemon/relay/crash.go
@@ -42,7 +42,7 @@
 	if !held {
 		return nil
 	}
-	return ErrNotRun{Reason: fleet.ReasonCrashes, RetryAfter: hold.Left, Detail: "endpoints ended while they had the request " + request.String()}
+	return ErrNotRun{Reason: fleet.ReasonCrashesEndpoints, RetryAfter: hold.Left, Detail: "endpoints ended while they had the request " + request.String()}
 }
 
 // crashed notes that an endpoint has ended while it had a request.
--- a/services/daemon/relay/crash_test.go
+++ b/services/daemon/relay/crash_test.go
@@ -73,7 +73,7 @@
 			err := service.Serve(t.Context(), httptest.NewRecorder(), relay.Job{Request: fleet.Request{ID: "q"}, Method: "POST", Path: "/p", Body: []byte("b"), Plain: true})
 			var refused relay.ErrNotRun
 			require.ErrorAs(t, err, &refused)
-			assert.Equal(t, fleet.ReasonCrashes, refused.Reason)
+			assert.Equal(t, fleet.ReasonCrashesEndpoints, refused.Reason)
 			assert.Positive(t, refused.RetryAfter)
 			err = service.Serve(t.Context(), httptest.NewRecorder(), relay.Job{Request: fleet.Request{ID: "q"}, Method: "POST", Path: "/p", Body: []byte("c"), Plain: true})
 			assert.False(t, relay.IsErrNotRun(err), "another body is another request")
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -76,7 +76,7 @@
 	case once.Taken:
 		return ErrUnknown{Claimed: true, Detail: "a request with this identifier was claimed before and is not run again"}
 	}
-	return ErrNotRun{Reason: fleet.ReasonClaimImpossib, RetryAfter: claimRetryAfter, Detail: "the claim that keeps it from running twice could not be made"}
+	return ErrNotRun{Reason: fleet.ReasonClaimImpossible, RetryAfter: claimRetryAfter, Detail: "the claim that keeps it from running twice could not be made"}
 }
 
 const (
--- a/services/shelfctl/shell/exit_test.go
+++ b/services/shelfctl/shell/exit_test.go
@@ -44,7 +44,7 @@
 		require.Equal(t, c.want, shell.ExitCode(c.out, nil), name)
 	}
 	for kind, want := range map[operator.ErrorKind]int{
-		operator.KindSyntax: shell.ExitUsage, operator.KindMeaning: shell.ExitUsage, operator.KindConflict: shell.ExitConflict,
+		operator.KindSyntax: shell.ExitUsage, operator.KindSemantic: shell.ExitUsage, operator.KindConflict: shell.ExitConflict,
 		operator.KindUnavailable: shell.ExitUnavailable, operator.KindUnsettled: shell.ExitUnsettled, operator.KindDenied: shell.ExitDenied,
 		operator.KindTooMany: shell.ExitDenied, "kind of a newer daemon": shell.ExitFailed,
 	} {
@@ -56,8 +56,8 @@
 
 func TestPrint(t *testing.T) {
 	rows := &table.Table{Columns: []table.Column{{Name: "name", Kind: table.Text}, {Name: "slots", Kind: table.Number}}}
-	rows.Add(table.T("e1"), table.N(12))
-	rows.Add(table.T(strings.Repeat("x", 61)), table.N(3))
+	rows.Add(table.NewText("e1"), table.NewNumber(12))
+	rows.Add(table.NewText(strings.Repeat("x", 61)), table.NewNumber(3))
 	out := newResponse(operator.Answer{Table: rows, Parts: []query.Part{{Hall: "h1", Age: 3 * time.Millisecond}, {Hall: "h2", Silent: true}}}, changeAnswer(false, false))
 	out.Error = &operator.Error{Kind: operator.KindTooMany, Message: "wait"}
 	var text strings.Builder
--- a/services/shelfctl/shell/print.go
+++ b/services/shelfctl/shell/print.go
@@ -64,7 +64,7 @@
 		return ExitUnsettled
 	case operator.KindDenied, operator.KindTooMany:
 		return ExitDenied
-	case operator.KindSyntax, operator.KindMeaning:
+	case operator.KindSyntax, operator.KindSemantic:
 		return ExitUsage
 	}
 	return ExitFailed
--- a/tests/pinned/daemon/caller_test.go
+++ b/tests/pinned/daemon/caller_test.go
@@ -206,7 +206,7 @@
 func reasons() []fleet.Reason {
 	return []fleet.Reason{
 		fleet.ReasonQueueFull, fleet.ReasonCustomerLimit, fleet.ReasonDeadline, fleet.ReasonExpired, fleet.ReasonNoEndpoint, fleet.ReasonLoadFailing,
-		fleet.ReasonStopping, fleet.ReasonNoPlacer, fleet.ReasonCancelled, fleet.ReasonClaimed, fleet.ReasonClaimImpossib, fleet.ReasonRule,
+		fleet.ReasonStopping, fleet.ReasonNoPlacer, fleet.ReasonCancelled, fleet.ReasonClaimed, fleet.ReasonClaimImpossible, fleet.ReasonRule,
 	}
 }
 
