--- a/models/daemon/catalog/codec.go
+++ b/models/daemon/catalog/codec.go
@@ -43,14 +43,14 @@
 	return encoder.EncodeAll(raw, nil), nil
 }
 
-// decodeCompressed is the inverse of encodeCompressed; what names the kind of the value in errors.
-func decodeCompressed(what string, data []byte, into any) error {
+// decodeCompressed is the inverse of encodeCompressed; object names the kind of the value in errors.
+func decodeCompressed(object string, data []byte, into any) error {
 	raw, err := decoder.DecodeAll(data, nil)
 	if err != nil {
-		return ErrBadEncoding{Object: what, Reason: err.Error()}
+		return ErrBadEncoding{Object: object, Reason: err.Error()}
 	}
 	if err := json.Unmarshal(raw, into); err != nil {
-		return ErrBadEncoding{Object: what, Reason: err.Error()}
+		return ErrBadEncoding{Object: object, Reason: err.Error()}
 	}
 	return nil
 }
--- a/models/daemon/fleet/fleet_test.go
+++ b/models/daemon/fleet/fleet_test.go
@@ -114,16 +114,16 @@
 
 // previousDigest is fleet.Digest of the version that did not number digests.
 type previousDigest struct {
-	Hall      string              `msgpack:"h"`
-	Instances []fleet.Instance    `msgpack:"i"`
-	Placers   []fleet.PoolPlacer  `msgpack:"pl"`
-	Pools     []fleet.PoolSummary `msgpack:"p"`
-	Revision  int64               `msgpack:"r"`
-	HighestRevision   int64               `msgpack:"hi"`
-	Relayed   bool                `msgpack:"re,omitempty"`
-	Speaker   fleet.Instance      `msgpack:"sp"`
-	Age       time.Duration       `msgpack:"a,omitempty"`
-	WantedSummaries     []string            `msgpack:"w,omitempty"`
+	Hall            string              `msgpack:"h"`
+	Instances       []fleet.Instance    `msgpack:"i"`
+	Placers         []fleet.PoolPlacer  `msgpack:"pl"`
+	Pools           []fleet.PoolSummary `msgpack:"p"`
+	Revision        int64               `msgpack:"r"`
+	HighestRevision int64               `msgpack:"hi"`
+	Relayed         bool                `msgpack:"re,omitempty"`
+	Speaker         fleet.Instance      `msgpack:"sp"`
+	Age             time.Duration       `msgpack:"a,omitempty"`
+	WantedSummaries []string            `msgpack:"w,omitempty"`
 }
 
 func TestDigestIsCompatibleWithPreviousVersion(t *testing.T) {
--- a/models/daemon/fleet/message.go
+++ b/models/daemon/fleet/message.go
@@ -120,7 +120,7 @@
 	Attempt int           `msgpack:"a,omitempty"`
 }
 
-// Refused reports to the entry instance that its request was not run. If Elsewhere is true, the sender is not the placer of the pool, and
+// Refused reports to the entry instance that its request was not run. If NotPlacer is true, the sender is not the placer of the pool, and
 // the entry instance submits the request to the current placer.
 type Refused struct {
 	Pool      string  `msgpack:"p"`
--- a/routers/daemon/operator/wire.go
+++ b/routers/daemon/operator/wire.go
@@ -25,7 +25,7 @@
 	Error    *Error   `json:"error,omitempty"`
 }
 
-// Answer is the answer to a query (Table), a batch of changes (Change) or an explanation (Explain). Parts says which halls contributed to
+// Answer is the answer to a query (Table), a batch of changes (Change) or an explanation (Explain). Parts lists the halls that contributed to
 // a query or an explanation.
 type Answer struct {
 	Table   *table.Table       `json:"table,omitempty"`
--- a/services/daemon/node/followed/configuration.go
+++ b/services/daemon/node/followed/configuration.go
@@ -96,7 +96,7 @@
 	// Older is true where the sender is behind: its head is below the revision in force.
 	Older bool
 	// Err says why the records, or the rest of them, could not be applied: a record is
-	// missing before them (catalog.ErrGap) or one is malformed. What came before it is in force.
+	// missing before them (catalog.ErrRevisionGap) or one is malformed. What came before it is in force.
 	Err error
 	// Changed is true where another revision is in force now.
 	Changed bool
