--- a/models/daemon/catalog/change_class.go
+++ b/models/daemon/catalog/change_class.go
@@ -21,7 +21,7 @@
 	return inverse, ""
 }
 
-// applyBudget sets the budget of the weight store.
+// applyBudget sets the budget of the weight store. Its inverse restores the former budget.
 func (c *Catalog) applyBudget(ch Change) (Change, string) {
 	if ch.Budget == nil || ch.Budget.LoadsPerSecond < 0 || ch.Budget.AtFullSpeed < 0 {
 		return Change{}, "a budget needs loads per second and loads at once of zero or more"
--- a/models/daemon/fleet/request.go
+++ b/models/daemon/fleet/request.go
@@ -46,7 +46,7 @@
 	return r.PromptTokens + r.OutputTokens
 }
 
-// Expired reports whether the deadline has passed. A request without a deadline never expires.
+// Expired reports whether the deadline has been reached. A request without a deadline never expires.
 func (r Request) Expired(now time.Time) bool {
 	return !r.Deadline.IsZero() && !now.Before(r.Deadline)
 }
--- a/routers/daemon/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -112,7 +112,7 @@
 // authenticate returns the operator with the key in the Authorization header, who must have at least the role need, and counts the
 // login in the metrics.
 func (r *Router) authenticate(q *http.Request, need access.Role) (access.Operator, error) {
-	// A header without the prefix is used as the key, which then matches no configured hash.
+	// A header without the prefix "Bearer " is checked as the key itself.
 	key, _ := strings.CutPrefix(q.Header.Get("Authorization"), "Bearer ")
 	// The error is ignored: the HTTP server always sets an address and port. An address that cannot be parsed would count its failed
 	// logins for the zero address.
--- a/services/shelfctl/shell/print.go
+++ b/services/shelfctl/shell/print.go
@@ -31,7 +31,7 @@
 	ExitIncomplete  = 8
 )
 
-// ExitCode returns the exit code for a response, or for the error of a request without a response.
+// ExitCode returns the exit code for a response, or for the error of a request that got no response.
 func ExitCode(out operator.RunResponse, err error) int {
 	if err != nil {
 		if operatorclient.IsErrNoDaemon(err) {
