--- a/services/daemon/command/translate.go
+++ b/services/daemon/command/translate.go
@@ -156,7 +156,7 @@
 func serviceChange(c *language.ServiceClause) ([]catalog.Change, error) {
 	var shares []catalog.Share
 	for _, s := range c.Shares {
-		share := catalog.Share{Adapter: s.Adapter, Percent: catalog.WholePercent}
+		share := catalog.Share{Adapter: s.Adapter, Percent: catalog.TotalPercent}
 		if ref, err := fleet.ParseAdapterRef(s.Adapter); err == nil {
 			share.Adapter, share.Version = ref.Name, ref.Version
 		}
@@ -182,21 +182,21 @@
 	if err != nil {
 		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("column %d: %s", c.To.Pos.Column, err)}
 	}
-	percent := catalog.WholePercent
+	percent := catalog.TotalPercent
 	if c.Percent != nil {
 		percent = int(*c.Percent)
 	}
-	if percent > catalog.WholePercent {
+	if percent > catalog.TotalPercent {
 		return nil, ErrInvalidCommand{Reason: "a share is at most 100%"}
 	}
 	next := catalog.Share{Adapter: ref.Name, Version: ref.Version, Percent: percent}
 	shares := []catalog.Share{next}
-	if percent < catalog.WholePercent {
+	if percent < catalog.TotalPercent {
 		old, found := previousShare(s, next)
 		if !found {
 			return nil, ErrInvalidCommand{Reason: "the service has no other version to take the remaining share"}
 		}
-		old.Percent = catalog.WholePercent - percent
+		old.Percent = catalog.TotalPercent - percent
 		// The old version must come first, because rollBack returns to the first share.
 		shares = []catalog.Share{old, next}
 	}
@@ -223,7 +223,7 @@
 		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("service %q has a single version and cannot be rolled back; use undo revision", name)}
 	}
 	old := s.Shares[0]
-	old.Percent = catalog.WholePercent
+	old.Percent = catalog.TotalPercent
 	return singleChange(catalog.Change{Kind: catalog.SetService, Name: name, Shares: []catalog.Share{old}})
 }
 
--- a/services/daemon/node/digest/hall.go
+++ b/services/daemon/node/digest/hall.go
@@ -34,7 +34,7 @@
 	name         string
 	speaker      fleet.Instance
 	instances    []fleet.Instance
-	placers      map[string]fleet.PlacerOf
+	placers      map[string]fleet.PoolPlacer
 	lastDigestAt time.Time
 	cut          bool
 	revision     int64
@@ -49,7 +49,7 @@
 
 // NewHall returns the state of a hall from which no digest has arrived. It counts as cut off.
 func NewHall(name string) *Hall {
-	return &Hall{name: name, placers: make(map[string]fleet.PlacerOf), missedSummaries: make(map[string]bool), cut: true}
+	return &Hall{name: name, placers: make(map[string]fleet.PoolPlacer), missedSummaries: make(map[string]bool), cut: true}
 }
 
 // Name returns the name of the hall.
@@ -96,7 +96,7 @@
 	h.storeNumber(d)
 	h.lastDigestAt = now.Add(-d.Age)
 	if !d.Relayed {
-		h.wantedSummaries = d.Wants
+		h.wantedSummaries = d.WantedSummaries
 	}
 	h.speaker = d.Speaker
 	if len(d.Instances) > 0 {
@@ -107,7 +107,7 @@
 
 // UpdatePlacer stores the placer of one of the hall's pools, unless its term is below the
 // stored one. It reports whether the placer or its term has changed.
-func (h *Hall) UpdatePlacer(p fleet.PlacerOf) bool {
+func (h *Hall) UpdatePlacer(p fleet.PoolPlacer) bool {
 	old, ok := h.placers[p.Pool]
 	if ok && old.Term > p.Term {
 		return false
--- a/services/daemon/node/digest/hall_test.go
+++ b/services/daemon/node/digest/hall_test.go
@@ -25,8 +25,8 @@
 	return fleet.Instance{ID: id, Hall: "h2"}
 }
 
-func placer(id string, term uint64) fleet.PlacerOf {
-	return fleet.PlacerOf{Pool: pool, Term: term, Instance: instance(id)}
+func placer(id string, term uint64) fleet.PoolPlacer {
+	return fleet.PoolPlacer{Pool: pool, Term: term, Instance: instance(id)}
 }
 
 func ids(instances []fleet.Instance) []string {
@@ -87,7 +87,7 @@
 
 func TestRelayedDigestDoesNotChangeRequestedSummaries(t *testing.T) {
 	h := reachableHall()
-	h.ApplyDigest(begin, &fleet.Digest{Wants: []string{"h1/base"}})
+	h.ApplyDigest(begin, &fleet.Digest{WantedSummaries: []string{"h1/base"}})
 	require.True(t, h.Wants("h1/base"))
 	require.True(t, h.WantsInstances())
 	h.ApplyDigest(begin, &fleet.Digest{Relayed: true})
@@ -101,7 +101,7 @@
 	h := reachableHall()
 	for _, row := range []struct {
 		name   string
-		record fleet.PlacerOf
+		record fleet.PoolPlacer
 		moved  bool
 		placer string
 	}{
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -76,7 +76,7 @@
 }
 
 func (n *Node) sendDigest(now time.Time, r *digest.Hall, full bool) {
-	d := &fleet.Digest{Hall: n.options.Self.Hall, Revision: n.hallRevision(), Highest: n.config.Revision()}
+	d := &fleet.Digest{Hall: n.options.Self.Hall, Revision: n.hallRevision(), HighestRevision: n.config.Revision()}
 	for _, ps := range n.poolList {
 		if !ps.inOwnHall {
 			continue
@@ -92,7 +92,7 @@
 	if full || r.WantsInstances() {
 		d.Instances = append(d.Instances, n.members.Known()...)
 	}
-	d.Wants = r.MissedSummaries()
+	d.WantedSummaries = r.MissedSummaries()
 	for _, to := range r.Recipients(n.platformList.Instances()) {
 		n.send(to, fleet.Envelope{Digest: d})
 	}
@@ -110,15 +110,15 @@
 }
 
 // announcedPlacer returns the placer of a pool as digests announce it, and false if none is known.
-func (n *Node) announcedPlacer(ps *poolState) (fleet.PlacerOf, bool) {
+func (n *Node) announcedPlacer(ps *poolState) (fleet.PoolPlacer, bool) {
 	if ps.isPlacer {
-		return fleet.PlacerOf{Pool: ps.pool.Name, Term: ps.term, Instance: n.options.Self}, true
+		return fleet.PoolPlacer{Pool: ps.pool.Name, Term: ps.term, Instance: n.options.Self}, true
 	}
 	m := n.members.Member(ps.placerID)
 	if m == nil || !m.Alive {
-		return fleet.PlacerOf{}, false
+		return fleet.PoolPlacer{}, false
 	}
-	return fleet.PlacerOf{Pool: ps.pool.Name, Term: heldTerm(m, ps.pool.Name), Instance: m.Instance}, true
+	return fleet.PoolPlacer{Pool: ps.pool.Name, Term: heldTerm(m, ps.pool.Name), Instance: m.Instance}, true
 }
 
 // handleDigest processes another hall's digest and relays it within this hall, unless it was relayed already. A late digest
@@ -139,9 +139,9 @@
 		r.SetSummaryMissed(s.Pool, !n.router.ApplySummary(now, s))
 	}
 	n.setHallCut(now, r, false)
-	n.config.RecordRevision(d.Highest)
-	n.answerQueue.RevisionReached(d.Speaker.ID, d.Highest)
-	if speaker, ok := r.Speaker(); ok && d.Highest > n.config.Revision() {
+	n.config.RecordRevision(d.HighestRevision)
+	n.answerQueue.RevisionReached(d.Speaker.ID, d.HighestRevision)
+	if speaker, ok := r.Speaker(); ok && d.HighestRevision > n.config.Revision() {
 		n.requestRecords(now, speaker)
 	}
 	if !d.Relayed {
@@ -150,7 +150,7 @@
 }
 
 // remotePlacerChanged declares the tickets in use to a pool's new placer in another hall and resubmits the waiting requests to it.
-func (n *Node) remotePlacerChanged(now time.Time, p fleet.PlacerOf) {
+func (n *Node) remotePlacerChanged(now time.Time, p fleet.PoolPlacer) {
 	if ps := n.pools[p.Pool]; ps != nil {
 		n.declareUses(ps, p.Instance)
 		n.resubmitPool(now, ps)
--- a/services/daemon/node/entry_retention_test.go
+++ b/services/daemon/node/entry_retention_test.go
@@ -55,7 +55,7 @@
 	const step = 500 * time.Millisecond
 	n, now, _ := solePlacer(t)
 	requesting := peerHeartbeat()
-	requesting.Heartbeat.Wants = []string{"h1/base"}
+	requesting.Heartbeat.WantedSummaries = []string{"h1/base"}
 	n.Handle(now, requesting)
 	fullSummaries := func(until time.Time) []bool {
 		var out []bool
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -87,7 +87,7 @@
 	}
 	p := n.peer(m.Instance.ID)
 	p.memberHash = hb.Members
-	p.wantedSummaries = hb.Wants
+	p.wantedSummaries = hb.WantedSummaries
 }
 
 // storeEntry stores an instance's address and the latest of its stamps. An instance whose
@@ -153,7 +153,7 @@
 			hb.Pools = append(hb.Pools, n.summaryFor(now, peer, ps))
 		}
 		if ps.inOwnHall && !ps.isPlacer && ps.summaryMissed {
-			hb.Wants = append(hb.Wants, ps.pool.Name)
+			hb.WantedSummaries = append(hb.WantedSummaries, ps.pool.Name)
 		}
 	}
 	n.send(m.Instance, fleet.Envelope{Heartbeat: hb})
--- a/services/daemon/node/node.go
+++ b/services/daemon/node/node.go
@@ -107,7 +107,7 @@
 		n.handlePermit(now, e)
 	case e.PermitDone != nil:
 		n.ledger.ReturnPermit(now, e.PermitDone.ID, e.PermitDone.Used)
-	case e.WantRecords != nil:
+	case e.RecordsRequest != nil:
 		n.handleWantRecords(now, e)
 	case e.Records != nil:
 		n.applyRecords(now, *e.Records)
--- a/services/daemon/node/placer_test.go
+++ b/services/daemon/node/placer_test.go
@@ -27,7 +27,7 @@
 			}
 		}
 		require.Len(t, refused, 1, "one answer to each submission")
-		require.True(t, refused[0].Elsewhere, "the entry must retry and not reject the request")
+		require.True(t, refused[0].NotPlacer, "the entry must retry and not reject the request")
 	}
 }
 
--- a/services/daemon/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -118,13 +118,13 @@
 
 // compare returns the predicate of a comparison between the column at index at and the value of the condition.
 func compare(c *language.Condition, kind table.Kind, at int) (predicate, error) {
-	other := table.T(c.Value)
+	other := table.NewText(c.Value)
 	if kind == table.Number {
 		n, err := strconv.ParseFloat(c.Value, 64)
 		if err != nil {
 			return nil, fmt.Errorf("column %q holds numbers, but %q is not a number", c.Column, c.Value)
 		}
-		other = table.N(n)
+		other = table.NewNumber(n)
 	}
 	matches := map[string]func(int) bool{
 		"=": func(o int) bool { return o == 0 }, "!=": func(o int) bool { return o != 0 },
@@ -157,7 +157,7 @@
 			return t, nil
 		}
 		out := &table.Table{Columns: []table.Column{{Name: countColumn, Kind: table.Number}}}
-		out.Add(table.N(len(t.Rows)))
+		out.Add(table.NewNumber(len(t.Rows)))
 		return out, nil
 	}
 	at, err := columnIndex(t, q.Group)
@@ -172,7 +172,7 @@
 		if !ok {
 			i = len(out.Rows)
 			index[key] = i
-			out.Add(row[at], table.N(0))
+			out.Add(row[at], table.NewNumber(0))
 		}
 		out.Rows[i][1].Number++
 	}
--- a/services/daemon/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -87,7 +87,7 @@
 	t.Rows = make([][]table.Value, 0, len(all))
 	for _, name := range sortedNames(all) {
 		a := all[name]
-		t.Add(table.T(a.Name), table.T(a.Base), table.N(a.Live), table.N(len(a.Versions)))
+		t.Add(table.NewText(a.Name), table.NewText(a.Base), table.NewNumber(a.Live), table.NewNumber(len(a.Versions)))
 	}
 }
 
@@ -102,7 +102,7 @@
 		a := c.Adapters[name]
 		for _, v := range a.Versions {
 			ref := fleet.AdapterRef{Name: a.Name, Version: v.Number}
-			t.Add(table.T(a.Name), table.N(v.Number), table.T(v.Source), table.B(v.Number == a.Live), table.B(v.Retired), table.B(c.Pins[ref]), table.B(c.Preloads[ref]))
+			t.Add(table.NewText(a.Name), table.NewNumber(v.Number), table.NewText(v.Source), table.NewBool(v.Number == a.Live), table.NewBool(v.Retired), table.NewBool(c.Pins[ref]), table.NewBool(c.Preloads[ref]))
 		}
 	}
 }
@@ -112,15 +112,15 @@
 	for _, name := range sortedNames(all) {
 		service := all[name]
 		for _, share := range service.Shares {
-			t.Add(table.T(service.Name), table.T(share.Adapter), table.N(share.Version), table.N(share.Percent))
+			t.Add(table.NewText(service.Name), table.NewText(share.Adapter), table.NewNumber(share.Version), table.NewNumber(share.Percent))
 		}
 	}
 }
 
 func buildRules(s *Service, t *table.Table) {
 	for i, r := range s.options.Catalog().Rules {
-		t.Add(table.N(i+1), table.T(r.Name), table.T(r.Class), table.T(r.Caller), table.T(r.Base), table.T(r.Adapter), table.T(r.Hall),
-			table.T(formatMinuteOfDay(r.From)), table.T(formatMinuteOfDay(r.To)), table.T(r.Zone), table.T(strings.Join(r.Halls, "+")), table.N(r.Priority), table.B(r.Refuse))
+		t.Add(table.NewNumber(i+1), table.NewText(r.Name), table.NewText(r.Class), table.NewText(r.Caller), table.NewText(r.Base), table.NewText(r.Adapter), table.NewText(r.Hall),
+			table.NewText(formatMinuteOfDay(r.From)), table.NewText(formatMinuteOfDay(r.To)), table.NewText(r.Zone), table.NewText(strings.Join(r.Halls, "+")), table.NewNumber(r.Priority), table.NewBool(r.Refuse))
 	}
 }
 
@@ -133,10 +133,10 @@
 }
 
 func buildClasses(s *Service, t *table.Table) {
-	list := s.options.Catalog().ClassList(s.options.Classes)
+	list := s.options.Catalog().EffectiveClasses(s.options.Classes)
 	slices.SortFunc(list, func(a, b fleet.Class) int { return strings.Compare(a.Name, b.Name) })
 	for _, c := range list {
-		t.Add(table.T(c.Name), table.N(c.Priority), table.N(c.StallWeight), table.N(c.MaxQueuedTokens), table.B(c.Patient))
+		t.Add(table.NewText(c.Name), table.NewNumber(c.Priority), table.NewNumber(c.StallWeight), table.NewNumber(c.MaxQueuedTokens), table.NewBool(c.Patient))
 	}
 }
 
@@ -144,14 +144,14 @@
 	var records []catalog.Record
 	s.options.View(func(_ time.Time, n *node.Node) { records = n.Records() })
 	for _, r := range records {
-		t.Add(table.N(r.Revision), table.T(r.At.Format(time.RFC3339)), table.T(r.Operator), table.T(r.ID), table.N(len(r.Changes)), table.T(r.Command))
+		t.Add(table.NewNumber(r.Revision), table.NewText(r.At.Format(time.RFC3339)), table.NewText(r.Operator), table.NewText(r.ID), table.NewNumber(len(r.Changes)), table.NewText(r.Command))
 	}
 }
 
 func buildHalls(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		for _, h := range n.Halls(now) {
-			t.Add(table.T(h.Hall), table.N(h.Revision), table.D(h.Age), table.B(h.Cut), table.T(h.Speaker.ID))
+			t.Add(table.NewText(h.Hall), table.NewNumber(h.Revision), table.NewSeconds(h.Age), table.NewBool(h.Cut), table.NewText(h.Speaker.ID))
 		}
 	})
 }
@@ -161,8 +161,8 @@
 func buildInstances(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		i := n.Instances(now)[0]
-		t.Add(table.T(i.Instance.ID), table.T(i.Instance.Hall), table.T(i.Instance.Address.String()), table.B(i.Alive), table.B(i.Leaving),
-			table.B(i.Listed), table.N(i.Revision), table.D(i.Age), table.T(strings.Join(i.Pools, " ")))
+		t.Add(table.NewText(i.Instance.ID), table.NewText(i.Instance.Hall), table.NewText(i.Instance.Address.String()), table.NewBool(i.Alive), table.NewBool(i.Leaving),
+			table.NewBool(i.Listed), table.NewNumber(i.Revision), table.NewSeconds(i.Age), table.NewText(strings.Join(i.Pools, " ")))
 	})
 }
 
@@ -178,9 +178,9 @@
 func buildEndpoints(s *Service, t *table.Table) {
 	s.forEachPool(func(_ time.Time, p node.PoolView) {
 		for _, e := range p.Endpoints {
-			t.Add(table.T(e.Endpoint), table.T(s.options.Self.Hall), table.T(p.Pool), table.T(s.options.Self.ID), table.B(e.Up), table.B(e.Leaving),
-				table.B(e.Drained), table.B(e.Frozen), table.B(e.Uncertain), table.N(e.Running), table.N(e.MaxBatch), table.N(e.Used), table.N(e.Slots),
-				table.N(e.Fence), table.T(e.Incarnation))
+			t.Add(table.NewText(e.Endpoint), table.NewText(s.options.Self.Hall), table.NewText(p.Pool), table.NewText(s.options.Self.ID), table.NewBool(e.Up), table.NewBool(e.Leaving),
+				table.NewBool(e.Drained), table.NewBool(e.Frozen), table.NewBool(e.Uncertain), table.NewNumber(e.Running), table.NewNumber(e.MaxBatch), table.NewNumber(e.Used), table.NewNumber(e.Slots),
+				table.NewNumber(e.Fence), table.NewText(e.Incarnation))
 		}
 	})
 }
@@ -188,8 +188,8 @@
 func buildSlots(s *Service, t *table.Table) {
 	s.forEachPool(func(now time.Time, p node.PoolView) {
 		for _, slot := range p.Slots {
-			t.Add(table.T(slot.Endpoint), table.T(s.options.Self.Hall), table.T(slot.Adapter), table.T(slot.State), table.N(slot.Running), table.B(slot.Foreign),
-				table.B(slot.Closing), table.B(slot.Pinned), table.D(now.Sub(slot.Since)), table.D(now.Sub(slot.LastUsed)), table.N(slot.Value))
+			t.Add(table.NewText(slot.Endpoint), table.NewText(s.options.Self.Hall), table.NewText(slot.Adapter), table.NewText(slot.State), table.NewNumber(slot.Running), table.NewBool(slot.Foreign),
+				table.NewBool(slot.Closing), table.NewBool(slot.Pinned), table.NewSeconds(now.Sub(slot.Since)), table.NewSeconds(now.Sub(slot.LastUsed)), table.NewNumber(slot.Value))
 		}
 	})
 }
@@ -198,7 +198,7 @@
 	s.forEachPool(func(now time.Time, p node.PoolView) {
 		for _, slot := range p.Slots {
 			if slot.State == "loading" {
-				t.Add(table.T(slot.Endpoint), table.T(s.options.Self.Hall), table.T(slot.Adapter), table.D(now.Sub(slot.Since)))
+				t.Add(table.NewText(slot.Endpoint), table.NewText(s.options.Self.Hall), table.NewText(slot.Adapter), table.NewSeconds(now.Sub(slot.Since)))
 			}
 		}
 	})
@@ -207,8 +207,8 @@
 func buildWaiting(s *Service, t *table.Table) {
 	s.forEachPool(func(now time.Time, p node.PoolView) {
 		for _, w := range p.Waiting {
-			t.Add(table.T(w.Request), table.T(s.options.Self.Hall), table.T(p.Pool), table.T(w.Caller), table.T(w.Class), table.T(w.Adapter),
-				table.N(w.Tokens), table.D(now.Sub(w.Queued)), table.T(w.Cause))
+			t.Add(table.NewText(w.Request), table.NewText(s.options.Self.Hall), table.NewText(p.Pool), table.NewText(w.Caller), table.NewText(w.Class), table.NewText(w.Adapter),
+				table.NewNumber(w.Tokens), table.NewSeconds(now.Sub(w.Queued)), table.NewText(w.Cause))
 		}
 	})
 }
@@ -216,8 +216,8 @@
 func buildTickets(s *Service, t *table.Table) {
 	s.forEachPool(func(_ time.Time, p node.PoolView) {
 		for _, ticket := range p.Tickets {
-			t.Add(table.T(ticket.ID), table.T(s.options.Self.Hall), table.T(ticket.RequestID), table.T(ticket.Endpoint), table.T(ticket.Adapter.String()), table.T(ticket.Entry),
-				table.N(ticket.Fence))
+			t.Add(table.NewText(ticket.ID), table.NewText(s.options.Self.Hall), table.NewText(ticket.RequestID), table.NewText(ticket.Endpoint), table.NewText(ticket.Adapter.String()), table.NewText(ticket.Entry),
+				table.NewNumber(ticket.Fence))
 		}
 	})
 }
@@ -229,6 +229,6 @@
 }
 
 func addEvent(t *table.Table, e fleet.Event) {
-	t.Add(table.T(e.At.UTC().Format(time.RFC3339Nano)), table.T(e.Instance), table.T(string(e.Kind)), table.T(e.Request), table.T(e.Adapter),
-		table.T(e.Endpoint), table.T(e.Pool), table.T(e.Other), table.N(e.Fence), table.N(e.Revision), table.N(e.Value), table.T(e.Cause))
+	t.Add(table.NewText(e.At.UTC().Format(time.RFC3339Nano)), table.NewText(e.Instance), table.NewText(string(e.Kind)), table.NewText(e.Request), table.NewText(e.Adapter),
+		table.NewText(e.Endpoint), table.NewText(e.Pool), table.NewText(e.Other), table.NewNumber(e.Fence), table.NewNumber(e.Revision), table.NewNumber(e.Value), table.NewText(e.Cause))
 }
--- a/services/daemon/relay/crash.go
+++ b/services/daemon/relay/crash.go
@@ -42,7 +42,7 @@
 	if !held {
 		return nil
 	}
-	return ErrNotRun{Reason: fleet.ReasonCrashes, RetryAfter: hold.Remaining, Detail: "endpoints ended while they had the request " + request.String()}
+	return ErrNotRun{Reason: fleet.ReasonCrashesEndpoints, RetryAfter: hold.Remaining, Detail: "endpoints ended while they had the request " + request.String()}
 }
 
 // recordCrash records that an endpoint ended while it was running a request.
