--- a/modules/callerconn/conn.go
+++ b/modules/callerconn/conn.go
@@ -12,34 +12,36 @@
 )
 
 const (
-	// lastLook is for how long a read whose deadline has passed looks for bytes that have already come. Longer bears a goroutine that runs
-	// late, shorter ends rests closer to their limit.
-	lastLook = 10 * time.Millisecond
-	// firstLook is for how long, during a stop, a connection that was just accepted may still bring its first request. Longer serves
-	// callers that the balancer sent in the last moment, shorter ends sooner.
-	firstLook = 250 * time.Millisecond
+	// finalReadWindow is how long a read goes on after its deadline, to pick up bytes that have already arrived. A longer window tolerates
+	// a reading goroutine that is scheduled late; a shorter one closes idle connections closer to their timeout.
+	finalReadWindow = 10 * time.Millisecond
+	// firstRequestWindow is how long, during a shutdown, a newly accepted connection may still send its first request. A longer window
+	// serves callers that the load balancer sent just before the shutdown; a shorter one completes the shutdown sooner.
+	firstRequestWindow = 250 * time.Millisecond
 )
 
-// Conn is a caller's connection.
+// Conn is an accepted connection of a caller.
 type Conn struct {
 	*net.TCPConn
 
 	listener *Listener
 	mutex    sync.Mutex
-	// resting says that no byte of the next request has been read, kept that an answer came before it.
-	resting, kept bool
-	// since is when the rest began.
-	since time.Time
-	// leaving says that the connection ends as soon as nothing has come.
-	leaving bool
-	// wanted is the read deadline that net/http has set; interrupts says that it was over when it was set, which ends a read at once.
-	wanted     time.Time
-	interrupts bool
-	// looked says that a read has looked once more after its deadline.
-	looked bool
-	// reason is set once it is known why the connection ends.
-	reason       Reason
-	begun, whole int
+	// idle is set while no byte of the next request has been read. reused is set once a response was sent on the connection.
+	idle, reused bool
+	// idleSince is the time at which the connection became idle.
+	idleSince time.Time
+	// shuttingDown makes the connection end as soon as no received bytes are left to read.
+	shuttingDown bool
+	// readDeadline is the read deadline set by net/http. interrupted is set if that deadline had already passed when it was set: net/http
+	// does so to end a read at once.
+	readDeadline time.Time
+	interrupted  bool
+	// finalRead is set once a read was repeated for finalReadWindow after its deadline.
+	finalRead bool
+	// reason is why the connection ends; empty until that is known.
+	reason Reason
+	// started counts the requests that were read, completed those that were answered in full.
+	started, completed int
 }
 
 // Read implements net.Conn.
@@ -48,77 +50,77 @@
 		n, err := c.TCPConn.Read(buffer)
 		switch {
 		case n > 0:
-			return n, errors.Join(err, c.noteArrival(c.listener.options.Now()))
+			return n, errors.Join(err, c.endIdle(c.listener.options.Now()))
 		case errors.Is(err, os.ErrDeadlineExceeded):
-			if c.looksAgain(c.listener.options.Now()) {
+			if c.retryRead(c.listener.options.Now()) {
 				continue
 			}
 		case err != nil && !errors.Is(err, net.ErrClosed):
-			c.endAs(CallerEnded)
+			c.setReason(CallerEnded)
 		}
 		return n, err
 	}
 }
 
-// noteArrival ends the rest: from here on the request's own bounds hold. net/http sets one once it has the first few bytes; until then
-// the idle limit holds anew.
-func (c *Conn) noteArrival(now time.Time) error {
+// endIdle marks the connection as no longer idle, so that the request's own deadlines apply. net/http sets a deadline only after it has
+// read the first few bytes of a request; until then the idle timeout applies again from now.
+func (c *Conn) endIdle(now time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if !c.resting && !c.looked {
+	if !c.idle && !c.finalRead {
 		return nil
 	}
-	bound := c.wanted
-	if c.resting && c.kept && bound.IsZero() {
-		bound = now.Add(c.listener.options.IdleLimit())
+	deadline := c.readDeadline
+	if c.idle && c.reused && deadline.IsZero() {
+		deadline = now.Add(c.listener.options.IdleLimit())
 	}
-	c.resting = false
-	return c.TCPConn.SetReadDeadline(bound)
+	c.idle = false
+	return c.TCPConn.SetReadDeadline(deadline)
 }
 
-// looksAgain decides what follows from a deadline that has passed: false ends the read.
-func (c *Conn) looksAgain(now time.Time) bool {
+// retryRead reports whether a read whose deadline has passed is repeated, and sets its new deadline.
+func (c *Conn) retryRead(now time.Time) bool {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	if c.interrupts && !c.resting {
+	if c.interrupted && !c.idle {
 		return false
 	}
-	next := now.Add(lastLook)
-	if end := c.since.Add(c.listener.options.IdleLimit()); c.resting && c.kept && !c.leaving && now.Before(end) {
-		// The limit was raised meanwhile.
+	next := now.Add(finalReadWindow)
+	if end := c.idleSince.Add(c.listener.options.IdleLimit()); c.idle && c.reused && !c.shuttingDown && now.Before(end) {
+		// The idle timeout was raised while the connection was idle.
 		next = end
-	} else if c.looked {
-		c.noteRestOver()
+	} else if c.finalRead {
+		c.recordIdleEnd()
 		return false
 	} else {
-		c.looked = true
+		c.finalRead = true
 	}
 	return c.TCPConn.SetReadDeadline(next) == nil
 }
 
-// noteRestOver notes why a rest ends; the caller holds the mutex.
-func (c *Conn) noteRestOver() {
+// recordIdleEnd sets the reason for which an idle connection ends; the caller holds the mutex.
+func (c *Conn) recordIdleEnd() {
 	switch {
-	case !c.resting || c.reason != "":
-	case c.leaving:
+	case !c.idle || c.reason != "":
+	case c.shuttingDown:
 		c.reason = Stopping
-	case c.kept:
+	case c.reused:
 		c.reason = IdleLimit
 	}
 }
 
-// SetReadDeadline implements net.Conn. While the connection rests, its own bound goes before the one that is set.
+// SetReadDeadline implements net.Conn. While the connection is idle, the idle timeout or the shutdown takes precedence over deadline.
 func (c *Conn) SetReadDeadline(deadline time.Time) error {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	now := c.listener.options.Now()
-	c.wanted, c.looked = deadline, false
-	c.interrupts = !deadline.IsZero() && !deadline.After(now)
-	if c.kept && !deadline.IsZero() && !c.interrupts {
-		// The next request came together with the one before: its head is read now.
-		c.resting = false
+	c.readDeadline, c.finalRead = deadline, false
+	c.interrupted = !deadline.IsZero() && !deadline.After(now)
+	if c.reused && !deadline.IsZero() && !c.interrupted {
+		// The next request was received together with the previous one, and net/http now reads its header from its own buffer.
+		c.idle = false
 	}
-	return c.TCPConn.SetReadDeadline(c.inForce(now))
+	return c.TCPConn.SetReadDeadline(c.effectiveDeadline(now))
 }
 
 // SetDeadline implements net.Conn.
@@ -126,41 +128,42 @@
 	return errors.Join(c.SetReadDeadline(deadline), c.SetWriteDeadline(deadline))
 }
 
-// inForce gives the read deadline that holds; the caller holds the mutex.
-func (c *Conn) inForce(now time.Time) time.Time {
+// effectiveDeadline returns the read deadline that applies in the current state; the caller holds the mutex.
+func (c *Conn) effectiveDeadline(now time.Time) time.Time {
 	switch {
-	case !c.resting:
-		return c.wanted
-	case c.leaving && c.kept:
-		return now.Add(lastLook)
-	case c.leaving:
-		return now.Add(firstLook)
-	case c.kept:
-		return c.since.Add(c.listener.options.IdleLimit())
+	case !c.idle:
+		return c.readDeadline
+	case c.shuttingDown && c.reused:
+		return now.Add(finalReadWindow)
+	case c.shuttingDown:
+		return now.Add(firstRequestWindow)
+	case c.reused:
+		return c.idleSince.Add(c.listener.options.IdleLimit())
 	default:
-		return c.wanted
+		return c.readDeadline
 	}
 }
 
-// rest begins a rest after an answer. net/http sets the read deadline next.
-func (c *Conn) rest(now time.Time) {
+// startIdle marks the connection as idle after a response. net/http then sets the read deadline.
+func (c *Conn) startIdle(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.resting, c.kept, c.since = true, true, now
+	c.idle, c.reused, c.idleSince = true, true, now
 }
 
-// leave has the connection end as soon as nothing has come. One that takes no deadline has ended.
-func (c *Conn) leave(now time.Time) {
+// shutDown makes the connection end as soon as no received bytes are left to read. The error of SetReadDeadline is ignored: it means that
+// the connection has already ended.
+func (c *Conn) shutDown(now time.Time) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.leaving = true
-	if c.resting {
-		_ = c.TCPConn.SetReadDeadline(c.inForce(now))
+	c.shuttingDown = true
+	if c.idle {
+		_ = c.TCPConn.SetReadDeadline(c.effectiveDeadline(now))
 	}
 }
 
-// endAs notes why the connection ends; the first reason stays.
-func (c *Conn) endAs(reason Reason) {
+// setReason records why the connection ends, unless a reason is already recorded.
+func (c *Conn) setReason(reason Reason) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	if c.reason == "" {
@@ -168,35 +171,35 @@
 	}
 }
 
-// BeginRequest notes that a request was read.
+// BeginRequest counts a request that was read.
 func (c *Conn) BeginRequest() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.begun++
+	c.started++
 }
 
-// EndRequest notes that the request under way got its whole answer.
+// EndRequest counts the current request as answered in full.
 func (c *Conn) EndRequest() {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.whole++
+	c.completed++
 }
 
-// account gives the connection's account.
-func (c *Conn) account() Report {
+// report returns the report of a connection that has ended.
+func (c *Conn) report() Report {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	report := Report{Reason: c.reason, Requests: c.begun, Unanswered: c.begun - c.whole}
-	// Each TCP connection has such an address.
-	report.Caller = c.RemoteAddr().(*net.TCPAddr).AddrPort()
+	r := Report{Reason: c.reason, Requests: c.started, Unanswered: c.started - c.completed}
+	// The remote address of a TCP connection is always a *net.TCPAddr.
+	r.Caller = c.RemoteAddr().(*net.TCPAddr).AddrPort()
 	switch {
-	case report.Reason != "":
-	case report.Unanswered > 0:
-		report.Reason = BrokenOff
-	case c.begun == 0:
-		report.Reason = NoRequest
+	case r.Reason != "":
+	case r.Unanswered > 0:
+		r.Reason = BrokenOff
+	case c.started == 0:
+		r.Reason = NoRequest
 	default:
-		report.Reason = AfterAnswer
+		r.Reason = AfterAnswer
 	}
-	return report
+	return r
 }
--- a/modules/callerconn/conn_test.go
+++ b/modules/callerconn/conn_test.go
@@ -20,33 +20,33 @@
 )
 
 const (
-	patience = 10 * time.Second
-	long     = time.Minute
-	short    = 50 * time.Millisecond
+	testTimeout = 10 * time.Second
+	longIdle    = time.Minute
+	shortIdle   = 50 * time.Millisecond
 )
 
-// pair is both ends of a connection.
-type pair struct {
-	t        *testing.T
-	listener *callerconn.Listener
-	accepted *callerconn.Conn
-	caller   net.Conn
-	reports  chan callerconn.Report
-	limit    atomic.Int64
+// connPair holds both ends of a connection.
+type connPair struct {
+	t           *testing.T
+	listener    *callerconn.Listener
+	accepted    *callerconn.Conn
+	caller      net.Conn
+	reports     chan callerconn.Report
+	idleTimeout atomic.Int64
 }
 
-func newPair(t *testing.T, limit time.Duration) *pair {
+func newConnPair(t *testing.T, idleTimeout time.Duration) *connPair {
 	t.Helper()
-	p := &pair{t: t, reports: make(chan callerconn.Report, 1)}
-	p.limit.Store(int64(limit))
+	p := &connPair{t: t, reports: make(chan callerconn.Report, 1)}
+	p.idleTimeout.Store(int64(idleTimeout))
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.listener = callerconn.NewListener(listener.(*net.TCPListener), callerconn.Options{
-		IdleLimit: func() time.Duration { return time.Duration(p.limit.Load()) },
+		IdleLimit: func() time.Duration { return time.Duration(p.idleTimeout.Load()) },
 		Ended:     func(r callerconn.Report) { p.reports <- r }, Now: time.Now,
 	})
 	t.Cleanup(func() { _ = p.listener.Close() })
-	p.caller, err = net.DialTimeout("tcp4", p.listener.Addr().String(), patience)
+	p.caller, err = net.DialTimeout("tcp4", p.listener.Addr().String(), testTimeout)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = p.caller.Close() })
 	conn, err := p.listener.Accept()
@@ -56,21 +56,21 @@
 	return p
 }
 
-// rest begins a rest as net/http does.
-func (p *pair) rest() {
+// startIdle makes the accepted connection idle as net/http does.
+func (p *connPair) startIdle() {
 	p.listener.StateChanged(p.accepted, http.StateIdle)
 	require.NoError(p.t, p.accepted.SetReadDeadline(time.Time{}))
 }
 
-// send has the caller send, and waits until it has arrived.
-func (p *pair) send(text string) {
+// send sends text from the caller's end and waits until it has arrived.
+func (p *connPair) send(text string) {
 	_, err := io.WriteString(p.caller, text)
 	require.NoError(p.t, err)
-	time.Sleep(short)
+	time.Sleep(shortIdle)
 }
 
-// read reads once, as long as the test has patience.
-func (p *pair) read() (string, error) {
+// read reads once from the accepted connection; the test fails if that takes longer than testTimeout.
+func (p *connPair) read() (string, error) {
 	type outcome struct {
 		text string
 		err  error
@@ -84,50 +84,50 @@
 	select {
 	case got := <-done:
 		return got.text, got.err
-	case <-time.After(patience):
-		require.Fail(p.t, "the read does not end")
+	case <-time.After(testTimeout):
+		require.Fail(p.t, "the read did not return")
 		return "", nil
 	}
 }
 
-// end ends the connection as net/http does, and gives its account.
-func (p *pair) end() callerconn.Report {
+// close ends the accepted connection as net/http does and returns its report.
+func (p *connPair) close() callerconn.Report {
 	require.NoError(p.t, p.accepted.Close())
 	p.listener.StateChanged(p.accepted, http.StateClosed)
 	return <-p.reports
 }
 
-func TestTheAccountOfAConnection(t *testing.T) {
+func TestReportOfClosedConnection(t *testing.T) {
 	for name, test := range map[string]struct {
-		act  func(p *pair)
+		act  func(p *connPair)
 		want callerconn.Report
 	}{
-		"nothing came": {func(*pair) {}, callerconn.Report{Reason: callerconn.NoRequest}},
-		"an answer that is the last one": {func(p *pair) {
+		"no bytes received": {func(*connPair) {}, callerconn.Report{Reason: callerconn.NoRequest}},
+		"closed after a complete response": {func(p *connPair) {
 			p.accepted.BeginRequest()
 			p.accepted.EndRequest()
 		}, callerconn.Report{Reason: callerconn.AfterAnswer, Requests: 1}},
-		"an answer that was broken off": {func(p *pair) {
+		"aborted response": {func(p *connPair) {
 			p.accepted.BeginRequest()
 			p.accepted.EndRequest()
 			p.accepted.BeginRequest()
 		}, callerconn.Report{Reason: callerconn.BrokenOff, Requests: 2, Unanswered: 1}},
-		"a caller that ends it": {func(p *pair) {
+		"closed by the caller": {func(p *connPair) {
 			p.accepted.BeginRequest()
 			require.NoError(p.t, p.caller.Close())
 			_, err := p.read()
 			require.ErrorIs(p.t, err, io.EOF)
 		}, callerconn.Report{Reason: callerconn.CallerEnded, Requests: 1, Unanswered: 1}},
-		"a read that was interrupted is no end": {func(p *pair) {
+		"interrupted read does not set a reason": {func(p *connPair) {
 			require.NoError(p.t, p.accepted.SetReadDeadline(time.Unix(1, 0)))
 			_, err := p.read()
 			require.ErrorIs(p.t, err, os.ErrDeadlineExceeded)
 		}, callerconn.Report{Reason: callerconn.NoRequest}},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPair(t, long)
+			p := newConnPair(t, longIdle)
 			test.act(p)
-			got := p.end()
+			got := p.close()
 			assert.Equal(t, p.caller.LocalAddr().String(), got.Caller.String())
 			test.want.Caller = got.Caller
 			assert.Equal(t, test.want, got)
@@ -135,37 +135,37 @@
 	}
 }
 
-func TestARestEndsAtItsLimit(t *testing.T) {
-	p := newPair(t, short)
-	began := time.Now()
-	p.rest()
+func TestIdleConnectionEndsAtIdleTimeout(t *testing.T) {
+	p := newConnPair(t, shortIdle)
+	started := time.Now()
+	p.startIdle()
 	_, err := p.read()
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-	assert.GreaterOrEqual(t, time.Since(began), short)
-	assert.Equal(t, callerconn.IdleLimit, p.end().Reason)
+	assert.GreaterOrEqual(t, time.Since(started), shortIdle)
+	assert.Equal(t, callerconn.IdleLimit, p.close().Reason)
 }
 
-// TestWhatCameIsReadThoughTheLimitIsOver: a process that stood still finds the limit over and the request there.
-func TestWhatCameIsReadThoughTheLimitIsOver(t *testing.T) {
-	p := newPair(t, short)
-	p.rest()
+// TestReceivedRequestIsReadAfterIdleTimeout covers a process that was paused: the idle timeout has passed, but a request has arrived.
+func TestReceivedRequestIsReadAfterIdleTimeout(t *testing.T) {
+	p := newConnPair(t, shortIdle)
+	p.startIdle()
 	p.send("request")
-	time.Sleep(2 * short)
+	time.Sleep(2 * shortIdle)
 	got, err := p.read()
 	require.NoError(t, err)
 	assert.Equal(t, "request", got)
 }
 
-// TestARequestThatBeganHasItsOwnBounds: the rest's deadline does not cut the rest of a request off.
-func TestARequestThatBeganHasItsOwnBounds(t *testing.T) {
-	p := newPair(t, 4*short)
-	p.rest()
+// TestIdleTimeoutDoesNotCutOffStartedRequest checks that the idle deadline does not apply to the remainder of a request.
+func TestIdleTimeoutDoesNotCutOffStartedRequest(t *testing.T) {
+	p := newConnPair(t, 4*shortIdle)
+	p.startIdle()
 	p.send("POST")
 	_, err := p.read()
 	require.NoError(t, err)
-	require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(patience)))
+	require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(testTimeout)))
 	go func() {
-		time.Sleep(6 * short)
+		time.Sleep(6 * shortIdle)
 		_, _ = io.WriteString(p.caller, "more")
 	}()
 	got, err := p.read()
@@ -173,10 +173,11 @@
 	assert.Equal(t, "more", got)
 }
 
-// TestAFewBytesHoldNoConnectionForEver: net/http sets a bound only once it has four bytes.
-func TestAFewBytesHoldNoConnectionForEver(t *testing.T) {
-	p := newPair(t, short)
-	p.rest()
+// TestIdleTimeoutAppliesAfterPartialRequest sends a single byte: net/http sets a deadline only after it has read four bytes, so that
+// a connection with fewer bytes would otherwise stay open forever.
+func TestIdleTimeoutAppliesAfterPartialRequest(t *testing.T) {
+	p := newConnPair(t, shortIdle)
+	p.startIdle()
 	p.send("P")
 	_, err := p.read()
 	require.NoError(t, err)
@@ -184,12 +185,12 @@
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 }
 
-func TestALimitThatIsRaisedHoldsForARestThatHasBegun(t *testing.T) {
-	p := newPair(t, short)
-	p.rest()
-	p.limit.Store(int64(long))
+func TestRaisedIdleTimeoutAppliesToIdleConnection(t *testing.T) {
+	p := newConnPair(t, shortIdle)
+	p.startIdle()
+	p.idleTimeout.Store(int64(longIdle))
 	go func() {
-		time.Sleep(4 * short)
+		time.Sleep(4 * shortIdle)
 		_, _ = io.WriteString(p.caller, "request")
 	}()
 	got, err := p.read()
@@ -197,37 +198,37 @@
 	assert.Equal(t, "request", got)
 }
 
-func TestARequestThatCameWithTheOneBeforeEndsTheRest(t *testing.T) {
-	p := newPair(t, short)
-	p.rest()
-	require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(patience)), "net/http reads the head from its own buffer")
+func TestPipelinedRequestEndsIdleState(t *testing.T) {
+	p := newConnPair(t, shortIdle)
+	p.startIdle()
+	require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(testTimeout)), "net/http reads the header from its own buffer")
 	require.NoError(t, p.accepted.SetReadDeadline(time.Time{}))
 	require.NoError(t, p.listener.Leave())
 	go func() {
-		time.Sleep(4 * short)
+		time.Sleep(4 * shortIdle)
 		_, _ = io.WriteString(p.caller, "body")
 	}()
 	got, err := p.read()
-	require.NoError(t, err, "neither the limit nor a stop ends the read of its body")
+	require.NoError(t, err, "neither the idle timeout nor a shutdown ends the read of the request body")
 	assert.Equal(t, "body", got)
 }
 
-func TestAStopEndsRestsAndServesWhatCame(t *testing.T) {
+func TestShutdownClosesIdleConnectionsAndServesReceivedRequests(t *testing.T) {
 	for name, test := range map[string]struct {
-		before func(p *pair)
+		before func(p *connPair)
 		after  string
 		got    string
 	}{
-		"a rest":                             {before: func(p *pair) { p.rest() }},
-		"a rest with a request that came":    {before: func(p *pair) { p.rest(); p.send("request") }, got: "request"},
-		"a new connection":                   {before: func(*pair) {}},
-		"a new connection that soon asks":    {before: func(*pair) {}, after: "request", got: "request"},
-		"a new connection with a request":    {before: func(p *pair) { p.send("request") }, got: "request"},
-		"a rest that begins during the stop": {before: func(p *pair) { defer p.rest(); require.NoError(p.t, p.listener.Leave()) }},
+		"idle connection":                                  {before: func(p *connPair) { p.startIdle() }},
+		"idle connection with a received request":          {before: func(p *connPair) { p.startIdle(); p.send("request") }, got: "request"},
+		"new connection":                                   {before: func(*connPair) {}},
+		"new connection that sends a request later":        {before: func(*connPair) {}, after: "request", got: "request"},
+		"new connection with a received request":           {before: func(p *connPair) { p.send("request") }, got: "request"},
+		"connection that becomes idle during the shutdown": {before: func(p *connPair) { defer p.startIdle(); require.NoError(p.t, p.listener.Leave()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			p := newPair(t, long)
-			require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(long)))
+			p := newConnPair(t, longIdle)
+			require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(longIdle)))
 			test.before(p)
 			require.NoError(t, p.listener.Leave())
 			if test.after != "" {
@@ -237,25 +238,25 @@
 			assert.Equal(t, test.got, got)
 			if test.got == "" {
 				require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-				assert.Equal(t, callerconn.Stopping, p.end().Reason)
+				assert.Equal(t, callerconn.Stopping, p.close().Reason)
 			}
 		})
 	}
 }
 
-func TestAStopWaitsForTheLastConnection(t *testing.T) {
-	p := newPair(t, long)
-	over, cancel := context.WithCancel(context.Background())
+func TestWaitReturnsAfterLastConnectionCloses(t *testing.T) {
+	p := newConnPair(t, longIdle)
+	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
 	require.NoError(t, p.listener.Leave())
-	require.ErrorIs(t, p.listener.Wait(over), context.Canceled)
-	p.end()
+	require.ErrorIs(t, p.listener.Wait(cancelled), context.Canceled)
+	p.close()
 	require.NoError(t, p.listener.Wait(context.Background()))
-	require.NoError(t, p.listener.Close(), "who serves the listener closes it, too")
+	require.NoError(t, p.listener.Close(), "the HTTP code that serves the listener closes it again")
 }
 
-func TestAConnectionIsFoundInTheContextOfItsRequests(t *testing.T) {
-	p := newPair(t, long)
+func TestRequestContextHoldsConnection(t *testing.T) {
+	p := newConnPair(t, longIdle)
 	assert.Same(t, p.accepted, callerconn.From(callerconn.Context(context.Background(), p.accepted)))
 	assert.Nil(t, callerconn.From(callerconn.Context(context.Background(), p.caller)))
 }
--- a/modules/callerconn/listener.go
+++ b/modules/callerconn/listener.go
@@ -13,31 +13,31 @@
 
 // Options are the settings of a Listener.
 type Options struct {
-	// IdleLimit is how long a connection may rest after an answer; it may change at any time.
+	// IdleLimit returns how long a connection may be idle after a response; the value may change at any time.
 	IdleLimit func() time.Duration
-	// Ended gets the account of each connection at its end, and must not block.
+	// Ended is called with the report of each connection that has ended, and must not block.
 	Ended func(Report)
 	Now   func() time.Time
 }
 
-// Listener accepts callers' connections and knows those that are open.
+// Listener accepts callers' connections and tracks the open ones.
 type Listener struct {
 	*net.TCPListener
 
-	options Options
-	mutex   sync.Mutex
-	open    map[*Conn]bool
-	leaving bool
-	// empty is closed once the listener leaves and no connection is open.
-	empty chan struct{}
-	// closing closes the listener once, with the error closeError.
-	closing    sync.Once
-	closeError error
+	options      Options
+	mutex        sync.Mutex
+	open         map[*Conn]bool
+	shuttingDown bool
+	// drained is closed once the listener is shutting down and no connection is open.
+	drained chan struct{}
+	// closeOnce closes the listener once; closeErr is the error of that call.
+	closeOnce sync.Once
+	closeErr  error
 }
 
-// NewListener wraps a listener.
+// NewListener returns a Listener that accepts connections from listener.
 func NewListener(listener *net.TCPListener, options Options) *Listener {
-	return &Listener{TCPListener: listener, options: options, open: make(map[*Conn]bool), empty: make(chan struct{})}
+	return &Listener{TCPListener: listener, options: options, open: make(map[*Conn]bool), drained: make(chan struct{})}
 }
 
 // Accept implements net.Listener.
@@ -48,100 +48,100 @@
 	}
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	one := &Conn{TCPConn: conn, listener: l, resting: true, since: l.options.Now(), leaving: l.leaving}
-	l.open[one] = true
-	return one, nil
+	c := &Conn{TCPConn: conn, listener: l, idle: true, idleSince: l.options.Now(), shuttingDown: l.shuttingDown}
+	l.open[c] = true
+	return c, nil
 }
 
-// Close implements net.Listener. A further call changes nothing and has the first one's error: a stop closes the listener, and so does
-// who serves it.
+// Close implements net.Listener. Further calls have no effect and return the error of the first call: the listener is closed by
+// a shutdown and again by the HTTP code that serves it.
 func (l *Listener) Close() error {
-	l.closing.Do(func() { l.closeError = l.TCPListener.Close() })
-	return l.closeError
+	l.closeOnce.Do(func() { l.closeErr = l.TCPListener.Close() })
+	return l.closeErr
 }
 
-// Leave closes the listener, ends the connections that rest and has the others end after their answer, which must say so. A request
-// whose first byte was read is served. Its error is that of closing the listener.
+// Leave closes the listener and all idle connections. The other connections end after their current response, which must announce that
+// with "Connection: close". A request whose first byte was read is served. The error is that of closing the listener.
 func (l *Listener) Leave() error {
-	failed := l.Close()
+	err := l.Close()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	l.leaving = true
+	l.shuttingDown = true
 	now := l.options.Now()
-	for one := range l.open {
-		one.leave(now)
+	for c := range l.open {
+		c.shutDown(now)
 	}
-	l.closeIfEmpty()
-	return failed
+	l.signalIfDrained()
+	return err
 }
 
-// closeIfEmpty tells who waits that no connection is left; the caller holds the mutex.
-func (l *Listener) closeIfEmpty() {
-	if !l.leaving || len(l.open) > 0 {
+// signalIfDrained wakes the callers of Wait if the listener is shutting down and no connection is open; the caller holds the mutex.
+func (l *Listener) signalIfDrained() {
+	if !l.shuttingDown || len(l.open) > 0 {
 		return
 	}
 	select {
-	case <-l.empty:
+	case <-l.drained:
 	default:
-		close(l.empty)
+		close(l.drained)
 	}
 }
 
-// Wait waits, after Leave, until no connection is open or the context ends, whose error it gives.
+// Wait waits, after Leave, until no connection is open. If ctx ends first, Wait returns the error of ctx.
 func (l *Listener) Wait(ctx context.Context) error {
 	select {
-	case <-l.empty:
+	case <-l.drained:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-// StateChanged is a hook of net/http.
+// StateChanged is the ConnState hook of an http.Server.
 func (l *Listener) StateChanged(conn net.Conn, state http.ConnState) {
-	one := unwrap(conn)
-	if one == nil {
+	c := unwrap(conn)
+	if c == nil {
 		return
 	}
 	switch state {
 	case http.StateIdle:
-		one.rest(l.options.Now())
+		c.startIdle(l.options.Now())
 	case http.StateClosed, http.StateHijacked:
-		l.forget(one)
+		l.remove(c)
 	}
 }
 
-// forget takes a connection out that nobody serves any more, and reports its account.
-func (l *Listener) forget(one *Conn) {
+// remove stops tracking a connection that has ended and passes on its report.
+func (l *Listener) remove(c *Conn) {
 	l.mutex.Lock()
-	delete(l.open, one)
-	l.closeIfEmpty()
+	delete(l.open, c)
+	l.signalIfDrained()
 	l.mutex.Unlock()
-	l.options.Ended(one.account())
+	l.options.Ended(c.report())
 }
 
-// contextKey is the key of a request's connection in its context.
+// contextKey is the context key of a request's connection.
 type contextKey struct{}
 
-// Context is a hook of net/http: it keeps a connection in the context of its requests.
+// Context is the ConnContext hook of an http.Server: it returns a context that holds the connection of the requests.
 func Context(ctx context.Context, conn net.Conn) context.Context {
-	if one := unwrap(conn); one != nil {
-		return context.WithValue(ctx, contextKey{}, one)
+	if c := unwrap(conn); c != nil {
+		return context.WithValue(ctx, contextKey{}, c)
 	}
 	return ctx
 }
 
-// From gives the connection of a request's context; nil for none.
+// From returns the connection held by a request's context, or nil if there is none.
 func From(ctx context.Context) *Conn {
-	one, _ := ctx.Value(contextKey{}).(*Conn)
-	return one
+	c, _ := ctx.Value(contextKey{}).(*Conn)
+	return c
 }
 
-// unwrap gives the connection under a TLS layer, or itself; nil for another one.
+// unwrap returns conn, or the connection below a TLS layer, as a *Conn. It returns nil if that connection is of another type.
 func unwrap(conn net.Conn) *Conn {
 	if layer, ok := conn.(interface{ NetConn() net.Conn }); ok {
 		conn = layer.NetConn()
 	}
-	one, _ := conn.(*Conn)
-	return one
+	c, _ := conn.(*Conn)
+	return c
 }
--- a/modules/callerconn/report.go
+++ b/modules/callerconn/report.go
@@ -10,25 +10,25 @@
 
 // The reasons for which connections end.
 const (
-	// IdleLimit: it rested for longer than allowed.
+	// IdleLimit means that the connection was idle for longer than the idle timeout.
 	IdleLimit Reason = "idle limit"
-	// Stopping: it rested when the process ended, or the end of the process cut a request off.
+	// Stopping means that the connection was idle when the process shut down, or that the shutdown cut off a request.
 	Stopping Reason = "stopping"
-	// CallerEnded: the caller closed or broke it.
+	// CallerEnded means that the caller closed or reset the connection.
 	CallerEnded Reason = "caller"
-	// BrokenOff: a handler broke its answer off on purpose.
+	// BrokenOff means that a handler aborted its response on purpose.
 	BrokenOff Reason = "broken off"
-	// NoRequest: no whole head of a request came, or one that cannot be read.
+	// NoRequest means that no complete request header was received, or only a malformed one.
 	NoRequest Reason = "no request"
-	// AfterAnswer: an answer said that it is the last one.
+	// AfterAnswer means that a response announced itself as the last one of the connection.
 	AfterAnswer Reason = "after an answer"
 )
 
-// Report is the account of a connection that ended.
+// Report describes a connection that has ended.
 type Report struct {
 	Reason Reason
-	// Caller is the other end's address.
+	// Caller is the remote address.
 	Caller netip.AddrPort
-	// Requests is how many requests were read from the connection, Unanswered how many of them ended without a whole answer.
+	// Requests is the number of requests that were read from the connection, Unanswered the number of those without a complete response.
 	Requests, Unanswered int
 }
