--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -13,61 +13,63 @@
 )
 
 const (
-	// noticed is by how much the time of day must move against the steady clock until the system is asked whether the host was suspended.
-	noticed = 2 * time.Millisecond
-	// askInterval is after which time it is asked in any case: a suspension and a step of the time of day may cancel each other out.
-	askInterval = time.Second
-	// leastSuspension is the least span that counts, above what two readings of clocks differ by.
-	leastSuspension = time.Millisecond
+	// driftThreshold is the change of the wall clock against the monotonic clock from which on the suspended time is read from the system.
+	driftThreshold = 2 * time.Millisecond
+	// checkInterval is the time after which the suspended time is read in any case: a suspension and a step of the wall clock may cancel
+	// each other out.
+	checkInterval = time.Second
+	// minSuspension is the shortest suspension that counts; it is longer than the time between the readings of the two clocks.
+	minSuspension = time.Millisecond
 )
 
 // Sources are the clocks of the system, as function fields.
 type Sources struct {
-	// Now gives the time of day with the steady clock's reading.
+	// Now returns the wall clock time with a monotonic clock reading.
 	Now func() time.Time
-	// TimeOfDay gives the time of day of such a time.
+	// TimeOfDay returns the wall clock time of a result of Now.
 	TimeOfDay func(now time.Time) time.Time
-	// Suspended gives for how long the host has been suspended since it started; an error leaves what was known.
+	// Suspended returns how long the host has been suspended in total since it booted; on an error the last value stays in use.
 	Suspended func() (time.Duration, error)
-	// Noticed is called with the length of each suspension; nil ignores.
+	// Noticed, if not nil, is called with the duration of each suspension.
 	Noticed func(span time.Duration)
 }
 
-// Clock is safe for concurrent use.
+// Clock provides the current time, including the time for which the host was suspended. It is safe for concurrent use.
 type Clock struct {
 	sources Sources
 	started time.Time
-	// base is for how long the host had been suspended at the start; offset is for how long it has been since.
-	base   time.Duration
-	offset atomic.Int64
-	// drift is how far the time of day had moved against the steady clock at the last question, asked when that was, since the start.
-	drift, asked atomic.Int64
+	// suspendedAtStart is how long the host had been suspended when the Clock was created, offset how long it has been suspended since.
+	suspendedAtStart time.Duration
+	offset           atomic.Int64
+	// drift is the change of the wall clock against the monotonic clock at the last check, lastCheck the time of that check. Both count from
+	// the creation of the Clock.
+	drift, lastCheck atomic.Int64
 
 	mutex     sync.Mutex
 	deadlines map[*deadline]struct{}
 }
 
-// deadline is a bound of work that is under way.
+// deadline is the deadline of a context that is in use.
 type deadline struct {
 	at     time.Time
 	cancel context.CancelFunc
 }
 
-// New gives a clock that begins to count now; an error says that the system does not tell how long it was suspended.
+// New returns a Clock that counts suspensions from now on. It fails if the system does not report its suspended time.
 func New(sources Sources) (*Clock, error) {
-	base, err := sources.Suspended()
+	suspendedAtStart, err := sources.Suspended()
 	if err != nil {
 		return nil, err
 	}
-	return &Clock{sources: sources, started: sources.Now(), base: base, deadlines: make(map[*deadline]struct{})}, nil
+	return &Clock{sources: sources, started: sources.Now(), suspendedAtStart: suspendedAtStart, deadlines: make(map[*deadline]struct{})}, nil
 }
 
-// System gives the system's clocks.
+// System returns the clocks of the operating system.
 func System() Sources {
 	return Sources{Now: time.Now, TimeOfDay: func(now time.Time) time.Time { return now.Round(0) }, Suspended: suspended}
 }
 
-// suspended is what CLOCK_BOOTTIME has counted beyond CLOCK_MONOTONIC.
+// suspended returns the difference of CLOCK_BOOTTIME and CLOCK_MONOTONIC, which is the time for which the host was suspended.
 func suspended() (time.Duration, error) {
 	var boot, steady unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &boot); err != nil {
@@ -79,73 +81,74 @@
 	return time.Duration(boot.Nano() - steady.Nano()), nil
 }
 
-// Now gives the present time: differences between two results count the time for which the host was suspended between them. The time of day
-// of a result counts it twice, so that only differences are of use.
+// Now returns the current time. The difference of two results includes the time for which the host was suspended between them. Only
+// differences are valid: the wall clock time of a result includes a suspension twice.
 func (c *Clock) Now() time.Time {
 	now := c.sources.Now()
-	steady := now.Sub(c.started)
-	drift := c.sources.TimeOfDay(now).Sub(c.started.Round(0)) - steady
-	moved := drift - time.Duration(c.drift.Load())
-	if moved.Abs() >= noticed || steady-time.Duration(c.asked.Load()) >= askInterval {
-		c.ask(now, drift, steady)
+	elapsed := now.Sub(c.started)
+	drift := c.sources.TimeOfDay(now).Sub(c.started.Round(0)) - elapsed
+	change := drift - time.Duration(c.drift.Load())
+	if change.Abs() >= driftThreshold || elapsed-time.Duration(c.lastCheck.Load()) >= checkInterval {
+		c.updateOffset(now, drift, elapsed)
 	}
 	return now.Add(time.Duration(c.offset.Load()))
 }
 
-// ask asks the system for how long the host has been suspended.
-func (c *Clock) ask(now time.Time, drift, steady time.Duration) {
+// updateOffset reads the suspended time from the system and cancels the deadlines that passed during a suspension.
+func (c *Clock) updateOffset(now time.Time, drift, elapsed time.Duration) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.drift.Store(int64(drift))
-	c.asked.Store(int64(steady))
+	c.lastCheck.Store(int64(elapsed))
 	total, err := c.sources.Suspended()
 	if err != nil {
-		// New has had an answer; the next question follows.
+		// The error is taken as temporary, since the call in New succeeded; the next check reads the suspended time again.
 		return
 	}
-	span := total - c.base - time.Duration(c.offset.Load())
-	if span < leastSuspension {
+	span := total - c.suspendedAtStart - time.Duration(c.offset.Load())
+	if span < minSuspension {
 		return
 	}
-	c.offset.Store(int64(total - c.base))
-	c.endPassed(now.Add(total - c.base))
+	c.offset.Store(int64(total - c.suspendedAtStart))
+	c.cancelExpired(now.Add(total - c.suspendedAtStart))
 	if c.sources.Noticed != nil {
 		c.sources.Noticed(span)
 	}
 }
 
-// Timer gives the moment at which a timer of the runtime must fire for a time of this clock, if the host is not suspended until then.
+// Timer returns the time at which a timer of the runtime must fire for a time of this Clock, if the host is not suspended until then.
 func (c *Clock) Timer(at time.Time) time.Time {
 	return at.Add(-time.Duration(c.offset.Load()))
 }
 
-// WithDeadline bounds work by a time of this clock, also across a suspension; cancel must be called once it is done.
+// WithDeadline returns a context that ends at a time of this Clock, also across a suspension. The caller must call the cancel function
+// when the work is done.
 func (c *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithDeadline(parent, c.Timer(at))
-	one := &deadline{at: at, cancel: cancel}
+	d := &deadline{at: at, cancel: cancel}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.deadlines[one] = struct{}{}
+	c.deadlines[d] = struct{}{}
 	return ctx, func() {
-		c.forget(one)
+		c.removeDeadline(d)
 		cancel()
 	}
 }
 
-func (c *Clock) forget(one *deadline) {
+func (c *Clock) removeDeadline(d *deadline) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	delete(c.deadlines, one)
+	delete(c.deadlines, d)
 }
 
-// endPassed ends what should have ended while the host was suspended, and has the rest end in time: their timers stood still. The caller
-// holds the mutex.
-func (c *Clock) endPassed(now time.Time) {
-	for one := range c.deadlines {
-		if left := one.at.Sub(now); left > 0 {
-			time.AfterFunc(left, one.cancel)
+// cancelExpired cancels the contexts whose deadline passed while the host was suspended, and starts new timers for the others: their
+// timers stopped during the suspension. The caller holds the mutex.
+func (c *Clock) cancelExpired(now time.Time) {
+	for d := range c.deadlines {
+		if left := d.at.Sub(now); left > 0 {
+			time.AfterFunc(left, d.cancel)
 			continue
 		}
-		one.cancel()
+		d.cancel()
 	}
 }
--- a/modules/clock/clock_test.go
+++ b/modules/clock/clock_test.go
@@ -15,41 +15,41 @@
 	"github.com/shelfledge/shelfledge/modules/clock"
 )
 
-// host is one that a test suspends: its time of day, but not its steady clock, counts that.
-type host struct {
+// fakeHost is a host that a test suspends. Its wall clock counts the suspension, its monotonic clock does not.
+type fakeHost struct {
 	suspended time.Duration
-	// step is how far the time of day has been set.
-	step    time.Duration
-	failing error
-	noticed []time.Duration
+	// step is the amount by which the wall clock was set forward or back.
+	step         time.Duration
+	suspendedErr error
+	suspensions  []time.Duration
 }
 
-func (h *host) start(t *testing.T) *clock.Clock {
+func (h *fakeHost) newClock(t *testing.T) *clock.Clock {
 	t.Helper()
 	c, err := clock.New(clock.Sources{
 		Now: time.Now, TimeOfDay: func(now time.Time) time.Time { return now.Round(0).Add(h.suspended + h.step) },
-		Suspended: func() (time.Duration, error) { return time.Minute + h.suspended, h.failing },
-		Noticed:   func(span time.Duration) { h.noticed = append(h.noticed, span) },
+		Suspended: func() (time.Duration, error) { return time.Minute + h.suspended, h.suspendedErr },
+		Noticed:   func(span time.Duration) { h.suspensions = append(h.suspensions, span) },
 	})
 	require.NoError(t, err)
 	return c
 }
 
-func TestASuspensionCounts(t *testing.T) {
-	h := &host{}
-	c := h.start(t)
+func TestNowIncludesSuspension(t *testing.T) {
+	h := &fakeHost{}
+	c := h.newClock(t)
 	before := c.Now()
 	h.suspended = 5 * time.Second
-	assert.InDelta(t, 5, c.Now().Sub(before).Seconds(), 0.5, "at the first look")
-	assert.Equal(t, []time.Duration{5 * time.Second}, h.noticed)
+	assert.InDelta(t, 5, c.Now().Sub(before).Seconds(), 0.5, "at the first reading after the suspension")
+	assert.Equal(t, []time.Duration{5 * time.Second}, h.suspensions)
 	h.suspended, h.step = 7*time.Second, -2*time.Second
 	time.Sleep(1100 * time.Millisecond)
-	assert.InDelta(t, 8.1, c.Now().Sub(before).Seconds(), 0.5, "a step has hidden it from the time of day")
+	assert.InDelta(t, 8.1, c.Now().Sub(before).Seconds(), 0.5, "a suspension that a step of the wall clock cancels out")
 }
 
-func TestNothingChangesWithoutASuspension(t *testing.T) {
-	h := &host{}
-	c := h.start(t)
+func TestTimeOfDayStepIsNotCounted(t *testing.T) {
+	h := &fakeHost{}
+	c := h.newClock(t)
 	before := c.Now()
 	h.step = time.Hour
 	assert.Less(t, c.Now().Sub(before), time.Second)
@@ -57,17 +57,17 @@
 	assert.InDelta(t, 0, c.Now().Sub(before).Seconds(), 1)
 	at := c.Now()
 	assert.Equal(t, at, c.Timer(at))
-	assert.Empty(t, h.noticed)
-	h.failing = errors.New("no such clock")
+	assert.Empty(t, h.suspensions)
+	h.suspendedErr = errors.New("no such clock")
 	time.Sleep(1100 * time.Millisecond)
 	assert.Less(t, c.Now().Sub(before), 3*time.Second)
 }
 
-func TestDeadlinesThatPassedEndAtTheWake(t *testing.T) {
-	h := &host{}
-	c := h.start(t)
+func TestExpiredDeadlinesAreCancelledAfterSuspension(t *testing.T) {
+	h := &fakeHost{}
+	c := h.newClock(t)
 	now := c.Now()
-	passed, cancel := c.WithDeadline(context.Background(), now.Add(3*time.Second))
+	expired, cancel := c.WithDeadline(context.Background(), now.Add(3*time.Second))
 	defer cancel()
 	later, cancelLater := c.WithDeadline(context.Background(), now.Add(5500*time.Millisecond))
 	defer cancelLater()
@@ -75,18 +75,18 @@
 	cancelDone()
 	assert.ErrorIs(t, done.Err(), context.Canceled)
 	h.suspended = 5 * time.Second
-	require.NoError(t, passed.Err(), "nobody has looked at the clock yet")
+	require.NoError(t, expired.Err(), "the clock has not been read since the suspension")
 	c.Now()
-	require.Error(t, passed.Err())
+	require.Error(t, expired.Err())
 	require.NoError(t, later.Err())
-	assert.Eventually(t, func() bool { return later.Err() != nil }, 2*time.Second, 10*time.Millisecond, "its timer stood still for five seconds")
-	bound, ok := passed.Deadline()
+	assert.Eventually(t, func() bool { return later.Err() != nil }, 2*time.Second, 10*time.Millisecond, "its timer stopped for five seconds")
+	deadline, ok := expired.Deadline()
 	assert.True(t, ok)
-	assert.Equal(t, now.Add(3*time.Second), bound)
+	assert.Equal(t, now.Add(3*time.Second), deadline)
 	assert.Equal(t, now.Add(time.Minute-5*time.Second), c.Timer(now.Add(time.Minute)))
 }
 
-func TestTheSystemTellsItsSuspensions(t *testing.T) {
+func TestSystemClockReportsSuspension(t *testing.T) {
 	c, err := clock.New(clock.System())
 	require.NoError(t, err)
 	assert.WithinDuration(t, time.Now(), c.Now(), time.Second)
--- a/modules/clock/doc.go
+++ b/modules/clock/doc.go
@@ -1,10 +1,11 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package clock gives the present time on a host that may be suspended.
+// Package clock provides the current time on a host that may be suspended.
 //
-// The steady clock of the runtime stands still while the host is suspended, so that leases, terms, ages and deadlines would come out too young
-// when it wakes. A Clock adds that time. It notices a suspension by the time of day, which goes on, and asks the system how long it was, so
-// that a step of the time of day changes nothing. Timers of the runtime stand still as well: what is bounded by one is converted (Timer), and
-// deadlines that have passed are ended at the first look at the clock after the wake (WithDeadline). It starts no goroutine but timers.
+// The monotonic clock of the Go runtime stops while the host is suspended, so that leases, terms, ages and deadlines would be too young
+// after the host resumes. A Clock adds the time of the suspension. It detects a suspension by the wall clock, which goes on, and reads the
+// duration from the system, so that a step of the wall clock is not counted. Timers of the runtime stop as well: Timer converts a time
+// of the Clock to one for a runtime timer, and WithDeadline cancels contexts whose deadline has passed at the first call of Now after the
+// host resumed. The package starts timers, but no other goroutine.
 package clock
--- a/modules/fingerprint/fingerprint.go
+++ b/modules/fingerprint/fingerprint.go
@@ -12,32 +12,32 @@
 // Size is the length of a Fingerprint in bytes.
 const Size = 16
 
-// Fingerprint is equal for two sendings of one request. It is a part of a cryptographic hash, so that no caller can make a request that
-// has the fingerprint of another one; the zero value stands for none.
+// Fingerprint identifies the content of a request; it is equal for all repetitions of a request. It is a prefix of a cryptographic hash,
+// so that no caller can make a request that has the fingerprint of another request. The zero value means that there is no fingerprint.
 type Fingerprint [Size]byte
 
-// Content is what makes two requests the same one.
+// Content holds the parts of a request that its fingerprint covers.
 type Content struct {
 	// Method, Host, Path and Query are those of the request line and the Host header, as the caller wrote them.
 	Method, Host, Path, Query string
-	// Adapter is what the request asks for; empty for plain services.
+	// Adapter is the requested adapter; empty for plain services.
 	Adapter string
-	// Body is the body, or its beginning where it is not held whole.
+	// Body is the body, or its beginning if it is not buffered completely.
 	Body []byte
-	// Length is the length of the whole body in bytes, -1 where it is not known.
+	// Length is the length of the complete body in bytes, or -1 if it is not known.
 	Length int64
 }
 
-// Fingerprint gives the content's fingerprint.
+// Fingerprint returns the fingerprint of the content.
 func (c Content) Fingerprint() Fingerprint {
 	hash := sha256.New()
 	query := c.Query
 	if len(c.Body) > 0 {
 		query = ""
 	}
-	head := make([]byte, 0, len(c.Method)+len(c.Host)+len(c.Path)+len(query)+len(c.Adapter)+fixedBytes)
+	head := make([]byte, 0, len(c.Method)+len(c.Host)+len(c.Path)+len(query)+len(c.Adapter)+fixedSize)
 	for _, text := range []string{c.Method, c.Host, c.Path, query, c.Adapter} {
-		// Each text follows its length, so that no two contents give the same bytes.
+		// Each text is preceded by its length, so that different contents never give the same bytes.
 		head = binary.BigEndian.AppendUint32(head, uint32(len(text)))
 		head = append(head, text...)
 	}
@@ -48,20 +48,20 @@
 	return Fingerprint(hash.Sum(sum[:0])[:Size])
 }
 
-// fixedBytes is room for what comes before the body beside the texts: their lengths and that of the body.
-const fixedBytes = 5*4 + 8
+// fixedSize is the size in bytes of the length fields that are hashed before the body: those of the five texts and that of the body.
+const fixedSize = 5*4 + 8
 
-// IsZero reports whether there is none.
+// IsZero reports whether f is the zero value.
 func (f Fingerprint) IsZero() bool {
 	return f == Fingerprint{}
 }
 
-// String gives the fingerprint in hex, as log lines and operators name it.
+// String returns the fingerprint in hexadecimal form, as used in log lines and by operators.
 func (f Fingerprint) String() string {
 	return hex.EncodeToString(f[:])
 }
 
-// Parse reads what String gives; false for any other text.
+// Parse parses a result of String. It returns false for any other text.
 func Parse(text string) (Fingerprint, bool) {
 	var f Fingerprint
 	if hex.DecodedLen(len(text)) != Size {
--- a/modules/fingerprint/fingerprint_test.go
+++ b/modules/fingerprint/fingerprint_test.go
@@ -11,28 +11,29 @@
 	"github.com/shelfledge/shelfledge/modules/fingerprint"
 )
 
-// content is an example of a request.
-func content() fingerprint.Content {
+// exampleContent returns the content of an example request.
+func exampleContent() fingerprint.Content {
 	return fingerprint.Content{
 		Method: "POST", Host: "h", Path: "/a/b", Query: "c=d", Adapter: "base/a1", Body: []byte("body"), Length: 4,
 	}
 }
 
-func TestTheSameContentHasTheSameFingerprint(t *testing.T) {
-	assert.Equal(t, content().Fingerprint(), content().Fingerprint())
-	assert.False(t, content().Fingerprint().IsZero())
+func TestEqualContentHasEqualFingerprint(t *testing.T) {
+	assert.Equal(t, exampleContent().Fingerprint(), exampleContent().Fingerprint())
+	assert.False(t, exampleContent().Fingerprint().IsZero())
 }
 
-// TestAQueryCountsWithoutABody: it says then what is asked for, and beside a body mostly how.
-func TestAQueryCountsWithoutABody(t *testing.T) {
-	first, second := content(), content()
+// TestQueryCountsOnlyWithoutBody checks that the query is left out if there is a body. Without a body the query says what is requested;
+// beside a body it mostly says how.
+func TestQueryCountsOnlyWithoutBody(t *testing.T) {
+	first, second := exampleContent(), exampleContent()
 	second.Query = "c=e"
 	assert.Equal(t, first.Fingerprint(), second.Fingerprint())
 	first.Body, second.Body = nil, nil
 	assert.NotEqual(t, first.Fingerprint(), second.Fingerprint())
 }
 
-func TestAnyDifferenceChangesTheFingerprint(t *testing.T) {
+func TestEachFieldChangesFingerprint(t *testing.T) {
 	for name, change := range map[string]func(*fingerprint.Content){
 		"method":  func(c *fingerprint.Content) { c.Method = "PUT" },
 		"host":    func(c *fingerprint.Content) { c.Host = "i" },
@@ -40,22 +41,22 @@
 		"adapter": func(c *fingerprint.Content) { c.Adapter = "base/a2" },
 		"body":    func(c *fingerprint.Content) { c.Body = []byte("bodi") },
 		"length":  func(c *fingerprint.Content) { c.Length = 5 },
-		"the bounds between two texts": func(c *fingerprint.Content) {
+		"boundary between two fields": func(c *fingerprint.Content) {
 			c.Host, c.Path = "h/", "a/b"
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			changed := content()
+			changed := exampleContent()
 			change(&changed)
-			assert.NotEqual(t, content().Fingerprint(), changed.Fingerprint())
+			assert.NotEqual(t, exampleContent().Fingerprint(), changed.Fingerprint())
 		})
 	}
 }
 
-func TestATextIsReadAgain(t *testing.T) {
-	read, ok := fingerprint.Parse(content().Fingerprint().String())
+func TestParseReversesString(t *testing.T) {
+	parsed, ok := fingerprint.Parse(exampleContent().Fingerprint().String())
 	assert.True(t, ok)
-	assert.Equal(t, content().Fingerprint(), read)
+	assert.Equal(t, exampleContent().Fingerprint(), parsed)
 	for _, text := range []string{"", "00", "zz000000000000000000000000000000"} {
 		_, ok := fingerprint.Parse(text)
 		assert.False(t, ok, text)
--- a/modules/refusal/refusal.go
+++ b/modules/refusal/refusal.go
@@ -13,22 +13,23 @@
 )
 
 const (
-	// lookTime bounds the whole look: what waits for it is a retry.
-	lookTime = 100 * time.Millisecond
-	// openTime is how long a new connection must stay open to tell that the process goes on.
-	openTime = 30 * time.Millisecond
-	// lookPause is between two connections of one look.
-	lookPause = time.Millisecond
+	// probeTimeout bounds the whole probe, because a retry waits for its result.
+	probeTimeout = 100 * time.Millisecond
+	// minOpenTime is how long a new connection must stay open to show that the process is running.
+	minOpenTime = 30 * time.Millisecond
+	// probeInterval is the pause between two connections of one probe.
+	probeInterval = time.Millisecond
 )
 
-// Look opens connections until one is refused, which says that the process at the other end has ended, or one stays open, which is given to
-// the caller. The system of a process that is just ending still takes connections, and resets them as it closes the listening socket; so
-// that a connection is taken says nothing yet. Where neither shows in time, as while none can be opened, both results are the zero value.
+// Look opens connections until one is refused or one stays open. A refused connection means that the process at the other end has ended;
+// a connection that stays open is returned. An accepted connection alone proves nothing: the operating system still accepts connections
+// for a process that is ending, and resets them when the listening socket is closed. If neither happens within probeTimeout, for example
+// because no connection can be opened, both results are the zero value.
 func Look[C net.Conn](ctx context.Context, open func(context.Context) (C, error), discard func(C)) (kept C, refused bool) {
-	ctx, cancel := context.WithTimeout(ctx, lookTime)
+	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var none C
-	for ; ctx.Err() == nil; pause(ctx) {
+	for ; ctx.Err() == nil; waitInterval(ctx) {
 		conn, err := open(ctx)
 		if errors.Is(err, syscall.ECONNREFUSED) {
 			return none, true
@@ -44,28 +45,28 @@
 	return none, false
 }
 
-// staysOpen reports whether a new connection is neither closed nor reset within openTime; false where less than that is left.
+// staysOpen reports whether a new connection is neither closed nor reset within minOpenTime. It returns false if ctx ends before that.
 func staysOpen(ctx context.Context, conn net.Conn) bool {
-	watching, cancel := context.WithTimeout(ctx, openTime)
+	observation, cancel := context.WithTimeout(ctx, minOpenTime)
 	defer cancel()
-	deadline, _ := watching.Deadline()
+	deadline, _ := observation.Deadline()
 	if end, bounded := ctx.Deadline(); bounded && deadline.Equal(end) {
 		return false
 	}
 	if conn.SetReadDeadline(deadline) != nil {
 		return false
 	}
-	var octet [1]byte
-	if _, err := conn.Read(octet[:]); !errors.Is(err, os.ErrDeadlineExceeded) {
+	var buffer [1]byte
+	if _, err := conn.Read(buffer[:]); !errors.Is(err, os.ErrDeadlineExceeded) {
 		return false
 	}
 	return conn.SetReadDeadline(time.Time{}) == nil
 }
 
-// pause leaves the process the time to close its next socket.
-func pause(ctx context.Context) {
+// waitInterval waits for probeInterval, so that an ending process can close its next socket.
+func waitInterval(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-time.After(lookPause):
+	case <-time.After(probeInterval):
 	}
 }
--- a/modules/refusal/refusal_test.go
+++ b/modules/refusal/refusal_test.go
@@ -15,8 +15,8 @@
 	"github.com/shelfledge/shelfledge/modules/refusal"
 )
 
-// listen gives a listener that the system serves by itself: nothing accepts its connections.
-func listen(t *testing.T) net.Listener {
+// newListener returns a listener whose connections the operating system accepts into the backlog; the test does not call Accept.
+func newListener(t *testing.T) net.Listener {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -24,9 +24,9 @@
 	return listener
 }
 
-// look looks at an address, with how many connections it opened and has not given back; taken is called with the number of each that the
-// system has taken.
-func look(t *testing.T, address net.Addr, taken func(number int)) (open int, refused bool) {
+// probe probes an address and returns the number of connections that were opened and not discarded. accepted is called after each
+// successful connection with the count so far.
+func probe(t *testing.T, address net.Addr, accepted func(number int)) (open int, refused bool) {
 	t.Helper()
 	var dialer net.Dialer
 	number := 0
@@ -35,7 +35,7 @@
 		if err == nil {
 			open++
 			number++
-			taken(number)
+			accepted(number)
 		}
 		return conn, err
 	}, func(conn net.Conn) {
@@ -48,42 +48,43 @@
 	return open, refused
 }
 
-func TestAProcessThatGoesOnKeepsTheConnection(t *testing.T) {
-	open, refused := look(t, listen(t).Addr(), func(int) {})
+func TestConnectionToRunningProcessIsReturned(t *testing.T) {
+	open, refused := probe(t, newListener(t).Addr(), func(int) {})
 	assert.False(t, refused)
-	assert.Equal(t, 1, open, "it is left to the caller")
+	assert.Equal(t, 1, open, "the open connection is returned to the caller")
 }
 
-func TestNothingListens(t *testing.T) {
-	listener := listen(t)
+func TestRefusedConnectionIsReported(t *testing.T) {
+	listener := newListener(t)
 	require.NoError(t, listener.Close())
-	open, refused := look(t, listener.Addr(), func(int) {})
+	open, refused := probe(t, listener.Addr(), func(int) {})
 	assert.True(t, refused)
 	assert.Zero(t, open)
 }
 
-// TestAProcessThatIsJustEnding: the system takes connections for it until it has closed the listening socket.
-func TestAProcessThatIsJustEnding(t *testing.T) {
+// TestEndingProcessIsReportedAsRefused covers a process that is ending: the operating system accepts connections for it until the
+// listening socket is closed.
+func TestEndingProcessIsReportedAsRefused(t *testing.T) {
 	for _, last := range []int{1, 2, 3} {
-		listener := listen(t)
+		listener := newListener(t)
 		var ending sync.WaitGroup
 		if last > 1 {
-			// It closes the connections that it has before the socket.
-			ending.Go(func() { closeAll(listener) })
+			// The process closes its accepted connections before the listening socket.
+			ending.Go(func() { closeAcceptedConns(listener) })
 		}
-		open, refused := look(t, listener.Addr(), func(number int) {
+		open, refused := probe(t, listener.Addr(), func(number int) {
 			if number == last {
 				assert.NoError(t, listener.Close())
 			}
 		})
-		assert.True(t, refused, "it has taken %d connections", last)
+		assert.True(t, refused, "the listener closed after %d connections", last)
 		assert.Zero(t, open)
 		ending.Wait()
 	}
 }
 
-// closeAll closes all connections that a listener takes until it is closed.
-func closeAll(listener net.Listener) {
+// closeAcceptedConns closes each connection that the listener accepts, until the listener is closed.
+func closeAcceptedConns(listener net.Listener) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
@@ -93,11 +94,12 @@
 	}
 }
 
-// TestAProcessThatClosesAllConnections listens on, and is not taken to have ended.
-func TestAProcessThatClosesAllConnections(t *testing.T) {
-	listener := listen(t)
-	go closeAll(listener)
-	open, refused := look(t, listener.Addr(), func(int) {})
+// TestListeningProcessThatClosesConnectionsIsNotRefused checks that a process that closes every connection, but still listens, is not
+// reported as ended.
+func TestListeningProcessThatClosesConnectionsIsNotRefused(t *testing.T) {
+	listener := newListener(t)
+	go closeAcceptedConns(listener)
+	open, refused := probe(t, listener.Addr(), func(int) {})
 	assert.False(t, refused)
 	assert.Zero(t, open)
 }
--- a/modules/version/doc.go
+++ b/modules/version/doc.go
@@ -1,5 +1,5 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package version names the version of the build.
+// Package version provides the version of the build.
 package version
--- a/modules/version/version.go
+++ b/modules/version/version.go
@@ -5,10 +5,10 @@
 
 import "runtime/debug"
 
-// Number is the version of the source; builds may set it.
+// Number is the version of the source; a build may override it with the linker.
 var Number = "0.1.0-dev"
 
-// String gives the version with the revision of the source, where the build knows it.
+// String returns the program name and version, followed by the first 12 digits of the source revision if the build recorded it.
 func String() string {
 	revision := ""
 	if info, ok := debug.ReadBuildInfo(); ok {
