--- a/modules/callerconn/conn.go
+++ b/modules/callerconn/conn.go
@@ -56,7 +56,7 @@
 				continue
 			}
 		case err != nil && !errors.Is(err, net.ErrClosed):
-			c.setReason(CallerEnded)
+			c.setReason(ReasonClosedByCaller)
 		}
 		return n, err
 	}
@@ -72,7 +72,7 @@
 	}
 	deadline := c.readDeadline
 	if c.idle && c.reused && deadline.IsZero() {
-		deadline = now.Add(c.listener.options.IdleLimit())
+		deadline = now.Add(c.listener.options.IdleTimeout())
 	}
 	c.idle = false
 	return c.TCPConn.SetReadDeadline(deadline)
@@ -86,7 +86,7 @@
 		return false
 	}
 	next := now.Add(finalReadWindow)
-	if end := c.idleSince.Add(c.listener.options.IdleLimit()); c.idle && c.reused && !c.shuttingDown && now.Before(end) {
+	if end := c.idleSince.Add(c.listener.options.IdleTimeout()); c.idle && c.reused && !c.shuttingDown && now.Before(end) {
 		// The idle timeout was raised while the connection was idle.
 		next = end
 	} else if c.finalRead {
@@ -103,9 +103,9 @@
 	switch {
 	case !c.idle || c.reason != "":
 	case c.shuttingDown:
-		c.reason = Stopping
+		c.reason = ReasonShutdown
 	case c.reused:
-		c.reason = IdleLimit
+		c.reason = ReasonIdleTimeout
 	}
 }
 
@@ -138,7 +138,7 @@
 	case c.shuttingDown:
 		return now.Add(firstRequestWindow)
 	case c.reused:
-		return c.idleSince.Add(c.listener.options.IdleLimit())
+		return c.idleSince.Add(c.listener.options.IdleTimeout())
 	default:
 		return c.readDeadline
 	}
@@ -195,11 +195,11 @@
 	switch {
 	case r.Reason != "":
 	case r.Unanswered > 0:
-		r.Reason = BrokenOff
+		r.Reason = ReasonAborted
 	case c.started == 0:
-		r.Reason = NoRequest
+		r.Reason = ReasonNoRequest
 	default:
-		r.Reason = AfterAnswer
+		r.Reason = ReasonAfterResponse
 	}
 	return r
 }
--- a/modules/callerconn/conn_test.go
+++ b/modules/callerconn/conn_test.go
@@ -42,8 +42,8 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.listener = callerconn.NewListener(listener.(*net.TCPListener), callerconn.Options{
-		IdleLimit: func() time.Duration { return time.Duration(p.idleTimeout.Load()) },
-		Ended:     func(r callerconn.Report) { p.reports <- r }, Now: time.Now,
+		IdleTimeout: func() time.Duration { return time.Duration(p.idleTimeout.Load()) },
+		OnClose:     func(r callerconn.Report) { p.reports <- r }, Now: time.Now,
 	})
 	t.Cleanup(func() { _ = p.listener.Close() })
 	p.caller, err = net.DialTimeout("tcp4", p.listener.Addr().String(), testTimeout)
@@ -102,27 +102,27 @@
 		act  func(p *connPair)
 		want callerconn.Report
 	}{
-		"no bytes received": {func(*connPair) {}, callerconn.Report{Reason: callerconn.NoRequest}},
+		"no bytes received": {func(*connPair) {}, callerconn.Report{Reason: callerconn.ReasonNoRequest}},
 		"closed after a complete response": {func(p *connPair) {
 			p.accepted.BeginRequest()
 			p.accepted.EndRequest()
-		}, callerconn.Report{Reason: callerconn.AfterAnswer, Requests: 1}},
+		}, callerconn.Report{Reason: callerconn.ReasonAfterResponse, Requests: 1}},
 		"aborted response": {func(p *connPair) {
 			p.accepted.BeginRequest()
 			p.accepted.EndRequest()
 			p.accepted.BeginRequest()
-		}, callerconn.Report{Reason: callerconn.BrokenOff, Requests: 2, Unanswered: 1}},
+		}, callerconn.Report{Reason: callerconn.ReasonAborted, Requests: 2, Unanswered: 1}},
 		"closed by the caller": {func(p *connPair) {
 			p.accepted.BeginRequest()
 			require.NoError(p.t, p.caller.Close())
 			_, err := p.read()
 			require.ErrorIs(p.t, err, io.EOF)
-		}, callerconn.Report{Reason: callerconn.CallerEnded, Requests: 1, Unanswered: 1}},
+		}, callerconn.Report{Reason: callerconn.ReasonClosedByCaller, Requests: 1, Unanswered: 1}},
 		"interrupted read does not set a reason": {func(p *connPair) {
 			require.NoError(p.t, p.accepted.SetReadDeadline(time.Unix(1, 0)))
 			_, err := p.read()
 			require.ErrorIs(p.t, err, os.ErrDeadlineExceeded)
-		}, callerconn.Report{Reason: callerconn.NoRequest}},
+		}, callerconn.Report{Reason: callerconn.ReasonNoRequest}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newConnPair(t, longIdle)
@@ -142,7 +142,7 @@
 	_, err := p.read()
 	require.ErrorIs(t, err, os.ErrDeadlineExceeded)
 	assert.GreaterOrEqual(t, time.Since(started), shortIdle)
-	assert.Equal(t, callerconn.IdleLimit, p.close().Reason)
+	assert.Equal(t, callerconn.ReasonIdleTimeout, p.close().Reason)
 }
 
 // TestReceivedRequestIsReadAfterIdleTimeout covers a process that was paused: the idle timeout has passed, but a request has arrived.
@@ -203,7 +203,7 @@
 	p.startIdle()
 	require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(testTimeout)), "net/http reads the header from its own buffer")
 	require.NoError(t, p.accepted.SetReadDeadline(time.Time{}))
-	require.NoError(t, p.listener.Leave())
+	require.NoError(t, p.listener.Shutdown())
 	go func() {
 		time.Sleep(4 * shortIdle)
 		_, _ = io.WriteString(p.caller, "body")
@@ -224,13 +224,13 @@
 		"new connection":                                   {before: func(*connPair) {}},
 		"new connection that sends a request later":        {before: func(*connPair) {}, after: "request", got: "request"},
 		"new connection with a received request":           {before: func(p *connPair) { p.send("request") }, got: "request"},
-		"connection that becomes idle during the shutdown": {before: func(p *connPair) { defer p.startIdle(); require.NoError(p.t, p.listener.Leave()) }},
+		"connection that becomes idle during the shutdown": {before: func(p *connPair) { defer p.startIdle(); require.NoError(p.t, p.listener.Shutdown()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newConnPair(t, longIdle)
 			require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(longIdle)))
 			test.before(p)
-			require.NoError(t, p.listener.Leave())
+			require.NoError(t, p.listener.Shutdown())
 			if test.after != "" {
 				p.send(test.after)
 			}
@@ -238,7 +238,7 @@
 			assert.Equal(t, test.got, got)
 			if test.got == "" {
 				require.ErrorIs(t, err, os.ErrDeadlineExceeded)
-				assert.Equal(t, callerconn.Stopping, p.close().Reason)
+				assert.Equal(t, callerconn.ReasonShutdown, p.close().Reason)
 			}
 		})
 	}
@@ -248,7 +248,7 @@
 	p := newConnPair(t, longIdle)
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.NoError(t, p.listener.Leave())
+	require.NoError(t, p.listener.Shutdown())
 	require.ErrorIs(t, p.listener.Wait(cancelled), context.Canceled)
 	p.close()
 	require.NoError(t, p.listener.Wait(context.Background()))
@@ -257,6 +257,6 @@
 
 func TestRequestContextHoldsConnection(t *testing.T) {
 	p := newConnPair(t, longIdle)
-	assert.Same(t, p.accepted, callerconn.From(callerconn.Context(context.Background(), p.accepted)))
-	assert.Nil(t, callerconn.From(callerconn.Context(context.Background(), p.caller)))
+	assert.Same(t, p.accepted, callerconn.FromContext(callerconn.ConnContext(context.Background(), p.accepted)))
+	assert.Nil(t, callerconn.FromContext(callerconn.ConnContext(context.Background(), p.caller)))
 }
--- a/modules/callerconn/listener.go
+++ b/modules/callerconn/listener.go
@@ -13,11 +13,11 @@
 
 // Options are the settings of a Listener.
 type Options struct {
-	// IdleLimit returns how long a connection may be idle after a response; the value may change at any time.
-	IdleLimit func() time.Duration
-	// Ended is called with the report of each connection that has ended, and must not block.
-	Ended func(Report)
-	Now   func() time.Time
+	// IdleTimeout returns how long a connection may be idle after a response; the value may change at any time.
+	IdleTimeout func() time.Duration
+	// OnClose is called with the report of each connection that has ended, and must not block.
+	OnClose func(Report)
+	Now     func() time.Time
 }
 
 // Listener accepts callers' connections and tracks the open ones.
@@ -60,9 +60,9 @@
 	return l.closeErr
 }
 
-// Leave closes the listener and all idle connections. The other connections end after their current response, which must announce that
+// Shutdown closes the listener and all idle connections. The other connections end after their current response, which must announce that
 // with "Connection: close". A request whose first byte was read is served. The error is that of closing the listener.
-func (l *Listener) Leave() error {
+func (l *Listener) Shutdown() error {
 	err := l.Close()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -117,22 +117,22 @@
 	delete(l.open, c)
 	l.signalIfDrained()
 	l.mutex.Unlock()
-	l.options.Ended(c.report())
+	l.options.OnClose(c.report())
 }
 
 // contextKey is the context key of a request's connection.
 type contextKey struct{}
 
-// Context is the ConnContext hook of an http.Server: it returns a context that holds the connection of the requests.
-func Context(ctx context.Context, conn net.Conn) context.Context {
+// ConnContext is the ConnContext hook of an http.Server: it returns a context that holds the connection of the requests.
+func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if c := unwrap(conn); c != nil {
 		return context.WithValue(ctx, contextKey{}, c)
 	}
 	return ctx
 }
 
-// From returns the connection held by a request's context, or nil if there is none.
-func From(ctx context.Context) *Conn {
+// FromContext returns the connection held by a request's context, or nil if there is none.
+func FromContext(ctx context.Context) *Conn {
 	c, _ := ctx.Value(contextKey{}).(*Conn)
 	return c
 }
--- a/modules/callerconn/report.go
+++ b/modules/callerconn/report.go
@@ -10,18 +10,18 @@
 
 // The reasons for which connections end.
 const (
-	// IdleLimit means that the connection was idle for longer than the idle timeout.
-	IdleLimit Reason = "idle limit"
-	// Stopping means that the connection was idle when the process shut down, or that the shutdown cut off a request.
-	Stopping Reason = "stopping"
-	// CallerEnded means that the caller closed or reset the connection.
-	CallerEnded Reason = "caller"
-	// BrokenOff means that a handler aborted its response on purpose.
-	BrokenOff Reason = "broken off"
-	// NoRequest means that no complete request header was received, or only a malformed one.
-	NoRequest Reason = "no request"
-	// AfterAnswer means that a response announced itself as the last one of the connection.
-	AfterAnswer Reason = "after an answer"
+	// ReasonIdleTimeout means that the connection was idle for longer than the idle timeout.
+	ReasonIdleTimeout Reason = "idle limit"
+	// ReasonShutdown means that the connection was idle when the process shut down, or that the shutdown cut off a request.
+	ReasonShutdown Reason = "stopping"
+	// ReasonClosedByCaller means that the caller closed or reset the connection.
+	ReasonClosedByCaller Reason = "caller"
+	// ReasonAborted means that a handler aborted its response on purpose.
+	ReasonAborted Reason = "broken off"
+	// ReasonNoRequest means that no complete request header was received, or only a malformed one.
+	ReasonNoRequest Reason = "no request"
+	// ReasonAfterResponse means that a response announced itself as the last one of the connection.
+	ReasonAfterResponse Reason = "after an answer"
 )
 
 // Report describes a connection that has ended.
--- a/modules/clock/clock.go
+++ b/modules/clock/clock.go
@@ -30,8 +30,8 @@
 	TimeOfDay func(now time.Time) time.Time
 	// Suspended returns how long the host has been suspended in total since it booted; on an error the last value stays in use.
 	Suspended func() (time.Duration, error)
-	// Noticed, if not nil, is called with the duration of each suspension.
-	Noticed func(span time.Duration)
+	// OnSuspension, if not nil, is called with the duration of each suspension.
+	OnSuspension func(span time.Duration)
 }
 
 // Clock provides the current time, including the time for which the host was suspended. It is safe for concurrent use.
@@ -111,20 +111,20 @@
 	}
 	c.offset.Store(int64(total - c.suspendedAtStart))
 	c.cancelExpired(now.Add(total - c.suspendedAtStart))
-	if c.sources.Noticed != nil {
-		c.sources.Noticed(span)
+	if c.sources.OnSuspension != nil {
+		c.sources.OnSuspension(span)
 	}
 }
 
-// Timer returns the time at which a timer of the runtime must fire for a time of this Clock, if the host is not suspended until then.
-func (c *Clock) Timer(at time.Time) time.Time {
+// TimerTime returns the time at which a timer of the runtime must fire for a time of this Clock, if the host is not suspended until then.
+func (c *Clock) TimerTime(at time.Time) time.Time {
 	return at.Add(-time.Duration(c.offset.Load()))
 }
 
 // WithDeadline returns a context that ends at a time of this Clock, also across a suspension. The caller must call the cancel function
 // when the work is done.
 func (c *Clock) WithDeadline(parent context.Context, at time.Time) (context.Context, context.CancelFunc) {
-	ctx, cancel := context.WithDeadline(parent, c.Timer(at))
+	ctx, cancel := context.WithDeadline(parent, c.TimerTime(at))
 	d := &deadline{at: at, cancel: cancel}
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
--- a/modules/clock/clock_test.go
+++ b/modules/clock/clock_test.go
@@ -28,8 +28,8 @@
 	t.Helper()
 	c, err := clock.New(clock.Sources{
 		Now: time.Now, TimeOfDay: func(now time.Time) time.Time { return now.Round(0).Add(h.suspended + h.step) },
-		Suspended: func() (time.Duration, error) { return time.Minute + h.suspended, h.suspendedErr },
-		Noticed:   func(span time.Duration) { h.suspensions = append(h.suspensions, span) },
+		Suspended:    func() (time.Duration, error) { return time.Minute + h.suspended, h.suspendedErr },
+		OnSuspension: func(span time.Duration) { h.suspensions = append(h.suspensions, span) },
 	})
 	require.NoError(t, err)
 	return c
@@ -56,7 +56,7 @@
 	h.step = -time.Hour
 	assert.InDelta(t, 0, c.Now().Sub(before).Seconds(), 1)
 	at := c.Now()
-	assert.Equal(t, at, c.Timer(at))
+	assert.Equal(t, at, c.TimerTime(at))
 	assert.Empty(t, h.suspensions)
 	h.suspendedErr = errors.New("no such clock")
 	time.Sleep(1100 * time.Millisecond)
@@ -83,7 +83,7 @@
 	deadline, ok := expired.Deadline()
 	assert.True(t, ok)
 	assert.Equal(t, now.Add(3*time.Second), deadline)
-	assert.Equal(t, now.Add(time.Minute-5*time.Second), c.Timer(now.Add(time.Minute)))
+	assert.Equal(t, now.Add(time.Minute-5*time.Second), c.TimerTime(now.Add(time.Minute)))
 }
 
 func TestSystemClockReportsSuspension(t *testing.T) {
--- a/modules/daemon/httpserver/server.go
+++ b/modules/daemon/httpserver/server.go
@@ -84,9 +84,9 @@
 		return nil, ErrNotBuilt{Name: o.Name, Reason: "its listener is not one for TCP"}
 	}
 	s := &Server{callers: callerconn.NewListener(tcp, callerconn.Options{
-		IdleLimit: func() time.Duration { return idleTimeout },
+		IdleTimeout: func() time.Duration { return idleTimeout },
 		// The daemon keeps no figures of connections.
-		Ended: func(callerconn.Report) {}, Now: time.Now,
+		OnClose: func(callerconn.Report) {}, Now: time.Now,
 	})}
 	s.listener = s.callers
 	if o.TLS != nil {
@@ -95,7 +95,7 @@
 	s.http = &http.Server{
 		Handler: s.lastAnswers(serverless.Serve), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		// Package callerconn bounds rests.
-		IdleTimeout: -1, ConnState: s.callers.StateChanged, ConnContext: callerconn.Context,
+		IdleTimeout: -1, ConnState: s.callers.StateChanged, ConnContext: callerconn.ConnContext,
 	}
 	return s, nil
 }
@@ -122,7 +122,7 @@
 // Shutdown takes no new connections and waits for the open requests until ctx ends. A request whose first byte was read is served.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.leaving.Store(true)
-	return errors.Join(s.callers.Leave(), s.Wait(ctx))
+	return errors.Join(s.callers.Shutdown(), s.Wait(ctx))
 }
 
 // Wait waits, after Shutdown, until no connection is open or ctx ends, whose error it gives.
--- a/modules/entry/upstream/refusal_check.go
+++ b/modules/entry/upstream/refusal_check.go
@@ -64,7 +64,7 @@
 		owner = h
 		return conn, err
 	}
-	kept, refused := refusal.Look(context.WithoutCancel(ctx), open, func(conn *connection) { c.discard(owner, conn) })
+	kept, refused := refusal.Probe(context.WithoutCancel(ctx), open, func(conn *connection) { c.discard(owner, conn) })
 	if kept != nil {
 		c.release(owner, kept)
 	}
--- a/modules/refusal/refusal.go
+++ b/modules/refusal/refusal.go
@@ -21,11 +21,11 @@
 	probeInterval = time.Millisecond
 )
 
-// Look opens connections until one is refused or one stays open. A refused connection means that the process at the other end has ended;
+// Probe opens connections until one is refused or one stays open. A refused connection means that the process at the other end has ended;
 // a connection that stays open is returned. An accepted connection alone proves nothing: the operating system still accepts connections
 // for a process that is ending, and resets them when the listening socket is closed. If neither happens within probeTimeout, for example
 // because no connection can be opened, both results are the zero value.
-func Look[C net.Conn](ctx context.Context, open func(context.Context) (C, error), discard func(C)) (kept C, refused bool) {
+func Probe[C net.Conn](ctx context.Context, open func(context.Context) (C, error), discard func(C)) (kept C, refused bool) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	var none C
--- a/modules/refusal/refusal_test.go
+++ b/modules/refusal/refusal_test.go
@@ -30,7 +30,7 @@
 	t.Helper()
 	var dialer net.Dialer
 	number := 0
-	kept, refused := refusal.Look(t.Context(), func(ctx context.Context) (net.Conn, error) {
+	kept, refused := refusal.Probe(t.Context(), func(ctx context.Context) (net.Conn, error) {
 		conn, err := dialer.DialContext(ctx, "tcp4", address.String())
 		if err == nil {
 			open++
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -80,7 +80,7 @@
 	s.callers = &http.Server{
 		Handler: s.countRequests(options.Handler), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		// Package callerconn bounds idle connections.
-		IdleTimeout: -1, ConnState: s.stateChanged, ConnContext: callerconn.Context, DisableGeneralOptionsHandler: true,
+		IdleTimeout: -1, ConnState: s.stateChanged, ConnContext: callerconn.ConnContext, DisableGeneralOptionsHandler: true,
 		BaseContext: func(net.Listener) context.Context { return s.baseContext },
 		ErrorLog:    log.New(errorLog{options.Log}, "", 0),
 	}
@@ -93,7 +93,7 @@
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
 		s.inFlight.Add(1)
 		defer s.inFlight.Add(-1)
-		conn := callerconn.From(request.Context())
+		conn := callerconn.FromContext(request.Context())
 		conn.BeginRequest()
 		handler.ServeHTTP(writer, request)
 		if request.Context().Err() == nil {
@@ -128,7 +128,7 @@
 // was unanswered.
 func (s *Server) connectionEnded(report callerconn.Report) {
 	s.options.ObserveConnection(string(report.Reason), report.Unanswered)
-	if report.Unanswered == 0 || (report.Reason != callerconn.IdleLimit && report.Reason != callerconn.Stopping) {
+	if report.Unanswered == 0 || (report.Reason != callerconn.ReasonIdleTimeout && report.Reason != callerconn.ReasonShutdown) {
 		return
 	}
 	s.options.Log.WithFields(logrus.Fields{
@@ -144,7 +144,7 @@
 	}
 	// net.Listen returns a TCPListener for the network tcp4.
 	s.listener = callerconn.NewListener(callers.(*net.TCPListener), callerconn.Options{
-		IdleLimit: s.idleLimit, Ended: s.connectionEnded, Now: s.options.Now,
+		IdleTimeout: s.idleLimit, OnClose: s.connectionEnded, Now: s.options.Now,
 	})
 	go s.serve(s.callers, s.listener)
 	ready := &http.Server{Handler: http.HandlerFunc(s.serveReadiness), ReadHeaderTimeout: headerTimeout}
@@ -213,7 +213,7 @@
 
 // stopCallers closes the listener for callers and waits for their connections.
 func (s *Server) stopCallers(ctx context.Context) {
-	if err := s.listener.Leave(); err != nil {
+	if err := s.listener.Shutdown(); err != nil {
 		// The process is about to end, which closes the listener in any case.
 		s.options.Log.WithError(err).Debug("the listener cannot be closed")
 	}
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -79,7 +79,7 @@
 // clock logs a warning when it detects that the host was suspended.
 func newClock(log *logrus.Entry) (*clock.Clock, error) {
 	sources := clock.System()
-	sources.Noticed = func(span time.Duration) {
+	sources.OnSuspension = func(span time.Duration) {
 		log.WithField("suspended_ms", span.Milliseconds()).Warn("the host was suspended")
 	}
 	c, err := clock.New(sources)
@@ -173,7 +173,7 @@
 	open := func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address.String()) }
 	// The connections serve only as a probe, so an error of Close is irrelevant.
 	discard := func(conn net.Conn) { _ = conn.Close() }
-	openConn, refused := refusal.Look(ctx, open, discard)
+	openConn, refused := refusal.Probe(ctx, open, discard)
 	if openConn != nil {
 		discard(openConn)
 	}
@@ -193,7 +193,7 @@
 		Claims:  relay.Claims{Claim: d.claimer.Claim, Release: d.claimer.Release},
 		Dialect: dialect, Endpoints: s.FleetEndpoints(), Metrics: d.metrics, MaxAttempts: s.Limits.MaxAttempts, RetryShare: s.Limits.RetryShare,
 		SlowReader: s.Limits.SlowReader.Duration(), EndpointSilent: s.Limits.EndpointSilent.Duration(), CancelLife: cancelRetryPeriod, Now: d.clock.Now,
-		Timer: d.clock.Timer, Refuses: refusesConnections,
+		Timer: d.clock.TimerTime, Refuses: refusesConnections,
 	})
 }
 
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -211,7 +211,7 @@
 // a suspension of the host they end late by its length, which does no harm.
 func newClock(log *logrus.Entry) *clock.Clock {
 	sources := clock.System()
-	sources.Noticed = func(suspension time.Duration) {
+	sources.OnSuspension = func(suspension time.Duration) {
 		log.WithField("suspended_ms", suspension.Milliseconds()).Warn("the host was suspended")
 	}
 	c, err := clock.New(sources)
@@ -252,7 +252,7 @@
 func newServer(options Options, log *logrus.Entry, clock *clock.Clock, control *coordinator.Coordinator, client *upstream.Client, metrics *metric.Metrics) *gateway.Server {
 	var server *gateway.Server
 	service := proxy.New(proxy.Options{
-		Now: clock.Now, Timer: clock.Timer, WithDeadline: clock.WithDeadline, Random: rand.Float64, Log: log,
+		Now: clock.Now, Timer: clock.TimerTime, WithDeadline: clock.WithDeadline, Random: rand.Float64, Log: log,
 		Refusing: func(kind deployment.RouteKind) bool { return server.Refusing(kind) },
 		Leaving:  func() bool { return server.Leaving() },
 		Observe:  func(o proxy.Observation) { metrics.ObserveRequest(metricRequest(o)) },
