--- a/modules/callerconn/listener.go
+++ b/modules/callerconn/listener.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Wait waits, after Leave, until no connection is open. If ctx ends first, Wait returns the error of ctx.
+// Wait waits, after Shutdown, until no connection is open. If ctx ends first, Wait returns the error of ctx.
 func (l *Listener) Wait(ctx context.Context) error {
 	select {
 	case <-l.drained:
@@ -97,7 +97,7 @@
 	}
 }
 
-// StateChanged is the ConnState hook of an http.Server.
+// StateChanged is the ConnState hook for net/http.
 func (l *Listener) StateChanged(conn net.Conn, state http.ConnState) {
 	c := unwrap(conn)
 	if c == nil {
@@ -123,7 +123,7 @@
 // contextKey is the context key of a request's connection.
 type contextKey struct{}
 
-// ConnContext is the ConnContext hook of an http.Server: it returns a context that holds the connection of the requests.
+// ConnContext is the ConnContext hook for net/http: it returns a context that holds the connection of the requests.
 func ConnContext(ctx context.Context, conn net.Conn) context.Context {
 	if c := unwrap(conn); c != nil {
 		return context.WithValue(ctx, contextKey{}, c)
