--- a/modules/daemon/bytebudget/budget.go
+++ b/modules/daemon/bytebudget/budget.go
@@ -10,48 +10,49 @@
 	"sync"
 )
 
-// ErrNoRoom reports that the wait for room ended before there was any.
+// ErrNoRoom reports that the context of an Acquire ended before enough bytes were free.
 type ErrNoRoom struct {
 	Bytes int64
 	Cause error
 }
 
-// Error gives the bytes and why the wait ended.
+// Error returns the number of requested bytes and the cause.
 func (e ErrNoRoom) Error() string {
 	return fmt.Sprintf("no room for %d bytes: %s", e.Bytes, e.Cause)
 }
 
-// Unwrap gives why the wait ended.
+// Unwrap returns the error of the context.
 func (e ErrNoRoom) Unwrap() error { return e.Cause }
 
-// Budget is a number of bytes that may be held at a time; it is safe for concurrent use.
+// Budget limits the number of bytes that may be held at a time. It is safe for concurrent use.
 type Budget struct {
 	mutex   sync.Mutex
 	total   int64
 	held    int64
-	waiting []*waiter
+	waiters []*waiter
 }
 
-// waiter is one that waits for room; ready is closed, under the mutex, when it has it.
+// waiter is a pending Acquire. ready is closed, under the mutex, when its bytes are acquired.
 type waiter struct {
 	bytes int64
 	ready chan struct{}
 }
 
-// New makes a budget of so many bytes.
+// New returns a Budget of total bytes.
 func New(total int64) *Budget {
 	return &Budget{total: total}
 }
 
-// Acquire waits for room for so many bytes, behind all who asked before; the error, an ErrNoRoom, says that ctx ended first.
-// More than the whole budget counts as the whole. What was acquired is given back by Release with the same number.
+// Acquire waits until bytes are free and takes them; earlier calls are served first. It returns an ErrNoRoom if ctx ends before that.
+// A number above the total of the budget counts as the total. The bytes are given back by Release with the same number.
 func (b *Budget) Acquire(ctx context.Context, bytes int64) error {
 	b.mutex.Lock()
 	w := &waiter{bytes: min(bytes, b.total), ready: make(chan struct{})}
-	b.waiting = append(b.waiting, w)
+	b.waiters = append(b.waiters, w)
 	b.admit()
 	b.mutex.Unlock()
-	// Room that is there at once is taken even where ctx has ended: of two ready cases, select takes either.
+	// Bytes that are free at once are acquired even if ctx has ended. This needs a separate select, since select chooses at random among
+	// several ready cases.
 	select {
 	case <-w.ready:
 		return nil
@@ -64,17 +65,17 @@
 	}
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	at := slices.Index(b.waiting, w)
+	at := slices.Index(b.waiters, w)
 	if at < 0 {
-		// Room came between the end of ctx and the lock.
+		// The bytes were acquired between the end of ctx and the lock.
 		return nil
 	}
-	b.waiting = slices.Delete(b.waiting, at, at+1)
+	b.waiters = slices.Delete(b.waiters, at, at+1)
 	b.admit()
 	return ErrNoRoom{Bytes: bytes, Cause: ctx.Err()}
 }
 
-// Release gives back what was acquired.
+// Release gives back the bytes of an Acquire.
 func (b *Budget) Release(bytes int64) {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -82,15 +83,15 @@
 	b.admit()
 }
 
-// admit lets those go on, the first first, for whom there is room; the mutex is held.
+// admit serves waiters in order until one does not fit; the caller holds the mutex.
 func (b *Budget) admit() {
-	for len(b.waiting) > 0 {
-		first := b.waiting[0]
+	for len(b.waiters) > 0 {
+		first := b.waiters[0]
 		if b.held+first.bytes > b.total {
 			return
 		}
 		b.held += first.bytes
-		b.waiting = b.waiting[1:]
+		b.waiters = b.waiters[1:]
 		close(first.ready)
 	}
 }
--- a/modules/daemon/bytebudget/budget_test.go
+++ b/modules/daemon/bytebudget/budget_test.go
@@ -15,77 +15,77 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/bytebudget"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// acquire asks in the background; the channel gives the result.
-func acquire(ctx context.Context, b *bytebudget.Budget, bytes int64) <-chan error {
+// acquireAsync calls Acquire in a goroutine; the channel receives its result.
+func acquireAsync(ctx context.Context, b *bytebudget.Budget, bytes int64) <-chan error {
 	done := make(chan error, 1)
 	go func() { done <- b.Acquire(ctx, bytes) }()
 	return done
 }
 
-func requireWaits(t *testing.T, done <-chan error) {
+func requireBlocked(t *testing.T, done <-chan error) {
 	t.Helper()
 	select {
 	case err := <-done:
-		require.Fail(t, "it does not wait", "%v", err)
+		require.Fail(t, "Acquire returned instead of waiting", "%v", err)
 	case <-time.After(20 * time.Millisecond):
 	}
 }
 
-func requireDone(t *testing.T, done <-chan error) {
+func requireAcquired(t *testing.T, done <-chan error) {
 	t.Helper()
 	select {
 	case err := <-done:
 		require.NoError(t, err)
-	case <-time.After(patience):
-		require.Fail(t, "it waits")
+	case <-time.After(testTimeout):
+		require.Fail(t, "Acquire did not return in time")
 	}
 }
 
-func TestRoomIsGivenInTheOrderOfAsking(t *testing.T) {
+func TestAcquireIsFirstComeFirstServed(t *testing.T) {
 	ctx := context.Background()
 	b := bytebudget.New(10)
 	require.NoError(t, b.Acquire(ctx, 6))
-	large := acquire(ctx, b, 8)
-	requireWaits(t, large)
-	small := acquire(ctx, b, 1)
-	requireWaits(t, small)
+	large := acquireAsync(ctx, b, 8)
+	requireBlocked(t, large)
+	small := acquireAsync(ctx, b, 1)
+	requireBlocked(t, small)
 	b.Release(6)
-	requireDone(t, large)
-	requireDone(t, small)
+	requireAcquired(t, large)
+	requireAcquired(t, small)
 	require.NoError(t, b.Acquire(ctx, 1))
 }
 
-func TestMoreThanTheBudgetWaitsForAllOfIt(t *testing.T) {
+func TestOversizedAcquireWaitsForWholeBudget(t *testing.T) {
 	ctx := context.Background()
 	b := bytebudget.New(10)
 	require.NoError(t, b.Acquire(ctx, 1))
-	larger := acquire(ctx, b, 11)
-	requireWaits(t, larger)
+	larger := acquireAsync(ctx, b, 11)
+	requireBlocked(t, larger)
 	b.Release(1)
-	requireDone(t, larger)
+	requireAcquired(t, larger)
 	b.Release(11)
 	require.NoError(t, b.Acquire(ctx, 10))
 }
 
-func TestOneThatGivesUpLeavesItsPlaceToOthers(t *testing.T) {
+func TestCancelledAcquireUnblocksNextWaiter(t *testing.T) {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := bytebudget.New(10)
 	require.NoError(t, b.Acquire(ctx, 6))
-	large := acquire(ctx, b, 8)
-	requireWaits(t, large)
-	small := acquire(context.Background(), b, 4)
-	requireWaits(t, small)
+	large := acquireAsync(ctx, b, 8)
+	requireBlocked(t, large)
+	small := acquireAsync(context.Background(), b, 4)
+	requireBlocked(t, small)
 	cancel()
 	var noRoom bytebudget.ErrNoRoom
 	require.ErrorAs(t, <-large, &noRoom)
 	require.ErrorIs(t, noRoom, context.Canceled)
 	require.Equal(t, "no room for 8 bytes: context canceled", noRoom.Error())
-	requireDone(t, small)
+	requireAcquired(t, small)
 }
 
-func TestNoMoreThanTheBudgetIsHeldByMany(t *testing.T) {
+func TestConcurrentAcquiresStayWithinBudget(t *testing.T) {
 	const total = 100
 	b := bytebudget.New(total)
 	var held atomic.Int64
@@ -107,5 +107,5 @@
 		})
 	}
 	done.Wait()
-	require.NoError(t, b.Acquire(context.Background(), total), "all was given back")
+	require.NoError(t, b.Acquire(context.Background(), total), "all bytes were released")
 }
--- a/modules/daemon/bytebudget/doc.go
+++ b/modules/daemon/bytebudget/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package bytebudget bounds what is held in memory at a time, in bytes: who wants to hold something waits until there is
-// room, in the order of asking. It starts no goroutines and reads no clock.
+// Package bytebudget bounds the number of bytes that are held in memory at a time. A caller acquires bytes before it holds them, and
+// waits until enough are free. Waiting callers are served first come, first served. The package starts no goroutines and reads no clock.
 package bytebudget
--- a/modules/daemon/certificate/reloader.go
+++ b/modules/daemon/certificate/reloader.go
@@ -12,50 +12,52 @@
 	"time"
 )
 
-// Files names the files of a certificate, its key, and the authority of the other side.
+// Files names the files of a certificate, its key, and the certificate authority of the peers.
 type Files struct {
 	Cert string
 	Key  string
-	// CA, if set, is what the other side's certificate must be signed by.
+	// CA, if set, is the file of the certificate authority that must have signed the certificates of peers.
 	CA string
 }
 
-// ErrBadCertificate reports files that cannot be used.
+// ErrBadCertificate reports an unusable certificate file or peer certificate.
 type ErrBadCertificate struct {
+	// File is the path of the file, or "of the peer" for a certificate that a peer presented.
 	File   string
 	Reason string
 }
 
-// Error names the file.
+// Error returns the file and the reason.
 func (e ErrBadCertificate) Error() string {
 	return fmt.Sprintf("certificate file %s: %s", e.File, e.Reason)
 }
 
-// Reloader reads the files again when they change; a broken new file leaves the old certificate in use.
+// Reloader loads the files again after they have changed. If a new file is invalid, the previous certificate stays in use.
 type Reloader struct {
-	files   Files
-	now     func() time.Time
-	mutex   sync.Mutex
-	looked  time.Time
-	changed time.Time
-	cert    *tls.Certificate
-	pool    *x509.CertPool
+	files Files
+	now   func() time.Time
+	mutex sync.Mutex
+	// lastCheck is when the modification times were last checked, modTime the latest modification time of the files last loaded.
+	lastCheck time.Time
+	modTime   time.Time
+	cert      *tls.Certificate
+	pool      *x509.CertPool
 }
 
-// lookEvery is the least time between two looks at the files: three calls of the file system for the handshakes in it, against how soon a
-// new certificate is used.
-const lookEvery = time.Second
+// checkInterval is the minimum time between two checks of the files. A check costs three file system calls; a longer interval delays the
+// use of a new certificate.
+const checkInterval = time.Second
 
-// New reads the files for the first time.
+// New returns a Reloader after loading the files for the first time.
 func New(f Files, now func() time.Time) (*Reloader, error) {
 	r := &Reloader{files: f, now: now}
-	if err := r.read(); err != nil {
+	if err := r.load(); err != nil {
 		return nil, err
 	}
 	return r, nil
 }
 
-func (r *Reloader) read() error {
+func (r *Reloader) load() error {
 	cert, err := tls.LoadX509KeyPair(r.files.Cert, r.files.Key)
 	if err != nil {
 		return ErrBadCertificate{File: r.files.Cert, Reason: err.Error()}
@@ -75,24 +77,25 @@
 	return nil
 }
 
-// current gives the certificate in use, after a look at the files now and then.
+// current returns the certificate and the certificate authorities in use. It first reloads changed files if checkInterval has passed
+// since the last check.
 func (r *Reloader) current() (*tls.Certificate, *x509.CertPool) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	now := r.now()
-	if now.Sub(r.looked) < lookEvery {
+	if now.Sub(r.lastCheck) < checkInterval {
 		return r.cert, r.pool
 	}
-	r.looked = now
-	if changed := r.lastChange(); changed.After(r.changed) {
-		if r.read() == nil {
-			r.changed = changed
+	r.lastCheck = now
+	if modTime := r.latestModTime(); modTime.After(r.modTime) {
+		if r.load() == nil {
+			r.modTime = modTime
 		}
 	}
 	return r.cert, r.pool
 }
 
-func (r *Reloader) lastChange() time.Time {
+func (r *Reloader) latestModTime() time.Time {
 	var latest time.Time
 	for _, name := range []string{r.files.Cert, r.files.Key, r.files.CA} {
 		if name == "" {
@@ -105,7 +108,7 @@
 	return latest
 }
 
-// Server gives a configuration for listeners; with a CA, clients must show a certificate.
+// Server returns a TLS configuration for listeners. If a CA is set, clients must present a certificate signed by it.
 func (r *Reloader) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -120,13 +123,13 @@
 	}
 }
 
-// Client gives a configuration for calls to peers, which must show a certificate of
-// the CA; names are not looked at, since peers are known by their IP numbers alone.
+// Client returns a TLS configuration for calls to peers, which must present a certificate signed by the CA. Host names are not verified,
+// since peers are identified by their IP addresses alone.
 func (r *Reloader) Client() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			// The authority is looked at in verifyPeer.
+			// The certificate authority is checked in verifyPeer.
 			cert, _ := r.current()
 			return cert, nil
 		},
--- a/modules/daemon/certificate/reloader_test.go
+++ b/modules/daemon/certificate/reloader_test.go
@@ -22,32 +22,32 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/certificate"
 )
 
-var start = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
+var testTime = time.Date(2026, 1, 1, 0, 0, 0, 0, time.UTC)
 
-// write puts a self-signed certificate with a serial number, and its key, into the files, changed at the given time.
-func write(t *testing.T, f certificate.Files, serial int64, changed time.Time) {
+// writeCertificate writes a self-signed certificate with the serial number, and its key, to files with the modification time.
+func writeCertificate(t *testing.T, f certificate.Files, serial int64, modTime time.Time) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	require.NoError(t, err)
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "test"}, NotBefore: start.Add(-time.Hour), NotAfter: start.Add(time.Hour),
+		SerialNumber: big.NewInt(serial), Subject: pkix.Name{CommonName: "test"}, NotBefore: testTime.Add(-time.Hour), NotAfter: testTime.Add(time.Hour),
 	}
 	der, err := x509.CreateCertificate(rand.Reader, template, template, &key.PublicKey, key)
 	require.NoError(t, err)
 	raw, err := x509.MarshalPKCS8PrivateKey(key)
 	require.NoError(t, err)
-	put(t, f.Cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), changed)
-	put(t, f.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), changed)
+	writeFile(t, f.Cert, pem.EncodeToMemory(&pem.Block{Type: "CERTIFICATE", Bytes: der}), modTime)
+	writeFile(t, f.Key, pem.EncodeToMemory(&pem.Block{Type: "PRIVATE KEY", Bytes: raw}), modTime)
 }
 
-func put(t *testing.T, name string, data []byte, changed time.Time) {
+func writeFile(t *testing.T, name string, data []byte, modTime time.Time) {
 	t.Helper()
 	require.NoError(t, os.WriteFile(name, data, 0o600))
-	require.NoError(t, os.Chtimes(name, changed, changed))
+	require.NoError(t, os.Chtimes(name, modTime, modTime))
 }
 
-// served gives the serial number of the certificate that a connection would get now.
-func served(t *testing.T, r *certificate.Reloader) int64 {
+// servedSerial returns the serial number of the certificate that a new connection would get.
+func servedSerial(t *testing.T, r *certificate.Reloader) int64 {
 	t.Helper()
 	config, err := r.Server().GetConfigForClient(&tls.ClientHelloInfo{})
 	require.NoError(t, err)
@@ -56,36 +56,36 @@
 	return cert.SerialNumber.Int64()
 }
 
-func TestAReplacedCertificateIsServedAndABrokenOneIsNot(t *testing.T) {
+func TestReplacedCertificateIsServedUnlessInvalid(t *testing.T) {
 	dir := t.TempDir()
 	f := certificate.Files{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
-	write(t, f, 1, start)
-	now := start
+	writeCertificate(t, f, 1, testTime)
+	now := testTime
 	r, err := certificate.New(f, func() time.Time { return now })
 	require.NoError(t, err)
-	require.Equal(t, int64(1), served(t, r))
+	require.Equal(t, int64(1), servedSerial(t, r))
 
-	write(t, f, 2, start.Add(time.Minute))
-	require.Equal(t, int64(1), served(t, r), "the files are looked at once a second")
+	writeCertificate(t, f, 2, testTime.Add(time.Minute))
+	require.Equal(t, int64(1), servedSerial(t, r), "the files are checked once a second")
 	now = now.Add(time.Second)
-	require.Equal(t, int64(2), served(t, r))
+	require.Equal(t, int64(2), servedSerial(t, r))
 
-	put(t, f.Cert, []byte("half a certi"), start.Add(2*time.Minute))
+	writeFile(t, f.Cert, []byte("half a certi"), testTime.Add(2*time.Minute))
 	now = now.Add(time.Second)
-	require.Equal(t, int64(2), served(t, r), "the last good one stays in use")
-	write(t, f, 3, start.Add(2*time.Minute))
+	require.Equal(t, int64(2), servedSerial(t, r), "the last valid certificate stays in use")
+	writeCertificate(t, f, 3, testTime.Add(2*time.Minute))
 	now = now.Add(time.Second)
-	require.Equal(t, int64(3), served(t, r), "the same time of change as the broken one")
+	require.Equal(t, int64(3), servedSerial(t, r), "valid files with the modification time of the invalid ones are loaded")
 }
 
-func TestFilesThatCannotBeUsedAreNamed(t *testing.T) {
+func TestInvalidFileIsNamedInError(t *testing.T) {
 	dir := t.TempDir()
 	f := certificate.Files{Cert: filepath.Join(dir, "cert.pem"), Key: filepath.Join(dir, "key.pem")}
 	_, err := certificate.New(f, time.Now)
 	require.ErrorContains(t, err, f.Cert)
-	write(t, f, 1, start)
+	writeCertificate(t, f, 1, testTime)
 	f.CA = filepath.Join(dir, "ca.pem")
-	put(t, f.CA, []byte("no certificate"), start)
+	writeFile(t, f.CA, []byte("no certificate"), testTime)
 	_, err = certificate.New(f, time.Now)
 	require.Equal(t, certificate.ErrBadCertificate{File: f.CA, Reason: "holds no certificate"}, err)
 }
