--- a/modules/daemon/engine/dialect.go
+++ b/modules/daemon/engine/dialect.go
@@ -13,18 +13,22 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Status is an endpoint's own account of itself.
+// Status is the state that an endpoint reports of itself.
 type Status struct {
+	// Incarnation changes with each start of the endpoint.
 	Incarnation string
-	Fence       uint64
-	Holder      string
-	Resident    []fleet.AdapterRef
+	// Fence is the fence in force, Holder the name of its holder.
+	Fence  uint64
+	Holder string
+	// Resident lists the loaded adapters.
+	Resident []fleet.AdapterRef
 	// Running lists the adapters of running and queued requests.
 	Running []fleet.AdapterRef
+	// Leaving is set while the endpoint is about to stop.
 	Leaving bool
 }
 
-// Order is a fenced order to an endpoint.
+// Order is a command to an endpoint, protected by a fencing token.
 type Order struct {
 	Endpoint    fleet.Endpoint
 	Incarnation string
@@ -34,7 +38,7 @@
 	Source      string
 }
 
-// Call is one caller's request as it is passed to an endpoint.
+// Call is a caller's request as it is sent to an endpoint.
 type Call struct {
 	Endpoint    fleet.Endpoint
 	Method      string
@@ -50,76 +54,77 @@
 	ResumeFrom int
 }
 
-// Dialect is how one kind of endpoint is spoken to.
+// Dialect implements the protocol of one kind of endpoint.
 type Dialect struct {
 	Name string
-	// Status reads the endpoint's list and running requests.
+	// Status reads the loaded adapters and the running requests of an endpoint.
 	Status func(ctx context.Context, e fleet.Endpoint) (Status, error)
-	// Take makes the endpoint refuse every fence below the given one.
+	// Take makes the endpoint refuse all fences below that of the order.
 	Take func(ctx context.Context, o Order) error
-	// Load and Unload change a slot.
+	// Load loads an adapter into a slot; Unload removes it.
 	Load   func(ctx context.Context, o Order) error
 	Unload func(ctx context.Context, o Order) error
-	// Start sends a request and gives the answer with its body unread.
+	// Start sends a request and returns the response with its body unread.
 	Start func(ctx context.Context, c Call) (*http.Response, error)
-	// Cancel ends a request that is running or queued.
+	// Cancel cancels a running or queued request.
 	Cancel func(ctx context.Context, e fleet.Endpoint, requestID string) error
 }
 
-// ErrNotRun reports an order or request that surely had no effect.
+// ErrNotRun reports an order or request that certainly had no effect.
 type ErrNotRun struct {
 	What   string
 	Reason string
-	// Status is the endpoint's answer, or zero where there was none.
+	// Status is the HTTP status of the response, or zero if there was no response.
 	Status int
-	// RetryAfter is the endpoint's own wish, or zero.
+	// RetryAfter is the value of the Retry-After header of the response, or zero.
 	RetryAfter time.Duration
 }
 
-// Error tells what was not run, and why.
+// Error returns the operation and the reason.
 func (e ErrNotRun) Error() string {
 	return fmt.Sprintf("%s was not run: %s", e.What, e.Reason)
 }
 
-// IsErrNotRun tells whether an error is an ErrNotRun.
+// IsErrNotRun reports whether err is an ErrNotRun.
 func IsErrNotRun(err error) bool {
 	var e ErrNotRun
 	return errors.As(err, &e)
 }
 
-// ErrFenced reports an order that the endpoint refused for its fence or incarnation.
+// ErrFenced reports an order that the endpoint refused because of its fence or incarnation.
 type ErrFenced struct {
-	What  string
+	What string
+	// Fence is the fence in force at the endpoint.
 	Fence uint64
 }
 
-// Error tells which order was refused.
+// Error returns the operation and the fence in force.
 func (e ErrFenced) Error() string {
-	return fmt.Sprintf("%s was refused: the endpoint obeys fence %d or has restarted", e.What, e.Fence)
+	return fmt.Sprintf("%s was refused: fence %d is in force at the endpoint, or the endpoint has restarted", e.What, e.Fence)
 }
 
-// IsErrFenced tells whether an error is an ErrFenced.
+// IsErrFenced reports whether err is an ErrFenced.
 func IsErrFenced(err error) bool {
 	var e ErrFenced
 	return errors.As(err, &e)
 }
 
-// ErrUnknown reports an order or request that may have had its effect.
+// ErrUnknown reports an order or request that may or may not have taken effect.
 type ErrUnknown struct {
 	What   string
 	Reason string
 }
 
-// Error tells what has an unknown end, and why.
+// Error returns the operation and the reason.
 func (e ErrUnknown) Error() string {
 	return fmt.Sprintf("%s may or may not have been run: %s", e.What, e.Reason)
 }
 
-// NextFence gives a fence above every one seen that no other holder can choose:
-// the low bits are the holder's own.
+// NextFence returns a fence that is higher than seen, the highest fence seen so far. No other holder can choose the same fence, since the
+// low bits identify the holder.
 func NextFence(seen uint64, holder uint16) uint64 {
 	return (seen>>holderBits+1)<<holderBits | uint64(holder)
 }
 
-// holderBits is how many low bits of a fence name its holder; peers and stored fences go by it.
+// holderBits is the number of low bits of a fence that identify its holder. Peers and stored fences depend on it.
 const holderBits = 16
--- a/modules/daemon/engine/doc.go
+++ b/modules/daemon/engine/doc.go
@@ -1,9 +1,10 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package engine speaks to endpoints: orders, lists, requests, resume and cancel. A Dialect is a set of functions, so
-// that another engine's protocol is one new file; the only one so far is vLLM's published form with fences as headers.
+// Package engine is the client of endpoints: it sends orders and callers' requests, reads the status of endpoints, and resumes and cancels
+// requests. A Dialect is a set of functions, so that the protocol of another engine needs one new file. The only dialect is vLLM's
+// published HTTP API with fences as headers.
 //
-// A Dialect owns nothing but its transport's connections, which count what was written, so that "not run" can be told
-// for sure. It starts no goroutines.
+// A Dialect owns only the connections of its transport. These count the bytes written, so that a request that was certainly not run can be
+// told from one that may have run. The package starts no goroutines.
 package engine
--- a/modules/daemon/engine/transport.go
+++ b/modules/daemon/engine/transport.go
@@ -21,19 +21,19 @@
 }
 
 const (
-	// keepAlive is the time between probes of an idle connection, so that one to a lost host is noticed.
-	keepAlive = 15 * time.Second
-	// writeBuffer and readBuffer are each connection's buffers, in bytes: smaller saves memory, larger saves system calls
-	// (docs/design/0004-data-path.md).
-	writeBuffer = 1 << 10
-	readBuffer  = 2 << 10
+	// keepAliveInterval is the time between keep-alive probes of an idle connection, which detect a lost host.
+	keepAliveInterval = 15 * time.Second
+	// writeBufferSize and readBufferSize are the sizes of each connection's buffers, in bytes. Smaller buffers save memory, larger ones
+	// save system calls (docs/design/0004-data-path.md).
+	writeBufferSize = 1 << 10
+	readBufferSize  = 2 << 10
 )
 
-// NewTransport makes a transport whose connections count what was written, so that "not run" can be told for sure. By itself it
-// sends nothing twice but a GET, HEAD or OPTIONS without a body, which net/http sends again where a kept connection breaks
-// before the answer.
+// NewTransport returns a transport whose connections count the bytes written, so that a request that was certainly not run can be told
+// from one that may have run. The transport resends only a GET, HEAD or OPTIONS without a body: net/http does so if a reused connection
+// breaks before the response.
 func NewTransport(o TransportOptions) *http.Transport {
-	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAlive: keepAlive}
+	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAlive: keepAliveInterval}
 	return &http.Transport{
 		DialContext: func(ctx context.Context, network, address string) (net.Conn, error) {
 			conn, err := dialer.DialContext(ctx, network, address)
@@ -47,12 +47,12 @@
 		MaxIdleConnsPerHost:   o.MaxIdlePerHost,
 		DisableCompression:    true,
 		ForceAttemptHTTP2:     false,
-		WriteBufferSize:       writeBuffer,
-		ReadBufferSize:        readBuffer,
+		WriteBufferSize:       writeBufferSize,
+		ReadBufferSize:        readBufferSize,
 	}
 }
 
-// countingConn counts the bytes handed to the kernel.
+// countingConn counts the bytes passed to the kernel.
 type countingConn struct {
 	net.Conn
 	written atomic.Int64
@@ -68,31 +68,33 @@
 	return n, err
 }
 
-// writeProbe tells whether any byte of one request was written.
+// writeProbe detects whether any byte of one request was written.
 type writeProbe struct {
-	conn  atomic.Pointer[countingConn]
-	began atomic.Int64
-	other atomic.Bool
+	conn atomic.Pointer[countingConn]
+	// start is the number of bytes written on conn before the request.
+	start atomic.Int64
+	// uncounted is set if the request used a connection that does not count bytes.
+	uncounted atomic.Bool
 }
 
-// trace hooks the probe into a request's context.
+// trace returns a context for the request with the probe installed.
 func (p *writeProbe) trace(ctx context.Context) context.Context {
 	return httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
 		c, ok := info.Conn.(*countingConn)
 		if !ok {
-			p.other.Store(true)
+			p.uncounted.Store(true)
 			return
 		}
-		p.began.Store(c.written.Load())
+		p.start.Store(c.written.Load())
 		p.conn.Store(c)
 	}})
 }
 
-// wrote tells whether a byte of the request may have left; what cannot be counted counts as written.
-func (p *writeProbe) wrote() bool {
-	if p.other.Load() {
+// mayHaveWritten reports whether a byte of the request may have been written; bytes on an uncounted connection count as written.
+func (p *writeProbe) mayHaveWritten() bool {
+	if p.uncounted.Load() {
 		return true
 	}
 	c := p.conn.Load()
-	return c != nil && c.written.Load() > p.began.Load()
+	return c != nil && c.written.Load() > p.start.Load()
 }
--- a/modules/daemon/engine/vllm.go
+++ b/modules/daemon/engine/vllm.go
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// The headers beyond vLLM's published form; docs/protocols.md describes them.
+// The headers that extend vLLM's published API; docs/protocols.md describes them.
 const (
 	HeaderFence       = "X-Fence"
 	HeaderHolder      = "X-Fence-Holder"
@@ -32,46 +32,47 @@
 
 const serviceName = "shelfledge-endpoints"
 
-// maxReason bounds the text of an endpoint's refusal that goes into an error, in bytes.
-const maxReason = 1 << 10
+// maxReasonBytes bounds the part of an error response's body that is copied into an error, in bytes.
+const maxReasonBytes = 1 << 10
 
-// vllm holds what the functions of the dialect share.
+// vllm holds the state shared by the functions of the dialect.
 type vllm struct {
-	service httpc.Service
-	control *http.Client
-	timeout time.Duration
-	loads   time.Duration
+	service     httpc.Service
+	httpClient  *http.Client
+	timeout     time.Duration
+	loadTimeout time.Duration
 }
 
 // VLLMOptions are the settings of the vLLM dialect.
 type VLLMOptions struct {
 	Transport http.RoundTripper
-	// Timeout bounds lists and short orders, LoadTimeout the loads.
+	// Timeout bounds status calls and all orders except loads, LoadTimeout the loads.
 	Timeout     time.Duration
 	LoadTimeout time.Duration
 }
 
-// NewVLLM gives vLLM's published HTTP form: its LoRA loading calls, model list and metrics page.
+// NewVLLM returns the dialect for vLLM's published HTTP API: its calls for loading LoRA adapters, its model list and its metrics page.
 func NewVLLM(o VLLMOptions) Dialect {
 	client := &http.Client{Transport: o.Transport, CheckRedirect: func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }}
-	// One breaker for all endpoints would let one failing endpoint close the others.
+	// A circuit breaker shared by all endpoints would block the others because of one failing endpoint.
 	breaker.NoBreakerFor(serviceName)
-	v := &vllm{service: httpc.NewServiceWithClient(serviceName, client), control: client, timeout: o.Timeout, loads: o.LoadTimeout}
-	return Dialect{Name: "vllm", Status: v.status, Take: v.take, Load: v.load, Unload: v.unload, Start: v.start, Cancel: v.cancel}
+	v := &vllm{service: httpc.NewServiceWithClient(serviceName, client), httpClient: client, timeout: o.Timeout, loadTimeout: o.LoadTimeout}
+	return Dialect{Name: "vllm", Status: v.status, Take: v.claimFence, Load: v.load, Unload: v.unload, Start: v.start, Cancel: v.cancel}
 }
 
-func url(e fleet.Endpoint, path string) string {
+func endpointURL(e fleet.Endpoint, path string) string {
 	return "http://" + e.Address.String() + path
 }
 
-func brokenOff(what string, probe *writeProbe, err error) error {
-	if !probe.wrote() {
+// transportError converts an error of the HTTP client to an ErrNotRun if no byte of the request was written, else to an ErrUnknown.
+func transportError(what string, probe *writeProbe, err error) error {
+	if !probe.mayHaveWritten() {
 		return ErrNotRun{What: what, Reason: err.Error()}
 	}
 	return ErrUnknown{What: what, Reason: err.Error()}
 }
 
-// newPost makes a request whose body the transport cannot replay.
+// newPost returns a POST request whose body the transport cannot resend.
 func newPost(ctx context.Context, address string, body []byte) (*http.Request, error) {
 	return newRequest(ctx, http.MethodPost, address, body)
 }
--- a/modules/daemon/engine/vllm_call.go
+++ b/modules/daemon/engine/vllm_call.go
@@ -15,11 +15,11 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// start sends a request. An error is ErrNotRun only where no byte was written or
-// the endpoint said so; other answers are for the caller to judge.
+// start sends a request. It returns an ErrNotRun only if no byte was written or the endpoint responded that the request was not run. All
+// other responses are returned to the caller.
 func (v *vllm) start(ctx context.Context, c Call) (*http.Response, error) {
 	probe := &writeProbe{}
-	req, err := newRequest(probe.trace(ctx), c.Method, url(c.Endpoint, c.Path), c.Body)
+	req, err := newRequest(probe.trace(ctx), c.Method, endpointURL(c.Endpoint, c.Path), c.Body)
 	if err != nil {
 		return nil, ErrNotRun{What: "request", Reason: err.Error()}
 	}
@@ -36,12 +36,12 @@
 	}
 	resp, err := v.service.DoRequest(req)
 	if err != nil {
-		return nil, brokenOff("request", probe, err)
+		return nil, transportError("request", probe, err)
 	}
-	if refusedUnrun(c.Endpoint, resp) {
-		// The text only explains a refusal that is certain; what could be read of it is enough.
+	if refusedBeforeRun(c.Endpoint, resp) {
+		// The body only explains the refusal, which is certain from status and headers, so that a read error is ignored.
 		defer func() { _ = resp.Body.Close() }()
-		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReason))
+		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
 		return nil, ErrNotRun{
 			What: "request", Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode,
 			RetryAfter: retryAfter(resp.Header),
@@ -50,15 +50,15 @@
 	return resp, nil
 }
 
-// refusedUnrun tells whether the endpoint itself says that the request was not run.
-func refusedUnrun(e fleet.Endpoint, resp *http.Response) bool {
+// refusedBeforeRun reports whether the response states that the request was not run.
+func refusedBeforeRun(e fleet.Endpoint, resp *http.Response) bool {
 	if resp.Header.Get(HeaderNotRun) != "" || resp.StatusCode == http.StatusPreconditionFailed {
 		return true
 	}
 	if e.Kind == fleet.KindPlain {
 		return false
 	}
-	// An engine's published answers to a model that it does not hold, and to a full queue.
+	// These are an engine's documented responses for a model that is not loaded and for a full queue.
 	return resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusTooManyRequests
 }
 
@@ -73,11 +73,11 @@
 func (v *vllm) cancel(ctx context.Context, e fleet.Endpoint, requestID string) error {
 	ctx, cancel := context.WithTimeout(ctx, v.timeout)
 	defer cancel()
-	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, url(e, "/v1/requests/"+requestID), nil)
+	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, endpointURL(e, "/v1/requests/"+requestID), nil)
 	if err != nil {
 		return ErrNotRun{What: "cancel", Reason: err.Error()}
 	}
-	resp, err := v.control.Do(req)
+	resp, err := v.httpClient.Do(req)
 	if err != nil {
 		return ErrUnknown{What: "cancel", Reason: err.Error()}
 	}
--- a/modules/daemon/engine/vllm_order.go
+++ b/modules/daemon/engine/vllm_order.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-func (v *vllm) take(ctx context.Context, o Order) error {
+func (v *vllm) claimFence(ctx context.Context, o Order) error {
 	return v.order(ctx, o, "take", "/v1/fence", nil, v.timeout)
 }
 
-// loadBody is the body of vLLM's loading calls.
+// loadBody is the request body of vLLM's calls that load and unload an adapter.
 type loadBody struct {
 	Name string `json:"lora_name"`
 	Path string `json:"lora_path,omitempty"`
 }
 
 func (v *vllm) load(ctx context.Context, o Order) error {
-	return v.order(ctx, o, "load", "/v1/load_lora_adapter", &loadBody{Name: o.Adapter.String(), Path: o.Source}, v.loads)
+	return v.order(ctx, o, "load", "/v1/load_lora_adapter", &loadBody{Name: o.Adapter.String(), Path: o.Source}, v.loadTimeout)
 }
 
 func (v *vllm) unload(ctx context.Context, o Order) error {
@@ -36,34 +36,34 @@
 	defer cancel()
 	raw := []byte("{}")
 	if body != nil {
-		// A struct of strings always has a JSON form.
+		// Encoding a struct of strings never fails.
 		raw, _ = json.Marshal(body)
 	}
 	probe := &writeProbe{}
-	req, err := newPost(probe.trace(ctx), url(o.Endpoint, path), raw)
+	req, err := newPost(probe.trace(ctx), endpointURL(o.Endpoint, path), raw)
 	if err != nil {
 		return ErrNotRun{What: what, Reason: err.Error()}
 	}
 	setFence(req.Header, o.Fence, o.Incarnation)
 	req.Header.Set(HeaderHolder, o.Holder)
-	resp, err := v.control.Do(req)
+	resp, err := v.httpClient.Do(req)
 	if err != nil {
-		return brokenOff(what, probe, err)
+		return transportError(what, probe, err)
 	}
-	// The order's end is known from status and headers.
+	// The result of the order is known from status and headers, so that an error of Close is ignored.
 	defer func() { _ = resp.Body.Close() }()
-	return orderAnswer(what, resp)
+	return orderError(what, resp)
 }
 
-// orderAnswer reads an endpoint's answer to an order.
-func orderAnswer(what string, resp *http.Response) error {
-	// The text only explains a status that decides by itself; what could be read of it is enough.
-	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReason))
+// orderError returns the error that an endpoint's response to an order stands for, or nil if the order was run.
+func orderError(what string, resp *http.Response) error {
+	// The body only explains the status, so that a read error is ignored.
+	text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
 	switch {
 	case resp.StatusCode == http.StatusOK:
 		return nil
 	case resp.StatusCode == http.StatusPreconditionFailed:
-		return ErrFenced{What: what, Fence: headerStatus(resp.Header).Fence}
+		return ErrFenced{What: what, Fence: statusFromHeader(resp.Header).Fence}
 	case resp.StatusCode < http.StatusInternalServerError || resp.Header.Get(HeaderNotRun) != "":
 		return ErrNotRun{What: what, Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode}
 	}
--- a/modules/daemon/engine/vllm_status.go
+++ b/modules/daemon/engine/vllm_status.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// modelList is the answer of /v1/models.
+// modelList is the response of /v1/models.
 type modelList struct {
 	Data []struct {
 		ID     string `json:"id"`
@@ -28,38 +28,38 @@
 	if e.Kind == fleet.KindPlain {
 		return v.plainStatus(ctx, e)
 	}
-	resp, err := v.get(ctx, url(e, "/v1/models"))
+	resp, err := v.get(ctx, endpointURL(e, "/v1/models"))
 	if err != nil {
 		return Status{}, err
 	}
-	// The list is judged by its content, here as below.
+	// A truncated list fails to decode, so that an error of Close is ignored.
 	defer func() { _ = resp.Body.Close() }()
 	var list modelList
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
 		return Status{}, ErrUnknown{What: "list", Reason: err.Error()}
 	}
-	s := headerStatus(resp.Header)
+	s := statusFromHeader(resp.Header)
 	for _, m := range list.Data {
 		if ref, err := fleet.ParseAdapterRef(m.ID); err == nil && m.Parent != "" {
 			s.Resident = append(s.Resident, ref)
 		}
 	}
-	s.Running, err = v.running(ctx, e)
+	s.Running, err = v.runningAdapters(ctx, e)
 	return s, err
 }
 
 func (v *vllm) plainStatus(ctx context.Context, e fleet.Endpoint) (Status, error) {
-	resp, err := v.get(ctx, url(e, "/health"))
+	resp, err := v.get(ctx, endpointURL(e, "/health"))
 	if err != nil {
 		return Status{}, err
 	}
-	// The headers are all that counts.
+	// Only the headers are used, so that an error of Close is ignored.
 	_ = resp.Body.Close()
-	return headerStatus(resp.Header), nil
+	return statusFromHeader(resp.Header), nil
 }
 
-func headerStatus(h http.Header) Status {
-	// A missing or malformed fence is taken as zero, none: an endpoint that checks fences refuses what is too low by itself.
+func statusFromHeader(h http.Header) Status {
+	// A missing or malformed fence counts as zero, which means no fence: an endpoint that checks fences refuses a fence that is too low.
 	fence, _ := strconv.ParseUint(h.Get(HeaderFence), 10, 64)
 	return Status{
 		Incarnation: h.Get(HeaderIncarnation), Fence: fence, Holder: h.Get(HeaderHolder), Leaving: h.Get(HeaderLeaving) != "",
@@ -71,36 +71,36 @@
 	if err != nil {
 		return nil, ErrNotRun{What: "list", Reason: err.Error()}
 	}
-	resp, err := v.control.Do(req)
+	resp, err := v.httpClient.Do(req)
 	if err != nil {
 		return nil, ErrUnknown{What: "list", Reason: err.Error()}
 	}
 	if resp.StatusCode != http.StatusOK {
-		// The status is reason enough.
+		// The status is the reason of the error, so that an error of Close is ignored.
 		_ = resp.Body.Close()
 		return nil, ErrUnknown{What: "list", Reason: resp.Status}
 	}
 	return resp, nil
 }
 
-const loraInfo = "vllm:lora_requests_info{"
+const loraInfoPrefix = "vllm:lora_requests_info{"
 
-// running reads the adapters of running and waiting requests from the metrics page.
-func (v *vllm) running(ctx context.Context, e fleet.Endpoint) ([]fleet.AdapterRef, error) {
-	resp, err := v.get(ctx, url(e, "/metrics"))
+// runningAdapters reads the adapters of running and queued requests from the metrics page.
+func (v *vllm) runningAdapters(ctx context.Context, e fleet.Endpoint) ([]fleet.AdapterRef, error) {
+	resp, err := v.get(ctx, endpointURL(e, "/metrics"))
 	if err != nil {
 		return nil, err
 	}
-	// The page is judged by its content, as the list is.
+	// A read error is reported by the scanner, so that an error of Close is ignored.
 	defer func() { _ = resp.Body.Close() }()
 	lines := bufio.NewScanner(resp.Body)
 	var out []fleet.AdapterRef
 	for lines.Scan() {
-		if !strings.HasPrefix(lines.Text(), loraInfo) {
+		if !strings.HasPrefix(lines.Text(), loraInfoPrefix) {
 			continue
 		}
-		out = append(out, refsInLabel(lines.Text(), "running_lora_adapters")...)
-		out = append(out, refsInLabel(lines.Text(), "waiting_lora_adapters")...)
+		out = append(out, adapterRefsInLabel(lines.Text(), "running_lora_adapters")...)
+		out = append(out, adapterRefsInLabel(lines.Text(), "waiting_lora_adapters")...)
 	}
 	if err := lines.Err(); err != nil {
 		return nil, ErrUnknown{What: "metrics", Reason: err.Error()}
@@ -108,12 +108,12 @@
 	return out, nil
 }
 
-func refsInLabel(line, label string) []fleet.AdapterRef {
+func adapterRefsInLabel(line, label string) []fleet.AdapterRef {
 	_, rest, found := strings.Cut(line, label+`="`)
 	if !found {
 		return nil
 	}
-	// A label without its closing quote is read to the end of the line.
+	// A label value without closing quote extends to the end of the line.
 	value, _, _ := strings.Cut(rest, `"`)
 	var out []fleet.AdapterRef
 	for name := range strings.SplitSeq(value, ",") {
--- a/modules/daemon/engine/vllm_test.go
+++ b/modules/daemon/engine/vllm_test.go
@@ -21,24 +21,24 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/engine"
 )
 
-var a1 = fleet.AdapterRef{Name: "a", Version: 1}
+var testAdapter = fleet.AdapterRef{Name: "a", Version: 1}
 
-func dialect() engine.Dialect {
+func newDialect() engine.Dialect {
 	return engine.NewVLLM(engine.VLLMOptions{
 		Transport: engine.NewTransport(engine.TransportOptions{DialTimeout: time.Second, HeaderTimeout: 5 * time.Second, MaxIdlePerHost: 1}),
 		Timeout:   5 * time.Second, LoadTimeout: 5 * time.Second,
 	})
 }
 
-func endpoint(t *testing.T, kind fleet.EndpointKind, handler http.HandlerFunc) fleet.Endpoint {
+func newEndpoint(t *testing.T, kind fleet.EndpointKind, handler http.HandlerFunc) fleet.Endpoint {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
 	return fleet.Endpoint{Kind: kind, Address: netip.MustParseAddrPort(server.Listener.Addr().String())}
 }
 
-// gone is an endpoint at whose address nobody listens.
-func gone(t *testing.T) fleet.Endpoint {
+// closedEndpoint returns an endpoint whose address refuses connections.
+func closedEndpoint(t *testing.T) fleet.Endpoint {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -47,7 +47,7 @@
 	return fleet.Endpoint{Kind: fleet.KindEngine, Address: address}
 }
 
-func answer(status int, headers map[string]string) http.HandlerFunc {
+func respond(status int, headers map[string]string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for name, value := range headers {
 			w.Header().Set(name, value)
@@ -57,14 +57,14 @@
 	}
 }
 
-func breakOff(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
+func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func isUnknown(err error) bool {
 	var e engine.ErrUnknown
 	return errors.As(err, &e)
 }
 
-func TestAnOrderEndsAsTheEndpointSays(t *testing.T) {
+func TestOrderErrorByResponse(t *testing.T) {
 	notRun := map[string]string{engine.HeaderNotRun: "true"}
 	for _, c := range []struct {
 		status  int
@@ -79,23 +79,23 @@
 		{http.StatusInternalServerError, notRun, engine.IsErrNotRun},
 		{http.StatusServiceUnavailable, nil, isUnknown},
 	} {
-		e := endpoint(t, fleet.KindEngine, answer(c.status, c.headers))
-		err := dialect().Load(context.Background(), engine.Order{Endpoint: e, Adapter: a1})
+		e := newEndpoint(t, fleet.KindEngine, respond(c.status, c.headers))
+		err := newDialect().Load(context.Background(), engine.Order{Endpoint: e, Adapter: testAdapter})
 		require.True(t, c.is(err), "%d: %v", c.status, err)
 	}
-	err := dialect().Unload(context.Background(), engine.Order{Endpoint: endpoint(t, fleet.KindEngine, breakOff), Adapter: a1})
+	err := newDialect().Unload(context.Background(), engine.Order{Endpoint: newEndpoint(t, fleet.KindEngine, abortConnection), Adapter: testAdapter})
 	require.True(t, isUnknown(err), "%v", err)
-	err = dialect().Take(context.Background(), engine.Order{Endpoint: gone(t)})
-	require.True(t, engine.IsErrNotRun(err), "nothing was written: %v", err)
+	err = newDialect().Take(context.Background(), engine.Order{Endpoint: closedEndpoint(t)})
+	require.True(t, engine.IsErrNotRun(err), "no byte was written: %v", err)
 }
 
-func TestARefusedOrderNamesTheFenceInForce(t *testing.T) {
-	e := endpoint(t, fleet.KindEngine, answer(http.StatusPreconditionFailed, map[string]string{engine.HeaderFence: "9"}))
-	err := dialect().Take(context.Background(), engine.Order{Endpoint: e, Fence: 8})
+func TestErrFencedHoldsFenceInForce(t *testing.T) {
+	e := newEndpoint(t, fleet.KindEngine, respond(http.StatusPreconditionFailed, map[string]string{engine.HeaderFence: "9"}))
+	err := newDialect().Take(context.Background(), engine.Order{Endpoint: e, Fence: 8})
 	require.Equal(t, engine.ErrFenced{What: "take", Fence: 9}, err)
 }
 
-func TestARequestIsNotRunOnlyWhereTheEndpointSaysSoOrGotNothing(t *testing.T) {
+func TestStartReturnsErrNotRunOnlyForRefusedOrUnsentRequest(t *testing.T) {
 	notRun := map[string]string{engine.HeaderNotRun: "true", "Retry-After": "3"}
 	for _, c := range []struct {
 		kind    fleet.EndpointKind
@@ -114,8 +114,8 @@
 		{fleet.KindPlain, http.StatusTooManyRequests, nil, false},
 		{fleet.KindPlain, http.StatusServiceUnavailable, notRun, true},
 	} {
-		e := endpoint(t, c.kind, answer(c.status, c.headers))
-		resp, err := dialect().Start(context.Background(), engine.Call{Endpoint: e, Method: http.MethodPost, Path: "/v1/completions", Body: []byte("{}")})
+		e := newEndpoint(t, c.kind, respond(c.status, c.headers))
+		resp, err := newDialect().Start(context.Background(), engine.Call{Endpoint: e, Method: http.MethodPost, Path: "/v1/completions", Body: []byte("{}")})
 		if !c.refused {
 			require.NoError(t, err, "%s %d", c.kind, c.status)
 			require.NoError(t, resp.Body.Close())
@@ -129,38 +129,38 @@
 			require.Equal(t, 3*time.Second, refusal.RetryAfter)
 		}
 	}
-	call := engine.Call{Endpoint: gone(t), Method: http.MethodPost, Path: "/", Body: []byte("{}")}
-	_, err := dialect().Start(context.Background(), call)
+	call := engine.Call{Endpoint: closedEndpoint(t), Method: http.MethodPost, Path: "/", Body: []byte("{}")}
+	_, err := newDialect().Start(context.Background(), call)
 	require.True(t, engine.IsErrNotRun(err), "%v", err)
-	call.Endpoint = endpoint(t, fleet.KindEngine, breakOff)
-	_, err = dialect().Start(context.Background(), call)
+	call.Endpoint = newEndpoint(t, fleet.KindEngine, abortConnection)
+	_, err = newDialect().Start(context.Background(), call)
 	require.True(t, isUnknown(err), "%v", err)
 }
 
-func TestARequestThatMayChangeSomethingIsSentOnceThoughItsConnectionBreaks(t *testing.T) {
+func TestPostIsNotResentAfterConnectionFailure(t *testing.T) {
 	for _, body := range [][]byte{[]byte("{}"), nil} {
 		var requests atomic.Int64
-		e := endpoint(t, fleet.KindPlain, func(w http.ResponseWriter, q *http.Request) {
+		e := newEndpoint(t, fleet.KindPlain, func(w http.ResponseWriter, q *http.Request) {
 			if requests.Add(1) > 1 {
-				breakOff(w, q)
+				abortConnection(w, q)
 			}
 		})
-		d := dialect()
+		d := newDialect()
 		call := engine.Call{Endpoint: e, Method: http.MethodPost, Path: "/", Body: body}
 		resp, err := d.Start(context.Background(), call)
 		require.NoError(t, err)
 		require.NoError(t, resp.Body.Close())
 		_, err = d.Start(context.Background(), call)
 		require.True(t, isUnknown(err), "%v", err)
-		require.Equal(t, int64(2), requests.Load(), "the second broke on a kept connection and was not sent again")
+		require.Equal(t, int64(2), requests.Load(), "the second request failed on a reused connection and was not resent")
 	}
 }
 
-func TestTheHeadersSayWhichTicketIsUsed(t *testing.T) {
+func TestStartSetsRequestHeaders(t *testing.T) {
 	var got http.Header
-	e := endpoint(t, fleet.KindEngine, func(_ http.ResponseWriter, q *http.Request) { got = q.Header.Clone() })
+	e := newEndpoint(t, fleet.KindEngine, func(_ http.ResponseWriter, q *http.Request) { got = q.Header.Clone() })
 	call := engine.Call{Endpoint: e, Method: http.MethodPost, Path: "/", Body: []byte("{}"), RequestID: "r", Incarnation: "i", Fence: 7}
-	resp, err := dialect().Start(context.Background(), call)
+	resp, err := newDialect().Start(context.Background(), call)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	require.Equal(t, []string{"r", "7", "i", "", ""}, []string{
@@ -168,38 +168,38 @@
 		got.Get(engine.HeaderResumeFrom),
 	})
 	call.Attempt, call.ResumeFrom = 2, 30
-	resp, err = dialect().Start(context.Background(), call)
+	resp, err = newDialect().Start(context.Background(), call)
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 	require.Equal(t, []string{"2", "30"}, []string{got.Get(engine.HeaderAttempt), got.Get(engine.HeaderResumeFrom)})
 }
 
-func TestTheStatusJoinsListHeadersAndMetrics(t *testing.T) {
+func TestStatusCombinesModelListHeadersAndMetrics(t *testing.T) {
 	pages := map[string]string{
 		"/v1/models": `{"data": [{"id": "base"}, {"id": "a@1", "parent": "base"}, {"id": "odd", "parent": "base"}]}`,
 		"/metrics": "# HELP x\nvllm:lora_requests_info{max_lora=\"4\",running_lora_adapters=\"a@1,b@2\",waiting_lora_adapters=\"\"} 1\n" +
 			"vllm:other{running_lora_adapters=\"z@1\"} 1\n",
 	}
-	e := endpoint(t, fleet.KindEngine, func(w http.ResponseWriter, q *http.Request) {
+	e := newEndpoint(t, fleet.KindEngine, func(w http.ResponseWriter, q *http.Request) {
 		w.Header().Set(engine.HeaderIncarnation, "i")
 		w.Header().Set(engine.HeaderFence, "65537")
 		w.Header().Set(engine.HeaderHolder, "h")
 		w.Header().Set(engine.HeaderLeaving, "true")
 		_, _ = io.WriteString(w, pages[q.URL.Path])
 	})
-	s, err := dialect().Status(context.Background(), e)
+	s, err := newDialect().Status(context.Background(), e)
 	require.NoError(t, err)
 	require.Equal(t, engine.Status{
-		Incarnation: "i", Fence: 65537, Holder: "h", Leaving: true, Resident: []fleet.AdapterRef{a1},
-		Running: []fleet.AdapterRef{a1, {Name: "b", Version: 2}},
+		Incarnation: "i", Fence: 65537, Holder: "h", Leaving: true, Resident: []fleet.AdapterRef{testAdapter},
+		Running: []fleet.AdapterRef{testAdapter, {Name: "b", Version: 2}},
 	}, s)
-	_, err = dialect().Status(context.Background(), endpoint(t, fleet.KindEngine, answer(http.StatusServiceUnavailable, nil)))
+	_, err = newDialect().Status(context.Background(), newEndpoint(t, fleet.KindEngine, respond(http.StatusServiceUnavailable, nil)))
 	require.Error(t, err)
-	_, err = dialect().Status(context.Background(), endpoint(t, fleet.KindEngine, answer(http.StatusOK, nil)))
-	require.True(t, isUnknown(err), "a list that is no JSON")
+	_, err = newDialect().Status(context.Background(), newEndpoint(t, fleet.KindEngine, respond(http.StatusOK, nil)))
+	require.True(t, isUnknown(err), "model list that is not JSON")
 }
 
-func TestTheNextFenceIsAboveAllSeenAndItsHoldersOwn(t *testing.T) {
+func TestNextFenceIsHigherAndUniqueToHolder(t *testing.T) {
 	for _, seen := range []uint64{0, 1, 1<<16 - 1, 1 << 16, 5<<16 | 9} {
 		one, other := engine.NextFence(seen, 3), engine.NextFence(seen, 4)
 		require.Greater(t, one, seen)
