--- a/modules/daemon/httpserver/server.go
+++ b/modules/daemon/httpserver/server.go
@@ -20,7 +20,7 @@
 	"github.com/shelfledge/shelfledge/modules/callerconn"
 )
 
-// Options are what a server works with.
+// Options are the settings of a Server.
 type Options struct {
 	Name     string
 	Listener net.Listener
@@ -30,46 +30,48 @@
 	TLS *tls.Config
 }
 
-// ErrNotBuilt reports routes that cannot be served.
+// ErrNotBuilt reports routes or a listener from which no server can be built.
 type ErrNotBuilt struct {
 	Name   string
 	Reason string
 }
 
-// Error names the server.
+// Error returns the name of the server and the reason.
 func (e ErrNotBuilt) Error() string {
 	return fmt.Sprintf("server %s: %s", e.Name, e.Reason)
 }
 
 const (
-	// headerTimeout and maxHeaderBytes bound what a client may hold open before its request is read.
+	// headerTimeout and maxHeaderBytes bound the time and memory that a client may take up before its request header is read.
 	headerTimeout  = 10 * time.Second
 	maxHeaderBytes = 64 << 10
-	// idleTimeout trades idle connections for connecting again.
+	// idleTimeout bounds how long an idle connection is kept: a longer timeout keeps more idle connections, a shorter one makes clients
+	// reconnect more often.
 	idleTimeout = 2 * time.Minute
-	// never keeps go-zero from killing the process a few seconds after SIGTERM, while streams still run.
-	never = 365 * 24 * time.Hour
+	// forceQuitDelay is long enough that go-zero never kills the process. Its default of a few seconds after SIGTERM would cut off running
+	// streams.
+	forceQuitDelay = 365 * 24 * time.Hour
 )
 
 // Server serves one listener.
 type Server struct {
 	http *http.Server
-	// callers is the listener under a TLS layer, listener the outermost one.
-	callers  *callerconn.Listener
-	listener net.Listener
-	leaving  atomic.Bool
+	// connListener is the listener below the TLS layer, listener the outermost one.
+	connListener *callerconn.Listener
+	listener     net.Listener
+	shuttingDown atomic.Bool
 }
 
-// New builds a server; Serve makes it work.
+// New returns a Server that is started by Serve.
 func New(o Options) (*Server, error) {
-	proc.SetTimeToForceQuit(never)
+	proc.SetTimeToForceQuit(forceQuitDelay)
 	var options []rest.RunOption
 	if o.NotFound != nil {
 		options = append(options, rest.WithNotFoundHandler(o.NotFound))
 	}
-	// All middlewares stay off: they time out, shed or break on their own account, and an answer of theirs would claim
-	// what only the relay knows. The one against panics is off too: net/http logs a handler's panic and breaks the
-	// connection off, without an answer.
+	// All middlewares stay off. Those for timeouts, load shedding and circuit breaking respond by themselves, and such a response would
+	// state an outcome of the request that only package relay can determine. The one that recovers panics is off too: net/http logs the
+	// panic of a handler and closes the connection without a response.
 	built, err := rest.NewServer(rest.RestConf{ServiceConf: service.ServiceConf{Name: o.Name}}, options...)
 	if err != nil {
 		return nil, ErrNotBuilt{Name: o.Name, Reason: err.Error()}
@@ -81,56 +83,56 @@
 	}
 	tcp, ok := o.Listener.(*net.TCPListener)
 	if !ok {
-		return nil, ErrNotBuilt{Name: o.Name, Reason: "its listener is not one for TCP"}
+		return nil, ErrNotBuilt{Name: o.Name, Reason: "the listener is not a TCP listener"}
 	}
-	s := &Server{callers: callerconn.NewListener(tcp, callerconn.Options{
+	s := &Server{connListener: callerconn.NewListener(tcp, callerconn.Options{
 		IdleTimeout: func() time.Duration { return idleTimeout },
-		// The daemon keeps no figures of connections.
+		// The daemon has no connection metrics.
 		OnClose: func(callerconn.Report) {}, Now: time.Now,
 	})}
-	s.listener = s.callers
+	s.listener = s.connListener
 	if o.TLS != nil {
 		s.listener = tls.NewListener(s.listener, o.TLS)
 	}
 	s.http = &http.Server{
-		Handler: s.lastAnswers(serverless.Serve), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
-		// Package callerconn bounds rests.
-		IdleTimeout: -1, ConnState: s.callers.StateChanged, ConnContext: callerconn.ConnContext,
+		Handler: s.closeAfterResponse(serverless.Serve), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
+		// Package callerconn closes idle connections.
+		IdleTimeout: -1, ConnState: s.connListener.StateChanged, ConnContext: callerconn.ConnContext,
 	}
 	return s, nil
 }
 
-// lastAnswers has answers say, while the server is shut down, that they are the last ones of their connections.
-func (s *Server) lastAnswers(serve http.HandlerFunc) http.Handler {
+// closeAfterResponse wraps a handler: during a shutdown, its responses announce with "Connection: close" that they are the last ones.
+func (s *Server) closeAfterResponse(serve http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		if s.leaving.Load() {
+		if s.shuttingDown.Load() {
 			writer.Header().Set("Connection", "close")
 		}
 		serve(writer, request)
 	})
 }
 
-// Serve works until Shutdown or Close; it always gives an error, http.ErrServerClosed after those.
+// Serve serves requests until Shutdown or Close. It always returns an error, which is http.ErrServerClosed after Shutdown or Close.
 func (s *Server) Serve() error {
 	err := s.http.Serve(s.listener)
-	if s.leaving.Load() {
+	if s.shuttingDown.Load() {
 		return http.ErrServerClosed
 	}
 	return err
 }
 
-// Shutdown takes no new connections and waits for the open requests until ctx ends. A request whose first byte was read is served.
+// Shutdown stops accepting connections and waits for the open requests until ctx ends. A request whose first byte was read is served.
 func (s *Server) Shutdown(ctx context.Context) error {
-	s.leaving.Store(true)
-	return errors.Join(s.callers.Shutdown(), s.Wait(ctx))
+	s.shuttingDown.Store(true)
+	return errors.Join(s.connListener.Shutdown(), s.Wait(ctx))
 }
 
-// Wait waits, after Shutdown, until no connection is open or ctx ends, whose error it gives.
+// Wait waits, after Shutdown, until no connection is open. If ctx ends first, Wait returns the error of ctx.
 func (s *Server) Wait(ctx context.Context) error {
-	return s.callers.Wait(ctx)
+	return s.connListener.Wait(ctx)
 }
 
-// Close breaks off all connections.
+// Close closes all connections, also those with open requests.
 func (s *Server) Close() error {
 	return s.http.Close()
 }
--- a/modules/daemon/httpserver/server_test.go
+++ b/modules/daemon/httpserver/server_test.go
@@ -21,35 +21,35 @@
 )
 
 const (
-	patience = 10 * time.Second
-	path     = "/here"
+	testTimeout = 10 * time.Second
+	path        = "/here"
 )
 
-// running is a server at work on a loopback port.
-type running struct {
+// runningServer is a server that serves on a loopback port.
+type runningServer struct {
 	*httpserver.Server
-	address string
-	ended   chan error
+	address  string
+	serveErr chan error
 }
 
-func route(handler http.HandlerFunc) []rest.Route {
+func testRoute(handler http.HandlerFunc) []rest.Route {
 	return []rest.Route{{Method: http.MethodGet, Path: path, Handler: handler}}
 }
 
-func serve(t *testing.T, o httpserver.Options) *running {
+func startServer(t *testing.T, o httpserver.Options) *runningServer {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	o.Name, o.Listener = "test", listener
 	server, err := httpserver.New(o)
 	require.NoError(t, err)
-	r := &running{Server: server, address: listener.Addr().String(), ended: make(chan error, 1)}
-	go func() { r.ended <- server.Serve() }()
+	r := &runningServer{Server: server, address: listener.Addr().String(), serveErr: make(chan error, 1)}
+	go func() { r.serveErr <- server.Serve() }()
 	t.Cleanup(func() { _ = server.Close() })
 	return r
 }
 
-// get gives the status and the body of an answer.
+// get returns the status and the body of a response.
 func get(t *testing.T, client *http.Client, url string) (int, string) {
 	t.Helper()
 	resp, err := client.Get(url)
@@ -67,8 +67,8 @@
 	}
 }
 
-func TestRoutesAreServedAndAllElseGoesToNotFound(t *testing.T) {
-	r := serve(t, httpserver.Options{Routes: route(text("here")), NotFound: text("elsewhere")})
+func TestUnknownPathsGoToNotFoundHandler(t *testing.T) {
+	r := startServer(t, httpserver.Options{Routes: testRoute(text("here")), NotFound: text("elsewhere")})
 	for path, body := range map[string]string{path: "here", "/other": "elsewhere", "/": "elsewhere"} {
 		status, got := get(t, http.DefaultClient, "http://"+r.address+path)
 		require.Equal(t, http.StatusOK, status, path)
@@ -76,26 +76,26 @@
 	}
 }
 
-func TestWithoutNotFoundAnUnknownPathIsRefused(t *testing.T) {
-	r := serve(t, httpserver.Options{Routes: route(text("here"))})
+func TestUnknownPathReturns404WithoutNotFoundHandler(t *testing.T) {
+	r := startServer(t, httpserver.Options{Routes: testRoute(text("here"))})
 	status, _ := get(t, http.DefaultClient, "http://"+r.address+"/other")
 	require.Equal(t, http.StatusNotFound, status)
 }
 
-func TestAPanicBreaksOffItsOwnConnectionOnly(t *testing.T) {
-	r := serve(t, httpserver.Options{Routes: route(func(http.ResponseWriter, *http.Request) { panic("cause") }), NotFound: text("elsewhere")})
+func TestPanicClosesOnlyItsConnection(t *testing.T) {
+	r := startServer(t, httpserver.Options{Routes: testRoute(func(http.ResponseWriter, *http.Request) { panic("cause") }), NotFound: text("elsewhere")})
 	resp, err := http.Get("http://" + r.address + path)
 	if err == nil {
 		_ = resp.Body.Close()
 	}
-	require.ErrorIs(t, err, io.EOF, "no answer claims that the request did not run")
+	require.ErrorIs(t, err, io.EOF, "no response may state that the request was not run")
 	_, got := get(t, http.DefaultClient, "http://"+r.address+"/other")
 	require.Equal(t, "elsewhere", got)
 }
 
-func TestAnAnswerIsPassedOnInPartsWhileItsHandlerGoesOn(t *testing.T) {
+func TestResponseIsStreamedWhileHandlerRuns(t *testing.T) {
 	read := make(chan struct{})
-	r := serve(t, httpserver.Options{Routes: route(func(w http.ResponseWriter, _ *http.Request) {
+	r := startServer(t, httpserver.Options{Routes: testRoute(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = io.WriteString(w, "first\n")
 		_ = http.NewResponseController(w).Flush()
 		<-read
@@ -114,12 +114,13 @@
 	require.Equal(t, "second\n", second)
 }
 
-// open starts a request that its handler answers after release is closed, and waits until the handler runs.
-func open(t *testing.T) (r *running, release chan struct{}, answered chan error) {
+// startBlockedRequest starts a request whose handler returns after release is closed, and waits until the handler runs. The result of the
+// request is sent to answered.
+func startBlockedRequest(t *testing.T) (r *runningServer, release chan struct{}, answered chan error) {
 	t.Helper()
 	release, answered = make(chan struct{}), make(chan error, 1)
 	begun := make(chan struct{})
-	r = serve(t, httpserver.Options{Routes: route(func(http.ResponseWriter, *http.Request) {
+	r = startServer(t, httpserver.Options{Routes: testRoute(func(http.ResponseWriter, *http.Request) {
 		close(begun)
 		<-release
 	})})
@@ -134,11 +135,11 @@
 	return r, release, answered
 }
 
-func TestAShutdownWaitsForOpenRequestsAndTakesNoNewOnes(t *testing.T) {
-	r, release, answered := open(t)
+func TestShutdownWaitsForOpenRequestsAndRefusesConnections(t *testing.T) {
+	r, release, answered := startBlockedRequest(t)
 	down := make(chan error, 1)
 	go func() { down <- r.Shutdown(context.Background()) }()
-	require.ErrorIs(t, <-r.ended, http.ErrServerClosed)
+	require.ErrorIs(t, <-r.serveErr, http.ErrServerClosed)
 	require.Empty(t, down)
 	_, err := net.Dial("tcp", r.address)
 	require.Error(t, err)
@@ -147,12 +148,12 @@
 	require.NoError(t, <-down)
 }
 
-// TestAShutdownServesARequestWhoseHeadIsOnItsWay is about requests that were read while a shutdown closed what rests, and were dropped
-// without an answer.
-func TestAShutdownServesARequestWhoseHeadIsOnItsWay(t *testing.T) {
+// TestShutdownServesPartiallyReceivedRequest guards against a shutdown that closes a connection as idle while a request header is being
+// received, so that the request is dropped without a response.
+func TestShutdownServesPartiallyReceivedRequest(t *testing.T) {
 	const head = "GET " + path + " HTTP/1.1\r\nHost: h\r\n\r\n"
-	r := serve(t, httpserver.Options{Routes: route(text("here"))})
-	ask := func(conn net.Conn, reader *bufio.Reader, text string) *http.Response {
+	r := startServer(t, httpserver.Options{Routes: testRoute(text("here"))})
+	send := func(conn net.Conn, reader *bufio.Reader, text string) *http.Response {
 		_, err := io.WriteString(conn, text)
 		require.NoError(t, err)
 		resp, err := http.ReadResponse(reader, nil)
@@ -166,29 +167,29 @@
 		conn, err := net.Dial("tcp", r.address)
 		require.NoError(t, err)
 		defer func() { _ = conn.Close() }()
-		require.NoError(t, conn.SetDeadline(time.Now().Add(patience)))
+		require.NoError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 		reader := bufio.NewReader(conn)
 		if kept {
-			require.False(t, ask(conn, reader, head).Close)
+			require.False(t, send(conn, reader, head).Close)
 		}
 		_, err = io.WriteString(conn, head[:10])
 		require.NoError(t, err)
 		defer func() {
-			resp := ask(conn, reader, head[10:])
+			resp := send(conn, reader, head[10:])
 			require.Equal(t, http.StatusOK, resp.StatusCode)
-			require.True(t, resp.Close, "the answer says that it is the last one")
+			require.True(t, resp.Close, "the response announces that it is the last one")
 		}()
 	}
 	time.Sleep(100 * time.Millisecond)
 	down := make(chan error, 1)
 	go func() { down <- r.Shutdown(context.Background()) }()
-	require.ErrorIs(t, <-r.ended, http.ErrServerClosed)
+	require.ErrorIs(t, <-r.serveErr, http.ErrServerClosed)
 	time.Sleep(100 * time.Millisecond)
 	require.Empty(t, down)
 }
 
-func TestAShutdownEndsItsWaitWithItsContextAndCloseBreaksOff(t *testing.T) {
-	r, release, answered := open(t)
+func TestShutdownReturnsWithContextAndCloseAbortsRequests(t *testing.T) {
+	r, release, answered := startBlockedRequest(t)
 	defer close(release)
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
@@ -197,26 +198,26 @@
 	select {
 	case err := <-answered:
 		require.Error(t, err)
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		require.Fail(t, "the connection is still open")
 	}
 }
 
-func TestAListenerWithTLSServesOnlyThat(t *testing.T) {
+func TestTLSListenerRejectsPlainHTTP(t *testing.T) {
 	source := httptest.NewTLSServer(http.NotFoundHandler())
 	t.Cleanup(source.Close)
-	r := serve(t, httpserver.Options{Routes: route(text("here")), TLS: &tls.Config{Certificates: source.TLS.Certificates, MinVersion: tls.VersionTLS12}})
+	r := startServer(t, httpserver.Options{Routes: testRoute(text("here")), TLS: &tls.Config{Certificates: source.TLS.Certificates, MinVersion: tls.VersionTLS12}})
 	_, got := get(t, source.Client(), "https://"+r.address+path)
 	require.Equal(t, "here", got)
 	status, _ := get(t, http.DefaultClient, "http://"+r.address+path)
 	require.Equal(t, http.StatusBadRequest, status)
 }
 
-func TestRoutesThatExcludeEachOtherAreAnError(t *testing.T) {
+func TestConflictingRoutesAreAnError(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	routes := append(route(text("a")), route(text("b"))...)
+	routes := append(testRoute(text("a")), testRoute(text("b"))...)
 	_, err = httpserver.New(httpserver.Options{Name: "test", Listener: listener, Routes: routes})
 	require.ErrorAs(t, err, &httpserver.ErrNotBuilt{})
 	require.ErrorContains(t, err, "test")
--- a/modules/daemon/instancelist/list.go
+++ b/modules/daemon/instancelist/list.go
@@ -15,13 +15,13 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// The states of an entry in the list.
+// The states of an entry.
 const (
 	StateLive    = "live"
 	StateLeaving = "leaving"
 )
 
-// Entry is one line of the list.
+// Entry is an instance or an endpoint in the list.
 type Entry struct {
 	Name     string         `json:"name"`
 	Kind     string         `json:"kind"`
@@ -31,18 +31,18 @@
 	State    string         `json:"state"`
 }
 
-// The kinds of entry.
+// The kinds of entries.
 const (
 	KindInstance = "instance"
 	KindEndpoint = "endpoint"
 )
 
-// List is the platform's list at some moment of the recent past.
+// List is the platform's list as it was at some recent time.
 type List struct {
 	Entries []Entry `json:"entries"`
 }
 
-// Instances gives the entry instances of the list, leaving ones too.
+// Instances returns the instances in the list, including leaving ones.
 func (l List) Instances() []fleet.Instance {
 	var out []fleet.Instance
 	for _, e := range l.Entries {
@@ -53,7 +53,7 @@
 	return out
 }
 
-// Leaving names the endpoints that the list shows as leaving.
+// Leaving returns the names of the endpoints that the list shows as leaving.
 func (l List) Leaving() []string {
 	var out []string
 	for _, e := range l.Entries {
@@ -69,13 +69,13 @@
 	Reason string
 }
 
-// Error tells why.
+// Error returns the reason.
 func (e ErrListUnavailable) Error() string {
-	return fmt.Sprintf("the platform's list is not available: %s", e.Reason)
+	return fmt.Sprintf("platform's instance list cannot be read: %s", e.Reason)
 }
 
-// maxList bounds the list's answer, in bytes.
-const maxList = 4 << 20
+// maxListBytes bounds the response with the list, in bytes.
+const maxListBytes = 4 << 20
 
 // Reader reads the list over HTTP.
 type Reader struct {
@@ -84,7 +84,7 @@
 	Client  *http.Client
 }
 
-// Read gets the list.
+// Read requests the list from the platform.
 func (r Reader) Read(ctx context.Context) (List, error) {
 	ctx, cancel := context.WithTimeout(ctx, r.Timeout)
 	defer cancel()
@@ -96,13 +96,13 @@
 	if err != nil {
 		return List{}, ErrListUnavailable{Reason: err.Error()}
 	}
-	// Closing a body that was read tells nothing more of the list.
+	// The list is decoded before Close, so that an error of Close is ignored.
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode != http.StatusOK {
 		return List{}, ErrListUnavailable{Reason: resp.Status}
 	}
 	var l List
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&l); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&l); err != nil {
 		return List{}, ErrListUnavailable{Reason: err.Error()}
 	}
 	return l, nil
--- a/modules/daemon/instancelist/list_test.go
+++ b/modules/daemon/instancelist/list_test.go
@@ -19,12 +19,12 @@
 )
 
 const (
-	patient = 10 * time.Second
-	brief   = 20 * time.Millisecond
+	longTimeout  = 10 * time.Second
+	shortTimeout = 20 * time.Millisecond
 )
 
-// reader reads from a platform that answers by the handler.
-func reader(t *testing.T, timeout time.Duration, handler http.HandlerFunc) instancelist.Reader {
+// newReader returns a Reader of a platform that responds with the handler.
+func newReader(t *testing.T, timeout time.Duration, handler http.HandlerFunc) instancelist.Reader {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -32,7 +32,7 @@
 	return instancelist.Reader{Address: address, Timeout: timeout, Client: server.Client()}
 }
 
-func TestAListIsReadWithItsAddressesAndStates(t *testing.T) {
+func TestReadParsesAddressesAndStates(t *testing.T) {
 	const body = `{"entries": [
 		{"name": "i1", "kind": "instance", "hall": "h1", "address": "127.0.0.1:1", "operator": "127.0.0.1:2", "state": "live"},
 		{"name": "i2", "kind": "instance", "hall": "h2", "address": "127.0.0.1:3", "state": "leaving"},
@@ -40,7 +40,7 @@
 		{"name": "e2", "kind": "endpoint", "hall": "h1", "address": "127.0.0.1:5", "state": "live"},
 		{"name": "x", "kind": "of a later version", "hall": "h1", "address": "127.0.0.1:6", "state": "leaving"}]}`
 	paths := make(chan string, 1)
-	r := reader(t, patient, func(w http.ResponseWriter, q *http.Request) {
+	r := newReader(t, longTimeout, func(w http.ResponseWriter, q *http.Request) {
 		paths <- q.Method + " " + q.URL.Path
 		_, _ = w.Write([]byte(body))
 	})
@@ -50,18 +50,18 @@
 	require.Equal(t, []fleet.Instance{
 		{ID: "i1", Hall: "h1", Address: netip.MustParseAddrPort("127.0.0.1:1"), Operator: netip.MustParseAddrPort("127.0.0.1:2")},
 		{ID: "i2", Hall: "h2", Address: netip.MustParseAddrPort("127.0.0.1:3")},
-	}, list.Instances(), "leaving ones too")
+	}, list.Instances(), "leaving instances are included")
 	require.Equal(t, []string{"e1"}, list.Leaving())
 }
 
-func TestAnEmptyListNamesNobody(t *testing.T) {
-	list, err := reader(t, patient, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }).Read(context.Background())
+func TestEmptyListHasNoInstances(t *testing.T) {
+	list, err := newReader(t, longTimeout, func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("{}")) }).Read(context.Background())
 	require.NoError(t, err)
 	require.Empty(t, list.Instances())
 	require.Empty(t, list.Leaving())
 }
 
-func TestAnAnswerThatIsNoListIsAnErrorAndNoEmptyList(t *testing.T) {
+func TestInvalidResponseIsAnError(t *testing.T) {
 	for _, row := range []struct {
 		name   string
 		status int
@@ -69,12 +69,12 @@
 	}{
 		{"refused", http.StatusServiceUnavailable, `{"entries": []}`},
 		{"empty", http.StatusOK, ""},
-		{"cut in the middle", http.StatusOK, `{"entries": [{"name": "i1"`},
-		{"a bad address", http.StatusOK, `{"entries": [{"name": "i1", "address": "nowhere"}]}`},
-		{"no JSON", http.StatusOK, "busy"},
+		{"truncated", http.StatusOK, `{"entries": [{"name": "i1"`},
+		{"invalid address", http.StatusOK, `{"entries": [{"name": "i1", "address": "nowhere"}]}`},
+		{"not JSON", http.StatusOK, "busy"},
 		{"too long", http.StatusOK, strings.Repeat(" ", 4<<20) + "{}"},
 	} {
-		_, err := reader(t, patient, func(w http.ResponseWriter, _ *http.Request) {
+		_, err := newReader(t, longTimeout, func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(row.status)
 			_, _ = w.Write([]byte(row.body))
 		}).Read(context.Background())
@@ -82,15 +82,15 @@
 	}
 }
 
-func TestALateOrLostAnswerIsAnError(t *testing.T) {
-	late := reader(t, brief, func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
+func TestTimeoutOrLostConnectionIsAnError(t *testing.T) {
+	late := newReader(t, shortTimeout, func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
 	_, err := late.Read(context.Background())
 	require.ErrorAs(t, err, &instancelist.ErrListUnavailable{})
-	lost := reader(t, patient, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	lost := newReader(t, longTimeout, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
 	_, err = lost.Read(context.Background())
 	require.ErrorAs(t, err, &instancelist.ErrListUnavailable{})
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
 	_, err = lost.Read(ended)
-	require.ErrorAs(t, err, &instancelist.ErrListUnavailable{}, "its caller no longer waits")
+	require.ErrorAs(t, err, &instancelist.ErrListUnavailable{}, "the context has ended")
 }
