--- a/modules/callerconn/conn.go
+++ b/modules/callerconn/conn.go
@@ -72,7 +72,7 @@
 	}
 	deadline := c.readDeadline
 	if c.idle && c.reused && deadline.IsZero() {
-		deadline = now.Add(c.listener.options.IdleTimeout())
+		deadline = now.Add(c.listener.options.MaxIdleTime())
 	}
 	c.idle = false
 	return c.TCPConn.SetReadDeadline(deadline)
@@ -86,7 +86,7 @@
 		return false
 	}
 	next := now.Add(finalReadWindow)
-	if end := c.idleSince.Add(c.listener.options.IdleTimeout()); c.idle && c.reused && !c.shuttingDown && now.Before(end) {
+	if end := c.idleSince.Add(c.listener.options.MaxIdleTime()); c.idle && c.reused && !c.shuttingDown && now.Before(end) {
 		// The idle timeout was raised while the connection was idle.
 		next = end
 	} else if c.finalRead {
@@ -138,7 +138,7 @@
 	case c.shuttingDown:
 		return now.Add(firstRequestWindow)
 	case c.reused:
-		return c.idleSince.Add(c.listener.options.IdleTimeout())
+		return c.idleSince.Add(c.listener.options.MaxIdleTime())
 	default:
 		return c.readDeadline
 	}
--- a/modules/callerconn/conn_test.go
+++ b/modules/callerconn/conn_test.go
@@ -42,7 +42,7 @@
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	p.listener = callerconn.NewListener(listener.(*net.TCPListener), callerconn.Options{
-		IdleTimeout: func() time.Duration { return time.Duration(p.idleTimeout.Load()) },
+		MaxIdleTime: func() time.Duration { return time.Duration(p.idleTimeout.Load()) },
 		OnClose:     func(r callerconn.Report) { p.reports <- r }, Now: time.Now,
 	})
 	t.Cleanup(func() { _ = p.listener.Close() })
@@ -203,7 +203,7 @@
 	p.startIdle()
 	require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(testTimeout)), "net/http reads the header from its own buffer")
 	require.NoError(t, p.accepted.SetReadDeadline(time.Time{}))
-	require.NoError(t, p.listener.Shutdown())
+	require.NoError(t, p.listener.BeginShutdown())
 	go func() {
 		time.Sleep(4 * shortIdle)
 		_, _ = io.WriteString(p.caller, "body")
@@ -224,13 +224,13 @@
 		"new connection":                                   {before: func(*connPair) {}},
 		"new connection that sends a request later":        {before: func(*connPair) {}, after: "request", got: "request"},
 		"new connection with a received request":           {before: func(p *connPair) { p.send("request") }, got: "request"},
-		"connection that becomes idle during the shutdown": {before: func(p *connPair) { defer p.startIdle(); require.NoError(p.t, p.listener.Shutdown()) }},
+		"connection that becomes idle during the shutdown": {before: func(p *connPair) { defer p.startIdle(); require.NoError(p.t, p.listener.BeginShutdown()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			p := newConnPair(t, longIdle)
 			require.NoError(t, p.accepted.SetReadDeadline(time.Now().Add(longIdle)))
 			test.before(p)
-			require.NoError(t, p.listener.Shutdown())
+			require.NoError(t, p.listener.BeginShutdown())
 			if test.after != "" {
 				p.send(test.after)
 			}
@@ -248,7 +248,7 @@
 	p := newConnPair(t, longIdle)
 	cancelled, cancel := context.WithCancel(context.Background())
 	cancel()
-	require.NoError(t, p.listener.Shutdown())
+	require.NoError(t, p.listener.BeginShutdown())
 	require.ErrorIs(t, p.listener.Wait(cancelled), context.Canceled)
 	p.close()
 	require.NoError(t, p.listener.Wait(context.Background()))
@@ -257,6 +257,6 @@
 
 func TestRequestContextHoldsConnection(t *testing.T) {
 	p := newConnPair(t, longIdle)
-	assert.Same(t, p.accepted, callerconn.FromContext(callerconn.ConnContext(context.Background(), p.accepted)))
-	assert.Nil(t, callerconn.FromContext(callerconn.ConnContext(context.Background(), p.caller)))
+	assert.Same(t, p.accepted, callerconn.FromContext(callerconn.WithConn(context.Background(), p.accepted)))
+	assert.Nil(t, callerconn.FromContext(callerconn.WithConn(context.Background(), p.caller)))
 }
--- a/modules/callerconn/listener.go
+++ b/modules/callerconn/listener.go
@@ -13,8 +13,8 @@
 
 // Options are the settings of a Listener.
 type Options struct {
-	// IdleTimeout returns how long a connection may be idle after a response; the value may change at any time.
-	IdleTimeout func() time.Duration
+	// MaxIdleTime returns how long a connection may be idle after a response; the value may change at any time.
+	MaxIdleTime func() time.Duration
 	// OnClose is called with the report of each connection that has ended, and must not block.
 	OnClose func(Report)
 	Now     func() time.Time
@@ -60,9 +60,9 @@
 	return l.closeErr
 }
 
-// Shutdown closes the listener and all idle connections. The other connections end after their current response, which must announce that
+// BeginShutdown closes the listener and all idle connections. The other connections end after their current response, which must announce that
 // with "Connection: close". A request whose first byte was read is served. The error is that of closing the listener.
-func (l *Listener) Shutdown() error {
+func (l *Listener) BeginShutdown() error {
 	err := l.Close()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -123,8 +123,8 @@
 // contextKey is the context key of a request's connection.
 type contextKey struct{}
 
-// ConnContext is the ConnContext hook for net/http: it returns a context that holds the connection of the requests.
-func ConnContext(ctx context.Context, conn net.Conn) context.Context {
+// WithConn is the ConnContext hook for net/http: it returns a context that holds the connection of the requests.
+func WithConn(ctx context.Context, conn net.Conn) context.Context {
 	if c := unwrap(conn); c != nil {
 		return context.WithValue(ctx, contextKey{}, c)
 	}
--- a/modules/daemon/bytebudget/budget.go
+++ b/modules/daemon/bytebudget/budget.go
@@ -10,19 +10,19 @@
 	"sync"
 )
 
-// ErrNoRoom reports that the context of an Acquire ended before enough bytes were free.
-type ErrNoRoom struct {
+// ErrBudgetExhausted reports that the context of an Acquire ended before enough bytes were free.
+type ErrBudgetExhausted struct {
 	Bytes int64
 	Cause error
 }
 
 // Error returns the number of requested bytes and the cause.
-func (e ErrNoRoom) Error() string {
+func (e ErrBudgetExhausted) Error() string {
 	return fmt.Sprintf("no room for %d bytes: %s", e.Bytes, e.Cause)
 }
 
 // Unwrap returns the error of the context.
-func (e ErrNoRoom) Unwrap() error { return e.Cause }
+func (e ErrBudgetExhausted) Unwrap() error { return e.Cause }
 
 // Budget limits the number of bytes that may be held at a time. It is safe for concurrent use.
 type Budget struct {
@@ -72,7 +72,7 @@
 	}
 	b.waiters = slices.Delete(b.waiters, at, at+1)
 	b.admit()
-	return ErrNoRoom{Bytes: bytes, Cause: ctx.Err()}
+	return ErrBudgetExhausted{Bytes: bytes, Cause: ctx.Err()}
 }
 
 // Release gives back the bytes of an Acquire.
--- a/modules/daemon/bytebudget/budget_test.go
+++ b/modules/daemon/bytebudget/budget_test.go
@@ -78,7 +78,7 @@
 	small := acquireAsync(context.Background(), b, 4)
 	requireBlocked(t, small)
 	cancel()
-	var noRoom bytebudget.ErrNoRoom
+	var noRoom bytebudget.ErrBudgetExhausted
 	require.ErrorAs(t, <-large, &noRoom)
 	require.ErrorIs(t, noRoom, context.Canceled)
 	require.Equal(t, "no room for 8 bytes: context canceled", noRoom.Error())
--- a/modules/daemon/certificate/reloader.go
+++ b/modules/daemon/certificate/reloader.go
@@ -20,15 +20,15 @@
 	CA string
 }
 
-// ErrBadCertificate reports an unusable certificate file or peer certificate.
-type ErrBadCertificate struct {
+// ErrInvalidCertificate reports an unusable certificate file or peer certificate.
+type ErrInvalidCertificate struct {
 	// File is the path of the file, or "of the peer" for a certificate that a peer presented.
 	File   string
 	Reason string
 }
 
 // Error returns the file and the reason.
-func (e ErrBadCertificate) Error() string {
+func (e ErrInvalidCertificate) Error() string {
 	return fmt.Sprintf("certificate file %s: %s", e.File, e.Reason)
 }
 
@@ -60,17 +60,17 @@
 func (r *Reloader) load() error {
 	cert, err := tls.LoadX509KeyPair(r.files.Cert, r.files.Key)
 	if err != nil {
-		return ErrBadCertificate{File: r.files.Cert, Reason: err.Error()}
+		return ErrInvalidCertificate{File: r.files.Cert, Reason: err.Error()}
 	}
 	var pool *x509.CertPool
 	if r.files.CA != "" {
 		raw, err := os.ReadFile(r.files.CA)
 		if err != nil {
-			return ErrBadCertificate{File: r.files.CA, Reason: err.Error()}
+			return ErrInvalidCertificate{File: r.files.CA, Reason: err.Error()}
 		}
 		pool = x509.NewCertPool()
 		if !pool.AppendCertsFromPEM(raw) {
-			return ErrBadCertificate{File: r.files.CA, Reason: "holds no certificate"}
+			return ErrInvalidCertificate{File: r.files.CA, Reason: "holds no certificate"}
 		}
 	}
 	r.cert, r.pool = &cert, pool
@@ -108,8 +108,8 @@
 	return latest
 }
 
-// Server returns a TLS configuration for listeners. If a CA is set, clients must present a certificate signed by it.
-func (r *Reloader) Server() *tls.Config {
+// ServerConfig returns a TLS configuration for listeners. If a CA is set, clients must present a certificate signed by it.
+func (r *Reloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetConfigForClient: func(*tls.ClientHelloInfo) (*tls.Config, error) {
@@ -123,9 +123,9 @@
 	}
 }
 
-// Client returns a TLS configuration for calls to peers, which must present a certificate signed by the CA. Host names are not verified,
+// ClientConfig returns a TLS configuration for calls to peers, which must present a certificate signed by the CA. Host names are not verified,
 // since peers are identified by their IP addresses alone.
-func (r *Reloader) Client() *tls.Config {
+func (r *Reloader) ClientConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -145,7 +145,7 @@
 		o.Intermediates.AddCert(c)
 	}
 	if _, err := s.PeerCertificates[0].Verify(o); err != nil {
-		return ErrBadCertificate{File: "of the peer", Reason: err.Error()}
+		return ErrInvalidCertificate{File: "of the peer", Reason: err.Error()}
 	}
 	return nil
 }
--- a/modules/daemon/certificate/reloader_test.go
+++ b/modules/daemon/certificate/reloader_test.go
@@ -49,7 +49,7 @@
 // servedSerial returns the serial number of the certificate that a new connection would get.
 func servedSerial(t *testing.T, r *certificate.Reloader) int64 {
 	t.Helper()
-	config, err := r.Server().GetConfigForClient(&tls.ClientHelloInfo{})
+	config, err := r.ServerConfig().GetConfigForClient(&tls.ClientHelloInfo{})
 	require.NoError(t, err)
 	cert, err := x509.ParseCertificate(config.Certificates[0].Certificate[0])
 	require.NoError(t, err)
@@ -87,5 +87,5 @@
 	f.CA = filepath.Join(dir, "ca.pem")
 	writeFile(t, f.CA, []byte("no certificate"), testTime)
 	_, err = certificate.New(f, time.Now)
-	require.Equal(t, certificate.ErrBadCertificate{File: f.CA, Reason: "holds no certificate"}, err)
+	require.Equal(t, certificate.ErrInvalidCertificate{File: f.CA, Reason: "holds no certificate"}, err)
 }
--- a/modules/daemon/engine/dialect.go
+++ b/modules/daemon/engine/dialect.go
@@ -59,8 +59,8 @@
 	Name string
 	// Status reads the loaded adapters and the running requests of an endpoint.
 	Status func(ctx context.Context, e fleet.Endpoint) (Status, error)
-	// Take makes the endpoint refuse all fences below that of the order.
-	Take func(ctx context.Context, o Order) error
+	// ClaimFence makes the endpoint refuse all fences below that of the order.
+	ClaimFence func(ctx context.Context, o Order) error
 	// Load loads an adapter into a slot; Unload removes it.
 	Load   func(ctx context.Context, o Order) error
 	Unload func(ctx context.Context, o Order) error
@@ -72,8 +72,8 @@
 
 // ErrNotRun reports an order or request that certainly had no effect.
 type ErrNotRun struct {
-	What   string
-	Reason string
+	Operation string
+	Reason    string
 	// Status is the HTTP status of the response, or zero if there was no response.
 	Status int
 	// RetryAfter is the value of the Retry-After header of the response, or zero.
@@ -82,7 +82,7 @@
 
 // Error returns the operation and the reason.
 func (e ErrNotRun) Error() string {
-	return fmt.Sprintf("%s was not run: %s", e.What, e.Reason)
+	return fmt.Sprintf("%s was not run: %s", e.Operation, e.Reason)
 }
 
 // IsErrNotRun reports whether err is an ErrNotRun.
@@ -93,14 +93,14 @@
 
 // ErrFenced reports an order that the endpoint refused because of its fence or incarnation.
 type ErrFenced struct {
-	What string
+	Operation string
 	// Fence is the fence in force at the endpoint.
 	Fence uint64
 }
 
 // Error returns the operation and the fence in force.
 func (e ErrFenced) Error() string {
-	return fmt.Sprintf("%s was refused: fence %d is in force at the endpoint, or the endpoint has restarted", e.What, e.Fence)
+	return fmt.Sprintf("%s was refused: fence %d is in force at the endpoint, or the endpoint has restarted", e.Operation, e.Fence)
 }
 
 // IsErrFenced reports whether err is an ErrFenced.
@@ -109,15 +109,15 @@
 	return errors.As(err, &e)
 }
 
-// ErrUnknown reports an order or request that may or may not have taken effect.
-type ErrUnknown struct {
-	What   string
-	Reason string
+// ErrOutcomeUnknown reports an order or request that may or may not have taken effect.
+type ErrOutcomeUnknown struct {
+	Operation string
+	Reason    string
 }
 
 // Error returns the operation and the reason.
-func (e ErrUnknown) Error() string {
-	return fmt.Sprintf("%s may or may not have been run: %s", e.What, e.Reason)
+func (e ErrOutcomeUnknown) Error() string {
+	return fmt.Sprintf("%s may or may not have been run: %s", e.Operation, e.Reason)
 }
 
 // NextFence returns a fence that is higher than seen, the highest fence seen so far. No other holder can choose the same fence, since the
--- a/modules/daemon/engine/vllm.go
+++ b/modules/daemon/engine/vllm.go
@@ -57,7 +57,7 @@
 	// A circuit breaker shared by all endpoints would block the others because of one failing endpoint.
 	breaker.NoBreakerFor(serviceName)
 	v := &vllm{service: httpc.NewServiceWithClient(serviceName, client), httpClient: client, timeout: o.Timeout, loadTimeout: o.LoadTimeout}
-	return Dialect{Name: "vllm", Status: v.status, Take: v.claimFence, Load: v.load, Unload: v.unload, Start: v.start, Cancel: v.cancel}
+	return Dialect{Name: "vllm", Status: v.status, ClaimFence: v.claimFence, Load: v.load, Unload: v.unload, Start: v.start, Cancel: v.cancel}
 }
 
 func endpointURL(e fleet.Endpoint, path string) string {
@@ -67,9 +67,9 @@
 // transportError converts an error of the HTTP client to an ErrNotRun if no byte of the request was written, else to an ErrUnknown.
 func transportError(what string, probe *writeProbe, err error) error {
 	if !probe.mayHaveWritten() {
-		return ErrNotRun{What: what, Reason: err.Error()}
+		return ErrNotRun{Operation: what, Reason: err.Error()}
 	}
-	return ErrUnknown{What: what, Reason: err.Error()}
+	return ErrOutcomeUnknown{Operation: what, Reason: err.Error()}
 }
 
 // newPost returns a POST request whose body the transport cannot resend.
--- a/modules/daemon/engine/vllm_call.go
+++ b/modules/daemon/engine/vllm_call.go
@@ -21,7 +21,7 @@
 	probe := &writeProbe{}
 	req, err := newRequest(probe.trace(ctx), c.Method, endpointURL(c.Endpoint, c.Path), c.Body)
 	if err != nil {
-		return nil, ErrNotRun{What: "request", Reason: err.Error()}
+		return nil, ErrNotRun{Operation: "request", Reason: err.Error()}
 	}
 	for name, values := range c.Header {
 		req.Header[name] = values
@@ -43,7 +43,7 @@
 		defer func() { _ = resp.Body.Close() }()
 		text, _ := io.ReadAll(io.LimitReader(resp.Body, maxReasonBytes))
 		return nil, ErrNotRun{
-			What: "request", Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode,
+			Operation: "request", Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode,
 			RetryAfter: retryAfter(resp.Header),
 		}
 	}
@@ -75,11 +75,11 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodDelete, endpointURL(e, "/v1/requests/"+requestID), nil)
 	if err != nil {
-		return ErrNotRun{What: "cancel", Reason: err.Error()}
+		return ErrNotRun{Operation: "cancel", Reason: err.Error()}
 	}
 	resp, err := v.httpClient.Do(req)
 	if err != nil {
-		return ErrUnknown{What: "cancel", Reason: err.Error()}
+		return ErrOutcomeUnknown{Operation: "cancel", Reason: err.Error()}
 	}
 	return resp.Body.Close()
 }
--- a/modules/daemon/engine/vllm_order.go
+++ b/modules/daemon/engine/vllm_order.go
@@ -42,7 +42,7 @@
 	probe := &writeProbe{}
 	req, err := newPost(probe.trace(ctx), endpointURL(o.Endpoint, path), raw)
 	if err != nil {
-		return ErrNotRun{What: what, Reason: err.Error()}
+		return ErrNotRun{Operation: what, Reason: err.Error()}
 	}
 	setFence(req.Header, o.Fence, o.Incarnation)
 	req.Header.Set(HeaderHolder, o.Holder)
@@ -63,9 +63,9 @@
 	case resp.StatusCode == http.StatusOK:
 		return nil
 	case resp.StatusCode == http.StatusPreconditionFailed:
-		return ErrFenced{What: what, Fence: statusFromHeader(resp.Header).Fence}
+		return ErrFenced{Operation: what, Fence: statusFromHeader(resp.Header).Fence}
 	case resp.StatusCode < http.StatusInternalServerError || resp.Header.Get(HeaderNotRun) != "":
-		return ErrNotRun{What: what, Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode}
+		return ErrNotRun{Operation: what, Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text)), Status: resp.StatusCode}
 	}
-	return ErrUnknown{What: what, Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text))}
+	return ErrOutcomeUnknown{Operation: what, Reason: fmt.Sprintf("%s: %s", resp.Status, bytes.TrimSpace(text))}
 }
--- a/modules/daemon/engine/vllm_status.go
+++ b/modules/daemon/engine/vllm_status.go
@@ -36,7 +36,7 @@
 	defer func() { _ = resp.Body.Close() }()
 	var list modelList
 	if err := json.NewDecoder(resp.Body).Decode(&list); err != nil {
-		return Status{}, ErrUnknown{What: "list", Reason: err.Error()}
+		return Status{}, ErrOutcomeUnknown{Operation: "list", Reason: err.Error()}
 	}
 	s := statusFromHeader(resp.Header)
 	for _, m := range list.Data {
@@ -69,16 +69,16 @@
 func (v *vllm) get(ctx context.Context, address string) (*http.Response, error) {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, address, nil)
 	if err != nil {
-		return nil, ErrNotRun{What: "list", Reason: err.Error()}
+		return nil, ErrNotRun{Operation: "list", Reason: err.Error()}
 	}
 	resp, err := v.httpClient.Do(req)
 	if err != nil {
-		return nil, ErrUnknown{What: "list", Reason: err.Error()}
+		return nil, ErrOutcomeUnknown{Operation: "list", Reason: err.Error()}
 	}
 	if resp.StatusCode != http.StatusOK {
 		// The status is the reason of the error, so that an error of Close is ignored.
 		_ = resp.Body.Close()
-		return nil, ErrUnknown{What: "list", Reason: resp.Status}
+		return nil, ErrOutcomeUnknown{Operation: "list", Reason: resp.Status}
 	}
 	return resp, nil
 }
@@ -103,7 +103,7 @@
 		out = append(out, adapterRefsInLabel(lines.Text(), "waiting_lora_adapters")...)
 	}
 	if err := lines.Err(); err != nil {
-		return nil, ErrUnknown{What: "metrics", Reason: err.Error()}
+		return nil, ErrOutcomeUnknown{Operation: "metrics", Reason: err.Error()}
 	}
 	return out, nil
 }
--- a/modules/daemon/engine/vllm_test.go
+++ b/modules/daemon/engine/vllm_test.go
@@ -60,7 +60,7 @@
 func abortConnection(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 
 func isUnknown(err error) bool {
-	var e engine.ErrUnknown
+	var e engine.ErrOutcomeUnknown
 	return errors.As(err, &e)
 }
 
@@ -85,14 +85,14 @@
 	}
 	err := newDialect().Unload(context.Background(), engine.Order{Endpoint: newEndpoint(t, fleet.KindEngine, abortConnection), Adapter: testAdapter})
 	require.True(t, isUnknown(err), "%v", err)
-	err = newDialect().Take(context.Background(), engine.Order{Endpoint: closedEndpoint(t)})
+	err = newDialect().ClaimFence(context.Background(), engine.Order{Endpoint: closedEndpoint(t)})
 	require.True(t, engine.IsErrNotRun(err), "no byte was written: %v", err)
 }
 
 func TestErrFencedHoldsFenceInForce(t *testing.T) {
 	e := newEndpoint(t, fleet.KindEngine, respond(http.StatusPreconditionFailed, map[string]string{engine.HeaderFence: "9"}))
-	err := newDialect().Take(context.Background(), engine.Order{Endpoint: e, Fence: 8})
-	require.Equal(t, engine.ErrFenced{What: "take", Fence: 9}, err)
+	err := newDialect().ClaimFence(context.Background(), engine.Order{Endpoint: e, Fence: 8})
+	require.Equal(t, engine.ErrFenced{Operation: "take", Fence: 9}, err)
 }
 
 func TestStartReturnsErrNotRunOnlyForRefusedOrUnsentRequest(t *testing.T) {
--- a/modules/daemon/httpserver/server.go
+++ b/modules/daemon/httpserver/server.go
@@ -86,7 +86,7 @@
 		return nil, ErrNotBuilt{Name: o.Name, Reason: "the listener is not a TCP listener"}
 	}
 	s := &Server{connListener: callerconn.NewListener(tcp, callerconn.Options{
-		IdleTimeout: func() time.Duration { return idleTimeout },
+		MaxIdleTime: func() time.Duration { return idleTimeout },
 		// The daemon has no connection metrics.
 		OnClose: func(callerconn.Report) {}, Now: time.Now,
 	})}
@@ -97,7 +97,7 @@
 	s.http = &http.Server{
 		Handler: s.closeAfterResponse(serverless.Serve), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		// Package callerconn closes idle connections.
-		IdleTimeout: -1, ConnState: s.connListener.StateChanged, ConnContext: callerconn.ConnContext,
+		IdleTimeout: -1, ConnState: s.connListener.StateChanged, ConnContext: callerconn.WithConn,
 	}
 	return s, nil
 }
@@ -124,7 +124,7 @@
 // Shutdown stops accepting connections and waits for the open requests until ctx ends. A request whose first byte was read is served.
 func (s *Server) Shutdown(ctx context.Context) error {
 	s.shuttingDown.Store(true)
-	return errors.Join(s.connListener.Shutdown(), s.Wait(ctx))
+	return errors.Join(s.connListener.BeginShutdown(), s.Wait(ctx))
 }
 
 // Wait waits, after Shutdown, until no connection is open. If ctx ends first, Wait returns the error of ctx.
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -80,7 +80,7 @@
 	s.callers = &http.Server{
 		Handler: s.countRequests(options.Handler), ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes,
 		// Package callerconn bounds idle connections.
-		IdleTimeout: -1, ConnState: s.stateChanged, ConnContext: callerconn.ConnContext, DisableGeneralOptionsHandler: true,
+		IdleTimeout: -1, ConnState: s.stateChanged, ConnContext: callerconn.WithConn, DisableGeneralOptionsHandler: true,
 		BaseContext: func(net.Listener) context.Context { return s.baseContext },
 		ErrorLog:    log.New(errorLog{options.Log}, "", 0),
 	}
@@ -144,7 +144,7 @@
 	}
 	// net.Listen returns a TCPListener for the network tcp4.
 	s.listener = callerconn.NewListener(callers.(*net.TCPListener), callerconn.Options{
-		IdleTimeout: s.idleLimit, OnClose: s.connectionEnded, Now: s.options.Now,
+		MaxIdleTime: s.idleLimit, OnClose: s.connectionEnded, Now: s.options.Now,
 	})
 	go s.serve(s.callers, s.listener)
 	ready := &http.Server{Handler: http.HandlerFunc(s.serveReadiness), ReadHeaderTimeout: headerTimeout}
@@ -213,7 +213,7 @@
 
 // stopCallers closes the listener for callers and waits for their connections.
 func (s *Server) stopCallers(ctx context.Context) {
-	if err := s.listener.Shutdown(); err != nil {
+	if err := s.listener.BeginShutdown(); err != nil {
 		// The process is about to end, which closes the listener in any case.
 		s.options.Log.WithError(err).Debug("the listener cannot be closed")
 	}
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -93,7 +93,7 @@
 	status, err := s.options.Dialect.Status(s.ctx, t.Endpoint)
 	if err == nil && t.Endpoint.ChecksFence {
 		result.Fence = engine.NextFence(status.Fence, s.holderID())
-		err = s.options.Dialect.Take(s.ctx, engine.Order{
+		err = s.options.Dialect.ClaimFence(s.ctx, engine.Order{
 			Endpoint: t.Endpoint, Incarnation: status.Incarnation, Fence: result.Fence, Holder: s.holderName(),
 		})
 	}
@@ -160,7 +160,7 @@
 
 func (s *Service) timely(o node.Order, send func(context.Context, engine.Order) error, order engine.Order) error {
 	if limit := o.Load.NotAfter; !limit.IsZero() && !s.options.Now().Before(limit) {
-		return engine.ErrNotRun{What: "order", Reason: "the right to order has lapsed"}
+		return engine.ErrNotRun{Operation: "order", Reason: "the right to order has lapsed"}
 	}
 	return send(s.ctx, order)
 }
--- a/services/daemon/control/service_test.go
+++ b/services/daemon/control/service_test.go
@@ -94,7 +94,7 @@
 			defer w.mutex.Unlock()
 			return w.status, err
 		},
-		Take: func(_ context.Context, o engine.Order) error {
+		ClaimFence: func(_ context.Context, o engine.Order) error {
 			err := w.do("take", o)
 			if err == nil {
 				w.mutex.Lock()
@@ -216,7 +216,7 @@
 
 func TestTakeoverIsRepeatedAfterALostOrRefusedOrder(t *testing.T) {
 	for name, err := range map[string]error{
-		"lost": engine.ErrUnknown{What: "take", Reason: "test"}, "refused": engine.ErrFenced{What: "take", Fence: 9 << 16},
+		"lost": engine.ErrOutcomeUnknown{Operation: "take", Reason: "test"}, "refused": engine.ErrFenced{Operation: "take", Fence: 9 << 16},
 	} {
 		t.Run(name, func(t *testing.T) {
 			w := newWorld(t)
@@ -247,7 +247,7 @@
 
 func TestLoadIsNotSentAfterAnUnloadThatFailed(t *testing.T) {
 	w := taken(t, b)
-	w.failNext("unload", engine.ErrNotRun{What: "unload", Reason: "test"})
+	w.failNext("unload", engine.ErrNotRun{Operation: "unload", Reason: "test"})
 	w.Submit(request("q", a))
 	unload := w.expect("unload")
 	require.Equal(t, b, unload.order.Adapter)
@@ -260,9 +260,9 @@
 		err  error
 		kind fleet.EventKind
 	}{
-		{"surely not run", engine.ErrNotRun{What: "load", Reason: "test"}, fleet.EventLoadFailed},
-		{"refused for its fence", engine.ErrFenced{What: "load", Fence: 9 << 16}, fleet.EventOrderRefused},
-		{"answer lost", engine.ErrUnknown{What: "load", Reason: "test"}, fleet.EventSlotUnknown},
+		{"surely not run", engine.ErrNotRun{Operation: "load", Reason: "test"}, fleet.EventLoadFailed},
+		{"refused for its fence", engine.ErrFenced{Operation: "load", Fence: 9 << 16}, fleet.EventOrderRefused},
+		{"answer lost", engine.ErrOutcomeUnknown{Operation: "load", Reason: "test"}, fleet.EventSlotUnknown},
 		{"any other error", errors.New("test"), fleet.EventSlotUnknown},
 	} {
 		t.Run(row.name, func(t *testing.T) {
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -123,8 +123,8 @@
 		if err != nil {
 			return err
 		}
-		links.ServerCredentials = credentials.NewTLS(r.Server())
-		links.ClientCredentials = credentials.NewTLS(r.Client())
+		links.ServerCredentials = credentials.NewTLS(r.ServerConfig())
+		links.ClientCredentials = credentials.NewTLS(r.ClientConfig())
 	}
 	list := instancelist.Reader{Address: d.settings.Platform.List, Timeout: d.settings.Platform.Timeout.Duration(), Client: &http.Client{}}
 	readList := list.Read
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.Server(), nil
+	return r.ServerConfig(), nil
 }
 
 // refusesConnections reports whether an address refuses connections, which means that no process listens there any more.
--- a/services/daemon/relay/relay_test.go
+++ b/services/daemon/relay/relay_test.go
@@ -129,8 +129,8 @@
 )
 
 var (
-	notRun  = engine.ErrNotRun{What: "request", Reason: "refused"}
-	unknown = engine.ErrUnknown{What: "request", Reason: "broke off"}
+	notRun  = engine.ErrNotRun{Operation: "request", Reason: "refused"}
+	unknown = engine.ErrOutcomeUnknown{Operation: "request", Reason: "broke off"}
 )
 
 func TestWholeStreamPassesUnchanged(t *testing.T) {
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -173,7 +173,7 @@
 	r.stalled += answer.Ticket.Stalled
 	if !r.service.options.Now().Before(answer.NotAfter) {
 		r.service.options.Control.Finish(r.ticket.ID)
-		return engine.ErrNotRun{What: "request", Reason: "the ticket came too late to be used"}
+		return engine.ErrNotRun{Operation: "request", Reason: "the ticket came too late to be used"}
 	}
 	return r.use(ctx)
 }
--- a/tests/pinned/daemon/caller_test.go
+++ b/tests/pinned/daemon/caller_test.go
@@ -191,8 +191,8 @@
 		"body too large":        {line: completion, body: strings.Repeat(" ", 500)},
 		"already claimed":       {line: completion, body: plainBody, header: map[string]string{"X-Once": "true", "X-Request-Id": "pay-1"}, claim: once.AlreadyClaimed},
 		"claim impossible":      {line: completion, body: plainBody, header: map[string]string{"X-Once": "true", "X-Request-Id": "pay-1"}, claim: once.Impossible},
-		"endpoint did not run":  {line: completion, body: plainBody, start: engine.ErrNotRun{What: "request", Reason: "503: full", RetryAfter: 3 * time.Second}},
-		"endpoint broke off":    {line: completion, body: plainBody, start: engine.ErrUnknown{What: "request", Reason: "reset"}},
+		"endpoint did not run":  {line: completion, body: plainBody, start: engine.ErrNotRun{Operation: "request", Reason: "503: full", RetryAfter: 3 * time.Second}},
+		"endpoint broke off":    {line: completion, body: plainBody, start: engine.ErrOutcomeUnknown{Operation: "request", Reason: "reset"}},
 		"stream broke off":      {line: completion, body: `{"model":"fare-1@2","stream":true}`, answer: "data: {\"model\":\"fare-1@2\",\"choices\":[]}\n\n"},
 		"answer of no model":    {line: completion, body: plainBody, answer: `{"choices":[]}`},
 	}
--- a/tests/pinned/daemon/calls_test.go
+++ b/tests/pinned/daemon/calls_test.go
@@ -87,7 +87,7 @@
 
 // orderEnd names the end of an order in words of this test, not of the program.
 func orderEnd(err error) any {
-	var unknown engine.ErrUnknown
+	var unknown engine.ErrOutcomeUnknown
 	var fenced engine.ErrFenced
 	var notRun engine.ErrNotRun
 	switch {
@@ -110,7 +110,7 @@
 	o := engine.Order{Endpoint: e, Incarnation: "life-3", Fence: 41, Holder: "h1-i1", Adapter: ref, Source: "weights/fare-1/2"}
 	ctx := context.Background()
 	out := map[string]exchange{}
-	for name, order := range map[string]func(context.Context, engine.Order) error{"take": d.Take, "load": d.Load, "unload": d.Unload} {
+	for name, order := range map[string]func(context.Context, engine.Order) error{"take": d.ClaimFence, "load": d.Load, "unload": d.Unload} {
 		err := order(ctx, o)
 		out[name] = exchange{Sent: r.take(), Result: orderEnd(err)}
 	}
