--- a/modules/daemon/kv/client.go
+++ b/modules/daemon/kv/client.go
@@ -19,76 +19,79 @@
 	"golang.org/x/time/rate"
 )
 
-// Options are the settings of a client.
+// Options are the settings of a Client.
 type Options struct {
 	Addresses []netip.AddrPort
-	// Timeout bounds one call, save watches.
+	// Timeout bounds each call, except watches.
 	Timeout time.Duration
-	// ReadsPerSecond and WritesPerSecond are this client's own part of the service's rate.
+	// ReadsPerSecond and WritesPerSecond are the rate limits of this client, its share of the rate that the service can handle. Zero
+	// means no limit.
 	ReadsPerSecond  float64
 	WritesPerSecond float64
-	// Client replaces the HTTP client, for tests and TLS.
+	// Client, if set, replaces the default HTTP client, for tests and TLS.
 	Client *http.Client
 }
 
-// Counts are the calls made so far.
+// Counts holds the numbers of calls since the client was created.
 type Counts struct {
-	Reads    int64
-	Writes   int64
-	Watches  int64
-	Unknown  int64
-	NotDone  int64
+	Reads   int64
+	Writes  int64
+	Watches int64
+	// Unknown counts the calls that failed with ErrUnknown, NotDone those refused by the service or not sent for want of a connection.
+	Unknown int64
+	NotDone int64
+	// Throttle counts the calls that were not sent because of the client's rate limit.
 	Throttle int64
 }
 
 // Client calls the key-value service; it is safe for concurrent use.
 type Client struct {
-	options Options
-	http    *http.Client
-	reads   *rate.Limiter
-	writes  *rate.Limiter
-	next    atomic.Int64
-	counts  struct {
-		reads, writes, watches, unknown, notDone, throttled atomic.Int64
+	options     Options
+	http        *http.Client
+	reads       *rate.Limiter
+	writes      *rate.Limiter
+	nextAddress atomic.Int64
+	counts      struct {
+		reads, writes, watches, outcomeUnknown, notDone, throttled atomic.Int64
 	}
 }
 
 const (
-	// maxAnswer bounds one answer, in bytes, so that a faulty service cannot exhaust the memory.
-	maxAnswer = 32 << 20
-	// defaultTimeout bounds one call where the options name no time-out.
+	// maxResponseBytes bounds a response, in bytes, so that a faulty service cannot exhaust the memory.
+	maxResponseBytes = 32 << 20
+	// defaultTimeout bounds a call if the options set no timeout.
 	defaultTimeout = 2 * time.Second
-	// idlePerHost and idleTimeout bound the idle connections kept to each address.
-	idlePerHost = 16
-	idleTimeout = 30 * time.Second
+	// maxIdlePerHost and idleTimeout bound the number and the age of idle connections to each address.
+	maxIdlePerHost = 16
+	idleTimeout    = 30 * time.Second
 )
 
-// New makes a client; it connects when it is first used.
+// New returns a Client. It connects to the service on the first call.
 func New(o Options) *Client {
 	if o.Timeout <= 0 {
 		o.Timeout = defaultTimeout
 	}
 	client := o.Client
 	if client == nil {
-		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: idlePerHost, IdleConnTimeout: idleTimeout}}
+		client = &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: maxIdlePerHost, IdleConnTimeout: idleTimeout}}
 	}
 	return &Client{
-		options: o, http: client, reads: limiter(o.ReadsPerSecond), writes: limiter(o.WritesPerSecond),
+		options: o, http: client, reads: newLimiter(o.ReadsPerSecond), writes: newLimiter(o.WritesPerSecond),
 	}
 }
 
-func limiter(perSecond float64) *rate.Limiter {
+func newLimiter(perSecond float64) *rate.Limiter {
 	if perSecond <= 0 {
 		return rate.NewLimiter(rate.Inf, 1)
 	}
 	return rate.NewLimiter(rate.Limit(perSecond), max(1, int(perSecond)))
 }
 
-// Counts gives the calls made so far.
+// Counts returns the numbers of calls so far.
 func (c *Client) Counts() Counts {
 	return Counts{
 		Reads: c.counts.reads.Load(), Writes: c.counts.writes.Load(), Watches: c.counts.watches.Load(),
-		Unknown: c.counts.unknown.Load(), NotDone: c.counts.notDone.Load(), Throttle: c.counts.throttled.Load(),
+		Unknown: c.counts.outcomeUnknown.Load(), NotDone: c.counts.notDone.Load(), Throttle: c.counts.throttled.Load(),
 	}
 }
 
@@ -99,7 +102,7 @@
 	return out, err
 }
 
-// Get reads one key; false tells that there is none.
+// Get reads one key. It returns false if the key does not exist.
 func (c *Client) Get(ctx context.Context, key string) (Pair, bool, error) {
 	out, err := c.Range(ctx, RangeRequest{Key: []byte(key)})
 	if err != nil || len(out.KVs) == 0 {
@@ -108,21 +111,21 @@
 	return out.KVs[0], true, nil
 }
 
-// Txn runs a transaction; an ErrUnknown means that it may have taken effect.
+// Txn runs a transaction. If it returns an ErrUnknown, the transaction may have taken effect.
 func (c *Client) Txn(ctx context.Context, r TxnRequest) (TxnResponse, error) {
 	var out TxnResponse
 	err := c.write(ctx, "/v3/kv/txn", r, &out)
 	return out, err
 }
 
-// Grant makes a lease that lapses after ttl without a renewal.
+// Grant creates a lease, which expires after ttl unless it is renewed, and returns its ID.
 func (c *Client) Grant(ctx context.Context, ttl time.Duration) (int64, error) {
 	var out LeaseResponse
 	err := c.write(ctx, "/v3/lease/grant", LeaseGrantRequest{TTL: int64(ttl / time.Second)}, &out)
 	return out.ID, err
 }
 
-// KeepAlive renews a lease and gives ErrLeaseGone where it has lapsed.
+// KeepAlive renews a lease. It returns an ErrLeaseGone if the lease has expired.
 func (c *Client) KeepAlive(ctx context.Context, id int64) error {
 	var out KeepAliveResponse
 	if err := c.write(ctx, "/v3/lease/keepalive", LeaseRequest{ID: id}, &out); err != nil {
@@ -134,13 +137,13 @@
 	return nil
 }
 
-// Revoke ends a lease and removes the keys bound to it.
+// Revoke ends a lease and deletes the keys bound to it.
 func (c *Client) Revoke(ctx context.Context, id int64) error {
 	return c.write(ctx, "/v3/lease/revoke", LeaseRequest{ID: id}, &LeaseResponse{})
 }
 
-// Watch follows one key from a revision on and calls onEvent for each change until
-// ctx ends, the service ends the watch, or onEvent gives false.
+// Watch watches a key from a revision on and calls onEvent for each change, until ctx ends, the service ends the watch, or onEvent returns
+// false.
 func (c *Client) Watch(ctx context.Context, key string, from int64, onEvent func(WatchEvent) bool) error {
 	c.counts.watches.Add(1)
 	if err := c.reads.Wait(ctx); err != nil {
@@ -154,7 +157,7 @@
 	if err != nil {
 		return ErrNotDone{Call: "watch", Reason: err.Error()}
 	}
-	// Why a watch ended is known from reading it.
+	// readWatch reports why the watch ended, so that an error of Close is ignored.
 	defer func() { _ = resp.Body.Close() }()
 	return readWatch(resp.Body, onEvent)
 }
@@ -187,14 +190,13 @@
 	return c.call(ctx, path, c.writes, in, out)
 }
 
-// call makes one call within the timeout. Only failures before the first byte was
-// sent, and the service's own refusals, count as not done.
+// call makes a call within the timeout. It returns an ErrNotDone only if the call was not sent or the service refused it.
 func (c *Client) call(ctx context.Context, path string, limit *rate.Limiter, in, out any) error {
 	ctx, cancel := context.WithTimeout(ctx, c.options.Timeout)
 	defer cancel()
 	if err := limit.Wait(ctx); err != nil {
 		c.counts.throttled.Add(1)
-		return ErrNotDone{Call: path, Reason: "this client's own rate: " + err.Error()}
+		return ErrNotDone{Call: path, Reason: "rate limit of this client: " + err.Error()}
 	}
 	body, err := json.Marshal(in)
 	if err != nil {
@@ -202,59 +204,59 @@
 	}
 	resp, err := c.post(ctx, path, body)
 	if err != nil {
-		return c.failed(path, err)
+		return c.transportError(path, err)
 	}
-	// The answer is whole once it was read, however the connection closes.
+	// The response is read completely before Close, so that an error of Close is ignored.
 	defer func() { _ = resp.Body.Close() }()
-	answer, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	content, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return c.unknown(path, err.Error())
+		return c.outcomeUnknown(path, err.Error())
 	}
-	if resp.StatusCode == http.StatusNotFound && bytes.Contains(answer, []byte("lease")) {
+	if resp.StatusCode == http.StatusNotFound && bytes.Contains(content, []byte("lease")) {
 		return ErrLeaseGone{}
 	}
 	if resp.StatusCode != http.StatusOK {
-		return c.refused(path, resp.StatusCode, answer)
+		return c.statusError(path, resp.StatusCode, content)
 	}
-	if err := json.Unmarshal(answer, out); err != nil {
-		return c.unknown(path, err.Error())
+	if err := json.Unmarshal(content, out); err != nil {
+		return c.outcomeUnknown(path, err.Error())
 	}
 	return nil
 }
 
-// refused reads a status: by its client errors, 429 among them, and by 503 the service says that nothing was done; other
-// server errors leave it open.
-func (c *Client) refused(path string, status int, answer []byte) error {
-	reason := fmt.Sprintf("status %d: %.200s", status, answer)
+// statusError returns the error for a response with a status other than 200. A status below 500, including 429, and status 503 mean that
+// the call had no effect. After any other status the outcome is unknown.
+func (c *Client) statusError(path string, status int, content []byte) error {
+	reason := fmt.Sprintf("status %d: %.200s", status, content)
 	if status < http.StatusInternalServerError || status == http.StatusServiceUnavailable {
 		c.counts.notDone.Add(1)
 		return ErrNotDone{Call: path, Reason: reason}
 	}
-	return c.unknown(path, reason)
+	return c.outcomeUnknown(path, reason)
 }
 
-func (c *Client) unknown(path, reason string) error {
-	c.counts.unknown.Add(1)
+func (c *Client) outcomeUnknown(path, reason string) error {
+	c.counts.outcomeUnknown.Add(1)
 	return ErrUnknown{Call: path, Reason: reason}
 }
 
-// failed tells a connection that never came about from one that broke.
-func (c *Client) failed(path string, err error) error {
+// transportError returns the error for a call without a response: an ErrNotDone if no connection could be established, else an ErrUnknown.
+func (c *Client) transportError(path string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
 		c.counts.notDone.Add(1)
 		return ErrNotDone{Call: path, Reason: err.Error()}
 	}
-	return c.unknown(path, err.Error())
+	return c.outcomeUnknown(path, err.Error())
 }
 
-// post sends a body that the transport cannot replay by itself.
+// post sends a request to the next address, with a body that the transport cannot resend by itself.
 func (c *Client) post(ctx context.Context, path string, body []byte) (*http.Response, error) {
 	if len(c.options.Addresses) == 0 {
 		return nil, &net.OpError{Op: "dial", Err: errors.New("no address is set")}
 	}
-	turn := int(c.next.Add(1)) % len(c.options.Addresses)
-	url := "http://" + c.options.Addresses[turn].String() + path
+	index := int(c.nextAddress.Add(1)) % len(c.options.Addresses)
+	url := "http://" + c.options.Addresses[index].String() + path
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, url, io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, err
--- a/modules/daemon/kv/client_test.go
+++ b/modules/daemon/kv/client_test.go
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-func client(t *testing.T, o kv.Options, handler http.HandlerFunc) *kv.Client {
+func newClient(t *testing.T, o kv.Options, handler http.HandlerFunc) *kv.Client {
 	t.Helper()
 	server := httptest.NewServer(handler)
 	t.Cleanup(server.Close)
@@ -25,88 +25,88 @@
 	return kv.New(o)
 }
 
-func answer(status int, body string) http.HandlerFunc {
+func respond(status int, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(status)
 		_, _ = w.Write([]byte(body))
 	}
 }
 
-func put(c *kv.Client) error {
+func putKey(c *kv.Client) error {
 	_, err := c.Txn(context.Background(), kv.TxnRequest{Success: []kv.Op{{Put: &kv.PutRequest{Key: []byte("k")}}}})
 	return err
 }
 
-func TestWhatTheServiceRefusesIsNotDone(t *testing.T) {
+func TestRefusedCallReturnsErrNotDone(t *testing.T) {
 	for _, status := range []int{http.StatusBadRequest, http.StatusNotFound, http.StatusTooManyRequests, http.StatusServiceUnavailable} {
-		c := client(t, kv.Options{}, answer(status, "no"))
-		err := put(c)
+		c := newClient(t, kv.Options{}, respond(status, "no"))
+		err := putKey(c)
 		require.True(t, kv.IsErrNotDone(err), "%d: %v", status, err)
 		require.Equal(t, kv.Counts{Writes: 1, NotDone: 1}, c.Counts())
 	}
 }
 
-func TestWhatMayHaveBeenDoneIsUnknown(t *testing.T) {
+func TestLostOrInvalidResponseHasUnknownOutcome(t *testing.T) {
 	for name, handler := range map[string]http.HandlerFunc{
-		"server error":  answer(http.StatusInternalServerError, "oops"),
-		"gateway error": answer(http.StatusBadGateway, "oops"),
-		"no JSON":       answer(http.StatusOK, "hello"),
-		"half an answer": func(w http.ResponseWriter, _ *http.Request) {
+		"server error":  respond(http.StatusInternalServerError, "oops"),
+		"gateway error": respond(http.StatusBadGateway, "oops"),
+		"not JSON":      respond(http.StatusOK, "hello"),
+		"truncated response": func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "99")
 			_, _ = w.Write([]byte("{"))
 		},
-		"no answer": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
+		"no response": func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) },
 	} {
-		c := client(t, kv.Options{}, handler)
-		err := put(c)
+		c := newClient(t, kv.Options{}, handler)
+		err := putKey(c)
 		require.True(t, kv.IsErrUnknown(err), "%s: %v", name, err)
 		require.Equal(t, kv.Counts{Writes: 1, Unknown: 1}, c.Counts(), name)
 	}
 }
 
-func TestAnAnswerThatIsLateIsUnknown(t *testing.T) {
+func TestTimeoutHasUnknownOutcome(t *testing.T) {
 	release := make(chan struct{})
-	c := client(t, kv.Options{Timeout: 50 * time.Millisecond}, func(http.ResponseWriter, *http.Request) { <-release })
-	err := put(c)
+	c := newClient(t, kv.Options{Timeout: 50 * time.Millisecond}, func(http.ResponseWriter, *http.Request) { <-release })
+	err := putKey(c)
 	close(release)
 	require.True(t, kv.IsErrUnknown(err), "%v", err)
 }
 
-func TestAServiceThatIsNotThereDidNothing(t *testing.T) {
+func TestRefusedConnectionReturnsErrNotDone(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	address := netip.MustParseAddrPort(l.Addr().String())
 	require.NoError(t, l.Close())
-	require.True(t, kv.IsErrNotDone(put(kv.New(kv.Options{Addresses: []netip.AddrPort{address}}))))
-	require.True(t, kv.IsErrNotDone(put(kv.New(kv.Options{}))), "no address is set")
+	require.True(t, kv.IsErrNotDone(putKey(kv.New(kv.Options{Addresses: []netip.AddrPort{address}}))))
+	require.True(t, kv.IsErrNotDone(putKey(kv.New(kv.Options{}))), "no addresses in the options")
 }
 
-func TestACallBeyondTheOwnRateIsNotSent(t *testing.T) {
+func TestCallAboveRateLimitIsNotSent(t *testing.T) {
 	sent := 0
-	c := client(t, kv.Options{WritesPerSecond: 1, Timeout: 50 * time.Millisecond}, func(w http.ResponseWriter, _ *http.Request) {
+	c := newClient(t, kv.Options{WritesPerSecond: 1, Timeout: 50 * time.Millisecond}, func(w http.ResponseWriter, _ *http.Request) {
 		sent++
 		_, _ = w.Write([]byte("{}"))
 	})
-	require.NoError(t, put(c))
-	err := put(c)
+	require.NoError(t, putKey(c))
+	err := putKey(c)
 	require.True(t, kv.IsErrNotDone(err), "%v", err)
-	require.ErrorContains(t, err, "this client's own rate")
+	require.ErrorContains(t, err, "rate limit of this client")
 	require.Equal(t, 1, sent)
 	require.Equal(t, kv.Counts{Writes: 2, Throttle: 1}, c.Counts())
 	_, _, err = c.Get(context.Background(), "k")
-	require.NoError(t, err, "reads have a rate of their own")
+	require.NoError(t, err, "reads have a separate rate limit")
 }
 
-func TestALeaseThatIsGoneIsTold(t *testing.T) {
-	c := client(t, kv.Options{}, answer(http.StatusNotFound, "etcdserver: requested lease not found"))
-	require.True(t, kv.IsErrLeaseGone(put(c)))
-	c = client(t, kv.Options{}, answer(http.StatusOK, `{"result": {"ID": "7", "TTL": "0"}}`))
+func TestExpiredLeaseIsReported(t *testing.T) {
+	c := newClient(t, kv.Options{}, respond(http.StatusNotFound, "etcdserver: requested lease not found"))
+	require.True(t, kv.IsErrLeaseGone(putKey(c)))
+	c = newClient(t, kv.Options{}, respond(http.StatusOK, `{"result": {"ID": "7", "TTL": "0"}}`))
 	require.Equal(t, kv.ErrLeaseGone{ID: 7}, c.KeepAlive(context.Background(), 7))
-	c = client(t, kv.Options{}, answer(http.StatusOK, `{"result": {"ID": "7", "TTL": "10"}}`))
+	c = newClient(t, kv.Options{}, respond(http.StatusOK, `{"result": {"ID": "7", "TTL": "10"}}`))
 	require.NoError(t, c.KeepAlive(context.Background(), 7))
 }
 
-func TestCallsGoToEachAddressInTurn(t *testing.T) {
+func TestCallsAreDistributedRoundRobin(t *testing.T) {
 	seen := make(map[string]int)
 	o := kv.Options{}
 	for range 2 {
@@ -119,14 +119,14 @@
 	}
 	c := kv.New(o)
 	for range 4 {
-		require.NoError(t, put(c))
+		require.NoError(t, putKey(c))
 	}
 	require.Equal(t, map[string]int{o.Addresses[0].String(): 2, o.Addresses[1].String(): 2}, seen)
 }
 
-func TestAWatchEndsByTheServiceOrItsReader(t *testing.T) {
+func TestWatchEndsByServiceCallbackOrConnection(t *testing.T) {
 	events := `{"result": {"created": true}}{"result": {"events": [{"kv": {"key": "aw==", "mod_revision": "4"}}, {"type": "DELETE", "kv": {"key": "aw=="}}]}}`
-	c := client(t, kv.Options{}, answer(http.StatusOK, events+`{"result": {"canceled": true}}`))
+	c := newClient(t, kv.Options{}, respond(http.StatusOK, events+`{"result": {"canceled": true}}`))
 	var seen []kv.WatchEvent
 	err := c.Watch(context.Background(), "k", 1, func(e kv.WatchEvent) bool { seen = append(seen, e); return true })
 	require.ErrorContains(t, err, "cancelled by the service")
@@ -136,6 +136,6 @@
 	seen = nil
 	require.NoError(t, c.Watch(context.Background(), "k", 1, func(e kv.WatchEvent) bool { seen = append(seen, e); return false }))
 	require.Len(t, seen, 1)
-	c = client(t, kv.Options{}, answer(http.StatusOK, events))
-	require.True(t, kv.IsErrNotDone(c.Watch(context.Background(), "k", 1, func(kv.WatchEvent) bool { return true })), "the connection ended")
+	c = newClient(t, kv.Options{}, respond(http.StatusOK, events))
+	require.True(t, kv.IsErrNotDone(c.Watch(context.Background(), "k", 1, func(kv.WatchEvent) bool { return true })), "the connection was closed")
 }
--- a/modules/daemon/kv/wire.go
+++ b/modules/daemon/kv/wire.go
@@ -5,7 +5,7 @@
 
 // The wire types follow etcd v3's JSON form: bytes are base64, 64-bit numbers are strings.
 
-// Pair is one stored key with its value.
+// Pair is a stored key with its value.
 type Pair struct {
 	Key            []byte `json:"key"`
 	Value          []byte `json:"value"`
@@ -15,19 +15,19 @@
 	Lease          int64  `json:"lease,string"`
 }
 
-// Header is the part that all answers share.
+// Header is the part common to all responses.
 type Header struct {
 	Revision int64 `json:"revision,string"`
 }
 
-// RangeRequest asks for one key, or for all from Key up to RangeEnd.
+// RangeRequest requests the key Key, or, if RangeEnd is set, all keys from Key up to but excluding RangeEnd.
 type RangeRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 	Limit    int64  `json:"limit,omitempty,string"`
 }
 
-// RangeResponse answers a RangeRequest.
+// RangeResponse is the response to a RangeRequest.
 type RangeResponse struct {
 	Header Header `json:"header"`
 	KVs    []Pair `json:"kvs"`
@@ -35,20 +35,20 @@
 	Count  int64  `json:"count,string"`
 }
 
-// PutRequest stores a value, bound to a lease if one is named.
+// PutRequest stores a value, bound to a lease if Lease is set.
 type PutRequest struct {
 	Key   []byte `json:"key"`
 	Value []byte `json:"value"`
 	Lease int64  `json:"lease,omitempty,string"`
 }
 
-// DeleteRequest removes a key, or all from Key up to RangeEnd.
+// DeleteRequest deletes the key Key, or, if RangeEnd is set, all keys from Key up to but excluding RangeEnd.
 type DeleteRequest struct {
 	Key      []byte `json:"key"`
 	RangeEnd []byte `json:"range_end,omitempty"`
 }
 
-// Compare is one condition of a transaction.
+// Compare is a condition of a transaction.
 type Compare struct {
 	Key            []byte `json:"key"`
 	Result         string `json:"result"`
@@ -58,7 +58,7 @@
 	Value          []byte `json:"value,omitempty"`
 }
 
-// The targets and the result of a Compare.
+// The values of Compare.Target and Compare.Result.
 const (
 	TargetMod    = "MOD"
 	TargetCreate = "CREATE"
@@ -66,39 +66,39 @@
 	ResultEqual  = "EQUAL"
 )
 
-// Op is one step of a transaction.
+// Op is an operation of a transaction; one of its fields is set.
 type Op struct {
 	Range  *RangeRequest  `json:"request_range,omitempty"`
 	Put    *PutRequest    `json:"request_put,omitempty"`
 	Delete *DeleteRequest `json:"request_delete_range,omitempty"`
 }
 
-// OpResponse answers an Op.
+// OpResponse is the response to an Op.
 type OpResponse struct {
 	Range *RangeResponse `json:"response_range,omitempty"`
 }
 
-// TxnRequest does Success if all conditions hold, and else Failure.
+// TxnRequest runs the operations Success if all conditions hold, else the operations Failure.
 type TxnRequest struct {
 	Compare []Compare `json:"compare,omitempty"`
 	Success []Op      `json:"success,omitempty"`
 	Failure []Op      `json:"failure,omitempty"`
 }
 
-// TxnResponse answers a TxnRequest.
+// TxnResponse is the response to a TxnRequest.
 type TxnResponse struct {
 	Header    Header       `json:"header"`
 	Succeeded bool         `json:"succeeded"`
 	Responses []OpResponse `json:"responses"`
 }
 
-// LeaseGrantRequest asks for a lease of so many seconds.
+// LeaseGrantRequest requests a lease; TTL is in seconds.
 type LeaseGrantRequest struct {
 	TTL int64 `json:"TTL,string"`
 	ID  int64 `json:"ID,omitempty,string"`
 }
 
-// LeaseResponse answers the calls for leases; a TTL of zero means that the lease is gone.
+// LeaseResponse is the response to the calls for leases. A TTL of zero means that the lease does not exist any more.
 type LeaseResponse struct {
 	Header Header `json:"header"`
 	ID     int64  `json:"ID,string"`
@@ -106,34 +106,34 @@
 	Error  string `json:"error,omitempty"`
 }
 
-// LeaseRequest names a lease.
+// LeaseRequest is the request to renew or revoke a lease.
 type LeaseRequest struct {
 	ID int64 `json:"ID,string"`
 }
 
-// KeepAliveResponse wraps the answer to a renewal.
+// KeepAliveResponse is the response to a renewal.
 type KeepAliveResponse struct {
 	Result LeaseResponse `json:"result"`
 }
 
-// WatchRequest begins a watch.
+// WatchRequest starts a watch.
 type WatchRequest struct {
 	Create WatchCreate `json:"create_request"`
 }
 
-// WatchCreate says what to watch.
+// WatchCreate holds the keys and the first revision to watch.
 type WatchCreate struct {
 	Key           []byte `json:"key"`
 	RangeEnd      []byte `json:"range_end,omitempty"`
 	StartRevision int64  `json:"start_revision,omitempty,string"`
 }
 
-// WatchResponse is one message of a watch.
+// WatchResponse is a message of a watch.
 type WatchResponse struct {
 	Result WatchResult `json:"result"`
 }
 
-// WatchResult tells what happened to the watched keys.
+// WatchResult holds the changes of the watched keys.
 type WatchResult struct {
 	Header   Header       `json:"header"`
 	Created  bool         `json:"created"`
@@ -141,7 +141,7 @@
 	Events   []WatchEvent `json:"events"`
 }
 
-// WatchEvent is one change of a key; an empty type means a put.
+// WatchEvent is a change of a key; an empty Type means a put.
 type WatchEvent struct {
 	Type string `json:"type"`
 	KV   Pair   `json:"kv"`
