--- a/modules/daemon/language/grammar.go
+++ b/modules/daemon/language/grammar.go
@@ -23,7 +23,7 @@
 	Change  *Change  `parser:"| @@"`
 }
 
-// Change is a command that makes a new revision.
+// Change is a command that creates a new revision of the configuration.
 type Change struct {
 	DryRun     bool          `parser:"@( 'dry' 'run' )?"`
 	Create     *Create       `parser:"(  'create' @@"`
@@ -45,7 +45,7 @@
 	IfRevision *Number       `parser:"( 'if' 'revision' @Word )?"`
 }
 
-// Create makes a new thing.
+// Create adds an adapter, version, service or rule.
 type Create struct {
 	Adapter *AdapterClause `parser:"  'adapter' @@"`
 	Version *VersionClause `parser:"| 'version' @@"`
@@ -59,7 +59,7 @@
 	Rule    *RuleClause    `parser:"| 'rule' @@"`
 }
 
-// Retire takes a thing out of service.
+// Retire takes an adapter, version, service or rule out of service.
 type Retire struct {
 	Adapter *Name `parser:"  'adapter' @@"`
 	Version *Ref  `parser:"| 'version' @@"`
@@ -67,12 +67,12 @@
 	Rule    *Name `parser:"| 'rule' @@"`
 }
 
-// Name is a name, quoted or not.
+// Name is a name, with or without quotes.
 type Name struct {
 	Text string `parser:"@( Word | String )"`
 }
 
-// Ref is adapter@version.
+// Ref is a reference to a version, in the form adapter@version.
 type Ref struct {
 	Pos  lexer.Position
 	Text string `parser:"@( Word | String )"`
@@ -99,14 +99,14 @@
 	Shares []*ShareClause `parser:"@@ ( ',' @@ )*"`
 }
 
-// ShareClause is one share; without a version it follows the live one.
+// ShareClause is the share of an adapter in a service. An adapter without a version means its live version.
 type ShareClause struct {
 	Pos     lexer.Position
 	Adapter string  `parser:"@( Word | String )"`
 	Percent *Number `parser:"( @Word '%' )?"`
 }
 
-// Roll moves a service to another version by share, or back.
+// Roll moves a share of a service to another version, or undoes that.
 type Roll struct {
 	Back    *Name   `parser:"  'back' 'service' @@"`
 	Service string  `parser:"| 'service' @( Word | String )"`
@@ -122,33 +122,33 @@
 	Actions    []*RuleAction    `parser:"@@ ( ',' @@ )*"`
 }
 
-// RuleCondition limits a rule; patterns know * and ?.
+// RuleCondition restricts a rule to requests whose field matches the pattern; a pattern may contain the wildcards * and ?.
 type RuleCondition struct {
 	Field   string `parser:"@( 'class' | 'caller' | 'base' | 'adapter' | 'hall' )"`
 	Pattern string `parser:"@( Word | String )"`
 }
 
-// Window limits a rule to a time of day.
+// Window restricts a rule to a time of day.
 type Window struct {
 	From string `parser:"'between' @Time"`
 	To   string `parser:"'and' @Time"`
 	Zone string `parser:"( 'in' @( Word | String ) )?"`
 }
 
-// RuleAction is what a rule does.
+// RuleAction is an action of a rule.
 type RuleAction struct {
 	Halls    []string `parser:"  'run' 'in' @( Word | String ) ( '+' @( Word | String ) )*"`
 	Priority *Number  `parser:"| 'priority' @Word"`
 	Refuse   bool     `parser:"| @'refuse'"`
 }
 
-// BudgetClause sets the weight store's rate.
+// BudgetClause sets the load rate of the weight store.
 type BudgetClause struct {
 	Rate   *Decimal `parser:"@Word 'loads' 'per' 'second'"`
 	AtOnce *Number  `parser:"@Word 'at' 'once'"`
 }
 
-// ClassClause sets a class.
+// ClassClause sets the properties of a class.
 type ClassClause struct {
 	Name     string   `parser:"@( Word | String )"`
 	Priority *Number  `parser:"'priority' @Word"`
@@ -173,23 +173,23 @@
 	Limit *Number  `parser:"( 'limit' @Word )?"`
 }
 
-// Order is one column to sort by.
+// Order is a column to sort by.
 type Order struct {
 	Column string `parser:"@Word"`
 	Desc   bool   `parser:"( @'desc' | 'asc' )?"`
 }
 
-// Or holds if any of its parts does.
+// Or is true if any of its parts is true.
 type Or struct {
 	Parts []*And `parser:"@@ ( 'or' @@ )*"`
 }
 
-// And holds if all of its parts do.
+// And is true if all of its parts are true.
 type And struct {
 	Parts []*Condition `parser:"@@ ( 'and' @@ )*"`
 }
 
-// Condition is one comparison.
+// Condition is a comparison, a negation, or a group in parentheses.
 type Condition struct {
 	Pos    lexer.Position
 	Not    *Condition `parser:"  'not' @@"`
@@ -199,7 +199,7 @@
 	Value  string     `parser:"  @( Word | String )"`
 }
 
-// Explain asks why.
+// Explain asks for the reasons of the decisions on a request, an adapter, a slot or a revision.
 type Explain struct {
 	Request  *Name   `parser:"  'request' @@"`
 	Adapter  *Name   `parser:"| 'adapter' @@"`
@@ -207,13 +207,13 @@
 	Revision *Number `parser:"| 'revision' @Word"`
 }
 
-// Slot names an adapter on an endpoint.
+// Slot names an endpoint and optionally an adapter on it.
 type Slot struct {
 	Endpoint string `parser:"@( Word | String )"`
 	Adapter  string `parser:"@( Word | String )?"`
 }
 
-// Number is a whole number of zero or more.
+// Number is a non-negative integer.
 type Number int64
 
 // Capture implements participle.Capture.
@@ -226,7 +226,7 @@
 	return nil
 }
 
-// Decimal is a number of zero or more.
+// Decimal is a non-negative decimal number.
 type Decimal float64
 
 // Capture implements participle.Capture.
--- a/modules/daemon/language/language_test.go
+++ b/modules/daemon/language/language_test.go
@@ -14,8 +14,8 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
-// forms gives the lines of the reference page's blocks.
-func forms(t testing.TB) []string {
+// referenceForms returns the lines of all code blocks of the reference page.
+func referenceForms(t testing.TB) []string {
 	raw, err := os.ReadFile("../../../docs/language.md")
 	require.NoError(t, err)
 	var out []string
@@ -33,17 +33,17 @@
 	return out
 }
 
-func TestEveryFormOfTheReferencePageParses(t *testing.T) {
-	for _, line := range forms(t) {
+func TestParseAcceptsAllReferenceForms(t *testing.T) {
+	for _, line := range referenceForms(t) {
 		statements, err := language.Parse(line)
 		require.NoError(t, err, line)
 		require.Len(t, statements, 1, line)
 		_, err = language.Parse(strings.ToUpper(line[:4]) + line[4:])
-		require.NoError(t, err, "words are not case sensitive: %s", line)
+		require.NoError(t, err, "keywords are not case-sensitive: %s", line)
 	}
 }
 
-func TestErrorsPointAtTheColumn(t *testing.T) {
+func TestSyntaxErrorNamesColumnAndReason(t *testing.T) {
 	for text, want := range map[string]struct {
 		column int
 		reason string
@@ -65,7 +65,7 @@
 }
 
 func FuzzParse(f *testing.F) {
-	for _, line := range forms(f) {
+	for _, line := range referenceForms(f) {
 		f.Add(line)
 	}
 	f.Fuzz(func(t *testing.T, text string) {
--- a/modules/daemon/language/parse.go
+++ b/modules/daemon/language/parse.go
@@ -12,7 +12,7 @@
 	"github.com/alecthomas/participle/v2/lexer"
 )
 
-var lex = lexer.MustSimple([]lexer.SimpleRule{
+var textLexer = lexer.MustSimple([]lexer.SimpleRule{
 	{Name: "Comment", Pattern: `--[^\n]*`},
 	{Name: "Space", Pattern: `\s+`},
 	{Name: "String", Pattern: `'[^']*'|"[^"]*"`},
@@ -22,26 +22,26 @@
 })
 
 var parser = participle.MustBuild[Script](
-	participle.Lexer(lex),
+	participle.Lexer(textLexer),
 	participle.Elide("Comment", "Space"),
 	participle.CaseInsensitive("Word"),
 	participle.Unquote("String"),
 	participle.UseLookahead(lookahead),
 )
 
-// ErrSyntax reports a text that is not of the language, and where.
+// ErrSyntax reports a syntax error and its position.
 type ErrSyntax struct {
 	Line   int
 	Column int
 	Reason string
 }
 
-// Error gives line, column and what was expected.
+// Error returns the line, the column and the reason.
 func (e ErrSyntax) Error() string {
 	return fmt.Sprintf("line %d, column %d: %s", e.Line, e.Column, e.Reason)
 }
 
-// Point draws the line of the text with a mark under the column.
+// Point returns the line of the text that has the error, followed by a line with a mark under the column.
 func (e ErrSyntax) Point(text string) string {
 	lines := strings.Split(text, "\n")
 	if e.Line < 1 || e.Line > len(lines) {
@@ -50,15 +50,15 @@
 	return lines[e.Line-1] + "\n" + strings.Repeat(" ", max(0, e.Column-1)) + "^"
 }
 
-// maxText bounds the text of one request, in bytes.
-const maxText = 8 << 20
+// maxTextBytes bounds the text of one request, in bytes.
+const maxTextBytes = 8 << 20
 
-// lookahead is how many tokens the parser looks ahead to tell two forms apart, such as "set class" and "set live".
+// lookahead is the number of tokens that the parser looks ahead to distinguish forms such as "set class" and "set live".
 const lookahead = 3
 
-// Parse reads statements.
+// Parse parses the statements of a text.
 func Parse(text string) ([]*Statement, error) {
-	if len(text) > maxText {
+	if len(text) > maxTextBytes {
 		return nil, ErrSyntax{Line: 1, Column: 1, Reason: "the text is longer than 8 MB"}
 	}
 	script, err := parser.ParseString("", text)
@@ -71,13 +71,13 @@
 func syntaxError(err error) error {
 	var p participle.Error
 	if errors.As(err, &p) {
-		return ErrSyntax{Line: p.Position().Line, Column: p.Position().Column, Reason: plain(p.Message())}
+		return ErrSyntax{Line: p.Position().Line, Column: p.Position().Column, Reason: readableMessage(p.Message())}
 	}
 	return ErrSyntax{Line: 1, Column: 1, Reason: err.Error()}
 }
 
-// expected gives, for what the parser calls by the names of types, the words that may stand there.
-var expected = strings.NewReplacer(
+// messageReplacer replaces the names of types and tokens in the parser's messages by the keywords or texts that are expected there.
+var messageReplacer = strings.NewReplacer(
 	"(expected Create)", "(expected adapter, version, service or rule)",
 	"(expected Alter)", "(expected service or rule)",
 	"(expected Retire)", "(expected adapter, version, service or rule)",
@@ -92,9 +92,10 @@
 	"failed to capture: ", "",
 )
 
-func plain(message string) string {
+// readableMessage returns a message of the parser in terms of the operators' language.
+func readableMessage(message string) string {
 	if strings.HasPrefix(message, "unexpected token") && !strings.Contains(message, "(expected") {
 		message += " (expected Change)"
 	}
-	return expected.Replace(message)
+	return messageReplacer.Replace(message)
 }
--- a/modules/daemon/log/log.go
+++ b/modules/daemon/log/log.go
@@ -20,7 +20,7 @@
 	Fields logrus.Fields
 }
 
-// New makes a logger and sends go-zero's and gRPC's own logs to it.
+// New returns a logger and redirects the logs of go-zero and gRPC to it.
 func New(o Options) (*logrus.Entry, error) {
 	level, err := logrus.ParseLevel(o.Level)
 	if err != nil {
@@ -34,37 +34,38 @@
 	}
 	entry := logger.WithFields(o.Fields)
 	logx.DisableStat()
-	logx.SetLevel(zeroLevel(level))
-	logx.SetWriter(&zeroWriter{entry: entry.WithField("library", "go-zero")})
-	grpclog.SetLoggerV2(grpclog.NewLoggerV2(io.Discard, &lineWriter{entry: entry.WithField("library", "grpc")}, &lineWriter{entry: entry.WithField("library", "grpc")}))
+	logx.SetLevel(goZeroLevel(level))
+	logx.SetWriter(&goZeroWriter{entry: entry.WithField("library", "go-zero")})
+	grpclog.SetLoggerV2(grpclog.NewLoggerV2(io.Discard, &debugWriter{entry: entry.WithField("library", "grpc")}, &debugWriter{entry: entry.WithField("library", "grpc")}))
 	return entry, nil
 }
 
-// zeroLevel keeps go-zero from making a line for each request that nobody reads.
-func zeroLevel(level logrus.Level) uint32 {
+// goZeroLevel returns go-zero's log level for a level of logrus. Unless the level is debug or trace, go-zero logs only errors: it would
+// otherwise build a log line for each request that is discarded.
+func goZeroLevel(level logrus.Level) uint32 {
 	if level >= logrus.DebugLevel {
 		return logx.DebugLevel
 	}
 	return logx.ErrorLevel
 }
 
-// lineWriter turns a library's lines into log entries.
-type lineWriter struct {
+// debugWriter writes the log lines of a library as debug entries.
+type debugWriter struct {
 	entry *logrus.Entry
 }
 
 // Write implements io.Writer.
-func (w *lineWriter) Write(p []byte) (int, error) {
+func (w *debugWriter) Write(p []byte) (int, error) {
 	w.entry.Debug(string(p))
 	return len(p), nil
 }
 
-// zeroWriter takes go-zero's log.
-type zeroWriter struct {
+// goZeroWriter writes the log lines of go-zero.
+type goZeroWriter struct {
 	entry *logrus.Entry
 }
 
-func (w *zeroWriter) with(fields []logx.LogField) *logrus.Entry {
+func (w *goZeroWriter) withFields(fields []logx.LogField) *logrus.Entry {
 	e := w.entry
 	for _, f := range fields {
 		e = e.WithField(f.Key, f.Value)
@@ -73,28 +74,28 @@
 }
 
 // Alert implements logx.Writer.
-func (w *zeroWriter) Alert(v any) { w.entry.Error(v) }
+func (w *goZeroWriter) Alert(v any) { w.entry.Error(v) }
 
 // Close implements logx.Writer.
-func (w *zeroWriter) Close() error { return nil }
+func (w *goZeroWriter) Close() error { return nil }
 
 // Debug implements logx.Writer.
-func (w *zeroWriter) Debug(v any, fields ...logx.LogField) { w.with(fields).Debug(v) }
+func (w *goZeroWriter) Debug(v any, fields ...logx.LogField) { w.withFields(fields).Debug(v) }
 
 // Error implements logx.Writer.
-func (w *zeroWriter) Error(v any, fields ...logx.LogField) { w.with(fields).Error(v) }
+func (w *goZeroWriter) Error(v any, fields ...logx.LogField) { w.withFields(fields).Error(v) }
 
-// Info implements logx.Writer; go-zero's routine messages are of use only in debugging.
-func (w *zeroWriter) Info(v any, fields ...logx.LogField) { w.with(fields).Debug(v) }
+// Info implements logx.Writer. It logs at debug level, since go-zero's routine messages are useful only for debugging.
+func (w *goZeroWriter) Info(v any, fields ...logx.LogField) { w.withFields(fields).Debug(v) }
 
 // Severe implements logx.Writer.
-func (w *zeroWriter) Severe(v any) { w.entry.Error(v) }
+func (w *goZeroWriter) Severe(v any) { w.entry.Error(v) }
 
 // Slow implements logx.Writer.
-func (w *zeroWriter) Slow(v any, fields ...logx.LogField) { w.with(fields).Debug(v) }
+func (w *goZeroWriter) Slow(v any, fields ...logx.LogField) { w.withFields(fields).Debug(v) }
 
 // Stack implements logx.Writer.
-func (w *zeroWriter) Stack(v any) { w.entry.Error(v) }
+func (w *goZeroWriter) Stack(v any) { w.entry.Error(v) }
 
 // Stat implements logx.Writer.
-func (w *zeroWriter) Stat(v any, fields ...logx.LogField) { w.with(fields).Debug(v) }
+func (w *goZeroWriter) Stat(v any, fields ...logx.LogField) { w.withFields(fields).Debug(v) }
--- a/modules/daemon/log/log_test.go
+++ b/modules/daemon/log/log_test.go
@@ -16,8 +16,8 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/log"
 )
 
-// made gives a logger of the level and what it writes, line by line as JSON.
-func made(t *testing.T, level string) (entry *logrus.Entry, lines func() []map[string]any) {
+// newLogger returns a logger with the level, and a function that returns the lines written since its last call, decoded from JSON.
+func newLogger(t *testing.T, level string) (entry *logrus.Entry, lines func() []map[string]any) {
 	t.Helper()
 	var out bytes.Buffer
 	entry, err := log.New(log.Options{Level: level, Format: "json", Output: &out, Fields: logrus.Fields{"instance": "i1"}})
@@ -33,8 +33,8 @@
 	}
 }
 
-func TestEachLineHasTheLoggersFields(t *testing.T) {
-	entry, lines := made(t, "info")
+func TestLineContainsLoggerFields(t *testing.T) {
+	entry, lines := newLogger(t, "info")
 	entry.WithField("pool", "h1/x").Info("taken")
 	entry.Debug("not at this level")
 	got := lines()
@@ -44,12 +44,12 @@
 	require.Equal(t, map[string]any{"level": "info", "msg": "taken", "instance": "i1", "pool": "h1/x"}, got[0])
 }
 
-func TestAnUnknownLevelIsAnError(t *testing.T) {
+func TestUnknownLevelIsAnError(t *testing.T) {
 	_, err := log.New(log.Options{Level: "loud", Output: &bytes.Buffer{}})
 	require.ErrorContains(t, err, "loud")
 }
 
-func TestOtherFormatsAreText(t *testing.T) {
+func TestTextFormat(t *testing.T) {
 	var out bytes.Buffer
 	entry, err := log.New(log.Options{Level: "info", Format: "text", Output: &out})
 	require.NoError(t, err)
@@ -57,22 +57,22 @@
 	require.Contains(t, out.String(), "msg=taken")
 }
 
-func TestLibrariesLinesGoToTheLogByTheirWeight(t *testing.T) {
+func TestLibraryLinesAreLoggedAtMappedLevel(t *testing.T) {
 	for _, row := range []struct {
 		name  string
 		write func()
 		level string
 		debug bool
 	}{
-		{"go-zero's routine", func() { logx.Info("said") }, "debug", true},
-		{"go-zero's slow calls", func() { logx.Slow("said") }, "debug", true},
-		{"go-zero's errors", func() { logx.Error("said") }, "error", false},
-		{"go-zero's worst errors", func() { logx.Severe("said") }, "error", false},
-		{"gRPC's warnings", func() { grpclog.Warning("said") }, "debug", true},
-		{"gRPC's routine", func() { grpclog.Info("said") }, "", true},
+		{"go-zero info", func() { logx.Info("said") }, "debug", true},
+		{"go-zero slow call", func() { logx.Slow("said") }, "debug", true},
+		{"go-zero error", func() { logx.Error("said") }, "error", false},
+		{"go-zero severe error", func() { logx.Severe("said") }, "error", false},
+		{"gRPC warning", func() { grpclog.Warning("said") }, "debug", true},
+		{"gRPC info", func() { grpclog.Info("said") }, "", true},
 	} {
 		for _, level := range []string{"info", "debug"} {
-			_, lines := made(t, level)
+			_, lines := newLogger(t, level)
 			row.write()
 			got := lines()
 			if row.level == "" || (row.debug && level != "debug") {
@@ -89,8 +89,8 @@
 	}
 }
 
-func TestFieldsOfALibrarysLineAreKept(t *testing.T) {
-	_, lines := made(t, "info")
+func TestLibraryLineKeepsFields(t *testing.T) {
+	_, lines := newLogger(t, "info")
 	logx.Errorw("said", logx.Field("path", "/here"))
 	got := lines()
 	require.Len(t, got, 1)
--- a/modules/daemon/metric/doc.go
+++ b/modules/daemon/metric/doc.go
@@ -1,10 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package metric holds the Prometheus metrics of a daemon, in a registry of its own.
+// Package metric provides the Prometheus metrics of a daemon, in a separate registry.
 //
-// The entry program has modules/entry/metric in its place: its series count by route, answered status and reason, where
-// the daemon's count by class, caller and outcome, and the names of both are fixed by who reads them. Metrics are safe
-// for concurrent use; the package relies on client_golang and, for their counts, on modules/daemon/kv, and starts no
-// goroutines.
+// The entry program uses modules/entry/metric instead: its series have the labels route, status and reason, those of the daemon class,
+// caller and outcome, and dashboards and alerts depend on the names of both. Metrics are safe for concurrent use. The package relies on
+// client_golang, and on modules/daemon/kv for the type of its call counts. It starts no goroutines.
 package metric
--- a/modules/daemon/metric/metric.go
+++ b/modules/daemon/metric/metric.go
@@ -15,7 +15,7 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-// Metrics are a daemon's metrics in a registry of their own.
+// Metrics holds the metrics of a daemon and their registry.
 type Metrics struct {
 	Registry *prometheus.Registry
 
@@ -35,31 +35,32 @@
 	Claims       *prometheus.CounterVec
 	Logins       *prometheus.CounterVec
 
-	callers *bounded
-	classes *bounded
+	callers *labelLimiter
+	classes *labelLimiter
 }
 
-// otherLabel stands for all values beyond the bound of a label.
+// otherLabel is the label value that replaces all values above the limit of a label.
 const otherLabel = "other"
 
-// Options bound the number of label values.
+// Options limit the number of label values.
 type Options struct {
 	MaxCallers int
 	MaxClasses int
 }
 
-// The buckets are in seconds. Waits reach from a millisecond to the default wait of a minute, the time between tokens from a
-// fast step to a stall. The bounds 1.2 and 0.041 are thresholds of conf/alerts.yml, which are exact only at a bucket's bound.
+// The bucket bounds are in seconds. waitBuckets range from a millisecond to the default maximum wait of a minute, tokenBuckets from the
+// time of a fast step to that of a stall. The bounds 1.2 and 0.041 are thresholds of conf/alerts.yml: a threshold is exact only at a
+// bucket bound.
 var (
 	waitBuckets  = []float64{.001, .005, .01, .025, .05, .1, .25, .5, 1, 1.2, 2.5, 5, 10, 30, 60}
 	tokenBuckets = []float64{.005, .01, .02, .03, .041, .06, .1, .25, 1}
 )
 
-// New registers the metrics.
+// New returns the metrics, registered in a new registry.
 func New(o Options) *Metrics {
 	r := prometheus.NewRegistry()
 	r.MustRegister(collectors.NewGoCollector(), collectors.NewProcessCollector(collectors.ProcessCollectorOpts{}))
-	m := &Metrics{Registry: r, callers: newBounded(o.MaxCallers), classes: newBounded(o.MaxClasses)}
+	m := &Metrics{Registry: r, callers: newLabelLimiter(o.MaxCallers), classes: newLabelLimiter(o.MaxClasses)}
 	labels := []string{"class", "caller"}
 	m.Requests = counter(r, "requests_total", "Requests by how they ended.", "class", "caller", "outcome", "reason")
 	m.Stall = histogram(r, "load_stall_seconds", "Time that requests waited for an adapter to load.", waitBuckets, labels)
@@ -100,12 +101,12 @@
 	return g
 }
 
-// Handler serves the metrics page.
+// Handler returns the HTTP handler of the metrics page.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.Registry, promhttp.HandlerOpts{})
 }
 
-// Observation is what one request's end adds to the metrics.
+// Observation holds the values that a finished request adds to the metrics.
 type Observation struct {
 	Class      string
 	Caller     string
@@ -119,7 +120,7 @@
 	Ran        bool
 }
 
-// Observe adds one request.
+// Observe adds a finished request to the metrics.
 func (m *Metrics) Observe(o Observation) {
 	class, caller := m.classes.label(o.Class), m.callers.label(o.Caller)
 	m.Requests.WithLabelValues(class, caller, o.Outcome, o.Reason).Inc()
@@ -137,34 +138,35 @@
 	}
 }
 
-// bounded gives label values as they are up to a number of different ones.
-type bounded struct {
-	mutex sync.RWMutex
-	most  int
-	seen  map[string]bool
+// labelLimiter limits the number of different values of a label; further values are replaced by otherLabel.
+type labelLimiter struct {
+	mutex     sync.RWMutex
+	maxValues int
+	seen      map[string]bool
 }
 
-func newBounded(most int) *bounded {
-	return &bounded{most: most, seen: make(map[string]bool)}
+func newLabelLimiter(maxValues int) *labelLimiter {
+	return &labelLimiter{maxValues: maxValues, seen: make(map[string]bool)}
 }
 
-func (b *bounded) label(value string) string {
-	b.mutex.RLock()
-	ok := b.seen[value]
-	b.mutex.RUnlock()
+// label returns the label value to use for value.
+func (l *labelLimiter) label(value string) string {
+	l.mutex.RLock()
+	ok := l.seen[value]
+	l.mutex.RUnlock()
 	if ok {
 		return value
 	}
-	b.mutex.Lock()
-	defer b.mutex.Unlock()
-	if !b.seen[value] && len(b.seen) >= b.most {
+	l.mutex.Lock()
+	defer l.mutex.Unlock()
+	if !l.seen[value] && len(l.seen) >= l.maxValues {
 		return otherLabel
 	}
-	b.seen[value] = true
+	l.seen[value] = true
 	return value
 }
 
-// SetKVCalls brings the counts of calls to the key-value service up to date.
+// SetKVCalls sets the metrics of the calls to the key-value service.
 func (m *Metrics) SetKVCalls(c kv.Counts) {
 	for kind, n := range map[string]int64{
 		"read": c.Reads, "write": c.Writes, "watch": c.Watches, "unknown": c.Unknown, "not_done": c.NotDone, "throttled": c.Throttle,
--- a/modules/daemon/metric/metric_test.go
+++ b/modules/daemon/metric/metric_test.go
@@ -16,8 +16,8 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/metric"
 )
 
-// full gives metrics of which each has a value.
-func full() *metric.Metrics {
+// observedMetrics returns metrics with at least one value for each name.
+func observedMetrics() *metric.Metrics {
 	m := metric.New(metric.Options{MaxCallers: 3, MaxClasses: 3})
 	m.Observe(metric.Observation{
 		Class: "kiosk", Caller: "c", Outcome: "answered", Ran: true, FirstToken: time.Second, Between: time.Millisecond,
@@ -30,8 +30,8 @@
 	return m
 }
 
-func TestDashboardAndAlertsUseMetricsThatExist(t *testing.T) {
-	families, err := full().Registry.Gather()
+func TestDashboardAndAlertsMatchMetrics(t *testing.T) {
+	families, err := observedMetrics().Registry.Gather()
 	require.NoError(t, err)
 	known := make(map[string]bool)
 	for _, f := range families {
@@ -52,12 +52,12 @@
 	}
 	for name := range known {
 		if strings.HasPrefix(name, "shelfledge_") {
-			require.True(t, used[name], "%s is shown nowhere", name)
+			require.True(t, used[name], "%s is in neither the dashboard nor the alerts", name)
 		}
 	}
 }
 
-func TestLabelsAreBounded(t *testing.T) {
+func TestCallersAboveLimitShareOtherLabel(t *testing.T) {
 	m := metric.New(metric.Options{MaxCallers: 2, MaxClasses: 2})
 	for _, caller := range []string{"a", "b", "c", "d"} {
 		m.Observe(metric.Observation{Class: "kiosk", Caller: caller, Outcome: "answered"})
@@ -66,7 +66,7 @@
 	require.NoError(t, err)
 	for _, f := range families {
 		if f.GetName() == "shelfledge_requests_total" {
-			require.Len(t, f.GetMetric(), 3, "two callers and the rest as other")
+			require.Len(t, f.GetMetric(), 3, "two callers, and the others as one")
 		}
 	}
 }
--- a/modules/daemon/ring/doc.go
+++ b/modules/daemon/ring/doc.go
@@ -3,6 +3,6 @@
 
 // Package ring ranks instances for a key by rendezvous hashing.
 //
-// Instances must agree on the ranks without a message, so neither the hash nor its constants may change between
-// versions. The package owns no state and starts no goroutines.
+// All instances must compute the same ranking without communication, so neither the hash nor its constants may change between versions. The
+// package keeps no state and starts no goroutines.
 package ring
--- a/modules/daemon/ring/ring.go
+++ b/modules/daemon/ring/ring.go
@@ -7,33 +7,34 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Score gives the weight of one candidate for a key.
+// Score returns the rank of a candidate for a key; the candidate with the highest score is the best.
 func Score(key, candidate string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	// Writes of a digest never give an error.
+	// Writing to a digest never fails.
 	_, _ = d.WriteString(key)
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(candidate)
-	return mix(d.Sum64())
+	return mixBits(d.Sum64())
 }
 
-// mixShift and mixFactor are the shifts and the first factor of MurmurHash3's 64-bit finalizer. Changed, they would give each
-// key another candidate: two versions of the program must agree on them.
+// mixShift and mixFactor are the shift and the first factor of MurmurHash3's 64-bit finalizer. A change would assign keys to other
+// candidates, and instances of different versions must assign them alike.
 const (
 	mixShift  = 33
 	mixFactor = 0xff51afd7ed558ccd
 )
 
-// mix spreads the bits, since keys that differ little give hashes that are compared whole.
-func mix(h uint64) uint64 {
+// mixBits spreads the differences between hashes over all bits. Scores are compared as a whole, so the high bits decide, also for keys that
+// differ only little.
+func mixBits(h uint64) uint64 {
 	h ^= h >> mixShift
 	h *= mixFactor
 	h ^= h >> mixShift
 	return h
 }
 
-// Best gives the candidate with the highest score, or an empty string for none.
+// Best returns the candidate with the highest score, or an empty string if there are no candidates.
 func Best(key string, candidates []string) string {
 	best, bestScore := "", uint64(0)
 	for _, c := range candidates {
--- a/modules/daemon/ring/ring_test.go
+++ b/modules/daemon/ring/ring_test.go
@@ -12,8 +12,8 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
-// Two versions of the program run side by side, so a score never changes.
-func TestScoresAreTheSameInEveryVersion(t *testing.T) {
+// TestScoreIsStableAcrossVersions pins scores: instances of different versions run side by side and must compute the same ones.
+func TestScoreIsStableAcrossVersions(t *testing.T) {
 	for _, c := range []struct {
 		key, candidate string
 		score          uint64
@@ -28,13 +28,13 @@
 	}
 }
 
-func TestTheBestCandidateDoesNotDependOnTheirOrder(t *testing.T) {
+func TestBestDoesNotDependOnCandidateOrder(t *testing.T) {
 	require.Equal(t, "i2", ring.Best("h1/base", []string{"i1", "i2"}))
 	require.Equal(t, "i2", ring.Best("h1/base", []string{"i2", "i1", "i2"}))
 	require.Empty(t, ring.Best("h1/base", nil))
 }
 
-func TestAKeyMovesOnlyWithItsOwnCandidate(t *testing.T) {
+func TestRemovingCandidateMovesOnlyItsKeys(t *testing.T) {
 	all := []string{"i1", "i2", "i3", "i4"}
 	counts := make(map[string]int)
 	for i := range 1000 {
