--- a/modules/daemon/peerlink/codec.go
+++ b/modules/daemon/peerlink/codec.go
@@ -10,7 +10,7 @@
 	"google.golang.org/grpc/encoding"
 )
 
-// codecName is the content subtype of the streams between instances.
+// codecName is the gRPC content subtype of all calls and streams between instances.
 const codecName = "msgpack"
 
 type codec struct{}
--- a/modules/daemon/peerlink/doc.go
+++ b/modules/daemon/peerlink/doc.go
@@ -1,12 +1,12 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package peerlink carries envelopes between instances over gRPC, one stream in each direction, with msgpack as the
-// codec. A message may be lost: when a peer is not connected, or does not keep up, it is dropped and counted. What waits for
-// a peer is bounded in number, bytes and age, and so is the time of one send.
+// Package peerlink sends envelopes between instances over gRPC, with one stream in each direction and msgpack as the codec. Messages may be
+// lost: if a peer is not connected or receives too slowly, they are dropped and counted. The queue for each peer is bounded in number, bytes
+// and age of its messages, and each send is bounded in time.
 //
-// The entry program has modules/entry/peerstream in its place: its instances speak another protocol, two kinds of
-// messages over one TCP connection, and gRPC linked in would cost memory on each of them
-// (docs/design/0001-house-style.md). Links own the server and the streams. Goroutines: the server's own, one for each
-// peer that is sent to, and one for each open stream to it that waits for its end; Close ends them all.
+// The entry program uses modules/entry/peerstream instead: its instances use another protocol, with two kinds of messages over one TCP
+// connection, and linking gRPC would cost memory on each of them (docs/design/0001-house-style.md). Links own the server and the streams.
+// They start the goroutines of the server, one for each peer that is sent to, and one for each open stream to a peer, which waits for the
+// end of the stream. Close ends them all.
 package peerlink
--- a/modules/daemon/peerlink/export_test.go
+++ b/modules/daemon/peerlink/export_test.go
@@ -5,7 +5,7 @@
 
 import "net/netip"
 
-// Queued gives how many envelopes wait for a peer behind the one that is being sent.
-func (l *Links) Queued(to netip.AddrPort) int {
+// QueueLength returns the number of envelopes queued for a peer, without the one that is being sent.
+func (l *Links) QueueLength(to netip.AddrPort) int {
 	return len(l.peer(to).queue)
 }
--- a/modules/daemon/peerlink/link.go
+++ b/modules/daemon/peerlink/link.go
@@ -21,22 +21,22 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Options are the settings of the links.
+// Options are the settings of Links.
 type Options struct {
-	// Receive takes the envelopes that arrive; it must not block for long.
+	// Receive is called with each received envelope; it must not block for long.
 	Receive func(fleet.Envelope)
-	// Answer answers a peer's question.
+	// Answer returns the answer to a peer's question.
 	Answer func(ctx context.Context, q Question) (Answer, error)
 	// ServerCredentials and ClientCredentials are nil for plain TCP.
 	ServerCredentials credentials.TransportCredentials
 	ClientCredentials credentials.TransportCredentials
-	// Blocked, if set, keeps messages to an address from leaving, for tests of cuts.
+	// Blocked, if set, reports whether messages to an address are dropped, for tests of network partitions.
 	Blocked func(to netip.AddrPort) bool
-	// Now is the clock by which what waits grows old; nil stands for time.Now.
+	// Now returns the current time, by which the age of queued envelopes is measured; nil means time.Now.
 	Now func() time.Time
 }
 
-// Links hold the streams to all peers; they are safe for concurrent use.
+// Links holds the streams to all peers and the server that receives from them. It is safe for concurrent use.
 type Links struct {
 	options Options
 	server  *grpc.Server
@@ -47,36 +47,39 @@
 }
 
 const (
-	// queueLength is how many envelopes wait for one peer: more bridge a longer stall, for memory and for older messages.
+	// queueLength is the maximum number of envelopes in the queue for one peer. A longer queue covers longer stalls, but needs more memory and
+	// delivers older messages.
 	queueLength = 4096
-	// queueBytes is how many bytes may wait for one peer before further envelopes are dropped, 2 MiB by fleet.Envelope.Size: the snapshots
-	// of some catalogs of 5,000 adapters, 0.3 MB each, and 1.7 s of a link of 10 Mbit/s, after which a message is old. The last one taken
-	// may go over it, so that no message is too large to be sent.
-	queueBytes = 2097152
-	// oldest is how long an envelope may have waited and still be sent: receivers count its age from its arrival, so that more lets old
-	// news pass for new, and less drops what a large message ahead of it holds up on a slow link, for queueBytes 1.7 s.
-	oldest = 2 * time.Second
-	// sendBase and slowestLink bound how long one send may take, which waits until the one before it has left: sendBase and what the bytes
-	// of both take at slowestLink, in bytes a second, a tenth of a link of 10 Mbit/s. More bears longer stalls of a peer, less notices
-	// sooner that it takes nothing; its connection is then made anew.
-	sendBase    = 3 * time.Second
-	slowestLink = 125_000
-	// maxMessage bounds one message, in bytes, 32 MiB; the largest is a snapshot of the configuration.
-	maxMessage = 33554432
-	// idleLife is how long the stream to a peer is kept to which nothing is sent.
-	idleLife = 2 * time.Minute
-	// reconnectWait is the wait before the first new try of a connection; each further one is backoffGrowth times longer, up to maxBackoff,
-	// and varies by the part backoffJitter of itself so that peers do not come back all at once.
-	reconnectWait = 100 * time.Millisecond
-	backoffGrowth = 1.6
-	backoffJitter = 0.3
-	maxBackoff    = time.Second
-	// serverPing is the time without messages after which a peer is asked whether it lives, serverPingTimeout how long the answer may take.
-	serverPing        = 20 * time.Second
-	serverPingTimeout = 10 * time.Second
+	// maxQueuedBytes is the number of bytes, by fleet.Envelope.Size, from which on further envelopes for a peer are dropped: 2 MiB. This holds
+	// several snapshots of a catalog of 5,000 adapters, of 0.3 MB each. A link of 10 Mbit/s sends it in 1.7 s, which is within maxQueueAge.
+	// The last envelope may exceed the limit, so that no message is too large to be sent.
+	maxQueuedBytes = 2097152
+	// maxQueueAge is the maximum time in the queue after which an envelope is still sent. Receivers count the age of an envelope from its
+	// arrival, so that a higher limit makes them treat older messages as new. A lower limit drops messages that wait behind a large one on
+	// a slow link, which takes 1.7 s for maxQueuedBytes.
+	maxQueueAge = 2 * time.Second
+	// sendTimeoutBase and minSendRate bound the time of a send, which waits until the previous envelope is sent. The timeout is sendTimeoutBase
+	// plus the time that the bytes of both envelopes take at minSendRate, in bytes per second: a tenth of a link of 10 Mbit/s. A longer
+	// timeout tolerates longer stalls of a peer; a shorter one detects a blocked peer sooner, whose connection is then reopened.
+	sendTimeoutBase = 3 * time.Second
+	minSendRate     = 125_000
+	// maxMessageBytes bounds a message, in bytes: 32 MiB. The largest messages are snapshots of the configuration.
+	maxMessageBytes = 33554432
+	// peerIdleTimeout is how long the connection to a peer is kept after the last envelope was sent to it.
+	peerIdleTimeout = 2 * time.Minute
+	// reconnectDelay is the delay before the first attempt to reconnect. Each further delay is backoffGrowth times longer, up to maxBackoff,
+	// and is varied at random by the fraction backoffJitter, so that peers do not all reconnect at once.
+	reconnectDelay = 100 * time.Millisecond
+	backoffGrowth  = 1.6
+	backoffJitter  = 0.3
+	maxBackoff     = time.Second
+	// pingInterval is the time without messages after which the server sends a keep-alive ping to a client, pingTimeout the time within which
+	// the client must respond.
+	pingInterval = 20 * time.Second
+	pingTimeout  = 10 * time.Second
 )
 
-// New makes links that receive on the listener.
+// New returns Links that receive on the listener.
 func New(listener net.Listener, o Options) *Links {
 	if o.Now == nil {
 		o.Now = time.Now
@@ -87,12 +90,12 @@
 		creds = insecure.NewCredentials()
 	}
 	l.server = grpc.NewServer(
-		grpc.Creds(creds), grpc.MaxRecvMsgSize(maxMessage),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: serverPing, Timeout: serverPingTimeout}),
+		grpc.Creds(creds), grpc.MaxRecvMsgSize(maxMessageBytes),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}),
 	)
-	l.server.RegisterService(&description, l)
-	// Serve ends with no error after Close, and with one where the listener fails: peers that connect anew are then not heard,
-	// which membership takes as their loss.
+	l.server.RegisterService(&serviceDescription, l)
+	// Serve returns an error only if the listener fails. Peers that reconnect are then not received from any more, and package membership
+	// treats them as lost, so that the error is ignored here.
 	go func() { _ = l.server.Serve(listener) }()
 	return l
 }
@@ -105,12 +108,12 @@
 	return l.options.Answer(ctx, q)
 }
 
-// Dropped gives the number of envelopes that could not be sent.
+// Dropped returns the number of envelopes that were dropped instead of sent.
 func (l *Links) Dropped() int64 {
 	return l.dropped.Load()
 }
 
-// Send queues an envelope for its peer, or drops it.
+// Send adds an envelope to the queue for its peer, or drops it if the queue is full.
 func (l *Links) Send(e fleet.Envelope) {
 	if l.options.Blocked != nil && l.options.Blocked(e.To) {
 		l.dropped.Add(1)
@@ -125,6 +128,7 @@
 	}
 }
 
+// peer returns the peer at an address and starts its sending goroutine on first use. It returns nil for an invalid address and after Close.
 func (l *Links) peer(to netip.AddrPort) *peer {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -135,13 +139,14 @@
 		return p
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	p := &peer{links: l, address: to, queue: make(chan queued, queueLength), cancel: cancel}
+	p := &peer{links: l, address: to, queue: make(chan queuedEnvelope, queueLength), cancel: cancel}
 	l.peers[to] = p
 	go p.run(ctx)
 	return p
 }
 
-func (l *Links) forget(p *peer) {
+// removePeer stops the sending goroutine of a peer and removes the peer, unless envelopes are queued for it.
+func (l *Links) removePeer(p *peer) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.peers[p.address] == p && len(p.queue) == 0 {
@@ -158,9 +163,9 @@
 	conn, err := grpc.NewClient("passthrough:///"+to.String(),
 		grpc.WithTransportCredentials(creds),
 		grpc.WithDisableRetry(), grpc.WithDisableServiceConfig(),
-		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codecName), grpc.MaxCallRecvMsgSize(maxMessage)),
+		grpc.WithDefaultCallOptions(grpc.CallContentSubtype(codecName), grpc.MaxCallRecvMsgSize(maxMessageBytes)),
 		grpc.WithConnectParams(grpc.ConnectParams{
-			Backoff: backoff.Config{BaseDelay: reconnectWait, Multiplier: backoffGrowth, Jitter: backoffJitter, MaxDelay: maxBackoff}, MinConnectTimeout: maxBackoff,
+			Backoff: backoff.Config{BaseDelay: reconnectDelay, Multiplier: backoffGrowth, Jitter: backoffJitter, MaxDelay: maxBackoff}, MinConnectTimeout: maxBackoff,
 		}),
 	)
 	if err != nil {
@@ -169,18 +174,18 @@
 	return conn, nil
 }
 
-// ErrUnreachable reports a peer that could not be asked.
+// ErrUnreachable reports a peer that did not answer a question.
 type ErrUnreachable struct {
 	To     netip.AddrPort
 	Reason string
 }
 
-// Error names the peer.
+// Error returns the address of the peer and the reason.
 func (e ErrUnreachable) Error() string {
 	return fmt.Sprintf("peer %s cannot be reached: %s", e.To, e.Reason)
 }
 
-// Ask puts a question to a peer and waits for the answer.
+// Ask sends a question to a peer and waits for the answer.
 func (l *Links) Ask(ctx context.Context, to netip.AddrPort, q Question) (Answer, error) {
 	if l.options.Blocked != nil && l.options.Blocked(to) {
 		return Answer{}, ErrUnreachable{To: to, Reason: "cut off"}
@@ -200,7 +205,7 @@
 	return a, nil
 }
 
-// Close ends all streams at once.
+// Close closes all streams and stops the server, without waiting for queued envelopes.
 func (l *Links) Close() {
 	l.mutex.Lock()
 	l.closed = true
--- a/modules/daemon/peerlink/link_test.go
+++ b/modules/daemon/peerlink/link_test.go
@@ -19,108 +19,108 @@
 )
 
 const (
-	// patience bounds what a test waits for; nothing is expected to take that long.
-	patience = 10 * time.Second
-	pause    = time.Millisecond
-	room     = 1000
+	// testTimeout bounds each wait of a test; no wait is expected to take that long.
+	testTimeout   = 10 * time.Second
+	pollInterval  = time.Millisecond
+	receiveBuffer = 1000
 )
 
-// station is one instance's links with what has arrived there.
-type station struct {
+// testNode is an instance that collects the received envelopes.
+type testNode struct {
 	*peerlink.Links
-	address netip.AddrPort
-	arrived chan fleet.Envelope
+	address  netip.AddrPort
+	received chan fleet.Envelope
 }
 
-// start opens links at an address, or at a free one where the port is 0.
-func start(t *testing.T, at string, o peerlink.Options) *station {
+// startNode starts a node that listens on listenAddress; port 0 means any free port.
+func startNode(t *testing.T, listenAddress string, o peerlink.Options) *testNode {
 	t.Helper()
-	listener, err := net.Listen("tcp", at)
+	listener, err := net.Listen("tcp", listenAddress)
 	require.NoError(t, err)
-	s := &station{address: netip.MustParseAddrPort(listener.Addr().String()), arrived: make(chan fleet.Envelope, room)}
-	o.Receive = func(e fleet.Envelope) { s.arrived <- e }
+	s := &testNode{address: netip.MustParseAddrPort(listener.Addr().String()), received: make(chan fleet.Envelope, receiveBuffer)}
+	o.Receive = func(e fleet.Envelope) { s.received <- e }
 	s.Links = peerlink.New(listener, o)
 	t.Cleanup(s.Close)
 	return s
 }
 
-const anywhere = "127.0.0.1:0"
+const loopbackAddress = "127.0.0.1:0"
 
-// next gives the next envelope that arrives.
-func (s *station) next(t *testing.T) fleet.Envelope {
+// receive waits for the next envelope and returns it.
+func (s *testNode) receive(t *testing.T) fleet.Envelope {
 	t.Helper()
 	select {
-	case e := <-s.arrived:
+	case e := <-s.received:
 		return e
-	case <-time.After(patience):
-		require.Fail(t, "nothing arrived")
+	case <-time.After(testTimeout):
+		require.Fail(t, "no envelope was received")
 		return fleet.Envelope{}
 	}
 }
 
-// numbered is an envelope that a receiver can tell from others.
-func numbered(to netip.AddrPort, n int) fleet.Envelope {
+// numberedEnvelope returns an envelope that a receiver can identify by its number.
+func numberedEnvelope(to netip.AddrPort, n int) fleet.Envelope {
 	return fleet.Envelope{From: "i1", Boot: 7, To: to, Withdraw: &fleet.Withdraw{Pool: "h1/x", RequestID: strconv.Itoa(n)}}
 }
 
-// sendUntilOneArrives repeats what may be lost.
-func sendUntilOneArrives(t *testing.T, from, to *station) {
+// sendUntilReceived sends envelopes, which may be lost, until one is received.
+func sendUntilReceived(t *testing.T, from, to *testNode) {
 	t.Helper()
 	require.Eventually(t, func() bool {
-		from.Send(numbered(to.address, 0))
-		return len(to.arrived) > 0
-	}, patience, pause)
+		from.Send(numberedEnvelope(to.address, 0))
+		return len(to.received) > 0
+	}, testTimeout, pollInterval)
 }
 
-func TestEnvelopesArriveOnceAndInOrder(t *testing.T) {
-	from, to := start(t, anywhere, peerlink.Options{}), start(t, anywhere, peerlink.Options{})
-	for i := range room {
-		from.Send(numbered(to.address, i))
+func TestEnvelopesArriveOnceInOrder(t *testing.T) {
+	from, to := startNode(t, loopbackAddress, peerlink.Options{}), startNode(t, loopbackAddress, peerlink.Options{})
+	for i := range receiveBuffer {
+		from.Send(numberedEnvelope(to.address, i))
 	}
-	for i := range room {
-		sent := numbered(netip.AddrPort{}, i)
-		require.Equal(t, sent, to.next(t), "the address is not sent")
+	for i := range receiveBuffer {
+		sent := numberedEnvelope(netip.AddrPort{}, i)
+		require.Equal(t, sent, to.receive(t), "the address is not sent")
 	}
-	require.Empty(t, to.arrived)
+	require.Empty(t, to.received)
 	require.Zero(t, from.Dropped())
 }
 
-func TestEnvelopesToAPeerThatIsNotThereAreDroppedAndCounted(t *testing.T) {
-	from, gone := start(t, anywhere, peerlink.Options{}), start(t, anywhere, peerlink.Options{})
+func TestEnvelopesToUnreachablePeerAreDroppedAndCounted(t *testing.T) {
+	from, gone := startNode(t, loopbackAddress, peerlink.Options{}), startNode(t, loopbackAddress, peerlink.Options{})
 	gone.Close()
-	from.Send(numbered(gone.address, 1))
-	from.Send(numbered(gone.address, 2))
-	require.Eventually(t, func() bool { return from.Dropped() == 2 }, patience, pause)
+	from.Send(numberedEnvelope(gone.address, 1))
+	from.Send(numberedEnvelope(gone.address, 2))
+	require.Eventually(t, func() bool { return from.Dropped() == 2 }, testTimeout, pollInterval)
 }
 
-func TestAPeerThatComesBackIsReachedAgain(t *testing.T) {
-	from, first := start(t, anywhere, peerlink.Options{}), start(t, anywhere, peerlink.Options{})
-	sendUntilOneArrives(t, from, first)
+func TestRestartedPeerIsReconnected(t *testing.T) {
+	from, first := startNode(t, loopbackAddress, peerlink.Options{}), startNode(t, loopbackAddress, peerlink.Options{})
+	sendUntilReceived(t, from, first)
 	first.Close()
 	require.Eventually(t, func() bool {
-		from.Send(numbered(first.address, 0))
+		from.Send(numberedEnvelope(first.address, 0))
 		return from.Dropped() > 0
-	}, patience, pause)
-	second := start(t, first.address.String(), peerlink.Options{})
-	sendUntilOneArrives(t, from, second)
+	}, testTimeout, pollInterval)
+	second := startNode(t, first.address.String(), peerlink.Options{})
+	sendUntilReceived(t, from, second)
 }
 
-func TestNothingLeavesForAnAddressThatIsCutOff(t *testing.T) {
-	to := start(t, anywhere, peerlink.Options{})
-	from := start(t, anywhere, peerlink.Options{Blocked: func(address netip.AddrPort) bool { return address == to.address }})
-	from.Send(numbered(to.address, 1))
+func TestNothingIsSentToBlockedAddress(t *testing.T) {
+	to := startNode(t, loopbackAddress, peerlink.Options{})
+	from := startNode(t, loopbackAddress, peerlink.Options{Blocked: func(address netip.AddrPort) bool { return address == to.address }})
+	from.Send(numberedEnvelope(to.address, 1))
 	require.Equal(t, int64(1), from.Dropped())
 	_, err := from.Ask(context.Background(), to.address, peerlink.Question{})
 	require.Equal(t, peerlink.ErrUnreachable{To: to.address, Reason: "cut off"}, err)
-	require.Empty(t, to.arrived)
+	require.Empty(t, to.received)
 }
 
-func TestAQuestionIsAnsweredByThePeer(t *testing.T) {
+func TestAskReturnsAnswerOfPeer(t *testing.T) {
 	question := peerlink.Question{Table: "pools", HallWide: true, Key: "k"}
 	answer := peerlink.Answer{Rows: []byte("[]"), Silent: []string{"i3"}}
 	asked := make(chan peerlink.Question, 1)
-	from := start(t, anywhere, peerlink.Options{})
-	to := start(t, anywhere, peerlink.Options{Answer: func(_ context.Context, q peerlink.Question) (peerlink.Answer, error) {
+	from := startNode(t, loopbackAddress, peerlink.Options{})
+	to := startNode(t, loopbackAddress, peerlink.Options{Answer: func(_ context.Context, q peerlink.Question) (peerlink.Answer, error) {
 		asked <- q
 		return answer, nil
 	}})
@@ -130,17 +130,17 @@
 	require.Equal(t, question, <-asked)
 }
 
-func TestAQuestionWithoutAnAnswerIsAnErrorThatNamesThePeer(t *testing.T) {
-	refusing := start(t, anywhere, peerlink.Options{Answer: func(context.Context, peerlink.Question) (peerlink.Answer, error) {
+func TestFailedAskNamesPeer(t *testing.T) {
+	refusing := startNode(t, loopbackAddress, peerlink.Options{Answer: func(context.Context, peerlink.Question) (peerlink.Answer, error) {
 		return peerlink.Answer{}, errors.New("cause")
 	}})
-	late := start(t, anywhere, peerlink.Options{Answer: func(ctx context.Context, _ peerlink.Question) (peerlink.Answer, error) {
+	late := startNode(t, loopbackAddress, peerlink.Options{Answer: func(ctx context.Context, _ peerlink.Question) (peerlink.Answer, error) {
 		<-ctx.Done()
 		return peerlink.Answer{}, ctx.Err()
 	}})
-	gone := start(t, anywhere, peerlink.Options{})
+	gone := startNode(t, loopbackAddress, peerlink.Options{})
 	gone.Close()
-	from := start(t, anywhere, peerlink.Options{})
+	from := startNode(t, loopbackAddress, peerlink.Options{})
 	for name, to := range map[string]netip.AddrPort{"refusing": refusing.address, "late": late.address, "gone": gone.address, "no address": {}} {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		_, err := from.Ask(ctx, to, peerlink.Question{})
@@ -151,12 +151,12 @@
 	}
 }
 
-func TestClosedLinksSendNothingAndDoNotBlock(t *testing.T) {
-	from, to := start(t, anywhere, peerlink.Options{}), start(t, anywhere, peerlink.Options{})
+func TestClosedLinksDropMessagesWithoutBlocking(t *testing.T) {
+	from, to := startNode(t, loopbackAddress, peerlink.Options{}), startNode(t, loopbackAddress, peerlink.Options{})
 	from.Close()
-	from.Send(numbered(to.address, 1))
+	from.Send(numberedEnvelope(to.address, 1))
 	_, err := from.Ask(context.Background(), to.address, peerlink.Question{})
 	require.Equal(t, peerlink.ErrUnreachable{To: to.address, Reason: "closed"}, err)
 	from.Close()
-	require.Empty(t, to.arrived)
+	require.Empty(t, to.received)
 }
--- a/modules/daemon/peerlink/peer.go
+++ b/modules/daemon/peerlink/peer.go
@@ -15,49 +15,50 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// queued is an envelope that waits to be sent.
-type queued struct {
+// queuedEnvelope is an envelope in the queue for a peer.
+type queuedEnvelope struct {
 	envelope fleet.Envelope
 	size     int
-	since    time.Time
+	queuedAt time.Time
 }
 
-// peer is the sending side to one instance.
+// peer sends envelopes to one instance.
 type peer struct {
 	links   *Links
 	address netip.AddrPort
-	queue   chan queued
-	// waiting is the size of what is queued or being sent, in bytes.
-	waiting atomic.Int64
-	cancel  context.CancelFunc
-	mutex   sync.Mutex
-	conn    *grpc.ClientConn
+	queue   chan queuedEnvelope
+	// queuedBytes is the size in bytes of the envelopes that are queued or being sent.
+	queuedBytes atomic.Int64
+	cancel      context.CancelFunc
+	mutex       sync.Mutex
+	conn        *grpc.ClientConn
 }
 
-// pushStream is an open stream to a peer; only the goroutine that sends uses it.
+// pushStream is an open stream to a peer; only the sending goroutine uses it.
 type pushStream struct {
 	grpc.ClientStream
 	cancel context.CancelFunc
-	// before is the size of the envelope sent last, in bytes, which may still be leaving.
-	before int
+	// previousSize is the size in bytes of the previous envelope, whose transmission may not be complete.
+	previousSize int
 }
 
-// enqueue takes an envelope to be sent, unless too much waits already.
+// enqueue adds an envelope to the queue. It returns false if the queue has reached its limit in number or bytes.
 func (p *peer) enqueue(e fleet.Envelope, now time.Time) bool {
 	size := e.Size()
-	if before := p.waiting.Add(int64(size)) - int64(size); before >= queueBytes {
-		p.waiting.Add(-int64(size))
+	if before := p.queuedBytes.Add(int64(size)) - int64(size); before >= maxQueuedBytes {
+		p.queuedBytes.Add(-int64(size))
 		return false
 	}
 	select {
-	case p.queue <- queued{envelope: e, size: size, since: now}:
+	case p.queue <- queuedEnvelope{envelope: e, size: size, queuedAt: now}:
 		return true
 	default:
-		p.waiting.Add(-int64(size))
+		p.queuedBytes.Add(-int64(size))
 		return false
 	}
 }
 
+// connection returns the connection to the peer and creates it on first use.
 func (p *peer) connection() (*grpc.ClientConn, error) {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
@@ -72,7 +73,7 @@
 	return conn, nil
 }
 
-// run sends what is queued, over a stream that is made anew whenever it breaks.
+// run sends the queued envelopes over a stream, which is reopened after each failure, until ctx ends or the peer is removed as idle.
 func (p *peer) run(ctx context.Context) {
 	defer p.close()
 	var stream *pushStream
@@ -80,21 +81,21 @@
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(idleLife):
-			p.links.forget(p)
+		case <-time.After(peerIdleTimeout):
+			p.links.removePeer(p)
 			if ctx.Err() != nil {
 				return
 			}
 		case q := <-p.queue:
 			stream = p.push(ctx, stream, q)
-			p.waiting.Add(-int64(q.size))
+			p.queuedBytes.Add(-int64(q.size))
 		}
 	}
 }
 
-// push sends one envelope, unless it has grown old, and gives the stream to go on with, or nil.
-func (p *peer) push(ctx context.Context, stream *pushStream, q queued) *pushStream {
-	if p.links.options.Now().Sub(q.since) > oldest {
+// push sends an envelope, or drops it if it is older than maxQueueAge. It returns the stream for the next envelope, or nil if there is none.
+func (p *peer) push(ctx context.Context, stream *pushStream, q queuedEnvelope) *pushStream {
+	if p.links.options.Now().Sub(q.queuedAt) > maxQueueAge {
 		p.links.dropped.Add(1)
 		return stream
 	}
@@ -113,37 +114,39 @@
 	return stream
 }
 
-// send passes one envelope to the stream, and ends the connection where that takes too long.
-func (p *peer) send(stream *pushStream, q queued) error {
-	giveUp := time.AfterFunc(sendLimit(stream.before+q.size), func() {
+// send sends an envelope over the stream. It closes the connection if that takes longer than sendTimeout.
+func (p *peer) send(stream *pushStream, q queuedEnvelope) error {
+	timer := time.AfterFunc(sendTimeout(stream.previousSize+q.size), func() {
 		stream.cancel()
 		p.close()
 	})
-	defer giveUp.Stop()
-	stream.before = q.size
+	defer timer.Stop()
+	stream.previousSize = q.size
 	return stream.SendMsg(&q.envelope)
 }
 
-// sendLimit gives how long a send may take that waits for so many bytes to leave.
-func sendLimit(bytes int) time.Duration {
-	return sendBase + time.Duration(bytes)*time.Second/slowestLink
+// sendTimeout returns the timeout of a send that waits for the transmission of the given number of bytes.
+func sendTimeout(bytes int) time.Duration {
+	return sendTimeoutBase + time.Duration(bytes)*time.Second/minSendRate
 }
 
+// open opens a stream to the peer, or returns nil if that fails.
 func (p *peer) open(ctx context.Context) *pushStream {
 	conn, err := p.connection()
 	if err != nil {
 		return nil
 	}
 	ctx, cancel := context.WithCancel(ctx)
-	stream, err := conn.NewStream(ctx, &description.Streams[0], pushMethod)
+	stream, err := conn.NewStream(ctx, &serviceDescription.Streams[0], pushMethod)
 	if err != nil {
 		cancel()
 		return nil
 	}
 	go func() {
 		defer cancel()
-		// The server answers only by ending the stream; this frees what the stream holds. Why it ended is seen by the next send.
-		_ = stream.RecvMsg(&pushed{})
+		// The server sends no messages, so that RecvMsg returns when the stream has ended, and cancel then frees its resources. The next send
+		// fails with the reason.
+		_ = stream.RecvMsg(&pushResponse{})
 	}()
 	return &pushStream{ClientStream: stream, cancel: cancel}
 }
@@ -152,7 +155,7 @@
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	if p.conn != nil {
-		// Its one error says that it was closed before.
+		// Close fails only if the connection is already closed.
 		_ = p.conn.Close()
 		p.conn = nil
 	}
--- a/modules/daemon/peerlink/bytes_test.go
+++ b/modules/daemon/peerlink/queued_bytes_test.go
@@ -15,24 +15,24 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/peerlink"
 )
 
-// TestWhatWaitsForASilentPeerIsBoundedInBytes sends snapshots of a configuration to a peer that takes connections and reads nothing.
-func TestWhatWaitsForASilentPeerIsBoundedInBytes(t *testing.T) {
+// TestQueuedBytesForBlockedPeerAreBounded sends snapshots of a configuration to a peer that accepts connections, but reads nothing.
+func TestQueuedBytesForBlockedPeerAreBounded(t *testing.T) {
 	const (
 		snapshotBytes = 1 << 20
 		sent          = 512
-		// most is how many of them may wait: 64 MiB.
-		most = 64
+		// maxQueued is the maximum number of snapshots that may be queued: 64 MiB.
+		maxQueued = 64
 	)
-	silent, err := net.Listen("tcp", anywhere)
+	silent, err := net.Listen("tcp", loopbackAddress)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = silent.Close() })
-	from := start(t, anywhere, peerlink.Options{})
+	from := startNode(t, loopbackAddress, peerlink.Options{})
 	to := netip.MustParseAddrPort(silent.Addr().String())
 	snapshot := make([]byte, snapshotBytes)
-	begun := time.Now()
+	started := time.Now()
 	for range sent {
 		from.Send(fleet.Envelope{From: "i1", Boot: 7, To: to, Records: &fleet.Records{Head: 2, Snapshot: snapshot}})
 	}
-	require.Less(t, time.Since(begun), time.Second, "none can have been given up meanwhile")
-	require.GreaterOrEqual(t, from.Dropped(), int64(sent-most), "the rest was given up")
+	require.Less(t, time.Since(started), time.Second, "no send can have timed out in this time")
+	require.GreaterOrEqual(t, from.Dropped(), int64(sent-maxQueued), "the others were dropped")
 }
--- a/modules/daemon/peerlink/service.go
+++ b/modules/daemon/peerlink/service.go
@@ -17,29 +17,32 @@
 	askMethod   = "/" + serviceName + "/Ask"
 )
 
-// Question asks a peer for its part of an operators' query.
+// Question requests a peer's part of the result of an operators' query.
 type Question struct {
 	Table string `msgpack:"t"`
-	// HallWide asks the receiver to gather the answers of its whole hall.
+	// HallWide requests that the receiver collects the answers of all instances of its hall.
 	HallWide bool   `msgpack:"h"`
 	Key      string `msgpack:"k"`
 }
 
-// Answer is a peer's part: rows as JSON, and which instances did not answer.
+// Answer is a peer's part of the result of a query.
 type Answer struct {
-	Rows   []byte   `msgpack:"r"`
+	// Rows holds the rows as JSON.
+	Rows []byte `msgpack:"r"`
+	// Silent lists the instances that did not answer.
 	Silent []string `msgpack:"s"`
 }
 
-type pushed struct{}
+// pushResponse is the response type of the Push stream; no response is ever sent.
+type pushResponse struct{}
 
-// handler is what the service calls.
+// handler receives the messages of the service.
 type handler interface {
 	receive(fleet.Envelope)
 	answer(ctx context.Context, q Question) (Answer, error)
 }
 
-var description = grpc.ServiceDesc{
+var serviceDescription = grpc.ServiceDesc{
 	ServiceName: serviceName,
 	HandlerType: (*handler)(nil),
 	Streams:     []grpc.StreamDesc{{StreamName: "Push", Handler: servePush, ClientStreams: true}},
