--- a/modules/daemon/setting/class.go
+++ b/modules/daemon/setting/class.go
@@ -9,7 +9,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Class is one service class.
+// Class holds the settings of a service class.
 type Class struct {
 	Name            string  `json:"name"`
 	Priority        int     `json:"priority"`
@@ -23,19 +23,19 @@
 	for i, c := range s.Classes {
 		name := fmt.Sprintf("classes[%d]", i)
 		if c.Name == "" || seen[c.Name] {
-			d.add(name+".name", "missing or given twice")
+			d.addProblem(name+".name", "missing or given twice")
 		}
 		seen[c.Name] = true
 		if c.StallWeight < 0 {
-			d.add(name+".stall_weight", "must be 0 or more")
+			d.addProblem(name+".stall_weight", "must be 0 or more")
 		}
 		if c.MaxQueuedTokens < 0 {
-			d.add(name+".max_queued_tokens", "must be 0 or more")
+			d.addProblem(name+".max_queued_tokens", "must be 0 or more")
 		}
 	}
 }
 
-// FleetClasses gives the classes in the form that decisions use.
+// FleetClasses returns the classes as values of package fleet.
 func (s *Settings) FleetClasses() []fleet.Class {
 	out := make([]fleet.Class, 0, len(s.Classes))
 	for _, c := range s.Classes {
--- a/modules/daemon/setting/decode.go
+++ b/modules/daemon/setting/decode.go
@@ -14,9 +14,10 @@
 	"github.com/tailscale/hujson"
 )
 
-// Problem is one fault of a settings file.
+// Problem is an error in a settings file.
 type Problem struct {
-	Line   int
+	Line int
+	// Name is the path of the setting, such as "endpoints[0].slots", or "file" for a problem of the whole file.
 	Name   string
 	Reason string
 }
@@ -27,7 +28,7 @@
 	Problems []Problem
 }
 
-// Error lists the problems, a line each.
+// Error returns the problems, one per line.
 func (e ErrBadSettings) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d problems in the settings:", len(e.Problems))
@@ -37,40 +38,41 @@
 	return b.String()
 }
 
-// document is a parsed file with the line of each name.
+// document is a settings file that is being decoded and checked.
 type document struct {
-	raw      []byte
+	raw []byte
+	// lines maps the path of each setting in the file to its line.
 	lines    map[string]int
 	problems []Problem
 }
 
-// decode fills into from the file's text and gathers every problem of form.
+// decode parses the text of a settings file into the struct that into points to, and collects all syntax and type errors.
 func decode(raw []byte, into any) *document {
 	d := &document{raw: raw, lines: make(map[string]int)}
 	value, err := hujson.Parse(raw)
 	if err != nil {
-		d.problems = append(d.problems, Problem{Line: lineOf(err.Error()), Name: "file", Reason: err.Error()})
+		d.problems = append(d.problems, Problem{Line: lineFromMessage(err.Error()), Name: "file", Reason: err.Error()})
 		return d
 	}
 	d.fill(value, reflect.ValueOf(into).Elem(), "")
 	return d
 }
 
-// lineOf finds the line in the parser's message, or gives the first.
-func lineOf(message string) int {
+// lineFromMessage returns the line number in a message of the parser, or 1 if there is none.
+func lineFromMessage(message string) int {
 	line := 1
 	if at := strings.Index(message, "line "); at >= 0 {
-		// Where no number follows, the line stays the first.
+		// If no number follows, line stays 1.
 		_, _ = fmt.Sscanf(message[at:], "line %d", &line)
 	}
 	return line
 }
 
-func (d *document) add(name, format string, args ...any) {
+func (d *document) addProblem(name, format string, args ...any) {
 	d.problems = append(d.problems, Problem{Line: d.line(name), Name: name, Reason: fmt.Sprintf(format, args...)})
 }
 
-// line gives the line of a name, or of the nearest name around it.
+// line returns the line of a setting, or of the innermost enclosing setting that is in the file.
 func (d *document) line(name string) int {
 	for name != "" {
 		if line, ok := d.lines[name]; ok {
@@ -85,14 +87,15 @@
 	return 1
 }
 
-func (d *document) at(v hujson.Value) int {
+// lineOfValue returns the line at which a value starts.
+func (d *document) lineOfValue(v hujson.Value) int {
 	return 1 + bytes.Count(d.raw[:min(v.StartOffset, len(d.raw))], []byte("\n"))
 }
 
-// fill sets a field from a value of the file, whose type decides how.
+// fill sets a field from a value of the file, recursively for objects and arrays.
 func (d *document) fill(v hujson.Value, into reflect.Value, name string) {
 	if name != "" {
-		d.lines[name] = d.at(v)
+		d.lines[name] = d.lineOfValue(v)
 	}
 	switch x := v.Value.(type) {
 	case *hujson.Object:
@@ -109,7 +112,7 @@
 	d.fillLeaf(v, into, name)
 }
 
-// isLeaf tells types that read their own text, such as addresses and durations.
+// isLeaf reports whether a type decodes its own text, as addresses and durations do.
 func isLeaf(t reflect.Type) bool {
 	return reflect.PointerTo(t).Implements(reflect.TypeFor[json.Unmarshaler]()) ||
 		reflect.PointerTo(t).Implements(reflect.TypeFor[interface{ UnmarshalText([]byte) error }]())
@@ -118,20 +121,21 @@
 func (d *document) fillObject(o *hujson.Object, into reflect.Value, name string) {
 	for _, m := range o.Members {
 		key := m.Name.Value.(hujson.Literal).String()
-		full := key
+		path := key
 		if name != "" {
-			full = name + "." + key
+			path = name + "." + key
 		}
 		field, ok := fieldFor(into, key)
 		if !ok {
-			d.lines[full] = d.at(m.Name)
-			d.add(full, "no such setting")
+			d.lines[path] = d.lineOfValue(m.Name)
+			d.addProblem(path, "no such setting")
 			continue
 		}
-		d.fill(m.Value, field, full)
+		d.fill(m.Value, field, path)
 	}
 }
 
+// fieldFor returns the field of a struct with the JSON key.
 func fieldFor(into reflect.Value, key string) (reflect.Value, bool) {
 	for i := range into.NumField() {
 		if into.Type().Field(i).Tag.Get("json") == key {
@@ -152,6 +156,6 @@
 	plain := v.Clone()
 	plain.Standardize()
 	if err := json.Unmarshal(plain.Pack(), into.Addr().Interface()); err != nil {
-		d.add(name, "%s", strings.TrimPrefix(err.Error(), "json: "))
+		d.addProblem(name, "%s", strings.TrimPrefix(err.Error(), "json: "))
 	}
 }
--- a/modules/daemon/setting/duration.go
+++ b/modules/daemon/setting/duration.go
@@ -9,24 +9,24 @@
 	"time"
 )
 
-// Duration is a time in settings, written with its unit, such as "250ms".
+// Duration is a duration in the settings, written with its unit, such as "250ms".
 type Duration time.Duration
 
 // UnmarshalJSON implements json.Unmarshaler.
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return fmt.Errorf(`a time is written with its unit, such as "250ms"`)
+		return fmt.Errorf(`a duration is a string with a unit, such as "250ms"`)
 	}
 	v, err := time.ParseDuration(text)
 	if err != nil {
-		return fmt.Errorf(`%q is no time; one is written with its unit, such as "250ms"`, text)
+		return fmt.Errorf(`%q is not a duration with a unit, such as "250ms"`, text)
 	}
 	*d = Duration(v)
 	return nil
 }
 
-// Duration gives the time in the language's own type.
+// Duration returns d as a time.Duration.
 func (d Duration) Duration() time.Duration {
 	return time.Duration(d)
 }
--- a/modules/daemon/setting/endpoint.go
+++ b/modules/daemon/setting/endpoint.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Endpoint is one back end.
+// Endpoint holds the settings of an endpoint.
 type Endpoint struct {
 	Name        string         `json:"name"`
 	Hall        string         `json:"hall"`
@@ -32,14 +32,14 @@
 	for i, e := range s.Endpoints {
 		name := fmt.Sprintf("endpoints[%d]", i)
 		if e.Name == "" || seen[e.Name] {
-			d.add(name+".name", "missing or given twice")
+			d.addProblem(name+".name", "missing or given twice")
 		}
 		seen[e.Name] = true
 		if !halls[e.Hall] {
-			d.add(name+".hall", "%q is not among the halls", e.Hall)
+			d.addProblem(name+".hall", "%q is not among the halls", e.Hall)
 		}
 		if !e.Address.IsValid() {
-			d.add(name+".address", "must be set to IP:PORT")
+			d.addProblem(name+".address", "must be set to IP:PORT")
 		}
 		e.checkKind(d, name)
 	}
@@ -47,27 +47,26 @@
 
 func (e Endpoint) checkKind(d *document, name string) {
 	if e.MaxBatch < 1 {
-		d.add(name+".max_batch", "must be 1 or more")
+		d.addProblem(name+".max_batch", "must be 1 or more")
 	}
 	switch fleet.EndpointKind(e.Kind) {
 	case fleet.KindEngine:
 		if len(e.Bases) == 0 {
-			d.add(name+".bases", "must not be empty")
+			d.addProblem(name+".bases", "must not be empty")
 		}
 		if e.Slots < 1 {
-			d.add(name+".slots", "must be 1 or more")
+			d.addProblem(name+".slots", "must be 1 or more")
 		}
 	case fleet.KindPlain:
 		if !strings.HasPrefix(e.Prefix, "/") || strings.HasPrefix(e.Prefix, "/v1/") {
-			d.add(name+".prefix", "must begin with / and not with /v1/")
+			d.addProblem(name+".prefix", "must begin with / and not with /v1/")
 		}
 	default:
-		d.add(name+".kind", "%q is neither engine nor plain", e.Kind)
+		d.addProblem(name+".kind", "%q is neither engine nor plain", e.Kind)
 	}
 }
 
-// FleetEndpoints gives the endpoints in the form that decisions use; a plain
-// service's prefix stands in for its base.
+// FleetEndpoints returns the endpoints as values of package fleet. A plain service gets a base made from its prefix.
 func (s *Settings) FleetEndpoints() []fleet.Endpoint {
 	out := make([]fleet.Endpoint, 0, len(s.Endpoints))
 	for _, e := range s.Endpoints {
--- a/modules/daemon/setting/instance.go
+++ b/modules/daemon/setting/instance.go
@@ -10,7 +10,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// Instance says which instance this is.
+// Instance identifies the instance that the settings are for.
 type Instance struct {
 	ID   string `json:"id"`
 	Hall string `json:"hall"`
@@ -18,14 +18,14 @@
 
 func (i Instance) check(d *document, halls map[string]bool) {
 	if i.ID == "" {
-		d.add("instance.id", "must be set")
+		d.addProblem("instance.id", "must be set")
 	}
 	if !halls[i.Hall] {
-		d.add("instance.hall", "%q is not among the halls", i.Hall)
+		d.addProblem("instance.hall", "%q is not among the halls", i.Hall)
 	}
 }
 
-// Seed is an instance known beforehand, to be found while the platform's list is away.
+// Seed is a configured instance, used for discovery while the platform's list cannot be read.
 type Seed struct {
 	ID      string         `json:"id"`
 	Hall    string         `json:"hall"`
@@ -36,15 +36,15 @@
 	for i, seed := range s.Seeds {
 		name := fmt.Sprintf("seeds[%d]", i)
 		if seed.ID == "" || !seed.Address.IsValid() || !halls[seed.Hall] {
-			d.add(name, "needs an id, a known hall and an address")
+			d.addProblem(name, "needs an id, a known hall and an address")
 		}
 	}
 	if len(s.Halls) == 0 {
-		d.add("halls", "must not be empty")
+		d.addProblem("halls", "must not be empty")
 	}
 }
 
-// SeedInstances gives the seeds as instances.
+// SeedInstances returns the seeds as values of package fleet.
 func (s *Settings) SeedInstances() []fleet.Instance {
 	out := make([]fleet.Instance, 0, len(s.Seeds))
 	for _, seed := range s.Seeds {
--- a/modules/daemon/setting/kv.go
+++ b/modules/daemon/setting/kv.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// KV says how to use the platform's key-value service.
+// KV holds the settings for the platform's key-value service.
 type KV struct {
 	Addresses       []netip.AddrPort `json:"addresses"`
 	Prefix          string           `json:"prefix"`
@@ -19,8 +19,8 @@
 	ClaimTTL Duration `json:"claim_ttl"`
 }
 
-// defaultKV is the table of defaults. The rates are this instance's own part of the service's, which the capacity page counts
-// (docs/capacity-shelfledged.md).
+// defaultKV returns the defaults. The rates are the share of one instance in the rate that the service can handle, by the calculation in
+// docs/capacity-shelfledged.md.
 //
 //nolint:mnd // The fields name the numbers.
 func defaultKV() KV {
@@ -32,14 +32,14 @@
 
 func (k KV) check(d *document) {
 	if len(k.Addresses) == 0 {
-		d.add("kv.addresses", "must not be empty")
+		d.addProblem("kv.addresses", "must not be empty")
 	}
-	positive(d, "kv.timeout", k.Timeout)
-	positive(d, "kv.claim_ttl", k.ClaimTTL)
+	checkPositive(d, "kv.timeout", k.Timeout)
+	checkPositive(d, "kv.claim_ttl", k.ClaimTTL)
 	if k.ReadsPerSecond <= 0 {
-		d.add("kv.reads_per_second", "the rates must be above 0")
+		d.addProblem("kv.reads_per_second", "the rates must be above 0")
 	}
 	if k.WritesPerSecond <= 0 {
-		d.add("kv.writes_per_second", "the rates must be above 0")
+		d.addProblem("kv.writes_per_second", "the rates must be above 0")
 	}
 }
--- a/modules/daemon/setting/limits.go
+++ b/modules/daemon/setting/limits.go
@@ -5,28 +5,30 @@
 
 import "time"
 
-// Limits bound what callers may ask of one instance.
+// Limits holds the limits for callers' requests to one instance.
 type Limits struct {
-	// MaxBodyBytes bounds the body of one request, MaxRequests the requests open at once.
+	// MaxBodyBytes bounds the body of a request, MaxRequests the number of concurrent requests.
 	MaxBodyBytes int64 `json:"max_body_bytes"`
 	MaxRequests  int   `json:"max_requests"`
-	// RetryShare is the part of all requests that may be retried, from 0 to 1, and MaxAttempts bounds those of one request.
+	// RetryShare is the fraction of all requests that may be retried, from 0 to 1, and MaxAttempts the maximum number of attempts for a request.
 	RetryShare  float64 `json:"retry_share"`
 	MaxAttempts int     `json:"max_attempts"`
-	// DefaultWait is the longest wait for the start where the caller names no deadline.
+	// DefaultWait is the maximum waiting time before a request starts, if the caller sets no deadline.
 	DefaultWait Duration `json:"default_wait"`
-	// SlowReader is how long a caller may take nothing, and EndpointSilent how long an endpoint may send nothing.
+	// SlowReader is the maximum time for which a caller may read no data, EndpointSilent that for which an endpoint may send no data.
 	SlowReader     Duration `json:"slow_reader"`
 	EndpointSilent Duration `json:"endpoint_silent"`
-	// DrainLimit bounds a planned stop; before it, the instance is not ready for LeaveNotice, so that the balancer sees it.
+	// DrainLimit bounds the time of a planned stop. Before that, the instance reports itself as not ready for the time of LeaveNotice, so that
+	// the load balancer stops sending requests.
 	DrainLimit  Duration `json:"drain_limit"`
 	LeaveNotice Duration `json:"leave_notice"`
-	// OutputTokens are assumed where a request names no limit, and BytesPerToken estimates the prompt's tokens.
+	// OutputTokens is the assumed number of output tokens of a request that sets no limit. BytesPerToken is used to estimate the number of
+	// tokens in a prompt.
 	OutputTokens  int `json:"output_tokens"`
 	BytesPerToken int `json:"bytes_per_token"`
 }
 
-// defaultLimits is the table of defaults.
+// defaultLimits returns the defaults.
 //
 //nolint:mnd // The fields name the numbers.
 func defaultLimits() Limits {
@@ -45,16 +47,16 @@
 	}
 }
 
-// check reports values out of bounds.
+// check reports values that are out of range.
 //
-//nolint:mnd // The settings' names say what the bounds are of.
+//nolint:mnd // The names of the settings explain the bounds.
 func (l Limits) check(d *document) {
-	between(d, "limits.max_body_bytes", int(l.MaxBodyBytes), 1<<10, 64<<20)
-	between(d, "limits.max_requests", l.MaxRequests, 1, 1_000_000)
-	between(d, "limits.retry_share", l.RetryShare, 0, 1)
-	between(d, "limits.max_attempts", l.MaxAttempts, 1, 10)
-	between(d, "limits.output_tokens", l.OutputTokens, 1, 1_000_000)
-	between(d, "limits.bytes_per_token", l.BytesPerToken, 1, 64)
+	checkRange(d, "limits.max_body_bytes", int(l.MaxBodyBytes), 1<<10, 64<<20)
+	checkRange(d, "limits.max_requests", l.MaxRequests, 1, 1_000_000)
+	checkRange(d, "limits.retry_share", l.RetryShare, 0, 1)
+	checkRange(d, "limits.max_attempts", l.MaxAttempts, 1, 10)
+	checkRange(d, "limits.output_tokens", l.OutputTokens, 1, 1_000_000)
+	checkRange(d, "limits.bytes_per_token", l.BytesPerToken, 1, 64)
 	checkDurations(d, "limits", map[string]Duration{
 		"default_wait": l.DefaultWait, "slow_reader": l.SlowReader, "endpoint_silent": l.EndpointSilent,
 		"drain_limit": l.DrainLimit, "leave_notice": l.LeaveNotice,
--- a/modules/daemon/setting/listen.go
+++ b/modules/daemon/setting/listen.go
@@ -5,29 +5,29 @@
 
 import "net/netip"
 
-// TLS names the files of a listener's certificate; empty means plain TCP.
+// TLS holds the paths of a listener's certificate and key files; empty paths mean plain TCP.
 type TLS struct {
 	Cert string `json:"cert"`
 	Key  string `json:"key"`
-	// ClientCA, if set, makes clients show a certificate that it signed.
+	// ClientCA, if set, is the file of the certificate authority that must have signed the certificates of clients.
 	ClientCA string `json:"client_ca"`
 }
 
-// Enabled tells whether the listener uses TLS.
+// Enabled reports whether the listener uses TLS.
 func (t TLS) Enabled() bool {
 	return t.Cert != ""
 }
 
 func (t TLS) check(d *document, name string) {
 	if (t.Cert == "") != (t.Key == "") {
-		d.add(name, "cert and key go together")
+		d.addProblem(name, "cert and key go together")
 	}
 	if t.ClientCA != "" && t.Cert == "" {
-		d.add(name+".client_ca", "needs cert and key")
+		d.addProblem(name+".client_ca", "needs cert and key")
 	}
 }
 
-// Listener is an address to listen on.
+// Listener holds the settings of a listener.
 type Listener struct {
 	Address netip.AddrPort `json:"address"`
 	TLS     TLS            `json:"tls"`
@@ -46,11 +46,11 @@
 	for _, name := range []string{"listen.callers", "listen.operators", "listen.peers"} {
 		x := listeners[name]
 		if !x.Address.IsValid() {
-			d.add(name+".address", "must be set to IP:PORT")
+			d.addProblem(name+".address", "must be set to IP:PORT")
 			continue
 		}
 		if other, ok := seen[x.Address]; ok && x.Address.Port() != 0 {
-			d.add(name+".address", "is the same as %s", other)
+			d.addProblem(name+".address", "is the same as %s", other)
 		}
 		seen[x.Address] = name
 		x.TLS.check(d, name+".tls")
--- a/modules/daemon/setting/log.go
+++ b/modules/daemon/setting/log.go
@@ -5,7 +5,7 @@
 
 import "github.com/sirupsen/logrus"
 
-// Log says what is logged and how.
+// Log holds the level and the format of the log.
 type Log struct {
 	Level  string `json:"level"`
 	Format string `json:"format"`
@@ -17,20 +17,20 @@
 
 func (l Log) check(d *document) {
 	if _, err := logrus.ParseLevel(l.Level); err != nil {
-		d.add("log.level", "%q is not a level", l.Level)
+		d.addProblem("log.level", "%q is not a level", l.Level)
 	}
 	if l.Format != "text" && l.Format != "json" {
-		d.add("log.format", "%q is neither text nor json", l.Format)
+		d.addProblem("log.format", "%q is neither text nor json", l.Format)
 	}
 }
 
-// Metrics bounds the number of label values.
+// Metrics limits the number of label values.
 type Metrics struct {
 	MaxCallers int `json:"max_callers"`
 	MaxClasses int `json:"max_classes"`
 }
 
-// defaultMetrics trades series at the metrics' reader for callers and classes shown by name.
+// defaultMetrics returns the defaults. Higher limits show more callers and classes by name, but make Prometheus store more series.
 //
 //nolint:mnd // The fields name the numbers.
 func defaultMetrics() Metrics {
--- a/modules/daemon/setting/platform.go
+++ b/modules/daemon/setting/platform.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Platform says where the lagging list of instances is.
+// Platform holds the settings for reading the platform's list of instances, which may be out of date.
 type Platform struct {
+	// List is the address of the list, Every the interval at which it is read, Timeout the timeout of a read.
 	List    netip.AddrPort `json:"list"`
 	Every   Duration       `json:"every"`
 	Timeout Duration       `json:"timeout"`
 }
 
-// defaultPlatform is the table of defaults.
+// defaultPlatform returns the defaults.
 //
 //nolint:mnd // The fields name the numbers.
 func defaultPlatform() Platform {
@@ -23,21 +24,22 @@
 }
 
 func (p Platform) check(d *document) {
-	positive(d, "platform.every", p.Every)
-	positive(d, "platform.timeout", p.Timeout)
+	checkPositive(d, "platform.every", p.Every)
+	checkPositive(d, "platform.timeout", p.Timeout)
 }
 
-// Store is the weight store's rate.
+// Store holds the load rate of the weight store.
 type Store struct {
 	LoadsPerSecond float64 `json:"loads_per_second"`
-	AtFullSpeed    int     `json:"at_full_speed"`
+	// AtFullSpeed is the number of concurrent loads that the store serves without slowing down.
+	AtFullSpeed int `json:"at_full_speed"`
 }
 
 func (s Store) check(d *document) {
 	if s.LoadsPerSecond <= 0 {
-		d.add("weight_store.loads_per_second", "must be above 0")
+		d.addProblem("weight_store.loads_per_second", "must be above 0")
 	}
 	if s.AtFullSpeed < 1 {
-		d.add("weight_store.at_full_speed", "must be 1 or more")
+		d.addProblem("weight_store.at_full_speed", "must be 1 or more")
 	}
 }
--- a/modules/daemon/setting/problem_name_test.go
+++ b/modules/daemon/setting/problem_name_test.go
@@ -14,26 +14,27 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 )
 
-// TestRateOfWritesIsReportedByItsOwnName has the rate of reads right beside the faulty one of writes.
-func TestRateOfWritesIsReportedByItsOwnName(t *testing.T) {
-	bad := problems(t, `"writes_per_second": 15`, `"writes_per_second": 0`)
+// TestInvalidWriteRateIsReportedByName has a valid read rate beside an invalid write rate, and guards against a report that names the wrong
+// one.
+func TestInvalidWriteRateIsReportedByName(t *testing.T) {
+	bad := parseProblems(t, `"writes_per_second": 15`, `"writes_per_second": 0`)
 	require.Len(t, bad, 1)
 	require.Equal(t, "kv.writes_per_second", bad[0].Name)
 }
 
-func TestBothRatesAreReported(t *testing.T) {
-	bad := problems(t, `"reads_per_second": 100`, `"reads_per_second": -1`, `"writes_per_second": 15`, `"writes_per_second": 0`)
+func TestInvalidReadAndWriteRatesAreReported(t *testing.T) {
+	bad := parseProblems(t, `"reads_per_second": 100`, `"reads_per_second": -1`, `"writes_per_second": 15`, `"writes_per_second": 0`)
 	require.Len(t, bad, 2)
 	require.Equal(t, "kv.reads_per_second", bad[0].Name)
 	require.Equal(t, "kv.writes_per_second", bad[1].Name)
 }
 
-// problems gives those of the sample with the second of each two texts in place of the first.
-func problems(t *testing.T, texts ...string) []setting.Problem {
+// parseProblems returns the problems of the sample settings after replacements, which are pairs of an old and a new text.
+func parseProblems(t *testing.T, replacements ...string) []setting.Problem {
 	t.Helper()
-	raw, err := os.ReadFile(sample)
+	raw, err := os.ReadFile(sampleFile)
 	require.NoError(t, err)
-	_, err = setting.Parse("file", []byte(strings.NewReplacer(texts...).Replace(string(raw))))
+	_, err = setting.Parse("file", []byte(strings.NewReplacer(replacements...).Replace(string(raw))))
 	var bad setting.ErrBadSettings
 	require.True(t, errors.As(err, &bad))
 	return bad.Problems
--- a/modules/daemon/setting/problem_order_test.go
+++ b/modules/daemon/setting/problem_order_test.go
@@ -13,18 +13,18 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 )
 
-// TestProblemsComeInTheSameOrderEachTime has many faulty times of one topic.
-func TestProblemsComeInTheSameOrderEachTime(t *testing.T) {
-	var times []string
+// TestProblemOrderIsDeterministic parses settings with many invalid durations of one topic, which are checked from a map.
+func TestProblemOrderIsDeterministic(t *testing.T) {
+	var durations []string
 	for _, name := range []string{
 		"heartbeat", "lost_after", "settle", "digest", "hall_silence", "inspect", "grant_age", "start_within", "lease_ttl", "lease_margin", "lease_renew",
 	} {
-		times = append(times, fmt.Sprintf("%q: \"0s\"", name))
+		durations = append(durations, fmt.Sprintf("%q: \"0s\"", name))
 	}
-	text := []byte(fmt.Sprintf(`{"instance": {"id": "i1"}, "timing": {%s}}`, strings.Join(times, ",\n")))
+	text := []byte(fmt.Sprintf(`{"instance": {"id": "i1"}, "timing": {%s}}`, strings.Join(durations, ",\n")))
 	_, first := setting.Parse("file", text)
 	require.Error(t, first)
-	// With eleven faulty times, equal by chance in all of these tries is out of the question.
+	// With eleven invalid durations in random order, the same order in all 100 attempts is practically impossible.
 	for range 100 {
 		_, err := setting.Parse("file", text)
 		require.EqualError(t, err, first.Error())
--- a/modules/daemon/setting/settings.go
+++ b/modules/daemon/setting/settings.go
@@ -5,7 +5,7 @@
 
 import "os"
 
-// Settings are all settings of a daemon.
+// Settings holds all settings of a daemon.
 type Settings struct {
 	Instance  Instance   `json:"instance"`
 	Listen    Listen     `json:"listen"`
@@ -24,7 +24,7 @@
 	Metrics   Metrics    `json:"metrics"`
 }
 
-// Load reads and checks a settings file; every problem found is in the error.
+// Load reads and validates a settings file. The error contains all problems found.
 func Load(file string) (*Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -33,7 +33,7 @@
 	return Parse(file, raw)
 }
 
-// Parse reads and checks the text of a settings file.
+// Parse parses and validates the text of a settings file; file is its name in the error.
 func Parse(file string, raw []byte) (*Settings, error) {
 	s := defaults()
 	d := decode(raw, s)
@@ -46,7 +46,7 @@
 	return s, nil
 }
 
-// defaults gives the settings in use where the file is silent.
+// defaults returns the default values of all settings.
 //
 //nolint:mnd // The fields name the numbers.
 func defaults() *Settings {
--- a/modules/daemon/setting/settings_test.go
+++ b/modules/daemon/setting/settings_test.go
@@ -14,17 +14,17 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 )
 
-const sample = "../../../conf/shelfledged.sample.json"
+const sampleFile = "../../../conf/shelfledged.sample.json"
 
-func TestSampleIsValid(t *testing.T) {
-	s, err := setting.Load(sample)
+func TestSampleSettingsAreValid(t *testing.T) {
+	s, err := setting.Load(sampleFile)
 	require.NoError(t, err)
 	require.Equal(t, "h1-i1", s.Instance.ID)
 	require.Len(t, s.FleetEndpoints(), 2)
 }
 
 func TestAllProblemsAreReportedAtOnce(t *testing.T) {
-	raw, err := os.ReadFile(sample)
+	raw, err := os.ReadFile(sampleFile)
 	require.NoError(t, err)
 	text := strings.NewReplacer(
 		`"slots": 8`, `"slots": 0`, `"timeout": "2s",                 //`, `"timeout": "soon", //`, `"tenant_share": 0.5`, `"tenant_share": 7`,
@@ -46,13 +46,13 @@
 	}
 }
 
-func TestBrokenFileIsReportedByLine(t *testing.T) {
+func TestMalformedFileIsReportedByLine(t *testing.T) {
 	_, err := setting.Parse("file", []byte("{\n\"halls\": [\n"))
 	require.ErrorContains(t, err, "file:")
 }
 
 func FuzzParse(f *testing.F) {
-	raw, err := os.ReadFile(sample)
+	raw, err := os.ReadFile(sampleFile)
 	require.NoError(f, err)
 	f.Add(raw)
 	f.Add([]byte(`{"listen":{"callers":{"address":1}},"endpoints":[null,{}]}`))
