--- a/modules/daemon/kv/client.go
+++ b/modules/daemon/kv/client.go
@@ -37,11 +37,11 @@
 	Reads   int64
 	Writes  int64
 	Watches int64
-	// Unknown counts the calls that failed with ErrUnknown, NotDone those refused by the service or not sent for want of a connection.
-	Unknown int64
-	NotDone int64
-	// Throttle counts the calls that were not sent because of the client's rate limit.
-	Throttle int64
+	// OutcomeUnknown counts the calls that failed with ErrUnknown, NotDone those refused by the service or not sent for want of a connection.
+	OutcomeUnknown int64
+	NotDone        int64
+	// Throttled counts the calls that were not sent because of the client's rate limit.
+	Throttled int64
 }
 
 // Client calls the key-value service; it is safe for concurrent use.
@@ -91,7 +91,7 @@
 func (c *Client) Counts() Counts {
 	return Counts{
 		Reads: c.counts.reads.Load(), Writes: c.counts.writes.Load(), Watches: c.counts.watches.Load(),
-		Unknown: c.counts.outcomeUnknown.Load(), NotDone: c.counts.notDone.Load(), Throttle: c.counts.throttled.Load(),
+		OutcomeUnknown: c.counts.outcomeUnknown.Load(), NotDone: c.counts.notDone.Load(), Throttled: c.counts.throttled.Load(),
 	}
 }
 
@@ -132,7 +132,7 @@
 		return err
 	}
 	if out.Result.TTL <= 0 {
-		return ErrLeaseGone{ID: id}
+		return ErrLeaseNotFound{ID: id}
 	}
 	return nil
 }
@@ -213,7 +213,7 @@
 		return c.outcomeUnknown(path, err.Error())
 	}
 	if resp.StatusCode == http.StatusNotFound && bytes.Contains(content, []byte("lease")) {
-		return ErrLeaseGone{}
+		return ErrLeaseNotFound{}
 	}
 	if resp.StatusCode != http.StatusOK {
 		return c.statusError(path, resp.StatusCode, content)
@@ -237,7 +237,7 @@
 
 func (c *Client) outcomeUnknown(path, reason string) error {
 	c.counts.outcomeUnknown.Add(1)
-	return ErrUnknown{Call: path, Reason: reason}
+	return ErrOutcomeUnknown{Call: path, Reason: reason}
 }
 
 // transportError returns the error for a call without a response: an ErrNotDone if no connection could be established, else an ErrUnknown.
--- a/modules/daemon/kv/client_test.go
+++ b/modules/daemon/kv/client_test.go
@@ -59,8 +59,8 @@
 	} {
 		c := newClient(t, kv.Options{}, handler)
 		err := putKey(c)
-		require.True(t, kv.IsErrUnknown(err), "%s: %v", name, err)
-		require.Equal(t, kv.Counts{Writes: 1, Unknown: 1}, c.Counts(), name)
+		require.True(t, kv.IsErrOutcomeUnknown(err), "%s: %v", name, err)
+		require.Equal(t, kv.Counts{Writes: 1, OutcomeUnknown: 1}, c.Counts(), name)
 	}
 }
 
@@ -69,7 +69,7 @@
 	c := newClient(t, kv.Options{Timeout: 50 * time.Millisecond}, func(http.ResponseWriter, *http.Request) { <-release })
 	err := putKey(c)
 	close(release)
-	require.True(t, kv.IsErrUnknown(err), "%v", err)
+	require.True(t, kv.IsErrOutcomeUnknown(err), "%v", err)
 }
 
 func TestRefusedConnectionReturnsErrNotDone(t *testing.T) {
@@ -92,16 +92,16 @@
 	require.True(t, kv.IsErrNotDone(err), "%v", err)
 	require.ErrorContains(t, err, "rate limit of this client")
 	require.Equal(t, 1, sent)
-	require.Equal(t, kv.Counts{Writes: 2, Throttle: 1}, c.Counts())
+	require.Equal(t, kv.Counts{Writes: 2, Throttled: 1}, c.Counts())
 	_, _, err = c.Get(context.Background(), "k")
 	require.NoError(t, err, "reads have a separate rate limit")
 }
 
 func TestExpiredLeaseIsReported(t *testing.T) {
 	c := newClient(t, kv.Options{}, respond(http.StatusNotFound, "etcdserver: requested lease not found"))
-	require.True(t, kv.IsErrLeaseGone(putKey(c)))
+	require.True(t, kv.IsErrLeaseNotFound(putKey(c)))
 	c = newClient(t, kv.Options{}, respond(http.StatusOK, `{"result": {"ID": "7", "TTL": "0"}}`))
-	require.Equal(t, kv.ErrLeaseGone{ID: 7}, c.KeepAlive(context.Background(), 7))
+	require.Equal(t, kv.ErrLeaseNotFound{ID: 7}, c.KeepAlive(context.Background(), 7))
 	c = newClient(t, kv.Options{}, respond(http.StatusOK, `{"result": {"ID": "7", "TTL": "10"}}`))
 	require.NoError(t, c.KeepAlive(context.Background(), 7))
 }
--- a/modules/daemon/kv/error.go
+++ b/modules/daemon/kv/error.go
@@ -25,35 +25,35 @@
 	return errors.As(err, &e)
 }
 
-// ErrUnknown reports a call that may or may not have taken effect.
-type ErrUnknown struct {
+// ErrOutcomeUnknown reports a call that may or may not have taken effect.
+type ErrOutcomeUnknown struct {
 	Call   string
 	Reason string
 }
 
 // Error returns the call and the reason.
-func (e ErrUnknown) Error() string {
+func (e ErrOutcomeUnknown) Error() string {
 	return fmt.Sprintf("key-value service: %s may or may not have been done: %s", e.Call, e.Reason)
 }
 
-// IsErrUnknown reports whether err is an ErrUnknown.
-func IsErrUnknown(err error) bool {
-	var e ErrUnknown
+// IsErrOutcomeUnknown reports whether err is an ErrUnknown.
+func IsErrOutcomeUnknown(err error) bool {
+	var e ErrOutcomeUnknown
 	return errors.As(err, &e)
 }
 
-// ErrLeaseGone reports a lease that has expired or was revoked, so that the service does not have it any more.
-type ErrLeaseGone struct {
+// ErrLeaseNotFound reports a lease that has expired or was revoked, so that the service does not have it any more.
+type ErrLeaseNotFound struct {
 	ID int64
 }
 
 // Error returns the ID of the lease.
-func (e ErrLeaseGone) Error() string {
+func (e ErrLeaseNotFound) Error() string {
 	return fmt.Sprintf("key-value service: lease %d has lapsed", e.ID)
 }
 
-// IsErrLeaseGone reports whether err is an ErrLeaseGone.
-func IsErrLeaseGone(err error) bool {
-	var e ErrLeaseGone
+// IsErrLeaseNotFound reports whether err is an ErrLeaseGone.
+func IsErrLeaseNotFound(err error) bool {
+	var e ErrLeaseNotFound
 	return errors.As(err, &e)
 }
--- a/modules/daemon/metric/metric.go
+++ b/modules/daemon/metric/metric.go
@@ -19,21 +19,21 @@
 type Metrics struct {
 	Registry *prometheus.Registry
 
-	Requests     *prometheus.CounterVec
-	Stall        *prometheus.HistogramVec
-	QueueWait    *prometheus.HistogramVec
-	FirstToken   *prometheus.HistogramVec
-	BetweenToken *prometheus.HistogramVec
-	Whole        *prometheus.HistogramVec
-	Retries      *prometheus.CounterVec
-	Events       *prometheus.CounterVec
-	KVCalls      *prometheus.GaugeVec
-	Streams      prometheus.Gauge
-	Waiting      prometheus.Gauge
-	Revision     prometheus.Gauge
-	Dropped      prometheus.Gauge
-	Claims       *prometheus.CounterVec
-	Logins       *prometheus.CounterVec
+	Requests        *prometheus.CounterVec
+	LoadStall       *prometheus.HistogramVec
+	QueueWait       *prometheus.HistogramVec
+	FirstToken      *prometheus.HistogramVec
+	BetweenTokens   *prometheus.HistogramVec
+	RequestDuration *prometheus.HistogramVec
+	Retries         *prometheus.CounterVec
+	Events          *prometheus.CounterVec
+	KVCalls         *prometheus.GaugeVec
+	RunningRequests prometheus.Gauge
+	WaitingRequests prometheus.Gauge
+	Revision        prometheus.Gauge
+	Dropped         prometheus.Gauge
+	Claims          *prometheus.CounterVec
+	OperatorLogins  *prometheus.CounterVec
 
 	callers *labelLimiter
 	classes *labelLimiter
@@ -63,19 +63,19 @@
 	m := &Metrics{Registry: r, callers: newLabelLimiter(o.MaxCallers), classes: newLabelLimiter(o.MaxClasses)}
 	labels := []string{"class", "caller"}
 	m.Requests = counter(r, "requests_total", "Requests by how they ended.", "class", "caller", "outcome", "reason")
-	m.Stall = histogram(r, "load_stall_seconds", "Time that requests waited for an adapter to load.", waitBuckets, labels)
+	m.LoadStall = histogram(r, "load_stall_seconds", "Time that requests waited for an adapter to load.", waitBuckets, labels)
 	m.QueueWait = histogram(r, "queue_wait_seconds", "Time from a request's arrival to its ticket, save the load stall.", waitBuckets, labels)
 	m.FirstToken = histogram(r, "first_token_seconds", "Time from a request's arrival to its first token.", waitBuckets, labels)
-	m.BetweenToken = histogram(r, "between_tokens_seconds", "Mean time between a stream's tokens.", tokenBuckets, labels)
-	m.Whole = histogram(r, "request_seconds", "Time from a request's arrival to its end.", waitBuckets, labels)
+	m.BetweenTokens = histogram(r, "between_tokens_seconds", "Mean time between a stream's tokens.", tokenBuckets, labels)
+	m.RequestDuration = histogram(r, "request_seconds", "Time from a request's arrival to its end.", waitBuckets, labels)
 	m.Retries = counter(r, "retries_total", "Attempts repeated, by cause.", "cause")
 	m.Events = counter(r, "events_total", "Actions of the system by kind.", "kind")
 	m.KVCalls = prometheus.NewGaugeVec(prometheus.GaugeOpts{Namespace: namespace, Name: "kv_calls", Help: "Calls to the key-value service since the start, by kind."}, []string{"kind"})
 	r.MustRegister(m.KVCalls)
 	m.Claims = counter(r, "once_claims_total", "Claims of requests that must not be repeated, by result.", "result")
-	m.Logins = counter(r, "operator_logins_total", "Operators' requests by the result of the check of their key.", "result")
-	m.Streams = gauge(r, "running_requests", "Requests that run through this instance.")
-	m.Waiting = gauge(r, "waiting_requests", "Requests of this instance that wait for a ticket.")
+	m.OperatorLogins = counter(r, "operator_logins_total", "Operators' requests by the result of the check of their key.", "result")
+	m.RunningRequests = gauge(r, "running_requests", "Requests that run through this instance.")
+	m.WaitingRequests = gauge(r, "waiting_requests", "Requests of this instance that wait for a ticket.")
 	m.Revision = gauge(r, "configuration_revision", "Revision of the configuration in force.")
 	m.Dropped = gauge(r, "peer_messages_dropped", "Messages to peers that could not be sent.")
 	return m
@@ -108,33 +108,33 @@
 
 // Observation holds the values that a finished request adds to the metrics.
 type Observation struct {
-	Class      string
-	Caller     string
-	Outcome    string
-	Reason     string
-	Stall      time.Duration
-	QueueWait  time.Duration
-	FirstToken time.Duration
-	Between    time.Duration
-	Whole      time.Duration
-	Ran        bool
+	Class           string
+	Caller          string
+	Outcome         string
+	Reason          string
+	LoadStall       time.Duration
+	QueueWait       time.Duration
+	FirstToken      time.Duration
+	TokenInterval   time.Duration
+	RequestDuration time.Duration
+	Ran             bool
 }
 
 // Observe adds a finished request to the metrics.
 func (m *Metrics) Observe(o Observation) {
 	class, caller := m.classes.label(o.Class), m.callers.label(o.Caller)
 	m.Requests.WithLabelValues(class, caller, o.Outcome, o.Reason).Inc()
-	m.Whole.WithLabelValues(class, caller).Observe(o.Whole.Seconds())
+	m.RequestDuration.WithLabelValues(class, caller).Observe(o.RequestDuration.Seconds())
 	if !o.Ran {
 		return
 	}
-	m.Stall.WithLabelValues(class, caller).Observe(o.Stall.Seconds())
+	m.LoadStall.WithLabelValues(class, caller).Observe(o.LoadStall.Seconds())
 	m.QueueWait.WithLabelValues(class, caller).Observe(o.QueueWait.Seconds())
 	if o.FirstToken > 0 {
 		m.FirstToken.WithLabelValues(class, caller).Observe(o.FirstToken.Seconds())
 	}
-	if o.Between > 0 {
-		m.BetweenToken.WithLabelValues(class, caller).Observe(o.Between.Seconds())
+	if o.TokenInterval > 0 {
+		m.BetweenTokens.WithLabelValues(class, caller).Observe(o.TokenInterval.Seconds())
 	}
 }
 
@@ -169,7 +169,7 @@
 // SetKVCalls sets the metrics of the calls to the key-value service.
 func (m *Metrics) SetKVCalls(c kv.Counts) {
 	for kind, n := range map[string]int64{
-		"read": c.Reads, "write": c.Writes, "watch": c.Watches, "unknown": c.Unknown, "not_done": c.NotDone, "throttled": c.Throttle,
+		"read": c.Reads, "write": c.Writes, "watch": c.Watches, "unknown": c.OutcomeUnknown, "not_done": c.NotDone, "throttled": c.Throttled,
 	} {
 		m.KVCalls.WithLabelValues(kind).Set(float64(n))
 	}
--- a/modules/daemon/metric/metric_test.go
+++ b/modules/daemon/metric/metric_test.go
@@ -20,12 +20,12 @@
 func observedMetrics() *metric.Metrics {
 	m := metric.New(metric.Options{MaxCallers: 3, MaxClasses: 3})
 	m.Observe(metric.Observation{
-		Class: "kiosk", Caller: "c", Outcome: "answered", Ran: true, FirstToken: time.Second, Between: time.Millisecond,
+		Class: "kiosk", Caller: "c", Outcome: "answered", Ran: true, FirstToken: time.Second, TokenInterval: time.Millisecond,
 	})
 	m.Retries.WithLabelValues("not_run").Inc()
 	m.Events.WithLabelValues("evict").Inc()
 	m.Claims.WithLabelValues("claimed").Inc()
-	m.Logins.WithLabelValues("ok").Inc()
+	m.OperatorLogins.WithLabelValues("ok").Inc()
 	m.SetKVCalls(kv.Counts{})
 	return m
 }
--- a/modules/daemon/setting/decode.go
+++ b/modules/daemon/setting/decode.go
@@ -22,14 +22,14 @@
 	Reason string
 }
 
-// ErrBadSettings reports all problems of a settings file.
-type ErrBadSettings struct {
+// ErrInvalidSettings reports all problems of a settings file.
+type ErrInvalidSettings struct {
 	File     string
 	Problems []Problem
 }
 
 // Error returns the problems, one per line.
-func (e ErrBadSettings) Error() string {
+func (e ErrInvalidSettings) Error() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%d problems in the settings:", len(e.Problems))
 	for _, p := range e.Problems {
--- a/modules/daemon/setting/problem_name_test.go
+++ b/modules/daemon/setting/problem_name_test.go
@@ -35,7 +35,7 @@
 	raw, err := os.ReadFile(sampleFile)
 	require.NoError(t, err)
 	_, err = setting.Parse("file", []byte(strings.NewReplacer(replacements...).Replace(string(raw))))
-	var bad setting.ErrBadSettings
+	var bad setting.ErrInvalidSettings
 	require.True(t, errors.As(err, &bad))
 	return bad.Problems
 }
--- a/modules/daemon/setting/settings.go
+++ b/modules/daemon/setting/settings.go
@@ -28,7 +28,7 @@
 func Load(file string) (*Settings, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
-		return nil, ErrBadSettings{File: file, Problems: []Problem{{Line: 1, Name: "file", Reason: err.Error()}}}
+		return nil, ErrInvalidSettings{File: file, Problems: []Problem{{Line: 1, Name: "file", Reason: err.Error()}}}
 	}
 	return Parse(file, raw)
 }
@@ -41,7 +41,7 @@
 		s.check(d)
 	}
 	if len(d.problems) > 0 {
-		return nil, ErrBadSettings{File: file, Problems: d.problems}
+		return nil, ErrInvalidSettings{File: file, Problems: d.problems}
 	}
 	return s, nil
 }
--- a/modules/daemon/setting/settings_test.go
+++ b/modules/daemon/setting/settings_test.go
@@ -31,7 +31,7 @@
 		`"level": "info"`, `"level": "loud"`, `"max_attempts": 3`, `"max_atempts": 3`, `"role": "admin"`, `"role": "king"`,
 	).Replace(string(raw))
 	_, err = setting.Parse("file", []byte(text))
-	var bad setting.ErrBadSettings
+	var bad setting.ErrInvalidSettings
 	require.True(t, errors.As(err, &bad))
 	names := make(map[string]int)
 	for _, p := range bad.Problems {
--- a/routers/daemon/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -120,7 +120,7 @@
 	if err != nil {
 		result = "denied"
 	}
-	r.options.Metrics.Logins.WithLabelValues(result).Inc()
+	r.options.Metrics.OperatorLogins.WithLabelValues(result).Inc()
 	return who, err
 }
 
--- a/services/daemon/configuration/store.go
+++ b/services/daemon/configuration/store.go
@@ -123,7 +123,7 @@
 		if err == nil && done {
 			return c, s.advance(c, next)
 		}
-		if err != nil && !kv.IsErrUnknown(err) {
+		if err != nil && !kv.IsErrOutcomeUnknown(err) {
 			return Committed{}, s.commitError(p, unknownOutcome, err)
 		}
 		if err != nil {
--- a/services/daemon/control/claim/answer.go
+++ b/services/daemon/control/claim/answer.go
@@ -73,7 +73,7 @@
 	switch {
 	case err == nil:
 		return Alive
-	case kv.IsErrLeaseGone(err):
+	case kv.IsErrLeaseNotFound(err):
 		return Lapsed
 	default:
 		return Unclear
--- a/services/daemon/control/claim/claim_test.go
+++ b/services/daemon/control/claim/claim_test.go
@@ -199,9 +199,9 @@
 		result   node.LeaseResult
 	}{
 		{"answered", nil, claim.Alive, node.LeaseResult{OK: true, SentAt: sent}},
-		{"the lease is gone", kv.ErrLeaseGone{ID: 3}, claim.Lapsed, node.LeaseResult{Gone: true}},
+		{"the lease is gone", kv.ErrLeaseNotFound{ID: 3}, claim.Lapsed, node.LeaseResult{Gone: true}},
 		{"not sent or refused", kv.ErrNotDone{}, claim.Unclear, node.LeaseResult{SentAt: sent}},
-		{"its answer was lost", kv.ErrUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sent}},
+		{"its answer was lost", kv.ErrOutcomeUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sent}},
 		{"any other", errors.New("cause"), claim.Unclear, node.LeaseResult{SentAt: sent}},
 	} {
 		standing := claim.StandingAfter(row.err)
--- a/services/daemon/once/claimer.go
+++ b/services/daemon/once/claimer.go
@@ -238,7 +238,7 @@
 		r.Success = append(r.Success, kv.Op{Put: &kv.PutRequest{Key: []byte(pending.key), Value: pending.value, Lease: c.lease.id}})
 	}
 	resp, err := c.store.Txn(ctx, r)
-	if kv.IsErrLeaseGone(err) {
+	if kv.IsErrLeaseNotFound(err) {
 		c.lease = lease{}
 		return resp, kv.ErrNotDone{Call: "claim", Reason: err.Error()}
 	}
--- a/services/daemon/once/claimer_test.go
+++ b/services/daemon/once/claimer_test.go
@@ -45,7 +45,7 @@
 	}
 	if m.lostResponses > 0 {
 		m.lostResponses--
-		return kv.TxnResponse{}, kv.ErrUnknown{Call: "txn"}
+		return kv.TxnResponse{}, kv.ErrOutcomeUnknown{Call: "txn"}
 	}
 	return kv.TxnResponse{Succeeded: true}, nil
 }
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -180,8 +180,8 @@
 
 // wait asks for a ticket and waits for it, the refusal, or the caller's end.
 func (r *run) wait(ctx context.Context) (control.Answer, error) {
-	r.service.options.Metrics.Waiting.Inc()
-	defer r.service.options.Metrics.Waiting.Dec()
+	r.service.options.Metrics.WaitingRequests.Inc()
+	defer r.service.options.Metrics.WaitingRequests.Dec()
 	answers := r.service.options.Control.Submit(r.job.Request)
 	select {
 	case a := <-answers:
@@ -283,8 +283,8 @@
 func (r *run) observe(err error) {
 	now := r.service.options.Now()
 	o := metric.Observation{
-		Class: r.job.Request.Class, Caller: r.job.Request.Caller, Outcome: string(fleet.OutcomeAnswered), Whole: now.Sub(r.arrived), Ran: r.granted,
-		Stall: r.stalled, QueueWait: max(0, r.queued-r.stalled),
+		Class: r.job.Request.Class, Caller: r.job.Request.Caller, Outcome: string(fleet.OutcomeAnswered), RequestDuration: now.Sub(r.arrived), Ran: r.granted,
+		LoadStall: r.stalled, QueueWait: max(0, r.queued-r.stalled),
 	}
 	var notRun ErrNotRun
 	switch {
@@ -297,7 +297,7 @@
 		o.FirstToken = r.out.first.Sub(r.arrived)
 	}
 	if r.out.events >= minEvents {
-		o.Between = r.out.last.Sub(r.out.first) / time.Duration(r.out.events-1)
+		o.TokenInterval = r.out.last.Sub(r.out.first) / time.Duration(r.out.events-1)
 	}
 	r.service.options.Metrics.Observe(o)
 }
--- a/services/daemon/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -116,9 +116,9 @@
 // unless w shows otherwise, and is to be told to the caller.
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, j Job) error {
 	s.running.Add(1)
-	s.options.Metrics.Streams.Inc()
+	s.options.Metrics.RunningRequests.Inc()
 	defer func() {
-		s.options.Metrics.Streams.Dec()
+		s.options.Metrics.RunningRequests.Dec()
 		s.running.Done()
 	}()
 	ctx, cancel := context.WithCancel(ctx)
--- a/tests/pinned/daemon/calls_test.go
+++ b/tests/pinned/daemon/calls_test.go
@@ -248,7 +248,7 @@
 		r.answer = answer
 		_, err := c.Txn(ctx, kv.TxnRequest{})
 		require.Error(t, err)
-		out[name] = exchange{Sent: r.take(), Result: []any{err.Error(), kv.IsErrLeaseGone(err), kv.IsErrNotDone(err), kv.IsErrUnknown(err)}}
+		out[name] = exchange{Sent: r.take(), Result: []any{err.Error(), kv.IsErrLeaseNotFound(err), kv.IsErrNotDone(err), kv.IsErrOutcomeUnknown(err)}}
 	}
 	pin(t, "kv_calls.json", out)
 	require.NotContains(t, strings.ToLower(string(pinned(t, "kv_calls.json"))), "127.0.0.1", "a pinned call names a port of one run")
