--- a/modules/callerconn/conn.go
+++ b/modules/callerconn/conn.go
@@ -38,7 +38,7 @@
 	interrupted  bool
 	// finalRead is set once a read was repeated for finalReadWindow after its deadline.
 	finalRead bool
-	// reason is why the connection ends; empty until that is known.
+	// reason is why the connection ends; empty until a reason is recorded.
 	reason Reason
 	// started counts the requests that were read, completed those that were answered in full.
 	started, completed int
--- a/modules/callerconn/listener.go
+++ b/modules/callerconn/listener.go
@@ -87,7 +87,7 @@
 	}
 }
 
-// Wait waits, after Shutdown, until no connection is open. If ctx ends first, Wait returns the error of ctx.
+// Wait waits, after BeginShutdown, until no connection is open. If ctx ends first, Wait returns the error of ctx.
 func (l *Listener) Wait(ctx context.Context) error {
 	select {
 	case <-l.drained:
--- a/modules/daemon/bytebudget/budget.go
+++ b/modules/daemon/bytebudget/budget.go
@@ -43,7 +43,7 @@
 	return &Budget{total: total}
 }
 
-// Acquire waits until bytes are free and takes them; earlier calls are served first. It returns an ErrNoRoom if ctx ends before that.
+// Acquire waits until bytes are free and takes them; earlier calls are served first. It returns an ErrBudgetExhausted if ctx ends first.
 // A number above the total of the budget counts as the total. The bytes are given back by Release with the same number.
 func (b *Budget) Acquire(ctx context.Context, bytes int64) error {
 	b.mutex.Lock()
--- a/modules/daemon/bytebudget/budget_test.go
+++ b/modules/daemon/bytebudget/budget_test.go
@@ -78,10 +78,10 @@
 	small := acquireAsync(context.Background(), b, 4)
 	requireBlocked(t, small)
 	cancel()
-	var noRoom bytebudget.ErrBudgetExhausted
-	require.ErrorAs(t, <-large, &noRoom)
-	require.ErrorIs(t, noRoom, context.Canceled)
-	require.Equal(t, "no room for 8 bytes: context canceled", noRoom.Error())
+	var exhausted bytebudget.ErrBudgetExhausted
+	require.ErrorAs(t, <-large, &exhausted)
+	require.ErrorIs(t, exhausted, context.Canceled)
+	require.Equal(t, "no room for 8 bytes: context canceled", exhausted.Error())
 	requireAcquired(t, small)
 }
 
--- a/modules/daemon/engine/doc.go
+++ b/modules/daemon/engine/doc.go
@@ -5,6 +5,6 @@
 // requests. A Dialect is a set of functions, so that the protocol of another engine needs one new file. The only dialect is vLLM's
 // published HTTP API with fences as headers.
 //
-// A Dialect owns only the connections of its transport. These count the bytes written, so that a request that was certainly not run can be
-// told from one that may have run. The package starts no goroutines.
+// A Dialect owns only the connections of its transport. These count the bytes written, which distinguishes a request that was certainly not
+// run from a request that may have run. The package starts no goroutines.
 package engine
--- a/modules/daemon/engine/transport.go
+++ b/modules/daemon/engine/transport.go
@@ -29,8 +29,8 @@
 	readBufferSize  = 2 << 10
 )
 
-// NewTransport returns a transport whose connections count the bytes written, so that a request that was certainly not run can be told
-// from one that may have run. The transport resends only a GET, HEAD or OPTIONS without a body: net/http does so if a reused connection
+// NewTransport returns a transport whose connections count the bytes written. The count distinguishes a request that was certainly not run
+// from a request that may have run. The transport resends only a GET, HEAD or OPTIONS without a body: net/http does so if a reused connection
 // breaks before the response.
 func NewTransport(o TransportOptions) *http.Transport {
 	dialer := &net.Dialer{Timeout: o.DialTimeout, KeepAlive: keepAliveInterval}
--- a/modules/daemon/engine/vllm.go
+++ b/modules/daemon/engine/vllm.go
@@ -64,7 +64,7 @@
 	return "http://" + e.Address.String() + path
 }
 
-// transportError converts an error of the HTTP client to an ErrNotRun if no byte of the request was written, else to an ErrUnknown.
+// transportError converts an error of the HTTP client to an ErrNotRun if no byte of the request was written, else to an ErrOutcomeUnknown.
 func transportError(what string, probe *writeProbe, err error) error {
 	if !probe.mayHaveWritten() {
 		return ErrNotRun{Operation: what, Reason: err.Error()}
--- a/modules/daemon/engine/vllm_test.go
+++ b/modules/daemon/engine/vllm_test.go
@@ -53,7 +53,7 @@
 			w.Header().Set(name, value)
 		}
 		w.WriteHeader(status)
-		_, _ = io.WriteString(w, "because\n")
+		_, _ = io.WriteString(w, "reason text\n")
 	}
 }
 
@@ -124,7 +124,7 @@
 		var refusal engine.ErrNotRun
 		require.ErrorAs(t, err, &refusal, "%s %d", c.kind, c.status)
 		require.Equal(t, c.status, refusal.Status)
-		require.Contains(t, refusal.Reason, "because")
+		require.Contains(t, refusal.Reason, "reason text")
 		if c.headers != nil {
 			require.Equal(t, 3*time.Second, refusal.RetryAfter)
 		}
@@ -201,10 +201,10 @@
 
 func TestNextFenceIsHigherAndUniqueToHolder(t *testing.T) {
 	for _, seen := range []uint64{0, 1, 1<<16 - 1, 1 << 16, 5<<16 | 9} {
-		one, other := engine.NextFence(seen, 3), engine.NextFence(seen, 4)
-		require.Greater(t, one, seen)
-		require.Greater(t, other, seen)
-		require.NotEqual(t, one, other)
-		require.Equal(t, uint64(3), one&0xffff)
+		first, second := engine.NextFence(seen, 3), engine.NextFence(seen, 4)
+		require.Greater(t, first, seen)
+		require.Greater(t, second, seen)
+		require.NotEqual(t, first, second)
+		require.Equal(t, uint64(3), first&0xffff)
 	}
 }
--- a/modules/daemon/httpserver/server_test.go
+++ b/modules/daemon/httpserver/server_test.go
@@ -119,9 +119,9 @@
 func startBlockedRequest(t *testing.T) (r *runningServer, release chan struct{}, answered chan error) {
 	t.Helper()
 	release, answered = make(chan struct{}), make(chan error, 1)
-	begun := make(chan struct{})
+	started := make(chan struct{})
 	r = startServer(t, httpserver.Options{Routes: testRoute(func(http.ResponseWriter, *http.Request) {
-		close(begun)
+		close(started)
 		<-release
 	})})
 	go func() {
@@ -131,7 +131,7 @@
 		}
 		answered <- err
 	}()
-	<-begun
+	<-started
 	return r, release, answered
 }
 
--- a/modules/daemon/instancelist/list_test.go
+++ b/modules/daemon/instancelist/list_test.go
@@ -83,14 +83,14 @@
 }
 
 func TestTimeoutOrLostConnectionIsAnError(t *testing.T) {
-	late := newReader(t, shortTimeout, func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
-	_, err := late.Read(context.Background())
+	slow := newReader(t, shortTimeout, func(_ http.ResponseWriter, q *http.Request) { <-q.Context().Done() })
+	_, err := slow.Read(context.Background())
 	require.ErrorAs(t, err, &instancelist.ErrListUnavailable{})
-	lost := newReader(t, longTimeout, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
-	_, err = lost.Read(context.Background())
+	aborted := newReader(t, longTimeout, func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) })
+	_, err = aborted.Read(context.Background())
 	require.ErrorAs(t, err, &instancelist.ErrListUnavailable{})
 	ended, cancel := context.WithCancel(context.Background())
 	cancel()
-	_, err = lost.Read(ended)
+	_, err = aborted.Read(ended)
 	require.ErrorAs(t, err, &instancelist.ErrListUnavailable{}, "the context has ended")
 }
--- a/modules/daemon/kv/client.go
+++ b/modules/daemon/kv/client.go
@@ -37,9 +37,10 @@
 	Reads   int64
 	Writes  int64
 	Watches int64
-	// OutcomeUnknown counts the calls that failed with ErrUnknown, NotDone those refused by the service or not sent for want of a connection.
+	// OutcomeUnknown counts the calls that failed with ErrOutcomeUnknown.
 	OutcomeUnknown int64
-	NotDone        int64
+	// NotDone counts the calls that the service refused and those that were not sent because no connection could be established.
+	NotDone int64
 	// Throttled counts the calls that were not sent because of the client's rate limit.
 	Throttled int64
 }
@@ -111,7 +112,7 @@
 	return out.KVs[0], true, nil
 }
 
-// Txn runs a transaction. If it returns an ErrUnknown, the transaction may have taken effect.
+// Txn runs a transaction. If it returns an ErrOutcomeUnknown, the transaction may have taken effect.
 func (c *Client) Txn(ctx context.Context, r TxnRequest) (TxnResponse, error) {
 	var out TxnResponse
 	err := c.write(ctx, "/v3/kv/txn", r, &out)
@@ -125,7 +126,7 @@
 	return out.ID, err
 }
 
-// KeepAlive renews a lease. It returns an ErrLeaseGone if the lease has expired.
+// KeepAlive renews a lease. It returns an ErrLeaseNotFound if the lease has expired.
 func (c *Client) KeepAlive(ctx context.Context, id int64) error {
 	var out KeepAliveResponse
 	if err := c.write(ctx, "/v3/lease/keepalive", LeaseRequest{ID: id}, &out); err != nil {
@@ -240,7 +241,8 @@
 	return ErrOutcomeUnknown{Call: path, Reason: reason}
 }
 
-// transportError returns the error for a call without a response: an ErrNotDone if no connection could be established, else an ErrUnknown.
+// transportError returns the error for a call without a response: an ErrNotDone if no connection could be established, else an
+// ErrOutcomeUnknown.
 func (c *Client) transportError(path string, err error) error {
 	var op *net.OpError
 	if errors.As(err, &op) && op.Op == "dial" {
--- a/modules/daemon/kv/error.go
+++ b/modules/daemon/kv/error.go
@@ -36,7 +36,7 @@
 	return fmt.Sprintf("key-value service: %s may or may not have been done: %s", e.Call, e.Reason)
 }
 
-// IsErrOutcomeUnknown reports whether err is an ErrUnknown.
+// IsErrOutcomeUnknown reports whether err is an ErrOutcomeUnknown.
 func IsErrOutcomeUnknown(err error) bool {
 	var e ErrOutcomeUnknown
 	return errors.As(err, &e)
@@ -52,7 +52,7 @@
 	return fmt.Sprintf("key-value service: lease %d has lapsed", e.ID)
 }
 
-// IsErrLeaseNotFound reports whether err is an ErrLeaseGone.
+// IsErrLeaseNotFound reports whether err is an ErrLeaseNotFound.
 func IsErrLeaseNotFound(err error) bool {
 	var e ErrLeaseNotFound
 	return errors.As(err, &e)
--- a/modules/daemon/log/log_test.go
+++ b/modules/daemon/log/log_test.go
@@ -35,13 +35,13 @@
 
 func TestLineContainsLoggerFields(t *testing.T) {
 	entry, lines := newLogger(t, "info")
-	entry.WithField("pool", "h1/x").Info("taken")
+	entry.WithField("pool", "h1/x").Info("test message")
 	entry.Debug("not at this level")
 	got := lines()
 	require.Len(t, got, 1)
 	require.NotEmpty(t, got[0]["time"])
 	delete(got[0], "time")
-	require.Equal(t, map[string]any{"level": "info", "msg": "taken", "instance": "i1", "pool": "h1/x"}, got[0])
+	require.Equal(t, map[string]any{"level": "info", "msg": "test message", "instance": "i1", "pool": "h1/x"}, got[0])
 }
 
 func TestUnknownLevelIsAnError(t *testing.T) {
@@ -53,8 +53,8 @@
 	var out bytes.Buffer
 	entry, err := log.New(log.Options{Level: "info", Format: "text", Output: &out})
 	require.NoError(t, err)
-	entry.Info("taken")
-	require.Contains(t, out.String(), "msg=taken")
+	entry.Info("test message")
+	require.Contains(t, out.String(), "msg=\"test message\"")
 }
 
 func TestLibraryLinesAreLoggedAtMappedLevel(t *testing.T) {
@@ -64,12 +64,12 @@
 		level string
 		debug bool
 	}{
-		{"go-zero info", func() { logx.Info("said") }, "debug", true},
-		{"go-zero slow call", func() { logx.Slow("said") }, "debug", true},
-		{"go-zero error", func() { logx.Error("said") }, "error", false},
-		{"go-zero severe error", func() { logx.Severe("said") }, "error", false},
-		{"gRPC warning", func() { grpclog.Warning("said") }, "debug", true},
-		{"gRPC info", func() { grpclog.Info("said") }, "", true},
+		{"go-zero info", func() { logx.Info("library message") }, "debug", true},
+		{"go-zero slow call", func() { logx.Slow("library message") }, "debug", true},
+		{"go-zero error", func() { logx.Error("library message") }, "error", false},
+		{"go-zero severe error", func() { logx.Severe("library message") }, "error", false},
+		{"gRPC warning", func() { grpclog.Warning("library message") }, "debug", true},
+		{"gRPC info", func() { grpclog.Info("library message") }, "", true},
 	} {
 		for _, level := range []string{"info", "debug"} {
 			_, lines := newLogger(t, level)
@@ -83,7 +83,7 @@
 			for _, line := range got {
 				require.Equal(t, row.level, line["level"], "%s at %s", row.name, level)
 				require.NotEmpty(t, line["library"], "%s at %s", row.name, level)
-				require.Contains(t, line["msg"], "said", "%s at %s", row.name, level)
+				require.Contains(t, line["msg"], "library message", "%s at %s", row.name, level)
 			}
 		}
 	}
@@ -91,7 +91,7 @@
 
 func TestLibraryLineKeepsFields(t *testing.T) {
 	_, lines := newLogger(t, "info")
-	logx.Errorw("said", logx.Field("path", "/here"))
+	logx.Errorw("library message", logx.Field("path", "/here"))
 	got := lines()
 	require.Len(t, got, 1)
 	require.Equal(t, "/here", got[0]["path"])
--- a/modules/daemon/peerlink/link_test.go
+++ b/modules/daemon/peerlink/link_test.go
@@ -86,10 +86,10 @@
 }
 
 func TestEnvelopesToUnreachablePeerAreDroppedAndCounted(t *testing.T) {
-	from, gone := startNode(t, loopbackAddress, peerlink.Options{}), startNode(t, loopbackAddress, peerlink.Options{})
-	gone.Close()
-	from.Send(numberedEnvelope(gone.address, 1))
-	from.Send(numberedEnvelope(gone.address, 2))
+	from, closed := startNode(t, loopbackAddress, peerlink.Options{}), startNode(t, loopbackAddress, peerlink.Options{})
+	closed.Close()
+	from.Send(numberedEnvelope(closed.address, 1))
+	from.Send(numberedEnvelope(closed.address, 2))
 	require.Eventually(t, func() bool { return from.Dropped() == 2 }, testTimeout, pollInterval)
 }
 
@@ -134,14 +134,14 @@
 	refusing := startNode(t, loopbackAddress, peerlink.Options{Answer: func(context.Context, peerlink.Question) (peerlink.Answer, error) {
 		return peerlink.Answer{}, errors.New("cause")
 	}})
-	late := startNode(t, loopbackAddress, peerlink.Options{Answer: func(ctx context.Context, _ peerlink.Question) (peerlink.Answer, error) {
+	slow := startNode(t, loopbackAddress, peerlink.Options{Answer: func(ctx context.Context, _ peerlink.Question) (peerlink.Answer, error) {
 		<-ctx.Done()
 		return peerlink.Answer{}, ctx.Err()
 	}})
-	gone := startNode(t, loopbackAddress, peerlink.Options{})
-	gone.Close()
+	closed := startNode(t, loopbackAddress, peerlink.Options{})
+	closed.Close()
 	from := startNode(t, loopbackAddress, peerlink.Options{})
-	for name, to := range map[string]netip.AddrPort{"refusing": refusing.address, "late": late.address, "gone": gone.address, "no address": {}} {
+	for name, to := range map[string]netip.AddrPort{"refusing": refusing.address, "slow": slow.address, "closed": closed.address, "no address": {}} {
 		ctx, cancel := context.WithTimeout(context.Background(), 200*time.Millisecond)
 		_, err := from.Ask(ctx, to, peerlink.Question{})
 		cancel()
--- a/modules/daemon/ring/ring.go
+++ b/modules/daemon/ring/ring.go
@@ -25,8 +25,8 @@
 	mixFactor = 0xff51afd7ed558ccd
 )
 
-// mixBits spreads the differences between hashes over all bits. Scores are compared as a whole, so the high bits decide, also for keys that
-// differ only little.
+// mixBits spreads the differences between hashes over all bits. Scores are compared as integers, so that their high bits decide, and the
+// hashes of similar keys may differ little in these.
 func mixBits(h uint64) uint64 {
 	h ^= h >> mixShift
 	h *= mixFactor
--- a/modules/fingerprint/fingerprint_test.go
+++ b/modules/fingerprint/fingerprint_test.go
@@ -23,8 +23,8 @@
 	assert.False(t, exampleContent().Fingerprint().IsZero())
 }
 
-// TestQueryCountsOnlyWithoutBody checks that the query is left out if there is a body. Without a body the query says what is requested;
-// beside a body it mostly says how.
+// TestQueryCountsOnlyWithoutBody checks that the query is left out if there is a body. Without a body, the query is part of what is
+// requested; beside a body, it mostly holds options.
 func TestQueryCountsOnlyWithoutBody(t *testing.T) {
 	first, second := exampleContent(), exampleContent()
 	second.Query = "c=e"
