--- a/modules/daemon/kv/error.go
+++ b/modules/daemon/kv/error.go
@@ -8,52 +8,52 @@
 	"fmt"
 )
 
-// ErrNotDone reports a call that surely had no effect.
+// ErrNotDone reports a call that certainly had no effect.
 type ErrNotDone struct {
 	Call   string
 	Reason string
 }
 
-// Error tells which call was not done, and why.
+// Error returns the call and the reason.
 func (e ErrNotDone) Error() string {
 	return fmt.Sprintf("key-value service: %s was not done: %s", e.Call, e.Reason)
 }
 
-// IsErrNotDone tells whether an error is an ErrNotDone.
+// IsErrNotDone reports whether err is an ErrNotDone.
 func IsErrNotDone(err error) bool {
 	var e ErrNotDone
 	return errors.As(err, &e)
 }
 
-// ErrUnknown reports a call that may or may not have had its effect.
-type ErrUnknown struct {
+// ErrOutcomeUnknown reports a call that may or may not have taken effect.
+type ErrOutcomeUnknown struct {
 	Call   string
 	Reason string
 }
 
-// Error tells which call has an unknown end, and why.
-func (e ErrUnknown) Error() string {
+// Error returns the call and the reason.
+func (e ErrOutcomeUnknown) Error() string {
 	return fmt.Sprintf("key-value service: %s may or may not have been done: %s", e.Call, e.Reason)
 }
 
-// IsErrUnknown tells whether an error is an ErrUnknown.
-func IsErrUnknown(err error) bool {
-	var e ErrUnknown
+// IsErrOutcomeUnknown reports whether err is an ErrOutcomeUnknown.
+func IsErrOutcomeUnknown(err error) bool {
+	var e ErrOutcomeUnknown
 	return errors.As(err, &e)
 }
 
-// ErrLeaseGone reports a lease that the service no longer knows.
-type ErrLeaseGone struct {
+// ErrLeaseNotFound reports a lease that has expired or was revoked, so that the service does not have it any more.
+type ErrLeaseNotFound struct {
 	ID int64
 }
 
-// Error names the lease.
-func (e ErrLeaseGone) Error() string {
+// Error returns the ID of the lease.
+func (e ErrLeaseNotFound) Error() string {
 	return fmt.Sprintf("key-value service: lease %d has lapsed", e.ID)
 }
 
-// IsErrLeaseGone tells whether an error is an ErrLeaseGone.
-func IsErrLeaseGone(err error) bool {
-	var e ErrLeaseGone
+// IsErrLeaseNotFound reports whether err is an ErrLeaseNotFound.
+func IsErrLeaseNotFound(err error) bool {
+	var e ErrLeaseNotFound
 	return errors.As(err, &e)
 }
--- a/modules/daemon/setting/settings_test.go
+++ b/modules/daemon/setting/settings_test.go
@@ -14,24 +14,24 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 )
 
-const sample = "../../../conf/shelfledged.sample.json"
+const sampleFile = "../../../conf/shelfledged.sample.json"
 
-func TestSampleIsValid(t *testing.T) {
-	s, err := setting.Load(sample)
+func TestSampleSettingsAreValid(t *testing.T) {
+	s, err := setting.Load(sampleFile)
 	require.NoError(t, err)
 	require.Equal(t, "h1-i1", s.Instance.ID)
 	require.Len(t, s.FleetEndpoints(), 2)
 }
 
 func TestAllProblemsAreReportedAtOnce(t *testing.T) {
-	raw, err := os.ReadFile(sample)
+	raw, err := os.ReadFile(sampleFile)
 	require.NoError(t, err)
 	text := strings.NewReplacer(
 		`"slots": 8`, `"slots": 0`, `"timeout": "2s",                 //`, `"timeout": "soon", //`, `"tenant_share": 0.5`, `"tenant_share": 7`,
 		`"level": "info"`, `"level": "loud"`, `"max_attempts": 3`, `"max_atempts": 3`, `"role": "admin"`, `"role": "king"`,
 	).Replace(string(raw))
 	_, err = setting.Parse("file", []byte(text))
-	var bad setting.ErrBadSettings
+	var bad setting.ErrInvalidSettings
 	require.True(t, errors.As(err, &bad))
 	names := make(map[string]int)
 	for _, p := range bad.Problems {
@@ -46,13 +46,13 @@
 	}
 }
 
-func TestBrokenFileIsReportedByLine(t *testing.T) {
+func TestMalformedFileIsReportedByLine(t *testing.T) {
 	_, err := setting.Parse("file", []byte("{\n\"halls\": [\n"))
 	require.ErrorContains(t, err, "file:")
 }
 
 func FuzzParse(f *testing.F) {
-	raw, err := os.ReadFile(sample)
+	raw, err := os.ReadFile(sampleFile)
 	require.NoError(f, err)
 	f.Add(raw)
 	f.Add([]byte(`{"listen":{"callers":{"address":1}},"endpoints":[null,{}]}`))
--- a/routers/daemon/operator/router.go
+++ b/routers/daemon/operator/router.go
@@ -122,7 +122,7 @@
 	if err != nil {
 		result = "denied"
 	}
-	r.options.Metrics.Logins.WithLabelValues(result).Inc()
+	r.options.Metrics.OperatorLogins.WithLabelValues(result).Inc()
 	return who, err
 }
 
--- a/services/daemon/control/claim/claim_test.go
+++ b/services/daemon/control/claim/claim_test.go
@@ -199,9 +199,9 @@
 		result   node.LeaseResult
 	}{
 		{"answered", nil, claim.Alive, node.LeaseResult{OK: true, SentAt: sentAt}},
-		{"the lease is gone", kv.ErrLeaseGone{ID: 3}, claim.Lapsed, node.LeaseResult{Expired: true}},
+		{"the lease is gone", kv.ErrLeaseNotFound{ID: 3}, claim.Lapsed, node.LeaseResult{Expired: true}},
 		{"not sent or refused", kv.ErrNotDone{}, claim.Unclear, node.LeaseResult{SentAt: sentAt}},
-		{"the answer was lost", kv.ErrUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sentAt}},
+		{"the answer was lost", kv.ErrOutcomeUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sentAt}},
 		{"any other error", errors.New("cause"), claim.Unclear, node.LeaseResult{SentAt: sentAt}},
 	} {
 		standing := claim.StandingAfter(row.err)
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -94,7 +94,7 @@
 	status, err := s.options.Dialect.Status(s.ctx, t.Endpoint)
 	if err == nil && t.Endpoint.ChecksFence {
 		result.Fence = engine.NextFence(status.Fence, s.fenceHolderBits())
-		err = s.options.Dialect.Take(s.ctx, engine.Order{
+		err = s.options.Dialect.ClaimFence(s.ctx, engine.Order{
 			Endpoint: t.Endpoint, Incarnation: status.Incarnation, Fence: result.Fence, Holder: s.holderName(),
 		})
 	}
@@ -161,7 +161,7 @@
 
 func (s *Service) sendBeforeLimit(o node.Order, send func(context.Context, engine.Order) error, order engine.Order) error {
 	if limit := o.Load.NotAfter; !limit.IsZero() && !s.options.Now().Before(limit) {
-		return engine.ErrNotRun{What: "order", Reason: "the time limit for orders under the lease has passed"}
+		return engine.ErrNotRun{Operation: "order", Reason: "the time limit for orders under the lease has passed"}
 	}
 	return send(s.ctx, order)
 }
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -79,7 +79,7 @@
 // clock logs a warning when it detects that the host was suspended.
 func newClock(log *logrus.Entry) (*clock.Clock, error) {
 	sources := clock.System()
-	sources.Noticed = func(span time.Duration) {
+	sources.OnSuspension = func(span time.Duration) {
 		log.WithField("suspended_ms", span.Milliseconds()).Warn("the host was suspended")
 	}
 	c, err := clock.New(sources)
@@ -123,8 +123,8 @@
 		if err != nil {
 			return err
 		}
-		links.ServerCredentials = credentials.NewTLS(r.Server())
-		links.ClientCredentials = credentials.NewTLS(r.Client())
+		links.ServerCredentials = credentials.NewTLS(r.ServerConfig())
+		links.ClientCredentials = credentials.NewTLS(r.ClientConfig())
 	}
 	list := instancelist.Reader{Address: d.settings.Platform.List, Timeout: d.settings.Platform.Timeout.Duration(), Client: &http.Client{}}
 	readList := list.Read
@@ -164,7 +164,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return r.Server(), nil
+	return r.ServerConfig(), nil
 }
 
 // refusesConnections reports whether an address refuses connections, which means that no process listens there any more.
@@ -173,7 +173,7 @@
 	open := func(ctx context.Context) (net.Conn, error) { return dialer.DialContext(ctx, "tcp", address.String()) }
 	// The connections serve only as a probe, so an error of Close is irrelevant.
 	discard := func(conn net.Conn) { _ = conn.Close() }
-	openConn, refused := refusal.Look(ctx, open, discard)
+	openConn, refused := refusal.Probe(ctx, open, discard)
 	if openConn != nil {
 		discard(openConn)
 	}
@@ -193,7 +193,7 @@
 		Claims:  relay.Claims{Claim: d.claimer.Claim, Release: d.claimer.Release},
 		Dialect: dialect, Endpoints: s.FleetEndpoints(), Metrics: d.metrics, MaxAttempts: s.Limits.MaxAttempts, RetryShare: s.Limits.RetryShare,
 		SlowReader: s.Limits.SlowReader.Duration(), EndpointSilent: s.Limits.EndpointSilent.Duration(), CancelLife: cancelRetryPeriod, Now: d.clock.Now,
-		Timer: d.clock.Timer, RefusesConnections: refusesConnections,
+		Timer: d.clock.TimerTime, RefusesConnections: refusesConnections,
 	})
 }
 
--- a/services/daemon/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -117,9 +117,9 @@
 // the error to the client, unless a part of the answer has been written to w already.
 func (s *Service) Serve(ctx context.Context, w http.ResponseWriter, j Job) error {
 	s.inFlight.Add(1)
-	s.options.Metrics.Streams.Inc()
+	s.options.Metrics.RunningRequests.Inc()
 	defer func() {
-		s.options.Metrics.Streams.Dec()
+		s.options.Metrics.RunningRequests.Dec()
 		s.inFlight.Done()
 	}()
 	ctx, cancel := context.WithCancel(ctx)
