--- a/models/daemon/catalog/change_class.go
+++ b/models/daemon/catalog/change_class.go
@@ -24,7 +24,7 @@
 // applyBudget sets the budget of the weight store. Its inverse restores the former budget.
 func (c *Catalog) applyBudget(ch Change) (Change, string) {
 	if ch.Budget == nil || ch.Budget.LoadsPerSecond < 0 || ch.Budget.AtFullSpeed < 0 {
-		return Change{}, "a budget needs loads per second and loads at once of zero or more"
+		return Change{}, "a budget is loads a second and loads at once, zero or more"
 	}
 	old := c.Budget
 	c.Budget = *ch.Budget
--- a/services/daemon/command/service.go
+++ b/services/daemon/command/service.go
@@ -144,7 +144,7 @@
 		return nil, err
 	}
 	if !found {
-		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("revision %d is not stored: it was deleted or never existed", revision)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("revision %d is not stored any more, or never was", revision)}
 	}
 	return r.Inverse, nil
 }
--- a/services/daemon/command/service_test.go
+++ b/services/daemon/command/service_test.go
@@ -122,8 +122,8 @@
 	for text, reason := range map[string]string{
 		"roll service x to a@2":            `no service "x"`,
 		"roll service s to a@2 at 101%":    "a share is at most 100%",
-		"roll service s to a@1 at 10%":     "the service has no other version to take the remaining share",
-		"roll back service s":              `service "s" has a single version and cannot be rolled back; use undo revision`,
+		"roll service s to a@1 at 10%":     "the service has no other version to keep the rest",
+		"roll back service s":              `service "s" is not between two versions; use undo revision`,
 		"roll back service x":              `no service "x"`,
 		"create service s as a@2":          `service "s" exists already; use change service`,
 		"change service x as a@2":          `no service "x"`,
@@ -143,7 +143,7 @@
 	require.Equal(t, "a@1 100", o.shares())
 	require.Empty(t, o.catalog.Pins)
 	_, err := o.execute(t, "undo revision 99")
-	require.EqualError(t, err, "revision 99 is not stored: it was deleted or never existed")
+	require.EqualError(t, err, "revision 99 is not stored any more, or never was")
 }
 
 func TestRepeatedIdentifierIsCommittedOnce(t *testing.T) {
@@ -208,7 +208,7 @@
 	require.Equal(t, 6*60, o.catalog.Rules[0].To)
 	for _, text := range []string{"25:00", "08:60"} {
 		_, err := o.execute(t, "create rule other for class x between "+text+" and 06:00 refuse")
-		require.ErrorContains(t, err, "is not a time of day", text)
+		require.ErrorContains(t, err, "is no time of day", text)
 	}
 }
 
--- a/services/daemon/command/translate.go
+++ b/services/daemon/command/translate.go
@@ -194,7 +194,7 @@
 	if percent < catalog.TotalPercent {
 		old, found := previousShare(s, next)
 		if !found {
-			return nil, ErrInvalidCommand{Reason: "the service has no other version to take the remaining share"}
+			return nil, ErrInvalidCommand{Reason: "the service has no other version to keep the rest"}
 		}
 		old.Percent = catalog.TotalPercent - percent
 		// The old version must come first, because rollBack returns to the first share.
@@ -220,7 +220,7 @@
 		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("no service %q", name)}
 	}
 	if len(s.Shares) <= 1 {
-		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("service %q has a single version and cannot be rolled back; use undo revision", name)}
+		return nil, ErrInvalidCommand{Reason: fmt.Sprintf("service %q is not between two versions; use undo revision", name)}
 	}
 	old := s.Shares[0]
 	old.Percent = catalog.TotalPercent
@@ -297,7 +297,7 @@
 	hour, errHour := strconv.Atoi(h)
 	minute, errMinute := strconv.Atoi(m)
 	if errHour != nil || errMinute != nil || hour > hoursPerDay || minute >= minutesPerHour {
-		return 0, ErrInvalidCommand{Reason: fmt.Sprintf("%q is not a time of day", text)}
+		return 0, ErrInvalidCommand{Reason: fmt.Sprintf("%q is no time of day", text)}
 	}
 	return hour*minutesPerHour + minute, nil
 }
--- a/services/daemon/configuration/configuration_test.go
+++ b/services/daemon/configuration/configuration_test.go
@@ -181,7 +181,7 @@
 	kvs.Restore(older)
 	_, err := s.Commit(context.Background(), proposal("c"))
 	require.True(t, configuration.IsErrUnavailable(err))
-	require.ErrorContains(t, err, "it moved back from revision 2 to 1")
+	require.ErrorContains(t, err, "it went back from revision 2 to 1")
 }
 
 func TestNewStoreReadsSnapshotAndRecords(t *testing.T) {
--- a/services/daemon/configuration/keys.go
+++ b/services/daemon/configuration/keys.go
@@ -53,7 +53,7 @@
 
 // Error returns a message that contains the reason.
 func (e ErrInvalidHead) Error() string {
-	return "the configuration's head is invalid: " + e.Reason
+	return "the configuration's head cannot be read: " + e.Reason
 }
 
 // parseHead decodes the value of the head key. It returns ErrInvalidHead if the value is invalid.
@@ -63,7 +63,7 @@
 		return head{}, ErrInvalidHead{Reason: err.Error()}
 	}
 	if h.Revision < 0 || h.Snapshot > h.Revision || h.Parts < 0 {
-		return head{}, ErrInvalidHead{Reason: "its revision, snapshot or number of parts is out of range"}
+		return head{}, ErrInvalidHead{Reason: "its numbers make no sense"}
 	}
 	return h, nil
 }
--- a/services/daemon/configuration/reader.go
+++ b/services/daemon/configuration/reader.go
@@ -66,7 +66,7 @@
 		return nil, err
 	}
 	if len(resp.KVs) != h.Parts {
-		return nil, ErrInvalidHead{Reason: "parts of its snapshot are missing"}
+		return nil, ErrInvalidHead{Reason: "parts of the snapshot are missing"}
 	}
 	var out []byte
 	for _, pair := range resp.KVs {
--- a/services/daemon/configuration/store.go
+++ b/services/daemon/configuration/store.go
@@ -133,7 +133,7 @@
 	if unknownOutcome != "" {
 		return Committed{}, ErrOutcomeUnknown{ID: p.ID, Reason: unknownOutcome}
 	}
-	return Committed{}, ErrUnavailable{Reason: "other operators' changes were committed first in every attempt"}
+	return Committed{}, ErrUnavailable{Reason: "other operators' changes came first every time"}
 }
 
 // commitError returns ErrUnavailable, which states that nothing was changed, only if no earlier attempt had an unknown
@@ -152,7 +152,7 @@
 		return h, mod, err
 	}
 	if h.Revision < s.current.Revision {
-		return h, mod, ErrInvalidHead{Reason: fmt.Sprintf("it moved back from revision %d to %d", s.current.Revision, h.Revision)}
+		return h, mod, ErrInvalidHead{Reason: fmt.Sprintf("it went back from revision %d to %d", s.current.Revision, h.Revision)}
 	}
 	records, err := s.reader.recordsSince(ctx, h, s.current.Revision)
 	if err != nil {
@@ -166,7 +166,7 @@
 		s.current = next
 	}
 	if s.current.Revision != h.Revision {
-		return h, mod, ErrInvalidHead{Reason: "records up to its revision are missing"}
+		return h, mod, ErrInvalidHead{Reason: "records before it are missing"}
 	}
 	return h, mod, nil
 }
@@ -283,7 +283,7 @@
 		return err
 	}
 	if advanced == nil || advanced.Revision != next.Revision {
-		return ErrInvalidHead{Reason: "the committed record does not follow the current revision"}
+		return ErrInvalidHead{Reason: "the accepted record does not follow on the one in hand"}
 	}
 	s.current = advanced
 	return nil
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -161,7 +161,7 @@
 
 func (s *Service) sendBeforeLimit(o node.Order, send func(context.Context, engine.Order) error, order engine.Order) error {
 	if limit := o.Load.NotAfter; !limit.IsZero() && !s.options.Now().Before(limit) {
-		return engine.ErrNotRun{What: "order", Reason: "the time limit for orders under the lease has passed"}
+		return engine.ErrNotRun{What: "order", Reason: "the right to order has lapsed"}
 	}
 	return send(s.ctx, order)
 }
--- a/services/daemon/control/failure_log.go
+++ b/services/daemon/control/failure_log.go
@@ -27,15 +27,15 @@
 
 // failureEffects describes the effect of the failure of each call.
 var failureEffects = map[platformCall]string{
-	callGrant:     "without a lease no pool can be owned; the request will be repeated",
-	callKeepAlive: "the lease was not renewed, so orders stop when it ends; the renewal will be repeated",
-	callReadOwner: "the last owner is unknown, so the pool is neither claimed nor settled",
-	callAcquire:   "the pool is not owned; the request will be repeated",
-	callReadLease: "the pool's key stays until its lease lapses; the release will be repeated at the next renewal",
-	callRelease:   "the pool's key may stay until its lease lapses; the release will be repeated at the next renewal",
-	callSettle:    "successors wait again for owners that have ended",
-	callQueue:     "too many calls are waiting; this call was not made",
-	callList:      "instances and leaving endpoints are those of the last list; the list will be read again",
+	callGrant:     "no lease, so that no pool is owned; asked for again",
+	callKeepAlive: "no renewal, so that the right to order ends by itself; tried again",
+	callReadOwner: "the last owner is not known, so that the pool is neither claimed nor settled",
+	callAcquire:   "the pool is not owned; asked for again",
+	callReadLease: "the pool's key stays until its lease lapses; tried again at the next renewal",
+	callRelease:   "the pool's key may stay until its lease lapses; tried again at the next renewal",
+	callSettle:    "successors wait once more for owners that have ended",
+	callQueue:     "too many calls wait; this one was not made",
+	callList:      "instances and leaving endpoints are those of the last list; read again",
 }
 
 // failureLogInterval is the minimum time between two log lines about the same call; the failures in between are counted. A longer time writes
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -180,9 +180,9 @@
 		return
 	}
 	n.router.SetCut(r.Name(), cut)
-	kind, cause := fleet.EventThaw, "digests of the hall arrive again"
+	kind, cause := fleet.EventThaw, "the hall is heard again"
 	if cut {
-		kind, cause = fleet.EventFreeze, "no digest of the hall arrived in time; requests go to reachable halls only"
+		kind, cause = fleet.EventFreeze, "the hall has gone silent; requests stay in reachable halls"
 	}
 	n.recordEvent(now, fleet.Event{Kind: kind, Other: r.Name(), Cause: cause})
 }
--- a/services/daemon/node/lease.go
+++ b/services/daemon/node/lease.go
@@ -83,10 +83,10 @@
 	ps.handedOverBy = FormerOwner{}
 	for _, e := range ps.unfenced() {
 		if ps.succession.Frozen() {
-			n.applyPlacerEffects(now, ps, ps.placer.Freeze(now, e.Name, now.Add(lease.Forever), "a former owner may have granted tickets whose requests have not started yet"))
+			n.applyPlacerEffects(now, ps, ps.placer.Freeze(now, e.Name, now.Add(lease.Forever), "a former owner may have granted what still starts"))
 			continue
 		}
-		n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, e.Name, "the pool had no other owner, or the former owner handed it over"))
+		n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, e.Name, "the pool was never another's, or was handed over"))
 	}
 	if len(r.FormerOwners) > 0 && !ps.succession.Frozen() {
 		n.emit(SettleOwner{Pool: ps.pool.Name})
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -51,9 +51,9 @@
 	case membership.Joined:
 		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberJoined, Other: id, Cause: "first heartbeat since it was last lost or unknown"})
 	case membership.Left:
-		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLeft, Other: id, Cause: "the instance announced a planned stop"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLeft, Other: id, Cause: "it announced a planned stop"})
 	case membership.Lost, membership.Restarted:
-		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLost, Other: id, Cause: "no heartbeat in time, or the instance restarted"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLost, Other: id, Cause: "no heartbeat in time, or a new life of the instance"})
 		n.entryLost(now, id)
 	}
 }
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -150,7 +150,7 @@
 	}
 	if !r.OK {
 		if r.Refused {
-			n.recordEvent(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Inspection.Endpoint, Fence: r.Fence, Cause: "the endpoint holds a higher fence"})
+			n.recordEvent(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Inspection.Endpoint, Fence: r.Fence, Cause: "the endpoint obeys a higher fence"})
 		}
 		return n.takeEffects()
 	}
--- a/services/daemon/query/evaluate.go
+++ b/services/daemon/query/evaluate.go
@@ -105,7 +105,7 @@
 	}
 	if strings.EqualFold(c.Op, "like") {
 		if _, err := path.Match(c.Value, ""); err != nil {
-			return nil, fmt.Errorf("%q is not a valid pattern", c.Value)
+			return nil, fmt.Errorf("%q is no pattern", c.Value)
 		}
 		return func(row []table.Value) bool {
 			// The pattern was validated above, so Match returns no error.
@@ -122,7 +122,7 @@
 	if kind == table.Number {
 		n, err := strconv.ParseFloat(c.Value, 64)
 		if err != nil {
-			return nil, fmt.Errorf("column %q holds numbers, but %q is not a number", c.Column, c.Value)
+			return nil, fmt.Errorf("column %q holds numbers, and %q is none", c.Column, c.Value)
 		}
 		other = table.NewNumber(n)
 	}
--- a/services/daemon/query/evaluate_test.go
+++ b/services/daemon/query/evaluate_test.go
@@ -117,8 +117,8 @@
 		"show endpoints where color = red":         `no column "color"; there are name, hall, slots, up`,
 		"show endpoints group by color":            `no column "color"; there are name, hall, slots, up`,
 		"show endpoints order by color":            `no column "color"; there are name, hall, slots, up`,
-		"show endpoints where slots = many":        `column "slots" holds numbers, but "many" is not a number`,
-		"show endpoints where name like \"[\"":     `"[" is not a valid pattern`,
+		"show endpoints where slots = many":        `column "slots" holds numbers, and "many" is none`,
+		"show endpoints where name like \"[\"":     `"[" is no pattern`,
 		"show endpoints where not color = red":     `no column "color"; there are name, hall, slots, up`,
 		"show endpoints group by hall order by up": `no column "up"; there are hall, count`,
 	} {
--- a/services/shelfctl/shell/print.go
+++ b/services/shelfctl/shell/print.go
@@ -133,7 +133,7 @@
 	case h.InForce:
 		return fmt.Sprintf("in force after %d ms", h.After.Milliseconds())
 	case h.Silent:
-		return "unknown: no answer from the hall"
+		return "not known: the hall cannot be heard"
 	}
 	return "not yet in force"
 }
