--- a/models/daemon/catalog/change_class.go
+++ b/models/daemon/catalog/change_class.go
@@ -21,7 +21,7 @@
 	return inverse, ""
 }
 
-// applyBudget sets the budget of the weight store. Its inverse restores the former budget.
+// applyBudget sets the budget of the weight store. Its inverse restores the previous budget.
 func (c *Catalog) applyBudget(ch Change) (Change, string) {
 	if ch.Budget == nil || ch.Budget.LoadsPerSecond < 0 || ch.Budget.AtFullSpeed < 0 {
 		return Change{}, "a budget is loads a second and loads at once, zero or more"
--- a/models/daemon/catalog/change_rule.go
+++ b/models/daemon/catalog/change_rule.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// applyRule sets or retires a rule. In an inverse change that restores a retired rule, Version is the former position of the rule,
+// applyRule sets or retires a rule. In an inverse change that restores a retired rule, Version is the previous position of the rule,
 // counted from 1.
 func (c *Catalog) applyRule(ch Change) (Change, string) {
 	index := -1
--- a/models/daemon/catalog/change_service.go
+++ b/models/daemon/catalog/change_service.go
@@ -7,7 +7,7 @@
 	"fmt"
 )
 
-// applyService sets or retires a service. Its inverse restores the former shares.
+// applyService sets or retires a service. Its inverse restores the previous shares.
 func (c *Catalog) applyService(ch Change) (Change, string) {
 	old := c.Services[ch.Name]
 	inverse := Change{Kind: RetireService, Name: ch.Name}
--- a/models/daemon/catalog/history.go
+++ b/models/daemon/catalog/history.go
@@ -94,7 +94,7 @@
 func (h *History) Advance(current *Catalog, snapshot []byte, records [][]byte, allowLower bool) (*Catalog, error) {
 	next := current
 	defer func() {
-		// The cached snapshot belongs to the former catalog.
+		// The cached snapshot belongs to the previous catalog.
 		if next != current {
 			h.snapshot, h.snapshotCatalog = nil, nil
 		}
--- a/models/daemon/fleet/message.go
+++ b/models/daemon/fleet/message.go
@@ -21,7 +21,7 @@
 	Granted        *Granted        `msgpack:"gr,omitempty"`
 	Refused        *Refused        `msgpack:"re,omitempty"`
 	Returned       *Returned       `msgpack:"rt,omitempty"`
-	Redeclare      *Redeclare      `msgpack:"rd,omitempty"`
+	TicketReport   *TicketReport   `msgpack:"rd,omitempty"`
 	Release        *Release        `msgpack:"rl,omitempty"`
 	Bid            *Bid            `msgpack:"bi,omitempty"`
 	Permit         *Permit         `msgpack:"pe,omitempty"`
@@ -35,13 +35,13 @@
 type Heartbeat struct {
 	Instance Instance `msgpack:"i"`
 	// Stamp is a reading of the sender's clock. The receiver only echoes it.
-	Stamp    time.Duration `msgpack:"s"`
-	Revision int64         `msgpack:"r"`
-	Leaving  bool          `msgpack:"l,omitempty"`
-	Held     []HeldPool    `msgpack:"h,omitempty"`
-	Members  uint64        `msgpack:"m"`
-	Known    []Instance    `msgpack:"k,omitempty"`
-	Pools    []PoolSummary `msgpack:"p,omitempty"`
+	Stamp     time.Duration `msgpack:"s"`
+	Revision  int64         `msgpack:"r"`
+	Leaving   bool          `msgpack:"l,omitempty"`
+	HeldPools []HeldPool    `msgpack:"h,omitempty"`
+	Members   uint64        `msgpack:"m"`
+	Known     []Instance    `msgpack:"k,omitempty"`
+	Pools     []PoolSummary `msgpack:"p,omitempty"`
 	// WantedSummaries lists the pools of which the sender needs a full summary.
 	WantedSummaries []string `msgpack:"w,omitempty"`
 }
@@ -141,8 +141,8 @@
 	Request Request `msgpack:"r"`
 }
 
-// Redeclare reports to a new placer all tickets of a pool that the sender still uses.
-type Redeclare struct {
+// TicketReport reports to a placer all tickets of a pool that the sender uses. It is sent to a new placer and then at regular intervals.
+type TicketReport struct {
 	Pool string      `msgpack:"p"`
 	Term uint64      `msgpack:"t"`
 	Uses []TicketUse `msgpack:"u"`
@@ -155,10 +155,10 @@
 	Uses []TicketUse `msgpack:"u"`
 }
 
-// Bid requests a permit for a load from the instance that holds the load budget.
+// Bid requests a permit for a load from the instance that runs the ledger of the load budget (services/daemon/budget).
 type Bid struct {
 	Pool string `msgpack:"p"`
-	// Value is the expected benefit of the load, by which the budget holder ranks bids.
+	// Value is the expected benefit of the load, by which the ledger ranks bids.
 	Value float64 `msgpack:"v"`
 	// Preload is true if no request waits for the load.
 	Preload bool `msgpack:"pr,omitempty"`
@@ -168,7 +168,7 @@
 type Permit struct {
 	Pool string `msgpack:"p"`
 	ID   uint64 `msgpack:"i"`
-	// Within is sent, but no receiver reads it. The budget holder expires a permit that is not returned within node.Timing.PermitLife.
+	// Within is sent, but no receiver reads it. The ledger drops a permit that is not returned within node.Timing.PermitLife.
 	Within time.Duration `msgpack:"w"`
 }
 
--- a/models/daemon/fleet/size.go
+++ b/models/daemon/fleet/size.go
@@ -25,14 +25,14 @@
 		size += e.Records.Size()
 	case e.Heartbeat != nil:
 		h := e.Heartbeat
-		size += instanceSize*len(h.Known) + heldPoolSize*len(h.Held) + summariesSize(h.Pools) + namesSize(h.WantedSummaries)
+		size += instanceSize*len(h.Known) + heldPoolSize*len(h.HeldPools) + summariesSize(h.Pools) + namesSize(h.WantedSummaries)
 	case e.Digest != nil:
 		d := e.Digest
 		size += instanceSize*len(d.Instances) + (heldPoolSize+instanceSize)*len(d.Placers) + summariesSize(d.Pools) + namesSize(d.WantedSummaries)
 	case e.Returned != nil:
 		size += namesSize(e.Returned.Tickets)
-	case e.Redeclare != nil:
-		size += ticketUseSize * len(e.Redeclare.Uses)
+	case e.TicketReport != nil:
+		size += ticketUseSize * len(e.TicketReport.Uses)
 	case e.Release != nil:
 		size += ticketUseSize * len(e.Release.Uses)
 	}
--- a/models/daemon/fleet/size_test.go
+++ b/models/daemon/fleet/size_test.go
@@ -55,15 +55,15 @@
 		}
 	})
 	for name, e := range map[string]fleet.Envelope{
-		"records":   {Records: &fleet.Records{Head: 3, Snapshot: make([]byte, 100_000), Records: makeItems(count, func(int) []byte { return make([]byte, 300) })}},
-		"known":     {Heartbeat: &fleet.Heartbeat{Known: instances}},
-		"held":      {Heartbeat: &fleet.Heartbeat{Held: held}},
-		"pools":     {Heartbeat: &fleet.Heartbeat{Pools: summaries}},
-		"wants":     {Heartbeat: &fleet.Heartbeat{WantedSummaries: names}},
-		"digest":    {Digest: &fleet.Digest{Instances: instances, Placers: placers, Pools: summaries, WantedSummaries: names}},
-		"returned":  {Returned: &fleet.Returned{Tickets: names}},
-		"redeclare": {Redeclare: &fleet.Redeclare{Uses: uses}},
-		"release":   {Release: &fleet.Release{Uses: uses}},
+		"records":       {Records: &fleet.Records{Head: 3, Snapshot: make([]byte, 100_000), Records: makeItems(count, func(int) []byte { return make([]byte, 300) })}},
+		"known":         {Heartbeat: &fleet.Heartbeat{Known: instances}},
+		"held":          {Heartbeat: &fleet.Heartbeat{HeldPools: held}},
+		"pools":         {Heartbeat: &fleet.Heartbeat{Pools: summaries}},
+		"wants":         {Heartbeat: &fleet.Heartbeat{WantedSummaries: names}},
+		"digest":        {Digest: &fleet.Digest{Instances: instances, Placers: placers, Pools: summaries, WantedSummaries: names}},
+		"returned":      {Returned: &fleet.Returned{Tickets: names}},
+		"ticket report": {TicketReport: &fleet.TicketReport{Uses: uses}},
+		"release":       {Release: &fleet.Release{Uses: uses}},
 	} {
 		data, err := msgpack.Marshal(&e)
 		require.NoError(t, err)
--- a/routers/daemon/operator/router_test.go
+++ b/routers/daemon/operator/router_test.go
@@ -62,7 +62,7 @@
 	d.handler = operator.New(operator.Options{
 		Access: checker, Metrics: metric.New(metric.Options{}), Now: now, Query: query.New(query.Options{Catalog: current}),
 		Command: command.New(command.Options{
-			Store: configuration.NewStore(client, "/test", now), Current: current, Offer: offer, Now: now,
+			Store: configuration.NewStore(client, "/test", now), Current: current, ApplyRecords: offer, Now: now,
 			HallStates: func() []command.HallState { return []command.HallState{{Hall: "h1", Revision: d.catalog.Revision}} },
 		}),
 	}).Routes()[0].Handler
--- a/services/daemon/budget/ledger.go
+++ b/services/daemon/budget/ledger.go
@@ -82,8 +82,8 @@
 	return len(l.outstanding)
 }
 
-// Bid sets a pool's bid. A value of zero or less withdraws it.
-func (l *Ledger) Bid(now time.Time, pool string, value float64, preload bool) {
+// SetBid sets a pool's bid. A value of zero or less withdraws it.
+func (l *Ledger) SetBid(now time.Time, pool string, value float64, preload bool) {
 	if value <= 0 {
 		delete(l.bids, pool)
 		return
--- a/services/daemon/budget/ledger_test.go
+++ b/services/daemon/budget/ledger_test.go
@@ -33,7 +33,7 @@
 
 func TestPermitsFollowRateAndSaveOneToken(t *testing.T) {
 	l := newLedger(100)
-	bid := func(at time.Time) { l.Bid(at, "a", 1, false) }
+	bid := func(at time.Time) { l.SetBid(at, "a", 1, false) }
 	for _, row := range []struct {
 		at      time.Duration
 		granted bool
@@ -46,10 +46,10 @@
 
 func TestHighestBidIsFirstAndPreloadsAreLast(t *testing.T) {
 	l := newLedger(100)
-	l.Bid(begin, "c", 2, false)
-	l.Bid(begin, "b", 2, false)
-	l.Bid(begin, "a", 1, false)
-	l.Bid(begin, "p", 9, true)
+	l.SetBid(begin, "c", 2, false)
+	l.SetBid(begin, "b", 2, false)
+	l.SetBid(begin, "a", 1, false)
+	l.SetBid(begin, "p", 9, true)
 	for i, want := range []string{"b", "c", "a", "p", ""} {
 		require.Equal(t, want, nextPool(l, after(time.Duration(i)*time.Second)), "permit %d", i+1)
 	}
@@ -63,15 +63,15 @@
 		at   time.Duration
 		want string
 	}{
-		{"withdrawn", func(l *budget.Ledger) { l.Bid(begin, "a", 0, false) }, 0, ""},
-		{"withdrawn twice", func(l *budget.Ledger) { l.Bid(begin, "a", 0, false); l.Bid(begin, "a", -1, false) }, 0, ""},
-		{"repeated", func(l *budget.Ledger) { l.Bid(begin, "a", 1, false) }, 0, "a"},
+		{"withdrawn", func(l *budget.Ledger) { l.SetBid(begin, "a", 0, false) }, 0, ""},
+		{"withdrawn twice", func(l *budget.Ledger) { l.SetBid(begin, "a", 0, false); l.SetBid(begin, "a", -1, false) }, 0, ""},
+		{"repeated", func(l *budget.Ledger) { l.SetBid(begin, "a", 1, false) }, 0, "a"},
 		{"not renewed", func(*budget.Ledger) {}, bidTTL, "a"},
 		{"not renewed, expired", func(*budget.Ledger) {}, bidTTL + 1, ""},
-		{"renewed", func(l *budget.Ledger) { l.Bid(after(1), "a", 1, false) }, bidTTL + 1, "a"},
+		{"renewed", func(l *budget.Ledger) { l.SetBid(after(1), "a", 1, false) }, bidTTL + 1, "a"},
 	} {
 		l := newLedger(100)
-		l.Bid(begin, "a", 1, false)
+		l.SetBid(begin, "a", 1, false)
 		row.bid(l)
 		require.Equal(t, row.want, nextPool(l, after(row.at)), row.name)
 	}
@@ -79,7 +79,7 @@
 
 func TestBidIsGrantedOnce(t *testing.T) {
 	l := newLedger(100)
-	l.Bid(begin, "a", 1, false)
+	l.SetBid(begin, "a", 1, false)
 	require.Equal(t, "a", nextPool(l, begin))
 	require.Empty(t, nextPool(l, after(time.Second)))
 }
@@ -87,7 +87,7 @@
 func TestConcurrentLoadsAreLimited(t *testing.T) {
 	l := newLedger(2)
 	grant := func(at time.Duration, preload bool) (budget.Permit, bool) {
-		l.Bid(after(at), "a", 1, preload)
+		l.SetBid(after(at), "a", 1, preload)
 		return l.Grant(after(at))
 	}
 	first, ok := grant(0, true)
@@ -110,14 +110,14 @@
 
 func TestUnusedPermitReturnsItsTokenOnce(t *testing.T) {
 	l := newLedger(100)
-	l.Bid(begin, "a", 1, false)
+	l.SetBid(begin, "a", 1, false)
 	p, _ := l.Grant(begin)
 	require.False(t, l.CanGrant(begin))
 	l.ReturnPermit(begin, p.ID, false)
 	l.ReturnPermit(begin, p.ID, false)
-	l.Bid(begin, "a", 1, false)
+	l.SetBid(begin, "a", 1, false)
 	require.Equal(t, "a", nextPool(l, begin))
-	l.Bid(begin, "a", 1, false)
+	l.SetBid(begin, "a", 1, false)
 	require.Empty(t, nextPool(l, begin))
 	l.ReturnPermit(begin, 999, false)
 	require.Empty(t, nextPool(l, begin), "returning an unknown permit has no effect")
@@ -129,9 +129,9 @@
 		granted bool
 	}{{permitTTL, false}, {permitTTL + 1, true}} {
 		l := newLedger(1)
-		l.Bid(begin, "a", 1, false)
+		l.SetBid(begin, "a", 1, false)
 		require.Equal(t, "a", nextPool(l, begin))
-		l.Bid(after(row.at), "b", 1, false)
+		l.SetBid(after(row.at), "b", 1, false)
 		_, ok := l.Grant(after(row.at))
 		require.Equal(t, row.granted, ok, "after %v", row.at)
 	}
@@ -156,10 +156,10 @@
 
 func TestChangedRateAppliesFromChange(t *testing.T) {
 	l := newLedger(100)
-	l.Bid(begin, "a", 1, false)
+	l.SetBid(begin, "a", 1, false)
 	require.Equal(t, "a", nextPool(l, begin))
 	l.SetLimits(after(500*time.Millisecond), budget.Limits{LoadsPerSecond: 10, AtFullSpeed: 100})
-	l.Bid(after(500*time.Millisecond), "a", 1, false)
+	l.SetBid(after(500*time.Millisecond), "a", 1, false)
 	require.Empty(t, nextPool(l, after(549*time.Millisecond)))
 	require.Equal(t, "a", nextPool(l, after(551*time.Millisecond)), "half of the token accrues at the old rate, half at the new rate")
 }
@@ -167,7 +167,7 @@
 func TestNextWakeIsTimeOfNextToken(t *testing.T) {
 	l := newLedger(1)
 	require.Zero(t, l.NextWake(begin), "a token is available")
-	l.Bid(begin, "a", 1, false)
+	l.SetBid(begin, "a", 1, false)
 	p, _ := l.Grant(begin)
 	require.Zero(t, l.NextWake(begin), "a token does not allow a permit while AtFullSpeed permits are outstanding")
 	l.ReturnPermit(begin, p.ID, true)
--- a/services/daemon/command/doc.go
+++ b/services/daemon/command/doc.go
@@ -5,5 +5,5 @@
 // are in force in all halls.
 //
 // A Service has no state of its own and starts no goroutines. modules/daemon/language parses the commands,
-// services/daemon/configuration commits the changes, and the control thread supplies the revision in force in each hall.
+// services/daemon/configuration commits the changes, and the control goroutine supplies the revision in force in each hall.
 package command
--- a/services/daemon/command/service.go
+++ b/services/daemon/command/service.go
@@ -19,8 +19,8 @@
 	Store *configuration.Store
 	// Current returns the configuration in force on this instance.
 	Current func() *catalog.Catalog
-	// Offer puts committed records in force on this instance.
-	Offer func(r fleet.Records)
+	// ApplyRecords puts committed records in force on this instance.
+	ApplyRecords func(r fleet.Records)
 	// HallStates returns, for each hall, the revision in force and the age of that information.
 	HallStates func() []HallState
 	Now        func() time.Time
@@ -101,7 +101,7 @@
 		return Result{}, err
 	}
 	if !c.Repeated {
-		s.options.Offer(fleet.Records{Head: c.Record.Revision, Records: [][]byte{c.Encoded}})
+		s.options.ApplyRecords(fleet.Records{Head: c.Record.Revision, Records: [][]byte{c.Encoded}})
 	}
 	result := Result{Revision: c.Record.Revision, ID: p.ID, Repeated: c.Repeated, Changes: describeChanges(c.Record.Changes)}
 	result.Halls = s.waitUntilInForce(ctx, c.Record.Revision, began, r.Wait)
--- a/services/daemon/command/service_test.go
+++ b/services/daemon/command/service_test.go
@@ -44,7 +44,7 @@
 	o.Service = command.New(command.Options{
 		Store:   configuration.NewStore(client, "/test", time.Now),
 		Current: func() *catalog.Catalog { return o.catalog },
-		Offer: func(r fleet.Records) {
+		ApplyRecords: func(r fleet.Records) {
 			next, err := history.Advance(o.catalog, r.Snapshot, r.Records, false)
 			require.NoError(t, err)
 			o.catalog = next
--- a/services/daemon/configuration/doc.go
+++ b/services/daemon/configuration/doc.go
@@ -6,7 +6,7 @@
 // has an identifier, so that the outcome of a commit whose response was lost can be determined by reading the log.
 //
 // A Store holds its own catalog, which it synchronizes with the stored log at each commit. A Follower holds only its
-// watch and passes the records that it reads to the control thread. Store and Follower call the key-value service
+// watch and passes the records that it reads to the control goroutine. Store and Follower call the key-value service
 // through modules/daemon/kv and use the records of models/daemon/catalog. A watching Follower runs one goroutine, which
 // Stop waits for. A Store starts no goroutines.
 package configuration
--- a/services/daemon/configuration/follower.go
+++ b/services/daemon/configuration/follower.go
@@ -18,7 +18,7 @@
 // Follower watches the head key and publishes new records. In each hall, only one instance watches at a time.
 type Follower struct {
 	reader reader
-	// publish passes records to the control thread.
+	// publish passes records to the control goroutine.
 	publish func(fleet.Records)
 	// currentRevision returns the revision in force on this instance.
 	currentRevision func() int64
--- a/services/daemon/control/claim/answer.go
+++ b/services/daemon/control/claim/answer.go
@@ -13,7 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node/lease"
 )
 
-// ErrInvalidOwner reports a stored owner that cannot be decoded. The pool is then not claimed.
+// ErrInvalidOwner reports a stored owner that cannot be decoded. The pool is then not acquired.
 type ErrInvalidOwner struct {
 	Key    string
 	Reason string
@@ -55,21 +55,21 @@
 	return answer.Responses[0].Range.KVs[0].Lease == leaseID
 }
 
-// Standing is the state of a lease after a keep-alive call.
-type Standing int
+// LeaseState is the state of a lease after a keep-alive call.
+type LeaseState int
 
-// The standings of a lease.
+// The states of a lease.
 const (
 	// Alive means that the lease lasts for its TTL from the time at which the call was sent.
-	Alive Standing = iota
+	Alive LeaseState = iota
 	// Lapsed means that the service no longer has the lease or any key under it. A new lease may be requested.
 	Lapsed
 	// Unclear means that the call was not answered, so the lease may or may not exist. Orders must not rely on it.
 	Unclear
 )
 
-// StandingAfter returns the standing of a lease after a keep-alive call that returned err.
-func StandingAfter(err error) Standing {
+// LeaseStateAfter returns the state of a lease after a keep-alive call that returned err.
+func LeaseStateAfter(err error) LeaseState {
 	switch {
 	case err == nil:
 		return Alive
@@ -81,9 +81,9 @@
 }
 
 // Renewal returns the result that the node receives for a keep-alive call that was sent at the given time.
-func Renewal(sent time.Time, standing Standing) node.LeaseResult {
-	if standing == Lapsed {
+func Renewal(sent time.Time, state LeaseState) node.LeaseResult {
+	if state == Lapsed {
 		return node.LeaseResult{Expired: true}
 	}
-	return node.LeaseResult{OK: standing == Alive, SentAt: sent}
+	return node.LeaseResult{OK: state == Alive, SentAt: sent}
 }
--- a/services/daemon/control/claim/claim_test.go
+++ b/services/daemon/control/claim/claim_test.go
@@ -107,7 +107,7 @@
 	require.Equal(t, []lease.FormerOwner{{ID: anotherID, Boot: boot}}, readLastOwner(t, c).Owner.FormerOwners)
 }
 
-func TestKeyOfFormerLeaseIsNotHeldUnderNewLease(t *testing.T) {
+func TestKeyOfPreviousLeaseIsNotHeldUnderNewLease(t *testing.T) {
 	c := newKVClient(t)
 	first := grant(t, c)
 	require.True(t, acquire(t, c, newAttempt(ownID, first, readLastOwner(t, c))))
@@ -191,12 +191,12 @@
 	}
 }
 
-func TestStandingAndRenewalAfterKeepAlive(t *testing.T) {
+func TestLeaseStateAndRenewalAfterKeepAlive(t *testing.T) {
 	for _, row := range []struct {
-		name     string
-		err      error
-		standing claim.Standing
-		result   node.LeaseResult
+		name   string
+		err    error
+		state  claim.LeaseState
+		result node.LeaseResult
 	}{
 		{"answered", nil, claim.Alive, node.LeaseResult{OK: true, SentAt: sentAt}},
 		{"the lease is gone", kv.ErrLeaseGone{ID: 3}, claim.Lapsed, node.LeaseResult{Expired: true}},
@@ -204,8 +204,8 @@
 		{"the answer was lost", kv.ErrUnknown{}, claim.Unclear, node.LeaseResult{SentAt: sentAt}},
 		{"any other error", errors.New("cause"), claim.Unclear, node.LeaseResult{SentAt: sentAt}},
 	} {
-		standing := claim.StandingAfter(row.err)
-		require.Equal(t, row.standing, standing, row.name)
-		require.Equal(t, row.result, claim.Renewal(sentAt, standing), row.name)
+		state := claim.LeaseStateAfter(row.err)
+		require.Equal(t, row.state, state, row.name)
+		require.Equal(t, row.result, claim.Renewal(sentAt, state), row.name)
 	}
 }
--- a/services/daemon/control/doc.go
+++ b/services/daemon/control/doc.go
@@ -3,7 +3,7 @@
 
 // Package control runs a daemon's control state. One goroutine owns the node and processes
 // typed inputs (input.go). Other goroutines carry out the node's effects on peers, endpoints, the
-// key-value service and the platform (executor.go, owner*.go), and report the results as further inputs.
+// key-value service and the platform (executor.go, ownership*.go), and report the results as further inputs.
 //
 // It owns the node, the channels on which requests wait for their tickets, the byte budget of
 // peers' envelopes that wait for the control goroutine, and the catalog that the traffic path
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -24,20 +24,20 @@
 			s.deliver(e)
 		case node.Reject:
 			s.sendAnswer(e.RequestID, Answer{Refusal: e.Refusal})
-		case node.Take:
-			s.tasks.start(func() { s.takeEndpoint(e) })
-		case node.Inspect:
+		case node.TakeOverEndpoint:
+			s.tasks.start(func() { s.takeOverEndpoint(e) })
+		case node.InspectEndpoint:
 			s.startInspection(e)
-		case node.Order:
+		case node.OrderLoad:
 			s.tasks.start(func() { s.executeOrder(e) })
 		case node.AcquireOwner:
-			s.owner.acquire(e.Pool, e.Term)
+			s.ownership.acquire(e.Pool, e.Term)
 		case node.ReleaseOwner:
-			s.owner.release(e.Pool)
+			s.ownership.release(e.Pool)
 		case node.SettleOwner:
-			s.owner.settle(e.Pool)
+			s.ownership.settle(e.Pool)
 		case node.RenewLease:
-			s.owner.renew()
+			s.ownership.renew()
 		case node.PublishCatalog:
 			s.catalog.Store(e.Catalog)
 			s.options.Metrics.Revision.Set(float64(e.Catalog.Revision))
@@ -86,11 +86,11 @@
 	return s.options.Node.Self.ID
 }
 
-// takeEndpoint sets this node's fence on an endpoint and inspects the endpoint only after that. From
+// takeOverEndpoint sets this node's fence on an endpoint and inspects the endpoint only after that. From
 // then on the endpoint itself refuses requests with an older fence, so the inspection shows
 // every request that was started under one.
-func (s *Service) takeEndpoint(t node.Take) {
-	result := node.TakeResult{Pool: t.Pool, Term: t.Term, Inspection: placement.Inspection{Endpoint: t.Endpoint.Name}}
+func (s *Service) takeOverEndpoint(t node.TakeOverEndpoint) {
+	result := node.TakeoverResult{Pool: t.Pool, Term: t.Term, Inspection: placement.Inspection{Endpoint: t.Endpoint.Name}}
 	status, err := s.options.Dialect.Status(s.ctx, t.Endpoint)
 	if err == nil && t.Endpoint.ChecksFence {
 		result.Fence = engine.NextFence(status.Fence, s.fenceHolderBits())
@@ -107,7 +107,7 @@
 		result.OK = !t.Endpoint.ChecksFence || status.Fence == result.Fence
 		result.Inspection = inspection(t.Endpoint.Name, began, status)
 	}
-	s.enqueue(takenInput{result: result})
+	s.enqueue(takeoverResultInput{result: result})
 }
 
 func inspection(endpoint string, began time.Time, status engine.Status) placement.Inspection {
@@ -117,36 +117,36 @@
 }
 
 // startInspection starts an inspection of an endpoint, unless one is in progress.
-func (s *Service) startInspection(i node.Inspect) {
+func (s *Service) startInspection(i node.InspectEndpoint) {
 	if s.inspecting[i.Endpoint.Name] {
 		return
 	}
 	s.inspecting[i.Endpoint.Name] = true
-	s.tasks.start(func() { s.inspect(i) })
+	s.tasks.start(func() { s.inspectEndpoint(i) })
 }
 
-func (s *Service) inspect(i node.Inspect) {
+func (s *Service) inspectEndpoint(i node.InspectEndpoint) {
 	began := s.options.Now()
 	status, err := s.options.Dialect.Status(s.ctx, i.Endpoint)
 	in := placement.Inspection{Endpoint: i.Endpoint.Name, StartedAt: began}
 	if err == nil {
 		in = inspection(i.Endpoint.Name, began, status)
 	}
-	s.enqueue(inspectedInput{pool: i.Pool, term: i.Term, inspection: in, leaving: status.Leaving})
+	s.enqueue(inspectionInput{pool: i.Pool, term: i.Term, inspection: in, leaving: status.Leaving})
 }
 
 // executeOrder evicts an adapter if necessary and loads another one. The time limit of the order is checked right before each call.
-func (s *Service) executeOrder(o node.Order) {
+func (s *Service) executeOrder(o node.OrderLoad) {
 	l := o.Load
 	result := node.LoadResult{
-		Pool: l.Pool, Term: o.Term, Endpoint: l.Endpoint, Incarnation: l.Incarnation, Adapter: l.Adapter, Result: placement.LoadDone,
+		Pool: l.Pool, Term: o.Term, Endpoint: l.Endpoint, Incarnation: l.Incarnation, Adapter: l.Adapter, Outcome: placement.LoadDone,
 	}
 	base := engine.Order{Endpoint: o.Endpoint, Incarnation: l.Incarnation, Fence: l.Fence, Holder: s.holderName()}
 	if !l.Evict.IsZero() {
 		unload := base
 		unload.Adapter = l.Evict
 		if err := s.sendBeforeLimit(o, s.options.Dialect.Unload, unload); err != nil {
-			s.enqueue(loadedInput{result: s.failedResult(result, err)})
+			s.enqueue(loadResultInput{result: s.failedResult(result, err)})
 			return
 		}
 	}
@@ -156,10 +156,10 @@
 	if err := s.sendBeforeLimit(o, s.options.Dialect.Load, load); err != nil {
 		result = s.failedResult(result, err)
 	}
-	s.enqueue(loadedInput{result: result})
+	s.enqueue(loadResultInput{result: result})
 }
 
-func (s *Service) sendBeforeLimit(o node.Order, send func(context.Context, engine.Order) error, order engine.Order) error {
+func (s *Service) sendBeforeLimit(o node.OrderLoad, send func(context.Context, engine.Order) error, order engine.Order) error {
 	if limit := o.Load.NotAfter; !limit.IsZero() && !s.options.Now().Before(limit) {
 		return engine.ErrNotRun{What: "order", Reason: "the right to order has lapsed"}
 	}
@@ -168,12 +168,12 @@
 
 func (s *Service) failedResult(r node.LoadResult, err error) node.LoadResult {
 	r.Cause = err.Error()
-	r.Result = placement.LoadUnknown
+	r.Outcome = placement.LoadUnknown
 	switch {
 	case engine.IsErrFenced(err):
-		r.Result, r.FenceLost = placement.LoadFailed, true
+		r.Outcome, r.FenceLost = placement.LoadFailed, true
 	case engine.IsErrNotRun(err):
-		r.Result = placement.LoadFailed
+		r.Outcome = placement.LoadFailed
 	}
 	return r
 }
--- a/services/daemon/control/failure_log_test.go
+++ b/services/daemon/control/failure_log_test.go
@@ -72,7 +72,7 @@
 // heartbeatOfI2 announces that another instance holds pool x under a high term.
 func heartbeatOfI2() fleet.Envelope {
 	i2 := fleet.Instance{ID: "i2", Hall: "h1", Address: netip.MustParseAddrPort("127.0.0.1:2")}
-	return fleet.Envelope{From: "i2", Boot: 1, Heartbeat: &fleet.Heartbeat{Instance: i2, Stamp: 1, Held: []fleet.HeldPool{{Pool: "h1/x", Term: 1 << 40}}}}
+	return fleet.Envelope{From: "i2", Boot: 1, Heartbeat: &fleet.Heartbeat{Instance: i2, Stamp: 1, HeldPools: []fleet.HeldPool{{Pool: "h1/x", Term: 1 << 40}}}}
 }
 
 func TestFailedOwnershipCallsAreLogged(t *testing.T) {
@@ -99,7 +99,7 @@
 				return path == row.path && strings.Contains(body, base64.StdEncoding.EncodeToString([]byte(row.key))) && calls.Add(1) > row.after
 			})
 			w := newHarnessWithEndpoints(t, unfencedEndpoints()[:1], client)
-			w.advance(settleTime)
+			w.advance(takeoverDelay)
 			if row.then != nil {
 				require.Eventually(t, func() bool { return transactions.Load() > 0 }, timeout, time.Millisecond)
 				row.then(w)
@@ -125,7 +125,7 @@
 	_, err := client.Txn(context.Background(), kv.TxnRequest{Success: []kv.Op{{Put: &kv.PutRequest{Key: []byte(ownerOfX), Value: []byte("{")}}}})
 	require.NoError(t, err)
 	w := newHarnessWithEndpoints(t, unfencedEndpoints()[:1], client)
-	w.advance(settleTime)
+	w.advance(takeoverDelay)
 	w.awaitFailure("read owner", "h1/x")
 	require.ErrorContains(t, w.failures()[0].Data[logrus.ErrorKey].(error), ownerOfX)
 }
@@ -148,7 +148,7 @@
 		return true
 	})
 	w := newHarnessWithEndpoints(t, unfencedEndpoints()[:1], client)
-	w.advance(settleTime)
+	w.advance(takeoverDelay)
 	w.awaitFailure("grant", "")
 	const retry, pause = time.Second, 10 * time.Second
 	for asked := int64(2); asked <= int64(pause/retry); asked++ {
--- a/services/daemon/control/input.go
+++ b/services/daemon/control/input.go
@@ -58,44 +58,44 @@
 	return s.node.Finish(now, i.ticketID)
 }
 
-type takenInput struct{ result node.TakeResult }
+type takeoverResultInput struct{ result node.TakeoverResult }
 
-func (i takenInput) apply(now time.Time, s *Service) []node.Effect {
-	return s.node.Taken(now, i.result)
+func (i takeoverResultInput) apply(now time.Time, s *Service) []node.Effect {
+	return s.node.HandleTakeoverResult(now, i.result)
 }
 
-type inspectedInput struct {
+type inspectionInput struct {
 	pool       string
 	term       uint64
 	inspection placement.Inspection
 	leaving    bool
 }
 
-func (i inspectedInput) apply(now time.Time, s *Service) []node.Effect {
+func (i inspectionInput) apply(now time.Time, s *Service) []node.Effect {
 	delete(s.inspecting, i.inspection.Endpoint)
-	effects := s.node.Inspected(now, i.pool, i.term, i.inspection)
+	effects := s.node.HandleInspection(now, i.pool, i.term, i.inspection)
 	if i.leaving {
 		effects = append(effects, s.node.EndpointLeaving(now, i.inspection.Endpoint)...)
 	}
 	return effects
 }
 
-type loadedInput struct{ result node.LoadResult }
+type loadResultInput struct{ result node.LoadResult }
 
-func (i loadedInput) apply(now time.Time, s *Service) []node.Effect {
-	return s.node.Loaded(now, i.result)
+func (i loadResultInput) apply(now time.Time, s *Service) []node.Effect {
+	return s.node.HandleLoadResult(now, i.result)
 }
 
-type ownedInput struct{ result node.OwnerResult }
+type ownerResultInput struct{ result node.OwnerResult }
 
-func (i ownedInput) apply(now time.Time, s *Service) []node.Effect {
-	return s.node.Owned(now, i.result)
+func (i ownerResultInput) apply(now time.Time, s *Service) []node.Effect {
+	return s.node.HandleOwnerResult(now, i.result)
 }
 
-type renewedInput struct{ result node.LeaseResult }
+type leaseResultInput struct{ result node.LeaseResult }
 
-func (i renewedInput) apply(now time.Time, s *Service) []node.Effect {
-	return s.node.Renewed(now, i.result)
+func (i leaseResultInput) apply(now time.Time, s *Service) []node.Effect {
+	return s.node.HandleLeaseResult(now, i.result)
 }
 
 type recordsInput struct{ records fleet.Records }
--- a/services/daemon/control/lease_test.go
+++ b/services/daemon/control/lease_test.go
@@ -59,8 +59,8 @@
 		pair, found, err := client.Get(ctx, key)
 		return err == nil && found && pair.Lease != others
 	}
-	w.advance(settleTime)
-	// One renewal is part of the failed claim of pool y, the other one is due by itself; the next is due in 3 s.
+	w.advance(takeoverDelay)
+	// One renewal is part of the failed attempt to acquire pool y, the other one is due by itself; the next is due in 3 s.
 	require.Eventually(t, func() bool { return owned(leaseOfX) && renewals.Load() == 2 }, timeout, time.Millisecond)
 	first, _, err := client.Get(ctx, leaseOfX)
 	require.NoError(t, err)
--- a/services/daemon/control/owner.go
+++ b/services/daemon/control/ownership.go
@@ -9,11 +9,11 @@
 	"slices"
 )
 
-// owner maintains this instance's lease and the ownership of pools under it, for endpoints
+// ownershipManager maintains this instance's lease and the ownership of pools under it, for endpoints
 // that check no fences. One goroutine makes its calls, one at a time.
-type owner struct {
+type ownershipManager struct {
 	service *Service
-	jobs    chan ownerJob
+	jobs    chan ownershipJob
 	lease   int64
 	// leaseNumber is the number of leases granted to this process. It identifies the current lease to the node.
 	leaseNumber uint64
@@ -25,17 +25,17 @@
 	dropped  *failureLog
 }
 
-type ownerJob struct {
-	kind ownerJobKind
+type ownershipJob struct {
+	kind ownershipJobKind
 	pool string
 	// term is the node's term of the pool. It is set for jobAcquire only.
 	term uint64
 }
 
-type ownerJobKind int
+type ownershipJobKind int
 
 const (
-	jobAcquire ownerJobKind = iota
+	jobAcquire ownershipJobKind = iota
 	jobRelease
 	jobRenew
 	jobSettle
@@ -51,25 +51,29 @@
 	return fmt.Sprintf("queue of calls to the key-value service is full: %d calls are waiting", e.Waiting)
 }
 
-// ownerQueueSize is the maximum number of calls that wait for the key-value service. Further calls are dropped, and the node requests them
+// ownershipQueueSize is the maximum number of calls that wait for the key-value service. Further calls are dropped, and the node requests them
 // again. In a longer queue, calls wait so long that their answers arrive too late.
-const ownerQueueSize = 64
+const ownershipQueueSize = 64
 
-func newOwner(s *Service) *owner {
-	return &owner{
-		service: s, jobs: make(chan ownerJob, ownerQueueSize), unreleased: make(map[string]bool), failures: newFailureLog(s.options), dropped: newFailureLog(s.options),
+func newOwnershipManager(s *Service) *ownershipManager {
+	return &ownershipManager{
+		service: s, jobs: make(chan ownershipJob, ownershipQueueSize), unreleased: make(map[string]bool), failures: newFailureLog(s.options), dropped: newFailureLog(s.options),
 	}
 }
 
-func (o *owner) acquire(pool string, term uint64) {
-	o.enqueueJob(ownerJob{kind: jobAcquire, pool: pool, term: term})
+func (o *ownershipManager) acquire(pool string, term uint64) {
+	o.enqueueJob(ownershipJob{kind: jobAcquire, pool: pool, term: term})
 }
 
-func (o *owner) release(pool string) { o.enqueueJob(ownerJob{kind: jobRelease, pool: pool}) }
-func (o *owner) settle(pool string)  { o.enqueueJob(ownerJob{kind: jobSettle, pool: pool}) }
-func (o *owner) renew()              { o.enqueueJob(ownerJob{kind: jobRenew}) }
+func (o *ownershipManager) release(pool string) {
+	o.enqueueJob(ownershipJob{kind: jobRelease, pool: pool})
+}
+func (o *ownershipManager) settle(pool string) {
+	o.enqueueJob(ownershipJob{kind: jobSettle, pool: pool})
+}
+func (o *ownershipManager) renew() { o.enqueueJob(ownershipJob{kind: jobRenew}) }
 
-func (o *owner) enqueueJob(j ownerJob) {
+func (o *ownershipManager) enqueueJob(j ownershipJob) {
 	if !o.started {
 		o.started = true
 		o.service.tasks.start(o.run)
@@ -77,18 +81,18 @@
 	select {
 	case o.jobs <- j:
 	default:
-		o.dropped.log(callQueue, j.pool, ErrQueueFull{Waiting: ownerQueueSize})
+		o.dropped.log(callQueue, j.pool, ErrQueueFull{Waiting: ownershipQueueSize})
 	}
 }
 
 // logFailure logs a failed call, unless it failed because the service is stopping.
-func (o *owner) logFailure(call platformCall, pool string, err error) {
+func (o *ownershipManager) logFailure(call platformCall, pool string, err error) {
 	if o.service.ctx.Err() == nil {
 		o.failures.log(call, pool, err)
 	}
 }
 
-func (o *owner) run() {
+func (o *ownershipManager) run() {
 	for {
 		select {
 		case <-o.service.ctx.Done():
@@ -99,23 +103,23 @@
 	}
 }
 
-func (o *owner) execute(j ownerJob) {
+func (o *ownershipManager) execute(j ownershipJob) {
 	switch j.kind {
 	case jobAcquire:
 		delete(o.unreleased, j.pool)
-		o.service.enqueue(ownedInput{result: o.tryAcquire(j.pool, j.term)})
+		o.service.enqueue(ownerResultInput{result: o.tryAcquire(j.pool, j.term)})
 	case jobRelease:
 		o.releaseOrKeep(j.pool)
 	case jobSettle:
 		o.trySettle(j.pool)
 	case jobRenew:
-		o.service.enqueue(renewedInput{result: o.tryRenew()})
+		o.service.enqueue(leaseResultInput{result: o.tryRenew()})
 		o.retryReleases()
 	}
 }
 
 // releaseOrKeep releases a pool. If that fails, the pool is stored for another attempt, since renewals for other pools would keep its key alive.
-func (o *owner) releaseOrKeep(pool string) {
+func (o *ownershipManager) releaseOrKeep(pool string) {
 	if o.tryRelease(pool) {
 		delete(o.unreleased, pool)
 		return
@@ -124,7 +128,7 @@
 }
 
 // retryReleases releases the pools whose release failed before.
-func (o *owner) retryReleases() {
+func (o *ownershipManager) retryReleases() {
 	for _, pool := range slices.Sorted(maps.Keys(o.unreleased)) {
 		o.releaseOrKeep(pool)
 	}
--- a/services/daemon/control/owner_lease.go
+++ b/services/daemon/control/ownership_lease.go
@@ -10,23 +10,23 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// keepAlive renews the lease at the key-value service and returns the resulting standing.
-func (o *owner) keepAlive() claim.Standing {
+// keepAlive renews the lease at the key-value service and returns the resulting state of the lease.
+func (o *ownershipManager) keepAlive() claim.LeaseState {
 	err := o.service.options.KV.KeepAlive(o.service.ctx, o.lease)
-	standing := claim.StandingAfter(err)
-	if standing == claim.Unclear {
+	state := claim.LeaseStateAfter(err)
+	if state == claim.Unclear {
 		o.logFailure(callKeepAlive, "", err)
 	}
-	return standing
+	return state
 }
 
 // ensureLease renews the lease, or requests a new one if there is none. It returns the time at which the call was sent,
 // from which the lease's TTL counts, and whether the lease is confirmed.
-func (o *owner) ensureLease() (time.Time, bool) {
+func (o *ownershipManager) ensureLease() (time.Time, bool) {
 	sent := o.service.options.Now()
 	if o.lease != 0 {
-		if standing := o.keepAlive(); standing != claim.Lapsed {
-			return sent, standing == claim.Alive
+		if state := o.keepAlive(); state != claim.Lapsed {
+			return sent, state == claim.Alive
 		}
 		o.reportLapse()
 	}
@@ -42,22 +42,22 @@
 }
 
 // reportLapse reports to the node that the lease has lapsed, together with the keys of all pools, before a new lease is requested.
-func (o *owner) reportLapse() {
+func (o *ownershipManager) reportLapse() {
 	o.lease = 0
-	o.service.enqueue(renewedInput{result: node.LeaseResult{Expired: true, Lease: o.leaseNumber}})
+	o.service.enqueue(leaseResultInput{result: node.LeaseResult{Expired: true, Lease: o.leaseNumber}})
 }
 
-// tryRenew renews the lease. If the lease has lapsed, the next claim of a pool requests a new one.
-func (o *owner) tryRenew() node.LeaseResult {
+// tryRenew renews the lease. If the lease has lapsed, the next attempt to acquire a pool requests a new one.
+func (o *ownershipManager) tryRenew() node.LeaseResult {
 	sent := o.service.options.Now()
-	standing := claim.Lapsed
+	state := claim.Lapsed
 	if o.lease != 0 {
-		standing = o.keepAlive()
+		state = o.keepAlive()
 	}
-	if standing == claim.Lapsed {
+	if state == claim.Lapsed {
 		o.lease = 0
 	}
-	result := claim.Renewal(sent, standing)
+	result := claim.Renewal(sent, state)
 	result.Lease = o.leaseNumber
 	return result
 }
--- a/services/daemon/control/owner_pool.go
+++ b/services/daemon/control/ownership_pool.go
@@ -8,13 +8,13 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-func (o *owner) keys(pool string) claim.Keys {
+func (o *ownershipManager) keys(pool string) claim.Keys {
 	return claim.KeysOf(o.service.options.Prefix, pool)
 }
 
-// tryAcquire claims a pool under the lease. If a call fails or another instance owns the pool, the result is not OK and
+// tryAcquire acquires a pool under the lease. If a call fails or another instance owns the pool, the result is not OK and
 // the node repeats the request.
-func (o *owner) tryAcquire(pool string, term uint64) node.OwnerResult {
+func (o *ownershipManager) tryAcquire(pool string, term uint64) node.OwnerResult {
 	result := node.OwnerResult{Pool: pool, Term: term}
 	sent, ok := o.ensureLease()
 	if !ok {
@@ -40,7 +40,7 @@
 }
 
 // readLast reads a pool's last owner. It returns false if the call fails or the stored owner cannot be decoded.
-func (o *owner) readLast(pool string) (claim.LastOwner, bool) {
+func (o *ownershipManager) readLast(pool string) (claim.LastOwner, bool) {
 	pair, found, err := o.service.options.KV.Get(o.service.ctx, o.keys(pool).Owner)
 	if err != nil {
 		o.logFailure(callReadOwner, pool, err)
@@ -55,7 +55,7 @@
 }
 
 // tryRelease deletes a pool's key under the lease. It returns false if the key may still exist.
-func (o *owner) tryRelease(pool string) bool {
+func (o *ownershipManager) tryRelease(pool string) bool {
 	keys := o.keys(pool)
 	pair, found, err := o.service.options.KV.Get(o.service.ctx, keys.Lease)
 	if err != nil {
@@ -73,7 +73,7 @@
 }
 
 // trySettle records that the former owners have ended. After a failure, successors only wait for them again.
-func (o *owner) trySettle(pool string) {
+func (o *ownershipManager) trySettle(pool string) {
 	self := o.service.options.Node
 	last, ok := o.readLast(pool)
 	if !ok || !last.Owner.IsRun(self.Self.ID, self.Boot) || len(last.Owner.FormerOwners) == 0 {
--- a/services/daemon/control/received_test.go
+++ b/services/daemon/control/received_test.go
@@ -37,17 +37,17 @@
 	)
 	w := newHarness(t)
 	release := w.blockControl()
-	var taken atomic.Int64
+	var accepted atomic.Int64
 	go func() {
 		for range sent {
 			w.Receive(fleet.Envelope{From: "i2", Boot: 1, Records: &fleet.Records{Head: 1, Snapshot: make([]byte, snapshotBytes)}})
-			taken.Add(1)
+			accepted.Add(1)
 		}
 	}()
-	require.Eventually(t, func() bool { return taken.Load() > 0 }, timeout, time.Millisecond)
-	require.Never(t, func() bool { return taken.Load() > maxWaiting }, 200*time.Millisecond, time.Millisecond, "the peer must wait")
+	require.Eventually(t, func() bool { return accepted.Load() > 0 }, timeout, time.Millisecond)
+	require.Never(t, func() bool { return accepted.Load() > maxWaiting }, 200*time.Millisecond, time.Millisecond, "the peer must wait")
 	release()
-	require.Eventually(t, func() bool { return taken.Load() == sent }, timeout, time.Millisecond, "all envelopes are accepted in the end")
+	require.Eventually(t, func() bool { return accepted.Load() == sent }, timeout, time.Millisecond, "all envelopes are accepted in the end")
 }
 
 func TestWaitingPeerIsReleasedWhenServiceStops(t *testing.T) {
--- a/services/daemon/control/release_test.go
+++ b/services/daemon/control/release_test.go
@@ -43,7 +43,7 @@
 			}
 		}
 	}()
-	w.advance(settleTime)
+	w.advance(takeoverDelay)
 	require.Eventually(t, func() bool { return held(leaseOfX) && held(leaseOfY) }, timeout, time.Millisecond)
 	down.Store(true)
 	w.Receive(heartbeatOfI2())
--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -49,7 +49,7 @@
 	inspecting     map[string]bool
 	catalog        atomic.Pointer[catalog.Catalog]
 	follower       *configuration.Follower
-	owner          *owner
+	ownership      *ownershipManager
 	tasks          tasks
 	ctx            context.Context
 	cancel         context.CancelFunc
@@ -78,7 +78,7 @@
 		answerChannels: make(map[string]chan Answer), inspecting: make(map[string]bool), ctx: ctx, cancel: cancel,
 	}
 	s.catalog.Store(catalog.New())
-	s.owner = newOwner(s)
+	s.ownership = newOwnershipManager(s)
 	s.follower = configuration.NewFollower(o.KV, o.Prefix, func(r fleet.Records) { s.enqueue(recordsInput{records: r}) }, s.Revision, o.Log, o.Now)
 	return s
 }
@@ -177,8 +177,8 @@
 	return s.catalog.Load().Revision
 }
 
-// Offer applies configuration records that this daemon has just stored.
-func (s *Service) Offer(r fleet.Records) {
+// ApplyRecords applies configuration records that this daemon has just stored.
+func (s *Service) ApplyRecords(r fleet.Records) {
 	s.enqueue(recordsInput{records: r})
 }
 
--- a/services/daemon/control/service_test.go
+++ b/services/daemon/control/service_test.go
@@ -35,9 +35,9 @@
 const timeout = 10 * time.Second
 
 var (
-	settleTime = 2 * time.Second
-	a          = fleet.AdapterRef{Name: "a", Version: 1}
-	b          = fleet.AdapterRef{Name: "b", Version: 1}
+	takeoverDelay = 2 * time.Second
+	a             = fleet.AdapterRef{Name: "a", Version: 1}
+	b             = fleet.AdapterRef{Name: "b", Version: 1}
 )
 
 // call is a recorded call to the endpoint.
@@ -186,10 +186,10 @@
 	}
 }
 
-// newTakenHarness returns an environment whose service has taken its endpoint over.
-func newTakenHarness(t *testing.T, resident ...fleet.AdapterRef) *harness {
+// newHarnessWithPlacer returns an environment whose service has taken its endpoint over.
+func newHarnessWithPlacer(t *testing.T, resident ...fleet.AdapterRef) *harness {
 	w := newHarness(t, resident...)
-	w.advance(settleTime)
+	w.advance(takeoverDelay)
 	w.expectCalls("status", "take", "status")
 	require.Eventually(t, func() bool {
 		up := false
@@ -205,7 +205,7 @@
 
 func TestEndpointIsFencedBeforeInspection(t *testing.T) {
 	w := newHarness(t)
-	w.advance(settleTime)
+	w.advance(takeoverDelay)
 	w.expectCalls("status")
 	take := w.expectCalls("take")
 	require.Equal(t, uint64(8), take.order.Fence>>16, "one above the endpoint's fence, 7")
@@ -221,7 +221,7 @@
 		t.Run(name, func(t *testing.T) {
 			w := newHarness(t)
 			w.failNext("take", err)
-			w.advance(settleTime)
+			w.advance(takeoverDelay)
 			w.expectCalls("status", "take")
 			w.advance(time.Second)
 			w.expectCalls("status", "take", "status")
@@ -230,7 +230,7 @@
 }
 
 func TestRequestGetsTicketOnceAdapterIsLoaded(t *testing.T) {
-	w := newTakenHarness(t)
+	w := newHarnessWithPlacer(t)
 	answers := w.Submit(request("q", a))
 	load := w.expectCalls("load")
 	require.Equal(t, a, load.order.Adapter)
@@ -246,7 +246,7 @@
 }
 
 func TestLoadIsNotSentAfterFailedUnload(t *testing.T) {
-	w := newTakenHarness(t, b)
+	w := newHarnessWithPlacer(t, b)
 	w.failNext("unload", engine.ErrNotRun{What: "unload", Reason: "test"})
 	w.Submit(request("q", a))
 	unload := w.expectCalls("unload")
@@ -266,7 +266,7 @@
 		{"any other error", errors.New("test"), fleet.EventSlotUnknown},
 	} {
 		t.Run(row.name, func(t *testing.T) {
-			w := newTakenHarness(t)
+			w := newHarnessWithPlacer(t)
 			w.failNext("load", row.err)
 			w.Submit(request("q", a))
 			w.expectCalls("load", "status")
@@ -278,7 +278,7 @@
 }
 
 func TestRequestIsRefusedWhileInstanceIsStopping(t *testing.T) {
-	w := newTakenHarness(t)
+	w := newHarnessWithPlacer(t)
 	w.Leave()
 	answer := w.answer(w.Submit(request("q", a)))
 	require.False(t, answer.Granted)
@@ -286,7 +286,7 @@
 }
 
 func TestCallsDoNotBlockAfterStop(t *testing.T) {
-	w := newTakenHarness(t)
+	w := newHarnessWithPlacer(t)
 	w.Stop()
 	<-w.Done()
 	for range 2 * 8192 {
--- a/services/daemon/control/stop_test.go
+++ b/services/daemon/control/stop_test.go
@@ -11,7 +11,7 @@
 func TestNoTaskStartsAfterStop(t *testing.T) {
 	for range 200 {
 		w := newHarness(t)
-		w.advance(settleTime)
+		w.advance(takeoverDelay)
 		w.Submit(request("q", a))
 		w.Stop()
 	}
--- a/services/daemon/membership/doc.go
+++ b/services/daemon/membership/doc.go
@@ -6,6 +6,6 @@
 // added again from the lists of other instances while these may still contain it.
 //
 // A State holds this view and derives it from heartbeats, the platform's list of instances and the current time, which
-// the caller passes in. It performs no I/O and starts no goroutines. Only the control thread uses it
+// the caller passes in. It performs no I/O and starts no goroutines. Only the control goroutine uses it
 // (services/daemon/node).
 package membership
--- a/services/daemon/membership/member.go
+++ b/services/daemon/membership/member.go
@@ -27,8 +27,8 @@
 	Stamp time.Duration
 	// Revision is the highest configuration revision that the member had in force since its last restart.
 	Revision int64
-	// Held lists the pools that the member places.
-	Held []fleet.HeldPool
+	// HeldPools lists the pools that the member places.
+	HeldPools []fleet.HeldPool
 	// formerBoots holds earlier boot numbers of the member. Late messages with these numbers are ignored.
 	formerBoots []uint64
 }
--- a/services/daemon/membership/members.go
+++ b/services/daemon/membership/members.go
@@ -77,7 +77,7 @@
 	m.Stamp = hb.Stamp
 	m.Leaving = hb.Leaving
 	m.Revision = max(m.Revision, hb.Revision)
-	m.Held = hb.Held
+	m.HeldPools = hb.HeldPools
 	return changes
 }
 
@@ -118,7 +118,7 @@
 		silence := now.Sub(m.Received)
 		if m.Alive && s.options.isLost(silence, s.instanceCount()) {
 			m.Alive = false
-			m.Held = nil
+			m.HeldPools = nil
 			changes = append(changes, Change{Kind: Lost, Member: m})
 		}
 		if !m.Alive && !m.Listed && silence > s.options.ForgetAfter {
--- a/services/daemon/membership/members_test.go
+++ b/services/daemon/membership/members_test.go
@@ -36,7 +36,7 @@
 	return out
 }
 
-// sweepUntil calls Sweep at the interval of the control thread, so that no pause of this instance is detected.
+// sweepUntil calls Sweep at the interval of the control goroutine, so that no pause of this instance is detected.
 func sweepUntil(s *membership.State, from, to time.Time) []membership.Change {
 	var changes []membership.Change
 	for now := from; !now.After(to); now = now.Add(100 * time.Millisecond) {
--- a/services/daemon/membership/options.go
+++ b/services/daemon/membership/options.go
@@ -11,8 +11,9 @@
 	HeartbeatInterval time.Duration
 	// LostAfter is the time without heartbeats after which an instance is considered lost.
 	LostAfter time.Duration
-	// Settle is how long a new instance receives heartbeats before it takes over any pool. services/daemon/node applies it.
-	Settle time.Duration
+	// TakeoverDelay is how long a new instance receives heartbeats before it takes over any pool. The setting's name is settle.
+	// services/daemon/node applies it.
+	TakeoverDelay time.Duration
 	// ProbeInterval is the time between two heartbeats to an instance that is not alive.
 	ProbeInterval time.Duration
 	// ForgetAfter is the time without heartbeats after which an instance that the platform does not list is forgotten.
@@ -25,9 +26,9 @@
 	defaultHeartbeatInterval = 250 * time.Millisecond
 	// defaultLostAfter balances early takeovers from failed instances against unnecessary takeovers from slow instances.
 	defaultLostAfter = 1200 * time.Millisecond
-	// defaultSettle is longer than defaultLostAfter, so that a new instance has received a heartbeat of every live instance before it
+	// defaultTakeoverDelay is longer than defaultLostAfter, so that a new instance has received a heartbeat of every live instance before it
 	// takes over a pool.
-	defaultSettle = 1500 * time.Millisecond
+	defaultTakeoverDelay = 1500 * time.Millisecond
 	// defaultProbeInterval balances traffic to failed instances against the delay until a recovered instance is detected.
 	defaultProbeInterval = time.Second
 	// defaultForgetAfter balances the memory and probes spent on instances that are gone against keeping instances that were
@@ -36,10 +37,10 @@
 )
 
 // DefaultOptions returns the options for use without a settings file. In the daemon, the settings replace HeartbeatInterval, LostAfter and
-// Settle; the defaults of these settings are equal to the values here.
+// TakeoverDelay; the defaults of these settings are equal to the values here.
 func DefaultOptions() Options {
 	return Options{
-		HeartbeatInterval: defaultHeartbeatInterval, LostAfter: defaultLostAfter, Settle: defaultSettle,
+		HeartbeatInterval: defaultHeartbeatInterval, LostAfter: defaultLostAfter, TakeoverDelay: defaultTakeoverDelay,
 		ProbeInterval: defaultProbeInterval, ForgetAfter: defaultForgetAfter,
 	}
 }
--- a/services/daemon/node/configuration.go
+++ b/services/daemon/node/configuration.go
@@ -19,14 +19,14 @@
 	}
 }
 
-// handleWantRecords answers a peer that requests configuration records: small answers at once, large ones through the answer queue.
-func (n *Node) handleWantRecords(now time.Time, e fleet.Envelope) {
+// handleRecordsRequest answers a peer that requests configuration records: small answers at once, large ones through the answer queue.
+func (n *Node) handleRecordsRequest(now time.Time, e fleet.Envelope) {
 	to, ok := n.instanceOf(e.From)
 	if !ok {
 		return
 	}
-	asker := followed.Asker{ID: e.From, Boot: e.Boot, After: e.RecordsRequest.After}
-	records, ok := n.recordsFor(now, asker)
+	requester := followed.Requester{ID: e.From, Boot: e.Boot, After: e.RecordsRequest.After}
+	records, ok := n.recordsFor(now, requester)
 	if !ok {
 		return
 	}
@@ -35,18 +35,18 @@
 		n.send(to, fleet.Envelope{Records: records})
 		return
 	}
-	n.answerQueue.Enqueue(now, asker, size)
+	n.answerQueue.Enqueue(now, requester, size)
 	n.sendAnswers(now)
-	if coming := n.answerQueue.Coming(now, asker.ID); coming > 0 {
-		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: n.config.Revision(), BytesInTransit: coming}})
+	if waitBytes := n.answerQueue.BytesToWaitFor(now, requester.ID); waitBytes > 0 {
+		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: n.config.Revision(), BytesInTransit: waitBytes}})
 	}
 }
 
-// recordsFor returns the records or the snapshot that bring the asking peer to the configuration in force.
-func (n *Node) recordsFor(now time.Time, asker followed.Asker) (*fleet.Records, bool) {
-	records, err := n.config.After(asker.After)
+// recordsFor returns the records or the snapshot that bring the requester to the configuration in force.
+func (n *Node) recordsFor(now time.Time, requester followed.Requester) (*fleet.Records, bool) {
+	records, err := n.config.RecordsAfter(requester.After)
 	if err != nil {
-		n.recordEvent(now, fleet.Event{Kind: fleet.EventRevisionBehind, Other: asker.ID, Cause: err.Error()})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventRevisionBehind, Other: requester.ID, Cause: err.Error()})
 		return nil, false
 	}
 	return records, true
@@ -55,17 +55,17 @@
 // sendAnswers sends the large answers that are due, each after a message with the number of bytes to follow.
 func (n *Node) sendAnswers(now time.Time) {
 	for {
-		asker, ok := n.answerQueue.Next(now)
+		requester, ok := n.answerQueue.Next(now)
 		if !ok {
 			return
 		}
-		to, known := n.instanceOf(asker.ID)
-		records, ok := n.recordsFor(now, asker)
+		to, known := n.instanceOf(requester.ID)
+		records, ok := n.recordsFor(now, requester)
 		if !known || !ok {
 			continue
 		}
-		n.answerQueue.RecordSent(now, asker, records.Head, records.Size())
-		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: records.Head, BytesInTransit: n.answerQueue.Coming(now, asker.ID)}})
+		n.answerQueue.RecordSent(now, requester, records.Head, records.Size())
+		n.send(to, fleet.Envelope{Records: &fleet.Records{Head: records.Head, BytesInTransit: n.answerQueue.BytesToWaitFor(now, requester.ID)}})
 		n.send(to, fleet.Envelope{Records: records})
 	}
 }
--- a/services/daemon/node/delayed_digest_test.go
+++ b/services/daemon/node/delayed_digest_test.go
@@ -70,7 +70,7 @@
 	n.Handle(begin.Add(3*time.Second), newer)
 	now := begin.Add(10 * time.Second)
 	n.Tick(now)
-	require.True(t, n.Halls(now)[1].Cut, "no digest for 7 s")
+	require.True(t, n.Halls(now)[1].CutOff, "no digest for 7 s")
 	n.Handle(now, older)
-	require.True(t, n.Halls(now)[1].Cut, "the digest was created before the last received one")
+	require.True(t, n.Halls(now)[1].CutOff, "the digest was created before the last received one")
 }
--- a/services/daemon/node/digest/hall.go
+++ b/services/daemon/node/digest/hall.go
@@ -36,7 +36,7 @@
 	instances    []fleet.Instance
 	placers      map[string]fleet.PoolPlacer
 	lastDigestAt time.Time
-	cut          bool
+	cutOff       bool
 	revision     int64
 	// missedSummaries contains the pools of the hall of which a summary was missed; wantedSummaries contains the pools whose full
 	// summary the hall has requested.
@@ -49,7 +49,7 @@
 
 // NewHall returns the state of a hall from which no digest has arrived. It counts as cut off.
 func NewHall(name string) *Hall {
-	return &Hall{name: name, placers: make(map[string]fleet.PoolPlacer), missedSummaries: make(map[string]bool), cut: true}
+	return &Hall{name: name, placers: make(map[string]fleet.PoolPlacer), missedSummaries: make(map[string]bool), cutOff: true}
 }
 
 // Name returns the name of the hall.
@@ -57,9 +57,9 @@
 	return h.name
 }
 
-// Late reports whether a digest is older than one applied before, or was made by a former run of its speaker. Digests
+// IsLate reports whether a digest is older than one applied before, or was made by an earlier run of its speaker. Digests
 // of different speakers and digests without a number have no known order and are not late.
-func (h *Hall) Late(d *fleet.Digest) bool {
+func (h *Hall) IsLate(d *fleet.Digest) bool {
 	i := h.runIndex(d)
 	if d.Number == 0 || i < 0 {
 		return false
@@ -141,15 +141,15 @@
 	return out
 }
 
-// Wants reports whether the hall has requested the full summary of a pool.
-func (h *Hall) Wants(pool string) bool {
+// WantsSummary reports whether the hall has requested the full summary of a pool.
+func (h *Hall) WantsSummary(pool string) bool {
 	return slices.Contains(h.wantedSummaries, pool)
 }
 
 // WantsInstances reports whether digests to the hall must list all instances. A hall that is cut
 // off may know no instance to answer to, and a hall that has missed a summary may have just started.
 func (h *Hall) WantsInstances() bool {
-	return h.cut || len(h.wantedSummaries) > 0
+	return h.cutOff || len(h.wantedSummaries) > 0
 }
 
 // Speaker returns the hall's last known speaker, and false if no digest has arrived yet.
@@ -182,27 +182,27 @@
 
 // BecameSilent reports whether a hall that does not count as cut off has sent no digest for longer than the limit.
 func (h *Hall) BecameSilent(now time.Time, limit time.Duration) bool {
-	return !h.cut && now.Sub(h.lastDigestAt) > limit
+	return !h.cutOff && now.Sub(h.lastDigestAt) > limit
 }
 
-// Cut reports whether the hall counts as cut off from this one.
-func (h *Hall) Cut() bool {
-	return h.cut
+// CutOff reports whether the hall counts as cut off from this one.
+func (h *Hall) CutOff() bool {
+	return h.cutOff
 }
 
-// SetCut marks the hall as cut off or reachable. It reports whether that changed the state.
-func (h *Hall) SetCut(cut bool) bool {
-	if h.cut == cut {
+// SetCutOff marks the hall as cut off or reachable. It reports whether that changed the state.
+func (h *Hall) SetCutOff(cutOff bool) bool {
+	if h.cutOff == cutOff {
 		return false
 	}
-	h.cut = cut
+	h.cutOff = cutOff
 	return true
 }
 
 // Recipients returns the instances of the hall that receive the next digest: its speaker while the hall is
 // reachable, and otherwise one of the instances listed by its digests or by the platform, in rotation.
 func (h *Hall) Recipients(listed map[string]fleet.Instance) []fleet.Instance {
-	if s, ok := h.Speaker(); ok && !h.cut {
+	if s, ok := h.Speaker(); ok && !h.cutOff {
 		return []fleet.Instance{s}
 	}
 	known := slices.Clone(h.instances)
--- a/services/daemon/node/digest/hall_test.go
+++ b/services/daemon/node/digest/hall_test.go
@@ -41,13 +41,13 @@
 func reachableHall() *digest.Hall {
 	h := digest.NewHall("h2")
 	h.ApplyDigest(begin, &fleet.Digest{Speaker: instance("i1"), Instances: []fleet.Instance{instance("i1"), instance("i2")}, Revision: 3})
-	h.SetCut(false)
+	h.SetCutOff(false)
 	return h
 }
 
 func TestNewHallCountsAsCutOff(t *testing.T) {
 	h := digest.NewHall("h2")
-	require.True(t, h.Cut())
+	require.True(t, h.CutOff())
 	require.False(t, h.BecameSilent(after(time.Hour), time.Second), "a hall that is cut off does not become silent")
 	require.Zero(t, h.Silence(after(time.Hour)))
 	require.True(t, h.WantsInstances())
@@ -68,8 +68,8 @@
 	require.Equal(t, limit, h.Silence(after(limit)))
 	h.ApplyDigest(after(time.Second), &fleet.Digest{Speaker: instance("i1"), Age: 400 * time.Millisecond})
 	require.Equal(t, 400*time.Millisecond, h.Silence(after(time.Second)), "the age of a relayed digest counts")
-	require.True(t, h.SetCut(true))
-	require.False(t, h.SetCut(true), "the hall is cut off already")
+	require.True(t, h.SetCutOff(true))
+	require.False(t, h.SetCutOff(true), "the hall is cut off already")
 	require.False(t, h.BecameSilent(after(time.Hour), limit))
 }
 
@@ -88,12 +88,12 @@
 func TestRelayedDigestDoesNotChangeRequestedSummaries(t *testing.T) {
 	h := reachableHall()
 	h.ApplyDigest(begin, &fleet.Digest{WantedSummaries: []string{"h1/base"}})
-	require.True(t, h.Wants("h1/base"))
+	require.True(t, h.WantsSummary("h1/base"))
 	require.True(t, h.WantsInstances())
 	h.ApplyDigest(begin, &fleet.Digest{Relayed: true})
-	require.True(t, h.Wants("h1/base"), "a relayed digest requests summaries from another instance")
+	require.True(t, h.WantsSummary("h1/base"), "a relayed digest requests summaries from another instance")
 	h.ApplyDigest(begin, &fleet.Digest{})
-	require.False(t, h.Wants("h1/base"))
+	require.False(t, h.WantsSummary("h1/base"))
 	require.False(t, h.WantsInstances())
 }
 
@@ -139,7 +139,7 @@
 	h := reachableHall()
 	require.Equal(t, []string{"i1"}, ids(h.Recipients(listed)))
 	require.Equal(t, []string{"i1"}, ids(h.Recipients(listed)), "the speaker each time")
-	h.SetCut(true)
+	h.SetCutOff(true)
 	var recipients []string
 	for range 4 {
 		recipients = append(recipients, ids(h.Recipients(listed))...)
@@ -162,7 +162,7 @@
 func TestLateDigests(t *testing.T) {
 	h := digest.NewHall("h2")
 	for _, d := range []*fleet.Digest{numberedDigest("i1", 5, 7), numberedDigest("i1", 6, 1), numberedDigest("i2", 3, 4)} {
-		require.False(t, h.Late(d))
+		require.False(t, h.IsLate(d))
 		h.ApplyDigest(begin, d)
 	}
 	for _, row := range []struct {
@@ -180,18 +180,18 @@
 		{"the first digest of a run whose clock was set back", numberedDigest("i1", 2, 1), false},
 		{"a digest without a number", numberedDigest("i2", 0, 0), false},
 	} {
-		require.Equal(t, row.late, h.Late(row.digest), row.name)
+		require.Equal(t, row.late, h.IsLate(row.digest), row.name)
 	}
 }
 
 func TestRunWithClockSetBackIsNotLate(t *testing.T) {
 	h := digest.NewHall("h2")
 	for _, d := range []*fleet.Digest{numberedDigest("i1", 6, 9), numberedDigest("i1", 2, 1), numberedDigest("i1", 2, 2)} {
-		require.False(t, h.Late(d))
+		require.False(t, h.IsLate(d))
 		h.ApplyDigest(begin, d)
 	}
 	h.ApplyDigest(begin, numberedDigest("i1", 4, 1))
-	require.False(t, h.Late(numberedDigest("i1", 6, 10)), "a run with a lower boot does not make another run's digests late")
+	require.False(t, h.IsLate(numberedDigest("i1", 6, 10)), "a run with a lower boot does not make another run's digests late")
 }
 
 func TestOnlyTheLastEightSpeakerRunsAreRemembered(t *testing.T) {
@@ -200,6 +200,6 @@
 	for boot := uint64(1); boot <= lives; boot++ {
 		h.ApplyDigest(begin, numberedDigest("i1", boot, 1))
 	}
-	require.True(t, h.Late(numberedDigest("i1", lives-7, 1)))
-	require.False(t, h.Late(numberedDigest("i1", lives-8, 1)), "the run has been dropped")
+	require.True(t, h.IsLate(numberedDigest("i1", lives-7, 1)))
+	require.False(t, h.IsLate(numberedDigest("i1", lives-8, 1)), "the run has been dropped")
 }
--- a/services/daemon/node/digests.go
+++ b/services/daemon/node/digests.go
@@ -84,7 +84,7 @@
 		if p, ok := n.announcedPlacer(ps); ok {
 			d.Placers = append(d.Placers, p)
 		}
-		if s, ok := n.summaryOf(now, ps, full || r.Wants(ps.pool.Name)); ok {
+		if s, ok := n.summaryOf(now, ps, full || r.WantsSummary(ps.pool.Name)); ok {
 			d.Pools = append(d.Pools, s)
 		}
 	}
@@ -122,11 +122,11 @@
 }
 
 // handleDigest processes another hall's digest and relays it within this hall, unless it was relayed already. A late digest
-// is ignored: it describes a former state of the hall and does not show that the hall is reachable now.
+// is ignored: it describes an earlier state of the hall and does not show that the hall is reachable now.
 func (n *Node) handleDigest(now time.Time, e fleet.Envelope) {
 	d := e.Digest
 	r := n.remoteHalls[d.Hall]
-	if r == nil || r.Late(d) {
+	if r == nil || r.IsLate(d) {
 		return
 	}
 	r.ApplyDigest(now, d)
@@ -138,7 +138,7 @@
 	for _, s := range d.Pools {
 		r.SetSummaryMissed(s.Pool, !n.router.ApplySummary(now, s))
 	}
-	n.setHallCut(now, r, false)
+	n.setHallCutOff(now, r, false)
 	n.config.RecordRevision(d.HighestRevision)
 	n.answerQueue.RevisionReached(d.Speaker.ID, d.HighestRevision)
 	if speaker, ok := r.Speaker(); ok && d.HighestRevision > n.config.Revision() {
@@ -149,10 +149,10 @@
 	}
 }
 
-// remotePlacerChanged declares the tickets in use to a pool's new placer in another hall and resubmits the waiting requests to it.
+// remotePlacerChanged reports the tickets in use to a pool's new placer in another hall and resubmits the waiting requests to it.
 func (n *Node) remotePlacerChanged(now time.Time, p fleet.PoolPlacer) {
 	if ps := n.pools[p.Pool]; ps != nil {
-		n.declareUses(ps, p.Instance)
+		n.reportTicketsInUse(ps, p.Instance)
 		n.resubmitPool(now, ps)
 	}
 }
@@ -170,18 +170,18 @@
 	for _, name := range n.options.Halls {
 		r := n.remoteHalls[name]
 		if r != nil && r.BecameSilent(now, n.options.Timing.HallSilence) {
-			n.setHallCut(now, r, true)
+			n.setHallCutOff(now, r, true)
 		}
 	}
 }
 
-func (n *Node) setHallCut(now time.Time, r *digest.Hall, cut bool) {
-	if !r.SetCut(cut) {
+func (n *Node) setHallCutOff(now time.Time, r *digest.Hall, cutOff bool) {
+	if !r.SetCutOff(cutOff) {
 		return
 	}
-	n.router.SetCut(r.Name(), cut)
+	n.router.SetCutOff(r.Name(), cutOff)
 	kind, cause := fleet.EventThaw, "the hall is heard again"
-	if cut {
+	if cutOff {
 		kind, cause = fleet.EventFreeze, "the hall has gone silent; requests stay in reachable halls"
 	}
 	n.recordEvent(now, fleet.Event{Kind: kind, Other: r.Name(), Cause: cause})
--- a/services/daemon/node/effect.go
+++ b/services/daemon/node/effect.go
@@ -32,22 +32,22 @@
 	Refusal   fleet.Refusal
 }
 
-// Take sets this node's fence on an endpoint and requests the endpoint's inspection.
-type Take struct {
+// TakeOverEndpoint sets this node's fence on an endpoint and requests the endpoint's inspection.
+type TakeOverEndpoint struct {
 	Pool     string
 	Term     uint64
 	Endpoint fleet.Endpoint
 }
 
-// Inspect requests the list of an endpoint's resident adapters and of its adapters with running or queued requests.
-type Inspect struct {
+// InspectEndpoint requests the list of an endpoint's resident adapters and of its adapters with running or queued requests.
+type InspectEndpoint struct {
 	Pool     string
 	Term     uint64
 	Endpoint fleet.Endpoint
 }
 
-// Order sends an endpoint a load, together with the eviction that frees its slot.
-type Order struct {
+// OrderLoad sends a load order to an endpoint, together with the eviction that frees a slot for the adapter.
+type OrderLoad struct {
 	Term     uint64
 	Endpoint fleet.Endpoint
 	Load     placement.Load
@@ -90,9 +90,9 @@
 func (Send) isEffect()               {}
 func (Deliver) isEffect()            {}
 func (Reject) isEffect()             {}
-func (Take) isEffect()               {}
-func (Inspect) isEffect()            {}
-func (Order) isEffect()              {}
+func (TakeOverEndpoint) isEffect()   {}
+func (InspectEndpoint) isEffect()    {}
+func (OrderLoad) isEffect()          {}
 func (AcquireOwner) isEffect()       {}
 func (ReleaseOwner) isEffect()       {}
 func (SettleOwner) isEffect()        {}
--- a/services/daemon/node/endpoints.go
+++ b/services/daemon/node/endpoints.go
@@ -24,18 +24,18 @@
 
 func (n *Node) sendDueInspections(now time.Time, ps *poolState) {
 	for _, e := range ps.takeover.InspectionsDue(now) {
-		n.emit(Inspect{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
+		n.emit(InspectEndpoint{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
 	}
 }
 
-// Inspected processes an endpoint's inspection, which corrects the placer's state and may lift a freeze.
-func (n *Node) Inspected(now time.Time, pool string, term uint64, in placement.Inspection) []Effect {
+// HandleInspection processes an endpoint's inspection, which corrects the placer's state and may lift a freeze.
+func (n *Node) HandleInspection(now time.Time, pool string, term uint64, in placement.Inspection) []Effect {
 	ps := n.pools[pool]
 	if ps == nil || !ps.isPlacer || ps.term != term {
 		return nil
 	}
-	ps.takeover.Inspect(now, in.Endpoint)
-	n.applyPlacerEffects(now, ps, ps.placer.Inspected(now, in))
+	ps.takeover.MarkInspected(now, in.Endpoint)
+	n.applyPlacerEffects(now, ps, ps.placer.HandleInspection(now, in))
 	n.thaw(now, ps, in)
 	n.bidAndGrantPermits(now)
 	return n.takeEffects()
@@ -48,14 +48,14 @@
 	Endpoint    string
 	Incarnation string
 	Adapter     fleet.AdapterRef
-	Result      placement.LoadResult
+	Outcome     placement.LoadOutcome
 	Cause       string
 	// FenceLost is true if the endpoint holds another instance's fence by now.
 	FenceLost bool
 }
 
-// Loaded processes the result of an ordered load.
-func (n *Node) Loaded(now time.Time, r LoadResult) []Effect {
+// HandleLoadResult processes the result of an ordered load.
+func (n *Node) HandleLoadResult(now time.Time, r LoadResult) []Effect {
 	ps := n.pools[r.Pool]
 	if ps == nil || !ps.isPlacer || ps.term != r.Term {
 		return nil
@@ -66,15 +66,15 @@
 	}
 	if r.FenceLost {
 		n.recordEvent(now, fleet.Event{Kind: fleet.EventOrderRefused, Pool: r.Pool, Endpoint: r.Endpoint, Adapter: r.Adapter.String(), Cause: r.Cause})
-		n.loseFence(now, ps, r.Endpoint)
+		n.handleFenceLoss(now, ps, r.Endpoint)
 	}
-	n.applyPlacerEffects(now, ps, ps.placer.Loaded(now, r.Endpoint, r.Incarnation, r.Adapter, r.Result, r.Cause))
+	n.applyPlacerEffects(now, ps, ps.placer.HandleLoadResult(now, r.Endpoint, r.Incarnation, r.Adapter, r.Outcome, r.Cause))
 	n.bidAndGrantPermits(now)
 	return n.takeEffects()
 }
 
-// loseFence stops the use of an endpoint that holds another instance's fence.
-func (n *Node) loseFence(now time.Time, ps *poolState, endpoint string) {
-	ps.takeover.LoseFence(now, endpoint)
-	ps.placer.LoseFence(endpoint)
+// handleFenceLoss stops the use of an endpoint that holds another instance's fence.
+func (n *Node) handleFenceLoss(now time.Time, ps *poolState, endpoint string) {
+	ps.takeover.RecordFenceLoss(now, endpoint)
+	ps.placer.MarkFenceLost(endpoint)
 }
--- a/services/daemon/node/followed/answers_test.go
+++ b/services/daemon/node/followed/answers_test.go
@@ -21,41 +21,41 @@
 	lostAt   = 900 * time.Millisecond
 )
 
-// requestAndSend requests an answer, sends the answers that may be sent now, and returns their askers.
-func requestAndSend(a *followed.AnswerQueue, now time.Time, asker followed.Asker, size int) []string {
-	a.Enqueue(now, asker, size)
+// requestAndSend requests an answer, sends the answers that may be sent now, and returns their requesters.
+func requestAndSend(a *followed.AnswerQueue, now time.Time, requester followed.Requester, size int) []string {
+	a.Enqueue(now, requester, size)
 	return sendDue(a, now, size)
 }
 
-// sendDue sends the answers that may be sent now and returns their askers.
+// sendDue sends the answers that may be sent now and returns their requesters.
 func sendDue(a *followed.AnswerQueue, now time.Time, size int) []string {
 	var out []string
 	for {
-		asker, ok := a.Next(now)
+		requester, ok := a.Next(now)
 		if !ok {
 			return out
 		}
-		a.RecordSent(now, asker, head, size)
-		out = append(out, asker.ID)
+		a.RecordSent(now, requester, head, size)
+		out = append(out, requester.ID)
 	}
 }
 
 func TestAnswerInTransitIsNotRepeatedUntilConsideredLost(t *testing.T) {
 	for _, row := range []struct {
-		name  string
-		asker followed.Asker
-		at    time.Duration
-		again bool
+		name      string
+		requester followed.Requester
+		at        time.Duration
+		again     bool
 	}{
-		{"the same request", followed.Asker{ID: "a", Boot: 1}, lostAt - 1, false},
-		{"after another peer sent a part", followed.Asker{ID: "a", Boot: 1, After: head - 1}, lostAt - 1, false},
-		{"after the answer arrived", followed.Asker{ID: "a", Boot: 1, After: head}, time.Millisecond, true},
-		{"in another run", followed.Asker{ID: "a", Boot: 2}, time.Millisecond, true},
-		{"after the answer is considered lost", followed.Asker{ID: "a", Boot: 1}, lostAt, true},
+		{"the same request", followed.Requester{ID: "a", Boot: 1}, lostAt - 1, false},
+		{"after another peer sent a part", followed.Requester{ID: "a", Boot: 1, After: head - 1}, lostAt - 1, false},
+		{"after the answer arrived", followed.Requester{ID: "a", Boot: 1, After: head}, time.Millisecond, true},
+		{"in another run", followed.Requester{ID: "a", Boot: 2}, time.Millisecond, true},
+		{"after the answer is considered lost", followed.Requester{ID: "a", Boot: 1}, lostAt, true},
 	} {
 		var a followed.AnswerQueue
-		require.Equal(t, []string{"a"}, requestAndSend(&a, begin, followed.Asker{ID: "a", Boot: 1}, megabyte), row.name)
-		require.Equal(t, row.again, len(requestAndSend(&a, after(row.at), row.asker, megabyte)) > 0, row.name)
+		require.Equal(t, []string{"a"}, requestAndSend(&a, begin, followed.Requester{ID: "a", Boot: 1}, megabyte), row.name)
+		require.Equal(t, row.again, len(requestAndSend(&a, after(row.at), row.requester, megabyte)) > 0, row.name)
 	}
 }
 
@@ -63,17 +63,17 @@
 	var a followed.AnswerQueue
 	var got []string
 	for i := range 6 {
-		got = append(got, requestAndSend(&a, begin, followed.Asker{ID: fmt.Sprint(i)}, megabyte)...)
+		got = append(got, requestAndSend(&a, begin, followed.Requester{ID: fmt.Sprint(i)}, megabyte)...)
 	}
 	require.Equal(t, []string{"0"}, got)
 	a.RevisionReached("0", head-1)
-	require.Empty(t, sendDue(&a, after(time.Millisecond), megabyte), "the asker has only reached an older revision")
+	require.Empty(t, sendDue(&a, after(time.Millisecond), megabyte), "the requester has only reached an older revision")
 	a.RevisionReached("2", head)
 	a.RevisionReached("0", head)
 	require.Equal(t, []string{"1"}, sendDue(&a, after(time.Millisecond), megabyte))
 	a.RevisionReached("1", head)
 	require.Equal(t, []string{"3"}, sendDue(&a, after(time.Millisecond), megabyte), "2 has the revision from another peer")
-	a.Enqueue(after(5*time.Second), followed.Asker{ID: "5"}, megabyte)
+	a.Enqueue(after(5*time.Second), followed.Requester{ID: "5"}, megabyte)
 	require.Equal(t, []string{"5"}, sendDue(&a, after(5*time.Second), megabyte), "an expired answer no longer counts against the window")
 }
 
@@ -81,39 +81,39 @@
 	var a followed.AnswerQueue
 	var got []string
 	for i := range 6 {
-		got = append(got, requestAndSend(&a, begin, followed.Asker{ID: fmt.Sprint(i)}, megabyte/4)...)
+		got = append(got, requestAndSend(&a, begin, followed.Requester{ID: fmt.Sprint(i)}, megabyte/4)...)
 	}
 	require.Equal(t, []string{"0", "1", "2", "3"}, got)
 }
 
-func TestAskerKeepsItsPositionOnlyIfItAsksAgain(t *testing.T) {
+func TestRequesterKeepsPositionOnlyIfRequestIsRepeated(t *testing.T) {
 	var a followed.AnswerQueue
-	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "first"}, 2*megabyte), 1)
+	require.Len(t, requestAndSend(&a, begin, followed.Requester{ID: "first"}, 2*megabyte), 1)
 	for _, id := range []string{"x", "y", "z"} {
-		a.Enqueue(begin, followed.Asker{ID: id}, megabyte)
+		a.Enqueue(begin, followed.Requester{ID: id}, megabyte)
 	}
-	// x is told to wait for 0.25 of its answer's bytes, which is 0.2 s plus 0.1 s of latency. It keeps its position 0.1 s longer.
-	require.Equal(t, megabyte/4, a.Coming(begin, "x"))
-	require.Equal(t, megabyte/2, a.Coming(begin, "y"))
-	a.Enqueue(after(300*time.Millisecond), followed.Asker{ID: "x"}, megabyte)
-	a.Enqueue(after(300*time.Millisecond), followed.Asker{ID: "z"}, megabyte)
+	// The announced bytes for x are 0.25 of its answer, which is 0.2 s plus 0.1 s of latency. It keeps its position 0.1 s longer.
+	require.Equal(t, megabyte/4, a.BytesToWaitFor(begin, "x"))
+	require.Equal(t, megabyte/2, a.BytesToWaitFor(begin, "y"))
+	a.Enqueue(after(300*time.Millisecond), followed.Requester{ID: "x"}, megabyte)
+	a.Enqueue(after(300*time.Millisecond), followed.Requester{ID: "z"}, megabyte)
 	a.RevisionReached("first", head)
 	require.Equal(t, []string{"x"}, sendDue(&a, after(600*time.Millisecond), megabyte))
 	a.RevisionReached("x", head)
-	require.Equal(t, []string{"z"}, sendDue(&a, after(601*time.Millisecond), megabyte), "y did not ask again")
+	require.Equal(t, []string{"z"}, sendDue(&a, after(601*time.Millisecond), megabyte), "y did not repeat its request")
 }
 
-func TestPendingBytesOfAsker(t *testing.T) {
+func TestBytesToWaitForOfRequester(t *testing.T) {
 	var a followed.AnswerQueue
-	require.Zero(t, a.Coming(begin, "a"), "the asker has not asked yet")
-	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "a"}, megabyte), 1)
-	require.Equal(t, megabyte, a.Coming(begin, "a"))
-	require.Equal(t, megabyte/2, a.Coming(after(400*time.Millisecond), "a"))
-	require.Equal(t, 1, a.Coming(after(lostAt-1), "a"))
+	require.Zero(t, a.BytesToWaitFor(begin, "a"), "no request has been enqueued yet")
+	require.Len(t, requestAndSend(&a, begin, followed.Requester{ID: "a"}, megabyte), 1)
+	require.Equal(t, megabyte, a.BytesToWaitFor(begin, "a"))
+	require.Equal(t, megabyte/2, a.BytesToWaitFor(after(400*time.Millisecond), "a"))
+	require.Equal(t, 1, a.BytesToWaitFor(after(lostAt-1), "a"))
 	a = followed.AnswerQueue{}
-	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "a"}, megabyte/2), 1)
-	require.Len(t, requestAndSend(&a, begin, followed.Asker{ID: "b"}, megabyte/4), 1)
-	require.Equal(t, megabyte*3/4, a.Coming(begin, "b"), "the two answers share the link")
+	require.Len(t, requestAndSend(&a, begin, followed.Requester{ID: "a"}, megabyte/2), 1)
+	require.Len(t, requestAndSend(&a, begin, followed.Requester{ID: "b"}, megabyte/4), 1)
+	require.Equal(t, megabyte*3/4, a.BytesToWaitFor(begin, "b"), "the two answers share the link")
 }
 
 func TestExpectedAnswerDelaysNextRequest(t *testing.T) {
@@ -145,18 +145,18 @@
 
 func TestSnapshotIsEncodedOncePerRevision(t *testing.T) {
 	c := followed.New()
-	first, err := configurationAt(t, 3).After(0)
+	first, err := configurationAt(t, 3).RecordsAfter(0)
 	require.NoError(t, err)
 	require.NotEmpty(t, first.Records)
 	bySnapshot := snapshotAt(t, 3)
 	require.True(t, c.Advance(fleet.Records{Head: 3, Snapshot: bySnapshot}, false).Changed)
-	one, err := c.After(0)
+	one, err := c.RecordsAfter(0)
 	require.NoError(t, err)
-	other, err := c.After(1)
+	other, err := c.RecordsAfter(1)
 	require.NoError(t, err)
 	require.Same(t, &one.Snapshot[0], &other.Snapshot[0])
 	require.True(t, c.Advance(fleet.Records{Head: 4, Snapshot: snapshotAt(t, 4)}, false).Changed)
-	next, err := c.After(0)
+	next, err := c.RecordsAfter(0)
 	require.NoError(t, err)
 	fresh := followed.New()
 	require.True(t, fresh.Advance(fleet.Records{Head: 4, Snapshot: next.Snapshot}, false).Changed)
--- a/services/daemon/node/followed/configuration.go
+++ b/services/daemon/node/followed/configuration.go
@@ -21,8 +21,8 @@
 	// recover later from several lost answers.
 	requestBackoff     = 2
 	maxRequestInterval = 800 * time.Millisecond
-	// maxExpectedBytes is the maximum of announced bytes that a peer is believed, 32 MiB, the largest message between peers. Their transfer takes
-	// 27 s on the slowest link.
+	// maxExpectedBytes limits the number of bytes in transit that a peer can announce, 32 MiB, the largest message between peers. Their
+	// transfer takes 27 s on the slowest link.
 	maxExpectedBytes = 33554432
 )
 
@@ -76,18 +76,18 @@
 	return true
 }
 
-// Expect records that missing configuration is in transit and how many bytes are coming. The next request is due after their
-// transfer time.
-func (c *Configuration) Expect(now time.Time, head int64, coming int) {
+// Expect records that a peer has announced revision head, with the given number of bytes of configuration in transit. The next request is
+// due after the transfer time of these bytes.
+func (c *Configuration) Expect(now time.Time, head int64, bytes int) {
 	c.RecordRevision(head)
 	if head > c.Revision() {
-		c.nextRequestAt = now.Add(transferTimeout(min(coming, maxExpectedBytes)))
+		c.nextRequestAt = now.Add(transferTimeout(min(bytes, maxExpectedBytes)))
 	}
 }
 
-// After returns the records that lead from a peer's revision to the one in force here, or a
+// RecordsAfter returns the records that lead from a peer's revision to the one in force here, or a
 // snapshot if the kept records do not reach back that far.
-func (c *Configuration) After(revision int64) (*fleet.Records, error) {
+func (c *Configuration) RecordsAfter(revision int64) (*fleet.Records, error) {
 	snapshot, records, err := c.history.After(c.catalog, revision)
 	if err != nil {
 		return nil, err
@@ -100,7 +100,7 @@
 	// Older is true if the sender's head is below the revision in force.
 	Older bool
 	// Err is the reason why the records, or the rest of them, could not be applied: a preceding
-	// record is missing (catalog.ErrGap) or one is malformed. The records before it are in force.
+	// record is missing (catalog.ErrRevisionGap) or one is malformed. The records before it are in force.
 	Err error
 	// Changed is true if the call changed the revision in force.
 	Changed bool
--- a/services/daemon/node/followed/configuration_test.go
+++ b/services/daemon/node/followed/configuration_test.go
@@ -110,7 +110,7 @@
 		revision int64
 		records  int
 	}{{0, 3}, {2, 1}, {3, 0}, {9, 0}} {
-		out, err := c.After(row.revision)
+		out, err := c.RecordsAfter(row.revision)
 		require.NoError(t, err)
 		require.EqualValues(t, 3, out.Head)
 		require.Len(t, out.Records, row.records, "after revision %d", row.revision)
@@ -120,7 +120,7 @@
 	snapshot, err := catalog.EncodeSnapshot(c.Catalog())
 	require.NoError(t, err)
 	require.True(t, bySnapshot.Advance(fleet.Records{Head: 3, Snapshot: snapshot}, false).Changed)
-	out, err := bySnapshot.After(1)
+	out, err := bySnapshot.RecordsAfter(1)
 	require.NoError(t, err)
 	require.NotEmpty(t, out.Snapshot, "the kept records do not reach back to revision 1")
 	require.Len(t, c.RecentRecords(), 3)
--- a/services/daemon/node/handover.go
+++ b/services/daemon/node/handover.go
@@ -16,7 +16,7 @@
 	n.recordEvent(now, fleet.Event{Kind: fleet.EventRelease, Pool: ps.pool.Name, Other: to.ID, Fence: ps.term, Cause: cause})
 	n.releasePool(now, ps, to)
 	ps.placerID = to.ID
-	n.declareUses(ps, to)
+	n.reportTicketsInUse(ps, to)
 	n.resubmitPool(now, ps)
 }
 
@@ -34,7 +34,7 @@
 
 // releasePool sends the tickets in use to the successor, refers the waiting requests back to their entries and drops the placer.
 func (n *Node) releasePool(now time.Time, ps *poolState, to fleet.Instance) {
-	n.send(to, fleet.Envelope{Release: &fleet.Release{Pool: ps.pool.Name, Term: ps.term, Uses: ps.placer.Uses()}})
+	n.send(to, fleet.Envelope{Release: &fleet.Release{Pool: ps.pool.Name, Term: ps.term, Uses: ps.placer.TicketsInUse()}})
 	effects := ps.placer.RefuseAll(now, fleet.ReasonNoPlacer, 0)
 	ps.isPlacer = false
 	n.applyPlacerEffects(now, ps, effects)
@@ -75,7 +75,7 @@
 		uses = []fleet.TicketUse{}
 	}
 	if m := n.members.Member(e.From); m != nil {
-		m.Held = slices.DeleteFunc(m.Held, func(h fleet.HeldPool) bool { return h.Pool == ps.pool.Name })
+		m.HeldPools = slices.DeleteFunc(m.HeldPools, func(h fleet.HeldPool) bool { return h.Pool == ps.pool.Name })
 	}
 	ps.handedOverBy = FormerOwner{ID: e.From, Boot: e.Boot}
 	n.takeOver(now, ps, uses, "handed over by "+e.From)
--- a/services/daemon/node/large_configuration_test.go
+++ b/services/daemon/node/large_configuration_test.go
@@ -203,8 +203,8 @@
 
 func TestManyOutdatedPeersGetLargeConfigurationInTurn(t *testing.T) {
 	snapshot := largeSnapshot(t, largeConfigBytes)
-	const askers = 24
-	h := newSimulatedHall(1 + askers)
+	const requesters = 24
+	h := newSimulatedHall(1 + requesters)
 	h.run(snapshot, 1, 200*time.Millisecond)
 	first := h.maxInTransit
 	h.run(snapshot, 0, 15*time.Second)
@@ -214,24 +214,24 @@
 		last = max(last, h.inForceAfter[m.Address])
 		total += h.sentConfigBytes[m.Address]
 	}
-	t.Logf("%d answers to %d askers, in force at the last after %v; at most %d bytes in transit from one node with the configuration, %d from all",
-		total/len(snapshot), askers, last, first, h.maxInTransit)
+	t.Logf("%d answers to %d requesters, in force at the last after %v; at most %d bytes in transit from one node with the configuration, %d from all",
+		total/len(snapshot), requesters, last, first, h.maxInTransit)
 	require.Less(t, last, 10*time.Second)
-	require.Less(t, total, (askers+askers/4)*len(snapshot))
+	require.Less(t, total, (requesters+requesters/4)*len(snapshot))
 	require.Less(t, first, 3*len(snapshot), "one node sends few answers at a time")
 }
 
 func TestAllPeersGetLargeConfigurationDespiteLostAnswers(t *testing.T) {
 	snapshot := largeSnapshot(t, largeConfigBytes)
-	const askers = 12
-	h := newSimulatedHall(1 + askers)
-	h.answersToDrop = askers / 2
+	const requesters = 12
+	h := newSimulatedHall(1 + requesters)
+	h.answersToDrop = requesters / 2
 	h.run(snapshot, 1, 20*time.Second)
 	last := time.Duration(0)
 	for _, m := range h.members[1:] {
 		require.NotZero(t, h.inForceAfter[m.Address], "%s has the configuration", m.ID)
 		last = max(last, h.inForceAfter[m.Address])
 	}
-	t.Logf("in force at the last of %d askers after %v, %d answers lost", askers, last, askers/2)
+	t.Logf("in force at the last of %d requesters after %v, %d answers lost", requesters, last, requesters/2)
 	require.Less(t, last, 12*time.Second)
 }
--- a/services/daemon/node/late_ownership_test.go
+++ b/services/daemon/node/late_ownership_test.go
@@ -27,10 +27,10 @@
 		require.Len(t, second, 1, "the second term sends its own request")
 		require.NotEqual(t, take.Term, second[0].Term)
 		if late {
-			n.Owned(asked, node.OwnerResult{Pool: first.Pool, Term: take.Term, OK: true, Lease: 1, SentAt: now})
+			n.HandleOwnerResult(asked, node.OwnerResult{Pool: first.Pool, Term: take.Term, OK: true, Lease: 1, SentAt: now})
 		}
-		n.Owned(asked.Add(time.Millisecond), node.OwnerResult{Pool: first.Pool, Term: second[0].Term, OK: succeeded, Lease: 1, SentAt: asked})
-		return len(effectsOf[node.AcquireOwner](n.Tick(asked.Add(node.DefaultTiming().TakeRetry)))) == 1
+		n.HandleOwnerResult(asked.Add(time.Millisecond), node.OwnerResult{Pool: first.Pool, Term: second[0].Term, OK: succeeded, Lease: 1, SentAt: asked})
+		return len(effectsOf[node.AcquireOwner](n.Tick(asked.Add(node.DefaultTiming().TakeoverRetry)))) == 1
 	}
 	require.True(t, requestsAgain(false, false), "the second request failed")
 	require.True(t, requestsAgain(true, false), "the second request failed, and the late answer belongs to the first term")
--- a/services/daemon/node/lease.go
+++ b/services/daemon/node/lease.go
@@ -17,7 +17,7 @@
 func newLease(o Options) *lease.Lease {
 	t := o.Timing
 	return lease.New(lease.Options{
-		TTL: t.LeaseTTL, Margin: t.LeaseMargin, Renew: t.LeaseRenew, Retry: t.TakeRetry, NeverLapses: o.Defects.OrderAfterLapse,
+		TTL: t.LeaseTTL, Margin: t.LeaseMargin, Renew: t.LeaseRenew, Retry: t.TakeoverRetry, NeverLapses: o.Defects.OrderAfterLapse,
 	})
 }
 
@@ -48,8 +48,8 @@
 	FormerOwners []FormerOwner
 }
 
-// Owned processes the answer to a request for ownership.
-func (n *Node) Owned(now time.Time, r OwnerResult) []Effect {
+// HandleOwnerResult processes the answer to a request for ownership.
+func (n *Node) HandleOwnerResult(now time.Time, r OwnerResult) []Effect {
 	ps := n.pools[r.Pool]
 	if ps == nil || !r.OK || r.Lease < n.lease.Number() {
 		return nil
@@ -103,8 +103,8 @@
 	SentAt time.Time
 }
 
-// Renewed processes the answer to a lease renewal.
-func (n *Node) Renewed(now time.Time, r LeaseResult) []Effect {
+// HandleLeaseResult processes the answer to a lease renewal.
+func (n *Node) HandleLeaseResult(now time.Time, r LeaseResult) []Effect {
 	switch {
 	case r.Expired:
 		if n.lease.Lapse(r.Lease) {
--- a/services/daemon/node/lease/lease.go
+++ b/services/daemon/node/lease/lease.go
@@ -24,7 +24,7 @@
 }
 
 // Lease is the node's only lease at the key-value service, and the pools owned under it. After a lapse the node gets
-// a new lease with a higher number. The pools of the former lease are not owned under the new one.
+// a new lease with a higher number. The pools of the previous lease are not owned under the new one.
 type Lease struct {
 	options Options
 	// number is the number of the current lease, or of the next lease after a lapse.
@@ -46,7 +46,7 @@
 }
 
 // SwitchTo makes the lease with the given number the current one, if the number is higher than the current one. The pools
-// and the validity of the former lease are dropped. It reports whether there were any.
+// and the validity of the previous lease are dropped. It reports whether there were any.
 func (l *Lease) SwitchTo(number uint64) bool {
 	if number <= l.number {
 		return false
--- a/services/daemon/node/lease/lease_test.go
+++ b/services/daemon/node/lease/lease_test.go
@@ -93,7 +93,7 @@
 	require.Equal(t, after(8*time.Second), l.Extend(after(time.Second)), "the validity of the lapsed lease does not continue")
 }
 
-func TestLaterLeaseDoesNotOwnPoolsOfFormerLease(t *testing.T) {
+func TestLaterLeaseDoesNotOwnPoolsOfPreviousLease(t *testing.T) {
 	l := newLease()
 	require.True(t, l.AcquireDue(begin, "h1/other"))
 	require.False(t, l.SwitchTo(1), "the first lease")
--- a/services/daemon/node/lease/stored.go
+++ b/services/daemon/node/lease/stored.go
@@ -21,7 +21,7 @@
 }
 
 // Successor returns the record to store when the given run becomes the pool's next owner. The
-// current owner is added to the former owners, unless it is the same run, whose answer was lost.
+// current owner is added to the former owners, unless it is the same run, which repeats the request after its answer was lost.
 func (s StoredOwner) Successor(id string, boot uint64) StoredOwner {
 	formers := s.FormerOwners
 	if s.Holder != "" && !s.IsRun(id, boot) {
--- a/services/daemon/node/loads.go
+++ b/services/daemon/node/loads.go
@@ -13,9 +13,9 @@
 )
 
 // ledgerHost returns the instance that divides the weight store's rate among the
-// reachable halls: the speaker of the hall that loads.Hall chooses by hashing.
+// reachable halls: the speaker of the hall that loads.BudgetHall chooses by hashing.
 func (n *Node) ledgerHost() (fleet.Instance, bool) {
-	hall := loads.Hall(n.visibleHalls())
+	hall := loads.BudgetHall(n.visibleHalls())
 	if hall == n.options.Self.Hall {
 		return n.speaker()
 	}
@@ -30,7 +30,7 @@
 func (n *Node) visibleHalls() []string {
 	halls := []string{n.options.Self.Hall}
 	for name, r := range n.remoteHalls {
-		if !r.Cut() {
+		if !r.CutOff() {
 			halls = append(halls, name)
 		}
 	}
@@ -69,7 +69,7 @@
 	if loads.Recovering(ps.takeover.Age(now), ps.pool.Name, n.options.Self.ID, n.options.Timing.RecoveryDelay) {
 		return
 	}
-	b, wants := ps.placer.Bid(now)
+	b, wants := ps.placer.BestBid(now)
 	if !ps.bidder.RecordBid(now, wants) {
 		return
 	}
@@ -77,7 +77,7 @@
 		b.Value = 0
 	}
 	if self {
-		n.ledger.Bid(now, ps.pool.Name, b.Value, b.Preload)
+		n.ledger.SetBid(now, ps.pool.Name, b.Value, b.Preload)
 		return
 	}
 	if ps.bidder.SendDue(now, b.Value, wants) {
@@ -86,7 +86,7 @@
 }
 
 func (n *Node) handleBid(now time.Time, e fleet.Envelope) {
-	n.ledger.Bid(now, e.Bid.Pool, e.Bid.Value, e.Bid.Preload)
+	n.ledger.SetBid(now, e.Bid.Pool, e.Bid.Value, e.Bid.Preload)
 }
 
 func (n *Node) grantPermits(now time.Time) {
--- a/services/daemon/node/loads/bidder.go
+++ b/services/daemon/node/loads/bidder.go
@@ -24,9 +24,9 @@
 // reads it.
 const PermitWithin = 2 * time.Second
 
-// Hall returns the name of the hall whose speaker divides the weight store's rate among the
+// BudgetHall returns the name of the hall whose speaker divides the weight store's rate among the
 // reachable halls. Halls that reach the same halls choose the same one.
-func Hall(visible []string) string {
+func BudgetHall(visible []string) string {
 	return ring.Best("load-budget", visible)
 }
 
--- a/services/daemon/node/loads/bidder_test.go
+++ b/services/daemon/node/loads/bidder_test.go
@@ -71,9 +71,9 @@
 }
 
 func TestHallsWithSameViewChooseSameBudgetHall(t *testing.T) {
-	require.Empty(t, loads.Hall(nil))
-	require.Equal(t, "h1", loads.Hall([]string{"h1"}), "a hall that is cut off divides its own part")
-	require.Equal(t, loads.Hall([]string{"h1", "h2", "h3"}), loads.Hall([]string{"h3", "h1", "h2"}))
+	require.Empty(t, loads.BudgetHall(nil))
+	require.Equal(t, "h1", loads.BudgetHall([]string{"h1"}), "a hall that is cut off divides its own part")
+	require.Equal(t, loads.BudgetHall([]string{"h1", "h2", "h3"}), loads.BudgetHall([]string{"h3", "h1", "h2"}))
 }
 
 // recoveryTime returns the time for which a pool recovers, to the millisecond.
--- a/services/daemon/node/loads/doc.go
+++ b/services/daemon/node/loads/doc.go
@@ -2,7 +2,7 @@
 // SPDX-License-Identifier: MIT
 
 // Package loads decides when a pool bids for a load permit and when its bid is sent to
-// another instance (Bidder), which hall divides the weight store's rate (Hall), and how long
+// another instance (Bidder), which hall divides the weight store's rate (BudgetHall), and how long
 // a pool waits after a takeover before it bids (Recovering).
 //
 // It owns the times and the value of a pool's last bid. It relies on modules/daemon/ring for choices
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -147,7 +147,7 @@
 	}
 	for _, ps := range n.poolList {
 		if ps.isPlacer {
-			hb.Held = append(hb.Held, fleet.HeldPool{Pool: ps.pool.Name, Term: ps.term})
+			hb.HeldPools = append(hb.HeldPools, fleet.HeldPool{Pool: ps.pool.Name, Term: ps.term})
 		}
 		if ps.isPlacer {
 			hb.Pools = append(hb.Pools, n.summaryFor(now, peer, ps))
--- a/services/daemon/node/node.go
+++ b/services/daemon/node/node.go
@@ -20,28 +20,28 @@
 
 // Node is the control state of one daemon. It must be used by one goroutine only.
 type Node struct {
-	options        Options
-	started        time.Time
-	members        *membership.State
-	router         *routing.Router
-	pools          map[string]*poolState
-	poolList       []*poolState
-	remoteHalls    map[string]*digest.Hall
-	pending        waiting.Requests
-	ticketUses     waiting.TicketUses
-	entries        map[string]*entryPeer
-	peers          map[string]*peerState
-	ledger         *budget.Ledger
-	config         *followed.Configuration
-	answerQueue    followed.AnswerQueue
-	lease          *lease.Lease
-	leaving        bool
-	watching       bool
-	platformList   *listing.List
-	reconfirmedAt  time.Time
-	sweptAt        time.Time
-	digestSchedule digest.Schedule
-	effects        []Effect
+	options           Options
+	started           time.Time
+	members           *membership.State
+	router            *routing.Router
+	pools             map[string]*poolState
+	poolList          []*poolState
+	remoteHalls       map[string]*digest.Hall
+	pending           waiting.Requests
+	ticketUses        waiting.TicketUses
+	entries           map[string]*entryPeer
+	peers             map[string]*peerState
+	ledger            *budget.Ledger
+	config            *followed.Configuration
+	answerQueue       followed.AnswerQueue
+	lease             *lease.Lease
+	leaving           bool
+	watching          bool
+	platformList      *listing.List
+	ticketsReportedAt time.Time
+	sweptAt           time.Time
+	digestSchedule    digest.Schedule
+	effects           []Effect
 }
 
 // New creates the node of an instance that starts at now, without pools, tickets or configuration.
@@ -59,12 +59,12 @@
 		platformList:   listing.New(),
 		config:         followed.New(),
 		lease:          newLease(o),
-		digestSchedule: digest.NewSchedule(o.Timing.Digest, o.Timing.FullSummary),
+		digestSchedule: digest.NewSchedule(o.Timing.DigestInterval, o.Timing.FullSummaryInterval),
 	}
 	pools := fleet.BuildPools(o.Endpoints)
 	n.router = routing.NewRouter(o.Self.Hall, pools, o.Routing)
 	for _, pool := range pools {
-		ps := newPoolState(pool, pool.Hall == o.Self.Hall, o.Timing.Bid)
+		ps := newPoolState(pool, pool.Hall == o.Self.Hall, o.Timing.BidInterval)
 		n.pools[pool.Name] = ps
 		n.poolList = append(n.poolList, ps)
 	}
@@ -97,8 +97,8 @@
 		n.handleRefused(now, e)
 	case e.Returned != nil:
 		n.handleReturned(now, e.Returned)
-	case e.Redeclare != nil:
-		n.handleRedeclare(now, e)
+	case e.TicketReport != nil:
+		n.handleTicketReport(now, e)
 	case e.Release != nil:
 		n.handleRelease(now, e)
 	case e.Bid != nil:
@@ -108,7 +108,7 @@
 	case e.PermitDone != nil:
 		n.ledger.ReturnPermit(now, e.PermitDone.ID, e.PermitDone.Used)
 	case e.RecordsRequest != nil:
-		n.handleWantRecords(now, e)
+		n.handleRecordsRequest(now, e)
 	case e.Records != nil:
 		n.applyRecords(now, *e.Records)
 	case e.Digest != nil:
@@ -134,7 +134,7 @@
 	n.sendHeartbeats(now)
 	n.sendDigests(now)
 	n.tickBudget(now)
-	n.tickReconfirm(now)
+	n.tickTicketReports(now)
 	n.tickSweep(now)
 	n.sendAnswers(now)
 	n.updateWatch()
--- a/services/daemon/node/node_test.go
+++ b/services/daemon/node/node_test.go
@@ -48,24 +48,24 @@
 }
 
 // solePlacer returns a node that is its hall's only instance and has begun to take its pool over.
-func solePlacer(t *testing.T) (*node.Node, time.Time, node.Take) {
+func solePlacer(t *testing.T) (*node.Node, time.Time, node.TakeOverEndpoint) {
 	n := newNode()
 	now := begin.Add(2 * time.Second)
-	takes := effectsOf[node.Take](n.Tick(now))
-	require.Len(t, takes, 2)
-	return n, now, takes[0]
+	orders := effectsOf[node.TakeOverEndpoint](n.Tick(now))
+	require.Len(t, orders, 2)
+	return n, now, orders[0]
 }
 
 // peerHeartbeat returns a heartbeat of the hall's other instance, i2, in its first run.
 func peerHeartbeat(held ...fleet.HeldPool) fleet.Envelope {
-	return fleet.Envelope{From: "i2", Boot: 1, Heartbeat: &fleet.Heartbeat{Instance: instance("i2", 2), Stamp: 1, Held: held}}
+	return fleet.Envelope{From: "i2", Boot: 1, Heartbeat: &fleet.Heartbeat{Instance: instance("i2", 2), Stamp: 1, HeldPools: held}}
 }
 
-func TestNodeTakesNoPoolOverBeforeSettleTime(t *testing.T) {
+func TestNodeTakesNoPoolOverBeforeTakeoverDelay(t *testing.T) {
 	n := newNode()
-	require.Empty(t, effectsOf[node.Take](n.Tick(begin.Add(time.Second))))
+	require.Empty(t, effectsOf[node.TakeOverEndpoint](n.Tick(begin.Add(time.Second))))
 	n.Handle(begin.Add(1200*time.Millisecond), peerHeartbeat(fleet.HeldPool{Pool: "h1/base", Term: 9}))
-	require.Empty(t, effectsOf[node.Take](n.Tick(begin.Add(2*time.Second))), "another instance holds the pool")
+	require.Empty(t, effectsOf[node.TakeOverEndpoint](n.Tick(begin.Add(2*time.Second))), "another instance holds the pool")
 }
 
 func TestPlacerWithLowerTermReleasesPool(t *testing.T) {
@@ -143,7 +143,7 @@
 	asked := effectsOf[node.AcquireOwner](n.Tick(now))
 	require.Len(t, asked, 1)
 	owned := func(at time.Time, lease uint64, formers ...node.FormerOwner) bool {
-		effects := n.Owned(at, node.OwnerResult{Pool: "h1/base", Term: asked[0].Term, OK: true, Lease: lease, SentAt: at, FormerOwners: formers})
+		effects := n.HandleOwnerResult(at, node.OwnerResult{Pool: "h1/base", Term: asked[0].Term, OK: true, Lease: lease, SentAt: at, FormerOwners: formers})
 		for _, note := range effectsOf[node.RecordEvent](effects) {
 			if note.Event.Kind == fleet.EventFreeze && note.Event.Endpoint == "e2" {
 				return false
@@ -152,6 +152,6 @@
 		return true
 	}
 	require.True(t, owned(now, 1, node.FormerOwner{ID: "i2", Boot: 1}), "the run that handed the pool over no longer grants")
-	n.Renewed(now.Add(20*time.Second), node.LeaseResult{Expired: true, Lease: 1})
+	n.HandleLeaseResult(now.Add(20*time.Second), node.LeaseResult{Expired: true, Lease: 1})
 	require.False(t, owned(now.Add(21*time.Second), 2, node.FormerOwner{ID: "i2", Boot: 2}), "a later run owned the pool in between and may still grant")
 }
--- a/services/daemon/node/options.go
+++ b/services/daemon/node/options.go
@@ -34,28 +34,28 @@
 type Timing struct {
 	// Resubmit is the time after which an unanswered ticket request is submitted again.
 	Resubmit time.Duration
-	// NoPlacer is the maximum time that a request waits for a pool without a placer.
-	NoPlacer time.Duration
+	// MaxPlacerWait is the maximum time that a request waits for a pool without a placer.
+	MaxPlacerWait time.Duration
 	// GrantAge is the maximum age, by the entry's own clock, of a grant that the entry accepts.
 	GrantAge time.Duration
-	// Reconfirm is the interval at which an entry sends placers the full list of its tickets in use.
-	Reconfirm time.Duration
-	// Inspect is the interval between two inspections of an endpoint.
-	Inspect time.Duration
-	// TakeRetry is the time after which an unanswered takeover order to an endpoint is repeated.
-	TakeRetry time.Duration
-	// Digest is the interval between two digests to another hall.
-	Digest time.Duration
-	// FullSummary is the interval between two digests with full pool summaries.
-	FullSummary time.Duration
+	// TicketReportInterval is the interval at which an entry sends placers the full list of its tickets in use.
+	TicketReportInterval time.Duration
+	// InspectionInterval is the interval between two inspections of an endpoint.
+	InspectionInterval time.Duration
+	// TakeoverRetry is the time after which an unanswered takeover order to an endpoint is repeated.
+	TakeoverRetry time.Duration
+	// DigestInterval is the interval between two digests to another hall.
+	DigestInterval time.Duration
+	// FullSummaryInterval is the interval between two digests with full pool summaries.
+	FullSummaryInterval time.Duration
 	// HallSilence is the time without a digest after which another hall counts as cut off.
 	HallSilence time.Duration
 	// LeaseTTL, LeaseMargin and LeaseRenew limit the time during which orders may be sent to endpoints that check no fences.
 	LeaseTTL    time.Duration
 	LeaseMargin time.Duration
 	LeaseRenew  time.Duration
-	// Bid is the interval between two bids of a pool for load permits.
-	Bid time.Duration
+	// BidInterval is the interval between two bids of a pool for load permits.
+	BidInterval time.Duration
 	// PermitLife is the time after which a permit that was not returned expires.
 	PermitLife time.Duration
 	// RecoveryDelay is the time over which the first bids after takeovers are spread; zero disables it.
@@ -67,24 +67,24 @@
 	// defaultResubmit: a longer time leaves a request idle longer after a lost message; a shorter one repeats submissions whose answers
 	// are only late.
 	defaultResubmit = time.Second
-	// defaultNoPlacer: a longer time lets a request survive the takeover of a pool (1.2 s median after the loss of an instance in a hall
+	// defaultMaxPlacerWait: a longer time lets a request survive the takeover of a pool (1.2 s median after the loss of an instance in a hall
 	// of 3, docs/capacity-shelfledged.md); a shorter one refuses the request sooner.
-	defaultNoPlacer = 5 * time.Second
+	defaultMaxPlacerWait = 5 * time.Second
 	// defaultGrantAge: a longer time accepts grants that arrive later; a shorter one lets a successor unload sooner (docs/design/0002,
 	// endpoints that check no fences, 3).
 	defaultGrantAge = 3 * time.Second
-	// defaultReconfirm: a longer interval sends less; a shorter one frees a slot sooner after a ticket's return was lost.
-	defaultReconfirm = 2 * time.Second
-	// defaultInspect: a longer interval puts less load on an endpoint; a shorter one detects its restart and the state of its slots sooner.
-	defaultInspect = 500 * time.Millisecond
-	// defaultTakeRetry: a longer time leaves an endpoint without a placer longer after a lost order; a shorter one sends more orders to
+	// defaultTicketReportInterval: a longer interval sends less; a shorter one frees a slot sooner after a ticket's return was lost.
+	defaultTicketReportInterval = 2 * time.Second
+	// defaultInspectionInterval: a longer interval puts less load on an endpoint; a shorter one detects its restart and the state of its slots sooner.
+	defaultInspectionInterval = 500 * time.Millisecond
+	// defaultTakeoverRetry: a longer time leaves an endpoint without a placer longer after a lost order; a shorter one sends more orders to
 	// an endpoint that is slow to answer.
-	defaultTakeRetry = time.Second
-	// defaultDigest: a longer interval sends less; a shorter one shows other halls the slots sooner. The bytes sent at this value are in
+	defaultTakeoverRetry = time.Second
+	// defaultDigestInterval: a longer interval sends less; a shorter one shows other halls the slots sooner. The bytes sent at this value are in
 	// docs/capacity-shelfledged.md, slopes (speaker, member).
-	defaultDigest = 250 * time.Millisecond
-	// defaultFullSummary: a longer interval sends less; a shorter one corrects sooner lost changes whose loss the receiver did not detect.
-	defaultFullSummary = 30 * time.Second
+	defaultDigestInterval = 250 * time.Millisecond
+	// defaultFullSummaryInterval: a longer interval sends less; a shorter one corrects sooner lost changes whose loss the receiver did not detect.
+	defaultFullSummaryInterval = 30 * time.Second
 	// defaultHallSilence: a longer time keeps sending requests to a hall that is cut off; a shorter one marks a reachable hall as cut off
 	// after a few lost digests. Digests without changes are one second apart.
 	defaultHallSilence = 3 * time.Second
@@ -97,8 +97,8 @@
 	// defaultLeaseRenew: a longer interval writes less (1.2 writes a second with 6 daemons and 3 pools with endpoints that check no fences,
 	// docs/capacity-shelfledged.md); a shorter one survives more lost renewals.
 	defaultLeaseRenew = 3 * time.Second
-	// defaultBid: a longer interval compares the pools' demands less often; a shorter one starts a load sooner.
-	defaultBid = 20 * time.Millisecond
+	// defaultBidInterval: a longer interval compares the pools' demands less often; a shorter one starts a load sooner.
+	defaultBidInterval = 20 * time.Millisecond
 	// defaultPermitLife: a longer time keeps a place at the weight store occupied longer after a lost message; a shorter one reuses the
 	// place while a load still runs. It must exceed the load's timeout.
 	defaultPermitLife = 45 * time.Second
@@ -107,10 +107,10 @@
 // DefaultTiming returns the timings that apply where the settings file sets none.
 func DefaultTiming() Timing {
 	return Timing{
-		Resubmit: defaultResubmit, NoPlacer: defaultNoPlacer, GrantAge: defaultGrantAge, Reconfirm: defaultReconfirm,
-		Inspect: defaultInspect, TakeRetry: defaultTakeRetry, Digest: defaultDigest, FullSummary: defaultFullSummary,
+		Resubmit: defaultResubmit, MaxPlacerWait: defaultMaxPlacerWait, GrantAge: defaultGrantAge, TicketReportInterval: defaultTicketReportInterval,
+		InspectionInterval: defaultInspectionInterval, TakeoverRetry: defaultTakeoverRetry, DigestInterval: defaultDigestInterval, FullSummaryInterval: defaultFullSummaryInterval,
 		HallSilence: defaultHallSilence, LeaseTTL: defaultLeaseTTL, LeaseMargin: defaultLeaseMargin, LeaseRenew: defaultLeaseRenew,
-		Bid: defaultBid, PermitLife: defaultPermitLife,
+		BidInterval: defaultBidInterval, PermitLife: defaultPermitLife,
 	}
 }
 
--- a/services/daemon/node/ownership.go
+++ b/services/daemon/node/ownership.go
@@ -19,14 +19,14 @@
 func (n *Node) evaluate(now time.Time, ps *poolState) {
 	situation := ownership.Situation{
 		Pool: ps.pool.Name, OwnClaim: ownership.Claim{Instance: n.options.Self.ID, Term: ps.term}, IsPlacer: ps.isPlacer,
-		Leaving: n.leaving, Settling: now.Sub(n.started) < n.options.Membership.Settle,
+		Leaving: n.leaving, StartingUp: now.Sub(n.started) < n.options.Membership.TakeoverDelay,
 		Candidates: func() []string { return n.members.Candidates(n.leaving) },
 	}
 	situation.Announced, situation.HasAnnounced = n.announced(ps)
 	announced := n.members.Member(situation.Announced.Instance)
 	switch ownership.Decide(situation) {
 	case ownership.Keep:
-		n.sendTakeOrders(now, ps)
+		n.sendTakeoverOrders(now, ps)
 	case ownership.StepDown:
 		n.stepDown(now, ps, announced.Instance, "another instance holds the pool under a higher term")
 	case ownership.Follow:
@@ -50,7 +50,7 @@
 
 // heldTerm returns the term under which a member announces the pool, or zero.
 func heldTerm(m *membership.Member, pool string) uint64 {
-	for _, h := range m.Held {
+	for _, h := range m.HeldPools {
 		if h.Pool == pool {
 			return h.Term
 		}
@@ -60,7 +60,7 @@
 
 // handleHeldPools processes the pools and terms that a member announces.
 func (n *Node) handleHeldPools(now time.Time, m *membership.Member) {
-	for _, h := range m.Held {
+	for _, h := range m.HeldPools {
 		if ps := n.pools[h.Pool]; ps != nil {
 			ps.maxTerm = max(ps.maxTerm, h.Term)
 			if ps.inOwnHall {
@@ -70,7 +70,7 @@
 	}
 }
 
-// setPlacer stores a pool's new placer, declares the tickets in use to it and resubmits the waiting requests.
+// setPlacer stores a pool's new placer, reports the tickets in use to it and resubmits the waiting requests.
 func (n *Node) setPlacer(now time.Time, ps *poolState, m *membership.Member) {
 	id := ""
 	if m != nil {
@@ -83,7 +83,7 @@
 	if id == "" {
 		return
 	}
-	n.declareUses(ps, m.Instance)
+	n.reportTicketsInUse(ps, m.Instance)
 	n.resubmitPool(now, ps)
 }
 
@@ -93,7 +93,7 @@
 	ps.maxTerm = ownership.NextTerm(ps.maxTerm, n.options.Boot)
 	ps.term = ps.maxTerm
 	ps.placerID = n.options.Self.ID
-	ps.takeover = ownership.NewTakeover(now, ps.pool.Endpoints, n.options.Timing.TakeRetry, n.options.Timing.Inspect)
+	ps.takeover = ownership.NewTakeover(now, ps.pool.Endpoints, n.options.Timing.TakeoverRetry, n.options.Timing.InspectionInterval)
 	ps.handedOverUses = handedOverUses
 	if handedOverUses == nil {
 		ps.handedOverBy = FormerOwner{}
@@ -116,24 +116,24 @@
 		ps.placer.AllowOrders(e.Name, time.Time{})
 	}
 	n.lease.RemovePool(ps.pool.Name)
-	n.sendTakeOrders(now, ps)
+	n.sendTakeoverOrders(now, ps)
 	n.heartbeatAll(now)
 	n.resubmitPool(now, ps)
 }
 
-// sendTakeOrders sends takeover orders to the endpoints that have not answered, and stops holding requests back after
+// sendTakeoverOrders sends takeover orders to the endpoints that have not answered, and stops holding requests back after
 // ownership.MaxRequestHold.
-func (n *Node) sendTakeOrders(now time.Time, ps *poolState) {
-	for _, e := range ps.takeover.TakeOrdersDue(now) {
-		n.emit(Take{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
+func (n *Node) sendTakeoverOrders(now time.Time, ps *poolState) {
+	for _, e := range ps.takeover.OrdersDue(now) {
+		n.emit(TakeOverEndpoint{Pool: ps.pool.Name, Term: ps.term, Endpoint: e})
 	}
 	if ps.takeover.Age(now) > ownership.MaxRequestHold {
 		n.flushWaiting(now, ps)
 	}
 }
 
-// TakeResult is an endpoint's answer to a takeover.
-type TakeResult struct {
+// TakeoverResult is an endpoint's answer to a takeover.
+type TakeoverResult struct {
 	Pool       string
 	Term       uint64
 	OK         bool
@@ -142,10 +142,10 @@
 	Inspection placement.Inspection
 }
 
-// Taken processes an endpoint's answer to a takeover order.
-func (n *Node) Taken(now time.Time, r TakeResult) []Effect {
+// HandleTakeoverResult processes an endpoint's answer to a takeover order.
+func (n *Node) HandleTakeoverResult(now time.Time, r TakeoverResult) []Effect {
 	ps := n.pools[r.Pool]
-	if ps == nil || !ps.isPlacer || ps.term != r.Term || ps.takeover.Adopted(r.Inspection.Endpoint) {
+	if ps == nil || !ps.isPlacer || ps.term != r.Term || ps.takeover.IsTakenOver(r.Inspection.Endpoint) {
 		return nil
 	}
 	if !r.OK {
@@ -155,12 +155,12 @@
 		return n.takeEffects()
 	}
 	endpoint := r.Inspection.Endpoint
-	ps.takeover.Adopt(now, endpoint)
+	ps.takeover.MarkTakenOver(now, endpoint)
 	frozen := now
 	if ps.succession.Frozen() && n.isUnfenced(ps, endpoint) {
 		frozen = now.Add(lease.Forever)
 	}
-	n.applyPlacerEffects(now, ps, ps.placer.Adopt(now, r.Inspection, r.Fence, frozen))
+	n.applyPlacerEffects(now, ps, ps.placer.TakeOverEndpoint(now, r.Inspection, r.Fence, frozen))
 	for _, u := range ps.handedOverUses {
 		if u.Ticket.Endpoint == endpoint {
 			n.applyPlacerEffects(now, ps, ps.placer.RestoreTicket(now, u.Ticket, u.Request))
--- a/services/daemon/node/ownership/decide.go
+++ b/services/daemon/node/ownership/decide.go
@@ -61,8 +61,8 @@
 	HasAnnounced bool
 	// Leaving is true once the node's planned stop has begun.
 	Leaving bool
-	// Settling is true while the node may not yet have received heartbeats of all members after its start.
-	Settling bool
+	// StartingUp is true for membership.Options.TakeoverDelay after the node's start, while heartbeats of some members may be missing.
+	StartingUp bool
 	// Candidates returns the live instances that are not leaving. It is called only if
 	// no instance claims the pool, since it costs more than the other rules.
 	Candidates func() []string
@@ -77,7 +77,7 @@
 		}
 		return Keep
 	}
-	if s.HasAnnounced || s.Leaving || s.Settling {
+	if s.HasAnnounced || s.Leaving || s.StartingUp {
 		return Follow
 	}
 	if ring.Best(s.Pool, s.Candidates()) == s.OwnClaim.Instance {
--- a/services/daemon/node/ownership/decide_test.go
+++ b/services/daemon/node/ownership/decide_test.go
@@ -81,7 +81,7 @@
 		{"no claim, another candidate is better", ownership.Situation{OwnClaim: claim(other, 0), Candidates: all}, ownership.Follow},
 		{"no claim, the better candidate was lost", ownership.Situation{OwnClaim: claim(other, 0), Candidates: func() []string { return r[1:] }}, ownership.TakeOver},
 		{"no candidates", ownership.Situation{OwnClaim: claim(other, 0), Candidates: func() []string { return nil }}, ownership.Follow},
-		{"settling after the start", ownership.Situation{OwnClaim: claim(best, 0), Settling: true, Candidates: costly}, ownership.Follow},
+		{"starting up", ownership.Situation{OwnClaim: claim(best, 0), StartingUp: true, Candidates: costly}, ownership.Follow},
 		{"stopping", ownership.Situation{OwnClaim: claim(best, 0), Leaving: true, Candidates: costly}, ownership.Follow},
 		{"announced by a worse candidate", ownership.Situation{OwnClaim: claim(best, 0), Announced: claim(other, 1), HasAnnounced: true, Candidates: costly}, ownership.Follow},
 		{"held, no other claim", ownership.Situation{OwnClaim: claim(other, 3), IsPlacer: true, Candidates: costly}, ownership.Keep},
@@ -90,7 +90,7 @@
 		{"held, equal term, higher score", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Announced: claim(other, 3), HasAnnounced: true, Candidates: costly}, ownership.Keep},
 		{"held, higher term", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Announced: claim(other, 4), HasAnnounced: true, Candidates: costly}, ownership.StepDown},
 		{"held while stopping", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Leaving: true, Candidates: costly}, ownership.Keep},
-		{"held while settling, after a handover", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, Settling: true, Candidates: costly}, ownership.Keep},
+		{"held while starting up, after a handover", ownership.Situation{OwnClaim: claim(best, 3), IsPlacer: true, StartingUp: true, Candidates: costly}, ownership.Keep},
 	} {
 		row.s.Pool = pool
 		require.Equal(t, row.want, ownership.Decide(row.s), row.name)
--- a/services/daemon/node/ownership/takeover.go
+++ b/services/daemon/node/ownership/takeover.go
@@ -50,8 +50,8 @@
 	return now.Sub(t.began)
 }
 
-// TakeOrdersDue returns the endpoints to which to send takeover orders now, and counts the orders as sent.
-func (t *Takeover) TakeOrdersDue(now time.Time) []fleet.Endpoint {
+// OrdersDue returns the endpoints to which to send takeover orders now, and counts the orders as sent.
+func (t *Takeover) OrdersDue(now time.Time) []fleet.Endpoint {
 	var due []fleet.Endpoint
 	for _, e := range t.endpoints {
 		last := t.orderedAt[e.Name]
@@ -64,27 +64,27 @@
 	return due
 }
 
-// Adopted reports whether the endpoint has been taken over.
-func (t *Takeover) Adopted(endpoint string) bool {
+// IsTakenOver reports whether the endpoint has been taken over.
+func (t *Takeover) IsTakenOver(endpoint string) bool {
 	return t.takenOver[endpoint]
 }
 
-// Adopt marks an endpoint as taken over and, since the answer contained an inspection, as inspected.
-func (t *Takeover) Adopt(now time.Time, endpoint string) {
+// MarkTakenOver marks an endpoint as taken over and, since the answer contained an inspection, as inspected.
+func (t *Takeover) MarkTakenOver(now time.Time, endpoint string) {
 	t.takenOver[endpoint] = true
 	t.inspectedAt[endpoint] = now
 }
 
-// Retake makes a new takeover order to an endpoint due at once, after the endpoint has lost its fence by a restart.
-func (t *Takeover) Retake(endpoint string) {
+// RepeatOrder makes a new takeover order to an endpoint due at once, after the endpoint has lost its fence by a restart.
+func (t *Takeover) RepeatOrder(endpoint string) {
 	t.takenOver[endpoint] = false
 	t.orderedAt[endpoint] = time.Time{}
 }
 
-// LoseFence schedules a new takeover order to an endpoint that holds another instance's fence. Two
+// RecordFenceLoss schedules a new takeover order to an endpoint that holds another instance's fence. Two
 // instances that cannot reach each other may both consider themselves the pool's placer, so the
 // pause doubles with each loss.
-func (t *Takeover) LoseFence(now time.Time, endpoint string) {
+func (t *Takeover) RecordFenceLoss(now time.Time, endpoint string) {
 	if now.Sub(t.lastFenceLossAt) > fenceLossWindow {
 		t.fenceLosses = 0
 	}
@@ -119,7 +119,7 @@
 	return due
 }
 
-// Inspect counts an endpoint as inspected now.
-func (t *Takeover) Inspect(now time.Time, endpoint string) {
+// MarkInspected counts an endpoint as inspected now.
+func (t *Takeover) MarkInspected(now time.Time, endpoint string) {
 	t.inspectedAt[endpoint] = now
 }
--- a/services/daemon/node/ownership/takeover_test.go
+++ b/services/daemon/node/ownership/takeover_test.go
@@ -38,12 +38,12 @@
 
 func TestUnansweredTakeoverOrderIsRepeatedAfterRetryTime(t *testing.T) {
 	o := newTakeover()
-	require.Equal(t, []string{"e1", "e2"}, names(o.TakeOrdersDue(begin)))
-	require.Empty(t, o.TakeOrdersDue(after(retry-1)))
-	o.Adopt(after(retry-1), "e1")
-	require.Equal(t, []string{"e2"}, names(o.TakeOrdersDue(after(retry))))
-	require.Empty(t, o.TakeOrdersDue(after(retry)))
-	require.Equal(t, []string{"e2"}, names(o.TakeOrdersDue(after(2*retry))))
+	require.Equal(t, []string{"e1", "e2"}, names(o.OrdersDue(begin)))
+	require.Empty(t, o.OrdersDue(after(retry-1)))
+	o.MarkTakenOver(after(retry-1), "e1")
+	require.Equal(t, []string{"e2"}, names(o.OrdersDue(after(retry))))
+	require.Empty(t, o.OrdersDue(after(retry)))
+	require.Equal(t, []string{"e2"}, names(o.OrdersDue(after(2*retry))))
 }
 
 func TestRequestsAreHeldUntilAllEndpointsAnswerOrTimeout(t *testing.T) {
@@ -62,7 +62,7 @@
 	} {
 		o := newTakeover()
 		for _, e := range row.answered {
-			o.Adopt(begin, e)
+			o.MarkTakenOver(begin, e)
 		}
 		require.Equal(t, row.holds, o.HoldsRequests(after(row.at)), "%+v", row)
 	}
@@ -70,52 +70,52 @@
 
 func TestRestartedEndpointIsTakenOverAgainWithoutHoldingRequests(t *testing.T) {
 	o := newTakeover()
-	o.TakeOrdersDue(begin)
-	o.Adopt(begin, "e1")
-	o.Adopt(begin, "e2")
-	o.Retake("e1")
-	require.False(t, o.Adopted("e1"))
+	o.OrdersDue(begin)
+	o.MarkTakenOver(begin, "e1")
+	o.MarkTakenOver(begin, "e2")
+	o.RepeatOrder("e1")
+	require.False(t, o.IsTakenOver("e1"))
 	require.False(t, o.HoldsRequests(after(time.Millisecond)), "all endpoints have answered once; requests go to the other endpoint meanwhile")
-	require.Equal(t, []string{"e1"}, names(o.TakeOrdersDue(after(time.Millisecond))))
-	require.Empty(t, o.TakeOrdersDue(after(2*time.Millisecond)))
+	require.Equal(t, []string{"e1"}, names(o.OrdersDue(after(time.Millisecond))))
+	require.Empty(t, o.OrdersDue(after(2*time.Millisecond)))
 }
 
 func TestPauseAfterFenceLossDoublesUpToLimit(t *testing.T) {
 	o := newTakeover()
-	o.TakeOrdersDue(begin)
+	o.OrdersDue(begin)
 	now := begin
 	for losses, pause := range []time.Duration{retry, 3 * retry, 7 * retry, 15 * retry, 31 * retry, 31 * retry} {
-		o.Adopt(now, "e1")
-		o.Adopt(now, "e2")
-		o.LoseFence(now, "e1")
-		require.Empty(t, o.TakeOrdersDue(now.Add(pause-1)), "loss %d", losses+1)
+		o.MarkTakenOver(now, "e1")
+		o.MarkTakenOver(now, "e2")
+		o.RecordFenceLoss(now, "e1")
+		require.Empty(t, o.OrdersDue(now.Add(pause-1)), "loss %d", losses+1)
 		now = now.Add(pause)
-		require.Equal(t, []string{"e1"}, names(o.TakeOrdersDue(now)), "loss %d", losses+1)
+		require.Equal(t, []string{"e1"}, names(o.OrdersDue(now)), "loss %d", losses+1)
 	}
 }
 
 func TestFenceLossesAreResetAfterMinute(t *testing.T) {
 	for _, row := range []struct{ quiet, pause time.Duration }{{time.Minute, 3 * retry}, {time.Minute + 1, retry}} {
 		o := newTakeover()
-		o.LoseFence(begin, "e1")
+		o.RecordFenceLoss(begin, "e1")
 		at := after(row.quiet)
-		o.TakeOrdersDue(at)
-		o.LoseFence(at, "e1")
-		require.NotContains(t, names(o.TakeOrdersDue(at.Add(row.pause-1))), "e1", "%+v", row)
-		require.Contains(t, names(o.TakeOrdersDue(at.Add(row.pause))), "e1", "%+v", row)
+		o.OrdersDue(at)
+		o.RecordFenceLoss(at, "e1")
+		require.NotContains(t, names(o.OrdersDue(at.Add(row.pause-1))), "e1", "%+v", row)
+		require.Contains(t, names(o.OrdersDue(at.Add(row.pause))), "e1", "%+v", row)
 	}
 }
 
-func TestOnlyTakenEndpointsAreInspectedEachInterval(t *testing.T) {
+func TestOnlyTakenOverEndpointsAreInspectedEachInterval(t *testing.T) {
 	o := newTakeover()
-	o.TakeOrdersDue(begin)
-	o.Adopt(begin, "e1")
+	o.OrdersDue(begin)
+	o.MarkTakenOver(begin, "e1")
 	require.Empty(t, o.InspectionsDue(after(inspect-1)), "the answer to the takeover contained an inspection")
 	require.Equal(t, []string{"e1"}, names(o.InspectionsDue(after(inspect))))
 	require.Empty(t, o.InspectionsDue(after(inspect)), "the next inspection makes up for a lost one")
 	require.Equal(t, []string{"e1"}, names(o.InspectionsDue(after(2*inspect))))
-	o.Inspect(after(2*inspect+inspect/2), "e1")
+	o.MarkInspected(after(2*inspect+inspect/2), "e1")
 	require.Empty(t, o.InspectionsDue(after(3*inspect)), "an additional inspection postpones the next one")
-	o.LoseFence(after(3*inspect), "e1")
+	o.RecordFenceLoss(after(3*inspect), "e1")
 	require.Empty(t, o.InspectionsDue(after(time.Hour)))
 }
--- a/services/daemon/node/placer.go
+++ b/services/daemon/node/placer.go
@@ -77,13 +77,13 @@
 	}
 }
 
-// handleRedeclare processes an entry's full list of its tickets in use of the pool.
-func (n *Node) handleRedeclare(now time.Time, e fleet.Envelope) {
-	ps := n.pools[e.Redeclare.Pool]
+// handleTicketReport processes an entry's full list of its tickets in use of a pool.
+func (n *Node) handleTicketReport(now time.Time, e fleet.Envelope) {
+	ps := n.pools[e.TicketReport.Pool]
 	if ps == nil || !ps.isPlacer {
 		return
 	}
-	n.applyPlacerEffects(now, ps, ps.placer.Reconfirm(now, e.From, e.Redeclare.Uses, n.grantLossAge()))
+	n.applyPlacerEffects(now, ps, ps.placer.ReconcileTickets(now, e.From, e.TicketReport.Uses, n.grantLossAge()))
 }
 
 // applyPlacerEffects carries out a placer's effects.
@@ -95,13 +95,13 @@
 		case placement.Refuse:
 			n.sendRefusal(now, ps, e)
 		case placement.Load:
-			n.emit(Order{Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint), Load: e})
-		case placement.Inspect:
-			ps.takeover.Inspect(now, e.Endpoint)
-			n.emit(Inspect{Pool: ps.pool.Name, Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint)})
-		case placement.Retake:
-			ps.takeover.Retake(e.Endpoint)
-			n.sendTakeOrders(now, ps)
+			n.emit(OrderLoad{Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint), Load: e})
+		case placement.InspectEndpoint:
+			ps.takeover.MarkInspected(now, e.Endpoint)
+			n.emit(InspectEndpoint{Pool: ps.pool.Name, Term: ps.term, Endpoint: n.endpointOf(ps, e.Endpoint)})
+		case placement.RepeatTakeover:
+			ps.takeover.RepeatOrder(e.Endpoint)
+			n.sendTakeoverOrders(now, ps)
 		case placement.RecordEvent:
 			event := e.Event
 			n.recordEvent(now, event)
@@ -144,25 +144,25 @@
 }
 
 func (n *Node) sendRefusal(now time.Time, ps *poolState, r placement.Refuse) {
-	elsewhere := r.Refusal.Reason == fleet.ReasonNoPlacer
+	notPlacer := r.Refusal.Reason == fleet.ReasonNoPlacer
 	if r.Request.Entry == n.options.Self.ID {
-		n.refuseLocally(now, r, elsewhere)
+		n.refuseLocally(now, r, notPlacer)
 		return
 	}
 	p := n.entries[r.Request.Entry]
 	if p == nil {
 		return
 	}
-	n.send(p.instance, fleet.Envelope{Refused: &fleet.Refused{Pool: ps.pool.Name, Refusal: r.Refusal, NotPlacer: elsewhere, Attempt: r.Request.Attempt}})
+	n.send(p.instance, fleet.Envelope{Refused: &fleet.Refused{Pool: ps.pool.Name, Refusal: r.Refusal, NotPlacer: notPlacer, Attempt: r.Request.Attempt}})
 }
 
-func (n *Node) refuseLocally(now time.Time, r placement.Refuse, elsewhere bool) {
+func (n *Node) refuseLocally(now time.Time, r placement.Refuse, notPlacer bool) {
 	p, ok := n.pending.FindAttempt(r.Request.ID, r.Request.Attempt)
 	if !ok {
 		return
 	}
-	if elsewhere {
-		p.Elsewhere(now)
+	if notPlacer {
+		p.RecordWrongPlacer(now)
 		return
 	}
 	n.pending.Remove(r.Request.ID)
--- a/services/daemon/node/placer_test.go
+++ b/services/daemon/node/placer_test.go
@@ -13,7 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-func TestNodeThatIsNotThePlacerRefersSubmissionsElsewhere(t *testing.T) {
+func TestNodeRefusesSubmissionsForPoolOfAnotherPlacer(t *testing.T) {
 	n := newNode()
 	n.Handle(begin, peerHeartbeat(heldByPeer))
 	submit := fleet.Envelope{From: "i2", Boot: 1, Submit: &fleet.Submit{
--- a/services/daemon/node/pool.go
+++ b/services/daemon/node/pool.go
@@ -38,7 +38,7 @@
 	takeover  *ownership.Takeover
 	// heldRequests are the requests that arrived before the endpoints answered the takeover.
 	heldRequests []fleet.Envelope
-	// handedOverUses are the tickets that a former placer handed over; handedOverBy identifies that placer's run.
+	// handedOverUses are the tickets that the previous placer handed over; handedOverBy identifies that placer's run.
 	handedOverUses []fleet.TicketUse
 	handedOverBy   FormerOwner
 	succession     lease.Succession
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -134,9 +134,9 @@
 	n.send(to, envelope)
 }
 
-// waitForPlacer rejects a request whose pool has had no placer for Timing.NoPlacer; until then the request waits.
+// waitForPlacer rejects a request whose pool has had no placer for Timing.MaxPlacerWait; until then the request waits.
 func (n *Node) waitForPlacer(now time.Time, p *waiting.Request) {
-	if !p.NoPlacer(now, n.options.Timing.NoPlacer) {
+	if !p.RecordNoPlacer(now, n.options.Timing.MaxPlacerWait) {
 		return
 	}
 	n.pending.Remove(p.Request.ID)
@@ -186,7 +186,7 @@
 	}
 	r := n.remoteHalls[ps.pool.Hall]
 	_, ok := r.Placer(ps.pool.Name)
-	return ok && !r.Cut()
+	return ok && !r.CutOff()
 }
 
 // resubmitPool submits all requests that wait for a pool to its new placer.
@@ -247,31 +247,31 @@
 		return
 	}
 	if e.Refused.NotPlacer {
-		p.Elsewhere(now)
+		p.RecordWrongPlacer(now)
 		return
 	}
 	n.pending.Remove(p.Request.ID)
 	n.emit(Reject{RequestID: p.Request.ID, Refusal: e.Refused.Refusal})
 }
 
-func (n *Node) declareUses(ps *poolState, to fleet.Instance) {
-	n.send(to, fleet.Envelope{Redeclare: &fleet.Redeclare{Pool: ps.pool.Name, Uses: n.ticketUses.OfPool(ps.pool.Name)}})
+func (n *Node) reportTicketsInUse(ps *poolState, to fleet.Instance) {
+	n.send(to, fleet.Envelope{TicketReport: &fleet.TicketReport{Pool: ps.pool.Name, Uses: n.ticketUses.OfPool(ps.pool.Name)}})
 }
 
-// tickReconfirm sends the placers the tickets in use each Timing.Reconfirm, so that tickets whose return was lost are freed.
-func (n *Node) tickReconfirm(now time.Time) {
-	if now.Sub(n.reconfirmedAt) < n.options.Timing.Reconfirm {
+// tickTicketReports sends the placers the tickets in use each Timing.TicketReportInterval, so that tickets whose return was lost are freed.
+func (n *Node) tickTicketReports(now time.Time) {
+	if now.Sub(n.ticketsReportedAt) < n.options.Timing.TicketReportInterval {
 		return
 	}
-	n.reconfirmedAt = now
+	n.ticketsReportedAt = now
 	for _, ps := range n.poolList {
 		if ps.isPlacer {
-			n.applyPlacerEffects(now, ps, ps.placer.Reconfirm(now, n.options.Self.ID, n.ticketUses.OfPool(ps.pool.Name), n.grantLossAge()))
+			n.applyPlacerEffects(now, ps, ps.placer.ReconcileTickets(now, n.options.Self.ID, n.ticketUses.OfPool(ps.pool.Name), n.grantLossAge()))
 			continue
 		}
 		to, ok := n.placerOf(ps)
 		if ok && ps.ticketRequested {
-			n.declareUses(ps, to)
+			n.reportTicketsInUse(ps, to)
 		}
 	}
 }
--- a/services/daemon/node/view.go
+++ b/services/daemon/node/view.go
@@ -17,7 +17,7 @@
 	Hall     string
 	Revision int64
 	Age      time.Duration
-	Cut      bool
+	CutOff   bool
 	Speaker  fleet.Instance
 }
 
@@ -31,7 +31,7 @@
 			continue
 		}
 		speaker, _ := r.Speaker()
-		out = append(out, HallView{Hall: name, Revision: r.Revision(), Age: r.Silence(now), Cut: r.Cut(), Speaker: speaker})
+		out = append(out, HallView{Hall: name, Revision: r.Revision(), Age: r.Silence(now), CutOff: r.CutOff(), Speaker: speaker})
 	}
 	slices.SortFunc(out, func(a, b HallView) int {
 		if a.Hall < b.Hall {
@@ -65,7 +65,7 @@
 	for _, i := range n.members.Known()[1:] {
 		m := n.members.Member(i.ID)
 		v := InstanceView{Instance: i, Alive: m.Alive, Leaving: m.Leaving, Listed: m.Listed, Revision: m.Revision, Age: now.Sub(m.Received)}
-		for _, h := range m.Held {
+		for _, h := range m.HeldPools {
 			v.Pools = append(v.Pools, h.Pool)
 		}
 		out = append(out, v)
--- a/services/daemon/node/view_test.go
+++ b/services/daemon/node/view_test.go
@@ -27,7 +27,7 @@
 	halls := n.Halls(begin)
 	require.Len(t, halls, 2)
 	require.Equal(t, node.HallView{Hall: "h1", Speaker: instance("i1", 1)}, halls[0])
-	require.Equal(t, node.HallView{Hall: "h2", Cut: true}, halls[1], "no digest received yet")
+	require.Equal(t, node.HallView{Hall: "h2", CutOff: true}, halls[1], "no digest received yet")
 
 	at := begin.Add(time.Second)
 	n.Handle(at, digestOfH2(4))
@@ -39,7 +39,7 @@
 		now := at.Add(row.after)
 		n.Tick(now)
 		require.Equal(t, node.HallView{
-			Hall: "h2", Revision: 4, Age: row.after, Cut: row.cut, Speaker: fleet.Instance{ID: "j1", Hall: "h2"},
+			Hall: "h2", Revision: 4, Age: row.after, CutOff: row.cut, Speaker: fleet.Instance{ID: "j1", Hall: "h2"},
 		}, n.Halls(now)[1])
 	}
 	here, highest := n.Revision()
@@ -88,15 +88,15 @@
 	require.EqualValues(t, 5, pools[0].Term, "the boot number, since there is no earlier term")
 	require.Len(t, pools[0].Endpoints, 2)
 	require.False(t, pools[0].Endpoints[0].Up, "not taken over yet")
-	result := node.TakeResult{
+	result := node.TakeoverResult{
 		Pool: "h1/base", Term: 5, OK: true, Fence: 1 << 16,
 		Inspection: placement.Inspection{Endpoint: take.Endpoint.Name, Incarnation: "e1-1", StartedAt: now, Up: true},
 	}
-	n.Taken(now, result)
+	n.HandleTakeoverResult(now, result)
 	require.True(t, n.Pools(now)[0].Endpoints[0].Up)
-	require.Empty(t, n.Taken(now, result), "a repeated answer has no effect")
+	require.Empty(t, n.HandleTakeoverResult(now, result), "a repeated answer has no effect")
 	result.Term = 4
-	require.Empty(t, n.Taken(now, result), "a late answer of an earlier term has no effect")
+	require.Empty(t, n.HandleTakeoverResult(now, result), "a late answer of an earlier term has no effect")
 	n.Handle(now, peerHeartbeat(heldByPeer))
 	require.Empty(t, n.Pools(now))
 }
--- a/services/daemon/node/waiting/request.go
+++ b/services/daemon/node/waiting/request.go
@@ -39,17 +39,17 @@
 	r.Placer = placer
 }
 
-// NoPlacer records that the pool has no placer now. It reports whether that has been the case for at least limit.
-func (r *Request) NoPlacer(now time.Time, limit time.Duration) bool {
+// RecordNoPlacer records that the pool has no placer now. It reports whether that has been the case for at least limit.
+func (r *Request) RecordNoPlacer(now time.Time, limit time.Duration) bool {
 	if r.noPlacerSince.IsZero() {
 		r.noPlacerSince = now
 	}
 	return now.Sub(r.noPlacerSince) >= limit
 }
 
-// Elsewhere schedules the next submission after wrongPlacerDelay, because the instance it was
+// RecordWrongPlacer schedules the next submission after wrongPlacerDelay, because the instance it was
 // sent to is not the pool's placer.
-func (r *Request) Elsewhere(now time.Time) {
+func (r *Request) RecordWrongPlacer(now time.Time) {
 	r.submitAt = now.Add(wrongPlacerDelay)
 }
 
--- a/services/daemon/node/waiting/waiting_test.go
+++ b/services/daemon/node/waiting/waiting_test.go
@@ -55,7 +55,7 @@
 	require.False(t, r.SubmitDue(after(retry-1)))
 	require.True(t, r.SubmitDue(after(retry)), "the submission or its answer may have been lost")
 	r.MarkSubmitted(begin, retry)
-	r.Elsewhere(begin)
+	r.RecordWrongPlacer(begin)
 	require.False(t, r.SubmitDue(after(50*time.Millisecond-1)))
 	require.True(t, r.SubmitDue(after(50*time.Millisecond)), "the placer has changed")
 	r.MarkSubmitted(begin, retry)
@@ -66,13 +66,13 @@
 func TestTimeoutOfPoolWithoutPlacer(t *testing.T) {
 	const timeout = 5 * time.Second
 	r := request("q", 0)
-	require.False(t, r.NoPlacer(begin, timeout))
-	require.False(t, r.NoPlacer(after(timeout-1), timeout))
-	require.True(t, r.NoPlacer(after(timeout), timeout))
+	require.False(t, r.RecordNoPlacer(begin, timeout))
+	require.False(t, r.RecordNoPlacer(after(timeout-1), timeout))
+	require.True(t, r.RecordNoPlacer(after(timeout), timeout))
 	r.SetPlacer(fleet.Instance{ID: "i2"})
 	require.Equal(t, "i2", r.Placer.ID)
-	require.False(t, r.NoPlacer(after(timeout), timeout), "the time restarts after a placer was known")
-	require.True(t, r.NoPlacer(after(2*timeout), timeout))
+	require.False(t, r.RecordNoPlacer(after(timeout), timeout), "the time restarts after a placer was known")
+	require.True(t, r.RecordNoPlacer(after(2*timeout), timeout))
 }
 
 func TestFindAttemptReturnsOnlyCurrentAttempt(t *testing.T) {
--- a/services/daemon/placement/bid.go
+++ b/services/daemon/placement/bid.go
@@ -18,8 +18,8 @@
 	Preload bool
 }
 
-// Bid returns the most valuable load of the pool, if any load is worth a permit.
-func (p *Placer) Bid(now time.Time) (Bid, bool) {
+// BestBid returns the most valuable load of the pool, if any load is worth a permit.
+func (p *Placer) BestBid(now time.Time) (Bid, bool) {
 	if p.bid.valid && now.Sub(p.bid.computedAt) < bidCacheTTL {
 		return p.bid.bid, p.bid.found
 	}
--- a/services/daemon/placement/effect.go
+++ b/services/daemon/placement/effect.go
@@ -36,14 +36,14 @@
 	NotAfter time.Time
 }
 
-// Inspect requests an inspection of an endpoint, after an order whose effect is not known.
-type Inspect struct {
+// InspectEndpoint requests an inspection of an endpoint, after an order whose effect is unknown.
+type InspectEndpoint struct {
 	Pool     string
 	Endpoint string
 }
 
-// Retake requests that an endpoint be acquired again under a new fence.
-type Retake struct {
+// RepeatTakeover requests that an endpoint be taken over again under a new fence.
+type RepeatTakeover struct {
 	Endpoint string
 }
 
@@ -52,19 +52,19 @@
 	Event fleet.Event
 }
 
-func (Grant) isEffect()       {}
-func (Refuse) isEffect()      {}
-func (Load) isEffect()        {}
-func (Inspect) isEffect()     {}
-func (Retake) isEffect()      {}
-func (RecordEvent) isEffect() {}
+func (Grant) isEffect()           {}
+func (Refuse) isEffect()          {}
+func (Load) isEffect()            {}
+func (InspectEndpoint) isEffect() {}
+func (RepeatTakeover) isEffect()  {}
+func (RecordEvent) isEffect()     {}
 
-// LoadResult is the result of an ordered load.
-type LoadResult string
+// LoadOutcome is the outcome of an ordered load.
+type LoadOutcome string
 
-// The results of a load.
+// The outcomes of a load.
 const (
-	LoadDone    LoadResult = "done"
-	LoadFailed  LoadResult = "failed"
-	LoadUnknown LoadResult = "unknown"
+	LoadDone    LoadOutcome = "done"
+	LoadFailed  LoadOutcome = "failed"
+	LoadUnknown LoadOutcome = "unknown"
 )
--- a/services/daemon/placement/endpoint_state.go
+++ b/services/daemon/placement/endpoint_state.go
@@ -48,7 +48,7 @@
 	ticketsByCustomer map[string]int
 	slots             map[fleet.AdapterRef]*slot
 	// ticketsByAdapter counts the tickets of each adapter. It is kept apart from the slots because
-	// a ticket may be declared before an inspection reports the slot.
+	// a ticket may be restored before an inspection reports the slot.
 	ticketsByAdapter map[fleet.AdapterRef]int
 	pendingLoads     int
 	// previousOrders holds the orders that were sent to an earlier incarnation of an endpoint without fences, with the time
@@ -63,7 +63,7 @@
 	// leaseWasHeld is true once the lease was held. Only from then on does every later placer
 	// wait for the grants of this one to end, so only from then on may this placer grant.
 	leaseWasHeld bool
-	// fenceLost is true from a refusal because of the fence until the endpoint is acquired again.
+	// fenceLost is true from a refusal because of the fence until the endpoint is taken over again.
 	fenceLost bool
 	// unansweredUnloads holds the adapters whose unload was ordered but not answered, with the time until which the order may
 	// still arrive. It is used only for endpoints without fences, which do not refuse old orders.
--- a/services/daemon/placement/inspection.go
+++ b/services/daemon/placement/inspection.go
@@ -22,8 +22,8 @@
 	Up      bool
 }
 
-// Adopt takes over an endpoint under a fence. Nothing is unloaded on it before frozenUntil.
-func (p *Placer) Adopt(now time.Time, in Inspection, fence uint64, frozenUntil time.Time) []Effect {
+// TakeOverEndpoint takes over an endpoint under a fence. Nothing is unloaded on it before frozenUntil.
+func (p *Placer) TakeOverEndpoint(now time.Time, in Inspection, fence uint64, frozenUntil time.Time) []Effect {
 	e := p.endpointByName[in.Endpoint]
 	if e == nil {
 		return nil
@@ -40,12 +40,12 @@
 	return p.applyInspection(now, in, true)
 }
 
-// Inspected updates the state of an endpoint from an inspection.
-func (p *Placer) Inspected(now time.Time, in Inspection) []Effect {
+// HandleInspection updates the state of an endpoint from an inspection.
+func (p *Placer) HandleInspection(now time.Time, in Inspection) []Effect {
 	return p.applyInspection(now, in, false)
 }
 
-func (p *Placer) applyInspection(now time.Time, in Inspection, adopting bool) []Effect {
+func (p *Placer) applyInspection(now time.Time, in Inspection, takingOver bool) []Effect {
 	e := p.endpointByName[in.Endpoint]
 	if e == nil {
 		return nil
@@ -64,7 +64,7 @@
 		if e.spec.ChecksFence {
 			// The restarted endpoint has lost the fence, so it would also accept orders of a previous placer.
 			e.fenceLost = true
-			p.effects = append(p.effects, Retake{Endpoint: e.spec.Name})
+			p.effects = append(p.effects, RepeatTakeover{Endpoint: e.spec.Name})
 			return p.takeEffects()
 		}
 	}
@@ -78,7 +78,7 @@
 		e.up = true
 		p.recordEvent(now, fleet.Event{Kind: fleet.EventEndpointUp, Endpoint: in.Endpoint})
 	}
-	p.reconcileSlots(now, e, in, adopting)
+	p.reconcileSlots(now, e, in, takingOver)
 	p.dispatchEndpoint(now, e)
 	return p.takeEffects()
 }
@@ -95,7 +95,7 @@
 }
 
 // reconcileSlots makes the slots match the endpoint's report, except for pending loads.
-func (p *Placer) reconcileSlots(now time.Time, e *endpointState, in Inspection, adopting bool) {
+func (p *Placer) reconcileSlots(now time.Time, e *endpointState, in Inspection, takingOver bool) {
 	pendingLoads := false
 	for ref, s := range e.slots {
 		listed := slices.Contains(in.Resident, ref)
@@ -122,7 +122,7 @@
 	for _, ref := range in.Resident {
 		p.addReportedSlot(now, in.StartedAt, e, ref)
 	}
-	p.markForeign(now, e, in, adopting)
+	p.markForeign(now, e, in, takingOver)
 	maps.DeleteFunc(e.unansweredUnloads, func(_ fleet.AdapterRef, until time.Time) bool { return !until.After(in.StartedAt) })
 	if !pendingLoads {
 		e.uncertain = false
@@ -144,7 +144,7 @@
 
 // markForeign protects adapters that run requests without a ticket of this placer, and
 // removes orphaned tickets whose requests have ended according to the endpoint.
-func (p *Placer) markForeign(now time.Time, e *endpointState, in Inspection, adopting bool) {
+func (p *Placer) markForeign(now time.Time, e *endpointState, in Inspection, takingOver bool) {
 	own := make(map[fleet.AdapterRef]bool)
 	for _, granted := range p.tickets {
 		t := granted.ticket
@@ -160,7 +160,7 @@
 	for ref, s := range e.slots {
 		// The report names adapters and not requests, so a ticket of this placer accounts for
 		// a running adapter only if no other request was known to run on it.
-		s.foreign = slices.Contains(in.Running, ref) && (s.foreign || adopting || !own[ref])
+		s.foreign = slices.Contains(in.Running, ref) && (s.foreign || takingOver || !own[ref])
 	}
 }
 
--- a/services/daemon/placement/load.go
+++ b/services/daemon/placement/load.go
@@ -46,14 +46,14 @@
 	return "requests wait for it"
 }
 
-// Loaded handles the result of an ordered load.
-func (p *Placer) Loaded(now time.Time, endpoint, incarnation string, ref fleet.AdapterRef, result LoadResult, cause string) []Effect {
+// HandleLoadResult handles the outcome of an ordered load.
+func (p *Placer) HandleLoadResult(now time.Time, endpoint, incarnation string, ref fleet.AdapterRef, outcome LoadOutcome, cause string) []Effect {
 	e := p.endpointByName[endpoint]
 	if e == nil {
 		return p.takeEffects()
 	}
 	if e.incarnation != incarnation {
-		p.endPreviousOrder(now, e, previousOrder{incarnation: incarnation, adapter: ref}, result)
+		p.endPreviousOrder(now, e, previousOrder{incarnation: incarnation, adapter: ref}, outcome)
 		return p.takeEffects()
 	}
 	s := e.slots[ref]
@@ -61,7 +61,7 @@
 		return p.takeEffects()
 	}
 	e.pendingLoads--
-	switch result {
+	switch outcome {
 	case LoadDone:
 		s.state = slotResident
 		s.since = now
@@ -82,13 +82,13 @@
 	return p.takeEffects()
 }
 
-// guardLateOrder protects against an unanswered order that may still arrive. An endpoint that checks fences is acquired
-// under a new fence, under which it refuses the order. On other endpoints, the adapter that the order unloads is not used
+// guardLateOrder protects against an unanswered order that may still arrive. An endpoint that checks fences is taken
+// over again under a new fence, under which it refuses the order. On other endpoints, the adapter that the order unloads is not used
 // until the order can no longer arrive.
 func (p *Placer) guardLateOrder(now time.Time, e *endpointState, evicted fleet.AdapterRef) {
 	if e.spec.ChecksFence {
 		e.fenceLost = true
-		p.effects = append(p.effects, Retake{Endpoint: e.spec.Name})
+		p.effects = append(p.effects, RepeatTakeover{Endpoint: e.spec.Name})
 		return
 	}
 	if !evicted.IsZero() {
@@ -98,11 +98,11 @@
 
 // endPreviousOrder handles the result of an order that was sent to an earlier incarnation. The endpoint is used again after
 // an inspection that began after this result.
-func (p *Placer) endPreviousOrder(now time.Time, e *endpointState, order previousOrder, result LoadResult) {
+func (p *Placer) endPreviousOrder(now time.Time, e *endpointState, order previousOrder, outcome LoadOutcome) {
 	if _, ok := e.previousOrders[order]; !ok {
 		return
 	}
-	if result == LoadUnknown {
+	if outcome == LoadUnknown {
 		e.previousOrders[order] = now.Add(p.options.OrderMargin)
 		return
 	}
@@ -114,7 +114,7 @@
 // requestInspection requests the endpoint's report and blocks further orders until it arrives.
 func (p *Placer) requestInspection(e *endpointState) {
 	e.uncertain = true
-	p.effects = append(p.effects, Inspect{Pool: p.pool, Endpoint: e.spec.Name})
+	p.effects = append(p.effects, InspectEndpoint{Pool: p.pool, Endpoint: e.spec.Name})
 }
 
 // handleLoadFailure counts a failed load, delays the next one and, after repeated failures, refuses the waiting requests.
--- a/services/daemon/placement/load_test.go
+++ b/services/daemon/placement/load_test.go
@@ -33,12 +33,12 @@
 
 func TestDelayedAndRepeatedLoadResultsAreIgnored(t *testing.T) {
 	p := placerWithPendingLoad(t)
-	require.Empty(t, p.Loaded(at(3), "e1", "e1-0", ref("a"), placement.LoadDone, ""), "result of an earlier incarnation")
-	require.Empty(t, p.Loaded(at(3), "e1", "e1-1", ref("b"), placement.LoadDone, ""), "result for an adapter that was not ordered")
-	require.Empty(t, p.Loaded(at(3), "e9", "e1-1", ref("a"), placement.LoadDone, ""), "result of an endpoint of another pool")
-	require.Equal(t, 1, countGrants(p.Loaded(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, "")))
-	require.Empty(t, p.Loaded(at(5), "e1", "e1-1", ref("a"), placement.LoadDone, ""), "repeated result")
-	require.Empty(t, p.Loaded(at(5), "e1", "e1-1", ref("a"), placement.LoadFailed, ""), "a late failure does not undo the load")
+	require.Empty(t, p.HandleLoadResult(at(3), "e1", "e1-0", ref("a"), placement.LoadDone, ""), "result of an earlier incarnation")
+	require.Empty(t, p.HandleLoadResult(at(3), "e1", "e1-1", ref("b"), placement.LoadDone, ""), "result for an adapter that was not ordered")
+	require.Empty(t, p.HandleLoadResult(at(3), "e9", "e1-1", ref("a"), placement.LoadDone, ""), "result of an endpoint of another pool")
+	require.Equal(t, 1, countGrants(p.HandleLoadResult(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, "")))
+	require.Empty(t, p.HandleLoadResult(at(5), "e1", "e1-1", ref("a"), placement.LoadDone, ""), "repeated result")
+	require.Empty(t, p.HandleLoadResult(at(5), "e1", "e1-1", ref("a"), placement.LoadFailed, ""), "a late failure does not undo the load")
 }
 
 func TestUnansweredLoadIsResolvedByInspection(t *testing.T) {
@@ -52,13 +52,13 @@
 		{"the adapter was not loaded", inspection(10), 0, true},
 	} {
 		p := placerWithPendingLoad(t)
-		effects := p.Loaded(at(5), "e1", "e1-1", ref("a"), placement.LoadUnknown, "")
-		require.Len(t, effectsOfType[placement.Inspect](effects), 1, row.name)
-		require.Len(t, effectsOfType[placement.Retake](effects), 1, "under a new fence the endpoint refuses the order if it arrives late")
+		effects := p.HandleLoadResult(at(5), "e1", "e1-1", ref("a"), placement.LoadUnknown, "")
+		require.Len(t, effectsOfType[placement.InspectEndpoint](effects), 1, row.name)
+		require.Len(t, effectsOfType[placement.RepeatTakeover](effects), 1, "under a new fence the endpoint refuses the order if it arrives late")
 		_, used := p.UsePermit(at(6))
 		require.False(t, used, "no load is ordered before the inspection")
-		require.Zero(t, countGrants(p.Inspected(at(9), inspection(8, row.inspection.Resident...))), "the old fence applies until the endpoint is adopted")
-		require.Equal(t, row.granted, countGrants(p.Adopt(at(11), row.inspection, 2, at(11))), row.name)
+		require.Zero(t, countGrants(p.HandleInspection(at(9), inspection(8, row.inspection.Resident...))), "the old fence applies until the endpoint is taken over")
+		require.Equal(t, row.granted, countGrants(p.TakeOverEndpoint(at(11), row.inspection, 2, at(11))), row.name)
 		_, used = p.UsePermit(at(12))
 		require.Equal(t, row.loads, used, row.name)
 	}
@@ -68,10 +68,10 @@
 	p := newPlacer(endpoint(1))
 	p.Submit(at(10), request("q1", "a"))
 	orderLoad(t, p, at(11))
-	p.Loaded(at(12), "e1", "e1-1", ref("a"), placement.LoadDone, "")
-	p.Inspected(at(13), inspection(9))
+	p.HandleLoadResult(at(12), "e1", "e1-1", ref("a"), placement.LoadDone, "")
+	p.HandleInspection(at(13), inspection(9))
 	require.Len(t, p.Slots(at(14)), 1)
-	p.Inspected(at(15), inspection(13))
+	p.HandleInspection(at(15), inspection(13))
 	require.Empty(t, p.Slots(at(16)), "an inspection that began after the load removes the slot")
 }
 
@@ -83,30 +83,30 @@
 	o.OrderMargin = margin * time.Millisecond
 	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{e}, o)
 	p.AllowOrders("e1", begin.Add(time.Hour))
-	p.Adopt(begin, inspection(0, ref("a")), 0, begin)
+	p.TakeOverEndpoint(begin, inspection(0, ref("a")), 0, begin)
 	p.Submit(at(1), request("q1", "b"))
 	require.Equal(t, ref("a"), orderLoad(t, p, at(2)).Evict)
-	effects := p.Loaded(at(5), "e1", "e1-1", ref("b"), placement.LoadUnknown, "test")
-	require.Empty(t, effectsOfType[placement.Retake](effects))
+	effects := p.HandleLoadResult(at(5), "e1", "e1-1", ref("b"), placement.LoadUnknown, "test")
+	require.Empty(t, effectsOfType[placement.RepeatTakeover](effects))
 	p.Submit(at(6), request("q2", "a"))
-	require.Zero(t, countGrants(p.Inspected(at(8), inspection(7, ref("a")))), "the unload may still arrive")
+	require.Zero(t, countGrants(p.HandleInspection(at(8), inspection(7, ref("a")))), "the unload may still arrive")
 	_, used := p.UsePermit(at(9))
 	require.False(t, used, "the slot is occupied, and its adapter is not evicted twice")
-	require.Zero(t, countGrants(p.Inspected(at(4+margin), inspection(3+margin, ref("a")))))
-	require.Zero(t, countGrants(p.Inspected(at(6+margin), inspection(4+margin, ref("a")))), "the unload may have arrived after this inspection")
-	require.Equal(t, 1, countGrants(p.Inspected(at(7+margin), inspection(6+margin, ref("a")))))
+	require.Zero(t, countGrants(p.HandleInspection(at(4+margin), inspection(3+margin, ref("a")))))
+	require.Zero(t, countGrants(p.HandleInspection(at(6+margin), inspection(4+margin, ref("a")))), "the unload may have arrived after this inspection")
+	require.Equal(t, 1, countGrants(p.HandleInspection(at(7+margin), inspection(6+margin, ref("a")))))
 }
 
 func TestAdapterIsNotLoadedWhileItsUnloadIsPending(t *testing.T) {
 	p := newPlacer(endpoint(2))
-	p.Inspected(at(2), inspection(1, ref("a"), ref("b")))
+	p.HandleInspection(at(2), inspection(1, ref("a"), ref("b")))
 	p.Submit(at(3), request("q1", "c"))
 	order := orderLoad(t, p, at(4))
 	require.Equal(t, ref("a"), order.Evict)
 	p.Submit(at(5), request("q2", "a"))
 	_, used := p.UsePermit(at(6))
 	require.False(t, used, "the load may find the adapter still loaded before the unload takes effect")
-	p.Loaded(at(7), "e1", "e1-1", ref("c"), placement.LoadDone, "")
+	p.HandleLoadResult(at(7), "e1", "e1-1", ref("c"), placement.LoadDone, "")
 	require.Equal(t, ref("a"), orderLoad(t, p, at(8)).Adapter)
 }
 
@@ -117,7 +117,7 @@
 		slots int
 	}{{ordered + timeout - 1, 1}, {ordered + timeout, 0}} {
 		p := placerWithPendingLoad(t)
-		p.Inspected(at(row.now), inspection(row.now))
+		p.HandleInspection(at(row.now), inspection(row.now))
 		require.Len(t, p.Slots(at(row.now)), row.slots, "%d ms after the order", row.now-ordered)
 	}
 }
@@ -128,7 +128,7 @@
 	now := at(2)
 	for failure := 1; failure <= 5; failure++ {
 		orderLoad(t, p, now)
-		effects := p.Loaded(now, "e1", "e1-1", ref("a"), placement.LoadFailed, "no such file")
+		effects := p.HandleLoadResult(now, "e1", "e1-1", ref("a"), placement.LoadFailed, "no such file")
 		if failure < 5 {
 			require.Empty(t, refusalReason(effects), "failure %d", failure)
 			_, used := p.UsePermit(now)
@@ -137,7 +137,7 @@
 			require.Equal(t, fleet.ReasonLoadFailing, refusalReason(effects))
 		}
 		now = now.Add(2 * time.Minute)
-		p.Inspected(now, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: now, Up: true})
+		p.HandleInspection(now, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: now, Up: true})
 	}
 	require.Empty(t, refusalReason(p.Submit(now, request("q2", "a"))), "after the delay the load is tried again")
 }
@@ -148,7 +148,7 @@
 		used bool
 	}{{99, false}, {100, true}} {
 		p := newPlacer(endpoint(1))
-		p.Inspected(at(2), inspection(1, ref("a")))
+		p.HandleInspection(at(2), inspection(1, ref("a")))
 		require.NotEmpty(t, p.Freeze(at(3), "e1", at(100), "test"))
 		require.Empty(t, p.Freeze(at(3), "e1", at(50), "test"), "a shorter freeze changes nothing")
 		p.Submit(at(4), request("q1", "b"))
@@ -159,7 +159,7 @@
 
 func TestThawEndsFreezeOnce(t *testing.T) {
 	p := newPlacer(endpoint(1))
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	p.Freeze(at(3), "e1", at(100), "test")
 	p.Submit(at(4), request("q1", "b"))
 	require.NotEmpty(t, p.Thaw(at(5), "e1", "test"))
--- a/services/daemon/placement/options.go
+++ b/services/daemon/placement/options.go
@@ -95,7 +95,7 @@
 	// defaultTicketTTL: a longer time protects a running request of a lost entry, a shorter one frees its slot sooner if the endpoint does not
 	// report the end of the request.
 	defaultTicketTTL = 10 * time.Minute
-	// defaultLoadTimeout: a longer time-out tolerates slow loads, a shorter one relies on the endpoint's report sooner.
+	// defaultLoadTimeout: a longer timeout tolerates slow loads, a shorter one relies on the endpoint's report sooner.
 	defaultLoadTimeout = 30 * time.Second
 	// defaultMaxQueuedTokens limits the queue of a class without a limit of its own: a higher limit lets requests wait longer, a lower one
 	// refuses them sooner.
--- a/services/daemon/placement/patient_hold_test.go
+++ b/services/daemon/placement/patient_hold_test.go
@@ -19,8 +19,8 @@
 		first, second := endpoint(2), endpoint(2)
 		second.Name, second.MaxBatch = "e2", 1
 		p := newPlacer(first, second)
-		p.Inspected(at(2), inspection(1, ref("a"), ref("b")))
-		p.Inspected(at(2), placement.Inspection{Endpoint: "e2", Incarnation: "e2-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
+		p.HandleInspection(at(2), inspection(1, ref("a"), ref("b")))
+		p.HandleInspection(at(2), placement.Inspection{Endpoint: "e2", Incarnation: "e2-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 		interactive := request("q1", "a")
 		interactive.Avoid = "e1"
 		require.Equal(t, 1, countGrants(p.Submit(at(3), interactive)), "the request takes the only place of e2")
--- a/services/daemon/placement/placer_test.go
+++ b/services/daemon/placement/placer_test.go
@@ -40,7 +40,7 @@
 	o.Classes = []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1}, {Name: "patient", Priority: 1, StallWeight: 0.1, Patient: true}}
 	p := placement.NewPlacer("h1/base", "i1", endpoints, o)
 	for _, e := range endpoints {
-		p.Adopt(begin, placement.Inspection{Endpoint: e.Name, Incarnation: e.Name + "-1", StartedAt: begin, Up: true}, 1, begin)
+		p.TakeOverEndpoint(begin, placement.Inspection{Endpoint: e.Name, Incarnation: e.Name + "-1", StartedAt: begin, Up: true}, 1, begin)
 	}
 	return p
 }
@@ -65,11 +65,11 @@
 	return orders[0]
 }
 
-func TestTicketDeclaredBeforeItsSlotIsReported(t *testing.T) {
+func TestTicketRestoredBeforeItsSlotIsReported(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	held := fleet.Ticket{ID: "t1", RequestID: "q1", Endpoint: "e1", Incarnation: "e1-1", Adapter: ref("a"), Entry: "i2"}
 	p.RestoreTicket(at(1), held, request("q1", "a"))
-	p.Inspected(at(2), placement.Inspection{
+	p.HandleInspection(at(2), placement.Inspection{
 		Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")},
 	})
 	p.Submit(at(3), request("q2", "b"))
@@ -84,36 +84,36 @@
 	listed := func(began int, running ...fleet.AdapterRef) placement.Inspection {
 		return placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(began), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: running}
 	}
-	p.Adopt(at(2), listed(1, ref("a")), 2, at(2))
+	p.TakeOverEndpoint(at(2), listed(1, ref("a")), 2, at(2))
 	granted := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	require.Len(t, granted, 1)
-	p.Inspected(at(5), listed(4, ref("a")))
+	p.HandleInspection(at(5), listed(4, ref("a")))
 	p.ReturnTicket(at(6), granted[0].Ticket.ID)
 	p.Submit(at(7), request("q2", "b"))
 	_, used := p.UsePermit(at(8))
 	require.False(t, used, "a request granted by the previous placer may still use the adapter")
-	p.Inspected(at(10), listed(9))
+	p.HandleInspection(at(10), listed(9))
 	require.Equal(t, ref("a"), orderLoad(t, p, at(11)).Evict)
 }
 
 func TestOlderInspectionIsIgnored(t *testing.T) {
 	p := newPlacer(endpoint(1))
 	newer := placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(5), Up: true, Resident: []fleet.AdapterRef{ref("a")}, Running: []fleet.AdapterRef{ref("a")}}
-	p.Inspected(at(6), newer)
-	p.Inspected(at(7), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(3), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
+	p.HandleInspection(at(6), newer)
+	p.HandleInspection(at(7), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(3), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	p.Submit(at(8), request("q1", "b"))
 	_, used := p.UsePermit(at(9))
 	require.False(t, used, "the older inspection lacks the running request that the newer one reports")
 }
 
-func TestRestartedEndpointIsNotUsedBeforeItIsAcquiredAgain(t *testing.T) {
+func TestRestartedEndpointIsNotUsedBeforeItIsTakenOverAgain(t *testing.T) {
 	p := newPlacer(endpoint(2))
-	effects := p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", StartedAt: at(1), Up: true})
-	require.Len(t, effectsOfType[placement.Retake](effects), 1)
+	effects := p.HandleInspection(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", StartedAt: at(1), Up: true})
+	require.Len(t, effectsOfType[placement.RepeatTakeover](effects), 1)
 	p.Submit(at(3), request("q1", "a"))
 	_, used := p.UsePermit(at(4))
 	require.False(t, used, "the restarted endpoint has lost the fence")
-	p.Adopt(at(6), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", StartedAt: at(5), Up: true}, 2, at(6))
+	p.TakeOverEndpoint(at(6), placement.Inspection{Endpoint: "e1", Incarnation: "e1-2", StartedAt: at(5), Up: true}, 2, at(6))
 	p.Submit(at(7), request("q2", "a"))
 	require.Equal(t, "e1-2", orderLoad(t, p, at(8)).Incarnation)
 }
@@ -123,7 +123,7 @@
 	e.ChecksFence = false
 	p := newPlacer(e)
 	p.AllowOrders("e1", time.Time{})
-	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
+	p.HandleInspection(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	require.Empty(t, effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a"))), "the lease holder may unload the adapter at any time")
 	p.AllowOrders("e1", at(5))
 	require.Len(t, effectsOfType[placement.Grant](p.Submit(at(4), request("q2", "a"))), 1)
@@ -135,11 +135,11 @@
 
 func TestRepeatedGrantRestartsItsAge(t *testing.T) {
 	p := newPlacer(endpoint(1))
-	p.Inspected(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
+	p.HandleInspection(at(2), placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: at(1), Up: true, Resident: []fleet.AdapterRef{ref("a")}})
 	first := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	again := effectsOfType[placement.Grant](p.Submit(at(20000), request("q1", "a")))
 	require.Equal(t, first[0].Ticket.ID, again[0].Ticket.ID)
-	p.Reconfirm(at(20010), "i1", nil, 10*time.Second)
+	p.ReconcileTickets(at(20010), "i1", nil, 10*time.Second)
 	p.Submit(at(20020), request("q2", "b"))
 	_, used := p.UsePermit(at(20030))
 	require.False(t, used, "the entry may have received the repeated grant")
--- a/services/daemon/placement/prune_test.go
+++ b/services/daemon/placement/prune_test.go
@@ -69,14 +69,14 @@
 	e := endpoint(1)
 	e.MaxBatch = keyCount
 	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{e}, o)
-	p.Adopt(begin, inspection(0), 1, begin)
+	p.TakeOverEndpoint(begin, inspection(0), 1, begin)
 	for i := range keyCount {
 		r := request(fmt.Sprint("q", i), "a")
 		r.Caller = fmt.Sprint("customer", i%customers)
 		p.Submit(at(1), r)
 	}
 	orderLoad(t, p, at(2))
-	granted := effectsOfType[placement.Grant](p.Loaded(at(3), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
+	granted := effectsOfType[placement.Grant](p.HandleLoadResult(at(3), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
 	require.NotEmpty(t, granted)
 	for len(granted) > 0 {
 		next := p.ReturnTicket(at(4), granted[0].Ticket.ID)
@@ -115,7 +115,7 @@
 		other := request("q2", "b")
 		other.Caller = "other"
 		p.Submit(now, other)
-		bid, found := p.Bid(now)
+		bid, found := p.BestBid(now)
 		require.True(t, found)
 		require.Equal(t, ref(row.first), bid.Adapter, "after %v", row.later)
 	}
@@ -124,22 +124,22 @@
 // TestPrunesFailuresOfIdleAdapters compares a placer whose last load of each adapter failed with one whose loads succeeded.
 // Their other state is the same.
 func TestPrunesFailuresOfIdleAdapters(t *testing.T) {
-	after := func(result placement.LoadResult) int {
+	after := func(outcome placement.LoadOutcome) int {
 		p := newPlacer(endpoint(1))
 		for i := range keyCount {
 			now, name := at(100*i+1), fmt.Sprint("a", i)
 			id := "q" + name
 			p.Submit(now, request(id, name))
 			order := orderLoad(t, p, now)
-			for _, g := range effectsOfType[placement.Grant](p.Loaded(now, "e1", "e1-1", order.Adapter, result, "no such file")) {
+			for _, g := range effectsOfType[placement.Grant](p.HandleLoadResult(now, "e1", "e1-1", order.Adapter, outcome, "no such file")) {
 				p.ReturnTicket(now, g.Ticket.ID)
 			}
 			p.Cancel(now, id)
 			var resident []fleet.AdapterRef
-			if result == placement.LoadDone {
+			if outcome == placement.LoadDone {
 				resident = append(resident, order.Adapter)
 			}
-			p.Inspected(now.Add(2*time.Millisecond), inspection(100*i+2, resident...))
+			p.HandleInspection(now.Add(2*time.Millisecond), inspection(100*i+2, resident...))
 		}
 		tickForOneDay(p, at(100*keyCount))
 		return retainedEntries(p)
@@ -196,7 +196,7 @@
 func TestPruningDoesNotDependOnNumberOfGrants(t *testing.T) {
 	const grantsPerSweep, idleTime = 255, 12 * time.Hour
 	p := newPlacer(endpoint(2))
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	p.Submit(at(3), request("once", "b"))
 	p.Cancel(at(3), "once")
 	before := retainedEntries(p)
@@ -237,6 +237,6 @@
 	now := at(2).Add(24 * time.Hour)
 	require.Equal(t, ref("a"), orderLoad(t, p, now).Adapter)
 	p.Cancel(now, "q1")
-	p.Loaded(now, "e1", "e1-1", ref("a"), placement.LoadDone, "")
+	p.HandleLoadResult(now, "e1", "e1-1", ref("a"), placement.LoadDone, "")
 	require.Equal(t, ref("preloaded"), orderLoad(t, p, now).Adapter)
 }
--- a/services/daemon/placement/queue_wait_test.go
+++ b/services/daemon/placement/queue_wait_test.go
@@ -18,15 +18,15 @@
 	first.MaxBatch = 1
 	second.Name = "e2"
 	p := newPlacer(first, second)
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	running := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	require.Len(t, running, 1)
 	p.Submit(at(4), request("q2", "a"))
 	p.Submit(at(800), request("q3", "a"))
 	require.Equal(t, 1, countGrants(p.ReturnTicket(at(801), running[0].Ticket.ID)), "q2 starts")
-	_, found := p.Bid(at(802))
+	_, found := p.BestBid(at(802))
 	require.False(t, found, "q3 has waited for 2 ms, less than SecondCopyWait")
-	_, found = p.Bid(at(1400))
+	_, found = p.BestBid(at(1400))
 	require.True(t, found, "q3 has waited for 600 ms")
 }
 
@@ -35,7 +35,7 @@
 	e := endpoint(1)
 	e.MaxBatch = 8
 	p := newPlacer(e)
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	short := request("short", "a")
 	short.Class, short.Deadline = "patient", at(10_000)
 	require.Zero(t, countGrants(p.Submit(at(3), short)))
--- a/services/daemon/placement/restart_test.go
+++ b/services/daemon/placement/restart_test.go
@@ -19,7 +19,7 @@
 	e.ChecksFence = false
 	p := newPlacer(e)
 	p.AllowOrders("e1", begin.Add(time.Hour))
-	p.Inspected(at(2), inspectionWithA("e1-1", 1))
+	p.HandleInspection(at(2), inspectionWithA("e1-1", 1))
 	return p
 }
 
@@ -35,32 +35,32 @@
 	p.Submit(at(3), request("q1", "b"))
 	ordered := orderLoad(t, p, at(4))
 	require.Equal(t, ref("a"), ordered.Evict)
-	p.Inspected(at(6), inspectionWithA("e1-2", 3))
+	p.HandleInspection(at(6), inspectionWithA("e1-2", 3))
 	require.Empty(t, effectsOfType[placement.Grant](p.Submit(at(7), request("q2", "a"))), "the unload of a may still arrive")
-	require.Empty(t, effectsOfType[placement.Grant](p.Inspected(at(9), inspectionWithA("e1-2", 8))), "the unload of a may still arrive after an inspection that began after the restart")
-	ended := p.Loaded(at(10), "e1", ordered.Incarnation, ordered.Adapter, placement.LoadFailed, "test")
-	require.Len(t, effectsOfType[placement.Inspect](ended), 1, "a new inspection shows the effect of the order")
-	require.Empty(t, effectsOfType[placement.Grant](p.Inspected(at(12), inspectionWithA("e1-2", 9))), "this inspection began before the order ended")
-	require.Len(t, effectsOfType[placement.Grant](p.Inspected(at(14), inspectionWithA("e1-2", 11))), 1)
+	require.Empty(t, effectsOfType[placement.Grant](p.HandleInspection(at(9), inspectionWithA("e1-2", 8))), "the unload of a may still arrive after an inspection that began after the restart")
+	ended := p.HandleLoadResult(at(10), "e1", ordered.Incarnation, ordered.Adapter, placement.LoadFailed, "test")
+	require.Len(t, effectsOfType[placement.InspectEndpoint](ended), 1, "a new inspection shows the effect of the order")
+	require.Empty(t, effectsOfType[placement.Grant](p.HandleInspection(at(12), inspectionWithA("e1-2", 9))), "this inspection began before the order ended")
+	require.Len(t, effectsOfType[placement.Grant](p.HandleInspection(at(14), inspectionWithA("e1-2", 11))), 1)
 }
 
 func TestUnansweredOrderFromBeforeRestartBlocksEndpointUntilTimeout(t *testing.T) {
 	p := unfencedPlacer()
 	p.Submit(at(3), request("q1", "b"))
 	orderLoad(t, p, at(4))
-	p.Inspected(at(6), inspectionWithA("e1-2", 5))
+	p.HandleInspection(at(6), inspectionWithA("e1-2", 5))
 	p.Submit(at(7), request("q2", "a"))
 	limit := int(placement.DefaultOptions().LoadTimeout / time.Millisecond)
-	require.Empty(t, effectsOfType[placement.Grant](p.Inspected(at(3+limit), inspectionWithA("e1-2", 2+limit))))
-	require.Empty(t, effectsOfType[placement.Grant](p.Inspected(at(6+limit), inspectionWithA("e1-2", 3+limit))), "the order may have arrived after this inspection began")
-	require.Len(t, effectsOfType[placement.Grant](p.Inspected(at(7+limit), inspectionWithA("e1-2", 6+limit))), 1)
+	require.Empty(t, effectsOfType[placement.Grant](p.HandleInspection(at(3+limit), inspectionWithA("e1-2", 2+limit))))
+	require.Empty(t, effectsOfType[placement.Grant](p.HandleInspection(at(6+limit), inspectionWithA("e1-2", 3+limit))), "the order may have arrived after this inspection began")
+	require.Len(t, effectsOfType[placement.Grant](p.HandleInspection(at(7+limit), inspectionWithA("e1-2", 6+limit))), 1)
 }
 
 func TestTicketFromBeforeRestartKeepsAdapterInUseWithoutFences(t *testing.T) {
 	p := unfencedPlacer()
 	granted := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	require.Len(t, granted, 1)
-	p.Inspected(at(6), inspectionWithA("e1-2", 5))
+	p.HandleInspection(at(6), inspectionWithA("e1-2", 5))
 	p.Submit(at(7), request("q2", "b"))
 	_, used := p.UsePermit(at(8))
 	require.False(t, used, "the request of the first ticket may start after the restart, since the endpoint does not check the incarnation")
@@ -70,10 +70,10 @@
 
 func TestTicketFromBeforeRestartIsDroppedWithFences(t *testing.T) {
 	p := newPlacer(endpoint(1))
-	p.Inspected(at(2), inspectionWithA("e1-1", 1))
+	p.HandleInspection(at(2), inspectionWithA("e1-1", 1))
 	require.Len(t, effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a"))), 1)
-	p.Inspected(at(6), inspectionWithA("e1-2", 5))
-	p.Adopt(at(8), inspectionWithA("e1-2", 7), 2, at(8))
+	p.HandleInspection(at(6), inspectionWithA("e1-2", 5))
+	p.TakeOverEndpoint(at(8), inspectionWithA("e1-2", 7), 2, at(8))
 	p.Submit(at(9), request("q2", "b"))
 	require.Equal(t, ref("a"), orderLoad(t, p, at(10)).Evict, "the endpoint refuses the ticket's incarnation")
 }
--- a/services/daemon/placement/restriction.go
+++ b/services/daemon/placement/restriction.go
@@ -78,8 +78,8 @@
 	p.bid.valid = false
 }
 
-// LoseFence stops all use of an endpoint that another instance has acquired, until it is adopted again.
-func (p *Placer) LoseFence(endpoint string) {
+// MarkFenceLost stops all use of an endpoint that another instance has taken over, until it is taken over again.
+func (p *Placer) MarkFenceLost(endpoint string) {
 	if e := p.endpointByName[endpoint]; e != nil {
 		e.fenceLost = true
 	}
--- a/services/daemon/placement/submit_test.go
+++ b/services/daemon/placement/submit_test.go
@@ -19,7 +19,7 @@
 	o := placement.DefaultOptions()
 	o.Classes = []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1, MaxQueuedTokens: 120}}
 	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{endpoint(1)}, o)
-	p.Adopt(begin, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: begin, Up: true}, 1, begin)
+	p.TakeOverEndpoint(begin, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: begin, Up: true}, 1, begin)
 	return p
 }
 
@@ -126,7 +126,7 @@
 		p.Submit(at(1), none)
 		p.Submit(at(1), named)
 		orderLoad(t, p, at(3))
-		granted := effectsOfType[placement.Grant](p.Loaded(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
+		granted := effectsOfType[placement.Grant](p.HandleLoadResult(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
 		require.Len(t, granted, 2)
 		require.Equal(t, row.first, granted[0].Request.ID, "%+v", row.classes)
 	}
--- a/services/daemon/placement/ticket.go
+++ b/services/daemon/placement/ticket.go
@@ -92,17 +92,17 @@
 
 // markOrphaned marks tickets whose entries are lost.
 func (p *Placer) markOrphaned(now time.Time, tickets []*grantedTicket) {
-	retake := make(map[string]bool)
+	takeovers := make(map[string]bool)
 	for _, granted := range tickets {
 		if !granted.orphanedAt.IsZero() {
 			continue
 		}
 		granted.orphanedAt = now
 		e := p.endpointByName[granted.ticket.Endpoint]
-		if e != nil && e.spec.ChecksFence && !retake[e.spec.Name] {
+		if e != nil && e.spec.ChecksFence && !takeovers[e.spec.Name] {
 			// Under a new fence, the endpoint refuses requests that the lost entry may still send.
-			retake[e.spec.Name] = true
-			p.effects = append(p.effects, Retake{Endpoint: e.spec.Name})
+			takeovers[e.spec.Name] = true
+			p.effects = append(p.effects, RepeatTakeover{Endpoint: e.spec.Name})
 		}
 	}
 }
@@ -128,10 +128,10 @@
 	return out
 }
 
-// Reconfirm compares the granted tickets of an entry with the tickets that it reports as used.
+// ReconcileTickets compares the granted tickets of an entry with the tickets that it reports as used.
 // A ticket that the entry does not report has ended if its grant is older than tooOld and so can
 // no longer be in transit. A reported ticket is not orphaned, or no longer so.
-func (p *Placer) Reconfirm(now time.Time, entry string, uses []fleet.TicketUse, tooOld time.Duration) []Effect {
+func (p *Placer) ReconcileTickets(now time.Time, entry string, uses []fleet.TicketUse, tooOld time.Duration) []Effect {
 	reported := make(map[string]bool, len(uses))
 	for _, u := range uses {
 		reported[u.Ticket.ID] = true
@@ -168,8 +168,8 @@
 	return out
 }
 
-// Uses returns the granted tickets with their requests, for the next placer of the pool.
-func (p *Placer) Uses() []fleet.TicketUse {
+// TicketsInUse returns the granted tickets with their requests, for the next placer of the pool.
+func (p *Placer) TicketsInUse() []fleet.TicketUse {
 	out := make([]fleet.TicketUse, 0, len(p.tickets))
 	for _, granted := range p.tickets {
 		out = append(out, fleet.TicketUse{Ticket: granted.ticket, Request: granted.request})
--- a/services/daemon/placement/ticket_test.go
+++ b/services/daemon/placement/ticket_test.go
@@ -18,7 +18,7 @@
 func placerWithTicket(t *testing.T) (*placement.Placer, fleet.Ticket) {
 	t.Helper()
 	p := newPlacer(endpoint(1))
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	r := request("q1", "a")
 	r.Entry = "i2"
 	granted := effectsOfType[placement.Grant](p.Submit(at(3), r))
@@ -59,10 +59,10 @@
 		if row.uses {
 			uses = []fleet.TicketUse{{Ticket: ticket, Request: fleet.Request{ID: "q1"}}}
 		}
-		p.Reconfirm(at(row.now), "i3", nil, 10*time.Second)
+		p.ReconcileTickets(at(row.now), "i3", nil, 10*time.Second)
 		require.Len(t, p.Tickets(), 1, "the report of another entry does not affect the ticket")
-		p.Reconfirm(at(row.now), "i2", uses, 10*time.Second)
-		p.Reconfirm(at(row.now), "i2", uses, 10*time.Second)
+		p.ReconcileTickets(at(row.now), "i2", uses, 10*time.Second)
+		p.ReconcileTickets(at(row.now), "i2", uses, 10*time.Second)
 		require.Len(t, p.Tickets(), row.left, row.name)
 	}
 }
@@ -81,9 +81,9 @@
 		}, 1},
 	} {
 		p, _ := placerWithTicket(t)
-		require.Len(t, effectsOfType[placement.Retake](p.HandleEntryLoss(at(10), "i2")), 1, "under a new fence no request of the lost entry can start")
+		require.Len(t, effectsOfType[placement.RepeatTakeover](p.HandleEntryLoss(at(10), "i2")), 1, "under a new fence no request of the lost entry can start")
 		require.Empty(t, p.HandleEntryLoss(at(11), "i2"), "a repeated report of the loss has no effect")
-		p.Adopt(at(21), row.inspection, row.fence, at(21))
+		p.TakeOverEndpoint(at(21), row.inspection, row.fence, at(21))
 		require.Len(t, p.Tickets(), row.left, row.name)
 	}
 }
@@ -94,10 +94,10 @@
 		e := endpoint(1)
 		e.ChecksFence = false
 		p := newPlacer(e)
-		p.Inspected(at(2), inspection(1, ref("a")))
+		p.HandleInspection(at(2), inspection(1, ref("a")))
 		p.Submit(at(3), request("q1", "a"))
-		require.Empty(t, effectsOfType[placement.Retake](p.HandleEntryLoss(at(lost), "i1")))
-		p.Inspected(at(row.began+1), inspection(row.began, ref("a")))
+		require.Empty(t, effectsOfType[placement.RepeatTakeover](p.HandleEntryLoss(at(lost), "i1")))
+		p.HandleInspection(at(row.began+1), inspection(row.began, ref("a")))
 		require.Len(t, p.Tickets(), row.left, "inspection began at %d", row.began)
 	}
 }
@@ -118,11 +118,11 @@
 	} {
 		p, ticket := placerWithTicket(t)
 		if row.confirms {
-			p.Reconfirm(at(confirmed), "i2", []fleet.TicketUse{{Ticket: ticket, Request: fleet.Request{ID: "q1"}}}, 10*time.Second)
+			p.ReconcileTickets(at(confirmed), "i2", []fleet.TicketUse{{Ticket: ticket, Request: fleet.Request{ID: "q1"}}}, 10*time.Second)
 		}
-		retakes := effectsOfType[placement.Retake](p.Tick(at(row.now)))
-		require.Len(t, retakes, 1-row.left, row.name)
-		p.Adopt(at(row.now+2), inspection(row.now+1, ref("a")), 2, at(row.now+2))
+		takeovers := effectsOfType[placement.RepeatTakeover](p.Tick(at(row.now)))
+		require.Len(t, takeovers, 1-row.left, row.name)
+		p.TakeOverEndpoint(at(row.now+2), inspection(row.now+1, ref("a")), 2, at(row.now+2))
 		require.Len(t, p.Tickets(), row.left, row.name)
 	}
 }
@@ -133,13 +133,13 @@
 	p, ticket := placerWithTicket(t)
 	uses := []fleet.TicketUse{{Ticket: ticket, Request: fleet.Request{ID: "q1"}}}
 	p.HandleEntryLoss(at(10), "i2")
-	p.Reconfirm(at(20), "i2", uses, 10*time.Second)
-	p.Adopt(at(22), inspection(21, ref("a")), 2, at(22))
+	p.ReconcileTickets(at(20), "i2", uses, 10*time.Second)
+	p.TakeOverEndpoint(at(22), inspection(21, ref("a")), 2, at(22))
 	require.Len(t, p.Tickets(), 1, "the entry uses the ticket")
 	later := at(20)
 	for range 1000 {
 		later = later.Add(2 * time.Second)
-		p.Reconfirm(later, "i2", uses, 10*time.Second)
+		p.ReconcileTickets(later, "i2", uses, 10*time.Second)
 		p.Tick(later)
 	}
 	require.Len(t, p.Tickets(), 1)
@@ -159,7 +159,7 @@
 		e := endpoint(1)
 		e.MaxBatch = row.batch
 		p := newPlacer(e)
-		p.Inspected(at(2), inspection(1, ref("a")))
+		p.HandleInspection(at(2), inspection(1, ref("a")))
 		granted := 0
 		for i := range row.batch + 1 {
 			granted += countGrants(p.Submit(at(3), request("q"+strconv.Itoa(i), "a")))
@@ -170,7 +170,7 @@
 
 func TestLeavingOrDrainedEndpointGetsNoNewRequests(t *testing.T) {
 	p := newPlacer(endpoint(1))
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	for i, stop := range []func(bool) []placement.Effect{
 		func(on bool) []placement.Effect { return p.SetLeaving(at(3), "e1", on) },
 		func(on bool) []placement.Effect { return p.SetDrained(at(3), "e1", on) },
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -89,7 +89,7 @@
 	return c, nil
 }
 
-// build creates all parts of the daemon without starting the control thread or the servers.
+// build creates all parts of the daemon without starting the control goroutine or the servers.
 func (d *Daemon) build(ctx context.Context, o Options, l listeners) error {
 	var err error
 	if d.clock, err = newClock(d.log); err != nil {
@@ -138,7 +138,7 @@
 	})
 	d.query = query.New(query.Options{
 		Self: d.self, Classes: d.settings.FleetClasses(), Catalog: d.control.Catalog, View: d.control.View,
-		Ask: func(ctx context.Context, to netip.AddrPort, q peerlink.Question) (peerlink.Answer, error) {
+		AskPeer: func(ctx context.Context, to netip.AddrPort, q peerlink.Question) (peerlink.Answer, error) {
 			return d.links.Ask(ctx, to, q)
 		},
 		Journal: d.journal, Timeout: queryTimeout, Now: d.clock.Now,
@@ -227,7 +227,7 @@
 	store := configuration.NewStore(d.kv, s.KV.Prefix, time.Now)
 	router := operator.New(operator.Options{
 		Access: checker, Metrics: d.metrics, Refresh: d.refreshGauges, Ready: d.Ready, Now: d.clock.Now, Query: d.query,
-		Command: command.New(command.Options{Store: store, Current: d.control.Catalog, Offer: d.control.Offer, HallStates: d.hallStates, Now: d.clock.Now}),
+		Command: command.New(command.Options{Store: store, Current: d.control.Catalog, ApplyRecords: d.control.ApplyRecords, HallStates: d.hallStates, Now: d.clock.Now}),
 	})
 	tlsConfig, err := serverTLS(s.Listen.Operators.TLS)
 	if err != nil {
@@ -242,7 +242,7 @@
 	var out []command.HallState
 	d.control.View(func(now time.Time, n *node.Node) {
 		for _, h := range n.Halls(now) {
-			out = append(out, command.HallState{Hall: h.Hall, Revision: h.Revision, Age: h.Age, Silent: h.Cut})
+			out = append(out, command.HallState{Hall: h.Hall, Revision: h.Revision, Age: h.Age, Silent: h.CutOff})
 		}
 	})
 	return out
--- a/services/daemon/process/daemon.go
+++ b/services/daemon/process/daemon.go
@@ -82,12 +82,12 @@
 	// strings (docs/capacity-shelfledged.md).
 	journalSize = 20000
 	// loadMargin is how much earlier a load order times out than the placer that waits for it, so that the placer receives the
-	// answer before its own time-out.
+	// answer before its own timeout.
 	loadMargin = 2 * time.Second
-	// queryTimeout limits the wait for the parts of a query's result from other instances. A longer time-out gives more complete
+	// queryTimeout limits the wait for the parts of a query's result from other instances. A longer timeout gives more complete
 	// results, a shorter one gives faster results.
 	queryTimeout = time.Second
-	// dialTimeout limits the time to connect to an endpoint. A shorter time-out leads to an earlier retry at another endpoint; a longer
+	// dialTimeout limits the time to connect to an endpoint. A shorter timeout leads to an earlier retry at another endpoint; a longer
 	// one still reaches slow endpoints.
 	dialTimeout = time.Second
 	// idleTimeout and maxIdlePerHost limit the idle connections to endpoints, which are kept to avoid new connections.
@@ -98,7 +98,7 @@
 	cancelRetryPeriod = 10 * time.Minute
 	// statusTimeout limits the calls that list the state of an endpoint and short orders to an endpoint.
 	statusTimeout = 2 * time.Second
-	// permitMargin is the time after the load time-out at which a permit that was not returned expires.
+	// permitMargin is the time after the load timeout at which a permit that was not returned expires.
 	permitMargin = 15 * time.Second
 )
 
@@ -133,7 +133,7 @@
 	d.metrics.SetKVCalls(d.kv.Counts())
 }
 
-// startServing starts the control thread and the servers for callers and operators.
+// startServing starts the control goroutine and the servers for callers and operators.
 func (d *Daemon) startServing() {
 	go func() {
 		defer close(d.ended)
@@ -232,7 +232,7 @@
 	d.shutDown()
 }
 
-// shutDown stops the control thread and waits until it has ended, and then closes the links to peers.
+// shutDown stops the control goroutine and waits until it has ended, and then closes the links to peers.
 func (d *Daemon) shutDown() {
 	d.cancel()
 	d.control.Stop()
--- a/services/daemon/process/options.go
+++ b/services/daemon/process/options.go
@@ -50,16 +50,16 @@
 	o := membership.DefaultOptions()
 	o.HeartbeatInterval = s.Timing.Heartbeat.Duration()
 	o.LostAfter = s.Timing.LostAfter.Duration()
-	o.Settle = s.Timing.Settle.Duration()
+	o.TakeoverDelay = s.Timing.Settle.Duration()
 	return o
 }
 
 func nodeTiming(s *setting.Settings) node.Timing {
 	t := node.DefaultTiming()
 	c := s.Timing
-	t.Digest = c.Digest.Duration()
+	t.DigestInterval = c.Digest.Duration()
 	t.HallSilence = c.HallSilence.Duration()
-	t.Inspect = c.Inspect.Duration()
+	t.InspectionInterval = c.Inspect.Duration()
 	t.GrantAge = c.GrantAge.Duration()
 	t.LeaseTTL = c.LeaseTTL.Duration()
 	t.LeaseMargin = c.LeaseMargin.Duration()
--- a/services/daemon/query/explain.go
+++ b/services/daemon/query/explain.go
@@ -120,7 +120,7 @@
 				state = "not yet in force"
 			}
 			line := fmt.Sprintf("It is %s in hall %s, by an account %.1f s old.", state, h.Hall, h.Age.Seconds())
-			if h.Cut {
+			if h.CutOff {
 				line = fmt.Sprintf("Hall %s cannot be heard; the last account is %.1f s old.", h.Hall, h.Age.Seconds())
 			}
 			out.Lines = append(out.Lines, line)
--- a/services/daemon/query/gather.go
+++ b/services/daemon/query/gather.go
@@ -18,7 +18,7 @@
 )
 
 // gatherTable returns a table with this instance's rows and, if the table is fleet-wide, the rows of all other instances that
-// answer within the time-out.
+// answer within the timeout.
 func (s *Service) gatherTable(ctx context.Context, name string) (*table.Table, []Part, error) {
 	t, err := s.LocalTable(name)
 	if err != nil {
@@ -93,7 +93,7 @@
 	if !src.address.IsValid() {
 		return peerlink.Answer{}, peerlink.ErrUnreachable{To: src.address, Reason: "its address is not known"}
 	}
-	return s.options.Ask(ctx, src.address, peerlink.Question{Table: name, HallWide: src.hallWide})
+	return s.options.AskPeer(ctx, src.address, peerlink.Question{Table: name, HallWide: src.hallWide})
 }
 
 // mergePart adds the rows of an answer to the table. If the source did not answer or its answer is invalid, mergePart records
--- a/services/daemon/query/service.go
+++ b/services/daemon/query/service.go
@@ -22,10 +22,10 @@
 	Self    fleet.Instance
 	Classes []fleet.Class
 	Catalog func() *catalog.Catalog
-	// View calls read with the state of the control thread.
+	// View calls read with the state of the control goroutine.
 	View func(read func(now time.Time, n *node.Node))
-	// Ask sends a question to a peer and returns its answer.
-	Ask     func(ctx context.Context, to netip.AddrPort, q peerlink.Question) (peerlink.Answer, error)
+	// AskPeer sends a question to a peer and returns its answer.
+	AskPeer func(ctx context.Context, to netip.AddrPort, q peerlink.Question) (peerlink.Answer, error)
 	Journal *journal.Journal
 	// Timeout limits the wait for the parts of other instances.
 	Timeout time.Duration
--- a/services/daemon/query/tables.go
+++ b/services/daemon/query/tables.go
@@ -151,7 +151,7 @@
 func buildHalls(s *Service, t *table.Table) {
 	s.options.View(func(now time.Time, n *node.Node) {
 		for _, h := range n.Halls(now) {
-			t.Add(table.NewText(h.Hall), table.NewNumber(h.Revision), table.NewSeconds(h.Age), table.NewBool(h.Cut), table.NewText(h.Speaker.ID))
+			t.Add(table.NewText(h.Hall), table.NewNumber(h.Revision), table.NewSeconds(h.Age), table.NewBool(h.CutOff), table.NewText(h.Speaker.ID))
 		}
 	})
 }
--- a/services/daemon/relay/writer.go
+++ b/services/daemon/relay/writer.go
@@ -35,8 +35,8 @@
 	return o.w.Header()
 }
 
-// deadlineRenewalDivisor is the divisor of the timeout that gives the remaining time from which the write deadline is extended. Setting the
-// deadline that seldom avoids a call for each event, but a write may time out after half of the timeout already.
+// deadlineRenewalDivisor determines when the write deadline is extended: once at most the timeout divided by this number remains. Extending
+// the deadline that seldom avoids a call for each event, but a write may time out after half of the timeout already.
 const deadlineRenewalDivisor = 2
 
 // extend extends the caller's write deadline. It does so only if at most timeout/deadlineRenewalDivisor is left, since
--- a/services/daemon/routing/doc.go
+++ b/services/daemon/routing/doc.go
@@ -6,6 +6,6 @@
 // the requests that were sent to a pool since its last summary.
 //
 // A Router holds the state of each pool as received in summaries; a Publisher creates the summaries of a pool whose placer
-// runs on this instance. A Router and a Publisher may be used only by the control thread (services/daemon/node), which
+// runs on this instance. A Router and a Publisher may be used only by the control goroutine (services/daemon/node), which
 // passes the current time. They do no I/O and start no goroutines.
 package routing
--- a/services/daemon/routing/pool.go
+++ b/services/daemon/routing/pool.go
@@ -28,9 +28,9 @@
 	slots     int
 	waiting   int
 	sentSince int
-	// unreachable is true while the pool's hall cannot be reached; incomplete is true while changes between two summaries are
+	// cutOff is true while the pool's hall cannot be reached; incomplete is true while changes between two summaries are
 	// missing.
-	unreachable   bool
+	cutOff        bool
 	incomplete    bool
 	recentChanges changeLog
 }
--- a/services/daemon/routing/router.go
+++ b/services/daemon/routing/router.go
@@ -45,11 +45,11 @@
 	return ps.applySummary(now, s, r.options.MaxSummaryAge)
 }
 
-// SetCut marks a hall as unreachable or as reachable again.
-func (r *Router) SetCut(hall string, unreachable bool) {
+// SetCutOff marks a hall as cut off or as reachable again.
+func (r *Router) SetCutOff(hall string, cutOff bool) {
 	for _, ps := range r.pools {
 		if ps.pool.Hall == hall {
-			ps.unreachable = unreachable
+			ps.cutOff = cutOff
 		}
 	}
 }
@@ -76,7 +76,7 @@
 			out = append(out, ps)
 			continue
 		}
-		if ps.unreachable || ps.stale(now, r.options.MaxSummaryAge) || ps.places == 0 {
+		if ps.cutOff || ps.stale(now, r.options.MaxSummaryAge) || ps.places == 0 {
 			continue
 		}
 		out = append(out, ps)
@@ -88,7 +88,7 @@
 // confirmed that nothing has changed.
 func (r *Router) ConfirmSummaries(now time.Time) {
 	for _, ps := range r.pools {
-		if !ps.unreachable {
+		if !ps.cutOff {
 			ps.refreshedAt = now
 		}
 	}
--- a/services/daemon/routing/router_test.go
+++ b/services/daemon/routing/router_test.go
@@ -50,9 +50,9 @@
 
 func TestUnreachableOrStaleHallIsNotChosen(t *testing.T) {
 	r := routerWithSummaries(0, 8, "a@1")
-	r.SetCut("h2", true)
+	r.SetCutOff("h2", true)
 	require.Equal(t, "h1/base", choosePool(r, begin, "a"))
-	r.SetCut("h2", false)
+	r.SetCutOff("h2", false)
 	maxAge := routing.DefaultOptions().MaxSummaryAge
 	require.Equal(t, "h2/base", choosePool(r, begin.Add(maxAge), "a"))
 	require.Equal(t, "h1/base", choosePool(r, begin.Add(maxAge+1), "a"))
--- a/tests/capacity/capacity_test.go
+++ b/tests/capacity/capacity_test.go
@@ -99,7 +99,7 @@
 			in.Resident = append(in.Resident, fleet.AdapterRef{Name: fmt.Sprintf("a-%d", n*slots+i), Version: 1})
 		}
 		resident = append(resident, in.Resident...)
-		p.Adopt(now, in, 1, now)
+		p.TakeOverEndpoint(now, in, 1, now)
 	}
 	for i := range knownAdapters {
 		p.Submit(now, ask(fmt.Sprintf("known-%d", i), fleet.AdapterRef{Name: fmt.Sprintf("cold-%d", i), Version: 1}, now))
--- a/tests/capacity/fleet_test.go
+++ b/tests/capacity/fleet_test.go
@@ -126,11 +126,13 @@
 			f.send(s, e.Envelope)
 		case node.Deliver:
 			f.act(s, func() []node.Effect { return s.node.Finish(f.now, e.Ticket.ID) })
-		case node.Take:
-			taken := node.TakeResult{Pool: e.Pool, Term: e.Term, OK: true, Fence: 1, Inspection: f.inspect(e.Endpoint.Name)}
-			f.act(s, func() []node.Effect { return s.node.Taken(f.now, taken) })
-		case node.Inspect:
-			f.act(s, func() []node.Effect { return s.node.Inspected(f.now, e.Pool, e.Term, f.inspect(e.Endpoint.Name)) })
+		case node.TakeOverEndpoint:
+			result := node.TakeoverResult{Pool: e.Pool, Term: e.Term, OK: true, Fence: 1, Inspection: f.inspect(e.Endpoint.Name)}
+			f.act(s, func() []node.Effect { return s.node.HandleTakeoverResult(f.now, result) })
+		case node.InspectEndpoint:
+			f.act(s, func() []node.Effect {
+				return s.node.HandleInspection(f.now, e.Pool, e.Term, f.inspect(e.Endpoint.Name))
+			})
 		}
 	}
 }
--- a/tests/fuzz/kv_test.go
+++ b/tests/fuzz/kv_test.go
@@ -91,7 +91,7 @@
 		}
 		result.OK, result.Lease, result.SentAt, result.FormerOwners = true, k.numbers[n.life()], sent, formers
 		k.former[pool] = formerOwner{id: n.id, boot: n.boot, formers: formers}
-	}, func() { n.do(n.node.Owned(n.clock(), result)) }, func() {})
+	}, func() { n.do(n.node.HandleOwnerResult(n.clock(), result)) }, func() {})
 }
 
 // hold prolongs the lease of a node's life, or begins the next one.
@@ -131,7 +131,7 @@
 		}
 		k.hold(n)
 		result = node.LeaseResult{OK: true, Lease: k.numbers[life], SentAt: sent}
-	}, func() { n.do(n.node.Renewed(n.clock(), result)) }, func() { n.do(n.node.Renewed(n.clock(), node.LeaseResult{})) })
+	}, func() { n.do(n.node.HandleLeaseResult(n.clock(), result)) }, func() { n.do(n.node.HandleLeaseResult(n.clock(), node.LeaseResult{})) })
 }
 
 // claim claims a once-request; like the real claimer it runs nothing without a sure claim.
--- a/tests/fuzz/node_test.go
+++ b/tests/fuzz/node_test.go
@@ -128,11 +128,11 @@
 			w.reject(n, e.RequestID)
 		case node.RecordEvent:
 			w.log("%s %s %s %s %s %s: %s", n.id, e.Event.Kind, e.Event.Pool, e.Event.Endpoint, e.Event.Adapter, e.Event.Request, e.Event.Cause)
-		case node.Take:
+		case node.TakeOverEndpoint:
 			w.take(n, e)
-		case node.Inspect:
+		case node.InspectEndpoint:
 			w.inspect(n, e)
-		case node.Order:
+		case node.OrderLoad:
 			w.order(n, e)
 		case node.AcquireOwner:
 			w.kv.acquire(n, e)
--- a/tests/fuzz/order_test.go
+++ b/tests/fuzz/order_test.go
@@ -36,9 +36,9 @@
 	})
 }
 
-func (w *world) take(n *fakeNode, t node.Take) {
+func (w *world) take(n *fakeNode, t node.TakeOverEndpoint) {
 	e := w.endpoints[t.Endpoint.Name]
-	result := node.TakeResult{Pool: t.Pool, Term: t.Term, Inspection: placement.Inspection{Endpoint: e.spec.Name}}
+	result := node.TakeoverResult{Pool: t.Pool, Term: t.Term, Inspection: placement.Inspection{Endpoint: e.spec.Name}}
 	holder := n.life()
 	w.toEndpoint(n, e, func() {
 		began := n.clock()
@@ -49,32 +49,32 @@
 		w.log("%s obeys %s under %d", e.spec.Name, holder, e.fence)
 		result.OK = true
 		result.Inspection = e.status(began)
-	}, func() { n.do(n.node.Taken(n.clock(), result)) }, func() {
+	}, func() { n.do(n.node.HandleTakeoverResult(n.clock(), result)) }, func() {
 		result.OK = false
-		n.do(n.node.Taken(n.clock(), result))
+		n.do(n.node.HandleTakeoverResult(n.clock(), result))
 	})
 }
 
-func (w *world) inspect(n *fakeNode, i node.Inspect) {
+func (w *world) inspect(n *fakeNode, i node.InspectEndpoint) {
 	e := w.endpoints[i.Endpoint.Name]
 	began := n.clock()
 	in := placement.Inspection{Endpoint: e.spec.Name, StartedAt: began}
 	w.toEndpoint(n, e, func() { in = e.status(began) },
-		func() { n.do(n.node.Inspected(n.clock(), i.Pool, i.Term, in)) },
+		func() { n.do(n.node.HandleInspection(n.clock(), i.Pool, i.Term, in)) },
 		func() {
-			n.do(n.node.Inspected(n.clock(), i.Pool, i.Term, placement.Inspection{Endpoint: e.spec.Name, StartedAt: began}))
+			n.do(n.node.HandleInspection(n.clock(), i.Pool, i.Term, placement.Inspection{Endpoint: e.spec.Name, StartedAt: began}))
 		})
 }
 
 // order carries out an eviction and a load as the control service does: the right to
 // order is looked at right before each write.
-func (w *world) order(n *fakeNode, o node.Order) {
+func (w *world) order(n *fakeNode, o node.OrderLoad) {
 	e := w.endpoints[o.Endpoint.Name]
 	l := o.Load
-	result := node.LoadResult{Pool: l.Pool, Term: o.Term, Endpoint: l.Endpoint, Incarnation: l.Incarnation, Adapter: l.Adapter, Result: placement.LoadDone}
-	finish := func(r placement.LoadResult, fenced bool) {
-		result.Result, result.FenceLost = r, fenced
-		n.do(n.node.Loaded(n.clock(), result))
+	result := node.LoadResult{Pool: l.Pool, Term: o.Term, Endpoint: l.Endpoint, Incarnation: l.Incarnation, Adapter: l.Adapter, Outcome: placement.LoadDone}
+	finish := func(r placement.LoadOutcome, fenced bool) {
+		result.Outcome, result.FenceLost = r, fenced
+		n.do(n.node.HandleLoadResult(n.clock(), result))
 	}
 	late := func() bool { return !l.NotAfter.IsZero() && !n.clock().Before(l.NotAfter) }
 	load := func() {
--- a/tools/replay/sim/policy_budget.go
+++ b/tools/replay/sim/policy_budget.go
@@ -81,14 +81,14 @@
 // bid renews a pool's bid; a value of zero takes it back.
 func bid(now time.Time, l *budget.Ledger, pl *pool) {
 	if pl.placer == nil {
-		l.Bid(now, pl.Name, 0, false)
+		l.SetBid(now, pl.Name, 0, false)
 		return
 	}
-	wanted, ok := pl.placer.Bid(now)
+	wanted, ok := pl.placer.BestBid(now)
 	if !ok {
 		wanted.Value = 0
 	}
-	l.Bid(now, pl.Name, wanted.Value, wanted.Preload)
+	l.SetBid(now, pl.Name, wanted.Value, wanted.Preload)
 }
 
 func (b *budgets) spendOf(now time.Time, l *budget.Ledger) {
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -86,7 +86,7 @@
 	pl.placer = placement.NewPlacer(pl.Name, "replay", pl.Endpoints, p.options)
 	pl.publisher = routing.NewPublisher(p.epoch)
 	for _, spec := range pl.Endpoints {
-		p.run(now, pl, pl.placer.Adopt(now, p.inspect(now, spec.Name), p.epoch, now))
+		p.run(now, pl, pl.placer.TakeOverEndpoint(now, p.inspect(now, spec.Name), p.epoch, now))
 		p.run(now, pl, pl.placer.SetLeaving(now, spec.Name, !p.world.engines[spec.Name].leavingAt.IsZero()))
 	}
 	pl.changed = true
@@ -150,7 +150,7 @@
 		result = placement.LoadFailed
 	}
 	p.decide(now, p.byEngine[e], func(placer *placement.Placer) []placement.Effect {
-		return placer.Loaded(now, e.entry.Name, strconv.Itoa(e.incarnation), ref, result, "the load failed")
+		return placer.HandleLoadResult(now, e.entry.Name, strconv.Itoa(e.incarnation), ref, result, "the load failed")
 	})
 }
 
@@ -158,7 +158,7 @@
 	p.budget.loadsLost(now, e)
 	pl := p.byEngine[e]
 	if pl.placer != nil {
-		p.run(now, pl, pl.placer.Inspected(now, p.inspect(now, e.entry.Name)))
+		p.run(now, pl, pl.placer.HandleInspection(now, p.inspect(now, e.entry.Name)))
 	}
 }
 
@@ -172,7 +172,7 @@
 func (p *product) cut(now time.Time) {
 	for own, r := range p.routers {
 		for _, h := range p.world.fleet.Halls {
-			r.SetCut(h.Name, p.world.apart(h.Name, own))
+			r.SetCutOff(h.Name, p.world.apart(h.Name, own))
 		}
 	}
 	p.budget.share(now)
@@ -257,14 +257,14 @@
 			p.world.refuse(now, r)
 		case placement.Load:
 			p.world.load(now, p.world.engines[e.Endpoint], e.Evict, e.Adapter)
-		case placement.Retake:
+		case placement.RepeatTakeover:
 			// A restarted endpoint is taken again; the model answers at once.
 			p.epoch++
-			p.run(now, pl, pl.placer.Adopt(now, p.inspect(now, e.Endpoint), p.epoch, now))
-		case placement.Inspect:
+			p.run(now, pl, pl.placer.TakeOverEndpoint(now, p.inspect(now, e.Endpoint), p.epoch, now))
+		case placement.InspectEndpoint:
 			p.world.agenda.Add(now, func(at time.Time) {
 				p.decide(at, pl, func(placer *placement.Placer) []placement.Effect {
-					return placer.Inspected(at, p.inspect(at, e.Endpoint))
+					return placer.HandleInspection(at, p.inspect(at, e.Endpoint))
 				})
 			})
 		}
