--- a/models/daemon/fleet/endpoint.go
+++ b/models/daemon/fleet/endpoint.go
@@ -31,7 +31,7 @@
 	MaxBatch int
 	Step     time.Duration
 	Load     time.Duration
-	// ChecksFence is true if the endpoint rejects orders and requests with an outdated fencing token.
+	// ChecksFence is true if the endpoint rejects orders and requests with an outdated fence (a fencing token).
 	ChecksFence bool
 	// Prefix is the path prefix of a plain service.
 	Prefix string
@@ -64,7 +64,7 @@
 	return slices.Contains(p.Bases, base)
 }
 
-// ChecksFence reports whether all endpoints of the pool check fencing tokens.
+// ChecksFence reports whether all endpoints of the pool check fences.
 func (p Pool) ChecksFence() bool {
 	for _, e := range p.Endpoints {
 		if !e.ChecksFence {
--- a/models/daemon/fleet/message.go
+++ b/models/daemon/fleet/message.go
@@ -107,7 +107,7 @@
 	Wait time.Duration `msgpack:"w"`
 }
 
-// Withdraw cancels a submitted request.
+// Withdraw withdraws a submitted request.
 type Withdraw struct {
 	Pool      string `msgpack:"p"`
 	RequestID string `msgpack:"r"`
--- a/routers/daemon/caller/request_test.go
+++ b/routers/daemon/caller/request_test.go
@@ -37,7 +37,7 @@
 		return answers
 	}
 	r := relay.New(relay.Options{
-		Control: relay.Control{Submit: submit, Abandon: func(string) {}, Finish: func(string) {}, RecordEvent: func(fleet.Event) {}},
+		Control: relay.Control{Submit: submit, Withdraw: func(string) {}, ReturnTicket: func(string) {}, RecordEvent: func(fleet.Event) {}},
 		Claims: relay.Claims{
 			Claim:   func(context.Context, string, string) once.Result { return once.Claimed },
 			Release: func(context.Context, string, string) error { return nil },
--- a/services/daemon/control/executor.go
+++ b/services/daemon/control/executor.go
@@ -54,7 +54,7 @@
 	if s.sendAnswer(d.RequestID, Answer{Ticket: d.Ticket, NotAfter: d.NotAfter, Granted: true}) {
 		return
 	}
-	s.applyEffects(s.node.Finish(s.options.Now(), d.Ticket.ID))
+	s.applyEffects(s.node.ReturnTicket(s.options.Now(), d.Ticket.ID))
 }
 
 func (s *Service) sendAnswer(requestID string, a Answer) bool {
--- a/services/daemon/control/input.go
+++ b/services/daemon/control/input.go
@@ -45,17 +45,17 @@
 	return s.node.Submit(now, i.request)
 }
 
-type abandonInput struct{ requestID string }
+type withdrawInput struct{ requestID string }
 
-func (i abandonInput) apply(now time.Time, s *Service) []node.Effect {
+func (i withdrawInput) apply(now time.Time, s *Service) []node.Effect {
 	delete(s.answerChannels, i.requestID)
-	return s.node.Abandon(now, i.requestID)
+	return s.node.Withdraw(now, i.requestID)
 }
 
-type finishInput struct{ ticketID string }
+type returnTicketInput struct{ ticketID string }
 
-func (i finishInput) apply(now time.Time, s *Service) []node.Effect {
-	return s.node.Finish(now, i.ticketID)
+func (i returnTicketInput) apply(now time.Time, s *Service) []node.Effect {
+	return s.node.ReturnTicket(now, i.ticketID)
 }
 
 type takeoverResultInput struct{ result node.TakeoverResult }
--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -137,14 +137,14 @@
 	return answer
 }
 
-// Abandon withdraws a waiting request. A ticket that is granted at the same time is returned automatically.
-func (s *Service) Abandon(requestID string) {
-	s.enqueue(abandonInput{requestID: requestID})
+// Withdraw withdraws a waiting request. A ticket that is granted at the same time is returned automatically.
+func (s *Service) Withdraw(requestID string) {
+	s.enqueue(withdrawInput{requestID: requestID})
 }
 
-// Finish returns a ticket.
-func (s *Service) Finish(ticketID string) {
-	s.enqueue(finishInput{ticketID: ticketID})
+// ReturnTicket returns a ticket to its placer after its request has ended or was never started.
+func (s *Service) ReturnTicket(ticketID string) {
+	s.enqueue(returnTicketInput{ticketID: ticketID})
 }
 
 // Leave begins a planned stop and returns when the pools have been handed over.
--- a/services/daemon/control/service_test.go
+++ b/services/daemon/control/service_test.go
@@ -240,8 +240,8 @@
 	require.Equal(t, "e1", answer.Ticket.Endpoint)
 	require.Equal(t, load.order.Fence, answer.Ticket.Fence)
 	require.Equal(t, w.now().Add(2*time.Second), answer.NotAfter)
-	w.Finish(answer.Ticket.ID)
-	w.Finish(answer.Ticket.ID)
+	w.ReturnTicket(answer.Ticket.ID)
+	w.ReturnTicket(answer.Ticket.ID)
 	require.Equal(t, answer.Ticket.Endpoint, w.answer(w.Submit(request("r", a))).Ticket.Endpoint, "the adapter is resident now")
 }
 
--- a/services/daemon/node/placer.go
+++ b/services/daemon/node/placer.go
@@ -64,7 +64,7 @@
 	if ps == nil || !ps.isPlacer {
 		return
 	}
-	n.applyPlacerEffects(now, ps, ps.placer.Cancel(now, e.Withdraw.RequestID))
+	n.applyPlacerEffects(now, ps, ps.placer.Withdraw(now, e.Withdraw.RequestID))
 }
 
 func (n *Node) handleReturned(now time.Time, r *fleet.Returned) {
--- a/services/daemon/node/requests.go
+++ b/services/daemon/node/requests.go
@@ -43,30 +43,30 @@
 	return n.takeEffects()
 }
 
-// Abandon withdraws a request whose caller disconnected before a ticket arrived.
-func (n *Node) Abandon(now time.Time, requestID string) []Effect {
+// Withdraw withdraws a request whose caller disconnected before a ticket arrived.
+func (n *Node) Withdraw(now time.Time, requestID string) []Effect {
 	p, ok := n.pending.Find(requestID)
 	if !ok {
 		return nil
 	}
 	n.pending.Remove(requestID)
-	n.withdraw(now, p)
+	n.withdrawFromPlacer(now, p)
 	n.bidAndGrantPermits(now)
 	return n.takeEffects()
 }
 
-// Finish returns a ticket to its placer after its request has ended on the endpoint or was never started.
-func (n *Node) Finish(now time.Time, ticketID string) []Effect {
+// ReturnTicket returns a ticket to its placer after its request has ended on the endpoint or was never started.
+func (n *Node) ReturnTicket(now time.Time, ticketID string) []Effect {
 	t, ok := n.ticketUses.Remove(ticketID)
 	if !ok {
 		return nil
 	}
-	n.returnTicket(now, t)
+	n.returnToPlacer(now, t)
 	n.bidAndGrantPermits(now)
 	return n.takeEffects()
 }
 
-func (n *Node) returnTicket(now time.Time, t fleet.Ticket) {
+func (n *Node) returnToPlacer(now time.Time, t fleet.Ticket) {
 	ps := n.pools[t.Pool]
 	if ps == nil {
 		return
@@ -104,7 +104,7 @@
 		return
 	}
 	if p.Pool != "" && p.Pool != name {
-		n.withdraw(now, p)
+		n.withdrawFromPlacer(now, p)
 	}
 	p.Pool = name
 	n.submitRequest(now, p)
@@ -143,13 +143,13 @@
 	n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonNoPlacer, RetryAfter: retryAfterNoEndpoint}})
 }
 
-func (n *Node) withdraw(now time.Time, p *waiting.Request) {
+func (n *Node) withdrawFromPlacer(now time.Time, p *waiting.Request) {
 	ps := n.pools[p.Pool]
 	if ps == nil || p.Placer.ID == "" {
 		return
 	}
 	if ps.isPlacer {
-		n.applyPlacerEffects(now, ps, ps.placer.Cancel(now, p.Request.ID))
+		n.applyPlacerEffects(now, ps, ps.placer.Withdraw(now, p.Request.ID))
 		return
 	}
 	n.send(p.Placer, fleet.Envelope{Withdraw: &fleet.Withdraw{Pool: p.Pool, RequestID: p.Request.ID}})
@@ -160,7 +160,7 @@
 	for _, p := range n.pending.Sorted() {
 		if p.Request.Expired(now) {
 			n.pending.Remove(p.Request.ID)
-			n.withdraw(now, p)
+			n.withdrawFromPlacer(now, p)
 			n.emit(Reject{RequestID: p.Request.ID, Refusal: fleet.Refusal{RequestID: p.Request.ID, Reason: fleet.ReasonExpired}})
 			continue
 		}
--- a/services/daemon/node/requests_test.go
+++ b/services/daemon/node/requests_test.go
@@ -22,8 +22,8 @@
 	}}, effectsOf[node.Reject](n.Submit(begin, fleet.Request{ID: "q", Base: "base"})))
 	require.Empty(t, effectsOf[node.Reject](n.Submit(begin, fleet.Request{ID: "r", Base: "base", Attempt: 1})))
 	require.False(t, n.Idle(), "the retry is still waiting")
-	n.Abandon(begin, "r")
-	require.Empty(t, n.Abandon(begin, "r"), "a repeated withdrawal")
+	n.Withdraw(begin, "r")
+	require.Empty(t, n.Withdraw(begin, "r"), "a repeated withdrawal")
 	require.True(t, n.Idle())
 }
 
@@ -71,8 +71,8 @@
 	delivered := effectsOf[node.Deliver](n.Handle(begin.Add(time.Second), grant))
 	require.Equal(t, []node.Deliver{{RequestID: "q", Ticket: ticket, NotAfter: begin.Add(2 * time.Second)}}, delivered)
 	require.Empty(t, effectsOf[node.Deliver](n.Handle(begin.Add(time.Second), grant)), "a repeated grant")
-	sends := effectsOf[node.Send](n.Finish(begin.Add(time.Second), "t"))
+	sends := effectsOf[node.Send](n.ReturnTicket(begin.Add(time.Second), "t"))
 	require.Len(t, sends, 1)
 	require.Equal(t, &fleet.Returned{Pool: "h1/base", Tickets: []string{"t"}}, sends[0].Envelope.Returned)
-	require.Empty(t, n.Finish(begin.Add(time.Second), "t"))
+	require.Empty(t, n.ReturnTicket(begin.Add(time.Second), "t"))
 }
--- a/services/daemon/placement/prune_test.go
+++ b/services/daemon/placement/prune_test.go
@@ -106,7 +106,7 @@
 		p := newPlacer(endpoint(2))
 		p.Submit(at(1), request("q", "x"))
 		orderLoad(t, p, at(2))
-		p.Cancel(at(3), "q")
+		p.Withdraw(at(3), "q")
 		now := at(2)
 		for end := now.Add(row.later); now.Before(end); now = now.Add(time.Second) {
 			p.Tick(now)
@@ -134,7 +134,7 @@
 			for _, g := range effectsOfType[placement.Grant](p.HandleLoadResult(now, "e1", "e1-1", order.Adapter, outcome, "no such file")) {
 				p.ReturnTicket(now, g.Ticket.ID)
 			}
-			p.Cancel(now, id)
+			p.Withdraw(now, id)
 			var resident []fleet.AdapterRef
 			if outcome == placement.LoadDone {
 				resident = append(resident, order.Adapter)
@@ -198,7 +198,7 @@
 	p := newPlacer(endpoint(2))
 	p.HandleInspection(at(2), inspection(1, ref("a")))
 	p.Submit(at(3), request("once", "b"))
-	p.Cancel(at(3), "once")
+	p.Withdraw(at(3), "once")
 	before := retainedEntries(p)
 	now := begin.Add(idleTime)
 	for range 1024 {
@@ -220,7 +220,7 @@
 		for i := range keyCount {
 			id := fmt.Sprint("q", i)
 			p.Submit(at(i), request(id, fmt.Sprint("a", i%adapters)))
-			p.Cancel(at(i), id)
+			p.Withdraw(at(i), id)
 		}
 		tickForOneDay(p, at(keyCount))
 		return retainedEntries(p)
@@ -236,7 +236,7 @@
 	tickForOneDay(p, at(2))
 	now := at(2).Add(24 * time.Hour)
 	require.Equal(t, ref("a"), orderLoad(t, p, now).Adapter)
-	p.Cancel(now, "q1")
+	p.Withdraw(now, "q1")
 	p.HandleLoadResult(now, "e1", "e1-1", ref("a"), placement.LoadDone, "")
 	require.Equal(t, ref("preloaded"), orderLoad(t, p, now).Adapter)
 }
--- a/services/daemon/placement/queue_wait_test.go
+++ b/services/daemon/placement/queue_wait_test.go
@@ -30,8 +30,8 @@
 	require.True(t, found, "q3 has waited for 600 ms")
 }
 
-// TestCanceledPatientRequestDoesNotEndHoldOfOthers cancels the patient request whose hold ends first.
-func TestCanceledPatientRequestDoesNotEndHoldOfOthers(t *testing.T) {
+// TestWithdrawnPatientRequestDoesNotEndHoldOfOthers withdraws the patient request whose hold ends first.
+func TestWithdrawnPatientRequestDoesNotEndHoldOfOthers(t *testing.T) {
 	e := endpoint(1)
 	e.MaxBatch = 8
 	p := newPlacer(e)
@@ -42,8 +42,8 @@
 	long := request("long", "a")
 	long.Class = "patient"
 	require.Zero(t, countGrants(p.Submit(at(4), long)))
-	p.Cancel(at(5), "short")
-	require.Zero(t, countGrants(p.Tick(at(4000))), "a fifth of the time until the deadline of the canceled request has passed")
+	p.Withdraw(at(5), "short")
+	require.Zero(t, countGrants(p.Tick(at(4000))), "a fifth of the time until the deadline of the withdrawn request has passed")
 	require.Equal(t, 1, countGrants(p.Tick(at(4).Add(placement.DefaultOptions().GatherLimit+1))))
 }
 
--- a/services/daemon/placement/submit.go
+++ b/services/daemon/placement/submit.go
@@ -131,8 +131,8 @@
 	return max(minRetryAfter, wait)
 }
 
-// Cancel removes a waiting request whose caller has disconnected.
-func (p *Placer) Cancel(now time.Time, requestID string) []Effect {
+// Withdraw removes a waiting request, for example because its caller has disconnected.
+func (p *Placer) Withdraw(now time.Time, requestID string) []Effect {
 	w, ok := p.queue.Find(requestID)
 	if !ok {
 		return nil
--- a/services/daemon/placement/submit_test.go
+++ b/services/daemon/placement/submit_test.go
@@ -52,11 +52,11 @@
 		require.Equal(t, row.reason, refusalReason(p.Submit(at(1), r)), "%+v", row)
 	}
 	require.Len(t, p.Waiting(), 6, "a repeated request is queued once")
-	p.Cancel(at(2), "q1")
-	require.Empty(t, p.Cancel(at(2), "q1"), "a repeated cancellation has no effect")
+	p.Withdraw(at(2), "q1")
+	require.Empty(t, p.Withdraw(at(2), "q1"), "a repeated withdrawal has no effect")
 	r := request("q9", "a")
 	r.Caller = "x"
-	require.Empty(t, refusalReason(p.Submit(at(3), r)), "the tokens of a canceled request no longer count")
+	require.Empty(t, refusalReason(p.Submit(at(3), r)), "the tokens of a withdrawn request no longer count")
 }
 
 func TestFirstRequestOfCustomerIsAdmittedRegardlessOfSize(t *testing.T) {
--- a/services/daemon/process/build.go
+++ b/services/daemon/process/build.go
@@ -189,7 +189,7 @@
 	d.claimer = once.New(once.Store{Txn: d.kv.Txn, Get: d.kv.Get, Grant: d.kv.Grant}, options, d.clock.Now)
 	go d.claimer.Run(ctx)
 	d.relay = relay.New(relay.Options{
-		Control: relay.Control{Submit: d.control.Submit, Abandon: d.control.Abandon, Finish: d.control.Finish, RecordEvent: d.control.RecordEvent},
+		Control: relay.Control{Submit: d.control.Submit, Withdraw: d.control.Withdraw, ReturnTicket: d.control.ReturnTicket, RecordEvent: d.control.RecordEvent},
 		Claims:  relay.Claims{Claim: d.claimer.Claim, Release: d.claimer.Release},
 		Dialect: dialect, Endpoints: s.FleetEndpoints(), Metrics: d.metrics, MaxAttempts: s.Limits.MaxAttempts, RetryShare: s.Limits.RetryShare,
 		SlowReader: s.Limits.SlowReader.Duration(), EndpointSilent: s.Limits.EndpointSilent.Duration(), CancelLife: cancelRetryPeriod, Now: d.clock.Now,
--- a/services/daemon/relay/answers_test.go
+++ b/services/daemon/relay/answers_test.go
@@ -84,7 +84,7 @@
 func (l *largeAnswers) service(silent time.Duration) *relay.Service {
 	b := newTestRelay()
 	return relay.New(relay.Options{
-		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) {}, RecordEvent: func(fleet.Event) {}},
+		Control: relay.Control{Submit: b.submit, Withdraw: func(string) {}, ReturnTicket: func(string) {}, RecordEvent: func(fleet.Event) {}},
 		Dialect: engine.Dialect{Start: l.start, Cancel: func(context.Context, fleet.Endpoint, string) error { return nil }},
 		Metrics: metric.New(metric.Options{MaxCallers: 5, MaxClasses: 5}), MaxAttempts: 1, RetryShare: 0.1, SlowReader: time.Minute,
 		EndpointSilent: silent, CancelLife: time.Second, Now: time.Now,
--- a/services/daemon/relay/crash_test.go
+++ b/services/daemon/relay/crash_test.go
@@ -34,7 +34,7 @@
 				answers <- control.Answer{Granted: true, NotAfter: now().Add(time.Hour), Ticket: fleet.Ticket{ID: "t", RequestID: r.ID, Endpoint: "e", Incarnation: fmt.Sprint(*sent)}}
 				return answers
 			},
-			Abandon: func(string) {}, Finish: func(string) {}, RecordEvent: func(fleet.Event) {},
+			Withdraw: func(string) {}, ReturnTicket: func(string) {}, RecordEvent: func(fleet.Event) {},
 		},
 		Claims: relay.Claims{
 			Claim:   func(context.Context, string, string) once.Result { return once.Claimed },
--- a/services/daemon/relay/relay_test.go
+++ b/services/daemon/relay/relay_test.go
@@ -35,13 +35,13 @@
 
 // testRelay is a relay between a fake placer and a fake endpoint.
 type testRelay struct {
-	mutex    sync.Mutex
-	attempts []attempt
-	calls    []engine.Call
-	finished int
-	refusal  *fleet.Refusal
-	claim    once.Result
-	released int
+	mutex           sync.Mutex
+	attempts        []attempt
+	calls           []engine.Call
+	returnedTickets int
+	refusal         *fleet.Refusal
+	claim           once.Result
+	released        int
 	// waits makes Submit grant no ticket; silentStore makes the release of a claim get no answer.
 	waits, silentStore bool
 	relay              *relay.Service
@@ -60,7 +60,7 @@
 func newTestRelay(attempts ...attempt) *testRelay {
 	b := &testRelay{attempts: attempts, claim: once.Claimed}
 	b.relay = relay.New(relay.Options{
-		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) { b.mutex.Lock(); b.finished++; b.mutex.Unlock() }, RecordEvent: func(fleet.Event) {}},
+		Control: relay.Control{Submit: b.submit, Withdraw: func(string) {}, ReturnTicket: func(string) { b.mutex.Lock(); b.returnedTickets++; b.mutex.Unlock() }, RecordEvent: func(fleet.Event) {}},
 		Claims: relay.Claims{
 			Claim:   func(context.Context, string, string) once.Result { return b.claim },
 			Release: b.release,
@@ -138,7 +138,7 @@
 	text, err := b.serve(false)
 	require.NoError(t, err)
 	require.Equal(t, one+two+done, text)
-	require.Equal(t, 1, b.finished)
+	require.Equal(t, 1, b.returnedTickets)
 }
 
 func TestBrokenStreamIsResumedWithoutLossOrRepeat(t *testing.T) {
--- a/services/daemon/relay/run.go
+++ b/services/daemon/relay/run.go
@@ -176,7 +176,7 @@
 	r.queued += answer.Ticket.Queued
 	r.stalled += answer.Ticket.Stalled
 	if !r.service.options.Now().Before(answer.NotAfter) {
-		r.service.options.Control.Finish(r.ticket.ID)
+		r.service.options.Control.ReturnTicket(r.ticket.ID)
 		return engine.ErrNotRun{What: "request", Reason: "the ticket came too late to be used"}
 	}
 	return r.runWithTicket(ctx)
@@ -194,17 +194,17 @@
 		}
 		return a, nil
 	case <-ctx.Done():
-		r.service.options.Control.Abandon(r.job.Request.ID)
-		return control.Answer{}, r.abandonError(answers)
+		r.service.options.Control.Withdraw(r.job.Request.ID)
+		return control.Answer{}, r.withdrawnError(answers)
 	}
 }
 
-// abandonError returns a ticket that was granted while the request was being withdrawn, and returns the error for the caller.
-func (r *run) abandonError(answers <-chan control.Answer) error {
+// withdrawnError returns a ticket that was granted while the request was being withdrawn, and returns the error for the caller.
+func (r *run) withdrawnError(answers <-chan control.Answer) error {
 	select {
 	case a := <-answers:
 		if a.Granted {
-			r.service.options.Control.Finish(a.Ticket.ID)
+			r.service.options.Control.ReturnTicket(a.Ticket.ID)
 		}
 	default:
 	}
@@ -250,7 +250,7 @@
 // settleTicket returns the ticket once the endpoint certainly no longer runs the request.
 func (r *run) settleTicket(err error) {
 	if err == nil || engine.IsErrNotRun(err) {
-		r.service.options.Control.Finish(r.ticket.ID)
+		r.service.options.Control.ReturnTicket(r.ticket.ID)
 		r.recordEvent(fleet.EventFinished, "answered")
 		return
 	}
@@ -266,7 +266,7 @@
 // once the endpoint has answered, or after Options.CancelLife.
 func (s *Service) cancelUntilAnswered(t fleet.Ticket, requestID string) {
 	defer s.inFlight.Done()
-	defer s.options.Control.Finish(t.ID)
+	defer s.options.Control.ReturnTicket(t.ID)
 	e := s.endpoints[t.Endpoint]
 	until := s.options.Now().Add(s.options.CancelLife)
 	for s.options.Now().Before(until) {
--- a/services/daemon/relay/service.go
+++ b/services/daemon/relay/service.go
@@ -20,10 +20,10 @@
 
 // Control contains the functions of the control service that the relay uses.
 type Control struct {
-	Submit      func(r fleet.Request) <-chan control.Answer
-	Abandon     func(requestID string)
-	Finish      func(ticketID string)
-	RecordEvent func(e fleet.Event)
+	Submit       func(r fleet.Request) <-chan control.Answer
+	Withdraw     func(requestID string)
+	ReturnTicket func(ticketID string)
+	RecordEvent  func(e fleet.Event)
 }
 
 // Claims contains the functions by which the relay claims requests that must not run twice.
--- a/services/daemon/relay/slow_reader_test.go
+++ b/services/daemon/relay/slow_reader_test.go
@@ -62,7 +62,7 @@
 	events.WriteString("data: [DONE]\n\n")
 	b := newTestRelay()
 	service := relay.New(relay.Options{
-		Control: relay.Control{Submit: b.submit, Abandon: func(string) {}, Finish: func(string) {}, RecordEvent: func(fleet.Event) {}},
+		Control: relay.Control{Submit: b.submit, Withdraw: func(string) {}, ReturnTicket: func(string) {}, RecordEvent: func(fleet.Event) {}},
 		Dialect: engine.Dialect{
 			Start: func(ctx context.Context, c engine.Call) (*http.Response, error) {
 				header := http.Header{engine.HeaderRequestID: {c.RequestID}}
--- a/tests/capacity/capacity_test.go
+++ b/tests/capacity/capacity_test.go
@@ -103,7 +103,7 @@
 	}
 	for i := range knownAdapters {
 		p.Submit(now, ask(fmt.Sprintf("known-%d", i), fleet.AdapterRef{Name: fmt.Sprintf("cold-%d", i), Version: 1}, now))
-		p.Cancel(now, fmt.Sprintf("known-%d", i))
+		p.Withdraw(now, fmt.Sprintf("known-%d", i))
 	}
 	began := time.Now()
 	for i := range rounds {
--- a/tests/capacity/fleet_test.go
+++ b/tests/capacity/fleet_test.go
@@ -125,7 +125,7 @@
 		case node.Send:
 			f.send(s, e.Envelope)
 		case node.Deliver:
-			f.act(s, func() []node.Effect { return s.node.Finish(f.now, e.Ticket.ID) })
+			f.act(s, func() []node.Effect { return s.node.ReturnTicket(f.now, e.Ticket.ID) })
 		case node.TakeOverEndpoint:
 			result := node.TakeoverResult{Pool: e.Pool, Term: e.Term, OK: true, Fence: 1, Inspection: f.inspect(e.Endpoint.Name)}
 			f.act(s, func() []node.Effect { return s.node.HandleTakeoverResult(f.now, result) })
--- a/tests/fuzz/traffic_test.go
+++ b/tests/fuzz/traffic_test.go
@@ -67,7 +67,7 @@
 	q := w.requests[d.RequestID]
 	if q == nil || q.done || q.running {
 		if !w.defects.AcceptOldGrants || q == nil {
-			n.do(n.node.Finish(n.clock(), d.Ticket.ID))
+			n.do(n.node.ReturnTicket(n.clock(), d.Ticket.ID))
 			return
 		}
 	}
@@ -111,7 +111,7 @@
 		return
 	}
 	q.running = false
-	n.do(n.node.Finish(n.clock(), q.ticket.ID))
+	n.do(n.node.ReturnTicket(n.clock(), q.ticket.ID))
 	q.attempt++
 	if q.attempt >= maxAttempts {
 		w.finish(q, outcomeNotRun)
@@ -166,7 +166,7 @@
 		}
 		delete(e.running, q.id)
 		w.atNode(n, w.now.Add(w.delay()), func() {
-			n.do(n.node.Finish(n.clock(), t.ID))
+			n.do(n.node.ReturnTicket(n.clock(), t.ID))
 			then()
 		})
 	})
@@ -212,7 +212,7 @@
 	}
 	q.running = false
 	if outcome == outcomeAnswered {
-		n.do(n.node.Finish(n.clock(), q.ticket.ID))
+		n.do(n.node.ReturnTicket(n.clock(), q.ticket.ID))
 		return
 	}
 	w.cancelThen(q, func() {})
--- a/tests/pinned/daemon/caller_test.go
+++ b/tests/pinned/daemon/caller_test.go
@@ -116,7 +116,7 @@
 	}
 	r := caller.New(caller.Options{
 		Relay: relay.New(relay.Options{
-			Control: relay.Control{Submit: submit, Abandon: func(string) {}, Finish: func(string) {}, RecordEvent: func(fleet.Event) {}},
+			Control: relay.Control{Submit: submit, Withdraw: func(string) {}, ReturnTicket: func(string) {}, RecordEvent: func(fleet.Event) {}},
 			Claims: relay.Claims{
 				Claim:   func(context.Context, string, string) once.Result { return claim },
 				Release: func(context.Context, string, string) error { return nil },
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -139,7 +139,7 @@
 	pl := p.byName[r.pool]
 	r.pool, r.ticket = "", ""
 	if pl != nil && pl.placer != nil {
-		p.run(now, pl, pl.placer.Cancel(now, r.ID))
+		p.run(now, pl, pl.placer.Withdraw(now, r.ID))
 	}
 }
 
