--- a/services/daemon/control/service.go
+++ b/services/daemon/control/service.go
@@ -49,7 +49,7 @@
 	inspecting     map[string]bool
 	catalog        atomic.Pointer[catalog.Catalog]
 	follower       *configuration.Follower
-	owner          *owner
+	ownership      *ownershipManager
 	tasks          tasks
 	ctx            context.Context
 	cancel         context.CancelFunc
@@ -78,7 +78,7 @@
 		answerChannels: make(map[string]chan Answer), inspecting: make(map[string]bool), ctx: ctx, cancel: cancel,
 	}
 	s.catalog.Store(catalog.New())
-	s.owner = newOwner(s)
+	s.ownership = newOwnershipManager(s)
 	s.follower = configuration.NewFollower(o.KV, o.Prefix, func(r fleet.Records) { s.enqueue(recordsInput{records: r}) }, s.Revision, o.Log, o.Now)
 	return s
 }
@@ -137,14 +137,14 @@
 	return answer
 }
 
-// Abandon withdraws a waiting request. A ticket that is granted at the same time is returned automatically.
-func (s *Service) Abandon(requestID string) {
-	s.enqueue(abandonInput{requestID: requestID})
+// Withdraw withdraws a waiting request. A ticket that is granted at the same time is returned automatically.
+func (s *Service) Withdraw(requestID string) {
+	s.enqueue(withdrawInput{requestID: requestID})
 }
 
-// Finish returns a ticket.
-func (s *Service) Finish(ticketID string) {
-	s.enqueue(finishInput{ticketID: ticketID})
+// ReturnTicket returns a ticket to its placer after its request has ended or was never started.
+func (s *Service) ReturnTicket(ticketID string) {
+	s.enqueue(returnTicketInput{ticketID: ticketID})
 }
 
 // Leave begins a planned stop and returns when the pools have been handed over.
@@ -177,8 +177,8 @@
 	return s.catalog.Load().Revision
 }
 
-// Offer applies configuration records that this daemon has just stored.
-func (s *Service) Offer(r fleet.Records) {
+// ApplyRecords applies configuration records that this daemon has just stored.
+func (s *Service) ApplyRecords(r fleet.Records) {
 	s.enqueue(recordsInput{records: r})
 }
 
--- a/services/daemon/node/lease.go
+++ b/services/daemon/node/lease.go
@@ -17,7 +17,7 @@
 func newLease(o Options) *lease.Lease {
 	t := o.Timing
 	return lease.New(lease.Options{
-		TTL: t.LeaseTTL, Margin: t.LeaseMargin, Renew: t.LeaseRenew, Retry: t.TakeRetry, NeverLapses: o.Defects.OrderAfterLapse,
+		TTL: t.LeaseTTL, Margin: t.LeaseMargin, Renew: t.LeaseRenew, Retry: t.TakeoverRetry, NeverLapses: o.Defects.OrderAfterLapse,
 	})
 }
 
@@ -48,8 +48,8 @@
 	FormerOwners []FormerOwner
 }
 
-// Owned processes the answer to a request for ownership.
-func (n *Node) Owned(now time.Time, r OwnerResult) []Effect {
+// HandleOwnerResult processes the answer to a request for ownership.
+func (n *Node) HandleOwnerResult(now time.Time, r OwnerResult) []Effect {
 	ps := n.pools[r.Pool]
 	if ps == nil || !r.OK || r.Lease < n.lease.Number() {
 		return nil
@@ -83,10 +83,10 @@
 	ps.handedOverBy = FormerOwner{}
 	for _, e := range ps.unfenced() {
 		if ps.succession.Frozen() {
-			n.applyPlacerEffects(now, ps, ps.placer.Freeze(now, e.Name, now.Add(lease.Forever), "a former owner may have granted tickets whose requests have not started yet"))
+			n.applyPlacerEffects(now, ps, ps.placer.Freeze(now, e.Name, now.Add(lease.Forever), "a former owner may have granted what still starts"))
 			continue
 		}
-		n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, e.Name, "the pool had no other owner, or the former owner handed it over"))
+		n.applyPlacerEffects(now, ps, ps.placer.Thaw(now, e.Name, "the pool was never another's, or was handed over"))
 	}
 	if len(r.FormerOwners) > 0 && !ps.succession.Frozen() {
 		n.emit(SettleOwner{Pool: ps.pool.Name})
@@ -103,8 +103,8 @@
 	SentAt time.Time
 }
 
-// Renewed processes the answer to a lease renewal.
-func (n *Node) Renewed(now time.Time, r LeaseResult) []Effect {
+// HandleLeaseResult processes the answer to a lease renewal.
+func (n *Node) HandleLeaseResult(now time.Time, r LeaseResult) []Effect {
 	switch {
 	case r.Expired:
 		if n.lease.Lapse(r.Lease) {
--- a/services/daemon/node/members.go
+++ b/services/daemon/node/members.go
@@ -51,9 +51,9 @@
 	case membership.Joined:
 		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberJoined, Other: id, Cause: "first heartbeat since it was last lost or unknown"})
 	case membership.Left:
-		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLeft, Other: id, Cause: "the instance announced a planned stop"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLeft, Other: id, Cause: "it announced a planned stop"})
 	case membership.Lost, membership.Restarted:
-		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLost, Other: id, Cause: "no heartbeat in time, or the instance restarted"})
+		n.recordEvent(now, fleet.Event{Kind: fleet.EventMemberLost, Other: id, Cause: "no heartbeat in time, or a new life of the instance"})
 		n.entryLost(now, id)
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	for _, ps := range n.poolList {
 		if ps.isPlacer {
-			hb.Held = append(hb.Held, fleet.HeldPool{Pool: ps.pool.Name, Term: ps.term})
+			hb.HeldPools = append(hb.HeldPools, fleet.HeldPool{Pool: ps.pool.Name, Term: ps.term})
 		}
 		if ps.isPlacer {
 			hb.Pools = append(hb.Pools, n.summaryFor(now, peer, ps))
--- a/services/daemon/placement/queue_wait_test.go
+++ b/services/daemon/placement/queue_wait_test.go
@@ -18,32 +18,32 @@
 	first.MaxBatch = 1
 	second.Name = "e2"
 	p := newPlacer(first, second)
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	running := effectsOfType[placement.Grant](p.Submit(at(3), request("q1", "a")))
 	require.Len(t, running, 1)
 	p.Submit(at(4), request("q2", "a"))
 	p.Submit(at(800), request("q3", "a"))
 	require.Equal(t, 1, countGrants(p.ReturnTicket(at(801), running[0].Ticket.ID)), "q2 starts")
-	_, found := p.Bid(at(802))
+	_, found := p.BestBid(at(802))
 	require.False(t, found, "q3 has waited for 2 ms, less than SecondCopyWait")
-	_, found = p.Bid(at(1400))
+	_, found = p.BestBid(at(1400))
 	require.True(t, found, "q3 has waited for 600 ms")
 }
 
-// TestCanceledPatientRequestDoesNotEndHoldOfOthers cancels the patient request whose hold ends first.
-func TestCanceledPatientRequestDoesNotEndHoldOfOthers(t *testing.T) {
+// TestWithdrawnPatientRequestDoesNotEndHoldOfOthers withdraws the patient request whose hold ends first.
+func TestWithdrawnPatientRequestDoesNotEndHoldOfOthers(t *testing.T) {
 	e := endpoint(1)
 	e.MaxBatch = 8
 	p := newPlacer(e)
-	p.Inspected(at(2), inspection(1, ref("a")))
+	p.HandleInspection(at(2), inspection(1, ref("a")))
 	short := request("short", "a")
 	short.Class, short.Deadline = "patient", at(10_000)
 	require.Zero(t, countGrants(p.Submit(at(3), short)))
 	long := request("long", "a")
 	long.Class = "patient"
 	require.Zero(t, countGrants(p.Submit(at(4), long)))
-	p.Cancel(at(5), "short")
-	require.Zero(t, countGrants(p.Tick(at(4000))), "a fifth of the time until the deadline of the canceled request has passed")
+	p.Withdraw(at(5), "short")
+	require.Zero(t, countGrants(p.Tick(at(4000))), "a fifth of the time until the deadline of the withdrawn request has passed")
 	require.Equal(t, 1, countGrants(p.Tick(at(4).Add(placement.DefaultOptions().GatherLimit+1))))
 }
 
--- a/services/daemon/placement/submit_test.go
+++ b/services/daemon/placement/submit_test.go
@@ -19,7 +19,7 @@
 	o := placement.DefaultOptions()
 	o.Classes = []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1, MaxQueuedTokens: 120}}
 	p := placement.NewPlacer("h1/base", "i1", []fleet.Endpoint{endpoint(1)}, o)
-	p.Adopt(begin, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: begin, Up: true}, 1, begin)
+	p.TakeOverEndpoint(begin, placement.Inspection{Endpoint: "e1", Incarnation: "e1-1", StartedAt: begin, Up: true}, 1, begin)
 	return p
 }
 
@@ -52,11 +52,11 @@
 		require.Equal(t, row.reason, refusalReason(p.Submit(at(1), r)), "%+v", row)
 	}
 	require.Len(t, p.Waiting(), 6, "a repeated request is queued once")
-	p.Cancel(at(2), "q1")
-	require.Empty(t, p.Cancel(at(2), "q1"), "a repeated cancellation has no effect")
+	p.Withdraw(at(2), "q1")
+	require.Empty(t, p.Withdraw(at(2), "q1"), "a repeated withdrawal has no effect")
 	r := request("q9", "a")
 	r.Caller = "x"
-	require.Empty(t, refusalReason(p.Submit(at(3), r)), "the tokens of a canceled request no longer count")
+	require.Empty(t, refusalReason(p.Submit(at(3), r)), "the tokens of a withdrawn request no longer count")
 }
 
 func TestFirstRequestOfCustomerIsAdmittedRegardlessOfSize(t *testing.T) {
@@ -126,7 +126,7 @@
 		p.Submit(at(1), none)
 		p.Submit(at(1), named)
 		orderLoad(t, p, at(3))
-		granted := effectsOfType[placement.Grant](p.Loaded(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
+		granted := effectsOfType[placement.Grant](p.HandleLoadResult(at(4), "e1", "e1-1", ref("a"), placement.LoadDone, ""))
 		require.Len(t, granted, 2)
 		require.Equal(t, row.first, granted[0].Request.ID, "%+v", row.classes)
 	}
