--- a/models/entry/deployment/endpoint.go
+++ b/models/entry/deployment/endpoint.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// EndpointID identifies one incarnation of an endpoint; a restart has a new ID.
+// EndpointID identifies an endpoint. An endpoint that restarts has a new ID, or the same ID and another start time, see Endpoint.Born.
 type EndpointID string
 
 // EndpointState is whether an endpoint accepts new work.
--- a/models/entry/deployment/notice.go
+++ b/models/entry/deployment/notice.go
@@ -9,8 +9,8 @@
 type Notice struct {
 	// Limit is how many requests per second the endpoint accepts from all instances together; nil if it reports none.
 	Limit *float64
-	// Leaving reports whether the endpoint accepts no more new work in this incarnation.
-	Leaving bool
-	// Rest is how long the endpoint asks the instance whose request it refused to send it nothing; 0 if it reports none.
+	// Draining reports whether the endpoint is draining: its incarnation accepts no new work any more.
+	Draining bool
+	// Rest is how long the endpoint, which refused the request, asks the instance to send no requests to it; 0 if it asks for no rest.
 	Rest time.Duration
 }
--- a/models/entry/deployment/request.go
+++ b/models/entry/deployment/request.go
@@ -19,8 +19,8 @@
 	Service string
 	// Adapter is the adapter named by the caller's header; its Model is empty for plain services.
 	Adapter Adapter
-	// Prompt is the length of the prompt in tokens as declared by the caller; 0 if it declares none.
-	Prompt int
+	// PromptTokens is the length of the prompt in tokens as declared by the caller; 0 if it declares none.
+	PromptTokens int
 	// Arrived is when this instance began to serve the request, by its own clock.
 	Arrived time.Time
 	// Deadline is the earlier of the caller's own deadline and the route's timeout.
--- a/modules/entry/metric/metrics.go
+++ b/modules/entry/metric/metrics.go
@@ -29,8 +29,8 @@
 	Whole time.Duration
 	// StartRatios are, for each attempt that ran with a declared prompt, the time until it ran divided by the expected time.
 	StartRatios []float64
-	// Enders name, for each attempt without a complete answer, who ended it.
-	Enders []string
+	// EndCauses name, for each attempt without a complete answer, what ended it.
+	EndCauses []string
 }
 
 // Gauges are the values read at each scrape.
@@ -65,7 +65,7 @@
 	storeFailures    *prometheus.CounterVec
 	relayedBytes     prometheus.Counter
 	linksClosed      prometheus.Counter
-	takenBack        prometheus.Counter
+	recalled         prometheus.Counter
 	waitSeconds      *prometheus.HistogramVec
 	firstByteSeconds *prometheus.HistogramVec
 	requestSeconds   *prometheus.HistogramVec
@@ -76,7 +76,7 @@
 	// for which the connection ended.
 	connectionsEnded *prometheus.CounterVec
 	unanswered       *prometheus.CounterVec
-	// attemptsEnded counts attempts without a complete answer by who ended them.
+	// attemptsEnded counts attempts without a complete answer by what ended them.
 	attemptsEnded *prometheus.CounterVec
 }
 
@@ -111,7 +111,7 @@
 		orders:           counter("orders_total", "Orders to endpoints, by kind and reply.", "kind", "reply"),
 		storeFailures:    counter("store_failures_total", "Calls to the store that failed, by call.", "call"),
 		relayedBytes:     plain("configuration_relayed_bytes_total", "Bytes of the operators' keys sent to peers that lacked them."),
-		takenBack:        plain("requests_taken_back_total", "Requests taken back from endpoints where they had not begun in time."),
+		recalled:         plain("requests_taken_back_total", "Requests taken back from endpoints where they had not begun in time."),
 		linksClosed:      plain("peer_links_closed_total", "Links of peers closed because too much waited for the peer."),
 		waitSeconds:      histogram("wait_seconds", "Wait for an endpoint."),
 		firstByteSeconds: histogram("first_byte_seconds", "Time to the head of the answer."),
@@ -130,7 +130,7 @@
 			"Requests that were read and ended without a whole answer, by the reason for which their connection ended.", "reason"),
 		attemptsEnded: counter("attempts_ended_total", "Attempts that brought no whole answer, by who ended them.", "by"),
 	}
-	m.registry.MustRegister(m.requests, m.failures, m.retries, m.orders, m.storeFailures, m.relayedBytes, m.linksClosed, m.takenBack, m.waitSeconds, m.firstByteSeconds, m.requestSeconds, m.startRatios,
+	m.registry.MustRegister(m.requests, m.failures, m.retries, m.orders, m.storeFailures, m.relayedBytes, m.linksClosed, m.recalled, m.waitSeconds, m.firstByteSeconds, m.requestSeconds, m.startRatios,
 		m.formerVersionAge, m.overdue, m.connectionsEnded, m.unanswered, m.attemptsEnded, &gaugeCollector{read: gauges})
 	return m
 }
@@ -157,7 +157,7 @@
 	for _, ratio := range r.StartRatios {
 		m.startRatios.WithLabelValues(r.Route).Observe(ratio)
 	}
-	for _, by := range r.Enders {
+	for _, by := range r.EndCauses {
 		m.attemptsEnded.WithLabelValues(by).Inc()
 	}
 }
@@ -197,9 +197,9 @@
 	m.unanswered.WithLabelValues(reason).Add(float64(unanswered))
 }
 
-// ObserveTakenBack counts a request that was taken back from its endpoint.
-func (m *Metrics) ObserveTakenBack() {
-	m.takenBack.Inc()
+// ObserveRecall counts a request that was recalled from its endpoint.
+func (m *Metrics) ObserveRecall() {
+	m.recalled.Inc()
 }
 
 // gaugeCollector collects all gauges with a single read.
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -188,8 +188,8 @@
 	return s.stopping.Load() != 0
 }
 
-// Refusing reports whether a new request is refused because it could not be answered completely before the process ends.
-func (s *Server) Refusing(kind deployment.RouteKind) bool {
+// ShouldRefuse reports whether a new request of a kind is refused because it could not be answered completely before the process ends.
+func (s *Server) ShouldRefuse(kind deployment.RouteKind) bool {
 	began := s.stopping.Load()
 	if began == 0 || kind != deployment.Streaming {
 		return false
--- a/routers/entry/gateway/server_test.go
+++ b/routers/entry/gateway/server_test.go
@@ -72,7 +72,7 @@
 			server := gateway.New(o)
 			server.Stop(endedContext())
 			now = start.Add(test.after)
-			assert.Equal(t, test.refuses, server.Refusing(test.kind))
+			assert.Equal(t, test.refuses, server.ShouldRefuse(test.kind))
 		})
 	}
 }
@@ -80,7 +80,7 @@
 func TestNothingIsRefusedBeforeStop(t *testing.T) {
 	server := gateway.New(options())
 	assert.False(t, server.Leaving())
-	assert.False(t, server.Refusing(deployment.Streaming))
+	assert.False(t, server.ShouldRefuse(deployment.Streaming))
 	server.Stop(endedContext())
 	assert.True(t, server.Leaving())
 }
--- a/services/daemon/relay/crash.go
+++ b/services/daemon/relay/crash.go
@@ -49,21 +49,21 @@
 func (c *crashes) crashed(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.table.Crashed(now, request, endpoint)
+	c.table.RecordCrash(now, request, endpoint)
 }
 
 // unanswered notes that an endpoint that went on, as far as was seen, may still have a request.
 func (c *crashes) unanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.table.Unanswered(now, request, endpoint)
+	c.table.RecordUnanswered(now, request, endpoint)
 }
 
 // answered notes a whole answer to a request.
 func (c *crashes) answered(now time.Time, request fingerprint.Fingerprint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.table.Answered(now, request)
+	c.table.RecordAnswered(now, request)
 }
 
 // fingerprint tells the job's request from others.
--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -18,13 +18,13 @@
 	AdapterNotLoaded Reason = "adapter not loaded"
 	// NoEndpoint means that no endpoint of the service accepts requests.
 	NoEndpoint Reason = "no endpoint"
-	// Saturated means that the endpoints with the adapter have too many requests in flight. The text says "crowded" because operators
-	// know it in that form.
+	// Saturated means that the endpoints with the adapter have too many requests in flight. The text keeps an earlier wording, "crowded", which
+	// operators know.
 	Saturated Reason = "endpoints crowded"
 	// Limited means that the endpoints that could run the request accept no more requests for now, according to the limits that they
 	// report.
 	Limited Reason = "endpoints limited"
-	// Resting means that the endpoints that could run the request asked this instance to pause.
+	// Resting means that the endpoints that could run the request asked this instance for a rest.
 	Resting Reason = "endpoints rest"
 	// Quarantined means that several endpoints ended, one after the other, while they had the same request.
 	Quarantined Reason = "crashes endpoints"
@@ -47,19 +47,19 @@
 	// Limited is set if endpoints could run the request, but accept no more requests for now by the limits that they report,
 	// according to package balance.
 	Limited bool
-	// Resting is set if endpoints could run the request, but asked this instance to pause, according to package balance.
+	// Resting is set if endpoints could run the request, but asked this instance for a rest, according to package balance.
 	Resting bool
-	// SendableAt is when the limits are expected to allow the request to be sent, or when the first endpoint ends its pause; zero if
+	// SendableAt is when the limits are expected to allow the request to be sent, or when the first rest of an endpoint ends; zero if
 	// another endpoint may become able to run the request. It is derived from the limits, from the requests that wait for them by the
-	// planner's last view, and from the pauses that endpoints asked for.
+	// planner's last view, and from the rests that endpoints asked for.
 	SendableAt time.Time
 	// Jitter is a number in [0, 1) that makes refused callers retry at different times.
 	Jitter float64
 	// AdapterExpectedAt is when the adapter is expected to be resident; zero if unknown. It comes from the planner's last view (which is
 	// updated with its heartbeats) or, while no planner is active, from the usual duration of a planner handover.
 	AdapterExpectedAt time.Time
-	// NobodyOrders is set while no planner orders loads, so that no forecast can arrive that would change AdapterExpectedAt.
-	NobodyOrders bool
+	// NoActivePlanner is set while no planner can order loads, so that no forecast can arrive that would change AdapterExpectedAt.
+	NoActivePlanner bool
 }
 
 // Decision is the result of Decide for a request.
@@ -131,7 +131,7 @@
 	return Decision{Reason: AdapterNotLoaded, RetryAfter: retryAfter(now, situation)}
 }
 
-// jitteredRetryAfter returns when a caller should retry that was refused because of limits or pauses of endpoints: between the time
+// jitteredRetryAfter returns when a caller should retry that was refused because of limits or rests of endpoints: between the time
 // at which its request could be sent and twice that time, so that callers that were refused together do not retry together.
 func jitteredRetryAfter(now time.Time, situation Situation) time.Duration {
 	turn := max(minRetryAfter, situation.SendableAt.Sub(now))
@@ -148,7 +148,7 @@
 	if situation.Route.Kind != deployment.Streaming || situation.AdapterExpectedAt.IsZero() || situation.NoEndpoint || situation.Saturated {
 		return false
 	}
-	if waited < forecastDelay && !situation.NobodyOrders {
+	if waited < forecastDelay && !situation.NoActivePlanner {
 		return false
 	}
 	return situation.AdapterExpectedAt.Add(firstTokenLatency).After(situation.Arrived.Add(waitLimit(situation)))
--- a/services/entry/admission/decide_test.go
+++ b/services/entry/admission/decide_test.go
@@ -67,7 +67,7 @@
 
 	assert.True(t, admission.Decide(start.Add(50*time.Millisecond), situation).Wait, "the planner may not have received the report yet")
 	assert.False(t, admission.Decide(start.Add(time.Second), situation).Wait, "a request whose adapter comes too late must not wait longer")
-	situation.NobodyOrders = true
+	situation.NoActivePlanner = true
 	assert.False(t, admission.Decide(start, situation).Wait, "without a planner no forecast can be under way")
 }
 
--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -44,16 +44,16 @@
 	Request *deployment.Request
 	// Version is the lowest version of the adapter that may run the request, as named in the store; 0 allows any version.
 	Version int64
-	// Former is the lowest older version that is allowed (0 allows any) at an endpoint in whose own queue the request is known to
+	// FormerVersion is the lowest older version that is allowed (0 allows any) at an endpoint in whose own queue the request is known to
 	// wait less than FormerWait. If FormerWait is 0, older versions are not allowed.
-	Former     int64
-	FormerWait time.Duration
+	FormerVersion int64
+	FormerWait    time.Duration
 	// OthersKnown is set if the other instances' requests in flight come from a recent view, so that a count of 0 means none.
 	OthersKnown bool
-	// OthersAge is the age of the other instances' counts, and Stay the time that a request of the service is in flight. Together
+	// OthersAge is the age of the other instances' counts, and MeanInFlightTime that of the service's requests. Together
 	// they indicate how much the counts may have changed since.
-	OthersAge time.Duration
-	Stay      time.Duration
+	OthersAge        time.Duration
+	MeanInFlightTime time.Duration
 	// Tried are the endpoints to which this instance already sent the request.
 	Tried []deployment.EndpointID
 }
@@ -69,7 +69,7 @@
 	NoEndpoint
 	// NotResident means that endpoints accept requests, but none holds the adapter.
 	NotResident
-	// Resting means that an endpoint could run the request, but asked this instance to pause.
+	// Resting means that an endpoint could run the request, but asked this instance for a rest.
 	Resting
 	// Limited means that an endpoint could run the request, but accepts no more requests for now by the limit that it reports.
 	Limited
@@ -78,7 +78,7 @@
 )
 
 // Choose returns the endpoint for a request. Ejected endpoints are chosen only if no other endpoint can run the request, or for a
-// trial; endpoints that rest, or whose limit allows no more requests, are never chosen.
+// trial; endpoints that asked for a rest, or whose limit allows no more requests, are never chosen.
 func Choose(now time.Time, endpoints []*directory.EndpointStatus, required Requirement, options Options) (*directory.EndpointStatus, Verdict) {
 	verdict := NoEndpoint
 	var preferred, avoided []candidate
@@ -119,7 +119,7 @@
 	if len(preferred) == 0 {
 		return nil, verdict
 	}
-	return drawCandidate(preferred, unknownRequests(preferred, required.OthersAge, required.Stay), options.Random()), Chosen
+	return drawCandidate(preferred, unknownRequests(preferred, required.OthersAge, required.MeanInFlightTime), options.Random()), Chosen
 }
 
 // allowsEndpoint reports whether the request may be sent to an endpoint, considering where it was sent before.
@@ -139,7 +139,7 @@
 	}
 	wait, known := endpoint.ExpectedWait(now, r.Request.Route.Priority, r.OthersKnown)
 	if known && wait < r.FormerWait {
-		return r.Former
+		return r.FormerVersion
 	}
 	return r.Version
 }
--- a/services/entry/balance/choose_test.go
+++ b/services/entry/balance/choose_test.go
@@ -151,20 +151,20 @@
 func TestEndpointUnreachableForOthersIsNotChosen(t *testing.T) {
 	d := newDirectory(endpointWithAdapter("dead", "h1"), endpointWithAdapter("alive", "h1"))
 	request := &deployment.Request{Adapter: adapter, Service: "s"}
-	d.Endpoint("dead").Unreached = true
+	d.Endpoint("dead").Unreachable = true
 	for range 20 {
 		chosen, _ := choose(d, balance.Requirement{Request: request})
 		require.NotNil(t, chosen)
 		assert.EqualValues(t, "alive", chosen.ID)
 	}
-	d.Endpoint("alive").Unreached = true
+	d.Endpoint("alive").Unreachable = true
 	chosen, verdict := choose(d, balance.Requirement{Request: request})
 	assert.Nil(t, chosen)
 	assert.Equal(t, balance.NotResident, verdict, "the request must wait for another copy")
 
 	for range 2 {
 		d.Begin(start, "dead", request)
-		d.End(start, "dead", adapter, directory.Unreached)
+		d.End(start, "dead", adapter, directory.Unreachable)
 	}
 	chosen, _ = choose(d, balance.Requirement{Request: request})
 	require.NotNil(t, chosen)
--- a/services/entry/balance/spread.go
+++ b/services/entry/balance/spread.go
@@ -68,13 +68,13 @@
 
 // unknownRequests estimates how many requests of other instances came to the candidates since their counts were taken: per duration
 // of a request, as many as were in flight.
-func unknownRequests(candidates []candidate, age, stay time.Duration) float64 {
-	if stay <= 0 {
+func unknownRequests(candidates []candidate, age, inFlightTime time.Duration) float64 {
+	if inFlightTime <= 0 {
 		return 0
 	}
 	others := 0
 	for _, c := range candidates {
 		others += c.endpoint.OthersRequests
 	}
-	return float64(others) * age.Seconds() / stay.Seconds()
+	return float64(others) * age.Seconds() / inFlightTime.Seconds()
 }
--- a/services/entry/balance/spread_test.go
+++ b/services/entry/balance/spread_test.go
@@ -46,7 +46,7 @@
 	running := make(map[deployment.EndpointID]int)
 	ends := make([][]deployment.EndpointID, steps+int(requestDuration/step)+1)
 	var renewed, maxSum, meanSum float64
-	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}, Stay: requestDuration}
+	required := balance.Requirement{Request: &deployment.Request{Adapter: adapter}, MeanInFlightTime: requestDuration}
 	for at := range steps {
 		now := time.Duration(at) * step
 		for _, id := range ends[at] {
--- a/services/entry/balance/version_test.go
+++ b/services/entry/balance/version_test.go
@@ -21,7 +21,7 @@
 	addWait := func(d *directory.Directory) {
 		request := &deployment.Request{Adapter: adapter, Route: stream}
 		d.Begin(start.Add(-wait), "old", request)
-		d.Running(start, "old", start.Add(-wait), request)
+		d.MarkRunning(start, "old", start.Add(-wait), request)
 	}
 	for name, test := range map[string]struct {
 		prepare     func(d *directory.Directory)
@@ -42,9 +42,9 @@
 			d := newDirectory(endpointWithAdapter("old", "near"))
 			test.prepare(d)
 			request := &deployment.Request{Adapter: adapter, Route: stream}
-			required := balance.Requirement{Request: request, Version: 3, Former: 1, FormerWait: test.formerWait, OthersKnown: test.othersKnown}
+			required := balance.Requirement{Request: request, Version: 3, FormerVersion: 1, FormerWait: test.formerWait, OthersKnown: test.othersKnown}
 			if name == "held version too old" {
-				required.Former = 2
+				required.FormerVersion = 2
 			}
 			_, verdict := choose(d, required)
 			assert.Equal(t, test.verdict, verdict)
@@ -64,7 +64,7 @@
 func TestFormerVersionIsNotAllowedWithoutStreaming(t *testing.T) {
 	for _, kind := range []deployment.RouteKind{deployment.Safe, deployment.Unsafe} {
 		request := &deployment.Request{Adapter: adapter, Route: &deployment.Route{Kind: kind}}
-		required := balance.Requirement{Request: request, Version: 3, Former: 1, FormerWait: time.Hour, OthersKnown: true}
+		required := balance.Requirement{Request: request, Version: 3, FormerVersion: 1, FormerWait: time.Hour, OthersKnown: true}
 		_, verdict := choose(newDirectory(endpointWithAdapter("old", "near")), required)
 		assert.Equal(t, balance.NotResident, verdict)
 	}
--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -54,8 +54,8 @@
 	// HeldVersion is the version of the request's adapter that the endpoint was assumed to hold. It is 0 for a request
 	// without an adapter.
 	HeldVersion int64
-	// Former describes the choice of an endpoint that holds only a former version.
-	Former FormerUse
+	// FormerVersion describes the choice of an endpoint that holds only a former version.
+	FormerVersion FormerUse
 	// Recall cancels the exchange if the request has not begun in time. It is nil if the request is never recalled.
 	Recall *unbegun.Recall
 	// status is the endpoint's status at the time of the choice. Only the control goroutine uses it.
@@ -135,7 +135,7 @@
 	// Admit may have admitted the request as a trial, which the other instances must be informed of.
 	c.publishCrashes(now)
 	if w.UsesModel() && len(w.Tried) == 0 {
-		c.demand.AddArrival(w.Key(), w.Prompt)
+		c.demand.AddArrival(w.Key(), w.PromptTokens)
 	}
 	c.recordServiceUse(w.Service)
 	if c.tryAssign(now, w) {
@@ -154,10 +154,10 @@
 // tryAssign assigns an endpoint if one can accept the request now, and reports whether it did.
 func (c *Coordinator) tryAssign(now time.Time, w *waiter) bool {
 	named := c.versions.Latest(w.Adapter)
-	former, formerWait := c.versions.Former(now, w.Adapter, c.options.VersionLimit)
+	former, formerWait := c.versions.FormerVersion(now, w.Adapter, c.options.VersionLimit)
 	required := balance.Requirement{
-		Request: w.Request, Tried: w.Tried, Version: named, Former: former, FormerWait: formerWait,
-		OthersKnown: c.planner != nil || c.follower.Fresh(now), OthersAge: now.Sub(c.othersInFlightAt), Stay: c.directory.Stay(w.Service),
+		Request: w.Request, Tried: w.Tried, Version: named, FormerVersion: former, FormerWait: formerWait,
+		OthersKnown: c.planner != nil || c.follower.Fresh(now), OthersAge: now.Sub(c.othersInFlightAt), MeanInFlightTime: c.directory.MeanInFlightTime(w.Service),
 	}
 	status, verdict := balance.Choose(now, c.directory.Service(w.Service), required, balance.NewOptions(c.options.Hall, c.options.Random))
 	w.Verdict = verdict
@@ -169,14 +169,14 @@
 	c.directory.Begin(now, status.ID, w.Request)
 	assignment := Assignment{
 		Endpoint: status.Endpoint, MaxConnections: c.connectionShare(w.Service), Waited: now.Sub(w.Since), Assigned: now,
-		Urgency: c.urgency(now, w.Request, status), HeldVersion: held, Former: formerUse, Recall: c.trackUnbegun(w.Request, held),
+		Urgency: c.urgency(now, w.Request, status), HeldVersion: held, FormerVersion: formerUse, Recall: c.trackUnbegun(w.Request, held),
 		status: status,
 	}
-	if w.Prompt > 0 {
+	if w.PromptTokens > 0 {
 		assignment.Expected = status.Backlog()
 	}
 	if named > 0 && held >= named {
-		// Endpoints reject every version but the one that they hold, newer ones too. The held version may be newer than
+		// Endpoints refuse every version but the one that they hold, newer ones too. The held version may be newer than
 		// the named version that is known here.
 		assignment.Version = held
 	}
@@ -201,7 +201,7 @@
 	if configuration := c.current.Load(); configuration != nil {
 		rank.Position, rank.Total = configuration.PriorityRank(request.Service, request.Route.Priority)
 	}
-	slack := request.Arrived.Add(request.Route.TargetLatency).Sub(now) - status.Speed.ReadTime(request.Prompt)
+	slack := request.Arrived.Add(request.Route.TargetLatency).Sub(now) - status.Speed.ReadTime(request.PromptTokens)
 	return rank.Urgency(slack)
 }
 
@@ -227,7 +227,7 @@
 	switch w.Verdict {
 	case balance.NotResident:
 		expectedLoad := c.expectedLoad(now, w)
-		situation.AdapterExpectedAt, situation.NobodyOrders = expectedLoad.At, expectedLoad.Reason.NobodyOrders()
+		situation.AdapterExpectedAt, situation.NoActivePlanner = expectedLoad.At, expectedLoad.Reason.NoActivePlanner()
 	case balance.Limited, balance.Resting:
 		situation.Limited, situation.Resting = w.Verdict == balance.Limited, w.Verdict == balance.Resting
 		situation.SendableAt, situation.Jitter = c.earliestSend(now, w), c.options.Random()
@@ -288,10 +288,10 @@
 	if !c.sameIncarnation(assignment) {
 		return
 	}
-	c.directory.NoteStay(request.Service, now.Sub(assignment.Assigned))
+	c.directory.RecordInFlightTime(request.Service, now.Sub(assignment.Assigned))
 	c.directory.LeaveQueue(now, assignment.Endpoint.ID, assignment.Assigned, request)
 	c.directory.End(now, assignment.Endpoint.ID, request.Adapter, outcome)
-	if (outcome == directory.Unreached || outcome == directory.Ended) && assignment.status.Health.Unreached(now) {
+	if (outcome == directory.Unreachable || outcome == directory.Ended) && assignment.status.Health.Unreachable(now) {
 		// This report informs the other instances, which would otherwise find out by failed requests of their own.
 		c.requestReport(now)
 	}
--- a/services/entry/coordinator/begin.go
+++ b/services/entry/coordinator/begin.go
@@ -11,14 +11,14 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Running records that an endpoint has begun to answer a request.
-func (c *Coordinator) Running(request *deployment.Request, assignment Assignment) {
+// MarkRunning records that an endpoint has begun to answer a request.
+func (c *Coordinator) MarkRunning(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
 		c.unbegun.Remove(assignment.Recall)
 		if !c.sameIncarnation(assignment) {
 			return
 		}
-		c.directory.Running(now, assignment.Endpoint.ID, assignment.Assigned, request)
+		c.directory.MarkRunning(now, assignment.Endpoint.ID, assignment.Assigned, request)
 		c.compareVersion(now, request, assignment)
 	})
 }
--- a/services/entry/coordinator/begin_test.go
+++ b/services/entry/coordinator/begin_test.go
@@ -42,7 +42,7 @@
 	begin := func(request *deployment.Request, version, held int64) {
 		assignment := chosen
 		assignment.Version, assignment.HeldVersion = version, held
-		f.instance.Running(request, assignment)
+		f.instance.MarkRunning(request, assignment)
 		f.instance.Status()
 	}
 	begin(request, 2, 2)
@@ -93,11 +93,11 @@
 	chosen := f.assignRequest(t).assignment
 	request := &deployment.Request{Route: route, Service: service, Adapter: adapter("a1")}
 	chosen.Version, chosen.HeldVersion = 0, 1
-	f.instance.Running(request, chosen)
+	f.instance.MarkRunning(request, chosen)
 	f.instance.Status()
 	assert.Empty(t, f.formerUses)
 	chosen.Version = 1
-	f.instance.Running(request, chosen)
+	f.instance.MarkRunning(request, chosen)
 	f.instance.Status()
-	assert.Len(t, f.formerUses, 1, "the endpoint rejects a request that requires the former version")
+	assert.Len(t, f.formerUses, 1, "the endpoint refuses a request that requires the former version")
 }
--- a/services/entry/coordinator/bench_test.go
+++ b/services/entry/coordinator/bench_test.go
@@ -30,7 +30,7 @@
 		if err != nil {
 			b.Fatal(err)
 		}
-		f.instance.Running(request, assignment)
+		f.instance.MarkRunning(request, assignment)
 		f.instance.Finish(request, assignment, directory.Succeeded, false)
 	}
 }
--- a/services/entry/coordinator/configuration.go
+++ b/services/entry/coordinator/configuration.go
@@ -65,7 +65,7 @@
 			return
 		}
 		answer, err := c.watchConfigurationOnce(after)
-		step := watch.Answered(err)
+		step := watch.RecordResult(err)
 		if err != nil {
 			c.loop.Post(func(time.Time) { c.keysCompleteness.RecordFailure() })
 		}
@@ -154,7 +154,7 @@
 	lag, _ := c.keysLag.Observe(now, c.keys.Revision(), c.follower.PlannerRevision)
 	return follow.Situation{
 		Planning: c.planner != nil, PlannerFresh: c.follower.Fresh(now), EndpointsKnown: c.endpointsKnown,
-		PlannerHeard: now.Sub(c.follower.ReceivedAt)+c.follower.Delay < follow.MaxPlannerSilence, WatchedNearby: c.gatheredByAnother(), KeysLag: lag,
+		ViewReceivedRecently: now.Sub(c.follower.ReceivedAt)+c.follower.Delay < follow.MaxPlannerSilence, WatchedNearby: c.gatheredByAnother(), KeysLag: lag,
 	}
 }
 
@@ -249,7 +249,7 @@
 // ignored without a log line.
 func (c *Coordinator) applyVersion(now time.Time, origin follow.Origin, item store.Item) {
 	adapter, version, ok := c.environment.ParseVersion(item)
-	if !ok || !c.versions.Name(now, origin.Since, adapter, version) {
+	if !ok || !c.versions.Put(now, origin.Since, adapter, version) {
 		return
 	}
 	c.logVersion(now, origin, adapter, version)
@@ -259,8 +259,8 @@
 	}
 }
 
-// logVersion logs which version was named, from which source the name came, for how long the name may already have been
-// acknowledged to operators, and the age that is assumed for it.
+// logVersion logs which version was named, from which source this instance received it, for how long it may already have
+// been acknowledged to operators, and the age that is assumed for it.
 func (c *Coordinator) logVersion(now time.Time, origin follow.Origin, adapter deployment.Adapter, version int64) {
 	fields := logrus.Fields{"adapter": adapter.String(), "version": version, "source": origin.Source}
 	if silence, known := origin.TimeSinceProof(now); known {
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -89,10 +89,10 @@
 	planner        *planner
 	gathering      gathering
 	endpointLimits endpointLimits
-	// announcedLeaving holds the endpoints that announced in a response, to this instance or to another one, that they
-	// leave.
-	announcedLeaving map[deployment.EndpointID]bool
-	seedAnswer       seedAnswer
+	// announcedDraining holds the endpoints that announced in a response, to this instance or to another one, that they
+	// are draining.
+	announcedDraining map[deployment.EndpointID]bool
+	seedAnswer        seedAnswer
 	// othersInFlightAt is the mean time at which the known in-flight requests of the other instances were counted. It is
 	// zero if no counts are known.
 	othersInFlightAt time.Time
@@ -122,22 +122,22 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Coordinator{
-		options:          options,
-		environment:      environment,
-		loop:             loop.New(options.Now),
-		context:          ctx,
-		cancel:           cancel,
-		directory:        directory.New(),
-		keys:             follow.NewKeys(),
-		versions:         follow.NewVersions(),
-		unbegun:          unbegun.NewRequests(),
-		budget:           retry.NewBudget(options.Retry, options.Now()),
-		crashes:          quarantine.NewTable(),
-		demand:           report.NewCounter(),
-		forecasts:        forecast.NewAnnouncements(),
-		gathering:        newGathering(),
-		endpointLimits:   newEndpointLimits(),
-		announcedLeaving: make(map[deployment.EndpointID]bool),
+		options:           options,
+		environment:       environment,
+		loop:              loop.New(options.Now),
+		context:           ctx,
+		cancel:            cancel,
+		directory:         directory.New(),
+		keys:              follow.NewKeys(),
+		versions:          follow.NewVersions(),
+		unbegun:           unbegun.NewRequests(),
+		budget:            retry.NewBudget(options.Retry, options.Now()),
+		crashes:           quarantine.NewTable(),
+		demand:            report.NewCounter(),
+		forecasts:         forecast.NewAnnouncements(),
+		gathering:         newGathering(),
+		endpointLimits:    newEndpointLimits(),
+		announcedDraining: make(map[deployment.EndpointID]bool),
 	}
 	c.leases = &leasestore.Store{
 		Client: environment.Store, Instance: options.Instance, Address: options.PeerAddress,
--- a/services/entry/coordinator/coordinator_test.go
+++ b/services/entry/coordinator/coordinator_test.go
@@ -304,7 +304,7 @@
 	f.waitForStatus(t, "a new term", func(status coordinator.Status) bool { return status.Planning && status.Term == 2 })
 }
 
-func TestMemberGetsWholeViewThenChangesAndHeartbeats(t *testing.T) {
+func TestMemberGetsSnapshotThenChangesAndHeartbeats(t *testing.T) {
 	f := newFixture()
 	f.start(t)
 	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -19,38 +19,38 @@
 // that time the store has removed the endpoint's entry.
 const recentCrashAge = 5 * time.Second
 
-// Crashed records that the endpoint of an exchange ended while it had the request. The end of an endpoint that was
-// leaving, or that is known to be gone, was planned and says nothing about the request.
-func (c *Coordinator) Crashed(request *deployment.Request, assignment Assignment) {
+// RecordCrash records that the endpoint of an exchange ended while it had the request. The end of an endpoint that was
+// draining, or that is known to be gone, was planned and is no evidence against the request.
+func (c *Coordinator) RecordCrash(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
 		status := c.directory.Endpoint(assignment.Endpoint.ID)
 		if status == nil || status.State == deployment.Draining {
 			return
 		}
-		c.crashes.Crashed(now, request.Fingerprint, string(assignment.Endpoint.ID))
+		c.crashes.RecordCrash(now, request.Fingerprint, string(assignment.Endpoint.ID))
 		c.crashRecords.Store(int64(c.crashes.Size()))
 		// The other instances may be about to send the same request.
 		c.publishCrashes(now)
 	})
 }
 
-// Unanswered records that an exchange ended without a complete answer while its endpoint kept running, as far as this
+// RecordUnanswered records that an exchange ended without a complete answer while its endpoint kept running, as far as this
 // instance can see. The endpoint may still run the request and crash because of it.
-func (c *Coordinator) Unanswered(request *deployment.Request, assignment Assignment) {
+func (c *Coordinator) RecordUnanswered(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
-		c.crashes.Unanswered(now, request.Fingerprint, string(assignment.Endpoint.ID))
+		c.crashes.RecordUnanswered(now, request.Fingerprint, string(assignment.Endpoint.ID))
 		c.crashRecords.Store(int64(c.crashes.Size()))
 		c.publishCrashes(now)
 	})
 }
 
-// Answered records that a request got a complete answer and therefore does not crash endpoints.
-func (c *Coordinator) Answered(request *deployment.Request) {
+// RecordAnswered records that a request got a complete answer and therefore does not crash endpoints.
+func (c *Coordinator) RecordAnswered(request *deployment.Request) {
 	if c.crashRecords.Load() == 0 {
 		return
 	}
 	c.loop.Post(func(now time.Time) {
-		c.crashes.Answered(now, request.Fingerprint)
+		c.crashes.RecordAnswered(now, request.Fingerprint)
 	})
 }
 
--- a/services/entry/coordinator/descriptions_test.go
+++ b/services/entry/coordinator/descriptions_test.go
@@ -24,9 +24,9 @@
 // new planner sends members only what they lack, in rounds that leave capacity on its link, and an instance that polls the
 // endpoints reads only the changes.
 
-// TestMemberWithDescriptionsGetsWholeViewWithoutThem checks that a new planner does not repeat endpoint descriptions,
+// TestMemberWithDescriptionsGetsSnapshotWithoutThem checks that a new planner does not repeat endpoint descriptions,
 // which do not change with the planner.
-func TestMemberWithDescriptionsGetsWholeViewWithoutThem(t *testing.T) {
+func TestMemberWithDescriptionsGetsSnapshotWithoutThem(t *testing.T) {
 	f := newFixture()
 	f.start(t)
 	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
@@ -50,26 +50,26 @@
 			assert.Positive(t, v.DescribedUpTo)
 			if test.known {
 				assert.Empty(t, v.Endpoints)
-				assert.Equal(t, []wire.KnownEndpoints{{Models: []string{"base"}, IDs: []deployment.EndpointID{"e1"}}}, v.Known)
+				assert.Equal(t, []wire.KnownEndpoints{{Models: []string{"base"}, IDs: []deployment.EndpointID{"e1"}}}, v.DescribedEndpoints)
 			} else {
 				assert.Len(t, v.Endpoints, 1)
-				assert.Empty(t, v.Known)
+				assert.Empty(t, v.DescribedEndpoints)
 			}
 			awaitMessage(t, stream, func(m wire.Message) bool { return m.View != nil && m.View.Probe == 1 })
 		})
 	}
 }
 
-// viewWithoutDescriptions returns a whole view that lists one copy of an endpoint but not the endpoint's description.
+// viewWithoutDescriptions returns a snapshot that lists one copy of an endpoint but not the endpoint's description.
 func viewWithoutDescriptions(sequence uint64, id deployment.EndpointID, name string) *wire.View {
-	v := wholeView(sequence)
+	v := snapshotView(sequence)
 	v.Endpoints, v.DescribedUpTo = nil, 50
-	v.Known = []wire.KnownEndpoints{{Models: []string{"base"}, IDs: []deployment.EndpointID{id}}}
+	v.DescribedEndpoints = []wire.KnownEndpoints{{Models: []string{"base"}, IDs: []deployment.EndpointID{id}}}
 	v.CopyChanges = []wire.CopyChange{{ID: id, Model: "base", Name: name, Version: 1}}
 	return v
 }
 
-func TestWholeViewWithoutDescriptionsReplacesCopies(t *testing.T) {
+func TestSnapshotWithoutDescriptionsReplacesCopies(t *testing.T) {
 	f := newFixture()
 	planner, gatherer := f.followWithGatherer(t)
 	go drainWire(gatherer)
@@ -80,12 +80,12 @@
 	_, _, err = f.acquire("a2", waitLimit)
 	require.NoError(t, err)
 	_, _, err = f.acquire("a1", 50*time.Millisecond)
-	assert.Error(t, err, "the whole view removes earlier copies")
+	assert.Error(t, err, "the snapshot removes earlier copies")
 }
 
-// TestWholeViewWithoutDescriptionsKeepsNewerDescription checks that such a view does not change an endpoint whose later
+// TestSnapshotWithoutDescriptionsKeepsNewerDescription checks that such a snapshot does not change an endpoint whose later
 // description is known, because the endpoint may have restarted since.
-func TestWholeViewWithoutDescriptionsKeepsNewerDescription(t *testing.T) {
+func TestSnapshotWithoutDescriptionsKeepsNewerDescription(t *testing.T) {
 	f := newFixture()
 	planner, gatherer := f.followWithGatherer(t)
 	go drainWire(gatherer)
@@ -102,13 +102,13 @@
 	assert.Error(t, err)
 }
 
-// TestUnknownEndpointTriggersWholeViewRequest covers a planner that assumes descriptions at an instance that lacks them.
-func TestUnknownEndpointTriggersWholeViewRequest(t *testing.T) {
+// TestUnknownEndpointTriggersSnapshotRequest covers a planner that assumes descriptions at an instance that lacks them.
+func TestUnknownEndpointTriggersSnapshotRequest(t *testing.T) {
 	f := newFixture()
 	planner, gatherer := f.followWithGatherer(t)
 	go drainWire(gatherer)
 	require.NoError(t, planner.Send(wire.Message{View: viewWithoutDescriptions(11, "e9", "a1")}))
-	report := awaitMessage(t, planner, requestsWholeView).Report
+	report := awaitMessage(t, planner, requestsSnapshot).Report
 	assert.Zero(t, report.DescribedUpTo)
 }
 
@@ -129,9 +129,9 @@
 	assert.EqualValues(t, 77, next.DescribedUpTo)
 }
 
-// TestEachRoundSendsOneWholeViewOnSlowLink joins ten members to a planner whose link can carry one whole view in the time
+// TestEachRoundSendsOneSnapshotOnSlowLink joins ten members to a planner whose link can carry one snapshot in the time
 // of a round.
-func TestEachRoundSendsOneWholeViewOnSlowLink(t *testing.T) {
+func TestEachRoundSendsOneSnapshotOnSlowLink(t *testing.T) {
 	f := newFixture()
 	f.linkRate = 1
 	f.start(t)
@@ -162,10 +162,10 @@
 	for range members {
 		select {
 		case sequence := <-sequences:
-			assert.False(t, seen[sequence], "two whole views in one round")
+			assert.False(t, seen[sequence], "two snapshots in one round")
 			seen[sequence] = true
 		case <-time.After(waitLimit):
-			require.FailNow(t, "a member gets no whole view")
+			require.FailNow(t, "a member gets no snapshot")
 		}
 	}
 }
@@ -178,7 +178,7 @@
 	f.start(t)
 	planner := f.nextDial(t)
 	go drainWire(planner)
-	require.NoError(t, planner.Send(wire.Message{View: wholeView(10)}))
+	require.NoError(t, planner.Send(wire.Message{View: snapshotView(10)}))
 	f.waitForStatus(t, "follows the planner", func(status coordinator.Status) bool { return status.Term == 4 })
 	before := f.store.endpointReadCount()
 	f.store.put(endpointPrefix+"e2", "")
--- a/services/entry/coordinator/doc.go
+++ b/services/entry/coordinator/doc.go
@@ -3,7 +3,7 @@
 
 // Package coordinator is the control part of one entry process. One goroutine, the control loop, owns all control
 // state: the endpoints, the configuration, the requests that wait for an endpoint, the link to the planner, and, while
-// this process holds the planner's lease, the plan itself. Callers pass requests in with Acquire, Running and Finish.
+// this process holds the planner's lease, the plan itself. Callers pass requests in with Acquire, MarkRunning and Finish.
 //
 // The planner is the instance that holds the lease record in the store. It decides which adapters the endpoints load,
 // and sends them orders. The other instances are its members: they send it reports, and it sends them views. In a
@@ -16,9 +16,9 @@
 //   - named version, former version: the version that operators named for an adapter, and any older one
 //   - copy: an adapter that is resident at an endpoint
 //   - withdrawal: the planner's announcement in a view that it will unload a copy, which members acknowledge in reports
-//   - whole view: a view with the complete state, where other views contain the changes since the last one
+//   - snapshot: a view with the complete state, where other views contain the changes since the last one
 //   - heartbeat: a periodic view with the requests in flight of all instances
-//   - bare view: a view with keys or the answer to a probe for a member that gets other views from its gatherer
+//   - bare view: a view with keys or the answer to a probe for a member to which a gatherer forwards all other views
 //   - seed: a peer that is asked for the configuration and the planner while the store does not answer
 //
 // The loop evaluates rules and carries out their effects. The rules are in packages without I/O that receive the
--- a/services/entry/coordinator/leaving.go
+++ b/services/entry/coordinator/draining.go
@@ -12,13 +12,14 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// markLeaving records that an endpoint announced in a response, to this instance or to a peer, that it leaves. The
-// announcement is as final for this start of the endpoint as a notice in the store, and it may arrive before that notice.
-func (c *Coordinator) markLeaving(now time.Time, status *directory.EndpointStatus, source string) {
+// markDraining records that an endpoint announced in a response, to this instance or to a peer, that it is draining. The
+// announcement is as final for the endpoint's incarnation as the state "draining" in its store entry, and it may arrive
+// before that entry.
+func (c *Coordinator) markDraining(now time.Time, status *directory.EndpointStatus, source string) {
 	if !c.directory.MarkDraining(status.ID) {
 		return
 	}
-	c.announcedLeaving[status.ID] = true
+	c.announcedDraining[status.ID] = true
 	c.options.Log.WithFields(logrus.Fields{fieldEndpoint: status.ID, fieldService: status.Service, "source": source}).
 		Info("an endpoint says that it leaves")
 	if c.planner != nil {
@@ -29,13 +30,13 @@
 	c.requestReport(now)
 }
 
-// leavingEndpoints returns the endpoints that announced that they leave and are not gone yet.
-func (c *Coordinator) leavingEndpoints() []wire.Start {
+// drainingEndpoints returns the endpoints that announced that they are draining and are not gone yet.
+func (c *Coordinator) drainingEndpoints() []wire.Start {
 	var starts []wire.Start
-	for id := range c.announcedLeaving {
+	for id := range c.announcedDraining {
 		status := c.directory.Endpoint(id)
 		if status == nil {
-			delete(c.announcedLeaving, id)
+			delete(c.announcedDraining, id)
 			continue
 		}
 		start := wire.Start{ID: id}
@@ -47,14 +48,14 @@
 	return starts
 }
 
-// mergeLeaving applies the announcements of leaving endpoints that a peer received. A later start under the same name is
-// not affected.
-func (c *Coordinator) mergeLeaving(now time.Time, starts []wire.Start) {
+// mergeDraining applies the announcements of draining endpoints that a peer received. A later incarnation with the same
+// ID is not affected.
+func (c *Coordinator) mergeDraining(now time.Time, starts []wire.Start) {
 	for _, start := range starts {
 		status := c.directory.Endpoint(start.ID)
 		if status == nil || (start.Born != 0 && status.IsOtherIncarnation(time.UnixMilli(start.Born))) {
 			continue
 		}
-		c.markLeaving(now, status, "peer")
+		c.markDraining(now, status, "peer")
 	}
 }
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -276,7 +276,7 @@
 }
 
 // retireIfReplaced logs and retires an endpoint that is gone from the directory or whose entry there describes another
-// start.
+// incarnation.
 func (c *Coordinator) retireIfReplaced(former *directory.EndpointStatus) {
 	present := c.directory.Endpoint(former.ID)
 	switch present {
--- a/services/entry/coordinator/fixture_test.go
+++ b/services/entry/coordinator/fixture_test.go
@@ -187,8 +187,8 @@
 	now func() time.Time
 	// loadWindow is the window in which loads from the weight store are counted.
 	loadWindow time.Duration
-	// reluctance is the instance's additional waiting time before it takes the lease.
-	reluctance time.Duration
+	// takeoverDelay is the instance's additional waiting time before it takes the lease.
+	takeoverDelay time.Duration
 	// linkRate is the capacity of the instance's link in bytes per second; 0 if it is not known.
 	linkRate int
 	// aroundCommit wraps the store's writes for the instance.
@@ -262,11 +262,11 @@
 	f.log = logtest.NewLocal(log)
 	options := coordinator.Options{
 		Instance: selfName, Hall: "hall", PeerAddress: selfAddress, Seeds: seeds,
-		Lease:      lease.Options{Window: 1300 * time.Millisecond, OrderTimeout: 200 * time.Millisecond, Turn: 300 * time.Millisecond},
+		Lease:      lease.Options{Window: 1300 * time.Millisecond, OrderTimeout: 200 * time.Millisecond, MinReturnDelay: 300 * time.Millisecond},
 		LoadWindow: f.loadWindow, LoadTolerance: 1, LoadSlack: 10, VersionLimit: versionLimit, StoreTimeout: 300 * time.Millisecond,
-		Now: f.now, Random: func() float64 { return 0.5 }, Log: logrus.NewEntry(log), LinkRate: f.linkRate, Reluctance: f.reluctance,
+		Now: f.now, Random: func() float64 { return 0.5 }, Log: logrus.NewEntry(log), LinkRate: f.linkRate, TakeoverDelay: f.takeoverDelay,
 		ObserveFormerVersion: func(age time.Duration, overdue bool) { f.formerUses <- formerUse{age, overdue} },
-		ObserveTakenBack:     func() { f.recalled.Add(1) },
+		ObserveRecall:        func() { f.recalled.Add(1) },
 	}
 	client := f.store.client()
 	client.Commit = f.aroundCommit(client.Commit)
--- a/services/entry/coordinator/follow/export_test.go
+++ b/services/entry/coordinator/follow/export_test.go
@@ -7,5 +7,5 @@
 
 // Kept returns the number of stored versions of an adapter.
 func (v *Versions) Kept(adapter deployment.Adapter) int {
-	return len(v.demanded[adapter])
+	return len(v.named[adapter])
 }
--- a/services/entry/coordinator/follow/follow_test.go
+++ b/services/entry/coordinator/follow/follow_test.go
@@ -68,10 +68,10 @@
 func TestVersionsOnlyIncrease(t *testing.T) {
 	versions := follow.NewVersions()
 	assert.Zero(t, versions.Latest(adapter))
-	assert.False(t, versions.Name(start, start, adapter, 0))
-	assert.True(t, versions.Name(start, start, adapter, 2))
-	assert.False(t, versions.Name(start.Add(time.Hour), start.Add(time.Hour), adapter, 2), "repeated")
-	assert.False(t, versions.Name(start.Add(time.Hour), start.Add(time.Hour), adapter, 1))
+	assert.False(t, versions.Put(start, start, adapter, 0))
+	assert.True(t, versions.Put(start, start, adapter, 2))
+	assert.False(t, versions.Put(start.Add(time.Hour), start.Add(time.Hour), adapter, 2), "repeated")
+	assert.False(t, versions.Put(start.Add(time.Hour), start.Add(time.Hour), adapter, 1))
 	assert.EqualValues(t, 2, versions.Latest(adapter))
 	assert.Equal(t, map[deployment.Adapter]int64{adapter: 2}, maps.Collect(versions.All()))
 	for range versions.All() {
@@ -79,17 +79,17 @@
 	}
 }
 
-// TestFormerAllowsOutdatedVersionForHalfOfLimit demands version 3 and checks which versions may run beside it over time.
-func TestFormerAllowsOutdatedVersionForHalfOfLimit(t *testing.T) {
+// TestFormerVersionIsAllowedForHalfOfLimit names version 3 and checks which versions may run beside it over time.
+func TestFormerVersionIsAllowedForHalfOfLimit(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	former := func(after time.Duration) (int64, time.Duration) {
-		return versions.Former(start.Add(after), adapter, limit)
+		return versions.FormerVersion(start.Add(after), adapter, limit)
 	}
 	oldest, wait := former(time.Hour)
 	assert.Zero(t, oldest)
-	assert.Zero(t, wait, "no version is demanded")
-	versions.Name(start, start, adapter, 3)
+	assert.Zero(t, wait, "no version is named")
+	versions.Put(start, start, adapter, 3)
 	for after, left := range map[time.Duration]time.Duration{
 		0: time.Second, 600 * time.Millisecond: 400 * time.Millisecond, time.Second - 1: 1,
 	} {
@@ -97,7 +97,7 @@
 		assert.Zero(t, oldest, "any")
 		assert.Equal(t, left, wait)
 	}
-	versions.Name(start.Add(500*time.Millisecond), start.Add(500*time.Millisecond), adapter, 3)
+	versions.Put(start.Add(500*time.Millisecond), start.Add(500*time.Millisecond), adapter, 3)
 	for _, after := range []time.Duration{time.Second, time.Hour} {
 		oldest, wait = former(after)
 		assert.EqualValues(t, 3, oldest, "no request may begin on an older version any more, and a repeated version does not extend the limit")
@@ -115,7 +115,7 @@
 		oldest int64
 		wait   time.Duration
 	}{
-		"the limit of 1 passes when 3 is demanded":        {[]time.Duration{-time.Second, 0}, 2, time.Second},
+		"the limit of 1 passes when 3 is named":           {[]time.Duration{-time.Second, 0}, 2, time.Second},
 		"the limit of 1 has passed and that of 2 has not": {[]time.Duration{-time.Second, -400 * time.Millisecond}, 2, 600 * time.Millisecond},
 		"the limit of 1 passes first":                     {[]time.Duration{-700 * time.Millisecond, -100 * time.Millisecond}, 0, 300 * time.Millisecond},
 		"the limits of 1 and 2 have passed":               {[]time.Duration{-5 * time.Second, -2 * time.Second, -time.Millisecond}, 3, 999 * time.Millisecond},
@@ -124,10 +124,10 @@
 		t.Run(name, func(t *testing.T) {
 			versions := follow.NewVersions()
 			for i, at := range test.named {
-				versions.Name(start.Add(at), start.Add(at), adapter, int64(i+2))
+				versions.Put(start.Add(at), start.Add(at), adapter, int64(i+2))
 			}
 			for range 2 {
-				oldest, wait := versions.Former(start, adapter, limit)
+				oldest, wait := versions.FormerVersion(start, adapter, limit)
 				assert.Equal(t, test.oldest, oldest)
 				assert.Equal(t, test.wait, wait)
 			}
@@ -140,9 +140,9 @@
 func TestNewerSinceReturnsTimeOfFirstNewerVersion(t *testing.T) {
 	versions := follow.NewVersions()
 	_, named := versions.NewerSince(adapter, 0)
-	assert.False(t, named, "no version is demanded")
+	assert.False(t, named, "no version is named")
 	for i := range 3 {
-		versions.Name(start.Add(time.Duration(i)*time.Second), start.Add(time.Duration(i)*time.Second), adapter, int64(i+2))
+		versions.Put(start.Add(time.Duration(i)*time.Second), start.Add(time.Duration(i)*time.Second), adapter, int64(i+2))
 	}
 	for held, after := range map[int64]time.Duration{0: 0, 1: 0, 2: time.Second, 3: 2 * time.Second} {
 		since, named := versions.NewerSince(adapter, held)
@@ -157,19 +157,19 @@
 	assert.False(t, named, "another adapter")
 }
 
-// TestNewerSinceIsKnownWhileVersionMayServe checks that the time since when a newer version is demanded is known for as long as a
+// TestNewerSinceIsKnownWhileVersionMayServe checks that the time since when a newer version is named is known for as long as a
 // version may serve.
 func TestNewerSinceIsKnownWhileVersionMayServe(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	for version := int64(2); version <= 20; version++ {
 		named := start.Add(time.Duration(version) * 300 * time.Millisecond)
-		versions.Name(named, named, adapter, version)
-		oldest, wait := versions.Former(named, adapter, limit)
+		versions.Put(named, named, adapter, version)
+		oldest, wait := versions.FormerVersion(named, adapter, limit)
 		for held := max(oldest, 1); held < version; held++ {
 			since, ok := versions.NewerSince(adapter, held)
 			assert.True(t, ok)
-			assert.Less(t, named.Sub(since), limit/2, "%d while %d is demanded, for %v", held, version, wait)
+			assert.Less(t, named.Sub(since), limit/2, "%d while %d is named, for %v", held, version, wait)
 		}
 	}
 }
@@ -179,14 +179,14 @@
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	for version := int64(2); version <= 1000; version++ {
-		versions.Name(start.Add(time.Duration(version)*10*time.Millisecond), start.Add(time.Duration(version)*10*time.Millisecond), adapter, version)
+		versions.Put(start.Add(time.Duration(version)*10*time.Millisecond), start.Add(time.Duration(version)*10*time.Millisecond), adapter, version)
 	}
 	assert.LessOrEqual(t, versions.Kept(adapter), 8)
 	assert.EqualValues(t, 1000, versions.Latest(adapter))
-	oldest, wait := versions.Former(start.Add(10*time.Second), adapter, limit)
-	assert.GreaterOrEqual(t, oldest, int64(900), "demanded a second before")
+	oldest, wait := versions.FormerVersion(start.Add(10*time.Second), adapter, limit)
+	assert.GreaterOrEqual(t, oldest, int64(900), "named a second before")
 	assert.LessOrEqual(t, wait, time.Second)
-	oldest, wait = versions.Former(start.Add(11*time.Second), adapter, limit)
+	oldest, wait = versions.FormerVersion(start.Add(11*time.Second), adapter, limit)
 	assert.EqualValues(t, 1000, oldest)
 	assert.LessOrEqual(t, wait, time.Duration(0))
 }
@@ -197,12 +197,12 @@
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
 	newer, _ := versions.FirstNewer(start, adapter, 1)
-	assert.Zero(t, newer, "no version is demanded")
-	versions.Name(start, start, adapter, 2)
-	versions.Name(start.Add(time.Second), start.Add(time.Second), adapter, 5)
-	versions.Name(start.Add(1500*time.Millisecond), start.Add(1500*time.Millisecond), adapter, 5)
+	assert.Zero(t, newer, "no version is named")
+	versions.Put(start, start, adapter, 2)
+	versions.Put(start.Add(time.Second), start.Add(time.Second), adapter, 5)
+	versions.Put(start.Add(1500*time.Millisecond), start.Add(1500*time.Millisecond), adapter, 5)
 	now := start.Add(time.Minute)
-	versions.Former(now, adapter, limit)
+	versions.FormerVersion(now, adapter, limit)
 	for version, want := range map[int64]struct {
 		newer int64
 		age   time.Duration
@@ -220,7 +220,7 @@
 func TestComparedVersionsAreBounded(t *testing.T) {
 	versions := follow.NewVersions()
 	for version := int64(1); version <= 100; version++ {
-		versions.Name(start.Add(time.Duration(version)*time.Second), start.Add(time.Duration(version)*time.Second), adapter, version)
+		versions.Put(start.Add(time.Duration(version)*time.Second), start.Add(time.Duration(version)*time.Second), adapter, version)
 	}
 	newer, age := versions.FirstNewer(start.Add(100*time.Second), adapter, 1)
 	assert.EqualValues(t, 85, newer)
@@ -234,15 +234,15 @@
 func TestVersionOfUnknownAgeEndsLimitOfOlderOne(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
-	versions.Name(start, time.Time{}, adapter, 2)
-	oldest, wait := versions.Former(start, adapter, limit)
+	versions.Put(start, time.Time{}, adapter, 2)
+	oldest, wait := versions.FormerVersion(start, adapter, limit)
 	assert.EqualValues(t, 2, oldest)
 	assert.LessOrEqual(t, wait, time.Duration(0))
 	newer, age := versions.FirstNewer(start.Add(time.Minute), adapter, 1)
 	assert.EqualValues(t, 2, newer)
 	assert.Equal(t, time.Minute, age, "the version counts for at least as long as it has been known")
-	versions.Name(start, start, adapter, 3)
-	oldest, wait = versions.Former(start.Add(400*time.Millisecond), adapter, limit)
+	versions.Put(start, start, adapter, 3)
+	oldest, wait = versions.FormerVersion(start.Add(400*time.Millisecond), adapter, limit)
 	assert.EqualValues(t, 2, oldest)
 	assert.Equal(t, 600*time.Millisecond, wait, "a later version starts the limit of the version before it")
 }
@@ -252,9 +252,9 @@
 	versions := follow.NewVersions()
 	_, newer := versions.NewerSince(adapter, 1)
 	assert.False(t, newer)
-	versions.Name(start, start, adapter, 2)
-	versions.Name(start.Add(-time.Second), start.Add(-time.Second), adapter, 3)
-	versions.Name(start.Add(time.Second), start.Add(time.Second), adapter, 4)
+	versions.Put(start, start, adapter, 2)
+	versions.Put(start.Add(-time.Second), start.Add(-time.Second), adapter, 3)
+	versions.Put(start.Add(time.Second), start.Add(time.Second), adapter, 4)
 	for version, since := range map[int64]time.Time{1: start, 2: start, 3: start.Add(time.Second)} {
 		got, newer := versions.NewerSince(adapter, version)
 		assert.True(t, newer)
@@ -262,7 +262,7 @@
 	}
 	_, newer = versions.NewerSince(adapter, 4)
 	assert.False(t, newer)
-	versions.Former(start.Add(time.Hour), adapter, time.Second)
+	versions.FormerVersion(start.Add(time.Hour), adapter, time.Second)
 	since, newer := versions.NewerSince(adapter, 1)
 	assert.True(t, newer, "its limit has passed")
 	assert.Equal(t, start.Add(time.Second), since)
@@ -332,11 +332,11 @@
 
 func TestSecondFailureOfWatchReadsAllKeys(t *testing.T) {
 	var watch follow.Watch
-	assert.Equal(t, follow.Apply, watch.Answered(nil))
-	assert.Equal(t, follow.RetryWatch, watch.Answered(errNoAnswer))
-	assert.Equal(t, follow.Apply, watch.Answered(nil))
-	assert.Equal(t, follow.RetryWatch, watch.Answered(errNoAnswer), "an answer resets the count")
-	assert.Equal(t, follow.ReadAll, watch.Answered(errNoAnswer))
+	assert.Equal(t, follow.Apply, watch.RecordResult(nil))
+	assert.Equal(t, follow.RetryWatch, watch.RecordResult(errNoAnswer))
+	assert.Equal(t, follow.Apply, watch.RecordResult(nil))
+	assert.Equal(t, follow.RetryWatch, watch.RecordResult(errNoAnswer), "an answer resets the count")
+	assert.Equal(t, follow.ReadAll, watch.RecordResult(errNoAnswer))
 	watch = follow.Watch{}
-	assert.Equal(t, follow.ReadAll, watch.Answered(fmt.Errorf("watch: %w", store.ErrCompacted)), "missed changes are not sent again")
+	assert.Equal(t, follow.ReadAll, watch.RecordResult(fmt.Errorf("watch: %w", store.ErrCompacted)), "missed changes are not sent again")
 }
--- a/services/entry/coordinator/follow/situation_test.go
+++ b/services/entry/coordinator/follow/situation_test.go
@@ -19,12 +19,12 @@
 		situation follow.Situation
 		rests     bool
 	}{
-		"another instance watches":              {follow.Situation{PlannerHeard: true, WatchedNearby: true}, true},
-		"no other instance of the hall watches": {follow.Situation{PlannerHeard: true}, false},
+		"another instance watches":              {follow.Situation{ViewReceivedRecently: true, WatchedNearby: true}, true},
+		"no other instance of the hall watches": {follow.Situation{ViewReceivedRecently: true}, false},
 		"the planner is silent":                 {follow.Situation{WatchedNearby: true}, false},
-		"this instance is the planner":          {follow.Situation{Planning: true, PlannerHeard: true, WatchedNearby: true}, false},
-		"keys just below the limit late":        {follow.Situation{PlannerHeard: true, WatchedNearby: true, KeysLag: 600*time.Millisecond - 1}, true},
-		"keys missing for the limit":            {follow.Situation{PlannerHeard: true, WatchedNearby: true, KeysLag: 600 * time.Millisecond}, false},
+		"this instance is the planner":          {follow.Situation{Planning: true, ViewReceivedRecently: true, WatchedNearby: true}, false},
+		"keys just below the limit late":        {follow.Situation{ViewReceivedRecently: true, WatchedNearby: true, KeysLag: 600*time.Millisecond - 1}, true},
+		"keys missing for the limit":            {follow.Situation{ViewReceivedRecently: true, WatchedNearby: true, KeysLag: 600 * time.Millisecond}, false},
 		"no instance watches, no keys missing":  {follow.Situation{KeysLag: 0}, false},
 	} {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, test.rests, test.situation.DelegatesKeys()) })
--- a/services/entry/coordinator/follow/source.go
+++ b/services/entry/coordinator/follow/source.go
@@ -47,8 +47,8 @@
 	PlannerFresh bool
 	// EndpointsKnown means that all endpoints have been received or read once.
 	EndpointsKnown bool
-	// PlannerHeard means that a view of another instance was received within MaxPlannerSilence.
-	PlannerHeard bool
+	// ViewReceivedRecently means that a view of another instance was received within MaxPlannerSilence.
+	ViewReceivedRecently bool
 	// WatchedNearby means that another instance of the hall watches the operators' keys, so that this one need not.
 	WatchedNearby bool
 	// KeysLag is for how long this instance has lacked keys that the planner has.
@@ -68,7 +68,7 @@
 // of its hall watch. A change then causes store calls of a few instances instead of all. A planner that the store does not answer
 // receives the keys from the watching instances as well.
 func (s Situation) DelegatesKeys() bool {
-	return !s.Planning && s.PlannerHeard && s.WatchedNearby && s.KeysLag < maxKeysLag
+	return !s.Planning && s.ViewReceivedRecently && s.WatchedNearby && s.KeysLag < maxKeysLag
 }
 
 // ReliesOnPlanner reports whether another instance watches the store for this one.
@@ -114,8 +114,8 @@
 	failures int
 }
 
-// Answered records the result of a watch and returns the next action.
-func (w *Watch) Answered(err error) Step {
+// RecordResult records the result of a watch and returns the next action.
+func (w *Watch) RecordResult(err error) Step {
 	switch {
 	case errors.Is(err, store.ErrCompacted):
 		return ReadAll
--- a/services/entry/coordinator/follower.go
+++ b/services/entry/coordinator/follower.go
@@ -29,10 +29,10 @@
 	inFlight map[deployment.EndpointID]member.InFlight
 	// viewReceived reports whether a view was received over the link.
 	viewReceived bool
-	// needsWholeView reports that views are missing, until a whole view is received. wholeViewRequestedAt is when a whole
-	// view was last requested.
-	needsWholeView       bool
-	wholeViewRequestedAt time.Time
+	// needsSnapshot is set while views are missing, until a snapshot is received. snapshotRequestedAt is when a
+	// snapshot was last requested.
+	needsSnapshot       bool
+	snapshotRequestedAt time.Time
 	// keysRequested reports that the next report must carry the keys that the planner lacks.
 	keysRequested bool
 	// plannerKeysLag measures for how long a planner that does not request keys has lacked newer ones. keysSentAt is when
@@ -85,8 +85,8 @@
 	c.loop.Call(func(now time.Time) {
 		c.follower.stream = stream
 		c.follower.LinkOpened(now)
-		c.follower.viewReceived, c.follower.keysRequested, c.follower.needsWholeView = false, false, false
-		c.gathering.fedBy = ""
+		c.follower.viewReceived, c.follower.keysRequested, c.follower.needsSnapshot = false, false, false
+		c.gathering.forwarder = ""
 		c.follower.inFlight = nil
 		c.follower.ratesDue = true
 		c.sendReport(now)
@@ -132,14 +132,14 @@
 	case view.Duplicate:
 		return
 	case view.Gap:
-		c.requestWholeView(now)
+		c.requestSnapshot(now)
 		return
 	}
 	effects := c.follower.Apply(now, v)
 	c.forwardView(v)
 	c.recordPlannerLoads(now, v)
 	c.budget.SetMembers(v.Members)
-	c.follower.needsWholeView = c.follower.needsWholeView && !v.IsSnapshot
+	c.follower.needsSnapshot = c.follower.needsSnapshot && !v.IsSnapshot
 	c.applyItems(now, c.originOfView(now, v), v.Items)
 	c.applyViewEndpoints(v)
 	c.applyDescribedRevision(now, v)
@@ -165,10 +165,10 @@
 }
 
 // applyDescribedRevision records the revision up to which the views have described the endpoints. If the view omits the
-// description of an endpoint that is not known here, it requests a view that describes all.
+// description of an endpoint that is not known here, it requests a snapshot.
 func (c *Coordinator) applyDescribedRevision(now time.Time, v *wire.View) {
-	if len(v.Known) > 0 && c.describedRevision == 0 {
-		c.requestWholeView(now)
+	if len(v.DescribedEndpoints) > 0 && c.describedRevision == 0 {
+		c.requestSnapshot(now)
 		return
 	}
 	c.describedRevision = max(c.describedRevision, v.DescribedUpTo)
@@ -191,25 +191,25 @@
 	return requested
 }
 
-// wholeViewRetryPause is the time to wait for a whole view before it is requested again.
-const wholeViewRetryPause = time.Second
+// snapshotRetryPause is the time to wait for a snapshot before it is requested again.
+const snapshotRetryPause = time.Second
 
-// takeWholeViewRequest reports whether the next report requests a whole view, and records the request.
-func (c *Coordinator) takeWholeViewRequest(now time.Time) bool {
-	if !c.follower.needsWholeView || now.Sub(c.follower.wholeViewRequestedAt) < wholeViewRetryPause {
+// takeSnapshotRequest reports whether the next report requests a snapshot, and records the request.
+func (c *Coordinator) takeSnapshotRequest(now time.Time) bool {
+	if !c.follower.needsSnapshot || now.Sub(c.follower.snapshotRequestedAt) < snapshotRetryPause {
 		return false
 	}
-	c.follower.wholeViewRequestedAt = now
+	c.follower.snapshotRequestedAt = now
 	return true
 }
 
-// requestWholeView reports to the planner that views are missing here. It does so once until a whole view is received.
-func (c *Coordinator) requestWholeView(now time.Time) {
-	if c.follower.needsWholeView || c.follower.stream == nil {
+// requestSnapshot reports to the planner that views are missing here. It does so once until a snapshot is received.
+func (c *Coordinator) requestSnapshot(now time.Time) {
+	if c.follower.needsSnapshot || c.follower.stream == nil {
 		return
 	}
-	c.follower.needsWholeView = true
-	c.gathering.fedBy = ""
+	c.follower.needsSnapshot = true
+	c.gathering.forwarder = ""
 	c.requestReport(now)
 }
 
@@ -290,7 +290,7 @@
 	for _, id := range v.UnchangedEndpoints {
 		listed[id] = true
 	}
-	for _, known := range v.Known {
+	for _, known := range v.DescribedEndpoints {
 		for _, id := range known.IDs {
 			listed[id] = true
 		}
@@ -312,11 +312,11 @@
 	}
 }
 
-// applyKnownEndpoints applies the models on offer at endpoints that a whole view lists without descriptions, because the
-// planner assumes that this instance has them. The copies are applied afterwards. If an endpoint is not known here, a view
-// that describes all is requested.
+// applyKnownEndpoints applies the models on offer at endpoints that a snapshot lists without descriptions, because the
+// planner assumes that this instance has them. The copies are applied afterwards. If an endpoint is not known here, a
+// snapshot that describes all endpoints is requested.
 func (c *Coordinator) applyKnownEndpoints(v *wire.View) {
-	for _, known := range v.Known {
+	for _, known := range v.DescribedEndpoints {
 		for _, id := range known.IDs {
 			if c.directory.Endpoint(id) == nil {
 				c.describedRevision = 0
@@ -329,9 +329,9 @@
 	}
 }
 
-// hasNewerDescription reports whether this instance has a later description of an endpoint than a whole view without
+// hasNewerDescription reports whether this instance has a later description of an endpoint than a snapshot without
 // descriptions. The endpoint may have restarted since, and then holds nothing of what the view lists.
 func (c *Coordinator) hasNewerDescription(v *wire.View, id deployment.EndpointID) bool {
 	status := c.directory.Endpoint(id)
-	return len(v.Known) > 0 && v.DescribedUpTo > 0 && status != nil && status.Revision > v.DescribedUpTo
+	return len(v.DescribedEndpoints) > 0 && v.DescribedUpTo > 0 && status != nil && status.Revision > v.DescribedUpTo
 }
--- a/services/entry/coordinator/forecast/expect.go
+++ b/services/entry/coordinator/forecast/expect.go
@@ -14,11 +14,11 @@
 	// the order window and two order timeouts of a takeover.
 	TakeoverTime = 2500 * time.Millisecond
 	// HandoverTime is the usual time until orders are issued when there was no planner or the planner resigned. Without it,
-	// requests just after a start would be rejected at once.
+	// requests just after a start would be refused at once.
 	HandoverTime = 400 * time.Millisecond
 	// StoreSilence is how long the store must have failed an instance that looks for a planner until no orders are expected soon:
 	// without the store, no instance can become the planner. A longer time tolerates single failed reads, of which there is one
-	// each 0.3 s; a shorter one rejects requests earlier that cannot be served.
+	// each 0.3 s; a shorter one refuses requests earlier that cannot be served.
 	StoreSilence = 600 * time.Millisecond
 	// Overdue is the expected remaining time of an adapter that should be resident already.
 	Overdue = 50 * time.Millisecond
@@ -46,8 +46,8 @@
 	LostStore
 )
 
-// NobodyOrders reports whether there was no planner that could issue orders.
-func (r Reason) NobodyOrders() bool {
+// NoActivePlanner reports whether the planner is lost, or the store, without which no instance becomes the planner.
+func (r Reason) NoActivePlanner() bool {
 	return r == LostPlanner || r == LostStore
 }
 
@@ -97,9 +97,9 @@
 // Expect returns when the adapter of a load is expected to be resident. If no planner can issue orders, it returns the time at
 // which a planner usually issues orders again.
 func Expect(now time.Time, planner Planner, load Load) Expected {
-	if !planner.Orders() {
-		absence, reason := planner.absence()
-		return Expected{At: now.Add(absence), Reason: reason}
+	if !planner.CanOrder() {
+		timeUntilOrders, reason := planner.timeUntilOrders()
+		return Expected{At: now.Add(timeUntilOrders), Reason: reason}
 	}
 	expected := Expected{At: load.At, Reason: UnderWay}
 	if !load.Announced {
@@ -111,16 +111,16 @@
 	return expected
 }
 
-// Orders reports whether the planner can issue orders now, as far as this instance knows.
-func (p Planner) Orders() bool {
+// CanOrder reports whether the planner can issue orders now, as far as this instance knows.
+func (p Planner) CanOrder() bool {
 	if p.HoldsLease || p.ReleasingLease {
 		return p.MayOrder && !p.ReleasingLease
 	}
 	return p.ViewAge < lease.TakeoverSilence && p.ViewAge+p.ConfirmedAge < p.OrderWindow
 }
 
-// absence returns the usual time until a planner issues orders again.
-func (p Planner) absence() (time.Duration, Reason) {
+// timeUntilOrders returns the usual time until a planner issues orders again.
+func (p Planner) timeUntilOrders() (time.Duration, Reason) {
 	if p.StoreSilent >= StoreSilence {
 		return TakeoverTime, LostStore
 	}
--- a/services/entry/coordinator/forecast/forecast_test.go
+++ b/services/entry/coordinator/forecast/forecast_test.go
@@ -52,15 +52,15 @@
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
 			planner := follower(func(p *forecast.Planner) { p.ViewAge, p.ConfirmedAge = test.age, test.confirmed })
-			assert.Equal(t, test.orders, planner.Orders())
+			assert.Equal(t, test.orders, planner.CanOrder())
 		})
 	}
 }
 
 func TestOrdersOfHolderDependsOnOwnLease(t *testing.T) {
-	assert.True(t, forecast.Planner{HoldsLease: true, MayOrder: true}.Orders())
-	assert.False(t, forecast.Planner{HoldsLease: true}.Orders(), "the former holder may still issue orders")
-	assert.False(t, forecast.Planner{ReleasingLease: true, MayOrder: true}.Orders(), "the holder is releasing the lease")
+	assert.True(t, forecast.Planner{HoldsLease: true, MayOrder: true}.CanOrder())
+	assert.False(t, forecast.Planner{HoldsLease: true}.CanOrder(), "the former holder may still issue orders")
+	assert.False(t, forecast.Planner{ReleasingLease: true, MayOrder: true}.CanOrder(), "the holder is releasing the lease")
 }
 
 func TestExpect(t *testing.T) {
@@ -137,11 +137,11 @@
 	assert.Equal(t, forecast.Load{}, announcements.Load(key))
 }
 
-func TestNobodyOrders(t *testing.T) {
+func TestNoActivePlanner(t *testing.T) {
 	for reason, expected := range map[forecast.Reason]bool{
 		forecast.UnderWay: false, forecast.Queued: false, forecast.Late: false, forecast.FormerHolder: false, forecast.NewPlanner: false,
 		forecast.LostPlanner: true, forecast.LostStore: true,
 	} {
-		assert.Equal(t, expected, reason.NobodyOrders(), "reason %d", reason)
+		assert.Equal(t, expected, reason.NoActivePlanner(), "reason %d", reason)
 	}
 }
--- a/services/entry/coordinator/gather/gather_test.go
+++ b/services/entry/coordinator/gather/gather_test.go
@@ -76,12 +76,12 @@
 	g := gather.NewGroup()
 	loadWithArrivals := func(arrivals int) *wire.Load {
 		load := newLoad("a", 0)
-		load.Arrivals = []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: arrivals, Prompts: 10 * arrivals}}
+		load.Arrivals = []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: arrivals, PromptTokens: 10 * arrivals}}
 		return load
 	}
 	g.Put(start, loadWithArrivals(2))
 	g.Put(start, loadWithArrivals(3))
-	assert.Equal(t, []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: 5, Prompts: 50}}, g.Sum(start, "g").Arrivals)
+	assert.Equal(t, []wire.Demand{{Service: "s", Model: "m", Name: "x", Arrivals: 5, PromptTokens: 50}}, g.Sum(start, "g").Arrivals)
 	assert.Empty(t, g.Sum(start, "g").Arrivals)
 }
 
--- a/services/entry/coordinator/gather/group.go
+++ b/services/entry/coordinator/gather/group.go
@@ -47,7 +47,7 @@
 		key := arrival.Key()
 		known := g.arrivals[key]
 		arrival.Arrivals += known.Arrivals
-		arrival.Prompts += known.Prompts
+		arrival.PromptTokens += known.PromptTokens
 		g.arrivals[key] = arrival
 	}
 }
@@ -77,7 +77,7 @@
 		ages += age
 		sum.Members = append(sum.Members, instance)
 		for _, count := range entry.inFlight {
-			inFlight[count.ID] = inFlight[count.ID].Plus(member.InFlight{Requests: count.Requests, Unread: count.Unread})
+			inFlight[count.ID] = inFlight[count.ID].Combine(member.InFlight{Requests: count.Requests, Unread: count.Unread})
 		}
 	}
 	slices.Sort(sum.Members)
--- a/services/entry/coordinator/gather/sums.go
+++ b/services/entry/coordinator/gather/sums.go
@@ -82,7 +82,7 @@
 	g.Age += time.Duration(added) * (now.Sub(entry.at) + entry.sum.Age)
 	part := float64(added) / float64(len(entry.sum.Members))
 	for _, count := range entry.sum.InFlight {
-		g.InFlight[count.ID] = g.InFlight[count.ID].Plus(member.InFlight{Requests: partOf(count.Requests, part), Unread: partOf(count.Unread, part)})
+		g.InFlight[count.ID] = g.InFlight[count.ID].Combine(member.InFlight{Requests: partOf(count.Requests, part), Unread: partOf(count.Unread, part)})
 	}
 }
 
--- a/services/entry/coordinator/gatherers.go
+++ b/services/entry/coordinator/gatherers.go
@@ -74,7 +74,7 @@
 // applySum applies the sum of a gatherer.
 func (p *planner) applySum(now time.Time, sum *wire.Sum) {
 	p.gatherers.sums.Put(now, sum)
-	p.members.MarkHeard(now, sum.Members)
+	p.members.MarkLoadsReceived(now, sum.Members)
 	p.plans.CountArrivals(now, sum.Arrivals)
 }
 
--- a/services/entry/coordinator/gathering.go
+++ b/services/entry/coordinator/gathering.go
@@ -30,10 +30,10 @@
 	// its own gatherer.
 	stream        *peerstream.Stream[wire.Message]
 	gathersItself bool
-	// gathererName is the gatherer at the other end of the link. fedBy is the same name once the planner's views arrive
-	// over the link, and empty before.
+	// gathererName is the gatherer at the other end of the link. forwarder is the same name once the
+	// planner's views arrive over the link, and empty before.
 	gathererName string
-	fedBy        string
+	forwarder    string
 	// group sums what this instance gathers. members are the links over which members send their loads, with the members'
 	// names.
 	group   *gather.Group
@@ -126,31 +126,31 @@
 	c.loop.Call(func(now time.Time) { c.forgetGathererLink(now) })
 }
 
-// forgetGathererLink removes a link that has ended. If views arrived over the link, a report tells the planner at once
-// that this instance needs views from the planner again, beginning with a whole one.
+// forgetGathererLink removes a link that has ended. If views arrived over the link, a report is sent at once, so that the
+// planner sends its views to this instance again, beginning with a snapshot.
 func (c *Coordinator) forgetGathererLink(now time.Time) {
-	wasFed := c.gathering.fedBy != ""
-	c.gathering.stream, c.gathering.gathererName, c.gathering.fedBy = nil, "", ""
-	if wasFed && c.planner == nil {
-		c.requestWholeView(now)
+	hadForwardedViews := c.gathering.forwarder != ""
+	c.gathering.stream, c.gathering.gathererName, c.gathering.forwarder = nil, "", ""
+	if hadForwardedViews && c.planner == nil {
+		c.requestSnapshot(now)
 	}
 }
 
 // applyForwardedView applies a view of the planner that the gatherer forwards. The first forwarded view that continues the
-// planner's own sequence sets fedBy, so that the planner can stop sending these views to this instance.
+// planner's own sequence sets forwarder, so that the planner can stop sending these views to this instance.
 func (c *Coordinator) applyForwardedView(now time.Time, stream *peerstream.Stream[wire.Message], v *wire.View) {
 	if c.planner != nil || c.follower.stream == nil || v.Term != c.follower.Term {
 		return
 	}
 	if c.follower.Order(v) == view.Gap {
-		if c.gathering.fedBy != "" {
-			c.requestWholeView(now)
+		if c.gathering.forwarder != "" {
+			c.requestSnapshot(now)
 		}
 		return
 	}
 	c.applyView(now, stream, v)
-	if c.gathering.fedBy == "" && !c.follower.needsWholeView {
-		c.gathering.fedBy = c.gathering.gathererName
+	if c.gathering.forwarder == "" && !c.follower.needsSnapshot {
+		c.gathering.forwarder = c.gathering.gathererName
 		c.requestReport(now)
 	}
 }
--- a/services/entry/coordinator/gathering_test.go
+++ b/services/entry/coordinator/gathering_test.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// wholeView returns a whole view of the planner of term 4 with the given sequence number. It names a gatherer.
-func wholeView(sequence uint64) *wire.View {
+// snapshotView returns a snapshot of the planner of term 4 with the given sequence number. It names a gatherer.
+func snapshotView(sequence uint64) *wire.View {
 	return &wire.View{
 		Planner: "peer", Term: 4, Full: true, IsSnapshot: true, Sequence: sequence, EndpointsRevision: 50, Heartbeat: true, Members: 40, ConfigurationRevision: 50,
 		TermAge: time.Minute, Withdrawals: 7,
@@ -83,17 +83,17 @@
 	f.start(t)
 	planner = f.nextDial(t)
 	awaitMessage(t, planner, func(m wire.Message) bool { return m.Report != nil && m.Report.Contact != nil })
-	require.NoError(t, planner.Send(wire.Message{View: wholeView(10)}))
+	require.NoError(t, planner.Send(wire.Message{View: snapshotView(10)}))
 	gatherer = f.nextDial(t)
 	assert.Equal(t, gathererAddress, f.network.lastDialed())
 	return planner, gatherer
 }
 
-func reportsFedBy(name string) func(wire.Message) bool {
-	return func(m wire.Message) bool { return m.Report != nil && m.Report.Relay == name }
+func reportsForwarder(name string) func(wire.Message) bool {
+	return func(m wire.Message) bool { return m.Report != nil && m.Report.Forwarder == name }
 }
 
-func requestsWholeView(m wire.Message) bool { return m.Report != nil && m.Report.NeedsSnapshot }
+func requestsSnapshot(m wire.Message) bool { return m.Report != nil && m.Report.NeedsSnapshot }
 
 // TestInstanceSendsLoadToGathererAndAppliesTotals guards against old in-flight counts: they came only with the planner's
 // infrequent totals, so that all instances of a large fleet chose endpoints by the same old counts.
@@ -125,32 +125,32 @@
 	planner, gatherer := f.followWithGatherer(t)
 	go drainWire(gatherer)
 	require.NoError(t, gatherer.Send(wire.Message{View: changeView(11, "a2")}))
-	report := awaitMessage(t, planner, reportsFedBy("gatherer")).Report
+	report := awaitMessage(t, planner, reportsForwarder("gatherer")).Report
 	assert.EqualValues(t, 18, report.WithdrawalsSeen)
 	_, _, err := f.acquire("a2", waitLimit)
 	require.NoError(t, err)
 
 	require.NoError(t, planner.Send(wire.Message{View: changeView(11, "a3")}), "the same sequence number over the planner's own link")
 	require.NoError(t, gatherer.Send(wire.Message{View: changeView(13, "a4")}), "view 12 is missing")
-	report = awaitMessage(t, planner, requestsWholeView).Report
+	report = awaitMessage(t, planner, requestsSnapshot).Report
 	assert.EqualValues(t, 18, report.WithdrawalsSeen, "the view after the gap is not acknowledged")
-	assert.Empty(t, report.Relay)
+	assert.Empty(t, report.Forwarder)
 	assert.Equal(t, 2, f.instance.Status().ResidentCopies)
 
-	whole := wholeView(13)
+	whole := snapshotView(13)
 	whole.Withdrawals = 20
 	require.NoError(t, planner.Send(wire.Message{View: whole}))
-	f.waitForStatus(t, "has applied the whole view", func(status coordinator.Status) bool { return status.ResidentCopies == 1 })
+	f.waitForStatus(t, "has applied the snapshot", func(status coordinator.Status) bool { return status.ResidentCopies == 1 })
 	require.NoError(t, gatherer.Send(wire.Message{View: changeView(14, "a5")}))
-	report = awaitMessage(t, planner, reportsFedBy("gatherer")).Report
+	report = awaitMessage(t, planner, reportsForwarder("gatherer")).Report
 	assert.EqualValues(t, 21, report.WithdrawalsSeen)
-	assert.Equal(t, 2, f.instance.Status().ResidentCopies, "a1 of the whole view, and a5")
+	assert.Equal(t, 2, f.instance.Status().ResidentCopies, "a1 of the snapshot, and a5")
 }
 
-// TestLostGathererMakesInstanceRequestWholeView checks that the instance requests a whole view from the planner at once if
+// TestLostGathererMakesInstanceRequestSnapshot checks that the instance requests a snapshot from the planner at once if
 // the gatherer's link ends, and after 0.8 s of silence if the gatherer hangs. Its data about endpoints then stays within
 // the age up to which it may be used.
-func TestLostGathererMakesInstanceRequestWholeView(t *testing.T) {
+func TestLostGathererMakesInstanceRequestSnapshot(t *testing.T) {
 	for name, lose := range map[string]func(gatherer *wirePeer){
 		"the link ends":      func(gatherer *wirePeer) { gatherer.Close() },
 		"the gatherer hangs": func(*wirePeer) {},
@@ -160,10 +160,12 @@
 			planner, gatherer := f.followWithGatherer(t)
 			go drainWire(gatherer)
 			require.NoError(t, gatherer.Send(wire.Message{View: changeView(11, "a2")}))
-			awaitMessage(t, planner, reportsFedBy("gatherer"))
+			awaitMessage(t, planner, reportsForwarder("gatherer"))
 			start := time.Now()
 			lose(gatherer)
-			awaitMessage(t, planner, func(m wire.Message) bool { return m.Report != nil && m.Report.NeedsSnapshot && m.Report.Relay == "" })
+			awaitMessage(t, planner, func(m wire.Message) bool {
+				return m.Report != nil && m.Report.NeedsSnapshot && m.Report.Forwarder == ""
+			})
 			assert.Less(t, time.Since(start), 1200*time.Millisecond)
 		})
 	}
@@ -176,14 +178,14 @@
 	planner, gatherer := f.followWithGatherer(t)
 	go drainWire(gatherer)
 	require.NoError(t, gatherer.Send(wire.Message{View: changeView(11, "a2")}))
-	awaitMessage(t, planner, reportsFedBy("gatherer"))
+	awaitMessage(t, planner, reportsForwarder("gatherer"))
 	before := f.instance.Status().EndpointsAge
 	time.Sleep(200 * time.Millisecond)
 	bare := &wire.View{Planner: "peer", Term: 4, Bare: true, TermAge: time.Minute + 2*time.Second, Members: 40, Withdrawals: 99, ConfigurationRevision: 50}
 	require.NoError(t, planner.Send(wire.Message{View: bare}))
 	time.Sleep(50 * time.Millisecond)
 	assert.GreaterOrEqual(t, f.instance.Status().EndpointsAge, before+200*time.Millisecond)
-	assert.EqualValues(t, 18, awaitMessage(t, planner, reportsFedBy("")).Report.WithdrawalsSeen, "a bare view acknowledges no withdrawals")
+	assert.EqualValues(t, 18, awaitMessage(t, planner, reportsForwarder("")).Report.WithdrawalsSeen, "a bare view acknowledges no withdrawals")
 }
 
 func drainWire(stream *wirePeer) {
@@ -265,7 +267,7 @@
 			for name, stream := range g.members {
 				report := &wire.Report{Instance: name}
 				if name == fed {
-					report.Relay = gatherer
+					report.Forwarder = gatherer
 				}
 				_ = stream.Send(wire.Message{Report: report})
 			}
@@ -286,9 +288,9 @@
 	}
 }
 
-// TestPlannerSendsFedMembersBareViewsOnly checks that the planner of a large fleet names gatherers, sends them the totals,
+// TestPlannerSendsOnlyBareViewsToMembersWithForwardedViews checks that the planner of a large fleet names gatherers, sends them the totals,
 // and sends no views of changes to a member that a gatherer feeds, until that gatherer falls silent.
-func TestPlannerSendsFedMembersBareViewsOnly(t *testing.T) {
+func TestPlannerSendsOnlyBareViewsToMembersWithForwardedViews(t *testing.T) {
 	f := newFixture()
 	f.start(t)
 	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning })
@@ -333,9 +335,9 @@
 	}
 }
 
-// TestMemberWithReadEndpointsGetsShortWholeView guards against full views for all instances that start at the same time.
+// TestMemberWithReadEndpointsGetsShortSnapshot guards against snapshots with all descriptions for all instances that start at the same time.
 // These views occupied the planner's link and delayed the views of leaving endpoints.
-func TestMemberWithReadEndpointsGetsShortWholeView(t *testing.T) {
+func TestMemberWithReadEndpointsGetsShortSnapshot(t *testing.T) {
 	f := newFixture()
 	f.start(t)
 	f.waitForStatus(t, "becomes planner", func(status coordinator.Status) bool { return status.Planning && status.Endpoints == 1 })
@@ -376,7 +378,7 @@
 	planner := f.nextDial(t)
 	first := awaitMessage(t, planner, func(m wire.Message) bool { return m.Report != nil }).Report
 	assert.Positive(t, first.EndpointsRead)
-	short := wholeView(1)
+	short := snapshotView(1)
 	short.Endpoints, short.Gatherers, short.UnchangedEndpoints = nil, nil, []deployment.EndpointID{"e1"}
 	require.NoError(t, planner.Send(wire.Message{View: short}))
 	f.waitForStatus(t, "follows the planner", func(status coordinator.Status) bool { return status.Term == 4 })
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -169,7 +169,7 @@
 func (c *Coordinator) meanRecordReadInterval() time.Duration {
 	pause := recordReadInterval
 	c.loop.Call(func(time.Time) {
-		pause = lease.ReadInterval(recordReadInterval, c.stretchForFleet(recordReadInterval), c.options.Reluctance, c.follower.Term > 0)
+		pause = lease.ReadInterval(recordReadInterval, c.stretchForFleet(recordReadInterval), c.options.TakeoverDelay, c.follower.Term > 0)
 	})
 	return pause
 }
@@ -214,7 +214,7 @@
 	}
 	sighting := lease.Observation{
 		Self: c.options.Instance, Record: stored.Record, Revision: stored.Revision, Found: stored.Found,
-		Resigned: resigned, Silence: silence, Reluctance: c.options.Reluctance,
+		Resigned: resigned, Silence: silence, TakeoverDelay: c.options.TakeoverDelay,
 	}
 	verdict := l.candidate.Decide(now, sighting)
 	if verdict == lease.TakeIfHeartbeatEnded {
@@ -271,16 +271,16 @@
 
 // requestRecordRead requests a read of the record because the planner is in trouble or has resigned. A few instances have
 // to read at once: their reports show the planner that the store answers, and they send it the name of its successor,
-// which the planner forwards to all members. An instance with a reluctance reads later, and only if it has not learned of
+// which the planner forwards to all members. An instance with a takeover delay reads later, and only if it has not learned of
 // a successor by then. A random share of these instances, as many as a small fleet has, reads at once too.
 func (c *Coordinator) requestRecordRead(now time.Time) {
 	sampled := c.options.Random() < float64(report.MaxUnstretchedMembers)/float64(max(1, c.follower.Members))
-	if c.options.Reluctance == 0 || sampled {
+	if c.options.TakeoverDelay == 0 || sampled {
 		c.recordReadRequested = true
 		return
 	}
 	if c.deferredRecordReadAt.IsZero() {
-		c.deferredRecordReadAt = now.Add(c.options.Reluctance)
+		c.deferredRecordReadAt = now.Add(c.options.TakeoverDelay)
 	}
 }
 
--- a/services/entry/coordinator/limits.go
+++ b/services/entry/coordinator/limits.go
@@ -18,7 +18,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/limit"
 )
 
-// endpointLimits is this instance's state of the limits that endpoints name, in addition to the allowances in the
+// endpointLimits is this instance's state of the limits that endpoints report, in addition to the allowances in the
 // directory.
 type endpointLimits struct {
 	// known are the endpoints with a limit.
@@ -181,15 +181,15 @@
 	return list
 }
 
-// allLimitedOrResting reports whether each ready endpoint of a service has a limit or rests.
+// allLimitedOrResting reports whether each ready endpoint of a service has a request limit or asked for a rest.
 func (c *Coordinator) allLimitedOrResting(now time.Time, service string) bool {
 	return !slices.ContainsFunc(c.directory.Service(service), func(status *directory.EndpointStatus) bool {
 		return status.State == deployment.Ready && !status.Allowance.HasLimit() && !status.IsResting(now)
 	})
 }
 
-// earliestSend returns when a request may be sent that endpoints hold back. It depends on the rates of the limits and the
-// number of requests ahead, or on the first endpoint's end of rest. It is zero if another endpoint may become able to run
+// earliestSend returns when a request may be sent that waits for endpoints with limits or rests. It depends on the rates of
+// the limits and the number of requests ahead, or on the first end of a rest. It is zero if another endpoint may become able to run
 // the request before.
 func (c *Coordinator) earliestSend(now time.Time, w *waiter) time.Time {
 	if w.UsesModel() && !c.allLimitedOrResting(now, w.Service) {
--- a/services/entry/coordinator/member/member.go
+++ b/services/entry/coordinator/member/member.go
@@ -64,14 +64,14 @@
 	// DescribedUpTo is the store revision up to which the member knows the description of each endpoint, according to the report
 	// that asked for a snapshot.
 	DescribedUpTo int64
-	// Relay is the gatherer that relays views to the member; empty if none does.
-	Relay string
+	// Forwarder is the gatherer that forwards views to the member; empty if none does.
+	Forwarder string
 	// BareSentAt is when the last bare view was sent to the member.
 	BareSentAt time.Time
 
 	reportedAt time.Time
-	// heardByGathererAt is when a gatherer last reported that it receives loads from the member; zero if none has since the link was opened.
-	heardByGathererAt time.Time
+	// loadReportedAt is when a gatherer last reported that it receives loads from the member; zero if none has since the link was opened.
+	loadReportedAt time.Time
 	// lost is when the member was declared lost; zero if it is not lost.
 	lost            time.Time
 	leaving         bool
@@ -81,7 +81,7 @@
 	inUse        map[wire.Copy]int
 	inFlight     map[deployment.EndpointID]InFlight
 	suspects     map[deployment.EndpointID]bool
-	unreached    []deployment.EndpointID
+	unreachable  []deployment.EndpointID
 }
 
 // InFlight is the work that an endpoint has.
@@ -92,8 +92,8 @@
 	Unread int
 }
 
-// Plus returns the sum of two amounts of work.
-func (f InFlight) Plus(other InFlight) InFlight {
+// Combine returns the sum of two amounts of work.
+func (f InFlight) Combine(other InFlight) InFlight {
 	return InFlight{Requests: f.Requests + other.Requests, Unread: f.Unread + other.Unread}
 }
 
@@ -119,11 +119,11 @@
 // report has arrived for MinSilence, or its own reports have been missing for longer than silence. In a large fleet reports are
 // so rare that they alone reveal a loss late, and until then an instance that is cut off or suspended delays each unload.
 func (m *Member) isSilent(now time.Time, silence time.Duration) bool {
-	lastHeard := m.heardByGathererAt
-	if m.reportedAt.After(lastHeard) {
-		lastHeard = m.reportedAt
+	lastMessageAt := m.loadReportedAt
+	if m.reportedAt.After(lastMessageAt) {
+		lastMessageAt = m.reportedAt
 	}
-	lostByGatherer := !m.heardByGathererAt.IsZero() && now.Sub(lastHeard) > MinSilence
+	lostByGatherer := !m.loadReportedAt.IsZero() && now.Sub(lastMessageAt) > MinSilence
 	return lostByGatherer || now.Sub(m.reportedAt) > silence
 }
 
@@ -143,14 +143,14 @@
 	if r.Contact != nil {
 		m.Contact = r.Contact
 	}
-	m.Relay = r.Relay
+	m.Forwarder = r.Forwarder
 	m.EndpointsRead = r.EndpointsRead
 	m.DescribedUpTo = max(m.DescribedUpTo, r.DescribedUpTo)
 	if r.NeedsSnapshot {
 		m.DescribedUpTo = r.DescribedUpTo
 	}
 	m.SnapshotDue = m.SnapshotDue || r.NeedsSnapshot
-	m.unreached = r.Unreached
+	m.unreachable = r.Unreachable
 	m.inUse = make(map[wire.Copy]int, len(r.InUse))
 	for _, used := range r.InUse {
 		m.inUse[used.Copy()] = used.Count
--- a/services/entry/coordinator/member/member_test.go
+++ b/services/entry/coordinator/member/member_test.go
@@ -92,7 +92,7 @@
 		return count
 	}
 	members := newTable("a", "b")
-	members.MarkHeard(start.Add(time.Second), []string{"a", "stranger"})
+	members.MarkLoadsReceived(start.Add(time.Second), []string{"a", "stranger"})
 	assert.Zero(t, lost(members, time.Second+silence), "at the limit")
 	assert.False(t, members.IsUnused(copy1, 1, 0))
 	assert.Equal(t, 1, lost(members, time.Second+silence+step), "only the member that a gatherer reported")
@@ -100,11 +100,11 @@
 	assert.True(t, members.IsUnused(copy1, 1, 0))
 
 	members = newTable("a")
-	members.MarkHeard(start, []string{"a"})
+	members.MarkLoadsReceived(start, []string{"a"})
 	members.ApplyReport(start.Add(silence), &wire.Report{Instance: "a"})
 	assert.Zero(t, lost(members, 2*silence), "its own report counts as well")
 	for at := 2 * silence; at <= large+silence; at += silence {
-		members.MarkHeard(start.Add(at), []string{"a"})
+		members.MarkLoadsReceived(start.Add(at), []string{"a"})
 	}
 	assert.Equal(t, 1, lost(members, silence+large+step), "a member without own reports acknowledges nothing, whatever its gatherer receives")
 }
@@ -270,19 +270,19 @@
 	assert.Zero(t, span)
 }
 
-func TestEndpointIsUnreachedWhenTwoInstancesAreRefused(t *testing.T) {
+func TestEndpointIsUnreachableWhenTwoInstancesAreRefused(t *testing.T) {
 	const life = 1500 * time.Millisecond
 	ids := func(list ...deployment.EndpointID) []deployment.EndpointID { return list }
 	report := func(members *member.Table, instance string, list []deployment.EndpointID) {
-		members.ApplyReport(start, &wire.Report{Instance: instance, Unreached: list})
+		members.ApplyReport(start, &wire.Report{Instance: instance, Unreachable: list})
 	}
 	members := newTable("a", "b")
 	report(members, "a", ids("e1", "e2"))
-	assert.Empty(t, members.Unreached(start, nil), "a single instance may be cut off itself")
-	assert.Equal(t, map[deployment.EndpointID]bool{"e2": true}, members.Unreached(start, ids("e2")), "with the planner")
+	assert.Empty(t, members.Unreachable(start, nil), "a single instance may be cut off itself")
+	assert.Equal(t, map[deployment.EndpointID]bool{"e2": true}, members.Unreachable(start, ids("e2")), "with the planner")
 	report(members, "b", ids("e1"))
-	assert.Equal(t, map[deployment.EndpointID]bool{"e1": true}, members.Unreached(start.Add(life), nil))
-	assert.Empty(t, members.Unreached(start.Add(life+step), nil), "the reports have expired")
+	assert.Equal(t, map[deployment.EndpointID]bool{"e1": true}, members.Unreachable(start.Add(life), nil))
+	assert.Empty(t, members.Unreachable(start.Add(life+step), nil), "the reports have expired")
 	report(members, "b", nil)
-	assert.Empty(t, members.Unreached(start, nil), "one instance reaches the endpoint again")
+	assert.Empty(t, members.Unreachable(start, nil), "one instance reaches the endpoint again")
 }
--- a/services/entry/coordinator/member/table.go
+++ b/services/entry/coordinator/member/table.go
@@ -11,10 +11,10 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// unreachedTTL is how long a report of refused connections remains valid. A longer time keeps requests from an endpoint that is
+// unreachableTTL is how long a report of refused connections remains valid. A longer time keeps requests from an endpoint that is
 // reachable again; with a shorter one, more instances have to detect the refusal themselves. The store still lists a crashed
 // endpoint for about 3 s.
-const unreachedTTL = 1500 * time.Millisecond
+const unreachableTTL = 1500 * time.Millisecond
 
 // requiredVotes is the number of instances that must suspect an endpoint, in a fleet of at least that many.
 const requiredVotes = 2
@@ -79,9 +79,9 @@
 	}
 	if m.Link != link {
 		m.Link = link
-		m.heardByGathererAt = time.Time{}
+		m.loadReportedAt = time.Time{}
 		// The instance may have been replaced by one of another version, which reports these values again.
-		m.Contact, m.Relay, m.DescribedUpTo = nil, "", 0
+		m.Contact, m.Forwarder, m.DescribedUpTo = nil, "", 0
 		m.SnapshotDue = true
 		m.Probe = 0
 	}
@@ -100,11 +100,11 @@
 	return m.setSuspects(r.Suspects)
 }
 
-// MarkHeard records that a gatherer receives loads from members.
-func (t *Table) MarkHeard(now time.Time, instances []string) {
+// MarkLoadsReceived records that a gatherer has received loads from members.
+func (t *Table) MarkLoadsReceived(now time.Time, instances []string) {
 	for _, instance := range instances {
 		if m, ok := t.members[instance]; ok {
-			m.heardByGathererAt = now
+			m.loadReportedAt = now
 		}
 	}
 }
@@ -115,7 +115,7 @@
 	for _, m := range t.members {
 		if m.Link == link {
 			m.Link = nil
-			m.reportedAt, m.heardByGathererAt = now.Add(-silence), time.Time{}
+			m.reportedAt, m.loadReportedAt = now.Add(-silence), time.Time{}
 		}
 	}
 }
@@ -171,7 +171,7 @@
 
 // IsUnused reports whether no member uses a copy whose withdrawal was announced an age ago, and all members comply with the
 // withdrawal. Lost members are ignored, and so is a missing acknowledgement after AcknowledgeLimit if the member reports no use of
-// the copy: the endpoint itself keeps an adapter that a request uses, and rejects a request that arrives after the unload as not
+// the copy: the endpoint itself keeps an adapter that a request uses, and refuses a request that arrives after the unload as not
 // run. While each acknowledgement was required, one instance that was suspended or stopped blocked all unloads of the fleet for 1.5
 // s, and a restart of several instances in turn did so once per instance.
 func (t *Table) IsUnused(name wire.Copy, withdrawal uint64, age time.Duration) bool {
@@ -197,7 +197,7 @@
 		count++
 		age += now.Sub(m.reportedAt)
 		for id, requests := range m.inFlight {
-			sums[id] = sums[id].Plus(requests)
+			sums[id] = sums[id].Combine(requests)
 		}
 	}
 	return count, age
@@ -228,28 +228,28 @@
 	return votes >= min(requiredVotes, t.FleetSize())
 }
 
-// Unreached returns the endpoints that refuse the connections of requiredVotes instances, according to reports that are no older
-// than unreachedTTL; own are the endpoints that refuse the planner's connections.
-func (t *Table) Unreached(now time.Time, own []deployment.EndpointID) map[deployment.EndpointID]bool {
+// Unreachable returns the endpoints that refuse the connections of requiredVotes instances, according to reports that are no older
+// than unreachableTTL; own are the endpoints that refuse the planner's connections.
+func (t *Table) Unreachable(now time.Time, own []deployment.EndpointID) map[deployment.EndpointID]bool {
 	votes := make(map[deployment.EndpointID]int)
 	for _, id := range own {
 		votes[id]++
 	}
 	for _, m := range t.members {
-		if now.Sub(m.reportedAt) > unreachedTTL {
+		if now.Sub(m.reportedAt) > unreachableTTL {
 			continue
 		}
-		for _, id := range m.unreached {
+		for _, id := range m.unreachable {
 			votes[id]++
 		}
 	}
-	unreached := make(map[deployment.EndpointID]bool)
+	unreachable := make(map[deployment.EndpointID]bool)
 	for id, count := range votes {
 		if count >= requiredVotes {
-			unreached[id] = true
+			unreachable[id] = true
 		}
 	}
-	return unreached
+	return unreachable
 }
 
 // AnyReachesStore reports whether the store has recently answered any member, so that a member could take over the planning.
--- a/services/entry/coordinator/nonstreaming_test.go
+++ b/services/entry/coordinator/nonstreaming_test.go
@@ -20,7 +20,7 @@
 	f := newFixture()
 	f.start(t)
 	begun := f.assignRequest(t)
-	f.instance.Running(begun.Request, begun.assignment)
+	f.instance.MarkRunning(begun.Request, begun.assignment)
 	f.instance.Finish(begun.Request, begun.assignment, directory.Succeeded, false)
 	f.nameVersion("2")
 	f.waitForVersionLog(t, "a1")
--- a/services/entry/coordinator/notice.go
+++ b/services/entry/coordinator/notice.go
@@ -15,9 +15,9 @@
 	fieldService  = "service"
 )
 
-// Heard applies the notice in an endpoint's response to a request that was sent at the given time. The notice is valid
+// ApplyNotice applies the notice in an endpoint's response to a request that was sent at the given time. The notice is valid
 // only for the incarnation that sent it.
-func (c *Coordinator) Heard(assignment Assignment, sentAt time.Time, notice deployment.Notice) {
+func (c *Coordinator) ApplyNotice(assignment Assignment, sentAt time.Time, notice deployment.Notice) {
 	if notice == (deployment.Notice{}) && c.limitedEndpoints.Load() == 0 {
 		return
 	}
@@ -27,8 +27,8 @@
 		}
 		status := assignment.status
 		c.applyObservedLimit(now, status, status.Allowance.ObserveResponse(now, sentAt, notice.Limit), sentAt)
-		if notice.Leaving {
-			c.markLeaving(now, status, "answer")
+		if notice.Draining {
+			c.markDraining(now, status, "answer")
 		}
 		if notice.Rest > 0 {
 			c.recordRest(now, status, notice.Rest)
--- a/services/entry/coordinator/options.go
+++ b/services/entry/coordinator/options.go
@@ -35,9 +35,9 @@
 	LoadWindow    time.Duration
 	LoadTolerance float64
 	LoadSlack     float64
-	// Reluctance is the additional time for which this instance waits before it takes the planner's lease. An instance
+	// TakeoverDelay is the additional time for which this instance waits before it takes the planner's lease. An instance
 	// with a slow link or processor takes the lease only if no other instance does.
-	Reluctance time.Duration
+	TakeoverDelay time.Duration
 	// LinkRate is the capacity of this instance's network link in bytes per second; 0 if it is not known.
 	LinkRate int
 	// VersionLimit is the time for which a request may still begin on a version older than the named one. If it is 0, no
@@ -61,8 +61,8 @@
 	// ObserveFormerVersion is called for each request that begins on a former version. It receives the time since the
 	// first newer version was named, and whether this time exceeds VersionLimit.
 	ObserveFormerVersion func(age time.Duration, overdue bool)
-	// ObserveTakenBack is called for each request that is recalled from its endpoint because it has not begun in time.
-	ObserveTakenBack func()
+	// ObserveRecall is called for each request that is recalled from its endpoint because it has not begun in time.
+	ObserveRecall func()
 }
 
 // Environment holds the external calls of a Coordinator as function fields.
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -97,7 +97,7 @@
 		return false
 	}
 	c.planner.members.Join(r.Instance, stream)
-	c.planner.keysInFlight.Reported(stream, r.ConfigurationRevision)
+	c.planner.keysInFlight.RecordReported(stream, r.ConfigurationRevision)
 	c.planner.applyReport(now, r)
 	c.plan(now)
 	return true
@@ -170,6 +170,6 @@
 	if c.planner == nil {
 		return
 	}
-	c.planner.keysInFlight.Ended(stream)
+	c.planner.keysInFlight.RemoveLink(stream)
 	c.planner.members.LinkEnded(now, stream, c.memberSilence())
 }
--- a/services/entry/coordinator/plan/changes.go
+++ b/services/entry/coordinator/plan/changes.go
@@ -31,8 +31,8 @@
 	return len(c.Endpoints) == 0 && len(c.Removed) == 0 && len(c.StartedLoads) == 0 && !c.BaseModelLoadStarted
 }
 
-// Sent discards the changes after a view with them was sent.
-func (p *Plans) Sent() {
+// MarkSent discards the changes. It is called after a view with them was sent.
+func (p *Plans) MarkSent() {
 	clear(p.changes.Endpoints)
 	p.changes.Removed, p.changes.StartedLoads, p.changes.BaseModelLoadStarted = nil, nil, false
 }
--- a/services/entry/coordinator/plan/loads_test.go
+++ b/services/entry/coordinator/plan/loads_test.go
@@ -73,11 +73,11 @@
 func TestBaseModelLoadIsChange(t *testing.T) {
 	f := newFixture()
 	f.addEmptyService(start)
-	f.plans.Sent()
+	f.plans.MarkSent()
 	f.order(start)
 	assert.True(t, f.plans.Changes().BaseModelLoadStarted)
 	assert.False(t, f.plans.Changes().Empty())
-	f.plans.Sent()
+	f.plans.MarkSent()
 	assert.False(t, f.plans.Changes().BaseModelLoadStarted)
 }
 
--- a/services/entry/coordinator/plan/plan_test.go
+++ b/services/entry/coordinator/plan/plan_test.go
@@ -126,7 +126,7 @@
 	require.Len(t, begun, 1)
 	assert.Equal(t, key, begun[0].Key())
 	assert.Equal(t, f.begun[key], begun[0].Remaining)
-	f.plans.Sent()
+	f.plans.MarkSent()
 	assert.Empty(t, f.plans.Changes().StartedLoads, "sent once")
 	assert.True(t, f.plans.Changes().Empty())
 	assert.Zero(t, f.plans.RecentLoads(start), "only base models count")
@@ -141,7 +141,7 @@
 		require.Len(t, begun, 1, "reading the changes keeps them")
 		assert.Equal(t, key, begun[0].Key())
 	}
-	f.plans.Sent()
+	f.plans.MarkSent()
 	assert.Empty(t, f.plans.Changes().StartedLoads)
 	assert.True(t, f.plans.Changes().Empty())
 }
@@ -193,7 +193,7 @@
 
 func TestRemovedEndpointIsAnnounced(t *testing.T) {
 	f := newFixture()
-	f.plans.Sent()
+	f.plans.MarkSent()
 	f.plans.SetEndpoint(start, f.directory.Endpoint("e1").Endpoint, 6)
 	f.directory.Remove("e1", 7)
 	f.plans.RemoveEndpoint("e1", 7)
--- a/services/entry/coordinator/plan/plans.go
+++ b/services/entry/coordinator/plan/plans.go
@@ -136,7 +136,7 @@
 	return uses
 }
 
-// SetVersion sets the version of an adapter that operators demand.
+// SetVersion sets the version that operators named for an adapter.
 func (p *Plans) SetVersion(now time.Time, adapter deployment.Adapter, version int64) {
 	for name, planner := range p.planners {
 		if p.hasModel(name, adapter.Model) {
--- a/services/entry/coordinator/plan/reports.go
+++ b/services/entry/coordinator/plan/reports.go
@@ -74,7 +74,7 @@
 	for _, demand := range list {
 		byService[demand.Service] = append(byService[demand.Service], loading.Demand{
 			Adapter: deployment.Adapter{Model: demand.Model, Name: demand.Name},
-			Waiting: demand.Waiting, InTime: demand.InTime, Arrivals: demand.Arrivals, Prompts: demand.Prompts,
+			Waiting: demand.Waiting, InTime: demand.InTime, Arrivals: demand.Arrivals, PromptTokens: demand.PromptTokens,
 		})
 	}
 	return byService
--- a/services/entry/coordinator/planner.go
+++ b/services/entry/coordinator/planner.go
@@ -91,7 +91,7 @@
 	return p
 }
 
-// planPauseStep is by how much the pause between two plans grows with each report.MembersAtPace instances beyond the first
+// planPauseStep is by how much the pause between two plans grows with each report.MaxUnstretchedMembers instances beyond the first
 // ones. A longer pause saves processor time of the planner, and a shorter one sends orders sooner. Each report triggers a
 // plan, which reviews all endpoints. In a large fleet the plans of a new planner would keep it from confirming its lease.
 const planPauseStep = 500 * time.Microsecond
@@ -249,6 +249,6 @@
 	p.plans.ApplyDemand(now, r)
 	p.coordinator.mergeCrashes(now, r.Crashes, true)
 	p.mergeReportedLimits(now, r)
-	p.coordinator.mergeLeaving(now, r.LeavingEndpoints)
+	p.coordinator.mergeDraining(now, r.DrainingEndpoints)
 	p.mergeFormerLoads(now, r.FormerLoads)
 }
--- a/services/entry/coordinator/recall.go
+++ b/services/entry/coordinator/recall.go
@@ -36,8 +36,8 @@
 // recallOverdue recalls the requests that have not begun in time.
 func (c *Coordinator) recallOverdue(now time.Time) {
 	for _, recall := range c.unbegun.TakeLate(now) {
-		if recall.Fire() && c.options.ObserveTakenBack != nil {
-			c.options.ObserveTakenBack()
+		if recall.Fire() && c.options.ObserveRecall != nil {
+			c.options.ObserveRecall()
 		}
 	}
 }
--- a/services/entry/coordinator/recordread_test.go
+++ b/services/entry/coordinator/recordread_test.go
@@ -17,14 +17,14 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// testReluctance is the reluctance of the instance in these tests.
-const testReluctance = 300 * time.Millisecond
+// testTakeoverDelay is the takeover delay of the instance in these tests.
+const testTakeoverDelay = 300 * time.Millisecond
 
 // startResigningPlanner starts the instance with the simulated planner of a fleet of 40, which then resigns. It returns
 // the planner and the number of record reads before the resignation.
 func (f *fixture) startResigningPlanner(t *testing.T) (planner *wirePeer, reads int) {
 	t.Helper()
-	f.reluctance = testReluctance
+	f.takeoverDelay = testTakeoverDelay
 	planner, gatherer := f.followWithGatherer(t)
 	go drainWire(gatherer)
 	f.waitForStatus(t, "follows the planner", func(status coordinator.Status) bool { return status.Term == 4 })
@@ -43,20 +43,20 @@
 	}, waitLimit, time.Millisecond)
 }
 
-// TestReluctantInstanceSkipsRecordReadAfterSuccessor guards against superfluous reads: each of 195 instances read the
+// TestDelayedInstanceSkipsRecordReadAfterSuccessor guards against superfluous reads: each of 195 instances read the
 // record when a planner gave up, and again when it received the successor.
-func TestReluctantInstanceSkipsRecordReadAfterSuccessor(t *testing.T) {
+func TestDelayedInstanceSkipsRecordReadAfterSuccessor(t *testing.T) {
 	f := newFixture()
 	planner, reads := f.startResigningPlanner(t)
 	successor := netip.MustParseAddrPort("127.0.0.8:7000")
 	require.NoError(t, planner.Send(wire.Message{Successor: &wire.Successor{Term: 5, Address: successor}}))
 	f.waitForLog(t, "planner learned from a peer")
-	time.Sleep(2 * testReluctance)
+	time.Sleep(2 * testTakeoverDelay)
 	assert.Equal(t, reads, f.store.recordReadCount())
 }
 
-// TestReluctantInstanceReadsRecordWithoutSuccessor covers the case in which all other instances may be gone.
-func TestReluctantInstanceReadsRecordWithoutSuccessor(t *testing.T) {
+// TestDelayedInstanceReadsRecordWithoutSuccessor covers the case in which all other instances may be gone.
+func TestDelayedInstanceReadsRecordWithoutSuccessor(t *testing.T) {
 	f := newFixture()
 	planner, reads := f.startResigningPlanner(t)
 	go drainWire(planner)
--- a/services/entry/coordinator/relay/relay_test.go
+++ b/services/entry/coordinator/relay/relay_test.go
@@ -30,11 +30,11 @@
 	assert.False(t, window.Send(start.Add(resendAfter-step), "a", 5, kib))
 	assert.False(t, window.Send(start.Add(resendAfter-step), "a", 6, kib), "newer keys wait until the older ones are reported")
 	assert.True(t, window.Send(start.Add(resendAfter), "a", 6, kib), "the last keys have expired")
-	window.Reported("a", 5)
+	window.RecordReported("a", 5)
 	assert.False(t, window.Send(start.Add(resendAfter+step), "a", 7, kib), "an older revision was reported")
-	window.Reported("a", 6)
+	window.RecordReported("a", 6)
 	assert.True(t, window.Send(start.Add(resendAfter+step), "a", 7, kib))
-	window.Ended("a")
+	window.RemoveLink("a")
 	assert.True(t, window.Send(start.Add(resendAfter+step), "a", 7, kib), "the link and the keys in transmission were lost")
 }
 
@@ -47,7 +47,7 @@
 		}
 	}
 	assert.Equal(t, 4, sent)
-	window.Reported("0", 5)
+	window.RecordReported("0", 5)
 	assert.True(t, window.Send(start.Add(step), "50", 5, 256*kib))
 	assert.False(t, window.Send(start.Add(step), "51", 5, 256*kib))
 	assert.True(t, window.Send(start.Add(resendAfter), "51", 5, 256*kib), "keys that were not reported count as lost")
@@ -57,7 +57,7 @@
 	window := relay.NewWindow[string](relay.DefaultWindow)
 	assert.True(t, window.Send(start, "a", 5, 4096*kib))
 	assert.False(t, window.Send(start, "b", 5, kib))
-	window.Reported("a", 5)
+	window.RecordReported("a", 5)
 	assert.True(t, window.Send(start, "b", 5, kib))
 }
 
--- a/services/entry/coordinator/relay/transfer_test.go
+++ b/services/entry/coordinator/relay/transfer_test.go
@@ -39,7 +39,7 @@
 			for ; len(left) > 0 && now.Sub(start) < time.Minute; now = now.Add(round) {
 				for name := range left {
 					if at, sent := due[name]; sent && !now.Before(at) {
-						window.Reported(name, 5)
+						window.RecordReported(name, 5)
 						delete(left, name)
 						continue
 					}
--- a/services/entry/coordinator/relay/window.go
+++ b/services/entry/coordinator/relay/window.go
@@ -89,14 +89,14 @@
 	return sum
 }
 
-// Reported records the revision up to which the instance at the other end of a link has the keys.
-func (w *Window[Link]) Reported(link Link, revision int64) {
+// RecordReported records the revision up to which the instance at the other end of a link reported that it has the keys.
+func (w *Window[Link]) RecordReported(link Link, revision int64) {
 	if last, ok := w.sent[link]; ok && revision >= last.revision {
 		delete(w.sent, link)
 	}
 }
 
-// Ended records that a link has ended, which loses the keys in transmission over it.
-func (w *Window[Link]) Ended(link Link) {
+// RemoveLink removes a link that has ended, which loses the keys in transmission over it.
+func (w *Window[Link]) RemoveLink(link Link) {
 	delete(w.sent, link)
 }
--- a/services/entry/coordinator/report/demand.go
+++ b/services/entry/coordinator/report/demand.go
@@ -13,10 +13,10 @@
 )
 
 const (
-	// RetryNotice is how long before the expected retry of a rejected caller its adapter is requested again. With a longer time,
+	// RetryNotice is how long before the expected retry of a refused caller its adapter is requested again. With a longer time,
 	// these requests compete with the loads for new requests.
 	RetryNotice = time.Second
-	// RetryGrace is how long after the expected time the retry of a rejected caller is still expected.
+	// RetryGrace is how long after the expected time the retry of a refused caller is still expected.
 	RetryGrace = 300 * time.Millisecond
 	// MinRate is the minimum arrival rate, in requests per second, that is reported to a new planner.
 	MinRate = 0.005
@@ -27,18 +27,18 @@
 	// arrivals are the requests since the last report.
 	arrivals map[deployment.ServiceAdapter]arrivals
 	rates    map[deployment.ServiceAdapter]*loading.Rate
-	// expectedRetries are the rejected callers that are expected to retry.
+	// expectedRetries are the refused callers that are expected to retry.
 	expectedRetries []expectedRetry
 }
 
 // arrivals counts received requests.
 type arrivals struct {
 	requests int
-	// prompts is the total length of their prompts in tokens.
-	prompts int
+	// promptTokens is the total length of their prompts in tokens.
+	promptTokens int
 }
 
-// expectedRetry is a rejected caller whose answer said when to retry. Its adapter is requested from shortly before until shortly
+// expectedRetry is a refused caller whose response named the time to retry. Its adapter is requested from shortly before until shortly
 // after that time.
 type expectedRetry struct {
 	key    deployment.ServiceAdapter
@@ -54,10 +54,10 @@
 // AddArrival counts a received request, with the length of its prompt in tokens.
 func (ct *Counter) AddArrival(key deployment.ServiceAdapter, prompt int) {
 	known := ct.arrivals[key]
-	ct.arrivals[key] = arrivals{requests: known.requests + 1, prompts: known.prompts + prompt}
+	ct.arrivals[key] = arrivals{requests: known.requests + 1, promptTokens: known.promptTokens + prompt}
 }
 
-// ExpectRetry records that a rejected caller was asked to retry at a time. After the retry, its answer is in time within the target
+// ExpectRetry records that a refused caller was asked to retry at a time. After the retry, its answer is in time within the target
 // of its route.
 func (ct *Counter) ExpectRetry(key deployment.ServiceAdapter, at time.Time, target time.Duration) {
 	ct.expectedRetries = append(ct.expectedRetries, expectedRetry{key: key, at: at, target: target})
@@ -86,7 +86,7 @@
 	for key, arrived := range ct.arrivals {
 		if !key.Adapter.IsZero() {
 			demand := c.demandOf(key)
-			demand.Arrivals, demand.Prompts = arrived.requests, arrived.prompts
+			demand.Arrivals, demand.PromptTokens = arrived.requests, arrived.promptTokens
 			ct.rate(key).Add(now, arrived.requests)
 		}
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-// List adds the rejected callers that are expected to retry soon, removes those whose time has passed, and returns the whole
+// List adds the refused callers that are expected to retry soon, removes those whose time has passed, and returns the whole
 // demand.
 func (c *Collection) List() []wire.Demand {
 	ct := c.counter
--- a/services/entry/coordinator/report/report_test.go
+++ b/services/entry/coordinator/report/report_test.go
@@ -42,7 +42,7 @@
 		stretched := report.Stretch(maxInterval, members)
 		var schedule report.Schedule
 		assert.True(t, schedule.Due(start, members), "first report")
-		schedule.Sent(start)
+		schedule.MarkSent(start)
 		assert.False(t, schedule.Due(start.Add(stretched-step), members))
 		assert.True(t, schedule.Due(start.Add(stretched), members))
 		assert.True(t, schedule.Due(start.Add(stretched+step), members))
@@ -51,19 +51,19 @@
 
 func TestUrgentReportWaitsForUrgentInterval(t *testing.T) {
 	var schedule report.Schedule
-	schedule.Sent(start)
+	schedule.MarkSent(start)
 	assert.False(t, schedule.Request(start.Add(urgentInterval-step), 1))
 	assert.False(t, schedule.Request(start.Add(urgentInterval-step), 1), "requested again")
 	assert.False(t, schedule.Due(start.Add(urgentInterval-step), 1))
 	assert.True(t, schedule.Due(start.Add(urgentInterval), 1))
-	schedule.Sent(start.Add(urgentInterval))
+	schedule.MarkSent(start.Add(urgentInterval))
 	assert.False(t, schedule.Due(start.Add(2*urgentInterval), 1), "one report serves both requests")
 	assert.True(t, schedule.Request(start.Add(2*urgentInterval), 1), "the last report is old enough")
 }
 
 func TestAcknowledgementWaitsForItsInterval(t *testing.T) {
 	var schedule report.Schedule
-	schedule.Sent(start)
+	schedule.MarkSent(start)
 	assert.False(t, schedule.RequestAcknowledge(start.Add(acknowledgeInterval-step), 1))
 	assert.False(t, schedule.Due(start.Add(acknowledgeInterval-step), 1))
 	assert.True(t, schedule.Due(start.Add(acknowledgeInterval), 1))
@@ -74,7 +74,7 @@
 
 func TestSkippedReportRemainsRequested(t *testing.T) {
 	var schedule report.Schedule
-	schedule.Sent(start)
+	schedule.MarkSent(start)
 	schedule.Request(start, 1)
 	schedule.Skip(start.Add(urgentInterval))
 	assert.False(t, schedule.Due(start.Add(urgentInterval), 1))
@@ -122,7 +122,7 @@
 	assert.Equal(t, -200*time.Millisecond, collection.List()[0].InTime)
 }
 
-func TestAdapterOfRejectedCallerIsRequestedBeforeRetry(t *testing.T) {
+func TestAdapterOfRefusedCallerIsRequestedBeforeRetry(t *testing.T) {
 	back := start.Add(3 * time.Second)
 	cases := map[string]struct {
 		now   time.Time
--- a/services/entry/coordinator/report/schedule.go
+++ b/services/entry/coordinator/report/schedule.go
@@ -71,7 +71,7 @@
 	s.sent = time.Time{}
 }
 
-// Sent records that a report is sent now.
-func (s *Schedule) Sent(now time.Time) {
+// MarkSent records that a report is sent now.
+func (s *Schedule) MarkSent(now time.Time) {
 	*s = Schedule{sent: now}
 }
--- a/services/entry/coordinator/reporting.go
+++ b/services/entry/coordinator/reporting.go
@@ -23,7 +23,7 @@
 		return
 	}
 	r := c.buildReport(now)
-	c.reportSchedule.Sent(now)
+	c.reportSchedule.MarkSent(now)
 	if c.planner != nil {
 		c.planner.applyReport(now, r)
 		c.plan(now)
@@ -38,7 +38,7 @@
 	r := &wire.Report{
 		Instance: c.options.Instance, WithdrawalsSeen: c.follower.Withdrawals, ConfigurationRevision: c.keys.Revision(),
 		Demands: c.buildDemands(now), Missing: c.missing, Leaving: c.leaving.Load(),
-		StoreReadAge: now.Sub(c.storeReadAt), Relay: c.gathering.fedBy, NeedsSnapshot: c.takeWholeViewRequest(now),
+		StoreReadAge: now.Sub(c.storeReadAt), Forwarder: c.gathering.forwarder, NeedsSnapshot: c.takeSnapshotRequest(now),
 	}
 	if r.NeedsSnapshot || c.follower.ratesDue {
 		r.DescribedUpTo = c.describedRevision
@@ -54,8 +54,8 @@
 		if status.Health.Ejected(now) || status.IsResting(now) {
 			r.Suspects = append(r.Suspects, id)
 		}
-		if status.Health.Unreached(now) {
-			r.Unreached = append(r.Unreached, id)
+		if status.Health.Unreachable(now) {
+			r.Unreachable = append(r.Unreachable, id)
 		}
 		for adapter, count := range status.OwnByAdapter {
 			r.InUse = append(r.InUse, wire.CopyCount{ID: id, Model: adapter.Model, Name: adapter.Name, Count: count})
@@ -63,7 +63,7 @@
 	}
 	r.Crashes = c.crashesToReport(now)
 	c.addLimitsToReport(now, r)
-	r.LeavingEndpoints = c.leavingEndpoints()
+	r.DrainingEndpoints = c.drainingEndpoints()
 	if c.follower.ratesDue {
 		r.Rates, r.FormerLoads = c.demand.Rates(now), c.formerLoadsToReport(now)
 		r.EndpointsRead = c.endpointsReadRevision
--- a/services/entry/coordinator/resting.go
+++ b/services/entry/coordinator/resting.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// recordRest records that an endpoint rejected a request of this instance and asked for no requests from it for some time.
+// recordRest records that an endpoint refused a request of this instance and asked it for a rest.
 func (c *Coordinator) recordRest(now time.Time, status *directory.EndpointStatus, rest time.Duration) {
 	alreadyRests := status.IsResting(now)
 	status.RecordRest(now.Add(rest))
@@ -20,12 +20,12 @@
 	}
 	c.options.Log.WithFields(logrus.Fields{fieldEndpoint: status.ID, fieldService: status.Service, "rest_ms": rest.Milliseconds()}).
 		Info("an endpoint wants to rest")
-	// If several instances are asked for rest, the planner loads the endpoint's adapters elsewhere.
+	// If several instances are asked for a rest, the planner loads the endpoint's adapters elsewhere.
 	c.requestReport(now)
 }
 
-// earliestRestEnd returns when the first rest ends among the endpoints that could run a request. It is zero if none of
-// them rests.
+// earliestRestEnd returns when the first rest ends of the endpoints that could run a request. It is zero if none of them
+// rests.
 func (c *Coordinator) earliestRestEnd(now time.Time, w *waiter) time.Time {
 	var earliest time.Time
 	for _, status := range c.directory.Service(w.Service) {
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -21,7 +21,7 @@
 	Quarantined int
 	// Limited is the number of endpoints with a request limit.
 	Limited int
-	// Resting is the number of endpoints that asked this instance to send no requests for some time.
+	// Resting is the number of endpoints that asked this instance for a rest.
 	Resting int
 	// PeerQueueBytes is the size of the messages that are queued for peers, in bytes. A message for several peers counts
 	// once for each.
--- a/services/entry/coordinator/unbegun/recall.go
+++ b/services/entry/coordinator/unbegun/recall.go
@@ -5,7 +5,7 @@
 
 import "sync"
 
-// Recall takes one request back from its endpoint, at most once and only until the request is known to run. It ends the exchange,
+// Recall recalls one request from its endpoint, at most once and only until the request is known to run. It ends the exchange,
 // which closes the connection, so that the endpoint drops the queued request. It is safe for concurrent use. A nil Recall never
 // fires.
 type Recall struct {
@@ -19,9 +19,9 @@
 type recallState int
 
 const (
-	// pending means that the request can still be taken back.
+	// pending means that the request can still be recalled.
 	pending recallState = iota
-	// fired means that the request was taken back.
+	// fired means that the request was recalled.
 	fired
 	// disarmed means that the request runs or has ended.
 	disarmed
@@ -45,7 +45,7 @@
 	return r.state
 }
 
-// Fire takes the request back. It returns false if the request was already taken back or can no longer be.
+// Fire recalls the request. It returns false if the request was already recalled or can no longer be.
 func (r *Recall) Fire() bool {
 	cancel, settled := r.settle(fired)
 	if settled && cancel != nil {
@@ -54,8 +54,8 @@
 	return settled
 }
 
-// Disarm records that the request runs or has ended, so that it is no longer taken back. It returns false if the request was taken
-// back before.
+// Disarm records that the request runs or has ended, so that it is no longer recalled. It returns false if the request was recalled
+// before.
 func (r *Recall) Disarm() bool {
 	r.settle(disarmed)
 	return !r.Fired()
@@ -76,7 +76,7 @@
 	return r.cancel, true
 }
 
-// Fired reports whether the request was taken back.
+// Fired reports whether the request was recalled.
 func (r *Recall) Fired() bool {
 	if r == nil {
 		return false
--- a/services/entry/coordinator/unbegun/recall_test.go
+++ b/services/entry/coordinator/unbegun/recall_test.go
@@ -54,7 +54,7 @@
 
 func TestNilRecallNeverFires(t *testing.T) {
 	var recall *unbegun.Recall
-	recall.Arm(func() { assert.Fail(t, "the request was taken back") })
+	recall.Arm(func() { assert.Fail(t, "the request was recalled") })
 	assert.False(t, recall.Fire())
 	recall.Disarm()
 	assert.False(t, recall.Fired())
--- a/services/entry/coordinator/unbegun/requests.go
+++ b/services/entry/coordinator/unbegun/requests.go
@@ -9,9 +9,9 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// reserveDivisor is the divisor of a version's limit whose quotient is reserved for taking requests back: for the time between the
+// reserveDivisor is the divisor of a version's limit whose quotient is reserved for recalling requests: for the time between the
 // acknowledgement of the newer version and its reception here, for the interval of the control goroutine, and for the transmission
-// of the close to the endpoint. A smaller divisor reserves more, and takes back requests that would have begun in time.
+// of the close to the endpoint. A smaller divisor reserves more, and recalls requests that would have begun in time.
 const reserveDivisor = 5
 
 // BeginBy returns the time by which a request must have begun on an older version, where requests may begin on it within limit
@@ -41,7 +41,7 @@
 }
 
 // Add adds a request that was assigned to an endpoint, with the version that the endpoint is assumed to hold and the time by which
-// the request must have begun, which is zero if no newer version is demanded.
+// the request must have begun, which is zero if no newer version is named.
 func (r *Requests) Add(recall *Recall, adapter deployment.Adapter, held int64, beginBy time.Time) {
 	if beginBy.IsZero() {
 		r.unbounded[recall] = assigned{adapter: adapter, held: held}
--- a/services/entry/coordinator/unreachable.go
+++ b/services/entry/coordinator/unreachable.go
@@ -18,11 +18,11 @@
 func (p *planner) updateUnreachable(now time.Time) {
 	var own []deployment.EndpointID
 	for id, status := range p.coordinator.directory.Endpoints() {
-		if status.Health.Unreached(now) {
+		if status.Health.Unreachable(now) {
 			own = append(own, id)
 		}
 	}
-	unreachable := p.members.Unreached(now, own)
+	unreachable := p.members.Unreachable(now, own)
 	if maps.Equal(unreachable, p.unreachable) {
 		return
 	}
@@ -36,24 +36,24 @@
 		return
 	}
 	p.unreachableChanged = false
-	v.Unreached = &wire.EndpointList{IDs: slices.Collect(maps.Keys(p.unreachable))}
+	v.Unreachable = &wire.EndpointList{IDs: slices.Collect(maps.Keys(p.unreachable))}
 }
 
 // applyUnreachable applies the unreachable endpoints of the planner's view.
 func (c *Coordinator) applyUnreachable(v *wire.View) {
-	if v.Unreached == nil {
+	if v.Unreachable == nil {
 		return
 	}
-	unreached := make(map[deployment.EndpointID]bool, len(v.Unreached.IDs))
-	for _, id := range v.Unreached.IDs {
-		unreached[id] = true
+	unreachable := make(map[deployment.EndpointID]bool, len(v.Unreachable.IDs))
+	for _, id := range v.Unreachable.IDs {
+		unreachable[id] = true
 	}
-	c.setUnreachable(unreached)
+	c.setUnreachable(unreachable)
 }
 
 // setUnreachable sets which endpoints count as unreachable.
-func (c *Coordinator) setUnreachable(unreached map[deployment.EndpointID]bool) {
+func (c *Coordinator) setUnreachable(unreachable map[deployment.EndpointID]bool) {
 	for id, status := range c.directory.Endpoints() {
-		status.Unreached = unreached[id]
+		status.Unreachable = unreachable[id]
 	}
 }
--- a/services/entry/coordinator/unreachable_test.go
+++ b/services/entry/coordinator/unreachable_test.go
@@ -24,11 +24,11 @@
 	one, other := f.joinWireMember(t, "one"), f.joinWireMember(t, "other")
 	go drainWire(other)
 	report := func(stream *wirePeer, instance string, unreached ...deployment.EndpointID) {
-		require.NoError(t, stream.Send(wire.Message{Report: &wire.Report{Instance: instance, Unreached: unreached, Suspects: unreached}}))
+		require.NoError(t, stream.Send(wire.Message{Report: &wire.Report{Instance: instance, Unreachable: unreached, Suspects: unreached}}))
 	}
 	hasUnreachable := func(ids ...deployment.EndpointID) func(wire.Message) bool {
 		return func(m wire.Message) bool {
-			return m.View != nil && m.View.Unreached != nil && assert.ObjectsAreEqual(ids, m.View.Unreached.IDs)
+			return m.View != nil && m.View.Unreachable != nil && assert.ObjectsAreEqual(ids, m.View.Unreachable.IDs)
 		}
 	}
 	report(one, "one", "e1")
@@ -48,14 +48,14 @@
 	_, _, err := f.acquire("a1", waitLimit)
 	require.NoError(t, err)
 	dead := changeView(11, "a2")
-	dead.Unreached = &wire.EndpointList{IDs: []deployment.EndpointID{"e1"}}
+	dead.Unreachable = &wire.EndpointList{IDs: []deployment.EndpointID{"e1"}}
 	require.NoError(t, planner.Send(wire.Message{View: dead}))
 	require.Eventually(t, func() bool {
 		_, _, err := f.acquire("a1", 30*time.Millisecond)
 		return err != nil
 	}, waitLimit, time.Millisecond)
 	alive := changeView(12, "a3")
-	alive.Unreached = &wire.EndpointList{}
+	alive.Unreachable = &wire.EndpointList{}
 	require.NoError(t, planner.Send(wire.Message{View: alive}))
 	_, _, err = f.acquire("a3", waitLimit)
 	assert.NoError(t, err)
--- a/services/entry/coordinator/view/planner_state.go
+++ b/services/entry/coordinator/view/planner_state.go
@@ -129,7 +129,7 @@
 
 // Effects are the actions that a view requires of the receiving instance.
 type Effects struct {
-	// Acknowledge requires a report, since the view announces withdrawals or is full.
+	// Acknowledge requires a report, since the view announces withdrawals or lists all endpoints.
 	Acknowledge bool
 	// Resigned means that the planner announced for the first time in its term that it issues no more orders.
 	Resigned bool
--- a/services/entry/coordinator/view/schedule.go
+++ b/services/entry/coordinator/view/schedule.go
@@ -56,8 +56,8 @@
 	}
 }
 
-// Sent records that a view is sent now, with or without totals.
-func (s *Schedule) Sent(now time.Time, totals bool) {
+// MarkSent records that a view is sent now, with or without totals.
+func (s *Schedule) MarkSent(now time.Time, totals bool) {
 	s.sent = now
 	if totals {
 		s.totalsSent = now
--- a/services/entry/coordinator/view/view_test.go
+++ b/services/entry/coordinator/view/view_test.go
@@ -103,7 +103,7 @@
 		scale := time.Duration(max(1, members/16))
 		var schedule view.Schedule
 		assert.Equal(t, view.Now, schedule.Due(start, members), "first view")
-		schedule.Sent(start, false)
+		schedule.MarkSent(start, false)
 		assert.Equal(t, view.NotYet, schedule.Due(start.Add(scale*changeInterval-step), members))
 		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(scale*changeInterval), members))
 		assert.Equal(t, view.OnlyChanges, schedule.Due(start.Add(heartbeatInterval-step), members))
@@ -114,12 +114,12 @@
 func TestTotalsFollowReportInterval(t *testing.T) {
 	var schedule view.Schedule
 	assert.True(t, schedule.TotalsDue(start, 1))
-	schedule.Sent(start, true)
+	schedule.MarkSent(start, true)
 	assert.False(t, schedule.TotalsDue(start.Add(totalsInterval-step), 1))
 	assert.True(t, schedule.TotalsDue(start.Add(totalsInterval), 1))
 	assert.False(t, schedule.TotalsDue(start.Add(2*totalsInterval-step), 32))
 	assert.True(t, schedule.TotalsDue(start.Add(2*totalsInterval), 32))
-	schedule.Sent(start.Add(totalsInterval), false)
+	schedule.MarkSent(start.Add(totalsInterval), false)
 	assert.True(t, schedule.TotalsDue(start.Add(totalsInterval), 1), "a view without totals does not delay them")
 }
 
--- a/services/entry/coordinator/viewround.go
+++ b/services/entry/coordinator/viewround.go
@@ -29,15 +29,15 @@
 	// cachedFormerFrame is the frame for members of the previous version, which cannot read changes of single copies. It
 	// is nil until it is needed.
 	cachedFormerFrame peerstream.Frame
-	// cachedWholeFrame is the frame of a whole view, and cachedShortFrame that of a whole view for members that have read
-	// the endpoints. Each is nil until it is needed.
-	cachedWholeFrame peerstream.Frame
+	// cachedFullFrame is the frame of a snapshot that describes all endpoints, and cachedShortFrame that of a snapshot for
+	// members that have read the endpoints. Each is nil until it is needed.
+	cachedFullFrame  peerstream.Frame
 	cachedShortFrame peerstream.Frame
-	// cachedKnownFrames are the frames of whole views for members that have the endpoints' descriptions, by the revision
+	// cachedKnownFrames are the frames of snapshots for members that have the endpoints' descriptions, by the revision
 	// up to which they have them.
 	cachedKnownFrames map[int64]peerstream.Frame
-	// wholeBytesLeft is how many bytes of whole views this round may still send.
-	wholeBytesLeft int
+	// snapshotBytesLeft is how many bytes of snapshots this round may still send.
+	snapshotBytesLeft int
 	// newestRevision caches the result of newestEndpointRevision; 0 before its first call.
 	newestRevision int64
 	// cachedKeyFrames are the frames of views that carry operators' keys, by the revision up to which a member has all
@@ -52,25 +52,25 @@
 	return &viewRound{changes: changes, cachedKeyFrames: make(map[int64]peerstream.Frame), cachedKnownFrames: make(map[int64]peerstream.Frame)}
 }
 
-// wholeViewTime is how much time of the planner's link the whole views of one round may take. It is short so that the
+// snapshotTime is how much time of the planner's link the snapshots of one round may take. It is short so that the
 // planner's calls to the store do not wait long behind them: a planner whose lease was not confirmed for 0.8 s gives it
 // up, and the next planner has as much to send. A longer time reaches all members sooner.
-const wholeViewTime = 50 * time.Millisecond
+const snapshotTime = 50 * time.Millisecond
 
-// wholeViewByteLimit returns the number of bytes of whole views after which a round sends no more of them, for a link of
-// linkRate bytes per second. It is at least 1, so that each round sends one whole view.
-func wholeViewByteLimit(linkRate int) int {
+// snapshotByteLimit returns the number of bytes of snapshots after which a round sends no more of them, for a link of
+// linkRate bytes per second. It is at least 1, so that each round sends one snapshot.
+func snapshotByteLimit(linkRate int) int {
 	if linkRate == 0 {
 		return math.MaxInt
 	}
-	return max(1, int(float64(linkRate)*wholeViewTime.Seconds()))
+	return max(1, int(float64(linkRate)*snapshotTime.Seconds()))
 }
 
-// sendView sends a member its view of a round. This is mostly a shared frame with the changes or a whole view. A view of
+// sendView sends a member its view of a round. This is mostly a shared frame with the changes or a snapshot. A view of
 // its own is sent to a member if the view carries keys, a request for keys or the answer to the member's probe. A member
-// whose whole view has to wait for a later round receives nothing before it.
+// whose snapshot has to wait for a later round receives nothing before it.
 func (p *planner) sendView(now time.Time, instance string, m *member.Member, round *viewRound) {
-	if m.SnapshotDue && round.wholeBytesLeft <= 0 {
+	if m.SnapshotDue && round.snapshotBytesLeft <= 0 {
 		return
 	}
 	if m.SnapshotDue && m.Contact != nil && round.keysSource != instance {
@@ -81,7 +81,7 @@
 	}
 	items := p.keysToSend(now, m)
 	switch {
-	case p.fedByGatherer(now, m) && !m.SnapshotDue:
+	case p.getsForwardedViews(now, m) && !m.SnapshotDue:
 		p.sendBareView(now, instance, m, round, items)
 	case round.keysSource == instance || m.Probe > 0, len(items) > 0 && (m.SnapshotDue || m.Contact == nil):
 		p.sendOwnView(now, instance, m, round, items)
@@ -99,7 +99,7 @@
 		return
 	}
 	if m.SnapshotDue {
-		round.wholeBytesLeft -= len(frame)
+		round.snapshotBytesLeft -= len(frame)
 	}
 	m.SnapshotDue = false
 	p.handleSendResult(m, m.Link.SendFrame(frame))
@@ -118,17 +118,17 @@
 	return frame
 }
 
-// fedByGatherer reports whether a gatherer forwards the views to a member: the member and the gatherer both report it, and
+// getsForwardedViews reports whether a gatherer forwards the views to a member: the member and the gatherer both report it, and
 // the gatherer is not silent.
-func (p *planner) fedByGatherer(now time.Time, m *member.Member) bool {
-	if m.Relay == "" || !p.gatherers.sums.HasValid(now, m.Relay) {
+func (p *planner) getsForwardedViews(now time.Time, m *member.Member) bool {
+	if m.Forwarder == "" || !p.gatherers.sums.HasValid(now, m.Forwarder) {
 		return false
 	}
-	gatherer, ok := p.members.All()[m.Relay]
-	return ok && gatherer.Link != nil && gatherer.Relay == ""
+	gatherer, ok := p.members.All()[m.Forwarder]
+	return ok && gatherer.Link != nil && gatherer.Forwarder == ""
 }
 
-// commonFrame returns the shared frame for a member of its version: the changes or a whole view.
+// commonFrame returns the shared frame for a member of its version: the changes or a snapshot.
 func (p *planner) commonFrame(now time.Time, m *member.Member, round *viewRound) peerstream.Frame {
 	switch {
 	case m.SnapshotDue && p.readSameDescriptions(m, round):
@@ -136,7 +136,7 @@
 	case m.SnapshotDue && m.DescribedUpTo > 0:
 		return p.knownFrame(now, m.DescribedUpTo, round)
 	case m.SnapshotDue:
-		return p.wholeFrame(now, round)
+		return p.fullFrame(now, round)
 	case m.Contact != nil:
 		return round.frame
 	}
@@ -158,7 +158,7 @@
 // the interval of heartbeats, so that in a fleet without changes each heartbeat sends one.
 const bareViewInterval = 3 * view.HeartbeatInterval / 4
 
-// sendBareView sends a member that a gatherer feeds what only the planner can send: keys, a request for keys and the
+// sendBareView sends a member with forwarded views what only the planner can send: keys, a request for keys and the
 // answer to a probe. Without any of these it sends a keep-alive at the interval of heartbeats.
 func (p *planner) sendBareView(now time.Time, instance string, m *member.Member, round *viewRound, items []store.Item) {
 	if len(items) == 0 && m.Probe == 0 && round.keysSource != instance && now.Sub(m.BareSentAt) < bareViewInterval {
@@ -179,13 +179,13 @@
 	p.handleSendResult(m, m.Link.Send(wire.Message{View: bare}))
 }
 
-// wholeFrame returns the frame of a whole view, or nil if it cannot be encoded.
-func (p *planner) wholeFrame(now time.Time, round *viewRound) peerstream.Frame {
-	if round.cachedWholeFrame != nil {
-		return round.cachedWholeFrame
+// fullFrame returns the frame of a snapshot that describes all endpoints, or nil if it cannot be encoded.
+func (p *planner) fullFrame(now time.Time, round *viewRound) peerstream.Frame {
+	if round.cachedFullFrame != nil {
+		return round.cachedFullFrame
 	}
-	round.cachedWholeFrame = p.encode(p.fullView(now))
-	return round.cachedWholeFrame
+	round.cachedFullFrame = p.encode(p.fullSnapshot(now))
+	return round.cachedFullFrame
 }
 
 // readSameDescriptions reports whether a member has read the same description of each endpoint from the store as this
@@ -206,19 +206,19 @@
 	return r.newestRevision
 }
 
-// shortFrame returns the frame of a whole view for members that have read the endpoints.
+// shortFrame returns the frame of a snapshot for members that have read the endpoints.
 func (p *planner) shortFrame(now time.Time, round *viewRound) peerstream.Frame {
 	if round.cachedShortFrame == nil {
-		round.cachedShortFrame = p.encode(p.shortView(now))
+		round.cachedShortFrame = p.encode(p.shortSnapshot(now))
 	}
 	return round.cachedShortFrame
 }
 
-// shortView returns a whole view for members that have read the endpoints from the store. It describes only the endpoints
+// shortSnapshot returns a snapshot for members that have read the endpoints from the store. It describes only the endpoints
 // whose state at the planner differs from the description in the store, and lists only the IDs of the others. All
 // instances need such a view at once when they start at the same time.
-func (p *planner) shortView(now time.Time) *wire.View {
-	v := p.viewWithoutEndpoints(now)
+func (p *planner) shortSnapshot(now time.Time) *wire.View {
+	v := p.snapshotWithoutEndpoints(now)
 	for id, status := range p.coordinator.directory.Endpoints() {
 		described := maps.Equal(status.Offered, status.Adapters) && slices.Equal(status.OfferedModels, status.Models)
 		if described && status.State == deployment.Ready {
@@ -230,21 +230,21 @@
 	return v
 }
 
-// knownFrame returns the frame of a whole view for members that have the endpoints' descriptions up to a store revision.
+// knownFrame returns the frame of a snapshot for members that have the endpoints' descriptions up to a store revision.
 func (p *planner) knownFrame(now time.Time, describedUpTo int64, round *viewRound) peerstream.Frame {
 	describedUpTo = min(describedUpTo, round.newestEndpointRevision(p.coordinator.directory))
 	frame, ok := round.cachedKnownFrames[describedUpTo]
 	if !ok {
-		frame = p.encode(p.knownView(now, describedUpTo))
+		frame = p.encode(p.knownSnapshot(now, describedUpTo))
 		round.cachedKnownFrames[describedUpTo] = frame
 	}
 	return frame
 }
 
-// knownView returns a whole view for members that have the endpoints' descriptions up to a store revision. For an endpoint
+// knownSnapshot returns a snapshot for members that have the endpoints' descriptions up to a store revision. For an endpoint
 // without a later description it lists only the base models and the copies on offer, a tenth of the full size.
-func (p *planner) knownView(now time.Time, describedUpTo int64) *wire.View {
-	v := p.viewWithoutEndpoints(now)
+func (p *planner) knownSnapshot(now time.Time, describedUpTo int64) *wire.View {
+	v := p.snapshotWithoutEndpoints(now)
 	byModels := make(map[string]*wire.KnownEndpoints)
 	for id, status := range p.coordinator.directory.Endpoints() {
 		if status.Revision > describedUpTo || status.State != deployment.Ready {
@@ -259,30 +259,30 @@
 		v.CopyChanges = append(v.CopyChanges, sentEndpoint{}.copyChanges(status)...)
 	}
 	for _, known := range byModels {
-		v.Known = append(v.Known, *known)
+		v.DescribedEndpoints = append(v.DescribedEndpoints, *known)
 	}
 	return v
 }
 
-// wholeView returns the shortest whole view that is sufficient for a member.
-func (p *planner) wholeView(now time.Time, m *member.Member, round *viewRound) *wire.View {
+// snapshotFor returns the shortest snapshot that is sufficient for a member.
+func (p *planner) snapshotFor(now time.Time, m *member.Member, round *viewRound) *wire.View {
 	switch {
 	case p.readSameDescriptions(m, round):
-		return p.shortView(now)
+		return p.shortSnapshot(now)
 	case m.DescribedUpTo > 0:
-		return p.knownView(now, m.DescribedUpTo)
+		return p.knownSnapshot(now, m.DescribedUpTo)
 	default:
-		return p.fullView(now)
+		return p.fullSnapshot(now)
 	}
 }
 
-// sendOwnView sends a member a view that is encoded for this member alone: the changes or a whole view, with keys, a
+// sendOwnView sends a member a view that is encoded for this member alone: the changes or a snapshot, with keys, a
 // request for keys or the answer to a probe.
 func (p *planner) sendOwnView(now time.Time, instance string, m *member.Member, round *viewRound, items []store.Item) {
 	memberView := *round.changes
 	switch {
 	case m.SnapshotDue:
-		memberView = *p.wholeView(now, m, round)
+		memberView = *p.snapshotFor(now, m, round)
 		m.SnapshotDue = false
 	case m.Contact == nil:
 		memberView = *formerView(round)
@@ -299,7 +299,7 @@
 	p.handleSendResult(m, m.Link.Send(wire.Message{View: &memberView}))
 }
 
-// handleSendResult handles the result of sending a view. After a failure the member dials again and receives a whole view.
+// handleSendResult handles the result of sending a view. After a failure the member dials again and receives a snapshot.
 func (p *planner) handleSendResult(m *member.Member, err error) {
 	if err == nil {
 		return
@@ -307,6 +307,6 @@
 	if errors.Is(err, peerstream.ErrCongested) {
 		p.coordinator.recordLinkClosed(m.Link.QueuedBytes(), err)
 	}
-	p.keysInFlight.Ended(m.Link)
+	p.keysInFlight.RemoveLink(m.Link)
 	m.Link = nil
 }
--- a/services/entry/coordinator/views.go
+++ b/services/entry/coordinator/views.go
@@ -25,7 +25,7 @@
 	if !withTotals && !p.viewDue(now) {
 		return
 	}
-	p.views.Sent(now, withTotals)
+	p.views.MarkSent(now, withTotals)
 	round := newViewRound(p.changesView(now, withTotals))
 	round.changed = p.changedEndpoints()
 	p.sentEndpoints.addChanges(round.changes, round.changed)
@@ -37,13 +37,13 @@
 		return
 	}
 	round.keysSource, _ = p.keysRequest.Next(now, p.coordinator.keys.Revision(), p.members.Sources())
-	round.wholeBytesLeft = wholeViewByteLimit(p.coordinator.options.LinkRate)
+	round.snapshotBytesLeft = snapshotByteLimit(p.coordinator.options.LinkRate)
 	for instance, m := range p.members.All() {
 		if m.Link != nil {
 			p.sendView(now, instance, m, round)
 		}
 	}
-	p.plans.Sent()
+	p.plans.MarkSent()
 }
 
 // changesView returns a view of the changes since the last one. With totals the view is a heartbeat.
@@ -202,22 +202,22 @@
 	}
 }
 
-// fullView returns a whole view that describes each endpoint.
-func (p *planner) fullView(now time.Time) *wire.View {
-	v := p.viewWithoutEndpoints(now)
+// fullSnapshot returns a snapshot that describes each endpoint.
+func (p *planner) fullSnapshot(now time.Time) *wire.View {
+	v := p.snapshotWithoutEndpoints(now)
 	v.AddEndpoints(maps.Values(p.coordinator.directory.Endpoints()))
 	return v
 }
 
-// viewWithoutEndpoints returns a whole view to which the caller has to add the endpoints.
-func (p *planner) viewWithoutEndpoints(now time.Time) *wire.View {
+// snapshotWithoutEndpoints returns a snapshot to which the caller has to add the endpoints.
+func (p *planner) snapshotWithoutEndpoints(now time.Time) *wire.View {
 	v := p.baseView(now)
 	p.addTotals(now, v)
 	v.Gatherers = p.wireGatherers()
 	v.Heartbeat = true
 	v.IsSnapshot, v.Sequence = true, p.sequence
 	v.Full = p.coordinator.endpointsKnown
-	v.Unreached = &wire.EndpointList{IDs: slices.Collect(maps.Keys(p.unreachable))}
+	v.Unreachable = &wire.EndpointList{IDs: slices.Collect(maps.Keys(p.unreachable))}
 	v.Limits = &wire.LimitList{Limits: p.currentLimits(now)}
 	v.EndpointsRevision = p.endpointsRevision
 	v.Crashes = wireCrashes(p.coordinator.crashes.Snapshot(now))
@@ -230,7 +230,7 @@
 	gathered := p.gatherers.sums.Total(now)
 	sums := gathered.InFlight
 	for id, status := range p.coordinator.directory.Endpoints() {
-		sums[id] = sums[id].Plus(ownInFlight(status))
+		sums[id] = sums[id].Combine(ownInFlight(status))
 	}
 	count, age := p.members.AddInFlight(now, sums, gathered.Members)
 	count, age = count+len(gathered.Members), age+gathered.Age
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -19,7 +19,7 @@
 	Report  *Report  `msgpack:"r,omitempty"`
 	View    *View    `msgpack:"v,omitempty"`
 	Request *Request `msgpack:"q,omitempty"`
-	// Successor tells a former planner which instance plans now.
+	// Successor informs a former planner which instance plans now.
 	Successor *Successor `msgpack:"s,omitempty"`
 	// Load is sent to a gatherer, Sum by a gatherer to the planner, and Totals by the planner to the gatherers and by these to
 	// their members. Earlier versions neither send nor read them.
@@ -68,10 +68,10 @@
 	InUse []CopyCount `msgpack:"u,omitempty"`
 	// Missing lists copies that were on offer but that the endpoint answered it does not hold.
 	Missing []Copy `msgpack:"m,omitempty"`
-	// Suspects are the endpoints that the instance has ejected, or that asked it to send no requests for a while.
+	// Suspects are the endpoints that the instance has ejected, or that asked it for a rest.
 	Suspects []deployment.EndpointID `msgpack:"s,omitempty"`
-	// Unreached are the suspects that refuse connections from the instance. Earlier versions neither send nor read it.
-	Unreached []deployment.EndpointID `msgpack:"un,omitempty"`
+	// Unreachable are the suspects that refuse connections from the instance. Earlier versions neither send nor read it.
+	Unreachable []deployment.EndpointID `msgpack:"un,omitempty"`
 	// Items are keys of the configuration that the planner lacks according to its last view. They are sent when the planner asked
 	// for them or, for a planner that never asks, once it has lacked them for too long.
 	Items []store.Item `msgpack:"o,omitempty"`
@@ -88,9 +88,9 @@
 	StoreReadAge time.Duration `msgpack:"k"`
 	// Contact describes to a new planner how the instance is reached; nil otherwise. Earlier versions neither send nor read it.
 	Contact *Contact `msgpack:"h,omitempty"`
-	// Relay is the gatherer that relays the planner's views to the instance; empty if the planner has to send them directly.
-	// Earlier versions neither send nor read it.
-	Relay string `msgpack:"fb,omitempty"`
+	// Forwarder is the gatherer that forwards the planner's views to the instance; empty if the planner has to send them
+	// directly. Earlier versions neither send nor read it.
+	Forwarder string `msgpack:"fb,omitempty"`
 	// EndpointsRead is the store revision as of which the instance itself has read all endpoints, if it knows nothing about them
 	// from a planner; 0 otherwise.
 	EndpointsRead int64 `msgpack:"er,omitempty"`
@@ -107,8 +107,8 @@
 	Limits []Limit  `msgpack:"li,omitempty"`
 	Lifted []Lifted `msgpack:"lf,omitempty"`
 	Wants  []Want   `msgpack:"wt,omitempty"`
-	// LeavingEndpoints are the endpoints that announced in answers that they are stopping. Earlier versions neither send nor read it.
-	LeavingEndpoints []Start `msgpack:"sl,omitempty"`
+	// DrainingEndpoints are the endpoints that announced in responses that they are draining. Earlier versions neither send nor read it.
+	DrainingEndpoints []Start `msgpack:"sl,omitempty"`
 }
 
 // FormerLoads is the number of base-model loads announced by the planner of a term: Count loads had started in the load window that
@@ -134,15 +134,15 @@
 	Service string `msgpack:"s"`
 	Model   string `msgpack:"m"`
 	Name    string `msgpack:"a"`
-	// Waiting counts the requests that wait for the adapter and the rejected callers that are expected to retry soon.
+	// Waiting counts the requests that wait for the adapter and the refused callers that are expected to retry soon.
 	Waiting int `msgpack:"w,omitempty"`
 	// InTime is the longest time, from when the report was built, in which any of these requests can still be answered in time. It
 	// is a duration, so that the clocks of the two instances need not agree. A negative value means that all are late.
 	InTime time.Duration `msgpack:"t,omitempty"`
 	// Arrivals counts the requests since the last report.
 	Arrivals int `msgpack:"n,omitempty"`
-	// Prompts is the total prompt length of the arrivals in tokens. Earlier versions neither send nor read it.
-	Prompts int `msgpack:"p,omitempty"`
+	// PromptTokens is the total prompt length of the arrivals in tokens. Earlier versions neither send nor read it.
+	PromptTokens int `msgpack:"p,omitempty"`
 }
 
 // Copy identifies an adapter on an endpoint.
@@ -235,18 +235,18 @@
 	// DescribedUpTo is the store revision up to which the views until this one include the description of each endpoint; 0 if
 	// unknown. Earlier versions neither send nor read it.
 	DescribedUpTo int64 `msgpack:"du,omitempty"`
-	// Known are, in a snapshot for an instance that knows the descriptions of these endpoints, the endpoints that offer only the
+	// DescribedEndpoints are, in a snapshot for an instance that knows the descriptions of these endpoints, the endpoints that offer only the
 	// copies in the view's CopyChanges. Earlier versions neither send nor read it.
-	Known []KnownEndpoints `msgpack:"kn,omitempty"`
-	// Bare marks a view that the planner sends directly to an instance whose other views a gatherer relays. It carries only keys
+	DescribedEndpoints []KnownEndpoints `msgpack:"kn,omitempty"`
+	// Bare marks a view that the planner sends directly to an instance whose other views a gatherer forwards. It carries only keys
 	// and the answer to a probe.
 	Bare bool `msgpack:"ba,omitempty"`
 	// CopyChanges are the copies that were added or removed at endpoints that are otherwise unchanged, or all copies of the endpoints in
-	// Known.
+	// DescribedEndpoints.
 	CopyChanges []CopyChange `msgpack:"cp,omitempty"`
-	// Unreached are all endpoints that refuse connections from several instances. The list is in each view with totals and in views
+	// Unreachable are all endpoints that refuse connections from several instances. The list is in each view with totals and in views
 	// after it changed; nil if the view does not include it. Earlier versions neither send nor read it.
-	Unreached *EndpointList `msgpack:"un,omitempty"`
+	Unreachable *EndpointList `msgpack:"un,omitempty"`
 	// Gatherers are all instances that aggregate loads for others. The list is in each view with totals and in views after it
 	// changed. Earlier versions neither send nor read it.
 	Gatherers []Gatherer `msgpack:"ga,omitempty"`
@@ -309,7 +309,7 @@
 }
 
 // Crash reports that an endpoint ended while it had a request. Without an endpoint, it reports that an instance retries a request
-// that was held back. It is encoded without field names.
+// that was quarantined. It is encoded without field names.
 type Crash struct {
 	_msgpack struct{} `msgpack:",as_array"` //nolint:unused // The codec reads this tag by the name of its field.
 
--- a/services/entry/directory/directory.go
+++ b/services/entry/directory/directory.go
@@ -98,8 +98,8 @@
 	return endpoint.State
 }
 
-// MarkDraining marks an endpoint as draining after it announced that it leaves, which is final for its incarnation. It reports whether the
-// state changed.
+// MarkDraining marks an endpoint as draining after it announced that in a response, which is final for its incarnation. It reports whether
+// the state changed.
 func (d *Directory) MarkDraining(id deployment.EndpointID) bool {
 	status, ok := d.endpoints[id]
 	if !ok || status.State == deployment.Draining {
@@ -183,8 +183,8 @@
 	return len(d.endpoints)
 }
 
-// Begin counts a request as in flight at an endpoint. A request for a model counts as waiting in the endpoint's own queue until Running or
-// LeaveQueue is called for it.
+// Begin counts a request as in flight at an endpoint. A request for a model counts as waiting in the endpoint's own queue until MarkRunning
+// or LeaveQueue is called for it.
 func (d *Directory) Begin(now time.Time, id deployment.EndpointID, request *deployment.Request) {
 	status, ok := d.endpoints[id]
 	if !ok {
@@ -194,7 +194,7 @@
 	status.Allowance.Consume(now)
 	status.beginRestTrial(now)
 	if request.UsesModel() {
-		status.wait.add(now, request.Prompt, status.OthersUnread)
+		status.wait.add(now, request.PromptTokens, status.OthersUnread)
 	}
 	if !request.Adapter.IsZero() {
 		status.OwnByAdapter[request.Adapter]++
--- a/services/entry/directory/directory_test.go
+++ b/services/entry/directory/directory_test.go
@@ -106,12 +106,12 @@
 		outcomes  []directory.Outcome
 		unreached bool
 	}{
-		"refused once":                  {[]directory.Outcome{directory.Unreached}, false},
-		"refused twice":                 {[]directory.Outcome{directory.Unreached, directory.Unreached}, true},
-		"a neutral outcome between":     {[]directory.Outcome{directory.Unreached, directory.Neutral, directory.Unreached}, true},
-		"an incomplete answer, refused": {[]directory.Outcome{directory.Broken, directory.Unreached}, false},
-		"refused, an incomplete answer": {[]directory.Outcome{directory.Unreached, directory.Unreached, directory.Broken}, false},
-		"a complete answer in between":  {[]directory.Outcome{directory.Unreached, directory.Succeeded, directory.Unreached}, false},
+		"refused once":                  {[]directory.Outcome{directory.Unreachable}, false},
+		"refused twice":                 {[]directory.Outcome{directory.Unreachable, directory.Unreachable}, true},
+		"a neutral outcome between":     {[]directory.Outcome{directory.Unreachable, directory.Neutral, directory.Unreachable}, true},
+		"an incomplete answer, refused": {[]directory.Outcome{directory.Broken, directory.Unreachable}, false},
+		"refused, an incomplete answer": {[]directory.Outcome{directory.Unreachable, directory.Unreachable, directory.Broken}, false},
+		"a complete answer in between":  {[]directory.Outcome{directory.Unreachable, directory.Succeeded, directory.Unreachable}, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			d := directory.New()
@@ -119,8 +119,8 @@
 			for _, outcome := range test.outcomes {
 				exchange(d, start, "e", outcome)
 			}
-			assert.Equal(t, test.unreached, d.Endpoint("e").Health.Unreached(start))
-			assert.False(t, d.Endpoint("e").Health.Unreached(start.Add(time.Second)), "a trial is due")
+			assert.Equal(t, test.unreached, d.Endpoint("e").Health.Unreachable(start))
+			assert.False(t, d.Endpoint("e").Health.Unreachable(start.Add(time.Second)), "a trial is due")
 		})
 	}
 }
--- a/services/entry/directory/hall_reachability.go
+++ b/services/entry/directory/hall_reachability.go
@@ -41,7 +41,7 @@
 	case Succeeded, Errored, Refused:
 		*r = hallReachability{}
 		return
-	case Broken, Unreached:
+	case Broken, Unreachable:
 		r.broken++
 	}
 	if r.broken < hallUnreachableAfter || r.unreachable(now) {
--- a/services/entry/directory/health.go
+++ b/services/entry/directory/health.go
@@ -18,8 +18,8 @@
 	Refused
 	// Broken: no connection, no answer, or an incomplete answer.
 	Broken
-	// Unreached: the connection was refused, since nothing listens at the endpoint's address.
-	Unreached
+	// Unreachable: the connection was refused, since nothing listens at the endpoint's address.
+	Unreachable
 	// Ended: the endpoint closed the exchange and has refused connections since, so its process has ended.
 	Ended
 	// Neutral: the exchange shows nothing about the endpoint, as when the caller disconnected.
@@ -76,8 +76,8 @@
 	return now.Before(h.ejectedUntil) || h.trialInFlight
 }
 
-// Unreached reports whether the endpoint is ejected and refused the last connections.
-func (h *Health) Unreached(now time.Time) bool {
+// Unreachable reports whether the endpoint is ejected and refused the last connections.
+func (h *Health) Unreachable(now time.Time) bool {
 	return h.Ejected(now) && h.connectionsRefused >= maxConsecutiveBroken
 }
 
@@ -100,7 +100,7 @@
 func (h *Health) record(now time.Time, outcome Outcome, serviceRate float64) {
 	trialInFlight := h.trialInFlight
 	h.trialInFlight = false
-	if outcome != Unreached && outcome != Ended && outcome != Neutral {
+	if outcome != Unreachable && outcome != Ended && outcome != Neutral {
 		h.connectionsRefused = 0
 	}
 	switch outcome {
@@ -123,14 +123,14 @@
 		h.processEnded = false
 		h.addSample(1)
 		h.broken = 0
-	case Broken, Unreached:
+	case Broken, Unreachable:
 		h.addSample(1)
 		h.broken++
 	case Ended:
 		h.addSample(1)
 		h.markEnded()
 	}
-	if outcome == Unreached {
+	if outcome == Unreachable {
 		h.connectionsRefused++
 	}
 	if h.shouldEject(serviceRate) || (trialInFlight && outcome != Succeeded) {
--- a/services/entry/directory/in_flight_time.go
+++ b/services/entry/directory/in_flight_time.go
@@ -13,8 +13,8 @@
 	inFlightTimeWeight = 0.05
 )
 
-// Stay returns the mean time in flight of a service's requests that ended on this instance.
-func (d *Directory) Stay(service string) time.Duration {
+// MeanInFlightTime returns the mean time in flight of a service's requests that ended on this instance.
+func (d *Directory) MeanInFlightTime(service string) time.Duration {
 	mean, ok := d.inFlightTimes[service]
 	if !ok {
 		return initialInFlightTime
@@ -22,8 +22,8 @@
 	return mean
 }
 
-// NoteStay records how long a request of a service was in flight.
-func (d *Directory) NoteStay(service string, duration time.Duration) {
+// RecordInFlightTime records how long a request of a service was in flight.
+func (d *Directory) RecordInFlightTime(service string, duration time.Duration) {
 	known, ok := d.inFlightTimes[service]
 	if !ok {
 		d.inFlightTimes[service] = duration
--- a/services/entry/directory/incarnation_test.go
+++ b/services/entry/directory/incarnation_test.go
@@ -26,7 +26,7 @@
 func TestRestartedEndpointGetsNewStatus(t *testing.T) {
 	d := directory.New()
 	d.Put(incarnation(1, deployment.Ready), 1)
-	request := &deployment.Request{Adapter: adapter, Prompt: 1000, Route: &deployment.Route{}}
+	request := &deployment.Request{Adapter: adapter, PromptTokens: 1000, Route: &deployment.Route{}}
 	for range 3 {
 		d.Begin(start, "e", request)
 		d.End(start, "e", adapter, directory.Broken)
@@ -106,12 +106,12 @@
 
 func TestMeanInFlightTimeByService(t *testing.T) {
 	d := directory.New()
-	assert.Equal(t, time.Second, d.Stay("s"))
-	d.NoteStay("s", 4*time.Second)
-	assert.Equal(t, 4*time.Second, d.Stay("s"))
+	assert.Equal(t, time.Second, d.MeanInFlightTime("s"))
+	d.RecordInFlightTime("s", 4*time.Second)
+	assert.Equal(t, 4*time.Second, d.MeanInFlightTime("s"))
 	for range 200 {
-		d.NoteStay("s", 2*time.Second)
+		d.RecordInFlightTime("s", 2*time.Second)
 	}
-	assert.InDelta(t, 2, d.Stay("s").Seconds(), 0.01)
-	assert.Equal(t, time.Second, d.Stay("other"))
+	assert.InDelta(t, 2, d.MeanInFlightTime("s").Seconds(), 0.01)
+	assert.Equal(t, time.Second, d.MeanInFlightTime("other"))
 }
--- a/services/entry/directory/process_end_test.go
+++ b/services/entry/directory/process_end_test.go
@@ -30,7 +30,7 @@
 		d.End(now, "a", deployment.Adapter{}, directory.Ended)
 	}
 	assert.True(t, d.Endpoint("a").Avoided(now))
-	assert.True(t, d.Endpoint("a").Health.Unreached(now), "reported to the other instances")
+	assert.True(t, d.Endpoint("a").Health.Unreachable(now), "reported to the other instances")
 	assert.False(t, d.Endpoint("b").Avoided(now))
 }
 
--- a/services/entry/directory/queue_waits.go
+++ b/services/entry/directory/queue_waits.go
@@ -31,9 +31,9 @@
 // queuedRequest is a request that was assigned to an endpoint and is not known to run.
 type queuedRequest struct {
 	assigned time.Time
-	// prompt is the length of its prompt in tokens; tokensToRead is that of all prompts known to be read before its first event, its own
+	// promptTokens is the length of its prompt in tokens; tokensToRead is that of all prompts known to be read before its first event, its own
 	// included.
-	prompt, tokensToRead int
+	promptTokens, tokensToRead int
 }
 
 // observedWait is how long one request waited until it ran, or the least that it waited if it never ran.
@@ -56,23 +56,23 @@
 }
 
 // add adds a request that was assigned, given the length of its prompt and that of the other instances' unread prompts, in tokens.
-func (q *queueWaits) add(now time.Time, prompt, others int) {
-	q.unread += prompt
-	q.queued = append(q.queued, queuedRequest{assigned: now, prompt: prompt, tokensToRead: q.unread + others})
+func (q *queueWaits) add(now time.Time, promptTokens, others int) {
+	q.unread += promptTokens
+	q.queued = append(q.queued, queuedRequest{assigned: now, promptTokens: promptTokens, tokensToRead: q.unread + others})
 }
 
 // remove removes the request that was assigned at a time with a prompt of a given length, and returns false if no such request is queued,
 // since it is known to run. Of several requests that match, the first is removed.
-func (q *queueWaits) remove(assigned time.Time, prompt int) (queuedRequest, bool) {
+func (q *queueWaits) remove(assigned time.Time, promptTokens int) (queuedRequest, bool) {
 	index := slices.IndexFunc(q.queued, func(candidate queuedRequest) bool {
-		return candidate.prompt == prompt && candidate.assigned.Equal(assigned)
+		return candidate.promptTokens == promptTokens && candidate.assigned.Equal(assigned)
 	})
 	if index < 0 {
 		return queuedRequest{}, false
 	}
 	dequeued := q.queued[index]
 	q.queued = slices.Delete(q.queued, index, index+1)
-	q.unread -= prompt
+	q.unread -= promptTokens
 	return dequeued, true
 }
 
@@ -115,13 +115,13 @@
 	return s.wait.expected(now, priority)
 }
 
-// Running records that a request that was assigned to an endpoint at a time is running.
-func (d *Directory) Running(now time.Time, id deployment.EndpointID, assigned time.Time, request *deployment.Request) {
+// MarkRunning records that a request that was assigned to an endpoint at a time is running.
+func (d *Directory) MarkRunning(now time.Time, id deployment.EndpointID, assigned time.Time, request *deployment.Request) {
 	status, ok := d.endpoints[id]
 	if !ok {
 		return
 	}
-	dequeued, ok := status.wait.remove(assigned, request.Prompt)
+	dequeued, ok := status.wait.remove(assigned, request.PromptTokens)
 	if !ok {
 		return
 	}
@@ -136,7 +136,7 @@
 	if !ok {
 		return
 	}
-	if _, ok := status.wait.remove(assigned, request.Prompt); ok {
+	if _, ok := status.wait.remove(assigned, request.PromptTokens); ok {
 		status.wait.record(observedWait{observedAt: now, wait: now.Sub(assigned)})
 	}
 }
--- a/services/entry/directory/queue_waits_test.go
+++ b/services/entry/directory/queue_waits_test.go
@@ -34,7 +34,7 @@
 func TestExpectedWait(t *testing.T) {
 	ran := func(d *directory.Directory, assigned, began, priority int) {
 		d.Begin(at(assigned), "e", newReq(patient))
-		d.Running(at(began), "e", at(assigned), newReq(priority))
+		d.MarkRunning(at(began), "e", at(assigned), newReq(priority))
 	}
 	ended := func(d *directory.Directory, assigned, end int) {
 		d.LeaveQueue(at(end), "e", at(assigned), newReq(patient))
@@ -61,9 +61,12 @@
 		"a wait 3.1 s ago":          {func(d *directory.Directory) { ran(d, -2600, -2100, patient) }, 0, false},
 		"a wait 3 s ago":            {func(d *directory.Directory) { ran(d, -2300, -2000, patient) }, 300 * time.Millisecond, true},
 		"a request without a model": {func(d *directory.Directory) { d.Begin(at(0), "e", &deployment.Request{}) }, 0, false},
-		"recorded as running twice": {func(d *directory.Directory) { ran(d, 0, 300, patient); d.Running(at(900), "e", at(0), newReq(patient)) }, 300 * time.Millisecond, true},
+		"recorded as running twice": {func(d *directory.Directory) {
+			ran(d, 0, 300, patient)
+			d.MarkRunning(at(900), "e", at(0), newReq(patient))
+		}, 300 * time.Millisecond, true},
 		"an unknown endpoint": {func(d *directory.Directory) {
-			d.Running(at(1), "x", at(0), newReq(patient))
+			d.MarkRunning(at(1), "x", at(0), newReq(patient))
 			d.LeaveQueue(at(1), "x", at(0), newReq(patient))
 		}, 0, true},
 		"a shorter wait after a longer one": {func(d *directory.Directory) { ran(d, 0, 500, urgent); ran(d, 500, 600, patient) }, 500 * time.Millisecond, true},
@@ -93,7 +96,7 @@
 	for i := range 1000 {
 		assigned := at(2*i - 1000)
 		d.Begin(assigned, "e", newReq(patient))
-		d.Running(at(i), "e", assigned, newReq(patient))
+		d.MarkRunning(at(i), "e", assigned, newReq(patient))
 	}
 	wait, known := d.Endpoint("e").ExpectedWait(at(1000), patient, true)
 	assert.True(t, known)
@@ -106,7 +109,7 @@
 	d.Put(endpoint("e", deployment.Ready), 1)
 	status := d.Endpoint("e")
 	long, short := newReq(patient), newReq(patient)
-	long.Prompt, short.Prompt = 9000, 1000
+	long.PromptTokens, short.PromptTokens = 9000, 1000
 	d.Begin(at(0), "e", long)
 	d.Begin(at(0), "e", short)
 	status.OthersUnread = 4000
@@ -114,7 +117,7 @@
 	assert.Equal(t, 14000, status.Unread())
 	assert.Equal(t, 700*time.Millisecond, status.Backlog(), "at the initial reading speed")
 
-	d.Running(at(100), "e", at(0), short)
+	d.MarkRunning(at(100), "e", at(0), short)
 	assert.Equal(t, 9000, status.OwnUnread(), "the prompt of the running request is read, though both requests were assigned at the same time")
 	d.LeaveQueue(at(200), "e", at(0), long)
 	assert.Zero(t, status.OwnUnread())
@@ -127,10 +130,10 @@
 	d.Put(endpoint("e", deployment.Ready), 1)
 	d.Endpoint("e").OthersUnread = 3000
 	request := newReq(patient)
-	request.Prompt = 1000
+	request.PromptTokens = 1000
 	for i := range 1000 {
 		d.Begin(at(100*i), "e", request)
-		d.Running(at(100*i+100), "e", at(100*i), request)
+		d.MarkRunning(at(100*i+100), "e", at(100*i), request)
 	}
 	assert.InDelta(t, 40000, d.Endpoint("e").Speed.PerSecond(), 1500, "4000 tokens in each 100 ms")
 }
--- a/services/entry/directory/status.go
+++ b/services/entry/directory/status.go
@@ -30,8 +30,8 @@
 	OthersUnread int
 	// OwnByAdapter counts this instance's requests in flight by adapter.
 	OwnByAdapter map[deployment.Adapter]int
-	// Unreached reports whether several instances had their connections refused, as of the planner's last view.
-	Unreached bool
+	// Unreachable reports whether the endpoint refused the connections of several instances, as of the planner's last view.
+	Unreachable bool
 	// Health is the record of the exchanges with the endpoint.
 	Health Health
 	// Allowance is how many requests this instance may send now, given the endpoint's limit of requests per second.
@@ -118,11 +118,11 @@
 	}
 }
 
-// ReportedUnreachable reports whether requests must go to other endpoints, or wait for one, because the endpoint refuses the connections of other
-// instances. An instance that ejected the endpoint itself keeps to its own trials, so that a few instances notice when the endpoint
+// ReportedUnreachable reports whether requests must go to other endpoints, or wait for one, because the endpoint refuses the connections of
+// other instances. An instance that ejected the endpoint itself keeps to its own trials, so that a few instances notice when the endpoint
 // returns.
 func (s *EndpointStatus) ReportedUnreachable() bool {
-	return s.Unreached && !s.Health.awaitingRecovery()
+	return s.Unreachable && !s.Health.awaitingRecovery()
 }
 
 // OwnUnread returns the number of prompt tokens of this instance's requests that the endpoint has not read yet: those of requests that are
--- a/services/entry/lease/candidate.go
+++ b/services/entry/lease/candidate.go
@@ -29,7 +29,7 @@
 	// TakeIfHeartbeatEnded means that the holder is silent; the record may be taken if the holder's heartbeat has
 	// ended.
 	TakeIfHeartbeatEnded
-	// DeferToOthers means that this instance is reluctant and other instances still have time to take the record.
+	// DeferToOthers means that this instance has a takeover delay and other instances still have time to take the record.
 	DeferToOthers
 	// HolderActive means that a view of the holder arrived recently.
 	HolderActive
@@ -49,22 +49,22 @@
 	Resigned bool
 	// Silence is the time since the last view from a planner with a confirmed lease, on this instance's clock.
 	Silence time.Duration
-	// Reluctance is the additional delay after which this instance takes the record, so that others can take it
-	// first; from the settings. An instance with a delay above zero is called reluctant.
-	Reluctance time.Duration
+	// TakeoverDelay is the additional delay after which this instance takes the record, so that others can take it
+	// first; from the settings.
+	TakeoverDelay time.Duration
 }
 
-// formerHolderReluctance is the additional delay after which an instance that held the lease recently takes a vacant
+// formerHolderTakeoverDelay is the additional delay after which an instance that held the lease recently takes a vacant
 // record; other instances need not wait for Options.Turn. A longer delay gives slower instances time to take the
 // record; a shorter one takes it sooner if there is no other instance.
-const formerHolderReluctance = 300 * time.Millisecond
+const formerHolderTakeoverDelay = 300 * time.Millisecond
 
-// reluctance returns the additional delay of this instance for this record.
-func (s Observation) reluctance() time.Duration {
+// totalTakeoverDelay returns the additional delay of this instance for this record.
+func (s Observation) totalTakeoverDelay() time.Duration {
 	if s.vacant() && s.Record.heldBefore(s.Self) {
-		return s.Reluctance + formerHolderReluctance
+		return s.TakeoverDelay + formerHolderTakeoverDelay
 	}
-	return s.Reluctance
+	return s.TakeoverDelay
 }
 
 // vacant reports whether no instance sends orders under the record any more.
@@ -99,7 +99,7 @@
 	}
 	c.updateSilence(now, observed)
 	own := observed.Record.Holder == observed.Self
-	if !own && now.Sub(c.availableSince(now, observed)) < observed.reluctance() {
+	if !own && now.Sub(c.availableSince(now, observed)) < observed.totalTakeoverDelay() {
 		return DeferToOthers
 	}
 	switch {
@@ -125,13 +125,13 @@
 	}
 }
 
-// DecideHeartbeatEnded returns the decision after TakeIfHeartbeatEnded if the holder's heartbeat was found ended. A
-// reluctant instance defers to others from that time on, however long the record has been unchanged.
+// DecideHeartbeatEnded returns the decision after TakeIfHeartbeatEnded if the holder's heartbeat was found ended. An
+// instance with a takeover delay defers to others from that time on, however long the record has been unchanged.
 func (c *Candidate) DecideHeartbeatEnded(now time.Time, observed Observation) Decision {
 	if c.heartbeatEndedSince.IsZero() || c.heartbeatEndedRevision != observed.Revision {
 		c.heartbeatEndedRevision, c.heartbeatEndedSince = observed.Revision, now
 	}
-	if now.Sub(c.heartbeatEndedSince) < observed.Reluctance {
+	if now.Sub(c.heartbeatEndedSince) < observed.TakeoverDelay {
 		return DeferToOthers
 	}
 	return Take
@@ -167,17 +167,17 @@
 	}
 }
 
-// maxReadInterval bounds the interval at which a reluctant instance reads the record. A longer interval saves store
+// maxReadInterval bounds the interval at which an instance with a takeover delay reads the record. A longer interval saves store
 // calls while a planner is replaced; a shorter one finds the new planner sooner. It is less than the time that the
 // new holder has to wait before it sends orders.
 const maxReadInterval = time.Second
 
 // ReadInterval returns the interval between two reads of the record; usual is the interval in a small fleet and
-// stretched the one in this fleet. Reluctant instances, which are most of a large fleet, read the record only to
+// stretched the one in this fleet. Instances with a takeover delay, which are most of a large fleet, read the record only to
 // learn which other instance took it, so their interval is longer. An instance that has not received a view of any
 // planner yet reads at the usual interval, because the requests that it holds wait for a planner.
-func ReadInterval(usual, stretched, reluctance time.Duration, viewReceived bool) time.Duration {
-	if reluctance == 0 || !viewReceived {
+func ReadInterval(usual, stretched, takeoverDelay time.Duration, viewReceived bool) time.Duration {
+	if takeoverDelay == 0 || !viewReceived {
 		return usual
 	}
 	return min(stretched, max(usual, maxReadInterval))
--- a/services/entry/lease/candidate_test.go
+++ b/services/entry/lease/candidate_test.go
@@ -86,11 +86,11 @@
 	}
 }
 
-func TestReluctantInstanceDefersToOthers(t *testing.T) {
-	const reluctance = 1200 * time.Millisecond
-	reluctant := func(change func(*lease.Observation)) lease.Observation {
+func TestInstanceWithTakeoverDelayDefersToOthers(t *testing.T) {
+	const takeoverDelay = 1200 * time.Millisecond
+	delayed := func(change func(*lease.Observation)) lease.Observation {
 		return silentHolder(func(s *lease.Observation) {
-			s.Reluctance = reluctance
+			s.TakeoverDelay = takeoverDelay
 			if change != nil {
 				change(s)
 			}
@@ -98,58 +98,58 @@
 	}
 	t.Run("silent holder", func(t *testing.T) {
 		var candidate lease.Candidate
-		candidate.Decide(start, reluctant(nil))
-		assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(reluctance-step), reluctant(nil)))
-		assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(start.Add(reluctance), reluctant(nil)))
+		candidate.Decide(start, delayed(nil))
+		assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(takeoverDelay-step), delayed(nil)))
+		assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(start.Add(takeoverDelay), delayed(nil)))
 	})
 	t.Run("released record, from when it was read as released", func(t *testing.T) {
 		var candidate lease.Candidate
-		candidate.Decide(start, reluctant(nil))
-		released := reluctant(func(s *lease.Observation) { s.Record.Released, s.Revision = true, 8 })
+		candidate.Decide(start, delayed(nil))
+		released := delayed(func(s *lease.Observation) { s.Record.Released, s.Revision = true, 8 })
 		seen := start.Add(time.Minute)
 		assert.Equal(t, lease.DeferToOthers, candidate.Decide(seen, released))
-		assert.Equal(t, lease.DeferToOthers, candidate.Decide(seen.Add(reluctance-step), released))
-		assert.Equal(t, lease.Take, candidate.Decide(seen.Add(reluctance), released))
+		assert.Equal(t, lease.DeferToOthers, candidate.Decide(seen.Add(takeoverDelay-step), released))
+		assert.Equal(t, lease.Take, candidate.Decide(seen.Add(takeoverDelay), released))
 	})
 	t.Run("another vacant term restarts the delay", func(t *testing.T) {
 		var candidate lease.Candidate
-		resigned := reluctant(func(s *lease.Observation) { s.Resigned = true })
+		resigned := delayed(func(s *lease.Observation) { s.Resigned = true })
 		candidate.Decide(start, resigned)
-		later := reluctant(func(s *lease.Observation) { s.Resigned, s.Record.Term = true, 5 })
-		assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(reluctance), later))
+		later := delayed(func(s *lease.Observation) { s.Resigned, s.Record.Term = true, 5 })
+		assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(takeoverDelay), later))
 	})
 	t.Run("own earlier process", func(t *testing.T) {
 		var candidate lease.Candidate
-		assert.Equal(t, lease.Take, candidate.Decide(start, reluctant(func(s *lease.Observation) { s.Record.Holder = "self" })))
+		assert.Equal(t, lease.Take, candidate.Decide(start, delayed(func(s *lease.Observation) { s.Record.Holder = "self" })))
 	})
 }
 
-// TestReluctantInstanceDefersAfterHeartbeatEnded covers an incident with large configurations: reluctant instances
+// TestInstanceWithTakeoverDelayDefersAfterHeartbeatEnded covers an incident with large configurations: instances with a takeover delay
 // could take the record of a long-standing planner at once, so that an instance took it whose link could not carry
 // the views.
-func TestReluctantInstanceDefersAfterHeartbeatEnded(t *testing.T) {
-	const reluctance = 2400 * time.Millisecond
-	reluctant := silentHolder(func(s *lease.Observation) { s.Reluctance = reluctance })
+func TestInstanceWithTakeoverDelayDefersAfterHeartbeatEnded(t *testing.T) {
+	const takeoverDelay = 2400 * time.Millisecond
+	delayed := silentHolder(func(s *lease.Observation) { s.TakeoverDelay = takeoverDelay })
 	other := silentHolder(nil)
 	lost := start.Add(time.Hour)
 
 	var candidate lease.Candidate
 	candidate.Decide(start, other)
 	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(lost, other))
-	assert.Equal(t, lease.Take, candidate.DecideHeartbeatEnded(lost, other), "an instance without reluctance takes the record at once")
+	assert.Equal(t, lease.Take, candidate.DecideHeartbeatEnded(lost, other), "an instance without takeover delay takes the record at once")
 
 	candidate = lease.Candidate{}
-	candidate.Decide(start, reluctant)
-	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(lost, reluctant))
-	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost, reluctant))
-	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(reluctance-step), reluctant))
-	assert.Equal(t, lease.Take, candidate.DecideHeartbeatEnded(lost.Add(reluctance), reluctant))
+	candidate.Decide(start, delayed)
+	assert.Equal(t, lease.TakeIfHeartbeatEnded, candidate.Decide(lost, delayed))
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost, delayed))
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(takeoverDelay-step), delayed))
+	assert.Equal(t, lease.Take, candidate.DecideHeartbeatEnded(lost.Add(takeoverDelay), delayed))
 
 	candidate.RecordHeartbeatAlive()
-	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(reluctance), reluctant), "the heartbeat was found alive in between")
-	next := reluctant
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(takeoverDelay), delayed), "the heartbeat was found alive in between")
+	next := delayed
 	next.Revision = 9
-	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(2*reluctance), next), "another holder")
+	assert.Equal(t, lease.DeferToOthers, candidate.DecideHeartbeatEnded(lost.Add(2*takeoverDelay), next), "another holder")
 }
 
 func TestReadDue(t *testing.T) {
@@ -179,20 +179,20 @@
 func TestReadInterval(t *testing.T) {
 	const usual = 300 * time.Millisecond
 	cases := map[string]struct {
-		stretched, reluctance time.Duration
-		viewReceived          bool
-		pause                 time.Duration
+		stretched, takeoverDelay time.Duration
+		viewReceived             bool
+		pause                    time.Duration
 	}{
-		"no reluctance, large fleet":          {4 * time.Second, 0, true, usual},
-		"reluctant, large fleet":              {4 * time.Second, step, true, time.Second},
-		"reluctant, fleet of medium size":     {700 * time.Millisecond, step, true, 700 * time.Millisecond},
-		"reluctant, small fleet":              {usual, step, true, usual},
-		"reluctant, no view received yet":     {4 * time.Second, step, false, usual},
-		"no reluctance, no view received yet": {4 * time.Second, 0, false, usual},
+		"no takeover delay, large fleet":              {4 * time.Second, 0, true, usual},
+		"with a takeover delay, large fleet":          {4 * time.Second, step, true, time.Second},
+		"with a takeover delay, fleet of medium size": {700 * time.Millisecond, step, true, 700 * time.Millisecond},
+		"with a takeover delay, small fleet":          {usual, step, true, usual},
+		"with a takeover delay, no view received yet": {4 * time.Second, step, false, usual},
+		"no takeover delay, no view received yet":     {4 * time.Second, 0, false, usual},
 	}
 	for name, test := range cases {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.pause, lease.ReadInterval(usual, test.stretched, test.reluctance, test.viewReceived))
+			assert.Equal(t, test.pause, lease.ReadInterval(usual, test.stretched, test.takeoverDelay, test.viewReceived))
 		})
 	}
 }
@@ -249,13 +249,13 @@
 	}
 }
 
-// TestReturningHolderWaitsForTurn covers hand-overs in quick succession: an instance that becomes the holder again
+// TestReturningHolderWaitsForMinReturnDelay covers hand-overs in quick succession: an instance that becomes the holder again
 // may send orders only once its earlier orders are as old as Options.Turn, however many holders came in between.
-func TestReturningHolderWaitsForTurn(t *testing.T) {
+func TestReturningHolderWaitsForMinReturnDelay(t *testing.T) {
 	record := lease.Record{Holder: "self", Term: 1, Ordering: true, Released: true}
 	for _, holder := range []string{"b", "c", "d", "e", "f"} {
 		record = lease.Successor(lease.Record{Holder: holder}, record)
-		assert.Equal(t, options.Turn, options.Wait("self", releasedRecord(record), true), "after %s", holder)
+		assert.Equal(t, options.MinReturnDelay, options.Wait("self", releasedRecord(record), true), "after %s", holder)
 		record = releasedRecord(record)
 	}
 	assert.Zero(t, options.Wait("g", record, true), "an instance that never held the lease need not wait")
@@ -270,17 +270,17 @@
 
 func TestRecordDropsEarlierHoldersAfterTheirOrdersExpired(t *testing.T) {
 	record := lease.Record{Holder: "a", Term: 7, Former: "b", Earlier: []string{"c"}}
-	enough := options.Turn + 2*options.OrderTimeout
+	enough := options.MinReturnDelay + 2*options.OrderTimeout
 	assert.Equal(t, record, record.WithoutExpiredHolders(enough-1, options))
 	assert.Equal(t, lease.Record{Holder: "a", Term: 7}, record.WithoutExpiredHolders(enough, options))
 	assert.Equal(t, "b", record.Former, "the original record is unchanged")
 }
 
 func TestFormerHolderDefersVacantRecord(t *testing.T) {
-	const reluctance = 300 * time.Millisecond
+	const takeoverDelay = 300 * time.Millisecond
 	vacant := silentHolder(func(s *lease.Observation) { s.Record.Released, s.Record.Earlier = true, []string{"c", "self"} })
 	var candidate lease.Candidate
 	assert.Equal(t, lease.DeferToOthers, candidate.Decide(start, vacant))
-	assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(reluctance-step), vacant))
-	assert.Equal(t, lease.Take, candidate.Decide(start.Add(reluctance), vacant))
+	assert.Equal(t, lease.DeferToOthers, candidate.Decide(start.Add(takeoverDelay-step), vacant))
+	assert.Equal(t, lease.Take, candidate.Decide(start.Add(takeoverDelay), vacant))
 }
--- a/services/entry/lease/doc.go
+++ b/services/entry/lease/doc.go
@@ -10,6 +10,6 @@
 // two instances are compared: each instance measures time spans on its own monotonic clock.
 //
 // A Lease is the holder's state. A Candidate is the state of the other instances: it decides when one of them takes
-// the record, and for how long a reluctant instance (see Observation.Reluctance) defers to others. Both are plain state
+// the record, and for how long an instance with a takeover delay (see Observation.TakeoverDelay) defers to others. Both are plain state
 // without I/O that starts no goroutine; the current time is an argument.
 package lease
--- a/services/entry/lease/lease_test.go
+++ b/services/entry/lease/lease_test.go
@@ -16,7 +16,7 @@
 
 var (
 	start   = time.Date(2026, 12, 2, 8, 0, 0, 0, time.UTC)
-	options = lease.Options{Window: 3500 * time.Millisecond, OrderTimeout: 800 * time.Millisecond, Turn: 3 * time.Second}
+	options = lease.Options{Window: 3500 * time.Millisecond, OrderTimeout: 800 * time.Millisecond, MinReturnDelay: 3 * time.Second}
 )
 
 func TestWaitCoversTheFormerHoldersTime(t *testing.T) {
@@ -30,9 +30,9 @@
 		"holder that may still send orders":      {replaced: lease.Record{Holder: "b", Ordering: true}, found: true, wait: full},
 		"holder that waits for an earlier one":   {replaced: lease.Record{Holder: "b", Former: "a"}, found: true, wait: full},
 		"holder that released the record":        {replaced: lease.Record{Holder: "b", Ordering: true, Released: true}, found: true, wait: 0},
-		"released, this instance held it before": {replaced: lease.Record{Holder: "b", Former: "self", Ordering: true, Released: true}, found: true, wait: options.Turn},
+		"released, this instance held it before": {replaced: lease.Record{Holder: "b", Former: "self", Ordering: true, Released: true}, found: true, wait: options.MinReturnDelay},
 		"released, this instance is an earlier holder": {
-			replaced: lease.Record{Holder: "b", Former: "c", Earlier: []string{"d", "self"}, Ordering: true, Released: true}, found: true, wait: options.Turn,
+			replaced: lease.Record{Holder: "b", Former: "c", Earlier: []string{"d", "self"}, Ordering: true, Released: true}, found: true, wait: options.MinReturnDelay,
 		},
 		"released, other instances are earlier holders": {
 			replaced: lease.Record{Holder: "b", Former: "c", Earlier: []string{"d"}, Ordering: true, Released: true}, found: true, wait: 0,
--- a/services/entry/lease/record.go
+++ b/services/entry/lease/record.go
@@ -43,7 +43,7 @@
 // WithoutExpiredHolders returns the record without the earlier holders if the lease has been held for so long that even a late order
 // of theirs has expired.
 func (r Record) WithoutExpiredHolders(held time.Duration, options Options) Record {
-	if held >= options.Turn+lateOrderTimeouts*options.OrderTimeout {
+	if held >= options.MinReturnDelay+lateOrderTimeouts*options.OrderTimeout {
 		r.Former, r.Earlier = "", nil
 	}
 	return r
@@ -67,8 +67,8 @@
 	Window time.Duration
 	// OrderTimeout is the longest time that an order may take to arrive.
 	OrderTimeout time.Duration
-	// Turn is the minimum time between the orders of two holders if the second one held the lease before the first.
-	Turn time.Duration
+	// MinReturnDelay is the minimum time between the orders of two holders if the second one held the lease before the first.
+	MinReturnDelay time.Duration
 }
 
 const (
@@ -87,7 +87,7 @@
 	case !found:
 		return 0
 	case replaced.Released && replaced.heldBefore(self):
-		return max(o.Turn, o.OrderTimeout)
+		return max(o.MinReturnDelay, o.OrderTimeout)
 	case replaced.Released:
 		return 0
 	case replaced.Holder == self && replaced.Ordering:
@@ -97,7 +97,7 @@
 		// No instance sent orders since this one did.
 		return o.OrderTimeout / restartWaitDivisor
 	case replaced.heldBefore(self):
-		return max(o.Turn, full)
+		return max(o.MinReturnDelay, full)
 	default:
 		return full
 	}
--- a/services/entry/loading/burst_test.go
+++ b/services/entry/loading/burst_test.go
@@ -99,7 +99,7 @@
 func (f *burstFleet) reportDemand(now time.Time, gathered bool) {
 	demand := loading.Demand{Adapter: adapter(1), Waiting: len(f.waiting), InTime: burstTarget}
 	if gathered {
-		demand.Arrivals, demand.Prompts = f.unreported, f.unreported*burstPromptTokens
+		demand.Arrivals, demand.PromptTokens = f.unreported, f.unreported*burstPromptTokens
 		f.unreported = 0
 	}
 	f.planner.Report(now, "i", []loading.Demand{demand})
@@ -138,7 +138,7 @@
 func TestFewRequestsAreNotBurst(t *testing.T) {
 	p := plannerWithEndpoints("a", "b")
 	completeLoad(t, p, 1)
-	p.Report(start, "i", []loading.Demand{{Adapter: adapter(1), Arrivals: 4, Prompts: 4 * burstPromptTokens}})
+	p.Report(start, "i", []loading.Demand{{Adapter: adapter(1), Arrivals: 4, PromptTokens: 4 * burstPromptTokens}})
 	_, ok := p.Next(start)
 	assert.False(t, ok)
 }
--- a/services/entry/loading/demand.go
+++ b/services/entry/loading/demand.go
@@ -20,8 +20,8 @@
 	InTime time.Duration
 	// Arrivals is the number of requests since the instance's last report.
 	Arrivals int
-	// Prompts is the total prompt length of those arrivals, in tokens.
-	Prompts int
+	// PromptTokens is the total prompt length of those arrivals, in tokens.
+	PromptTokens int
 }
 
 const (
@@ -141,8 +141,8 @@
 	for _, demand := range demands {
 		known := p.demandFor(now, demand.Adapter)
 		known.Add(now, demand.Arrivals)
-		known.promptTokens.Add(now, demand.Prompts)
-		known.burst.add(now, demand.Arrivals, demand.Prompts)
+		known.promptTokens.Add(now, demand.PromptTokens)
+		known.burst.add(now, demand.Arrivals, demand.PromptTokens)
 	}
 }
 
--- a/services/entry/loading/distribution_test.go
+++ b/services/entry/loading/distribution_test.go
@@ -47,7 +47,7 @@
 func TestPromptsWaitingForLoadCountAtItsEndpoint(t *testing.T) {
 	p := plannerWithEndpoints("a", "b")
 	demand := func(number int) loading.Demand {
-		return loading.Demand{Adapter: adapter(number), Waiting: 1, InTime: time.Second, Arrivals: 1, Prompts: 9000}
+		return loading.Demand{Adapter: adapter(number), Waiting: 1, InTime: time.Second, Arrivals: 1, PromptTokens: 9000}
 	}
 	p.Report(start, "i", []loading.Demand{demand(1), demand(2)})
 	first, second := nextOrder(t, p, start, loading.Load), nextOrder(t, p, start, loading.Load)
@@ -70,7 +70,7 @@
 		t.Run(name, func(t *testing.T) {
 			p := plannerWithEndpoints(test.endpoint...)
 			completeLoad(t, p, 1)
-			p.Report(start, "i", []loading.Demand{{Adapter: adapter(1), Arrivals: 30, Prompts: test.prompts}})
+			p.Report(start, "i", []loading.Demand{{Adapter: adapter(1), Arrivals: 30, PromptTokens: test.prompts}})
 			copies := 1
 			if next, ok := p.Next(start.Add(time.Second)); ok && next.Kind == loading.Load {
 				copies++
--- a/services/entry/loading/planner.go
+++ b/services/entry/loading/planner.go
@@ -90,11 +90,11 @@
 }
 
 // SetEndpoint applies the description of an endpoint at a store revision; suspect endpoints receive no new copies. A
-// revision that is not newer than the last one says nothing new about what the endpoint holds: while the store is
+// revision that is not newer than the last one has no new information about what the endpoint holds: while the store is
 // down, endpoints cannot write what they have loaded since.
 func (p *Planner) SetEndpoint(now time.Time, endpoint deployment.Endpoint, revision int64, suspect bool) {
 	plan := p.planFor(now, endpoint, revision)
-	if plan.describesOtherStart(&endpoint) {
+	if plan.describesOtherIncarnation(&endpoint) {
 		return
 	}
 	plan.suspect = suspect
--- a/services/entry/loading/restart.go
+++ b/services/entry/loading/restart.go
@@ -14,9 +14,9 @@
 	return e.endpoint.IsOtherIncarnation(described.Born) && revision > e.revision && !described.Born.Equal(e.previousBorn)
 }
 
-// describesOtherStart reports whether a description is of a different incarnation than the plan's, which after
+// describesOtherIncarnation reports whether a description is of a different incarnation than the plan's, which after
 // planFor can only be an earlier one.
-func (e *endpointPlan) describesOtherStart(described *deployment.Endpoint) bool {
+func (e *endpointPlan) describesOtherIncarnation(described *deployment.Endpoint) bool {
 	return e.endpoint.IsOtherIncarnation(described.Born)
 }
 
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -94,7 +94,7 @@
 	options.Coordinator.ObserveRelay = func(bytes int) { metrics.ObserveRelay(bytes) }
 	options.Coordinator.ObserveLinkClosed = func() { metrics.ObserveLinkClosed() }
 	options.Coordinator.ObserveFormerVersion = func(age time.Duration, overdue bool) { metrics.ObserveFormerVersion(age, overdue) }
-	options.Coordinator.ObserveTakenBack = func() { metrics.ObserveTakenBack() }
+	options.Coordinator.ObserveRecall = func() { metrics.ObserveRecall() }
 	control := coordinator.New(options.Coordinator, options.Environment(func(id deployment.EndpointID) { client.Retire(string(id)) }))
 	metrics = newMetrics(control, client, writer)
 	return &Process{
@@ -168,7 +168,7 @@
 	return s
 }
 
-// Run serves until a signal ends the process. A hang-up changes nothing: whatever may change in a running process is read from the store.
+// Run serves until a signal ends the process. A hang-up changes nothing: all settings that may change in a running process are read from the store.
 func Run(options Options, signals Signals) error {
 	debug.SetGCPercent(gcPercent)
 	process := New(options)
@@ -253,13 +253,13 @@
 	var server *gateway.Server
 	service := proxy.New(proxy.Options{
 		Now: clock.Now, Timer: clock.Timer, WithDeadline: clock.WithDeadline, Random: rand.Float64, Log: log,
-		Refusing: func(kind deployment.RouteKind) bool { return server.Refusing(kind) },
-		Leaving:  func() bool { return server.Leaving() },
-		Observe:  func(o proxy.Observation) { metrics.ObserveRequest(metricRequest(o)) },
+		ShouldRefuse: func(kind deployment.RouteKind) bool { return server.ShouldRefuse(kind) },
+		Leaving:      func() bool { return server.Leaving() },
+		Observe:      func(o proxy.Observation) { metrics.ObserveRequest(metricRequest(o)) },
 	}, proxy.Control{
-		Configuration: control.Configuration, Acquire: control.Acquire, Finish: control.Finish, Running: control.Running,
-		Crashed: control.Crashed, Unanswered: control.Unanswered, Answered: control.Answered,
-		Heard:        control.Heard,
+		Configuration: control.Configuration, Acquire: control.Acquire, Finish: control.Finish, MarkRunning: control.MarkRunning,
+		RecordCrash: control.RecordCrash, RecordUnanswered: control.RecordUnanswered, RecordAnswered: control.RecordAnswered,
+		ApplyNotice:  control.ApplyNotice,
 		CountRequest: control.CountRequest, TakeRetry: control.TakeRetry,
 	}, client, options.Dialect)
 	server = gateway.New(gateway.Options{
@@ -280,6 +280,6 @@
 func metricRequest(o proxy.Observation) metric.Request {
 	return metric.Request{
 		Route: o.Route, Status: o.Status, Reason: o.Reason, Retries: max(0, len(o.Attempts)-1),
-		Waited: o.Waited(), First: o.First, Whole: o.Whole, StartRatios: o.StartRatios(), Enders: o.Enders(),
+		Waited: o.Waited(), First: o.First, Whole: o.Whole, StartRatios: o.StartRatios(), EndCauses: o.EndCauses(),
 	}
 }
--- a/services/entry/process/quarantine.go
+++ b/services/entry/process/quarantine.go
@@ -13,21 +13,21 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
 )
 
-// heldRequest is a request that is held back, in the form sent to operators.
-type heldRequest struct {
+// quarantinedRequest is a request that is quarantined, in the form sent to operators.
+type quarantinedRequest struct {
 	Fingerprint string   `json:"fingerprint"`
 	Endpoints   []string `json:"endpoints"`
 	HeldMS      int64    `json:"held_ms"`
 }
 
-// withQuarantineRoutes adds routes to a handler by which operators list the requests that are held back and release one of them.
+// withQuarantineRoutes adds routes to a handler by which operators list the requests that are quarantined and release one of them.
 func withQuarantineRoutes(handler http.Handler, control *coordinator.Coordinator, log *logrus.Entry) http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("/", handler)
 	mux.HandleFunc("GET /quarantine", func(writer http.ResponseWriter, _ *http.Request) {
-		held := []heldRequest{}
+		held := []quarantinedRequest{}
 		for request, hold := range control.QuarantinedRequests() {
-			held = append(held, heldRequest{Fingerprint: request.String(), Endpoints: hold.Endpoints, HeldMS: hold.Remaining.Milliseconds()})
+			held = append(held, quarantinedRequest{Fingerprint: request.String(), Endpoints: hold.Endpoints, HeldMS: hold.Remaining.Milliseconds()})
 		}
 		writer.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(writer).Encode(held); err != nil {
--- a/services/entry/proxy/attempt/end_cause.go
+++ b/services/entry/proxy/attempt/end_cause.go
@@ -20,8 +20,8 @@
 	EndedBySuccessor EndCause = "successor"
 	// EndedByFormerEndpoint means that this instance gave up the attempt because the endpoint that was sent the request before continued.
 	EndedByFormerEndpoint EndCause = "former endpoint"
-	// EndedByTakeBack means that this instance took the request back because it had not started to run in time.
-	EndedByTakeBack EndCause = "take back"
+	// EndedByRecall means that this instance recalled the request because it had not started to run in time.
+	EndedByRecall EndCause = "take back"
 	// EndedByBodyLimit means that the request's body turned out to be too large.
 	EndedByBodyLimit EndCause = "body"
 )
--- a/services/entry/proxy/attempt/ending.go
+++ b/services/entry/proxy/attempt/ending.go
@@ -28,7 +28,7 @@
 	RefusedByEndpoint Reason = "refused by the endpoint"
 	// TimedOut means that the request may have run, and that its deadline has passed.
 	TimedOut Reason = "timed out"
-	// NotStartedInTime means that the request was taken back from an endpoint with a former adapter version, because it had not started
+	// NotStartedInTime means that the request was recalled from an endpoint with a former adapter version, because it had not started
 	// to run in time there. It may have run, and no retry was allowed.
 	NotStartedInTime Reason = "not begun in time"
 	// NoAnswer means that the request may have run, that the endpoint sent no response, and that no retry was allowed.
@@ -64,7 +64,7 @@
 	Reason  Reason
 	// Status is the status code of the response; 0 if this instance generates no response.
 	Status int
-	// RetryAfter is the time after which the caller should retry; 0 if it is told no time.
+	// RetryAfter is the time after which the caller should retry; 0 if the response names no time.
 	RetryAfter time.Duration
 }
 
@@ -142,7 +142,7 @@
 		return Ending{Status: http.StatusBadGateway, Reason: ProcessEnded}
 	case s.timedOut(now):
 		return Ending{Status: http.StatusGatewayTimeout, Reason: TimedOut}
-	case last == TakenBack:
+	case last == Recalled:
 		return Ending{Status: http.StatusBadGateway, Reason: NotStartedInTime}
 	default:
 		return Ending{Status: http.StatusBadGateway, Reason: NoAnswer}
