--- a/services/entry/proxy/attempt/retry_test.go
+++ b/services/entry/proxy/attempt/retry_test.go
@@ -38,7 +38,7 @@
 func headForwarded(s *attempt.Situation)   { s.HeadForwarded = true }
 func eventForwarded(s *attempt.Situation)  { s.EventForwarded = true }
 func contextEnded(s *attempt.Situation)    { s.ContextEnded = true }
-func takenBack(s *attempt.Situation)       { s.TakenBack = true }
+func recalled(s *attempt.Situation)        { s.Recalled = true }
 func bodyTooLarge(s *attempt.Situation)    { s.BodyTooLarge = true }
 func bodyNotBuffered(s *attempt.Situation) { s.BodyBuffered = false }
 
@@ -107,10 +107,10 @@
 		"uncertain, unsafe":                           {attempt.Uncertain, after(unsafe, mayHaveRun), attempt.GiveUp},
 		"uncertain, a stream":                         {attempt.Uncertain, after(stream, mayHaveRun), attempt.GiveUp},
 		"uncertain, a resumable stream":               {attempt.Uncertain, after(resumable, mayHaveRun), attempt.RetryWithinBudget},
-		"taken back, a stream":                        {attempt.TakenBack, after(stream, mayHaveRun, takenBack), attempt.GiveUp},
-		"taken back, a resumable stream":              {attempt.TakenBack, after(resumable, mayHaveRun, takenBack), attempt.RetryWithinBudget},
-		"taken back, the last attempt":                {attempt.TakenBack, after(resumable, mayHaveRun, takenBack, sent(2)), attempt.GiveUp},
-		"taken back, deadline has passed":             {attempt.TakenBack, after(resumable, mayHaveRun, takenBack, withDeadline(now)), attempt.GiveUp},
+		"recalled, a stream":                          {attempt.Recalled, after(stream, mayHaveRun, recalled), attempt.GiveUp},
+		"recalled, a resumable stream":                {attempt.Recalled, after(resumable, mayHaveRun, recalled), attempt.RetryWithinBudget},
+		"recalled, the last attempt":                  {attempt.Recalled, after(resumable, mayHaveRun, recalled, sent(2)), attempt.GiveUp},
+		"recalled, deadline has passed":               {attempt.Recalled, after(resumable, mayHaveRun, recalled, withDeadline(now)), attempt.GiveUp},
 		"server error, safe":                          {attempt.ServerError, after(safe, mayHaveRun), attempt.RetryWithinBudget},
 		"server error, unsafe":                        {attempt.ServerError, after(unsafe, mayHaveRun), attempt.GiveUp},
 		"interrupted, safe":                           {attempt.Interrupted, after(safe, mayHaveRun, headForwarded), attempt.GiveUp},
@@ -134,7 +134,7 @@
 
 func TestProvesNotRun(t *testing.T) {
 	for result, proves := range map[attempt.Result]bool{
-		attempt.NotSent: true, attempt.NotRun: true, attempt.Uncertain: false, attempt.TakenBack: false, attempt.ServerError: false, attempt.Interrupted: false,
+		attempt.NotSent: true, attempt.NotRun: true, attempt.Uncertain: false, attempt.Recalled: false, attempt.ServerError: false, attempt.Interrupted: false,
 		attempt.Finished: false, "": false,
 	} {
 		assert.Equal(t, proves, attempt.ProvesNotRun(result), "%q", result)
--- a/services/entry/proxy/attempt/situation.go
+++ b/services/entry/proxy/attempt/situation.go
@@ -24,10 +24,10 @@
 	Uncertain Result = "uncertain"
 	// ServerError means that the endpoint responded with an error that may justify a retry.
 	ServerError Result = "server error"
-	// TakenBack means that the request was taken back from the endpoint because it had not started to run in time, and that no part
+	// Recalled means that the request was recalled from the endpoint because it had not started to run in time, and that no part
 	// of a response was forwarded. It may have run nevertheless: its start may not have been observed yet, or the endpoint may not
 	// drop it.
-	TakenBack Result = "taken back"
+	Recalled Result = "taken back"
 	// Interrupted means that the response was interrupted after its head was forwarded.
 	Interrupted Result = "broken off"
 )
@@ -57,8 +57,8 @@
 	EventForwarded bool
 	// BodyTooLarge is set if the body turned out to be larger than the settings allow after a part of it was sent.
 	BodyTooLarge bool
-	// TakenBack is set if this instance took the request back from the current endpoint.
-	TakenBack bool
+	// Recalled is set if this instance recalled the request from the current endpoint.
+	Recalled bool
 	// Silent is for how long the current endpoint has sent nothing, on this instance's clock.
 	Silent time.Duration
 	// CallerLeft is set if the caller closed its connection, according to the request's context.
--- a/services/entry/proxy/attempt/verdict.go
+++ b/services/entry/proxy/attempt/verdict.go
@@ -43,16 +43,16 @@
 	case failure == NoConnectionFree:
 		verdict.Outcome = directory.Neutral
 	case failure == ConnectionRefused && verdict.Outcome == directory.Broken:
-		verdict.Outcome = directory.Unreached
+		verdict.Outcome = directory.Unreachable
 	}
 	return verdict
 }
 
 // failureOutcome returns how a failed exchange counts for its endpoint. It does not count if this instance or the caller ended it:
-// the request was taken back, the caller disconnected, or its body was too large. The exception is a caller that disconnects after a
+// the request was recalled, the caller disconnected, or its body was too large. The exception is a caller that disconnects after a
 // long silence of the endpoint: this is the only sign of an endpoint that is stuck, because no exchange is ended here for silence.
 func failureOutcome(s Situation) directory.Outcome {
-	if s.TakenBack || s.BodyTooLarge || (s.CallerLeft && !EndpointWasSilent(s)) {
+	if s.Recalled || s.BodyTooLarge || (s.CallerLeft && !EndpointWasSilent(s)) {
 		return directory.Neutral
 	}
 	return directory.Broken
@@ -60,8 +60,8 @@
 
 // unansweredResult returns the result of an exchange of which nothing was forwarded, and which may have run.
 func unansweredResult(s Situation) Result {
-	if s.TakenBack {
-		return TakenBack
+	if s.Recalled {
+		return Recalled
 	}
 	return Uncertain
 }
--- a/services/entry/proxy/attempt/verdict_test.go
+++ b/services/entry/proxy/attempt/verdict_test.go
@@ -24,16 +24,16 @@
 		"no connection free":                                {attempt.NoConnectionFree, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
 		"no connection free, caller disconnected":           {attempt.NoConnectionFree, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
 		"nothing written":                                   {attempt.NothingWritten, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Broken}},
-		"connection refused":                                {attempt.ConnectionRefused, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Unreached}},
+		"connection refused":                                {attempt.ConnectionRefused, after(safe), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Unreachable}},
 		"connection refused, caller disconnected":           {attempt.ConnectionRefused, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
 		"nothing written, caller disconnected":              {attempt.NothingWritten, after(safe, callerLeft), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
-		"nothing written, taken back":                       {attempt.NothingWritten, after(stream, takenBack), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
+		"nothing written, recalled":                         {attempt.NothingWritten, after(stream, recalled), attempt.Verdict{Result: attempt.NotSent, Outcome: directory.Neutral}},
 		"no head":                                           {attempt.NoHead, after(safe), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
 		"no head, caller disconnected":                      {attempt.NoHead, after(safe, callerLeft), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
 		"no head after a long silence, caller disconnected": {attempt.NoHead, after(stream, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
 		"no head, body too large":                           {attempt.NoHead, after(safe, bodyTooLarge), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Neutral}},
-		"no head, taken back":                               {attempt.NoHead, after(stream, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
-		"no head of a resumed stream, taken back":           {attempt.NoHead, after(resumable, headForwarded, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
+		"no head, recalled":                                 {attempt.NoHead, after(stream, recalled), attempt.Verdict{Result: attempt.Recalled, Outcome: directory.Neutral}},
+		"no head of a resumed stream, recalled":             {attempt.NoHead, after(resumable, headForwarded, recalled), attempt.Verdict{Result: attempt.Recalled, Outcome: directory.Neutral}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.verdict, attempt.JudgeFailure(test.failure, test.situation))
@@ -96,9 +96,9 @@
 		"head forwarded":                         {after(stream, headForwarded), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Broken}},
 		"head forwarded, caller disconnected":    {after(stream, headForwarded, callerLeft), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
 		"long silence, caller disconnected":      {after(stream, headForwarded, callerLeft, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Broken}},
-		"long silence, taken back":               {after(stream, headForwarded, takenBack, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
-		"taken back, nothing forwarded":          {after(stream, takenBack), attempt.Verdict{Result: attempt.TakenBack, Outcome: directory.Neutral}},
-		"taken back, head forwarded":             {after(stream, headForwarded, takenBack), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
+		"long silence, recalled":                 {after(stream, headForwarded, recalled, silentFor(3*time.Second)), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
+		"recalled, nothing forwarded":            {after(stream, recalled), attempt.Verdict{Result: attempt.Recalled, Outcome: directory.Neutral}},
+		"recalled, head forwarded":               {after(stream, headForwarded, recalled), attempt.Verdict{Result: attempt.Interrupted, Outcome: directory.Neutral}},
 		"deadline has passed":                    {after(safe, contextEnded), attempt.Verdict{Result: attempt.Uncertain, Outcome: directory.Broken}},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/services/entry/proxy/dialect.go
+++ b/services/entry/proxy/dialect.go
@@ -16,8 +16,8 @@
 	ID string
 	// Adapter is the requested adapter; its Model is empty for plain services.
 	Adapter deployment.Adapter
-	// Prompt is the declared length of the prompt in tokens; 0 if the caller did not specify it.
-	Prompt int
+	// PromptTokens is the declared length of the prompt in tokens; 0 if the caller did not specify it.
+	PromptTokens int
 	// Timeout is how long the caller waits after the request's arrival; 0 if the caller did not specify it.
 	Timeout time.Duration
 }
--- a/services/entry/proxy/end_cause_test.go
+++ b/services/entry/proxy/end_cause_test.go
@@ -33,7 +33,7 @@
 		"deadline passes before response":             {"/unsafe", strings.Repeat(searchSilence, 4), scriptPause, 0, attempt.EndedByDeadline, scriptPause},
 		"deadline passes during stream":               {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 2 * scriptPause, 0, attempt.EndedByDeadline, scriptPause},
 		"caller disconnects":                          {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 0, 2 * scriptPause, attempt.EndedByCaller, scriptPause},
-		"request is taken back":                       {"/stream", scriptQueued, 0, 0, attempt.EndedByTakeBack, 0},
+		"request is recalled":                         {"/stream", scriptQueued, 0, 0, attempt.EndedByRecall, 0},
 		"endpoint sends a complete error":             {"/unsafe", fixedResponse(500, endpointMarkHeader, "no"), 0, 0, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/services/entry/proxy/exchange.go
+++ b/services/entry/proxy/exchange.go
@@ -99,7 +99,7 @@
 // verdict applies.
 func (e *exchange) requestHead() (verdict attempt.Verdict, begun bool) {
 	r := e.inflight
-	e.assignment.Recall.Arm(e.cancelFunc(attempt.EndedByTakeBack))
+	e.assignment.Recall.Arm(e.cancelFunc(attempt.EndedByRecall))
 	response, err := r.service.upstream.Do(e.context, upstream.Call{
 		Target:  e.target(),
 		Request: r.newOutgoingRequest(e.assignment, r.service.options.Now(), e.startPosition.lastEvent, e.cancelFunc(attempt.EndedByBodyLimit)),
@@ -129,7 +129,7 @@
 // situationAt returns the situation for a caller that has received the response up to a position.
 func (e *exchange) situationAt(received position) attempt.Situation {
 	s := e.inflight.situationAt(received)
-	s.TakenBack = e.assignment.Recall.Fired()
+	s.Recalled = e.assignment.Recall.Fired()
 	s.Silent = e.inflight.service.options.Now().Sub(e.lastReceived)
 	return s
 }
@@ -177,11 +177,11 @@
 		e.inflight.service.options.Log.WithError(err).WithField("endpoint", e.assignment.Endpoint.ID).Warn("what an endpoint says of itself cannot be read")
 	}
 	e.notice = notice
-	e.inflight.service.control.Heard(e.assignment, e.started, notice)
+	e.inflight.service.control.ApplyNotice(e.assignment, e.started, notice)
 }
 
 // reportRunning reports to the coordinator, once, that the request has left the endpoint's own queue. It returns false if the request
-// was already taken back: the exchange has ended then, and the response must not be forwarded.
+// was already recalled: the exchange has ended then, and the response must not be forwarded.
 func (e *exchange) reportRunning() bool {
 	if !e.assignment.Recall.Disarm() {
 		return false
@@ -191,7 +191,7 @@
 	}
 	e.running = true
 	e.timeToRun = e.inflight.service.options.Now().Sub(e.assignment.Assigned)
-	e.inflight.service.control.Running(e.request, e.assignment)
+	e.inflight.service.control.MarkRunning(e.request, e.assignment)
 	return true
 }
 
--- a/services/entry/proxy/exchange_end.go
+++ b/services/entry/proxy/exchange_end.go
@@ -77,21 +77,21 @@
 		TookMS: e.inflight.service.options.Now().Sub(e.started).Milliseconds(), Status: e.status,
 		ExpectedMS: e.assignment.Expected.Milliseconds(), RanAfterMS: e.timeToRun.Milliseconds(),
 		VersionDemanded: e.assignment.Version, VersionHeld: e.assignment.HeldVersion, Ended: e.attemptEnd(verdict.Result),
-		FormerLeftMS: e.assignment.Former.Remaining.Milliseconds(), FormerExpectedMS: e.assignment.Former.Expected.Milliseconds(),
-		LimitPerSecond: e.notice.Limit, Leaving: e.notice.Leaving, RestMS: e.notice.Rest.Milliseconds(),
+		FormerLeftMS: e.assignment.FormerVersion.Remaining.Milliseconds(), FormerExpectedMS: e.assignment.FormerVersion.Expected.Milliseconds(),
+		LimitPerSecond: e.notice.Limit, Draining: e.notice.Draining, RestMS: e.notice.Rest.Milliseconds(),
 	}
 }
 
 // reportResult reports a complete response, or the lack of one, to the coordinator. An endpoint process that ended while it had the
-// request counts against the request as well, because the next endpoint that gets the request may end, too. A complete response
-// counts in the request's favor.
+// request counts as a crash caused by the request, because the next endpoint that gets the request may end, too. A complete
+// response shows that the request was not the cause.
 func (e *exchange) reportResult(verdict attempt.Verdict) attempt.Verdict {
 	control := e.inflight.service.control
 	switch {
 	case attempt.MayHaveRun(verdict.Result):
 		return e.reportUnanswered(verdict)
 	case verdict.Result == attempt.Finished && e.status < http.StatusMultipleChoices:
-		control.Answered(e.request)
+		control.RecordAnswered(e.request)
 	}
 	return verdict
 }
@@ -104,10 +104,10 @@
 		e.endpointGone = e.inflight.service.upstream.Refuses(e.inflight.context, e.target())
 	}
 	if !e.endpointGone {
-		control.Unanswered(e.request, e.assignment)
+		control.RecordUnanswered(e.request, e.assignment)
 		return verdict
 	}
-	control.Crashed(e.request, e.assignment)
+	control.RecordCrash(e.request, e.assignment)
 	if verdict.Outcome == directory.Broken {
 		verdict.Outcome = directory.Ended
 	}
--- a/services/entry/proxy/inflight.go
+++ b/services/entry/proxy/inflight.go
@@ -145,7 +145,7 @@
 	return attempt.Situation{
 		Route: r.request.Route, Deadline: r.request.Deadline, Sent: r.sentCount, Unreached: r.unreachedCount, InPlace: r.inPlaceCount, Refused: r.lastRefused, MayHaveRun: r.mayHaveRun,
 		BodyBuffered: r.body.remainder == nil, HeadForwarded: received.headForwarded, EventForwarded: received.lastEvent != "",
-		BodyTooLarge: r.body.tooLarge(), TakenBack: r.recall.Fired(), CallerLeft: r.callerLeft(), ContextEnded: r.context.Err() != nil,
+		BodyTooLarge: r.body.tooLarge(), Recalled: r.recall.Fired(), CallerLeft: r.callerLeft(), ContextEnded: r.context.Err() != nil,
 		ProcessEnds: r.processEnds(),
 	}
 }
--- a/services/entry/proxy/observation.go
+++ b/services/entry/proxy/observation.go
@@ -55,8 +55,8 @@
 	return ratios
 }
 
-// Enders returns what ended each attempt that got no complete response.
-func (o Observation) Enders() []string {
+// EndCauses returns what ended each attempt that got no complete response.
+func (o Observation) EndCauses() []string {
 	var enders []string
 	for _, record := range o.Attempts {
 		if record.Ended != nil {
@@ -101,9 +101,10 @@
 	// LimitPerSecond is the number of requests per second that the endpoint reported to accept from all instances together; nil if it
 	// reported no limit.
 	LimitPerSecond *float64 `json:"limit_per_second,omitempty"`
-	// Leaving is set if the endpoint reported that it is leaving.
-	Leaving bool `json:"leaving,omitempty"`
-	// RestMS is the time for which the endpoint asked this instance to send no requests; 0 if it did not ask.
+	// Draining is set if the endpoint announced that it is draining.
+	Draining bool `json:"leaving,omitempty"`
+	// RestMS is the length of the rest that the endpoint asked this instance for, in which it sends no requests there; 0 if it did not
+	// ask.
 	RestMS int64 `json:"rest_ms,omitempty"`
 }
 
--- a/services/entry/proxy/proxy_test.go
+++ b/services/entry/proxy/proxy_test.go
@@ -38,7 +38,7 @@
 const scriptUnreachable = "dead port"
 
 // scriptQueued is the prefix of the script of an endpoint that keeps a request in its queue until the connection closes. The text
-// after the prefix is written first; then the request is taken back.
+// after the prefix is written first; then the request is recalled.
 const scriptQueued = "queues"
 
 // pauseMark is where the script of an endpoint pauses for scriptPause; nextConnection separates the scripts of an endpoint's
@@ -107,14 +107,14 @@
 	logger.SetOutput(io.Discard)
 	service := proxy.New(proxy.Options{
 		Now: time.Now, Random: func() float64 { return 0 }, Log: logrus.NewEntry(logger),
-		Refusing: func(deployment.RouteKind) bool { return p.stopping }, Leaving: func() bool { return false },
+		ShouldRefuse: func(deployment.RouteKind) bool { return p.stopping }, Leaving: func() bool { return false },
 		Observe: func(o proxy.Observation) { p.observations <- o },
 	}, proxy.Control{
 		Configuration: func() *deployment.Configuration { return p.configuration }, Acquire: p.acquire, Finish: p.finish,
-		Crashed: func(*deployment.Request, coordinator.Assignment) {}, Unanswered: func(*deployment.Request, coordinator.Assignment) {},
-		Answered:     func(*deployment.Request) {},
-		Heard:        func(coordinator.Assignment, time.Time, deployment.Notice) {},
-		CountRequest: func(string) {}, TakeRetry: p.takeRetry,
+		RecordCrash: func(*deployment.Request, coordinator.Assignment) {}, RecordUnanswered: func(*deployment.Request, coordinator.Assignment) {},
+		RecordAnswered: func(*deployment.Request) {},
+		ApplyNotice:    func(coordinator.Assignment, time.Time, deployment.Notice) {},
+		CountRequest:   func(string) {}, TakeRetry: p.takeRetry,
 	}, upstream.NewClient(upstream.Options{MaxIdle: time.Minute, DialTimeout: dialTimeout, Now: time.Now}), p.testDialect())
 	server := httptest.NewServer(service)
 	t.Cleanup(server.Close)
@@ -236,7 +236,7 @@
 	}
 }
 
-// holdUntilClosed takes the request back, and keeps the connection open until the other side closes it.
+// holdUntilClosed recalls the request, and keeps the connection open until the other side closes it.
 func (p *testProxy) holdUntilClosed(conn net.Conn, beginning string, recall *unbegun.Recall) {
 	_, _ = io.WriteString(conn, beginning)
 	recall.Fire()
@@ -346,16 +346,16 @@
 		},
 		"unreachable endpoint uses no retry": {
 			"/unsafe", []string{scriptUnreachable, success}, 0, callerResponse{200, "yes", "", true}, "",
-			[]attempt.Result{attempt.NotSent, attempt.Finished}, []directory.Outcome{directory.Unreached, directory.Succeeded},
+			[]attempt.Result{attempt.NotSent, attempt.Finished}, []directory.Outcome{directory.Unreachable, directory.Succeeded},
 		},
 		"unreachable endpoint does not count as attempt": {
 			"/unsafe", []string{scriptUnreachable, refusal, success}, 1, callerResponse{200, "yes", "", true}, "",
 			[]attempt.Result{attempt.NotSent, attempt.NotRun, attempt.Finished},
-			[]directory.Outcome{directory.Unreached, directory.Refused, directory.Succeeded},
+			[]directory.Outcome{directory.Unreachable, directory.Refused, directory.Succeeded},
 		},
 		"three unreachable endpoints": {
 			"/unsafe", []string{scriptUnreachable, scriptUnreachable, scriptUnreachable, success}, 5, callerResponse{503, "refused by the endpoint\n", "0.25", true}, "refused by the endpoint",
-			[]attempt.Result{attempt.NotSent, attempt.NotSent, attempt.NotSent}, []directory.Outcome{directory.Unreached, directory.Unreached, directory.Unreached},
+			[]attempt.Result{attempt.NotSent, attempt.NotSent, attempt.NotSent}, []directory.Outcome{directory.Unreachable, directory.Unreachable, directory.Unreachable},
 		},
 		"endpoint error": {
 			"/unsafe", []string{fixedResponse(500, "", "no"), success}, 1, callerResponse{500, "no", "", true}, "error of the endpoint",
--- a/services/entry/proxy/take_back_race_test.go
+++ b/services/entry/proxy/recall_race_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// TestTakeBackRacesWithFirstEvent takes a request back when its first event has arrived but was not processed yet. The caller must
+// TestRecallRacesWithFirstEvent recalls a request when its first event has arrived but was not processed yet. The caller must
 // get an error with that reason, not the beginning of an interrupted stream.
-func TestTakeBackRacesWithFirstEvent(t *testing.T) {
+func TestRecallRacesWithFirstEvent(t *testing.T) {
 	p, server := newTestProxy(t, scriptQueued+chunkedResponse(firstEvent))
 	recall := p.addRecall(p.endpoints[0].ID)
 	p.onHead = func() { recall.Fire() }
--- a/services/entry/proxy/take_back_test.go
+++ b/services/entry/proxy/recall_test.go
@@ -13,9 +13,9 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// TestTakenBackRequest checks that the endpoint's connection is closed at once, that the endpoint's health is not affected, and that
+// TestRecalledRequest checks that the endpoint's connection is closed at once, that the endpoint's health is not affected, and that
 // the request is sent again only if it may run more than once.
-func TestTakenBackRequest(t *testing.T) {
+func TestRecalledRequest(t *testing.T) {
 	response := chunkedResponse(firstEvent, secondEvent) + lastChunk
 	for name, test := range map[string]struct {
 		path        string
@@ -28,32 +28,32 @@
 	}{
 		"stream": {
 			"/stream", []string{scriptQueued, response}, 1, callerResponse{502, "not begun in time\n", "", true}, "not begun in time",
-			[]attempt.Result{attempt.TakenBack}, []directory.Outcome{directory.Neutral},
+			[]attempt.Result{attempt.Recalled}, []directory.Outcome{directory.Neutral},
 		},
 		"stream after the response head": {
 			"/stream", []string{scriptQueued + chunkedResponse(), response}, 1, callerResponse{502, "not begun in time\n", "", true}, "not begun in time",
-			[]attempt.Result{attempt.TakenBack}, []directory.Outcome{directory.Neutral},
+			[]attempt.Result{attempt.Recalled}, []directory.Outcome{directory.Neutral},
 		},
 		"resumable stream": {
 			"/resumable", []string{scriptQueued, response}, 1, callerResponse{200, firstEvent + secondEvent, "", true}, "",
-			[]attempt.Result{attempt.TakenBack, attempt.Finished}, []directory.Outcome{directory.Neutral, directory.Succeeded},
+			[]attempt.Result{attempt.Recalled, attempt.Finished}, []directory.Outcome{directory.Neutral, directory.Succeeded},
 		},
 		"resumable stream, retry not granted": {
 			"/resumable", []string{scriptQueued, response}, 0, callerResponse{502, "not begun in time\n", "", true}, "not begun in time",
-			[]attempt.Result{attempt.TakenBack}, []directory.Outcome{directory.Neutral},
+			[]attempt.Result{attempt.Recalled}, []directory.Outcome{directory.Neutral},
 		},
 		"resumable stream, no other endpoint": {
 			"/resumable", []string{scriptQueued}, 1, callerResponse{502, "no endpoint for a repeat\n", "", true}, "no endpoint for a repeat",
-			[]attempt.Result{attempt.TakenBack}, []directory.Outcome{directory.Neutral},
+			[]attempt.Result{attempt.Recalled}, []directory.Outcome{directory.Neutral},
 		},
-		"resumed stream, taken back from the second endpoint": {
+		"resumed stream, recalled from the second endpoint": {
 			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + chunkedResponse(secondEvent) + lastChunk, scriptQueued}, 2, callerResponse{200, firstEvent + secondEvent, "", true}, "",
-			[]attempt.Result{attempt.Interrupted, attempt.TakenBack, attempt.Finished},
+			[]attempt.Result{attempt.Interrupted, attempt.Recalled, attempt.Finished},
 			[]directory.Outcome{directory.Broken, directory.Neutral, directory.Succeeded},
 		},
-		"resumed stream, taken back from the second endpoint and refused by the first": {
+		"resumed stream, recalled from the second endpoint and refused by the first": {
 			"/resumable", []string{chunkedResponse(firstEvent) + nextConnection + fixedResponse(503, notRunHeader+closeHeader, "busy"), scriptQueued}, 4, callerResponse{200, firstEvent, "", false}, "stream broke off",
-			[]attempt.Result{attempt.Interrupted, attempt.TakenBack, attempt.NotRun, attempt.NotRun},
+			[]attempt.Result{attempt.Interrupted, attempt.Recalled, attempt.NotRun, attempt.NotRun},
 			[]directory.Outcome{directory.Broken, directory.Neutral, directory.Refused, directory.Refused},
 		},
 	} {
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestRunningStreamIsNotTakenBack tries to take the request back after its first event was received.
-func TestRunningStreamIsNotTakenBack(t *testing.T) {
+// TestRunningStreamIsNotRecalled tries to recall the request after its first event was received.
+func TestRunningStreamIsNotRecalled(t *testing.T) {
 	p, server := newTestProxy(t, chunkedResponse(firstEvent, secondEvent)+lastChunk)
 	recall := p.addRecall(p.endpoints[0].ID)
 	assert.Equal(t, callerResponse{200, firstEvent + secondEvent, "", true}, sendRequest(t, server, "/stream", "question"))
@@ -87,9 +87,9 @@
 	assert.Empty(t, observation.Reason)
 }
 
-// TestTakeBackBeforeRequestIsSent checks that a request which was taken back before it was sent goes to another endpoint without
+// TestRecallBeforeRequestIsSent checks that a request which was recalled before it was sent goes to another endpoint without
 // using a retry.
-func TestTakeBackBeforeRequestIsSent(t *testing.T) {
+func TestRecallBeforeRequestIsSent(t *testing.T) {
 	p, server := newTestProxy(t, chunkedResponse(firstEvent)+lastChunk, chunkedResponse(secondEvent)+lastChunk)
 	p.addRecall(p.endpoints[0].ID).Fire()
 	assert.Equal(t, callerResponse{200, secondEvent, "", true}, sendRequest(t, server, "/stream", "question"))
--- a/services/entry/proxy/refusal_log_test.go
+++ b/services/entry/proxy/refusal_log_test.go
@@ -52,7 +52,7 @@
 				logger.SetFormatter(&logrus.JSONFormatter{})
 				service := proxy.New(proxy.Options{
 					Now: time.Now, Random: func() float64 { return 0 }, Log: logrus.NewEntry(logger),
-					Refusing: func(deployment.RouteKind) bool { return test.stopping }, Leaving: func() bool { return false },
+					ShouldRefuse: func(deployment.RouteKind) bool { return test.stopping }, Leaving: func() bool { return false },
 					Observe: func(proxy.Observation) { assert.Fail(t, "refused request was observed") },
 				}, proxy.Control{
 					Configuration: func() *deployment.Configuration { return test.configuration },
--- a/services/entry/proxy/running_test.go
+++ b/services/entry/proxy/running_test.go
@@ -46,12 +46,12 @@
 			var reports []string
 			assignment := coordinator.Assignment{
 				Endpoint: p.endpoints[0], Assigned: assigned, Version: 5, HeldVersion: 6,
-				Former: coordinator.FormerUse{Remaining: time.Second, Expected: 20 * time.Millisecond}, Recall: &unbegun.Recall{},
+				FormerVersion: coordinator.FormerUse{Remaining: time.Second, Expected: 20 * time.Millisecond}, Recall: &unbegun.Recall{},
 			}
 			observed := p.serveWithAssignment(test.path, test.model, time.Now, assignment, func(report string, reported coordinator.Assignment) {
 				assert.Equal(t, assignment, reported)
 				if report == "running" {
-					assert.False(t, reported.Recall.Fire(), "a running request must not be taken back")
+					assert.False(t, reported.Recall.Fire(), "a running request must not be recalled")
 				}
 				reports = append(reports, report)
 			})
@@ -79,17 +79,17 @@
 	}
 	service := proxy.New(proxy.Options{
 		Now: now, Random: func() float64 { return 0 }, Log: logrus.NewEntry(logger),
-		Refusing: func(deployment.RouteKind) bool { return false }, Leaving: func() bool { return false },
+		ShouldRefuse: func(deployment.RouteKind) bool { return false }, Leaving: func() bool { return false },
 		Observe: func(o proxy.Observation) { p.observations <- o },
 	}, proxy.Control{
 		Configuration: func() *deployment.Configuration { return p.configuration },
 		Acquire: func(context.Context, *deployment.Request, []deployment.EndpointID) (coordinator.Assignment, error) {
 			return assignment, nil
 		},
-		Crashed: func(*deployment.Request, coordinator.Assignment) {}, Unanswered: func(*deployment.Request, coordinator.Assignment) {},
-		Answered: func(*deployment.Request) {},
-		Heard:    func(coordinator.Assignment, time.Time, deployment.Notice) {},
-		Running:  func(_ *deployment.Request, of coordinator.Assignment) { onReport("running", of) },
+		RecordCrash: func(*deployment.Request, coordinator.Assignment) {}, RecordUnanswered: func(*deployment.Request, coordinator.Assignment) {},
+		RecordAnswered: func(*deployment.Request) {},
+		ApplyNotice:    func(coordinator.Assignment, time.Time, deployment.Notice) {},
+		MarkRunning:    func(_ *deployment.Request, of coordinator.Assignment) { onReport("running", of) },
 		Finish: func(_ *deployment.Request, of coordinator.Assignment, _ directory.Outcome, _ bool) {
 			onReport("finished", of)
 		},
--- a/services/entry/proxy/service.go
+++ b/services/entry/proxy/service.go
@@ -32,16 +32,17 @@
 	// Acquire waits for an endpoint. Finish must be called after the exchange with that endpoint.
 	Acquire func(ctx context.Context, request *deployment.Request, tried []deployment.EndpointID) (coordinator.Assignment, error)
 	Finish  func(request *deployment.Request, assignment coordinator.Assignment, outcome directory.Outcome, missing bool)
-	// Running reports that the endpoint has started to run a request that uses a model. It is called at most once, before Finish.
-	Running func(request *deployment.Request, assignment coordinator.Assignment)
-	// Crashed reports that the endpoint's process ended while it had the request, Unanswered that the endpoint may still have the
-	// request, and Answered that the request got a complete response. Crashed and Unanswered are called before Finish.
-	Crashed    func(request *deployment.Request, assignment coordinator.Assignment)
-	Unanswered func(request *deployment.Request, assignment coordinator.Assignment)
-	Answered   func(request *deployment.Request)
-	// Heard reports the notice in the response of an endpoint to a request that was sent at the given time.
-	Heard func(assignment coordinator.Assignment, sent time.Time, notice deployment.Notice)
-	// CountRequest adds a request to the basis of the retry budget. TakeRetry reports whether the budget grants a retry.
+	// MarkRunning reports that the endpoint has started to run a request that uses a model. It is called at most once, before Finish.
+	MarkRunning func(request *deployment.Request, assignment coordinator.Assignment)
+	// RecordCrash reports that the endpoint's process ended while it had the request, RecordUnanswered that the endpoint may still
+	// have the request, and RecordAnswered that the request got a complete response. RecordCrash and RecordUnanswered are called
+	// before Finish.
+	RecordCrash      func(request *deployment.Request, assignment coordinator.Assignment)
+	RecordUnanswered func(request *deployment.Request, assignment coordinator.Assignment)
+	RecordAnswered   func(request *deployment.Request)
+	// ApplyNotice passes on the notice in the response of an endpoint to a request that was sent at the given time.
+	ApplyNotice func(assignment coordinator.Assignment, sent time.Time, notice deployment.Notice)
+	// CountRequest adds a request to the basis of the retry budget. TakeRetry reports whether the budget grants a retry, which it then counts.
 	CountRequest func(service string)
 	TakeRetry    func(service string) bool
 }
@@ -55,8 +56,8 @@
 	WithDeadline func(parent context.Context, at time.Time) (context.Context, context.CancelFunc)
 	Random       func() float64
 	Log          *logrus.Entry
-	// Refusing reports whether new requests are refused because the process is shutting down.
-	Refusing func(kind deployment.RouteKind) bool
+	// ShouldRefuse reports whether new requests of a kind are refused because the process is shutting down.
+	ShouldRefuse func(kind deployment.RouteKind) bool
 	// Leaving reports whether each connection is closed after its response.
 	Leaving func() bool
 	// Observe is called when a counted request has ended.
@@ -101,7 +102,7 @@
 		s.refuse(response, incoming, route, arrived, attempt.HeaderTooLarge)
 		return
 	}
-	if s.options.Refusing(route.Kind) {
+	if s.options.ShouldRefuse(route.Kind) {
 		s.refuse(response, incoming, route, arrived, attempt.Stopping)
 		return
 	}
@@ -143,11 +144,11 @@
 	caller := s.dialect.ReadRequest(incoming.Header)
 	request := &deployment.Request{
 		ID: truncateForLog(caller.ID), Route: route, Service: balance.ChooseBackend(route, s.options.Random()), Adapter: caller.Adapter,
-		Prompt: caller.Prompt, Arrived: arrived, Deadline: attempt.Deadline(arrived, route, caller.Timeout),
+		PromptTokens: caller.PromptTokens, Arrived: arrived, Deadline: attempt.Deadline(arrived, route, caller.Timeout),
 	}
 	if service := configuration.Services[request.Service]; service == nil || service.Engine == nil {
 		request.Adapter = deployment.Adapter{}
-		request.Prompt = 0
+		request.PromptTokens = 0
 	}
 	body, err := s.readBody(response, incoming, configuration, request.Deadline)
 	if err != nil {
--- a/services/quarantine/doc.go
+++ b/services/quarantine/doc.go
@@ -1,15 +1,15 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package quarantine holds back requests that would crash further endpoints.
+// Package quarantine detects requests that crash endpoints and quarantines them, so that they are not sent to further endpoints.
 //
 // A request that ends the process that runs it may be sent again, to any instance. Ejecting the ended endpoint does not help, since the
 // next endpoint that gets the request is healthy. A crash is therefore recorded against the requests that the endpoint had in flight.
 //
-// The package implements what counts as evidence (evidence.go): a request is held back after crashThreshold crashes without a complete
+// The package implements what counts as evidence (evidence.go): a request is quarantined after crashThreshold crashes without a complete
 // answer since, unless another request is the likelier cause of them or several endpoints ended from a common cause. The end of an endpoint
 // also counts against requests that it may still have been running though their callers had left (unanswered.go). The package also
-// implements how long a request is held back (hold.go), and the records that instances exchange, which may arrive more than once and in any
+// implements how long a request is quarantined (hold.go), and the records that instances exchange, which may arrive more than once and in any
 // order, and their retention (table.go). The caller decides whether the end of an endpoint was planned. The package does no I/O, starts no
 // goroutine and takes the current time as an argument.
 package quarantine
--- a/services/quarantine/evidence.go
+++ b/services/quarantine/evidence.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// crashThreshold is how many crashes hold a request back. Where endpoints fail for other reasons, one or two crashes in a row also
+	// crashThreshold is how many crashes quarantine a request. Where endpoints fail for other reasons, one or two crashes in a row also
 	// happen to a harmless request; each further crash costs the requests in flight at another endpoint.
 	crashThreshold = 3
 	// commonCauseThreshold is how many endpoints must end within commonCauseWindow of each other to assume a common cause, such as the loss
@@ -45,7 +45,7 @@
 	return lastCrash
 }
 
-// evidence returns the endpoints whose ends count against a request, or nil if they are too few to hold it back. An endpoint has many
+// evidence returns the endpoints whose ends count against a request, or nil if they are too few to quarantine it. An endpoint has many
 // requests in flight when it ends, one of which is the cause. A harmless request that is sent often is in flight at many of these ends, so
 // an end counts only against those of its requests with the most crashes.
 func (t *Table) evidence(now time.Time, request fingerprint.Fingerprint) []string {
--- a/services/quarantine/hold.go
+++ b/services/quarantine/hold.go
@@ -9,15 +9,15 @@
 	"github.com/shelfledge/shelfledge/modules/fingerprint"
 )
 
-// holdDurations are how long a request is held back after its last crash, by the number of crashes beyond crashThreshold. After each hold,
+// holdDurations are how long a request is quarantined after its last crash, by the number of crashes beyond crashThreshold. After each hold,
 // one trial shows whether a newer endpoint can run the request: soon where the evidence is weakest, seldom where several trials have
 // failed.
 var holdDurations = []time.Duration{5 * time.Minute, time.Hour, 24 * time.Hour}
 
 const (
-	// ambiguousHold is how long a request is held back while other requests have the same crashes, so that a trial must show which of them
+	// ambiguousHold is how long a request is quarantined while other requests have the same crashes, so that a trial must show which of them
 	// is the cause. Each of them is held that much longer than the one before, so that no two are tried at the same endpoint at once. A
-	// harmless request is not held back for long.
+	// harmless request is not quarantined for long.
 	ambiguousHold = 2 * time.Second
 	// maxAmbiguousCrashes is how many crashes beyond crashThreshold such trials may cause.
 	maxAmbiguousCrashes = 2
@@ -27,7 +27,7 @@
 	trialRetryAfter = time.Second
 )
 
-// Hold describes why and for how long a request is held back.
+// Hold describes why and for how long a request is quarantined.
 type Hold struct {
 	// Remaining is the time until the request may be sent again.
 	Remaining time.Duration
@@ -35,7 +35,7 @@
 	Endpoints []string
 }
 
-// holdDuration returns how long a request is held back after its last crash.
+// holdDuration returns how long a request is quarantined after its last crash.
 func (t *Table) holdDuration(request fingerprint.Fingerprint, evidence []string) time.Duration {
 	excess := len(evidence) - crashThreshold
 	before, found := t.ambiguousCauses(request, evidence)
@@ -45,7 +45,7 @@
 	return holdDurations[min(excess, len(holdDurations)-1)]
 }
 
-// Held reports whether a request is held back.
+// Held reports whether a request is quarantined.
 func (t *Table) Held(now time.Time, request fingerprint.Fingerprint) (Hold, bool) {
 	evidence := t.evidence(now, request)
 	if evidence == nil {
@@ -55,7 +55,7 @@
 	return Hold{Remaining: remaining, Endpoints: evidence}, remaining > 0
 }
 
-// Admit decides whether an arriving request is held back. After a hold it admits one request at a time as a trial, whose outcome is the
+// Admit decides whether an arriving request is quarantined. After a hold it admits one request at a time as a trial, whose outcome is the
 // next crash or a complete answer.
 func (t *Table) Admit(now time.Time, request fingerprint.Fingerprint) (Hold, bool) {
 	hold, held := t.Held(now, request)
@@ -72,7 +72,7 @@
 	return Hold{}, false
 }
 
-// AllHeld returns all requests that are held back.
+// AllHeld returns all requests that are quarantined.
 func (t *Table) AllHeld(now time.Time) map[fingerprint.Fingerprint]Hold {
 	holding := make(map[fingerprint.Fingerprint]Hold)
 	for request := range t.suspects {
@@ -88,6 +88,6 @@
 	if t.suspects[request] == nil {
 		return false
 	}
-	t.Answered(now, request)
+	t.RecordAnswered(now, request)
 	return true
 }
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -39,7 +39,7 @@
 // crash ends an endpoint that has the given requests in flight and advances the clock.
 func (s *fixture) crash(endpoint string, requests ...byte) {
 	for _, number := range requests {
-		s.Crashed(s.now, request(number), endpoint)
+		s.RecordCrash(s.now, request(number), endpoint)
 	}
 	s.now = s.now.Add(crashInterval)
 }
@@ -49,7 +49,7 @@
 	return held
 }
 
-func TestRequestIsHeldAfterThreeCrashes(t *testing.T) {
+func TestRequestIsQuarantinedAfterThreeCrashes(t *testing.T) {
 	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1)
@@ -75,13 +75,13 @@
 	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1)
-	s.Answered(s.now, request(1))
+	s.RecordAnswered(s.now, request(1))
 	s.crash("c", 1)
 	s.crash("d", 1)
 	assert.False(t, s.held(1))
 	s.crash("e", 1)
 	assert.True(t, s.held(1))
-	s.Answered(s.now, request(1))
+	s.RecordAnswered(s.now, request(1))
 	assert.False(t, s.held(1))
 }
 
@@ -108,7 +108,7 @@
 	s := newFixture()
 	for round := range 3 {
 		for endpoint := range 3 {
-			s.Crashed(s.now.Add(time.Duration(endpoint)*10*time.Millisecond), request(1), fmt.Sprint(round, endpoint))
+			s.RecordCrash(s.now.Add(time.Duration(endpoint)*10*time.Millisecond), request(1), fmt.Sprint(round, endpoint))
 		}
 		s.now = s.now.Add(crashInterval)
 	}
@@ -123,7 +123,7 @@
 	s := newFixture()
 	s.crash("a", 1)
 	s.crash("b", 1)
-	s.Crashed(s.now, request(1), "c")
+	s.RecordCrash(s.now, request(1), "c")
 	assert.False(t, s.held(1))
 	s.now = s.now.Add(100 * time.Millisecond)
 	assert.True(t, s.held(1))
@@ -149,7 +149,7 @@
 						ends++
 						s.crash("d", number)
 					} else {
-						s.Answered(s.now, request(number))
+						s.RecordAnswered(s.now, request(number))
 					}
 				}
 			}
@@ -181,7 +181,7 @@
 	s.now = s.now.Add(24 * time.Hour)
 	_, held := s.Admit(s.now, request(1))
 	assert.False(t, held)
-	s.Answered(s.now, request(1))
+	s.RecordAnswered(s.now, request(1))
 	assert.False(t, s.held(1), "a complete answer ends the hold")
 }
 
@@ -233,7 +233,7 @@
 		s.crash(endpoint, 1)
 	}
 	for number := range 10_000 {
-		s.Crashed(s.now, fingerprint.Fingerprint{2, byte(number >> 8), byte(number)}, fmt.Sprint("d", number/64))
+		s.RecordCrash(s.now, fingerprint.Fingerprint{2, byte(number >> 8), byte(number)}, fmt.Sprint("d", number/64))
 	}
 	s.Sweep(s.now)
 	assert.LessOrEqual(t, s.Size(), 4096)
@@ -252,9 +252,9 @@
 		for range 30 {
 			at := tables[random.IntN(len(tables))]
 			if number := request(byte(random.IntN(4))); random.IntN(5) == 0 {
-				at.Answered(now, number)
+				at.RecordAnswered(now, number)
 			} else {
-				at.Crashed(now, number, fmt.Sprint(random.IntN(20)))
+				at.RecordCrash(now, number, fmt.Sprint(random.IntN(20)))
 			}
 			sent = append(sent, at.TakeUnsent(now)...)
 		}
@@ -284,8 +284,8 @@
 	}
 }
 
-// TestOwnIncludesHeldRequests: a new planner gets the records that this instance observed and those of all held requests.
-func TestOwnIncludesHeldRequests(t *testing.T) {
+// TestOwnRecordsIncludeQuarantinedRequests: a new planner gets the records that this instance observed and those of all held requests.
+func TestOwnRecordsIncludeQuarantinedRequests(t *testing.T) {
 	s := newFixture()
 	s.crash("a", 1)
 	s.Merge(s.now, []quarantine.Crash{
@@ -316,16 +316,16 @@
 func TestEndCountsAgainstUnansweredRequests(t *testing.T) {
 	for name, order := range map[string]func(s *fixture, endpoint string){
 		"given up before the end is seen": func(s *fixture, endpoint string) {
-			s.Unanswered(s.now, request(1), endpoint)
+			s.RecordUnanswered(s.now, request(1), endpoint)
 			s.now = s.now.Add(3 * time.Second)
 			s.crash(endpoint, 9)
 		},
 		"given up after the end was seen": func(s *fixture, endpoint string) {
 			s.crash(endpoint, 9)
-			s.Unanswered(s.now, request(1), endpoint)
+			s.RecordUnanswered(s.now, request(1), endpoint)
 		},
 		"another instance has seen the end": func(s *fixture, endpoint string) {
-			s.Unanswered(s.now, request(1), endpoint)
+			s.RecordUnanswered(s.now, request(1), endpoint)
 			s.now = s.now.Add(crashInterval)
 			s.Merge(s.now, []quarantine.Crash{{Request: request(9), Endpoint: endpoint}}, false)
 			s.now = s.now.Add(crashInterval)
@@ -335,7 +335,7 @@
 			s := newFixture()
 			for _, endpoint := range []string{"a", "b", "c"} {
 				order(s, endpoint)
-				s.Answered(s.now, request(9))
+				s.RecordAnswered(s.now, request(9))
 			}
 			assert.True(t, s.held(1))
 			assert.False(t, s.held(9))
@@ -347,7 +347,7 @@
 func TestRequestGivenUpLongBeforeEndDoesNotCount(t *testing.T) {
 	s := newFixture()
 	for _, endpoint := range []string{"a", "b", "c"} {
-		s.Unanswered(s.now, request(1), endpoint)
+		s.RecordUnanswered(s.now, request(1), endpoint)
 		s.now = s.now.Add(3*time.Second + 1)
 		s.crash(endpoint, 9)
 	}
@@ -364,7 +364,7 @@
 	}
 	s.now = s.now.Add(time.Minute)
 	for _, endpoint := range []string{"a", "b", "c"} {
-		s.Unanswered(s.now, request(1), endpoint)
+		s.RecordUnanswered(s.now, request(1), endpoint)
 	}
 	s.now = s.now.Add(crashInterval)
 	assert.False(t, s.held(1))
@@ -375,12 +375,12 @@
 func TestUnansweredRequestsAreBounded(t *testing.T) {
 	s := newFixture()
 	for number := range 100 {
-		s.Unanswered(s.now, request(byte(number)), "a")
+		s.RecordUnanswered(s.now, request(byte(number)), "a")
 	}
 	s.crash("a", 200)
 	assert.Equal(t, 65, s.Size())
 	for number := range 100 {
-		s.Unanswered(s.now, request(byte(number)), "b")
+		s.RecordUnanswered(s.now, request(byte(number)), "b")
 	}
 	s.now = s.now.Add(4 * time.Second)
 	s.Sweep(s.now)
--- a/services/quarantine/table.go
+++ b/services/quarantine/table.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	// crashRetention is how long a crash counts against a request that is not held back.
+	// crashRetention is how long a crash counts against a request that is not quarantined.
 	crashRetention = time.Hour
 	// maxRecords is how many crash records are kept, each of some 150 bytes.
 	maxRecords = 4096
@@ -75,16 +75,16 @@
 	}
 }
 
-// Crashed records that this instance saw an endpoint end while it had a request in flight.
-func (t *Table) Crashed(now time.Time, request fingerprint.Fingerprint, endpoint string) {
+// RecordCrash records that this instance saw an endpoint end while it had a request in flight.
+func (t *Table) RecordCrash(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	crash := Crash{Request: request, Endpoint: endpoint}
 	if t.add(crash, now, true) {
 		t.publish(crash, now)
 	}
 }
 
-// Answered records a complete answer to a request.
-func (t *Table) Answered(now time.Time, request fingerprint.Fingerprint) {
+// RecordAnswered records a complete answer to a request.
+func (t *Table) RecordAnswered(now time.Time, request fingerprint.Fingerprint) {
 	known := t.suspects[request]
 	if known == nil {
 		return
@@ -189,7 +189,7 @@
 	t.unsent = append(t.unsent, unsent{crash: crash, at: at})
 }
 
-// OwnRecords returns the records that this instance observed itself and those of requests that are held back, for a new planner that may
+// OwnRecords returns the records that this instance observed itself and those of requests that are quarantined, for a new planner that may
 // have received neither.
 func (t *Table) OwnRecords(now time.Time) []Crash {
 	t.unsent = nil
--- a/services/quarantine/unanswered.go
+++ b/services/quarantine/unanswered.go
@@ -24,13 +24,13 @@
 	at      time.Time
 }
 
-// Unanswered records that the exchange of a request ended without a complete answer. If its endpoint ends soon after, or has ended, the end
+// RecordUnanswered records that the exchange of a request ended without a complete answer. If its endpoint ends soon after, or has ended, the end
 // counts against this request as well. Otherwise it would count only against the requests whose callers stayed connected.
-func (t *Table) Unanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
+func (t *Table) RecordUnanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	if known := t.endpoints[endpoint]; known != nil {
 		// After that time, a new process may run under the endpoint's name.
 		if now.Sub(known.at) <= unansweredRetention {
-			t.Crashed(now, request, endpoint)
+			t.RecordCrash(now, request, endpoint)
 		}
 		return
 	}
@@ -44,7 +44,7 @@
 	delete(t.unanswered, endpoint)
 	for _, pending := range kept {
 		if at.Sub(pending.at) <= unansweredRetention {
-			t.Crashed(at, pending.request, endpoint)
+			t.RecordCrash(at, pending.request, endpoint)
 		}
 	}
 }
--- a/tests/capacity/entry_connection_test.go
+++ b/tests/capacity/entry_connection_test.go
@@ -146,17 +146,17 @@
 		Acquire: func(context.Context, *deployment.Request, []deployment.EndpointID) (coordinator.Assignment, error) {
 			return assignment, nil
 		},
-		Finish:       func(*deployment.Request, coordinator.Assignment, directory.Outcome, bool) {},
-		Crashed:      func(*deployment.Request, coordinator.Assignment) {},
-		Unanswered:   func(*deployment.Request, coordinator.Assignment) {},
-		Answered:     func(*deployment.Request) {},
-		Heard:        func(coordinator.Assignment, time.Time, deployment.Notice) {},
-		CountRequest: func(string) {},
-		TakeRetry:    func(string) bool { return false },
+		Finish:           func(*deployment.Request, coordinator.Assignment, directory.Outcome, bool) {},
+		RecordCrash:      func(*deployment.Request, coordinator.Assignment) {},
+		RecordUnanswered: func(*deployment.Request, coordinator.Assignment) {},
+		RecordAnswered:   func(*deployment.Request) {},
+		ApplyNotice:      func(coordinator.Assignment, time.Time, deployment.Notice) {},
+		CountRequest:     func(string) {},
+		TakeRetry:        func(string) bool { return false },
 	}
 	options := proxy.Options{
 		Now: time.Now, Random: func() float64 { return 0 }, Log: quietLog(), Observe: func(proxy.Observation) {},
-		Refusing: func(deployment.RouteKind) bool { return false }, Leaving: func() bool { return false },
+		ShouldRefuse: func(deployment.RouteKind) bool { return false }, Leaving: func() bool { return false },
 	}
 	client := upstream.NewClient(upstream.Options{MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now})
 	return proxy.New(options, control, client, platform.Dialect())
--- a/tests/capacity/entry_queue_test.go
+++ b/tests/capacity/entry_queue_test.go
@@ -123,7 +123,7 @@
 		return
 	}
 	f.closed++
-	f.window.Ended(f.links[place])
+	f.window.RemoveLink(f.links[place])
 	f.links[place] = f.newLink()
 }
 
--- a/tests/capacity/entry_test.go
+++ b/tests/capacity/entry_test.go
@@ -173,7 +173,7 @@
 func namedVersions() *follow.Versions {
 	versions := follow.NewVersions()
 	for i := range entryAdapters {
-		versions.Name(entryStart, entryStart, entryAdapter(i), 1)
+		versions.Put(entryStart, entryStart, entryAdapter(i), 1)
 	}
 	return versions
 }
