--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -133,7 +133,7 @@
 	}
 	s.options.Log.WithFields(logrus.Fields{
 		"reason": report.Reason, "caller": report.Caller.String(), "requests": report.Requests, "unanswered": report.Unanswered,
-	}).Error("a connection was closed on a request")
+	}).Error("a caller's connection was closed before all its requests were answered")
 }
 
 // Start starts to listen on all addresses.
@@ -225,7 +225,7 @@
 	cut, cancel := context.WithTimeout(context.Background(), cutOffTimeout)
 	defer cancel()
 	if err := s.listener.Wait(cut); err != nil {
-		s.options.Log.WithField("in_flight", s.InFlight()).Warn("the process ends on requests")
+		s.options.Log.WithField("in_flight", s.InFlight()).Warn("the process ends while requests are still in flight")
 	}
 }
 
--- a/services/entry/coordinator/begin.go
+++ b/services/entry/coordinator/begin.go
@@ -44,7 +44,7 @@
 	c.options.Log.WithFields(logrus.Fields{
 		"request": request.ID, "endpoint": assignment.Endpoint.ID, "adapter": request.Adapter.String(), "version": version,
 		"newer": newer, "age_ms": age.Milliseconds(), "limit_ms": limit.Milliseconds(),
-	}).Warn("a request began on an older version after its time")
+	}).Warn("a request began on a former version after the version limit")
 }
 
 // versionAtBegin returns the version on which a request that has begun is assumed to run. Responses name only the base
--- a/services/entry/coordinator/begin_test.go
+++ b/services/entry/coordinator/begin_test.go
@@ -19,7 +19,7 @@
 func (f *fixture) overdueLogs() []logrus.Fields {
 	var found []logrus.Fields
 	for _, entry := range f.log.AllEntries() {
-		if entry.Message == "a request began on an older version after its time" {
+		if entry.Message == "a request began on a former version after the version limit" {
 			found = append(found, entry.Data)
 		}
 	}
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -230,7 +230,7 @@
 		c.seedAnswer = seedAnswer{}
 	}
 	if queued := c.peerQueueBytes(); queued > peerQueueWarningBytes {
-		c.options.Log.WithField("queued_bytes", queued).Warn("much waits for peers")
+		c.options.Log.WithField("queued_bytes", queued).Warn("more bytes are queued for peers than the warning limit")
 	}
 	if c.planner != nil {
 		c.planner.plans.Sweep(now)
@@ -271,7 +271,7 @@
 	if c.options.ObserveStoreFailure != nil {
 		c.options.ObserveStoreFailure(call)
 	}
-	c.options.Log.WithError(err).WithField("call", call).Warn("the store did not answer as it should")
+	c.options.Log.WithError(err).WithField("call", call).Warn("a call to the store failed")
 }
 
 // minJitter is the smallest factor that jitter applies to a pause. The largest factor is greater by 1.
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -80,12 +80,12 @@
 		if _, known := c.quarantined[request]; !known {
 			c.options.Log.WithFields(logrus.Fields{
 				"fingerprint": request.String(), "endpoints": hold.Endpoints, "held_ms": hold.Remaining.Milliseconds(),
-			}).Warn("a request is held back, since endpoints ended while they had it")
+			}).Warn("a request was quarantined, since endpoints ended while it was in flight at them")
 		}
 	}
 	for request := range c.quarantined {
 		if _, held := quarantined[request]; !held {
-			c.options.Log.WithField("fingerprint", request.String()).Info("a request is held back no more")
+			c.options.Log.WithField("fingerprint", request.String()).Info("a request is no longer quarantined")
 		}
 	}
 	c.quarantined = quarantined
--- a/services/entry/coordinator/draining.go
+++ b/services/entry/coordinator/draining.go
@@ -21,7 +21,7 @@
 	}
 	c.announcedDraining[status.ID] = true
 	c.options.Log.WithFields(logrus.Fields{fieldEndpoint: status.ID, fieldService: status.Service, "source": source}).
-		Info("an endpoint says that it leaves")
+		Info("an endpoint announced that it is draining: it gets no new requests")
 	if c.planner != nil {
 		c.planner.plans.SetEndpoint(now, status.Endpoint, status.Revision)
 		c.plan(now)
--- a/services/entry/coordinator/endpoints.go
+++ b/services/entry/coordinator/endpoints.go
@@ -98,7 +98,7 @@
 	})
 	c.options.Log.WithFields(map[string]any{
 		"planner_silent_ms": silence.Milliseconds(), "endpoints_age_ms": age.Milliseconds(),
-	}).Info("endpoints are read here, since the planner's views are too old")
+	}).Info("reading the endpoints from the store, since the planner's views are too old")
 }
 
 // stretchPollPause returns the pause between two polls of an instance that reads the store itself. In a large fleet it is
@@ -285,7 +285,7 @@
 	case nil:
 		c.options.Log.WithField("endpoint", former.ID).Info("endpoint gone")
 	default:
-		c.options.Log.WithFields(logrus.Fields{"endpoint": former.ID, "born": present.Born}).Info("endpoint started anew")
+		c.options.Log.WithFields(logrus.Fields{"endpoint": former.ID, "born": present.Born}).Info("endpoint restarted")
 	}
 	c.environment.Retire(former.ID)
 }
--- a/services/entry/coordinator/gathering.go
+++ b/services/entry/coordinator/gathering.go
@@ -186,7 +186,7 @@
 		return
 	}
 	if err := g.stream.Send(wire.Message{Load: load}); err != nil {
-		c.options.Log.WithError(err).Warn("a load to the gatherer was dropped")
+		c.options.Log.WithError(err).Warn("a report of load to the gatherer was dropped")
 	}
 }
 
@@ -218,7 +218,7 @@
 		return
 	}
 	if err := c.follower.stream.Send(wire.Message{Sum: sum}); err != nil {
-		c.options.Log.WithError(err).Warn("a sum to the planner was dropped")
+		c.options.Log.WithError(err).Warn("a sum of loads to the planner was dropped")
 	}
 }
 
--- a/services/entry/coordinator/handover.go
+++ b/services/entry/coordinator/handover.go
@@ -33,7 +33,7 @@
 	for c.hasOrdersInFlight(p) && c.context.Err() == nil {
 		c.sleep(releaseCheckInterval)
 	}
-	c.options.Log.WithField("term", term).Warn("planning resigned: the store answers others only")
+	c.options.Log.WithField("term", term).Warn("resigned as the planner: the store answers another instance but not this one")
 	c.loop.Call(func(now time.Time) {
 		p.resigned = true
 		p.broadcast(now, true)
--- a/services/entry/coordinator/lease.go
+++ b/services/entry/coordinator/lease.go
@@ -101,7 +101,7 @@
 	if c.planner == nil || !c.planner.lease.Ended() {
 		return
 	}
-	c.options.Log.WithField("term", c.planner.lease.Record().Term).Warn("planning ends: the ownership is lost")
+	c.options.Log.WithField("term", c.planner.lease.Record().Term).Warn("planning ends: this instance no longer holds the planner's lease")
 	c.finishMemberLinks()
 	c.recordOwnLoads(now, c.planner)
 	c.planner = nil
@@ -340,7 +340,7 @@
 	if successor.Term <= c.knownRecord.Term || !successor.Address.IsValid() {
 		return
 	}
-	c.options.Log.WithFields(map[string]any{"term": successor.Term, "address": successor.Address.String()}).Info("planner learned from a peer")
+	c.options.Log.WithFields(map[string]any{"term": successor.Term, "address": successor.Address.String()}).Info("a peer named a new planner")
 	c.knownRecord = lease.Record{Term: successor.Term, Address: successor.Address}
 	if c.planner != nil && successor.Term > c.planner.lease.Record().Term {
 		c.planner.lease.End()
--- a/services/entry/coordinator/recordread_test.go
+++ b/services/entry/coordinator/recordread_test.go
@@ -50,7 +50,7 @@
 	planner, reads := f.startResigningPlanner(t)
 	successor := netip.MustParseAddrPort("127.0.0.8:7000")
 	require.NoError(t, planner.Send(wire.Message{Successor: &wire.Successor{Term: 5, Address: successor}}))
-	f.waitForLog(t, "planner learned from a peer")
+	f.waitForLog(t, "a peer named a new planner")
 	time.Sleep(2 * testTakeoverDelay)
 	assert.Equal(t, reads, f.store.recordReadCount())
 }
--- a/services/entry/coordinator/resting.go
+++ b/services/entry/coordinator/resting.go
@@ -19,7 +19,7 @@
 		return
 	}
 	c.options.Log.WithFields(logrus.Fields{fieldEndpoint: status.ID, fieldService: status.Service, "rest_ms": rest.Milliseconds()}).
-		Info("an endpoint wants to rest")
+		Info("an endpoint asked for a rest: this instance sends it no requests until the rest ends")
 	// If several instances are asked for a rest, the planner loads the endpoint's adapters elsewhere.
 	c.requestReport(now)
 }
--- a/services/entry/coordinator/seeds.go
+++ b/services/entry/coordinator/seeds.go
@@ -32,7 +32,7 @@
 	if c.ready.Load() {
 		return
 	}
-	c.options.Log.WithField("configuration_at", v.ConfigurationRevision).Info("learned from a peer, since the store does not answer")
+	c.options.Log.WithField("configuration_at", v.ConfigurationRevision).Info("starting with the state of a peer, since the store does not answer")
 	if v.Address.IsValid() && v.Term > c.knownRecord.Term {
 		c.knownRecord.Address, c.knownRecord.Term = v.Address.AddrPort, v.Term
 	}
--- a/services/entry/coordinator/views.go
+++ b/services/entry/coordinator/views.go
@@ -109,7 +109,7 @@
 	if c.options.ObserveLinkClosed != nil {
 		c.options.ObserveLinkClosed()
 	}
-	c.options.Log.WithError(err).WithField("queued_bytes", queued).Warn("a peer's link was closed, since too much waits for it")
+	c.options.Log.WithError(err).WithField("queued_bytes", queued).Warn("the link to a peer was closed, since its send queue was full")
 }
 
 // observeRelay counts the operators' keys that are sent to a peer.
--- a/services/entry/process/process.go
+++ b/services/entry/process/process.go
@@ -182,7 +182,7 @@
 			process.Stop()
 			return nil
 		case <-signals.hangup:
-			process.log.Info("hang-up: settings of a running process stay as they are")
+			process.log.Info("hang-up signal ignored: settings are read only at the start")
 		}
 	}
 }
@@ -218,7 +218,7 @@
 	if err == nil {
 		return c
 	}
-	log.WithError(err).Warn("the system does not tell whether the host was suspended")
+	log.WithError(err).Warn("the suspension time of the host cannot be read: suspensions will not be detected")
 	sources.Suspended = func() (time.Duration, error) { return 0, nil }
 	if c, err = clock.New(sources); err != nil {
 		// Sources without a suspension time never fail.
--- a/services/entry/process/quarantine.go
+++ b/services/entry/process/quarantine.go
@@ -31,7 +31,7 @@
 		}
 		writer.Header().Set("Content-Type", "application/json")
 		if err := json.NewEncoder(writer).Encode(held); err != nil {
-			log.WithError(err).Debug("an operator's question about held requests could not be answered")
+			log.WithError(err).Debug("the list of quarantined requests could not be sent to an operator")
 		}
 	})
 	mux.HandleFunc("DELETE /quarantine/{fingerprint}", func(writer http.ResponseWriter, request *http.Request) {
--- a/services/entry/proxy/exchange.go
+++ b/services/entry/proxy/exchange.go
@@ -174,7 +174,7 @@
 func (e *exchange) readNotice(response *http.Response) {
 	notice, err := e.inflight.service.dialect.ReadNotice(e.status, response.Header)
 	if err != nil {
-		e.inflight.service.options.Log.WithError(err).WithField("endpoint", e.assignment.Endpoint.ID).Warn("what an endpoint says of itself cannot be read")
+		e.inflight.service.options.Log.WithError(err).WithField("endpoint", e.assignment.Endpoint.ID).Warn("an endpoint's header for its limit, rest or draining cannot be decoded and is ignored")
 	}
 	e.notice = notice
 	e.inflight.service.control.ApplyNotice(e.assignment, e.started, notice)
--- a/tests/pinned/entry/run_test.go
+++ b/tests/pinned/entry/run_test.go
@@ -125,7 +125,7 @@
 	r.waitFor("the program listens", func() bool { return r.ready() == http.StatusServiceUnavailable })
 	answers := r.raw("not ready yet", r.ports.ready, readyQuestion)
 	answers += r.ask("no configuration yet", http.MethodGet, "/ok/x", "", nil)
-	r.waitFor("it misses the store", func() bool { return r.logged("the store did not answer") })
+	r.waitFor("it misses the store", func() bool { return r.logged("a call to the store failed") })
 	r.store.SetFaults(standin.StoreFaults{})
 	r.waitFor("the program is ready", func() bool { return r.ready() == http.StatusOK })
 	r.waitFor("it plans", func() bool { return r.logged("planning begins") })
--- a/tests/platform/crashing_test.go
+++ b/tests/platform/crashing_test.go
@@ -398,7 +398,7 @@
 	c.waitFor("another instance plans", func() bool { return c.logged(next, planning) || c.logged(c.other(next), planning) })
 	c.entries[former] = c.startEntry(former)
 	c.waitFor("the instance is ready again", func() bool { return c.isReady(former) })
-	c.waitFor("it was told", func() bool { return c.logged(former, "a request is held back") })
+	c.waitFor("it was told", func() bool { return c.logged(former, "a request was quarantined") })
 	begun := len(one.begins(c))
 	for entry := range c.entries {
 		answer := one.send(c, entry)
@@ -435,7 +435,7 @@
 			cutOff.cutPeers(false)
 			healed := time.Now()
 			for entry := range c.entries {
-				c.waitFor("all know of the ends", func() bool { return c.logged(entry, "a request is held back, since") })
+				c.waitFor("all know of the ends", func() bool { return c.logged(entry, "a request was quarantined, since") })
 			}
 			assert.Less(t, time.Since(healed), contactTime)
 			for entry := range c.entries {
--- a/tests/platform/former_test.go
+++ b/tests/platform/former_test.go
@@ -17,7 +17,7 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// overdueLine is the line of a request that began on an older version after its time.
+// overdueLine is the log line of a request that began on a former version after the version limit.
 type overdueLine struct {
 	Message  string `json:"msg"`
 	Request  string `json:"request"`
@@ -34,7 +34,7 @@
 	var found []overdueLine
 	for text := range strings.SplitSeq(s.entries[entry].log.String(), "\n") {
 		var one overdueLine
-		if json.Unmarshal([]byte(text), &one) == nil && one.Message == "a request began on an older version after its time" {
+		if json.Unmarshal([]byte(text), &one) == nil && one.Message == "a request began on a former version after the version limit" {
 			found = append(found, one)
 		}
 	}
