--- a/modules/entry/metric/metrics.go
+++ b/modules/entry/metric/metrics.go
@@ -29,7 +29,7 @@
 	Whole time.Duration
 	// StartRatios are, for each attempt that ran with a declared prompt, the time until it ran divided by the expected time.
 	StartRatios []float64
-	// EndCauses name, for each attempt without a complete answer, what ended it.
+	// EndCauses name, for each attempt without a complete response, what ended it.
 	EndCauses []string
 }
 
@@ -72,11 +72,11 @@
 	startRatios      *prometheus.HistogramVec
 	formerVersionAge prometheus.Histogram
 	overdue          prometheus.Counter
-	// connectionsEnded counts callers' connections, and unanswered the requests on them that ended without a complete answer, by the reason
+	// connectionsEnded counts callers' connections, and unanswered the requests on them that ended without a complete response, by the reason
 	// for which the connection ended.
 	connectionsEnded *prometheus.CounterVec
 	unanswered       *prometheus.CounterVec
-	// attemptsEnded counts attempts without a complete answer by what ended them.
+	// attemptsEnded counts attempts without a complete response by what ended them.
 	attemptsEnded *prometheus.CounterVec
 }
 
@@ -191,7 +191,7 @@
 	}
 }
 
-// ObserveConnection counts a caller's connection that ended, and the requests on it that ended without a complete answer.
+// ObserveConnection counts a caller's connection that ended, and the requests on it that ended without a complete response.
 func (m *Metrics) ObserveConnection(reason string, unanswered int) {
 	m.connectionsEnded.WithLabelValues(reason).Inc()
 	m.unanswered.WithLabelValues(reason).Add(float64(unanswered))
--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -35,7 +35,7 @@
 	// CutOffCause is the cause with which the contexts of the requests that are cut off at the end of a shutdown are cancelled.
 	CutOffCause error
 	// ObserveConnection is called with the reason for which a caller's connection ended, and the number of requests read from it that ended
-	// without a complete answer.
+	// without a complete response.
 	ObserveConnection func(reason string, unanswered int)
 	Now               func() time.Time
 	Log               *logrus.Entry
@@ -183,7 +183,7 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// Leaving reports whether a shutdown has started, so that connections close after their answer.
+// Leaving reports whether a shutdown has started, so that connections close after their response.
 func (s *Server) Leaving() bool {
 	return s.stopping.Load() != 0
 }
--- a/services/entry/admission/decide.go
+++ b/services/entry/admission/decide.go
@@ -74,39 +74,39 @@
 
 const (
 	// minSilenceTimeout and the two factors (multiples of the route's target and pause target) determine the silence after which
-	// callers give up a stream: the longest of the three applies. Longer waits for endpoints that may respond when the caller has
-	// already left, shorter gives up responses that would have arrived.
+	// callers give up a stream: the longest of the three applies. A longer time waits for endpoints that may respond when the caller
+	// has already left; a shorter one gives up responses that would have arrived.
 	minSilenceTimeout        = 2 * time.Second
 	silenceTargetFactor      = 4
 	silencePauseTargetFactor = 8
-	// silenceWaitShare is the share of the silence time-out that a request may spend waiting for an endpoint; the remainder is for
-	// its response. Higher serves more requests late, lower refuses more that would have been served.
+	// silenceWaitShare is the share of the silence time-out that a request may spend waiting for an endpoint; the remainder is for its
+	// response. A higher value serves more requests late; a lower one refuses more that would have been served.
 	silenceWaitShare = 0.7
 	// streamWaitDivisor limits the wait of a stream to the time to its deadline divided by this number. A lower number leaves less
 	// time for the response.
 	streamWaitDivisor = 2
-	// maxPlainWait is how long a request of a route without streaming waits for an endpoint, with an adapter or without, and at most
-	// a quarter of its time to the deadline (shortWaitDivisor): waiting seldom helps it. Longer bridges the replacement of endpoints,
-	// shorter refuses early enough for another attempt.
+	// maxPlainWait is how long a request of a route without streaming waits for an endpoint, with an adapter or without, and at most a
+	// quarter of its time to the deadline (shortWaitDivisor): waiting seldom helps it. A longer time bridges the replacement of
+	// endpoints; a shorter one refuses early enough for another attempt.
 	maxPlainWait = 100 * time.Millisecond
 	// shortWaitDivisor limits waits that seldom help (of requests without streaming, and of streams without any endpoint) to the time
 	// to the deadline, and for streams also the target, divided by this number. A higher number refuses sooner.
 	shortWaitDivisor = 4
-	// saturatedRetryAfter is when a caller that was refused because of saturated endpoints should retry: a stream takes seconds.
-	// Longer reduces the load on the endpoints, shorter serves sooner.
+	// saturatedRetryAfter is when a caller that was refused because of saturated endpoints should retry: a stream takes seconds. A
+	// longer time reduces the load on the endpoints; a shorter one serves sooner.
 	saturatedRetryAfter = 1500 * time.Millisecond
-	// minRetryAfter is the minimum time after which a refused caller should retry. Longer reduces the load on the instances, shorter
-	// serves sooner.
+	// minRetryAfter is the minimum time after which a refused caller should retry. A longer time reduces the load on the instances; a
+	// shorter one serves sooner.
 	minRetryAfter = 400 * time.Millisecond
 	// forecastDelay is the time after its arrival during which a request is not refused because its adapter comes too late: the
-	// planner may not have received the request yet, and an updated forecast may be under way. Longer holds requests that cannot be
-	// served, shorter refuses some that would have been.
+	// planner may not have received the request yet, and an updated forecast may be under way. A longer time holds requests that
+	// cannot be served; a shorter one refuses some that would have been.
 	forecastDelay = 80 * time.Millisecond
-	// firstTokenLatency is the usual time from the choice of an endpoint to the first event. Longer refuses more requests as too
-	// late.
+	// firstTokenLatency is the usual time from the choice of an endpoint to the first event. A longer time refuses more requests as
+	// too late.
 	firstTokenLatency = 150 * time.Millisecond
-	// retryAfterMargin is how long after the expected time of the adapter a refused caller should retry. Longer is safer against late
-	// loads, shorter serves sooner.
+	// retryAfterMargin is how long after the expected time of the adapter a refused caller should retry. A longer time is safer
+	// against late loads; a shorter one serves sooner.
 	retryAfterMargin = 150 * time.Millisecond
 )
 
--- a/services/entry/balance/choose.go
+++ b/services/entry/balance/choose.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// hallPenalty and plainHallPenalty are the costs of crossing between halls, for model and plain services, in requests in flight.
-	// Higher accepts a longer queue for a shorter network path.
+	// hallPenalty and plainHallPenalty are the costs of crossing between halls, for model and plain services, in requests in flight. A
+	// higher value accepts a longer queue for a shorter network path.
 	hallPenalty      = 1.0
 	plainHallPenalty = 2.5
 )
--- a/services/entry/balance/limit.go
+++ b/services/entry/balance/limit.go
@@ -7,12 +7,12 @@
 
 const (
 	// copySlotShare is the share of a model endpoint's slots in flight at which it gets no new copies, and requestSlotShare the share
-	// at which it gets no requests; between the two, it still serves adapters that only it holds. Higher serves more at
+	// at which it gets no requests; between the two, it still serves adapters that only it holds. Higher values serve more requests at
 	// once, each more slowly.
 	copySlotShare    = 0.5
 	requestSlotShare = 0.65
 	// minCopySlotLimit and minRequestSlotLimit are the minimum values of these limits, in requests in flight, for endpoints with few
-	// slots: batches this small hardly slow each other down. Higher serves more at once.
+	// slots: batches this small hardly slow each other down. A higher value serves more at once.
 	minCopySlotLimit    = 10
 	minRequestSlotLimit = 12
 )
--- a/services/entry/coordinator/allocation.go
+++ b/services/entry/coordinator/allocation.go
@@ -22,7 +22,7 @@
 	announced []wire.Limit
 }
 
-// mergeReportedLimits merges the limits, lifted limits and wanted requests of a report.
+// mergeReportedLimits merges the limits, lifted limits and demands for requests of a report.
 func (p *planner) mergeReportedLimits(now time.Time, r *wire.Report) {
 	c := p.coordinator
 	for _, reported := range r.Limits {
--- a/services/entry/coordinator/begin_test.go
+++ b/services/entry/coordinator/begin_test.go
@@ -15,7 +15,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
 )
 
-// overdueLogs returns the log fields of requests that began too late on an older version.
+// overdueLogs returns the log fields of requests that began on a former version after the version limit.
 func (f *fixture) overdueLogs() []logrus.Fields {
 	var found []logrus.Fields
 	for _, entry := range f.log.AllEntries() {
--- a/services/entry/coordinator/crashes.go
+++ b/services/entry/coordinator/crashes.go
@@ -34,8 +34,8 @@
 	})
 }
 
-// RecordUnanswered records that an exchange ended without a complete answer while its endpoint kept running, as far as this
-// instance can see. The endpoint may still run the request and crash because of it.
+// RecordUnanswered records that an exchange ended without a complete response while its endpoint kept running, as far
+// as this instance can see. The endpoint may still run the request and crash because of it.
 func (c *Coordinator) RecordUnanswered(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
 		c.crashes.RecordUnanswered(now, request.Fingerprint, string(assignment.Endpoint.ID))
@@ -44,7 +44,7 @@
 	})
 }
 
-// RecordAnswered records that a request got a complete answer and therefore does not crash endpoints.
+// RecordAnswered records that a request got a complete response and therefore does not crash endpoints.
 func (c *Coordinator) RecordAnswered(request *deployment.Request) {
 	if c.crashRecords.Load() == 0 {
 		return
--- a/services/entry/coordinator/fixture_test.go
+++ b/services/entry/coordinator/fixture_test.go
@@ -197,7 +197,7 @@
 	recalled atomic.Int64
 }
 
-// formerUse is an observed request that began on a former version. age is for how long a newer version had been known.
+// formerUse is an observed request that began on a former version. age is how long a newer version had been known.
 type formerUse struct {
 	age     time.Duration
 	overdue bool
--- a/services/entry/coordinator/follow/follow_test.go
+++ b/services/entry/coordinator/follow/follow_test.go
@@ -136,7 +136,7 @@
 	}
 }
 
-// TestNewerSinceReturnsTimeOfFirstNewerVersion demands the versions 2 to 4, a second apart.
+// TestNewerSinceReturnsTimeOfFirstNewerVersion names the versions 2 to 4, a second apart.
 func TestNewerSinceReturnsTimeOfFirstNewerVersion(t *testing.T) {
 	versions := follow.NewVersions()
 	_, named := versions.NewerSince(adapter, 0)
@@ -174,7 +174,8 @@
 	}
 }
 
-// TestStoredVersionsAreBounded demands a version each 10 ms. When versions are merged, no limit of a version may increase.
+// TestStoredVersionsAreBounded names a version each 10 ms. When versions are merged, no limit of a version may
+// increase.
 func TestStoredVersionsAreBounded(t *testing.T) {
 	const limit = 2 * time.Second
 	versions := follow.NewVersions()
--- a/services/entry/coordinator/follow/keys.go
+++ b/services/entry/coordinator/follow/keys.go
@@ -28,8 +28,8 @@
 	since time.Time
 }
 
-// maxChanges is the number of stored changes. With more, a planner knows the age of the missing changes of a member that lags
-// further behind; fewer take less memory.
+// maxChanges is the number of stored changes. With a higher number, the planner knows the age of the missing changes of a member
+// that lags further behind; a lower number takes less memory.
 const maxChanges = 64
 
 // NewKeys returns a set without keys.
@@ -68,7 +68,8 @@
 	return k.revision
 }
 
-// RecordChange records the time from which the keys stored since the last call count, as in Origin.Since.
+// RecordChange records, for the keys stored since the last call, the latest time before which none of them was acknowledged, see
+// Origin.Since.
 func (k *Keys) RecordChange(since time.Time) {
 	k.changes = append(k.changes, change{upTo: k.newest, since: since})
 	if len(k.changes) > maxChanges {
--- a/services/entry/coordinator/follow/origin.go
+++ b/services/entry/coordinator/follow/origin.go
@@ -28,8 +28,8 @@
 	// CompleteAt is the last time at which this instance provably had all operators' keys; zero if unknown. Keys that are new to
 	// the instance were acknowledged after that.
 	CompleteAt time.Time
-	// Since is the time from which new keys count: CompleteAt, or a later time at which they were not yet acknowledged; zero if
-	// unknown.
+	// Since is the latest known time before which none of the new keys was acknowledged: CompleteAt, or a later time; zero if unknown.
+	// The limit of former versions starts at it.
 	Since time.Time
 	// UpTo is the store revision up to which no change is missing once these keys are stored.
 	UpTo int64
--- a/services/entry/coordinator/follow/origin_test.go
+++ b/services/entry/coordinator/follow/origin_test.go
@@ -62,10 +62,10 @@
 	assert.Equal(t, 700*time.Millisecond, silence)
 }
 
-// TestOriginSinceOfWatchAnswers checks the time from which new keys count. It guards against requests that begin on an outdated
-// version more than 5 s after a newer one was acknowledged. That happened when the limit of the outdated version started only when
-// the instance received the newer one, however late that was. The instance has its last proof that no key was missing at 10 s, and
-// then an empty answer to a watch that was sent at 10 s.
+// TestOriginSinceOfWatchAnswers checks Origin.Since of new keys. It guards against requests that begin on a former
+// version more than 5 s after a newer one was acknowledged. That happened when the limit of the former version started
+// only when the instance received the newer one, however late that was. The instance has its last proof that no key was
+// missing at 10 s, and then an empty answer to a watch that was sent at 10 s.
 func TestOriginSinceOfWatchAnswers(t *testing.T) {
 	const wait = 20 * time.Second
 	at := func(seconds float64) time.Time { return start.Add(time.Duration(seconds * float64(time.Second))) }
--- a/services/entry/coordinator/follow/source.go
+++ b/services/entry/coordinator/follow/source.go
@@ -39,7 +39,7 @@
 	ReadByWatching
 )
 
-// Situation is what decides who reads the store for an instance.
+// Situation is the state that determines which instance reads the store for an instance.
 type Situation struct {
 	// Planning means that this instance is the planner.
 	Planning bool
@@ -51,7 +51,7 @@
 	ViewReceivedRecently bool
 	// WatchedNearby means that another instance of the hall watches the operators' keys, so that this one need not.
 	WatchedNearby bool
-	// KeysLag is for how long this instance has lacked keys that the planner has.
+	// KeysLag is how long this instance has lacked keys that the planner has.
 	KeysLag time.Duration
 }
 
--- a/services/entry/coordinator/follow/versions.go
+++ b/services/entry/coordinator/follow/versions.go
@@ -13,8 +13,8 @@
 
 // Versions holds the versions that operators named for adapters. It is not safe for concurrent use.
 type Versions struct {
-	// named are the last named versions of each adapter, oldest first, at most maxNamed. As of the last call of FormerVersion,
-	// versions older than the second one may still serve.
+	// named are the last named versions of each adapter, oldest first, at most maxNamed. The last call of FormerVersion removed the
+	// entries before the last one for which the limit of older versions has passed.
 	named map[deployment.Adapter][]namedVersion
 	// compared are the last named versions of each adapter, oldest first, at most maxCompared, whether older ones may still
 	// serve or not. They are used only to report the age of the versions on which requests run, not for decisions.
@@ -31,11 +31,11 @@
 	// reserveDivisor is the divisor of a limit whose quotient is reserved for what is unknown when an endpoint is chosen: the
 	// connection time and a longer wait than expected. A smaller divisor reserves more, and excludes the former version earlier.
 	reserveDivisor = 2
-	// maxNamed is the number of stored versions of an adapter. More give each version its own limit when versions follow each
-	// other fast; fewer take less memory.
+	// maxNamed is the number of stored versions of an adapter. A higher number gives each version its own limit when versions follow
+	// each other fast; a lower one takes less memory.
 	maxNamed = 8
-	// maxCompared is the number of versions of an adapter that are stored to report for how long a version has been outdated. More
-	// allow that for older versions; fewer take less memory.
+	// maxCompared is the number of versions of an adapter that are stored to report for how long a version has been outdated. A higher
+	// number allows that for older versions; a lower one takes less memory.
 	maxCompared = 16
 )
 
--- a/services/entry/coordinator/forecast/expect.go
+++ b/services/entry/coordinator/forecast/expect.go
@@ -59,7 +59,8 @@
 	MayOrder bool
 	// FormerHolderTime is the remaining time for which the former holder may issue orders, according to this instance's lease.
 	FormerHolderTime time.Duration
-	// ReleasingLease means that this instance holds the lease but is releasing it, so that no view counts.
+	// ReleasingLease means that this instance holds the lease but is releasing it, so that the views of other planners are not
+	// considered.
 	ReleasingLease bool
 	// ViewAge is the time since the last view was received.
 	ViewAge time.Duration
@@ -84,7 +85,7 @@
 	// Announced means that the planner announced the time At at which the adapter will be resident.
 	Announced bool
 	At        time.Time
-	// Backlog is the expected time from now until an adapter of the service that nobody has requested yet could be resident.
+	// Backlog is the expected time from now until an adapter of the service that has not been requested yet could be resident.
 	Backlog time.Duration
 }
 
--- a/services/entry/coordinator/formerloads_test.go
+++ b/services/entry/coordinator/formerloads_test.go
@@ -19,7 +19,7 @@
 	manyLoads = 1 << 20
 	// longWindow is longer than any test.
 	longWindow = 10 * time.Minute
-	// noLoadTime is for how long the tests check that nothing is loaded.
+	// noLoadTime is how long the tests check that nothing is loaded.
 	noLoadTime = 300 * time.Millisecond
 )
 
--- a/services/entry/coordinator/gatherers.go
+++ b/services/entry/coordinator/gatherers.go
@@ -33,7 +33,7 @@
 	nextTotalsAt time.Time
 }
 
-// inheritedGatherersTime is for how long a new planner keeps the gatherers of its predecessor: until most members have
+// inheritedGatherersTime is how long a new planner keeps the gatherers of its predecessor: until most members have
 // joined. Without gatherers each member would read and watch the operators' keys, two calls of each kind at each change of
 // the planner.
 const inheritedGatherersTime = time.Second
--- a/services/entry/coordinator/gathering.go
+++ b/services/entry/coordinator/gathering.go
@@ -16,7 +16,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 )
 
-// gathererAvoidTime is for how long a gatherer that did not answer is avoided. A longer time makes fewer attempts to reach
+// gathererAvoidTime is how long a gatherer that did not answer is avoided. A longer time makes fewer attempts to reach
 // a lost gatherer. A shorter time returns sooner to a gatherer that was only slow.
 const gathererAvoidTime = 3 * time.Second
 
--- a/services/entry/coordinator/gathering_test.go
+++ b/services/entry/coordinator/gathering_test.go
@@ -171,8 +171,8 @@
 	}
 }
 
-// TestBareViewDoesNotRefreshEndpointsAge guards against bare views that count as proof of fresh endpoint data. The planner
-// sends them directly while a gatherer that hangs may hold back changes.
+// TestBareViewDoesNotRefreshEndpointsAge guards against bare views that count as proof of fresh endpoint data. The planner sends
+// them directly while a gatherer that hangs may delay changes.
 func TestBareViewDoesNotRefreshEndpointsAge(t *testing.T) {
 	f := newFixture()
 	planner, gatherer := f.followWithGatherer(t)
@@ -257,8 +257,9 @@
 	}
 }
 
-// report sends reports of all members until the test ends. The member fed reports that the given gatherer feeds it.
-func (g *memberGroup) report(t *testing.T, fed, gatherer string) {
+// report sends reports of all members until the test ends. The member receiver reports that the given gatherer forwards
+// views to it.
+func (g *memberGroup) report(t *testing.T, receiver, gatherer string) {
 	t.Helper()
 	done := make(chan struct{})
 	t.Cleanup(func() { close(done) })
@@ -266,7 +267,7 @@
 		for {
 			for name, stream := range g.members {
 				report := &wire.Report{Instance: name}
-				if name == fed {
+				if name == receiver {
 					report.Forwarder = gatherer
 				}
 				_ = stream.Send(wire.Message{Report: report})
@@ -288,8 +289,9 @@
 	}
 }
 
-// TestPlannerSendsOnlyBareViewsToMembersWithForwardedViews checks that the planner of a large fleet names gatherers, sends them the totals,
-// and sends no views of changes to a member that a gatherer feeds, until that gatherer falls silent.
+// TestPlannerSendsOnlyBareViewsToMembersWithForwardedViews checks that the planner of a large fleet names gatherers,
+// sends them the totals, and sends no views of changes to a member to which a gatherer forwards views, until that
+// gatherer falls silent.
 func TestPlannerSendsOnlyBareViewsToMembersWithForwardedViews(t *testing.T) {
 	f := newFixture()
 	f.start(t)
@@ -297,17 +299,17 @@
 	g := f.joinMembers(t, 17)
 	gatherers := nextValue(t, g.namedGatherers)
 	require.Len(t, gatherers, 2, "17 members of one hall")
-	gatherer, fed := gatherers[0].Name, "m0"
-	if gatherer == fed {
-		fed = "m1"
+	gatherer, receiver := gatherers[0].Name, "m0"
+	if gatherer == receiver {
+		receiver = "m1"
 	}
-	g.report(t, fed, gatherer)
-	sum := &wire.Sum{Gatherer: gatherer, Members: []string{fed}, InFlight: []wire.Count{{ID: "e1", Requests: 3}}}
+	g.report(t, receiver, gatherer)
+	sum := &wire.Sum{Gatherer: gatherer, Members: []string{receiver}, InFlight: []wire.Count{{ID: "e1", Requests: 3}}}
 	g.sendSumFor(t, time.Second, sum)
 	assert.Equal(t, sum.InFlight, nextValue(t, g.totals).InFlight)
 	assert.Equal(t, 3, f.instance.Status().OthersInFlight)
 
-	views := g.views[fed]
+	views := g.views[receiver]
 	for len(views) > 0 {
 		<-views
 	}
@@ -335,8 +337,8 @@
 	}
 }
 
-// TestMemberWithReadEndpointsGetsShortSnapshot guards against snapshots with all descriptions for all instances that start at the same time.
-// These views occupied the planner's link and delayed the views of leaving endpoints.
+// TestMemberWithReadEndpointsGetsShortSnapshot guards against snapshots with all descriptions for all instances that
+// start at the same time. These views occupied the planner's link and delayed the views of draining endpoints.
 func TestMemberWithReadEndpointsGetsShortSnapshot(t *testing.T) {
 	f := newFixture()
 	f.start(t)
--- a/services/entry/coordinator/memorystore_test.go
+++ b/services/entry/coordinator/memorystore_test.go
@@ -69,9 +69,9 @@
 }
 
 // write sets a key. The caller must hold the mutex.
-func (m *memoryStore) write(one store.Write) {
-	item := store.Item{Key: one.Key, Value: one.Value, Revision: m.revision, Lease: one.Lease}
-	m.items[one.Key] = item
+func (m *memoryStore) write(entry store.Write) {
+	item := store.Item{Key: entry.Key, Value: entry.Value, Revision: m.revision, Lease: entry.Lease}
+	m.items[entry.Key] = item
 	m.events = append(m.events, store.Event{Item: item})
 	close(m.changed)
 	m.changed = make(chan struct{})
@@ -145,7 +145,7 @@
 		}
 	}
 	if m.afterFirstPage != nil && prefix == operatorsPrefix {
-		slices.SortFunc(page.Items, func(one, other store.Item) int { return strings.Compare(one.Key, other.Key) })
+		slices.SortFunc(page.Items, func(entry, other store.Item) int { return strings.Compare(entry.Key, other.Key) })
 		page.Items, page.HasMore = page.Items[:1], true
 	}
 	return page, nil
@@ -191,8 +191,8 @@
 		}
 	}
 	m.revision++
-	for _, one := range transaction.Writes {
-		m.write(one)
+	for _, entry := range transaction.Writes {
+		m.write(entry)
 	}
 	return m.revision, nil
 }
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// seedAnswerTTL is for how long an answer to a starting peer is reused, so that many peers that start at the same time
+// seedAnswerTTL is how long an answer to a starting peer is reused, so that many peers that start at the same time
 // share one copy of the configuration in memory. A longer time gives older answers; data that the peer reads from the
 // store later replaces them.
 const seedAnswerTTL = 250 * time.Millisecond
--- a/services/entry/coordinator/plan/changes.go
+++ b/services/entry/coordinator/plan/changes.go
@@ -37,7 +37,7 @@
 	p.changes.Removed, p.changes.StartedLoads, p.changes.BaseModelLoadStarted = nil, nil, false
 }
 
-// Forecasts returns the loads under way and, by service, the expected time until an adapter that nobody has requested yet could be
+// Forecasts returns the loads under way and, by service, the expected time until an adapter that has not been requested yet could be
 // resident.
 func (p *Plans) Forecasts(now time.Time) (loads []wire.Forecast, backlogs map[string]time.Duration) {
 	backlogs = make(map[string]time.Duration, len(p.planners))
--- a/services/entry/coordinator/plan/withdrawal_test.go
+++ b/services/entry/coordinator/plan/withdrawal_test.go
@@ -39,7 +39,7 @@
 	return now.Add(pause)
 }
 
-// withdraw demands a newer version of an adapter, so that its copies are withdrawn, and returns a later time.
+// withdraw names a newer version of an adapter, so that its copies are withdrawn, and returns a later time.
 func (f *fixture) withdraw(now time.Time, name string) time.Time {
 	f.plans.SetVersion(now, deployment.Adapter{Model: "base", Name: name}, newVersion)
 	f.order(now)
--- a/services/entry/coordinator/relay_test.go
+++ b/services/entry/coordinator/relay_test.go
@@ -21,7 +21,7 @@
 	slowMembers    = 24
 	largeValue     = 256 << 10
 	maxQueuedBytes = 4 << 20
-	// observationTime is for how long a test observes the instance: several heartbeats.
+	// observationTime is how long a test observes the instance: several heartbeats.
 	observationTime = 2 * time.Second
 )
 
--- a/services/entry/coordinator/status.go
+++ b/services/entry/coordinator/status.go
@@ -26,7 +26,7 @@
 	// PeerQueueBytes is the size of the messages that are queued for peers, in bytes. A message for several peers counts
 	// once for each.
 	PeerQueueBytes int64
-	// EndpointsAge is for how long the endpoints in use may have changed unnoticed. It is 0 before any are known.
+	// EndpointsAge is how long ago the endpoints in use were read; later changes are not known. It is 0 before any are known.
 	EndpointsAge time.Duration
 	// OthersInFlight is the known number of in-flight requests of the other instances, and CountsAge is the mean age of
 	// their counts.
@@ -86,8 +86,8 @@
 	return sum
 }
 
-// endpointsAge returns the time since the endpoints were read, by this instance or, according to the last view, by the
-// planner. They may have changed unnoticed for that long.
+// endpointsAge returns the time since the endpoints were read, by this instance or, according to the last view, by the planner.
+// Changes since then are not known.
 func (c *Coordinator) endpointsAge(now time.Time) time.Duration {
 	if !c.endpointsKnown {
 		return 0
--- a/services/entry/coordinator/view/planner_state.go
+++ b/services/entry/coordinator/view/planner_state.go
@@ -76,7 +76,7 @@
 	termStart time.Time
 }
 
-// Judge decides whether a view is accepted. A view that repeats the last one is accepted and counts as newly received.
+// Judge decides whether a view is accepted. A view that repeats the last one is accepted, and its time of reception is updated.
 func (s *PlannerState) Judge(v *wire.View, arrival Arrival) Verdict {
 	switch {
 	case !arrival.CurrentLink:
@@ -119,7 +119,7 @@
 	}
 }
 
-// ApplyBare applies a bare view, of which only the planner's time counts. Such a view does not prove that the endpoints are up to
+// ApplyBare applies a bare view, of which only the planner's time is used. Such a view does not prove that the endpoints are up to
 // date, since their changes are sent through a gatherer, which may be suspended.
 func (s *PlannerState) ApplyBare(now time.Time, v *wire.View) {
 	if v.Term == s.Term && v.Planner == s.Planner {
--- a/services/entry/coordinator/viewage_test.go
+++ b/services/entry/coordinator/viewage_test.go
@@ -14,16 +14,17 @@
 )
 
 const (
-	// viewInterval is the interval between two views that the test sends, and viewDelay is for how long delayed views were
+	// viewInterval is the interval between two views that the test sends, and viewDelay is how long delayed views were
 	// queued before they arrived.
 	viewInterval = 100 * time.Millisecond
 	viewDelay    = 2600 * time.Millisecond
-	// viewMadeAfter is for how long the test's planner had planned when it made its first view.
+	// viewMadeAfter is how long the test's planner had planned when it made its first view.
 	viewMadeAfter = 10 * time.Second
 )
 
-// TestDelayedViewsDoNotCountAsFresh guards against a failure with large configurations: views that were queued for seconds
-// behind other messages counted as fresh when they arrived, so that an endpoint that had left still received requests.
+// TestDelayedViewsDoNotCountAsFresh guards against a failure with large configurations: views that were queued for
+// seconds behind other messages counted as fresh when they arrived, so that an endpoint that was gone still received
+// requests.
 func TestDelayedViewsDoNotCountAsFresh(t *testing.T) {
 	f := newFixture()
 	f.setOtherPlanner(t)
--- a/services/entry/coordinator/wire/load.go
+++ b/services/entry/coordinator/wire/load.go
@@ -37,7 +37,7 @@
 	Unread   int
 }
 
-// Load is what an instance reports to its gatherer.
+// Load is the report of an instance to its gatherer: its requests in flight and arrivals.
 type Load struct {
 	Instance string  `msgpack:"i"`
 	InFlight []Count `msgpack:"f,omitempty"`
--- a/services/entry/coordinator/wire/message.go
+++ b/services/entry/coordinator/wire/message.go
@@ -75,7 +75,7 @@
 	// Items are keys of the configuration that the planner lacks according to its last view. They are sent when the planner asked
 	// for them or, for a planner that never asks, once it has lacked them for too long.
 	Items []store.Item `msgpack:"o,omitempty"`
-	// Leaving reports that the process is stopping.
+	// Leaving reports that the instance is stopping.
 	Leaving bool `msgpack:"l,omitempty"`
 	// Rates are the arrival rates of the instance, sent once to each new planner.
 	Rates []Rate `msgpack:"a,omitempty"`
@@ -128,7 +128,7 @@
 	Unread int `msgpack:"u,omitempty"`
 }
 
-// Demand is what an instance needs of one adapter of a service.
+// Demand is the demand of an instance for one adapter of a service.
 type Demand struct {
 	// Service, Model and Name identify the service, the base model and the adapter.
 	Service string `msgpack:"s"`
@@ -192,7 +192,7 @@
 	Totals []EndpointCount `msgpack:"f,omitempty"`
 	// Forecasts are the loads that started since the last view, or all loads under way in a heartbeat; a full view has none.
 	Forecasts []Forecast `msgpack:"l,omitempty"`
-	// Backlogs is, by service, the expected time from now until an adapter that nobody has requested yet could be resident.
+	// Backlogs is, by service, the expected time from now until an adapter that has not been requested yet could be resident.
 	Backlogs map[string]time.Duration `msgpack:"j,omitempty"`
 	// Members is the number of instances that share the fleet-wide limits.
 	Members int `msgpack:"n"`
--- a/services/entry/directory/health.go
+++ b/services/entry/directory/health.go
@@ -10,13 +10,13 @@
 
 // The outcomes of an exchange.
 const (
-	// Succeeded: a complete answer that is not a server error.
+	// Succeeded: a complete response that is not a server error.
 	Succeeded Outcome = iota
-	// Errored: a complete answer with a server error.
+	// Errored: a complete response with a server error.
 	Errored
 	// Refused: the endpoint answered that it did not run the request.
 	Refused
-	// Broken: no connection, no answer, or an incomplete answer.
+	// Broken: no connection, no response, or an incomplete response.
 	Broken
 	// Unreachable: the connection was refused, since nothing listens at the endpoint's address.
 	Unreachable
--- a/services/entry/directory/status.go
+++ b/services/entry/directory/status.go
@@ -118,9 +118,9 @@
 	}
 }
 
-// ReportedUnreachable reports whether requests must go to other endpoints, or wait for one, because the endpoint refuses the connections of
-// other instances. An instance that ejected the endpoint itself keeps to its own trials, so that a few instances notice when the endpoint
-// returns.
+// ReportedUnreachable reports whether requests must go to other endpoints, or wait for one, because the endpoint refuses the
+// connections of other instances. An instance that ejected the endpoint itself continues its own trials, so that a few instances
+// notice when the endpoint accepts connections again.
 func (s *EndpointStatus) ReportedUnreachable() bool {
 	return s.Unreachable && !s.Health.awaitingRecovery()
 }
--- a/services/entry/lease/candidate.go
+++ b/services/entry/lease/candidate.go
@@ -55,8 +55,8 @@
 }
 
 // formerHolderTakeoverDelay is the additional delay after which an instance that held the lease recently takes a vacant
-// record; other instances need not wait for Options.Turn. A longer delay gives slower instances time to take the
-// record; a shorter one takes it sooner if there is no other instance.
+// record; other instances need not wait for Options.MinReturnDelay. A longer delay gives slower instances time to take
+// the record; a shorter one takes it sooner if there is no other instance.
 const formerHolderTakeoverDelay = 300 * time.Millisecond
 
 // totalTakeoverDelay returns the additional delay of this instance for this record.
--- a/services/entry/lease/candidate_test.go
+++ b/services/entry/lease/candidate_test.go
@@ -249,8 +249,9 @@
 	}
 }
 
-// TestReturningHolderWaitsForMinReturnDelay covers hand-overs in quick succession: an instance that becomes the holder again
-// may send orders only once its earlier orders are as old as Options.Turn, however many holders came in between.
+// TestReturningHolderWaitsForMinReturnDelay covers hand-overs in quick succession: an instance that becomes the holder
+// again may send orders only once its earlier orders are as old as Options.MinReturnDelay, however many holders came in
+// between.
 func TestReturningHolderWaitsForMinReturnDelay(t *testing.T) {
 	record := lease.Record{Holder: "self", Term: 1, Ordering: true, Released: true}
 	for _, holder := range []string{"b", "c", "d", "e", "f"} {
--- a/services/entry/lease/record.go
+++ b/services/entry/lease/record.go
@@ -30,9 +30,9 @@
 	Earlier []string `msgpack:",omitempty"`
 }
 
-// maxEarlierHolders is the number of holders before the former one in a record. A higher number covers more
-// hand-overs within Options.Turn, each of which takes tens of milliseconds at least; a lower one lets an instance
-// that becomes the holder again wait unnecessarily.
+// maxEarlierHolders is the number of holders before the former one in a record. A higher number covers more hand-overs
+// within Options.MinReturnDelay, each of which takes tens of milliseconds at least; a lower one lets an instance that
+// becomes the holder again wait unnecessarily.
 const maxEarlierHolders = 4
 
 // heldBefore reports whether an instance held the lease before the record's holder, according to the record.
--- a/services/entry/limit/allocator.go
+++ b/services/entry/limit/allocator.go
@@ -27,11 +27,12 @@
 }
 
 // idleGrantDelay is how long no instance must have had waiting requests before an allowed request is granted to an instance that
-// merely might use it. Longer leaves more requests to instances with waiting ones, shorter detects sooner that a limit was lifted.
+// merely might use it. A longer time leaves more requests to instances with waiting ones; a shorter one detects sooner that a limit
+// was lifted.
 const idleGrantDelay = 500 * time.Millisecond
 
-// demandTTL is how long reported requests count as waiting: callers that were refused retry. Longer wastes less of a small limit,
-// shorter grants less to instances whose callers have left.
+// demandTTL is how long reported requests count as waiting: callers that were refused retry. A longer time wastes less of a small
+// limit; a shorter one grants less to instances whose callers have left.
 const demandTTL = time.Second
 
 // Allocator grants the requests that limits allow to instances.
@@ -66,29 +67,29 @@
 
 // SetDemand replaces the demand of an instance, except for requests that were waiting a short time ago.
 func (a *Allocator) SetDemand(now time.Time, instance string, demands []Demand) {
-	for _, one := range a.endpoints {
-		if known := one.demands[instance]; known != nil {
+	for _, entry := range a.endpoints {
+		if known := entry.demands[instance]; known != nil {
 			known.requested = known.isWaiting(now)
 		}
 	}
-	for _, one := range demands {
-		a.limitOf(one.Endpoint).demand(instance).update(now, one.Waiting)
+	for _, entry := range demands {
+		a.limitOf(entry.Endpoint).demand(instance).update(now, entry.Waiting)
 	}
 }
 
 // Retain removes the endpoints without a limit, and the demands of instances that are not present.
 func (a *Allocator) Retain(limited func(deployment.EndpointID) bool, present func(instance string) bool) {
 	maps.DeleteFunc(a.endpoints, func(id deployment.EndpointID, _ *endpointLimit) bool { return !limited(id) })
-	for _, one := range a.endpoints {
-		maps.DeleteFunc(one.demands, func(instance string, _ *demand) bool { return !present(instance) })
+	for _, entry := range a.endpoints {
+		maps.DeleteFunc(entry.demands, func(instance string, _ *demand) bool { return !present(instance) })
 	}
 }
 
 // Waiting returns the number of requests that wait for an endpoint's limit at all instances.
 func (a *Allocator) Waiting(now time.Time, id deployment.EndpointID) int {
 	waiting := 0
-	if one := a.endpoints[id]; one != nil {
-		for _, w := range one.demands {
+	if entry := a.endpoints[id]; entry != nil {
+		for _, w := range entry.demands {
 			if w.isWaiting(now) {
 				waiting += max(1, w.waiting)
 			}
@@ -101,14 +102,14 @@
 // for some time, to another instance with demand. Among equal instances, the one that has received no grant for the longest time
 // comes first.
 func (a *Allocator) Allocate(now time.Time, id deployment.EndpointID, rate float64) []Grant {
-	one := a.limitOf(id)
-	one.tokenBucket.refill(now, rate)
-	counts := one.grantWaiting(now)
-	if len(counts) == 0 && one.tokenBucket.hasToken() && one.isUnclaimed(now) {
-		counts = one.grantIdle(now)
+	entry := a.limitOf(id)
+	entry.tokenBucket.refill(now, rate)
+	counts := entry.grantWaiting(now)
+	if len(counts) == 0 && entry.tokenBucket.hasToken() && entry.isUnclaimed(now) {
+		counts = entry.grantIdle(now)
 	}
 	if len(counts) > 0 {
-		one.unclaimedSince = time.Time{}
+		entry.unclaimedSince = time.Time{}
 	}
 	grants := make([]Grant, 0, len(counts))
 	for instance, count := range counts {
@@ -119,12 +120,12 @@
 }
 
 func (a *Allocator) limitOf(id deployment.EndpointID) *endpointLimit {
-	one, ok := a.endpoints[id]
+	entry, ok := a.endpoints[id]
 	if !ok {
-		one = &endpointLimit{demands: make(map[string]*demand)}
-		a.endpoints[id] = one
+		entry = &endpointLimit{demands: make(map[string]*demand)}
+		a.endpoints[id] = entry
 	}
-	return one
+	return entry
 }
 
 func (l *endpointLimit) demand(instance string) *demand {
@@ -152,14 +153,14 @@
 	}
 	waiting := l.inOrder(func(w *demand) bool { return w.isWaiting(now) })
 	for l.tokenBucket.hasToken() && len(waiting) > 0 {
-		for _, one := range waiting {
+		for _, candidate := range waiting {
 			if !l.tokenBucket.hasToken() {
 				break
 			}
-			l.grant(now, one.demand)
-			counts[one.instance]++
+			l.grant(now, candidate.demand)
+			counts[candidate.instance]++
 		}
-		waiting = slices.DeleteFunc(waiting, func(one instanceDemand) bool { return !one.demand.isWaiting(now) })
+		waiting = slices.DeleteFunc(waiting, func(candidate instanceDemand) bool { return !candidate.demand.isWaiting(now) })
 	}
 	return counts
 }
--- a/services/entry/limit/allowance.go
+++ b/services/entry/limit/allowance.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// GrantTTL is how long after it was granted a request may be sent. Longer tolerates slower connections, shorter allows fewer
-// saved-up requests to be sent at once.
+// GrantTTL is how long after it was granted a request may be sent. A longer time tolerates slower connections; a shorter one allows
+// fewer saved-up requests to be sent at once.
 const GrantTTL = time.Second
 
 // Allowance holds the requests that one instance may send to one endpoint. The zero value allows any number.
--- a/services/entry/limit/reported.go
+++ b/services/entry/limit/reported.go
@@ -7,10 +7,11 @@
 
 const (
 	// minRate is the minimum number of requests per second that are allowed for any limit: without a request, no instance would learn
-	// that a limit of zero was lifted. Higher detects that sooner, lower reduces the load on the endpoint.
+	// that a limit of zero was lifted. A higher value detects that sooner; a lower one reduces the load on the endpoint.
 	minRate = 0.2
 	// remoteLiftMargin is by how much a report of another instance that the limit was lifted must be newer than the limit, because
-	// reports are delayed on their way. Longer tolerates slower connections, shorter accepts sooner that a limit was lifted.
+	// reports are delayed on their way. A longer time tolerates slower connections; a shorter one accepts sooner that a limit was
+	// lifted.
 	remoteLiftMargin = time.Second
 )
 
--- a/services/entry/limit/token_bucket.go
+++ b/services/entry/limit/token_bucket.go
@@ -5,8 +5,8 @@
 
 import "time"
 
-// burstDuration is the duration whose requests may be saved up and sent at once, but at least one request. Longer loses fewer
-// requests of an uneven demand, shorter keeps closer to the limit within short periods.
+// burstDuration is the duration whose requests may be saved up and sent at once, but at least one request. A longer time loses
+// fewer requests of an uneven demand; a shorter one keeps closer to the limit within short periods.
 const burstDuration = 250 * time.Millisecond
 
 // tokenBucket counts the requests that a rate has allowed and that were not sent. The zero value is empty, and is filled from the
--- a/services/entry/loading/burst.go
+++ b/services/entry/loading/burst.go
@@ -12,9 +12,9 @@
 // hot sooner; a longer time mistakes fewer random clusters of requests for a burst.
 const burstTimeConstant = time.Second
 
-// burst estimates the demand of the last moment, over burstTimeConstant. The rate over rateTimeConstant shows only a twelfth of a
-// demand that began a second ago, whereas one copy of a hot adapter receives more prompts in that second than its
-// endpoint reads in two.
+// burst estimates the most recent demand, averaged over burstTimeConstant. The rate over rateTimeConstant shows only a twelfth of a
+// demand that began a second ago, whereas one copy of a hot adapter receives more prompts in that second than its endpoint reads in
+// two.
 type burst struct {
 	requests float64
 	// tokens is the total prompt length of the requests.
--- a/services/entry/loading/demand.go
+++ b/services/entry/loading/demand.go
@@ -68,7 +68,7 @@
 	Rate
 	// promptTokens is the rate of prompt tokens in those requests, in tokens a second.
 	promptTokens Rate
-	// burst is the demand of the last moment, over burstTimeConstant.
+	// burst is the most recent demand, averaged over burstTimeConstant.
 	burst   burst
 	waiting map[string]waitingRequests
 	version int64
--- a/services/entry/proxy/acquire.go
+++ b/services/entry/proxy/acquire.go
@@ -13,8 +13,8 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// retryPollInterval is the interval at which the fleet's budget is asked again to grant the retry of an interrupted stream. Longer
-// asks less often, shorter resumes sooner.
+// retryPollInterval is the interval at which the fleet's budget is asked again to grant the retry of an interrupted stream. A
+// longer interval asks less often; a shorter one resumes sooner.
 const retryPollInterval = 100 * time.Millisecond
 
 // placement is an endpoint that accepted a request, with the request as it was passed to the coordinator.
--- a/services/entry/proxy/attempt/ending.go
+++ b/services/entry/proxy/attempt/ending.go
@@ -70,13 +70,14 @@
 
 // The times after which refused callers should retry.
 const (
-	// noConfigurationRetryAfter applies while the instance has no configuration yet. Longer reduces the load on the instances,
-	// shorter serves sooner.
+	// noConfigurationRetryAfter applies while the instance has no configuration yet. A longer time reduces the load on the instances;
+	// a shorter one serves sooner.
 	noConfigurationRetryAfter = 500 * time.Millisecond
-	// stoppingRetryAfter applies while the instance stops: another instance can serve the request immediately. Longer reduces the
-	// load on the instances, shorter serves sooner.
+	// stoppingRetryAfter applies while the instance stops: another instance can serve the request immediately. A longer time reduces
+	// the load on the instances; a shorter one serves sooner.
 	stoppingRetryAfter = 100 * time.Millisecond
-	// notRunRetryAfter applies to requests that no endpoint ran. Longer reduces the load on the instances, shorter serves sooner.
+	// notRunRetryAfter applies to requests that no endpoint ran. A longer time reduces the load on the instances; a shorter one serves
+	// sooner.
 	notRunRetryAfter = 250 * time.Millisecond
 )
 
--- a/services/entry/proxy/attempt/retry.go
+++ b/services/entry/proxy/attempt/retry.go
@@ -20,21 +20,21 @@
 	GiveUp
 )
 
-// maxUnreached is the number of endpoints to which nothing can be sent before the request is given up. More finds a reachable
-// endpoint after many have failed at once, fewer responds sooner.
+// maxUnreached is the number of endpoints to which nothing can be sent before the request is given up. A higher number finds a
+// reachable endpoint after many have failed at once; a lower one responds sooner.
 const maxUnreached = 3
 
 const (
 	// maxResumesInPlace is how many times in a row, without a further event, a stream may be resumed at the endpoint that sent the
-	// caller's events. More tolerates an endpoint that interrupts streams often, fewer ends sooner a stream that no endpoint will
-	// complete.
+	// caller's events. A higher number tolerates an endpoint that interrupts streams often; a lower one ends sooner a stream that no
+	// endpoint will complete.
 	maxResumesInPlace = 5
 	// maxRefusedInPlace is the same limit while the endpoint refuses the stream instead of interrupting it: the endpoint has reported
-	// that it cannot continue. Higher tolerates an endpoint that is briefly full, lower ends sooner a stream that no endpoint
-	// accepts.
+	// that it cannot continue. A higher value tolerates an endpoint that is briefly full; a lower one ends sooner a stream that no
+	// endpoint accepts.
 	maxRefusedInPlace = 2
 	// initialResumeBackoff is the pause before the second resumption in a row at the same endpoint; each further pause is twice as
-	// long, 1.5 s in total. Longer gives an endpoint more time to recover, shorter delivers the next event sooner.
+	// long, 1.5 s in total. A longer time gives an endpoint more time to recover; a shorter one delivers the next event sooner.
 	initialResumeBackoff = 100 * time.Millisecond
 )
 
--- a/services/entry/proxy/attempt/situation.go
+++ b/services/entry/proxy/attempt/situation.go
@@ -59,7 +59,7 @@
 	BodyTooLarge bool
 	// Recalled is set if this instance recalled the request from the current endpoint.
 	Recalled bool
-	// Silent is for how long the current endpoint has sent nothing, on this instance's clock.
+	// Silent is how long the current endpoint has sent nothing, on this instance's clock.
 	Silent time.Duration
 	// CallerLeft is set if the caller closed its connection, according to the request's context.
 	CallerLeft bool
--- a/services/entry/proxy/attempt/timeout.go
+++ b/services/entry/proxy/attempt/timeout.go
@@ -11,28 +11,29 @@
 )
 
 const (
-	// defaultRequestTimeout limits requests whose route and caller set no time-out. Longer lets slow responses complete, shorter
-	// releases sooner the resources of abandoned requests.
+	// defaultRequestTimeout limits requests whose route and caller set no time-out. A longer time lets slow responses complete; a
+	// shorter one releases sooner the resources of abandoned requests.
 	defaultRequestTimeout = 10 * time.Minute
 	// hedgeTimeDivisor divides the time to the deadline of a request with a response that is not a stream: after one such part
 	// without the response head, the request is sent to another endpoint as well. A higher value leaves more time for the second
 	// endpoint, a lower one duplicates fewer requests.
 	hedgeTimeDivisor = 2
-	// minHedgeDelay is the shortest silence after which another endpoint is searched for. Longer leaves the last moments before a
-	// deadline to the current endpoint alone, shorter acquires endpoints that can no longer respond in time.
+	// minHedgeDelay is the shortest silence after which another endpoint is searched for. A longer time leaves the last moments before
+	// a deadline to the current endpoint alone; a shorter one acquires endpoints that can no longer respond in time.
 	minHedgeDelay = 50 * time.Millisecond
 	// silenceParts of silenceParts + 1 parts, nine tenths, of the time that callers wait must have passed in silence for a caller's
 	// disconnect to count against the endpoint: callers measure from when they sent, and on their own clocks. More parts miss more
 	// endpoints that are stuck, fewer parts count disconnects that happened by chance.
 	silenceParts = 9
 	// hedgePauseTargets is the number of the route's pause targets without an event after which another endpoint is searched for, if
-	// the stream can be resumed there. More waits longer for a slow endpoint, fewer resumes streams that would have continued.
+	// the stream can be resumed there. A higher number waits longer for a slow endpoint; a lower one resumes streams that would have
+	// continued.
 	hedgePauseTargets = 4
 	// retryTimeoutDivisor divides the caller's silence time-out: for one such part, an interrupted stream waits until the fleet's
 	// budget grants its retry. A higher value gives the stream up sooner, a lower one leaves less time for its next event.
 	retryTimeoutDivisor = 2
-	// otherEndpointsTimeout is how long only other endpoints are asked to resume an interrupted stream, before its own endpoint may
-	// as well. Longer protects an endpoint that fails, shorter resumes sooner if it is the only one with the adapter.
+	// otherEndpointsTimeout is how long only other endpoints are asked to resume an interrupted stream, before its own endpoint may as
+	// well. A longer time protects an endpoint that fails; a shorter one resumes sooner if it is the only one with the adapter.
 	otherEndpointsTimeout = 100 * time.Millisecond
 )
 
--- a/services/entry/proxy/attempt/verdict.go
+++ b/services/entry/proxy/attempt/verdict.go
@@ -10,7 +10,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 )
 
-// Verdict is what the end of an attempt means for the request and for the endpoint.
+// Verdict is the consequence of the end of an attempt for the request and for the endpoint.
 type Verdict struct {
 	Result Result
 	// Outcome is how the exchange counts for the endpoint's health.
--- a/services/entry/proxy/body.go
+++ b/services/entry/proxy/body.go
@@ -13,8 +13,8 @@
 
 var errBodyTooLarge = errors.New("proxy: body too large")
 
-// maxBufferedBody is the size in bytes up to which a request body is buffered, so that it can be sent again. Larger allows more
-// requests to be retried, smaller takes less memory per request.
+// maxBufferedBody is the size in bytes up to which a request body is buffered, so that it can be sent again. A larger size allows
+// more requests to be retried; a smaller one takes less memory per request.
 const maxBufferedBody = 256 << 10
 
 // requestBody is a fully buffered body, or the buffered beginning of a larger body and a reader of the remainder.
--- a/services/entry/proxy/end_cause_test.go
+++ b/services/entry/proxy/end_cause_test.go
@@ -16,7 +16,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// TestAttemptRecordNamesEndCause guards against log lines of interrupted streams that say only "broken off" and not whether the
+// TestAttemptRecordNamesEndCause guards against log lines of interrupted streams that state only "broken off" and not whether the
 // endpoint, the caller or this instance ended the attempt.
 func TestAttemptRecordNamesEndCause(t *testing.T) {
 	for name, test := range map[string]struct {
--- a/services/entry/proxy/event_buffer.go
+++ b/services/entry/proxy/event_buffer.go
@@ -13,8 +13,8 @@
 	lastEventID string
 }
 
-// maxPendingEvent is the size in bytes up to which an incomplete event is buffered. Larger allows larger events, smaller limits the
-// memory that a faulty endpoint can consume.
+// maxPendingEvent is the size in bytes up to which an incomplete event is buffered. A larger size allows larger events; a smaller
+// one limits the memory that a faulty endpoint can consume.
 const maxPendingEvent = 1 << 20
 
 // tooLong reports whether the buffered incomplete event exceeds maxPendingEvent.
--- a/services/entry/proxy/forwarding.go
+++ b/services/entry/proxy/forwarding.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// maxBufferedResponse is the size in bytes up to which a response is buffered before it is forwarded. Larger allows more
-	// interrupted responses to be retried, smaller takes less memory and starts forwarding sooner.
+	// maxBufferedResponse is the size in bytes up to which a response is buffered before it is forwarded. A larger size allows more
+	// interrupted responses to be retried; a smaller one takes less memory and starts forwarding sooner.
 	maxBufferedResponse = 64 << 10
-	// readBufferSize is the size in bytes of one read of a large response or a stream. Larger makes fewer read calls for large
-	// responses, smaller takes less memory per stream.
+	// readBufferSize is the size in bytes of one read of a large response or a stream. A larger size makes fewer read calls for large
+	// responses; a smaller one takes less memory per stream.
 	readBufferSize = 4 << 10
 )
 
--- a/services/entry/proxy/observation.go
+++ b/services/entry/proxy/observation.go
@@ -134,8 +134,8 @@
 }
 
 // maxLoggedText is the maximum size in bytes of each text in a log line that a caller provides. Usual identifiers are far shorter;
-// without the limit, a caller could fill the queue of log lines. Longer keeps longer identifiers complete, shorter reduces the memory
-// of the queue.
+// without the limit, a caller could fill the queue of log lines. A larger size keeps longer identifiers complete; a smaller one
+// reduces the memory of the queue.
 const maxLoggedText = 256
 
 // truncateForLog truncates a text from a caller to maxLoggedText bytes.
--- a/services/entry/proxy/response_writer.go
+++ b/services/entry/proxy/response_writer.go
@@ -56,12 +56,13 @@
 }
 
 const (
-	// writeMargin is the time after the request's deadline during which its response may still be written, so that a time-out
-	// response reaches the caller. Longer tolerates slower connections, shorter releases sooner a request whose caller does not read.
+	// writeMargin is the time after the request's deadline during which its response may still be written, so that a time-out response
+	// reaches the caller. A longer time tolerates slower connections; a shorter one releases sooner a request whose caller does not
+	// read.
 	writeMargin = 500 * time.Millisecond
-	// shutdownWriteMargin is the time during which the response may still be written after the shutdown of the process has aborted
-	// the request. The request's log line must be written before the process exits. Longer tolerates slower connections, shorter lets
-	// the process exit sooner.
+	// shutdownWriteMargin is the time during which the response may still be written after the shutdown of the process has aborted the
+	// request. The request's log line must be written before the process exits. A longer time tolerates slower connections; a shorter
+	// one lets the process exit sooner.
 	shutdownWriteMargin = 100 * time.Millisecond
 )
 
--- a/services/quarantine/evidence.go
+++ b/services/quarantine/evidence.go
@@ -23,7 +23,7 @@
 	reportDelay = 100 * time.Millisecond
 )
 
-// openCrashes returns the number of the request's crashes since its last complete answer.
+// openCrashes returns the number of the request's crashes since its last complete response.
 func (s *suspect) openCrashes() int {
 	count := 0
 	for _, r := range s.records {
--- a/services/quarantine/hold.go
+++ b/services/quarantine/hold.go
@@ -27,7 +27,7 @@
 	trialRetryAfter = time.Second
 )
 
-// Hold describes why and for how long a request is quarantined.
+// Hold describes why and how long a request is quarantined.
 type Hold struct {
 	// Remaining is the time until the request may be sent again.
 	Remaining time.Duration
@@ -56,7 +56,7 @@
 }
 
 // Admit decides whether an arriving request is quarantined. After a hold it admits one request at a time as a trial, whose outcome is the
-// next crash or a complete answer.
+// next crash or a complete response.
 func (t *Table) Admit(now time.Time, request fingerprint.Fingerprint) (Hold, bool) {
 	hold, held := t.Held(now, request)
 	if held || hold.Endpoints == nil {
@@ -83,7 +83,7 @@
 	return holding
 }
 
-// Release ends the hold of a request, as a complete answer does. It returns false if no crash of the request is recorded.
+// Release ends the hold of a request, as a complete response does. It returns false if no crash of the request is recorded.
 func (t *Table) Release(now time.Time, request fingerprint.Fingerprint) bool {
 	if t.suspects[request] == nil {
 		return false
--- a/services/quarantine/quarantine_test.go
+++ b/services/quarantine/quarantine_test.go
@@ -182,7 +182,7 @@
 	_, held := s.Admit(s.now, request(1))
 	assert.False(t, held)
 	s.RecordAnswered(s.now, request(1))
-	assert.False(t, s.held(1), "a complete answer ends the hold")
+	assert.False(t, s.held(1), "a complete response ends the hold")
 }
 
 func TestTrialWithoutOutcomeIsRepeatedAfterTimeout(t *testing.T) {
@@ -284,7 +284,8 @@
 	}
 }
 
-// TestOwnRecordsIncludeQuarantinedRequests: a new planner gets the records that this instance observed and those of all held requests.
+// TestOwnRecordsIncludeQuarantinedRequests: a new planner gets the records that this instance observed and those of all quarantined
+// requests.
 func TestOwnRecordsIncludeQuarantinedRequests(t *testing.T) {
 	s := newFixture()
 	s.crash("a", 1)
--- a/services/quarantine/table.go
+++ b/services/quarantine/table.go
@@ -25,7 +25,7 @@
 	Endpoint string
 	// Age is how long the record has been known.
 	Age time.Duration
-	// Answered reports whether the request got a complete answer since, so that it was not the cause.
+	// Answered reports whether the request got a complete response since, so that it was not the cause.
 	Answered bool
 }
 
@@ -83,7 +83,7 @@
 	}
 }
 
-// RecordAnswered records a complete answer to a request.
+// RecordAnswered records a complete response to a request.
 func (t *Table) RecordAnswered(now time.Time, request fingerprint.Fingerprint) {
 	known := t.suspects[request]
 	if known == nil {
--- a/services/quarantine/unanswered.go
+++ b/services/quarantine/unanswered.go
@@ -17,15 +17,15 @@
 	maxUnanswered = 64
 )
 
-// unanswered is a request whose exchange ended without a complete answer while its endpoint appeared to keep running: the caller
+// unanswered is a request whose exchange ended without a complete response while its endpoint appeared to keep running: the caller
 // disconnected or the deadline passed. The endpoint may still run the request.
 type unanswered struct {
 	request fingerprint.Fingerprint
 	at      time.Time
 }
 
-// RecordUnanswered records that the exchange of a request ended without a complete answer. If its endpoint ends soon after, or has ended, the end
-// counts against this request as well. Otherwise it would count only against the requests whose callers stayed connected.
+// RecordUnanswered records that the exchange of a request ended without a complete response. If its endpoint ends soon after, or has ended,
+// the end counts against this request as well. Otherwise it would count only against the requests whose callers stayed connected.
 func (t *Table) RecordUnanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	if known := t.endpoints[endpoint]; known != nil {
 		// After that time, a new process may run under the endpoint's name.
