--- a/routers/entry/gateway/server.go
+++ b/routers/entry/gateway/server.go
@@ -35,7 +35,7 @@
 	// CutOffCause is the cause with which the contexts of the requests that are cut off at the end of a shutdown are cancelled.
 	CutOffCause error
 	// ObserveConnection is called with the reason for which a caller's connection ended, and the number of requests read from it that ended
-	// without a complete answer.
+	// without a complete response.
 	ObserveConnection func(reason string, unanswered int)
 	Now               func() time.Time
 	Log               *logrus.Entry
@@ -133,7 +133,7 @@
 	}
 	s.options.Log.WithFields(logrus.Fields{
 		"reason": report.Reason, "caller": report.Caller.String(), "requests": report.Requests, "unanswered": report.Unanswered,
-	}).Error("a connection was closed on a request")
+	}).Error("a caller's connection was closed before all its requests were answered")
 }
 
 // Start starts to listen on all addresses.
@@ -183,13 +183,13 @@
 	writer.WriteHeader(http.StatusOK)
 }
 
-// Leaving reports whether a shutdown has started, so that connections close after their answer.
+// Leaving reports whether a shutdown has started, so that connections close after their response.
 func (s *Server) Leaving() bool {
 	return s.stopping.Load() != 0
 }
 
-// Refusing reports whether a new request is refused because it could not be answered completely before the process ends.
-func (s *Server) Refusing(kind deployment.RouteKind) bool {
+// ShouldRefuse reports whether a new request of a kind is refused because it could not be answered completely before the process ends.
+func (s *Server) ShouldRefuse(kind deployment.RouteKind) bool {
 	began := s.stopping.Load()
 	if began == 0 || kind != deployment.Streaming {
 		return false
@@ -225,7 +225,7 @@
 	cut, cancel := context.WithTimeout(context.Background(), cutOffTimeout)
 	defer cancel()
 	if err := s.listener.Wait(cut); err != nil {
-		s.options.Log.WithField("in_flight", s.InFlight()).Warn("the process ends on requests")
+		s.options.Log.WithField("in_flight", s.InFlight()).Warn("the process ends while requests are still in flight")
 	}
 }
 
--- a/services/daemon/relay/crash.go
+++ b/services/daemon/relay/crash.go
@@ -49,21 +49,21 @@
 func (c *crashRecords) recordCrash(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.table.Crashed(now, request, endpoint)
+	c.table.RecordCrash(now, request, endpoint)
 }
 
 // recordUnanswered records that a request got no answer from an endpoint that was not seen to end, so that the request may still run.
 func (c *crashRecords) recordUnanswered(now time.Time, request fingerprint.Fingerprint, endpoint string) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.table.Unanswered(now, request, endpoint)
+	c.table.RecordUnanswered(now, request, endpoint)
 }
 
 // recordAnswered records a complete answer to a request.
 func (c *crashRecords) recordAnswered(now time.Time, request fingerprint.Fingerprint) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
-	c.table.Answered(now, request)
+	c.table.RecordAnswered(now, request)
 }
 
 // fingerprint returns the fingerprint of the job's request, which identifies repeats of the same request.
--- a/services/entry/coordinator/begin.go
+++ b/services/entry/coordinator/begin.go
@@ -11,14 +11,14 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 )
 
-// Running records that an endpoint has begun to answer a request.
-func (c *Coordinator) Running(request *deployment.Request, assignment Assignment) {
+// MarkRunning records that an endpoint has begun to answer a request.
+func (c *Coordinator) MarkRunning(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
 		c.unbegun.Remove(assignment.Recall)
 		if !c.sameIncarnation(assignment) {
 			return
 		}
-		c.directory.Running(now, assignment.Endpoint.ID, assignment.Assigned, request)
+		c.directory.MarkRunning(now, assignment.Endpoint.ID, assignment.Assigned, request)
 		c.compareVersion(now, request, assignment)
 	})
 }
@@ -44,7 +44,7 @@
 	c.options.Log.WithFields(logrus.Fields{
 		"request": request.ID, "endpoint": assignment.Endpoint.ID, "adapter": request.Adapter.String(), "version": version,
 		"newer": newer, "age_ms": age.Milliseconds(), "limit_ms": limit.Milliseconds(),
-	}).Warn("a request began on an older version after its time")
+	}).Warn("a request began on a former version after the version limit")
 }
 
 // versionAtBegin returns the version on which a request that has begun is assumed to run. Responses name only the base
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -89,10 +89,10 @@
 	planner        *planner
 	gathering      gathering
 	endpointLimits endpointLimits
-	// announcedLeaving holds the endpoints that announced in a response, to this instance or to another one, that they
-	// leave.
-	announcedLeaving map[deployment.EndpointID]bool
-	seedAnswer       seedAnswer
+	// announcedDraining holds the endpoints that announced in a response, to this instance or to another one, that they
+	// are draining.
+	announcedDraining map[deployment.EndpointID]bool
+	seedAnswer        seedAnswer
 	// othersInFlightAt is the mean time at which the known in-flight requests of the other instances were counted. It is
 	// zero if no counts are known.
 	othersInFlightAt time.Time
@@ -122,22 +122,22 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	c := &Coordinator{
-		options:          options,
-		environment:      environment,
-		loop:             loop.New(options.Now),
-		context:          ctx,
-		cancel:           cancel,
-		directory:        directory.New(),
-		keys:             follow.NewKeys(),
-		versions:         follow.NewVersions(),
-		unbegun:          unbegun.NewRequests(),
-		budget:           retry.NewBudget(options.Retry, options.Now()),
-		crashes:          quarantine.NewTable(),
-		demand:           report.NewCounter(),
-		forecasts:        forecast.NewAnnouncements(),
-		gathering:        newGathering(),
-		endpointLimits:   newEndpointLimits(),
-		announcedLeaving: make(map[deployment.EndpointID]bool),
+		options:           options,
+		environment:       environment,
+		loop:              loop.New(options.Now),
+		context:           ctx,
+		cancel:            cancel,
+		directory:         directory.New(),
+		keys:              follow.NewKeys(),
+		versions:          follow.NewVersions(),
+		unbegun:           unbegun.NewRequests(),
+		budget:            retry.NewBudget(options.Retry, options.Now()),
+		crashes:           quarantine.NewTable(),
+		demand:            report.NewCounter(),
+		forecasts:         forecast.NewAnnouncements(),
+		gathering:         newGathering(),
+		endpointLimits:    newEndpointLimits(),
+		announcedDraining: make(map[deployment.EndpointID]bool),
 	}
 	c.leases = &leasestore.Store{
 		Client: environment.Store, Instance: options.Instance, Address: options.PeerAddress,
@@ -230,7 +230,7 @@
 		c.seedAnswer = seedAnswer{}
 	}
 	if queued := c.peerQueueBytes(); queued > peerQueueWarningBytes {
-		c.options.Log.WithField("queued_bytes", queued).Warn("much waits for peers")
+		c.options.Log.WithField("queued_bytes", queued).Warn("more bytes are queued for peers than the warning limit")
 	}
 	if c.planner != nil {
 		c.planner.plans.Sweep(now)
@@ -271,7 +271,7 @@
 	if c.options.ObserveStoreFailure != nil {
 		c.options.ObserveStoreFailure(call)
 	}
-	c.options.Log.WithError(err).WithField("call", call).Warn("the store did not answer as it should")
+	c.options.Log.WithError(err).WithField("call", call).Warn("a call to the store failed")
 }
 
 // minJitter is the smallest factor that jitter applies to a pause. The largest factor is greater by 1.
--- a/services/entry/coordinator/peers.go
+++ b/services/entry/coordinator/peers.go
@@ -97,7 +97,7 @@
 		return false
 	}
 	c.planner.members.Join(r.Instance, stream)
-	c.planner.keysInFlight.Reported(stream, r.ConfigurationRevision)
+	c.planner.keysInFlight.RecordReported(stream, r.ConfigurationRevision)
 	c.planner.applyReport(now, r)
 	c.plan(now)
 	return true
@@ -120,7 +120,7 @@
 	}
 }
 
-// seedAnswerTTL is for how long an answer to a starting peer is reused, so that many peers that start at the same time
+// seedAnswerTTL is how long an answer to a starting peer is reused, so that many peers that start at the same time
 // share one copy of the configuration in memory. A longer time gives older answers; data that the peer reads from the
 // store later replaces them.
 const seedAnswerTTL = 250 * time.Millisecond
@@ -170,6 +170,6 @@
 	if c.planner == nil {
 		return
 	}
-	c.planner.keysInFlight.Ended(stream)
+	c.planner.keysInFlight.RemoveLink(stream)
 	c.planner.members.LinkEnded(now, stream, c.memberSilence())
 }
--- a/services/entry/coordinator/plan/changes.go
+++ b/services/entry/coordinator/plan/changes.go
@@ -31,13 +31,13 @@
 	return len(c.Endpoints) == 0 && len(c.Removed) == 0 && len(c.StartedLoads) == 0 && !c.BaseModelLoadStarted
 }
 
-// Sent discards the changes after a view with them was sent.
-func (p *Plans) Sent() {
+// MarkSent discards the changes. It is called after a view with them was sent.
+func (p *Plans) MarkSent() {
 	clear(p.changes.Endpoints)
 	p.changes.Removed, p.changes.StartedLoads, p.changes.BaseModelLoadStarted = nil, nil, false
 }
 
-// Forecasts returns the loads under way and, by service, the expected time until an adapter that nobody has requested yet could be
+// Forecasts returns the loads under way and, by service, the expected time until an adapter that has not been requested yet could be
 // resident.
 func (p *Plans) Forecasts(now time.Time) (loads []wire.Forecast, backlogs map[string]time.Duration) {
 	backlogs = make(map[string]time.Duration, len(p.planners))
--- a/services/entry/proxy/end_cause_test.go
+++ b/services/entry/proxy/end_cause_test.go
@@ -16,7 +16,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
-// TestAttemptRecordNamesEndCause guards against log lines of interrupted streams that say only "broken off" and not whether the
+// TestAttemptRecordNamesEndCause guards against log lines of interrupted streams that state only "broken off" and not whether the
 // endpoint, the caller or this instance ended the attempt.
 func TestAttemptRecordNamesEndCause(t *testing.T) {
 	for name, test := range map[string]struct {
@@ -33,7 +33,7 @@
 		"deadline passes before response":             {"/unsafe", strings.Repeat(searchSilence, 4), scriptPause, 0, attempt.EndedByDeadline, scriptPause},
 		"deadline passes during stream":               {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 2 * scriptPause, 0, attempt.EndedByDeadline, scriptPause},
 		"caller disconnects":                          {"/stream", chunkedResponse(firstEvent) + strings.Repeat(searchSilence, 4), 0, 2 * scriptPause, attempt.EndedByCaller, scriptPause},
-		"request is taken back":                       {"/stream", scriptQueued, 0, 0, attempt.EndedByTakeBack, 0},
+		"request is recalled":                         {"/stream", scriptQueued, 0, 0, attempt.EndedByRecall, 0},
 		"endpoint sends a complete error":             {"/unsafe", fixedResponse(500, endpointMarkHeader, "no"), 0, 0, "", 0},
 	} {
 		t.Run(name, func(t *testing.T) {
