--- a/tests/platformstandin/caller.go
+++ b/tests/platformstandin/caller.go
@@ -15,15 +15,15 @@
 	"time"
 )
 
-// Call is one request of a caller to an entry. POST is sent if no method is named; Header is laid over the usual one.
+// Call is one request of a caller to an entry instance. An empty Method means POST. Header overrides the default headers.
 type Call struct {
 	Method, Path, Adapter, Body string
 	Header                      map[string]string
-	// From is the caller's own address; the system chooses where it is not valid.
+	// From is the source address of the caller. If it is not valid, the system chooses the address.
 	From netip.Addr
 }
 
-// Answer is what a caller got; Broken is set if the answer did not end as a whole one.
+// Answer is what a caller received. Broken is the error of a request that failed or whose answer was incomplete.
 type Answer struct {
 	ID     string
 	Status int
@@ -32,27 +32,27 @@
 	Broken error
 }
 
-// calls numbers the requests, each of which has an id of its own.
-var calls atomic.Int64
+// requestCount numbers the requests, so that each has a unique ID.
+var requestCount atomic.Int64
 
-// callersClient never repeats and uses a new connection for each request.
-var callersClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
+// sharedClient uses a new connection for each request and never repeats a request.
+var sharedClient = &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}}
 
-// clientFrom gives a client whose connections come from an address.
+// clientFrom returns a client whose connections have the given source address, or sharedClient if the address is not valid.
 func clientFrom(address netip.Addr) *http.Client {
 	if !address.IsValid() {
-		return callersClient
+		return sharedClient
 	}
 	dialer := net.Dialer{LocalAddr: net.TCPAddrFromAddrPort(netip.AddrPortFrom(address, 0))}
 	return &http.Client{Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true, DialContext: dialer.DialContext}}
 }
 
-// Send sends the call to an entry at HOST:PORT and reads the answer to its end.
+// Send sends the call to the entry instance at HOST:PORT and reads the complete answer.
 func (c Call) Send(ctx context.Context, address string) Answer {
 	if c.Method == "" {
 		c.Method = http.MethodPost
 	}
-	answer := Answer{ID: fmt.Sprintf("id-%d", calls.Add(1))}
+	answer := Answer{ID: fmt.Sprintf("id-%d", requestCount.Add(1))}
 	request, err := http.NewRequestWithContext(ctx, c.Method, "http://"+address+c.Path, strings.NewReader(c.Body))
 	if err != nil {
 		answer.Broken = err
@@ -60,10 +60,10 @@
 	}
 	request.Host = Host
 	request.Header.Set(HeaderRequestID, answer.ID)
-	request.Header.Set(headerDeadline, usualDeadline)
+	request.Header.Set(headerDeadline, defaultDeadline)
 	if c.Adapter != "" {
 		request.Header.Set(headerModel, Model+"/"+c.Adapter)
-		request.Header.Set(headerTokens, usualTokens)
+		request.Header.Set(headerTokens, defaultTokens)
 	}
 	for name, value := range c.Header {
 		request.Header.Set(name, value)
@@ -79,16 +79,16 @@
 	return answer
 }
 
-// Head is the head of a request that a caller writes byte by byte.
+// Head is the head of a request that a caller writes to the connection itself.
 type Head struct {
 	Path, ID, Adapter string
-	// Patience is how long the caller says that it will wait; 0 says nothing.
+	// Patience is the deadline that the request names; 0 for none.
 	Patience time.Duration
-	// Framing is the header line that tells the body's length or form.
+	// Framing is the header line with the length or the transfer encoding of the body.
 	Framing string
 }
 
-// String gives the bytes of the head.
+// String returns the encoded head.
 func (h Head) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", h.Path, Host, HeaderRequestID, h.ID)
@@ -96,32 +96,32 @@
 		fmt.Fprintf(&b, "%s: %d\r\n", headerDeadline, h.Patience.Milliseconds())
 	}
 	if h.Adapter != "" {
-		fmt.Fprintf(&b, "%s: %s/%s\r\n%s: %s\r\n", headerModel, Model, h.Adapter, headerTokens, usualTokens)
+		fmt.Fprintf(&b, "%s: %s/%s\r\n%s: %s\r\n", headerModel, Model, h.Adapter, headerTokens, defaultTokens)
 	}
 	b.WriteString(h.Framing + "\r\n\r\n")
 	return b.String()
 }
 
-// Names and usual values of the headers with which callers ask.
+// Names and default values of the headers that callers send.
 const (
-	headerDeadline = "X-Deadline-Ms"
-	headerModel    = "X-Model"
-	headerTokens   = "X-Token-Usage"
-	usualTokens    = "100,20"
-	usualDeadline  = "5000"
+	headerDeadline  = "X-Deadline-Ms"
+	headerModel     = "X-Model"
+	headerTokens    = "X-Token-Usage"
+	defaultTokens   = "100,20"
+	defaultDeadline = "5000"
 )
 
-// NamedVersion gives the key and the value by which an operator names a version of an adapter.
+// NamedVersion returns the key and the value that an operator writes to the store to name a version of an adapter.
 func NamedVersion(adapter string, version int) (key string, value map[string]any) {
 	return "op/version/" + Model + "." + adapter, map[string]any{"model": Model, "adapter": adapter, "version": version}
 }
 
-// Event gives the text of one event of a worker's stream.
+// Event returns the encoding of one event of a worker's stream.
 func Event(number int, id, adapter string) string {
 	return fmt.Sprintf("id: %d\ndata: %s.%s.%d\n\n", number, id, adapter, number)
 }
 
-// PaddedEvent gives an event as Event does, with so many bytes of a comment in it.
+// PaddedEvent returns an event like Event does, with a comment of padding bytes before it.
 func PaddedEvent(number int, id, adapter string, padding int) string {
 	if padding <= 0 {
 		return Event(number, id, adapter)
@@ -129,7 +129,7 @@
 	return ": " + strings.Repeat("x", padding) + "\n" + Event(number, id, adapter)
 }
 
-// RunCounts counts the runs of each request, over several workers.
+// RunCounts returns how often each request ran at the given workers, by request ID.
 func RunCounts(workers ...*Worker) map[string]int {
 	counts := make(map[string]int)
 	for _, worker := range workers {
--- a/tests/platformstandin/output.go
+++ b/tests/platformstandin/output.go
@@ -8,7 +8,7 @@
 	"sync"
 )
 
-// Output takes what a process writes and may be read meanwhile. Its zero value is empty.
+// Output buffers what a process writes, and may be read at the same time. Its zero value is empty.
 type Output struct {
 	mutex  sync.Mutex
 	buffer bytes.Buffer
@@ -21,7 +21,7 @@
 	return o.buffer.Write(content)
 }
 
-// String gives what was written so far.
+// String returns what was written so far.
 func (o *Output) String() string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
--- a/tests/platformstandin/site.go
+++ b/tests/platformstandin/site.go
@@ -10,7 +10,7 @@
 	"time"
 )
 
-// Names on the wire that callers and operators of the example site use.
+// Protocol names that callers and operators of the example site use.
 const (
 	ConfigurationKey = "op/config"
 	HeaderRequestID  = "X-Attempt-Id"
@@ -26,7 +26,7 @@
 	StreamPrefix  = "/chat/"
 	ResumePrefix  = "/digest/"
 	PatientPrefix = "/report/"
-	// PausePrefix and PauseResumePrefix are of WithPausingRoutes.
+	// PausePrefix and PauseResumePrefix are the prefixes of the routes that WithPausingRoutes adds.
 	PausePrefix       = "/survey/"
 	PauseResumePrefix = "/survey-digest/"
 
@@ -41,7 +41,7 @@
 	storeLoadRate = 20.0
 )
 
-// Configuration gives the example configuration; more maps the prefixes of further routes to services.
+// Configuration returns the example configuration. The parameter more maps the prefixes of additional safe routes to services.
 func Configuration(version int, more map[string]string) map[string]any {
 	routes := []map[string]any{
 		route("r-stream", StreamPrefix, "streaming", ModelService, 1, false),
@@ -72,7 +72,7 @@
 	}
 }
 
-// WithPatientRoute adds a route to a configuration whose callers wait for longer than requests may begin on a former version.
+// WithPatientRoute adds a route to a configuration. Callers of the route wait for longer than requests may begin on a former version.
 func WithPatientRoute(configuration map[string]any) map[string]any {
 	patient := route("r-patient", PatientPrefix, "streaming", ModelService, 1, false)
 	patient["timeout_ms"], patient["target_latency_ms"] = 15000, 3000
@@ -80,8 +80,8 @@
 	return configuration
 }
 
-// WithPausingRoutes adds two routes to a configuration whose streams may pause for longer than callers of their target usually listen: one
-// that may be resumed and one that may not.
+// WithPausingRoutes adds two routes to a configuration, one that may be resumed and one that may not. With the given timeout, the streams of
+// the routes may pause for longer than callers usually wait at the target latency of the routes.
 func WithPausingRoutes(configuration map[string]any, timeout time.Duration) map[string]any {
 	once := route("r-survey", PausePrefix, "streaming", ModelService, 1, false)
 	resumable := route("r-survey-digest", PauseResumePrefix, "streaming", ModelService, 2, true)
@@ -90,7 +90,7 @@
 	return configuration
 }
 
-// Settings gives the settings of one entry process.
+// Settings returns the settings of one entry process.
 func Settings(name, zone, ip string, ports Ports, seeds []string, store string) map[string]any {
 	return map[string]any{
 		"node_name": name, "zone": zone, "ip": ip, "role": "entry", "serves": []string{"edge"},
@@ -106,19 +106,18 @@
 	}
 }
 
-// Ports are the ports of an entry process; all processes of a site use the same, each on an IP
-// of its own.
+// Ports are the ports of an entry process. All processes of a site use the same ports, each on its own IP.
 type Ports struct {
 	Callers, Ready, Peers, Metrics uint16
 }
 
-// portTries bounds the search for free ports, with 50 tries for each of four.
-const portTries = 200
+// maxPortTries limits the search for four free ports to 50 tries per port.
+const maxPortTries = 200
 
-// FreePorts gives ports that are free on all the IPs.
+// FreePorts returns ports that are free on all the IPs.
 func FreePorts(ips []string) (Ports, error) {
 	var ports []uint16
-	for range portTries {
+	for range maxPortTries {
 		port, err := freePort(ips)
 		if err != nil {
 			return Ports{}, err
@@ -130,10 +129,10 @@
 			return Ports{Callers: ports[0], Ready: ports[1], Peers: ports[2], Metrics: ports[3]}, nil
 		}
 	}
-	return Ports{}, fmt.Errorf("platformstandin: no free ports on %v", ips)
+	return Ports{}, fmt.Errorf("platformstandin: fewer than four free ports found on %v", ips)
 }
 
-// freePort gives a port that is free on all the IPs, or 0.
+// freePort returns a port that is free on all the IPs, or 0 if the port that it tried is in use on one of them.
 func freePort(ips []string) (uint16, error) {
 	first, err := net.Listen("tcp4", ips[0]+":0")
 	if err != nil {
--- a/tests/platformstandin/store.go
+++ b/tests/platformstandin/store.go
@@ -11,50 +11,50 @@
 	"time"
 )
 
-// StoreFaults are the troubles of a store; the zero value is a sound one.
+// StoreFaults are the faults of a store. The zero value has none.
 type StoreFaults struct {
-	// Down answers every call with 503 and does nothing.
+	// Down makes the store answer every call with 503 and execute none.
 	Down bool
-	// Silent never answers.
+	// Silent makes the store answer no call.
 	Silent bool
-	// LoseAnswers is how many coming writes are done and not answered.
+	// LoseAnswers is how many of the next writes are executed and not answered.
 	LoseAnswers int
-	// LateWrites is how many coming writes are not answered and done after LateBy.
+	// LateWrites is how many of the next writes are not answered, and executed after LateBy.
 	LateWrites int
 	LateBy     time.Duration
-	// Deaf keeps waiting watches from hearing anything.
+	// Deaf makes waiting watches receive no events.
 	Deaf bool
-	// PerSecond is how many calls are answered in each second; the rest get 429. 0 sets no bound.
+	// PerSecond is how many calls are served in each second; the others get 429. 0 means no limit.
 	PerSecond int
 }
 
-// Store is a key-value store in memory that speaks the platform's protocol.
+// Store is an in-memory key-value store with the protocol of the users' platform.
 type Store struct {
-	server    *httptest.Server
-	links     *silentListener
-	mux       *http.ServeMux
-	mutex     sync.Mutex
-	revision  int64
-	compacted int64
-	items     map[string]item
-	history   []item
-	leases    map[int64]*lease
-	nextLease int64
-	changed   chan struct{}
-	faults    StoreFaults
-	// second is the second that rated calls are counted in, and rated how many it has seen.
-	second int64
-	rated  int
-	closed chan struct{}
+	server      *httptest.Server
+	connections *stallableListener
+	mux         *http.ServeMux
+	mutex       sync.Mutex
+	revision    int64
+	compacted   int64
+	items       map[string]item
+	history     []item
+	leases      map[int64]*lease
+	nextLease   int64
+	changed     chan struct{}
+	faults      StoreFaults
+	// second is the Unix time of the second in which callsInSecond are counted.
+	second        int64
+	callsInSecond int
+	closed        chan struct{}
 }
 
 type item struct {
 	Key      string `json:"private_key"`
 	Value    []byte `json:"value,omitempty"`
 	Revision int64  `json:"revision"`
-	Made     int64  `json:"made,omitempty"`
+	Created  int64  `json:"made,omitempty"`
 	Lease    int64  `json:"lease"`
-	Gone     bool   `json:"gone,omitempty"`
+	Deleted  bool   `json:"gone,omitempty"`
 }
 
 type lease struct {
@@ -62,8 +62,8 @@
 	expires time.Time
 }
 
-// leasePace is how often leases are looked at.
-const leasePace = 20 * time.Millisecond
+// leaseCheckInterval is how often leases are checked for expiry.
+const leaseCheckInterval = 20 * time.Millisecond
 
 // NewStore starts a store on a port of the loopback address.
 func NewStore() *Store {
@@ -73,39 +73,39 @@
 	}
 	s.mux = s.routes()
 	s.server = httptest.NewUnstartedServer(s)
-	s.links = newSilentListener(s.server.Listener)
-	s.server.Listener = s.links
+	s.connections = newStallableListener(s.server.Listener)
+	s.server.Listener = s.connections
 	s.server.Start()
 	go s.expireLeases()
 	return s
 }
 
-// Close ends the store.
+// Close stops the store.
 func (s *Store) Close() {
 	close(s.closed)
 	s.server.CloseClientConnections()
 	s.server.Close()
 }
 
-// Address gives IP:PORT.
+// Address returns the address of the store as IP:PORT.
 func (s *Store) Address() string {
 	return s.server.Listener.Addr().String()
 }
 
-// SetFaults replaces the troubles.
+// SetFaults replaces the faults.
 func (s *Store) SetFaults(faults StoreFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.faults = faults
-	s.wake()
+	s.notifyWatches()
 }
 
-// SilenceOpen lets all open connections fall silent for good, without an end of any; new ones work.
+// SilenceOpen stalls all open connections permanently without closing them. New connections work.
 func (s *Store) SilenceOpen() {
-	s.links.silence()
+	s.connections.stallOpen()
 }
 
-// DropHistory forgets all changes so far, as watches see it.
+// DropHistory drops the history of changes, so that watches from before the present revision fail.
 func (s *Store) DropHistory() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -113,7 +113,7 @@
 	s.compacted = s.revision
 }
 
-// RevokeLeases takes away all keys with leases, without a word to their holders.
+// RevokeLeases removes all keys with leases without notifying the lease holders.
 func (s *Store) RevokeLeases() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -123,10 +123,10 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// Put writes a key as the operator or a worker does, and gives its revision.
+// Put writes a key as the operator or a worker does, and returns its revision.
 func (s *Store) Put(key string, value any) int64 {
 	encoded, err := json.Marshal(value)
 	if err != nil {
@@ -136,20 +136,20 @@
 	defer s.mutex.Unlock()
 	s.revision++
 	s.put(key, encoded, 0)
-	s.wake()
+	s.notifyWatches()
 	return s.revision
 }
 
-// Remove removes a key as a worker's silence does.
+// Remove removes a key, as the platform does with the entry of a worker that stopped its heartbeats.
 func (s *Store) Remove(key string) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	s.revision++
 	s.remove(key)
-	s.wake()
+	s.notifyWatches()
 }
 
-// Value gives the value of a key.
+// Value returns the value of a key.
 func (s *Store) Value(key string) ([]byte, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -157,13 +157,13 @@
 	return one.Value, ok
 }
 
-// put writes a key at the present revision, which the caller has raised.
+// put writes a key at the current revision, which the caller has incremented.
 func (s *Store) put(key string, value []byte, leaseID int64) {
 	made := s.revision
 	if former, ok := s.items[key]; ok {
-		made = former.Made
+		made = former.Created
 	}
-	s.items[key] = item{Key: key, Value: value, Revision: s.revision, Made: made, Lease: leaseID}
+	s.items[key] = item{Key: key, Value: value, Revision: s.revision, Created: made, Lease: leaseID}
 	s.history = append(s.history, s.items[key])
 }
 
@@ -172,17 +172,17 @@
 		return
 	}
 	delete(s.items, key)
-	s.history = append(s.history, item{Key: key, Revision: s.revision, Gone: true})
+	s.history = append(s.history, item{Key: key, Revision: s.revision, Deleted: true})
 }
 
-// wake lets waiting watches look again.
-func (s *Store) wake() {
+// notifyWatches wakes waiting watches so that they check for events.
+func (s *Store) notifyWatches() {
 	close(s.changed)
 	s.changed = make(chan struct{})
 }
 
 func (s *Store) expireLeases() {
-	ticker := time.NewTicker(leasePace)
+	ticker := time.NewTicker(leaseCheckInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -208,17 +208,17 @@
 			s.remove(key)
 		}
 	}
-	s.wake()
+	s.notifyWatches()
 }
 
-// overRate counts a call against the rate, if one is set.
-func (s *Store) overRate() bool {
+// exceedsRate counts a call and reports whether it exceeds the rate, if a rate is set.
+func (s *Store) exceedsRate() bool {
 	if s.faults.PerSecond == 0 {
 		return false
 	}
 	if second := time.Now().Unix(); second != s.second {
-		s.second, s.rated = second, 0
+		s.second, s.callsInSecond = second, 0
 	}
-	s.rated++
-	return s.rated > s.faults.PerSecond
+	s.callsInSecond++
+	return s.callsInSecond > s.faults.PerSecond
 }
--- a/tests/platformstandin/store_calls.go
+++ b/tests/platformstandin/store_calls.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// ServeHTTP serves one call, or fails as the faults say.
+// ServeHTTP serves one call, or fails it according to the faults.
 func (s *Store) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	s.mutex.Lock()
-	faults, limited := s.faults, s.overRate()
+	faults, limited := s.faults, s.exceedsRate()
 	s.mutex.Unlock()
 	switch {
 	case faults.Silent:
@@ -31,18 +31,18 @@
 
 func (s *Store) routes() *http.ServeMux {
 	mux := http.NewServeMux()
-	mux.HandleFunc("/-/kv-key", s.answer(s.key))
-	mux.HandleFunc("/-/kv-range", s.answer(s.rangePage))
+	mux.HandleFunc("/-/kv-key", s.handler(s.getKey))
+	mux.HandleFunc("/-/kv-range", s.handler(s.rangePage))
 	mux.HandleFunc("/-/kv-watch", s.serveWatch)
-	mux.HandleFunc("/-/kv-txn", s.answer(s.serveCommit))
-	mux.HandleFunc("/-/kv-lease", s.answer(s.grant))
-	mux.HandleFunc("/-/kv-keep/{id}", s.answer(s.keep))
-	mux.HandleFunc("/-/kv-lease-end/{id}", s.answer(s.release))
+	mux.HandleFunc("/-/kv-txn", s.handler(s.serveCommit))
+	mux.HandleFunc("/-/kv-lease", s.handler(s.grantLease))
+	mux.HandleFunc("/-/kv-keep/{id}", s.handler(s.keepLease))
+	mux.HandleFunc("/-/kv-lease-end/{id}", s.handler(s.releaseLease))
 	return mux
 }
 
-// answer makes a handler of a call that gives a status and, with 200 or 412, a body. The mutex is held.
-func (s *Store) answer(call func(request *http.Request) (int, any)) http.HandlerFunc {
+// handler returns a handler for a call that returns a status and, with 200 or 412, a body. The mutex is held during the call.
+func (s *Store) handler(call func(request *http.Request) (int, any)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		s.mutex.Lock()
 		defer s.mutex.Unlock()
@@ -61,7 +61,7 @@
 	_ = json.NewEncoder(writer).Encode(body)
 }
 
-func (s *Store) key(request *http.Request) (int, any) {
+func (s *Store) getKey(request *http.Request) (int, any) {
 	one, ok := s.items[request.URL.Query().Get("private_key")]
 	if !ok {
 		return http.StatusNotFound, nil
@@ -69,8 +69,8 @@
 	return http.StatusOK, one
 }
 
-// itemsAPage is how many items a page holds; small, so that paging is tried.
-const itemsAPage = 5
+// pageSize is the number of items of a page. It is small so that tests cover paging.
+const pageSize = 5
 
 func (s *Store) rangePage(request *http.Request) (int, any) {
 	query := request.URL.Query()
@@ -82,7 +82,7 @@
 	}
 	slices.Sort(keys)
 	items := []item{}
-	for _, key := range keys[:min(len(keys), itemsAPage)] {
+	for _, key := range keys[:min(len(keys), pageSize)] {
 		items = append(items, s.items[key])
 	}
 	return http.StatusOK, map[string]any{"items": items, "more": len(keys) > len(items), "at": s.revision}
@@ -93,7 +93,7 @@
 	after, _ := strconv.ParseInt(query.Get("after"), 10, 64)
 	wait, _ := strconv.Atoi(query.Get("wait_ms"))
 	timeout := time.After(time.Duration(wait) * time.Millisecond)
-	// A watch that was deaf once stays so until it ends.
+	// A watch that was open while StoreFaults.Deaf was set receives no events until it ends.
 	deaf := false
 	for {
 		s.mutex.Lock()
@@ -167,7 +167,7 @@
 	return status, answer
 }
 
-// commit does a transaction whole or not at all.
+// commit applies all changes of a transaction or none.
 func (s *Store) commit(body transaction) (int, any) {
 	var differ []item
 	for _, one := range body.Expected {
@@ -186,7 +186,7 @@
 			return http.StatusForbidden, map[string]any{}
 		}
 	}
-	// All changes of a transaction have one revision.
+	// All changes of a transaction have the same revision.
 	s.revision++
 	for _, one := range body.Put {
 		s.put(one.Key, one.Value, one.Lease)
@@ -194,11 +194,11 @@
 	for _, key := range body.Remove {
 		s.remove(key)
 	}
-	s.wake()
+	s.notifyWatches()
 	return http.StatusOK, map[string]any{"revision": s.revision}
 }
 
-func (s *Store) grant(request *http.Request) (int, any) {
+func (s *Store) grantLease(request *http.Request) (int, any) {
 	var body struct {
 		TTL int64 `json:"ttl_ms"`
 	}
@@ -211,7 +211,7 @@
 	return http.StatusOK, map[string]any{"lease": s.nextLease, "ttl_ms": body.TTL}
 }
 
-func (s *Store) keep(request *http.Request) (int, any) {
+func (s *Store) keepLease(request *http.Request) (int, any) {
 	id, _ := strconv.ParseInt(request.PathValue("id"), 10, 64)
 	one, ok := s.leases[id]
 	if !ok {
@@ -221,7 +221,7 @@
 	return http.StatusOK, map[string]any{"ttl_ms": one.ttl.Milliseconds()}
 }
 
-func (s *Store) release(request *http.Request) (int, any) {
+func (s *Store) releaseLease(request *http.Request) (int, any) {
 	id, _ := strconv.ParseInt(request.PathValue("id"), 10, 64)
 	if _, ok := s.leases[id]; !ok {
 		return http.StatusNotFound, nil
--- a/tests/platformstandin/worker.go
+++ b/tests/platformstandin/worker.go
@@ -14,98 +14,98 @@
 	"time"
 )
 
-// WorkerOptions are the size and speed of a worker.
+// WorkerOptions are the identity, the size and the speed of a worker.
 type WorkerOptions struct {
 	ID      string
 	Service string
 	Zone    string
 	Slots   int
-	// Model is its base model; empty for a plain service.
+	// Model is the base model of the worker; empty for a worker of a plain service.
 	Model    string
 	Capacity int
 	LoadTime time.Duration
-	// Events and Pause are the length and pace of a stream, unless its query names others.
+	// Events is the number of events of a stream, and Pause the time between them. The query of a request overrides them.
 	Events int
 	Pause  time.Duration
-	// Address is where it listens; empty for a free port of 127.0.0.1.
+	// Address is the address on which the worker listens; empty for a free port of 127.0.0.1.
 	Address string
-	// Crash is called before Worker.Crash where a request crashes the worker, and may end the process; nil for none.
+	// Crash is called before Worker.Crash if a request crashes the worker, and may end the process; nil for none.
 	Crash func()
-	// Journal gets each begin and end of a run, if set; it must not call the worker.
+	// Journal receives each event of a run, if set. It must not call the worker.
 	Journal func(RunEvent)
 }
 
-// Registry takes a worker's own entry.
+// Registry writes and removes the store entry of a worker.
 type Registry struct {
 	Put    func(key string, value any)
 	Remove func(key string)
 }
 
-// RunPhase is what a RunEvent tells of a run.
+// RunPhase is the kind of a RunEvent.
 type RunPhase string
 
 // The phases of a run.
 const (
-	// RunBegan: the worker began to work on the request.
+	// RunBegan means that the worker began to run the request.
 	RunBegan RunPhase = "began"
-	// RunWhole: the worker has written its whole answer.
+	// RunWhole means that the worker has written the complete answer.
 	RunWhole RunPhase = "whole"
-	// RunCanceled: whoever sent the request closed the connection before.
+	// RunCanceled means that the sender of the request closed the connection before the complete answer was written.
 	RunCanceled RunPhase = "canceled"
-	// RunCrashed: the worker ended by it.
+	// RunCrashed means that the request crashed the worker.
 	RunCrashed RunPhase = "crashed"
-	// RunArrived: a request arrived, whether or not it runs; told once the worker has said something of itself in an answer.
+	// RunArrived means that a request arrived, whether or not it runs. It is recorded from the first notice of the worker on.
 	RunArrived RunPhase = "arrived"
-	// RunTold: whoever sent the request has an answer in which the worker says something of itself.
+	// RunTold means that the sender of the request has received an answer with a notice of the worker.
 	RunTold RunPhase = "told"
-	// RunBroke: the worker itself broke the answer off, hung or answered with an error.
+	// RunBroke means that the worker interrupted the answer, hung or answered with an error.
 	RunBroke RunPhase = "broke"
 )
 
-// RunEvent is the begin or the end of a run.
+// RunEvent is the begin or the end of a run, or the arrival or the answer of a request.
 type RunEvent struct {
 	At    time.Time `json:"at"`
 	Phase RunPhase  `json:"phase"`
-	// Endpoint is the worker; ID, Adapter, Version and Resumed are the run's.
+	// Endpoint is the ID of the worker. ID, Adapter, Version and Resumed are those of the run.
 	Endpoint string `json:"endpoint"`
 	ID       string `json:"id"`
 	Adapter  string `json:"adapter,omitempty"`
 	Version  int    `json:"version,omitempty"`
 	Resumed  string `json:"resumed,omitempty"`
-	// Said is what the worker says of itself in the answer.
+	// Said is the notice of the worker in the answer.
 	Said Notice `json:"said,omitzero"`
 }
 
-// Notice is what a worker says of itself in an answer.
+// Notice is what a worker announces about itself in the headers of an answer.
 type Notice struct {
-	// Limit is the requests a second that it takes, and Rest the seconds for which it wants nothing; empty for none.
+	// Limit is how many requests per second the worker accepts, and Rest for how many seconds it wants no requests; empty for none.
 	Limit   string `json:"limit,omitempty"`
 	Leaving bool   `json:"leaving,omitempty"`
 	Rest    string `json:"rest,omitempty"`
 }
 
-// WorkerFaults are the troubles of a worker; the zero value is a sound one.
+// WorkerFaults are the faults of a worker. The zero value has none.
 type WorkerFaults struct {
-	// Errors, Resets, Sheds and Hangs are how many coming requests end so: with 500 after a
-	// run, by a reset after a run, refused without a run, never.
+	// Errors is how many of the next requests run and are answered with 500, and Resets how many run and have their connection
+	// reset. Sheds is how many are rejected without a run, and Hangs how many are never answered.
 	Errors, Resets, Sheds, Hangs int
-	// BreakAfter breaks coming streams off after so many events, in the middle of the next.
+	// BreakAfter is the number of complete events of an interrupted stream, which ends in the middle of the next event.
 	BreakAfter int
-	// Breaks is how many streams break off.
+	// Breaks is how many of the next streams are interrupted.
 	Breaks int
-	// Extras is how many coming answers are followed by a second one.
+	// Extras is how many of the next answers are sent twice on their connection.
 	Extras int
-	// Unsealed is how many successes come without the worker's mark.
+	// Unsealed is how many of the next answers lack the seal header of the worker.
 	Unsealed int
-	// LoseOrders is how many coming orders are carried out and not answered.
+	// LoseOrders is how many of the next orders are executed and not answered.
 	LoseOrders int
-	// KeepsQueued has what waits in the worker's queue begin though its caller has closed the connection.
+	// KeepsQueued makes a queued request begin although its sender has closed the connection.
 	KeepsQueued bool
-	// Says is what each answer says of the worker, whatever its entry says; with a Rest, each request is turned away.
+	// Says is the notice in each answer, whatever the store entry of the worker contains. With a Rest, each request is rejected.
 	Says Notice
 }
 
-// Run is one request that a worker began to work on.
+// Run is one request that a worker began to run.
 type Run struct {
 	ID       string
 	Adapter  string
@@ -113,11 +113,11 @@
 	Deadline string
 	Resumed  string
 	Canceled bool
-	// Began is when the worker began to work on it.
+	// Began is when the worker began to run the request.
 	Began time.Time
 }
 
-// OrderSeen is one order that arrived.
+// OrderSeen is one order that a worker received.
 type OrderSeen struct {
 	Operation string
 	Adapter   string
@@ -126,47 +126,47 @@
 	At        time.Time
 }
 
-// Worker is one endpoint that keeps its own entry in the store.
+// Worker is a fake endpoint that writes its own entry to the store.
 type Worker struct {
-	options  WorkerOptions
-	registry Registry
-	server   *httptest.Server
-	links    *silentListener
-	mutex    sync.Mutex
-	faults   WorkerFaults
-	sequence int64
-	adapters map[string]int
-	pending  map[string]time.Time
-	versions map[string]int
-	inUse    map[string]int
-	runs     []*Run
-	arrivals []time.Time
-	// hasSaid is set once an answer says something of the worker.
-	hasSaid bool
-	// rests is when requests were turned away with a time to rest.
-	rests    []time.Time
-	orders   []OrderSeen
-	overfull int
-	state    string
-	// queueWait is how long each request waits before it begins; queued is how many wait.
+	options     WorkerOptions
+	registry    Registry
+	server      *httptest.Server
+	connections *stallableListener
+	mutex       sync.Mutex
+	faults      WorkerFaults
+	sequence    int64
+	adapters    map[string]int
+	pending     map[string]time.Time
+	versions    map[string]int
+	inUse       map[string]int
+	runs        []*Run
+	arrivals    []time.Time
+	// hasAnnounced is set once an answer has had a notice.
+	hasAnnounced bool
+	// rests are the times at which requests were rejected with a time to rest.
+	rests             []time.Time
+	orders            []OrderSeen
+	overCapacityLoads int
+	state             string
+	// queueWait is how long each request waits before it begins. queued is how many requests wait.
 	queueWait time.Duration
 	queued    int
-	// described is the sequence at the last description; stop ends the heartbeats.
-	described int64
-	stop      chan struct{}
+	// describedSequence is the sequence at the last write of the store entry. stop ends the heartbeats.
+	describedSequence int64
+	stop              chan struct{}
 }
 
-// EntryKey is the key of a worker's own entry.
+// EntryKey returns the key of the store entry of a worker.
 func EntryKey(id string) string {
 	return "servers/" + id
 }
 
-// NewWorker starts a worker and writes its entry into a store of the same process.
+// NewWorker starts a worker and writes its entry to a store in the same process.
 func NewWorker(store *Store, options WorkerOptions) *Worker {
 	return NewRegisteredWorker(Registry{Put: func(key string, value any) { store.Put(key, value) }, Remove: store.Remove}, options)
 }
 
-// NewRegisteredWorker starts a worker and writes its entry.
+// NewRegisteredWorker starts a worker and writes its entry to the registry.
 func NewRegisteredWorker(registry Registry, options WorkerOptions) *Worker {
 	w := &Worker{
 		options: options, registry: registry, adapters: make(map[string]int), pending: make(map[string]time.Time),
@@ -174,7 +174,7 @@
 	}
 	w.server = httptest.NewUnstartedServer(w)
 	if options.Address != "" {
-		// As httptest does where it finds no port of its own.
+		// Panic if the worker cannot listen, as httptest does.
 		_ = w.server.Listener.Close()
 		listener, err := net.Listen("tcp4", options.Address)
 		if err != nil {
@@ -182,19 +182,19 @@
 		}
 		w.server.Listener = listener
 	}
-	w.links = newSilentListener(w.server.Listener)
-	w.server.Listener = w.links
+	w.connections = newStallableListener(w.server.Listener)
+	w.server.Listener = w.connections
 	w.server.Start()
 	w.Describe()
-	go w.beat()
+	go w.heartbeatLoop()
 	return w
 }
 
-// BeatPace is the pause between two heartbeats.
+// BeatPace is the interval of the heartbeats.
 const BeatPace = 300 * time.Millisecond
 
-// beat describes the worker again when what it holds has changed.
-func (w *Worker) beat() {
+// heartbeatLoop writes the store entry of the worker again when the adapters that it holds have changed.
+func (w *Worker) heartbeatLoop() {
 	ticker := time.NewTicker(BeatPace)
 	defer ticker.Stop()
 	for {
@@ -203,8 +203,8 @@
 			return
 		case <-ticker.C:
 			w.mutex.Lock()
-			w.settle()
-			due := w.sequence != w.described && w.state == "ready"
+			w.finishLoads()
+			due := w.sequence != w.describedSequence && w.state == "ready"
 			w.mutex.Unlock()
 			if due {
 				w.Describe()
@@ -213,9 +213,9 @@
 	}
 }
 
-// SilenceOpen lets all open connections fall silent for good, without an end of any; new ones work.
+// SilenceOpen stalls all open connections permanently without closing them. New connections work.
 func (w *Worker) SilenceOpen() {
-	w.links.silence()
+	w.connections.stallOpen()
 }
 
 // ResetOpen closes all open connections.
@@ -223,38 +223,38 @@
 	w.server.CloseClientConnections()
 }
 
-// Close ends the worker without a word.
+// Close ends the worker. Its store entry stays.
 func (w *Worker) Close() {
-	w.endBeats()
+	w.stopHeartbeats()
 	w.server.CloseClientConnections()
 	w.server.Close()
 }
 
-// Crash ends the worker at once with all that it does: connections to its address are refused. Its entry stays.
+// Crash ends the worker and all its requests at once, so that connections to its address are refused. Its store entry stays.
 func (w *Worker) Crash() {
-	w.endBeats()
-	// The server ends anyway.
+	w.stopHeartbeats()
+	// The server ends even if its listener cannot be closed.
 	_ = w.server.Config.Close()
 }
 
-// HasEnded tells whether the worker has crashed or was closed.
+// HasEnded reports whether the worker has crashed or was closed.
 func (w *Worker) HasEnded() bool {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.state == "closed"
 }
 
-// ID is the worker's name.
+// ID returns the ID of the worker.
 func (w *Worker) ID() string {
 	return w.options.ID
 }
 
-// Address is where the worker listens.
+// Address returns the address on which the worker listens.
 func (w *Worker) Address() string {
 	return w.server.Listener.Addr().String()
 }
 
-func (w *Worker) endBeats() {
+func (w *Worker) stopHeartbeats() {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	if w.state != "closed" {
@@ -263,11 +263,11 @@
 	}
 }
 
-// Describe writes the worker's entry.
+// Describe writes the store entry of the worker.
 func (w *Worker) Describe() {
 	w.mutex.Lock()
-	w.settle()
-	w.described = w.sequence
+	w.finishLoads()
+	w.describedSequence = w.sequence
 	entry := map[string]any{
 		"service": w.options.Service, "address": w.server.Listener.Addr().String(), "zone": w.options.Zone, "version": "v1",
 		"slots": w.options.Slots, "state": w.state, "cold_remaining_ms": 0, "sequence": 0, "models": w.models(),
@@ -276,7 +276,7 @@
 	w.registry.Put(EntryKey(w.options.ID), entry)
 }
 
-// Drain says that the worker leaves.
+// Drain writes to the store that the worker leaves.
 func (w *Worker) Drain() {
 	w.mutex.Lock()
 	w.state = "draining"
@@ -284,7 +284,7 @@
 	w.Describe()
 }
 
-// Vanish removes the entry without a notice.
+// Vanish removes the store entry of the worker without draining the worker first.
 func (w *Worker) Vanish() {
 	w.mutex.Lock()
 	w.state = "gone"
@@ -292,42 +292,42 @@
 	w.registry.Remove(EntryKey(w.options.ID))
 }
 
-// SetFaults replaces the troubles.
+// SetFaults replaces the faults.
 func (w *Worker) SetFaults(faults WorkerFaults) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.faults = faults
 }
 
-// SetQueueWait makes each coming request wait before it begins, as in the queue of an endpoint that is full.
+// SetQueueWait makes each later request wait before it begins, as in the queue of an endpoint that is full.
 func (w *Worker) SetQueueWait(wait time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.queueWait = wait
 }
 
-// Queued is how many requests wait to begin.
+// Queued returns how many requests wait to begin.
 func (w *Worker) Queued() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return w.queued
 }
 
-// SetLoadTime sets how long each coming load takes.
+// SetLoadTime sets how long each later load takes.
 func (w *Worker) SetLoadTime(loadTime time.Duration) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.options.LoadTime = loadTime
 }
 
-// Name names the version that later loads of an adapter bring.
+// Name sets the version that later loads of an adapter result in.
 func (w *Worker) Name(adapter string, version int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.versions[adapter] = version
 }
 
-// Runs gives what ran so far.
+// Runs returns the requests that began to run so far.
 func (w *Worker) Runs() []Run {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -338,18 +338,18 @@
 	return copied
 }
 
-// Orders gives the orders that arrived so far.
+// Orders returns the orders that the worker received so far.
 func (w *Worker) Orders() []OrderSeen {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.orders)
 }
 
-// Overfull is how many orders went beyond the worker's places.
+// Overfull returns how many load orders exceeded the capacity of the worker.
 func (w *Worker) Overfull() int {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	return w.overfull
+	return w.overCapacityLoads
 }
 
 func (w *Worker) models() []map[string]any {
@@ -363,8 +363,8 @@
 	return []map[string]any{{"name": w.options.Model, "version": 1, "adapters": names}}
 }
 
-// settle ends the loads whose time is over.
-func (w *Worker) settle() {
+// finishLoads makes adapters resident whose load time has passed.
+func (w *Worker) finishLoads() {
 	now := time.Now()
 	for adapter, at := range w.pending {
 		if now.Before(at) {
@@ -375,7 +375,7 @@
 	}
 }
 
-// ServeHTTP serves one call.
+// ServeHTTP serves orders, reports and the requests of callers.
 func (w *Worker) ServeHTTP(writer http.ResponseWriter, request *http.Request) {
 	if expected := request.Header.Get("X-Expect-Instance"); expected != "" && expected != w.options.ID {
 		writer.Header().Set("X-Instance-Id", w.options.ID)
@@ -395,7 +395,7 @@
 func (w *Worker) serveReport(writer http.ResponseWriter) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.settle()
+	w.finishLoads()
 	pending := []string{}
 	for adapter := range w.pending {
 		pending = append(pending, w.options.Model+"/"+adapter+"@1")
@@ -417,7 +417,7 @@
 	}
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
-	w.settle()
+	w.finishLoads()
 	w.orders = append(w.orders, OrderSeen{Operation: body.Operation, Adapter: body.Adapter, Holder: body.Holder, Token: body.Token, At: time.Now()})
 	status := http.StatusConflict
 	if body.Expected == nil || *body.Expected == w.sequence {
@@ -429,10 +429,10 @@
 	writer.WriteHeader(status)
 }
 
-// take carries an order out.
+// take executes an order and returns the HTTP status of the answer.
 func (w *Worker) take(operation, adapter string) int {
 	_, resident := w.adapters[adapter]
-	_, coming := w.pending[adapter]
+	_, loading := w.pending[adapter]
 	if operation == "unload" {
 		if !resident {
 			return http.StatusOK
@@ -447,11 +447,11 @@
 	switch {
 	case resident && w.adapters[adapter] >= w.versions[adapter]:
 		return http.StatusOK
-	case coming:
+	case loading:
 		return http.StatusAccepted
 	}
 	if !resident && len(w.adapters)+len(w.pending) >= w.options.Capacity {
-		w.overfull++
+		w.overCapacityLoads++
 	}
 	w.sequence++
 	w.pending[adapter] = time.Now().Add(w.options.LoadTime)
--- a/tests/platformstandin/worker_requests.go
+++ b/tests/platformstandin/worker_requests.go
@@ -13,18 +13,18 @@
 	"time"
 )
 
-// fault is the trouble of one request.
-type fault int
+// requestFault is the fault that one request gets.
+type requestFault int
 
 const (
-	faultNone fault = iota
+	faultNone requestFault = iota
 	faultError
 	faultReset
 	faultShed
 	faultHang
 )
 
-// take uses one of a number of coming faults, if any is left.
+// take decrements a count of remaining faults. It reports whether any was left.
 func take(count *int) bool {
 	if *count <= 0 {
 		return false
@@ -33,7 +33,7 @@
 	return true
 }
 
-func (w *Worker) nextFault() fault {
+func (w *Worker) nextFault() requestFault {
 	switch {
 	case take(&w.faults.Errors):
 		return faultError
@@ -47,35 +47,35 @@
 	return faultNone
 }
 
-// noteArrival counts a request that arrived, has its answer say what the worker says of itself, and gives that.
-func (w *Worker) noteArrival(writer http.ResponseWriter, request *http.Request) Notice {
+// recordArrival records that a request arrived. It sets the headers of the worker's notice in the answer and returns the notice.
+func (w *Worker) recordArrival(writer http.ResponseWriter, request *http.Request) Notice {
 	w.mutex.Lock()
 	w.arrivals = append(w.arrivals, time.Now())
-	said := w.faults.Says
-	w.hasSaid = w.hasSaid || said != (Notice{})
-	told := w.hasSaid
+	notice := w.faults.Says
+	w.hasAnnounced = w.hasAnnounced || notice != (Notice{})
+	recorded := w.hasAnnounced
 	w.mutex.Unlock()
-	if said.Limit != "" {
-		writer.Header().Set("Server-Limit", said.Limit)
+	if notice.Limit != "" {
+		writer.Header().Set("Server-Limit", notice.Limit)
 	}
-	if said.Leaving {
+	if notice.Leaving {
 		writer.Header().Set("Server-Leaving", "1")
 	}
-	if told {
-		w.journalNotice(RunArrived, request, said)
+	if recorded {
+		w.recordNotice(RunArrived, request, notice)
 	}
-	return said
+	return notice
 }
 
-// journalNotice writes to the journal what a request was or is told.
-func (w *Worker) journalNotice(phase RunPhase, request *http.Request, said Notice) {
+// recordNotice writes an event of a request and the notice in its answer to the journal.
+func (w *Worker) recordNotice(phase RunPhase, request *http.Request, notice Notice) {
 	if w.options.Journal != nil {
-		w.options.Journal(RunEvent{At: time.Now(), Phase: phase, Endpoint: w.options.ID, ID: request.Header.Get(HeaderRequestID), Said: said})
+		w.options.Journal(RunEvent{At: time.Now(), Phase: phase, Endpoint: w.options.ID, ID: request.Header.Get(HeaderRequestID), Said: notice})
 	}
 }
 
-// turnAway answers that a request does not run, and that the worker wants to rest.
-func (w *Worker) turnAway(writer http.ResponseWriter, rest string) {
+// rejectForRest rejects a request without a run, with Retry-After as the time for which the worker wants no requests.
+func (w *Worker) rejectForRest(writer http.ResponseWriter, rest string) {
 	w.mutex.Lock()
 	w.rests = append(w.rests, time.Now())
 	w.mutex.Unlock()
@@ -84,55 +84,55 @@
 	writer.WriteHeader(http.StatusServiceUnavailable)
 }
 
-// Rests gives when requests were turned away with a time to rest, in order.
+// Rests returns when requests were rejected with a time to rest, in order.
 func (w *Worker) Rests() []time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.rests)
 }
 
-// Arrivals gives when requests arrived, in order, whether or not they ran.
+// Arrivals returns when requests arrived, in order, whether or not they ran.
 func (w *Worker) Arrivals() []time.Time {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.arrivals)
 }
 
-// serveRequest serves a request, and notes that whoever sent it has been told what the answer says of the worker.
+// serveRequest serves a request, and records that its sender has received the notice in the answer.
 func (w *Worker) serveRequest(writer http.ResponseWriter, request *http.Request) {
-	said := w.noteArrival(writer, request)
-	if said.Rest != "" {
-		w.turnAway(writer, said.Rest)
+	notice := w.recordArrival(writer, request)
+	if notice.Rest != "" {
+		w.rejectForRest(writer, notice.Rest)
 	} else {
 		w.run(writer, request)
 	}
-	if said != (Notice{}) && request.Context().Err() == nil {
-		w.journalNotice(RunTold, request, said)
+	if notice != (Notice{}) && request.Context().Err() == nil {
+		w.recordNotice(RunTold, request, notice)
 	}
 }
 
-// run runs a request, unless it can't; a panic breaks its answer off.
+// run runs a request, or rejects it if a fault says so or the worker does not hold the model, adapter or version. A panic aborts the answer.
 func (w *Worker) run(writer http.ResponseWriter, request *http.Request) {
 	body, err := io.ReadAll(request.Body)
 	if err != nil {
 		return
 	}
 	model, adapter, _ := strings.Cut(request.Header.Get("X-Model"), "/")
-	if !w.queue(request) {
+	if !w.waitInQueue(request) {
 		return
 	}
 	w.mutex.Lock()
-	w.settle()
+	w.finishLoads()
 	version, resident := w.adapters[adapter]
-	trouble := w.nextFault()
-	wrong := w.options.Model != "" && (model != w.options.Model || (adapter != "" && !resident))
+	fault := w.nextFault()
+	misdirected := w.options.Model != "" && (model != w.options.Model || (adapter != "" && !resident))
 	if expected := request.Header.Get("X-Expect-Version"); expected != "" && expected != strconv.Itoa(version) {
-		wrong = true
+		misdirected = true
 	}
-	if trouble == faultShed || wrong {
+	if fault == faultShed || misdirected {
 		w.mutex.Unlock()
 		writer.Header().Set("X-Not-Executed", "1")
-		if wrong {
+		if misdirected {
 			writer.WriteHeader(http.StatusMisdirectedRequest)
 			return
 		}
@@ -146,7 +146,7 @@
 	w.runs = append(w.runs, run)
 	w.inUse[adapter]++
 	w.mutex.Unlock()
-	w.note(run, RunBegan)
+	w.recordPhase(run, RunBegan)
 	phase := RunBroke
 	defer func() {
 		w.mutex.Lock()
@@ -157,14 +157,14 @@
 			phase = RunCanceled
 		}
 		if phase != RunCrashed {
-			w.note(run, phase)
+			w.recordPhase(run, phase)
 		}
 	}()
-	phase = w.answer(writer, request, trouble, run, body)
+	phase = w.answer(writer, request, fault, run, body)
 }
 
-// note writes a phase of a run to the journal, if there is one.
-func (w *Worker) note(run *Run, phase RunPhase) {
+// recordPhase writes a phase of a run to the journal, if set.
+func (w *Worker) recordPhase(run *Run, phase RunPhase) {
 	if w.options.Journal == nil {
 		return
 	}
@@ -173,26 +173,27 @@
 	})
 }
 
-// queue waits until a request begins; false if its caller left before.
-func (w *Worker) queue(request *http.Request) bool {
+// waitInQueue waits until a request begins. It returns false if the sender closed the connection before.
+func (w *Worker) waitInQueue(request *http.Request) bool {
 	wait, keeps := w.enterQueue()
 	defer w.leaveQueue()
 	if wait == 0 {
 		return true
 	}
-	left := request.Context().Done()
+	disconnected := request.Context().Done()
 	if keeps {
-		left = nil
+		disconnected = nil
 	}
 	select {
 	case <-time.After(wait):
 		return true
-	case <-left:
+	case <-disconnected:
 		return false
 	}
 }
 
-// enterQueue counts a request that waits, and gives how long it will, and whether it stays when its caller leaves.
+// enterQueue counts a request as waiting. It returns how long the request waits, and whether the request stays in the queue when its sender
+// closes the connection.
 func (w *Worker) enterQueue() (wait time.Duration, keeps bool) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
@@ -206,12 +207,12 @@
 	w.queued--
 }
 
-// answer answers a request that runs, and tells how the run ended; a panic breaks it off.
-func (w *Worker) answer(writer http.ResponseWriter, request *http.Request, trouble fault, run *Run, body []byte) RunPhase {
+// answer answers a request that runs, and returns how the run ended. A panic aborts the answer.
+func (w *Worker) answer(writer http.ResponseWriter, request *http.Request, fault requestFault, run *Run, body []byte) RunPhase {
 	if request.URL.Query().Has(CrashParameter) {
-		return w.crashBy(request, run)
+		return w.crashByRequest(request, run)
 	}
-	switch trouble {
+	switch fault {
 	case faultHang:
 		<-request.Context().Done()
 		return RunBroke
@@ -225,7 +226,7 @@
 	if !unsealed {
 		writer.Header().Set(HeaderSeal, w.options.ID+"."+run.ID)
 	}
-	if trouble == faultError {
+	if fault == faultError {
 		writer.WriteHeader(http.StatusInternalServerError)
 		return RunBroke
 	}
@@ -244,14 +245,15 @@
 	return RunWhole
 }
 
-// CrashParameter is in the query of a request that ends the worker which runs it, and says how many milliseconds after its begin.
+// CrashParameter is the query parameter of a request that crashes the worker which runs it. Its value is the time from the begin of the run
+// to the crash, in milliseconds.
 const CrashParameter = "crash_ms"
 
-// crashBy ends the worker.
-func (w *Worker) crashBy(request *http.Request, run *Run) RunPhase {
+// crashByRequest crashes the worker after the time that the request names.
+func (w *Worker) crashByRequest(request *http.Request, run *Run) RunPhase {
 	time.Sleep(queryMilliseconds(request, CrashParameter, 0))
-	// Where the process ends, nothing is written any more.
-	w.note(run, RunCrashed)
+	// Record the phase first, since options.Crash may end the process.
+	w.recordPhase(run, RunCrashed)
 	if w.options.Crash != nil {
 		w.options.Crash()
 	}
@@ -259,21 +261,21 @@
 	return RunCrashed
 }
 
-// queryNumber gives a number that the request's query names, or the usual one.
-func queryNumber(request *http.Request, name string, usual int) int {
+// queryNumber returns a number of the request's query, or the fallback if the query has no such number.
+func queryNumber(request *http.Request, name string, fallback int) int {
 	number, err := strconv.Atoi(request.URL.Query().Get(name))
 	if err != nil {
-		return usual
+		return fallback
 	}
 	return number
 }
 
-// queryMilliseconds gives a time that the request's query names, or the usual one.
-func queryMilliseconds(request *http.Request, name string, usual time.Duration) time.Duration {
-	return time.Duration(queryNumber(request, name, int(usual.Milliseconds()))) * time.Millisecond
+// queryMilliseconds returns a duration of the request's query, given in milliseconds, or the fallback if the query has no such number.
+func queryMilliseconds(request *http.Request, name string, fallback time.Duration) time.Duration {
+	return time.Duration(queryNumber(request, name, int(fallback.Milliseconds()))) * time.Millisecond
 }
 
-// answerTwice sends a whole answer and the same once more on the same connection.
+// answerTwice sends a complete answer twice on the same connection.
 func (w *Worker) answerTwice(writer http.ResponseWriter, run *Run) {
 	conn, _, err := writer.(http.Hijacker).Hijack()
 	if err != nil {
@@ -286,7 +288,7 @@
 	_ = conn.Close()
 }
 
-// stream makes events with rising ids, after the one that the caller has.
+// stream sends events with increasing IDs, beginning after the last event that the caller has received.
 func (w *Worker) stream(writer http.ResponseWriter, request *http.Request, run *Run) {
 	first := 1
 	if run.Resumed != "" {
