--- a/tests/standin/caller.go
+++ b/tests/standin/caller.go
@@ -19,26 +19,26 @@
 type Call struct {
 	ID, Model, Class, Caller string
 	Tokens                   int
-	// Once asks that it runs at most once, Whole for one answer in place of a stream.
+	// Once requests that the call runs at most once, Whole that it has a single answer instead of a stream.
 	Once, Whole bool
-	// Client keeps the caller's connections; nil shares those of all.
+	// Client holds the connections of the caller; nil means http.DefaultClient, whose connections all callers share.
 	Client *http.Client
 }
 
-// Answer is what a caller got; Done is set once the answer has ended as a whole one.
+// Answer is what a caller received. Done is set if the answer was complete.
 type Answer struct {
 	Status                int
 	Model, Endpoint, Text string
 	Done                  bool
-	// Failure and Outcome are the code and the outcome of an error.
+	// Failure and Outcome are the code and the outcome in the body of an error.
 	Failure, Outcome string
-	// RetryAfter and Stalled are what the header says, First the time to the first event.
+	// RetryAfter and Stalled are the values of the Retry-After and X-Stalled-Ms headers. First is the time to the first event.
 	RetryAfter, Stalled, First time.Duration
 	Err                        error
 }
 
-// chunk is an event of a stream, a whole answer, or the body of an error.
-type chunk struct {
+// responseBody is an event of a stream, a complete answer, or the body of an error.
+type responseBody struct {
 	Model   string `json:"model"`
 	Choices []struct {
 		Delta   chatMessage `json:"delta"`
@@ -50,7 +50,7 @@
 	} `json:"error"`
 }
 
-// Expected gives the text of the call's whole answer.
+// Expected returns the text of the complete answer to the call.
 func (c Call) Expected() string {
 	text := ""
 	for i := range c.Tokens {
@@ -59,7 +59,7 @@
 	return text
 }
 
-// Send sends the call to a daemon at HOST:PORT and reads its answer to the end.
+// Send sends the call to the daemon at HOST:PORT and reads the complete answer.
 func (c Call) Send(ctx context.Context, address string) Answer {
 	body, err := json.Marshal(map[string]any{
 		"model": c.Model, "stream": !c.Whole, "max_tokens": c.Tokens, "messages": []chatMessage{{Role: "user", Content: "please answer " + c.ID}},
@@ -100,12 +100,12 @@
 }
 
 func (a *Answer) readWhole(response *http.Response) {
-	var one chunk
-	a.Err = json.NewDecoder(response.Body).Decode(&one)
-	if one.Error != nil {
-		a.Failure, a.Outcome = one.Error.Code, one.Error.Outcome
-	} else if len(one.Choices) > 0 {
-		a.Text, a.Done = one.Choices[0].Message.Content, true
+	var body responseBody
+	a.Err = json.NewDecoder(response.Body).Decode(&body)
+	if body.Error != nil {
+		a.Failure, a.Outcome = body.Error.Code, body.Error.Outcome
+	} else if len(body.Choices) > 0 {
+		a.Text, a.Done = body.Choices[0].Message.Content, true
 	}
 }
 
@@ -123,19 +123,19 @@
 			a.Done = true
 			return
 		}
-		var one chunk
-		if a.Err = json.Unmarshal([]byte(data), &one); a.Err != nil {
+		var event responseBody
+		if a.Err = json.Unmarshal([]byte(data), &event); a.Err != nil {
 			return
 		}
-		if one.Error != nil {
-			a.Failure, a.Outcome = one.Error.Code, one.Error.Outcome
+		if event.Error != nil {
+			a.Failure, a.Outcome = event.Error.Code, event.Error.Outcome
 			return
 		}
-		if one.Model != a.Model {
-			a.Err = fmt.Errorf("an event of %q in an answer of %q", one.Model, a.Model)
+		if event.Model != a.Model {
+			a.Err = fmt.Errorf("stream event has model %q, but the response header has model %q", event.Model, a.Model)
 			return
 		}
-		a.Text += one.Choices[0].Delta.Content
+		a.Text += event.Choices[0].Delta.Content
 	}
 	a.Err = lines.Err()
 }
--- a/tests/standin/cluster.go
+++ b/tests/standin/cluster.go
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
 )
 
-// ClusterOptions say what a cluster of stand-ins holds.
+// ClusterOptions are the sizes and times of a cluster of fakes.
 type ClusterOptions struct {
 	Halls          []string
 	EnginesPerHall int
@@ -26,16 +26,16 @@
 	MaxBatch       int
 	Step           time.Duration
 	Load           time.Duration
-	// UnfencedEvery makes each so-manieth engine of a hall check no fences; zero for none.
+	// UnfencedEvery makes every n-th engine of a hall, with n = UnfencedEvery, check no fences. Zero makes all engines check them.
 	UnfencedEvery int
 	ListLag       time.Duration
 	StoreRate     float64
 	StoreAtOnce   int
-	// Began gets each begin of a run, with the engine's name and the identifier that a daemon gave the run, if set.
+	// Began is called when a run begins, with the name of the engine and the request ID that the daemon gave the run, if set.
 	Began func(engine, id string)
 }
 
-// DefaultClusterOptions give a small cluster that is quick enough for tests.
+// DefaultClusterOptions returns the options of a small cluster that is fast enough for tests.
 func DefaultClusterOptions() ClusterOptions {
 	return ClusterOptions{
 		Halls: []string{"h1", "h2"}, EnginesPerHall: 2, Bases: []string{"base-a"}, Slots: 4, MaxBatch: 16, Step: 10 * time.Millisecond,
@@ -43,7 +43,7 @@
 	}
 }
 
-// EngineEntry is one engine with its place.
+// EngineEntry is one engine with its name, hall, base model and address.
 type EngineEntry struct {
 	Name, Hall, Base string
 	Address          netip.AddrPort
@@ -51,7 +51,7 @@
 	Engine           *Engine
 }
 
-// Cluster is everything around the product, on loopback.
+// Cluster is the environment of the daemon, served on loopback ports.
 type Cluster struct {
 	Options ClusterOptions
 	Engines []*EngineEntry
@@ -68,7 +68,7 @@
 	stop    chan struct{}
 }
 
-// StartCluster starts all stand-ins on ports that the system picks.
+// StartCluster starts all fakes on ports that the system chooses.
 func StartCluster(o ClusterOptions) (*Cluster, error) {
 	c := &Cluster{
 		Options: o, KV: NewKV(), List: NewList(o.ListLag), Store: NewStore(o.StoreRate, o.StoreAtOnce, o.Load),
@@ -76,18 +76,18 @@
 	}
 	var err error
 	serve := func(h http.Handler) netip.AddrPort {
-		var at netip.AddrPort
+		var address netip.AddrPort
 		if err == nil {
-			at, err = c.serve(h)
+			address, err = c.serve(h)
 		}
-		return at
+		return address
 	}
 	c.KVAddress = serve(c.KV.Handler())
 	c.ListAddress = serve(c.List.Handler())
 	c.PlainAddress = serve(c.Plain.Handler())
 	for _, hall := range o.Halls {
 		for n := range o.EnginesPerHall {
-			e := c.engine(hall, n)
+			e := c.newEngine(hall, n)
 			e.Address = serve(e.Engine.Handler())
 			c.Engines = append(c.Engines, e)
 			go e.Engine.Run(c.stop)
@@ -96,7 +96,7 @@
 	return c, err
 }
 
-func (c *Cluster) engine(hall string, n int) *EngineEntry {
+func (c *Cluster) newEngine(hall string, n int) *EngineEntry {
 	o := c.Options
 	checks := o.UnfencedEvery == 0 || (n+1)%o.UnfencedEvery != 0
 	e := &EngineEntry{Name: fmt.Sprintf("%s-e%d", hall, n+1), Hall: hall, Base: o.Bases[n%len(o.Bases)], ChecksFence: checks}
@@ -113,7 +113,7 @@
 func (c *Cluster) serve(h http.Handler) (netip.AddrPort, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
-		return netip.AddrPort{}, fmt.Errorf("stand-in: %w", err)
+		return netip.AddrPort{}, fmt.Errorf("listen for a fake service: %w", err)
 	}
 	s := &http.Server{Handler: h, ReadHeaderTimeout: 10 * time.Second}
 	c.servers = append(c.servers, s)
@@ -125,7 +125,7 @@
 	return l.Addr().(*net.TCPAddr).AddrPort(), nil
 }
 
-// Close ends all stand-ins.
+// Close stops all fakes.
 func (c *Cluster) Close() {
 	close(c.stop)
 	for _, s := range c.servers {
@@ -133,7 +133,7 @@
 	}
 }
 
-// InstancePlace is where an instance listens; zero ports are picked by the system.
+// InstancePlace is an instance with the addresses on which it listens. The system chooses a port that is zero.
 type InstancePlace struct {
 	ID        string
 	Hall      string
@@ -142,52 +142,52 @@
 	Peers     netip.AddrPort
 }
 
-// Loopback makes a place whose ports the system picks.
+// Loopback returns an instance that listens on loopback ports which the system chooses.
 func Loopback(id, hall string) InstancePlace {
 	anyPort := netip.MustParseAddrPort("127.0.0.1:0")
 	return InstancePlace{ID: id, Hall: hall, Callers: anyPort, Operators: anyPort, Peers: anyPort}
 }
 
-// OperatorKey is the key of the one operator of stand-in settings.
+// OperatorKey is the key of the only operator in the settings that SettingsText returns.
 const OperatorKey = "stand-in-operator-key"
 
-func hashOf(key string) string {
+func sha256Hex(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// settingsFile mirrors the daemon's settings as far as stand-ins need them.
-type settingsFile map[string]any
+// settingsMap is an object of the daemon's settings.
+type settingsMap map[string]any
 
-// SettingsText gives the settings of an instance, with changes laid over them.
+// SettingsText returns the settings of an instance as JSON. The changes replace top-level fields.
 func (c *Cluster) SettingsText(p InstancePlace, changes map[string]any) string {
-	var endpoints []settingsFile
+	var endpoints []settingsMap
 	for _, e := range c.Engines {
-		endpoints = append(endpoints, settingsFile{
+		endpoints = append(endpoints, settingsMap{
 			"name": e.Name, "hall": e.Hall, "kind": "engine", "address": e.Address, "bases": []string{e.Base}, "slots": c.Options.Slots,
 			"max_batch": c.Options.MaxBatch, "step": c.Options.Step.String(), "load": c.Options.Load.String(), "checks_fence": e.ChecksFence,
 		})
 	}
 	for _, hall := range c.Options.Halls {
-		endpoints = append(endpoints, settingsFile{
+		endpoints = append(endpoints, settingsMap{
 			"name": hall + "-tickets", "hall": hall, "kind": "plain", "address": c.PlainAddress, "max_batch": 64, "prefix": "/tickets/",
 		})
 	}
-	all := settingsFile{
-		"instance": settingsFile{"id": p.ID, "hall": p.Hall},
-		"listen": settingsFile{
-			"callers": settingsFile{"address": p.Callers}, "operators": settingsFile{"address": p.Operators}, "peers": settingsFile{"address": p.Peers},
+	all := settingsMap{
+		"instance": settingsMap{"id": p.ID, "hall": p.Hall},
+		"listen": settingsMap{
+			"callers": settingsMap{"address": p.Callers}, "operators": settingsMap{"address": p.Operators}, "peers": settingsMap{"address": p.Peers},
 		},
 		"halls": c.Options.Halls, "endpoints": endpoints,
-		"classes": []settingsFile{
+		"classes": []settingsMap{
 			{"name": "kiosk", "priority": 10, "stall_weight": 4}, {"name": "traveller", "priority": 8, "stall_weight": 2},
 			{"name": "overnight", "priority": 1, "stall_weight": 0.1, "patient": true},
 		},
-		"kv": settingsFile{"addresses": []netip.AddrPort{c.KVAddress}}, "platform": settingsFile{"list": c.ListAddress},
-		"weight_store": settingsFile{"loads_per_second": c.Options.StoreRate, "at_full_speed": c.Options.StoreAtOnce},
-		"limits":       settingsFile{"leave_notice": "200ms"},
-		"operators":    settingsFile{"keys": []settingsFile{{"name": "demo", "role": "admin", "sha256": hashOf(OperatorKey)}}, "failures_per_minute": 1000},
-		"log":          settingsFile{"level": "info"},
+		"kv": settingsMap{"addresses": []netip.AddrPort{c.KVAddress}}, "platform": settingsMap{"list": c.ListAddress},
+		"weight_store": settingsMap{"loads_per_second": c.Options.StoreRate, "at_full_speed": c.Options.StoreAtOnce},
+		"limits":       settingsMap{"leave_notice": "200ms"},
+		"operators":    settingsMap{"keys": []settingsMap{{"name": "demo", "role": "admin", "sha256": sha256Hex(OperatorKey)}}, "failures_per_minute": 1000},
+		"log":          settingsMap{"level": "info"},
 	}
 	for name, value := range changes {
 		all[name] = value
@@ -199,12 +199,12 @@
 	return string(text)
 }
 
-// ListEntry gives an instance's line in the platform's list.
+// ListEntry returns the entry of an instance in the platform's list.
 func ListEntry(p InstancePlace) instancelist.Entry {
 	return instancelist.Entry{Name: p.ID, Kind: instancelist.KindInstance, Hall: p.Hall, Address: p.Peers, Operator: p.Operators, State: instancelist.StateLive}
 }
 
-// Violations lists every promise that an engine saw broken.
+// Violations returns the violations of all engines; see Engine.Violations.
 func (c *Cluster) Violations() []string {
 	var out []string
 	for _, e := range c.Engines {
@@ -215,7 +215,7 @@
 	return out
 }
 
-// Runs counts how often each request began to run on any engine.
+// Runs returns how often each request began to run on the engines, by request ID.
 func (c *Cluster) Runs() map[string]int {
 	out := make(map[string]int)
 	for _, e := range c.Engines {
--- a/tests/standin/engine.go
+++ b/tests/standin/engine.go
@@ -25,13 +25,13 @@
 	MaxBatch    int
 	Step        time.Duration
 	ChecksFence bool
-	// Fetch takes the weights from the weight store.
+	// Fetch fetches weights from the weight store.
 	Fetch func(name string) error
-	// Began gets each begin of a run with the identifier that the daemon gave it, if set; it must not call the engine.
+	// Began is called when a run begins, with the request ID that the daemon gave the run, if set. It must not call the engine.
 	Began func(id string)
 }
 
-// Engine is a model engine with continuous batches and adapter slots.
+// Engine is a fake model engine with continuous batching and adapter slots.
 type Engine struct {
 	options     EngineOptions
 	mutex       sync.Mutex
@@ -43,7 +43,7 @@
 	runs        map[string]*run
 	queue       []*run
 	running     int
-	ran         map[string]int
+	runCounts   map[string]int
 	violations  []string
 	loads       int
 	evictions   int
@@ -51,25 +51,25 @@
 
 // run is one request on the engine.
 type run struct {
-	id      string
-	model   string
-	nonce   string
-	tokens  int
-	made    int
-	started bool
-	ended   bool
-	broken  bool
-	changed chan struct{}
-	readers int
-	idle    time.Time
+	id         string
+	model      string
+	nonce      string
+	tokens     int
+	generated  int
+	started    bool
+	ended      bool
+	aborted    bool
+	changed    chan struct{}
+	readers    int
+	lastReadAt time.Time
 }
 
-// resumeLife is how long a run without a reader goes on before it counts as cancelled.
-const resumeLife = 3 * time.Second
+// resumeTimeout is how long a run without a reader continues before it is cancelled.
+const resumeTimeout = 3 * time.Second
 
-// NewEngine makes an empty engine; Run makes it work.
+// NewEngine returns an engine without adapters. Call Run to process its requests.
 func NewEngine(o EngineOptions) *Engine {
-	e := &Engine{options: o, ran: make(map[string]int)}
+	e := &Engine{options: o, runCounts: make(map[string]int)}
 	e.reset()
 	return e
 }
@@ -80,7 +80,7 @@
 	e.resident = make(map[string]bool)
 	e.loading = make(map[string]bool)
 	for _, r := range e.runs {
-		r.broken = true
+		r.aborted = true
 		close(r.changed)
 	}
 	e.runs = make(map[string]*run)
@@ -88,35 +88,35 @@
 	e.running = 0
 }
 
-// Restart empties the engine and breaks off what ran.
+// Restart unloads all adapters, aborts all runs and starts a new incarnation of the engine.
 func (e *Engine) Restart() {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	e.reset()
 }
 
-// Violations lists promises that this engine saw broken.
+// Violations returns the cases in which an adapter was unloaded while a running or queued request used it.
 func (e *Engine) Violations() []string {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return slices.Clone(e.violations)
 }
 
-// Runs counts how often each request began to run here.
+// Runs returns how often each request began to run on the engine, by request ID.
 func (e *Engine) Runs() map[string]int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return maps.Clone(e.ran)
+	return maps.Clone(e.runCounts)
 }
 
-// Counts gives the loads and evictions so far.
+// Counts returns the numbers of loads and evictions so far.
 func (e *Engine) Counts() (loads, evictions int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.loads, e.evictions
 }
 
-// Run takes the batch's steps until stop is closed.
+// Run executes the steps of the batch until stop is closed.
 func (e *Engine) Run(stop <-chan struct{}) {
 	ticker := time.NewTicker(e.options.Step)
 	defer ticker.Stop()
@@ -130,7 +130,7 @@
 	}
 }
 
-// step makes one token for each running request and starts queued ones in free places.
+// step generates one token for each running request and starts queued requests in free places of the batch.
 func (e *Engine) step(now time.Time) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
@@ -138,38 +138,38 @@
 		if !r.started || r.ended {
 			continue
 		}
-		if r.readers == 0 && now.Sub(r.idle) > resumeLife {
-			e.end(r, true)
+		if r.readers == 0 && now.Sub(r.lastReadAt) > resumeTimeout {
+			e.endRun(r, true)
 			continue
 		}
-		r.made++
-		if r.made >= r.tokens {
-			e.end(r, false)
+		r.generated++
+		if r.generated >= r.tokens {
+			e.endRun(r, false)
 			continue
 		}
-		r.wake()
+		r.notifyReaders()
 	}
-	e.admit()
+	e.startQueued()
 }
 
-// wake tells the readers of a run that something changed.
-func (r *run) wake() {
+// notifyReaders wakes the readers of a run after a change.
+func (r *run) notifyReaders() {
 	close(r.changed)
 	r.changed = make(chan struct{})
 }
 
-func (e *Engine) end(r *run, broken bool) {
-	r.ended, r.broken = true, broken
+func (e *Engine) endRun(r *run, aborted bool) {
+	r.ended, r.aborted = true, aborted
 	if r.started {
 		e.running--
 	}
-	r.wake()
+	r.notifyReaders()
 	if r.readers == 0 {
 		delete(e.runs, r.id)
 	}
 }
 
-func (e *Engine) admit() {
+func (e *Engine) startQueued() {
 	for len(e.queue) > 0 && e.running < e.options.MaxBatch {
 		r := e.queue[0]
 		e.queue = e.queue[1:]
@@ -181,23 +181,23 @@
 		}
 		r.started = true
 		e.running++
-		e.ran[r.id]++
+		e.runCounts[r.id]++
 		if e.options.Began != nil {
 			e.options.Began(r.id)
 		}
 	}
 }
 
-// Handler serves the engine's paths.
+// Handler returns a handler for the engine's paths.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /v1/models", e.models)
 	mux.HandleFunc("GET /health", func(w http.ResponseWriter, _ *http.Request) { e.mutex.Lock(); e.headers(w); e.mutex.Unlock() })
 	mux.HandleFunc("GET /metrics", e.metrics)
-	mux.HandleFunc("POST /v1/fence", e.take)
+	mux.HandleFunc("POST /v1/fence", e.setFence)
 	mux.HandleFunc("POST /v1/load_lora_adapter", e.load)
 	mux.HandleFunc("POST /v1/unload_lora_adapter", e.unload)
-	mux.HandleFunc("POST /v1/chat/completions", e.complete)
+	mux.HandleFunc("POST /v1/chat/completions", e.serveCompletion)
 	mux.HandleFunc("DELETE /v1/requests/{id...}", e.cancel)
 	return mux
 }
@@ -253,7 +253,7 @@
 	return strings.Join(slices.Sorted(maps.Keys(names)), ",")
 }
 
-// Running gives the number of requests in the batch.
+// Running returns the number of requests in the batch.
 func (e *Engine) Running() int {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
--- a/tests/standin/engine_orders.go
+++ b/tests/standin/engine_orders.go
@@ -11,8 +11,9 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/engine"
 )
 
-// allowed checks an order's fence and incarnation; the mutex is held.
-func (e *Engine) allowed(w http.ResponseWriter, q *http.Request, order bool) bool {
+// checkFence checks the fence and the incarnation of a call, and of an order also the holder of an equal fence. It answers with 412 and returns
+// false if they do not match. The caller holds the mutex.
+func (e *Engine) checkFence(w http.ResponseWriter, q *http.Request, order bool) bool {
 	if !e.options.ChecksFence {
 		return true
 	}
@@ -27,10 +28,10 @@
 	return true
 }
 
-func (e *Engine) take(w http.ResponseWriter, q *http.Request) {
+func (e *Engine) setFence(w http.ResponseWriter, q *http.Request) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !e.allowed(w, q, true) {
+	if !e.checkFence(w, q, true) {
 		return
 	}
 	e.fence, _ = strconv.ParseUint(q.Header.Get(engine.HeaderFence), 10, 64)
@@ -73,7 +74,7 @@
 func (e *Engine) beginLoad(w http.ResponseWriter, q *http.Request, name string) bool {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !e.allowed(w, q, true) {
+	if !e.checkFence(w, q, true) {
 		return false
 	}
 	if e.resident[name] || e.loading[name] {
@@ -95,7 +96,7 @@
 	}
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	if !e.allowed(w, q, true) {
+	if !e.checkFence(w, q, true) {
 		return
 	}
 	for _, r := range e.runs {
@@ -116,7 +117,7 @@
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	if r := e.runs[q.PathValue("id")]; r != nil && !r.ended {
-		e.end(r, true)
+		e.endRun(r, true)
 	}
 	e.headers(w)
 }
--- a/tests/standin/engine_stream.go
+++ b/tests/standin/engine_stream.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/engine"
 )
 
-// completionBody is what the engine reads of a request.
+// completionBody holds the fields of a request that the engine uses.
 type completionBody struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -27,10 +27,11 @@
 	Content string `json:"content"`
 }
 
-const usualTokens = 16
+// defaultTokens is the number of tokens of an answer if the request names none.
+const defaultTokens = 16
 
-// nonce gives the part of a prompt that every token repeats, so that a caller can
-// tell its own answer from any other.
+// nonce returns the last word of a prompt. Each token of the answer repeats it, so that a caller can distinguish its own answer from
+// others.
 func nonce(prompt string) string {
 	fields := strings.Fields(prompt)
 	if len(fields) == 0 {
@@ -39,39 +40,39 @@
 	return fields[len(fields)-1]
 }
 
-// Token gives the text of one token.
+// Token returns the text of one token.
 func Token(nonce string, index int) string {
 	return nonce + "#" + strconv.Itoa(index) + " "
 }
 
-func (e *Engine) complete(w http.ResponseWriter, q *http.Request) {
+func (e *Engine) serveCompletion(w http.ResponseWriter, q *http.Request) {
 	var b completionBody
 	if err := json.NewDecoder(q.Body).Decode(&b); err != nil {
 		http.Error(w, "bad body", http.StatusBadRequest)
 		return
 	}
 	from, _ := strconv.Atoi(q.Header.Get(engine.HeaderResumeFrom))
-	r, ok := e.begin(w, q, b, from)
+	r, ok := e.enqueue(w, q, b, from)
 	if !ok {
 		return
 	}
-	defer e.leave(r)
+	defer e.removeReader(r)
 	if b.Stream {
-		e.stream(w, q, r, from)
+		e.writeStream(w, q, r, from)
 		return
 	}
-	e.whole(w, q, r)
+	e.writeWhole(w, q, r)
 }
 
-// begin queues a request, or finds the run that a caller wants to resume.
-func (e *Engine) begin(w http.ResponseWriter, q *http.Request, b completionBody, from int) (*run, bool) {
+// enqueue queues a request, or returns the run that a caller wants to resume.
+func (e *Engine) enqueue(w http.ResponseWriter, q *http.Request, b completionBody, from int) (*run, bool) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	id := q.Header.Get(engine.HeaderRequestID)
 	if from > 0 {
 		return e.resume(w, id)
 	}
-	if !e.allowed(w, q, false) {
+	if !e.checkFence(w, q, false) {
 		return nil, false
 	}
 	if !e.resident[b.Model] {
@@ -92,7 +93,7 @@
 func newRun(id string, b completionBody) *run {
 	r := &run{id: id, model: b.Model, nonce: "none", tokens: b.MaxTokens, changed: make(chan struct{}), readers: 1}
 	if r.tokens <= 0 {
-		r.tokens = usualTokens
+		r.tokens = defaultTokens
 	}
 	if len(b.Messages) > 0 {
 		r.nonce = nonce(b.Messages[len(b.Messages)-1].Content)
@@ -102,7 +103,7 @@
 
 func (e *Engine) resume(w http.ResponseWriter, id string) (*run, bool) {
 	r := e.runs[id]
-	if r == nil || r.broken {
+	if r == nil || r.aborted {
 		w.Header().Set(engine.HeaderNotRun, "true")
 		http.Error(w, "no such run", http.StatusNotFound)
 		return nil, false
@@ -114,36 +115,36 @@
 	return r, true
 }
 
-// leave takes a reader away from a run; one without readers goes on for a while.
-func (e *Engine) leave(r *run) {
+// removeReader removes a reader from a run. A run without readers continues for resumeTimeout.
+func (e *Engine) removeReader(r *run) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	r.readers--
-	r.idle = time.Now()
+	r.lastReadAt = time.Now()
 	if r.readers == 0 && r.ended && e.runs[r.id] == r {
 		delete(e.runs, r.id)
 	}
 }
 
-// progress gives what a run has made so far and what to wait on for more.
-func (e *Engine) progress(r *run) (made int, ended, broken bool, changed <-chan struct{}) {
+// progress returns the number of tokens that a run has generated, its state, and a channel that is closed at the next change.
+func (e *Engine) progress(r *run) (generated int, ended, aborted bool, changed <-chan struct{}) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return r.made, r.ended, r.broken, r.changed
+	return r.generated, r.ended, r.aborted, r.changed
 }
 
-func (e *Engine) stream(w http.ResponseWriter, q *http.Request, r *run, from int) {
+func (e *Engine) writeStream(w http.ResponseWriter, q *http.Request, r *run, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	flusher := w.(http.Flusher)
 	sent := from
 	for {
-		made, ended, broken, changed := e.progress(r)
-		for ; sent < made; sent++ {
+		generated, ended, aborted, changed := e.progress(r)
+		for ; sent < generated; sent++ {
 			if _, err := w.Write(event(r, sent)); err != nil {
 				return
 			}
 		}
-		if broken {
+		if aborted {
 			panic(http.ErrAbortHandler)
 		}
 		if ended {
@@ -164,10 +165,10 @@
 		r.id, r.model, Token(r.nonce, index))
 }
 
-func (e *Engine) whole(w http.ResponseWriter, q *http.Request, r *run) {
+func (e *Engine) writeWhole(w http.ResponseWriter, q *http.Request, r *run) {
 	for {
-		_, ended, broken, changed := e.progress(r)
-		if broken {
+		_, ended, aborted, changed := e.progress(r)
+		if aborted {
 			panic(http.ErrAbortHandler)
 		}
 		if ended {
--- a/tests/standin/kv.go
+++ b/tests/standin/kv.go
@@ -16,13 +16,13 @@
 
 // KVFaults are the faults of a key-value service.
 type KVFaults struct {
-	// Down refuses every call before it is done.
+	// Down makes the service answer every call with 503 and execute none.
 	Down bool
-	// LoseAnswers is the number of coming writes that are done and never answered.
+	// LoseAnswers is how many of the next writes are executed and not answered.
 	LoseAnswers int
 }
 
-// KV is a key-value service in etcd v3's HTTP/JSON form, held in memory.
+// KV is an in-memory key-value service with the HTTP/JSON form of the etcd v3 protocol.
 type KV struct {
 	mutex    sync.Mutex
 	revision int64
@@ -48,7 +48,7 @@
 	events chan kv.WatchEvent
 }
 
-// NewKV makes an empty service.
+// NewKV returns an empty service.
 func NewKV() *KV {
 	return &KV{
 		pairs: make(map[string]kv.Pair), leases: make(map[int64]*kvLease), watchers: make(map[*kvWatcher]bool),
@@ -56,7 +56,7 @@
 	}
 }
 
-// SetFaults replaces the faults; watches break when the service goes down.
+// SetFaults replaces the faults. With Down, all watches end.
 func (s *KV) SetFaults(f KVFaults) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -70,21 +70,21 @@
 	}
 }
 
-// Usage gives the reads, the writes and the bytes written so far, and the largest value.
+// Usage returns the numbers of reads, writes and written bytes so far, and the size of the largest value.
 func (s *KV) Usage() (reads, writes, bytes int64, largest int) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return s.reads, s.writes, s.bytes, s.largest
 }
 
-// Dump copies all pairs.
+// Dump returns a copy of all pairs.
 func (s *KV) Dump() map[string]kv.Pair {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
 	return maps.Clone(s.pairs)
 }
 
-// Restore replaces all pairs by older ones.
+// Restore replaces all pairs by those of an earlier Dump.
 func (s *KV) Restore(pairs map[string]kv.Pair) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
@@ -96,19 +96,19 @@
 	}
 }
 
-// Handler serves the published paths.
+// Handler returns a handler for the etcd paths that the daemon uses.
 func (s *KV) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v3/kv/range", serveKV(s, false, s.rangeKeys))
 	mux.HandleFunc("POST /v3/kv/txn", serveKV(s, true, s.txn))
-	mux.HandleFunc("POST /v3/lease/grant", serveKV(s, true, s.grant))
-	mux.HandleFunc("POST /v3/lease/keepalive", serveKV(s, true, s.keepAlive))
-	mux.HandleFunc("POST /v3/lease/revoke", serveKV(s, true, s.revoke))
+	mux.HandleFunc("POST /v3/lease/grant", serveKV(s, true, s.grantLease))
+	mux.HandleFunc("POST /v3/lease/keepalive", serveKV(s, true, s.keepLeaseAlive))
+	mux.HandleFunc("POST /v3/lease/revoke", serveKV(s, true, s.revokeLease))
 	mux.HandleFunc("POST /v3/watch", s.watch)
 	return mux
 }
 
-// serveKV reads a call, does it and answers, with the faults in between.
+// serveKV returns a handler that decodes a call, executes it and encodes the answer, unless a fault prevents this.
 func serveKV[In, Out any](s *KV, write bool, do func(In) Out) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		var in In
@@ -142,7 +142,7 @@
 	}
 }
 
-// expire ends the leases whose time has come.
+// expire ends leases whose TTL has passed.
 func (s *KV) expire() {
 	now := time.Now()
 	for id, l := range s.leases {
@@ -196,7 +196,7 @@
 func (s *KV) txn(r kv.TxnRequest) kv.TxnResponse {
 	ok := true
 	for _, c := range r.Compare {
-		ok = ok && s.holds(c)
+		ok = ok && s.compareHolds(c)
 	}
 	ops := r.Success
 	if !ok {
@@ -207,13 +207,13 @@
 	}
 	out := kv.TxnResponse{Succeeded: ok}
 	for _, op := range ops {
-		out.Responses = append(out.Responses, s.do(op))
+		out.Responses = append(out.Responses, s.apply(op))
 	}
 	out.Header = s.header()
 	return out
 }
 
-func (s *KV) holds(c kv.Compare) bool {
+func (s *KV) compareHolds(c kv.Compare) bool {
 	p := s.pairs[string(c.Key)]
 	switch c.Target {
 	case kv.TargetMod:
@@ -226,7 +226,7 @@
 	return false
 }
 
-func (s *KV) do(op kv.Op) kv.OpResponse {
+func (s *KV) apply(op kv.Op) kv.OpResponse {
 	switch {
 	case op.Range != nil:
 		r := s.rangeKeys(*op.Range)
@@ -279,14 +279,14 @@
 	}
 }
 
-func (s *KV) grant(r kv.LeaseGrantRequest) kv.LeaseResponse {
+func (s *KV) grantLease(r kv.LeaseGrantRequest) kv.LeaseResponse {
 	s.nextID++
 	ttl := time.Duration(r.TTL) * time.Second
 	s.leases[s.nextID] = &kvLease{ttl: ttl, expires: time.Now().Add(ttl), keys: make(map[string]bool)}
 	return kv.LeaseResponse{Header: s.header(), ID: s.nextID, TTL: r.TTL}
 }
 
-func (s *KV) keepAlive(r kv.LeaseRequest) kv.KeepAliveResponse {
+func (s *KV) keepLeaseAlive(r kv.LeaseRequest) kv.KeepAliveResponse {
 	l := s.leases[r.ID]
 	if l == nil {
 		return kv.KeepAliveResponse{Result: kv.LeaseResponse{Header: s.header(), ID: r.ID}}
@@ -295,7 +295,7 @@
 	return kv.KeepAliveResponse{Result: kv.LeaseResponse{Header: s.header(), ID: r.ID, TTL: int64(l.ttl / time.Second)}}
 }
 
-func (s *KV) revoke(r kv.LeaseRequest) kv.LeaseResponse {
+func (s *KV) revokeLease(r kv.LeaseRequest) kv.LeaseResponse {
 	s.endLease(r.ID)
 	return kv.LeaseResponse{Header: s.header(), ID: r.ID}
 }
--- a/tests/standin/kv_watch.go
+++ b/tests/standin/kv_watch.go
@@ -10,7 +10,8 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-const watchQueue = 256
+// watchBuffer is how many events of a watch may wait to be sent; further events are dropped.
+const watchBuffer = 256
 
 func (s *KV) watch(w http.ResponseWriter, q *http.Request) {
 	var in kv.WatchRequest
@@ -18,7 +19,7 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	watcher := &kvWatcher{key: string(in.Create.Key), events: make(chan kv.WatchEvent, watchQueue)}
+	watcher := &kvWatcher{key: string(in.Create.Key), events: make(chan kv.WatchEvent, watchBuffer)}
 	s.mutex.Lock()
 	if s.faults.Down {
 		s.mutex.Unlock()
--- a/tests/standin/operator.go
+++ b/tests/standin/operator.go
@@ -12,15 +12,15 @@
 	"strings"
 )
 
-// AdapterVersions is how many versions AdapterCommands gives each adapter.
+// AdapterVersions is how many versions of each adapter AdapterCommands creates.
 const AdapterVersions = 2
 
-// Adapter gives the name of one of the adapters of AdapterCommands, with a version from 1 on.
+// Adapter returns the name of an adapter of AdapterCommands with a version. Versions begin at 1.
 func Adapter(number, version int) string {
 	return fmt.Sprintf("fare-%03d@%d", number, version)
 }
 
-// AdapterCommands gives an operator's commands that create adapters, each on one of two base models, and a service over two of them.
+// AdapterCommands returns operator commands that create adapters, each on one of two base models, and a service that uses two of them.
 func AdapterCommands(count int) string {
 	var text strings.Builder
 	for i := range count {
@@ -31,7 +31,8 @@
 	return text.String()
 }
 
-// Operate has the built shelfctl run commands at a daemon, and gives what it printed; folder takes the files that it reads.
+// Operate runs commands at a daemon with the built shelfctl program and returns the output of the program. The key file and the command file
+// are written to folder.
 func Operate(program string, daemon netip.AddrPort, folder, commands string) (string, error) {
 	key, file := filepath.Join(folder, "key"), filepath.Join(folder, "commands.txt")
 	for name, content := range map[string]string{key: OperatorKey, file: commands} {
--- a/tests/standin/platform.go
+++ b/tests/standin/platform.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/instancelist"
 )
 
-// List is the platform's list of instances and endpoints, which shows an older state.
+// List is the platform's list of instances and endpoints. Readers see its state with a lag.
 type List struct {
 	mutex   sync.Mutex
 	lag     time.Duration
@@ -26,12 +26,12 @@
 	list instancelist.List
 }
 
-// NewList makes an empty list with a lag.
+// NewList returns an empty list with the given lag.
 func NewList(lag time.Duration) *List {
 	return &List{lag: lag}
 }
 
-// Set replaces the entries; readers see them after the lag.
+// Set replaces the entries. Readers see the new entries after the lag.
 func (l *List) Set(entries []instancelist.Entry) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
@@ -50,7 +50,7 @@
 	return out
 }
 
-// Handler serves the list.
+// Handler returns a handler that serves the list.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /instances", func(w http.ResponseWriter, _ *http.Request) {
@@ -59,25 +59,25 @@
 	return mux
 }
 
-// Store is the weight store: a rate of fetches, and a number at once at full speed.
+// Store is the weight store. It limits the rate at which fetches start, and slows fetches down if more than fullSpeedLimit run at once.
 type Store struct {
-	mutex  sync.Mutex
-	rate   float64
-	atFull int
-	time   time.Duration
-	next   time.Time
-	active int
+	mutex          sync.Mutex
+	rate           float64
+	fullSpeedLimit int
+	time           time.Duration
+	next           time.Time
+	active         int
 }
 
-// NewStore makes a weight store whose fetches take so long at full speed.
+// NewStore returns a weight store that starts rate fetches per second and runs atFullSpeed of them at once at full speed, in the time fetch.
 func NewStore(rate float64, atFullSpeed int, fetch time.Duration) *Store {
-	return &Store{rate: rate, atFull: atFullSpeed, time: fetch}
+	return &Store{rate: rate, fullSpeedLimit: atFullSpeed, time: fetch}
 }
 
-// Fetch takes one adapter's weights and returns when they are there.
+// Fetch fetches the weights of an adapter, and returns after the time that the fetch takes.
 func (s *Store) Fetch(name string) error {
 	if name == "" {
-		return fmt.Errorf("no weights without a name")
+		return fmt.Errorf("fetch weights: name is empty")
 	}
 	s.mutex.Lock()
 	now := time.Now()
@@ -87,7 +87,7 @@
 	}
 	s.next = begin.Add(time.Duration(float64(time.Second) / s.rate))
 	s.active++
-	slow := max(1, float64(s.active)/float64(s.atFull))
+	slow := max(1, float64(s.active)/float64(s.fullSpeedLimit))
 	s.mutex.Unlock()
 	time.Sleep(begin.Sub(now) + time.Duration(float64(s.time)*slow))
 	s.mutex.Lock()
@@ -96,26 +96,26 @@
 	return nil
 }
 
-// Plain is a plain service that counts the calls by their identifier.
+// Plain is a plain service that counts calls by their body.
 type Plain struct {
 	mutex sync.Mutex
 	calls map[string]int
 	delay time.Duration
 }
 
-// NewPlain makes a plain service that takes so long for a call.
+// NewPlain returns a plain service that answers each call after the delay.
 func NewPlain(delay time.Duration) *Plain {
 	return &Plain{calls: make(map[string]int), delay: delay}
 }
 
-// Calls gives the number of calls under an identifier's nonce.
+// Calls returns the number of calls with the body.
 func (p *Plain) Calls(body string) int {
 	p.mutex.Lock()
 	defer p.mutex.Unlock()
 	return p.calls[body]
 }
 
-// Handler serves every path with an echo of the body.
+// Handler returns a handler that answers each call with its method, path and body, and health checks with an empty body.
 func (p *Plain) Handler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, q *http.Request) {
 		if q.URL.Path == "/health" {
