--- a/tests/process/instance_test.go
+++ b/tests/process/instance_test.go
@@ -25,27 +25,27 @@
 )
 
 const (
-	// patience bounds waits that end soon unless something is wrong.
-	patience = 30 * time.Second
-	// grace is that of the stand-in's settings.
-	grace = 8 * time.Second
+	// waitTimeout limits waits that end soon unless there is a fault.
+	waitTimeout = 30 * time.Second
+	// shutdownGrace is the grace period of a stop, as in the settings that standin.Settings returns.
+	shutdownGrace = 8 * time.Second
 )
 
 var (
-	buildOnce  sync.Once
-	built      string
-	buildError error
+	buildOnce    sync.Once
+	builtProgram string
+	buildError   error
 )
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if built != "" {
-		_ = os.RemoveAll(filepath.Dir(built))
+	if builtProgram != "" {
+		_ = os.RemoveAll(filepath.Dir(builtProgram))
 	}
 	os.Exit(code)
 }
 
-// program builds the program once.
+// program builds the entry program once and returns its path.
 func program(t *testing.T) string {
 	t.Helper()
 	buildOnce.Do(func() {
@@ -53,35 +53,35 @@
 		if folder, buildError = os.MkdirTemp("", "shelfledge-entry"); buildError != nil {
 			return
 		}
-		built = filepath.Join(folder, "shelfledge-entry")
-		if output, err := exec.Command("go", "build", "-o", built, "../../cmd/shelfledge-entry").CombinedOutput(); err != nil {
+		builtProgram = filepath.Join(folder, "shelfledge-entry")
+		if output, err := exec.Command("go", "build", "-o", builtProgram, "../../cmd/shelfledge-entry").CombinedOutput(); err != nil {
 			buildError = fmt.Errorf("%w: %s", err, output)
 		}
 	})
 	require.NoError(t, buildError)
-	return built
+	return builtProgram
 }
 
-// instance is one process of the program with a store and a plain and a model endpoint of its own.
+// instance is one process of the program with its own store, plain endpoint and model endpoint.
 type instance struct {
-	t       *testing.T
-	store   *standin.Store
-	plain   *standin.Worker
-	model   *standin.Worker
-	process *processes.Process
-	address string
-	ready   string
-	folder  string
-	ports   standin.Ports
-	ip      string
+	t        *testing.T
+	store    *standin.Store
+	plain    *standin.Worker
+	model    *standin.Worker
+	process  *processes.Process
+	address  string
+	readyURL string
+	folder   string
+	ports    standin.Ports
+	ip       string
 }
 
-// places numbers the instances of this process: each has an IP of its own.
-var places atomic.Int64
+// instanceCount numbers the instances of this test process, so that each has its own IP.
+var instanceCount atomic.Int64
 
 func newInstance(t *testing.T, idle time.Duration) *instance {
 	t.Helper()
-	i := &instance{t: t, store: standin.NewStore(), folder: t.TempDir(), ip: fmt.Sprintf("127.66.%d.%d", os.Getpid()&0xff, places.Add(1))}
+	i := &instance{t: t, store: standin.NewStore(), folder: t.TempDir(), ip: fmt.Sprintf("127.66.%d.%d", os.Getpid()&0xff, instanceCount.Add(1))}
 	t.Cleanup(i.store.Close)
 	configuration := standin.WithPatientRoute(standin.Configuration(1, nil))
 	configuration["limits"].(map[string]any)["idle_timeout_ms"] = idle.Milliseconds()
@@ -96,7 +96,7 @@
 	var err error
 	i.ports, err = standin.FreePorts([]string{i.ip})
 	require.NoError(t, err)
-	i.address, i.ready = fmt.Sprintf("%s:%d", i.ip, i.ports.Callers), fmt.Sprintf("http://%s:%d/-/readyz", i.ip, i.ports.Ready)
+	i.address, i.readyURL = fmt.Sprintf("%s:%d", i.ip, i.ports.Callers), fmt.Sprintf("http://%s:%d/-/readyz", i.ip, i.ports.Ready)
 	return i
 }
 
@@ -121,7 +121,7 @@
 	i.process, err = processes.Start(command)
 	require.NoError(i.t, err)
 	i.t.Cleanup(func() {
-		i.process.End(grace)
+		i.process.End(shutdownGrace)
 		if i.t.Failed() {
 			log, _ := os.ReadFile(filepath.Join(i.folder, "instance.log"))
 			i.t.Logf("%s", log[max(0, len(log)-4000):])
@@ -131,7 +131,7 @@
 
 func (i *instance) waitReady() {
 	i.t.Helper()
-	require.True(i.t, processes.Poll(patience, func() bool { return processes.Answers(http.DefaultClient, i.ready) }), "it becomes ready")
+	require.True(i.t, processes.Poll(waitTimeout, func() bool { return processes.Answers(http.DefaultClient, i.readyURL) }), "the instance becomes ready")
 }
 
 // caller is a raw connection to an instance.
@@ -143,15 +143,15 @@
 
 func (i *instance) dial() *caller {
 	i.t.Helper()
-	conn, err := net.DialTimeout("tcp4", i.address, patience)
+	conn, err := net.DialTimeout("tcp4", i.address, waitTimeout)
 	require.NoError(i.t, err)
 	i.t.Cleanup(func() { _ = conn.Close() })
-	require.NoError(i.t, conn.SetDeadline(time.Now().Add(patience)))
+	require.NoError(i.t, conn.SetDeadline(time.Now().Add(waitTimeout)))
 	return &caller{Conn: conn, reader: bufio.NewReader(conn)}
 }
 
-// head gives the head of a request without a body.
-func head(path, id string, extra ...string) string {
+// requestHead returns the head of a request with extra header lines.
+func requestHead(path, id string, extra ...string) string {
 	text := fmt.Sprintf("POST %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", path, standin.Host, standin.HeaderRequestID, id)
 	for _, line := range extra {
 		text += line + "\r\n"
@@ -160,12 +160,12 @@
 }
 
 const (
-	noBody = "Content-Length: 0"
-	unsafe = standin.UnsafePrefix + "x"
+	noBody     = "Content-Length: 0"
+	unsafePath = standin.UnsafePrefix + "x"
 )
 
-// answer reads an answer; its status is 0 if the connection ended without a whole one.
-func (c *caller) answer() int {
+// readAnswer reads an answer and returns its status, or 0 if the connection ended before the answer was complete.
+func (c *caller) readAnswer() int {
 	response, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		return 0
@@ -177,10 +177,10 @@
 	return response.StatusCode
 }
 
-// ask sends a request and reads the answer.
-func (c *caller) ask(text string) int {
+// exchange sends a request and returns the status of the answer, or 0 if there was no complete answer.
+func (c *caller) exchange(text string) int {
 	if _, err := io.WriteString(c, text); err != nil {
 		return 0
 	}
-	return c.answer()
+	return c.readAnswer()
 }
--- a/tests/process/unanswered_test.go
+++ b/tests/process/unanswered_test.go
@@ -22,28 +22,27 @@
 	"github.com/shelfledge/shelfledge/tools/processes"
 )
 
-// TestARequestThatWasReadGetsAnAnswer is about requests of callers that did nothing wrong and got no answer.
+// TestReceivedRequestGetsAnswer guards against valid requests that end without an answer, which happened at a real process.
 //
-// What users saw: real processes, one request that ended without an answer. The order of events in our own record: a kept connection
-// rests; its caller sends the next request; the timer of the idle limit, which knows only whole heads that have been read, closes the
-// connection, while another goroutine reads the request and passes it on; the endpoint runs it, and nobody gets its answer. A process
-// that stood still did so to callers that kept well within the limit, since its timers fired before it read what had come meanwhile. The
-// cause: whether a connection is idle was decided beside the connection, from what had been parsed, and not from what had arrived.
-// A stop decided by the same.
+// A keep-alive connection was idle, and its caller sent the next request. The timer of the idle limit, which only considered complete heads that
+// had been read, closed the connection while another goroutine read the request and forwarded it. The endpoint ran the request, and nobody
+// received its answer. A process that had been suspended closed connections of callers well within the limit in the same way, since its timers
+// fired before it read the data that had arrived meanwhile. The cause was that idleness was decided by what had been parsed, and not by what had
+// arrived on the connection. A stop of the process decided it in the same way.
 //
-// The evidence: the account of each connection (requests read, requests with an answer, who closed it why), and the endpoint's own
-// journal: each request that ran and got no answer stood on a connection that this process had closed for its idle limit.
-func TestARequestThatWasReadGetsAnAnswer(t *testing.T) {
+// The log of each connection (requests read, requests answered, who closed the connection and why) and the journal of the endpoint showed that
+// each request which ran without an answer was on a connection that the process had closed for its idle limit.
+func TestReceivedRequestGetsAnswer(t *testing.T) {
 	for name, test := range map[string]func(*testing.T){
-		"callers come back as their connections reach the idle limit": comeBackAtTheIdleLimit,
-		"a head comes in two pieces, about the idle limit":            twoPiecesAboutTheIdleLimit,
-		"the process stands still while requests come":                standStill,
-		"a stop closes idle connections while heads come":             headsDuringAStop,
-		"a stop reaches the end of its grace":                         endOfTheGrace,
-		"a hang-up comes before the settings are read":                hangupDuringTheStart,
-		"a body stops coming":                                         bodyThatStops,
-		"a body cannot be read":                                       bodyThatCannotBeRead,
-		"a large body stops coming":                                   largeBodyThatStops,
+		"next request arrives as the connection reaches the idle limit": requestsAtIdleLimit,
+		"head arrives in two parts, before and after the idle limit":    headSplitAcrossIdleLimit,
+		"process is suspended while requests arrive":                    requestsWhileSuspended,
+		"stop closes idle connections while heads arrive":               headsDuringStop,
+		"stop reaches the end of its grace period":                      hangAtEndOfGrace,
+		"SIGHUP arrives before the settings are read":                   hangupDuringStart,
+		"body stalls":       stalledBody,
+		"body is malformed": malformedBody,
+		"large body stalls": stalledLargeBody,
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -52,9 +51,9 @@
 	}
 }
 
-// comeBackAtTheIdleLimit has callers send their next request within a millisecond of the limit. The connection may close, but what ran
-// has its answer.
-func comeBackAtTheIdleLimit(t *testing.T) {
+// requestsAtIdleLimit has callers send their next request within a millisecond of the idle limit. The connection may close, but each request that
+// ran must have an answer.
+func requestsAtIdleLimit(t *testing.T) {
 	const (
 		limit   = 60 * time.Millisecond
 		callers = 60
@@ -72,7 +71,7 @@
 					c = i.dial()
 				}
 				id := fmt.Sprintf("c-%d-%d", number, round)
-				status := c.ask(head(unsafe, id, noBody))
+				status := c.exchange(requestHead(unsafePath, id, noBody))
 				if status == 0 {
 					_ = c.Close()
 					c = nil
@@ -86,97 +85,99 @@
 	}
 	running.Wait()
 	for _, run := range i.plain.Runs() {
-		assert.True(t, answered[run.ID], "%s ran and got no answer", run.ID)
+		assert.True(t, answered[run.ID], "request %s ran and got no answer", run.ID)
 	}
 }
 
-func twoPiecesAboutTheIdleLimit(t *testing.T) {
+// headSplitAcrossIdleLimit sends the first half of a head before the idle limit and the second half after it.
+func headSplitAcrossIdleLimit(t *testing.T) {
 	const limit = 400 * time.Millisecond
 	i := startInstance(t, limit)
 	c := i.dial()
-	require.Equal(t, http.StatusOK, c.ask(head(unsafe, "first", noBody)))
-	text := head(unsafe, "second", noBody)
+	require.Equal(t, http.StatusOK, c.exchange(requestHead(unsafePath, "first", noBody)))
+	text := requestHead(unsafePath, "second", noBody)
 	time.Sleep(limit / 2)
 	_, err := io.WriteString(c, text[:len(text)/2])
 	require.NoError(t, err)
 	time.Sleep(limit)
-	assert.Equal(t, http.StatusOK, c.ask(text[len(text)/2:]))
+	assert.Equal(t, http.StatusOK, c.exchange(text[len(text)/2:]))
 }
 
-// standStill has callers send while the process stands still, within the idle limit; it goes on after the limit.
-func standStill(t *testing.T) {
+// requestsWhileSuspended has callers send requests within the idle limit while the process is suspended. The process continues after the limit.
+func requestsWhileSuspended(t *testing.T) {
 	const (
 		limit   = 2 * time.Second
 		callers = 60
 	)
 	i := startInstance(t, limit)
-	var all []*caller
+	var connections []*caller
 	for number := range callers {
 		c := i.dial()
-		require.Equal(t, http.StatusOK, c.ask(head(unsafe, fmt.Sprintf("first-%d", number), noBody)))
-		all = append(all, c)
+		require.Equal(t, http.StatusOK, c.exchange(requestHead(unsafePath, fmt.Sprintf("first-%d", number), noBody)))
+		connections = append(connections, c)
 	}
 	time.Sleep(limit / 4)
 	require.NoError(t, i.process.Signal(syscall.SIGSTOP))
-	for number, c := range all {
-		_, err := io.WriteString(c, head(unsafe, fmt.Sprintf("second-%d", number), noBody))
+	for number, c := range connections {
+		_, err := io.WriteString(c, requestHead(unsafePath, fmt.Sprintf("second-%d", number), noBody))
 		require.NoError(t, err)
 	}
 	time.Sleep(limit)
 	require.NoError(t, i.process.Signal(syscall.SIGCONT))
-	lost := 0
-	for _, c := range all {
-		if c.answer() == 0 {
-			lost++
+	unanswered := 0
+	for _, c := range connections {
+		if c.readAnswer() == 0 {
+			unanswered++
 		}
 	}
-	assert.Zero(t, lost, "of %d requests that came within the idle limit", callers)
+	assert.Zero(t, unanswered, "unanswered of %d requests that arrived within the idle limit", callers)
 }
 
-// noticeTime is how long an instance that stops serves on before it closes its listener and idle connections.
-const noticeTime = 2500 * time.Millisecond
+// leaveNotice is how long a stopping instance continues to serve before it closes its listener and idle connections.
+const leaveNotice = 2500 * time.Millisecond
 
-// headsDuringAStop has a kept and a new connection send their heads in two pieces, about the moment at which a stop closes what is idle.
-func headsDuringAStop(t *testing.T) {
+// headsDuringStop sends heads in two parts, on a keep-alive connection and on a new one, before and after a stop closes idle connections.
+func headsDuringStop(t *testing.T) {
 	i := startInstance(t, 10*time.Second)
 	kept := i.dial()
-	require.Equal(t, http.StatusOK, kept.ask(head(unsafe, "first", noBody)))
+	require.Equal(t, http.StatusOK, kept.exchange(requestHead(unsafePath, "first", noBody)))
 	require.NoError(t, i.process.Signal(syscall.SIGTERM))
-	time.Sleep(noticeTime - 500*time.Millisecond)
+	time.Sleep(leaveNotice - 500*time.Millisecond)
 	fresh := i.dial()
-	all := map[string]*caller{"kept": kept, "fresh": fresh}
-	for id, c := range all {
-		text := head(unsafe, id, noBody)
+	connections := map[string]*caller{"kept": kept, "fresh": fresh}
+	for id, c := range connections {
+		text := requestHead(unsafePath, id, noBody)
 		_, err := io.WriteString(c, text[:len(text)/2])
 		require.NoError(t, err)
 	}
 	time.Sleep(time.Second)
-	for id, c := range all {
-		text := head(unsafe, id, noBody)
-		assert.Equal(t, http.StatusOK, c.ask(text[len(text)/2:]), "on the %s connection", id)
+	for id, c := range connections {
+		text := requestHead(unsafePath, id, noBody)
+		assert.Equal(t, http.StatusOK, c.exchange(text[len(text)/2:]), "on the %s connection", id)
 	}
 }
 
-// endOfTheGrace has an endpoint hang on a stream when the grace of a stop ends: its caller, who has no part of an answer yet, is told.
-func endOfTheGrace(t *testing.T) {
+// hangAtEndOfGrace has an endpoint hang on a stream until the grace period of a stop ends. The caller, who has received no part of the answer, must
+// get 502.
+func hangAtEndOfGrace(t *testing.T) {
 	i := startInstance(t, 10*time.Second)
 	c := i.dial()
 	stream := func(id string) string {
-		return head(platformstandin.PatientPrefix+"x", id, noBody, "X-Model: "+platformstandin.Model+"/a1", "X-Token-Usage: 100,20")
+		return requestHead(platformstandin.PatientPrefix+"x", id, noBody, "X-Model: "+platformstandin.Model+"/a1", "X-Token-Usage: 100,20")
 	}
-	require.True(t, processes.Poll(patience, func() bool { return c.ask(stream("first")) == http.StatusOK }))
+	require.True(t, processes.Poll(waitTimeout, func() bool { return c.exchange(stream("first")) == http.StatusOK }))
 	i.model.SetFaults(platformstandin.WorkerFaults{Hangs: 1})
 	require.NoError(t, i.process.Signal(syscall.SIGTERM))
-	assert.Equal(t, http.StatusBadGateway, c.ask(stream("second")))
+	assert.Equal(t, http.StatusBadGateway, c.exchange(stream("second")))
 	select {
 	case <-i.process.Exited():
-	case <-time.After(grace):
+	case <-time.After(shutdownGrace):
 		assert.Fail(t, "the process has not ended")
 	}
 }
 
-// hangupDuringTheStart holds a process that starts at its settings, which come through a pipe, and sends a hang-up.
-func hangupDuringTheStart(t *testing.T) {
+// hangupDuringStart sends SIGHUP to a starting process that waits for its settings, which it reads from a pipe.
+func hangupDuringStart(t *testing.T) {
 	i := newInstance(t, time.Second)
 	pipe := filepath.Join(i.folder, "settings")
 	require.NoError(t, unix.Mkfifo(pipe, 0o600))
@@ -187,7 +188,7 @@
 		descriptor, err = unix.Open(pipe, unix.O_WRONLY|unix.O_NONBLOCK, 0)
 		return err == nil
 	}
-	require.True(t, processes.Poll(patience, opened), "it opens its settings")
+	require.True(t, processes.Poll(waitTimeout, opened), "the process opens its settings")
 	require.NoError(t, i.process.Signal(syscall.SIGHUP))
 	_, err := unix.Write(descriptor, i.settings())
 	require.NoError(t, err)
@@ -196,31 +197,33 @@
 	assert.False(t, i.process.HasExited())
 }
 
-func bodyThatStops(t *testing.T) {
+// stalledBody sends a part of a body and then nothing more.
+func stalledBody(t *testing.T) {
 	i := startInstance(t, time.Second)
 	c := i.dial()
 	began := time.Now()
-	assert.Equal(t, http.StatusRequestTimeout, c.ask(head(unsafe, "slow", "X-Deadline-Ms: 700", "Content-Length: 10")+"half"))
-	assert.Less(t, time.Since(began), grace, "it is not held beyond its deadline")
+	assert.Equal(t, http.StatusRequestTimeout, c.exchange(requestHead(unsafePath, "slow", "X-Deadline-Ms: 700", "Content-Length: 10")+"half"))
+	assert.Less(t, time.Since(began), shutdownGrace, "the request ends at its deadline")
 	assert.Empty(t, i.plain.Runs())
 }
 
-// largeBodyThatStops sends more than is held in memory, so that the rest goes to the endpoint as it comes, and then nothing more.
-func largeBodyThatStops(t *testing.T) {
+// stalledLargeBody sends more of a body than the instance buffers in memory, so that the rest is streamed to the endpoint, and then nothing more.
+func stalledLargeBody(t *testing.T) {
 	const sent = 300 << 10
 	i := startInstance(t, time.Second)
 	c := i.dial()
 	began := time.Now()
-	status := c.ask(head(unsafe, "large", "X-Deadline-Ms: 700", fmt.Sprintf("Content-Length: %d", 2*sent)) + strings.Repeat("x", sent))
+	status := c.exchange(requestHead(unsafePath, "large", "X-Deadline-Ms: 700", fmt.Sprintf("Content-Length: %d", 2*sent)) + strings.Repeat("x", sent))
 	assert.Contains(t, []int{http.StatusGatewayTimeout, http.StatusBadGateway, http.StatusServiceUnavailable}, status)
 	_, err := c.reader.ReadByte()
-	require.ErrorIs(t, err, io.EOF, "nothing holds the connection for the rest of the body")
-	assert.Less(t, time.Since(began), grace)
+	require.ErrorIs(t, err, io.EOF, "the connection is closed without waiting for the rest of the body")
+	assert.Less(t, time.Since(began), shutdownGrace)
 }
 
-func bodyThatCannotBeRead(t *testing.T) {
+// malformedBody sends a chunked body whose first chunk size is not a number.
+func malformedBody(t *testing.T) {
 	i := startInstance(t, time.Second)
 	c := i.dial()
-	assert.Equal(t, http.StatusBadRequest, c.ask(head(unsafe, "odd", "Transfer-Encoding: chunked")+"no number\r\n"))
+	assert.Equal(t, http.StatusBadRequest, c.exchange(requestHead(unsafePath, "odd", "Transfer-Encoding: chunked")+"no number\r\n"))
 	assert.Empty(t, i.plain.Runs())
 }
