--- a/tests/platformstandin/store.go
+++ b/tests/platformstandin/store.go
@@ -117,8 +117,8 @@
 func (s *Store) RevokeLeases() {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	for key, one := range s.items {
-		if one.Lease != 0 {
+	for key, stored := range s.items {
+		if stored.Lease != 0 {
 			s.revision++
 			s.remove(key)
 		}
@@ -153,8 +153,8 @@
 func (s *Store) Value(key string) ([]byte, bool) {
 	s.mutex.Lock()
 	defer s.mutex.Unlock()
-	one, ok := s.items[key]
-	return one.Value, ok
+	stored, ok := s.items[key]
+	return stored.Value, ok
 }
 
 // put writes a key at the current revision, which the caller has incremented.
@@ -190,8 +190,8 @@
 			return
 		case now := <-ticker.C:
 			s.mutex.Lock()
-			for id, one := range s.leases {
-				if now.After(one.expires) {
+			for id, granted := range s.leases {
+				if now.After(granted.expires) {
 					s.endLease(id)
 				}
 			}
@@ -203,8 +203,8 @@
 func (s *Store) endLease(id int64) {
 	delete(s.leases, id)
 	s.revision++
-	for key, one := range s.items {
-		if one.Lease == id {
+	for key, stored := range s.items {
+		if stored.Lease == id {
 			s.remove(key)
 		}
 	}
--- a/tests/platformstandin/store_calls.go
+++ b/tests/platformstandin/store_calls.go
@@ -62,11 +62,11 @@
 }
 
 func (s *Store) getKey(request *http.Request) (int, any) {
-	one, ok := s.items[request.URL.Query().Get("private_key")]
+	stored, ok := s.items[request.URL.Query().Get("private_key")]
 	if !ok {
 		return http.StatusNotFound, nil
 	}
-	return http.StatusOK, one
+	return http.StatusOK, stored
 }
 
 // pageSize is the number of items of a page. It is small so that tests cover paging.
@@ -126,9 +126,9 @@
 
 func (s *Store) eventsAfter(prefix string, after int64) []item {
 	var events []item
-	for _, one := range s.history {
-		if one.Revision > after && strings.HasPrefix(one.Key, prefix) {
-			events = append(events, one)
+	for _, change := range s.history {
+		if change.Revision > after && strings.HasPrefix(change.Key, prefix) {
+			events = append(events, change)
 		}
 	}
 	return events
@@ -170,26 +170,26 @@
 // commit applies all changes of a transaction or none.
 func (s *Store) commit(body transaction) (int, any) {
 	var differ []item
-	for _, one := range body.Expected {
-		if s.items[one.Key].Revision != one.Revision {
-			differ = append(differ, s.items[one.Key])
+	for _, entry := range body.Expected {
+		if s.items[entry.Key].Revision != entry.Revision {
+			differ = append(differ, s.items[entry.Key])
 		}
 	}
 	if len(differ) > 0 {
 		return http.StatusPreconditionFailed, map[string]any{"items": differ}
 	}
-	for _, one := range body.Put {
-		if _, ok := s.leases[one.Lease]; one.Lease != 0 && !ok {
+	for _, entry := range body.Put {
+		if _, ok := s.leases[entry.Lease]; entry.Lease != 0 && !ok {
 			return http.StatusNotFound, map[string]any{}
 		}
-		if strings.HasPrefix(one.Key, "op/") || strings.HasPrefix(one.Key, "servers/") {
+		if strings.HasPrefix(entry.Key, "op/") || strings.HasPrefix(entry.Key, "servers/") {
 			return http.StatusForbidden, map[string]any{}
 		}
 	}
 	// All changes of a transaction have the same revision.
 	s.revision++
-	for _, one := range body.Put {
-		s.put(one.Key, one.Value, one.Lease)
+	for _, entry := range body.Put {
+		s.put(entry.Key, entry.Value, entry.Lease)
 	}
 	for _, key := range body.Remove {
 		s.remove(key)
@@ -213,12 +213,12 @@
 
 func (s *Store) keepLease(request *http.Request) (int, any) {
 	id, _ := strconv.ParseInt(request.PathValue("id"), 10, 64)
-	one, ok := s.leases[id]
+	granted, ok := s.leases[id]
 	if !ok {
 		return http.StatusNotFound, nil
 	}
-	one.expires = time.Now().Add(one.ttl)
-	return http.StatusOK, map[string]any{"ttl_ms": one.ttl.Milliseconds()}
+	granted.expires = time.Now().Add(granted.ttl)
+	return http.StatusOK, map[string]any{"ttl_ms": granted.ttl.Milliseconds()}
 }
 
 func (s *Store) releaseLease(request *http.Request) (int, any) {
--- a/tests/platformstandin/worker_requests.go
+++ b/tests/platformstandin/worker_requests.go
@@ -282,8 +282,8 @@
 		return
 	}
 	text := "twice"
-	one := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: %s\r\nContent-Length: %d\r\n\r\n%s", run.ID, w.options.ID+"."+run.ID, len(text), text)
-	_, _ = conn.Write([]byte(one + one))
+	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nX-Attempt-Id: %s\r\nX-Server-Seal: %s\r\nContent-Length: %d\r\n\r\n%s", run.ID, w.options.ID+"."+run.ID, len(text), text)
+	_, _ = conn.Write([]byte(response + response))
 	time.Sleep(200 * time.Millisecond)
 	_ = conn.Close()
 }
