--- a/tests/platform/crashing_test.go
+++ b/tests/platform/crashing_test.go
@@ -22,102 +22,104 @@
 )
 
 const (
-	// contactTime is how long the instances may take to know of a third crash, as the users' platform allows it.
-	contactTime = 3 * time.Second
-	// allowedRetries is how often a request may be sent later than that.
-	allowedRetries = 3
-	// watchedTime is for how long a test watches what comes after that.
-	watchedTime = 3 * time.Second
-	// comebackTime is after how long a worker is back that crashed, under another name at the same address.
-	comebackTime = 700 * time.Millisecond
+	// propagationLimit is the time within which all instances must have received the report of a third crash. The users' platform sets it.
+	propagationLimit = 3 * time.Second
+	// allowedLateSends is how often a request may be sent after propagationLimit.
+	allowedLateSends = 3
+	// observationTime is how long a test observes requests after propagationLimit.
+	observationTime = 3 * time.Second
+	// restartDelay is the time from a worker's crash to the start of the next worker, with another ID at the same address.
+	restartDelay = 700 * time.Millisecond
 )
 
-// place is where one worker after the other stands.
-type place struct {
+// restartingWorker runs one worker after the other at one address.
+type restartingWorker struct {
 	site    *site
 	options standin.WorkerOptions
 	mutex   sync.Mutex
 	workers []*standin.Worker
 }
 
-// newPlace starts the first worker of a place, and another one some time after each crash until the test ends.
-func (s *site) newPlace(options standin.WorkerOptions, number int) *place {
-	p := &place{site: s, options: options}
-	p.start(number)
-	return p
+// newRestartingWorker starts the first worker at a new address. Run restartAfterCrashes to start the next one after each crash.
+func (s *site) newRestartingWorker(options standin.WorkerOptions, number int) *restartingWorker {
+	r := &restartingWorker{site: s, options: options}
+	r.start(number)
+	return r
 }
 
-func (p *place) start(number int) {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	options := p.options
-	options.ID = fmt.Sprintf("i-%s-%d-%d", options.Service, number, len(p.workers))
-	if len(p.workers) > 0 {
-		options.Address = p.workers[0].Address()
+func (r *restartingWorker) start(number int) {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	options := r.options
+	options.ID = fmt.Sprintf("i-%s-%d-%d", options.Service, number, len(r.workers))
+	if len(r.workers) > 0 {
+		options.Address = r.workers[0].Address()
 	}
-	p.workers = append(p.workers, standin.NewWorker(p.site.store, options))
+	r.workers = append(r.workers, standin.NewWorker(r.site.store, options))
 }
 
-// watch brings another worker for each that crashes, until the test ends; the store names the one that crashed for a while.
-func (p *place) watch(number int, stop <-chan struct{}) {
+// restartAfterCrashes starts another worker after each crash, until the test ends. The entry of the crashed worker stays in the store for
+// three times restartDelay.
+func (r *restartingWorker) restartAfterCrashes(number int, stop <-chan struct{}) {
 	for {
 		select {
 		case <-stop:
 			return
-		case <-time.After(pace):
+		case <-time.After(pollInterval):
 		}
-		if !p.last().HasEnded() {
+		if !r.current().HasEnded() {
 			continue
 		}
-		crashed := p.last()
-		time.AfterFunc(3*comebackTime, func() { p.site.store.Remove(standin.EntryKey(crashed.ID())) })
-		time.Sleep(comebackTime)
-		p.start(number)
+		crashed := r.current()
+		time.AfterFunc(3*restartDelay, func() { r.site.store.Remove(standin.EntryKey(crashed.ID())) })
+		time.Sleep(restartDelay)
+		r.start(number)
 	}
 }
 
-func (p *place) last() *standin.Worker {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return p.workers[len(p.workers)-1]
+func (r *restartingWorker) current() *standin.Worker {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return r.workers[len(r.workers)-1]
 }
 
-// all gives the workers of a place so far.
-func (p *place) all() []*standin.Worker {
-	p.mutex.Lock()
-	defer p.mutex.Unlock()
-	return slices.Clone(p.workers)
+// allWorkers returns the workers that were started so far.
+func (r *restartingWorker) allWorkers() []*standin.Worker {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return slices.Clone(r.workers)
 }
 
-// crashes is a site whose workers come back after a crash.
-type crashes struct {
+// crashSite is a site whose workers are restarted after a crash.
+type crashSite struct {
 	*site
 
-	places []*place
-	stop   chan struct{}
-	tasks  sync.WaitGroup
+	restarting []*restartingWorker
+	stop       chan struct{}
+	tasks      sync.WaitGroup
 }
 
-func newCrashes(t *testing.T, entries, places int) *crashes {
+// newCrashSite starts a site with the given number of restarting workers for each of the two services.
+func newCrashSite(t *testing.T, entries, restarting int) *crashSite {
 	t.Helper()
-	c := &crashes{site: newSite(t, entries), stop: make(chan struct{})}
+	c := &crashSite{site: newSite(t, entries), stop: make(chan struct{})}
 	for _, worker := range append(c.models, c.plain...) {
 		worker.Vanish()
 	}
-	for number := range places {
-		c.places = append(c.places, c.newPlace(standin.WorkerOptions{
+	for number := range restarting {
+		c.restarting = append(c.restarting, c.newRestartingWorker(standin.WorkerOptions{
 			Service: standin.ModelService, Zone: "h1", Slots: 8, Model: standin.Model, Capacity: 8, LoadTime: 30 * time.Millisecond, Events: 5,
 			Pause: 5 * time.Millisecond,
 		}, number))
-		c.places = append(c.places, c.newPlace(standin.WorkerOptions{Service: standin.PlainService, Zone: "h1", Slots: 8}, number))
+		c.restarting = append(c.restarting, c.newRestartingWorker(standin.WorkerOptions{Service: standin.PlainService, Zone: "h1", Slots: 8}, number))
 	}
-	for number, p := range c.places {
-		c.tasks.Go(func() { p.watch(number, c.stop) })
+	for number, r := range c.restarting {
+		c.tasks.Go(func() { r.restartAfterCrashes(number, c.stop) })
 	}
 	t.Cleanup(func() {
 		c.end()
-		for _, p := range c.places {
-			for _, worker := range p.all() {
+		for _, r := range c.restarting {
+			for _, worker := range r.allWorkers() {
 				worker.Close()
 			}
 		}
@@ -125,13 +127,13 @@
 	return c
 }
 
-// waitForDepartures waits until all instances know that the workers of the site's start have left: the end of one that leaves is planned, and
-// counts against no request.
-func (c *crashes) waitForDepartures() {
-	c.waitFor("those that left are gone", func() bool {
+// waitForInitialWorkersGone waits until all instances have logged that the model workers which newSite started are gone. The end of a worker
+// that leaves is planned and counts against no request.
+func (c *crashSite) waitForInitialWorkersGone() {
+	c.waitFor("the workers that left are gone", func() bool {
 		for i, entry := range c.entries {
 			for _, worker := range c.models {
-				if !c.logged(i, fmt.Sprintf(`"endpoint":%q,"instance":%q,"level":"info","msg":"endpoint gone"`, worker.ID(), entry.name)) {
+				if !c.hasLogged(i, fmt.Sprintf(`"endpoint":%q,"instance":%q,"level":"info","msg":"endpoint gone"`, worker.ID(), entry.name)) {
 					return false
 				}
 			}
@@ -140,8 +142,8 @@
 	})
 }
 
-// end stops what goes on beside the test.
-func (c *crashes) end() {
+// end stops the goroutines that send requests and restart workers.
+func (c *crashSite) end() {
 	select {
 	case <-c.stop:
 	default:
@@ -150,8 +152,8 @@
 	c.tasks.Wait()
 }
 
-// during does something again and again until the test ends, each time at the next instance.
-func (c *crashes) during(pause time.Duration, do func(entry, turn int)) {
+// repeatUntilEnd calls do in a goroutine until the test ends, with a pause before each call and the next instance in each call.
+func (c *crashSite) repeatUntilEnd(pause time.Duration, do func(entry, turn int)) {
 	c.tasks.Go(func() {
 		for turn := 0; ; turn++ {
 			select {
@@ -164,17 +166,17 @@
 	})
 }
 
-// beginTimes gives when workers began to run requests with such ids, in order.
-func (c *crashes) beginTimes(ids func(string) bool) []time.Time {
-	// Those that left as the test began may still have been asked.
+// runStartTimes returns when workers began to run the requests whose IDs match, in order.
+func (c *crashSite) runStartTimes(matches func(string) bool) []time.Time {
+	// The workers that left at the start of the test may have received requests, too.
 	workers := append(slices.Clone(c.models), c.plain...)
-	for _, p := range c.places {
-		workers = append(workers, p.all()...)
+	for _, p := range c.restarting {
+		workers = append(workers, p.allWorkers()...)
 	}
 	var times []time.Time
 	for _, worker := range workers {
 		for _, run := range worker.Runs() {
-			if ids(run.ID) {
+			if matches(run.ID) {
 				times = append(times, run.Began)
 			}
 		}
@@ -183,61 +185,60 @@
 	return times
 }
 
-// TestARequestThatCrashesItsEndpointsIsSentToFew has requests that end each endpoint which begins to run them come again and again, at any
-// instance.
+// TestCrashingRequestIsSentToFewEndpoints repeats requests that crash each endpoint which begins to run them, at any instance.
 //
-// What users saw: two requests ended 11 and 18 endpoints, and a tenth of the other requests of some seconds failed with them. The order of
-// events: a request runs at an endpoint, whose process ends; its caller gets 502 and comes again, at another instance; that one sends it
-// to another endpoint, since the first one is known to be gone; and so on, while endpoints come back under other names. The cause: what an
-// instance remembered of a failure hung on the endpoint alone, and told nobody of the request; so the next endpoint was always a sound one.
+// It guards against a request that crashes one endpoint after the other: two requests ended 11 and 18 endpoints, and a tenth of the other
+// requests failed for some seconds. The caller of a crashing request gets 502 and retries at another instance. That instance sends the request
+// to another endpoint, since the first one is gone, while endpoints restart with other IDs. The cause was that an instance recorded the failure
+// for the endpoint alone and reported nothing about the request to its peers, so the next endpoint always counted as healthy.
 //
-// The evidence: the lines of the ends have one fingerprint, their endpoints refused connections right after them, and no answer to that
-// fingerprint was ever whole.
-func TestARequestThatCrashesItsEndpointsIsSentToFew(t *testing.T) {
-	c := newCrashes(t, 3, 5)
-	// Each endpoint of the models holds the base model, so that none has to wait for a load.
+// The log lines of the crashes had one fingerprint, their endpoints refused connections right after the crash, and no request with that
+// fingerprint was ever answered completely.
+func TestCrashingRequestIsSentToFewEndpoints(t *testing.T) {
+	c := newCrashSite(t, 3, 5)
+	// Each endpoint of the model service holds the base model, so no request waits for a load.
 	model := map[string]string{"X-Model": standin.Model}
 	const query = "x?" + standin.CrashParameter + "=60"
-	killers := map[string]*killer{
-		"safe, twice for each caller's attempt": {call: call{path: standin.SafePrefix + query}},
-		"may not be repeated":                   {call: call{path: standin.UnsafePrefix + query}},
-		"stream":                                {call: call{path: standin.StreamPrefix + query, header: model}},
-		"stream that may be resumed":            {call: call{path: standin.ResumePrefix + query, header: model}},
+	requests := map[string]*crashingRequest{
+		"safe, sent twice for each of the caller's attempts": {call: call{path: standin.SafePrefix + query}},
+		"unsafe":           {call: call{path: standin.UnsafePrefix + query}},
+		"stream":           {call: call{path: standin.StreamPrefix + query, header: model}},
+		"resumable stream": {call: call{path: standin.ResumePrefix + query, header: model}},
 	}
-	for _, one := range killers {
-		c.during(150*time.Millisecond, func(entry, _ int) { one.send(c, entry) })
+	for _, request := range requests {
+		c.repeatUntilEnd(150*time.Millisecond, func(entry, _ int) { request.send(c, entry) })
 	}
-	c.assertSentToFew(t, killers)
+	c.assertFewLateSends(t, requests)
 }
 
-// TestADeadlyRequestAmongManyOfItsRouteIsSentToFew: a request crashes each endpoint that runs it, as many others of its route come beside
-// it.
-func TestADeadlyRequestAmongManyOfItsRouteIsSentToFew(t *testing.T) {
-	c := newCrashes(t, 3, 5)
-	c.waitForDepartures()
-	deadly := c.deadly()
-	c.during(150*time.Millisecond, func(entry, _ int) { deadly.send(c, entry) })
-	served := c.sendOthersOf(deadly, nil)
-	c.assertSentToFew(t, map[string]*killer{"among many": deadly})
-	assert.Greater(t, served.Load(), int64(300), "the others are served")
+// TestCrashingRequestAmongOthersOfItsRouteIsSentToFewEndpoints repeats a request that crashes each endpoint which runs it, while many other
+// requests of the same route run at the same endpoints.
+func TestCrashingRequestAmongOthersOfItsRouteIsSentToFewEndpoints(t *testing.T) {
+	c := newCrashSite(t, 3, 5)
+	c.waitForInitialWorkersGone()
+	crashingStream := c.crashingStream()
+	c.repeatUntilEnd(150*time.Millisecond, func(entry, _ int) { crashingStream.send(c, entry) })
+	served := c.sendOtherRequests(crashingStream, nil)
+	c.assertFewLateSends(t, map[string]*crashingRequest{"among requests of its route": crashingStream})
+	assert.Greater(t, served.Load(), int64(300), "other requests that were served")
 }
 
-// deadly gives a request of a streaming route that crashes its endpoints.
-func (c *crashes) deadly() *killer {
-	return &killer{call: call{path: standin.StreamPrefix + "x?" + standin.CrashParameter + "=60", header: map[string]string{"X-Model": standin.Model}}}
+// crashingStream returns a request of a streaming route that crashes the endpoints which run it.
+func (c *crashSite) crashingStream() *crashingRequest {
+	return &crashingRequest{call: call{path: standin.StreamPrefix + "x?" + standin.CrashParameter + "=60", header: map[string]string{"X-Model": standin.Model}}}
 }
 
-// sendOthersOf has callers send others of a request's route until the test ends, and the request itself in their turns that a function
-// picks; it counts the others that are served.
-func (c *crashes) sendOthersOf(deadly *killer, picks func(caller, turn int) bool) *atomic.Int64 {
+// sendOtherRequests has six callers send other requests of the route until the test ends. In the turns for which picks returns true, a caller
+// sends the crashing request instead. The result counts the other requests that are served.
+func (c *crashSite) sendOtherRequests(crashing *crashingRequest, picks func(caller, turn int) bool) *atomic.Int64 {
 	var served atomic.Int64
 	for caller := range 6 {
-		c.during(5*time.Millisecond, func(entry, turn int) {
+		c.repeatUntilEnd(5*time.Millisecond, func(entry, turn int) {
 			if picks != nil && picks(caller, turn) {
-				deadly.send(c, entry)
+				crashing.send(c, entry)
 				return
 			}
-			other := call{entry: entry, path: standin.StreamPrefix + "x", header: deadly.header, body: fmt.Sprint(caller, turn)}
+			other := call{entry: entry, path: standin.StreamPrefix + "x", header: crashing.header, body: fmt.Sprint(caller, turn)}
 			if c.do(other).Status == http.StatusOK {
 				served.Add(1)
 			}
@@ -246,202 +247,206 @@
 	return &served
 }
 
-// TestARequestWhoseCallersLeaveIsSentToFew has callers of such a request leave before their endpoint ends.
+// TestCrashingRequestIsSentToFewEndpointsThoughItsCallersDisconnect has the callers of a crashing request disconnect before the endpoint crashes.
 //
-// What users saw: nothing yet; each sending ended an endpoint for as long as the callers came, and what ran there besides failed. The order of
-// events: the caller leaves, its instance closes the connection to the endpoint, which runs the request all the same and ends. The cause: only
-// an exchange that its endpoint ended told of the end, so that none spoke against the request, and all against those beside it.
-func TestARequestWhoseCallersLeaveIsSentToFew(t *testing.T) {
-	c := newCrashes(t, 3, 5)
-	leaving := &killer{call: call{path: standin.UnsafePrefix + "x?" + standin.CrashParameter + "=60"}, patience: 30 * time.Millisecond}
-	c.during(150*time.Millisecond, func(entry, _ int) { leaving.send(c, entry) })
+// It guards against a crashing request that ends an endpoint each time it is sent, with all other requests that run there; no user has
+// reported it. The caller disconnects, and its instance closes the connection to the endpoint, which still runs the request and crashes. The
+// cause was that only an exchange which its endpoint ended was reported as a crash. No report named the crashing request, and all of them
+// named the requests beside it.
+func TestCrashingRequestIsSentToFewEndpointsThoughItsCallersDisconnect(t *testing.T) {
+	c := newCrashSite(t, 3, 5)
+	abandoned := &crashingRequest{call: call{path: standin.UnsafePrefix + "x?" + standin.CrashParameter + "=60"}, timeout: 30 * time.Millisecond}
+	c.repeatUntilEnd(150*time.Millisecond, func(entry, _ int) { abandoned.send(c, entry) })
 	for caller := range 12 {
-		c.during(5*time.Millisecond, func(entry, turn int) {
+		c.repeatUntilEnd(5*time.Millisecond, func(entry, turn int) {
 			c.do(call{entry: entry, path: standin.UnsafePrefix + "x?work_ms=100", body: fmt.Sprint("of caller ", caller, ", request ", turn)})
 		})
 	}
-	c.assertSentToFew(t, map[string]*killer{"callers leave": leaving})
+	c.assertFewLateSends(t, map[string]*crashingRequest{"callers disconnect": abandoned})
 }
 
-// assertSentToFew waits until each of some requests has ended three endpoints, and for what is sent after all instances can know of it.
-func (c *crashes) assertSentToFew(t *testing.T, killers map[string]*killer) {
+// assertFewLateSends waits until each request has crashed three endpoints, and checks how often it is sent after propagationLimit, when all
+// instances must have received the report.
+func (c *crashSite) assertFewLateSends(t *testing.T, requests map[string]*crashingRequest) {
 	t.Helper()
-	c.waitFor("each has ended three endpoints", func() bool {
-		for _, one := range killers {
-			if len(one.begins(c)) < 3 {
+	c.waitFor("each request has crashed three endpoints", func() bool {
+		for _, request := range requests {
+			if len(request.startTimes(c)) < 3 {
 				return false
 			}
 		}
 		return true
 	})
-	time.Sleep(contactTime + watchedTime)
+	time.Sleep(propagationLimit + observationTime)
 	c.end()
-	for name, one := range killers {
-		begins := one.begins(c)
-		late := slices.DeleteFunc(slices.Clone(begins), func(at time.Time) bool { return at.Sub(begins[2]) <= contactTime })
-		assert.LessOrEqual(t, len(late), allowedRetries, "%s: sent later than %s after the third crash, of %d in all", name, contactTime, len(begins))
+	for name, request := range requests {
+		startTimes := request.startTimes(c)
+		late := slices.DeleteFunc(slices.Clone(startTimes), func(start time.Time) bool { return start.Sub(startTimes[2]) <= propagationLimit })
+		assert.LessOrEqual(t, len(late), allowedLateSends, "%s: requests sent later than %s after the third crash, of %d in all", name, propagationLimit, len(startTimes))
 	}
 }
 
-// killer is a request that ends each endpoint which runs it.
-type killer struct {
+// crashingRequest is a request that crashes each endpoint which runs it.
+type crashingRequest struct {
 	call
-	// patience is after how long its callers leave; zero for never.
-	patience time.Duration
+	// timeout is the time after which its callers disconnect; zero for never.
+	timeout time.Duration
 
 	mutex sync.Mutex
 	sent  map[string]bool
 }
 
-// send sends it to an instance once more, from another address: callers come by way of any hall.
-func (k *killer) send(c *crashes, entry int) standin.Answer {
-	one := k.call
-	one.entry, one.body = entry, "the same each time"
-	k.mutex.Lock()
-	one.from = netip.AddrFrom4([4]byte{127, 0, 1, byte(1 + len(k.sent)%200)})
-	k.mutex.Unlock()
-	ctx, leave := context.WithCancel(context.Background())
-	defer leave()
-	if k.patience > 0 {
-		time.AfterFunc(k.patience, leave)
+// send sends the request to an instance once more, from another source address, since the callers of a request may come from any hall.
+func (r *crashingRequest) send(c *crashSite, entry int) standin.Answer {
+	request := r.call
+	request.entry, request.body = entry, "the same each time"
+	r.mutex.Lock()
+	request.from = netip.AddrFrom4([4]byte{127, 0, 1, byte(1 + len(r.sent)%200)})
+	r.mutex.Unlock()
+	ctx, disconnect := context.WithCancel(context.Background())
+	defer disconnect()
+	if r.timeout > 0 {
+		time.AfterFunc(r.timeout, disconnect)
 	}
-	answer := c.send(ctx, one)
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	if k.sent == nil {
-		k.sent = make(map[string]bool)
+	answer := c.send(ctx, request)
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	if r.sent == nil {
+		r.sent = make(map[string]bool)
 	}
-	k.sent[answer.ID] = true
+	r.sent[answer.ID] = true
 	return answer
 }
 
-// begins gives when endpoints began to run it.
-func (k *killer) begins(c *crashes) []time.Time {
-	k.mutex.Lock()
-	defer k.mutex.Unlock()
-	return c.beginTimes(func(id string) bool { return k.sent[id] })
+// startTimes returns when endpoints began to run the request.
+func (r *crashingRequest) startTimes(c *crashSite) []time.Time {
+	r.mutex.Lock()
+	defer r.mutex.Unlock()
+	return c.runStartTimes(func(id string) bool { return r.sent[id] })
 }
 
-// ask sends a request, and once more when it is told to come back, as callers do.
-func (c *crashes) ask(one call) standin.Answer {
-	answer := c.do(one)
+// sendWithRetry sends a request, and sends it once more if the answer has Retry-After and is not a quarantine rejection, as callers do.
+func (c *crashSite) sendWithRetry(request call) standin.Answer {
+	answer := c.do(request)
 	seconds, err := strconv.ParseFloat(answer.Header.Get("Retry-After"), 64)
-	if answer.Status != http.StatusServiceUnavailable || err != nil || strings.Contains(answer.Body, heldBack) {
+	if answer.Status != http.StatusServiceUnavailable || err != nil || strings.Contains(answer.Body, quarantineReason) {
 		return answer
 	}
 	time.Sleep(time.Duration(seconds * float64(time.Second)))
-	return c.do(one)
+	return c.do(request)
 }
 
-// heldBack is in the answer to a request that is kept from all endpoints.
-const heldBack = "crashes endpoints"
+// quarantineReason is part of the answer to a quarantined request, which is sent to no endpoint.
+const quarantineReason = "crashes endpoints"
 
-// TestSoundRequestsLoseNothingBesideOnesThatCrash has callers that send one request word for word beside others that crash endpoints.
-func TestSoundRequestsLoseNothingBesideOnesThatCrash(t *testing.T) {
-	c := newCrashes(t, 3, 5)
-	c.during(300*time.Millisecond, func(entry, _ int) {
+// TestCrashingRequestsQuarantineNoOtherRequests has callers that send the same request repeatedly, byte for byte, while other requests crash
+// endpoints.
+func TestCrashingRequestsQuarantineNoOtherRequests(t *testing.T) {
+	c := newCrashSite(t, 3, 5)
+	c.repeatUntilEnd(300*time.Millisecond, func(entry, _ int) {
 		c.do(call{entry: entry, path: standin.ResumePrefix + "x?" + standin.CrashParameter + "=60", adapter: "a1", body: "the same each time"})
 	})
-	c.during(400*time.Millisecond, func(entry, _ int) {
+	c.repeatUntilEnd(400*time.Millisecond, func(entry, _ int) {
 		c.do(call{entry: entry, path: standin.SafePrefix + "x?" + standin.CrashParameter + "=60", body: "the same each time"})
 	})
 	var mutex sync.Mutex
 	var answers []standin.Answer
 	for caller := range 12 {
-		// The adapter of the request that crashes is in use by others as well.
-		sound := []call{
+		// Other requests use the adapter of the crashing request, too.
+		harmless := []call{
 			{path: standin.ResumePrefix + "x?events=20", adapter: "a1", body: fmt.Sprint("of caller ", caller%2)},
 			{path: standin.SafePrefix + "x?work_ms=100", body: fmt.Sprint("of caller ", caller%2)},
 		}[caller%2]
-		c.during(20*time.Millisecond, func(entry, _ int) {
-			one := sound
-			one.entry = entry
-			answer := c.ask(one)
+		c.repeatUntilEnd(20*time.Millisecond, func(entry, _ int) {
+			request := harmless
+			request.entry = entry
+			answer := c.sendWithRetry(request)
 			mutex.Lock()
 			defer mutex.Unlock()
 			answers = append(answers, answer)
 		})
 	}
-	// The store names the last endpoints that have ended for as long as that.
-	time.Sleep(contactTime + 3*comebackTime)
+	// The store keeps the entries of the last crashed workers for three times restartDelay.
+	time.Sleep(propagationLimit + 3*restartDelay)
 	mutex.Lock()
-	storm := len(answers)
+	duringCrashes := len(answers)
 	mutex.Unlock()
-	time.Sleep(watchedTime)
+	time.Sleep(observationTime)
 	c.end()
 	for i, answer := range answers {
-		assert.NotContains(t, answer.Body, heldBack, "a sound request is held back")
-		if i > storm+len(c.entries)*12 {
-			assert.Equal(t, http.StatusOK, answer.Status, "a request that was sent after the last crash: %s", answer.Body)
+		assert.NotContains(t, answer.Body, quarantineReason, "a harmless request is quarantined")
+		if i > duringCrashes+len(c.entries)*12 {
+			assert.Equal(t, http.StatusOK, answer.Status, "status of a request that was sent after the last crash: %s", answer.Body)
 		}
 	}
-	assert.Greater(t, len(answers)-storm, storm/4, "requests go on")
+	assert.Greater(t, len(answers)-duringCrashes, duringCrashes/4, "requests that were answered after the last crash")
 }
 
-// TestInstancesThatComeLaterKnowOfCrashes: a request that was held back is so at an instance that started afterwards, and under another
-// planner.
-func TestInstancesThatComeLaterKnowOfCrashes(t *testing.T) {
-	c := newCrashes(t, 3, 5)
-	one := &killer{call: call{path: standin.UnsafePrefix + "x?" + standin.CrashParameter + "=60"}}
-	c.waitFor("it is held back at all instances", func() bool {
-		held := 0
+// TestQuarantineSurvivesChangeOfPlannerAndReachesNewInstance checks that a quarantined request is also rejected by an instance that started
+// after the crashes, and after another instance became the planner.
+func TestQuarantineSurvivesChangeOfPlannerAndReachesNewInstance(t *testing.T) {
+	c := newCrashSite(t, 3, 5)
+	request := &crashingRequest{call: call{path: standin.UnsafePrefix + "x?" + standin.CrashParameter + "=60"}}
+	c.waitFor("all instances reject the request", func() bool {
+		rejecting := 0
 		for entry := range c.entries {
-			if strings.Contains(one.send(c, entry).Body, heldBack) {
-				held++
+			if strings.Contains(request.send(c, entry).Body, quarantineReason) {
+				rejecting++
 			}
 		}
-		return held == len(c.entries)
+		return rejecting == len(c.entries)
 	})
 	former := c.planner()
 	c.kill(former)
-	next := c.other(former)
-	c.waitFor("another instance plans", func() bool { return c.logged(next, planning) || c.logged(c.other(next), planning) })
+	next := c.otherEntry(former)
+	c.waitFor("another instance is the planner", func() bool { return c.hasLogged(next, planningMsg) || c.hasLogged(c.otherEntry(next), planningMsg) })
 	c.entries[former] = c.startEntry(former)
 	c.waitFor("the instance is ready again", func() bool { return c.isReady(former) })
-	c.waitFor("it was told", func() bool { return c.logged(former, "a request is held back") })
-	begun := len(one.begins(c))
+	c.waitFor("the restarted instance has received the quarantine", func() bool { return c.hasLogged(former, "a request is held back") })
+	started := len(request.startTimes(c))
 	for entry := range c.entries {
-		answer := one.send(c, entry)
-		assert.Contains(t, answer.Body, heldBack)
+		answer := request.send(c, entry)
+		assert.Contains(t, answer.Body, quarantineReason)
 		assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 		assert.NotEmpty(t, answer.Header.Get("Retry-After"))
 	}
-	assert.Len(t, one.begins(c), begun)
+	assert.Len(t, request.startTimes(c), started)
 }
 
-// TestInstancesThatWereCutOffLearnOfCrashes: none of the instances has seen enough ends by itself, and those on the two sides of a cut are told
-// of each other's once it has healed, in the time in which all must know.
-func TestInstancesThatWereCutOffLearnOfCrashes(t *testing.T) {
-	for name, pick := range map[string]func(c *crashes) int{
-		"a member is cut off":         func(c *crashes) int { return c.other(c.planner()) },
-		"the planner loses the store": func(c *crashes) int { return c.planner() },
+// TestInstancesExchangeCrashReportsAfterPartition splits the crashes of a request between the two sides of a network partition, so that no
+// instance has seen enough of them to quarantine the request. After the partition has healed, all instances must receive the crashes of the
+// other side and quarantine the request within propagationLimit.
+func TestInstancesExchangeCrashReportsAfterPartition(t *testing.T) {
+	for name, pick := range map[string]func(c *crashSite) int{
+		"a member is isolated":        func(c *crashSite) int { return c.otherEntry(c.planner()) },
+		"the planner loses the store": func(c *crashSite) int { return c.planner() },
 	} {
 		t.Run(name, func(t *testing.T) {
-			c := newCrashes(t, 3, 5)
-			one := &killer{call: call{path: standin.UnsafePrefix + "x?" + standin.CrashParameter + "=60"}}
-			away := pick(c)
-			cutOff := c.entries[away]
-			cutOff.cut.Store(true)
-			cutOff.cutPeers(true)
-			sendUntil := func(entry, ends int) {
-				c.waitFor(fmt.Sprintf("%d endpoints have ended", ends), func() bool {
-					one.send(c, entry)
-					return len(one.begins(c)) >= ends
+			c := newCrashSite(t, 3, 5)
+			request := &crashingRequest{call: call{path: standin.UnsafePrefix + "x?" + standin.CrashParameter + "=60"}}
+			isolated := pick(c)
+			isolatedEntry := c.entries[isolated]
+			isolatedEntry.storeCut.Store(true)
+			isolatedEntry.cutPeers(true)
+			sendUntil := func(entry, crashes int) {
+				c.waitFor(fmt.Sprintf("%d endpoints have crashed", crashes), func() bool {
+					request.send(c, entry)
+					return len(request.startTimes(c)) >= crashes
 				})
 			}
-			sendUntil(away, 1)
-			sendUntil(c.other(away), 3)
-			cutOff.cut.Store(false)
-			cutOff.cutPeers(false)
+			sendUntil(isolated, 1)
+			sendUntil(c.otherEntry(isolated), 3)
+			isolatedEntry.storeCut.Store(false)
+			isolatedEntry.cutPeers(false)
 			healed := time.Now()
 			for entry := range c.entries {
-				c.waitFor("all know of the ends", func() bool { return c.logged(entry, "a request is held back, since") })
+				c.waitFor("the instance has quarantined the request", func() bool { return c.hasLogged(entry, "a request is held back, since") })
 			}
-			assert.Less(t, time.Since(healed), contactTime)
+			assert.Less(t, time.Since(healed), propagationLimit)
 			for entry := range c.entries {
-				assert.Contains(t, one.send(c, entry).Body, heldBack)
+				assert.Contains(t, request.send(c, entry).Body, quarantineReason)
 			}
-			assert.Len(t, one.begins(c), 3)
+			assert.Len(t, request.startTimes(c), 3)
 		})
 	}
 }
--- a/tests/platform/failure_test.go
+++ b/tests/platform/failure_test.go
@@ -17,15 +17,15 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-const planning = "planning begins"
+const planningMsg = "planning begins"
 
-// planner gives the entry that began to plan last, among those that run.
+// planner returns the first running instance that has logged that it became the planner.
 func (s *site) planner() int {
 	s.t.Helper()
 	found := -1
-	s.waitFor("an entry plans", func() bool {
+	s.waitFor("an instance is the planner", func() bool {
 		for i, e := range s.entries {
-			if !e.ended && s.logged(i, planning) {
+			if !e.ended && s.hasLogged(i, planningMsg) {
 				found = i
 				return true
 			}
@@ -35,18 +35,19 @@
 	return found
 }
 
-func (s *site) other(than int) int {
+// otherEntry returns an instance other than the given one.
+func (s *site) otherEntry(than int) int {
 	return (than + 1) % len(s.entries)
 }
 
-// serves tells whether an adapter that was never asked for gets loaded and served.
+// serves reports whether an instance answers a request for an adapter with 200. The adapter is loaded first if it was not used before.
 func (s *site) serves(entry int, adapter string) bool {
 	return s.do(call{entry: entry, path: "/chat/x", adapter: adapter}).Status == http.StatusOK
 }
 
-// checkOrders checks, over all workers, that the fencing token never falls, belongs to one
-// holder, and that a holder never comes back with an old one.
-func (s *site) checkOrders() {
+// assertOrdersConsistent checks that the fencing token of the orders at each worker never decreases, and that each token belongs to one holder.
+// So a holder cannot give orders with an older token. It also checks that no worker was loaded beyond its capacity.
+func (s *site) assertOrdersConsistent() {
 	s.t.Helper()
 	holders := make(map[int64]string)
 	for _, worker := range s.models {
@@ -54,10 +55,10 @@
 		sort.SliceStable(orders, func(i, j int) bool { return orders[i].At.Before(orders[j].At) })
 		last := int64(0)
 		for _, order := range orders {
-			assert.GreaterOrEqual(s.t, order.Token, last, "a lower token after a higher one")
+			assert.GreaterOrEqual(s.t, order.Token, last, "fencing token decreased")
 			last = order.Token
 			if holder, ok := holders[order.Token]; ok {
-				assert.Equal(s.t, holder, order.Holder, "two holders with one token")
+				assert.Equal(s.t, holder, order.Holder, "two holders of one fencing token")
 			}
 			holders[order.Token] = order.Holder
 		}
@@ -65,24 +66,24 @@
 	}
 }
 
-func TestAPlannedStopHandsTheOwnershipOverAtOnce(t *testing.T) {
+func TestPlannedStopHandsOverOwnershipAtOnce(t *testing.T) {
 	s := newSite(t, 2)
 	former := s.planner()
-	next := s.other(former)
+	next := s.otherEntry(former)
 	require.True(t, s.serves(former, "a1"))
 	began := time.Now()
 	var stopped sync.WaitGroup
 	stopped.Go(s.entries[former].process.Stop)
 	s.entries[former].ended = true
-	s.waitFor("the other entry plans", func() bool { return s.logged(next, planning) })
+	s.waitFor("the other instance is the planner", func() bool { return s.hasLogged(next, planningMsg) })
 	assert.Less(t, time.Since(began), 2*time.Second)
 	assert.True(t, s.serves(next, "a2"))
 	assert.Less(t, time.Since(began), 4*time.Second)
 	stopped.Wait()
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-func TestAPlannedStopCutsNothingOff(t *testing.T) {
+func TestPlannedStopInterruptsNoRequests(t *testing.T) {
 	s := newSite(t, 1)
 	require.True(t, s.serves(0, "a1"))
 	var callers sync.WaitGroup
@@ -94,7 +95,7 @@
 	var stopping sync.WaitGroup
 	stopping.Go(s.entries[0].process.Stop)
 	s.entries[0].ended = true
-	s.waitAtMost(300*time.Millisecond, "it is no longer ready", func() bool { return !s.isReady(0) })
+	s.waitWithin(300*time.Millisecond, "the instance is no longer ready", func() bool { return !s.isReady(0) })
 	assert.False(t, s.isReady(0))
 	for range 20 {
 		callers.Go(func() { results <- s.do(call{path: "/chat/x", adapter: "a1"}) })
@@ -102,25 +103,26 @@
 	callers.Wait()
 	stopping.Wait()
 	close(results)
-	for got := range results {
-		assert.NoError(t, got.Broken)
-		assert.Equal(t, http.StatusOK, got.Status)
+	for answer := range results {
+		assert.NoError(t, answer.Broken)
+		assert.Equal(t, http.StatusOK, answer.Status)
 	}
 }
 
-func TestALostPlannerIsReplacedAfterItsTime(t *testing.T) {
+func TestKilledPlannerIsReplaced(t *testing.T) {
 	s := newSite(t, 2)
 	former := s.planner()
-	next := s.other(former)
+	next := s.otherEntry(former)
 	require.True(t, s.serves(former, "a1"))
 	s.kill(former)
-	s.waitFor("the other entry serves a new adapter", func() bool { return s.serves(next, "a2") })
-	s.checkOrders()
+	s.waitFor("the other instance serves a new adapter", func() bool { return s.serves(next, "a2") })
+	s.assertOrdersConsistent()
 }
 
-// TestARefusedConnectionIsNoProofThatThePlannerEnded is about the end of a cut, when an entry's connection to the living planner is
-// refused: an entry that takes the process for ended would give orders beside it at once.
-func TestARefusedConnectionIsNoProofThatThePlannerEnded(t *testing.T) {
+// TestRefusedConnectionDoesNotReplacePlanner guards against two planners at the end of a partition, when the connection of an instance to the
+// running planner is refused. An instance that took the refusal for the end of the planner's process would give orders at once, beside the
+// planner.
+func TestRefusedConnectionDoesNotReplacePlanner(t *testing.T) {
 	s := newSite(t, 3)
 	planner := s.planner()
 	require.True(t, s.serves(planner, "a1"))
@@ -134,46 +136,45 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	for i := range s.entries {
-		assert.Equal(t, i == planner, s.logged(i, planning), "entry %d", i)
+		assert.Equal(t, i == planner, s.hasLogged(i, planningMsg), "entry %d", i)
 	}
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-// TestAPlannerCutFromTheStoreFollowsItsSuccessor is about callers of a planner that the store answers no
-// more: another entry plans, and the former planner could not read who, so that it refused all
-// adapters that were loaded since.
-func TestAPlannerCutFromTheStoreFollowsItsSuccessor(t *testing.T) {
+// TestPlannerWithoutStoreFollowsItsSuccessor guards against a former planner that rejects requests for adapters which its successor has loaded.
+// The store stops answering the former planner, so the former planner cannot read which instance is the planner now.
+func TestPlannerWithoutStoreFollowsItsSuccessor(t *testing.T) {
 	s := newSite(t, 3)
 	former := s.planner()
 	require.True(t, s.serves(former, "a1"))
-	s.entries[former].cut.Store(true)
+	s.entries[former].storeCut.Store(true)
 	next := -1
-	s.waitFor("another entry plans", func() bool {
+	s.waitFor("another instance is the planner", func() bool {
 		for i := range s.entries {
-			if i != former && s.logged(i, planning) {
+			if i != former && s.hasLogged(i, planningMsg) {
 				next = i
 			}
 		}
 		return next >= 0
 	})
-	s.waitFor("it loads adapters", func() bool { return s.serves(next, "a2") })
-	s.waitFor("the former planner serves what the new one loaded", func() bool { return s.serves(former, "a2") })
-	s.waitFor("the former planner gets adapters through the new one", func() bool { return s.serves(former, "a3") })
-	s.checkOrders()
+	s.waitFor("the new planner loads adapters", func() bool { return s.serves(next, "a2") })
+	s.waitFor("the former planner serves an adapter that the new planner loaded", func() bool { return s.serves(former, "a2") })
+	s.waitFor("the former planner has an adapter loaded by the new planner", func() bool { return s.serves(former, "a3") })
+	s.assertOrdersConsistent()
 }
 
-func TestAPlannerThatStartsAgainGoesOnAtOnce(t *testing.T) {
+func TestRestartedPlannerPlansAtOnce(t *testing.T) {
 	s := newSite(t, 1)
 	require.True(t, s.serves(0, "a1"))
 	s.kill(0)
 	began := time.Now()
 	s.entries[0] = s.startEntry(0)
 	s.waitFor("a new adapter is served", func() bool { return s.serves(0, "a2") })
-	assert.Less(t, time.Since(began), 4*time.Second, "the time of its own former process need not be waited for")
-	s.checkOrders()
+	assert.Less(t, time.Since(began), 4*time.Second, "a restarted planner need not wait for the lease of its former process")
+	s.assertOrdersConsistent()
 }
 
-func TestWhatIsLoadedIsServedWhileTheStoreIsDown(t *testing.T) {
+func TestLoadedAdaptersAreServedWhileStoreIsDown(t *testing.T) {
 	s := newSite(t, 2)
 	require.True(t, s.serves(0, "a1"))
 	for _, faults := range []standin.StoreFaults{{Down: true}, {Silent: true}} {
@@ -185,15 +186,15 @@
 		s.store.SetFaults(standin.StoreFaults{})
 	}
 	s.waitFor("new adapters are served again", func() bool { return s.serves(0, "a2") })
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-func TestAConfigurationIsInForceEverywhereWithinItsTime(t *testing.T) {
+func TestConfigurationTakesEffectAtAllInstancesWithinTwoSeconds(t *testing.T) {
 	s := newSite(t, 3)
 	cases := map[string]func(){
-		"sound":           func() {},
+		"no fault":        func() {},
 		"history dropped": func() { s.store.DropHistory() },
-		"watches deaf": func() {
+		"watch events withheld": func() {
 			s.store.SetFaults(standin.StoreFaults{Deaf: true})
 			time.AfterFunc(time.Second, func() {
 				s.store.DropHistory()
@@ -202,27 +203,27 @@
 		},
 	}
 	version := 1
-	for name, trouble := range cases {
+	for name, injectFault := range cases {
 		version++
-		trouble()
+		injectFault()
 		path := fmt.Sprintf("/new%d/", version)
 		s.store.Put("op/config", standin.Configuration(version, map[string]string{path: standin.PlainService}))
 		deadline := time.Now().Add(2 * time.Second)
 		for i := range s.entries {
 			inForce := func() bool { return s.do(call{entry: i, path: path, method: http.MethodGet}).Status == http.StatusOK }
-			s.waitAtMost(time.Until(deadline), fmt.Sprintf("%s, entry %d", name, i), inForce)
+			s.waitWithin(time.Until(deadline), fmt.Sprintf("%s, entry %d", name, i), inForce)
 			assert.True(t, inForce(), "%s, entry %d", name, i)
 		}
 	}
 }
 
-func TestALeavingEndpointGetsNoNewWorkWithinItsTime(t *testing.T) {
+func TestLeavingEndpointGetsNoRequestsAfterTwoSeconds(t *testing.T) {
 	s := newSite(t, 2)
-	fresh := standin.NewWorker(s.store, standin.WorkerOptions{ID: "i-plain-new", Service: standin.PlainService, Zone: "h1", Slots: 8})
-	s.plain = append(s.plain, fresh)
-	s.waitFor("each entry uses the new worker", func() bool {
-		s.do(call{entry: len(fresh.Runs()) % 2, path: "/hold/x"})
-		return len(fresh.Runs()) > 1
+	added := standin.NewWorker(s.store, standin.WorkerOptions{ID: "i-plain-new", Service: standin.PlainService, Zone: "h1", Slots: 8})
+	s.plain = append(s.plain, added)
+	s.waitFor("each instance uses the new worker", func() bool {
+		s.do(call{entry: len(added.Runs()) % 2, path: "/hold/x"})
+		return len(added.Runs()) > 1
 	})
 	for _, leave := range []func(*standin.Worker){(*standin.Worker).Drain, (*standin.Worker).Vanish} {
 		worker := s.plain[0]
@@ -238,7 +239,7 @@
 	}
 }
 
-func TestRevokedKeysMakeNoSecondPlanner(t *testing.T) {
+func TestRevokedLeasesCauseNoSecondPlanner(t *testing.T) {
 	s := newSite(t, 3)
 	former := s.planner()
 	require.True(t, s.serves(former, "a1"))
@@ -248,24 +249,24 @@
 	}
 	require.True(t, s.serves(former, "a2"))
 	for i := range s.entries {
-		assert.Equal(t, i == former, s.logged(i, planning))
+		assert.Equal(t, i == former, s.hasLogged(i, planningMsg))
 	}
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-func TestLostAndLateWritesMakeNoSecondHolder(t *testing.T) {
+func TestLostAnswersAndLateWritesCauseNoSecondTokenHolder(t *testing.T) {
 	s := newSite(t, 3)
 	former := s.planner()
 	require.True(t, s.serves(former, "a1"))
 	s.store.SetFaults(standin.StoreFaults{LoseAnswers: 1, LateWrites: 1, LateBy: 1500 * time.Millisecond})
 	s.kill(former)
-	s.waitFor("another entry serves a new adapter", func() bool { return s.serves(s.other(former), "a2") })
+	s.waitFor("another instance serves a new adapter", func() bool { return s.serves(s.otherEntry(former), "a2") })
 	time.Sleep(2 * time.Second)
-	s.waitFor("and another one", func() bool { return s.serves(s.other(former), "a3") })
-	s.checkOrders()
+	s.waitFor("the instance serves a second new adapter", func() bool { return s.serves(s.otherEntry(former), "a3") })
+	s.assertOrdersConsistent()
 }
 
-func TestANamedVersionIsServedWithinItsTime(t *testing.T) {
+func TestNamedVersionIsServedWithinFourSeconds(t *testing.T) {
 	s := newSite(t, 2)
 	require.True(t, s.serves(0, "a1"))
 	for _, worker := range s.models {
@@ -274,11 +275,11 @@
 	s.store.Put("op/version/base.a1", map[string]any{"model": standin.Model, "adapter": "a1", "version": 2})
 	time.Sleep(4 * time.Second)
 	for i := range 10 {
-		got := s.do(call{entry: i % 2, path: "/chat/x", adapter: "a1"})
-		require.Equal(t, http.StatusOK, got.Status)
+		answer := s.do(call{entry: i % 2, path: "/chat/x", adapter: "a1"})
+		require.Equal(t, http.StatusOK, answer.Status)
 		for _, worker := range s.models {
 			for _, run := range worker.Runs() {
-				if run.ID == got.ID {
+				if run.ID == answer.ID {
 					assert.Equal(t, 2, run.Version)
 				}
 			}
@@ -286,16 +287,16 @@
 	}
 }
 
-func TestLostOrdersAreSettled(t *testing.T) {
+func TestOrdersWithLostAnswersAreResolved(t *testing.T) {
 	s := newSite(t, 1)
-	s.eachModel(standin.WorkerFaults{LoseOrders: 2})
+	s.setModelFaults(standin.WorkerFaults{LoseOrders: 2})
 	for i := range 6 {
 		s.waitFor("the adapter is served", func() bool { return s.serves(0, fmt.Sprintf("a%d", i)) })
 	}
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-func TestAllAtOnceStartAgainFromTheStoreAlone(t *testing.T) {
+func TestAllInstancesRestartFromStore(t *testing.T) {
 	s := newSite(t, 3)
 	require.True(t, s.serves(0, "a1"))
 	for i := range s.entries {
@@ -305,7 +306,7 @@
 	for i := range s.entries {
 		s.entries[i] = s.startEntry(i)
 	}
-	s.waitFor("all entries serve", func() bool {
+	s.waitFor("all instances serve the adapter", func() bool {
 		for i := range s.entries {
 			if !s.serves(i, "a1") {
 				return false
@@ -314,61 +315,59 @@
 		return true
 	})
 	assert.Less(t, time.Since(began), 12*time.Second)
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-// TestAnEntryThatStartsWhileTheStoreIsDownLearnsFromItsPeers is about an instance that joins with
-// nothing in hand.
-func TestAnEntryThatStartsWhileTheStoreIsDownLearnsFromItsPeers(t *testing.T) {
+// TestInstanceStartedWhileStoreIsDownGetsStateFromPeers covers an instance that joins without any state of its own.
+func TestInstanceStartedWhileStoreIsDownGetsStateFromPeers(t *testing.T) {
 	s := newSite(t, 2)
 	require.True(t, s.serves(0, "a1"))
 	s.store.SetFaults(standin.StoreFaults{Down: true})
 	s.kill(1)
 	s.entries[1] = s.startEntry(1)
-	s.waitFor("it is ready", func() bool { return s.isReady(1) })
+	s.waitFor("the restarted instance is ready", func() bool { return s.isReady(1) })
 	assert.True(t, s.serves(1, "a1"))
 	s.store.SetFaults(standin.StoreFaults{})
 	s.waitFor("new adapters are served again", func() bool { return s.serves(1, "a2") })
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-// TestAStoreOverItsRateDelaysButBreaksNothing lets three entries share a rate that refuses a part of their
-// calls.
-func TestAStoreOverItsRateDelaysButBreaksNothing(t *testing.T) {
+// TestStoreRateLimitDelaysChangesWithoutFailures has the store answer five calls per second and reject the other calls of three instances.
+func TestStoreRateLimitDelaysChangesWithoutFailures(t *testing.T) {
 	s := newSite(t, 3)
 	require.True(t, s.serves(0, "a1"))
 	s.store.SetFaults(standin.StoreFaults{PerSecond: 5})
 	time.Sleep(1500 * time.Millisecond)
 	for i := range s.entries {
-		assert.True(t, s.serves(i, "a1"), "what is loaded is served")
+		assert.True(t, s.serves(i, "a1"), "a loaded adapter is served")
 	}
 	s.store.Put("op/config", standin.Configuration(2, map[string]string{"/late/": standin.PlainService}))
 	for i := range s.entries {
-		s.waitFor("the configuration is in force", func() bool {
+		s.waitFor("the configuration has taken effect", func() bool {
 			return s.do(call{entry: i, path: "/late/x", method: http.MethodGet}).Status == http.StatusOK
 		})
 	}
 	s.store.SetFaults(standin.StoreFaults{})
 	s.waitFor("new adapters are served again", func() bool { return s.serves(1, "a2") })
-	s.checkOrders()
+	s.assertOrdersConsistent()
 }
 
-// TestAnEndpointThatLeftDuringACutIsNotUsedAfterIt is about an entry that is cut off while a worker leaves, and then links to the
-// planner again: the whole view names the revision of the planner's first reading, and an entry that knows a newer description of
-// the worker must not keep it for that.
-func TestAnEndpointThatLeftDuringACutIsNotUsedAfterIt(t *testing.T) {
+// TestEndpointGoneDuringPartitionIsNotUsedAfterwards guards against an instance that sends requests to a worker which left while the instance
+// was partitioned. The instance then links to the planner again and receives the complete view, which has the revision of the planner's first
+// read of the endpoints. The instance may hold a newer description of the worker, and must not keep the worker because of that.
+func TestEndpointGoneDuringPartitionIsNotUsedAfterwards(t *testing.T) {
 	s := newSite(t, 2)
-	follower := s.other(s.planner())
-	// The planner reads all endpoints within its first two seconds and follows them by watches from then on.
+	follower := s.otherEntry(s.planner())
+	// The planner reads all endpoints within its first two seconds, and follows their changes by watches after that.
 	time.Sleep(2 * time.Second)
 	adapters := []string{"a1", "a2", "a3", "a4"}
 	for _, adapter := range adapters {
 		require.True(t, s.serves(follower, adapter))
 	}
-	// The workers describe what they hold now, at revisions after that reading.
+	// The workers write descriptions of the adapters that they hold, at revisions after that read.
 	time.Sleep(standin.BeatPace + 200*time.Millisecond)
 	entry := s.entries[follower]
-	entry.cut.Store(true)
+	entry.storeCut.Store(true)
 	entry.cutPeers(true)
 	gone := s.models[0]
 	gone.Vanish()
--- a/tests/platform/leaving_answer_test.go
+++ b/tests/platform/leaving_answer_test.go
@@ -13,14 +13,14 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// drainTime is how long after an answer that says so an endpoint may still get requests, as the users' platform allows it.
-const drainTime = 2 * time.Second
+// leaveLimit is how long an endpoint may still get requests after it has announced in an answer that it leaves. The users' platform sets it.
+const leaveLimit = 2 * time.Second
 
-func TestAnEndpointThatSaysInAnAnswerThatItLeavesGetsNoWork(t *testing.T) {
+func TestEndpointThatAnnouncesLeavingInAnswerGetsNoRequests(t *testing.T) {
 	for name, test := range map[string]struct {
-		one     call
+		request call
 		workers func(s *site) []*standin.Worker
-		// meanwhile is what happens while the endpoints leave.
+		// meanwhile is called right after the endpoints have announced that they leave.
 		meanwhile func(s *site)
 	}{
 		"one endpoint of a plain service": {
@@ -32,44 +32,44 @@
 		"an endpoint with models": {
 			call{path: standin.StreamPrefix + "x", adapter: "a1"}, func(s *site) []*standin.Worker { return s.models[:1] }, func(*site) {},
 		},
-		"the store says that it is ready": {
+		"the endpoint is ready in the store": {
 			call{path: standin.SafePrefix + "x"}, func(s *site) []*standin.Worker { return s.plain[:1] },
 			func(s *site) { s.plain[0].Describe() },
 		},
-		"the store is not reached": {
+		"the store and the peers are unreachable": {
 			call{path: standin.SafePrefix + "x"}, func(s *site) []*standin.Worker { return s.plain[:1] },
 			func(s *site) {
 				for _, entry := range s.entries {
-					entry.cut.Store(true)
+					entry.storeCut.Store(true)
 					entry.cutPeers(true)
 				}
 			},
 		},
-		"another instance plans": {
+		"another instance becomes the planner": {
 			call{path: standin.SafePrefix + "x"}, func(s *site) []*standin.Worker { return s.plain[:1] },
 			func(s *site) { s.kill(s.planner()) },
 		},
-		"later answers do not say so": {
+		"later answers do not announce it": {
 			call{path: standin.SafePrefix + "x"}, func(s *site) []*standin.Worker { return s.plain[:1] },
-			func(s *site) { s.eachPlain(standin.WorkerFaults{}) },
+			func(s *site) { s.setPlainFaults(standin.WorkerFaults{}) },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 3)
 			workers := test.workers(s)
-			c := s.newCallers(5*time.Millisecond, s.atEach(2, test.one)...)
+			c := s.startCallers(5*time.Millisecond, s.callsAtEach(2, test.request)...)
 			s.waitFor("requests are served", func() bool { return c.count(http.StatusOK) > 20 })
 			for _, worker := range workers {
 				worker.SetFaults(standin.WorkerFaults{Says: standin.Notice{Leaving: true}})
 			}
-			// All instances have requests under way.
-			time.Sleep(drainTime / 4)
-			said := time.Now()
+			// All instances have requests in flight by then.
+			time.Sleep(leaveLimit / 4)
+			announced := time.Now()
 			test.meanwhile(s)
-			time.Sleep(2 * drainTime)
+			time.Sleep(2 * leaveLimit)
 			c.end()
 			for _, worker := range workers {
-				assert.Zero(t, mostWithin(worker.Arrivals(), said.Add(drainTime), drainTime), "requests later than %s after the word", drainTime)
+				assert.Zero(t, maxWithin(worker.Arrivals(), announced.Add(leaveLimit), leaveLimit), "requests later than %s after the announcement", leaveLimit)
 			}
 		})
 	}
--- a/tests/platform/limit_copies_test.go
+++ b/tests/platform/limit_adapters_test.go
@@ -14,14 +14,14 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// TestCallersOfManyAdaptersAreServedBesideAnEndpointWithALimit has more adapters than the endpoints without a limit have places to spare.
-func TestCallersOfManyAdaptersAreServedBesideAnEndpointWithALimit(t *testing.T) {
+// TestCallersOfManyAdaptersAreServedWithOneLimitedEndpoint uses more adapters than the endpoints without a limit have free places for.
+func TestCallersOfManyAdaptersAreServedWithOneLimitedEndpoint(t *testing.T) {
 	const (
-		adapters = 20
-		more     = 2
+		adapters     = 20
+		addedWorkers = 2
 	)
 	s := newSite(t, 3)
-	for i := range more {
+	for i := range addedWorkers {
 		worker := standin.NewWorker(s.store, standin.WorkerOptions{
 			ID: fmt.Sprintf("i-more-%d", i), Service: standin.ModelService, Zone: "h1", Slots: 8, Model: standin.Model,
 			Capacity: 8, LoadTime: 30 * time.Millisecond, Events: 5, Pause: 5 * time.Millisecond,
@@ -32,14 +32,14 @@
 	for i := range adapters {
 		calls = append(calls, call{entry: i % len(s.entries), path: standin.StreamPrefix + "x", adapter: fmt.Sprint("a", i)})
 	}
-	c := s.newCallers(100*time.Millisecond, calls...)
-	time.Sleep(contactTime)
+	c := s.startCallers(100*time.Millisecond, calls...)
+	time.Sleep(propagationLimit)
 	before := c.count(http.StatusServiceUnavailable)
 	s.models[0].SetFaults(standin.WorkerFaults{Says: standin.Notice{Limit: "0.5"}})
-	time.Sleep(contactTime)
-	refused, served := c.count(http.StatusServiceUnavailable), c.count(http.StatusOK)
-	time.Sleep(2 * contactTime)
+	time.Sleep(propagationLimit)
+	rejected, served := c.count(http.StatusServiceUnavailable), c.count(http.StatusOK)
+	time.Sleep(2 * propagationLimit)
 	c.end()
-	t.Logf("before %d, then refused %d; later refused %d, served %d", before, refused-before, c.count(http.StatusServiceUnavailable)-refused, c.count(http.StatusOK)-served)
-	assert.LessOrEqual(t, c.count(http.StatusServiceUnavailable)-refused, (c.count(http.StatusOK)-served)/100)
+	t.Logf("rejected before the limit: %d, right after it: %d, later: %d; served later: %d", before, rejected-before, c.count(http.StatusServiceUnavailable)-rejected, c.count(http.StatusOK)-served)
+	assert.LessOrEqual(t, c.count(http.StatusServiceUnavailable)-rejected, (c.count(http.StatusOK)-served)/100)
 }
--- a/tests/platform/limit_test.go
+++ b/tests/platform/limit_test.go
@@ -16,16 +16,16 @@
 )
 
 const (
-	// limitSpan is the span in which requests are counted; limitSlack and limitExtra are what the users' platform allows beyond a limit.
-	limitSpan  = 4 * time.Second
-	limitSlack = 1.5
-	limitExtra = 5
-	// limitWatched is for how long a test watches a limit once it binds.
-	limitWatched = 6 * time.Second
+	// limitWindow is the window in which requests are counted. The users' platform allows limitFactor times the limit plus limitExtra requests in it.
+	limitWindow = 4 * time.Second
+	limitFactor = 1.5
+	limitExtra  = 5
+	// limitObservation is how long a test observes requests once a limit applies at all instances.
+	limitObservation = 6 * time.Second
 )
 
-// callers send requests at their entries again and again until they are ended.
-type callers struct {
+// callerPool is a set of callers that send requests repeatedly until end is called.
+type callerPool struct {
 	site    *site
 	stop    chan struct{}
 	tasks   sync.WaitGroup
@@ -33,45 +33,45 @@
 	answers []standin.Answer
 }
 
-// newCallers starts a caller for each call; each waits for its answer, then for a pause.
-func (s *site) newCallers(pause time.Duration, calls ...call) *callers {
-	c := &callers{site: s, stop: make(chan struct{})}
-	s.t.Cleanup(c.end)
-	for _, one := range calls {
-		c.tasks.Go(func() { c.repeat(pause, one) })
+// startCallers starts a caller for each call. A caller pauses before each request and waits for its answer.
+func (s *site) startCallers(pause time.Duration, calls ...call) *callerPool {
+	p := &callerPool{site: s, stop: make(chan struct{})}
+	s.t.Cleanup(p.end)
+	for _, request := range calls {
+		p.tasks.Go(func() { p.repeat(pause, request) })
 	}
-	return c
+	return p
 }
 
-func (c *callers) repeat(pause time.Duration, one call) {
+func (p *callerPool) repeat(pause time.Duration, request call) {
 	for {
 		select {
-		case <-c.stop:
+		case <-p.stop:
 			return
 		case <-time.After(pause):
 		}
-		answer := c.site.do(one)
-		c.mutex.Lock()
-		c.answers = append(c.answers, answer)
-		c.mutex.Unlock()
+		answer := p.site.do(request)
+		p.mutex.Lock()
+		p.answers = append(p.answers, answer)
+		p.mutex.Unlock()
 	}
 }
 
-func (c *callers) end() {
+func (p *callerPool) end() {
 	select {
-	case <-c.stop:
+	case <-p.stop:
 	default:
-		close(c.stop)
+		close(p.stop)
 	}
-	c.tasks.Wait()
+	p.tasks.Wait()
 }
 
-// count gives how many answers have a status.
-func (c *callers) count(status int) int {
-	c.mutex.Lock()
-	defer c.mutex.Unlock()
+// count returns how many answers have the status.
+func (p *callerPool) count(status int) int {
+	p.mutex.Lock()
+	defer p.mutex.Unlock()
 	count := 0
-	for _, answer := range c.answers {
+	for _, answer := range p.answers {
 		if answer.Status == status {
 			count++
 		}
@@ -79,114 +79,114 @@
 	return count
 }
 
-// atEach gives a call for a number of callers at each entry.
-func (s *site) atEach(callers int, one call) []call {
+// callsAtEach returns a call for each of the given number of callers at each instance.
+func (s *site) callsAtEach(callers int, request call) []call {
 	var calls []call
 	for i := range s.entries {
 		for range callers {
-			one.entry = i
-			calls = append(calls, one)
+			request.entry = i
+			calls = append(calls, request)
 		}
 	}
 	return calls
 }
 
-// mostWithin gives the most arrivals within some span that begins after a moment.
-func mostWithin(arrivals []time.Time, from time.Time, span time.Duration) int {
+// maxWithin returns the greatest number of arrivals in any window of the given length that does not begin before from.
+func maxWithin(arrivals []time.Time, from time.Time, window time.Duration) int {
 	most, first := 0, 0
-	for last, at := range arrivals {
-		for arrivals[first].Before(from) && first < last || at.Sub(arrivals[first]) >= span {
+	for last, arrival := range arrivals {
+		for arrivals[first].Before(from) && first < last || arrival.Sub(arrivals[first]) >= window {
 			first++
 		}
-		if !at.Before(from) {
+		if !arrival.Before(from) {
 			most = max(most, last-first+1)
 		}
 	}
 	return most
 }
 
-// assertLimitKept checks what arrived from a moment on against what the users' platform allows.
+// assertLimitKept checks that the requests which arrived at a worker after from stay within what the users' platform allows.
 func assertLimitKept(t *testing.T, worker *standin.Worker, from time.Time, perSecond float64) {
 	t.Helper()
-	allowed := int(limitSlack*perSecond*limitSpan.Seconds() + limitExtra)
-	assert.LessOrEqual(t, mostWithin(worker.Arrivals(), from, limitSpan), allowed, "in %s, with a limit of %g a second", limitSpan, perSecond)
+	allowed := int(limitFactor*perSecond*limitWindow.Seconds() + limitExtra)
+	assert.LessOrEqual(t, maxWithin(worker.Arrivals(), from, limitWindow), allowed, "requests in %s, with a limit of %g requests per second", limitWindow, perSecond)
 }
 
-func TestALimitThatAnEndpointNamesHoldsForAllInstancesTogether(t *testing.T) {
+func TestEndpointLimitAppliesToAllInstancesTogether(t *testing.T) {
 	const perSecond = 1.3
 	plain := call{path: standin.SafePrefix + "x?work_ms=5"}
-	once := call{path: standin.UnsafePrefix + "x?work_ms=5"}
+	unsafe := call{path: standin.UnsafePrefix + "x?work_ms=5"}
 	stream := call{path: standin.StreamPrefix + "x", adapter: "a1"}
 	for name, test := range map[string]struct {
 		calls   func(s *site) []call
 		workers func(s *site) []*standin.Worker
 	}{
-		"a plain service, callers everywhere": {
-			func(s *site) []call { return append(s.atEach(2, plain), s.atEach(2, once)...) },
+		"one endpoint of a plain service": {
+			func(s *site) []call { return append(s.callsAtEach(2, plain), s.callsAtEach(2, unsafe)...) },
 			func(s *site) []*standin.Worker { return s.plain[:1] },
 		},
 		"all endpoints of a plain service": {
-			func(s *site) []call { return append(s.atEach(2, plain), s.atEach(2, once)...) },
+			func(s *site) []call { return append(s.callsAtEach(2, plain), s.callsAtEach(2, unsafe)...) },
 			func(s *site) []*standin.Worker { return s.plain },
 		},
-		"one instance has all callers": {
-			func(s *site) []call { return append(s.atEach(4, plain), s.atEach(4, once)...)[:4] },
+		"a plain service, all callers at one instance": {
+			func(s *site) []call { return append(s.callsAtEach(4, plain), s.callsAtEach(4, unsafe)...)[:4] },
 			func(s *site) []*standin.Worker { return s.plain },
 		},
-		"models": {
-			func(s *site) []call { return s.atEach(3, stream) },
+		"endpoints with models": {
+			func(s *site) []call { return s.callsAtEach(3, stream) },
 			func(s *site) []*standin.Worker { return s.models },
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 4)
-			named := time.Now()
+			announced := time.Now()
 			for _, worker := range test.workers(s) {
 				worker.SetFaults(standin.WorkerFaults{Says: standin.Notice{Limit: fmt.Sprint(perSecond)}})
 			}
-			c := s.newCallers(5*time.Millisecond, test.calls(s)...)
-			time.Sleep(contactTime + limitWatched)
+			c := s.startCallers(5*time.Millisecond, test.calls(s)...)
+			time.Sleep(propagationLimit + limitObservation)
 			c.end()
 			for _, worker := range test.workers(s) {
-				assertLimitKept(t, worker, named.Add(contactTime), perSecond)
+				assertLimitKept(t, worker, announced.Add(propagationLimit), perSecond)
 			}
 			assert.Positive(t, c.count(http.StatusOK))
 		})
 	}
 }
 
-func TestRequestsGoElsewhereBesideAnEndpointWithALimit(t *testing.T) {
+func TestRequestsOverEndpointLimitAreServedByOtherEndpoints(t *testing.T) {
 	s := newSite(t, 3)
 	s.plain[0].SetFaults(standin.WorkerFaults{Says: standin.Notice{Limit: "0.5"}})
-	c := s.newCallers(5*time.Millisecond, append(s.atEach(2, call{path: standin.SafePrefix + "x"}), s.atEach(2, call{path: standin.UnsafePrefix + "x"})...)...)
-	time.Sleep(contactTime)
+	c := s.startCallers(5*time.Millisecond, append(s.callsAtEach(2, call{path: standin.SafePrefix + "x"}), s.callsAtEach(2, call{path: standin.UnsafePrefix + "x"})...)...)
+	time.Sleep(propagationLimit)
 	c.end()
 	assert.Zero(t, c.count(http.StatusServiceUnavailable))
 }
 
-func TestALimitEndsWhenTheEndpointNamesNoneAnyMore(t *testing.T) {
+func TestLimitEndsWhenEndpointStopsAnnouncingIt(t *testing.T) {
 	s := newSite(t, 3)
 	for _, worker := range s.plain {
 		worker.SetFaults(standin.WorkerFaults{Says: standin.Notice{Limit: "0"}})
 	}
-	c := s.newCallers(5*time.Millisecond, s.atEach(2, call{path: standin.SafePrefix + "x"})...)
-	s.waitFor("it holds", func() bool { return c.count(http.StatusServiceUnavailable) > 0 })
-	s.eachPlain(standin.WorkerFaults{})
-	s.waitFor("it is over everywhere", func() bool {
+	c := s.startCallers(5*time.Millisecond, s.callsAtEach(2, call{path: standin.SafePrefix + "x"})...)
+	s.waitFor("the limit applies", func() bool { return c.count(http.StatusServiceUnavailable) > 0 })
+	s.setPlainFaults(standin.WorkerFaults{})
+	s.waitFor("the limit has ended at all instances", func() bool {
 		for i := range s.entries {
-			if !s.logged(i, "an endpoint takes requests without a limit again") {
+			if !s.hasLogged(i, "an endpoint takes requests without a limit again") {
 				return false
 			}
 		}
 		return true
 	})
-	refused := c.count(http.StatusServiceUnavailable)
+	rejected := c.count(http.StatusServiceUnavailable)
 	served := c.count(http.StatusOK)
-	s.waitFor("requests go on", func() bool { return c.count(http.StatusOK) > served+100 })
-	assert.LessOrEqual(t, c.count(http.StatusServiceUnavailable)-refused, 100)
+	s.waitFor("further requests are served", func() bool { return c.count(http.StatusOK) > served+100 })
+	assert.LessOrEqual(t, c.count(http.StatusServiceUnavailable)-rejected, 100)
 }
 
-func TestALimitHoldsBesideAPlannerThatEnds(t *testing.T) {
+func TestLimitIsKeptWhenPlannerIsKilled(t *testing.T) {
 	const perSecond = 1.3
 	s := newSite(t, 4)
 	for _, worker := range s.plain {
@@ -194,57 +194,57 @@
 	}
 	planner := s.planner()
 	var calls []call
-	for _, one := range s.atEach(3, call{path: standin.SafePrefix + "x"}) {
-		if one.entry != planner {
-			calls = append(calls, one)
+	for _, request := range s.callsAtEach(3, call{path: standin.SafePrefix + "x"}) {
+		if request.entry != planner {
+			calls = append(calls, request)
 		}
 	}
-	named := time.Now()
-	c := s.newCallers(5*time.Millisecond, calls...)
-	time.Sleep(contactTime)
+	announced := time.Now()
+	c := s.startCallers(5*time.Millisecond, calls...)
+	time.Sleep(propagationLimit)
 	s.kill(planner)
-	time.Sleep(limitWatched)
+	time.Sleep(limitObservation)
 	c.end()
 	for _, worker := range s.plain {
-		assertLimitKept(t, worker, named.Add(contactTime), perSecond)
+		assertLimitKept(t, worker, announced.Add(propagationLimit), perSecond)
 	}
 }
 
-func TestALimitHoldsBesideACut(t *testing.T) {
+func TestLimitIsKeptDuringPartition(t *testing.T) {
 	const perSecond = 1.3
 	s := newSite(t, 4)
 	for _, worker := range s.plain {
 		worker.SetFaults(standin.WorkerFaults{Says: standin.Notice{Limit: fmt.Sprint(perSecond)}})
 	}
-	named := time.Now()
-	c := s.newCallers(5*time.Millisecond, s.atEach(2, call{path: standin.SafePrefix + "x"})...)
-	time.Sleep(contactTime)
-	away := s.entries[s.other(s.planner())]
-	away.cut.Store(true)
-	away.cutPeers(true)
-	time.Sleep(limitWatched / 2)
-	away.cut.Store(false)
-	away.cutPeers(false)
-	time.Sleep(limitWatched / 2)
+	announced := time.Now()
+	c := s.startCallers(5*time.Millisecond, s.callsAtEach(2, call{path: standin.SafePrefix + "x"})...)
+	time.Sleep(propagationLimit)
+	isolated := s.entries[s.otherEntry(s.planner())]
+	isolated.storeCut.Store(true)
+	isolated.cutPeers(true)
+	time.Sleep(limitObservation / 2)
+	isolated.storeCut.Store(false)
+	isolated.cutPeers(false)
+	time.Sleep(limitObservation / 2)
 	c.end()
 	for _, worker := range s.plain {
-		assertLimitKept(t, worker, named.Add(contactTime), perSecond)
+		assertLimitKept(t, worker, announced.Add(propagationLimit), perSecond)
 	}
 }
 
-func TestWhatAnEndpointWithALimitHoldsComesElsewhere(t *testing.T) {
+func TestAdapterOfLimitedEndpointIsLoadedAtAnotherEndpoint(t *testing.T) {
 	s := newSite(t, 3)
-	one := call{path: standin.StreamPrefix + "x", adapter: "a1"}
-	s.waitFor("it is loaded", func() bool { return s.do(one).Status == http.StatusOK })
+	request := call{path: standin.StreamPrefix + "x", adapter: "a1"}
+	s.waitFor("the adapter is loaded", func() bool { return s.do(request).Status == http.StatusOK })
 	holder, other := s.models[0], s.models[1]
 	if len(holder.Runs()) == 0 {
 		holder, other = other, holder
 	}
 	holder.SetFaults(standin.WorkerFaults{Says: standin.Notice{Limit: "0.2"}})
-	c := s.newCallers(20*time.Millisecond, s.atEach(1, one)...)
-	s.waitAtMost(contactTime, "another endpoint serves it", func() bool { return len(other.Runs()) > 20 })
-	refused := c.count(http.StatusServiceUnavailable)
-	time.Sleep(contactTime)
+	c := s.startCallers(20*time.Millisecond, s.callsAtEach(1, request)...)
+	s.waitWithin(propagationLimit, "another endpoint serves the adapter", func() bool { return len(other.Runs()) > 20 })
+	rejected := c.count(http.StatusServiceUnavailable)
+	time.Sleep(propagationLimit)
 	c.end()
-	assert.Zero(t, c.count(http.StatusServiceUnavailable)-refused)
+	assert.Zero(t, c.count(http.StatusServiceUnavailable)-rejected)
 }
--- a/tests/platform/explain_test.go
+++ b/tests/platform/request_log_test.go
@@ -22,8 +22,8 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// metrics reads an entry's metrics page.
-func (s *site) metrics(entry int) string {
+// metricsPage returns the metrics page of an entry.
+func (s *site) metricsPage(entry int) string {
 	s.t.Helper()
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/metrics", s.ips[entry], s.ports.Metrics))
 	require.NoError(s.t, err)
@@ -33,11 +33,11 @@
 	return string(page)
 }
 
-// counted reads one counter of all classes by status from the metrics page.
-func (s *site) counted(entry int) map[string]int {
+// requestsByStatus returns the request counter of an entry's metrics page by status, summed over all classes.
+func (s *site) requestsByStatus(entry int) map[string]int {
 	s.t.Helper()
 	parser := expfmt.NewTextParser(model.LegacyValidation)
-	families, err := parser.TextToMetricFamilies(strings.NewReader(s.metrics(entry)))
+	families, err := parser.TextToMetricFamilies(strings.NewReader(s.metricsPage(entry)))
 	require.NoError(s.t, err)
 	counts := make(map[string]int)
 	for _, metric := range families["shelfledge_requests_total"].GetMetric() {
@@ -50,27 +50,27 @@
 	return counts
 }
 
-func TestMetricsAgreeWithWhatCallersSaw(t *testing.T) {
+func TestRequestMetricsMatchAnswersOfCallers(t *testing.T) {
 	s := newSite(t, 2)
-	s.eachPlain(standin.WorkerFaults{Resets: 3, Errors: 2, Sheds: 2})
-	seen := make(map[string]int)
+	s.setPlainFaults(standin.WorkerFaults{Resets: 3, Errors: 2, Sheds: 2})
+	received := make(map[string]int)
 	for i := range 40 {
-		paths := []call{{path: "/hold/x"}, {path: "/status/x", method: http.MethodGet}, {path: "/chat/x", adapter: "a1"}}
-		one := paths[i%len(paths)]
-		one.entry = i % 2
-		seen[strconv.Itoa(s.do(one).Status)]++
+		requests := []call{{path: "/hold/x"}, {path: "/status/x", method: http.MethodGet}, {path: "/chat/x", adapter: "a1"}}
+		request := requests[i%len(requests)]
+		request.entry = i % 2
+		received[strconv.Itoa(s.do(request).Status)]++
 	}
-	s.waitFor("the metrics agree", func() bool {
-		counts := s.counted(0)
-		for status, count := range s.counted(1) {
+	s.waitFor("the metrics match the answers", func() bool {
+		counts := s.requestsByStatus(0)
+		for status, count := range s.requestsByStatus(1) {
 			counts[status] += count
 		}
-		return assert.ObjectsAreEqual(seen, counts)
+		return assert.ObjectsAreEqual(received, counts)
 	})
 }
 
-// line is what the operators' page reads of a request's log line.
-type line struct {
+// requestLog holds the fields of a request's log line that docs/OPERATIONS.md uses.
+type requestLog struct {
 	Message  string `json:"msg"`
 	Request  string `json:"request"`
 	Reason   string `json:"reason"`
@@ -87,15 +87,15 @@
 	} `json:"attempts"`
 }
 
-// lineOf gives the log line of a request.
-func (s *site) lineOf(entry int, id string) line {
+// requestLogOf waits for the log line of a request and returns it.
+func (s *site) requestLogOf(entry int, id string) requestLog {
 	s.t.Helper()
-	var found line
+	var found requestLog
 	s.waitFor("the request is logged", func() bool {
 		for _, text := range strings.Split(s.entries[entry].log.String(), "\n") {
-			var one line
-			if json.Unmarshal([]byte(text), &one) == nil && one.Message == "request" && one.Request == id {
-				found = one
+			var line requestLog
+			if json.Unmarshal([]byte(text), &line) == nil && line.Message == "request" && line.Request == id {
+				found = line
 				return true
 			}
 		}
@@ -104,8 +104,8 @@
 	return found
 }
 
-// TestEachKindOfFailureIsExplainedByItsLine makes the three failures of docs/OPERATIONS.md.
-func TestEachKindOfFailureIsExplainedByItsLine(t *testing.T) {
+// TestRequestLogExplainsFailuresOfOperationsPage causes the three failures of docs/OPERATIONS.md and checks their log lines.
+func TestRequestLogExplainsFailuresOfOperationsPage(t *testing.T) {
 	s := newSite(t, 1)
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
@@ -113,49 +113,50 @@
 	for _, worker := range s.models {
 		worker.Drain()
 	}
-	s.waitFor("no endpoint takes work", func() bool {
+	s.waitFor("no endpoint accepts requests", func() bool {
 		return s.do(call{path: "/chat/x", adapter: "a1"}).Status == http.StatusServiceUnavailable
 	})
-	refused := s.do(call{path: "/chat/x", adapter: "a1"})
-	got := s.lineOf(0, refused.ID)
-	assert.Equal(t, "no endpoint", got.Reason)
-	assert.Empty(t, got.Attempts, "it was sent nowhere")
+	rejected := s.do(call{path: "/chat/x", adapter: "a1"})
+	logged := s.requestLogOf(0, rejected.ID)
+	assert.Equal(t, "no endpoint", logged.Reason)
+	assert.Empty(t, logged.Attempts, "the request was sent to no endpoint")
 	assert.Contains(t, string(page), "\"reason\":\"no endpoint\"")
 
 	s = newSite(t, 1)
 	require.Equal(t, http.StatusOK, s.do(call{path: "/chat/x", adapter: "a1"}).Status)
-	s.eachModel(standin.WorkerFaults{Breaks: 1, BreakAfter: 2})
-	cut := s.do(call{path: "/chat/x", adapter: "a1"})
-	got = s.lineOf(0, cut.ID)
-	assert.Equal(t, "stream broke off", got.Reason)
-	require.Len(t, got.Attempts, 1)
-	assert.Equal(t, "broken off", got.Attempts[0].Result)
+	s.setModelFaults(standin.WorkerFaults{Breaks: 1, BreakAfter: 2})
+	broken := s.do(call{path: "/chat/x", adapter: "a1"})
+	logged = s.requestLogOf(0, broken.ID)
+	assert.Equal(t, "stream broke off", logged.Reason)
+	require.Len(t, logged.Attempts, 1)
+	assert.Equal(t, "broken off", logged.Attempts[0].Result)
 	assert.Contains(t, string(page), "\"reason\":\"stream broke off\"")
 
-	s.eachPlain(standin.WorkerFaults{Hangs: 1})
-	late := s.do(call{path: "/hold/x", header: map[string]string{"X-Deadline-Ms": "300"}})
-	got = s.lineOf(0, late.ID)
-	assert.Equal(t, "timed out", got.Reason)
-	require.Len(t, got.Attempts, 1)
-	assert.Equal(t, "uncertain", got.Attempts[0].Result)
-	assert.GreaterOrEqual(t, got.Attempts[0].TookMS, int64(200))
+	s.setPlainFaults(standin.WorkerFaults{Hangs: 1})
+	timedOut := s.do(call{path: "/hold/x", header: map[string]string{"X-Deadline-Ms": "300"}})
+	logged = s.requestLogOf(0, timedOut.ID)
+	assert.Equal(t, "timed out", logged.Reason)
+	require.Len(t, logged.Attempts, 1)
+	assert.Equal(t, "uncertain", logged.Attempts[0].Result)
+	assert.GreaterOrEqual(t, logged.Attempts[0].TookMS, int64(200))
 	assert.Contains(t, string(page), "\"reason\":\"timed out\"")
 }
 
-// TestThePageNamesOnlyFieldsAndFiguresThatExist keeps docs/OPERATIONS.md true to the code.
-func TestThePageNamesOnlyFieldsAndFiguresThatExist(t *testing.T) {
+// TestOperationsPageNamesOnlyExistingMetricsAndMessages checks that the code has each metric, message, reason and result that
+// docs/OPERATIONS.md names.
+func TestOperationsPageNamesOnlyExistingMetricsAndMessages(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	require.NoError(t, err)
 	sources := ""
 	for _, path := range []string{
 		"../../modules/entry/metric/metrics.go", "../../services/entry/proxy/service.go", "../../services/entry/proxy/attempt/ending.go",
 		"../../services/entry/proxy/attempt/situation.go", "../../services/entry/admission/decide.go",
-		"../../services/entry/coordinator/planning.go", "../../services/entry/coordinator/lease.go", "../../services/entry/coordinator/status.go",
+		"../../services/entry/coordinator/planner.go", "../../services/entry/coordinator/lease.go", "../../services/entry/coordinator/status.go",
 		"../../services/entry/coordinator/configuration.go", "../../services/entry/coordinator/endpoints.go", "../../services/entry/process/process.go",
 		"../../services/entry/coordinator/coordinator.go", "../../services/entry/coordinator/handover.go", "../../services/entry/loading/order.go",
 		"../../services/entry/coordinator/seeds.go", "../../services/entry/coordinator/reporting.go",
-		"../../services/entry/coordinator/viewing.go", "../../services/entry/coordinator/sendingviews.go", "../../services/entry/coordinator/gathering.go",
-		"../../services/entry/coordinator/running.go", "../../services/entry/coordinator/crashes.go", "../../services/entry/coordinator/limits.go",
+		"../../services/entry/coordinator/views.go", "../../services/entry/coordinator/viewround.go", "../../services/entry/coordinator/gathering.go",
+		"../../services/entry/coordinator/begin.go", "../../services/entry/coordinator/crashes.go", "../../services/entry/coordinator/limits.go",
 		"../../services/entry/coordinator/leaving.go", "../../services/entry/coordinator/resting.go",
 		"../../services/entry/proxy/exchange.go", "../../routers/entry/gateway/server.go",
 	} {
@@ -163,14 +164,14 @@
 		require.NoError(t, err)
 		sources += string(content)
 	}
-	figures := regexp.MustCompile("shelfledge_([a-z_]+)").FindAllStringSubmatch(string(page), -1)
-	assert.NotEmpty(t, figures)
-	for _, figure := range figures {
-		assert.Contains(t, sources, "\""+figure[1]+"\"", "figure %s", figure[0])
+	metrics := regexp.MustCompile("shelfledge_([a-z_]+)").FindAllStringSubmatch(string(page), -1)
+	assert.NotEmpty(t, metrics)
+	for _, metric := range metrics {
+		assert.Contains(t, sources, "\""+metric[1]+"\"", "metric %s", metric[0])
 	}
 	quoted := regexp.MustCompile("\"(?:msg|reason|result)\":\"([^\"]+)\"").FindAllStringSubmatch(string(page), -1)
 	assert.NotEmpty(t, quoted)
 	for _, text := range quoted {
-		assert.Contains(t, sources, "\""+text[1]+"\"", "quoted %s", text[0])
+		assert.Contains(t, sources, "\""+text[1]+"\"", "message, reason or result %s", text[0])
 	}
 }
--- a/tests/platform/rest_test.go
+++ b/tests/platform/rest_test.go
@@ -15,45 +15,45 @@
 )
 
 const (
-	// restNotice is after what time an instance must know that an endpoint asked for rest, and restAllowed how many requests it may send it
-	// between then and the end of the rest.
-	restNotice  = 500 * time.Millisecond
-	restAllowed = 2
+	// restPropagation is the time within which an instance must stop sending to an endpoint that asked for rest.
+	restPropagation = 500 * time.Millisecond
+	// allowedDuringRest is how many requests an instance may send to the endpoint between restPropagation and the end of the rest.
+	allowedDuringRest = 2
 )
 
-// assertRested checks what arrived at an endpoint within each rest that it asked the only instance for.
+// assertRested checks how many requests arrived at an endpoint during each rest that the endpoint asked the only instance for.
 func assertRested(t *testing.T, worker *standin.Worker, rest time.Duration) {
 	t.Helper()
 	arrivals := worker.Arrivals()
-	for _, asked := range worker.Rests() {
-		within := 0
-		for _, at := range arrivals {
-			if at.After(asked.Add(restNotice)) && at.Before(asked.Add(rest)) {
-				within++
+	for _, restStart := range worker.Rests() {
+		arrived := 0
+		for _, arrival := range arrivals {
+			if arrival.After(restStart.Add(restPropagation)) && arrival.Before(restStart.Add(rest)) {
+				arrived++
 			}
 		}
-		if !assert.LessOrEqual(t, within, restAllowed, "requests within a rest of %s", rest) {
+		if !assert.LessOrEqual(t, arrived, allowedDuringRest, "requests during a rest of %s", rest) {
 			return
 		}
 	}
 }
 
-func TestAnEndpointThatAskedForRestGetsNone(t *testing.T) {
-	safe, once := call{path: standin.SafePrefix + "x"}, call{path: standin.UnsafePrefix + "x"}
+func TestRestingEndpointGetsNoRequests(t *testing.T) {
+	safe, unsafe := call{path: standin.SafePrefix + "x"}, call{path: standin.UnsafePrefix + "x"}
 	stream := call{path: standin.StreamPrefix + "x", adapter: "a1"}
 	for name, test := range map[string]struct {
-		one     call
+		request call
 		rest    time.Duration
 		workers func(s *site) []*standin.Worker
 	}{
-		"one endpoint":                 {safe, 3 * time.Second, func(s *site) []*standin.Worker { return s.plain[:1] }},
-		"all endpoints":                {once, 3 * time.Second, func(s *site) []*standin.Worker { return s.plain }},
-		"endpoints with models":        {stream, 3 * time.Second, func(s *site) []*standin.Worker { return s.models }},
-		"a rest with a part of second": {safe, 1400 * time.Millisecond, func(s *site) []*standin.Worker { return s.plain }},
+		"one endpoint":                     {safe, 3 * time.Second, func(s *site) []*standin.Worker { return s.plain[:1] }},
+		"all endpoints":                    {unsafe, 3 * time.Second, func(s *site) []*standin.Worker { return s.plain }},
+		"endpoints with models":            {stream, 3 * time.Second, func(s *site) []*standin.Worker { return s.models }},
+		"a rest of a fraction of a second": {safe, 1400 * time.Millisecond, func(s *site) []*standin.Worker { return s.plain }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := newSite(t, 1)
-			c := s.newCallers(5*time.Millisecond, s.atEach(6, test.one)...)
+			c := s.startCallers(5*time.Millisecond, s.callsAtEach(6, test.request)...)
 			s.waitFor("requests are served", func() bool { return c.count(http.StatusOK) > 20 })
 			for _, worker := range test.workers(s) {
 				worker.SetFaults(standin.WorkerFaults{Says: standin.Notice{Rest: fmt.Sprint(test.rest.Seconds())}})
@@ -68,20 +68,20 @@
 	}
 }
 
-func TestCallersOfEndpointsThatRestAreToldWhenTheyCanComeBack(t *testing.T) {
+func TestRejectionDuringRestHasRetryAfterPastRestEnd(t *testing.T) {
 	s := newSite(t, 1)
-	s.eachPlain(standin.WorkerFaults{Says: standin.Notice{Rest: "2"}})
-	asked := time.Now()
+	s.setPlainFaults(standin.WorkerFaults{Says: standin.Notice{Rest: "2"}})
+	restStart := time.Now()
 	for range 3 {
 		s.do(call{path: standin.UnsafePrefix + "x"})
 	}
 	answer := s.do(call{path: standin.UnsafePrefix + "x"})
 	assert.Equal(t, http.StatusServiceUnavailable, answer.Status)
 	assert.Contains(t, answer.Body, "endpoints rest")
-	pause, err := time.ParseDuration(answer.Header.Get("Retry-After") + "s")
+	retryAfter, err := time.ParseDuration(answer.Header.Get("Retry-After") + "s")
 	assert.NoError(t, err)
-	assert.Greater(t, time.Now().Add(pause), asked.Add(2*time.Second), "not before the rest ends")
-	s.eachPlain(standin.WorkerFaults{})
-	time.Sleep(pause)
+	assert.Greater(t, time.Now().Add(retryAfter), restStart.Add(2*time.Second), "Retry-After ends before the rest does")
+	s.setPlainFaults(standin.WorkerFaults{})
+	time.Sleep(retryAfter)
 	assert.Equal(t, http.StatusOK, s.do(call{path: standin.UnsafePrefix + "x"}).Status)
 }
--- a/tests/platform/site_test.go
+++ b/tests/platform/site_test.go
@@ -28,10 +28,11 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// site is a whole deployment in one process: a store, workers and entries.
+// site is a complete deployment in one process: a store, workers and entry instances.
 type site struct {
-	t       *testing.T
-	store   *standin.Store
+	t     *testing.T
+	store *standin.Store
+	// models and plain are the workers of the model service and of the plain service.
 	models  []*standin.Worker
 	plain   []*standin.Worker
 	entries []*entryProcess
@@ -39,20 +40,21 @@
 	ips     []string
 }
 
+// entryProcess is one entry instance of a site.
 type entryProcess struct {
 	name    string
 	ip      string
 	process *process.Process
 	log     *standin.Output
 	ended   bool
-	// cut makes the store unreachable for this entry alone, peersCut its peers.
-	cut      atomic.Bool
+	// storeCut makes the store unreachable for this instance alone. peersCut makes the peers unreachable.
+	storeCut atomic.Bool
 	peersCut atomic.Bool
 	mutex    sync.Mutex
 	links    []net.Conn
 }
 
-// cutPeers breaks the links to other entries and makes new ones impossible until it is told otherwise.
+// cutPeers closes the links to the peers. With cut, new links are refused until the next call.
 func (e *entryProcess) cutPeers(cut bool) {
 	e.peersCut.Store(cut)
 	e.mutex.Lock()
@@ -63,8 +65,8 @@
 	e.links = nil
 }
 
-// gatedDial dials peers unless the entry is cut from them.
-func (e *entryProcess) gatedDial(dial func(context.Context, netip.AddrPort) (net.Conn, error)) func(context.Context, netip.AddrPort) (net.Conn, error) {
+// withPeerCut returns a dial function that refuses connections to peers while peersCut is set.
+func (e *entryProcess) withPeerCut(dial func(context.Context, netip.AddrPort) (net.Conn, error)) func(context.Context, netip.AddrPort) (net.Conn, error) {
 	return func(ctx context.Context, address netip.AddrPort) (net.Conn, error) {
 		if e.peersCut.Load() {
 			return nil, syscall.ECONNREFUSED
@@ -79,54 +81,55 @@
 	}
 }
 
-// gated makes a store's calls fail as long as the entry is cut from it.
-func (e *entryProcess) gated(client store.Client) store.Client {
-	gate := func(ctx context.Context) error {
-		if !e.cut.Load() {
+// cutClient returns a store client whose calls time out while storeCut is set.
+func (e *entryProcess) cutClient(client store.Client) store.Client {
+	waitIfCut := func(ctx context.Context) error {
+		if !e.storeCut.Load() {
 			return nil
 		}
 		<-ctx.Done()
 		return &store.UnknownError{Cause: ctx.Err()}
 	}
-	gated := client
-	gated.Get = func(ctx context.Context, key string) (store.Item, error) {
-		if err := gate(ctx); err != nil {
+	cutClient := client
+	cutClient.Get = func(ctx context.Context, key string) (store.Item, error) {
+		if err := waitIfCut(ctx); err != nil {
 			return store.Item{}, err
 		}
 		return client.Get(ctx, key)
 	}
-	gated.Range = func(ctx context.Context, prefix, after string) (store.Page, error) {
-		if err := gate(ctx); err != nil {
+	cutClient.Range = func(ctx context.Context, prefix, after string) (store.Page, error) {
+		if err := waitIfCut(ctx); err != nil {
 			return store.Page{}, err
 		}
 		return client.Range(ctx, prefix, after)
 	}
-	gated.Watch = func(ctx context.Context, prefix string, after int64, wait time.Duration) ([]store.Event, int64, error) {
-		if err := gate(ctx); err != nil {
+	cutClient.Watch = func(ctx context.Context, prefix string, after int64, wait time.Duration) ([]store.Event, int64, error) {
+		if err := waitIfCut(ctx); err != nil {
 			return nil, after, err
 		}
 		return client.Watch(ctx, prefix, after, wait)
 	}
-	gated.Commit = func(ctx context.Context, transaction store.Transaction) (int64, error) {
-		if err := gate(ctx); err != nil {
+	cutClient.Commit = func(ctx context.Context, transaction store.Transaction) (int64, error) {
+		if err := waitIfCut(ctx); err != nil {
 			return 0, err
 		}
 		return client.Commit(ctx, transaction)
 	}
-	gated.RenewLease = func(ctx context.Context, lease int64) error {
-		if err := gate(ctx); err != nil {
+	cutClient.RenewLease = func(ctx context.Context, lease int64) error {
+		if err := waitIfCut(ctx); err != nil {
 			return err
 		}
 		return client.RenewLease(ctx, lease)
 	}
-	return gated
+	return cutClient
 }
 
 const (
-	patience = 15 * time.Second
-	pace     = 10 * time.Millisecond
+	waitTimeout  = 15 * time.Second
+	pollInterval = 10 * time.Millisecond
 )
 
+// newSite starts a store, two workers of each service and the given number of entry instances, and waits until all instances are ready.
 func newSite(t *testing.T, entries int) *site {
 	t.Helper()
 	s := &site{t: t, store: standin.NewStore()}
@@ -172,8 +175,8 @@
 	options.LogOutput = e.log
 	options.Environment = func(retire func(deployment.EndpointID)) coordinator.Environment {
 		environment := settings.Environment(retire)
-		environment.Store = e.gated(environment.Store)
-		environment.Dial = e.gatedDial(environment.Dial)
+		environment.Store = e.cutClient(environment.Store)
+		environment.Dial = e.withPeerCut(environment.Dial)
 		return environment
 	}
 	e.process = process.New(options)
@@ -181,7 +184,7 @@
 	return e
 }
 
-// seeds are the first entries, at a port that only their IP counts of.
+// seeds returns the addresses of the first three instances. Only the IPs are used; the port is arbitrary.
 func (s *site) seeds() []string {
 	var seeds []string
 	for _, ip := range s.ips[:min(3, len(s.ips))] {
@@ -219,24 +222,25 @@
 	return response.StatusCode == http.StatusOK
 }
 
+// waitFor waits up to waitTimeout until the condition holds, and fails the test otherwise.
 func (s *site) waitFor(what string, condition func() bool) {
 	s.t.Helper()
-	s.waitAtMost(patience, what, condition)
+	s.waitWithin(waitTimeout, what, condition)
 }
 
-// waitAtMost is for what must come true within a time of its own.
-func (s *site) waitAtMost(limit time.Duration, what string, condition func() bool) {
+// waitWithin waits until the condition holds, and fails the test if it does not hold within limit.
+func (s *site) waitWithin(limit time.Duration, what string, condition func() bool) {
 	s.t.Helper()
 	deadline := time.Now().Add(limit)
 	for !condition() {
 		if time.Now().After(deadline) {
-			require.FailNow(s.t, "waited in vain", "%s", what)
+			require.FailNow(s.t, "timed out waiting", "%s", what)
 		}
-		time.Sleep(pace)
+		time.Sleep(pollInterval)
 	}
 }
 
-// call is one request of a caller to one of the entries.
+// call is one request of a caller to one of the entry instances.
 type call struct {
 	entry   int
 	method  string
@@ -252,28 +256,28 @@
 }
 
 func (s *site) send(ctx context.Context, c call) standin.Answer {
-	one := standin.Call{Method: c.method, Path: c.path, Adapter: c.adapter, Body: c.body, Header: c.header, From: c.from}
-	return one.Send(ctx, fmt.Sprintf("%s:%d", s.ips[c.entry], s.ports.Callers))
+	request := standin.Call{Method: c.method, Path: c.path, Adapter: c.adapter, Body: c.body, Header: c.header, From: c.from}
+	return request.Send(ctx, fmt.Sprintf("%s:%d", s.ips[c.entry], s.ports.Callers))
 }
 
-// runsOf gives how often a request ran, over all workers.
-func (s *site) runsOf(id string) int {
+// runCount returns how often a request ran at the workers of the site.
+func (s *site) runCount(id string) int {
 	return standin.RunCounts(append(append([]*standin.Worker(nil), s.models...), s.plain...)...)[id]
 }
 
-func (s *site) eachPlain(faults standin.WorkerFaults) {
+func (s *site) setPlainFaults(faults standin.WorkerFaults) {
 	for _, worker := range s.plain {
 		worker.SetFaults(faults)
 	}
 }
 
-func (s *site) eachModel(faults standin.WorkerFaults) {
+func (s *site) setModelFaults(faults standin.WorkerFaults) {
 	for _, worker := range s.models {
 		worker.SetFaults(faults)
 	}
 }
 
-// logged tells whether an entry's log has a text.
-func (s *site) logged(i int, text string) bool {
+// hasLogged reports whether the log of an instance contains a text.
+func (s *site) hasLogged(i int, text string) bool {
 	return strings.Contains(s.entries[i].log.String(), text)
 }
