--- a/tests/integration/fleet_test.go
+++ b/tests/integration/fleet_test.go
@@ -29,7 +29,7 @@
 	t       testing.TB
 	cluster *standin.Cluster
 	daemons map[string]*process.Daemon
-	places  map[string]standin.InstancePlace
+	places  map[string]standin.InstanceAddresses
 	changes map[string]any
 }
 
@@ -39,7 +39,7 @@
 func newFleet(t testing.TB, o standin.ClusterOptions, changes map[string]any, ids ...string) *testFleet {
 	c, err := standin.StartCluster(o)
 	require.NoError(t, err)
-	f := &testFleet{t: t, cluster: c, daemons: make(map[string]*process.Daemon), places: make(map[string]standin.InstancePlace), changes: changes}
+	f := &testFleet{t: t, cluster: c, daemons: make(map[string]*process.Daemon), places: make(map[string]standin.InstanceAddresses), changes: changes}
 	t.Cleanup(f.close)
 	for _, id := range ids {
 		f.start(id)
@@ -54,7 +54,7 @@
 // start runs a daemon; its hall is the part of its name before the dash.
 func (f *testFleet) start(id string) {
 	hall, _, _ := strings.Cut(id, "-")
-	place := standin.Loopback(id, hall)
+	place := standin.LoopbackInstance(id, hall)
 	s, err := setting.Parse(id, []byte(f.cluster.SettingsText(place, f.changes)))
 	require.NoError(f.t, err)
 	entry, err := log.New(log.Options{Level: "error", Format: "text", Output: io.Discard})
--- a/tests/integration/loss_test.go
+++ b/tests/integration/loss_test.go
@@ -32,7 +32,7 @@
 	y.mutex.Lock()
 	defer y.mutex.Unlock()
 	switch {
-	case a.Done && a.Text == c.Expected() && (c.Model == a.Model || a.Model == ""):
+	case a.Done && a.Text == c.ExpectedText() && (c.Model == a.Model || a.Model == ""):
 		y.answered++
 	case a.Done:
 		y.wrong = append(y.wrong, fmt.Sprintf("%s: %q from %s", c.ID, a.Text, a.Model))
@@ -107,7 +107,7 @@
 	runs := standin.Call{ID: "runs", Model: "a-0@1", Class: "traveller", Caller: "test", Tokens: 2000}
 	waits := map[string]standin.Call{
 		"a stream":             {ID: "waits-1", Model: "a-1@1", Class: "traveller", Caller: "test", Tokens: 5},
-		"an answer as a whole": {ID: "waits-2", Model: "a-1@1", Class: "traveller", Caller: "test", Tokens: 5, Whole: true},
+		"an answer as a whole": {ID: "waits-2", Model: "a-1@1", Class: "traveller", Caller: "test", Tokens: 5, NonStreaming: true},
 		"one that is claimed":  {ID: "waits-3", Model: "a-1@1", Class: "traveller", Caller: "test", Tokens: 5, Once: true},
 	}
 	var group sync.WaitGroup
@@ -115,7 +115,7 @@
 		answer := f.send(ctx, "h1-i1", runs)
 		assert.False(t, answer.Done)
 		assert.Equal(t, "unknown", answer.Outcome, "it runs: %+v", answer)
-		assert.True(t, strings.HasPrefix(runs.Expected(), answer.Text))
+		assert.True(t, strings.HasPrefix(runs.ExpectedText(), answer.Text))
 	})
 	f.eventually(func() bool { return f.ran("runs") }, "the first request does not run")
 	for name, call := range waits {
@@ -123,7 +123,7 @@
 			answer := f.send(ctx, "h1-i1", call)
 			assert.Equal(t, http.StatusServiceUnavailable, answer.Status, "%s: %+v", name, answer)
 			assert.Equal(t, "not_run", answer.Outcome, name)
-			assert.Equal(t, "stopping", answer.Failure, name)
+			assert.Equal(t, "stopping", answer.ErrorCode, name)
 			assert.Positive(t, answer.RetryAfter, name)
 		})
 	}
@@ -204,7 +204,7 @@
 					answered++
 					return
 				}
-				require.Equal(t, "unknown", a.Outcome, a.Failure)
+				require.Equal(t, "unknown", a.Outcome, a.ErrorCode)
 				told++
 			}()
 		}
@@ -235,7 +235,7 @@
 	c := standin.Call{ID: "once", Model: "a-1@1", Class: "kiosk", Caller: "test", Tokens: 3, Once: true}
 	a := f.send(context.Background(), "h1-i2", c)
 	require.Equal(t, "not_run", a.Outcome)
-	require.Equal(t, "claim_impossible", a.Failure)
+	require.Equal(t, "claim_impossible", a.ErrorCode)
 	out := f.run("h1-i1", "create adapter late base base-a")
 	require.NotNil(t, out.Error)
 	f.cluster.KV.SetFaults(standin.KVFaults{})
--- a/tests/integration/path_test.go
+++ b/tests/integration/path_test.go
@@ -25,13 +25,13 @@
 			defer group.Done()
 			id := fmt.Sprintf("r-%d", i)
 			version := 1 + i%2
-			c := standin.Call{ID: id, Model: fmt.Sprintf("a-%d@%d", i%40, version), Class: "kiosk", Caller: "test", Tokens: 8, Whole: i%5 == 0}
+			c := standin.Call{ID: id, Model: fmt.Sprintf("a-%d@%d", i%40, version), Class: "kiosk", Caller: "test", Tokens: 8, NonStreaming: i%5 == 0}
 			a := f.send(context.Background(), instances[i%3], c)
 			require.NoError(t, a.Err)
-			require.Equal(t, 200, a.Status, a.Failure)
+			require.Equal(t, 200, a.Status, a.ErrorCode)
 			require.True(t, a.Done)
 			require.Equal(t, c.Model, a.Model)
-			require.Equal(t, c.Expected(), a.Text)
+			require.Equal(t, c.ExpectedText(), a.Text)
 		}()
 	}
 	group.Wait()
--- a/tests/pinned/daemon/daemon_test.go
+++ b/tests/pinned/daemon/daemon_test.go
@@ -51,7 +51,7 @@
 	require.NoError(t, err)
 	t.Cleanup(c.Close)
 	c.KV.Restore(pairs)
-	place := standin.Loopback("h1-i1", "h1")
+	place := standin.LoopbackInstance("h1-i1", "h1")
 	key := func(name, role string) map[string]any {
 		return map[string]any{"name": name, "role": role, "sha256": hashed(name)}
 	}
--- a/tests/platform/crashing_test.go
+++ b/tests/platform/crashing_test.go
@@ -71,7 +71,7 @@
 			continue
 		}
 		crashed := r.current()
-		time.AfterFunc(3*restartDelay, func() { r.site.store.Remove(standin.EntryKey(crashed.ID())) })
+		time.AfterFunc(3*restartDelay, func() { r.site.store.Remove(standin.EndpointKey(crashed.ID())) })
 		time.Sleep(restartDelay)
 		r.start(number)
 	}
@@ -104,7 +104,7 @@
 	t.Helper()
 	c := &crashSite{site: newSite(t, entries), stop: make(chan struct{})}
 	for _, worker := range append(c.models, c.plain...) {
-		worker.Vanish()
+		worker.Deregister()
 	}
 	for number := range restarting {
 		c.restarting = append(c.restarting, c.newRestartingWorker(standin.WorkerOptions{
--- a/tests/platform/endpoint_queue_test.go
+++ b/tests/platform/endpoint_queue_test.go
@@ -97,7 +97,7 @@
 }
 
 // longDeadlineCall is a request whose caller waits for the first event for longer than versionLimit.
-var longDeadlineCall = call{path: standin.PatientPrefix + "x", adapter: "a1", header: map[string]string{"X-Deadline-Ms": "14000"}}
+var longDeadlineCall = call{path: standin.LongDeadlinePrefix + "x", adapter: "a1", header: map[string]string{"X-Deadline-Ms": "14000"}}
 
 // delayLoadsAndQueue makes later loads take a minute, so that the endpoints keep their versions, and makes each later request wait at its
 // endpoint before it begins.
--- a/tests/platform/failure_test.go
+++ b/tests/platform/failure_test.go
@@ -104,7 +104,7 @@
 	stopping.Wait()
 	close(results)
 	for answer := range results {
-		assert.NoError(t, answer.Broken)
+		assert.NoError(t, answer.Err)
 		assert.Equal(t, http.StatusOK, answer.Status)
 	}
 }
@@ -225,7 +225,7 @@
 		s.do(call{entry: len(added.Runs()) % 2, path: "/hold/x"})
 		return len(added.Runs()) > 1
 	})
-	for _, leave := range []func(*standin.Worker){(*standin.Worker).Drain, (*standin.Worker).Vanish} {
+	for _, leave := range []func(*standin.Worker){(*standin.Worker).Drain, (*standin.Worker).Deregister} {
 		worker := s.plain[0]
 		s.plain = s.plain[1:]
 		leave(worker)
@@ -270,7 +270,7 @@
 	s := newSite(t, 2)
 	require.True(t, s.serves(0, "a1"))
 	for _, worker := range s.models {
-		worker.Name("a1", 2)
+		worker.SetAdapterVersion("a1", 2)
 	}
 	s.store.Put("op/version/base.a1", map[string]any{"model": standin.Model, "adapter": "a1", "version": 2})
 	time.Sleep(4 * time.Second)
@@ -365,12 +365,12 @@
 		require.True(t, s.serves(follower, adapter))
 	}
 	// The workers write descriptions of the adapters that they hold, at revisions after that read.
-	time.Sleep(standin.BeatPace + 200*time.Millisecond)
+	time.Sleep(standin.HeartbeatInterval + 200*time.Millisecond)
 	entry := s.entries[follower]
 	entry.storeCut.Store(true)
 	entry.cutPeers(true)
 	gone := s.models[0]
-	gone.Vanish()
+	gone.Deregister()
 	time.Sleep(700 * time.Millisecond)
 	entry.cutPeers(false)
 	time.Sleep(1200 * time.Millisecond)
--- a/tests/platform/former_version_limit_test.go
+++ b/tests/platform/former_version_limit_test.go
@@ -34,7 +34,7 @@
 	t.Run("store connections stall before the version is named", func(t *testing.T) {
 		s := newSite(t, 2)
 		s.holdFormerVersion()
-		s.store.SilenceOpen()
+		s.store.StallOpenConnections()
 		acknowledged := s.nameSecondVersion()
 		s.waitFor("both instances have received the version", func() bool { return s.hasLogged(0, "version named") && s.hasLogged(1, "version named") })
 		t.Logf("both instances had received the version %s after the acknowledgement", time.Since(acknowledged))
--- a/tests/platform/former_version_log_test.go
+++ b/tests/platform/former_version_log_test.go
@@ -115,7 +115,7 @@
 func TestRequestLogHasDemandedVersion(t *testing.T) {
 	s := newSite(t, 1)
 	for _, worker := range s.models {
-		worker.Name("a1", 2)
+		worker.SetAdapterVersion("a1", 2)
 	}
 	s.nameSecondVersion()
 	s.waitFor("the version is named", func() bool { return s.hasLogged(0, "version named") })
--- a/tests/platform/newer_version_test.go
+++ b/tests/platform/newer_version_test.go
@@ -16,7 +16,7 @@
 func TestVersionNewerThanNamedVersionServesRequests(t *testing.T) {
 	s := newSite(t, 1)
 	for _, worker := range s.models {
-		worker.Name("a1", 3)
+		worker.SetAdapterVersion("a1", 3)
 	}
 	s.store.Put("op/version/base.a1", map[string]any{"model": standin.Model, "adapter": "a1", "version": 2})
 	s.waitFor("the version is named", func() bool { return s.hasLogged(0, "version named") })
--- a/tests/platform/proxying_test.go
+++ b/tests/platform/proxying_test.go
@@ -21,7 +21,7 @@
 func TestAnswersAreForwardedUnchanged(t *testing.T) {
 	s := newSite(t, 1)
 	answer := s.do(call{path: "/hold/seat?row=%2F7&x=1", body: "hello"})
-	require.NoError(t, answer.Broken)
+	require.NoError(t, answer.Err)
 	assert.Equal(t, http.StatusOK, answer.Status)
 	assert.Equal(t, answer.ID, answer.Header.Get("X-Attempt-Id"))
 	assert.NotEmpty(t, answer.Header.Get("X-Server-Seal"))
@@ -40,7 +40,7 @@
 	for i := range 20 {
 		adapter := fmt.Sprintf("a%d", i)
 		answer := s.do(call{entry: i % 2, path: "/chat/x", adapter: adapter, body: "prompt"})
-		require.NoError(t, answer.Broken)
+		require.NoError(t, answer.Err)
 		require.Equal(t, http.StatusOK, answer.Status, answer.Body)
 		for event := 1; event <= 5; event++ {
 			assert.Contains(t, answer.Body, standin.Event(event, answer.ID, adapter))
@@ -114,7 +114,7 @@
 	s.setPlainFaults(standin.WorkerFaults{Extras: 2})
 	for range 6 {
 		answer := s.do(call{path: "/hold/x"})
-		require.NoError(t, answer.Broken)
+		require.NoError(t, answer.Err)
 		require.Equal(t, http.StatusOK, answer.Status)
 		assert.Equal(t, answer.ID, answer.Header.Get("X-Attempt-Id"))
 	}
@@ -125,7 +125,7 @@
 	s.setModelFaults(standin.WorkerFaults{Breaks: 1, BreakAfter: 2})
 	answer := s.do(call{path: "/chat/x", adapter: "a1"})
 	assert.Equal(t, http.StatusOK, answer.Status)
-	assert.Error(t, answer.Broken)
+	assert.Error(t, answer.Err)
 	assert.Equal(t, 1, s.runCount(answer.ID))
 }
 
@@ -139,7 +139,7 @@
 	resumed := false
 	for range 10 {
 		answer := s.do(call{path: "/digest/x", header: map[string]string{"X-Model": standin.Model}})
-		require.NoError(t, answer.Broken)
+		require.NoError(t, answer.Err)
 		require.Equal(t, http.StatusOK, answer.Status)
 		for event := 1; event <= 5; event++ {
 			require.Equal(t, 1, strings.Count(answer.Body, standin.Event(event, answer.ID, "")), answer.Body)
@@ -159,7 +159,7 @@
 	s.waitFor("the request runs", func() bool { return len(standin.RunCounts(s.plain...)) > 0 })
 	cancel()
 	answer := <-answers
-	require.Error(t, answer.Broken)
+	require.Error(t, answer.Err)
 	s.waitFor("the worker's run is canceled", func() bool {
 		for _, worker := range s.plain {
 			for _, run := range worker.Runs() {
--- a/tests/platform/site_test.go
+++ b/tests/platform/site_test.go
@@ -134,7 +134,7 @@
 	t.Helper()
 	s := &site{t: t, store: standin.NewStore()}
 	t.Cleanup(s.close)
-	s.store.Put("op/config", standin.WithPatientRoute(standin.Configuration(1, nil)))
+	s.store.Put("op/config", standin.WithLongDeadlineRoute(standin.Configuration(1, nil)))
 	for i := range 2 {
 		s.models = append(s.models, standin.NewWorker(s.store, standin.WorkerOptions{
 			ID: fmt.Sprintf("i-model-%d", i), Service: standin.ModelService, Zone: "h1", Slots: 8, Model: standin.Model,
--- a/tests/platformstandin/caller.go
+++ b/tests/platformstandin/caller.go
@@ -29,7 +29,7 @@
 	Status int
 	Header http.Header
 	Body   string
-	Broken error
+	Err    error
 }
 
 // requestCount numbers the requests, so that each has a unique ID.
@@ -55,7 +55,7 @@
 	answer := Answer{ID: fmt.Sprintf("id-%d", requestCount.Add(1))}
 	request, err := http.NewRequestWithContext(ctx, c.Method, "http://"+address+c.Path, strings.NewReader(c.Body))
 	if err != nil {
-		answer.Broken = err
+		answer.Err = err
 		return answer
 	}
 	request.Host = Host
@@ -70,30 +70,30 @@
 	}
 	response, err := clientFrom(c.From).Do(request)
 	if err != nil {
-		answer.Broken = err
+		answer.Err = err
 		return answer
 	}
 	defer func() { _ = response.Body.Close() }()
 	body, err := io.ReadAll(response.Body)
-	answer.Status, answer.Header, answer.Body, answer.Broken = response.StatusCode, response.Header, string(body), err
+	answer.Status, answer.Header, answer.Body, answer.Err = response.StatusCode, response.Header, string(body), err
 	return answer
 }
 
-// Head is the head of a request that a caller writes to the connection itself.
-type Head struct {
+// RequestHead is the head of a request that a caller writes to the connection itself.
+type RequestHead struct {
 	Path, ID, Adapter string
-	// Patience is the deadline that the request names; 0 for none.
-	Patience time.Duration
+	// Deadline is the deadline that the request names; 0 for none.
+	Deadline time.Duration
 	// Framing is the header line with the length or the transfer encoding of the body.
 	Framing string
 }
 
 // String returns the encoded head.
-func (h Head) String() string {
+func (h RequestHead) String() string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "POST %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\n", h.Path, Host, HeaderRequestID, h.ID)
-	if h.Patience > 0 {
-		fmt.Fprintf(&b, "%s: %d\r\n", headerDeadline, h.Patience.Milliseconds())
+	if h.Deadline > 0 {
+		fmt.Fprintf(&b, "%s: %d\r\n", headerDeadline, h.Deadline.Milliseconds())
 	}
 	if h.Adapter != "" {
 		fmt.Fprintf(&b, "%s: %s/%s\r\n%s: %s\r\n", headerModel, Model, h.Adapter, headerTokens, defaultTokens)
--- a/tests/platformstandin/site.go
+++ b/tests/platformstandin/site.go
@@ -19,13 +19,13 @@
 
 // Names of the example site.
 const (
-	Host          = "site.example"
-	ModelService  = "models"
-	PlainService  = "plain"
-	Model         = "base"
-	StreamPrefix  = "/chat/"
-	ResumePrefix  = "/digest/"
-	PatientPrefix = "/report/"
+	Host               = "site.example"
+	ModelService       = "models"
+	PlainService       = "plain"
+	Model              = "base"
+	StreamPrefix       = "/chat/"
+	ResumePrefix       = "/digest/"
+	LongDeadlinePrefix = "/report/"
 	// PausePrefix and PauseResumePrefix are the prefixes of the routes that WithPausingRoutes adds.
 	PausePrefix       = "/survey/"
 	PauseResumePrefix = "/survey-digest/"
@@ -72,9 +72,9 @@
 	}
 }
 
-// WithPatientRoute adds a route to a configuration. Callers of the route wait for longer than requests may begin on a former version.
-func WithPatientRoute(configuration map[string]any) map[string]any {
-	patient := route("r-patient", PatientPrefix, "streaming", ModelService, 1, false)
+// WithLongDeadlineRoute adds a route to a configuration. Callers of the route wait for longer than requests may begin on a former version.
+func WithLongDeadlineRoute(configuration map[string]any) map[string]any {
+	patient := route("r-patient", LongDeadlinePrefix, "streaming", ModelService, 1, false)
 	patient["timeout_ms"], patient["target_latency_ms"] = 15000, 3000
 	configuration["routes"] = append(configuration["routes"].([]map[string]any), patient)
 	return configuration
--- a/tests/platformstandin/store.go
+++ b/tests/platformstandin/store.go
@@ -100,8 +100,8 @@
 	s.notifyWatches()
 }
 
-// SilenceOpen stalls all open connections permanently without closing them. New connections work.
-func (s *Store) SilenceOpen() {
+// StallOpenConnections stalls all open connections permanently without closing them. New connections work.
+func (s *Store) StallOpenConnections() {
 	s.connections.stallOpen()
 }
 
--- a/tests/platformstandin/worker.go
+++ b/tests/platformstandin/worker.go
@@ -48,18 +48,18 @@
 const (
 	// RunBegan means that the worker began to run the request.
 	RunBegan RunPhase = "began"
-	// RunWhole means that the worker has written the complete answer.
-	RunWhole RunPhase = "whole"
+	// RunCompleted means that the worker has written the complete answer.
+	RunCompleted RunPhase = "whole"
 	// RunCanceled means that the sender of the request closed the connection before the complete answer was written.
 	RunCanceled RunPhase = "canceled"
 	// RunCrashed means that the request crashed the worker.
 	RunCrashed RunPhase = "crashed"
 	// RunArrived means that a request arrived, whether or not it runs. It is recorded from the first notice of the worker on.
 	RunArrived RunPhase = "arrived"
-	// RunTold means that the sender of the request has received an answer with a notice of the worker.
-	RunTold RunPhase = "told"
-	// RunBroke means that the worker interrupted the answer, hung or answered with an error.
-	RunBroke RunPhase = "broke"
+	// RunNoticeReceived means that the sender of the request has received an answer with a notice of the worker.
+	RunNoticeReceived RunPhase = "told"
+	// RunFailed means that the worker interrupted the answer, hung or answered with an error.
+	RunFailed RunPhase = "broke"
 )
 
 // RunEvent is the begin or the end of a run, or the arrival or the answer of a request.
@@ -72,8 +72,8 @@
 	Adapter  string `json:"adapter,omitempty"`
 	Version  int    `json:"version,omitempty"`
 	Resumed  string `json:"resumed,omitempty"`
-	// Said is the notice of the worker in the answer.
-	Said Notice `json:"said,omitzero"`
+	// SentNotice is the notice of the worker in the answer.
+	SentNotice Notice `json:"said,omitzero"`
 }
 
 // Notice is what a worker announces about itself in the headers of an answer.
@@ -117,8 +117,8 @@
 	Began time.Time
 }
 
-// OrderSeen is one order that a worker received.
-type OrderSeen struct {
+// ReceivedOrder is one order that a worker received.
+type ReceivedOrder struct {
 	Operation string
 	Adapter   string
 	Holder    string
@@ -145,7 +145,7 @@
 	hasAnnounced bool
 	// rests are the times at which requests were rejected with a time to rest.
 	rests             []time.Time
-	orders            []OrderSeen
+	orders            []ReceivedOrder
 	overCapacityLoads int
 	state             string
 	// queueWait is how long each request waits before it begins. queued is how many requests wait.
@@ -156,8 +156,8 @@
 	stop              chan struct{}
 }
 
-// EntryKey returns the key of the store entry of a worker.
-func EntryKey(id string) string {
+// EndpointKey returns the key of the store entry of a worker.
+func EndpointKey(id string) string {
 	return "servers/" + id
 }
 
@@ -190,12 +190,12 @@
 	return w
 }
 
-// BeatPace is the interval of the heartbeats.
-const BeatPace = 300 * time.Millisecond
+// HeartbeatInterval is the interval of the heartbeats.
+const HeartbeatInterval = 300 * time.Millisecond
 
 // heartbeatLoop writes the store entry of the worker again when the adapters that it holds have changed.
 func (w *Worker) heartbeatLoop() {
-	ticker := time.NewTicker(BeatPace)
+	ticker := time.NewTicker(HeartbeatInterval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -213,13 +213,13 @@
 	}
 }
 
-// SilenceOpen stalls all open connections permanently without closing them. New connections work.
-func (w *Worker) SilenceOpen() {
+// StallOpenConnections stalls all open connections permanently without closing them. New connections work.
+func (w *Worker) StallOpenConnections() {
 	w.connections.stallOpen()
 }
 
-// ResetOpen closes all open connections.
-func (w *Worker) ResetOpen() {
+// CloseOpenConnections closes all open connections.
+func (w *Worker) CloseOpenConnections() {
 	w.server.CloseClientConnections()
 }
 
@@ -273,7 +273,7 @@
 		"slots": w.options.Slots, "state": w.state, "cold_remaining_ms": 0, "sequence": 0, "models": w.models(),
 	}
 	w.mutex.Unlock()
-	w.registry.Put(EntryKey(w.options.ID), entry)
+	w.registry.Put(EndpointKey(w.options.ID), entry)
 }
 
 // Drain writes to the store that the worker leaves.
@@ -284,12 +284,12 @@
 	w.Describe()
 }
 
-// Vanish removes the store entry of the worker without draining the worker first.
-func (w *Worker) Vanish() {
+// Deregister removes the store entry of the worker without draining the worker first.
+func (w *Worker) Deregister() {
 	w.mutex.Lock()
 	w.state = "gone"
 	w.mutex.Unlock()
-	w.registry.Remove(EntryKey(w.options.ID))
+	w.registry.Remove(EndpointKey(w.options.ID))
 }
 
 // SetFaults replaces the faults.
@@ -320,8 +320,8 @@
 	w.options.LoadTime = loadTime
 }
 
-// Name sets the version that later loads of an adapter result in.
-func (w *Worker) Name(adapter string, version int) {
+// SetAdapterVersion sets the version that later loads of an adapter result in.
+func (w *Worker) SetAdapterVersion(adapter string, version int) {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.versions[adapter] = version
@@ -339,7 +339,7 @@
 }
 
 // Orders returns the orders that the worker received so far.
-func (w *Worker) Orders() []OrderSeen {
+func (w *Worker) Orders() []ReceivedOrder {
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	return slices.Clone(w.orders)
@@ -418,7 +418,7 @@
 	w.mutex.Lock()
 	defer w.mutex.Unlock()
 	w.finishLoads()
-	w.orders = append(w.orders, OrderSeen{Operation: body.Operation, Adapter: body.Adapter, Holder: body.Holder, Token: body.Token, At: time.Now()})
+	w.orders = append(w.orders, ReceivedOrder{Operation: body.Operation, Adapter: body.Adapter, Holder: body.Holder, Token: body.Token, At: time.Now()})
 	status := http.StatusConflict
 	if body.Expected == nil || *body.Expected == w.sequence {
 		status = w.take(body.Operation, body.Adapter)
--- a/tests/platformstandin/worker_requests.go
+++ b/tests/platformstandin/worker_requests.go
@@ -70,7 +70,7 @@
 // recordNotice writes an event of a request and the notice in its answer to the journal.
 func (w *Worker) recordNotice(phase RunPhase, request *http.Request, notice Notice) {
 	if w.options.Journal != nil {
-		w.options.Journal(RunEvent{At: time.Now(), Phase: phase, Endpoint: w.options.ID, ID: request.Header.Get(HeaderRequestID), Said: notice})
+		w.options.Journal(RunEvent{At: time.Now(), Phase: phase, Endpoint: w.options.ID, ID: request.Header.Get(HeaderRequestID), SentNotice: notice})
 	}
 }
 
@@ -107,7 +107,7 @@
 		w.run(writer, request)
 	}
 	if notice != (Notice{}) && request.Context().Err() == nil {
-		w.recordNotice(RunTold, request, notice)
+		w.recordNotice(RunNoticeReceived, request, notice)
 	}
 }
 
@@ -147,13 +147,13 @@
 	w.inUse[adapter]++
 	w.mutex.Unlock()
 	w.recordPhase(run, RunBegan)
-	phase := RunBroke
+	phase := RunFailed
 	defer func() {
 		w.mutex.Lock()
 		defer w.mutex.Unlock()
 		w.inUse[adapter]--
 		run.Canceled = request.Context().Err() != nil
-		if run.Canceled && phase == RunWhole {
+		if run.Canceled && phase == RunCompleted {
 			phase = RunCanceled
 		}
 		if phase != RunCrashed {
@@ -215,7 +215,7 @@
 	switch fault {
 	case faultHang:
 		<-request.Context().Done()
-		return RunBroke
+		return RunFailed
 	case faultReset:
 		panic(http.ErrAbortHandler)
 	}
@@ -228,21 +228,21 @@
 	}
 	if fault == faultError {
 		writer.WriteHeader(http.StatusInternalServerError)
-		return RunBroke
+		return RunFailed
 	}
 	if extra {
 		w.answerTwice(writer, run)
-		return RunWhole
+		return RunCompleted
 	}
 	if w.options.Model != "" {
 		w.stream(writer, request, run)
-		return RunWhole
+		return RunCompleted
 	}
 	if work := queryMilliseconds(request, "work_ms", 0); work > 0 {
 		time.Sleep(work)
 	}
 	_, _ = fmt.Fprintf(writer, "%s answers %s %s %s %q", w.options.ID, run.ID, request.Method, request.RequestURI, body)
-	return RunWhole
+	return RunCompleted
 }
 
 // CrashParameter is the query parameter of a request that crashes the worker which runs it. Its value is the time from the begin of the run
--- a/tests/process/instance_test.go
+++ b/tests/process/instance_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 	i := &instance{t: t, store: standin.NewStore(), folder: t.TempDir(), ip: fmt.Sprintf("127.66.%d.%d", os.Getpid()&0xff, instanceCount.Add(1))}
 	t.Cleanup(i.store.Close)
-	configuration := standin.WithPatientRoute(standin.Configuration(1, nil))
+	configuration := standin.WithLongDeadlineRoute(standin.Configuration(1, nil))
 	configuration["limits"].(map[string]any)["idle_timeout_ms"] = idle.Milliseconds()
 	i.store.Put(standin.ConfigurationKey, configuration)
 	i.plain = standin.NewWorker(i.store, standin.WorkerOptions{ID: "i-plain", Service: standin.PlainService, Zone: "h1", Slots: 200})
--- a/tests/process/unanswered_test.go
+++ b/tests/process/unanswered_test.go
@@ -163,7 +163,7 @@
 	i := startInstance(t, 10*time.Second)
 	c := i.dial()
 	stream := func(id string) string {
-		return requestHead(platformstandin.PatientPrefix+"x", id, noBody, "X-Model: "+platformstandin.Model+"/a1", "X-Token-Usage: 100,20")
+		return requestHead(platformstandin.LongDeadlinePrefix+"x", id, noBody, "X-Model: "+platformstandin.Model+"/a1", "X-Token-Usage: 100,20")
 	}
 	require.True(t, processes.Poll(waitTimeout, func() bool { return c.exchange(stream("first")) == http.StatusOK }))
 	i.model.SetFaults(platformstandin.WorkerFaults{Hangs: 1})
--- a/tests/standin/caller.go
+++ b/tests/standin/caller.go
@@ -20,7 +20,7 @@
 	ID, Model, Class, Caller string
 	Tokens                   int
 	// Once requests that the call runs at most once, Whole that it has a single answer instead of a stream.
-	Once, Whole bool
+	Once, NonStreaming bool
 	// Client holds the connections of the caller; nil means http.DefaultClient, whose connections all callers share.
 	Client *http.Client
 }
@@ -30,11 +30,11 @@
 	Status                int
 	Model, Endpoint, Text string
 	Done                  bool
-	// Failure and Outcome are the code and the outcome in the body of an error.
-	Failure, Outcome string
+	// ErrorCode and Outcome are the code and the outcome in the body of an error.
+	ErrorCode, Outcome string
 	// RetryAfter and Stalled are the values of the Retry-After and X-Stalled-Ms headers. First is the time to the first event.
-	RetryAfter, Stalled, First time.Duration
-	Err                        error
+	RetryAfter, Stalled, TimeToFirstEvent time.Duration
+	Err                                   error
 }
 
 // responseBody is an event of a stream, a complete answer, or the body of an error.
@@ -50,8 +50,8 @@
 	} `json:"error"`
 }
 
-// Expected returns the text of the complete answer to the call.
-func (c Call) Expected() string {
+// ExpectedText returns the text of the complete answer to the call.
+func (c Call) ExpectedText() string {
 	text := ""
 	for i := range c.Tokens {
 		text += Token(c.ID, i)
@@ -62,7 +62,7 @@
 // Send sends the call to the daemon at HOST:PORT and reads the complete answer.
 func (c Call) Send(ctx context.Context, address string) Answer {
 	body, err := json.Marshal(map[string]any{
-		"model": c.Model, "stream": !c.Whole, "max_tokens": c.Tokens, "messages": []chatMessage{{Role: "user", Content: "please answer " + c.ID}},
+		"model": c.Model, "stream": !c.NonStreaming, "max_tokens": c.Tokens, "messages": []chatMessage{{Role: "user", Content: "please answer " + c.ID}},
 	})
 	if err != nil {
 		return Answer{Err: err}
@@ -91,7 +91,7 @@
 	seconds, _ := strconv.Atoi(response.Header.Get("Retry-After"))
 	stalled, _ := strconv.Atoi(response.Header.Get("X-Stalled-Ms"))
 	a.RetryAfter, a.Stalled = time.Duration(seconds)*time.Second, time.Duration(stalled)*time.Millisecond
-	if c.Whole || response.StatusCode != http.StatusOK {
+	if c.NonStreaming || response.StatusCode != http.StatusOK {
 		a.readWhole(response)
 		return a
 	}
@@ -103,7 +103,7 @@
 	var body responseBody
 	a.Err = json.NewDecoder(response.Body).Decode(&body)
 	if body.Error != nil {
-		a.Failure, a.Outcome = body.Error.Code, body.Error.Outcome
+		a.ErrorCode, a.Outcome = body.Error.Code, body.Error.Outcome
 	} else if len(body.Choices) > 0 {
 		a.Text, a.Done = body.Choices[0].Message.Content, true
 	}
@@ -116,8 +116,8 @@
 		if !ok {
 			continue
 		}
-		if a.First == 0 {
-			a.First = time.Since(began)
+		if a.TimeToFirstEvent == 0 {
+			a.TimeToFirstEvent = time.Since(began)
 		}
 		if data == "[DONE]" {
 			a.Done = true
@@ -128,7 +128,7 @@
 			return
 		}
 		if event.Error != nil {
-			a.Failure, a.Outcome = event.Error.Code, event.Error.Outcome
+			a.ErrorCode, a.Outcome = event.Error.Code, event.Error.Outcome
 			return
 		}
 		if event.Model != a.Model {
--- a/tests/standin/cluster.go
+++ b/tests/standin/cluster.go
@@ -27,19 +27,19 @@
 	Step           time.Duration
 	Load           time.Duration
 	// UnfencedEvery makes every n-th engine of a hall, with n = UnfencedEvery, check no fences. Zero makes all engines check them.
-	UnfencedEvery int
-	ListLag       time.Duration
-	StoreRate     float64
-	StoreAtOnce   int
-	// Began is called when a run begins, with the name of the engine and the request ID that the daemon gave the run, if set.
-	Began func(engine, id string)
+	UnfencedEvery    int
+	ListLag          time.Duration
+	StoreRate        float64
+	StoreConcurrency int
+	// OnRunStart is called when a run begins, with the name of the engine and the request ID that the daemon gave the run, if set.
+	OnRunStart func(engine, id string)
 }
 
 // DefaultClusterOptions returns the options of a small cluster that is fast enough for tests.
 func DefaultClusterOptions() ClusterOptions {
 	return ClusterOptions{
 		Halls: []string{"h1", "h2"}, EnginesPerHall: 2, Bases: []string{"base-a"}, Slots: 4, MaxBatch: 16, Step: 10 * time.Millisecond,
-		Load: 30 * time.Millisecond, ListLag: 200 * time.Millisecond, StoreRate: 20, StoreAtOnce: 4,
+		Load: 30 * time.Millisecond, ListLag: 200 * time.Millisecond, StoreRate: 20, StoreConcurrency: 4,
 	}
 }
 
@@ -71,7 +71,7 @@
 // StartCluster starts all fakes on ports that the system chooses.
 func StartCluster(o ClusterOptions) (*Cluster, error) {
 	c := &Cluster{
-		Options: o, KV: NewKV(), List: NewList(o.ListLag), Store: NewStore(o.StoreRate, o.StoreAtOnce, o.Load),
+		Options: o, KV: NewKV(), List: NewList(o.ListLag), Store: NewStore(o.StoreRate, o.StoreConcurrency, o.Load),
 		Plain: NewPlain(5 * time.Millisecond), stop: make(chan struct{}),
 	}
 	var err error
@@ -103,8 +103,8 @@
 	options := EngineOptions{
 		Name: e.Name, Base: e.Base, Slots: o.Slots, MaxBatch: o.MaxBatch, Step: o.Step, ChecksFence: checks, Fetch: c.Store.Fetch,
 	}
-	if o.Began != nil {
-		options.Began = func(id string) { o.Began(e.Name, id) }
+	if o.OnRunStart != nil {
+		options.OnRunStart = func(id string) { o.OnRunStart(e.Name, id) }
 	}
 	e.Engine = NewEngine(options)
 	return e
@@ -133,8 +133,8 @@
 	}
 }
 
-// InstancePlace is an instance with the addresses on which it listens. The system chooses a port that is zero.
-type InstancePlace struct {
+// InstanceAddresses is an instance with the addresses on which it listens. The system chooses a port that is zero.
+type InstanceAddresses struct {
 	ID        string
 	Hall      string
 	Callers   netip.AddrPort
@@ -142,10 +142,10 @@
 	Peers     netip.AddrPort
 }
 
-// Loopback returns an instance that listens on loopback ports which the system chooses.
-func Loopback(id, hall string) InstancePlace {
+// LoopbackInstance returns an instance that listens on loopback ports which the system chooses.
+func LoopbackInstance(id, hall string) InstanceAddresses {
 	anyPort := netip.MustParseAddrPort("127.0.0.1:0")
-	return InstancePlace{ID: id, Hall: hall, Callers: anyPort, Operators: anyPort, Peers: anyPort}
+	return InstanceAddresses{ID: id, Hall: hall, Callers: anyPort, Operators: anyPort, Peers: anyPort}
 }
 
 // OperatorKey is the key of the only operator in the settings that SettingsText returns.
@@ -160,7 +160,7 @@
 type settingsMap map[string]any
 
 // SettingsText returns the settings of an instance as JSON. The changes replace top-level fields.
-func (c *Cluster) SettingsText(p InstancePlace, changes map[string]any) string {
+func (c *Cluster) SettingsText(p InstanceAddresses, changes map[string]any) string {
 	var endpoints []settingsMap
 	for _, e := range c.Engines {
 		endpoints = append(endpoints, settingsMap{
@@ -184,7 +184,7 @@
 			{"name": "overnight", "priority": 1, "stall_weight": 0.1, "patient": true},
 		},
 		"kv": settingsMap{"addresses": []netip.AddrPort{c.KVAddress}}, "platform": settingsMap{"list": c.ListAddress},
-		"weight_store": settingsMap{"loads_per_second": c.Options.StoreRate, "at_full_speed": c.Options.StoreAtOnce},
+		"weight_store": settingsMap{"loads_per_second": c.Options.StoreRate, "at_full_speed": c.Options.StoreConcurrency},
 		"limits":       settingsMap{"leave_notice": "200ms"},
 		"operators":    settingsMap{"keys": []settingsMap{{"name": "demo", "role": "admin", "sha256": sha256Hex(OperatorKey)}}, "failures_per_minute": 1000},
 		"log":          settingsMap{"level": "info"},
@@ -200,7 +200,7 @@
 }
 
 // ListEntry returns the entry of an instance in the platform's list.
-func ListEntry(p InstancePlace) instancelist.Entry {
+func ListEntry(p InstanceAddresses) instancelist.Entry {
 	return instancelist.Entry{Name: p.ID, Kind: instancelist.KindInstance, Hall: p.Hall, Address: p.Peers, Operator: p.Operators, State: instancelist.StateLive}
 }
 
--- a/tests/standin/engine.go
+++ b/tests/standin/engine.go
@@ -27,8 +27,8 @@
 	ChecksFence bool
 	// Fetch fetches weights from the weight store.
 	Fetch func(name string) error
-	// Began is called when a run begins, with the request ID that the daemon gave the run, if set. It must not call the engine.
-	Began func(id string)
+	// OnRunStart is called when a run begins, with the request ID that the daemon gave the run, if set. It must not call the engine.
+	OnRunStart func(id string)
 }
 
 // Engine is a fake model engine with continuous batching and adapter slots.
@@ -109,8 +109,8 @@
 	return maps.Clone(e.runCounts)
 }
 
-// Counts returns the numbers of loads and evictions so far.
-func (e *Engine) Counts() (loads, evictions int) {
+// LoadCounts returns the numbers of loads and evictions so far.
+func (e *Engine) LoadCounts() (loads, evictions int) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	return e.loads, e.evictions
@@ -182,8 +182,8 @@
 		r.started = true
 		e.running++
 		e.runCounts[r.id]++
-		if e.options.Began != nil {
-			e.options.Began(r.id)
+		if e.options.OnRunStart != nil {
+			e.options.OnRunStart(r.id)
 		}
 	}
 }
--- a/tests/standin/operator.go
+++ b/tests/standin/operator.go
@@ -31,9 +31,9 @@
 	return text.String()
 }
 
-// Operate runs commands at a daemon with the built shelfctl program and returns the output of the program. The key file and the command file
+// RunShelfctl runs commands at a daemon with the built shelfctl program and returns the output of the program. The key file and the command file
 // are written to folder.
-func Operate(program string, daemon netip.AddrPort, folder, commands string) (string, error) {
+func RunShelfctl(program string, daemon netip.AddrPort, folder, commands string) (string, error) {
 	key, file := filepath.Join(folder, "key"), filepath.Join(folder, "commands.txt")
 	for name, content := range map[string]string{key: OperatorKey, file: commands} {
 		if err := os.WriteFile(name, []byte(content), 0o600); err != nil {
--- a/tools/demo/daemons.go
+++ b/tools/demo/daemons.go
@@ -48,7 +48,7 @@
 	cluster, err := standin.StartCluster(standin.ClusterOptions{
 		Halls: []string{"h1", "h2"}, EnginesPerHall: 4, Bases: []string{"base-a", "base-b"}, Slots: 4, MaxBatch: 16,
 		Step: 20 * time.Millisecond, Load: 300 * time.Millisecond, UnfencedEvery: 4, ListLag: 500 * time.Millisecond,
-		StoreRate: 8, StoreAtOnce: 4,
+		StoreRate: 8, StoreConcurrency: 4,
 	})
 	if err != nil {
 		return err
@@ -88,7 +88,7 @@
 		return err
 	}
 	at := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr("127.0.0.1"), port) }
-	place := standin.InstancePlace{ID: id, Hall: id[:2], Callers: at(ports.Callers), Operators: at(ports.Ready), Peers: at(ports.Peers)}
+	place := standin.InstanceAddresses{ID: id, Hall: id[:2], Callers: at(ports.Callers), Operators: at(ports.Ready), Peers: at(ports.Peers)}
 	d.entries = append(d.entries, standin.ListEntry(place))
 	p := &process{name: id, callers: place.Callers.String(), ready: "http://" + place.Callers.String() + "/readyz"}
 	if err := p.start(program, d.folder, []byte(d.cluster.SettingsText(place, nil))); err != nil {
@@ -100,7 +100,7 @@
 
 // register creates the adapters, two versions each, and a service, with the operators' tool.
 func (d *daemons) register(program string) error {
-	out, err := standin.Operate(program, d.entries[0].Operator, d.folder, standin.AdapterCommands(daemonAdapters))
+	out, err := standin.RunShelfctl(program, d.entries[0].Operator, d.folder, standin.AdapterCommands(daemonAdapters))
 	if err != nil {
 		return err
 	}
@@ -127,10 +127,10 @@
 // send makes one attempt and checks the answer.
 func (d *daemons) send(c standin.Call) reply {
 	a := c.Send(context.Background(), d.next().callers)
-	r := reply{stalled: a.Stalled, first: a.First}
-	r.detail = fmt.Sprintf("status %d, %s %s, at %s, text %q, error %v", a.Status, a.Outcome, a.Failure, a.Endpoint, a.Text, a.Err)
+	r := reply{stalled: a.Stalled, first: a.TimeToFirstEvent}
+	r.detail = fmt.Sprintf("status %d, %s %s, at %s, text %q, error %v", a.Status, a.Outcome, a.ErrorCode, a.Endpoint, a.Text, a.Err)
 	switch {
-	case a.Done && a.Model == c.Model && a.Text == c.Expected():
+	case a.Done && a.Model == c.Model && a.Text == c.ExpectedText():
 		r.outcome = answered
 	case a.Status == 0:
 		r.outcome, r.wait = refused, afterLost
@@ -148,7 +148,7 @@
 func (d *daemons) checkEngines(results []result) error {
 	loads, evictions := 0, 0
 	for _, e := range d.cluster.Engines {
-		l, v := e.Engine.Counts()
+		l, v := e.Engine.LoadCounts()
 		loads, evictions = loads+l, evictions+v
 	}
 	fmt.Printf("loads %d, evictions %d\n", loads, evictions)
--- a/tools/demo/entries.go
+++ b/tools/demo/entries.go
@@ -132,13 +132,13 @@
 	a := platformstandin.Call{Path: path, Adapter: adapter, Body: "prompt"}.Send(context.Background(), to.callers)
 	r := reply{detail: fmt.Sprintf("%+v at %s", a, to.name), first: time.Since(began), attempt: a.ID}
 	switch {
-	case errors.Is(a.Broken, syscall.ECONNREFUSED):
+	case errors.Is(a.Err, syscall.ECONNREFUSED):
 		// An entry that has ended took nothing; the balancer goes to another one.
 		r.outcome = refused
-	case a.Broken == nil && a.Status == http.StatusServiceUnavailable:
+	case a.Err == nil && a.Status == http.StatusServiceUnavailable:
 		seconds, _ := strconv.ParseFloat(a.Header.Get("Retry-After"), 64)
 		r.outcome, r.wait = refused, time.Duration(seconds*float64(time.Second))
-	case a.Broken != nil || a.Status != http.StatusOK || a.Header.Get(platformstandin.HeaderRequestID) != a.ID || a.Header.Get(platformstandin.HeaderSeal) == "":
+	case a.Err != nil || a.Status != http.StatusOK || a.Header.Get(platformstandin.HeaderRequestID) != a.ID || a.Header.Get(platformstandin.HeaderSeal) == "":
 		r.outcome = wrong
 	}
 	for event := 1; r.outcome == answered && adapter != "" && event <= streamEvents; event++ {
--- a/tools/soak/crasher.go
+++ b/tools/soak/crasher.go
@@ -120,7 +120,7 @@
 		now := time.Now()
 		e.site.notes.disrupt(ledger.EndpointEnds, one.id, now.Add(-blamed), now.Add(blamed))
 		time.AfterFunc(silentBeats, func() {
-			e.site.logFailure("removal of an entry", e.site.storeAt.Remove(platformstandin.EntryKey(one.id)))
+			e.site.logFailure("removal of an entry", e.site.storeAt.Remove(platformstandin.EndpointKey(one.id)))
 		})
 		time.Sleep(comebackPause)
 		e.site.logFailure("another endpoint", e.begin())
--- a/tools/soak/daemoncallers.go
+++ b/tools/soak/daemoncallers.go
@@ -105,7 +105,7 @@
 	call := standin.Call{
 		ID: fmt.Sprintf("call-%d-%d", c.number, turn), Class: []string{"kiosk", "traveller", "overnight"}[c.random.IntN(3)], Caller: "soak",
 		Model: standin.Adapter(int(c.popular.Uint64()), 1+c.random.IntN(standin.AdapterVersions)), Tokens: 1 + c.random.IntN(mostTokens),
-		Once: c.random.Float64() < onceShare, Whole: c.random.Float64() < wholeShare, Client: c.client,
+		Once: c.random.Float64() < onceShare, NonStreaming: c.random.Float64() < wholeShare, Client: c.client,
 	}
 	if c.random.Float64() < longShare {
 		call.Tokens = longTokens
@@ -140,9 +140,9 @@
 	case a.Done:
 		return ledger.Whole, ""
 	case a.Outcome == "not_run":
-		return ledger.Refused, a.Failure
+		return ledger.Refused, a.ErrorCode
 	case a.Outcome != "" || a.Status >= http.StatusBadRequest:
-		return ledger.Failed, a.Outcome + " " + a.Failure
+		return ledger.Failed, a.Outcome + " " + a.ErrorCode
 	case errors.As(a.Err, &refused) && refused.Op == "dial":
 		return ledger.Unreached, a.Err.Error()
 	case errors.Is(a.Err, context.DeadlineExceeded):
@@ -156,7 +156,7 @@
 
 // wrongWith says what is wrong with an answer, or with the beginning of one; empty for nothing.
 func wrongWith(call standin.Call, a standin.Answer) string {
-	expected := call.Expected()
+	expected := call.ExpectedText()
 	switch {
 	case !strings.HasPrefix(expected, a.Text):
 		return fmt.Sprintf("%q in place of %q", a.Text, expected)
--- a/tools/soak/daemons.go
+++ b/tools/soak/daemons.go
@@ -87,8 +87,8 @@
 	var err error
 	d.cluster, err = standin.StartCluster(standin.ClusterOptions{
 		Halls: names, EnginesPerHall: max(1, d.args.Endpoints/len(names)), Bases: []string{"base-a", "base-b"}, Slots: 4, MaxBatch: 16,
-		Step: 20 * time.Millisecond, Load: 300 * time.Millisecond, UnfencedEvery: 4, ListLag: 500 * time.Millisecond, StoreRate: 8, StoreAtOnce: 4,
-		Began: d.noteBegin,
+		Step: 20 * time.Millisecond, Load: 300 * time.Millisecond, UnfencedEvery: 4, ListLag: 500 * time.Millisecond, StoreRate: 8, StoreConcurrency: 4,
+		OnRunStart: d.noteBegin,
 	})
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 	if err := d.awaitReady(); err != nil {
 		return err
 	}
-	_, err = standin.Operate(filepath.Join(d.args.Bin, "shelfctl"), d.list[0].Operator, d.folder, standin.AdapterCommands(daemonAdapters))
+	_, err = standin.RunShelfctl(filepath.Join(d.args.Bin, "shelfctl"), d.list[0].Operator, d.folder, standin.AdapterCommands(daemonAdapters))
 	return err
 }
 
@@ -133,7 +133,7 @@
 		return nil, err
 	}
 	address := func(port uint16) netip.AddrPort { return netip.AddrPortFrom(netip.MustParseAddr(at.ip), port) }
-	listens := standin.InstancePlace{
+	listens := standin.InstanceAddresses{
 		ID: at.name, Hall: at.hall, Callers: address(at.ports.Callers), Operators: address(at.ports.Ready), Peers: address(at.ports.Peers),
 	}
 	d.list = append(d.list, standin.ListEntry(listens))
--- a/tools/soak/endpoint.go
+++ b/tools/soak/endpoint.go
@@ -25,7 +25,7 @@
 	// silentLeaving is for how long an endpoint says in its answers alone that it leaves.
 	silentLeaving = 6 * time.Second
 	// silentBeats is after what silence the platform drops an endpoint's entry.
-	silentBeats = 3 * platformstandin.BeatPace
+	silentBeats = 3 * platformstandin.HeartbeatInterval
 	// replacePause is the pause until another endpoint comes for one that was killed.
 	replacePause = 500 * time.Millisecond
 	// blamed is for how long after its end an endpoint counts as the cause of a request's end.
@@ -138,7 +138,7 @@
 		return err
 	}
 	time.AfterFunc(silentBeats, func() {
-		e.site.logFailure("removal of an entry", e.site.storeAt.Remove(platformstandin.EntryKey(killed.id)))
+		e.site.logFailure("removal of an entry", e.site.storeAt.Remove(platformstandin.EndpointKey(killed.id)))
 	})
 	time.Sleep(replacePause)
 	return e.begin()
--- a/tools/soak/ledger/check.go
+++ b/tools/soak/ledger/check.go
@@ -193,7 +193,7 @@
 // endpointBroke reports whether an endpoint of the request ended its run by itself, or was ended.
 func (r *Record) endpointBroke(a Attempt, run *runs) bool {
 	for _, ended := range run.ended {
-		if ended.Phase == platformstandin.RunBroke {
+		if ended.Phase == platformstandin.RunFailed {
 			return true
 		}
 	}
--- a/tools/soak/ledger/check_test.go
+++ b/tools/soak/ledger/check_test.go
@@ -29,7 +29,7 @@
 		}},
 		Runs: []platformstandin.RunEvent{
 			{ID: "r", Endpoint: "e", Adapter: "a1", Version: 2, Phase: platformstandin.RunBegan, At: at(10 * second)},
-			{ID: "r", Endpoint: "e", Adapter: "a1", Version: 2, Phase: platformstandin.RunWhole, At: at(10*second + second/20)},
+			{ID: "r", Endpoint: "e", Adapter: "a1", Version: 2, Phase: platformstandin.RunCompleted, At: at(10*second + second/20)},
 		},
 		Bounds: ledger.Bounds{
 			Grace: 8 * second, GraceMargin: second / 2, Drain: 2 * second, Apply: 2 * second, Version: 5 * second, BudgetWindow: 10 * second,
@@ -115,7 +115,7 @@
 		{"at a former time-out that may be in force", []change{closed, lasted(3 * second), limited(3*second, 5*second), limited(9*second, 9*second)}, ""},
 		{"at a former time-out", []change{closed, lasted(3 * second), limited(3*second, 5*second), limited(9*second, 7*second)}, ledger.CheckLost},
 		{"at a later time-out", []change{closed, lasted(3 * second), limited(3*second, 11*second)}, ledger.CheckLost},
-		{"by its endpoint", []change{closed, func(r *ledger.Record) { r.Runs[1].Phase = platformstandin.RunBroke }}, ""},
+		{"by its endpoint", []change{closed, func(r *ledger.Record) { r.Runs[1].Phase = platformstandin.RunFailed }}, ""},
 		{"by its endpoint's end", []change{closed, disrupted(ledger.EndpointEnds, "e", 10*second, 11*second)}, ""},
 
 		{"closed and not run", []change{closed, unrun}, ledger.CheckUnexplained},
--- a/tools/soak/ledger/notice.go
+++ b/tools/soak/ledger/notice.go
@@ -47,7 +47,7 @@
 			byEndpoint[event.Endpoint] = one
 		}
 		seen := arrival{RunEvent: event, instance: attempt.Instance, sent: attempt.Began}
-		if event.Phase == platformstandin.RunTold {
+		if event.Phase == platformstandin.RunNoticeReceived {
 			one.told = append(one.told, seen)
 		} else {
 			one.arrived = append(one.arrived, seen)
@@ -66,7 +66,7 @@
 // firstTold is when an instance was first told, from a moment on, what the function asks for; false for never.
 func (h *history) firstTold(instance string, from time.Time, said func(platformstandin.Notice) bool) (time.Time, bool) {
 	for _, one := range h.told {
-		if one.instance == instance && !one.At.Before(from) && said(one.Said) {
+		if one.instance == instance && !one.At.Before(from) && said(one.SentNotice) {
 			return one.At, true
 		}
 	}
@@ -96,7 +96,7 @@
 	var findings []Finding
 	for _, s := range r.histories() {
 		for _, asked := range s.told {
-			seconds, err := strconv.ParseFloat(asked.Said.Rest, 64)
+			seconds, err := strconv.ParseFloat(asked.SentNotice.Rest, 64)
 			if err != nil {
 				// It asked for none.
 				continue
@@ -110,7 +110,7 @@
 				}
 			}
 			if count > r.Bounds.RestRequests {
-				findings = append(findings, Finding{CheckRest, asked.ID, fmt.Sprintf("%s got %d requests of %s within %s s", s.endpoint, count, asked.instance, asked.Said.Rest)})
+				findings = append(findings, Finding{CheckRest, asked.ID, fmt.Sprintf("%s got %d requests of %s within %s s", s.endpoint, count, asked.instance, asked.SentNotice.Rest)})
 			}
 		}
 	}
@@ -133,8 +133,8 @@
 	var all [][]arrival
 	for i, one := range h.arrived {
 		switch {
-		case one.Said.Limit == "":
-		case i > 0 && h.arrived[i-1].Said.Limit == one.Said.Limit:
+		case one.SentNotice.Limit == "":
+		case i > 0 && h.arrived[i-1].SentNotice.Limit == one.SentNotice.Limit:
 			all[len(all)-1] = append(all[len(all)-1], one)
 		default:
 			all = append(all, []arrival{one})
@@ -145,9 +145,9 @@
 
 // checkEpisode counts the requests of instances that had been told a limit, in each span that ends with one of them.
 func (r *Record) checkEpisode(h *history, episode []arrival) []Finding {
-	limit, err := strconv.ParseFloat(episode[0].Said.Limit, 64)
+	limit, err := strconv.ParseFloat(episode[0].SentNotice.Limit, 64)
 	if err != nil {
-		return []Finding{{CheckLimit, episode[0].ID, "not a limit: " + episode[0].Said.Limit}}
+		return []Finding{{CheckLimit, episode[0].ID, "not a limit: " + episode[0].SentNotice.Limit}}
 	}
 	begin := episode[0].At
 	binds := begin.Add(r.Bounds.Contact)
--- a/tools/soak/ledger/notice_test.go
+++ b/tools/soak/ledger/notice_test.go
@@ -22,8 +22,8 @@
 	for i := range count {
 		id, when := fmt.Sprint("r-", i), at(time.Duration(i)*pause)
 		r.Attempts = append(r.Attempts, ledger.Attempt{ID: id, Instance: "a", Began: when})
-		for _, phase := range []platformstandin.RunPhase{platformstandin.RunArrived, platformstandin.RunTold} {
-			r.Notices = append(r.Notices, platformstandin.RunEvent{ID: id, Endpoint: "e", Phase: phase, At: when, Said: said})
+		for _, phase := range []platformstandin.RunPhase{platformstandin.RunArrived, platformstandin.RunNoticeReceived} {
+			r.Notices = append(r.Notices, platformstandin.RunEvent{ID: id, Endpoint: "e", Phase: phase, At: when, SentNotice: said})
 		}
 	}
 	return r
--- a/tools/soak/operator.go
+++ b/tools/soak/operator.go
@@ -59,10 +59,10 @@
 // put writes the configuration; the caller holds the mutex, or nobody else knows the operator yet.
 func (o *operator) put() error {
 	o.version++
-	configuration := platformstandin.WithPatientRoute(platformstandin.Configuration(o.version, o.routes))
+	configuration := platformstandin.WithLongDeadlineRoute(platformstandin.Configuration(o.version, o.routes))
 	configuration["limits"].(map[string]any)["idle_timeout_ms"] = o.idle.Milliseconds()
 	for _, route := range configuration["routes"].([]map[string]any) {
-		if route["path_prefix"] != platformstandin.PatientPrefix {
+		if route["path_prefix"] != platformstandin.LongDeadlinePrefix {
 			route["timeout_ms"] = o.timeout.Milliseconds()
 		}
 	}
--- a/tools/soak/outside/child.go
+++ b/tools/soak/outside/child.go
@@ -66,7 +66,7 @@
 	mux.HandleFunc("POST /faults", take(store.SetFaults))
 	mux.HandleFunc("POST /drop-history", take(func(struct{}) { store.DropHistory() }))
 	mux.HandleFunc("POST /revoke", take(func(struct{}) { store.RevokeLeases() }))
-	mux.HandleFunc("POST /silence-open", take(func(struct{}) { store.SilenceOpen() }))
+	mux.HandleFunc("POST /silence-open", take(func(struct{}) { store.StallOpenConnections() }))
 	return serve(o.Control, mux)
 }
 
@@ -94,11 +94,11 @@
 	mux.HandleFunc("GET /account", answer(func() any { return account{Overfull: worker.Overfull()} }))
 	mux.HandleFunc("POST /faults", take(worker.SetFaults))
 	mux.HandleFunc("POST /drain", take(func(struct{}) { worker.Drain() }))
-	mux.HandleFunc("POST /vanish", take(func(struct{}) { worker.Vanish() }))
-	mux.HandleFunc("POST /silence-open", take(func(struct{}) { worker.SilenceOpen() }))
-	mux.HandleFunc("POST /reset-open", take(func(struct{}) { worker.ResetOpen() }))
+	mux.HandleFunc("POST /vanish", take(func(struct{}) { worker.Deregister() }))
+	mux.HandleFunc("POST /silence-open", take(func(struct{}) { worker.StallOpenConnections() }))
+	mux.HandleFunc("POST /reset-open", take(func(struct{}) { worker.CloseOpenConnections() }))
 	mux.HandleFunc("POST /queue-wait", take(worker.SetQueueWait))
-	mux.HandleFunc("POST /name", take(func(v namedVersion) { worker.Name(v.Adapter, v.Version) }))
+	mux.HandleFunc("POST /name", take(func(v namedVersion) { worker.SetAdapterVersion(v.Adapter, v.Version) }))
 	return serve(o.Control, mux)
 }
 
--- a/tools/soak/plant.go
+++ b/tools/soak/plant.go
@@ -60,8 +60,8 @@
 		id, at := fmt.Sprint("planted-", number), from.Add(time.Duration(number)*time.Second/4)
 		r.Attempts = append(r.Attempts, ledger.Attempt{ID: id, Instance: planted, Began: at, Sent: at, Ended: at, Outcome: ledger.Failed})
 		r.Notices = append(r.Notices,
-			platformstandin.RunEvent{ID: id, Endpoint: planted, Phase: platformstandin.RunArrived, At: at, Said: said},
-			platformstandin.RunEvent{ID: id, Endpoint: planted, Phase: platformstandin.RunTold, At: at, Said: said})
+			platformstandin.RunEvent{ID: id, Endpoint: planted, Phase: platformstandin.RunArrived, At: at, SentNotice: said},
+			platformstandin.RunEvent{ID: id, Endpoint: planted, Phase: platformstandin.RunNoticeReceived, At: at, SentNotice: said})
 	}
 }
 
--- a/tools/soak/report.go
+++ b/tools/soak/report.go
@@ -65,7 +65,7 @@
 			return nil, err
 		}
 		for _, event := range events {
-			if event.Phase == platformstandin.RunArrived || event.Phase == platformstandin.RunTold {
+			if event.Phase == platformstandin.RunArrived || event.Phase == platformstandin.RunNoticeReceived {
 				r.Notices = append(r.Notices, event)
 				continue
 			}
--- a/tools/soak/traffic/request.go
+++ b/tools/soak/traffic/request.go
@@ -57,9 +57,9 @@
 	case share < 40:
 		q.stream(random, ledger.Resumable, platformstandin.ResumePrefix)
 	case share < 42:
-		q.stream(random, ledger.Streaming, platformstandin.PatientPrefix)
+		q.stream(random, ledger.Streaming, platformstandin.LongDeadlinePrefix)
 		q.events, q.patience = longStream, longPatience
-		q.path = fmt.Sprintf("%sx?events=%d&pause_ms=%d", platformstandin.PatientPrefix, longStream, longPause.Milliseconds())
+		q.path = fmt.Sprintf("%sx?events=%d&pause_ms=%d", platformstandin.LongDeadlinePrefix, longStream, longPause.Milliseconds())
 	case share < 70:
 		q.kind, q.path = ledger.Unsafe, platformstandin.UnsafePrefix+work(random)
 	case share < 74 && len(added) > 0:
@@ -91,7 +91,7 @@
 	if q.chunked {
 		framing = "Transfer-Encoding: chunked"
 	}
-	return platformstandin.Head{Path: q.path, ID: q.id, Adapter: q.adapter, Patience: q.patience, Framing: framing}.String()
+	return platformstandin.RequestHead{Path: q.path, ID: q.id, Adapter: q.adapter, Deadline: q.patience, Framing: framing}.String()
 }
 
 // payload gives the bytes of the body as they are sent.
