--- a/tests/platformstandin/caller.go
+++ b/tests/platformstandin/caller.go
@@ -23,7 +23,7 @@
 	From netip.Addr
 }
 
-// Answer is what a caller received. Broken is the error of a request that failed or whose answer was incomplete.
+// Answer is what a caller received. Err is the error of a request that failed or whose answer was incomplete.
 type Answer struct {
 	ID     string
 	Status int
--- a/tests/standin/caller.go
+++ b/tests/standin/caller.go
@@ -19,7 +19,7 @@
 type Call struct {
 	ID, Model, Class, Caller string
 	Tokens                   int
-	// Once requests that the call runs at most once, Whole that it has a single answer instead of a stream.
+	// Once requests that the call runs at most once, NonStreaming that it has a single answer instead of a stream.
 	Once, NonStreaming bool
 	// Client holds the connections of the caller; nil means http.DefaultClient, whose connections all callers share.
 	Client *http.Client
