--- a/tests/platform/crashing_test.go
+++ b/tests/platform/crashing_test.go
@@ -170,8 +170,8 @@
 func (c *crashSite) runStartTimes(matches func(string) bool) []time.Time {
 	// The workers that left at the start of the test may have received requests, too.
 	workers := append(slices.Clone(c.models), c.plain...)
-	for _, p := range c.restarting {
-		workers = append(workers, p.allWorkers()...)
+	for _, r := range c.restarting {
+		workers = append(workers, r.allWorkers()...)
 	}
 	var times []time.Time
 	for _, worker := range workers {
@@ -187,7 +187,7 @@
 
 // TestCrashingRequestIsSentToFewEndpoints repeats requests that crash each endpoint which begins to run them, at any instance.
 //
-// It guards against a request that crashes one endpoint after the other: two requests ended 11 and 18 endpoints, and a tenth of the other
+// It guards against a request that crashes one endpoint after the other: two requests crashed 11 and 18 endpoints, and a tenth of the other
 // requests failed for some seconds. The caller of a crashing request gets 502 and retries at another instance. That instance sends the request
 // to another endpoint, since the first one is gone, while endpoints restart with other IDs. The cause was that an instance recorded the failure
 // for the endpoint alone and reported nothing about the request to its peers, so the next endpoint always counted as healthy.
@@ -249,10 +249,10 @@
 
 // TestCrashingRequestIsSentToFewEndpointsThoughItsCallersDisconnect has the callers of a crashing request disconnect before the endpoint crashes.
 //
-// It guards against a crashing request that ends an endpoint each time it is sent, with all other requests that run there; no user has
-// reported it. The caller disconnects, and its instance closes the connection to the endpoint, which still runs the request and crashes. The
-// cause was that only an exchange which its endpoint ended was reported as a crash. No report named the crashing request, and all of them
-// named the requests beside it.
+// It guards against a request that crashes an endpoint each time it is sent, so that all other requests at the endpoint fail, too; no
+// user has reported this. The caller disconnects, and its instance closes the connection to the endpoint, which still runs the request and
+// crashes. The cause was that only an exchange which its endpoint ended was reported as a crash. No report named the crashing request, and all
+// reports named the requests beside it.
 func TestCrashingRequestIsSentToFewEndpointsThoughItsCallersDisconnect(t *testing.T) {
 	c := newCrashSite(t, 3, 5)
 	abandoned := &crashingRequest{call: call{path: standin.UnsafePrefix + "x?" + standin.CrashParameter + "=60"}, timeout: 30 * time.Millisecond}
