--- a/tests/capacity/entry_connection_test.go
+++ b/tests/capacity/entry_connection_test.go
@@ -27,46 +27,48 @@
 )
 
 const (
-	// heldBody is the size of a body that is held whole, just below the proxy's bound of 256 KiB.
-	heldBody = 250_000
-	// openEvent is the size of an event of which a resumable stream brings the begin only.
-	openEvent = 100_000
-	caller    = "caller.example"
+	// bufferedBodyBytes is the size of a request body that the proxy buffers completely, just below its limit of 256 KiB.
+	bufferedBodyBytes = 250_000
+	// partialEventBytes is how much of an incomplete event a resumable stream has sent.
+	partialEventBytes = 100_000
+	callerHost        = "caller.example"
 )
 
-// BenchmarkEntryCapacityConnection prints what one connection, or one request in flight, takes; what the test's own side of it
-// takes is in it, some hundreds of bytes.
+// BenchmarkEntryCapacityConnection reports the memory that one connection or one request in flight uses. The result includes some hundreds
+// of bytes for the test's own end of the connection.
 func BenchmarkEntryCapacityConnection(b *testing.B) {
 	cases := []struct {
 		name  string
 		count int
 		make  func(b *testing.B, count int) any
 	}{
-		{"link of a peer, idle", entryMembers, idleLinks},
-		{"caller's connection, idle", 500, func(b *testing.B, count int) any { return newEntryFront(b).idleCallers(count) }},
-		{"caller's and endpoint's connection, idle", 500, func(b *testing.B, count int) any { return newEntryFront(b).idlePairs(count) }},
-		{"stream in flight", 500, func(b *testing.B, count int) any { return newEntryFront(b).streams("stream", ": begun\n\n", count) }},
-		{"resumable stream in flight, 100 KB of an event without an end", 200, func(b *testing.B, count int) any {
-			return newEntryFront(b).streams("resumable", "id: 1\n\ndata: "+strings.Repeat("x", openEvent), count)
+		{"link of a peer, idle", entryMembers, openIdleLinks},
+		{"caller's connection, idle", 500, func(b *testing.B, count int) any { return newGatewayFixture(b).openIdleCallers(count) }},
+		{"caller's and endpoint's connection, idle", 500, func(b *testing.B, count int) any { return newGatewayFixture(b).openIdlePairs(count) }},
+		{"stream in flight", 500, func(b *testing.B, count int) any {
+			return newGatewayFixture(b).openStreams("stream", ": begun\n\n", count)
 		}},
-		{"request in flight with a body of 250 KB", 200, func(b *testing.B, count int) any { return newEntryFront(b).bodies(count) }},
+		{"resumable stream in flight, 100 KB of an incomplete event", 200, func(b *testing.B, count int) any {
+			return newGatewayFixture(b).openStreams("resumable", "id: 1\n\ndata: "+strings.Repeat("x", partialEventBytes), count)
+		}},
+		{"request in flight with a body of 250 KB", 200, func(b *testing.B, count int) any { return newGatewayFixture(b).openBodies(count) }},
 	}
-	for _, one := range cases {
-		b.Run(one.name, func(b *testing.B) {
+	for _, c := range cases {
+		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				used := bytesOf(func() any { return one.make(b, one.count) })
-				b.ReportMetric(float64(used)/kilobyte/float64(one.count), "KB/one")
+				used := memoryUsedBy(func() any { return c.make(b, c.count) })
+				b.ReportMetric(float64(used)/kilobyte/float64(c.count), "KB/one")
 			}
 		})
 	}
 }
 
-// idleLinks makes the links of a planner; each has a goroutine that receives, as the coordinator's.
-func idleLinks(b *testing.B, count int) any {
+// openIdleLinks opens the peer links of a planner. Each link has a goroutine that receives, as in the coordinator.
+func openIdleLinks(b *testing.B, count int) any {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must(err)
 	b.Cleanup(func() { _ = listener.Close() })
-	var kept []any
+	var links []any
 	for range count {
 		dialed, err := net.Dial("tcp4", listener.Addr().String())
 		must(err)
@@ -75,9 +77,9 @@
 		stream := peerstream.New[wire.Message](accepted)
 		b.Cleanup(stream.Close)
 		go func() { _, _ = stream.Receive(time.Hour, time.Now) }()
-		kept = append(kept, dialed, stream)
+		links = append(links, dialed, stream)
 	}
-	return kept
+	return links
 }
 
 func must(err error) {
@@ -86,36 +88,36 @@
 	}
 }
 
-// entryFront is the entry's side of callers and endpoints with one endpoint that answers when it is told to.
-type entryFront struct {
-	callers netip.AddrPort
-	conns   []net.Conn
-	// taken gets each connection of the endpoint once a request has begun on it.
-	taken chan net.Conn
+// gatewayFixture is a gateway with a proxy, and one endpoint that answers only what the test writes to its connections.
+type gatewayFixture struct {
+	callersAddress netip.AddrPort
+	openConns      []net.Conn
+	// endpointConns receives each connection of the endpoint after the first bytes of a request have arrived on it.
+	endpointConns chan net.Conn
 }
 
-func newEntryFront(b *testing.B) *entryFront {
+func newGatewayFixture(b *testing.B) *gatewayFixture {
 	endpoint, err := net.Listen("tcp4", "127.0.0.1:0")
 	must(err)
-	front := &entryFront{taken: make(chan net.Conn), callers: freeAddress()}
-	go front.serveEndpoint(endpoint)
+	fixture := &gatewayFixture{endpointConns: make(chan net.Conn), callersAddress: freeAddress()}
+	go fixture.serveEndpoint(endpoint)
 	server := gateway.New(gateway.Options{
-		Callers: front.callers, Ready: netip.MustParseAddrPort("127.0.0.1:0"), Handler: newEntryProxy(endpoint.Addr().String()),
-		IsReady: func() bool { return true }, Limits: func() *deployment.Limits { return nil }, Now: time.Now, Log: quietLog(),
+		Callers: fixture.callersAddress, Ready: netip.MustParseAddrPort("127.0.0.1:0"), Handler: newEntryProxy(endpoint.Addr().String()),
+		IsReady: func() bool { return true }, Limits: func() *deployment.Limits { return nil }, Now: time.Now, Log: discardingLog(),
 		ObserveConnection: func(string, int) {},
 	})
 	must(server.Start())
 	b.Cleanup(func() {
 		server.Close()
 		_ = endpoint.Close()
-		for _, conn := range front.conns {
+		for _, conn := range fixture.openConns {
 			_ = conn.Close()
 		}
 	})
-	return front
+	return fixture
 }
 
-// freeAddress gives an address of the loopback on which nobody listens now.
+// freeAddress returns a loopback address on which no listener is open.
 func freeAddress() netip.AddrPort {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must(err)
@@ -123,17 +125,17 @@
 	return netip.MustParseAddrPort(listener.Addr().String())
 }
 
-func quietLog() *logrus.Entry {
+func discardingLog() *logrus.Entry {
 	log := logrus.New()
 	log.SetOutput(io.Discard)
 	return logrus.NewEntry(log)
 }
 
-// newEntryProxy makes a proxy with a route of each kind, all to one endpoint.
+// newEntryProxy returns a proxy with a safe, a streaming and a resumable streaming route, all to one endpoint.
 func newEntryProxy(address string) *proxy.Service {
 	route := func(name string, kind deployment.RouteKind, resumable bool) *deployment.Route {
 		return &deployment.Route{
-			Name: name, Host: caller, PathPrefix: "/" + name, Kind: kind, Resumable: resumable, MaxAttempts: 1, Timeout: time.Minute,
+			Name: name, Host: callerHost, PathPrefix: "/" + name, Kind: kind, Resumable: resumable, MaxAttempts: 1, Timeout: time.Minute,
 			TargetLatency: time.Minute, TargetPause: time.Minute, Backends: []deployment.Backend{{Service: serviceName, Weight: 1}},
 		}
 	}
@@ -155,15 +157,16 @@
 		TakeRetry:    func(string) bool { return false },
 	}
 	options := proxy.Options{
-		Now: time.Now, Random: func() float64 { return 0 }, Log: quietLog(), Observe: func(proxy.Observation) {},
+		Now: time.Now, Random: func() float64 { return 0 }, Log: discardingLog(), Observe: func(proxy.Observation) {},
 		Refusing: func(deployment.RouteKind) bool { return false }, Leaving: func() bool { return false },
 	}
 	client := upstream.NewClient(upstream.Options{MaxIdle: time.Minute, DialTimeout: time.Second, Now: time.Now})
 	return proxy.New(options, control, client, platform.Dialect())
 }
 
-// serveEndpoint reads the begin of one request on each connection, with one goroutine and buffer for all.
-func (f *entryFront) serveEndpoint(listener net.Listener) {
+// serveEndpoint reads the first bytes of one request on each connection. One goroutine and one buffer serve all connections, so that they
+// add little to the measured memory.
+func (f *gatewayFixture) serveEndpoint(listener net.Listener) {
 	buffer := make([]byte, 4<<10)
 	for {
 		conn, err := listener.Accept()
@@ -173,72 +176,73 @@
 		if _, err := conn.Read(buffer); err != nil {
 			continue
 		}
-		f.taken <- conn
+		f.endpointConns <- conn
 	}
 }
 
-// call sends the head of a request and what follows on a new connection.
-func (f *entryFront) call(path string, body []byte) net.Conn {
-	conn, err := net.Dial("tcp4", f.callers.String())
+// sendRequest sends the head and the body of a request on a new connection, which it returns.
+func (f *gatewayFixture) sendRequest(path string, body []byte) net.Conn {
+	conn, err := net.Dial("tcp4", f.callersAddress.String())
 	must(err)
-	f.conns = append(f.conns, conn)
-	_, err = fmt.Fprintf(conn, "POST /%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", path, caller, len(body))
+	f.openConns = append(f.openConns, conn)
+	_, err = fmt.Fprintf(conn, "POST /%s HTTP/1.1\r\nHost: %s\r\nContent-Length: %d\r\n\r\n", path, callerHost, len(body))
 	must(err)
 	_, err = conn.Write(body)
 	must(err)
 	return conn
 }
 
-// answered reads what comes first on a connection.
-func answered(conn net.Conn) {
+// readAnswer reads the first bytes of the answer on a connection.
+func readAnswer(conn net.Conn) {
 	var buffer [64]byte
 	_, err := conn.Read(buffer[:])
 	must(err)
 }
 
-func (f *entryFront) idleCallers(count int) any {
+func (f *gatewayFixture) openIdleCallers(count int) any {
 	for range count {
-		answered(f.call("no-such-route", nil))
+		readAnswer(f.sendRequest("no-such-route", nil))
 	}
 	return f
 }
 
-// idlePairs has so many requests at once at the endpoint, which then answers them all.
-func (f *entryFront) idlePairs(count int) any {
-	taken := make([]net.Conn, 0, count)
+// openIdlePairs leaves count idle connections of callers and as many idle connections to the endpoint, because the endpoint answers the
+// requests only after all of them have arrived.
+func (f *gatewayFixture) openIdlePairs(count int) any {
+	endpointConns := make([]net.Conn, 0, count)
 	for range count {
-		f.call("safe", nil)
-		taken = append(taken, <-f.taken)
+		f.sendRequest("safe", nil)
+		endpointConns = append(endpointConns, <-f.endpointConns)
 	}
-	for i, conn := range taken {
+	for i, conn := range endpointConns {
 		_, err := io.WriteString(conn, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Length: 2\r\n\r\nok")
 		must(err)
-		answered(f.conns[i])
+		readAnswer(f.openConns[i])
 	}
-	f.conns = append(f.conns, taken...)
+	f.openConns = append(f.openConns, endpointConns...)
 	return f
 }
 
-// streams has so many streams that have begun and bring nothing more.
-func (f *entryFront) streams(path, begin string, count int) any {
+// openStreams leaves count streams in flight that have sent begin and then nothing more.
+func (f *gatewayFixture) openStreams(path, begin string, count int) any {
 	for range count {
-		conn := f.call(path, nil)
-		taken := <-f.taken
-		_, err := io.WriteString(taken, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n"+begin)
+		conn := f.sendRequest(path, nil)
+		endpointConn := <-f.endpointConns
+		_, err := io.WriteString(endpointConn, "HTTP/1.1 200 OK\r\nX-Server-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n"+begin)
 		must(err)
-		answered(conn)
-		f.conns = append(f.conns, taken)
+		readAnswer(conn)
+		f.openConns = append(f.openConns, endpointConn)
 	}
-	// What was written is read within this time by the proxies' own goroutines.
+	// The proxy's goroutines read within this time what the endpoint has written.
 	time.Sleep(200 * time.Millisecond)
 	return f
 }
 
-func (f *entryFront) bodies(count int) any {
-	body := make([]byte, heldBody)
+func (f *gatewayFixture) openBodies(count int) any {
+	body := make([]byte, bufferedBodyBytes)
 	for range count {
-		f.call("safe", body)
-		f.conns = append(f.conns, <-f.taken)
+		f.sendRequest("safe", body)
+		f.openConns = append(f.openConns, <-f.endpointConns)
 	}
 	return f
 }
--- a/tests/capacity/entry_peak_test.go
+++ b/tests/capacity/entry_peak_test.go
@@ -29,35 +29,36 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// A peak is that of a process of its own, so that what the store or the peer takes is not in it: this program starts itself with a
-// role, which writes a line for each step and goes on when it reads one.
+// Peaks are measured in a separate process, so that they do not include the memory of the store or of the peer. The test program starts
+// itself again with a role; the child process writes a line after each step and continues when it reads a line.
 const (
-	roleVariable   = "CAPACITY_ROLE"
-	numberVariable = "CAPACITY_NUMBER"
-	sourceVariable = "CAPACITY_SOURCE"
-	roleStore      = "store"
-	rolePeer       = "peer"
-	roleReader     = "reader"
-	roleReceiver   = "receiver"
-	roleEntry      = "entry"
-	// collectorPercent is that of the entry program (services/entry/process).
-	collectorPercent = 50
-	peakTimeout      = 20 * time.Second
-	// hugeRoutes give a value whose answer is just below maxStoreAnswer, 16 MiB.
-	hugeRoutes = 66_000
+	roleEnv      = "CAPACITY_ROLE"
+	numberEnv    = "CAPACITY_NUMBER"
+	sourceEnv    = "CAPACITY_SOURCE"
+	roleStore    = "store"
+	rolePeer     = "peer"
+	roleReader   = "reader"
+	roleReceiver = "receiver"
+	roleEntry    = "entry"
+	// gcPercent is the value of gcPercent in the entry program (services/entry/process).
+	gcPercent    = 50
+	childTimeout = 20 * time.Second
+	// maxAnswerRoutes is the number of routes whose configuration gives an answer of the store just below maxStoreAnswerBytes, 16 MiB.
+	maxAnswerRoutes = 66_000
 )
 
 func TestMain(m *testing.M) {
-	roles := map[string]func(){roleStore: playStore, rolePeer: playPeer, roleReader: playReader, roleReceiver: playReceiver, roleEntry: playEntry}
-	if role, ok := roles[os.Getenv(roleVariable)]; ok {
+	roles := map[string]func(){roleStore: runStore, rolePeer: runPeer, roleReader: runReader, roleReceiver: runReceiver, roleEntry: runEntry}
+	if role, ok := roles[os.Getenv(roleEnv)]; ok {
 		role()
 		return
 	}
 	os.Exit(m.Run())
 }
 
-// BenchmarkEntryCapacityPeak prints the peak of a process that reads a configuration and puts it in force: before it, after the first one,
-// and after a second one of the same size, while the first is in force. HWM is the resident memory as the system counts it.
+// BenchmarkEntryCapacityPeak reports the peak memory of a process that reads a configuration and puts it in force: before the first
+// configuration, after it, and after a second one of the same size that is read while the first is in force. HWM is the peak resident
+// memory as the kernel counts it.
 func BenchmarkEntryCapacityPeak(b *testing.B) {
 	cases := []struct {
 		name           string
@@ -66,50 +67,50 @@
 	}{
 		{"from the store, 2,000 routes", roleStore, roleReader, entryRoutes},
 		{"from the store, 1 MB", roleStore, roleReader, largestValueRoutes},
-		{"from the store, the largest answer", roleStore, roleReader, hugeRoutes},
+		{"from the store, the largest answer", roleStore, roleReader, maxAnswerRoutes},
 		{"from a peer, 2,000 routes", rolePeer, roleReceiver, entryRoutes},
 		{"from a peer, 1 MB", rolePeer, roleReceiver, largestValueRoutes},
 	}
-	for _, one := range cases {
-		b.Run(one.name, func(b *testing.B) {
+	for _, c := range cases {
+		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				source := startPlayer(b, one.source, one.routes, "")
-				reader := startPlayer(b, one.reader, one.routes, source.line())
-				before, first := reader.peak(), reader.peak()
-				source.next()
-				second := reader.peak()
+				source := startChild(b, c.source, c.routes, "")
+				reader := startChild(b, c.reader, c.routes, source.readLine())
+				before, first := reader.readPeak(), reader.readPeak()
+				source.triggerNext()
+				second := reader.readPeak()
 				b.ReportMetric(before.Resident, "KB-HWM-before")
 				b.ReportMetric(first.Resident, "KB-HWM-first")
 				b.ReportMetric(second.Resident, "KB-HWM-second")
 				b.ReportMetric(second.Heap, "KB-heap-obtained")
-				reader.end()
-				source.end()
+				reader.stop()
+				source.stop()
 			}
 		})
 	}
 }
 
-// peak is what a process has taken at the most since its start, in kilobytes.
-type peak struct {
+// memoryPeak is the memory use of a process, in kilobytes. Resident is the greatest resident memory since its start.
+type memoryPeak struct {
 	Resident float64
-	// Heap is what the runtime has obtained for the heap.
+	// Heap is the memory that the Go runtime has obtained for the heap and not released.
 	Heap float64
 }
 
-// player is a process with a role.
-type player struct {
+// childProcess is a process of this test program that runs a role.
+type childProcess struct {
 	command *exec.Cmd
 	input   io.WriteCloser
 	output  *bufio.Reader
 }
 
-func startPlayer(b *testing.B, role string, number int, source string) *player {
+func startChild(b *testing.B, role string, number int, source string) *childProcess {
 	program, err := os.Executable()
 	must(err)
-	ctx, cancel := context.WithTimeout(context.Background(), peakTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), childTimeout)
 	b.Cleanup(cancel)
-	p := &player{command: exec.CommandContext(ctx, program)}
-	p.command.Env = append(os.Environ(), roleVariable+"="+role, numberVariable+"="+strconv.Itoa(number), sourceVariable+"="+source)
+	p := &childProcess{command: exec.CommandContext(ctx, program)}
+	p.command.Env = append(os.Environ(), roleEnv+"="+role, numberEnv+"="+strconv.Itoa(number), sourceEnv+"="+source)
 	p.command.Stderr = os.Stderr
 	p.input, err = p.command.StdinPipe()
 	must(err)
@@ -120,58 +121,58 @@
 	return p
 }
 
-func (p *player) line() string {
+func (p *childProcess) readLine() string {
 	line, err := p.output.ReadString('\n')
 	must(err)
 	return strings.TrimSpace(line)
 }
 
-func (p *player) peak() peak {
-	var told peak
-	must(json.Unmarshal([]byte(p.line()), &told))
-	return told
+func (p *childProcess) readPeak() memoryPeak {
+	var measured memoryPeak
+	must(json.Unmarshal([]byte(p.readLine()), &measured))
+	return measured
 }
 
-func (p *player) next() {
+func (p *childProcess) triggerNext() {
 	_, err := io.WriteString(p.input, "\n")
 	must(err)
 }
 
-func (p *player) end() {
+func (p *childProcess) stop() {
 	must(p.input.Close())
 	must(p.command.Wait())
 }
 
-// playedNumber is the number that a role is given: of routes, or a port.
-func playedNumber() int {
-	number, err := strconv.Atoi(os.Getenv(numberVariable))
+// numberArgument returns the numeric argument of a role: a number of routes, or a port.
+func numberArgument() int {
+	number, err := strconv.Atoi(os.Getenv(numberEnv))
 	must(err)
 	return number
 }
 
-// waitLine returns at the next line of the input, false at its end.
-func waitLine(input *bufio.Reader) bool {
+// waitForLine waits for the next line of the input and reports whether there was one before the end of the input.
+func waitForLine(input *bufio.Reader) bool {
 	_, err := input.ReadString('\n')
 	return err == nil
 }
 
-// playStore is the platform's store with all endpoints; it takes a newer configuration for each line.
-func playStore() {
+// runStore serves the platform's store with all endpoints. It stores a newer configuration for each line of its input.
+func runStore() {
 	input := bufio.NewReader(os.Stdin)
 	service := standin.NewStore()
 	defer service.Close()
-	service.Put("op/config", json.RawMessage(configurationValue(1, playedNumber())))
+	service.Put("op/config", json.RawMessage(configurationValue(1, numberArgument())))
 	for i := range entryEndpoints {
 		service.Put("servers/"+string(entryEndpointID(i)), endpointValue(i))
 	}
 	fmt.Println(service.Address())
-	for version := int64(2); waitLine(input); version++ {
-		service.Put("op/config", json.RawMessage(configurationValue(version, playedNumber())))
+	for version := int64(2); waitForLine(input); version++ {
+		service.Put("op/config", json.RawMessage(configurationValue(version, numberArgument())))
 	}
 }
 
-// playPeer is an instance that passes its configuration on, once at once and a newer one for each line.
-func playPeer() {
+// runPeer acts as an instance that relays its configuration: one on connection, and a newer one for each line of its input.
+func runPeer() {
 	input := bufio.NewReader(os.Stdin)
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	must(err)
@@ -180,80 +181,80 @@
 	must(err)
 	stream := peerstream.New[wire.Message](conn)
 	for version := int64(1); ; version++ {
-		must(stream.Send(viewWith(configurationItem(version, playedNumber()))))
-		if !waitLine(input) {
+		must(stream.Send(viewWithItems(configurationItem(version, numberArgument()))))
+		if !waitForLine(input) {
 			return
 		}
 	}
 }
 
-// playReader is an instance that reads its configuration from the store, then watches it.
-func playReader() {
-	held := beginPlay()
-	client := platform.NewStore(netip.MustParseAddrPort(os.Getenv(sourceVariable)))
-	ctx, cancel := context.WithTimeout(context.Background(), peakTimeout)
+// runReader acts as an instance that reads its configuration from the store, then watches it.
+func runReader() {
+	state := newConfigurationState()
+	client := platform.NewStore(netip.MustParseAddrPort(os.Getenv(sourceEnv)))
+	ctx, cancel := context.WithTimeout(context.Background(), childTimeout)
 	defer cancel()
-	items, revision, err := client.ReadAll(ctx, "op/config", peakTimeout)
+	items, revision, err := client.ReadAll(ctx, "op/config", childTimeout)
 	must(err)
-	held.take(items)
-	events, _, err := client.Watch(ctx, "op/config", revision, peakTimeout)
+	state.apply(items)
+	events, _, err := client.Watch(ctx, "op/config", revision, childTimeout)
 	must(err)
-	held.take([]store.Item{events[len(events)-1].Item})
-	waitLine(bufio.NewReader(os.Stdin))
+	state.apply([]store.Item{events[len(events)-1].Item})
+	waitForLine(bufio.NewReader(os.Stdin))
 }
 
-// playReceiver is an instance to which its configuration is passed on.
-func playReceiver() {
-	held := beginPlay()
-	conn, err := net.Dial("tcp4", os.Getenv(sourceVariable))
+// runReceiver acts as an instance that receives its configuration from a peer.
+func runReceiver() {
+	state := newConfigurationState()
+	conn, err := net.Dial("tcp4", os.Getenv(sourceEnv))
 	must(err)
 	stream := peerstream.New[wire.Message](conn)
 	defer stream.Close()
 	for range 2 {
-		message, err := stream.Receive(peakTimeout, time.Now)
+		message, err := stream.Receive(childTimeout, time.Now)
 		must(err)
-		held.take(message.View.Items)
+		state.apply(message.View.Items)
 	}
-	waitLine(bufio.NewReader(os.Stdin))
+	waitForLine(bufio.NewReader(os.Stdin))
 }
 
-// inForce is what an instance keeps of the operators' keys.
-type inForce struct {
+// configurationState holds the operators' keys and the configuration in force of an instance.
+type configurationState struct {
 	keys    *follow.Keys
 	current *deployment.Configuration
 }
 
-func beginPlay() *inForce {
-	debug.SetGCPercent(collectorPercent)
-	tellPeak()
-	return &inForce{keys: follow.NewKeys()}
+func newConfigurationState() *configurationState {
+	debug.SetGCPercent(gcPercent)
+	printPeak()
+	return &configurationState{keys: follow.NewKeys()}
 }
 
-// take puts a configuration in force as the coordinator does, and tells the peak.
-func (f *inForce) take(items []store.Item) {
+// apply puts a configuration in force as the coordinator does, then prints the memory peak.
+func (f *configurationState) apply(items []store.Item) {
 	for _, item := range items {
 		if !f.keys.Put(item) {
-			panic("an old configuration")
+			panic("configuration item is not newer than the stored one")
 		}
-		f.current = parsed(item.Value)
+		f.current = parseConfiguration(item.Value)
 	}
-	tellPeak()
+	printPeak()
 }
 
-func tellPeak() {
+func printPeak() {
 	var m runtime.MemStats
 	runtime.ReadMemStats(&m)
-	told, err := json.Marshal(peak{Resident: residentPeak(), Heap: float64(m.HeapSys-m.HeapReleased) / kilobyte})
+	measured, err := json.Marshal(memoryPeak{Resident: ownResidentPeak(), Heap: float64(m.HeapSys-m.HeapReleased) / kilobyte})
 	must(err)
-	fmt.Println(string(told))
+	fmt.Println(string(measured))
 }
 
-// residentPeak is the greatest resident memory of this process.
-func residentPeak() float64 {
+// ownResidentPeak returns the greatest resident memory of this process, in kilobytes of 1,024 bytes.
+func ownResidentPeak() float64 {
 	return residentPeakOf("self")
 }
 
-// residentPeakOf is that of a process, in kilobytes as the system tells it (of 1,024 bytes).
+// residentPeakOf returns the greatest resident memory of a process, in kilobytes of 1,024 bytes as the kernel reports it.
 func residentPeakOf(process string) float64 {
 	const field = "VmHWM:"
 	content, err := os.ReadFile("/proc/" + process + "/status")
@@ -265,5 +266,5 @@
 			return value
 		}
 	}
-	panic("no " + field)
+	panic("missing field " + field)
 }
--- a/tests/capacity/entry_process_test.go
+++ b/tests/capacity/entry_process_test.go
@@ -24,50 +24,50 @@
 )
 
 const (
-	// playedInstances is how many whole processes are played, fewer than the users' sites have, to spare the machine.
-	playedInstances = 12
-	// settled is the time for the first planner, and for a configuration to be in force everywhere.
-	settled = 5 * time.Second
+	// processCount is the number of complete processes, fewer than the users' sites have, to limit the load on the machine.
+	processCount = 12
+	// configurationDelay is the time after which the first planner is elected, and a new configuration is in force in all processes.
+	configurationDelay = 5 * time.Second
 )
 
-// BenchmarkEntryCapacityProcess prints the peaks of whole processes without callers: of the planner and of the largest follower, with a
-// configuration in force, and after a second one of the same size.
+// BenchmarkEntryCapacityProcess reports the memory peaks of complete processes without callers: of the planner and of the largest follower,
+// first with one configuration in force, then after a second one of the same size.
 func BenchmarkEntryCapacityProcess(b *testing.B) {
 	cases := []struct {
 		name   string
 		routes int
 	}{{"2,000 routes", entryRoutes}, {"1 MB", largestValueRoutes}}
-	for _, one := range cases {
-		b.Run(one.name, func(b *testing.B) {
+	for _, c := range cases {
+		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				source := startPlayer(b, roleStore, one.routes, "")
-				fleet := startFleet(b, source.line())
-				time.Sleep(settled)
+				source := startChild(b, roleStore, c.routes, "")
+				fleet := startProcessFleet(b, source.readLine())
+				time.Sleep(configurationDelay)
 				planner, follower := fleet.peaks(1)
-				source.next()
-				time.Sleep(settled)
+				source.triggerNext()
+				time.Sleep(configurationDelay)
 				plannerAfter, followerAfter := fleet.peaks(2)
 				b.ReportMetric(planner, "KB-HWM-planner")
 				b.ReportMetric(follower, "KB-HWM-follower")
 				b.ReportMetric(plannerAfter, "KB-HWM-planner-second")
 				b.ReportMetric(followerAfter, "KB-HWM-follower-second")
-				fleet.end()
-				source.end()
+				fleet.stop()
+				source.stop()
 			}
 		})
 	}
 }
 
-// playedFleet is processes of the entry program.
-type playedFleet struct {
-	ips     []string
-	ports   standin.Ports
-	players []*player
+// processFleet is a fleet of processes of the entry program.
+type processFleet struct {
+	ips      []string
+	ports    standin.Ports
+	children []*childProcess
 }
 
-func startFleet(b *testing.B, store string) *playedFleet {
-	f := &playedFleet{}
-	for i := range playedInstances {
+func startProcessFleet(b *testing.B, store string) *processFleet {
+	f := &processFleet{}
+	for i := range processCount {
 		f.ips = append(f.ips, fmt.Sprintf("127.41.0.%d", i+1))
 	}
 	var err error
@@ -76,81 +76,81 @@
 	for i, ip := range f.ips {
 		settings, err := json.Marshal(standin.Settings(memberName(i), "hall-0", ip, f.ports, []string{f.ips[0] + ":1"}, store))
 		must(err)
-		started := startPlayer(b, roleEntry, int(f.ports.Metrics), string(settings))
-		started.line()
-		f.players = append(f.players, started)
+		started := startChild(b, roleEntry, int(f.ports.Metrics), string(settings))
+		started.readLine()
+		f.children = append(f.children, started)
 	}
 	return f
 }
 
-// peaks gives the planner's peak and the greatest one of the others, in kilobytes. All must have a version of the configuration in force and
-// know all endpoints and copies, and one must plan.
-func (f *playedFleet) peaks(version int) (planner, follower float64) {
-	for i, one := range f.players {
-		resident := residentPeakOf(strconv.Itoa(one.command.Process.Pid))
-		said := f.figures(f.ips[i])
-		said.expect("configuration_version", version)
-		said.expect("endpoints", entryEndpoints)
-		said.expect("resident_copies", entryEndpoints*adaptersAnEndpoint)
-		if said.has("planning", 1) {
+// peaks returns the peak of the planner and the greatest peak of the other processes, in kilobytes. It panics unless all processes have the
+// given version of the configuration in force and list all endpoints and copies, and one process is the planner.
+func (f *processFleet) peaks(version int) (planner, follower float64) {
+	for i, child := range f.children {
+		resident := residentPeakOf(strconv.Itoa(child.command.Process.Pid))
+		page := f.fetchMetrics(f.ips[i])
+		page.requireValue("configuration_version", version)
+		page.requireValue("endpoints", entryEndpoints)
+		page.requireValue("resident_copies", entryEndpoints*adaptersPerEndpoint)
+		if page.hasValue("planning", 1) {
 			planner = resident
 			continue
 		}
 		follower = max(follower, resident)
 	}
 	if planner == 0 {
-		panic("no instance plans")
+		panic("no process is the planner")
 	}
 	return planner, follower
 }
 
-// processFigures are what one process says of itself.
-type processFigures string
+// metricsPage is the text of the metrics endpoint of one process.
+type metricsPage string
 
-func (f processFigures) has(name string, value int) bool {
+func (f metricsPage) hasValue(name string, value int) bool {
 	return strings.Contains(string(f), fmt.Sprintf("\nshelfledge_%s %d\n", name, value))
 }
 
-func (f processFigures) expect(name string, value int) {
-	if !f.has(name, value) {
-		panic(fmt.Sprintf("%s is not %d", name, value))
+func (f metricsPage) requireValue(name string, value int) {
+	if !f.hasValue(name, value) {
+		panic(fmt.Sprintf("metric %s is not %d", name, value))
 	}
 }
 
-// figures gives those of the instance at an address.
-func (f *playedFleet) figures(ip string) processFigures {
+// fetchMetrics returns the metrics page of the process at an address.
+func (f *processFleet) fetchMetrics(ip string) metricsPage {
 	response, err := http.Get(fmt.Sprintf("http://%s:%d/", ip, f.ports.Metrics))
 	must(err)
 	defer func() { _ = response.Body.Close() }()
 	text, err := io.ReadAll(response.Body)
 	must(err)
-	return processFigures(text)
+	return metricsPage(text)
 }
 
-func (f *playedFleet) end() {
-	for _, one := range f.players {
-		one.end()
+func (f *processFleet) stop() {
+	for _, child := range f.children {
+		child.stop()
 	}
 }
 
-// playEntry is a whole process; its source is its settings, and the number is its port of figures.
-func playEntry() {
-	debug.SetGCPercent(collectorPercent)
-	settings, err := platform.ParseSettings([]byte(os.Getenv(sourceVariable)))
+// runEntry runs a complete process of the entry program. Its source argument holds the settings, its numeric argument the metrics port.
+func runEntry() {
+	debug.SetGCPercent(gcPercent)
+	settings, err := platform.ParseSettings([]byte(os.Getenv(sourceEnv)))
 	must(err)
-	options := settings.Process(logrus.InfoLevel, uint16(playedNumber()))
+	options := settings.Process(logrus.InfoLevel, uint16(numberArgument()))
 	options.LogOutput = io.Discard
 	entry := process.New(options)
 	must(entry.Start())
 	fmt.Println("started")
-	waitLine(bufio.NewReader(os.Stdin))
+	waitForLine(bufio.NewReader(os.Stdin))
 	entry.Kill()
 }
 
-// endpointValue is what an endpoint that holds its part of all adapters writes of itself, at a port on which nobody listens.
+// endpointValue returns the registration of an endpoint on which its share of all adapters is resident. No listener is open at its address.
 func endpointValue(number int) map[string]any {
 	var names []string
-	for adapter, version := range entryEndpoint(number).Adapters {
+	for adapter, version := range newEntryEndpoint(number).Adapters {
 		names = append(names, fmt.Sprintf("%s@%d", adapter.Name, version))
 	}
 	return map[string]any{
--- a/tests/capacity/entry_queue_test.go
+++ b/tests/capacity/entry_queue_test.go
@@ -16,46 +16,47 @@
 )
 
 const (
-	// fastLink is the rate of the users' fastest links, in bytes a second, which gives the largest window.
-	fastLink = 25_000_000
-	// stalledFor is longer than a stream with 1 MB on it may stay without reading, so that links end and begin anew.
-	stalledFor = 8 * time.Second
-	queueRound = 20 * time.Millisecond
-	// viewRounds is how many rounds lie between two heartbeats, 400 ms, and lookRounds between two looks at the heap.
-	viewRounds = 20
-	lookRounds = 5
+	// fastLinkRate is the rate of the users' fastest links in bytes per second, which gives the largest window.
+	fastLinkRate = 25_000_000
+	// stallDuration is longer than a stream with 1 MB queued may go without being read, so that links are closed and opened again.
+	stallDuration = 8 * time.Second
+	roundInterval = 20 * time.Millisecond
+	// roundsPerHeartbeat is the number of rounds between two heartbeats, which are 400 ms apart; roundsPerSample is the number of rounds
+	// between two samples of the heap.
+	roundsPerHeartbeat = 20
+	roundsPerSample    = 5
 )
 
-// stalledFleet is a planner's links to members of which none reads or reports anything.
+// stalledFleet is a planner's links to members that read nothing and send no reports.
 type stalledFleet struct {
 	window *relay.Window[*link]
 	links  []*link
 	items  []store.Item
 	view   *wire.View
-	// closed counts links that were given up.
-	closed int
-	sent   int
+	// closedLinks counts the links that were closed because their member did not read.
+	closedLinks  int
+	sentMessages int
 }
 
 type link = peerstream.Stream[wire.Message]
 
-// BenchmarkEntryCapacityQueues prints what a planner's queues hold at the most where no member reads, with a configuration of 2,000
-// routes and one of 1 MB: the sum over all links, and the heap, in which a frame for several links is there once.
+// BenchmarkEntryCapacityQueues reports the greatest memory of a planner's queues while no member reads, with a configuration of 2,000
+// routes and one of 1 MB: the sum of queued bytes over all links, and the heap, in which a frame queued on several links counts once.
 func BenchmarkEntryCapacityQueues(b *testing.B) {
 	cases := []struct {
 		name   string
 		routes int
 	}{{"2,000 routes", entryRoutes}, {"1 MB", largestValueRoutes}}
-	for _, one := range cases {
-		b.Run(one.name, func(b *testing.B) {
+	for _, c := range cases {
+		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
 				before := heapAndStacks()
-				fleet := newStalledFleet(one.routes)
+				fleet := newStalledFleet(c.routes)
 				queued, heap := fleet.run(time.Now())
 				b.ReportMetric(float64(queued)/kilobyte, "KB-queued")
 				b.ReportMetric(float64(heap-before)/kilobyte, "KB-heap")
-				b.ReportMetric(float64(fleet.sent), "sent")
-				b.ReportMetric(float64(fleet.closed), "closed")
+				b.ReportMetric(float64(fleet.sentMessages), "sent")
+				b.ReportMetric(float64(fleet.closedLinks), "closed")
 				fleet.close()
 			}
 		})
@@ -63,36 +64,36 @@
 }
 
 func newStalledFleet(routes int) *stalledFleet {
-	f := &stalledFleet{window: relay.NewWindow[*link](relay.WindowFor(fastLink)), items: []store.Item{configurationItem(1, routes)}, view: wholeView()}
+	f := &stalledFleet{window: relay.NewWindow[*link](relay.WindowFor(fastLinkRate)), items: []store.Item{configurationItem(1, routes)}, view: fullView()}
 	for range entryMembers {
 		f.links = append(f.links, f.newLink())
 	}
 	return f
 }
 
-// newLink makes a link whose other end never reads. It begins with a whole view, encoded for it alone, as where each
-// member dials at a moment of its own.
+// newLink returns a link whose other end never reads. A full view is queued on it first, encoded for this link alone, as when members
+// connect at different times.
 func (f *stalledFleet) newLink() *link {
 	near, _ := net.Pipe()
-	made := peerstream.New[wire.Message](near)
-	must(made.Send(wire.Message{View: f.view}))
-	return made
+	stream := peerstream.New[wire.Message](near)
+	must(stream.Send(wire.Message{View: f.view}))
+	return stream
 }
 
-// run offers the keys to each member in each round, and sends all a heartbeat at its pace. It gives the greatest sum of the queues and the
-// greatest heap.
+// run offers the operators' keys to each member in each round and sends heartbeats at their interval. It returns the greatest sum of queued
+// bytes and the greatest heap size.
 func (f *stalledFleet) run(start time.Time) (queued, heap int64) {
 	round := 0
-	for now := start; now.Sub(start) < stalledFor; now = time.Now() {
-		if round%viewRounds == 0 {
+	for now := start; now.Sub(start) < stallDuration; now = time.Now() {
+		if round%roundsPerHeartbeat == 0 {
 			f.sendHeartbeat()
 		}
 		f.sendKeys(now)
-		if round%lookRounds == 0 {
+		if round%roundsPerSample == 0 {
 			queued, heap = max(queued, f.queued()), max(heap, heapAndStacks())
 		}
 		round++
-		time.Sleep(queueRound)
+		time.Sleep(roundInterval)
 	}
 	return queued, heap
 }
@@ -102,41 +103,41 @@
 	for i := range entryEndpoints {
 		heartbeat.Totals = append(heartbeat.Totals, wire.EndpointCount{ID: entryEndpointID(i), Count: 1})
 	}
-	frame := frameOf(wire.Message{View: heartbeat})
-	for i, one := range f.links {
-		f.took(i, one.SendFrame(frame))
+	frame := encodeFrame(wire.Message{View: heartbeat})
+	for i, l := range f.links {
+		f.replaceOnError(i, l.SendFrame(frame))
 	}
 }
 
 func (f *stalledFleet) sendKeys(now time.Time) {
-	for i, one := range f.links {
-		if f.window.Send(now, one, 1, follow.SizeOf(f.items)) {
-			f.sent++
-			f.took(i, one.Send(viewWith(f.items...)))
+	for i, l := range f.links {
+		if f.window.Send(now, l, 1, follow.SizeOf(f.items)) {
+			f.sentMessages++
+			f.replaceOnError(i, l.Send(viewWithItems(f.items...)))
 		}
 	}
 }
 
-// took replaces a link that was given up, as its member does.
-func (f *stalledFleet) took(place int, err error) {
+// replaceOnError opens a new link in place of one whose send failed, as the member does.
+func (f *stalledFleet) replaceOnError(index int, err error) {
 	if err == nil {
 		return
 	}
-	f.closed++
-	f.window.Ended(f.links[place])
-	f.links[place] = f.newLink()
+	f.closedLinks++
+	f.window.Ended(f.links[index])
+	f.links[index] = f.newLink()
 }
 
 func (f *stalledFleet) queued() int64 {
 	sum := int64(0)
-	for _, one := range f.links {
-		sum += one.QueuedBytes()
+	for _, l := range f.links {
+		sum += l.QueuedBytes()
 	}
 	return sum
 }
 
 func (f *stalledFleet) close() {
-	for _, one := range f.links {
-		one.Close()
+	for _, l := range f.links {
+		l.Close()
 	}
 }
--- a/tests/capacity/entry_test.go
+++ b/tests/capacity/entry_test.go
@@ -28,64 +28,66 @@
 	"github.com/shelfledge/shelfledge/services/entry/retry"
 )
 
-// The sizes at which the states of the entry program are measured: those of the users' grown sites, and what 2,000 routes give.
+// The sizes at which the states of the entry program are measured: those of the users' sites after their growth, and a configuration of
+// 2,000 routes.
 const (
 	entryAdapters  = 10000
 	entryEndpoints = 140
 	entryMembers   = 90
 	entryRoutes    = 2000
-	// largestValueRoutes give a value of about 1 MB, the most that the users' store holds in one.
+	// largestValueRoutes is the number of routes whose configuration takes about 1 MB, the largest value that the users' store accepts.
 	largestValueRoutes = 5500
-	// adaptersAnEndpoint is how many each holds where every adapter is resident once.
-	adaptersAnEndpoint = (entryAdapters + entryEndpoints - 1) / entryEndpoints
-	// entryRequests is how many requests of one instance are in flight, and how many wait, in the rows that say so.
+	// adaptersPerEndpoint is the number of adapters on each endpoint where every adapter is resident on one endpoint.
+	adaptersPerEndpoint = (entryAdapters + entryEndpoints - 1) / entryEndpoints
+	// entryRequests is the number of waiting requests of one instance; the retry window counts ten times as many.
 	entryRequests = 1000
 	modelName     = "base-large"
 	serviceName   = "generate-large"
 	kilobyte      = 1000
 )
 
-var entryStart = time.Unix(1_800_000_000, 0)
+var baseTime = time.Unix(1_800_000_000, 0)
 
-// entryState is one state of the entry program; build gives it, made of nothing that is held elsewhere.
-type entryState struct {
+// stateCase is one state of the entry program whose memory is measured. build returns the state, which shares no memory with anything
+// that existed before.
+type stateCase struct {
 	name  string
 	build func() any
 }
 
-var entryStates = []entryState{
-	{"configuration, parsed, 2,000 routes", func() any { return parsed(configurationValue(1, entryRoutes)) }},
-	{"configuration, parsed, 1 MB", func() any { return parsed(configurationValue(1, largestValueRoutes)) }},
-	{"operators' keys, 2,000 routes", func() any { return keysOf(configurationItem(1, entryRoutes)) }},
-	{"operators' keys, 10,000 named versions", func() any { return keysOf(versionItems()...) }},
+var stateCases = []stateCase{
+	{"configuration, parsed, 2,000 routes", func() any { return parseConfiguration(configurationValue(1, entryRoutes)) }},
+	{"configuration, parsed, 1 MB", func() any { return parseConfiguration(configurationValue(1, largestValueRoutes)) }},
+	{"operators' keys, 2,000 routes", func() any { return newKeys(configurationItem(1, entryRoutes)) }},
+	{"operators' keys, 10,000 named versions", func() any { return newKeys(versionItems()...) }},
 	{"named versions, 10,000", func() any { return namedVersions() }},
 	{"directory, 140 endpoints and 10,000 copies", func() any { return filledDirectory() }},
-	{"directory, 10,000 endpoints that are gone", func() any { return directoryOfGone(entryAdapters) }},
-	{"counter of requests, 10,000 adapters in a report", func() any { return busyCounter() }},
+	{"directory, 10,000 removed endpoints", func() any { return directoryOfRemoved(entryAdapters) }},
+	{"request counter, 10,000 adapters in a report", func() any { return counterAfterReport() }},
 	{"refused callers, 10,000", func() any { return refusedCallers(entryAdapters) }},
-	{"forecasts, 10,000 loads", func() any { return fullBook() }},
+	{"announced loads, 10,000", func() any { return fullAnnouncements() }},
 	{"waiting requests, 1,000", func() any { return waitingRequests() }},
 	{"retry window, 10,000 requests", func() any { return retryWindow() }},
-	{"figures, 2,000 routes", func() any { return figuresOfRoutes() }},
-	{"log lines, reader stopped", func() any { return stoppedLog(300) }},
-	{"log lines of 64 KiB, reader stopped", func() any { return stoppedLog(64 << 10) }},
-	{"planner: plan of 140 endpoints and 10,000 copies", func() any { return filledPlanner() }},
-	{"planner: plan with 10,000 adapters in demand", func() any { return demandedPlanner() }},
-	{"planner: 90 members with 100 requests each", func() any { return busyMembers() }},
+	{"request metrics, 2,000 routes", func() any { return routeMetrics() }},
+	{"log lines, reader stopped", func() any { return blockedLog(300) }},
+	{"log lines of 64 KiB, reader stopped", func() any { return blockedLog(64 << 10) }},
+	{"planner: plan of 140 endpoints and 10,000 copies", func() any { return plannerWithCopies() }},
+	{"planner: plan with 10,000 adapters in demand", func() any { return plannerWithDemand() }},
+	{"planner: 90 members with 100 requests each", func() any { return membersWithRequests() }},
 }
 
-// BenchmarkEntryCapacityState prints what each state takes of the heap and of stacks.
+// BenchmarkEntryCapacityState reports the heap and stack memory that each state uses.
 func BenchmarkEntryCapacityState(b *testing.B) {
-	for _, one := range entryStates {
-		b.Run(one.name, func(b *testing.B) {
+	for _, c := range stateCases {
+		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(float64(bytesOf(one.build))/kilobyte, "KB")
+				b.ReportMetric(float64(memoryUsedBy(c.build))/kilobyte, "KB")
 			}
 		})
 	}
 }
 
-// BenchmarkEntryCapacityMessage prints the size of the largest messages between instances, and of a configuration's value.
+// BenchmarkEntryCapacityMessage reports the sizes of the largest messages between instances and of a configuration value in the store.
 func BenchmarkEntryCapacityMessage(b *testing.B) {
 	sizes := []struct {
 		name string
@@ -93,26 +95,26 @@
 	}{
 		{"configuration, value, 2,000 routes", func() int { return len(configurationValue(1, entryRoutes)) }},
 		{"configuration, value, 1 MB", func() int { return len(configurationValue(1, largestValueRoutes)) }},
-		{"whole view", func() int { return len(frameOf(wire.Message{View: wholeView()})) }},
-		{"view with a configuration of 2,000 routes", func() int { return len(frameOf(viewWith(configurationItem(1, entryRoutes)))) }},
-		{"report of 10,000 adapters asked for", func() int { return len(frameOf(wire.Message{Report: fullReport()})) }},
-		{"report of 100 requests in flight", func() int { return len(frameOf(wire.Message{Report: reportOf(0)})) }},
+		{"whole view", func() int { return len(encodeFrame(wire.Message{View: fullView()})) }},
+		{"view with a configuration of 2,000 routes", func() int { return len(encodeFrame(viewWithItems(configurationItem(1, entryRoutes)))) }},
+		{"report with demand for 10,000 adapters", func() int { return len(encodeFrame(wire.Message{Report: demandReport()})) }},
+		{"report of 100 requests in flight", func() int { return len(encodeFrame(wire.Message{Report: inFlightReport(0)})) }},
 	}
-	for _, one := range sizes {
-		b.Run(one.name, func(b *testing.B) {
+	for _, c := range sizes {
+		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
-				b.ReportMetric(float64(one.make())/kilobyte, "KB")
+				b.ReportMetric(float64(c.make())/kilobyte, "KB")
 			}
 		})
 	}
 }
 
-// bytesOf gives by how much a state makes the heap and the stacks grow.
-func bytesOf(build func() any) int64 {
+// memoryUsedBy returns by how many bytes building a state makes the heap and the stacks grow.
+func memoryUsedBy(build func() any) int64 {
 	before := heapAndStacks()
-	kept := build()
+	state := build()
 	used := heapAndStacks() - before
-	runtime.KeepAlive(kept)
+	runtime.KeepAlive(state)
 	return used
 }
 
@@ -123,7 +125,8 @@
 	return heap + int64(m.StackInuse)
 }
 
-// configurationValue makes a configuration in the platform's form, of some 180 bytes a route as the users' largest ones have.
+// configurationValue returns a configuration in the platform's encoding, with about 180 bytes per route as in the users' largest
+// configurations.
 func configurationValue(version int64, routes int) []byte {
 	var text strings.Builder
 	fmt.Fprintf(&text, `{"version":%d,"routes":[`, version)
@@ -139,7 +142,7 @@
 	return []byte(text.String())
 }
 
-func parsed(value []byte) *deployment.Configuration {
+func parseConfiguration(value []byte) *deployment.Configuration {
 	configuration, err := platform.ParseConfiguration(value)
 	if err != nil {
 		panic(err)
@@ -162,7 +165,7 @@
 	return items
 }
 
-func keysOf(items ...store.Item) *follow.Keys {
+func newKeys(items ...store.Item) *follow.Keys {
 	keys := follow.NewKeys()
 	for _, item := range items {
 		keys.Put(item)
@@ -173,7 +176,7 @@
 func namedVersions() *follow.Versions {
 	versions := follow.NewVersions()
 	for i := range entryAdapters {
-		versions.Name(entryStart, entryStart, entryAdapter(i), 1)
+		versions.Name(baseTime, baseTime, entryAdapter(i), 1)
 	}
 	return versions
 }
@@ -186,33 +189,34 @@
 	return deployment.EndpointID(fmt.Sprintf("i-%010x", number))
 }
 
-// entryEndpoint is one that holds its part of all adapters.
-func entryEndpoint(number int) deployment.Endpoint {
+// newEntryEndpoint returns an endpoint on which its share of all adapters is resident.
+func newEntryEndpoint(number int) deployment.Endpoint {
 	endpoint := deployment.Endpoint{
 		ID: entryEndpointID(number), Service: serviceName, Hall: fmt.Sprintf("hall-%d", number%4), Slots: 16, Models: []string{modelName},
 		Address:  netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(number / 256), byte(number % 256)}), 7000),
 		Adapters: make(map[deployment.Adapter]int64),
 	}
-	for i := range adaptersAnEndpoint {
-		endpoint.Adapters[entryAdapter((number*adaptersAnEndpoint+i)%entryAdapters)] = 1
+	for i := range adaptersPerEndpoint {
+		endpoint.Adapters[entryAdapter((number*adaptersPerEndpoint+i)%entryAdapters)] = 1
 	}
 	return endpoint
 }
 
-// filledDirectory is a follower's: it has its own copy of what the planner offers, and remembers what was held.
+// filledDirectory returns a directory as a follower has it: with its own copy of the models and adapters that the planner offers, and with
+// a record of the adapters that each endpoint holds.
 func filledDirectory() *directory.Directory {
 	d := directory.New()
 	for i := range entryEndpoints {
-		d.Put(entryEndpoint(i), 1)
-		offered := entryEndpoint(i)
+		d.Put(newEntryEndpoint(i), 1)
+		offered := newEntryEndpoint(i)
 		d.SetOffered(offered.ID, offered.Models, offered.Adapters)
 	}
-	d.UpdateHeld(entryStart)
+	d.UpdateHeld(baseTime)
 	return d
 }
 
-// directoryOfGone has seen so many endpoints drain and go.
-func directoryOfGone(endpoints int) *directory.Directory {
+// directoryOfRemoved returns a directory from which the given number of draining endpoints were removed.
+func directoryOfRemoved(endpoints int) *directory.Directory {
 	d := directory.New()
 	for i := range endpoints {
 		d.Put(deployment.Endpoint{ID: entryEndpointID(i), Service: serviceName, State: deployment.Draining}, 1)
@@ -221,33 +225,33 @@
 	return d
 }
 
-func entryKey(number int) deployment.ServiceAdapter {
+func serviceAdapter(number int) deployment.ServiceAdapter {
 	return deployment.ServiceAdapter{Service: serviceName, Adapter: entryAdapter(number)}
 }
 
-func busyCounter() *report.Counter {
+func counterAfterReport() *report.Counter {
 	counter := report.NewCounter()
 	for i := range entryAdapters {
-		counter.AddArrival(entryKey(i), 0)
+		counter.AddArrival(serviceAdapter(i), 0)
 	}
-	counter.Collect(entryStart, 0)
+	counter.Collect(baseTime, 0)
 	return counter
 }
 
 func refusedCallers(count int) *report.Counter {
 	counter := report.NewCounter()
 	for i := range count {
-		counter.ExpectRetry(entryKey(i), entryStart, time.Second)
+		counter.ExpectRetry(serviceAdapter(i), baseTime, time.Second)
 	}
 	return counter
 }
 
-func fullBook() *forecast.Announcements {
-	book := forecast.NewAnnouncements()
+func fullAnnouncements() *forecast.Announcements {
+	announcements := forecast.NewAnnouncements()
 	for i := range entryAdapters {
-		book.Set(entryKey(i), entryStart)
+		announcements.Set(serviceAdapter(i), baseTime)
 	}
-	return book
+	return announcements
 }
 
 func waitingRequests() *waiting.Queue[int] {
@@ -259,15 +263,15 @@
 }
 
 func retryWindow() *retry.Budget {
-	budget := retry.NewBudget(retry.Options{Ratio: 0.2, Extra: 50, Window: time.Minute}, entryStart)
+	budget := retry.NewBudget(retry.Options{Ratio: 0.2, Extra: 50, Window: time.Minute}, baseTime)
 	for i := range 10 * entryRequests {
-		budget.RecordRequest(entryStart.Add(time.Duration(i)*time.Millisecond), serviceName)
+		budget.RecordRequest(baseTime.Add(time.Duration(i)*time.Millisecond), serviceName)
 	}
 	return budget
 }
 
-// figuresOfRoutes has seen a success, a refusal and a retry of each route.
-func figuresOfRoutes() *metric.Metrics {
+// routeMetrics returns metrics that have counted a success, a refusal and a retry for each route.
+func routeMetrics() *metric.Metrics {
 	metrics := metric.New(func() metric.Gauges { return metric.Gauges{} })
 	for i := range entryRoutes {
 		name := fmt.Sprintf("route-%05d", i)
@@ -277,16 +281,17 @@
 	return metrics
 }
 
-// stoppedOutput is a reader of the log that takes nothing until it is let go.
-type stoppedOutput struct{}
+// blockedWriter is a log output whose Write never returns.
+type blockedWriter struct{}
 
-func (stoppedOutput) Write([]byte) (int, error) { select {} }
+func (blockedWriter) Write([]byte) (int, error) { select {} }
 
-func stoppedLog(length int) *asynclog.Writer {
-	// The process' own settings (services/entry/process).
+// blockedLog returns a log writer whose queue was filled with lines of the given length while its output is blocked.
+func blockedLog(length int) *asynclog.Writer {
+	// The values of the entry process (services/entry/process).
 	const burst, queue = 1500, 512
 	writer := asynclog.New(asynclog.Options{
-		Output: stoppedOutput{}, LinesPerSecond: 300, Burst: burst, Queue: queue, Now: func() time.Time { return entryStart },
+		Output: blockedWriter{}, LinesPerSecond: 300, Burst: burst, Queue: queue, Now: func() time.Time { return baseTime },
 		Summary: func(time.Time, uint64) string { return "" },
 	})
 	line := make([]byte, length)
@@ -305,29 +310,29 @@
 	}
 }
 
-func filledPlanner() *loading.Planner {
+func plannerWithCopies() *loading.Planner {
 	planner := loading.NewPlanner(entryEngine(), loading.Options{Random: func() float64 { return 0 }})
 	for i := range entryEndpoints {
-		endpoint := entryEndpoint(i)
-		planner.SetEndpoint(entryStart, endpoint, 1, false)
+		endpoint := newEntryEndpoint(i)
+		planner.SetEndpoint(baseTime, endpoint, 1, false)
 		held := make(map[deployment.Adapter]time.Time, len(endpoint.Adapters))
 		for adapter := range endpoint.Adapters {
-			held[adapter] = entryStart
+			held[adapter] = baseTime
 		}
 		planner.RememberHeld(endpoint.ID, held)
 	}
 	return planner
 }
 
-// demandedPlanner has no endpoints, and each adapter waited for at one member.
-func demandedPlanner() *loading.Planner {
+// plannerWithDemand returns a planner without endpoints to which, for each adapter, one member has reported a waiting request.
+func plannerWithDemand() *loading.Planner {
 	planner := loading.NewPlanner(entryEngine(), loading.Options{Random: func() float64 { return 0 }})
 	for m := range entryMembers {
 		var demands []loading.Demand
 		for i := m; i < entryAdapters; i += entryMembers {
 			demands = append(demands, loading.Demand{Adapter: entryAdapter(i), Waiting: 1, InTime: time.Second, Arrivals: 1})
 		}
-		planner.Report(entryStart, memberName(m), demands)
+		planner.Report(baseTime, memberName(m), demands)
 	}
 	return planner
 }
@@ -336,8 +341,8 @@
 	return fmt.Sprintf("edge-hall-%03d", number)
 }
 
-// reportOf is a member's report with 100 requests in flight, each of an adapter of its own.
-func reportOf(number int) *wire.Report {
+// inFlightReport returns the report of a member with 100 requests in flight, each for a different adapter.
+func inFlightReport(number int) *wire.Report {
 	const requests = 100
 	r := &wire.Report{Instance: memberName(number)}
 	for i := range requests {
@@ -348,24 +353,24 @@
 	return r
 }
 
-func busyMembers() *member.Table {
+func membersWithRequests() *member.Table {
 	table := member.NewTable()
 	for i := range entryMembers {
 		table.Join(memberName(i), nil)
-		table.ApplyReport(entryStart, reportOf(i))
+		table.ApplyReport(baseTime, inFlightReport(i))
 	}
 	return table
 }
 
-func fullReport() *wire.Report {
+func demandReport() *wire.Report {
 	counter := report.NewCounter()
 	for i := range entryAdapters {
-		counter.AddArrival(entryKey(i), 0)
+		counter.AddArrival(serviceAdapter(i), 0)
 	}
-	return &wire.Report{Instance: memberName(0), Demands: counter.Collect(entryStart, 0).List()}
+	return &wire.Report{Instance: memberName(0), Demands: counter.Collect(baseTime, 0).List()}
 }
 
-func wholeView() *wire.View {
+func fullView() *wire.View {
 	v := &wire.View{Planner: memberName(0), Term: 3, Heartbeat: true, Full: true, Members: entryMembers + 1}
 	for _, status := range filledDirectory().Endpoints() {
 		v.Endpoints = append(v.Endpoints, wire.EndpointFromStatus(status))
@@ -373,11 +378,11 @@
 	return v
 }
 
-func viewWith(items ...store.Item) wire.Message {
+func viewWithItems(items ...store.Item) wire.Message {
 	return wire.Message{View: &wire.View{Planner: memberName(0), Term: 3, Members: entryMembers + 1, Items: items}}
 }
 
-func frameOf(message wire.Message) peerstream.Frame {
+func encodeFrame(message wire.Message) peerstream.Frame {
 	frame, err := peerstream.Encode(message)
 	if err != nil {
 		panic(err)
--- a/tests/capacity/capacity_test.go
+++ b/tests/capacity/slopes_test.go
@@ -23,69 +23,71 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// figure is one row of the table of slopes.
-type figure struct {
+// measurement is one row of the table of slopes.
+type measurement struct {
 	name string
-	// size is what grows, unit what is measured; target is the size to come that docs/capacity-shelfledged.md asks about.
+	// size names the quantity that grows, unit the unit of the measured cost. target is the expected size, for which
+	// docs/capacity-shelfledged.md needs the cost.
 	size, unit string
 	sizes      []int
 	target     int
 	measure    func(size int) float64
 }
 
-var figures = []figure{
-	{"one decision", "endpoints", "us", []int{10, 25, 50, 75}, 75, decision},
-	{"node, processor time a second", "nodes a hall", "us", []int{4, 10, 20, 40}, 40, nodeProcessor},
-	{"node, bytes sent a second", "nodes a hall", "B", []int{4, 10, 20, 40}, 40, nodeBytes},
-	{"busiest node, bytes sent a second", "halls", "B", []int{2, 4, 6, 8}, 8, bytesSentByHalls},
-	{"busiest node, bytes received a second", "halls", "B", []int{2, 4, 6, 8}, 8, bytesReceivedByHalls},
-	{"placer, processor time a second", "requests per s", "us", []int{50, 100, 200, 400}, 167, placerProcessor},
-	{"placer, bytes sent a second", "requests per s", "B", []int{50, 100, 200, 400}, 167, placerBytes},
-	{"entry, bytes sent a second", "requests per s", "B", []int{10, 20, 40, 80}, 13, entryBytes},
+var measurements = []measurement{
+	{"one decision", "endpoints", "us", []int{10, 25, 50, 75}, 75, decisionTime},
+	{"node, processor time per second", "nodes per hall", "us", []int{4, 10, 20, 40}, 40, nodeCPUTime},
+	{"node, bytes sent per second", "nodes per hall", "B", []int{4, 10, 20, 40}, 40, nodeBytesSent},
+	{"busiest node, bytes sent per second", "halls", "B", []int{2, 4, 6, 8}, 8, bytesSentByHalls},
+	{"busiest node, bytes received per second", "halls", "B", []int{2, 4, 6, 8}, 8, bytesReceivedByHalls},
+	{"placer, processor time per second", "requests per second", "us", []int{50, 100, 200, 400}, 167, placerCPUTime},
+	{"placer, bytes sent per second", "requests per second", "B", []int{50, 100, 200, 400}, 167, placerBytesSent},
+	{"entry, bytes sent per second", "requests per second", "B", []int{10, 20, 40, 80}, 13, entryBytesSent},
 	{"catalog, heap", "adapters", "KB", []int{2000, 5500, 11000, 22000}, 22000, catalogHeap},
-	{"catalog, one change", "adapters", "us", []int{2000, 5500, 11000, 22000}, 22000, catalogChange},
-	{"query over all adapters", "adapters", "us", []int{2000, 5500, 11000, 22000}, 22000, query},
-	{"router, heap of one summary", "resident", "B", []int{100, 200, 400, 800}, 600, routerHeap},
-	{"claims in one write", "callers at once", "claims", []int{1, 8, 16, 32}, 32, claimsPerWrite},
+	{"catalog, one change", "adapters", "us", []int{2000, 5500, 11000, 22000}, 22000, catalogChangeTime},
+	{"query over all adapters", "adapters", "us", []int{2000, 5500, 11000, 22000}, 22000, queryTime},
+	{"router, heap of one summary", "resident adapters", "B", []int{100, 200, 400, 800}, 600, routerHeap},
+	{"claims in one write", "concurrent callers", "claims", []int{1, 8, 16, 32}, 32, claimsPerWrite},
 }
 
-// BenchmarkCapacity prints each figure at its sizes, and the line fitted through them.
+// BenchmarkCapacity logs each cost at its sizes and the line fitted through the results.
 func BenchmarkCapacity(b *testing.B) {
-	for _, f := range figures {
-		b.Run(f.name, func(b *testing.B) {
+	for _, m := range measurements {
+		b.Run(m.name, func(b *testing.B) {
 			for b.Loop() {
-				f.report(b)
+				m.report(b)
 			}
 		})
 	}
 }
 
-func (f figure) report(b *testing.B) {
+func (m measurement) report(b *testing.B) {
 	var xs, ys []float64
-	for _, size := range f.sizes {
-		y := f.measure(size)
+	for _, size := range m.sizes {
+		y := m.measure(size)
 		xs, ys = append(xs, float64(size)), append(ys, y)
 	}
-	fitted := fit(xs, ys)
-	b.Logf("by %s %v: %.4g %s; slope %.4g, at zero %.4g, error %.1f%%; at %d: %.4g %s",
-		f.size, f.sizes, ys, f.unit, fitted.slope, fitted.atZero, fitted.deviation*100, f.target, fitted.atZero+fitted.slope*float64(f.target), f.unit)
+	fitted := fitLine(xs, ys)
+	b.Logf("by %s %v: %.4g %s; slope %.4g, intercept %.4g, max deviation %.1f%%; at %d: %.4g %s",
+		m.size, m.sizes, ys, m.unit, fitted.slope, fitted.intercept, fitted.maxDeviation*100, m.target, fitted.intercept+fitted.slope*float64(m.target), m.unit)
 }
 
 const (
-	endpointsAHall = 75
-	nodesAHall     = 6
-	knownAdapters  = 22000
-	repeats        = 5
+	endpointsPerHall = 75
+	nodesPerHall     = 6
+	knownAdapters    = 22000
+	repeats          = 5
 )
 
-// decision gives the time of one request's way through a placer, submitted and returned.
-func decision(endpoints int) float64 {
+// decisionTime returns the time, in microseconds, that a placer takes to grant one request and to take its ticket back, with knownAdapters
+// other adapters known.
+func decisionTime(endpoints int) float64 {
 	const rounds = 20000
 	now := time.Unix(1000, 0)
 	var specs []fleet.Endpoint
 	for n := range endpoints {
 		specs = append(specs, fleet.Endpoint{
-			Name: fmt.Sprintf("e%02d", n), Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: slots, MaxBatch: 32,
+			Name: fmt.Sprintf("e%02d", n), Hall: "h1", Kind: fleet.KindEngine, Bases: []string{"base"}, Slots: slotsPerEndpoint, MaxBatch: 32,
 			Step: 25 * time.Millisecond, Load: time.Second, ChecksFence: true,
 		})
 	}
@@ -95,52 +97,52 @@
 	var resident []fleet.AdapterRef
 	for n, spec := range specs {
 		in := placement.Inspection{Endpoint: spec.Name, Incarnation: spec.Name, StartedAt: now, Up: true}
-		for i := range slots {
-			in.Resident = append(in.Resident, fleet.AdapterRef{Name: fmt.Sprintf("a-%d", n*slots+i), Version: 1})
+		for i := range slotsPerEndpoint {
+			in.Resident = append(in.Resident, fleet.AdapterRef{Name: fmt.Sprintf("a-%d", n*slotsPerEndpoint+i), Version: 1})
 		}
 		resident = append(resident, in.Resident...)
 		p.Adopt(now, in, 1, now)
 	}
 	for i := range knownAdapters {
-		p.Submit(now, ask(fmt.Sprintf("known-%d", i), fleet.AdapterRef{Name: fmt.Sprintf("cold-%d", i), Version: 1}, now))
+		p.Submit(now, newRequest(fmt.Sprintf("known-%d", i), fleet.AdapterRef{Name: fmt.Sprintf("cold-%d", i), Version: 1}, now))
 		p.Cancel(now, fmt.Sprintf("known-%d", i))
 	}
-	began := time.Now()
+	start := time.Now()
 	for i := range rounds {
 		now = now.Add(100 * time.Microsecond)
-		for _, e := range p.Submit(now, ask(fmt.Sprintf("q%d", i), resident[i*7%len(resident)], now)) {
+		for _, e := range p.Submit(now, newRequest(fmt.Sprintf("q%d", i), resident[i*7%len(resident)], now)) {
 			if g, ok := e.(placement.Grant); ok {
 				p.ReturnTicket(now, g.Ticket.ID)
 			}
 		}
 	}
-	return float64(time.Since(began).Microseconds()) / rounds
+	return float64(time.Since(start).Microseconds()) / rounds
 }
 
-func ask(id string, ref fleet.AdapterRef, now time.Time) fleet.Request {
+func newRequest(id string, ref fleet.AdapterRef, now time.Time) fleet.Request {
 	return fleet.Request{
 		ID: id, Caller: "caller", Class: "c", Base: "base", Adapter: ref, PromptTokens: 200, OutputTokens: 100, Entry: "i1", Deadline: now.Add(time.Minute),
 	}
 }
 
-func nodeProcessor(nodes int) float64 {
-	return newSimFleet(1, nodes, endpointsAHall).most(func(s *simNode) float64 { return float64(s.processor.Microseconds()) })
+func nodeCPUTime(nodes int) float64 {
+	return newSimFleet(1, nodes, endpointsPerHall).maxCostPerSecond(func(s *simNode) float64 { return float64(s.cpuTime.Microseconds()) })
 }
 
-func nodeBytes(nodes int) float64 {
-	return newSimFleet(1, nodes, endpointsAHall).most(func(s *simNode) float64 { return float64(s.sent) })
+func nodeBytesSent(nodes int) float64 {
+	return newSimFleet(1, nodes, endpointsPerHall).maxCostPerSecond(func(s *simNode) float64 { return float64(s.sent) })
 }
 
 func bytesSentByHalls(halls int) float64 {
-	return newSimFleet(halls, nodesAHall, endpointsAHall).most(func(s *simNode) float64 { return float64(s.sent) })
+	return newSimFleet(halls, nodesPerHall, endpointsPerHall).maxCostPerSecond(func(s *simNode) float64 { return float64(s.sent) })
 }
 
 func bytesReceivedByHalls(halls int) float64 {
-	return newSimFleet(halls, nodesAHall, endpointsAHall).most(func(s *simNode) float64 { return float64(s.received) })
+	return newSimFleet(halls, nodesPerHall, endpointsPerHall).maxCostPerSecond(func(s *simNode) float64 { return float64(s.received) })
 }
 
-// catalogOf makes a configuration of so many adapters with two versions each.
-func catalogOf(adapters int) *catalog.Catalog {
+// newCatalog returns a catalog of the given number of adapters with two versions each.
+func newCatalog(adapters int) *catalog.Catalog {
 	var changes []catalog.Change
 	for i := range adapters {
 		name := fmt.Sprintf("adapter-%05d", i)
@@ -155,9 +157,9 @@
 	return c
 }
 
-// catalogHeap counts what a follower holds: the catalog as read from a snapshot.
+// catalogHeap returns the heap, in KiB, of a catalog decoded from a snapshot, as a follower holds it.
 func catalogHeap(adapters int) float64 {
-	data, err := catalog.EncodeSnapshot(catalogOf(adapters))
+	data, err := catalog.EncodeSnapshot(newCatalog(adapters))
 	if err != nil {
 		panic(err)
 	}
@@ -179,34 +181,34 @@
 	return int64(m.HeapAlloc)
 }
 
-// best gives the shortest of several times, in microseconds.
-func best(work func()) float64 {
+// shortestTime returns the shortest of several run times of work, in microseconds.
+func shortestTime(work func()) float64 {
 	shortest := time.Duration(1<<63 - 1)
 	for range repeats {
-		began := time.Now()
+		start := time.Now()
 		work()
-		shortest = min(shortest, time.Since(began))
+		shortest = min(shortest, time.Since(start))
 	}
 	return float64(shortest.Nanoseconds()) / 1000
 }
 
-func catalogChange(adapters int) float64 {
-	c := catalogOf(adapters)
-	return best(func() {
+func catalogChangeTime(adapters int) float64 {
+	c := newCatalog(adapters)
+	return shortestTime(func() {
 		if _, _, err := c.Apply(2, []catalog.Change{{Kind: catalog.SetLive, Name: "adapter-00001", Version: 2}}); err != nil {
 			panic(err)
 		}
 	})
 }
 
-func query(adapters int) float64 {
-	c := catalogOf(adapters)
+func queryTime(adapters int) float64 {
+	c := newCatalog(adapters)
 	s := queries.New(queries.Options{Catalog: func() *catalog.Catalog { return c }, Now: time.Now})
 	statements, err := language.Parse("show adapters where name like '*7' and live > 0 order by name desc limit 10")
 	if err != nil {
 		panic(err)
 	}
-	return best(func() {
+	return shortestTime(func() {
 		t, err := s.LocalTable("adapters")
 		if err != nil {
 			panic(err)
@@ -234,8 +236,8 @@
 	return float64(used)
 }
 
-// claimsPerWrite gives the claims that one write carries while so many callers claim at once.
-func claimsPerWrite(atOnce int) float64 {
+// claimsPerWrite returns the mean number of claims in one write while the given number of callers claim concurrently.
+func claimsPerWrite(callers int) float64 {
 	const rounds = 20
 	var mutex sync.Mutex
 	writes := 0
@@ -255,7 +257,7 @@
 	go c.Run(ctx)
 	for round := range rounds {
 		var group sync.WaitGroup
-		for i := range atOnce {
+		for i := range callers {
 			group.Add(1)
 			go func() {
 				defer group.Done()
@@ -264,59 +266,59 @@
 		}
 		group.Wait()
 	}
-	return float64(rounds*atOnce) / float64(writes)
+	return float64(rounds*callers) / float64(writes)
 }
 
-// ticketFleet runs one hall in which one node asks another for tickets at a rate, and
-// gives the placer's and the entry's cost of it, per second.
-func ticketFleet(rate int) (placer, entry simNode) {
+// ticketCosts runs one hall in which one node requests tickets from another at the given rate per second. It returns the costs of the
+// placer and of the entry per second, without their cost at rest.
+func ticketCosts(rate int) (placer, entry simNode) {
 	const span = 10 * time.Second
 	f := newSimFleet(1, 4, 25)
-	var holder, asker *simNode
+	var placerNode, entryNode *simNode
 	for _, s := range f.nodes {
-		if len(s.node.Pools(f.now)) > 0 && holder == nil {
-			holder = s
+		if len(s.node.Pools(f.now)) > 0 && placerNode == nil {
+			placerNode = s
 			continue
 		}
-		asker = s
+		entryNode = s
 	}
-	pool := holder.node.Pools(f.now)[0]
+	pool := placerNode.node.Pools(f.now)[0]
 	f.run(span)
-	quietHolder, quietAsker := *holder, *asker
+	idlePlacer, idleEntry := *placerNode, *entryNode
 	gap := time.Second / time.Duration(rate)
 	for i := range rate * int(span/time.Second) {
-		f.run(gap / tickEvery * tickEvery)
-		f.messages.Until(&f.now, f.now.Add(gap%tickEvery))
+		f.run(gap / tickInterval * tickInterval)
+		f.messages.Until(&f.now, f.now.Add(gap%tickInterval))
 		ref, err := fleet.ParseAdapterRef(pool.Slots[i%len(pool.Slots)].Adapter)
 		if err != nil {
 			panic(err)
 		}
-		request := ask(fmt.Sprintf("q%d", i), ref, f.now)
+		request := newRequest(fmt.Sprintf("q%d", i), ref, f.now)
 		request.Base = pool.Pool[len("h0/"):]
-		f.act(asker, func() []node.Effect { return asker.node.Submit(f.now, request) })
+		f.runTimed(entryNode, func() []node.Effect { return entryNode.node.Submit(f.now, request) })
 	}
 	cost := func(after *simNode, before simNode) simNode {
-		// The second span is as long as the first, whose cost is the quiet one.
-		quiet := before.processor
+		// The second span is as long as the first, in which the node was idle, so the idle cost is subtracted once more.
+		idle := before.cpuTime
 		return simNode{
-			processor: max(0, after.processor-before.processor-quiet) / (span / time.Second),
-			sent:      max(0, after.sent-2*before.sent) / int(span/time.Second),
+			cpuTime: max(0, after.cpuTime-before.cpuTime-idle) / (span / time.Second),
+			sent:    max(0, after.sent-2*before.sent) / int(span/time.Second),
 		}
 	}
-	return cost(holder, quietHolder), cost(asker, quietAsker)
+	return cost(placerNode, idlePlacer), cost(entryNode, idleEntry)
 }
 
-func placerProcessor(rate int) float64 {
-	placer, _ := ticketFleet(rate)
-	return float64(placer.processor.Microseconds())
+func placerCPUTime(rate int) float64 {
+	placer, _ := ticketCosts(rate)
+	return float64(placer.cpuTime.Microseconds())
 }
 
-func placerBytes(rate int) float64 {
-	placer, _ := ticketFleet(rate)
+func placerBytesSent(rate int) float64 {
+	placer, _ := ticketCosts(rate)
 	return float64(placer.sent)
 }
 
-func entryBytes(rate int) float64 {
-	_, entry := ticketFleet(rate)
+func entryBytesSent(rate int) float64 {
+	_, entry := ticketCosts(rate)
 	return float64(entry.sent)
 }
