--- a/Makefile
+++ b/Makefile
@@ -56,7 +56,7 @@
 STEPS   ?= 60
 
 fuzz: ## Stateful fuzzing of the joint action of nodes: SECONDS, SEED, STEPS.
-	SHELFLEDGE_FUZZ_SECONDS=$(SECONDS) SHELFLEDGE_FUZZ_SEED=$(SEED) SHELFLEDGE_FUZZ_STEPS=$(STEPS) $(GO) test -count=1 -v -timeout 0 -run 'TestFleetKeepsItsPromises' ./tests/fuzz
+	SHELFLEDGE_FUZZ_SECONDS=$(SECONDS) SHELFLEDGE_FUZZ_SEED=$(SEED) SHELFLEDGE_FUZZ_STEPS=$(STEPS) $(GO) test -count=1 -v -timeout 0 -run 'TestRandomHistoriesKeepGuarantees' ./tests/fuzz
 
 INSTANCES ?= 6
 CALLERS   ?= 300
--- a/tests/fuzz/defects_test.go
+++ b/tests/fuzz/defects_test.go
@@ -16,65 +16,65 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// recorder takes a failure without failing the test around it.
-type recorder struct {
+// failureRecorder is a rapid.TB that records a failure without failing the enclosing test.
+type failureRecorder struct {
 	mutex  sync.Mutex
 	lines  []string
 	failed bool
 }
 
-func (r *recorder) Helper()                    {}
-func (r *recorder) Name() string               { return "defect" }
-func (r *recorder) Logf(f string, args ...any) { r.note(f, args...) }
-func (r *recorder) Log(args ...any)            { r.note("%s", fmt.Sprint(args...)) }
+func (r *failureRecorder) Helper()                    {}
+func (r *failureRecorder) Name() string               { return "defect" }
+func (r *failureRecorder) Logf(f string, args ...any) { r.addLine(f, args...) }
+func (r *failureRecorder) Log(args ...any)            { r.addLine("%s", fmt.Sprint(args...)) }
 
-func (r *recorder) note(f string, args ...any) {
+func (r *failureRecorder) addLine(f string, args ...any) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
 	r.lines = append(r.lines, fmt.Sprintf(f, args...))
 }
 
-func (r *recorder) Errorf(f string, args ...any) { r.note(f, args...); r.Fail() }
-func (r *recorder) Error(args ...any)            { r.Log(args...); r.Fail() }
-func (r *recorder) Fatalf(f string, args ...any) { r.note(f, args...); r.FailNow() }
-func (r *recorder) Fatal(args ...any)            { r.Log(args...); r.FailNow() }
-func (r *recorder) Skipf(f string, args ...any)  { r.note(f, args...); r.SkipNow() }
-func (r *recorder) Skip(args ...any)             { r.Log(args...); r.SkipNow() }
-func (r *recorder) SkipNow()                     { runtime.Goexit() }
-func (r *recorder) Fail()                        { r.mutex.Lock(); r.failed = true; r.mutex.Unlock() }
-func (r *recorder) FailNow()                     { r.Fail(); runtime.Goexit() }
-func (r *recorder) Failed() bool                 { return r.failed }
+func (r *failureRecorder) Errorf(f string, args ...any) { r.addLine(f, args...); r.Fail() }
+func (r *failureRecorder) Error(args ...any)            { r.Log(args...); r.Fail() }
+func (r *failureRecorder) Fatalf(f string, args ...any) { r.addLine(f, args...); r.FailNow() }
+func (r *failureRecorder) Fatal(args ...any)            { r.Log(args...); r.FailNow() }
+func (r *failureRecorder) Skipf(f string, args ...any)  { r.addLine(f, args...); r.SkipNow() }
+func (r *failureRecorder) Skip(args ...any)             { r.Log(args...); r.SkipNow() }
+func (r *failureRecorder) SkipNow()                     { runtime.Goexit() }
+func (r *failureRecorder) Fail()                        { r.mutex.Lock(); r.failed = true; r.mutex.Unlock() }
+func (r *failureRecorder) FailNow()                     { r.Fail(); runtime.Goexit() }
+func (r *failureRecorder) Failed() bool                 { return r.failed }
 
-// defect is a seeded fault and the promise that it breaks.
-type defect struct {
-	name    string
-	promise string
-	node    node.Defects
-	traffic trafficDefects
+// seededDefect is a defect that a test-only switch enables, and the guarantee that it violates.
+type seededDefect struct {
+	name      string
+	guarantee string
+	node      node.Defects
+	traffic   trafficDefects
 }
 
-var defects = []defect{
-	{"the ticket of another adapter is used", promiseVersion, node.Defects{}, trafficDefects{wrongAdapter: true}},
-	{"unload without tickets", promiseInUse, node.Defects{UnloadWithoutTickets: true}, trafficDefects{}},
-	{"unload before former grants have ended", promiseInUse, node.Defects{SkipFreeze: true}, trafficDefects{}},
-	{"orders after the lease has lapsed", promiseInUse, node.Defects{OrderAfterLapse: true}, trafficDefects{}},
-	{"another's answer is passed on", promiseOwn, node.Defects{}, trafficDefects{wrongAnswer: true}},
-	{"a broken attempt is told as not run", promiseNotRun, node.Defects{}, trafficDefects{unknownNotRun: true}},
-	{"a once-request is tried again", promiseOnce, node.Defects{}, trafficDefects{retryOnce: true}},
-	{"leaving endpoints get new work", promiseLeaving, node.Defects{IgnoreLeaving: true}, trafficDefects{}},
-	{"a planned stop drops what waits", promiseStop, node.Defects{}, trafficDefects{dropOnStop: true}},
-	{"a lower revision is accepted", promiseRevision, node.Defects{AcceptLowerRevision: true}, trafficDefects{}},
+var seededDefects = []seededDefect{
+	{"a ticket is used for another version of its adapter", guaranteeVersion, node.Defects{}, trafficDefects{wrongAdapter: true}},
+	{"unload without tickets", guaranteeInUse, node.Defects{UnloadWithoutTickets: true}, trafficDefects{}},
+	{"unload before grants of former owners have ended", guaranteeInUse, node.Defects{SkipFreeze: true}, trafficDefects{}},
+	{"orders after the lease has expired", guaranteeInUse, node.Defects{OrderAfterLapse: true}, trafficDefects{}},
+	{"the answer of another request is delivered", guaranteeOwnAnswer, node.Defects{}, trafficDefects{wrongAnswer: true}},
+	{"an attempt of unknown outcome is reported as not run", guaranteeNotRun, node.Defects{}, trafficDefects{unknownNotRun: true}},
+	{"a once-request is tried again", guaranteeOnce, node.Defects{}, trafficDefects{retryOnce: true}},
+	{"leaving endpoints get new requests", guaranteeLeaving, node.Defects{IgnoreLeaving: true}, trafficDefects{}},
+	{"a planned stop drops waiting requests", guaranteeStop, node.Defects{}, trafficDefects{dropOnStop: true}},
+	{"a lower revision is accepted", guaranteeRevision, node.Defects{AcceptLowerRevision: true}, trafficDefects{}},
 }
 
-// TestOracleBites shows that each promise's check can fail: a seeded defect breaks it
-// within the run that finds none without it.
-func TestOracleBites(t *testing.T) {
-	for _, d := range defects {
+// TestOracleDetectsSeededDefects checks that the oracle can detect the violation of each guarantee: with a seeded defect, one of at most
+// maxDefectHistories histories fails with the guarantee that the defect violates.
+func TestOracleDetectsSeededDefects(t *testing.T) {
+	for _, d := range seededDefects {
 		t.Run(d.name, func(t *testing.T) {
-			setFlags(t, fixedSeed, biteChecks)
-			r := &recorder{}
+			setRapidFlags(t, fixedSeed, maxDefectHistories)
+			r := &failureRecorder{}
 			runs := 0
-			inner := property(d.node, d.traffic, make(map[string]int))
+			prop := historyProperty(d.node, d.traffic, make(map[string]int))
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
@@ -82,17 +82,18 @@
 					if !r.Failed() {
 						runs++
 					}
-					inner(t)
+					prop(t)
 				})
 			}()
 			<-done
 			text := strings.Join(r.lines, "\n")
-			require.True(t, r.Failed(), "the defect was not found in %s histories", biteChecks)
-			require.Contains(t, text, d.promise+":")
+			require.True(t, r.Failed(), "the defect was not found in %s histories", maxDefectHistories)
+			require.Contains(t, text, d.guarantee+":")
 			at := strings.Index(text, "failed after")
 			t.Logf("%s", text[at:at+min(len(text)-at, 30)])
 		})
 	}
 }
 
-const biteChecks = "400"
+// maxDefectHistories is the number of histories in which a seeded defect must be detected.
+const maxDefectHistories = "400"
--- a/tests/fuzz/endpoint_test.go
+++ b/tests/fuzz/endpoint_test.go
@@ -12,40 +12,42 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// fakeEndpoint acts out an engine with slots, fences, restarts and failing loads.
+// fakeEndpoint is a fake of an engine with slots, fences, restarts and failing loads.
 type fakeEndpoint struct {
-	world       *world
+	sim         *simulation
 	spec        fleet.Endpoint
 	incarnation int
 	fence       uint64
 	holder      string
 	resident    map[string]bool
-	lastRun     map[string]time.Time
-	running     map[string]*fakeRun
-	failLoads   int
-	shownAt     time.Time
+	// lastRun is when the last request of each adapter ends or ended.
+	lastRun   map[string]time.Time
+	running   map[string]*fakeRun
+	failLoads int
+	// leavingSince is the time from which starts on the endpoint are checked against guaranteeLeaving, zero if they are not.
+	leavingSince time.Time
 }
 
-// fakeRun is one request running on an endpoint.
+// fakeRun is one request that runs on an endpoint.
 type fakeRun struct {
 	request *fakeRequest
 	adapter string
-	ends    time.Time
+	endsAt  time.Time
 }
 
-func (e *fakeEndpoint) name() string {
+func (e *fakeEndpoint) incarnationName() string {
 	return fmt.Sprintf("%s#%d", e.spec.Name, e.incarnation)
 }
 
 func (e *fakeEndpoint) restart() {
 	e.incarnation++
 	e.fence, e.holder = 0, ""
-	e.world.log("%s restarts", e.spec.Name)
+	e.sim.logStep("%s restarts", e.spec.Name)
 	e.resident = make(map[string]bool)
 	runs := e.running
 	e.running = make(map[string]*fakeRun)
 	for _, r := range sortedRuns(runs) {
-		e.world.broken(r.request)
+		e.sim.breakRequest(r.request)
 	}
 }
 
@@ -58,19 +60,20 @@
 	return out
 }
 
-// obeys checks fence and incarnation as an engine that checks fences does.
-func (e *fakeEndpoint) obeys(incarnation string, fence uint64, holder string, order bool) bool {
+// accepts reports whether the endpoint accepts a request, or an order of holder, with the given incarnation and fence. Endpoints that do not
+// check fences accept all.
+func (e *fakeEndpoint) accepts(incarnation string, fence uint64, holder string, order bool) bool {
 	if !e.spec.ChecksFence {
 		return true
 	}
-	if incarnation != e.name() || fence < e.fence {
+	if incarnation != e.incarnationName() || fence < e.fence {
 		return false
 	}
 	return !order || fence > e.fence || holder == e.holder
 }
 
-func (e *fakeEndpoint) status(began time.Time) placement.Inspection {
-	in := placement.Inspection{Endpoint: e.spec.Name, Incarnation: e.name(), StartedAt: began, Up: true}
+func (e *fakeEndpoint) inspection(began time.Time) placement.Inspection {
+	in := placement.Inspection{Endpoint: e.spec.Name, Incarnation: e.incarnationName(), StartedAt: began, Up: true}
 	for name := range e.resident {
 		ref, _ := fleet.ParseAdapterRef(name)
 		in.Resident = append(in.Resident, ref)
@@ -95,8 +98,8 @@
 	for _, r := range e.running {
 		running = running || r.adapter == adapter
 	}
-	e.world.log("%s unloads %s", e.spec.Name, adapter)
-	e.world.oracle.unloaded(e.spec.Name, adapter, running, e.world.now.Sub(e.lastRun[adapter]))
+	e.sim.logStep("%s unloads %s", e.spec.Name, adapter)
+	e.sim.oracle.recordUnload(e.spec.Name, adapter, running, e.sim.now.Sub(e.lastRun[adapter]))
 	delete(e.resident, adapter)
 	return true
 }
@@ -113,27 +116,28 @@
 	return true
 }
 
-// start runs a request if fence, incarnation and residence allow it.
+// start starts a request and reports whether it runs: the endpoint must accept the ticket's incarnation and fence, and the adapter must be
+// resident.
 func (e *fakeEndpoint) start(q *fakeRequest, t fleet.Ticket) bool {
 	adapter := t.Adapter.String()
-	if !e.obeys(t.Incarnation, t.Fence, "", false) || !e.resident[adapter] {
+	if !e.accepts(t.Incarnation, t.Fence, "", false) || !e.resident[adapter] {
 		return false
 	}
-	e.world.log("%s runs %s of %s on %s, ticket %s", e.spec.Name, q.id, q.entry.id, adapter, t.ID)
-	e.world.oracle.ran(q.id, adapter, q.onceID)
-	if !e.shownAt.IsZero() {
-		e.world.oracle.stake(promiseLeaving)
-		e.world.oracle.onLeaving(q.id, e.spec.Name, e.world.now.Sub(e.shownAt))
+	e.sim.logStep("%s runs %s of %s on %s, ticket %s", e.spec.Name, q.id, q.entry.id, adapter, t.ID)
+	e.sim.oracle.recordStart(q.id, adapter, q.onceID)
+	if !e.leavingSince.IsZero() {
+		e.sim.oracle.countCheck(guaranteeLeaving)
+		e.sim.oracle.checkLeaving(q.id, e.spec.Name, e.sim.now.Sub(e.leavingSince))
 	}
-	r := &fakeRun{request: q, adapter: adapter, ends: e.world.now.Add(q.length)}
+	r := &fakeRun{request: q, adapter: adapter, endsAt: e.sim.now.Add(q.length)}
 	e.running[q.id] = r
-	e.lastRun[adapter] = r.ends
+	e.lastRun[adapter] = r.endsAt
 	incarnation := e.incarnation
-	e.world.at(r.ends, func() {
+	e.sim.schedule(r.endsAt, func() {
 		if e.incarnation == incarnation && e.running[q.id] == r {
 			delete(e.running, q.id)
-			e.world.log("%s has run %s", e.spec.Name, q.id)
-			e.world.completed(q)
+			e.sim.logStep("%s completes %s", e.spec.Name, q.id)
+			e.sim.completeRequest(q)
 		}
 	})
 	return true
--- a/tests/fuzz/fuzz_test.go
+++ b/tests/fuzz/fuzz_test.go
@@ -20,16 +20,17 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-const adapters = 5
+// adapterCount is the number of adapters that requests name.
+const adapterCount = 5
 
-// adapterRef draws one of a few adapters, in one of two versions.
-func adapterRef(t *rapid.T) fleet.AdapterRef {
-	return fleet.AdapterRef{Name: fmt.Sprintf("a%d", rapid.IntRange(0, adapters-1).Draw(t, "adapter")), Version: rapid.IntRange(1, 2).Draw(t, "version")}
+// drawAdapter draws one of adapterCount adapters in one of two versions.
+func drawAdapter(t *rapid.T) fleet.AdapterRef {
+	return fleet.AdapterRef{Name: fmt.Sprintf("a%d", rapid.IntRange(0, adapterCount-1).Draw(t, "adapter")), Version: rapid.IntRange(1, 2).Draw(t, "version")}
 }
 
-func (w *world) live() []*fakeNode {
+func (s *simulation) liveNodes() []*fakeNode {
 	var out []*fakeNode
-	for _, n := range w.sortedNodes() {
+	for _, n := range s.sortedNodes() {
 		if !n.dead {
 			out = append(out, n)
 		}
@@ -37,161 +38,163 @@
 	return out
 }
 
-func (w *world) drawNode(t *rapid.T) *fakeNode {
-	live := w.live()
+func (s *simulation) drawNode(t *rapid.T) *fakeNode {
+	live := s.liveNodes()
 	if len(live) == 0 {
-		t.Skip("no node lives")
+		t.Skip("no node is running")
 	}
 	return live[rapid.IntRange(0, len(live)-1).Draw(t, "node")]
 }
 
-func (w *world) drawEndpoint(t *rapid.T) *fakeEndpoint {
+func (s *simulation) drawEndpoint(t *rapid.T) *fakeEndpoint {
 	names := []string{"h1-e1", "h1-e2", "h2-e1"}
-	return w.endpoints[names[rapid.IntRange(0, len(names)-1).Draw(t, "endpoint")]]
+	return s.endpoints[names[rapid.IntRange(0, len(names)-1).Draw(t, "endpoint")]]
 }
 
-// actions are everything that may happen to a fleet.
-func (w *world) actions() map[string]func(*rapid.T) {
+// actions returns the actions of a history by name; the empty name is the check after each step. rapid draws actions from the sorted names,
+// so a changed name changes the histories of a seed.
+func (s *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"":            func(t *rapid.T) { w.check(t) },
-		"request":     w.actRequest,
-		"requests":    func(t *rapid.T) { w.repeat(t, 3, w.actRequest) },
-		"burst":       func(t *rapid.T) { w.repeat(t, 8, w.actRequest) },
-		"once":        w.actOnce,
-		"once burst":  func(t *rapid.T) { w.repeat(t, 4, w.actOnce) },
-		"short time":  func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond) },
-		"middle time": func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(300, 3000).Draw(t, "ms")) * time.Millisecond) },
-		"long time":   func(t *rapid.T) { w.advance(time.Duration(rapid.IntRange(3, 14).Draw(t, "s")) * time.Second) },
-		"kill":        w.actKill,
-		"start":       w.actStart,
-		"stop":        w.actStop,
-		"pause":       w.actPause,
-		"cut":         w.actCut,
-		"cut hall":    w.actCutHall,
-		"duel":        w.actDuel,
-		"heal":        func(*rapid.T) { clear(w.cuts) },
-		"restart":     func(t *rapid.T) { w.drawEndpoint(t).restart() },
-		"fail loads":  func(t *rapid.T) { w.drawEndpoint(t).failLoads = rapid.IntRange(1, 3).Draw(t, "count") },
-		"kv down":     func(*rapid.T) { w.kv.down = true },
-		"kv up":       func(*rapid.T) { w.kv.down = false },
-		"kv loses":    func(t *rapid.T) { w.kv.lose = rapid.IntRange(1, 3).Draw(t, "answers") },
-		"kv old":      func(t *rapid.T) { w.kv.follow(w.drawNode(t), true) },
-		"change":      w.actChange,
-		"list":        func(*rapid.T) { w.publishList() },
-		"leaving":     w.actLeaving,
-		"lossy":       func(t *rapid.T) { w.lossy = rapid.Bool().Draw(t, "lossy") },
+		"":            func(t *rapid.T) { s.checkStep(t) },
+		"request":     s.requestAction,
+		"requests":    func(t *rapid.T) { s.repeat(t, 3, s.requestAction) },
+		"burst":       func(t *rapid.T) { s.repeat(t, 8, s.requestAction) },
+		"once":        s.onceAction,
+		"once burst":  func(t *rapid.T) { s.repeat(t, 4, s.onceAction) },
+		"short time":  func(t *rapid.T) { s.advance(time.Duration(rapid.IntRange(1, 300).Draw(t, "ms")) * time.Millisecond) },
+		"middle time": func(t *rapid.T) { s.advance(time.Duration(rapid.IntRange(300, 3000).Draw(t, "ms")) * time.Millisecond) },
+		"long time":   func(t *rapid.T) { s.advance(time.Duration(rapid.IntRange(3, 14).Draw(t, "s")) * time.Second) },
+		"kill":        s.killAction,
+		"start":       s.startAction,
+		"stop":        s.stopAction,
+		"pause":       s.pauseAction,
+		"cut":         s.cutAction,
+		"cut hall":    s.cutHallAction,
+		"duel":        s.competingPlacersAction,
+		"heal":        func(*rapid.T) { clear(s.cutLinks) },
+		"restart":     func(t *rapid.T) { s.drawEndpoint(t).restart() },
+		"fail loads":  func(t *rapid.T) { s.drawEndpoint(t).failLoads = rapid.IntRange(1, 3).Draw(t, "count") },
+		"kv down":     func(*rapid.T) { s.kv.down = true },
+		"kv up":       func(*rapid.T) { s.kv.down = false },
+		"kv loses":    func(t *rapid.T) { s.kv.answersToLose = rapid.IntRange(1, 3).Draw(t, "answers") },
+		"kv old":      func(t *rapid.T) { s.kv.sendConfiguration(s.drawNode(t), true) },
+		"change":      s.changeAction,
+		"list":        func(*rapid.T) { s.publishList() },
+		"leaving":     s.leavingAction,
+		"lossy":       func(t *rapid.T) { s.lossy = rapid.Bool().Draw(t, "lossy") },
 	}
 }
 
-func (w *world) repeat(t *rapid.T, count int, act func(*rapid.T)) {
+func (s *simulation) repeat(t *rapid.T, count int, act func(*rapid.T)) {
 	for range count {
 		act(t)
 	}
 }
 
-func (w *world) actRequest(t *rapid.T) {
-	n := w.drawNode(t)
-	w.submit(n, adapterRef(t), "", time.Duration(rapid.IntRange(20, 4000).Draw(t, "length"))*time.Millisecond)
+func (s *simulation) requestAction(t *rapid.T) {
+	n := s.drawNode(t)
+	s.submit(n, drawAdapter(t), "", time.Duration(rapid.IntRange(20, 4000).Draw(t, "length"))*time.Millisecond)
 }
 
-func (w *world) actOnce(t *rapid.T) {
+func (s *simulation) onceAction(t *rapid.T) {
 	onceID := fmt.Sprintf("once-%d", rapid.IntRange(0, 5).Draw(t, "once"))
 	ref := fleet.AdapterRef{Name: "a0", Version: 1}
-	w.submit(w.drawNode(t), ref, onceID, time.Duration(rapid.IntRange(20, 3000).Draw(t, "length"))*time.Millisecond)
+	s.submit(s.drawNode(t), ref, onceID, time.Duration(rapid.IntRange(20, 3000).Draw(t, "length"))*time.Millisecond)
 }
 
-func (w *world) actKill(t *rapid.T) {
-	if len(w.live()) <= 2 {
-		t.Skip("too few nodes live")
+func (s *simulation) killAction(t *rapid.T) {
+	if len(s.liveNodes()) <= 2 {
+		t.Skip("two nodes or fewer are running")
 	}
-	w.kill(w.drawNode(t))
+	s.kill(s.drawNode(t))
 }
 
-func (w *world) actStart(t *rapid.T) {
-	for _, n := range w.sortedNodes() {
+func (s *simulation) startAction(t *rapid.T) {
+	for _, n := range s.sortedNodes() {
 		if n.dead {
-			w.startNode(n.id)
-			w.publishList()
+			s.startNode(n.id)
+			s.publishList()
 			return
 		}
 	}
-	t.Skip("all nodes live")
+	t.Skip("all nodes are running")
 }
 
-func (w *world) actStop(t *rapid.T) {
-	if len(w.live()) <= 2 {
-		t.Skip("too few nodes live")
+func (s *simulation) stopAction(t *rapid.T) {
+	if len(s.liveNodes()) <= 2 {
+		t.Skip("two nodes or fewer are running")
 	}
-	n := w.drawNode(t)
+	n := s.drawNode(t)
 	if n.leaving {
-		t.Skip("it leaves already")
+		t.Skip("the node is stopping already")
 	}
-	n.enter(func() {
+	n.runWhenActive(func() {
 		n.leaving = true
-		for _, q := range n.open {
-			q.leftBy = true
-			w.oracle.stake(promiseStop)
+		for _, q := range n.openRequests {
+			q.atStoppingNode = true
+			s.oracle.countCheck(guaranteeStop)
 		}
-		n.do(n.node.Leave(n.clock()))
-		if w.traffic.dropOnStop {
+		n.applyEffects(n.node.Leave(n.clock()))
+		if s.trafficDefects.dropOnStop {
 			n.dead = true
 		}
 	})
 }
 
-func (w *world) actPause(t *rapid.T) {
-	n := w.drawNode(t)
+func (s *simulation) pauseAction(t *rapid.T) {
+	n := s.drawNode(t)
 	n.paused = true
-	w.at(w.now.Add(time.Duration(rapid.IntRange(200, 15000).Draw(t, "ms"))*time.Millisecond), func() {
+	s.schedule(s.now.Add(time.Duration(rapid.IntRange(200, 15000).Draw(t, "ms"))*time.Millisecond), func() {
 		if !n.dead {
 			n.resume()
 		}
 	})
 }
 
-func (w *world) actCut(t *rapid.T) {
+func (s *simulation) cutAction(t *rapid.T) {
 	names := []string{"h1-i1", "h1-i2", "h1-i3", "h2-i1", "h2-i2", "h1-e1", "h1-e2", "h2-e1", "kv"}
 	a := names[rapid.IntRange(0, 4).Draw(t, "from")]
 	b := names[rapid.IntRange(0, len(names)-1).Draw(t, "to")]
 	if a != b {
-		w.cuts[a+"|"+b] = true
+		s.cutLinks[a+"|"+b] = true
 	}
 }
 
-// actCutHall cuts the second hall off from the first and from the platform.
-func (w *world) actCutHall(*rapid.T) {
+// cutHallAction cuts the links of the second hall to the first hall and to the key-value service.
+func (s *simulation) cutHallAction(*rapid.T) {
 	for _, a := range []string{"h2-i1", "h2-i2"} {
 		for _, b := range []string{"h1-i1", "h1-i2", "h1-i3", "kv"} {
-			w.cuts[a+"|"+b] = true
+			s.cutLinks[a+"|"+b] = true
 		}
 	}
 }
 
-// actDuel cuts an instance that places endpoints off from its peers and from the
-// platform, but not from the endpoints, until others have taken over; both sides get work.
-func (w *world) actDuel(t *rapid.T) {
-	n := w.holder("h1")
+// competingPlacersAction cuts the links of an instance that is a placer to its peers and to the key-value service, but not to the endpoints,
+// and lets up to 16 s pass, in which another instance can take over. Then the cut-off placer and the other instances get requests, so that
+// two placers may use the same endpoints.
+func (s *simulation) competingPlacersAction(t *rapid.T) {
+	n := s.placerOf("h1")
 	if n == nil {
-		t.Skip("nobody places the hall's endpoints")
+		t.Skip("no instance is a placer in the hall")
 	}
 	for _, other := range []string{"h1-i1", "h1-i2", "h1-i3", "h2-i1", "h2-i2", "kv"} {
 		if other != n.id {
-			w.cuts[n.id+"|"+other] = true
+			s.cutLinks[n.id+"|"+other] = true
 		}
 	}
-	w.advance(time.Duration(rapid.IntRange(1, 16).Draw(t, "s")) * time.Second)
+	s.advance(time.Duration(rapid.IntRange(1, 16).Draw(t, "s")) * time.Second)
 	for range rapid.IntRange(1, 3).Draw(t, "rounds") {
 		for range 3 {
-			w.submit(n, adapterRef(t), "", time.Duration(rapid.IntRange(500, 4000).Draw(t, "length"))*time.Millisecond)
+			s.submit(n, drawAdapter(t), "", time.Duration(rapid.IntRange(500, 4000).Draw(t, "length"))*time.Millisecond)
 		}
-		w.repeat(t, 6, w.actRequest)
-		w.advance(time.Duration(rapid.IntRange(100, 2500).Draw(t, "ms")) * time.Millisecond)
+		s.repeat(t, 6, s.requestAction)
+		s.advance(time.Duration(rapid.IntRange(100, 2500).Draw(t, "ms")) * time.Millisecond)
 	}
 }
 
-// holder finds a live instance of a hall that believes to place its endpoints.
-func (w *world) holder(hall string) *fakeNode {
-	for _, n := range w.live() {
+// placerOf returns a running instance of a hall that considers itself the placer of endpoints, or nil.
+func (s *simulation) placerOf(hall string) *fakeNode {
+	for _, n := range s.liveNodes() {
 		if n.hall == hall && !n.paused && len(n.node.Pools(n.clock())) > 0 {
 			return n
 		}
@@ -199,146 +202,154 @@
 	return nil
 }
 
-func (w *world) actChange(t *rapid.T) {
-	w.kv.commit(w.drawNode(t), catalog.Change{Kind: catalog.CreateAdapter, Name: fmt.Sprintf("n%d", len(w.kv.records)), Base: "base"})
+func (s *simulation) changeAction(t *rapid.T) {
+	s.kv.commit(s.drawNode(t), catalog.Change{Kind: catalog.CreateAdapter, Name: fmt.Sprintf("n%d", len(s.kv.records)), Base: "base"})
 }
 
-func (w *world) actLeaving(t *rapid.T) {
-	e := w.drawEndpoint(t)
-	if len(w.leavers) > 0 {
-		for _, other := range w.endpoints {
-			other.shownAt = time.Time{}
+func (s *simulation) leavingAction(t *rapid.T) {
+	e := s.drawEndpoint(t)
+	if len(s.leavingEndpoints) > 0 {
+		for _, other := range s.endpoints {
+			other.leavingSince = time.Time{}
 		}
-		w.leavers = nil
-		w.publishList()
+		s.leavingEndpoints = nil
+		s.publishList()
 		return
 	}
-	w.leavers = []string{e.spec.Name}
-	w.publishList()
-	if w.quiet() {
-		// Who is cut off or paused learns of it late, which is not the entry's fault.
-		e.shownAt = w.now.Add(1500 * time.Millisecond)
+	s.leavingEndpoints = []string{e.spec.Name}
+	s.publishList()
+	if s.faultFree() {
+		// Starts are checked only while no fault is active, because an instance that is cut off or paused receives the list late, which is no
+		// fault of the entry. The time counts from 1.5 s after the change, the greatest age of the list that a poll returns.
+		e.leavingSince = s.now.Add(1500 * time.Millisecond)
 	}
 }
 
-func (w *world) quiet() bool {
-	for _, n := range w.live() {
+// faultFree reports whether no node is paused, no link is cut and no message is lost.
+func (s *simulation) faultFree() bool {
+	for _, n := range s.liveNodes() {
 		if n.paused {
 			return false
 		}
 	}
-	return len(w.cuts) == 0 && !w.lossy
+	return len(s.cutLinks) == 0 && !s.lossy
 }
 
-func (w *world) check(t *rapid.T) {
-	if !w.quiet() {
-		// Who is cut off or paused after the notice learns of it late.
-		for _, e := range w.endpoints {
-			e.shownAt = time.Time{}
+func (s *simulation) checkStep(t *rapid.T) {
+	if !s.faultFree() {
+		// An instance that is cut off or paused after the list has changed receives it late.
+		for _, e := range s.endpoints {
+			e.leavingSince = time.Time{}
 		}
 	}
-	w.judge(t)
+	s.failOnViolation(t)
 }
 
-// judge fails with the first violation and the steps before it.
-func (w *world) judge(t *rapid.T) {
-	if len(w.oracle.violations) > 0 {
-		t.Fatalf("%s\n%s", w.oracle.violations[0], strings.Join(w.history, "\n"))
+// failOnViolation fails the test with the first violation and the last steps before it.
+func (s *simulation) failOnViolation(t *rapid.T) {
+	if len(s.oracle.violations) > 0 {
+		t.Fatalf("%s\n%s", s.oracle.violations[0], strings.Join(s.history, "\n"))
 	}
 }
 
-// heal ends every fault and gives the fleet time; then everything must be settled.
-func (w *world) heal(t *rapid.T) {
-	clear(w.cuts)
-	w.lossy, w.kv.down, w.kv.lose, w.leavers = false, false, 0, nil
-	for _, e := range w.endpoints {
-		e.shownAt, e.failLoads = time.Time{}, 0
+// recoverAndCheck ends all faults and lets 60 s pass. Then every request must have an outcome, and every node must have the last revision
+// in force.
+func (s *simulation) recoverAndCheck(t *rapid.T) {
+	clear(s.cutLinks)
+	s.lossy, s.kv.down, s.kv.answersToLose, s.leavingEndpoints = false, false, 0, nil
+	for _, e := range s.endpoints {
+		e.leavingSince, e.failLoads = time.Time{}, 0
 	}
-	for _, n := range w.live() {
+	for _, n := range s.liveNodes() {
 		if n.paused {
 			n.resume()
 		}
 	}
-	for _, n := range w.sortedNodes() {
+	for _, n := range s.sortedNodes() {
 		if n.dead {
-			w.startNode(n.id)
+			s.startNode(n.id)
 		}
 	}
-	w.publishList()
-	w.advance(60 * time.Second)
-	for id, q := range w.requests {
+	s.publishList()
+	s.advance(60 * time.Second)
+	for id, q := range s.requests {
 		if q.done {
 			continue
 		}
-		promise := promiseOwn
-		if q.leftBy {
-			promise = promiseStop
+		guarantee := guaranteeOwnAnswer
+		if q.atStoppingNode {
+			guarantee = guaranteeStop
 		}
-		w.oracle.broken(promise, "%s never got a last word", id)
+		s.oracle.addViolation(guarantee, "%s never got an outcome", id)
 	}
-	for _, n := range w.live() {
-		if n.revision() != w.kv.catalog.Revision {
-			w.oracle.broken(promiseRevision, "%s has %d in force and not %d", n.id, n.revision(), w.kv.catalog.Revision)
+	for _, n := range s.liveNodes() {
+		if n.revision() != s.kv.catalog.Revision {
+			s.oracle.addViolation(guaranteeRevision, "%s has revision %d in force, not %d", n.id, n.revision(), s.kv.catalog.Revision)
 		}
 	}
-	w.judge(t)
+	s.failOnViolation(t)
 }
 
-// property runs one history.
-func property(d node.Defects, traffic trafficDefects, stakes map[string]int) func(*rapid.T) {
+// historyProperty returns a property that runs one random history, ends all faults and adds the check counts to counts.
+func historyProperty(d node.Defects, traffic trafficDefects, counts map[string]int) func(*rapid.T) {
 	return func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"), d, traffic)
-		t.Repeat(w.actions())
-		w.heal(t)
-		for name, count := range w.oracle.stakes {
-			stakes[name] += count
+		s := newSimulation(rapid.Uint64().Draw(t, "seed"), d, traffic)
+		t.Repeat(s.actions())
+		s.recoverAndCheck(t)
+		for name, count := range s.oracle.checkCounts {
+			counts[name] += count
 		}
 	}
 }
 
 const (
-	fixedSeed    = "20261202"
-	shrinkTime   = "100ms"
-	envSeconds   = "SHELFLEDGE_FUZZ_SECONDS"
-	envSeed      = "SHELFLEDGE_FUZZ_SEED"
-	envSteps     = "SHELFLEDGE_FUZZ_STEPS"
-	shortChecks  = "40"
+	// fixedSeed is the seed of the run in the test suite.
+	fixedSeed = "20261202"
+	// shrinkTime bounds how long rapid shrinks a failing history.
+	shrinkTime = "100ms"
+	// Environment variables that set the length of the run, its first seed and the mean number of actions in a history.
+	envSeconds = "SHELFLEDGE_FUZZ_SECONDS"
+	envSeed    = "SHELFLEDGE_FUZZ_SEED"
+	envSteps   = "SHELFLEDGE_FUZZ_STEPS"
+	// historiesPerRun is the number of histories for each seed.
+	historiesPerRun = "40"
+	// defaultSteps is the mean number of actions in a history.
 	defaultSteps = "60"
 )
 
-func setting(name, usual string) string {
+func envOr(name, fallback string) string {
 	if v := os.Getenv(name); v != "" {
 		return v
 	}
-	return usual
+	return fallback
 }
 
-func setFlags(t testing.TB, seed, checks string) {
-	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks, "rapid.steps": setting(envSteps, defaultSteps), "rapid.nofailfile": "true", "rapid.shrinktime": shrinkTime} {
+func setRapidFlags(t testing.TB, seed, checks string) {
+	for name, value := range map[string]string{"rapid.seed": seed, "rapid.checks": checks, "rapid.steps": envOr(envSteps, defaultSteps), "rapid.nofailfile": "true", "rapid.shrinktime": shrinkTime} {
 		require.NoError(t, flag.Set(name, value))
 	}
 }
 
-// TestFleetKeepsItsPromises is the fuzz test: a short run from a fixed seed, or, with
-// SHELFLEDGE_FUZZ_SECONDS set, one after the other until the time is up.
-func TestFleetKeepsItsPromises(t *testing.T) {
-	seconds, err := strconv.Atoi(setting(envSeconds, "0"))
+// TestRandomHistoriesKeepGuarantees is the fuzz test. It runs one round of random histories from a fixed seed, or, with
+// SHELFLEDGE_FUZZ_SECONDS set, rounds of consecutive seeds until that time is over. Each guarantee must have been checked at least once.
+func TestRandomHistoriesKeepGuarantees(t *testing.T) {
+	seconds, err := strconv.Atoi(envOr(envSeconds, "0"))
 	require.NoError(t, err)
-	seed, err := strconv.ParseUint(setting(envSeed, fixedSeed), 10, 64)
+	seed, err := strconv.ParseUint(envOr(envSeed, fixedSeed), 10, 64)
 	require.NoError(t, err)
-	stakes := make(map[string]int)
+	counts := make(map[string]int)
 	until := time.Now().Add(time.Duration(seconds) * time.Second)
 	runs := 0
 	for round := uint64(0); round == 0 || time.Now().Before(until); round++ {
-		setFlags(t, strconv.FormatUint(seed+round, 10), shortChecks)
-		t.Run("seed "+strconv.FormatUint(seed+round, 10), func(t *testing.T) { rapid.Check(t, property(node.Defects{}, trafficDefects{}, stakes)) })
+		setRapidFlags(t, strconv.FormatUint(seed+round, 10), historiesPerRun)
+		t.Run("seed "+strconv.FormatUint(seed+round, 10), func(t *testing.T) { rapid.Check(t, historyProperty(node.Defects{}, trafficDefects{}, counts)) })
 		runs++
 		if t.Failed() {
 			break
 		}
 	}
-	t.Logf("%d histories; how often each promise was at stake:\n%s", runs*40, table(stakes))
-	for _, promise := range []string{promiseVersion, promiseInUse, promiseOwn, promiseNotRun, promiseOnce, promiseLeaving, promiseStop, promiseRevision} {
-		require.Positive(t, stakes[promise], "never at stake: %s", promise)
+	t.Logf("%d histories; checks of each guarantee:\n%s", runs*40, formatCounts(counts))
+	for _, guarantee := range []string{guaranteeVersion, guaranteeInUse, guaranteeOwnAnswer, guaranteeNotRun, guaranteeOnce, guaranteeLeaving, guaranteeStop, guaranteeRevision} {
+		require.Positive(t, counts[guarantee], "guarantee never checked: %s", guarantee)
 	}
 }
--- a/tests/fuzz/kv_test.go
+++ b/tests/fuzz/kv_test.go
@@ -12,58 +12,59 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// fakeKV acts out the key-value service as far as nodes use it: leases with owners,
-// claims, and the configuration's records. It may be down and may lose answers.
+// fakeKV is a fake of the parts of the key-value service that nodes use: leases with the ownership of pools, claims, and the records of
+// the configuration. It can be down, and it can lose answers.
 type fakeKV struct {
-	world  *world
-	down   bool
-	lose   int
-	leases map[string]time.Time
-	// numbers counts the leases of each life.
-	numbers map[string]uint64
-	owners  map[string]string
-	former  map[string]formerOwner
-	claims  map[string]bool
-	catalog *catalog.Catalog
-	records []fleet.Records
+	sim  *simulation
+	down bool
+	// answersToLose is how many of the next answers are lost after the call was carried out.
+	answersToLose int
+	leases        map[string]time.Time
+	// leaseNumbers counts the leases of each run of a node, by fakeNode.lifeID.
+	leaseNumbers map[string]uint64
+	owners       map[string]string
+	lastOwners   map[string]ownerRecord
+	claims       map[string]bool
+	catalog      *catalog.Catalog
+	records      []fleet.Records
 }
 
-// formerOwner is the record of a pool's last owner and of those before that nobody saw end.
-type formerOwner struct {
-	id      string
-	boot    uint64
-	formers []node.FormerOwner
+// ownerRecord is the stored record of a pool's last owner and of the former owners whose end was not confirmed.
+type ownerRecord struct {
+	id           string
+	boot         uint64
+	formerOwners []node.FormerOwner
 }
 
-func newFakeKV(w *world) *fakeKV {
+func newFakeKV(s *simulation) *fakeKV {
 	return &fakeKV{
-		world: w, leases: make(map[string]time.Time), numbers: make(map[string]uint64), owners: make(map[string]string), former: make(map[string]formerOwner),
+		sim: s, leases: make(map[string]time.Time), leaseNumbers: make(map[string]uint64), owners: make(map[string]string), lastOwners: make(map[string]ownerRecord),
 		claims: make(map[string]bool), catalog: catalog.New(),
 	}
 }
 
-// call carries a call to the service and its answer back, each way with a delay; a
-// lost answer means that do was done and answered is never called.
+// call delivers a call to the service and its answer to the node, each with a delay. do carries the call out; then answered runs at the node.
+// If the answer is lost, do has run and failed runs instead of answered; if the service cannot be reached, only failed runs.
 func (k *fakeKV) call(n *fakeNode, do func(), answered, failed func()) {
-	w := k.world
-	w.at(w.now.Add(w.delay()), func() {
-		if k.down || w.isCut(n.id, "kv") {
-			w.atNode(n, w.now.Add(w.delay()), failed)
+	s := k.sim
+	s.schedule(s.now.Add(s.delay()), func() {
+		if k.down || s.isCut(n.id, "kv") {
+			s.scheduleOnNode(n, s.now.Add(s.delay()), failed)
 			return
 		}
 		do()
-		if k.lose > 0 {
-			k.lose--
-			w.atNode(n, w.now.Add(2*time.Second), failed)
+		if k.answersToLose > 0 {
+			k.answersToLose--
+			s.scheduleOnNode(n, s.now.Add(2*time.Second), failed)
 			return
 		}
-		w.atNode(n, w.now.Add(w.delay()), answered)
+		s.scheduleOnNode(n, s.now.Add(s.delay()), answered)
 	})
 }
 
-func (k *fakeKV) lapse() {
+func (k *fakeKV) expireLeases() {
 	for life, until := range k.leases {
-		if k.world.now.After(until) {
+		if k.sim.now.After(until) {
 			delete(k.leases, life)
 			for pool, owner := range k.owners {
 				if owner == life {
@@ -75,35 +76,35 @@
 }
 
 func (k *fakeKV) acquire(n *fakeNode, a node.AcquireOwner) {
-	sent, pool := n.clock(), a.Pool
+	sentAt, pool := n.clock(), a.Pool
 	result := node.OwnerResult{Pool: pool, Term: a.Term}
 	k.call(n, func() {
-		k.lapse()
-		if owner, ok := k.owners[pool]; ok && owner != n.life() {
+		k.expireLeases()
+		if owner, ok := k.owners[pool]; ok && owner != n.lifeID() {
 			return
 		}
-		k.hold(n)
-		k.owners[pool] = n.life()
-		f := k.former[pool]
-		formers := slices.Clone(f.formers)
-		if f.id != "" && (f.id != n.id || f.boot != n.boot) {
-			formers = append(formers, node.FormerOwner{ID: f.id, Boot: f.boot})
+		k.extendLease(n)
+		k.owners[pool] = n.lifeID()
+		last := k.lastOwners[pool]
+		formerOwners := slices.Clone(last.formerOwners)
+		if last.id != "" && (last.id != n.id || last.boot != n.boot) {
+			formerOwners = append(formerOwners, node.FormerOwner{ID: last.id, Boot: last.boot})
 		}
-		result.OK, result.Lease, result.SentAt, result.FormerOwners = true, k.numbers[n.life()], sent, formers
-		k.former[pool] = formerOwner{id: n.id, boot: n.boot, formers: formers}
-	}, func() { n.do(n.node.Owned(n.clock(), result)) }, func() {})
+		result.OK, result.Lease, result.SentAt, result.FormerOwners = true, k.leaseNumbers[n.lifeID()], sentAt, formerOwners
+		k.lastOwners[pool] = ownerRecord{id: n.id, boot: n.boot, formerOwners: formerOwners}
+	}, func() { n.applyEffects(n.node.Owned(n.clock(), result)) }, func() {})
 }
 
-// hold prolongs the lease of a node's life, or begins the next one.
-func (k *fakeKV) hold(n *fakeNode) {
-	if _, ok := k.leases[n.life()]; !ok {
-		k.numbers[n.life()]++
+// extendLease extends the lease of a node's run, or creates the next one if there is none.
+func (k *fakeKV) extendLease(n *fakeNode) {
+	if _, ok := k.leases[n.lifeID()]; !ok {
+		k.leaseNumbers[n.lifeID()]++
 	}
-	k.leases[n.life()] = k.world.now.Add(n.options.Timing.LeaseTTL)
+	k.leases[n.lifeID()] = k.sim.now.Add(n.options.Timing.LeaseTTL)
 }
 
 func (k *fakeKV) release(n *fakeNode, pool string) {
-	life := n.life()
+	life := n.lifeID()
 	k.call(n, func() {
 		if k.owners[pool] == life {
 			delete(k.owners, pool)
@@ -111,30 +112,31 @@
 	}, func() {}, func() {})
 }
 
-func (k *fakeKV) settle(n *fakeNode, pool string) {
+func (k *fakeKV) clearFormerOwners(n *fakeNode, pool string) {
 	k.call(n, func() {
-		if f := k.former[pool]; f.id == n.id && f.boot == n.boot {
-			k.former[pool] = formerOwner{id: n.id, boot: n.boot}
+		if last := k.lastOwners[pool]; last.id == n.id && last.boot == n.boot {
+			k.lastOwners[pool] = ownerRecord{id: n.id, boot: n.boot}
 		}
 	}, func() {}, func() {})
 }
 
 func (k *fakeKV) renew(n *fakeNode) {
-	sent := n.clock()
-	life := n.life()
+	sentAt := n.clock()
+	life := n.lifeID()
 	var result node.LeaseResult
 	k.call(n, func() {
-		k.lapse()
+		k.expireLeases()
 		if _, ok := k.leases[life]; !ok {
-			result = node.LeaseResult{Expired: true, Lease: k.numbers[life]}
+			result = node.LeaseResult{Expired: true, Lease: k.leaseNumbers[life]}
 			return
 		}
-		k.hold(n)
-		result = node.LeaseResult{OK: true, Lease: k.numbers[life], SentAt: sent}
-	}, func() { n.do(n.node.Renewed(n.clock(), result)) }, func() { n.do(n.node.Renewed(n.clock(), node.LeaseResult{})) })
+		k.extendLease(n)
+		result = node.LeaseResult{OK: true, Lease: k.leaseNumbers[life], SentAt: sentAt}
+	}, func() { n.applyEffects(n.node.Renewed(n.clock(), result)) }, func() { n.applyEffects(n.node.Renewed(n.clock(), node.LeaseResult{})) })
 }
 
-// claim claims a once-request; like the real claimer it runs nothing without a sure claim.
+// claim claims a once-request and passes the result to done. As in the real claimer, a failed call counts as no claim, so that the request
+// is not run.
 func (k *fakeKV) claim(n *fakeNode, onceID string, done func(result string)) {
 	result := "taken"
 	k.call(n, func() {
@@ -145,7 +147,7 @@
 	}, func() { done(result) }, func() { done("impossible") })
 }
 
-// commit makes the next revision and tells the node that made it.
+// commit creates the next revision of the configuration and passes its record to the node that requested the change.
 func (k *fakeKV) commit(n *fakeNode, c catalog.Change) {
 	var records fleet.Records
 	k.call(n, func() {
@@ -162,26 +164,26 @@
 		k.records = append(k.records, records)
 	}, func() {
 		if records.Head > 0 {
-			n.do(n.node.ApplyRecords(n.clock(), records))
+			n.applyEffects(n.node.ApplyRecords(n.clock(), records))
 		}
 	}, func() {})
 }
 
-// follow is what the watching instance does: it reads what is new. With stale set the
-// service answers from an old copy.
-func (k *fakeKV) follow(n *fakeNode, stale bool) {
+// sendConfiguration reads the configuration for a node, as the watching instance does. If stale is set, the service answers from an old copy
+// with the first half of the records.
+func (k *fakeKV) sendConfiguration(n *fakeNode, stale bool) {
 	var answer fleet.Records
 	k.call(n, func() {
 		if stale {
-			answer = k.snapshot(int64(len(k.records) / 2))
+			answer = k.snapshotAt(int64(len(k.records) / 2))
 			return
 		}
-		answer = k.snapshot(int64(len(k.records)))
-	}, func() { n.do(n.node.ApplyRecords(n.clock(), answer)) }, func() {})
+		answer = k.snapshotAt(int64(len(k.records)))
+	}, func() { n.applyEffects(n.node.ApplyRecords(n.clock(), answer)) }, func() {})
 }
 
-// snapshot gives the whole configuration at a revision.
-func (k *fakeKV) snapshot(revision int64) fleet.Records {
+// snapshotAt returns the complete configuration at a revision.
+func (k *fakeKV) snapshotAt(revision int64) fleet.Records {
 	h := catalog.NewHistory()
 	c := catalog.New()
 	for _, r := range k.records[:revision] {
--- a/tests/fuzz/node_test.go
+++ b/tests/fuzz/node_test.go
@@ -16,72 +16,74 @@
 	"github.com/shelfledge/shelfledge/services/daemon/routing"
 )
 
-// fakeNode is one instance: a real node with a clock of its own.
+// fakeNode is one run of an instance: a real node with its own clock.
 type fakeNode struct {
-	world    *world
-	id       string
-	hall     string
-	boot     uint64
-	options  node.Options
-	node     *node.Node
-	offset   time.Duration
-	paused   bool
-	backlog  []func()
-	dead     bool
-	leaving  bool
-	watching bool
-	open     map[string]*fakeRequest
+	sim         *simulation
+	id          string
+	hall        string
+	boot        uint64
+	options     node.Options
+	node        *node.Node
+	clockOffset time.Duration
+	paused      bool
+	// backlog holds the functions that are due while the node is paused.
+	backlog      []func()
+	dead         bool
+	leaving      bool
+	watching     bool
+	openRequests map[string]*fakeRequest
 }
 
-func (n *fakeNode) life() string {
+// lifeID identifies this run of the instance, from a start to its end.
+func (n *fakeNode) lifeID() string {
 	return fmt.Sprintf("%s/%d", n.id, n.boot)
 }
 
-// clock gives the node's own time, which differs from all others.
+// clock returns the time of the node's own clock, which is offset from the clocks of other nodes.
 func (n *fakeNode) clock() time.Time {
-	return n.world.now.Add(n.offset)
+	return n.sim.now.Add(n.clockOffset)
 }
 
 func addressOf(id string) netip.AddrPort {
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, id[1] - '0', id[4] - '0'}), 7000)
 }
 
-func instance(id string) fleet.Instance {
+func newInstance(id string) fleet.Instance {
 	return fleet.Instance{ID: id, Hall: id[:2], Address: addressOf(id)}
 }
 
-// startNode begins a new life of an instance with nothing in hand.
-func (w *world) startNode(id string) {
-	w.boots++
+// startNode starts a new run of an instance without any state of former runs.
+func (s *simulation) startNode(id string) {
+	s.bootCount++
 	n := &fakeNode{
-		world: w, id: id, hall: id[:2], boot: w.boots, offset: time.Duration(w.random.IntN(1000)) * time.Hour, open: make(map[string]*fakeRequest),
+		sim: s, id: id, hall: id[:2], boot: s.bootCount, clockOffset: time.Duration(s.random.IntN(1000)) * time.Hour, openRequests: make(map[string]*fakeRequest),
 	}
 	o := placement.DefaultOptions()
 	o.LoadTimeout = 4 * time.Second
 	n.options = node.Options{
-		Self: instance(id), Boot: n.boot, Halls: hallNames, Endpoints: endpointSpecs(),
+		Self: newInstance(id), Boot: n.boot, Halls: hallNames, Endpoints: endpointSpecs(),
 		Classes:   []fleet.Class{{Name: "c", Priority: 5, StallWeight: 1}},
 		Placement: o, Routing: routing.DefaultOptions(), Membership: membership.DefaultOptions(),
-		Budget: budget.Limits{LoadsPerSecond: 20, AtFullSpeed: 6}, Timing: node.DefaultTiming(), Defects: w.defects,
+		Budget: budget.Limits{LoadsPerSecond: 20, AtFullSpeed: 6}, Timing: node.DefaultTiming(), Defects: s.nodeDefects,
 	}
 	n.node = node.New(n.clock(), n.options)
-	w.log("start %s", n.life())
-	w.nodes[id] = n
-	w.scheduleTick(n)
-	w.at(w.now.Add(pollList), func() { w.poll(n) })
+	s.logStep("start %s", n.lifeID())
+	s.nodes[id] = n
+	s.scheduleTick(n)
+	s.schedule(s.now.Add(listPollInterval), func() { s.pollInstanceList(n) })
 }
 
-func (w *world) scheduleTick(n *fakeNode) {
-	w.at(w.now.Add(tick), func() {
+func (s *simulation) scheduleTick(n *fakeNode) {
+	s.schedule(s.now.Add(tickInterval), func() {
 		if n.dead {
 			return
 		}
 		if !n.paused {
-			n.do(n.node.Tick(n.clock()))
+			n.applyEffects(n.node.Tick(n.clock()))
 			n.finishLeaving()
-			w.oracle.inForce(n.life(), n.revision())
+			s.oracle.recordRevision(n.lifeID(), n.revision())
 		}
-		w.scheduleTick(n)
+		s.scheduleTick(n)
 	})
 }
 
@@ -90,12 +92,12 @@
 	return revision
 }
 
-// atNode runs something in a life of a node: not after its end, and not while it is paused.
-func (w *world) atNode(n *fakeNode, at time.Time, run func()) {
-	w.at(at, func() { n.enter(run) })
+// scheduleOnNode schedules a function of a node. It does not run after the node's end, and only after the end of a pause.
+func (s *simulation) scheduleOnNode(n *fakeNode, at time.Time, run func()) {
+	s.schedule(at, func() { n.runWhenActive(run) })
 }
 
-func (n *fakeNode) enter(run func()) {
+func (n *fakeNode) runWhenActive(run func()) {
 	if n.dead {
 		return
 	}
@@ -111,49 +113,49 @@
 	backlog := n.backlog
 	n.backlog = nil
 	for _, run := range backlog {
-		n.enter(run)
+		n.runWhenActive(run)
 	}
 }
 
-// do carries a node's effects out.
-func (n *fakeNode) do(effects []node.Effect) {
-	w := n.world
+// applyEffects carries out the effects of a node.
+func (n *fakeNode) applyEffects(effects []node.Effect) {
+	s := n.sim
 	for _, effect := range effects {
 		switch e := effect.(type) {
 		case node.Send:
-			w.send(n, e.Envelope)
+			s.send(n, e.Envelope)
 		case node.Deliver:
-			w.deliver(n, e)
+			s.deliver(n, e)
 		case node.Reject:
-			w.reject(n, e.RequestID)
+			s.reject(n, e.RequestID)
 		case node.RecordEvent:
-			w.log("%s %s %s %s %s %s: %s", n.id, e.Event.Kind, e.Event.Pool, e.Event.Endpoint, e.Event.Adapter, e.Event.Request, e.Event.Cause)
+			s.logStep("%s %s %s %s %s %s: %s", n.id, e.Event.Kind, e.Event.Pool, e.Event.Endpoint, e.Event.Adapter, e.Event.Request, e.Event.Cause)
 		case node.Take:
-			w.take(n, e)
+			s.take(n, e)
 		case node.Inspect:
-			w.inspect(n, e)
+			s.inspect(n, e)
 		case node.Order:
-			w.order(n, e)
+			s.order(n, e)
 		case node.AcquireOwner:
-			w.kv.acquire(n, e)
+			s.kv.acquire(n, e)
 		case node.ReleaseOwner:
-			w.kv.release(n, e.Pool)
+			s.kv.release(n, e.Pool)
 		case node.SettleOwner:
-			w.kv.settle(n, e.Pool)
+			s.kv.clearFormerOwners(n, e.Pool)
 		case node.RenewLease:
-			w.kv.renew(n)
+			s.kv.renew(n)
 		case node.WatchConfiguration:
 			n.watching = e.On
-			w.watch(n)
+			s.pollConfiguration(n)
 		}
 	}
 }
 
-// watch reads the configuration now and then while the node is its hall's watcher.
-func (w *world) watch(n *fakeNode) {
+// pollConfiguration reads the configuration every 500 ms while the node is the watcher of its hall.
+func (s *simulation) pollConfiguration(n *fakeNode) {
 	if !n.watching || n.dead {
 		return
 	}
-	w.kv.follow(n, false)
-	w.at(w.now.Add(500*time.Millisecond), func() { w.watch(n) })
+	s.kv.sendConfiguration(n, false)
+	s.schedule(s.now.Add(500*time.Millisecond), func() { s.pollConfiguration(n) })
 }
--- a/tests/fuzz/oracle_test.go
+++ b/tests/fuzz/oracle_test.go
@@ -10,76 +10,78 @@
 	"time"
 )
 
-// The promises, as the oracle counts them.
+// The guarantees that the oracle checks.
 const (
-	promiseVersion  = "runs on the adapter and version named"
-	promiseInUse    = "no unload of an adapter in use"
-	promiseOwn      = "one whole answer to its own request"
-	promiseNotRun   = "told not run means not run"
-	promiseOnce     = "once means at most once"
-	promiseLeaving  = "a leaving endpoint gets no new work"
-	promiseStop     = "a planned stop cuts off nothing"
-	promiseRevision = "a configuration never reverts and comes into force"
+	guaranteeVersion   = "a request runs on the adapter and version that it names"
+	guaranteeInUse     = "no adapter in use is unloaded"
+	guaranteeOwnAnswer = "a caller gets one outcome, for its own request"
+	guaranteeNotRun    = "a request reported as not run has not run"
+	guaranteeOnce      = "a once-request runs at most once"
+	guaranteeLeaving   = "a leaving endpoint gets no new requests"
+	guaranteeStop      = "a planned stop interrupts no request"
+	guaranteeRevision  = "a configuration revision takes effect everywhere and never reverts"
 )
 
-// oracle judges by what the fake endpoints ran and what the callers were told, and by
-// nothing else; it knows neither tickets nor fences nor leases.
+// oracle checks the guarantees. It uses only the requests that the fake endpoints ran, the adapters that they unloaded, the outcomes that
+// callers received and the revisions in force; it does not depend on tickets, fences or leases.
 type oracle struct {
-	stakes     map[string]int
-	violations []string
-	started    map[string]int
-	asked      map[string]string
-	once       map[string]int
-	told       map[string]string
-	revisions  map[string]int64
+	// checkCounts is how often each guarantee was checked in a situation in which it could be violated.
+	checkCounts       map[string]int
+	violations        []string
+	starts            map[string]int
+	requestedAdapters map[string]string
+	onceStarts        map[string]int
+	outcomes          map[string]string
+	revisions         map[string]int64
 }
 
 func newOracle() *oracle {
 	return &oracle{
-		stakes: make(map[string]int), started: make(map[string]int), asked: make(map[string]string), once: make(map[string]int),
-		told: make(map[string]string), revisions: make(map[string]int64),
+		checkCounts: make(map[string]int), starts: make(map[string]int), requestedAdapters: make(map[string]string), onceStarts: make(map[string]int),
+		outcomes: make(map[string]string), revisions: make(map[string]int64),
 	}
 }
 
-func (o *oracle) broken(promise, format string, args ...any) {
-	o.violations = append(o.violations, promise+": "+fmt.Sprintf(format, args...))
+func (o *oracle) addViolation(guarantee, format string, args ...any) {
+	o.violations = append(o.violations, guarantee+": "+fmt.Sprintf(format, args...))
 }
 
-func (o *oracle) stake(promise string) {
-	o.stakes[promise]++
+func (o *oracle) countCheck(guarantee string) {
+	o.checkCounts[guarantee]++
 }
 
-// requested notes what a caller asked for.
-func (o *oracle) requested(id, adapter string) {
-	o.asked[id] = adapter
+// recordRequest records the adapter that a caller's request names.
+func (o *oracle) recordRequest(id, adapter string) {
+	o.requestedAdapters[id] = adapter
 }
 
-// ran notes that an endpoint began to run a request.
-func (o *oracle) ran(id, adapter, onceID string) {
-	o.stake(promiseVersion)
-	if o.asked[id] != adapter {
-		o.broken(promiseVersion, "%s asked for %s and ran on %s", id, o.asked[id], adapter)
+// recordStart records that an endpoint started to run a request, and checks whether it may run there.
+func (o *oracle) recordStart(id, adapter, onceID string) {
+	o.countCheck(guaranteeVersion)
+	if o.requestedAdapters[id] != adapter {
+		o.addViolation(guaranteeVersion, "%s requested %s and ran on %s", id, o.requestedAdapters[id], adapter)
 	}
-	o.started[id]++
-	if o.told[id] == outcomeNotRun {
-		o.broken(promiseNotRun, "%s ran after its caller was told that it was not", id)
+	o.starts[id]++
+	if o.outcomes[id] == outcomeNotRun {
+		o.addViolation(guaranteeNotRun, "%s ran after its caller received the outcome not_run", id)
 	}
 	if onceID == "" {
 		return
 	}
-	o.once[onceID]++
-	if o.once[onceID] > 1 {
-		o.broken(promiseOnce, "%s ran %d times", onceID, o.once[onceID])
+	o.onceStarts[onceID]++
+	if o.onceStarts[onceID] > 1 {
+		o.addViolation(guaranteeOnce, "%s ran %d times", onceID, o.onceStarts[onceID])
 	}
 }
 
-// unloaded notes an unload and whether the adapter was running.
-func (o *oracle) unloaded(endpoint, adapter string, running bool, sinceLast time.Duration) {
-	if sinceLast < 5*time.Second {
-		o.stake(promiseInUse)
+// recordUnload checks that an unloaded adapter was not running. The check is counted only if the adapter's last request ended less than 5 s
+// before the unload, or has not ended yet.
+func (o *oracle) recordUnload(endpoint, adapter string, running bool, sinceLastRun time.Duration) {
+	if sinceLastRun < 5*time.Second {
+		o.countCheck(guaranteeInUse)
 	}
 	if running {
-		o.broken(promiseInUse, "%s was unloaded on %s while in use", adapter, endpoint)
+		o.addViolation(guaranteeInUse, "%s was unloaded on %s while in use", adapter, endpoint)
 	}
 }
 
@@ -89,55 +91,55 @@
 	outcomeUnknown  = "unknown"
 )
 
-// answer notes what a caller was told; from names the request whose answer it got.
-func (o *oracle) answer(id, outcome, from string) {
-	if former, ok := o.told[id]; ok {
-		o.broken(promiseOwn, "%s was told %s after %s", id, outcome, former)
+// recordOutcome records and checks the outcome that a caller received. from is the request whose answer the caller got.
+func (o *oracle) recordOutcome(id, outcome, from string) {
+	if previous, ok := o.outcomes[id]; ok {
+		o.addViolation(guaranteeOwnAnswer, "%s received outcome %s after %s", id, outcome, previous)
 	}
-	o.told[id] = outcome
+	o.outcomes[id] = outcome
 	switch outcome {
 	case outcomeAnswered:
-		o.stake(promiseOwn)
+		o.countCheck(guaranteeOwnAnswer)
 		if from != id {
-			o.broken(promiseOwn, "%s got the answer of %s", id, from)
+			o.addViolation(guaranteeOwnAnswer, "%s received the answer of %s", id, from)
 		}
 	case outcomeNotRun:
-		o.stake(promiseNotRun)
-		if o.started[id] > 0 {
-			o.broken(promiseNotRun, "%s ran and its caller was told that it was not", id)
+		o.countCheck(guaranteeNotRun)
+		if o.starts[id] > 0 {
+			o.addViolation(guaranteeNotRun, "%s ran, but its caller received the outcome not_run", id)
 		}
 	}
 }
 
-// onLeaving notes a start on an endpoint that was shown as leaving for so long.
-func (o *oracle) onLeaving(id, endpoint string, shown time.Duration) {
-	const few = 6 * time.Second
-	if shown > few {
-		o.broken(promiseLeaving, "%s was sent to %s, which had been leaving for %s", id, endpoint, shown)
+// checkLeaving checks a start of a request on an endpoint that has been listed as leaving for the time listed.
+func (o *oracle) checkLeaving(id, endpoint string, listed time.Duration) {
+	const limit = 6 * time.Second
+	if listed > limit {
+		o.addViolation(guaranteeLeaving, "%s started on %s, which had been listed as leaving for %s", id, endpoint, listed)
 	}
 }
 
-// inForce notes the revision in force in one life of a node.
-func (o *oracle) inForce(life string, revision int64) {
+// recordRevision records the revision in force at a node. life identifies the run of the node between a start and its end.
+func (o *oracle) recordRevision(life string, revision int64) {
 	if revision < o.revisions[life] {
-		o.broken(promiseRevision, "%s went back from %d to %d", life, o.revisions[life], revision)
+		o.addViolation(guaranteeRevision, "%s reverted from revision %d to %d", life, o.revisions[life], revision)
 	}
 	if revision > o.revisions[life] {
-		o.stake(promiseRevision)
+		o.countCheck(guaranteeRevision)
 	}
 	o.revisions[life] = revision
 }
 
-// table prints how often each promise was at stake.
-func table(stakes map[string]int) string {
-	names := make([]string, 0, len(stakes))
-	for name := range stakes {
+// formatCounts returns a text table of how often each guarantee was checked.
+func formatCounts(counts map[string]int) string {
+	names := make([]string, 0, len(counts))
+	for name := range counts {
 		names = append(names, name)
 	}
 	sort.Strings(names)
 	var b strings.Builder
 	for _, name := range names {
-		fmt.Fprintf(&b, "%9d  %s\n", stakes[name], name)
+		fmt.Fprintf(&b, "%9d  %s\n", counts[name], name)
 	}
 	return b.String()
 }
--- a/tests/fuzz/order_test.go
+++ b/tests/fuzz/order_test.go
@@ -10,81 +10,80 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// lateOrders bounds how many milliseconds an order arrives after its failure was told, a second after it was sent. With
-// that it keeps within the margin of assumption A1 (docs/design/0002).
-const lateOrders = 1900
+// maxOrderDelayMS bounds by how many milliseconds an order arrives after the node was notified of its failure, which happens one second after
+// the order was sent. With this bound the delay stays within the margin of assumption A1 (docs/design/0002).
+const maxOrderDelayMS = 1900
 
-// toEndpoint carries something to an endpoint and its answer back; either may be lost, or arrive after the failure was
-// told.
-func (w *world) toEndpoint(n *fakeNode, e *fakeEndpoint, do func(), answered, failed func()) {
-	w.at(w.now.Add(w.delay()), func() {
-		if w.isCut(n.id, e.spec.Name) {
-			w.atNode(n, w.now.Add(time.Second), failed)
+// callEndpoint delivers a call of a node to an endpoint and the answer to the node. do carries the call out, then answered runs at the node.
+// If the call or the answer is lost, failed runs instead; a lost call may still arrive after failed has run.
+func (s *simulation) callEndpoint(n *fakeNode, e *fakeEndpoint, do func(), answered, failed func()) {
+	s.schedule(s.now.Add(s.delay()), func() {
+		if s.isCut(n.id, e.spec.Name) {
+			s.scheduleOnNode(n, s.now.Add(time.Second), failed)
 			return
 		}
-		if w.lossy && w.random.IntN(25) == 0 {
-			w.atNode(n, w.now.Add(time.Second), failed)
-			w.at(w.now.Add(time.Second+time.Duration(w.random.IntN(lateOrders))*time.Millisecond), do)
+		if s.lossy && s.random.IntN(25) == 0 {
+			s.scheduleOnNode(n, s.now.Add(time.Second), failed)
+			s.schedule(s.now.Add(time.Second+time.Duration(s.random.IntN(maxOrderDelayMS))*time.Millisecond), do)
 			return
 		}
 		do()
-		if w.lossy && w.random.IntN(25) == 0 {
-			w.atNode(n, w.now.Add(time.Second), failed)
+		if s.lossy && s.random.IntN(25) == 0 {
+			s.scheduleOnNode(n, s.now.Add(time.Second), failed)
 			return
 		}
-		w.atNode(n, w.now.Add(w.delay()), answered)
+		s.scheduleOnNode(n, s.now.Add(s.delay()), answered)
 	})
 }
 
-func (w *world) take(n *fakeNode, t node.Take) {
-	e := w.endpoints[t.Endpoint.Name]
+func (s *simulation) take(n *fakeNode, t node.Take) {
+	e := s.endpoints[t.Endpoint.Name]
 	result := node.TakeResult{Pool: t.Pool, Term: t.Term, Inspection: placement.Inspection{Endpoint: e.spec.Name}}
-	holder := n.life()
-	w.toEndpoint(n, e, func() {
-		began := n.clock()
+	holder := n.lifeID()
+	s.callEndpoint(n, e, func() {
+		startedAt := n.clock()
 		if e.spec.ChecksFence {
 			result.Fence = e.fence + 1
 			e.fence, e.holder = result.Fence, holder
 		}
-		w.log("%s obeys %s under %d", e.spec.Name, holder, e.fence)
+		s.logStep("%s is taken by %s with fence %d", e.spec.Name, holder, e.fence)
 		result.OK = true
-		result.Inspection = e.status(began)
-	}, func() { n.do(n.node.Taken(n.clock(), result)) }, func() {
+		result.Inspection = e.inspection(startedAt)
+	}, func() { n.applyEffects(n.node.Taken(n.clock(), result)) }, func() {
 		result.OK = false
-		n.do(n.node.Taken(n.clock(), result))
+		n.applyEffects(n.node.Taken(n.clock(), result))
 	})
 }
 
-func (w *world) inspect(n *fakeNode, i node.Inspect) {
-	e := w.endpoints[i.Endpoint.Name]
-	began := n.clock()
-	in := placement.Inspection{Endpoint: e.spec.Name, StartedAt: began}
-	w.toEndpoint(n, e, func() { in = e.status(began) },
-		func() { n.do(n.node.Inspected(n.clock(), i.Pool, i.Term, in)) },
+func (s *simulation) inspect(n *fakeNode, i node.Inspect) {
+	e := s.endpoints[i.Endpoint.Name]
+	startedAt := n.clock()
+	in := placement.Inspection{Endpoint: e.spec.Name, StartedAt: startedAt}
+	s.callEndpoint(n, e, func() { in = e.inspection(startedAt) },
+		func() { n.applyEffects(n.node.Inspected(n.clock(), i.Pool, i.Term, in)) },
 		func() {
-			n.do(n.node.Inspected(n.clock(), i.Pool, i.Term, placement.Inspection{Endpoint: e.spec.Name, StartedAt: began}))
+			n.applyEffects(n.node.Inspected(n.clock(), i.Pool, i.Term, placement.Inspection{Endpoint: e.spec.Name, StartedAt: startedAt}))
 		})
 }
 
-// order carries out an eviction and a load as the control service does: the right to
-// order is looked at right before each write.
-func (w *world) order(n *fakeNode, o node.Order) {
-	e := w.endpoints[o.Endpoint.Name]
+// order carries out an eviction and a load as the control service does. The deadline of the order is checked immediately before each write.
+func (s *simulation) order(n *fakeNode, o node.Order) {
+	e := s.endpoints[o.Endpoint.Name]
 	l := o.Load
 	result := node.LoadResult{Pool: l.Pool, Term: o.Term, Endpoint: l.Endpoint, Incarnation: l.Incarnation, Adapter: l.Adapter, Result: placement.LoadDone}
 	finish := func(r placement.LoadResult, fenced bool) {
 		result.Result, result.FenceLost = r, fenced
-		n.do(n.node.Loaded(n.clock(), result))
+		n.applyEffects(n.node.Loaded(n.clock(), result))
 	}
-	late := func() bool { return !l.NotAfter.IsZero() && !n.clock().Before(l.NotAfter) }
+	expired := func() bool { return !l.NotAfter.IsZero() && !n.clock().Before(l.NotAfter) }
 	load := func() {
-		if late() {
+		if expired() {
 			finish(placement.LoadFailed, false)
 			return
 		}
 		outcome, fenced := placement.LoadFailed, false
-		w.toEndpoint(n, e, func() {
-			if !e.obeys(l.Incarnation, l.Fence, n.life(), true) {
+		s.callEndpoint(n, e, func() {
+			if !e.accepts(l.Incarnation, l.Fence, n.lifeID(), true) {
 				fenced = true
 				return
 			}
@@ -97,13 +96,13 @@
 		load()
 		return
 	}
-	if late() {
+	if expired() {
 		finish(placement.LoadFailed, false)
 		return
 	}
 	ok, fenced := false, false
-	w.toEndpoint(n, e, func() {
-		if !e.obeys(l.Incarnation, l.Fence, n.life(), true) {
+	s.callEndpoint(n, e, func() {
+		if !e.accepts(l.Incarnation, l.Fence, n.lifeID(), true) {
 			fenced = true
 			return
 		}
--- a/tests/fuzz/restart_test.go
+++ b/tests/fuzz/restart_test.go
@@ -11,20 +11,20 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// restartSeed begins histories of which the 34th broke a promise: an eviction that was ordered before an endpoint's
-// restart was noticed arrived beside a request that was granted after it.
+// restartSeed is the seed of histories of which the 34th violated a guarantee: an eviction that was ordered before an endpoint's restart was
+// detected arrived while a request ran that was granted after the restart.
 const restartSeed = "2"
 
-func TestAnAdapterInUseIsKeptBesideARestart(t *testing.T) {
-	setFlags(t, restartSeed, shortChecks)
-	rapid.Check(t, property(node.Defects{}, trafficDefects{}, make(map[string]int)))
+func TestAdapterInUseIsNotUnloadedAfterEndpointRestart(t *testing.T) {
+	setRapidFlags(t, restartSeed, historiesPerRun)
+	rapid.Check(t, historyProperty(node.Defects{}, trafficDefects{}, make(map[string]int)))
 }
 
-// reloadSeed begins histories of which the 21st broke a promise: an adapter was ordered to be loaded while its slow
-// unload was on its way to the same endpoint, was found resident, and was unloaded in use.
+// reloadSeed is the seed of histories of which the 21st violated a guarantee: a load of an adapter was ordered while its delayed unload was in
+// transit to the same endpoint; the adapter was found resident, and then unloaded while in use.
 const reloadSeed = "20261213"
 
-func TestAnAdapterInUseIsKeptBesideItsLateUnload(t *testing.T) {
-	setFlags(t, reloadSeed, shortChecks)
-	rapid.Check(t, property(node.Defects{}, trafficDefects{}, make(map[string]int)))
+func TestAdapterInUseIsNotUnloadedByDelayedUnload(t *testing.T) {
+	setRapidFlags(t, reloadSeed, historiesPerRun)
+	rapid.Check(t, historyProperty(node.Defects{}, trafficDefects{}, make(map[string]int)))
 }
--- a/tests/fuzz/traffic_test.go
+++ b/tests/fuzz/traffic_test.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/services/daemon/node"
 )
 
-// fakeRequest is one caller's request on its way.
+// fakeRequest is one request of a caller.
 type fakeRequest struct {
 	id      string
 	onceID  string
@@ -22,231 +22,231 @@
 	ticket  fleet.Ticket
 	running bool
 	done    bool
-	leftBy  bool
-	// mayHaveRun is what the real relay keeps: an earlier attempt had an unknown end.
+	// atStoppingNode is set if the request was open at its node when a planned stop of the node began.
+	atStoppingNode bool
+	// mayHaveRun is set once an attempt has ended with an unknown outcome, as in the real relay.
 	mayHaveRun bool
 }
 
+// maxAttempts is the number of attempts after which a request is not submitted again.
 const maxAttempts = 4
 
-// submit sends a request to an instance; a once-request is claimed first.
-func (w *world) submit(n *fakeNode, adapter fleet.AdapterRef, onceID string, length time.Duration) {
-	w.counter++
-	q := &fakeRequest{id: fmt.Sprintf("q%d", w.counter), onceID: onceID, adapter: adapter, entry: n, length: length}
-	w.requests[q.id] = q
-	w.oracle.requested(q.id, adapter.String())
-	n.open[q.id] = q
+// submit submits a request to an instance. A once-request is claimed first.
+func (s *simulation) submit(n *fakeNode, adapter fleet.AdapterRef, onceID string, length time.Duration) {
+	s.requestCount++
+	q := &fakeRequest{id: fmt.Sprintf("q%d", s.requestCount), onceID: onceID, adapter: adapter, entry: n, length: length}
+	s.requests[q.id] = q
+	s.oracle.recordRequest(q.id, adapter.String())
+	n.openRequests[q.id] = q
 	if onceID == "" {
-		w.ask(q)
+		s.submitAttempt(q)
 		return
 	}
-	w.kv.claim(n, onceID, func(result string) {
+	s.kv.claim(n, onceID, func(result string) {
 		switch result {
 		case "claimed":
-			w.ask(q)
+			s.submitAttempt(q)
 		case "taken":
-			w.oracle.stake(promiseOnce)
-			w.finish(q, outcomeUnknown)
+			s.oracle.countCheck(guaranteeOnce)
+			s.finish(q, outcomeUnknown)
 		default:
-			w.finish(q, outcomeNotRun)
+			s.finish(q, outcomeNotRun)
 		}
 	})
 }
 
-func (w *world) ask(q *fakeRequest) {
+func (s *simulation) submitAttempt(q *fakeRequest) {
 	n := q.entry
-	n.do(n.node.Submit(n.clock(), fleet.Request{
+	n.applyEffects(n.node.Submit(n.clock(), fleet.Request{
 		ID: q.id, Caller: "caller", Class: "c", Base: "base", Adapter: q.adapter, PromptTokens: 10, OutputTokens: 10, Once: q.onceID != "",
 		Deadline: n.clock().Add(20 * time.Second), Attempt: q.attempt, Avoid: q.ticket.Endpoint,
 	}))
 }
 
-// deliver is the traffic side of a grant: the ticket's time is looked at right before
-// the request is written, also after a pause.
-func (w *world) deliver(n *fakeNode, d node.Deliver) {
-	q := w.requests[d.RequestID]
+// deliver starts a request with its ticket. The ticket's expiry is checked immediately before the request is written, also after a pause of
+// the node.
+func (s *simulation) deliver(n *fakeNode, d node.Deliver) {
+	q := s.requests[d.RequestID]
 	if q == nil || q.done || q.running {
-		if !w.defects.AcceptOldGrants || q == nil {
-			n.do(n.node.Finish(n.clock(), d.Ticket.ID))
+		if !s.nodeDefects.AcceptOldGrants || q == nil {
+			n.applyEffects(n.node.Finish(n.clock(), d.Ticket.ID))
 			return
 		}
 	}
-	if w.traffic.wrongAdapter && d.Ticket.Adapter.Version == 2 {
+	if s.trafficDefects.wrongAdapter && d.Ticket.Adapter.Version == 2 {
 		d.Ticket.Adapter.Version = 1
 	}
 	q.ticket = d.Ticket
 	q.running = true
-	n.enter(func() {
+	n.runWhenActive(func() {
 		if !n.clock().Before(d.NotAfter) {
-			w.notRun(q)
+			s.retryNotRun(q)
 			return
 		}
-		w.run(n, q, d.Ticket)
+		s.startAttempt(n, q, d.Ticket)
 	})
 }
 
-func (w *world) run(n *fakeNode, q *fakeRequest, t fleet.Ticket) {
-	e := w.endpoints[t.Endpoint]
+func (s *simulation) startAttempt(n *fakeNode, q *fakeRequest, t fleet.Ticket) {
+	e := s.endpoints[t.Endpoint]
 	started := false
-	w.at(w.now.Add(w.delay()), func() {
-		if w.isCut(n.id, e.spec.Name) || n.dead {
-			w.atNode(n, w.now.Add(100*time.Millisecond), func() { w.notRun(q) })
+	s.schedule(s.now.Add(s.delay()), func() {
+		if s.isCut(n.id, e.spec.Name) || n.dead {
+			s.scheduleOnNode(n, s.now.Add(100*time.Millisecond), func() { s.retryNotRun(q) })
 			return
 		}
 		started = e.start(q, t)
 		if !started {
-			w.atNode(n, w.now.Add(w.delay()), func() { w.notRun(q) })
+			s.scheduleOnNode(n, s.now.Add(s.delay()), func() { s.retryNotRun(q) })
 			return
 		}
-		if w.lossy && w.random.IntN(8) == 0 {
-			w.atNode(n, w.now.Add(w.delay()), func() { w.uncertain(q) })
+		if s.lossy && s.random.IntN(8) == 0 {
+			s.scheduleOnNode(n, s.now.Add(s.delay()), func() { s.handleUnknownOutcome(q) })
 		}
 	})
 }
 
-// notRun is an attempt that surely did not run: the ticket goes back, and the request is asked for again.
-func (w *world) notRun(q *fakeRequest) {
+// retryNotRun handles an attempt that certainly did not run: it returns the ticket and submits the request again.
+func (s *simulation) retryNotRun(q *fakeRequest) {
 	n := q.entry
 	if q.done {
 		return
 	}
 	q.running = false
-	n.do(n.node.Finish(n.clock(), q.ticket.ID))
+	n.applyEffects(n.node.Finish(n.clock(), q.ticket.ID))
 	q.attempt++
 	if q.attempt >= maxAttempts {
-		w.finish(q, outcomeNotRun)
+		s.finish(q, outcomeNotRun)
 		return
 	}
-	w.ask(q)
+	s.submitAttempt(q)
 }
 
-// uncertain is an attempt of unknown end, such as a broken connection: a once-request
-// must not be tried again, and its caller is told so.
-func (w *world) uncertain(q *fakeRequest) {
+// handleUnknownOutcome handles an attempt that may have run, for example after a broken connection. A once-request must not be retried and
+// ends with the outcome unknown; other requests are retried.
+func (s *simulation) handleUnknownOutcome(q *fakeRequest) {
 	if q.done {
 		return
 	}
-	w.oracle.stake(promiseNotRun)
+	s.oracle.countCheck(guaranteeNotRun)
 	q.mayHaveRun = true
-	if w.traffic.unknownNotRun {
-		w.finish(q, outcomeNotRun)
+	if s.trafficDefects.unknownNotRun {
+		s.finish(q, outcomeNotRun)
 		return
 	}
-	if q.onceID == "" || w.traffic.retryOnce {
-		w.cancelThen(q, func() { w.notRunAgain(q) })
+	if q.onceID == "" || s.trafficDefects.retryOnce {
+		s.cancelThen(q, func() { s.retryPossiblyRun(q) })
 		return
 	}
-	w.oracle.stake(promiseOnce)
-	w.finish(q, outcomeUnknown)
+	s.oracle.countCheck(guaranteeOnce)
+	s.finish(q, outcomeUnknown)
 }
 
-// notRunAgain repeats a request that may be run twice; its caller is never told "not run" from here on.
-func (w *world) notRunAgain(q *fakeRequest) {
+// retryPossiblyRun retries a request that may run more than once. Its outcome can no longer be not_run.
+func (s *simulation) retryPossiblyRun(q *fakeRequest) {
 	if q.done {
 		return
 	}
 	q.running = false
 	q.attempt++
 	if q.attempt >= maxAttempts {
-		w.finish(q, outcomeUnknown)
+		s.finish(q, outcomeUnknown)
 		return
 	}
-	w.ask(q)
+	s.submitAttempt(q)
 }
 
-// cancelThen ends what may still run on the endpoint, gives the ticket back once the
-// endpoint has said so, and goes on.
-func (w *world) cancelThen(q *fakeRequest, then func()) {
+// cancelThen cancels a request that may still run on its endpoint, returns the ticket after the endpoint has answered, and then calls then.
+func (s *simulation) cancelThen(q *fakeRequest, then func()) {
 	n, t := q.entry, q.ticket
-	e := w.endpoints[t.Endpoint]
-	w.at(w.now.Add(w.delay()), func() {
-		if w.isCut(n.id, e.spec.Name) {
-			w.at(w.now.Add(500*time.Millisecond), func() { n.enter(func() { w.cancelThen(q, then) }) })
+	e := s.endpoints[t.Endpoint]
+	s.schedule(s.now.Add(s.delay()), func() {
+		if s.isCut(n.id, e.spec.Name) {
+			s.schedule(s.now.Add(500*time.Millisecond), func() { n.runWhenActive(func() { s.cancelThen(q, then) }) })
 			return
 		}
 		delete(e.running, q.id)
-		w.atNode(n, w.now.Add(w.delay()), func() {
-			n.do(n.node.Finish(n.clock(), t.ID))
+		s.scheduleOnNode(n, s.now.Add(s.delay()), func() {
+			n.applyEffects(n.node.Finish(n.clock(), t.ID))
 			then()
 		})
 	})
 }
 
-// completed is the endpoint's end of a request: the answer goes to its entry.
-func (w *world) completed(q *fakeRequest) {
-	w.atNode(q.entry, w.now.Add(w.delay()), func() {
+// completeRequest sends the answer of a request from its endpoint to its entry.
+func (s *simulation) completeRequest(q *fakeRequest) {
+	s.scheduleOnNode(q.entry, s.now.Add(s.delay()), func() {
 		if !q.done {
-			w.finish(q, outcomeAnswered)
+			s.finish(q, outcomeAnswered)
 		}
 	})
 }
 
-// broken is a request cut off by its endpoint's restart.
-func (w *world) broken(q *fakeRequest) {
-	w.atNode(q.entry, w.now.Add(w.delay()), func() { w.uncertain(q) })
+// breakRequest notifies the entry of a request that the restart of its endpoint has interrupted.
+func (s *simulation) breakRequest(q *fakeRequest) {
+	s.scheduleOnNode(q.entry, s.now.Add(s.delay()), func() { s.handleUnknownOutcome(q) })
 }
 
-func (w *world) reject(n *fakeNode, id string) {
-	q := w.requests[id]
+func (s *simulation) reject(n *fakeNode, id string) {
+	q := s.requests[id]
 	if q == nil || q.done || q.entry != n {
 		return
 	}
-	w.finish(q, outcomeNotRun)
+	s.finish(q, outcomeNotRun)
 }
 
-// finish tells the caller and gives the ticket back.
-func (w *world) finish(q *fakeRequest, outcome string) {
+// finish records the outcome for the caller and returns the ticket.
+func (s *simulation) finish(q *fakeRequest, outcome string) {
 	n := q.entry
 	q.done = true
-	delete(n.open, q.id)
-	if outcome == outcomeNotRun && q.mayHaveRun && !w.traffic.unknownNotRun {
+	delete(n.openRequests, q.id)
+	if outcome == outcomeNotRun && q.mayHaveRun && !s.trafficDefects.unknownNotRun {
 		outcome = outcomeUnknown
 	}
 	from := q.id
-	if w.traffic.wrongAnswer && w.counter%7 == 0 {
+	if s.trafficDefects.wrongAnswer && s.requestCount%7 == 0 {
 		from = "another"
 	}
-	w.oracle.answer(q.id, outcome, from)
+	s.oracle.recordOutcome(q.id, outcome, from)
 	if !q.running {
 		return
 	}
 	q.running = false
 	if outcome == outcomeAnswered {
-		n.do(n.node.Finish(n.clock(), q.ticket.ID))
+		n.applyEffects(n.node.Finish(n.clock(), q.ticket.ID))
 		return
 	}
-	w.cancelThen(q, func() {})
+	s.cancelThen(q, func() {})
 }
 
-// finishLeaving ends a node that stops by plan once nothing is in flight through it.
+// finishLeaving ends a node in a planned stop when it has no requests in flight.
 func (n *fakeNode) finishLeaving() {
-	if !n.leaving || !n.node.Idle() || len(n.open) > 0 {
+	if !n.leaving || !n.node.Idle() || len(n.openRequests) > 0 {
 		return
 	}
 	n.dead = true
 }
 
-// kill ends a node at once: its connections break, which the endpoints see, and its
-// callers are told nothing.
-func (w *world) kill(n *fakeNode) {
-	if n.leaving && len(n.open) > 0 {
-		// A crash in the middle of a planned stop is a crash.
+// kill ends a node immediately. Its connections break, so that its endpoints cancel its requests after a delay; its callers get no outcome.
+func (s *simulation) kill(n *fakeNode) {
+	if n.leaving && len(n.openRequests) > 0 {
+		// A crash during a planned stop counts as a crash, so open requests are not checked against guaranteeStop.
 		n.leaving = false
 	}
 	n.dead = true
-	for _, e := range w.endpoints {
+	for _, e := range s.endpoints {
 		for id, r := range e.running {
 			if r.request.entry != n {
 				continue
 			}
-			w.at(w.now.Add(w.delay()), func() {
+			s.schedule(s.now.Add(s.delay()), func() {
 				if e.running[id] == r {
 					delete(e.running, id)
 				}
 			})
 		}
 	}
-	for _, q := range n.open {
+	for _, q := range n.openRequests {
 		q.done = true
 	}
 }
