--- a/tests/integration/fleet_test.go
+++ b/tests/integration/fleet_test.go
@@ -24,38 +24,40 @@
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
-// testFleet is a cluster of stand-ins with daemons in front of it, all in one process.
+// testFleet is a cluster of stand-ins for engines, key-value service and platform, with daemons in front of it, all in one process.
 type testFleet struct {
 	t       testing.TB
 	cluster *standin.Cluster
 	daemons map[string]*process.Daemon
-	places  map[string]standin.InstancePlace
-	changes map[string]any
+	// addresses holds the listen addresses of each instance that was started.
+	addresses map[string]standin.InstancePlace
+	// settingsChanges replaces parts of the daemons' default settings.
+	settingsChanges map[string]any
 }
 
-// patience bounds every wait of a test; it decides nothing, save that a hung test fails.
-const patience = 30 * time.Second
+// waitTimeout bounds every wait of a test, so that a test that hangs fails. No result depends on its value otherwise.
+const waitTimeout = 30 * time.Second
 
 func newFleet(t testing.TB, o standin.ClusterOptions, changes map[string]any, ids ...string) *testFleet {
 	c, err := standin.StartCluster(o)
 	require.NoError(t, err)
-	f := &testFleet{t: t, cluster: c, daemons: make(map[string]*process.Daemon), places: make(map[string]standin.InstancePlace), changes: changes}
+	f := &testFleet{t: t, cluster: c, daemons: make(map[string]*process.Daemon), addresses: make(map[string]standin.InstancePlace), settingsChanges: changes}
 	t.Cleanup(f.close)
 	for _, id := range ids {
-		f.start(id)
+		f.startDaemon(id)
 	}
-	f.publish()
+	f.publishList()
 	for _, id := range ids {
 		f.waitReady(id)
 	}
 	return f
 }
 
-// start runs a daemon; its hall is the part of its name before the dash.
-func (f *testFleet) start(id string) {
+// startDaemon starts a daemon. Its hall is the part of the ID before the dash.
+func (f *testFleet) startDaemon(id string) {
 	hall, _, _ := strings.Cut(id, "-")
 	place := standin.Loopback(id, hall)
-	s, err := setting.Parse(id, []byte(f.cluster.SettingsText(place, f.changes)))
+	s, err := setting.Parse(id, []byte(f.cluster.SettingsText(place, f.settingsChanges)))
 	require.NoError(f.t, err)
 	entry, err := log.New(log.Options{Level: "error", Format: "text", Output: io.Discard})
 	require.NoError(f.t, err)
@@ -64,14 +66,14 @@
 	a := d.Addresses()
 	place.Callers, place.Operators, place.Peers = a.Callers, a.Operators, a.Peers
 	f.daemons[id] = d
-	f.places[id] = place
+	f.addresses[id] = place
 }
 
-// publish tells the platform's list of the daemons that run.
-func (f *testFleet) publish(leaving ...string) {
+// publishList sets the platform's instance list to the running daemons and the leaving endpoints.
+func (f *testFleet) publishList(leaving ...string) {
 	var entries []instancelist.Entry
 	for id := range f.daemons {
-		entries = append(entries, standin.ListEntry(f.places[id]))
+		entries = append(entries, standin.ListEntry(f.addresses[id]))
 	}
 	for _, name := range leaving {
 		entries = append(entries, instancelist.Entry{Name: name, Kind: instancelist.KindEndpoint, State: instancelist.StateLeaving})
@@ -80,15 +82,15 @@
 }
 
 func (f *testFleet) waitReady(id string) {
-	f.eventually(func() bool { return f.daemons[id].Ready() }, "daemon %s does not become ready", id)
+	f.waitFor(func() bool { return f.daemons[id].Ready() }, "daemon %s does not become ready", id)
 }
 
-func (f *testFleet) eventually(holds func() bool, format string, args ...any) {
+func (f *testFleet) waitFor(condition func() bool, format string, args ...any) {
 	f.t.Helper()
-	require.Eventually(f.t, holds, patience, 10*time.Millisecond, format, args)
+	require.Eventually(f.t, condition, waitTimeout, 10*time.Millisecond, format, args)
 }
 
-func (f *testFleet) kill(id string) {
+func (f *testFleet) killDaemon(id string) {
 	f.daemons[id].Kill()
 	delete(f.daemons, id)
 }
@@ -100,11 +102,11 @@
 	f.cluster.Close()
 }
 
-// run sends statements to a daemon and gives the answer.
-func (f *testFleet) run(id, text string) operator.RunResponse {
+// runStatements sends operator statements to a daemon and returns the answer.
+func (f *testFleet) runStatements(id, text string) operator.RunResponse {
 	body, err := json.Marshal(operator.RunRequest{Text: text, WaitMS: 10000})
 	require.NoError(f.t, err)
-	q, err := http.NewRequest(http.MethodPost, "http://"+f.places[id].Operators.String()+"/operator/v1/run", bytes.NewReader(body))
+	q, err := http.NewRequest(http.MethodPost, "http://"+f.addresses[id].Operators.String()+"/operator/v1/run", bytes.NewReader(body))
 	require.NoError(f.t, err)
 	q.Header.Set("Authorization", "Bearer "+standin.OperatorKey)
 	resp, err := http.DefaultClient.Do(q)
@@ -115,18 +117,18 @@
 	return out
 }
 
-// createAdapters makes adapters a-0 and on, each with versions one and two, version one live.
+// createAdapters creates count adapters named a-0, a-1 and so on, each with versions 1 and 2, of which version 1 is live.
 func (f *testFleet) createAdapters(id string, count int) {
 	var text strings.Builder
 	for i := range count {
 		fmt.Fprintf(&text, "create adapter a-%d base base-a version 1; create version a-%d@2;\n", i, i)
 	}
-	out := f.run(id, text.String())
+	out := f.runStatements(id, text.String())
 	require.Nil(f.t, out.Error)
-	require.True(f.t, out.Answers[0].Change.InForce(), "not in force: %+v", out.Answers[0].Change.Halls)
+	require.True(f.t, out.Answers[0].Change.InForce(), "change not in force in all halls: %+v", out.Answers[0].Change.Halls)
 }
 
-// send sends a call to an instance and gives the answer.
-func (f *testFleet) send(ctx context.Context, instance string, c standin.Call) standin.Answer {
-	return c.Send(ctx, f.places[instance].Callers.String())
+// sendCall sends a caller's request to an instance and returns the answer.
+func (f *testFleet) sendCall(ctx context.Context, instance string, c standin.Call) standin.Answer {
+	return c.Send(ctx, f.addresses[instance].Callers.String())
 }
--- a/tests/integration/configuration_test.go
+++ b/tests/integration/revision_test.go
@@ -15,7 +15,7 @@
 	f := newFleet(t, standin.DefaultClusterOptions(), nil, "h1-i1", "h1-i2", "h2-i1", "h2-i2")
 	f.createAdapters("h1-i1", 150)
 	for id, d := range f.daemons {
-		f.eventually(func() bool { return d.Control().Revision() == 1 }, "instance %s stays behind", id)
+		f.waitFor(func() bool { return d.Control().Revision() == 1 }, "instance %s does not have revision 1 in force", id)
 	}
 	require.Empty(t, f.cluster.Violations())
 }
--- a/tests/integration/path_test.go
+++ b/tests/integration/serving_test.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
-func TestManyAdaptersAreServedFromFewSlots(t *testing.T) {
+func TestFleetServesMoreAdaptersThanSlots(t *testing.T) {
 	f := newFleet(t, standin.DefaultClusterOptions(), nil, "h1-i1", "h1-i2", "h2-i1")
 	f.createAdapters("h1-i1", 40)
 	instances := []string{"h1-i1", "h1-i2", "h2-i1"}
@@ -26,7 +26,7 @@
 			id := fmt.Sprintf("r-%d", i)
 			version := 1 + i%2
 			c := standin.Call{ID: id, Model: fmt.Sprintf("a-%d@%d", i%40, version), Class: "kiosk", Caller: "test", Tokens: 8, Whole: i%5 == 0}
-			a := f.send(context.Background(), instances[i%3], c)
+			a := f.sendCall(context.Background(), instances[i%3], c)
 			require.NoError(t, a.Err)
 			require.Equal(t, 200, a.Status, a.Failure)
 			require.True(t, a.Done)
