--- a/tests/capacity/entry_peak_test.go
+++ b/tests/capacity/entry_peak_test.go
@@ -231,12 +231,12 @@
 }
 
 // apply puts a configuration in force as the coordinator does, then prints the memory peak.
-func (f *configurationState) apply(items []store.Item) {
+func (s *configurationState) apply(items []store.Item) {
 	for _, item := range items {
-		if !f.keys.Put(item) {
+		if !s.keys.Put(item) {
 			panic("configuration item is not newer than the stored one")
 		}
-		f.current = parseConfiguration(item.Value)
+		s.current = parseConfiguration(item.Value)
 	}
 	printPeak()
 }
--- a/tests/capacity/entry_process_test.go
+++ b/tests/capacity/entry_process_test.go
@@ -107,12 +107,12 @@
 // metricsPage is the text of the metrics endpoint of one process.
 type metricsPage string
 
-func (f metricsPage) hasValue(name string, value int) bool {
-	return strings.Contains(string(f), fmt.Sprintf("\nshelfledge_%s %d\n", name, value))
+func (p metricsPage) hasValue(name string, value int) bool {
+	return strings.Contains(string(p), fmt.Sprintf("\nshelfledge_%s %d\n", name, value))
 }
 
-func (f metricsPage) requireValue(name string, value int) {
-	if !f.hasValue(name, value) {
+func (p metricsPage) requireValue(name string, value int) {
+	if !p.hasValue(name, value) {
 		panic(fmt.Sprintf("metric %s is not %d", name, value))
 	}
 }
--- a/tests/capacity/slopes_test.go
+++ b/tests/capacity/slopes_test.go
@@ -50,7 +50,7 @@
 	{"claims in one write", "concurrent callers", "claims", []int{1, 8, 16, 32}, 32, claimsPerWrite},
 }
 
-// BenchmarkCapacity logs each cost at its sizes and the line fitted through the results.
+// BenchmarkCapacity logs each cost at its sizes, with the line fitted through the results and the cost that the line gives for the target.
 func BenchmarkCapacity(b *testing.B) {
 	for _, m := range measurements {
 		b.Run(m.name, func(b *testing.B) {
@@ -298,7 +298,7 @@
 		f.runTimed(entryNode, func() []node.Effect { return entryNode.node.Submit(f.now, request) })
 	}
 	cost := func(after *simNode, before simNode) simNode {
-		// The second span is as long as the first, in which the node was idle, so the idle cost is subtracted once more.
+		// No requests were sent in the first span, which is as long as the second: its cost is the idle cost of the second span.
 		idle := before.cpuTime
 		return simNode{
 			cpuTime: max(0, after.cpuTime-before.cpuTime-idle) / (span / time.Second),
--- a/tests/fuzz/simulation_test.go
+++ b/tests/fuzz/simulation_test.go
@@ -16,13 +16,14 @@
 
 // simulation runs several real nodes on simulated time and messages, with fakes of the endpoints and of the key-value service.
 type simulation struct {
-	now            time.Time
-	random         *rand.Rand
-	events         timeline.Timeline
-	oracle         *oracle
-	nodes          map[string]*fakeNode
-	endpoints      map[string]*fakeEndpoint
-	kv             *fakeKV
+	now       time.Time
+	random    *rand.Rand
+	events    timeline.Timeline
+	oracle    *oracle
+	nodes     map[string]*fakeNode
+	endpoints map[string]*fakeEndpoint
+	kv        *fakeKV
+	// cutLinks holds the links that are cut. The key is the two names, joined by "|".
 	cutLinks       map[string]bool
 	requests       map[string]*fakeRequest
 	nodeDefects    node.Defects
