--- a/tests/pinned/entry/encoded_test.go
+++ b/tests/pinned/entry/encoded_test.go
@@ -16,36 +16,36 @@
 	"github.com/stretchr/testify/require"
 )
 
-// encodedType is a type of the program that is found by the names that it is encoded with.
+// encodedType is a type of the program, identified by the encoded names of its fields.
 type encodedType struct {
 	directory string
 	pkg       string
 	name      string
 }
 
-// findType gives the one struct whose fields are encoded in MessagePack by just these names.
+// findType returns the only struct whose fields have exactly these names in MessagePack.
 func findType(t *testing.T, names ...string) encodedType {
 	t.Helper()
-	wanted := sortedLines(names)
+	wanted := sortedUniqueLines(names)
 	var found []encodedType
-	for _, file := range sources(t) {
+	for _, file := range parsedSources(t) {
 		for _, declaration := range file.tree.Decls {
 			types, ok := declaration.(*ast.GenDecl)
 			if !ok {
 				continue
 			}
-			for _, one := range types.Specs {
-				specification, ok := one.(*ast.TypeSpec)
+			for _, spec := range types.Specs {
+				specification, ok := spec.(*ast.TypeSpec)
 				if !ok {
 					continue
 				}
-				if structure, ok := specification.Type.(*ast.StructType); ok && sortedLines(encodedNames(structure)) == wanted {
+				if structure, ok := specification.Type.(*ast.StructType); ok && sortedUniqueLines(encodedNames(structure)) == wanted {
 					found = append(found, encodedType{directory: file.directory, pkg: file.tree.Name.Name, name: specification.Name.Name})
 				}
 			}
 		}
 	}
-	require.Len(t, found, 1, "types of the program that are encoded with the names %v", names)
+	require.Len(t, found, 1, "want exactly one struct type with the encoded names %v", names)
 	return found[0]
 }
 
@@ -54,33 +54,34 @@
 	for _, field := range structure.Fields.List {
 		tag := ""
 		if field.Tag != nil {
-			tag, _ = literal(field.Tag)
+			tag, _ = stringLiteral(field.Tag)
 		}
 		name, _, _ := strings.Cut(reflect.StructTag(tag).Get("msgpack"), ",")
 		if name != "" {
 			names = append(names, name)
 			continue
 		}
-		for _, one := range field.Names {
-			names = append(names, one.Name)
+		for _, ident := range field.Names {
+			names = append(names, ident.Name)
 		}
 	}
 	return names
 }
 
-// driver builds the program with the file laid over a type's package that prints its examples.
-func driver(t *testing.T, identity string, of encodedType) func(environment ...string) string {
+// buildDriver builds the program with testdata/driver/driver.go.txt added to the type's package by a build overlay, and
+// returns a function that runs this program and returns its output: the examples of the type.
+func buildDriver(t *testing.T, identity string, target encodedType) func(environment ...string) string {
 	t.Helper()
-	content := strings.NewReplacer("PACKAGE", of.pkg, "IDENTITY", identity, "TYPE{}", of.name+"{}", "new(TYPE)", "new("+of.name+")").
-		Replace(string(input(t, filepath.Join("driver", "driver.go.txt"))))
+	content := strings.NewReplacer("PACKAGE", target.pkg, "IDENTITY", identity, "TYPE{}", target.name+"{}", "new(TYPE)", "new("+target.name+")").
+		Replace(string(readTestdata(t, filepath.Join("driver", "driver.go.txt"))))
 	directory := t.TempDir()
 	source, overlay, binary := filepath.Join(directory, "driver.go"), filepath.Join(directory, "overlay.json"), filepath.Join(directory, "program")
 	require.NoError(t, os.WriteFile(source, []byte(content), 0o600))
-	encoded, err := json.Marshal(map[string]any{"Replace": map[string]string{filepath.Join(of.directory, "zz_pinned.go"): source}})
+	encoded, err := json.Marshal(map[string]any{"Replace": map[string]string{filepath.Join(target.directory, "zz_pinned.go"): source}})
 	require.NoError(t, err)
 	require.NoError(t, os.WriteFile(overlay, encoded, 0o600))
 	build := exec.Command("go", "build", "-overlay", overlay, "-o", binary, program)
-	build.Dir = root(t)
+	build.Dir = moduleRoot(t)
 	output, err := build.CombinedOutput()
 	require.NoError(t, err, "%s", output)
 	return func(environment ...string) string {
@@ -92,28 +93,28 @@
 	}
 }
 
-// checkDecoding decodes the pinned bytes and demands the same bytes when they are encoded again.
-func checkDecoding(t *testing.T, file string, run func(environment ...string) string) {
+// checkRoundTrip checks that decoding and re-encoding each example of the golden file gives the same bytes.
+func checkRoundTrip(t *testing.T, file string, run func(environment ...string) string) {
 	t.Helper()
-	for _, line := range strings.Split(string(input(t, file)), "\n") {
+	for _, line := range strings.Split(string(readTestdata(t, file)), "\n") {
 		fields := strings.SplitN(line, " ", 3)
 		require.Len(t, fields, 3)
-		require.Equal(t, "again "+fields[1]+" "+fields[2]+"\n", run("PINNED_HEX="+fields[1]), "decoded and encoded again: %s", fields[0])
+		require.Equal(t, "again "+fields[1]+" "+fields[2]+"\n", run("PINNED_HEX="+fields[1]), "%s decoded and encoded again", fields[0])
 	}
 }
 
-// TestPeerMessages pins one example of each message between instances.
+// TestPeerMessages compares one example of each message between instances with the golden file.
 func TestPeerMessages(t *testing.T) {
 	t.Parallel()
-	run := driver(t, "message", findType(t, "r", "v", "q", "s", "l", "u", "t"))
-	pin(t, "peer_messages.txt", run("PINNED_EACH=1"))
-	checkDecoding(t, "peer_messages.txt", run)
+	run := buildDriver(t, "message", findType(t, "r", "v", "q", "s", "l", "u", "t"))
+	checkGolden(t, "peer_messages.txt", run("PINNED_EACH=1"))
+	checkRoundTrip(t, "peer_messages.txt", run)
 }
 
-// TestPlannerRecord pins the record of the planner in the store.
+// TestPlannerRecord compares the planner's record in the store with the golden file.
 func TestPlannerRecord(t *testing.T) {
 	t.Parallel()
-	run := driver(t, "record", findType(t, "Holder", "Address", "Term", "Ordering", "Released", "Former", "RecentLoads", "Earlier"))
-	pin(t, "planner_record.txt", run())
-	checkDecoding(t, "planner_record.txt", run)
+	run := buildDriver(t, "record", findType(t, "Holder", "Address", "Term", "Ordering", "Released", "Former", "RecentLoads", "Earlier"))
+	checkGolden(t, "planner_record.txt", run())
+	checkRoundTrip(t, "planner_record.txt", run)
 }
--- a/tests/pinned/entry/peer_test.go
+++ b/tests/pinned/entry/peer_test.go
@@ -22,7 +22,7 @@
 	"github.com/vmihailenco/msgpack/v5"
 )
 
-// sendFrame sends a message as an instance of any version does: its length, then MessagePack.
+// sendFrame sends a message in the format of all versions of the program: its length, then its MessagePack encoding.
 func sendFrame(conn net.Conn, message any) error {
 	body, err := msgpack.Marshal(message)
 	if err != nil {
@@ -48,8 +48,8 @@
 	return message, err
 }
 
-// askPeer sends one message to the program's port for peers and gives the answer.
-func (r *running) askPeer(message any) map[string]any {
+// queryPeer sends one message to the program's peer port and returns the response.
+func (r *programRun) queryPeer(message any) map[string]any {
 	r.t.Helper()
 	conn, err := net.Dial("tcp4", r.ports.ip+":"+r.ports.peers)
 	require.NoError(r.t, err)
@@ -60,56 +60,56 @@
 	return answer
 }
 
-// peerViews gives what the program as planner tells a peer that asks and a member that reports.
-func (r *running) peerViews() string {
+// queryViews returns the views that the program as planner sends in response to a peer's query and to a member's report.
+func (r *programRun) queryViews() string {
 	var asked map[string]any
-	r.waitFor("what was loaded is on offer", func() bool {
-		asked = r.askPeer(map[string]any{"q": map[string]any{"i": "peer"}})
-		return strings.Contains(encode(asked), `[["base",[["a1",1]]]]`) && !strings.Contains(encode(asked), `["a0",1]`)
+	r.waitFor("the planner's view has the loaded adapter and no longer the unloaded one", func() bool {
+		asked = r.queryPeer(map[string]any{"q": map[string]any{"i": "peer"}})
+		return strings.Contains(encodeJSON(asked), `[["base",[["a1",1]]]]`) && !strings.Contains(encodeJSON(asked), `["a0",1]`)
 	})
-	member := r.askPeer(map[string]any{"r": map[string]any{"i": "peer", "w": 0, "c": 0, "k": 0}})
-	return "asked " + plain(asked) + "\nmember " + plain(member) + "\n"
+	member := r.queryPeer(map[string]any{"r": map[string]any{"i": "peer", "w": 0, "c": 0, "k": 0}})
+	return "asked " + normalizeMessage(asked) + "\nmember " + normalizeMessage(member) + "\n"
 }
 
-// plain gives a message as text, without what differs from run to run: ages, revisions, numbers of views, addresses, and
-// the places of what has no order.
-func plain(message map[string]any) string {
+// normalizeMessage returns a message as JSON with masked ages, revisions, view numbers and addresses, since these differ from run to
+// run. Lists without a defined order are sorted.
+func normalizeMessage(message map[string]any) string {
 	for _, content := range message {
 		fields, ok := content.(map[string]any)
 		if !ok {
 			continue
 		}
-		// The totals' age is left out where it is zero, which is so where the view was made in the moment of the report that it answers;
-		// peer_messages.txt pins it.
+		// The encoding omits the age of the totals when it is zero, which happens when the view is built at the time of the report that it
+		// answers. The golden file peer_messages.txt covers this field.
 		delete(fields, "ta")
 		for name, value := range fields {
-			fields[name] = plainField(name, value)
+			fields[name] = normalizeField(name, value)
 		}
 	}
-	return encode(message)
+	return encodeJSON(message)
 }
 
-func plainField(name string, value any) any {
+func normalizeField(name string, value any) any {
 	switch name {
 	case "g", "k", "c", "y", "w", "m", "sq", "du":
 		return "NUMBER"
 	case "z":
-		return planner(value)
+		return maskPlannerAddress(value)
 	case "j":
 		backlogs, _ := value.(map[string]any)
 		for service := range backlogs {
 			backlogs[service] = "NUMBER"
 		}
 	case "e":
-		return sorted(value, func(one any) any {
+		return sortedElements(value, func(one any) any {
 			fields, _ := one.([]any)
 			if len(fields) > 3 {
-				fields[1], fields[3] = "REVISION", address(fields[3])
+				fields[1], fields[3] = "REVISION", formatAddress(fields[3])
 			}
 			return fields
 		})
 	case "o":
-		return sorted(value, func(one any) any {
+		return sortedElements(value, func(one any) any {
 			fields, _ := one.(map[string]any)
 			fields["Revision"] = "REVISION"
 			fields["Value"] = fmt.Sprintf("%T", fields["Value"])
@@ -119,56 +119,56 @@
 	return value
 }
 
-func address(value any) any {
-	var one netip.AddrPort
-	if encoded, ok := value.([]byte); !ok || one.UnmarshalBinary(encoded) != nil {
+func formatAddress(value any) any {
+	var parsed netip.AddrPort
+	if encoded, ok := value.([]byte); !ok || parsed.UnmarshalBinary(encoded) != nil {
 		return value
 	}
-	return "ADDRESS of " + one.Addr().String()
+	return "ADDRESS of " + parsed.Addr().String()
 }
 
-// planner gives an instance's address as text; each run has another one.
-func planner(value any) any {
-	if _, isText := address(value).(string); !isText {
+// maskPlannerAddress masks the planner's address, which differs from run to run.
+func maskPlannerAddress(value any) any {
+	if _, isText := formatAddress(value).(string); !isText {
 		return value
 	}
 	return "ADDRESS"
 }
 
-func sorted(value any, each func(any) any) any {
+func sortedElements(value any, normalize func(any) any) any {
 	list, ok := value.([]any)
 	if !ok {
 		return value
 	}
 	texts := make([]string, 0, len(list))
-	for _, one := range list {
-		texts = append(texts, encode(each(one)))
+	for _, element := range list {
+		texts = append(texts, encodeJSON(normalize(element)))
 	}
 	slices.Sort(texts)
 	return json.RawMessage("[" + strings.Join(texts, ",") + "]")
 }
 
-// otherPlanner plays the planner that the program follows.
-type otherPlanner struct {
+// fakePlanner is a fake planner that the program follows.
+type fakePlanner struct {
 	listener net.Listener
-	run      *running
+	run      *programRun
 	reports  chan map[string]any
 	view     map[string]any
 }
 
-// planElsewhere writes a record of a planner that this test plays.
-func (r *running) planElsewhere(view func(endpoints []byte) map[string]any) *otherPlanner {
+// startFakePlanner starts a fake planner and writes its record to the store.
+func (r *programRun) startFakePlanner(view func(endpoints []byte) map[string]any) *fakePlanner {
 	r.t.Helper()
-	listener, err := net.Listen("tcp4", newAddress()+":0")
+	listener, err := net.Listen("tcp4", newLoopbackAddress()+":0")
 	require.NoError(r.t, err)
 	r.t.Cleanup(func() { _ = listener.Close() })
-	p := &otherPlanner{listener: listener, run: r, reports: make(chan map[string]any, 10000), view: view(binaryAddress(r.t, r.endpoints.Listener.Addr().String()))}
+	p := &fakePlanner{listener: listener, run: r, reports: make(chan map[string]any, 10000), view: view(encodeAddress(r.t, r.endpoints.Listener.Addr().String()))}
 	record, err := msgpack.Marshal(map[string]any{
-		"Holder": "entry-x", "Address": binaryAddress(r.t, listener.Addr().String()), "Term": 7, "Ordering": true, "Released": false,
+		"Holder": "entry-x", "Address": encodeAddress(r.t, listener.Addr().String()), "Term": 7, "Ordering": true, "Released": false,
 		"Former": "entry-y", "RecentLoads": 0,
 	})
 	require.NoError(r.t, err)
-	body := encode(map[string]any{
+	body := encodeJSON(map[string]any{
 		"expected_count": []any{}, "remove": []any{},
 		"put": []any{
 			map[string]any{"private_key": "shelfledge/planner", "value": record, "lease": 0},
@@ -183,14 +183,14 @@
 	return p
 }
 
-func binaryAddress(t *testing.T, text string) []byte {
+func encodeAddress(t *testing.T, text string) []byte {
 	t.Helper()
 	encoded, err := netip.MustParseAddrPort(text).MarshalBinary()
 	require.NoError(t, err)
 	return encoded
 }
 
-func (p *otherPlanner) serve() {
+func (p *fakePlanner) serve() {
 	conn, err := p.listener.Accept()
 	if err != nil {
 		return
@@ -208,8 +208,9 @@
 	}
 }
 
-// reported waits for a report with a field that says something of an endpoint or service, and gives what it says.
-func (p *otherPlanner) reported(field, about string) string {
+// waitForReport waits for a report in which an element of the list field contains the text about, such as the id of an endpoint or
+// service, and returns this element as JSON.
+func (p *fakePlanner) waitForReport(field, about string) string {
 	p.run.t.Helper()
 	deadline := time.After(10 * time.Second)
 	for {
@@ -218,23 +219,23 @@
 			report, _ := message["r"].(map[string]any)
 			list, _ := report[field].([]any)
 			for _, one := range list {
-				if text := encode(one); strings.Contains(text, about) {
+				if text := encodeJSON(one); strings.Contains(text, about) {
 					return text
 				}
 			}
 		case <-deadline:
-			require.FailNow(p.run.t, "no report has the field", "%s; log:\n%s", field, strings.Join(p.run.lines(), "\n"))
+			require.FailNow(p.run.t, "no report with the expected field within 10 s", "%s; log:\n%s", field, strings.Join(p.run.lines(), "\n"))
 		}
 	}
 }
 
-// TestAFollower pins what an instance reads from a planner's view, and what it reports.
+// TestAFollower checks what an instance that follows a planner reads from the planner's view, and what it reports.
 func TestAFollower(t *testing.T) {
 	t.Parallel()
-	r := newRunning(t)
+	r := newProgramRun(t)
 	r.store.Put("op/config", json.RawMessage(`{"version": 1}`))
-	configuration := input(t, "configuration.json")
-	planner := r.planElsewhere(func(endpoints []byte) map[string]any {
+	configuration := readTestdata(t, "configuration.json")
+	planner := r.startFakePlanner(func(endpoints []byte) map[string]any {
 		endpoint := func(id, service string, models []any) []any {
 			return []any{id, 5000, service, endpoints, "hall-1", 8, 0, models}
 		}
@@ -252,22 +253,22 @@
 		}
 	})
 	r.start()
-	r.waitFor("the configuration of the view is in force", func() bool { return r.logged(`"version":3`) })
+	r.waitFor("the configuration of the view is in force", func() bool { return r.hasLogged(`"version":3`) })
 	model := map[string]string{"X-Model": "base/a1"}
 	var answers string
 	r.waitFor("the endpoints of the view are used", func() bool {
-		answers = r.ask("plain", http.MethodGet, "/ok/x", "", nil)
+		answers = r.sendRequest("plain", http.MethodGet, "/ok/x", "", nil)
 		return strings.Contains(answers, "e-ok answers")
 	})
-	answers += r.ask("adapter", http.MethodPost, "/chat/x", "prompt", model)
-	answers += r.ask("adapter not loaded", http.MethodPost, "/dear/x", "prompt", model)
-	demand := regexp.MustCompile(`,?"[ntw]":-?\d+`).ReplaceAllString(planner.reported("d", "s-dear"), "")
-	go r.ask("model", http.MethodPost, "/chat/hold", "prompt", model)
-	r.waitFor("the held request arrived", func() bool { return r.saw("POST /chat/hold") })
-	inUse, inFlight := planner.reported("u", "e-model"), planner.reported("f", "e-model")
-	known := r.askPeer(map[string]any{"q": map[string]any{"i": "peer"}})
-	pin(t, "follower.txt", answers+r.requests()+fmt.Sprintf("in flight %s\nin use %s\ndemand %s\nknown %s\n",
-		inFlight, inUse, demand, plain(known)))
-	_, code := r.end()
+	answers += r.sendRequest("adapter", http.MethodPost, "/chat/x", "prompt", model)
+	answers += r.sendRequest("adapter not loaded", http.MethodPost, "/dear/x", "prompt", model)
+	demand := regexp.MustCompile(`,?"[ntw]":-?\d+`).ReplaceAllString(planner.waitForReport("d", "s-dear"), "")
+	go r.sendRequest("model", http.MethodPost, "/chat/hold", "prompt", model)
+	r.waitFor("the endpoint received the held request", func() bool { return r.hasReceived("POST /chat/hold") })
+	inUse, inFlight := planner.waitForReport("u", "e-model"), planner.waitForReport("f", "e-model")
+	known := r.queryPeer(map[string]any{"q": map[string]any{"i": "peer"}})
+	checkGolden(t, "follower.txt", answers+r.formatReceived()+fmt.Sprintf("in flight %s\nin use %s\ndemand %s\nknown %s\n",
+		inFlight, inUse, demand, normalizeMessage(known)))
+	_, code := r.stop()
 	assert.Zero(t, code)
 }
--- a/tests/pinned/entry/pin_test.go
+++ b/tests/pinned/entry/pin_test.go
@@ -16,10 +16,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the pinned files anew")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// pin compares a text with the pinned file of that name; a missing file is a failure.
-func pin(t *testing.T, name, got string) {
+// checkGolden compares got with the golden file of that name. A missing file is a failure.
+func checkGolden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name)
 	if *update {
@@ -29,40 +29,40 @@
 	want, err := os.ReadFile(path)
 	require.NoError(t, err)
 	if string(want) != got {
-		assert.Fail(t, "what others see has changed", "%s:\n%s", path, difference(string(want), got))
+		assert.Fail(t, "output differs from golden file", "%s:\n%s", path, diffLines(string(want), got))
 	}
 }
 
-// difference gives the lines that only one of two texts has.
-func difference(want, got string) string {
-	var all strings.Builder
-	wanted, given := strings.Split(want, "\n"), strings.Split(got, "\n")
-	for _, line := range wanted {
-		if !slices.Contains(given, line) {
-			all.WriteString("pinned: " + line + "\n")
+// diffLines returns the lines that occur in only one of the two texts.
+func diffLines(want, got string) string {
+	var diff strings.Builder
+	wantLines, gotLines := strings.Split(want, "\n"), strings.Split(got, "\n")
+	for _, line := range wantLines {
+		if !slices.Contains(gotLines, line) {
+			diff.WriteString("want: " + line + "\n")
 		}
 	}
-	for _, line := range given {
-		if !slices.Contains(wanted, line) {
-			all.WriteString("now:    " + line + "\n")
+	for _, line := range gotLines {
+		if !slices.Contains(wantLines, line) {
+			diff.WriteString("got:  " + line + "\n")
 		}
 	}
-	if all.Len() == 0 {
-		return "the same lines in another order or number\n" + got
+	if diff.Len() == 0 {
+		return "same lines, but in a different order or number\n" + got
 	}
-	return all.String()
+	return diff.String()
 }
 
-// input reads a fixed input file.
-func input(t *testing.T, name string) []byte {
+// readTestdata returns the content of a file under testdata without surrounding white space.
+func readTestdata(t *testing.T, name string) []byte {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
 	return bytes.TrimSpace(content)
 }
 
-// sortedLines gives different lines in order, each ended by a line feed.
-func sortedLines(lines []string) string {
+// sortedUniqueLines sorts the lines, removes duplicates and ends each line with a line feed.
+func sortedUniqueLines(lines []string) string {
 	lines = slices.Clone(lines)
 	slices.Sort(lines)
 	return strings.Join(slices.Compact(lines), "\n") + "\n"
--- a/tests/pinned/entry/program_test.go
+++ b/tests/pinned/entry/program_test.go
@@ -20,51 +20,51 @@
 	"github.com/stretchr/testify/require"
 )
 
-// addresses counts the loopback addresses that this test process has used.
-var addresses atomic.Int64
+// addressCount is the number of loopback addresses that this test process has used.
+var addressCount atomic.Int64
 
-// newAddress gives a loopback address that no other run uses, be it of this test process or of another: a
-// port that was found free there stays free until the program listens on it.
-func newAddress() string {
+// newLoopbackAddress returns a loopback address that no other run uses, neither in this test process nor in another one.
+// A port that was found free on it therefore stays free until the program listens on it.
+func newLoopbackAddress() string {
 	process := os.Getpid()
-	return fmt.Sprintf("127.%d.%d.%d", 100+addresses.Add(1)%100, process>>8&0xff, process&0xff)
+	return fmt.Sprintf("127.%d.%d.%d", 100+addressCount.Add(1)%100, process>>8&0xff, process&0xff)
 }
 
 var (
 	buildOnce  sync.Once
-	builtFile  string
+	builtPath  string
 	builtError error
 )
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if builtFile != "" {
-		_ = os.RemoveAll(filepath.Dir(builtFile))
+	if builtPath != "" {
+		_ = os.RemoveAll(filepath.Dir(builtPath))
 	}
 	os.Exit(code)
 }
 
-// builtProgram builds the program once.
-func builtProgram(t *testing.T) string {
+// buildProgram builds the program on the first call and returns the path of the executable.
+func buildProgram(t *testing.T) string {
 	t.Helper()
-	directory := root(t)
+	directory := moduleRoot(t)
 	buildOnce.Do(func() {
 		var target string
 		if target, builtError = os.MkdirTemp("", "shelfledge-entry"); builtError != nil {
 			return
 		}
-		builtFile = filepath.Join(target, "shelfledge-entry")
-		build := exec.Command("go", "build", "-o", builtFile, program)
+		builtPath = filepath.Join(target, "shelfledge-entry")
+		build := exec.Command("go", "build", "-o", builtPath, program)
 		build.Dir = directory
 		if output, err := build.CombinedOutput(); err != nil {
 			builtError = fmt.Errorf("%w: %s", err, output)
 		}
 	})
 	require.NoError(t, builtError)
-	return builtFile
+	return builtPath
 }
 
-// ports are free ports for one run of the program.
+// ports has a loopback address and its free ports for one run of the program.
 type ports struct {
 	ip                             string
 	callers, ready, peers, metrics string
@@ -72,7 +72,7 @@
 
 func freePorts(t *testing.T) ports {
 	t.Helper()
-	ip := newAddress()
+	ip := newLoopbackAddress()
 	var found []string
 	for range 4 {
 		listener, err := net.Listen("tcp4", ip+":0")
@@ -83,17 +83,17 @@
 	return ports{ip: ip, callers: found[0], ready: found[1], peers: found[2], metrics: found[3]}
 }
 
-// settingsFile writes the fixed settings with the addresses of one run.
-func settingsFile(t *testing.T, p ports, store string) string {
+// writeSettings writes testdata/settings.json with the addresses of one run and returns the path of the new file.
+func writeSettings(t *testing.T, p ports, store string) string {
 	t.Helper()
 	text := strings.NewReplacer("IP", p.ip, "CALLERS", p.callers, "READY", p.ready, "PEERS", p.peers, "STORE", store).
-		Replace(string(input(t, "settings.json")))
+		Replace(string(readTestdata(t, "settings.json")))
 	path := filepath.Join(t.TempDir(), "settings.json")
 	require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 	return path
 }
 
-// TestCommandLine pins flags, usage, errors and exit codes.
+// TestCommandLine compares flags, usage texts, errors and exit codes with the golden file.
 func TestCommandLine(t *testing.T) {
 	t.Parallel()
 	free := freePorts(t)
@@ -102,7 +102,7 @@
 	defer func() { _ = taken.Close() }()
 	occupied := free
 	occupied.peers = strconv.Itoa(taken.Addr().(*net.TCPAddr).Port)
-	good, busy := settingsFile(t, free, "127.0.0.1:9"), settingsFile(t, occupied, "127.0.0.1:9")
+	good, busy := writeSettings(t, free, "127.0.0.1:9"), writeSettings(t, occupied, "127.0.0.1:9")
 	broken := filepath.Join(t.TempDir(), "broken.json")
 	require.NoError(t, os.WriteFile(broken, []byte("{"), 0o600))
 	cases := []struct {
@@ -126,26 +126,26 @@
 	}
 	var all strings.Builder
 	for _, one := range cases {
-		command := exec.Command(builtProgram(t), one.arguments...)
+		command := exec.Command(buildProgram(t), one.arguments...)
 		command.Env = append(os.Environ(), one.environment)
 		var stdout, stderr bytes.Buffer
 		command.Stdout, command.Stderr = &stdout, &stderr
 		code := exitCode(t, command.Run())
 		errorText := stderr.String()
 		if strings.HasPrefix(one.name, "bad settings") {
-			// The problems come in no fixed order.
-			errorText = sortedLines(strings.Split(strings.TrimSpace(errorText), "\n"))
+			// The program reports invalid settings in no fixed order.
+			errorText = sortedUniqueLines(strings.Split(strings.TrimSpace(errorText), "\n"))
 		}
 		errorText = strings.ReplaceAll(errorText, occupied.ip+":"+occupied.peers, "IP:PORT")
 		fmt.Fprintf(&all, "=== %s: exit code %d\n--- output\n%s--- errors\n%s", one.name, code, stdout.String(), errorText)
 	}
-	pin(t, "command_line.txt", all.String())
+	checkGolden(t, "command_line.txt", all.String())
 }
 
-// TestVersion pins that the version is printed and no settings are needed; its text follows the build.
+// TestVersion checks that --version prints a text without a settings file. The text depends on the build.
 func TestVersion(t *testing.T) {
 	t.Parallel()
-	output, err := exec.Command(builtProgram(t), "--version").Output()
+	output, err := exec.Command(buildProgram(t), "--version").Output()
 	require.NoError(t, err)
 	require.NotEmpty(t, strings.TrimSpace(string(output)))
 }
--- a/tests/pinned/entry/run_test.go
+++ b/tests/pinned/entry/run_test.go
@@ -23,13 +23,13 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// client is a caller that never repeats and uses a new connection for each request.
+// client sends each request on a new connection, so that net/http never retries a request.
 var client = &http.Client{
 	Transport: &http.Transport{DisableKeepAlives: true, DisableCompression: true}, Timeout: 10 * time.Second,
 }
 
-// ready gives the status of the balancer's question.
-func (r *running) ready() int {
+// ready returns the HTTP status of the load balancer's readiness check, or 0 without a response.
+func (r *programRun) ready() int {
 	response, err := client.Get("http://" + r.ports.ip + ":" + r.ports.ready + "/-/readyz")
 	if err != nil {
 		return 0
@@ -38,8 +38,8 @@
 	return response.StatusCode
 }
 
-// ask sends a request and gives the answer as text.
-func (r *running) ask(name, method, path, body string, headers map[string]string) string {
+// sendRequest sends a request and returns the formatted response.
+func (r *programRun) sendRequest(name, method, path, body string, headers map[string]string) string {
 	r.t.Helper()
 	request, err := http.NewRequest(method, "http://"+r.ports.ip+":"+r.ports.callers+path, strings.NewReader(body))
 	require.NoError(r.t, err)
@@ -71,11 +71,12 @@
 			lines = append(lines, header+": "+value)
 		}
 	}
-	return fmt.Sprintf("=== %s: %s %d %s\n%s\n%s\n", name, response.Proto, response.StatusCode, ending, sortedLines(lines), content)
+	return fmt.Sprintf("=== %s: %s %d %s\n%s\n%s\n", name, response.Proto, response.StatusCode, ending, sortedUniqueLines(lines), content)
 }
 
-// raw sends bytes on a connection of its own and gives the answer as it was sent, but for its date.
-func (r *running) raw(name, port, request string) string {
+// sendRaw sends bytes on a new connection and returns the status line and the sorted headers of the response, with its
+// date masked.
+func (r *programRun) sendRaw(name, port, request string) string {
 	r.t.Helper()
 	conn, err := net.Dial("tcp4", r.ports.ip+":"+port)
 	require.NoError(r.t, err)
@@ -100,150 +101,152 @@
 	return fmt.Sprintf("=== %s\n%s\n", name, strings.Join(lines, "\n"))
 }
 
-const readyQuestion = "GET /-/readyz HTTP/1.1\r\nHost: balancer\r\n\r\n"
+const readyRequest = "GET /-/readyz HTTP/1.1\r\nHost: balancer\r\n\r\n"
 
-// siteEndpoints are the endpoints that take requests; any of a service may be chosen.
-var siteEndpoints = []struct{ id, service string }{
+// testEndpoints are the endpoints that accept requests. The program may choose any endpoint of a service.
+var testEndpoints = []struct{ id, service string }{
 	{"e-ok", "s-ok"}, {"e-split", "s-split"}, {"e-shed", "s-shed"}, {"e-reset", "s-reset"}, {"e-hang", "s-hang"}, {"e-unsealed", "s-unsealed"},
 	{"e-error", "s-error"}, {"e-repeat-1", "s-repeat"}, {"e-repeat-2", "s-repeat"}, {"e-model", "s-model"}, {"e-resume-1", "s-resume"},
 	{"e-resume-2", "s-resume"}, {"e-dear", "s-dear"},
 }
 
-// begin starts the program while the store is down, then lets it plan.
-func (r *running) begin() string {
+// startWithStoreDown starts the program while the store is down, makes the store available and waits until the program has begun
+// planning. It returns the responses from the time before.
+func (r *programRun) startWithStoreDown() string {
 	r.store.SetFaults(standin.StoreFaults{Down: true})
-	r.store.Put("op/config", json.RawMessage(input(r.t, "configuration.json")))
-	r.store.Put("op/version/base.a1", json.RawMessage(input(r.t, "named_version.json")))
-	for _, endpoint := range siteEndpoints {
-		r.describe(endpoint.id, endpoint.service, "ready")
+	r.store.Put("op/config", json.RawMessage(readTestdata(r.t, "configuration.json")))
+	r.store.Put("op/version/base.a1", json.RawMessage(readTestdata(r.t, "named_version.json")))
+	for _, endpoint := range testEndpoints {
+		r.putEndpoint(endpoint.id, endpoint.service, "ready")
 	}
-	r.describe("e-drain", "s-drain", "draining")
+	r.putEndpoint("e-drain", "s-drain", "draining")
 	r.store.Put("servers/e-broken", map[string]any{
 		"service": "s-ok", "address": "nowhere", "zone": "hall-1", "version": "v1", "slots": 8, "state": "ready", "cold_remaining_ms": 0, "sequence": 0,
 	})
 	r.start()
 	r.waitFor("the program listens", func() bool { return r.ready() == http.StatusServiceUnavailable })
-	answers := r.raw("not ready yet", r.ports.ready, readyQuestion)
-	answers += r.ask("no configuration yet", http.MethodGet, "/ok/x", "", nil)
-	r.waitFor("it misses the store", func() bool { return r.logged("the store did not answer") })
+	answers := r.sendRaw("not ready yet", r.ports.ready, readyRequest)
+	answers += r.sendRequest("no configuration yet", http.MethodGet, "/ok/x", "", nil)
+	r.waitFor("the program logs that the store does not answer", func() bool { return r.hasLogged("the store did not answer") })
 	r.store.SetFaults(standin.StoreFaults{})
 	r.waitFor("the program is ready", func() bool { return r.ready() == http.StatusOK })
-	r.waitFor("it plans", func() bool { return r.logged("planning begins") })
-	r.waitFor("it reads a report", func() bool { return r.saw("report of e-resume-1") })
+	r.waitFor("the program begins planning", func() bool { return r.hasLogged("planning begins") })
+	r.waitFor("the program requests an endpoint's report", func() bool { return r.hasReceived("report of e-resume-1") })
 	return answers
 }
 
-func (r *running) saw(kind string) bool {
+func (r *programRun) hasReceived(kind string) bool {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return r.seen[kind] != ""
+	return r.received[kind] != ""
 }
 
-// askAll makes one request of each kind.
-func (r *running) askAll() string {
+// sendAllRequests sends one request of each kind and returns the formatted responses.
+func (r *programRun) sendAllRequests() string {
 	model := map[string]string{"X-Model": "base/a1", "X-Token-Usage": "100,20", "X-Prompt-Prefix": "part:3", "X-Deadline-Ms": "5000"}
 	var answers strings.Builder
 	add := func(answer string) { answers.WriteString(answer) }
-	add(r.ask("whole", http.MethodPost, "/ok/seat?row=%2F7&x=1", "hello", map[string]string{
+	add(r.sendRequest("whole", http.MethodPost, "/ok/seat?row=%2F7&x=1", "hello", map[string]string{
 		"Connection": "X-Hop", "X-Hop": "1", "Te": "trailers", "User-Agent": "caller", "X-Own": "kept", "Accept": "text/plain", "X-Deadline-Ms": "4000",
 	}))
-	add(r.ask("split", http.MethodGet, "/ok/split/x", "", nil))
-	add(r.ask("no route", http.MethodGet, "/nowhere", "", nil))
-	add(r.ask("header too large", http.MethodGet, "/ok/x", "", map[string]string{"X-Large": strings.Repeat("x", 3000)}))
-	add(r.ask("body too large", http.MethodPost, "/ok/x", strings.Repeat("x", 100001), nil))
-	add(r.ask("refused by the endpoint", http.MethodPost, "/shed/x", "", nil))
-	add(r.ask("misdirected", http.MethodPost, "/shed/moved", "", nil))
-	add(r.ask("answer to another request", http.MethodPost, "/unsealed/other", "", map[string]string{"X-Deadline-Ms": "300"}))
-	add(r.raw("bad request", r.ports.callers, "GET /ok/x HTTP/1.1\r\nno header\r\n\r\n"))
-	add(r.raw("no host", r.ports.callers, "GET /ok/x HTTP/1.1\r\n\r\n"))
-	add(r.raw("ready", r.ports.ready, readyQuestion))
-	add(r.ask("no answer", http.MethodPost, "/reset/x", "", nil))
-	add(r.ask("timed out", http.MethodPost, "/hang/x", "", nil))
-	add(r.ask("unsealed", http.MethodPost, "/unsealed/x", "", nil))
-	add(r.ask("error", http.MethodPost, "/error/x", "", nil))
+	add(r.sendRequest("split", http.MethodGet, "/ok/split/x", "", nil))
+	add(r.sendRequest("no route", http.MethodGet, "/nowhere", "", nil))
+	add(r.sendRequest("header too large", http.MethodGet, "/ok/x", "", map[string]string{"X-Large": strings.Repeat("x", 3000)}))
+	add(r.sendRequest("body too large", http.MethodPost, "/ok/x", strings.Repeat("x", 100001), nil))
+	add(r.sendRequest("refused by the endpoint", http.MethodPost, "/shed/x", "", nil))
+	add(r.sendRequest("misdirected", http.MethodPost, "/shed/moved", "", nil))
+	add(r.sendRequest("answer to another request", http.MethodPost, "/unsealed/other", "", map[string]string{"X-Deadline-Ms": "300"}))
+	add(r.sendRaw("bad request", r.ports.callers, "GET /ok/x HTTP/1.1\r\nno header\r\n\r\n"))
+	add(r.sendRaw("no host", r.ports.callers, "GET /ok/x HTTP/1.1\r\n\r\n"))
+	add(r.sendRaw("ready", r.ports.ready, readyRequest))
+	add(r.sendRequest("no answer", http.MethodPost, "/reset/x", "", nil))
+	add(r.sendRequest("timed out", http.MethodPost, "/hang/x", "", nil))
+	add(r.sendRequest("unsealed", http.MethodPost, "/unsealed/x", "", nil))
+	add(r.sendRequest("error", http.MethodPost, "/error/x", "", nil))
 	for range 10 {
-		// The budget of repeats is a share of a service's requests.
-		r.ask("warm", http.MethodGet, "/repeat/warm", "", nil)
-		r.ask("warm", http.MethodPost, "/digest/warm", "", map[string]string{"X-Model": "base"})
+		// These requests fill the retry budget, which is a share of a service's requests.
+		r.sendRequest("warm", http.MethodGet, "/repeat/warm", "", nil)
+		r.sendRequest("warm", http.MethodPost, "/digest/warm", "", map[string]string{"X-Model": "base"})
 	}
-	add(r.ask("repeated", http.MethodGet, "/repeat/x", "", nil))
-	add(r.ask("no endpoint", http.MethodPost, "/none/x", "", nil))
-	add(r.ask("draining", http.MethodPost, "/drain/x", "", nil))
-	add(r.ask("stream", http.MethodPost, "/chat/x", "prompt", model))
-	add(r.ask("resumed", http.MethodPost, "/digest/x", "prompt", map[string]string{"X-Model": "base", "Last-Event-Id": "0"}))
-	add(r.ask("adapter not loaded", http.MethodPost, "/dear/x", "prompt", model))
+	add(r.sendRequest("repeated", http.MethodGet, "/repeat/x", "", nil))
+	add(r.sendRequest("no endpoint", http.MethodPost, "/none/x", "", nil))
+	add(r.sendRequest("draining", http.MethodPost, "/drain/x", "", nil))
+	add(r.sendRequest("stream", http.MethodPost, "/chat/x", "prompt", model))
+	add(r.sendRequest("resumed", http.MethodPost, "/digest/x", "prompt", map[string]string{"X-Model": "base", "Last-Event-Id": "0"}))
+	add(r.sendRequest("adapter not loaded", http.MethodPost, "/dear/x", "prompt", model))
 	return answers.String()
 }
 
-// end stops the program and gives its last answers and its exit code.
-func (r *running) end() (string, int) {
+// stop stops the program and returns its last responses and its exit code.
+func (r *programRun) stop() (string, int) {
 	require.NoError(r.t, r.command.Process.Signal(syscall.SIGHUP))
-	r.waitFor("the hang-up is noted", func() bool { return r.logged("hang-up") })
+	r.waitFor("the program logs the SIGHUP", func() bool { return r.hasLogged("hang-up") })
 	require.NoError(r.t, r.command.Process.Signal(syscall.SIGTERM))
-	r.waitFor("it is not ready", func() bool { return r.ready() == http.StatusServiceUnavailable })
-	answers := r.raw("leaving and not ready", r.ports.ready, readyQuestion)
-	answers += r.raw("leaving", r.ports.callers, "GET /ok/leaving HTTP/1.1\r\nHost: site.example\r\nX-Attempt-Id: id-leaving\r\n\r\n")
+	r.waitFor("the program reports that it is not ready", func() bool { return r.ready() == http.StatusServiceUnavailable })
+	answers := r.sendRaw("leaving and not ready", r.ports.ready, readyRequest)
+	answers += r.sendRaw("leaving", r.ports.callers, "GET /ok/leaving HTTP/1.1\r\nHost: site.example\r\nX-Attempt-Id: id-leaving\r\n\r\n")
 	select {
-	case err := <-r.ended:
+	case err := <-r.exited:
 		return answers, exitCode(r.t, err)
 	case <-time.After(10 * time.Second):
-		require.FailNow(r.t, "the program does not end")
+		require.FailNow(r.t, "the program did not exit within 10 s after SIGTERM")
 		return "", -1
 	}
 }
 
-// TestARun pins what a store, endpoints, callers, the reader of the log and the reader of the metrics see.
+// TestARun compares what the store, endpoints and callers receive from one run of the program, and its log and metrics,
+// with the golden files.
 func TestARun(t *testing.T) {
 	t.Parallel()
-	r := newRunning(t)
-	answers := r.begin()
-	answers += r.askAll()
-	r.waitFor("orders may follow", func() bool { return strings.Contains(strings.Join(r.storeCalls(), "\n"), `"Ordering":true`) })
-	r.waitFor("orders of each kind arrived", func() bool {
-		return r.saw("report of e-dear") && r.saw("order unload of e-resume-1") && r.logged(`"pending":[{`)
+	r := newProgramRun(t)
+	answers := r.startWithStoreDown()
+	answers += r.sendAllRequests()
+	r.waitFor("the planner's record permits orders", func() bool { return strings.Contains(strings.Join(r.storeRequestLines(), "\n"), `"Ordering":true`) })
+	r.waitFor("the endpoints received orders of each kind", func() bool {
+		return r.hasReceived("report of e-dear") && r.hasReceived("order unload of e-resume-1") && r.hasLogged(`"pending":[{`)
 	})
-	r.waitFor("a lost sign of life is written anew", func() bool {
-		return strings.Contains(strings.Join(r.storeCalls(), "\n"), `{"expected_count":[],"put":[{"lease":"LEASE"`)
+	r.waitFor("the program writes its sign of life again after its lease expired", func() bool {
+		return strings.Contains(strings.Join(r.storeRequestLines(), "\n"), `{"expected_count":[],"put":[{"lease":"LEASE"`)
 	})
 	metrics := r.metrics()
-	views := r.peerViews()
-	last, code := r.end()
+	views := r.queryViews()
+	last, code := r.stop()
 	assert.Zero(t, code)
 	answers += last
 
-	pin(t, "answers.txt", answers)
-	pin(t, "peer_views.txt", views)
-	pin(t, "store_calls.txt", sortedLines(r.storeCalls()))
-	pin(t, "endpoint_requests.txt", r.requests())
-	pin(t, "metrics.txt", metrics)
-	pin(t, "log_lines.txt", r.logKinds())
-	pin(t, "log_examples.txt", r.logExamples())
+	checkGolden(t, "answers.txt", answers)
+	checkGolden(t, "peer_views.txt", views)
+	checkGolden(t, "store_calls.txt", sortedUniqueLines(r.storeRequestLines()))
+	checkGolden(t, "endpoint_requests.txt", r.formatReceived())
+	checkGolden(t, "metrics.txt", metrics)
+	checkGolden(t, "log_lines.txt", r.logLineKinds())
+	checkGolden(t, "log_examples.txt", r.logExamples())
 }
 
-func (r *running) storeCalls() []string {
+func (r *programRun) storeRequestLines() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return slices.Clone(r.calls)
+	return slices.Clone(r.storeRequests)
 }
 
-// requests gives the first request of each kind at an endpoint.
-func (r *running) requests() string {
+// formatReceived formats the first request of each kind that an endpoint received.
+func (r *programRun) formatReceived() string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	kinds := make([]string, 0, len(r.seen))
-	for kind := range r.seen {
+	kinds := make([]string, 0, len(r.received))
+	for kind := range r.received {
 		kinds = append(kinds, kind)
 	}
 	slices.Sort(kinds)
 	var all strings.Builder
 	for _, kind := range kinds {
-		fmt.Fprintf(&all, "=== %s\n%s", kind, r.seen[kind])
+		fmt.Fprintf(&all, "=== %s\n%s", kind, r.received[kind])
 	}
 	return all.String()
 }
 
-// logKinds gives level, message and field names of the lines of the log, nested names included.
-func (r *running) logKinds() string {
+// logLineKinds returns level, message and field names of the log lines, including the names of nested fields.
+func (r *programRun) logLineKinds() string {
 	var kinds []string
 	for _, line := range r.lines() {
 		var fields map[string]any
@@ -265,13 +268,13 @@
 		if message == "order answered" && (poll || kind != "load" && kind != "inspect") {
 			continue
 		}
-		kinds = append(kinds, fmt.Sprintf("%v | %s | %s", fields["level"], message, strings.Join(strings.Fields(sortedLines(names)), " ")))
+		kinds = append(kinds, fmt.Sprintf("%v | %s | %s", fields["level"], message, strings.Join(strings.Fields(sortedUniqueLines(names)), " ")))
 	}
-	return sortedLines(kinds)
+	return sortedUniqueLines(kinds)
 }
 
-// logExamples gives whole lines whose values follow from what was sent, but for times and revisions.
-func (r *running) logExamples() string {
+// logExamples returns complete log lines whose values follow from the test's requests. Times and revisions are masked.
+func (r *programRun) logExamples() string {
 	varying := []string{"time", "revision", "took_ms", "first_ms", "whole_ms", "wait", "expected_sequence"}
 	var lines []string
 	for _, line := range r.lines() {
@@ -297,20 +300,20 @@
 				}
 			}
 		}
-		lines = append(lines, encode(fields))
+		lines = append(lines, encodeJSON(fields))
 	}
-	return sortedLines(lines)
+	return sortedUniqueLines(lines)
 }
 
-// label is a label of a sample; its value is left out.
-var label = regexp.MustCompile(`([a-z_]+)="([^"]*)"`)
+// sampleLabel matches a label of a sample with its value.
+var sampleLabel = regexp.MustCompile(`([a-z_]+)="([^"]*)"`)
 
-// endsOfConnections are the metrics whose reasons depend on which connections have ended by the time of the reading.
-var endsOfConnections = regexp.MustCompile(`^shelfledge_(connections_ended|requests_unanswered)_total`)
+// connectionEndMetrics matches metrics whose reason labels depend on which connections have ended before the scrape.
+var connectionEndMetrics = regexp.MustCompile(`^shelfledge_(connections_ended|requests_unanswered)_total`)
 
-// metrics gives name, help, type and labels of each metric; the reasons of failures and bounds of buckets with
-// their values.
-func (r *running) metrics() string {
+// metrics returns name, help, type and labels of each metric. Of the labels' values it keeps only reasons of failures
+// and bounds of buckets.
+func (r *programRun) metrics() string {
 	response, err := client.Get("http://" + r.ports.ip + ":" + r.ports.metrics + "/")
 	require.NoError(r.t, err)
 	defer func() { _ = response.Body.Close() }()
@@ -323,14 +326,14 @@
 			continue
 		}
 		sample := line[:strings.LastIndexByte(line, ' ')]
-		lines = append(lines, label.ReplaceAllStringFunc(sample, func(one string) string {
+		lines = append(lines, sampleLabel.ReplaceAllStringFunc(sample, func(one string) string {
 			name, _, _ := strings.Cut(one, "=")
-			if name == "le" || (name == "reason" && !endsOfConnections.MatchString(sample)) {
+			if name == "le" || (name == "reason" && !connectionEndMetrics.MatchString(sample)) {
 				return one
 			}
 			return name
 		}))
 	}
 	lines = slices.Compact(slices.Sorted(slices.Values(lines)))
-	return response.Header.Get("Content-Type") + "\n" + sortedLines(lines)
+	return response.Header.Get("Content-Type") + "\n" + sortedUniqueLines(lines)
 }
--- a/tests/pinned/entry/site_test.go
+++ b/tests/pinned/entry/site_test.go
@@ -27,43 +27,43 @@
 	standin "github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// running is one run of the program beside a store and endpoints that note what arrives.
-type running struct {
+// programRun is one run of the program against a fake store and fake endpoints that record the requests they receive.
+type programRun struct {
 	t       *testing.T
 	ports   ports
 	store   *standin.Store
 	proxy   *httptest.Server
 	command *exec.Cmd
-	ended   chan error
-	errors  standin.Output
+	exited  chan error
+	stderr  standin.Output
 	mutex   sync.Mutex
-	// describing keeps an older description from being written after a newer one.
-	describing sync.Mutex
-	log        []string
-	calls      []string
-	// seen are the requests and orders that arrived at endpoints, in a fixed form.
-	seen map[string]string
-	// loaded are the adapters that endpoints hold.
-	loaded    map[string][]string
-	endpoints *httptest.Server
-	keeps     atomic.Int64
-	repeats   atomic.Int64
-	resumed   atomic.Int64
+	// endpointMutex is held while putEndpoint writes an entry, so that an older entry cannot overwrite a newer one.
+	endpointMutex sync.Mutex
+	logOutput     []string
+	storeRequests []string
+	// received has the first request or order of each kind that an endpoint received, with varying values masked.
+	received map[string]string
+	// loadedAdapters has the adapters that are loaded on each endpoint.
+	loadedAdapters    map[string][]string
+	endpoints         *httptest.Server
+	keepAlives        atomic.Int64
+	repeatAttempts    atomic.Int64
+	resumableRequests atomic.Int64
 }
 
-func newRunning(t *testing.T) *running {
+func newProgramRun(t *testing.T) *programRun {
 	t.Helper()
-	r := &running{
-		t: t, ports: freePorts(t), store: standin.NewStore(), seen: make(map[string]string),
-		loaded: map[string][]string{"e-resume-1": {"a0@1"}},
+	r := &programRun{
+		t: t, ports: freePorts(t), store: standin.NewStore(), received: make(map[string]string),
+		loadedAdapters: map[string][]string{"e-resume-1": {"a0@1"}},
 	}
 	target := &url.URL{Scheme: "http", Host: r.store.Address()}
 	forward := httputil.NewSingleHostReverseProxy(target)
 	forward.ErrorHandler = func(writer http.ResponseWriter, _ *http.Request, _ error) { writer.WriteHeader(http.StatusBadGateway) }
 	r.proxy = httptest.NewServer(http.HandlerFunc(func(writer http.ResponseWriter, request *http.Request) {
-		r.noteCall(request)
-		if strings.HasPrefix(request.URL.Path, "/-/kv-keep/") && r.keeps.Add(1) == 1 {
-			// The lease is over, as it is when the program was held up for long: the sign of life is written anew.
+		r.recordStoreCall(request)
+		if strings.HasPrefix(request.URL.Path, "/-/kv-keep/") && r.keepAlives.Add(1) == 1 {
+			// Simulates an expired lease, as after a long pause of the program, which must then write its sign of life again.
 			writer.WriteHeader(http.StatusNotFound)
 			return
 		}
@@ -80,52 +80,52 @@
 	return r
 }
 
-// start starts the program.
-func (r *running) start() {
+// start starts the program and collects its log lines.
+func (r *programRun) start() {
 	r.t.Helper()
-	settings := settingsFile(r.t, r.ports, r.proxy.Listener.Addr().String())
-	r.command = exec.Command(builtProgram(r.t), "--settings="+settings, "--log-level=debug", "--metrics-port="+r.ports.metrics)
+	settings := writeSettings(r.t, r.ports, r.proxy.Listener.Addr().String())
+	r.command = exec.Command(buildProgram(r.t), "--settings="+settings, "--log-level=debug", "--metrics-port="+r.ports.metrics)
 	output, err := r.command.StdoutPipe()
 	require.NoError(r.t, err)
-	r.command.Stderr = &r.errors
+	r.command.Stderr = &r.stderr
 	require.NoError(r.t, r.command.Start())
-	r.ended = make(chan error, 1)
+	r.exited = make(chan error, 1)
 	go func() {
 		scanner := bufio.NewScanner(output)
 		for scanner.Scan() {
 			r.mutex.Lock()
-			r.log = append(r.log, scanner.Text())
+			r.logOutput = append(r.logOutput, scanner.Text())
 			r.mutex.Unlock()
 		}
-		r.ended <- r.command.Wait()
+		r.exited <- r.command.Wait()
 	}()
 	r.t.Cleanup(func() { _ = r.command.Process.Kill() })
 }
 
-// lines gives the log so far.
-func (r *running) lines() []string {
+// lines returns the log lines written so far.
+func (r *programRun) lines() []string {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	return slices.Clone(r.log)
+	return slices.Clone(r.logOutput)
 }
 
-func (r *running) waitFor(what string, condition func() bool) {
+func (r *programRun) waitFor(what string, condition func() bool) {
 	r.t.Helper()
 	deadline := time.Now().Add(15 * time.Second)
 	for !condition() {
 		if time.Now().After(deadline) {
-			require.FailNow(r.t, "waited in vain", "%s; errors:\n%s\nlog:\n%s", what, r.errors.String(), strings.Join(r.lines(), "\n"))
+			require.FailNow(r.t, "condition not met within 15 s", "%s; stderr:\n%s\nlog:\n%s", what, r.stderr.String(), strings.Join(r.lines(), "\n"))
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-func (r *running) logged(text string) bool {
+func (r *programRun) hasLogged(text string) bool {
 	return strings.Contains(strings.Join(r.lines(), "\n"), text)
 }
 
-// noteCall notes a call of the store without what differs from run to run.
-func (r *running) noteCall(request *http.Request) {
+// recordStoreCall records a request to the store. Values that differ from run to run are masked.
+func (r *programRun) recordStoreCall(request *http.Request) {
 	body, _ := io.ReadAll(request.Body)
 	request.Body = io.NopCloser(bytes.NewReader(body))
 	query := request.URL.Query()
@@ -133,18 +133,18 @@
 		query.Set("after", "REVISION")
 	}
 	path := request.URL.Path
-	if cut := strings.LastIndexByte(path, '/'); strings.Count(path, "/") > 2 {
-		path = path[:cut] + "/LEASE"
+	if lastSlash := strings.LastIndexByte(path, '/'); strings.Count(path, "/") > 2 {
+		path = path[:lastSlash] + "/LEASE"
 	}
-	text, _ := url.QueryUnescape(query.Encode())
-	line := strings.Join([]string{request.Method, path, text, request.Header.Get("Content-Type"), storeBody(body)}, " | ")
+	decodedQuery, _ := url.QueryUnescape(query.Encode())
+	line := strings.Join([]string{request.Method, path, decodedQuery, request.Header.Get("Content-Type"), decodeStoreBody(body)}, " | ")
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	r.calls = append(r.calls, line)
+	r.storeRequests = append(r.storeRequests, line)
 }
 
-// storeBody gives the body of a store's call with its values decoded.
-func storeBody(body []byte) string {
+// decodeStoreBody returns the body of a store request with its stored values decoded.
+func decodeStoreBody(body []byte) string {
 	if len(body) == 0 {
 		return ""
 	}
@@ -152,35 +152,35 @@
 	if err := json.Unmarshal(body, &generic); err != nil {
 		return string(body)
 	}
-	return encode(readable("", generic))
+	return encodeJSON(normalizeStoreValue("", generic))
 }
 
-// readable replaces revisions and leases by their names, and values by what they hold.
-func readable(name string, value any) any {
-	switch part := value.(type) {
+// normalizeStoreValue replaces revisions and leases by placeholders, and encoded values by their decoded content.
+func normalizeStoreValue(name string, value any) any {
+	switch typed := value.(type) {
 	case map[string]any:
-		for key, one := range part {
-			part[key] = readable(key, one)
+		for key, element := range typed {
+			typed[key] = normalizeStoreValue(key, element)
 		}
-		return part
+		return typed
 	case []any:
-		for i, one := range part {
-			part[i] = readable(name, one)
+		for i, element := range typed {
+			typed[i] = normalizeStoreValue(name, element)
 		}
-		return part
+		return typed
 	case float64:
-		if (name == "revision" || name == "lease") && part != 0 {
+		if (name == "revision" || name == "lease") && typed != 0 {
 			return strings.ToUpper(name)
 		}
 	case string:
 		if name == "value" {
-			return storedValue(part)
+			return decodeStoredValue(typed)
 		}
 	}
 	return value
 }
 
-func storedValue(text string) any {
+func decodeStoredValue(text string) any {
 	var decoded []byte
 	if err := json.Unmarshal([]byte(`"`+text+`"`), &decoded); err != nil {
 		return text
@@ -198,7 +198,7 @@
 	return record
 }
 
-func encode(value any) string {
+func encodeJSON(value any) string {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return err.Error()
@@ -206,14 +206,14 @@
 	return string(encoded)
 }
 
-// describe writes the entry of an endpoint.
-func (r *running) describe(id, service, state string) {
-	r.describing.Lock()
-	defer r.describing.Unlock()
+// putEndpoint writes an endpoint's entry to the store.
+func (r *programRun) putEndpoint(id, service, state string) {
+	r.endpointMutex.Lock()
+	defer r.endpointMutex.Unlock()
 	models := []map[string]any{}
 	if strings.HasPrefix(id, "e-model") || strings.HasPrefix(id, "e-resume") || strings.HasPrefix(id, "e-dear") {
 		r.mutex.Lock()
-		models = append(models, map[string]any{"name": "base", "version": 1, "adapters": append([]string{}, r.loaded[id]...)})
+		models = append(models, map[string]any{"name": "base", "version": 1, "adapters": append([]string{}, r.loadedAdapters[id]...)})
 		r.mutex.Unlock()
 	}
 	r.store.Put("servers/"+id, map[string]any{
@@ -222,38 +222,38 @@
 	})
 }
 
-// note keeps the first request of each kind.
-func (r *running) note(kind, text string) {
+// recordFirst records the first request of each kind.
+func (r *programRun) recordFirst(kind, text string) {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	if _, ok := r.seen[kind]; !ok {
-		r.seen[kind] = text
+	if _, ok := r.received[kind]; !ok {
+		r.received[kind] = text
 	}
 }
 
-// serveEndpoint plays all endpoints; the instance that is expected tells which.
-func (r *running) serveEndpoint(writer http.ResponseWriter, request *http.Request) {
+// serveEndpoint answers for all fake endpoints. The X-Expect-Instance header selects the endpoint.
+func (r *programRun) serveEndpoint(writer http.ResponseWriter, request *http.Request) {
 	id := request.Header.Get("X-Expect-Instance")
 	body, _ := io.ReadAll(request.Body)
-	text := requestText(request, body)
+	text := formatRequest(request, body)
 	switch request.URL.Path {
 	case "/-/order":
 		r.serveOrder(writer, id, body, text)
 		return
 	case "/-/report":
 		if id != "e-model" {
-			// Whether that one is asked for a report depends on how fast it answers.
-			r.note("report of "+id, text)
+			// Requests for a report to e-model are not recorded: whether they are sent depends on how fast e-model responds.
+			r.recordFirst("report of "+id, text)
 		}
 		r.mutex.Lock()
 		defer r.mutex.Unlock()
 		_ = json.NewEncoder(writer).Encode(map[string]any{
-			"models":   []map[string]any{{"name": "base", "version": 1, "adapters": append([]string{}, r.loaded[id]...)}},
-			"sequence": 7, "pending": pendingOf(id),
+			"models":   []map[string]any{{"name": "base", "version": 1, "adapters": append([]string{}, r.loadedAdapters[id]...)}},
+			"sequence": 7, "pending": pendingLoads(id),
 		})
 		return
 	}
-	r.note(request.Method+" "+request.URL.Path, text)
+	r.recordFirst(request.Method+" "+request.URL.Path, text)
 	writer.Header().Set("X-Attempt-Id", request.Header.Get("X-Attempt-Id"))
 	writer.Header().Set("X-Server-Seal", "seal")
 	switch {
@@ -274,36 +274,36 @@
 		_, _ = writer.Write([]byte("unsealed"))
 	case strings.HasPrefix(request.URL.Path, "/error/"):
 		http.Error(writer, "trouble", http.StatusInternalServerError)
-	case request.URL.Path == "/repeat/x" && r.repeats.Add(1) == 1:
+	case request.URL.Path == "/repeat/x" && r.repeatAttempts.Add(1) == 1:
 		panic(http.ErrAbortHandler)
 	case strings.HasPrefix(request.URL.Path, "/chat/"), request.URL.Path == "/digest/warm":
-		r.stream(writer, 1, 3)
+		r.writeEvents(writer, 1, 3)
 	case strings.HasPrefix(request.URL.Path, "/digest/"):
-		r.serveResumed(writer, request, text)
+		r.serveResumableStream(writer, request, text)
 	default:
-		_, _ = fmt.Fprintf(writer, "%s answers", service(id))
+		_, _ = fmt.Fprintf(writer, "%s answers", serviceOf(id))
 	}
 }
 
-// pendingOf gives the loads that an endpoint says are under way.
-func pendingOf(id string) []string {
+// pendingLoads returns the loads in progress that an endpoint reports.
+func pendingLoads(id string) []string {
 	if id == "e-dear" {
 		return []string{"base/a7@1"}
 	}
 	return []string{}
 }
 
-// serveResumed breaks the first stream off after its second event.
-func (r *running) serveResumed(writer http.ResponseWriter, request *http.Request, text string) {
-	if r.resumed.Add(1) == 1 {
-		r.stream(writer, 1, 2)
+// serveResumableStream aborts the first stream after its second event and sends the remaining events to later requests.
+func (r *programRun) serveResumableStream(writer http.ResponseWriter, request *http.Request, text string) {
+	if r.resumableRequests.Add(1) == 1 {
+		r.writeEvents(writer, 1, 2)
 		panic(http.ErrAbortHandler)
 	}
-	r.note("resumed "+request.Method+" "+request.URL.Path, text)
-	r.stream(writer, 3, 4)
+	r.recordFirst("resumed "+request.Method+" "+request.URL.Path, text)
+	r.writeEvents(writer, 3, 4)
 }
 
-func (r *running) stream(writer http.ResponseWriter, first, last int) {
+func (r *programRun) writeEvents(writer http.ResponseWriter, first, last int) {
 	writer.Header().Set("Content-Type", "text/event-stream")
 	for event := first; event <= last; event++ {
 		_, _ = fmt.Fprintf(writer, "id: %d\ndata: event %d\n\n", event, event)
@@ -311,49 +311,49 @@
 	}
 }
 
-func (r *running) serveOrder(writer http.ResponseWriter, id string, body []byte, text string) {
+func (r *programRun) serveOrder(writer http.ResponseWriter, id string, body []byte, text string) {
 	var order struct {
 		Operation string `json:"operation"`
 		Adapter   string `json:"adapter"`
 	}
 	_ = json.Unmarshal(body, &order)
-	r.note("order "+order.Operation+" of "+id, text)
+	r.recordFirst("order "+order.Operation+" of "+id, text)
 	if id == "e-dear" {
 		writer.WriteHeader(http.StatusForbidden)
 		return
 	}
-	writer.WriteHeader(r.carryOut(id, order.Operation, order.Adapter+"@1"))
-	go r.describe(id, "s-"+strings.TrimPrefix(service(id), "e-"), "ready")
+	writer.WriteHeader(r.applyOrder(id, order.Operation, order.Adapter+"@1"))
+	go r.putEndpoint(id, "s-"+strings.TrimPrefix(serviceOf(id), "e-"), "ready")
 }
 
-// carryOut does an order and gives its status.
-func (r *running) carryOut(id, operation, held string) int {
+// applyOrder applies an order to the loaded adapters and returns the HTTP status for it.
+func (r *programRun) applyOrder(id, operation, adapter string) int {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	place := slices.Index(r.loaded[id], held)
+	index := slices.Index(r.loadedAdapters[id], adapter)
 	switch {
-	case operation == "unload" && place >= 0:
-		r.loaded[id] = slices.Delete(r.loaded[id], place, place+1)
+	case operation == "unload" && index >= 0:
+		r.loadedAdapters[id] = slices.Delete(r.loadedAdapters[id], index, index+1)
 		return http.StatusOK
-	case operation == "unload" || place >= 0:
+	case operation == "unload" || index >= 0:
 		return http.StatusOK
 	}
-	r.loaded[id] = append(r.loaded[id], held)
+	r.loadedAdapters[id] = append(r.loadedAdapters[id], adapter)
 	return http.StatusAccepted
 }
 
-// service leaves out the number of an endpoint, since any of a service may be chosen.
-func service(id string) string {
+// serviceOf returns an endpoint's id without its number, since the program may choose any endpoint of a service.
+func serviceOf(id string) string {
 	return strings.TrimSuffix(strings.TrimSuffix(id, "-1"), "-2")
 }
 
-// requestText gives a request as it arrived, but for addresses and times left.
-func requestText(request *http.Request, body []byte) string {
+// formatRequest formats a received request. Addresses and remaining times are masked.
+func formatRequest(request *http.Request, body []byte) string {
 	lines := make([]string, 0, len(request.Header)+1)
 	for name, values := range request.Header {
 		value := strings.Join(values, ", ")
 		if name == "X-Expect-Instance" {
-			value = service(value)
+			value = serviceOf(value)
 		}
 		if name == "X-Deadline-Ms" {
 			value = "MILLISECONDS"
@@ -365,7 +365,7 @@
 		host = "ADDRESS"
 	}
 	if text := string(body); strings.Contains(text, `"expected_count"`) {
-		return fmt.Sprintf("%s %s\nHost: %s\n%s\n%s\n", request.Method, request.RequestURI, host, sortedLines(lines), text)
+		return fmt.Sprintf("%s %s\nHost: %s\n%s\n%s\n", request.Method, request.RequestURI, host, sortedUniqueLines(lines), text)
 	}
-	return fmt.Sprintf("%s %s\nHost: %s\n%s\n%s\n", request.Method, request.RequestURI, host, sortedLines(lines), body)
+	return fmt.Sprintf("%s %s\nHost: %s\n%s\n%s\n", request.Method, request.RequestURI, host, sortedUniqueLines(lines), body)
 }
--- a/tests/pinned/entry/source_test.go
+++ b/tests/pinned/entry/source_test.go
@@ -21,15 +21,15 @@
 
 const program = "./cmd/shelfledge-entry"
 
-// root gives the directory of the module.
-func root(t *testing.T) string {
+// moduleRoot returns the root directory of the module.
+func moduleRoot(t *testing.T) string {
 	t.Helper()
 	output, err := exec.Command("go", "env", "GOMOD").Output()
 	require.NoError(t, err)
 	return filepath.Dir(strings.TrimSpace(string(output)))
 }
 
-// sourceFile is one parsed file of the program with its package's directory.
+// sourceFile is a parsed source file of the program and the directory of its package.
 type sourceFile struct {
 	directory string
 	tree      *ast.File
@@ -41,10 +41,10 @@
 	sourcesErr  error
 )
 
-// sources parses the files of all packages of this module that the program consists of.
-func sources(t *testing.T) []sourceFile {
+// parsedSources parses the files of all packages of this module that are linked into the program. The result is cached.
+func parsedSources(t *testing.T) []sourceFile {
 	t.Helper()
-	directory := root(t)
+	directory := moduleRoot(t)
 	sourcesOnce.Do(func() { sourcesRead, sourcesErr = readSources(directory) })
 	require.NoError(t, sourcesErr)
 	require.NotEmpty(t, sourcesRead)
@@ -71,8 +71,8 @@
 	return files, nil
 }
 
-// constants gives the string constants of the program by package directory and name.
-func constants(files []sourceFile) map[string]map[string]string {
+// stringConstants returns the program's string constants by package directory and name.
+func stringConstants(files []sourceFile) map[string]map[string]string {
 	found := make(map[string]map[string]string)
 	for _, file := range files {
 		if found[file.directory] == nil {
@@ -85,7 +85,7 @@
 			}
 			for i, name := range specification.Names {
 				if i < len(specification.Values) {
-					if text, ok := literal(specification.Values[i]); ok {
+					if text, ok := stringLiteral(specification.Values[i]); ok {
 						found[file.directory][name.Name] = text
 					}
 				}
@@ -96,7 +96,7 @@
 	return found
 }
 
-func literal(expression ast.Expr) (string, bool) {
+func stringLiteral(expression ast.Expr) (string, bool) {
 	basic, ok := expression.(*ast.BasicLit)
 	if !ok || basic.Kind != token.STRING {
 		return "", false
@@ -105,34 +105,34 @@
 	return text, err == nil
 }
 
-// logCalls gives the levels by the methods that write a line.
-var logCalls = map[string]string{
+// logMethodLevels maps the logger's methods that write a line to their levels.
+var logMethodLevels = map[string]string{
 	"Trace": "trace", "Debug": "debug", "Info": "info", "Warn": "warning", "Warning": "warning", "Error": "error", "Fatal": "fatal", "Panic": "panic",
 	"Tracef": "trace", "Debugf": "debug", "Infof": "info", "Warnf": "warning", "Warningf": "warning", "Errorf": "error", "Fatalf": "fatal",
 	"Log": "varying", "Logf": "varying",
 }
 
-// logScan looks for log calls in one function.
+// logScan collects the log calls of one top-level declaration.
 type logScan struct {
-	texts  map[string]string
-	all    map[string]map[string]string
-	files  []sourceFile
-	body   ast.Node
-	chains []string
+	packageConstants   map[string]string
+	constantsByPackage map[string]map[string]string
+	files              []sourceFile
+	scope              ast.Node
+	calls              []string
 }
 
-// text resolves a literal or a named constant of the same or another package.
+// text returns the value of a string literal or of a named constant of the same or another package.
 func (s *logScan) text(expression ast.Expr) (string, bool) {
-	if text, ok := literal(expression); ok {
+	if text, ok := stringLiteral(expression); ok {
 		return text, true
 	}
 	switch name := expression.(type) {
 	case *ast.Ident:
-		text, ok := s.texts[name.Name]
+		text, ok := s.packageConstants[name.Name]
 		return text, ok
 	case *ast.SelectorExpr:
-		for _, texts := range s.all {
-			if text, ok := texts[name.Sel.Name]; ok {
+		for _, packageConstants := range s.constantsByPackage {
+			if text, ok := packageConstants[name.Sel.Name]; ok {
 				return text, true
 			}
 		}
@@ -140,8 +140,8 @@
 	return "", false
 }
 
-// visit notes a call that writes a line with a message that is known.
-func (s *logScan) visit(node ast.Node) bool {
+// visitCall records a call that writes a log line, if its message is a literal or constant.
+func (s *logScan) visitCall(node ast.Node) bool {
 	call, ok := node.(*ast.CallExpr)
 	if !ok {
 		return true
@@ -150,40 +150,40 @@
 	if !ok {
 		return true
 	}
-	level, ok := logCalls[selector.Sel.Name]
+	level, ok := logMethodLevels[selector.Sel.Name]
 	if !ok || len(call.Args) == 0 {
 		return true
 	}
-	place := 0
+	messageIndex := 0
 	if level == "varying" {
-		place = 1
+		messageIndex = 1
 	}
-	if place >= len(call.Args) {
+	if messageIndex >= len(call.Args) {
 		return true
 	}
-	message, ok := s.text(call.Args[place])
-	if !ok || isPackage(selector.X, "fmt", "errors") {
+	message, ok := s.text(call.Args[messageIndex])
+	if !ok || isIdentifier(selector.X, "fmt", "errors") {
 		return true
 	}
 	fields := s.fields(selector.X)
-	s.chains = append(s.chains, level+" | "+message+" | "+strings.TrimSpace(strings.ReplaceAll(sortedLines(fields), "\n", " ")))
+	s.calls = append(s.calls, level+" | "+message+" | "+strings.TrimSpace(strings.ReplaceAll(sortedUniqueLines(fields), "\n", " ")))
 	return true
 }
 
-func isPackage(expression ast.Expr, names ...string) bool {
-	name, ok := expression.(*ast.Ident)
+func isIdentifier(expression ast.Expr, names ...string) bool {
+	ident, ok := expression.(*ast.Ident)
 	if !ok {
 		return false
 	}
-	for _, one := range names {
-		if name.Name == one {
+	for _, candidate := range names {
+		if ident.Name == candidate {
 			return true
 		}
 	}
 	return false
 }
 
-// fields gives the names of the fields that a chain of calls adds.
+// fields returns the names of the log fields that a chain of calls adds.
 func (s *logScan) fields(expression ast.Expr) []string {
 	if name, ok := expression.(*ast.Ident); ok {
 		return s.loggerFields(name.Name)
@@ -211,7 +211,7 @@
 	return fields
 }
 
-// mapFields gives the keys of a map in place, or of a variable of the function.
+// mapFields returns the keys of a map literal, of a map variable of the function, or of a map that a function returns.
 func (s *logScan) mapFields(expression ast.Expr) []string {
 	switch value := expression.(type) {
 	case *ast.CompositeLit:
@@ -227,15 +227,15 @@
 	case *ast.Ident:
 		return s.variableFields(value.Name)
 	case *ast.CallExpr:
-		return s.functionFields(value.Fun)
+		return s.returnedFields(value.Fun)
 	}
 	return []string{"?"}
 }
 
-// loggerFields gives the fields of a logger that the function holds in a variable.
+// loggerFields returns the fields of a logger that is stored in a local variable.
 func (s *logScan) loggerFields(name string) []string {
 	var fields []string
-	ast.Inspect(s.body, func(node ast.Node) bool {
+	ast.Inspect(s.scope, func(node ast.Node) bool {
 		assignment, ok := node.(*ast.AssignStmt)
 		if !ok || len(assignment.Lhs) != 1 {
 			return true
@@ -250,8 +250,8 @@
 	return fields
 }
 
-// functionFields gives the keys of the maps that a function of the program makes.
-func (s *logScan) functionFields(function ast.Expr) []string {
+// returnedFields returns the keys of the maps that a function of the program creates.
+func (s *logScan) returnedFields(function ast.Expr) []string {
 	name := ""
 	switch called := function.(type) {
 	case *ast.Ident:
@@ -262,26 +262,26 @@
 	var fields []string
 	for _, file := range s.files {
 		for _, declaration := range file.tree.Decls {
-			if made, ok := declaration.(*ast.FuncDecl); ok && made.Name.Name == name {
-				fields = append(fields, s.madeFields(made)...)
+			if candidate, ok := declaration.(*ast.FuncDecl); ok && candidate.Name.Name == name {
+				fields = append(fields, s.assignedFields(candidate)...)
 			}
 		}
 	}
 	return fields
 }
 
-func (s *logScan) madeFields(function *ast.FuncDecl) []string {
+func (s *logScan) assignedFields(function *ast.FuncDecl) []string {
 	var fields []string
 	ast.Inspect(function, func(node ast.Node) bool {
 		switch part := node.(type) {
 		case *ast.KeyValueExpr:
-			if text, ok := literal(part.Key); ok {
+			if text, ok := stringLiteral(part.Key); ok {
 				fields = append(fields, text)
 			}
 		case *ast.AssignStmt:
 			for _, target := range part.Lhs {
 				if index, ok := target.(*ast.IndexExpr); ok {
-					if text, ok := literal(index.Index); ok {
+					if text, ok := stringLiteral(index.Index); ok {
 						fields = append(fields, text)
 					}
 				}
@@ -294,7 +294,7 @@
 
 func (s *logScan) variableFields(name string) []string {
 	var fields []string
-	ast.Inspect(s.body, func(node ast.Node) bool {
+	ast.Inspect(s.scope, func(node ast.Node) bool {
 		assignment, ok := node.(*ast.AssignStmt)
 		if !ok || len(assignment.Lhs) != 1 {
 			return true
@@ -316,39 +316,39 @@
 	return fields
 }
 
-// TestLogLinesInTheSource pins level, message and fields of each log call of the program,
-// wherever it stands.
+// TestLogLinesInTheSource compares level, message and fields of each log call in the program's
+// source with the golden file, independent of the call's package.
 func TestLogLinesInTheSource(t *testing.T) {
 	t.Parallel()
-	files := sources(t)
-	all := constants(files)
+	files := parsedSources(t)
+	constantsByPackage := stringConstants(files)
 	var lines []string
 	for _, file := range files {
 		for _, declaration := range file.tree.Decls {
-			scan := &logScan{files: files, texts: all[file.directory], all: all, body: declaration}
-			ast.Inspect(declaration, scan.visit)
-			lines = append(lines, scan.chains...)
+			scan := &logScan{files: files, packageConstants: constantsByPackage[file.directory], constantsByPackage: constantsByPackage, scope: declaration}
+			ast.Inspect(declaration, scan.visitCall)
+			lines = append(lines, scan.calls...)
 		}
 	}
-	pin(t, "log_calls.txt", sortedLines(lines))
+	checkGolden(t, "log_calls.txt", sortedUniqueLines(lines))
 }
 
-// TestWordsOfTheLog demands that the reasons, kinds, replies and causes that logs, metrics and
-// answers carry stand in the program's text, each as a whole literal.
+// TestWordsOfTheLog checks that each reason, kind, reply and cause that appears in logs, metrics and
+// responses is a complete string literal in the program's source.
 func TestWordsOfTheLog(t *testing.T) {
 	t.Parallel()
 	found := make(map[string]bool)
-	for _, file := range sources(t) {
+	for _, file := range parsedSources(t) {
 		ast.Inspect(file.tree, func(node ast.Node) bool {
 			if expression, ok := node.(ast.Expr); ok {
-				if text, ok := literal(expression); ok {
+				if text, ok := stringLiteral(expression); ok {
 					found[text] = true
 				}
 			}
 			return true
 		})
 	}
-	for _, word := range strings.Split(string(input(t, "words.txt")), "\n") {
-		assert.True(t, found[word], "no literal of the program says %q any more", word)
+	for _, word := range strings.Split(string(readTestdata(t, "words.txt")), "\n") {
+		assert.True(t, found[word], "the program's source has no string literal %q", word)
 	}
 }
--- a/tests/pinned/entry/values_test.go
+++ b/tests/pinned/entry/values_test.go
@@ -19,8 +19,8 @@
 	"github.com/shelfledge/shelfledge/platform"
 )
 
-// scalars gives all values in a structure that are not zero, without the names of its fields.
-func scalars(value reflect.Value) []string {
+// nonZeroScalars returns the text forms of all non-zero scalars in a value, without field names.
+func nonZeroScalars(value reflect.Value) []string {
 	if !value.IsValid() || value.IsZero() {
 		return nil
 	}
@@ -35,18 +35,18 @@
 	var found []string
 	switch value.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		return scalars(value.Elem())
+		return nonZeroScalars(value.Elem())
 	case reflect.Struct:
 		for i := range value.NumField() {
-			found = append(found, scalars(value.Field(i))...)
+			found = append(found, nonZeroScalars(value.Field(i))...)
 		}
 	case reflect.Slice, reflect.Array:
 		for i := range value.Len() {
-			found = append(found, scalars(value.Index(i))...)
+			found = append(found, nonZeroScalars(value.Index(i))...)
 		}
 	case reflect.Map:
 		for _, key := range value.MapKeys() {
-			found = append(append(found, scalars(key)...), scalars(value.MapIndex(key))...)
+			found = append(append(found, nonZeroScalars(key)...), nonZeroScalars(value.MapIndex(key))...)
 		}
 	case reflect.String:
 		found = append(found, value.String())
@@ -62,56 +62,56 @@
 	return found
 }
 
-// checkRead demands that each value of the pinned list has been read. All values of an input differ, so that
-// a tag that is renamed leaves one out; values that nothing uses are not listed.
-func checkRead(t *testing.T, name string, read ...any) {
+// checkValuesRead checks that each value listed in the golden file occurs in the decoded structures. All values of an input
+// differ, so a renamed tag makes one value disappear. The list omits values that the program does not use.
+func checkValuesRead(t *testing.T, name string, read ...any) {
 	t.Helper()
 	var found []string
 	for _, one := range read {
-		found = append(found, scalars(reflect.ValueOf(one))...)
+		found = append(found, nonZeroScalars(reflect.ValueOf(one))...)
 	}
-	for _, value := range strings.Split(string(input(t, name)), "\n") {
-		assert.Contains(t, found, value, "%s: a value that was read is read no more", name)
+	for _, value := range strings.Split(string(readTestdata(t, name)), "\n") {
+		assert.Contains(t, found, value, "%s: value missing from the decoded structures", name)
 	}
 }
 
-// TestSettingsAreRead pins which values of the settings file reach the process.
+// TestSettingsAreRead checks which values of the settings file reach the process.
 func TestSettingsAreRead(t *testing.T) {
 	t.Parallel()
-	settings, err := platform.ParseSettings(input(t, "read_settings.json"))
+	settings, err := platform.ParseSettings(readTestdata(t, "read_settings.json"))
 	require.NoError(t, err)
-	checkRead(t, "read_settings.txt", settings.Process(logrus.WarnLevel, 4321))
+	checkValuesRead(t, "read_settings.txt", settings.Process(logrus.WarnLevel, 4321))
 	weak, err := platform.ParseSettings([]byte(strings.NewReplacer(`"cpu_share": 2`, `"cpu_share": 0.1`, `"link_mbps": 1000`, `"link_mbps": 10`).
-		Replace(string(input(t, "read_settings.json")))))
+		Replace(string(readTestdata(t, "read_settings.json")))))
 	require.NoError(t, err)
-	// A weak processor and a weak link each leave the planner's work to others for a time.
-	checkRead(t, "read_weak_settings.txt", weak.Process(logrus.WarnLevel, 0))
+	// A small CPU share and a slow link each delay an instance's candidacy for planner.
+	checkValuesRead(t, "read_weak_settings.txt", weak.Process(logrus.WarnLevel, 0))
 }
 
-// TestConfigurationIsRead pins which values of the operators' configuration are read.
+// TestConfigurationIsRead checks which values of the operators' configuration are decoded.
 func TestConfigurationIsRead(t *testing.T) {
 	t.Parallel()
-	configuration, err := platform.ParseConfiguration(input(t, "read_configuration.json"))
+	configuration, err := platform.ParseConfiguration(readTestdata(t, "read_configuration.json"))
 	require.NoError(t, err)
-	checkRead(t, "read_configuration.txt", configuration)
+	checkValuesRead(t, "read_configuration.txt", configuration)
 }
 
-// TestNamedVersionIsRead pins how a version that operators name is read.
+// TestNamedVersionIsRead checks how a version named by operators is decoded, from a JSON number or string.
 func TestNamedVersionIsRead(t *testing.T) {
 	t.Parallel()
 	for _, text := range []string{`{"model": "base", "adapter": "a1", "version": 41}`, `{"model": "base", "adapter": "a1", "version": "41"}`} {
 		adapter, version, ok := platform.ParseVersion(store.Item{Key: "op/version/base.a1", Value: []byte(text)})
 		require.True(t, ok)
-		checkRead(t, "read_version.txt", adapter, version)
+		checkValuesRead(t, "read_version.txt", adapter, version)
 	}
 	_, _, ok := platform.ParseVersion(store.Item{Key: "op/other", Value: []byte(`{"model": "base", "adapter": "a1", "version": 41}`)})
 	assert.False(t, ok)
 }
 
-// TestEndpointIsRead pins which values of an endpoint's own entry are read.
+// TestEndpointIsRead checks which values of an endpoint's entry in the store are decoded.
 func TestEndpointIsRead(t *testing.T) {
 	t.Parallel()
-	endpoint, err := platform.ParseEndpoint(store.Item{Key: "servers/e-1", Value: input(t, "read_endpoint.json")})
+	endpoint, err := platform.ParseEndpoint(store.Item{Key: "servers/e-1", Value: readTestdata(t, "read_endpoint.json")})
 	require.NoError(t, err)
-	checkRead(t, "read_endpoint.txt", endpoint)
+	checkValuesRead(t, "read_endpoint.txt", endpoint)
 }
