--- a/tests/pinned/daemon/caller_test.go
+++ b/tests/pinned/daemon/caller_test.go
@@ -25,23 +25,24 @@
 	"github.com/shelfledge/shelfledge/services/daemon/relay"
 )
 
-// callerCase is one request of a caller and what the parts behind the listener say to it.
+// callerCase is one request of a caller and the results of the fake placer, claim store and endpoint for it.
 type callerCase struct {
 	line   string
 	header map[string]string
 	body   string
-	// refusal, if set, is the reason for which the request is refused.
+	// refusal, if set, is the reason with which the placer refuses the request.
 	refusal fleet.Reason
 	claim   once.Result
-	// start, if set, is the endpoint's failure.
+	// start, if set, is the error of the call to the endpoint.
 	start error
-	// answer is the endpoint's answer.
+	// answer is the body of the endpoint's response.
 	answer string
-	full   bool
+	// overloaded makes the instance report itself as neither ready nor alive, with no room for requests.
+	overloaded bool
 }
 
-// callerAnswer is what a caller and an endpoint read.
-type callerAnswer struct {
+// callerResponse is the response that a caller receives, with the call to the endpoint and the request to the placer.
+type callerResponse struct {
 	Status   int                 `json:"status"`
 	Header   map[string][]string `json:"header"`
 	Body     string              `json:"body"`
@@ -59,23 +60,23 @@
 	Resume  int                 `json:"resume"`
 }
 
-var uniquePart = regexp.MustCompile(`~[0-9a-f]{8}|[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
+var uniqueIDPattern = regexp.MustCompile(`~[0-9a-f]{8}|[0-9a-f]{8}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{4}-[0-9a-f]{12}`)
 
-// goField is the name of a type of the program, which encoding/json puts into its errors.
-var goField = regexp.MustCompile(`struct field [A-Za-z]+\.`)
+// goFieldPattern matches the Go type name that encoding/json puts into its errors.
+var goFieldPattern = regexp.MustCompile(`struct field [A-Za-z]+\.`)
 
-// ask sends one request to a callers' router whose placer and endpoint are the test's.
-func (c callerCase) ask(t *testing.T) callerAnswer {
+// sendRequest sends one request to a callers' router with a fake placer, claim store and endpoint.
+func (c callerCase) sendRequest(t *testing.T) callerResponse {
 	t.Helper()
-	var out callerAnswer
+	var out callerResponse
 	began := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
 	now := func() time.Time { return began }
-	configuration, err := catalog.DecodeSnapshot(compressed(t, pinned(t, "snapshot.json")))
+	configuration, err := catalog.DecodeSnapshot(compressZstd(t, readGolden(t, "snapshot.json")))
 	require.NoError(t, err)
 	plain := fleet.Endpoint{Name: "h1-tickets", Hall: "h1", Kind: fleet.KindPlain, Prefix: "/tickets/"}
 	submit := func(r fleet.Request) <-chan control.Answer {
 		out.Request = []any{
-			uniquePart.ReplaceAllString(r.ID, "~ID"), r.Caller, r.Class, r.Base, r.Adapter.String(), r.PromptTokens, r.OutputTokens, r.Once,
+			uniqueIDPattern.ReplaceAllString(r.ID, "~ID"), r.Caller, r.Class, r.Base, r.Adapter.String(), r.PromptTokens, r.OutputTokens, r.Once,
 			r.Deadline.Sub(r.Arrived).String(), r.Prefix, r.Attempt,
 		}
 		answers := make(chan control.Answer, 1)
@@ -111,7 +112,7 @@
 		claim = once.Claimed
 	}
 	most := int64(10)
-	if c.full {
+	if c.overloaded {
 		most = 0
 	}
 	r := caller.New(caller.Options{
@@ -125,7 +126,7 @@
 			Endpoints: []fleet.Endpoint{plain}, Metrics: metric.New(metric.Options{MaxCallers: 5, MaxClasses: 5}), MaxAttempts: 1, RetryShare: 0.1,
 			SlowReader: time.Minute, EndpointSilent: time.Minute, CancelLife: time.Millisecond, Now: now,
 		}),
-		Catalog: func() *catalog.Catalog { return configuration }, Ready: func() bool { return !c.full }, Alive: func() bool { return !c.full },
+		Catalog: func() *catalog.Catalog { return configuration }, Ready: func() bool { return !c.overloaded }, Alive: func() bool { return !c.overloaded },
 		Classes: []fleet.Class{{Name: "kiosk", Priority: 10}}, Endpoints: []fleet.Endpoint{plain}, Now: now, MaxBodyBytes: 400, MaxRequests: most,
 		BytesPerToken: 4, OutputTokens: 256, DefaultWait: time.Minute, DefaultClass: "traveller",
 	})
@@ -143,67 +144,67 @@
 	}
 	handler(w, q)
 	out.Status, out.Header = w.Code, w.Header()
-	out.Body = goField.ReplaceAllString(uniquePart.ReplaceAllString(w.Body.String(), "~ID"), "struct field TYPE.")
+	out.Body = goFieldPattern.ReplaceAllString(uniqueIDPattern.ReplaceAllString(w.Body.String(), "~ID"), "struct field TYPE.")
 	for _, values := range out.Header {
 		for i := range values {
-			values[i] = uniquePart.ReplaceAllString(values[i], "~ID")
+			values[i] = uniqueIDPattern.ReplaceAllString(values[i], "~ID")
 		}
 	}
 	return out
 }
 
 const (
-	chat       = "POST /v1/chat/completions"
-	completion = "POST /v1/completions"
-	whole      = `{"model":"fare-1@2","choices":[]}`
-	plainBody  = `{"model":"fare-1@2","prompt":"where is the train"}`
-	stream     = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"}}],\"model\":\"fare-1@2\"}\n\ndata: [DONE]\n\n"
+	chatRequest       = "POST /v1/chat/completions"
+	completionRequest = "POST /v1/completions"
+	completionAnswer  = `{"model":"fare-1@2","choices":[]}`
+	plainBody         = `{"model":"fare-1@2","prompt":"where is the train"}`
+	streamAnswer      = "data: {\"choices\":[{\"index\":0,\"delta\":{\"content\":\"one\"}}],\"model\":\"fare-1@2\"}\n\ndata: [DONE]\n\n"
 )
 
 func callerCases() map[string]callerCase {
 	out := map[string]callerCase{
-		"answered": {line: completion, body: plainBody, answer: whole},
-		"all headers": {line: chat, answer: stream, header: map[string]string{
+		"answered": {line: completionRequest, body: plainBody, answer: completionAnswer},
+		"all headers": {line: chatRequest, answer: streamAnswer, header: map[string]string{
 			"X-Request-Id": "kiosk-1", "X-Caller": "hall-desk", "X-Class": "kiosk", "X-Deadline-Ms": "2500", "X-Once": "true",
 		}, body: `{"model":"fare-1@2","stream":true,"max_tokens":7,"messages":[{"role":"user","content":"hello"}],"temperature":0.5}`},
-		"all metadata": {line: chat, answer: whole, body: `{"model":"fare-1","max_tokens":9,"max_completion_tokens":8,"messages":[],` +
+		"all metadata": {line: chatRequest, answer: completionAnswer, body: `{"model":"fare-1","max_tokens":9,"max_completion_tokens":8,"messages":[],` +
 			`"metadata":{"request_id":"kiosk-2","caller":"desk-2","class":"overnight","deadline_ms":900,"once":true}}`},
-		"user":                  {line: completion, answer: whole, body: `{"model":"desk","user":"u-1","metadata":{"request_id":"kiosk-3"}}`},
+		"user":                  {line: completionRequest, answer: completionAnswer, body: `{"model":"desk","user":"u-1","metadata":{"request_id":"kiosk-3"}}`},
 		"plain read":            {line: "GET /tickets/cabin?day=2", answer: "yes", header: map[string]string{"Accept": "text/plain", "X-Fence": "1", "Cookie": "c=1"}},
 		"plain change":          {line: "POST /tickets/cabin", answer: "yes", body: "book"},
 		"plain change, claimed": {line: "POST /tickets/cabin", body: "book", header: map[string]string{"X-Request-Id": "pay-2"}, claim: once.AlreadyClaimed},
 		"models":                {line: "GET /v1/models"},
 		"healthz":               {line: "GET /healthz"},
 		"readyz":                {line: "GET /readyz"},
-		"healthz, not alive":    {line: "GET /healthz", full: true},
-		"readyz, not ready":     {line: "GET /readyz", full: true},
+		"healthz, not alive":    {line: "GET /healthz", overloaded: true},
+		"readyz, not ready":     {line: "GET /readyz", overloaded: true},
 		"no such path":          {line: "GET /v2/models"},
-		"instance full":         {line: completion, body: plainBody, full: true},
-		"malformed json":        {line: completion, body: `[`},
-		"malformed field":       {line: completion, body: `{"model":7}`},
-		"missing model":         {line: completion, body: `{}`},
-		"model not found":       {line: completion, body: `{"model":"none"}`, header: map[string]string{"X-Request-Id": "kiosk-4"}},
-		"version not found":     {line: completion, body: `{"model":"fare-1@1"}`},
-		"bad identifier":        {line: completion, body: plainBody, header: map[string]string{"X-Request-Id": "a b"}},
-		"bad deadline":          {line: completion, body: plainBody, header: map[string]string{"X-Deadline-Ms": "soon"}},
-		"bad once":              {line: completion, body: plainBody, header: map[string]string{"X-Once": "yes"}},
-		"missing request id":    {line: completion, body: plainBody, header: map[string]string{"X-Once": "true"}},
-		"body too large":        {line: completion, body: strings.Repeat(" ", 500)},
-		"already claimed":       {line: completion, body: plainBody, header: map[string]string{"X-Once": "true", "X-Request-Id": "pay-1"}, claim: once.AlreadyClaimed},
-		"claim impossible":      {line: completion, body: plainBody, header: map[string]string{"X-Once": "true", "X-Request-Id": "pay-1"}, claim: once.Impossible},
-		"endpoint did not run":  {line: completion, body: plainBody, start: engine.ErrNotRun{What: "request", Reason: "503: full", RetryAfter: 3 * time.Second}},
-		"endpoint broke off":    {line: completion, body: plainBody, start: engine.ErrUnknown{What: "request", Reason: "reset"}},
-		"stream broke off":      {line: completion, body: `{"model":"fare-1@2","stream":true}`, answer: "data: {\"model\":\"fare-1@2\",\"choices\":[]}\n\n"},
-		"answer of no model":    {line: completion, body: plainBody, answer: `{"choices":[]}`},
+		"instance full":         {line: completionRequest, body: plainBody, overloaded: true},
+		"malformed json":        {line: completionRequest, body: `[`},
+		"malformed field":       {line: completionRequest, body: `{"model":7}`},
+		"missing model":         {line: completionRequest, body: `{}`},
+		"model not found":       {line: completionRequest, body: `{"model":"none"}`, header: map[string]string{"X-Request-Id": "kiosk-4"}},
+		"version not found":     {line: completionRequest, body: `{"model":"fare-1@1"}`},
+		"bad identifier":        {line: completionRequest, body: plainBody, header: map[string]string{"X-Request-Id": "a b"}},
+		"bad deadline":          {line: completionRequest, body: plainBody, header: map[string]string{"X-Deadline-Ms": "soon"}},
+		"bad once":              {line: completionRequest, body: plainBody, header: map[string]string{"X-Once": "yes"}},
+		"missing request id":    {line: completionRequest, body: plainBody, header: map[string]string{"X-Once": "true"}},
+		"body too large":        {line: completionRequest, body: strings.Repeat(" ", 500)},
+		"already claimed":       {line: completionRequest, body: plainBody, header: map[string]string{"X-Once": "true", "X-Request-Id": "pay-1"}, claim: once.AlreadyClaimed},
+		"claim impossible":      {line: completionRequest, body: plainBody, header: map[string]string{"X-Once": "true", "X-Request-Id": "pay-1"}, claim: once.Impossible},
+		"endpoint did not run":  {line: completionRequest, body: plainBody, start: engine.ErrNotRun{What: "request", Reason: "503: full", RetryAfter: 3 * time.Second}},
+		"endpoint broke off":    {line: completionRequest, body: plainBody, start: engine.ErrUnknown{What: "request", Reason: "reset"}},
+		"stream broke off":      {line: completionRequest, body: `{"model":"fare-1@2","stream":true}`, answer: "data: {\"model\":\"fare-1@2\",\"choices\":[]}\n\n"},
+		"answer of no model":    {line: completionRequest, body: plainBody, answer: `{"choices":[]}`},
 	}
-	for _, reason := range reasons() {
-		out["refused: "+string(reason)] = callerCase{line: completion, body: plainBody, refusal: reason, header: map[string]string{"X-Request-Id": "kiosk-5"}}
+	for _, reason := range refusalReasons() {
+		out["refused: "+string(reason)] = callerCase{line: completionRequest, body: plainBody, refusal: reason, header: map[string]string{"X-Request-Id": "kiosk-5"}}
 	}
 	return out
 }
 
-// reasons lists the reasons of a refusal.
-func reasons() []fleet.Reason {
+// refusalReasons returns all reasons for refusing a request.
+func refusalReasons() []fleet.Reason {
 	return []fleet.Reason{
 		fleet.ReasonQueueFull, fleet.ReasonCustomerLimit, fleet.ReasonDeadline, fleet.ReasonExpired, fleet.ReasonNoEndpoint, fleet.ReasonLoadFailing,
 		fleet.ReasonStopping, fleet.ReasonNoPlacer, fleet.ReasonCancelled, fleet.ReasonClaimed, fleet.ReasonClaimImpossible, fleet.ReasonRule,
@@ -211,9 +212,9 @@
 }
 
 func TestAnswersToCallers(t *testing.T) {
-	out := make(map[string]callerAnswer)
+	out := make(map[string]callerResponse)
 	for name, c := range callerCases() {
-		out[name] = c.ask(t)
+		out[name] = c.sendRequest(t)
 	}
-	pin(t, "caller_answers.json", out)
+	checkGolden(t, "caller_answers.json", out)
 }
--- a/tests/pinned/daemon/calls_test.go
+++ b/tests/pinned/daemon/calls_test.go
@@ -24,58 +24,58 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-// request is an HTTP request as the other side reads it.
-type request struct {
+// recordedRequest is an HTTP request as the server receives it.
+type recordedRequest struct {
 	Line   string              `json:"line"`
 	Header map[string][]string `json:"header"`
 	Body   string              `json:"body"`
 }
 
-// recorder keeps each request and answers by path.
-type recorder struct {
-	mutex  sync.Mutex
-	seen   []request
-	answer http.HandlerFunc
+// requestRecorder records each request and responds with its handler.
+type requestRecorder struct {
+	mutex    sync.Mutex
+	requests []recordedRequest
+	handler  http.HandlerFunc
 }
 
-func (r *recorder) ServeHTTP(w http.ResponseWriter, q *http.Request) {
+func (r *requestRecorder) ServeHTTP(w http.ResponseWriter, q *http.Request) {
 	body, _ := io.ReadAll(q.Body)
 	header := q.Header.Clone()
-	// What the HTTP client adds by itself is no part of the form.
+	// Headers that the HTTP client adds on its own are not part of the program's interface.
 	for _, name := range []string{"Accept-Encoding", "Content-Length", "User-Agent", "Traceparent"} {
 		header.Del(name)
 	}
 	r.mutex.Lock()
-	r.seen = append(r.seen, request{Line: q.Method + " " + q.URL.RequestURI(), Header: header, Body: string(body)})
+	r.requests = append(r.requests, recordedRequest{Line: q.Method + " " + q.URL.RequestURI(), Header: header, Body: string(body)})
 	r.mutex.Unlock()
-	r.answer(w, q)
+	r.handler(w, q)
 }
 
-// take gives the requests since the last call.
-func (r *recorder) take() []request {
+// takeRequests returns the requests received since the last call.
+func (r *requestRecorder) takeRequests() []recordedRequest {
 	r.mutex.Lock()
 	defer r.mutex.Unlock()
-	out := r.seen
-	r.seen = nil
+	out := r.requests
+	r.requests = nil
 	return out
 }
 
-func record(t *testing.T, answer http.HandlerFunc) (*recorder, netip.AddrPort) {
+func startRecorder(t *testing.T, handler http.HandlerFunc) (*requestRecorder, netip.AddrPort) {
 	t.Helper()
-	r := &recorder{answer: answer}
+	r := &requestRecorder{handler: handler}
 	server := httptest.NewServer(r)
 	t.Cleanup(server.Close)
 	return r, netip.MustParseAddrPort(server.Listener.Addr().String())
 }
 
-// exchange is what a call sent and what it made of the answer.
+// exchange has the requests that a call sent and the result that it returned.
 type exchange struct {
-	Sent   []request `json:"sent"`
-	Result any       `json:"result"`
+	Sent   []recordedRequest `json:"sent"`
+	Result any               `json:"result"`
 }
 
-// endpointAnswer is how the endpoint answers the calls of one exchange.
-func endpointAnswer(status int, header map[string]string, body string) http.HandlerFunc {
+// fixedResponse returns a handler that answers each request with the same response.
+func fixedResponse(status int, header map[string]string, body string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		for name, value := range header {
 			w.Header().Set(name, value)
@@ -85,8 +85,8 @@
 	}
 }
 
-// orderEnd names the end of an order in words of this test, not of the program.
-func orderEnd(err error) any {
+// orderOutcome describes the outcome of an order by names that this test defines, independent of the program's Go names.
+func orderOutcome(err error) any {
 	var unknown engine.ErrUnknown
 	var fenced engine.ErrFenced
 	var notRun engine.ErrNotRun
@@ -102,8 +102,8 @@
 }
 
 func TestOrdersToEndpoints(t *testing.T) {
-	r, at := record(t, endpointAnswer(http.StatusOK, nil, ""))
-	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: patience, LoadTimeout: patience})
+	r, at := startRecorder(t, fixedResponse(http.StatusOK, nil, ""))
+	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: waitTimeout, LoadTimeout: waitTimeout})
 	e := fleet.Endpoint{Name: "h1-e1", Hall: "h1", Kind: fleet.KindEngine, Address: at}
 	ref, err := fleet.ParseAdapterRef("fare-1@2")
 	require.NoError(t, err)
@@ -112,57 +112,57 @@
 	out := map[string]exchange{}
 	for name, order := range map[string]func(context.Context, engine.Order) error{"take": d.Take, "load": d.Load, "unload": d.Unload} {
 		err := order(ctx, o)
-		out[name] = exchange{Sent: r.take(), Result: orderEnd(err)}
+		out[name] = exchange{Sent: r.takeRequests(), Result: orderOutcome(err)}
 	}
-	out["cancel"] = exchange{Result: orderEnd(d.Cancel(ctx, e, "kiosk-1~x")), Sent: r.take()}
-	for name, answer := range map[string]http.HandlerFunc{
-		"load, fenced":      endpointAnswer(http.StatusPreconditionFailed, map[string]string{"X-Fence": "99"}, "fence"),
-		"load, refused":     endpointAnswer(http.StatusBadRequest, nil, "no such weights"),
-		"load, not run":     endpointAnswer(http.StatusInternalServerError, map[string]string{"X-Not-Run": "true"}, "not run"),
-		"load, out of room": endpointAnswer(http.StatusInternalServerError, nil, "failed"),
+	out["cancel"] = exchange{Result: orderOutcome(d.Cancel(ctx, e, "kiosk-1~x")), Sent: r.takeRequests()}
+	for name, handler := range map[string]http.HandlerFunc{
+		"load, fenced":      fixedResponse(http.StatusPreconditionFailed, map[string]string{"X-Fence": "99"}, "fence"),
+		"load, refused":     fixedResponse(http.StatusBadRequest, nil, "no such weights"),
+		"load, not run":     fixedResponse(http.StatusInternalServerError, map[string]string{"X-Not-Run": "true"}, "not run"),
+		"load, out of room": fixedResponse(http.StatusInternalServerError, nil, "failed"),
 	} {
-		r.answer = answer
-		out[name] = exchange{Result: orderEnd(d.Load(ctx, o)), Sent: r.take()}
+		r.handler = handler
+		out[name] = exchange{Result: orderOutcome(d.Load(ctx, o)), Sent: r.takeRequests()}
 	}
-	pin(t, "endpoint_orders.json", out)
+	checkGolden(t, "endpoint_orders.json", out)
 }
 
 func TestCallsToEndpoints(t *testing.T) {
-	r, at := record(t, nil)
-	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: patience, LoadTimeout: patience})
+	r, at := startRecorder(t, nil)
+	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: waitTimeout, LoadTimeout: waitTimeout})
 	out := map[string]exchange{}
 	for name, c := range map[string]struct {
-		kind   fleet.EndpointKind
-		answer http.HandlerFunc
+		kind    fleet.EndpointKind
+		handler http.HandlerFunc
 	}{
-		"engine, answered":      {"engine", endpointAnswer(http.StatusOK, nil, "ok")},
-		"engine, not run":       {"engine", endpointAnswer(http.StatusServiceUnavailable, map[string]string{"X-Not-Run": "true", "Retry-After": "3"}, "full")},
-		"engine, fenced":        {"engine", endpointAnswer(http.StatusPreconditionFailed, nil, "fence")},
-		"engine, no such model": {"engine", endpointAnswer(http.StatusNotFound, nil, "no model")},
-		"engine, queue full":    {"engine", endpointAnswer(http.StatusTooManyRequests, nil, "queue")},
-		"engine, failed":        {"engine", endpointAnswer(http.StatusInternalServerError, nil, "failed")},
-		"plain, not found":      {"plain", endpointAnswer(http.StatusNotFound, nil, "not here")},
+		"engine, answered":      {"engine", fixedResponse(http.StatusOK, nil, "ok")},
+		"engine, not run":       {"engine", fixedResponse(http.StatusServiceUnavailable, map[string]string{"X-Not-Run": "true", "Retry-After": "3"}, "full")},
+		"engine, fenced":        {"engine", fixedResponse(http.StatusPreconditionFailed, nil, "fence")},
+		"engine, no such model": {"engine", fixedResponse(http.StatusNotFound, nil, "no model")},
+		"engine, queue full":    {"engine", fixedResponse(http.StatusTooManyRequests, nil, "queue")},
+		"engine, failed":        {"engine", fixedResponse(http.StatusInternalServerError, nil, "failed")},
+		"plain, not found":      {"plain", fixedResponse(http.StatusNotFound, nil, "not here")},
 	} {
-		r.answer = c.answer
+		r.handler = c.handler
 		resp, err := d.Start(context.Background(), engine.Call{
 			Endpoint: fleet.Endpoint{Name: "h1-e1", Hall: "h1", Kind: c.kind, Address: at}, Method: http.MethodPost, Path: "/v1/completions",
 			Header: http.Header{"Accept-Language": {"fr"}}, Body: []byte(`{"model":"fare-1@2"}`), RequestID: "kiosk-1~x", Fence: 41,
 			Incarnation: "life-3", Attempt: 2, ResumeFrom: 7,
 		})
-		result := orderEnd(err)
+		result := orderOutcome(err)
 		if err == nil {
 			body, failed := io.ReadAll(resp.Body)
 			require.NoError(t, failed)
 			require.NoError(t, resp.Body.Close())
 			result = fmt.Sprintf("%d %s", resp.StatusCode, body)
 		}
-		out[name] = exchange{Sent: r.take(), Result: result}
+		out[name] = exchange{Sent: r.takeRequests(), Result: result}
 	}
-	pin(t, "endpoint_calls.json", out)
+	checkGolden(t, "endpoint_calls.json", out)
 }
 
 func TestStatusOfEndpoints(t *testing.T) {
-	r, at := record(t, func(w http.ResponseWriter, q *http.Request) {
+	r, at := startRecorder(t, func(w http.ResponseWriter, q *http.Request) {
 		for name, value := range map[string]string{"X-Incarnation": "life-3", "X-Fence": "41", "X-Fence-Holder": "h1-i1", "X-Leaving": "true"} {
 			w.Header().Set(name, value)
 		}
@@ -173,50 +173,50 @@
 			_, _ = io.WriteString(w, "vllm:lora_requests_info{running_lora_adapters=\"fare-1@2\",waiting_lora_adapters=\"fare-2@1\"} 1\n")
 		}
 	})
-	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: patience, LoadTimeout: patience})
+	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: waitTimeout, LoadTimeout: waitTimeout})
 	out := map[string]exchange{}
 	for _, kind := range []string{"engine", "plain"} {
 		s, err := d.Status(context.Background(), fleet.Endpoint{Kind: fleet.EndpointKind(kind), Address: at})
 		require.NoError(t, err)
-		out[kind] = exchange{Sent: r.take(), Result: []any{s.Incarnation, s.Fence, s.Holder, s.Leaving, fmt.Sprint(s.Resident), fmt.Sprint(s.Running)}}
+		out[kind] = exchange{Sent: r.takeRequests(), Result: []any{s.Incarnation, s.Fence, s.Holder, s.Leaving, fmt.Sprint(s.Resident), fmt.Sprint(s.Running)}}
 	}
-	pin(t, "endpoint_status.json", out)
+	checkGolden(t, "endpoint_status.json", out)
 }
 
 func TestCallsToTheInstanceList(t *testing.T) {
-	list := compact(t, pinned(t, "instance_list.json"))
-	r, at := record(t, endpointAnswer(http.StatusOK, nil, string(list)))
-	l, err := instancelist.Reader{Address: at, Timeout: patience, Client: &http.Client{}}.Read(context.Background())
+	list := compactJSON(t, readGolden(t, "instance_list.json"))
+	r, at := startRecorder(t, fixedResponse(http.StatusOK, nil, string(list)))
+	l, err := instancelist.Reader{Address: at, Timeout: waitTimeout, Client: &http.Client{}}.Read(context.Background())
 	require.NoError(t, err)
-	pin(t, "instance_list.json", l)
+	checkGolden(t, "instance_list.json", l)
 	example := `{"entries":[{"name":"h1-i1","kind":"instance","hall":"h1","address":"10.0.0.1:7400","operator":"10.0.0.1:7401","state":"live"},` +
 		`{"name":"h1-e1","kind":"endpoint","hall":"h1","address":"10.0.0.2:8000","state":"leaving"},` +
 		`{"name":"h1-e2","kind":"endpoint","hall":"h1","address":"10.0.0.3:8000","state":"live"}]}`
-	r.answer = endpointAnswer(http.StatusOK, nil, example)
-	l, err = instancelist.Reader{Address: at, Timeout: patience, Client: &http.Client{}}.Read(context.Background())
+	r.handler = fixedResponse(http.StatusOK, nil, example)
+	l, err = instancelist.Reader{Address: at, Timeout: waitTimeout, Client: &http.Client{}}.Read(context.Background())
 	require.NoError(t, err)
 	var instances [][]any
 	for _, i := range l.Instances() {
 		instances = append(instances, []any{i.ID, i.Hall, i.Address, i.Operator})
 	}
-	pin(t, "instance_list_calls.json", map[string]any{"sent": r.take(), "instances": instances, "leaving": l.Leaving()})
+	checkGolden(t, "instance_list_calls.json", map[string]any{"sent": r.takeRequests(), "instances": instances, "leaving": l.Leaving()})
 }
 
 func TestCallsToTheKeyValueService(t *testing.T) {
-	r, at := record(t, func(w http.ResponseWriter, q *http.Request) {
+	r, at := startRecorder(t, func(w http.ResponseWriter, q *http.Request) {
 		file := map[string]string{
 			"/v3/kv/range": "kv_range_response.json", "/v3/kv/txn": "kv_txn_response.json", "/v3/lease/grant": "kv_lease_response.json",
 			"/v3/lease/keepalive": "kv_keepalive_response.json", "/v3/lease/revoke": "kv_lease_response.json", "/v3/watch": "kv_watch_event.json",
 		}[q.URL.Path]
-		_, _ = w.Write(pinned(t, file))
+		_, _ = w.Write(readGolden(t, file))
 	})
-	c := kv.New(kv.Options{Addresses: []netip.AddrPort{at}, Timeout: patience})
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	c := kv.New(kv.Options{Addresses: []netip.AddrPort{at}, Timeout: waitTimeout})
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	out := map[string]exchange{}
 	note := func(name string, result any, err error) {
 		require.NoError(t, err, name)
-		out[name] = exchange{Sent: r.take(), Result: result}
+		out[name] = exchange{Sent: r.takeRequests(), Result: result}
 	}
 	pair, found, err := c.Get(ctx, "/shelfledge/config/head")
 	require.True(t, found)
@@ -239,17 +239,17 @@
 		events = append(events, e)
 		return false
 	}))
-	for name, answer := range map[string]http.HandlerFunc{
-		"lease gone":  endpointAnswer(http.StatusNotFound, nil, `{"message":"requested lease not found"}`),
-		"overloaded":  endpointAnswer(http.StatusTooManyRequests, nil, "slow down"),
-		"unavailable": endpointAnswer(http.StatusServiceUnavailable, nil, "no leader"),
-		"failed":      endpointAnswer(http.StatusInternalServerError, nil, "failed"),
+	for name, handler := range map[string]http.HandlerFunc{
+		"lease gone":  fixedResponse(http.StatusNotFound, nil, `{"message":"requested lease not found"}`),
+		"overloaded":  fixedResponse(http.StatusTooManyRequests, nil, "slow down"),
+		"unavailable": fixedResponse(http.StatusServiceUnavailable, nil, "no leader"),
+		"failed":      fixedResponse(http.StatusInternalServerError, nil, "failed"),
 	} {
-		r.answer = answer
+		r.handler = handler
 		_, err := c.Txn(ctx, kv.TxnRequest{})
 		require.Error(t, err)
-		out[name] = exchange{Sent: r.take(), Result: []any{err.Error(), kv.IsErrLeaseGone(err), kv.IsErrNotDone(err), kv.IsErrUnknown(err)}}
+		out[name] = exchange{Sent: r.takeRequests(), Result: []any{err.Error(), kv.IsErrLeaseGone(err), kv.IsErrNotDone(err), kv.IsErrUnknown(err)}}
 	}
-	pin(t, "kv_calls.json", out)
-	require.NotContains(t, strings.ToLower(string(pinned(t, "kv_calls.json"))), "127.0.0.1", "a pinned call names a port of one run")
+	checkGolden(t, "kv_calls.json", out)
+	require.NotContains(t, strings.ToLower(string(readGolden(t, "kv_calls.json"))), "127.0.0.1", "a golden request contains an address of this run")
 }
--- a/tests/pinned/daemon/daemon_test.go
+++ b/tests/pinned/daemon/daemon_test.go
@@ -22,28 +22,29 @@
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
-// running is one daemon in front of one hall of stand-ins.
-type running struct {
+// daemonRun is a daemon in front of one hall of stand-ins.
+type daemonRun struct {
 	t         *testing.T
 	cluster   *standin.Cluster
 	callers   string
 	operators string
 }
 
-// parallel lets the daemons' waits pass together, save where one test's files are read by the next.
-func parallel(t *testing.T) {
+// parallelUnlessUpdate lets the tests that start daemons wait in parallel. With -update they run in sequence, since one test reads the
+// files that another one writes.
+func parallelUnlessUpdate(t *testing.T) {
 	if !*update {
 		t.Parallel()
 	}
 }
 
-func hashed(key string) string {
+func sha256Hex(key string) string {
 	sum := sha256.Sum256([]byte(key))
 	return hex.EncodeToString(sum[:])
 }
 
-// run starts a daemon over a key-value service that holds the given pairs.
-func run(t *testing.T, unfencedEvery int, pairs map[string]kv.Pair) *running {
+// startDaemon starts a daemon with a key-value service that holds the given pairs.
+func startDaemon(t *testing.T, unfencedEvery int, pairs map[string]kv.Pair) *daemonRun {
 	t.Helper()
 	o := standin.DefaultClusterOptions()
 	o.Halls, o.UnfencedEvery, o.Step, o.Load, o.ListLag = []string{"h1"}, unfencedEvery, time.Millisecond, time.Millisecond, 0
@@ -53,14 +54,15 @@
 	c.KV.Restore(pairs)
 	place := standin.Loopback("h1-i1", "h1")
 	key := func(name, role string) map[string]any {
-		return map[string]any{"name": name, "role": role, "sha256": hashed(name)}
+		return map[string]any{"name": name, "role": role, "sha256": sha256Hex(name)}
 	}
 	s, err := setting.Parse("settings", []byte(c.SettingsText(place, map[string]any{
 		"kv":        map[string]any{"addresses": []any{c.KVAddress}, "reads_per_second": 1e5, "writes_per_second": 1e5},
 		"operators": map[string]any{"keys": []any{key("reader", "read"), key("changer", "change"), key("admin", "admin")}, "failures_per_minute": 3},
 	})))
 	require.NoError(t, err)
-	// A logger of this test's own, since the program's sets gRPC's for the whole process, which may be done once only.
+	// The test uses its own logger: the program's logger also replaces gRPC's logger for the whole process, which is allowed
+	// only once.
 	quiet := logrus.New()
 	quiet.SetOutput(io.Discard)
 	d, err := process.Start(process.Options{Settings: s, Log: logrus.NewEntry(quiet)})
@@ -69,15 +71,15 @@
 	at := d.Addresses()
 	place.Callers, place.Operators, place.Peers = at.Callers, at.Operators, at.Peers
 	c.List.Set([]instancelist.Entry{standin.ListEntry(place)})
-	return &running{t: t, cluster: c, callers: "http://" + at.Callers.String(), operators: "http://" + at.Operators.String()}
+	return &daemonRun{t: t, cluster: c, callers: "http://" + at.Callers.String(), operators: "http://" + at.Operators.String()}
 }
 
-func (r *running) waitFor(holds func() bool, what string) {
+func (r *daemonRun) waitFor(holds func() bool, what string) {
 	r.t.Helper()
-	require.Eventually(r.t, holds, patience, 5*time.Millisecond, what)
+	require.Eventually(r.t, holds, waitTimeout, 5*time.Millisecond, what)
 }
 
-func (r *running) waitReady() {
+func (r *daemonRun) waitReady() {
 	r.t.Helper()
 	r.waitFor(func() bool {
 		resp, err := http.Get(r.operators + "/readyz")
@@ -89,22 +91,22 @@
 	}, "the daemon does not become ready")
 }
 
-// changing are the parts of answers that differ from run to run.
-var changing = []struct {
+// maskedPatterns lists the parts of responses that differ from run to run, with their masks.
+var maskedPatterns = []struct {
 	pattern *regexp.Regexp
 	mask    string
 }{
 	{regexp.MustCompile(`"(after|age)_ns":\d+`), `"${1}_ns":1`},
-	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)`), storedAt},
+	{regexp.MustCompile(`\d{4}-\d\d-\d\dT\d\d:\d\d:\d\d(\.\d+)?(Z|[+-]\d\d:\d\d)`), maskedTime},
 	{regexp.MustCompile(`account \d+\.\d s`), "account 0.0 s"},
 	{regexp.MustCompile(`again in [\dms]+`), "again in TIME"},
 	{regexp.MustCompile(`127\.0\.0\.1:\d+`), "ADDRESS"},
 }
 
-const storedAt = "2026-03-04T05:06:07Z"
+const maskedTime = "2026-03-04T05:06:07Z"
 
-func masked(text string) string {
-	for _, c := range changing {
+func maskVarying(text string) string {
+	for _, c := range maskedPatterns {
 		text = c.pattern.ReplaceAllString(text, c.mask)
 	}
 	return text
--- a/tests/pinned/daemon/operator_test.go
+++ b/tests/pinned/daemon/operator_test.go
@@ -16,15 +16,15 @@
 	"github.com/shelfledge/shelfledge/tests/standin"
 )
 
-// operatorAnswer is what an operator reads.
-type operatorAnswer struct {
+// operatorResponse is the response that an operator receives.
+type operatorResponse struct {
 	Status     int    `json:"status"`
 	RetryAfter bool   `json:"retry_after,omitempty"`
 	Type       string `json:"type"`
 	Body       any    `json:"body"`
 }
 
-func (r *running) post(key, body string) operatorAnswer {
+func (r *daemonRun) postRun(key, body string) operatorResponse {
 	r.t.Helper()
 	q, err := http.NewRequest(http.MethodPost, r.operators+"/operator/v1/run", strings.NewReader(body))
 	require.NoError(r.t, err)
@@ -34,28 +34,28 @@
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
 	require.NoError(r.t, err)
-	out := operatorAnswer{Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After") != "", Type: resp.Header.Get("Content-Type")}
-	require.NoError(r.t, json.Unmarshal([]byte(masked(string(data))), &out.Body), string(data))
+	out := operatorResponse{Status: resp.StatusCode, RetryAfter: resp.Header.Get("Retry-After") != "", Type: resp.Header.Get("Content-Type")}
+	require.NoError(r.t, json.Unmarshal([]byte(maskVarying(string(data))), &out.Body), string(data))
 	return out
 }
 
-// say sends a text under an identifier.
-func (r *running) say(key, id, text string) operatorAnswer {
+// runStatements sends a text of statements with a request identifier.
+func (r *daemonRun) runStatements(key, id, text string) operatorResponse {
 	r.t.Helper()
 	body, err := json.Marshal(map[string]any{"text": text, "id": id, "wait_ms": 5000})
 	require.NoError(r.t, err)
-	return r.post(key, string(body))
+	return r.postRun(key, string(body))
 }
 
-// step is one text and what became of it.
-type step struct {
-	Key    string         `json:"key"`
-	Text   string         `json:"text"`
-	Answer operatorAnswer `json:"answer"`
+// operatorStep is one text of statements and the response to it.
+type operatorStep struct {
+	Key    string           `json:"key"`
+	Text   string           `json:"text"`
+	Answer operatorResponse `json:"answer"`
 }
 
-// accepted are all forms of command, in an order in which each makes sense.
-const accepted = `create adapter fare-1 base base-a
+// acceptedStatements has all forms of statements, in an order in which each is accepted.
+const acceptedStatements = `create adapter fare-1 base base-a
 create adapter fare-2 base base-a version 1 source 'weights/fare-2/1'
 create version fare-1@1 source weights/fare-1/1 live
 create version fare-1@2 source weights/fare-1/2
@@ -103,8 +103,9 @@
 explain revision 99
 show adapters; pin fare-1@3; explain request nobody; show classes`
 
-// doubtful are statements that are well formed and make little sense, or come too late; the file says which are refused, and why.
-const doubtful = `pin fare-1@2 if revision 3
+// rejectableStatements has well-formed statements that refer to missing objects, conflict with the configuration or come too late. The
+// golden file has the response to each, with the reason where the statement is rejected.
+const rejectableStatements = `pin fare-1@2 if revision 3
 create adapter fare-1 base base-a
 create version fare-9@1
 create version fare-1
@@ -140,47 +141,47 @@
 show adapters where nothing = 1`
 
 func TestOperatorsOverHTTP(t *testing.T) {
-	parallel(t)
-	r := run(t, 0, nil)
+	parallelUnlessUpdate(t)
+	r := startDaemon(t, 0, nil)
 	r.waitReady()
-	var steps []step
-	for i, text := range strings.Split(accepted, "\n") {
-		a := r.say("admin", fmt.Sprintf("step-%d", i+1), text)
+	var steps []operatorStep
+	for i, text := range strings.Split(acceptedStatements, "\n") {
+		a := r.runStatements("admin", fmt.Sprintf("step-%d", i+1), text)
 		require.Equal(t, http.StatusOK, a.Status, "%s: %v", text, a.Body)
-		steps = append(steps, step{Key: "admin", Text: text, Answer: a})
+		steps = append(steps, operatorStep{Key: "admin", Text: text, Answer: a})
 	}
-	steps = append(steps, step{Key: "admin", Text: "repeated: pin fare-2@1", Answer: r.say("admin", "step-36", "pin fare-2@1")})
-	for i, text := range strings.Split(doubtful, "\n") {
-		steps = append(steps, step{Key: "admin", Text: text, Answer: r.say("admin", fmt.Sprintf("doubtful-%d", i+1), text)})
+	steps = append(steps, operatorStep{Key: "admin", Text: "repeated: pin fare-2@1", Answer: r.runStatements("admin", "step-36", "pin fare-2@1")})
+	for i, text := range strings.Split(rejectableStatements, "\n") {
+		steps = append(steps, operatorStep{Key: "admin", Text: text, Answer: r.runStatements("admin", fmt.Sprintf("doubtful-%d", i+1), text)})
 	}
-	for _, x := range []step{
+	for _, x := range []operatorStep{
 		{Key: "reader", Text: "show adapters"}, {Key: "reader", Text: "pin fare-1@2"}, {Key: "changer", Text: "pin fare-1@2"},
 		{Key: "changer", Text: "set budget 1 loads per second 1 at once"}, {Key: "changer", Text: "undo revision 2"}, {Key: "changer", Text: "drain hall h1"},
 		{Key: "admin", Text: "frobnicate"}, {Key: "nobody", Text: "show adapters"}, {Key: "nobody", Text: "show adapters"},
 		{Key: "nobody", Text: "show adapters"}, {Key: "admin", Text: "show adapters"},
 	} {
-		x.Answer = r.say(x.Key, "denied-"+x.Text, x.Text)
+		x.Answer = r.runStatements(x.Key, "denied-"+x.Text, x.Text)
 		steps = append(steps, x)
 	}
-	pin(t, "operator_answers.json", steps)
-	pin(t, "stored_configuration.json", stored(t, r.cluster.KV.Dump(), "/config/"))
+	checkGolden(t, "operator_answers.json", steps)
+	checkGolden(t, "stored_configuration.json", readableStoredValues(t, r.cluster.KV.Dump(), "/config/"))
 }
 
 func TestUnreadableRequestAndLostService(t *testing.T) {
-	parallel(t)
-	r := run(t, 0, nil)
+	parallelUnlessUpdate(t)
+	r := startDaemon(t, 0, nil)
 	r.waitReady()
-	out := map[string]operatorAnswer{"unreadable": r.post("admin", "{")}
+	out := map[string]operatorResponse{"unreadable": r.postRun("admin", "{")}
 	r.cluster.KV.SetFaults(standin.KVFaults{Down: true})
-	out["unavailable"] = r.say("admin", "lost", "create adapter fare-1 base base-a")
-	pin(t, "operator_failures.json", out)
+	out["unavailable"] = r.runStatements("admin", "lost", "create adapter fare-1 base base-a")
+	checkGolden(t, "operator_failures.json", out)
 }
 
 func TestRowsOfALoadedAdapter(t *testing.T) {
-	parallel(t)
-	r := run(t, 0, nil)
+	parallelUnlessUpdate(t)
+	r := startDaemon(t, 0, nil)
 	r.waitReady()
-	a := r.say("admin", "loaded", "create adapter fare-1 base base-a version 1; pin fare-1@1; preload fare-1@1")
+	a := r.runStatements("admin", "loaded", "create adapter fare-1 base base-a version 1; pin fare-1@1; preload fare-1@1")
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
 	for _, wanted := range []string{
 		"slots where adapter = fare-1@1 and state = resident and pinned = true and running = 0 and hall = h1 and endpoint like 'h1-e?'",
@@ -191,8 +192,8 @@
 		"events where kind = loaded and adapter = fare-1@1 and pool = h1/base-a and instance = h1-i1",
 	} {
 		r.waitFor(func() bool {
-			a := r.say("reader", "", "show count of "+wanted)
-			return a.Status == http.StatusOK && !strings.Contains(string(indented(t, a.Body)), " 0\n")
+			a := r.runStatements("reader", "", "show count of "+wanted)
+			return a.Status == http.StatusOK && !strings.Contains(string(encodeIndented(t, a.Body)), " 0\n")
 		}, "no row of "+wanted)
 	}
 }
--- a/tests/pinned/daemon/peer_test.go
+++ b/tests/pinned/daemon/peer_test.go
@@ -26,21 +26,21 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/peerlink"
 )
 
-// message is a pinned message: its bytes, and the same read without any type of the program.
-type message struct {
+// pinnedMessage is a message in a golden file: its bytes, and its fields decoded without the program's types.
+type pinnedMessage struct {
 	Hex    string `json:"hex"`
 	Fields any    `json:"fields"`
 }
 
-func messageOf(t *testing.T, data []byte) message {
+func newPinnedMessage(t *testing.T, data []byte) pinnedMessage {
 	t.Helper()
 	var fields any
 	require.NoError(t, msgpack.Unmarshal(data, &fields))
-	return message{Hex: hex.EncodeToString(data), Fields: readable(fields)}
+	return pinnedMessage{Hex: hex.EncodeToString(data), Fields: normalizeDecoded(fields)}
 }
 
-// readable gives bytes as hex and times in UTC.
-func readable(v any) any {
+// normalizeDecoded converts bytes to hex and times to UTC.
+func normalizeDecoded(v any) any {
 	switch x := v.(type) {
 	case []byte:
 		return "hex:" + hex.EncodeToString(x)
@@ -48,18 +48,18 @@
 		return x.UTC().Format(time.RFC3339Nano)
 	case []any:
 		for i := range x {
-			x[i] = readable(x[i])
+			x[i] = normalizeDecoded(x[i])
 		}
 	case map[string]any:
 		for key := range x {
-			x[key] = readable(x[key])
+			x[key] = normalizeDecoded(x[key])
 		}
 	}
 	return v
 }
 
-// envelopes gives a filled envelope for each kind of message, by the kind's encoded name.
-func envelopes() map[string]fleet.Envelope {
+// filledEnvelopes returns a filled envelope for each kind of message, by the kind's encoded name.
+func filledEnvelopes() map[string]fleet.Envelope {
 	out := make(map[string]fleet.Envelope)
 	kind := reflect.TypeFor[fleet.Envelope]()
 	for i := range kind.NumField() {
@@ -80,60 +80,60 @@
 	return out
 }
 
-const messagesFile = "peer_messages.json"
+const peerMessagesFile = "peer_messages.json"
 
-// messages reads the pinned messages, after writing them where that is asked for.
-func messages(t *testing.T) map[string][]byte {
+// readPeerMessages returns the golden messages by name. With -update it rewrites them first.
+func readPeerMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	if *update {
-		all := make(map[string]message)
-		for name, e := range envelopes() {
-			all[name] = messageOf(t, encoded(t, e))
+		all := make(map[string]pinnedMessage)
+		for name, e := range filledEnvelopes() {
+			all[name] = newPinnedMessage(t, encodeMsgpack(t, e))
 		}
 		var q peerlink.Question
 		var a peerlink.Answer
 		(&filler{}).fill(reflect.ValueOf(&q).Elem())
 		(&filler{}).fill(reflect.ValueOf(&a).Elem())
-		all["question"], all["answer"] = messageOf(t, encoded(t, q)), messageOf(t, encoded(t, a))
-		pin(t, messagesFile, all)
+		all["question"], all["answer"] = newPinnedMessage(t, encodeMsgpack(t, q)), newPinnedMessage(t, encodeMsgpack(t, a))
+		checkGolden(t, peerMessagesFile, all)
 	}
-	var all map[string]message
-	require.NoError(t, json.Unmarshal(pinned(t, messagesFile), &all))
+	var all map[string]pinnedMessage
+	require.NoError(t, json.Unmarshal(readGolden(t, peerMessagesFile), &all))
 	out := make(map[string][]byte)
 	for name, m := range all {
 		data, err := hex.DecodeString(m.Hex)
 		require.NoError(t, err)
 		out[name] = data
-		all[name] = messageOf(t, data)
+		all[name] = newPinnedMessage(t, data)
 	}
-	pin(t, messagesFile, all)
+	checkGolden(t, peerMessagesFile, all)
 	return out
 }
 
-func encoded(t *testing.T, v any) []byte {
+func encodeMsgpack(t *testing.T, v any) []byte {
 	t.Helper()
 	data, err := msgpack.Marshal(v)
 	require.NoError(t, err)
 	return data
 }
 
-func requireSame[T any](t *testing.T, name string, data []byte) T {
+func requireRoundTrip[T any](t *testing.T, name string, data []byte) T {
 	t.Helper()
 	var v T
 	require.NoError(t, msgpack.Unmarshal(data, &v), name)
-	require.Equal(t, hex.EncodeToString(data), hex.EncodeToString(encoded(t, v)), "message %q is encoded otherwise", name)
+	require.Equal(t, hex.EncodeToString(data), hex.EncodeToString(encodeMsgpack(t, v)), "message %q: encoding differs from the golden file", name)
 	return v
 }
 
 func TestMessagesBetweenInstances(t *testing.T) {
-	all := messages(t)
-	requireFilled(t, "question", "msgpack", reflect.ValueOf(requireSame[peerlink.Question](t, "question", all["question"])))
-	requireFilled(t, "answer", "msgpack", reflect.ValueOf(requireSame[peerlink.Answer](t, "answer", all["answer"])))
-	kinds := envelopes()
-	require.Len(t, all, len(kinds)+2, "a kind of message has no pinned example, or the reverse")
+	all := readPeerMessages(t)
+	requireFilled(t, "question", "msgpack", reflect.ValueOf(requireRoundTrip[peerlink.Question](t, "question", all["question"])))
+	requireFilled(t, "answer", "msgpack", reflect.ValueOf(requireRoundTrip[peerlink.Answer](t, "answer", all["answer"])))
+	kinds := filledEnvelopes()
+	require.Len(t, all, len(kinds)+2, "the golden file and the program have different kinds of messages")
 	for name := range kinds {
 		require.Contains(t, all, name)
-		v := reflect.ValueOf(requireSame[fleet.Envelope](t, name, all[name]))
+		v := reflect.ValueOf(requireRoundTrip[fleet.Envelope](t, name, all[name]))
 		bodies := 0
 		for i := range v.NumField() {
 			if v.Field(i).Kind() == reflect.Pointer && !v.Field(i).IsNil() {
@@ -145,7 +145,7 @@
 	}
 }
 
-// rawCodec passes bytes on, so that a test sees what is on the wire.
+// rawCodec is a gRPC codec that passes bytes on unchanged, so that a test sees the bytes on the wire.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return v.([]byte), nil }
@@ -157,17 +157,18 @@
 
 func (rawCodec) Name() string { return "msgpack" }
 
-// sent is one message as a peer receives it.
-type sent struct {
+// receivedMessage is a message as a peer receives it.
+type receivedMessage struct {
 	Method      string
 	ContentType []string
 	Data        []byte
 }
 
-// rawPeer is a peer that knows nothing of the program's types and answers questions with fixed bytes.
-func rawPeer(t *testing.T, answer []byte) (netip.AddrPort, <-chan sent) {
-	l := listen(t)
-	received := make(chan sent, 64)
+// startRawPeer starts a peer that does not use the program's types and answers each question with the given bytes. It returns
+// the peer's address and the received messages.
+func startRawPeer(t *testing.T, answer []byte) (netip.AddrPort, <-chan receivedMessage) {
+	l := listenLoopback(t)
+	received := make(chan receivedMessage, 64)
 	server := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(func(_ any, stream grpc.ServerStream) error {
 		method, _ := grpc.MethodFromServerStream(stream)
 		header, _ := metadata.FromIncomingContext(stream.Context())
@@ -179,7 +180,7 @@
 				}
 				return err
 			}
-			received <- sent{Method: method, ContentType: header.Get("content-type"), Data: data}
+			received <- receivedMessage{Method: method, ContentType: header.Get("content-type"), Data: data}
 			if strings.HasSuffix(method, "/Ask") {
 				return stream.SendMsg(answer)
 			}
@@ -190,56 +191,56 @@
 	return l.Addr().(*net.TCPAddr).AddrPort(), received
 }
 
-func listen(t *testing.T) net.Listener {
+func listenLoopback(t *testing.T) net.Listener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
 	return l
 }
 
-// patience bounds each wait; it decides nothing, save that a hung test fails.
-const patience = 15 * time.Second
+// waitTimeout limits each wait of a test. It only makes a hung test fail and affects no result.
+const waitTimeout = 15 * time.Second
 
-func next[T any](t *testing.T, from <-chan T) T {
+func receiveNext[T any](t *testing.T, from <-chan T) T {
 	t.Helper()
 	select {
 	case v := <-from:
 		return v
-	case <-time.After(patience):
-		require.Fail(t, "nothing arrives")
+	case <-time.After(waitTimeout):
+		require.Fail(t, "nothing received within 15 s")
 	}
 	panic("unreachable")
 }
 
 func TestWhatLinksSend(t *testing.T) {
-	all := messages(t)
-	to, received := rawPeer(t, all["answer"])
-	links := peerlink.New(listen(t), peerlink.Options{})
+	all := readPeerMessages(t)
+	to, received := startRawPeer(t, all["answer"])
+	links := peerlink.New(listenLoopback(t), peerlink.Options{})
 	defer links.Close()
-	for name := range envelopes() {
-		e := requireSame[fleet.Envelope](t, name, all[name])
+	for name := range filledEnvelopes() {
+		e := requireRoundTrip[fleet.Envelope](t, name, all[name])
 		e.To = to
 		links.Send(e)
-		got := next(t, received)
-		require.Equal(t, sent{Method: "/shelfledge.Peer/Push", ContentType: []string{"application/grpc+msgpack"}, Data: all[name]}, got, name)
+		got := receiveNext(t, received)
+		require.Equal(t, receivedMessage{Method: "/shelfledge.Peer/Push", ContentType: []string{"application/grpc+msgpack"}, Data: all[name]}, got, name)
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	a, err := links.Ask(ctx, to, requireSame[peerlink.Question](t, "question", all["question"]))
+	a, err := links.Ask(ctx, to, requireRoundTrip[peerlink.Question](t, "question", all["question"]))
 	require.NoError(t, err)
-	require.Equal(t, all["answer"], encoded(t, a))
-	require.Equal(t, sent{Method: "/shelfledge.Peer/Ask", ContentType: []string{"application/grpc+msgpack"}, Data: all["question"]}, next(t, received))
+	require.Equal(t, all["answer"], encodeMsgpack(t, a))
+	require.Equal(t, receivedMessage{Method: "/shelfledge.Peer/Ask", ContentType: []string{"application/grpc+msgpack"}, Data: all["question"]}, receiveNext(t, received))
 }
 
 func TestWhatLinksReceive(t *testing.T) {
-	all := messages(t)
+	all := readPeerMessages(t)
 	pushed, asked := make(chan []byte, 64), make(chan []byte, 1)
-	l := listen(t)
+	l := listenLoopback(t)
 	links := peerlink.New(l, peerlink.Options{
-		Receive: func(e fleet.Envelope) { pushed <- encoded(t, e) },
+		Receive: func(e fleet.Envelope) { pushed <- encodeMsgpack(t, e) },
 		Answer: func(_ context.Context, q peerlink.Question) (peerlink.Answer, error) {
-			asked <- encoded(t, q)
-			return requireSame[peerlink.Answer](t, "answer", all["answer"]), nil
+			asked <- encodeMsgpack(t, q)
+			return requireRoundTrip[peerlink.Answer](t, "answer", all["answer"]), nil
 		},
 	})
 	defer links.Close()
@@ -247,16 +248,16 @@
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{})))
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	stream, err := conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true}, "/shelfledge.Peer/Push")
 	require.NoError(t, err)
-	for name := range envelopes() {
+	for name := range filledEnvelopes() {
 		require.NoError(t, stream.SendMsg(all[name]))
-		require.Equal(t, all[name], next(t, pushed), name)
+		require.Equal(t, all[name], receiveNext(t, pushed), name)
 	}
 	var answer []byte
 	require.NoError(t, conn.Invoke(ctx, "/shelfledge.Peer/Ask", all["question"], &answer))
 	require.Equal(t, all["answer"], answer)
-	require.Equal(t, all["question"], next(t, asked))
+	require.Equal(t, all["question"], receiveNext(t, asked))
 }
--- a/tests/pinned/daemon/pinned_test.go
+++ b/tests/pinned/daemon/pinned_test.go
@@ -18,37 +18,37 @@
 	"github.com/stretchr/testify/require"
 )
 
-var update = flag.Bool("update", false, "write the pinned files")
+var update = flag.Bool("update", false, "rewrite the golden files")
 
-// pinned reads a pinned file.
-func pinned(t *testing.T, name string) []byte {
+// readGolden returns the content of a golden file.
+func readGolden(t *testing.T, name string) []byte {
 	t.Helper()
 	data, err := os.ReadFile(filepath.Join("testdata", name))
-	require.NoError(t, err, "a pinned file is missing")
+	require.NoError(t, err, "cannot read golden file")
 	return data
 }
 
-// pin compares a value's JSON with a pinned file.
-func pin(t *testing.T, name string, value any) {
+// checkGolden compares a value's JSON encoding with a golden file.
+func checkGolden(t *testing.T, name string, value any) {
 	t.Helper()
-	data := indented(t, value)
+	data := encodeIndented(t, value)
 	if *update {
 		require.NoError(t, os.WriteFile(filepath.Join("testdata", name), data, 0o600))
 	}
-	requireLines(t, name, pinned(t, name), data)
+	requireEqualLines(t, name, readGolden(t, name), data)
 }
 
-// requireLines fails at the first line that differs.
-func requireLines(t *testing.T, name string, want, got []byte) {
+// requireEqualLines fails at the first line that differs.
+func requireEqualLines(t *testing.T, name string, want, got []byte) {
 	t.Helper()
 	wanted, found := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
 	for i := range min(len(wanted), len(found)) {
-		require.Equal(t, wanted[i], found[i], "%s differs from what others see in line %d", name, i+1)
+		require.Equal(t, wanted[i], found[i], "%s: line %d differs from the golden file", name, i+1)
 	}
-	require.Len(t, found, len(wanted), "%s differs from what others see in its length", name)
+	require.Len(t, found, len(wanted), "%s: number of lines differs from the golden file", name)
 }
 
-func indented(t *testing.T, value any) []byte {
+func encodeIndented(t *testing.T, value any) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	e := json.NewEncoder(&out)
@@ -58,23 +58,24 @@
 	return out.Bytes()
 }
 
-// pinJSON decodes a pinned example of T, checks that no field of it is zero, and encodes it again.
-func pinJSON[T any](t *testing.T, name string) {
+// checkGoldenJSON decodes a golden example of T, checks that none of its fields is zero, and checks that encoding it again gives the
+// same text.
+func checkGoldenJSON[T any](t *testing.T, name string) {
 	t.Helper()
 	var v T
 	if *update {
 		(&filler{}).fill(reflect.ValueOf(&v).Elem())
-		pin(t, name, v)
+		checkGolden(t, name, v)
 	}
 	var out T
-	d := json.NewDecoder(bytes.NewReader(pinned(t, name)))
+	d := json.NewDecoder(bytes.NewReader(readGolden(t, name)))
 	d.DisallowUnknownFields()
 	require.NoError(t, d.Decode(&out), name)
 	requireFilled(t, name, "json", reflect.ValueOf(out))
-	requireLines(t, name, pinned(t, name), indented(t, out))
+	requireEqualLines(t, name, readGolden(t, name), encodeIndented(t, out))
 }
 
-// filler gives every field a value of its own.
+// filler sets every field of a value to a different non-zero value.
 type filler struct {
 	count int64
 }
@@ -85,9 +86,9 @@
 }
 
 var (
-	timeType    = reflect.TypeFor[time.Time]()
-	addressType = reflect.TypeFor[netip.AddrPort]()
-	decodesSelf = reflect.TypeFor[json.Unmarshaler]()
+	timeType            = reflect.TypeFor[time.Time]()
+	addressType         = reflect.TypeFor[netip.AddrPort]()
+	jsonUnmarshalerType = reflect.TypeFor[json.Unmarshaler]()
 )
 
 func (f *filler) fill(v reflect.Value) {
@@ -99,7 +100,7 @@
 	case v.Type() == addressType:
 		v.Set(reflect.ValueOf(netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 1, 2, 3}), uint16(1000+n))))
 		return
-	case reflect.PointerTo(v.Type()).Implements(decodesSelf):
+	case reflect.PointerTo(v.Type()).Implements(jsonUnmarshalerType):
 		if err := json.Unmarshal([]byte(`"cell"`), v.Addr().Interface()); err != nil {
 			panic(err)
 		}
@@ -128,22 +129,22 @@
 			f.fill(v.Field(i))
 		}
 	default:
-		panic("no example for " + v.Type().String())
+		panic("no example value for type " + v.Type().String())
 	}
 }
 
-// requireFilled fails where an example leaves an encoded field zero, as after a new field or a renamed tag.
+// requireFilled fails if an encoded field of an example is zero, as happens after adding a field or renaming a tag.
 func requireFilled(t *testing.T, path, tag string, v reflect.Value) {
 	t.Helper()
-	require.False(t, v.IsZero(), "%s is zero in the pinned example", path)
-	if v.Type() == timeType || v.Type() == addressType || reflect.PointerTo(v.Type()).Implements(decodesSelf) {
+	require.False(t, v.IsZero(), "%s is zero in the golden example", path)
+	if v.Type() == timeType || v.Type() == addressType || reflect.PointerTo(v.Type()).Implements(jsonUnmarshalerType) {
 		return
 	}
 	switch v.Kind() {
 	case reflect.Pointer:
 		requireFilled(t, path, tag, v.Elem())
 	case reflect.Slice:
-		require.NotZero(t, v.Len(), "%s is empty in the pinned example", path)
+		require.NotZero(t, v.Len(), "%s is empty in the golden example", path)
 		for i := range v.Len() {
 			requireFilled(t, path, tag, v.Index(i))
 		}
--- a/tests/pinned/daemon/query_test.go
+++ b/tests/pinned/daemon/query_test.go
@@ -19,8 +19,8 @@
 	"github.com/shelfledge/shelfledge/services/daemon/query"
 )
 
-// events gives one event of each kind.
-func events() []fleet.Event {
+// eventsOfAllKinds returns one event of each kind.
+func eventsOfAllKinds() []fleet.Event {
 	var out []fleet.Event
 	for i, kind := range []fleet.EventKind{
 		fleet.EventTakeover, fleet.EventRelease, fleet.EventLoad, fleet.EventLoaded, fleet.EventLoadFailed, fleet.EventLoadGivenUp, fleet.EventEvict,
@@ -36,8 +36,8 @@
 	return out
 }
 
-// answers are a query's table, or an explanation's lines.
-func answers(t *testing.T, s *query.Service, text string) any {
+// runQuery returns the table of a show statement, or the lines of an explain statement.
+func runQuery(t *testing.T, s *query.Service, text string) any {
 	t.Helper()
 	statements, err := language.Parse(text)
 	require.NoError(t, err)
@@ -55,15 +55,15 @@
 }
 
 func TestEventsAndExplanations(t *testing.T) {
-	configuration, err := catalog.DecodeSnapshot(compressed(t, pinned(t, "snapshot.json")))
+	configuration, err := catalog.DecodeSnapshot(compressZstd(t, readGolden(t, "snapshot.json")))
 	require.NoError(t, err)
 	began := time.Date(2026, 3, 4, 5, 6, 7, 0, time.UTC)
 	kept := journal.New(100)
-	for _, e := range events() {
+	for _, e := range eventsOfAllKinds() {
 		kept.Add(e)
 	}
 	s := query.New(query.Options{
-		Self: fleet.Instance{ID: "h1-i1", Hall: "h1", Address: netip.MustParseAddrPort("10.0.0.1:7400")}, Journal: kept, Timeout: patience,
+		Self: fleet.Instance{ID: "h1-i1", Hall: "h1", Address: netip.MustParseAddrPort("10.0.0.1:7400")}, Journal: kept, Timeout: waitTimeout,
 		Catalog: func() *catalog.Catalog { return configuration }, Now: func() time.Time { return began },
 		View: func(func(time.Time, *node.Node)) {},
 	})
@@ -77,9 +77,9 @@
 		"explain request kiosk-1", "explain request nobody", "explain adapter fare-1", "explain adapter nobody", "explain slot h1-e1",
 		"explain slot h1-e1 fare-1@2", "explain revision 12",
 	} {
-		out[text] = answers(t, s, text)
+		out[text] = runQuery(t, s, text)
 	}
-	pin(t, "queries.json", out)
+	checkGolden(t, "queries.json", out)
 }
 
 func TestSyntaxErrors(t *testing.T) {
@@ -95,5 +95,5 @@
 		require.True(t, ok, text)
 		out[text] = map[string]any{"error": err.Error(), "line": syntax.Line, "column": syntax.Column, "point": syntax.Point(text)}
 	}
-	pin(t, "syntax_errors.json", out)
+	checkGolden(t, "syntax_errors.json", out)
 }
--- a/tests/pinned/daemon/stored_keys_test.go
+++ b/tests/pinned/daemon/stored_keys_test.go
@@ -17,114 +17,114 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/kv"
 )
 
-// stored gives the values under a part of the keys in a form that people read.
-func stored(t *testing.T, pairs map[string]kv.Pair, part string) map[string]any {
+// readableStoredValues returns the decoded values of the pairs whose keys contain part.
+func readableStoredValues(t *testing.T, pairs map[string]kv.Pair, part string) map[string]any {
 	t.Helper()
 	out := make(map[string]any)
 	for key, pair := range pairs {
 		if strings.Contains(key, part) {
-			out[key] = readableValue(t, key, pair.Value)
+			out[key] = decodeStoredValue(t, key, pair.Value)
 		}
 	}
 	require.NotEmpty(t, out)
 	return out
 }
 
-// readableValue unfolds a stored value; times are masked by one that can be read again.
-func readableValue(t *testing.T, key string, value []byte) any {
+// decodeStoredValue decodes a stored value. It masks times with a fixed valid time, so that the daemon can read the value back.
+func decodeStoredValue(t *testing.T, key string, value []byte) any {
 	t.Helper()
 	switch {
 	case strings.Contains(key, "/once/"):
 		return string(value)
 	case strings.Contains(key, "/config/log/"), strings.Contains(key, "/config/snapshot/"):
-		value = unfolded(t, value)
+		value = decompressZstd(t, value)
 	}
 	var out any
-	require.NoError(t, json.Unmarshal([]byte(masked(string(value))), &out), key)
+	require.NoError(t, json.Unmarshal([]byte(maskVarying(string(value))), &out), key)
 	if fields, ok := out.(map[string]any); ok && strings.HasSuffix(key, "/config/head") {
 		var last []byte
 		require.NoError(t, json.Unmarshal(fmt.Appendf(nil, "%q", fields["last"]), &last))
-		fields["last"] = readableValue(t, "/config/log/", last)
+		fields["last"] = decodeStoredValue(t, "/config/log/", last)
 	}
 	return out
 }
 
-// storedPairs turns a pinned file back into what the key-value service holds.
-func storedPairs(t *testing.T, name string) map[string]kv.Pair {
+// encodeStoredPairs converts a golden file back to the pairs that the key-value service stores.
+func encodeStoredPairs(t *testing.T, name string) map[string]kv.Pair {
 	t.Helper()
 	var values map[string]json.RawMessage
-	require.NoError(t, json.Unmarshal(pinned(t, name), &values))
+	require.NoError(t, json.Unmarshal(readGolden(t, name), &values))
 	out := make(map[string]kv.Pair)
 	for key, value := range values {
-		value = compact(t, value)
+		value = compactJSON(t, value)
 		if strings.HasSuffix(key, "/config/head") {
 			var fields map[string]json.RawMessage
 			require.NoError(t, json.Unmarshal(value, &fields))
-			last, err := json.Marshal(compressed(t, fields["last"]))
+			last, err := json.Marshal(compressZstd(t, fields["last"]))
 			require.NoError(t, err)
 			fields["last"] = last
 			value, err = json.Marshal(fields)
 			require.NoError(t, err)
 		} else {
-			value = compressed(t, value)
+			value = compressZstd(t, value)
 		}
 		out[key] = kv.Pair{Key: []byte(key), Value: value, CreateRevision: 1, ModRevision: 1, Version: 1}
 	}
 	return out
 }
 
-// shown are the tables of a configuration.
-const shown = "show adapters; show versions; show services; show rules; show classes; show revisions"
+// showStatements has the statements that show all tables of a configuration.
+const showStatements = "show adapters; show versions; show services; show rules; show classes; show revisions"
 
 func TestStoredConfigurationIsRead(t *testing.T) {
-	parallel(t)
+	parallelUnlessUpdate(t)
 	for _, name := range []string{"stored_configuration.json", "stored_snapshot.json"} {
-		r := run(t, 0, storedPairs(t, name))
+		r := startDaemon(t, 0, encodeStoredPairs(t, name))
 		r.waitReady()
-		pin(t, strings.Replace(name, "stored", "shown", 1), r.say("admin", "", shown))
+		checkGolden(t, strings.Replace(name, "stored", "shown", 1), r.runStatements("admin", "", showStatements))
 	}
 }
 
 func TestStoredSnapshotAndItsKeys(t *testing.T) {
-	parallel(t)
-	r := run(t, 0, nil)
+	parallelUnlessUpdate(t)
+	r := startDaemon(t, 0, nil)
 	r.waitReady()
 	first := `create adapter fare-1 base base-a version 1 source x; create adapter fare-2 base base-a version 1; create version fare-2@2; retire version fare-2@2;
 		create service desk as fare-1@1 90%, fare-2 10%; create rule night for class overnight and caller 'test-*' and base base-a and adapter 'fare-*'
 		and hall h1 between 22:00 and 06:00 in Africa/Dakar run in h1+h2, priority 1, refuse; set class kiosk priority 10 weight 4 queue 400000 patient;
 		preload fare-1@1; drain endpoint h1-e1; set budget 3 loads per second 2 at once`
-	a := r.say("admin", "first", first)
+	a := r.runStatements("admin", "first", first)
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
-	// Enough revisions that a snapshot is written.
+	// 101 rounds of two changes each make the daemon write a snapshot.
 	const rounds = 101
 	body, err := json.Marshal(map[string]any{"text": strings.Repeat("pin fare-1@1; show classes; unpin fare-1@1; show classes;", rounds), "id": "many", "wait_ms": 1})
 	require.NoError(t, err)
-	a = r.post("admin", string(body))
+	a = r.postRun("admin", string(body))
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
-	a = r.say("admin", "last", "pin fare-1@1")
+	a = r.runStatements("admin", "last", "pin fare-1@1")
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
-	all := stored(t, r.cluster.KV.Dump(), "/config/")
+	all := readableStoredValues(t, r.cluster.KV.Dump(), "/config/")
 	snapshots := 0
 	for key := range all {
 		if strings.Contains(key, "/config/snapshot/") {
 			snapshots++
 		}
 	}
-	require.Equal(t, 1, snapshots, "no snapshot is stored")
+	require.Equal(t, 1, snapshots, "number of stored snapshots")
 	for key := range all {
-		// Records before the snapshot are only history.
+		// The daemon does not need log records from before the snapshot.
 		if strings.Contains(key, "/config/log/") && key < "/shelfledge/config/log/0000000000000201" {
 			delete(all, key)
 		}
 	}
-	pin(t, "stored_snapshot.json", all)
+	checkGolden(t, "stored_snapshot.json", all)
 }
 
 func TestStoredOwnersAndClaims(t *testing.T) {
-	parallel(t)
+	parallelUnlessUpdate(t)
 	const owner, lease = "/shelfledge/owner/h1/base-a", "/shelfledge/lease/h1/base-a"
 	former := `{"holder":"h1-i9","boot":7,"formers":[{"ID":"h1-i8","Boot":6}]}`
-	r := run(t, 1, map[string]kv.Pair{owner: {Key: []byte(owner), Value: []byte(former), CreateRevision: 1, ModRevision: 1, Version: 1}})
+	r := startDaemon(t, 1, map[string]kv.Pair{owner: {Key: []byte(owner), Value: []byte(former), CreateRevision: 1, ModRevision: 1, Version: 1}})
 	var pairs map[string]kv.Pair
 	r.waitFor(func() bool {
 		pairs = r.cluster.KV.Dump()
@@ -134,7 +134,7 @@
 	for _, key := range []string{owner, lease} {
 		out[key] = string(regexp.MustCompile(`"boot":\d{6,}`).ReplaceAll(pairs[key].Value, []byte(`"boot":1`)))
 	}
-	claimed := run(t, 0, nil)
+	claimed := startDaemon(t, 0, nil)
 	claimed.waitReady()
 	q, err := http.NewRequest(http.MethodPost, claimed.callers+"/tickets/cabin", bytes.NewReader([]byte("book")))
 	require.NoError(t, err)
@@ -153,9 +153,9 @@
 	}, "no claim is stored")
 	for key, pair := range claimed.cluster.KV.Dump() {
 		if strings.Contains(key, "/once/") {
-			require.NotZero(t, pair.Lease, "a claim is bound to no lease")
+			require.NotZero(t, pair.Lease, "claim has no lease")
 			out[key] = regexp.MustCompile(`\.\d{10,}/[0-9a-z]+$`).ReplaceAllString(string(pair.Value), ".LIFE/SERIAL")
 		}
 	}
-	pin(t, "stored_owners_and_claims.json", out)
+	checkGolden(t, "stored_owners_and_claims.json", out)
 }
--- a/tests/pinned/daemon/stored_test.go
+++ b/tests/pinned/daemon/stored_test.go
@@ -18,29 +18,29 @@
 )
 
 func TestWireTypes(t *testing.T) {
-	pinJSON[operator.RunRequest](t, "operator_request.json")
-	pinJSON[operator.RunResponse](t, "operator_response.json")
-	pinJSON[instancelist.List](t, "instance_list.json")
-	pinJSON[kv.RangeRequest](t, "kv_range_request.json")
-	pinJSON[kv.RangeResponse](t, "kv_range_response.json")
-	pinJSON[kv.TxnRequest](t, "kv_txn_request.json")
-	pinJSON[kv.TxnResponse](t, "kv_txn_response.json")
-	pinJSON[kv.LeaseGrantRequest](t, "kv_grant_request.json")
-	pinJSON[kv.LeaseResponse](t, "kv_lease_response.json")
-	pinJSON[kv.LeaseRequest](t, "kv_lease_request.json")
-	pinJSON[kv.KeepAliveResponse](t, "kv_keepalive_response.json")
-	pinJSON[kv.WatchRequest](t, "kv_watch_request.json")
-	pinJSON[kv.WatchResponse](t, "kv_watch_response.json")
+	checkGoldenJSON[operator.RunRequest](t, "operator_request.json")
+	checkGoldenJSON[operator.RunResponse](t, "operator_response.json")
+	checkGoldenJSON[instancelist.List](t, "instance_list.json")
+	checkGoldenJSON[kv.RangeRequest](t, "kv_range_request.json")
+	checkGoldenJSON[kv.RangeResponse](t, "kv_range_response.json")
+	checkGoldenJSON[kv.TxnRequest](t, "kv_txn_request.json")
+	checkGoldenJSON[kv.TxnResponse](t, "kv_txn_response.json")
+	checkGoldenJSON[kv.LeaseGrantRequest](t, "kv_grant_request.json")
+	checkGoldenJSON[kv.LeaseResponse](t, "kv_lease_response.json")
+	checkGoldenJSON[kv.LeaseRequest](t, "kv_lease_request.json")
+	checkGoldenJSON[kv.KeepAliveResponse](t, "kv_keepalive_response.json")
+	checkGoldenJSON[kv.WatchRequest](t, "kv_watch_request.json")
+	checkGoldenJSON[kv.WatchResponse](t, "kv_watch_response.json")
 }
 
-func compressed(t *testing.T, plain []byte) []byte {
+func compressZstd(t *testing.T, plain []byte) []byte {
 	t.Helper()
 	e, err := zstd.NewWriter(nil)
 	require.NoError(t, err)
 	return e.EncodeAll(plain, nil)
 }
 
-func unfolded(t *testing.T, data []byte) []byte {
+func decompressZstd(t *testing.T, data []byte) []byte {
 	t.Helper()
 	d, err := zstd.NewReader(nil)
 	require.NoError(t, err)
@@ -50,7 +50,7 @@
 	return plain
 }
 
-func compact(t *testing.T, data []byte) []byte {
+func compactJSON(t *testing.T, data []byte) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	require.NoError(t, json.Compact(&out, data))
@@ -58,20 +58,20 @@
 }
 
 func TestStoredRecord(t *testing.T) {
-	pinJSON[catalog.Record](t, "record.json")
-	plain := compact(t, pinned(t, "record.json"))
-	r, err := catalog.DecodeRecord(compressed(t, plain))
+	checkGoldenJSON[catalog.Record](t, "record.json")
+	plain := compactJSON(t, readGolden(t, "record.json"))
+	r, err := catalog.DecodeRecord(compressZstd(t, plain))
 	require.NoError(t, err)
 	data, err := catalog.EncodeRecord(r)
 	require.NoError(t, err)
-	require.Equal(t, string(plain), string(unfolded(t, data)))
+	require.Equal(t, string(plain), string(decompressZstd(t, data)))
 }
 
 func TestStoredSnapshot(t *testing.T) {
-	plain := compact(t, pinned(t, "snapshot.json"))
-	c, err := catalog.DecodeSnapshot(compressed(t, plain))
+	plain := compactJSON(t, readGolden(t, "snapshot.json"))
+	c, err := catalog.DecodeSnapshot(compressZstd(t, plain))
 	require.NoError(t, err)
 	data, err := catalog.EncodeSnapshot(c)
 	require.NoError(t, err)
-	require.Equal(t, string(plain), string(unfolded(t, data)))
+	require.Equal(t, string(plain), string(decompressZstd(t, data)))
 }
