--- a/tests/pinned/program/daemon_test.go
+++ b/tests/pinned/program/daemon_test.go
@@ -24,39 +24,39 @@
 
 const operatorKey = "pinned"
 
-// liveSettings start a daemon without endpoints, whose key-value service is away.
-var liveSettings = fmt.Sprintf(`{
+// runningDaemonSettings are settings of a daemon that has no endpoints and cannot reach its key-value service.
+var runningDaemonSettings = fmt.Sprintf(`{
   "instance": {"id": "h1-i1", "hall": "h1"}, "halls": ["h1"],
   "listen": {"callers": {"address": "127.0.0.1:0"}, "operators": {"address": "127.0.0.1:0"}, "peers": {"address": "127.0.0.1:0"}},
   "kv": {"addresses": ["127.0.0.1:1"]}, "limits": {"leave_notice": "1ms", "drain_limit": "2s"}, "log": {"format": "json"},
   "operators": {"keys": [{"name": "ops", "role": "read", "sha256": "%x"}]}
 }`, sha256.Sum256([]byte(operatorKey)))
 
-// liveDaemon is a running daemon and the lines it has logged.
-type liveDaemon struct {
+// daemonProcess is a running daemon and the log lines read from it.
+type daemonProcess struct {
 	command   *exec.Cmd
 	log       *bufio.Scanner
 	lines     []map[string]any
 	operators string
 }
 
-func startDaemon(t *testing.T, folder string) *liveDaemon {
+func startDaemon(t *testing.T, folder string) *daemonProcess {
 	t.Helper()
-	command := exec.Command(filepath.Join(programs, "shelfledged"), "--settings", write(t, folder, "live.json", liveSettings))
+	command := exec.Command(filepath.Join(binaryFolder, "shelfledged"), "--settings", writeFile(t, folder, "live.json", runningDaemonSettings))
 	command.Env = []string{}
 	stderr, err := command.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, command.Start())
 	t.Cleanup(func() { _ = command.Process.Kill() })
-	d := &liveDaemon{command: command, log: bufio.NewScanner(stderr)}
-	for d.operators == "" && d.next(t) {
+	d := &daemonProcess{command: command, log: bufio.NewScanner(stderr)}
+	for d.operators == "" && d.readLogLine(t) {
 		d.operators, _ = d.lines[len(d.lines)-1]["operators"].(string)
 	}
-	require.NotEmpty(t, d.operators, "the daemon does not tell where it listens")
+	require.NotEmpty(t, d.operators, "the daemon has not logged its operators' address")
 	return d
 }
 
-func (d *liveDaemon) next(t *testing.T) bool {
+func (d *daemonProcess) readLogLine(t *testing.T) bool {
 	t.Helper()
 	if !d.log.Scan() {
 		return false
@@ -67,22 +67,22 @@
 	return true
 }
 
-// stop ends the daemon by plan and reads its log to the end.
-func (d *liveDaemon) stop(t *testing.T) {
+// stop shuts the daemon down with SIGTERM and reads its remaining log lines.
+func (d *daemonProcess) stop(t *testing.T) {
 	t.Helper()
 	require.NoError(t, d.command.Process.Signal(syscall.SIGTERM))
-	for d.next(t) {
+	for d.readLogLine(t) {
 		continue
 	}
-	require.NoError(t, d.command.Wait(), "a planned stop exits with 0")
+	require.NoError(t, d.command.Wait(), "exit code after SIGTERM is not 0")
 }
 
-// kinds gives the kinds of lines, save those of events, whose number depends on the time.
-func (d *liveDaemon) kinds() string {
-	return logKinds(d.lines)
+// logKinds returns the kinds of log lines, without event lines, since their number depends on timing.
+func (d *daemonProcess) logKinds() string {
+	return formatLogKinds(d.lines)
 }
 
-func logKinds(list []map[string]any) string {
+func formatLogKinds(list []map[string]any) string {
 	kinds := make(map[string]bool)
 	for _, line := range list {
 		if _, ok := line["event"]; ok {
@@ -93,7 +93,7 @@
 	return strings.Join(slices.Sorted(maps.Keys(kinds)), "")
 }
 
-func (d *liveDaemon) get(t *testing.T, path string) (int, string) {
+func (d *daemonProcess) get(t *testing.T, path string) (int, string) {
 	t.Helper()
 	response, err := http.Get("http://" + d.operators + path)
 	require.NoError(t, err)
@@ -103,14 +103,14 @@
 	return response.StatusCode, string(body)
 }
 
-var sampleValue = regexp.MustCompile(` \S+$`)
+var sampleValuePattern = regexp.MustCompile(` \S+$`)
 
-// samples gives a scrape's samples without their values, save those of events.
-func samples(scrape string) string {
+// sampleNames returns names and labels of a scrape's samples, without those of events_total.
+func sampleNames(scrape string) string {
 	var out strings.Builder
 	for line := range strings.Lines(scrape) {
-		if strings.HasPrefix(line, ownPrefix) && !strings.HasPrefix(line, ownPrefix+"events_total") {
-			out.WriteString(sampleValue.ReplaceAllString(strings.TrimSpace(line), "") + "\n")
+		if strings.HasPrefix(line, metricPrefix) && !strings.HasPrefix(line, metricPrefix+"events_total") {
+			out.WriteString(sampleValuePattern.ReplaceAllString(strings.TrimSpace(line), "") + "\n")
 		}
 	}
 	return out.String()
@@ -118,15 +118,15 @@
 
 func TestRunningDaemon(t *testing.T) {
 	t.Parallel()
-	folder := temporary(t)
-	key := write(t, folder, "key", operatorKey+"\n")
+	folder := resolvedTempDir(t)
+	key := writeFile(t, folder, "key", operatorKey+"\n")
 	d := startDaemon(t, folder)
 	var out strings.Builder
 	for _, call := range [][]string{
 		{"run", "count halls"}, {"--key-file", key, "run", "(("}, {"--key-file", key, "run", "show nothing"},
 		{"--key-file", key, "run", "pin x@1"}, {"--key-file", key, "run", "show halls"},
 	} {
-		got := run(t, folder, "shelfctl", append([]string{"--address", d.operators}, call...)...)
+		got := runProgram(t, folder, "shelfctl", append([]string{"--address", d.operators}, call...)...)
 		fmt.Fprintf(&out, "shelfctl run %q: exit %d\n", call[len(call)-1], got.code)
 	}
 	for _, path := range []string{"/healthz", "/metrics", "/none"} {
@@ -137,17 +137,18 @@
 	require.Contains(t, []int{http.StatusOK, http.StatusServiceUnavailable}, status)
 	_, scrape := d.get(t, "/metrics")
 	d.stop(t)
-	pin(t, "daemon/answers.txt", out.String())
-	pin(t, "daemon/samples.txt", samples(scrape))
-	pin(t, "daemon/log.txt", d.kinds())
+	checkGolden(t, "daemon/answers.txt", out.String())
+	checkGolden(t, "daemon/samples.txt", sampleNames(scrape))
+	checkGolden(t, "daemon/log.txt", d.logKinds())
 }
 
-// TestDaemonThatCannotStart pins the line and the exit code where a listener's address is not this machine's.
+// TestDaemonThatCannotStart compares log line and exit code with the golden file, for a listener whose address does not belong
+// to the host.
 func TestDaemonThatCannotStart(t *testing.T) {
-	folder := temporary(t)
-	text := edited(t, liveSettings, "listen.callers.address", `"192.0.2.1:1"`)
-	got := run(t, folder, "shelfledged", "--settings", write(t, folder, "file.json", text))
+	folder := resolvedTempDir(t)
+	text := editJSON(t, runningDaemonSettings, "listen.callers.address", `"192.0.2.1:1"`)
+	got := runProgram(t, folder, "shelfledged", "--settings", writeFile(t, folder, "file.json", text))
 	var line map[string]any
 	require.NoError(t, json.Unmarshal([]byte(got.stderr), &line))
-	pin(t, "daemon/not_started.txt", fmt.Sprintf("exit %d\n%serror: %s\n", got.code, logKinds([]map[string]any{line}), line["error"]))
+	checkGolden(t, "daemon/not_started.txt", fmt.Sprintf("exit %d\n%serror: %s\n", got.code, formatLogKinds([]map[string]any{line}), line["error"]))
 }
--- a/tests/pinned/program/deploy_test.go
+++ b/tests/pinned/program/deploy_test.go
@@ -20,30 +20,30 @@
 	var file map[string]any
 	require.NoError(t, toml.Unmarshal(raw, &file))
 	values := make(map[string]string)
-	flatten(values, "", file)
-	pin(t, "deploy/system.values.txt", lines(values))
+	flattenValues(values, "", file)
+	checkGolden(t, "deploy/system.values.txt", formatValues(values))
 }
 
-// TestDeployBuildsWhatItRuns holds that the package that is built exists and has the name that is run.
+// TestDeployBuildsWhatItRuns checks that the deploy file builds an existing main package and runs the program of that name.
 func TestDeployBuildsWhatItRuns(t *testing.T) {
-	pinned := read(t, "deploy/system.values.txt")
-	listed, err := goTool("list", "-f", "{{.Name}}", entryProgram)
+	pinned := readTestdata(t, "deploy/system.values.txt")
+	listed, err := runGo("list", "-f", "{{.Name}}", entryProgram)
 	require.NoError(t, err)
 	require.Equal(t, "main", strings.TrimSpace(listed))
 	require.Contains(t, pinned, entryProgram)
 	require.Contains(t, pinned, "target/"+filepath.Base(entryProgram)+" ")
 }
 
-// flatten lists values by their path, with a text's quotes to tell it from a number.
-func flatten(out map[string]string, path string, value any) {
+// flattenValues adds values to out by their paths. Strings are quoted, which distinguishes them from numbers.
+func flattenValues(out map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
 		for key, one := range value {
-			flatten(out, strings.TrimPrefix(path+"."+key, "."), one)
+			flattenValues(out, strings.TrimPrefix(path+"."+key, "."), one)
 		}
 	case []any:
 		for i, one := range value {
-			flatten(out, fmt.Sprintf("%s[%d]", path, i), one)
+			flattenValues(out, fmt.Sprintf("%s[%d]", path, i), one)
 		}
 	case string:
 		out[path] = fmt.Sprintf("%q", value)
--- a/tests/pinned/program/dump_test.go
+++ b/tests/pinned/program/dump_test.go
@@ -16,14 +16,14 @@
 	"github.com/stretchr/testify/require"
 )
 
-// dump lists the values of a decoded file by their encoded path, so that Go names don't matter.
-func dump(value any) map[string]string {
+// flattenSettings returns the values of a decoded settings file by their encoded paths, so that the result is independent of Go names.
+func flattenSettings(value any) map[string]string {
 	out := make(map[string]string)
-	dumpInto(out, "", reflect.Indirect(reflect.ValueOf(value)))
+	flattenSettingsInto(out, "", reflect.Indirect(reflect.ValueOf(value)))
 	return out
 }
 
-func dumpInto(out map[string]string, path string, value reflect.Value) {
+func flattenSettingsInto(out map[string]string, path string, value reflect.Value) {
 	if text, ok := value.Interface().(fmt.Stringer); ok {
 		out[path] = text.String()
 		return
@@ -32,11 +32,11 @@
 	case reflect.Struct:
 		for i := range value.NumField() {
 			tag, _, _ := strings.Cut(value.Type().Field(i).Tag.Get("json"), ",")
-			dumpInto(out, strings.TrimPrefix(path+"."+tag, "."), value.Field(i))
+			flattenSettingsInto(out, strings.TrimPrefix(path+"."+tag, "."), value.Field(i))
 		}
 	case reflect.Slice:
 		for i := range value.Len() {
-			dumpInto(out, fmt.Sprintf("%s[%d]", path, i), value.Index(i))
+			flattenSettingsInto(out, fmt.Sprintf("%s[%d]", path, i), value.Index(i))
 		}
 	case reflect.Int64:
 		if value.Type() != reflect.TypeFor[int64]() {
@@ -49,7 +49,7 @@
 	}
 }
 
-func lines(values map[string]string) string {
+func formatValues(values map[string]string) string {
 	var out []string
 	for path, value := range values {
 		out = append(out, path+" = "+value)
@@ -61,8 +61,8 @@
 	return strings.Join(out, "\n") + "\n"
 }
 
-// edited gives a JSON text with one value replaced, or taken out where the new value is "".
-func edited(t *testing.T, text, path, value string) string {
+// editJSON returns a JSON text with the value at path replaced, or removed if the new value is "".
+func editJSON(t *testing.T, text, path, value string) string {
 	t.Helper()
 	var document any
 	require.NoError(t, json.Unmarshal([]byte(text), &document))
@@ -71,13 +71,13 @@
 		require.NoError(t, json.Unmarshal([]byte(value), &replacement), value)
 	}
 	steps := strings.FieldsFunc(path, func(r rune) bool { return r == '.' || r == '[' || r == ']' })
-	document = replaced(t, document, steps, replacement, value == "")
+	document = replaceAt(t, document, steps, replacement, value == "")
 	raw, err := json.MarshalIndent(document, "", "  ")
 	require.NoError(t, err)
 	return string(raw)
 }
 
-func replaced(t *testing.T, at any, steps []string, replacement any, remove bool) any {
+func replaceAt(t *testing.T, at any, steps []string, replacement any, remove bool) any {
 	t.Helper()
 	if len(steps) == 0 {
 		return replacement
@@ -86,30 +86,30 @@
 	case []any:
 		i, err := strconv.Atoi(steps[0])
 		require.NoError(t, err)
-		at[i] = replaced(t, at[i], steps[1:], replacement, remove)
+		at[i] = replaceAt(t, at[i], steps[1:], replacement, remove)
 		return at
 	case map[string]any:
 		if remove && len(steps) == 1 {
 			delete(at, steps[0])
 			return at
 		}
-		at[steps[0]] = replaced(t, at[steps[0]], steps[1:], replacement, remove)
+		at[steps[0]] = replaceAt(t, at[steps[0]], steps[1:], replacement, remove)
 		return at
 	}
-	return replaced(t, make(map[string]any), steps, replacement, remove)
+	return replaceAt(t, make(map[string]any), steps, replacement, remove)
 }
 
-// change is one edit of an accepted file that makes a rejected one.
-type change struct {
+// jsonEdit is one edit of a JSON file: the path of a value and its new value as JSON, or "" to remove it.
+type jsonEdit struct {
 	path, value string
 }
 
-// changes reads edits, one a line: a path, a space and the new value as JSON.
-func changes(text string) []change {
-	var out []change
+// parseEdits parses edits, one per line: a path, a space and the new value as JSON.
+func parseEdits(text string) []jsonEdit {
+	var out []jsonEdit
 	for line := range strings.Lines(strings.TrimSpace(text)) {
 		path, value, _ := strings.Cut(strings.TrimSpace(line), " ")
-		out = append(out, change{path: path, value: value})
+		out = append(out, jsonEdit{path: path, value: value})
 	}
 	return out
 }
--- a/tests/pinned/program/entry_settings_test.go
+++ b/tests/pinned/program/entry_settings_test.go
@@ -16,7 +16,7 @@
 	"github.com/shelfledge/shelfledge/platform"
 )
 
-const entryRejected = `
+const entryRejectedEdits = `
 node_name ""
 node_name 7
 zone 1
@@ -36,8 +36,8 @@
 bounds.grace_s "x"
 bounds.lease_ms "x"`
 
-// entryAccepted makes files that are accepted: fields that nothing uses, and unknown ones.
-const entryAccepted = `
+// entryAcceptedEdits has edits after which the entry still accepts the file: they change unused, optional or unknown fields.
+const entryAcceptedEdits = `
 limits.memory_mb
 limits.memory_mb 4096.5
 limits.max_fds
@@ -55,8 +55,8 @@
 limits
 bounds`
 
-// entryPowers are processors' shares and links of machines of different strength.
-const entryPowers = `
+// entryPowerEdits has edits that set CPU shares and link speeds of instances of different capacity.
+const entryPowerEdits = `
 limits.cpu_share 0.37
 limits.cpu_share 0.38
 limits.cpu_share 0
@@ -64,8 +64,8 @@
 limits.link_mbps 90
 limits.link_mbps 0`
 
-// entryValues gives what the entry makes of a settings file, by the fields' encoded paths. This
-// is the one place to follow a renamed Go identifier; the pinned file stays as it is.
+// entryValues returns the values that the entry derives from a settings file, by the fields' encoded paths.
+// After renaming a Go identifier only this function changes, not the golden files.
 func entryValues(t *testing.T, text string) map[string]string {
 	t.Helper()
 	settings, err := platform.ParseSettings([]byte(text))
@@ -100,64 +100,65 @@
 }
 
 func TestEntrySettings(t *testing.T) {
-	full := read(t, "settings/entry_full.json")
-	pin(t, "settings/entry_full.values.txt", lines(entryValues(t, full)))
+	full := readTestdata(t, "settings/entry_full.json")
+	checkGolden(t, "settings/entry_full.values.txt", formatValues(entryValues(t, full)))
 	var out strings.Builder
-	for _, c := range changes(entryPowers) {
-		values := entryValues(t, edited(t, full, c.path, c.value))
+	for _, c := range parseEdits(entryPowerEdits) {
+		values := entryValues(t, editJSON(t, full, c.path, c.value))
 		fmt.Fprintf(&out, "%s %s: waits %s\n", c.path, c.value, values["limits.cpu_share, link_mbps"])
 	}
-	pin(t, "settings/entry_powers.txt", out.String())
+	checkGolden(t, "settings/entry_powers.txt", out.String())
 }
 
 func TestEntryAcceptsUnusedAndUnknownSettings(t *testing.T) {
-	full := read(t, "settings/entry_full.json")
+	full := readTestdata(t, "settings/entry_full.json")
 	usual := entryValues(t, full)
 	var out strings.Builder
-	for _, c := range changes(entryAccepted) {
-		text := edited(t, full, c.path, c.value)
-		fmt.Fprintf(&out, "== %s %s\n%s", c.path, c.value, lines(differing(entryValues(t, text), usual)))
+	for _, c := range parseEdits(entryAcceptedEdits) {
+		text := editJSON(t, full, c.path, c.value)
+		fmt.Fprintf(&out, "== %s %s\n%s", c.path, c.value, formatValues(changedValues(entryValues(t, text), usual)))
 	}
-	pin(t, "settings/entry_accepted.txt", out.String())
-	folder := temporary(t)
-	write(t, folder, "unknown.json", edited(t, full, "bounds.colour", `{"x":1}`))
-	got := run(t, folder, "shelfledge-entry", "--settings", "unknown.json", "--check-settings")
+	checkGolden(t, "settings/entry_accepted.txt", out.String())
+	folder := resolvedTempDir(t)
+	writeFile(t, folder, "unknown.json", editJSON(t, full, "bounds.colour", `{"x":1}`))
+	got := runProgram(t, folder, "shelfledge-entry", "--settings", "unknown.json", "--check-settings")
 	require.Equal(t, outcome{stdout: "the settings are valid\n"}, got)
 }
 
-// TestEntryRejectsSettings pins the error of each rejected file, as the entry prints it.
+// TestEntryRejectsSettings compares the entry's error for each rejected file with the golden file.
 func TestEntryRejectsSettings(t *testing.T) {
-	full := read(t, "settings/entry_full.json")
+	full := readTestdata(t, "settings/entry_full.json")
 	cases := []struct{ title, text string }{{"broken", "{"}, {"empty", ""}, {"list", "[]"}, {"nothing set", "{}"}}
-	for _, c := range changes(entryRejected) {
-		cases = append(cases, struct{ title, text string }{c.path + " " + c.value, edited(t, full, c.path, c.value)})
+	for _, c := range parseEdits(entryRejectedEdits) {
+		cases = append(cases, struct{ title, text string }{c.path + " " + c.value, editJSON(t, full, c.path, c.value)})
 	}
 	var out strings.Builder
 	for _, c := range cases {
 		_, err := platform.ParseSettings([]byte(c.text))
 		require.Error(t, err, c.title)
-		fmt.Fprintf(&out, "== %s\n%s\n", c.title, sortedLines(withoutGoNames(err.Error())))
+		fmt.Fprintf(&out, "== %s\n%s\n", c.title, sortLines(stripGoNames(err.Error())))
 	}
-	pin(t, "settings/entry_rejected.txt", out.String())
+	checkGolden(t, "settings/entry_rejected.txt", out.String())
 }
 
-// TestEntryEndsOnBadSettings pins how the program ends on files that cannot be read or are wrong.
+// TestEntryEndsOnBadSettings compares exit code and output of the entry with the golden file, for settings files that are
+// missing, malformed or invalid.
 func TestEntryEndsOnBadSettings(t *testing.T) {
-	folder := temporary(t)
-	write(t, folder, "broken.json", "{")
-	write(t, folder, "wrong.json", edited(t, read(t, "settings/entry_full.json"), "ip", `"here"`))
+	folder := resolvedTempDir(t)
+	writeFile(t, folder, "broken.json", "{")
+	writeFile(t, folder, "wrong.json", editJSON(t, readTestdata(t, "settings/entry_full.json"), "ip", `"here"`))
 	var out strings.Builder
 	for _, file := range []string{"broken.json", "wrong.json", "none.json"} {
 		for _, arguments := range [][]string{{"--settings", file}, {"--settings", file, "--check-settings"}} {
-			got := run(t, folder, "shelfledge-entry", arguments...)
+			got := runProgram(t, folder, "shelfledge-entry", arguments...)
 			fmt.Fprintf(&out, "== %s\n%s", strings.Join(arguments, " "), got.text(folder))
 		}
 	}
-	pin(t, "settings/entry_ended.txt", out.String())
+	checkGolden(t, "settings/entry_ended.txt", out.String())
 }
 
-// differing gives the values that differ from the usual ones.
-func differing(values, usual map[string]string) map[string]string {
+// changedValues returns the values that differ from those of the unchanged settings file.
+func changedValues(values, usual map[string]string) map[string]string {
 	out := make(map[string]string)
 	for path, value := range values {
 		if value != usual[path] {
@@ -167,15 +168,15 @@
 	return out
 }
 
-var goNames = regexp.MustCompile(` Go (?:value|struct field \w*\.?((?:[a-z_]+\.)*[a-z_]+)) of type \S+`)
+var goNamesPattern = regexp.MustCompile(` Go (?:value|struct field \w*\.?((?:[a-z_]+\.)*[a-z_]+)) of type \S+`)
 
-// withoutGoNames takes the names of Go types out of a decoding error: they are no promise.
-func withoutGoNames(text string) string {
-	return goNames.ReplaceAllString(text, " $1")
+// stripGoNames removes the names of Go types from a decoding error, since they are not part of the interface.
+func stripGoNames(text string) string {
+	return goNamesPattern.ReplaceAllString(text, " $1")
 }
 
-// sortedLines puts lines into an order that does not depend on a map's.
-func sortedLines(text string) string {
+// sortLines sorts lines, since an error lists problems in the random order of a map.
+func sortLines(text string) string {
 	list := strings.Split(strings.TrimSpace(text), "\n")
 	slices.Sort(list)
 	return strings.Join(list, "\n")
--- a/tests/pinned/program/flags_test.go
+++ b/tests/pinned/program/flags_test.go
@@ -12,8 +12,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// calls lists command lines by program; "closed" is a port at which nobody listens.
-var calls = map[string][]string{
+// commandLines lists command lines by program. No process listens on the address 127.0.0.1:1.
+var commandLines = map[string][]string{
 	"shelfledged": {
 		"--help", "--no-such-flag", "surplus", "--settings", "--settings none.json", "--check-settings", "--version --no-such-flag", "",
 	},
@@ -28,25 +28,26 @@
 }
 
 func TestFlagsAndExitCodes(t *testing.T) {
-	for name, list := range calls {
+	for name, list := range commandLines {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			folder := temporary(t)
-			write(t, folder, "bad.pem", "no certificate\n")
+			folder := resolvedTempDir(t)
+			writeFile(t, folder, "bad.pem", "no certificate\n")
 			var out strings.Builder
 			for _, call := range list {
-				got := run(t, folder, name, strings.Fields(call)...)
+				got := runProgram(t, folder, name, strings.Fields(call)...)
 				fmt.Fprintf(&out, "== %s %s\n%s", name, call, got.text(folder))
 			}
-			pin(t, "flags/"+name+".txt", out.String())
+			checkGolden(t, "flags/"+name+".txt", out.String())
 		})
 	}
 }
 
-// TestVariables pins the variables of the environment that stand for flags, and the entry's for its settings file.
+// TestVariables compares the effect of the environment variables with the golden file: those of shelfctl replace flags, that of
+// the entry gives its settings file.
 func TestVariables(t *testing.T) {
-	folder := temporary(t)
-	write(t, folder, "file.json", read(t, "settings/entry_full.json"))
+	folder := resolvedTempDir(t)
+	writeFile(t, folder, "file.json", readTestdata(t, "settings/entry_full.json"))
 	var out strings.Builder
 	for _, call := range []struct{ variable, line string }{
 		{"SHELFCTL_ADDRESS=here", "shelfctl run x"},
@@ -56,29 +57,30 @@
 		{"SHELFLEDGE_CONFIG=none.json", "shelfledge-entry --check-settings --settings file.json"},
 	} {
 		words := strings.Fields(call.line)
-		got := runWith(t, folder, []string{call.variable}, words[0], words[1:]...)
+		got := runProgramWithEnv(t, folder, []string{call.variable}, words[0], words[1:]...)
 		fmt.Fprintf(&out, "== %s %s\n%s", call.variable, call.line, got.text(folder))
 	}
-	pin(t, "flags/variables.txt", out.String())
+	checkGolden(t, "flags/variables.txt", out.String())
 }
 
 func TestVersionIsPrinted(t *testing.T) {
 	for _, call := range [][]string{{"shelfledged", "--version"}, {"shelfctl", "version"}} {
-		got := run(t, temporary(t), call[0], call[1:]...)
+		got := runProgram(t, resolvedTempDir(t), call[0], call[1:]...)
 		require.Zero(t, got.code)
 		require.Empty(t, got.stderr)
 		require.Regexp(t, regexp.MustCompile(`^\S.*\n$`), got.stdout)
 	}
 }
 
-// TestOtherProgramsTakeFlagsAlike holds the tools to the exit codes only; their options are no promise.
+// TestOtherProgramsTakeFlagsAlike checks only how the remaining programs handle --help and an unknown flag. Their options are not
+// a stable interface.
 func TestOtherProgramsTakeFlagsAlike(t *testing.T) {
-	for _, name := range others {
-		help := run(t, temporary(t), name, "--help")
+	for _, name := range otherPrograms {
+		help := runProgram(t, resolvedTempDir(t), name, "--help")
 		require.Zero(t, help.code, name)
 		require.True(t, strings.HasPrefix(help.stdout, "Usage: "+name+" "), "%s: %s", name, help.stdout)
-		bad := run(t, temporary(t), name, "--no-such-flag")
-		require.Equal(t, exitBadUsage, bad.code, name)
+		bad := runProgram(t, resolvedTempDir(t), name, "--no-such-flag")
+		require.Equal(t, exitUsageError, bad.code, name)
 		require.Equal(t, name+": error: unknown flag --no-such-flag", strings.TrimSpace(bad.stderr))
 	}
 }
--- a/tests/pinned/program/label_test.go
+++ b/tests/pinned/program/label_test.go
@@ -10,10 +10,10 @@
 	"slices"
 )
 
-// labelValues gives the constant label values that the code sets on metrics: as they stand in a call, in a
-// variable, in a loop, or in what a function returns.
-func (s *logScan) labelValues() []string {
-	returned := s.returned()
+// labelValues returns the constant label values that the code sets on metrics, as a direct argument or through a variable, a
+// loop or a function's result.
+func (s *logCollector) labelValues() []string {
+	returnedValues := s.returnedValues()
 	values := make(map[string]bool)
 	visit := func(node ast.Node) bool {
 		call, ok := node.(*ast.CallExpr)
@@ -22,7 +22,7 @@
 		}
 		if selector, ok := call.Fun.(*ast.SelectorExpr); ok && selector.Sel.Name == "WithLabelValues" {
 			for _, argument := range call.Args {
-				s.addLabel(values, argument, returned)
+				s.addLabel(values, argument, returnedValues)
 			}
 		}
 		return true
@@ -30,27 +30,27 @@
 	for _, file := range s.files {
 		ast.Inspect(file, visit)
 	}
-	delete(values, computed)
+	delete(values, computedText)
 	return slices.Sorted(maps.Keys(values))
 }
 
-func (s *logScan) addLabel(values map[string]bool, argument ast.Expr, returned map[types.Object][]ast.Expr) {
+func (s *logCollector) addLabel(values map[string]bool, argument ast.Expr, returnedValues map[types.Object][]ast.Expr) {
 	sources := []ast.Expr{argument}
 	if object := s.object(argument); object != nil {
 		sources = append(sources, s.values[object]...)
 	}
 	if call, ok := argument.(*ast.CallExpr); ok {
-		sources = append(sources, returned[s.object(call.Fun)]...)
+		sources = append(sources, returnedValues[s.object(call.Fun)]...)
 	}
 	for _, one := range sources {
-		for _, text := range s.keys(one) {
+		for _, text := range s.possibleKeys(one) {
 			values[text] = true
 		}
 	}
 }
 
-// returned gives what each function returns.
-func (s *source) returned() map[types.Object][]ast.Expr {
+// returnedValues returns the result expressions of each function.
+func (s *checkedSource) returnedValues() map[types.Object][]ast.Expr {
 	out := make(map[types.Object][]ast.Expr)
 	for _, file := range s.files {
 		for _, declaration := range file.Decls {
--- a/tests/pinned/program/log_test.go
+++ b/tests/pinned/program/log_test.go
@@ -16,20 +16,20 @@
 
 const (
 	logPackage = "github.com/sirupsen/logrus"
-	// computed stands for a text that only a run has.
-	computed = "(computed)"
+	// computedText stands for a text that is not constant in the source.
+	computedText = "(computed)"
 )
 
-var levels = regexp.MustCompile(`^(Trace|Debug|Info|Print|Warn|Warning|Error|Fatal|Panic)(f|ln)?$`)
+var levelMethodPattern = regexp.MustCompile(`^(Trace|Debug|Info|Print|Warn|Warning|Error|Fatal|Panic)(f|ln)?$`)
 
-// logScan gathers kinds of log lines and names of fields.
-type logScan struct {
-	*source
+// logCollector collects the kinds of log lines and the names of their fields.
+type logCollector struct {
+	*checkedSource
 	kinds  map[string]bool
 	fields map[string]bool
 }
 
-func (s *logScan) visit(node ast.Node) bool {
+func (s *logCollector) visit(node ast.Node) bool {
 	switch node := node.(type) {
 	case *ast.CallExpr:
 		s.call(node)
@@ -39,42 +39,42 @@
 		}
 	case *ast.IndexExpr:
 		if s.typeName(node.X) == logPackage+".Fields" {
-			s.addFields(s.keys(node.Index))
+			s.addFields(s.possibleKeys(node.Index))
 		}
 	}
 	return true
 }
 
-func (s *logScan) addFields(names []string) {
+func (s *logCollector) addFields(names []string) {
 	for _, name := range names {
 		s.fields[name] = true
 	}
 }
 
-func (s *logScan) call(call *ast.CallExpr) {
+func (s *logCollector) call(call *ast.CallExpr) {
 	selector, ok := call.Fun.(*ast.SelectorExpr)
-	if !ok || !s.isLog(selector.X) {
+	if !ok || !s.isLogger(selector.X) {
 		return
 	}
 	if selector.Sel.Name == "WithField" {
-		s.addFields(s.keys(call.Args[0]))
+		s.addFields(s.possibleKeys(call.Args[0]))
 	}
-	level := levels.FindStringSubmatch(selector.Sel.Name)
+	level := levelMethodPattern.FindStringSubmatch(selector.Sel.Name)
 	if level == nil || len(call.Args) == 0 {
 		return
 	}
 	message, ok := s.text(call.Args[0])
 	if !ok {
-		message = computed
+		message = computedText
 	}
-	names := s.chain(selector.X, 0)
+	names := s.entryFields(selector.X, 0)
 	slices.Sort(names)
 	kind := fmt.Sprintf("%s | %s | %s", strings.ToLower(level[1]), message, strings.Join(slices.Compact(names), " "))
 	s.kinds[strings.TrimSpace(kind)] = true
 }
 
-// isLog tells a logger, an entry or the package of both.
-func (s *logScan) isLog(e ast.Expr) bool {
+// isLogger reports whether an expression is a logrus logger, a logrus entry or the logrus package.
+func (s *logCollector) isLogger(e ast.Expr) bool {
 	if name, ok := s.object(e).(*types.PkgName); ok {
 		return name.Imported().Path() == logPackage
 	}
@@ -82,18 +82,18 @@
 	return name == logPackage+".Entry" || name == logPackage+".Logger"
 }
 
-// maxSteps bounds how far variables are followed.
-const maxSteps = 8
+// maxAssignmentSteps limits how many assignments entryFields follows, so that cyclic assignments end.
+const maxAssignmentSteps = 8
 
-// chain gives the fields that an entry has been given in the function at hand.
-func (s *logScan) chain(e ast.Expr, steps int) []string {
-	if steps > maxSteps {
+// entryFields returns the names of the fields that the function adds to a log entry.
+func (s *logCollector) entryFields(e ast.Expr, steps int) []string {
+	if steps > maxAssignmentSteps {
 		return nil
 	}
 	if object := s.object(e); object != nil {
 		var out []string
 		for _, value := range s.values[object] {
-			out = append(out, s.chain(value, steps+1)...)
+			out = append(out, s.entryFields(value, steps+1)...)
 		}
 		return out
 	}
@@ -102,29 +102,29 @@
 		return nil
 	}
 	selector, ok := call.Fun.(*ast.SelectorExpr)
-	if !ok || !s.isLog(selector.X) {
+	if !ok || !s.isLogger(selector.X) {
 		return nil
 	}
-	out := s.chain(selector.X, steps+1)
+	out := s.entryFields(selector.X, steps+1)
 	switch selector.Sel.Name {
 	case "WithError":
 		out = append(out, "error")
 	case "WithField":
-		out = append(out, s.keys(call.Args[0])...)
+		out = append(out, s.possibleKeys(call.Args[0])...)
 	case "WithFields":
 		out = append(out, s.mapKeys(call.Args[0])...)
 	}
 	return out
 }
 
-// mapKeys gives the keys of a map of fields, be it a literal or a variable.
-func (s *logScan) mapKeys(e ast.Expr) []string {
+// mapKeys returns the keys of a map of fields, which is a literal or a variable.
+func (s *logCollector) mapKeys(e ast.Expr) []string {
 	if literal, ok := e.(*ast.CompositeLit); ok {
 		return s.literalKeys(literal)
 	}
 	object := s.object(e)
 	if object == nil {
-		return []string{computed}
+		return []string{computedText}
 	}
 	var out []string
 	for _, value := range s.values[object] {
@@ -132,33 +132,33 @@
 			out = append(out, s.literalKeys(literal)...)
 		}
 	}
-	for _, key := range s.added[object] {
-		out = append(out, s.keys(key)...)
+	for _, key := range s.addedKeys[object] {
+		out = append(out, s.possibleKeys(key)...)
 	}
 	return out
 }
 
-func (s *logScan) literalKeys(literal *ast.CompositeLit) []string {
+func (s *logCollector) literalKeys(literal *ast.CompositeLit) []string {
 	var out []string
 	for _, element := range literal.Elts {
 		if pair, ok := element.(*ast.KeyValueExpr); ok {
-			out = append(out, s.keys(pair.Key)...)
+			out = append(out, s.possibleKeys(pair.Key)...)
 		}
 	}
 	return out
 }
 
-// keys gives the texts that a key may be: a constant, or what its loop runs over.
-func (s *logScan) keys(e ast.Expr) []string {
+// possibleKeys returns the possible values of a key: its constant value, or the constants of the literal that its loop iterates over.
+func (s *logCollector) possibleKeys(e ast.Expr) []string {
 	if text, ok := s.text(e); ok {
 		return []string{text}
 	}
 	if selector, ok := e.(*ast.SelectorExpr); ok {
 		e = selector.X
 	}
-	literal := s.ranged[s.object(e)]
+	literal := s.rangedLiterals[s.object(e)]
 	if literal == nil {
-		return []string{computed}
+		return []string{computedText}
 	}
 	if _, ok := s.info.TypeOf(literal).Underlying().(*types.Map); ok {
 		return s.literalKeys(literal)
@@ -175,20 +175,21 @@
 	return out
 }
 
-// TestLogLines pins the kinds of log lines that the code of shelfledged and shelfctl has, those that a run
-// cannot bring about among them, and the label values that it sets on metrics. A line that moves changes nothing here; a new text or field does.
+// TestLogLines compares the kinds of log lines in the source of shelfledged and shelfctl, and the label values that it sets on
+// metrics, with the golden files. Reading the source also covers log lines that a test run cannot cause. Moving a log line to
+// another place does not change the golden files, but a new message or field does.
 func TestLogLines(t *testing.T) {
 	t.Parallel()
-	s := &logScan{source: loadSource(t, "./cmd/shelfledged", "./cmd/shelfctl"), kinds: make(map[string]bool), fields: make(map[string]bool)}
+	s := &logCollector{checkedSource: loadSource(t, "./cmd/shelfledged", "./cmd/shelfctl"), kinds: make(map[string]bool), fields: make(map[string]bool)}
 	for _, file := range s.files {
 		ast.Inspect(file, s.visit)
 	}
 	list := func(values []string) string { return strings.Join(values, "\n") + "\n" }
-	pin(t, "log/kinds.txt", list(slices.Sorted(maps.Keys(s.kinds))))
-	pin(t, "log/fields.txt", list(slices.Sorted(maps.Keys(s.fields))))
-	pin(t, "log/events.txt", list(s.constantsLike("takeover")))
-	pin(t, "log/reasons.txt", list(s.constantsLike("queue_full")))
-	pin(t, "log/outcomes.txt", list(s.constantsLike("answered")))
-	pin(t, "log/claims.txt", list(s.constantsLike("impossible")))
-	pin(t, "metrics/label_values.txt", list(s.labelValues()))
+	checkGolden(t, "log/kinds.txt", list(slices.Sorted(maps.Keys(s.kinds))))
+	checkGolden(t, "log/fields.txt", list(slices.Sorted(maps.Keys(s.fields))))
+	checkGolden(t, "log/events.txt", list(s.constantsOfTypesWith("takeover")))
+	checkGolden(t, "log/reasons.txt", list(s.constantsOfTypesWith("queue_full")))
+	checkGolden(t, "log/outcomes.txt", list(s.constantsOfTypesWith("answered")))
+	checkGolden(t, "log/claims.txt", list(s.constantsOfTypesWith("impossible")))
+	checkGolden(t, "metrics/label_values.txt", list(s.labelValues()))
 }
--- a/tests/pinned/program/main_test.go
+++ b/tests/pinned/program/main_test.go
@@ -19,66 +19,66 @@
 )
 
 const (
-	// root is the module's folder as seen from this one.
+	// root is the path of the module's root directory relative to this package.
 	root = "../../.."
-	// exitBadUsage is what kong exits with where flags are wrong.
-	exitBadUsage = 80
+	// exitUsageError is kong's exit code for invalid flags.
+	exitUsageError = 80
 )
 
-// strict lists the programs whose help is pinned word for word.
-var strict = []string{"./cmd/shelfledged", "./cmd/shelfctl", "./tools/replay"}
+// pinnedPrograms lists the programs whose complete help text is in golden files.
+var pinnedPrograms = []string{"./cmd/shelfledged", "./cmd/shelfctl", "./tools/replay"}
 
-// entryProgram is built for its settings file alone; its flags are pinned elsewhere.
+// entryProgram is built only to test its settings file. Package tests/pinned/entry tests its flags.
 const entryProgram = "./cmd/shelfledge-entry"
 
 var (
-	update = flag.Bool("update", false, "write the files under testdata")
-	// programs is the folder of the built programs.
-	programs string
-	// others are the names of the further programs under cmd and tools.
-	others []string
+	update = flag.Bool("update", false, "rewrite the golden files")
+	// binaryFolder is the folder with the built programs.
+	binaryFolder string
+	// otherPrograms has the names of the remaining programs under cmd and tools.
+	otherPrograms []string
 )
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	os.Exit(buildAndRun(m))
+	os.Exit(buildAndRunTests(m))
 }
 
-func buildAndRun(m *testing.M) int {
+func buildAndRunTests(m *testing.M) int {
 	var err error
-	if programs, err = os.MkdirTemp("", "pinned"); err != nil {
+	if binaryFolder, err = os.MkdirTemp("", "pinned"); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
-	defer func() { _ = os.RemoveAll(programs) }()
-	if err := build(); err != nil {
+	defer func() { _ = os.RemoveAll(binaryFolder) }()
+	if err := buildPrograms(); err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		return 1
 	}
 	return m.Run()
 }
 
-func build() error {
-	listed, err := goTool("list", "-f", `{{if eq .Name "main"}}{{.ImportPath}}{{end}}`, "./cmd/...", "./tools/...")
+func buildPrograms() error {
+	listed, err := runGo("list", "-f", `{{if eq .Name "main"}}{{.ImportPath}}{{end}}`, "./cmd/...", "./tools/...")
 	if err != nil {
 		return err
 	}
 	pinned := make(map[string]bool)
-	for _, path := range append(strict, entryProgram) {
+	for _, path := range append(pinnedPrograms, entryProgram) {
 		pinned[filepath.Base(path)] = true
 	}
 	for _, path := range strings.Fields(listed) {
 		if name := filepath.Base(path); !pinned[name] {
-			others = append(others, name)
+			otherPrograms = append(otherPrograms, name)
 		}
 	}
-	arguments := []string{"build", "-ldflags=-s -w", "-o", programs + "/"}
-	arguments = append(append(arguments, strict...), entryProgram)
-	_, err = goTool(append(arguments, missingFrom(strings.Fields(listed), pinned)...)...)
+	arguments := []string{"build", "-ldflags=-s -w", "-o", binaryFolder + "/"}
+	arguments = append(append(arguments, pinnedPrograms...), entryProgram)
+	_, err = runGo(append(arguments, pathsNotPinned(strings.Fields(listed), pinned)...)...)
 	return err
 }
 
-func missingFrom(paths []string, pinned map[string]bool) []string {
+func pathsNotPinned(paths []string, pinned map[string]bool) []string {
 	var out []string
 	for _, path := range paths {
 		if !pinned[filepath.Base(path)] {
@@ -88,8 +88,8 @@
 	return out
 }
 
-// goTool runs the go command in the module's folder.
-func goTool(arguments ...string) (string, error) {
+// runGo runs the go command in the module's root directory and returns its output.
+func runGo(arguments ...string) (string, error) {
 	command := exec.Command("go", arguments...)
 	command.Dir = root
 	var stderr bytes.Buffer
@@ -101,13 +101,13 @@
 	return string(out), nil
 }
 
-// outcome is how a program ended.
+// outcome is the exit code and output of a program.
 type outcome struct {
 	code           int
 	stdout, stderr string
 }
 
-// text gives the outcome without the folder that its files lie in.
+// text formats the outcome, with the path of the program's working directory removed.
 func (o outcome) text(folder string) string {
 	out := fmt.Sprintf("exit %d\n", o.code)
 	for _, part := range []struct{ name, text string }{{"stdout", o.stdout}, {"stderr", o.stderr}} {
@@ -118,16 +118,16 @@
 	return strings.ReplaceAll(out, folder+string(filepath.Separator), "")
 }
 
-// run runs a built program in a folder, with an environment that changes nothing in its output.
-func run(t *testing.T, folder, name string, arguments ...string) outcome {
+// runProgram runs a built program in a folder, with a fixed environment so that its output does not depend on the caller's.
+func runProgram(t *testing.T, folder, name string, arguments ...string) outcome {
 	t.Helper()
-	return runWith(t, folder, nil, name, arguments...)
+	return runProgramWithEnv(t, folder, nil, name, arguments...)
 }
 
-// runWith runs a built program with further variables of the environment.
-func runWith(t *testing.T, folder string, variables []string, name string, arguments ...string) outcome {
+// runProgramWithEnv runs a built program with additional environment variables.
+func runProgramWithEnv(t *testing.T, folder string, variables []string, name string, arguments ...string) outcome {
 	t.Helper()
-	command := exec.Command(filepath.Join(programs, name), arguments...)
+	command := exec.Command(filepath.Join(binaryFolder, name), arguments...)
 	command.Dir = folder
 	command.Env = append([]string{"COLUMNS=100", "LANG=C"}, variables...)
 	var stdout, stderr bytes.Buffer
@@ -140,8 +140,8 @@
 	return outcome{code: command.ProcessState.ExitCode(), stdout: stdout.String(), stderr: stderr.String()}
 }
 
-// pin holds a text to the file of its name under testdata.
-func pin(t *testing.T, name, text string) {
+// checkGolden compares a text with the golden file of that name.
+func checkGolden(t *testing.T, name, text string) {
 	t.Helper()
 	file := filepath.Join("testdata", name)
 	if *update {
@@ -149,27 +149,27 @@
 		require.NoError(t, os.WriteFile(file, []byte(text), 0o644))
 	}
 	raw, err := os.ReadFile(file)
-	require.NoError(t, err, "the pinned file is missing")
-	require.Equal(t, string(raw), text, "%s differs: users see a change", file)
+	require.NoError(t, err, "cannot read golden file")
+	require.Equal(t, string(raw), text, "%s differs: a user-visible interface changed", file)
 }
 
-// temporary gives an empty folder whose name holds no link.
-func temporary(t *testing.T) string {
+// resolvedTempDir returns the path of an empty folder, with symbolic links resolved.
+func resolvedTempDir(t *testing.T) string {
 	t.Helper()
 	folder, err := filepath.EvalSymlinks(t.TempDir())
 	require.NoError(t, err)
 	return folder
 }
 
-func write(t *testing.T, folder, name, text string) string {
+func writeFile(t *testing.T, folder, name, text string) string {
 	t.Helper()
 	file := filepath.Join(folder, name)
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
 	return file
 }
 
-// TestSourcesAreSeen lists every folder, so that a cached result of these tests ends with any change of a file
-// that is built into the programs, though the tests import few of them.
+// TestSourcesAreSeen walks all folders of the module. The go command then discards cached results of this package after a
+// change of any source file of the programs, although the tests import few of their packages.
 func TestSourcesAreSeen(t *testing.T) {
 	require.NoError(t, filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err == nil && entry.IsDir() && (entry.Name() == ".git" || entry.Name() == "journal") {
--- a/tests/pinned/program/metrics_test.go
+++ b/tests/pinned/program/metrics_test.go
@@ -20,9 +20,10 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/metric"
 )
 
-const ownPrefix = "shelfledge_"
+const metricPrefix = "shelfledge_"
 
-// daemonMetrics gives the daemon's metrics, each used once so that a scrape has it.
+// daemonMetrics returns the daemon's metrics as text. It adds a sample to each metric vector, since a scrape omits
+// vectors without samples.
 func daemonMetrics(t *testing.T) string {
 	t.Helper()
 	metrics := metric.New(metric.Options{MaxCallers: 9, MaxClasses: 9})
@@ -30,28 +31,28 @@
 	value := reflect.ValueOf(metrics).Elem()
 	for i := range value.NumField() {
 		field := value.Field(i)
-		// Fields may be unexported: their names are no promise, so all are read alike.
+		// unsafe gives access to unexported fields too, so that the test does not depend on field names.
 		one := reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem().Interface()
 		if found, ok := one.(*prometheus.Registry); ok {
 			registry = found
 			continue
 		}
 		if collector, ok := one.(prometheus.Collector); ok {
-			use(t, collector)
+			addSample(t, collector)
 		}
 	}
 	require.NotNil(t, registry)
-	return gathered(t, registry)
+	return formatGathered(t, registry)
 }
 
-var variableLabels = regexp.MustCompile(`variableLabels: \{([^}]*)\}`)
+var variableLabelsPattern = regexp.MustCompile(`variableLabels: \{([^}]*)\}`)
 
-// use adds a sample to a metric with labels.
-func use(t *testing.T, collector prometheus.Collector) {
+// addSample adds a sample with placeholder label values to a metric vector.
+func addSample(t *testing.T, collector prometheus.Collector) {
 	t.Helper()
 	descriptions := make(chan *prometheus.Desc, 1)
 	collector.Describe(descriptions)
-	found := variableLabels.FindStringSubmatch((<-descriptions).String())
+	found := variableLabelsPattern.FindStringSubmatch((<-descriptions).String())
 	require.NotNil(t, found)
 	var values []string
 	if found[1] != "" {
@@ -67,13 +68,13 @@
 	}
 }
 
-func gathered(t *testing.T, registry *prometheus.Registry) string {
+func formatGathered(t *testing.T, registry *prometheus.Registry) string {
 	t.Helper()
 	families, err := registry.Gather()
 	require.NoError(t, err)
 	var out strings.Builder
 	for _, family := range families {
-		if !strings.HasPrefix(family.GetName(), ownPrefix) {
+		if !strings.HasPrefix(family.GetName(), metricPrefix) {
 			continue
 		}
 		sample := family.GetMetric()[0]
@@ -93,16 +94,16 @@
 }
 
 func TestMetrics(t *testing.T) {
-	pin(t, "metrics/daemon.txt", daemonMetrics(t))
+	checkGolden(t, "metrics/daemon.txt", daemonMetrics(t))
 }
 
-// TestAlertsAndBoardsNameMetrics holds that each name in an alert or a board is a metric's.
+// TestAlertsAndBoardsNameMetrics checks that each metric name in the alerts and the dashboard exists.
 func TestAlertsAndBoardsNameMetrics(t *testing.T) {
 	known := make(map[string]bool)
 	for line := range strings.Lines(daemonMetrics(t)) {
 		known[strings.TrimSpace(line)] = true
 	}
-	name := regexp.MustCompile(ownPrefix + `[a-z_]+`)
+	name := regexp.MustCompile(metricPrefix + `[a-z_]+`)
 	suffix := regexp.MustCompile(`_(bucket|sum|count)$`)
 	var out strings.Builder
 	for _, file := range []string{"conf/alerts.yml", "conf/grafana.json"} {
@@ -112,28 +113,28 @@
 		require.NotEmpty(t, names)
 		slices.Sort(names)
 		for _, one := range slices.Compact(names) {
-			require.True(t, known[suffix.ReplaceAllString(one, "")], "%s names %s, which is no metric", file, one)
+			require.True(t, known[suffix.ReplaceAllString(one, "")], "%s refers to unknown metric %s", file, one)
 			fmt.Fprintf(&out, "%s: %s\n", file, one)
 		}
 	}
-	pin(t, "metrics/named.txt", out.String())
+	checkGolden(t, "metrics/named.txt", out.String())
 }
 
-var matcher = regexp.MustCompile(`=~?\\?"([a-z_|]+)\\?"`)
+var labelMatcherPattern = regexp.MustCompile(`=~?\\?"([a-z_|]+)\\?"`)
 
-// TestAlertsMatchLabelValues holds that each label value that an alert or a board asks for is one that can come.
+// TestAlertsMatchLabelValues checks that the programs can set each label value that the alerts and the dashboard select.
 func TestAlertsMatchLabelValues(t *testing.T) {
 	var known string
 	for _, file := range []string{"log/events.txt", "log/reasons.txt", "log/outcomes.txt", "log/claims.txt", "daemon/samples.txt"} {
-		known += read(t, file)
+		known += readTestdata(t, file)
 	}
 	seen := 0
 	for _, file := range []string{"conf/alerts.yml", "conf/grafana.json"} {
 		raw, err := os.ReadFile(filepath.Join(root, file))
 		require.NoError(t, err)
-		for _, found := range matcher.FindAllStringSubmatch(string(raw), -1) {
+		for _, found := range labelMatcherPattern.FindAllStringSubmatch(string(raw), -1) {
 			for value := range strings.SplitSeq(found[1], "|") {
-				require.Regexp(t, `(?m)(^|")`+value+`("|$)`, known, "%s asks for a label value that never comes", file)
+				require.Regexp(t, `(?m)(^|")`+value+`("|$)`, known, "%s selects a label value that is never set", file)
 				seen++
 			}
 		}
--- a/tests/pinned/program/replay_test.go
+++ b/tests/pinned/program/replay_test.go
@@ -15,8 +15,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// traceRejected makes a rejected line of a good request with each edit.
-const traceRejected = `
+// traceRejectedEdits has edits of a valid request line of a trace. Each makes replay reject the line.
+const traceRejectedEdits = `
 at_ms "soon"
 at_ms -1
 id
@@ -33,8 +33,8 @@
 colour "red"
 event "flood"`
 
-// fleetRejected makes a rejected fleet file with each edit.
-const fleetRejected = `
+// fleetRejectedEdits has edits of a valid fleet file. Each makes replay reject the file.
+const fleetRejectedEdits = `
 halls []
 halls "h1"
 halls[0].name ""
@@ -61,8 +61,8 @@
 classes[0].priority "high"
 colour "red"`
 
-// withEvents are lines that are wrong in a field of an event.
-var withEvents = []string{
+// rejectedEventLines has trace lines with an invalid event field or invalid JSON.
+var rejectedEventLines = []string{
 	`{"at_ms":1,"event":"endpoint_restart","endpoint":"h9-e1"}`,
 	`{"at_ms":1,"event":"endpoint_leaving","endpoint":"h9-e1"}`,
 	`{"at_ms":1,"event":"load_fails","endpoint":"h1-e1","count":0}`,
@@ -76,69 +76,70 @@
 	`[]`,
 }
 
-func replay(t *testing.T, folder, fleet, trace string, more ...string) outcome {
+func runReplay(t *testing.T, folder, fleet, trace string, more ...string) outcome {
 	t.Helper()
-	write(t, folder, "fleet.json", fleet)
-	write(t, folder, "trace.jsonl", trace)
-	return run(t, folder, "replay", append([]string{"--fleet", "fleet.json", "--trace", "trace.jsonl"}, more...)...)
+	writeFile(t, folder, "fleet.json", fleet)
+	writeFile(t, folder, "trace.jsonl", trace)
+	return runProgram(t, folder, "replay", append([]string{"--fleet", "fleet.json", "--trace", "trace.jsonl"}, more...)...)
 }
 
 func TestReplayRejectsTraces(t *testing.T) {
 	t.Parallel()
-	fleet, trace := read(t, "replay/fleet.json"), read(t, "replay/trace.jsonl")
+	fleet, trace := readTestdata(t, "replay/fleet.json"), readTestdata(t, "replay/trace.jsonl")
 	good, _, _ := strings.Cut(trace, "\n")
 	bad := []string{good}
-	for _, c := range changes(traceRejected) {
-		bad = append(bad, strings.ReplaceAll(edited(t, strings.Replace(good, `"r1"`, `"r2"`, 1), c.path, c.value), "\n", ""))
+	for _, c := range parseEdits(traceRejectedEdits) {
+		bad = append(bad, strings.ReplaceAll(editJSON(t, strings.Replace(good, `"r1"`, `"r2"`, 1), c.path, c.value), "\n", ""))
 	}
-	folder := temporary(t)
+	folder := resolvedTempDir(t)
 	var out strings.Builder
-	for _, line := range append(bad, withEvents...) {
-		got := replay(t, folder, fleet, good+"\n\n"+line+"\n")
-		fmt.Fprintf(&out, "== %s\n%s", regexp.MustCompile(`\s+`).ReplaceAllString(line, " "), withoutGoNames(got.text(folder)))
+	for _, line := range append(bad, rejectedEventLines...) {
+		got := runReplay(t, folder, fleet, good+"\n\n"+line+"\n")
+		fmt.Fprintf(&out, "== %s\n%s", regexp.MustCompile(`\s+`).ReplaceAllString(line, " "), stripGoNames(got.text(folder)))
 	}
-	pin(t, "replay/trace_rejected.txt", out.String())
+	checkGolden(t, "replay/trace_rejected.txt", out.String())
 }
 
 func TestReplayRejectsFleets(t *testing.T) {
 	t.Parallel()
-	trace := read(t, "replay/trace.jsonl")
-	plain := regexp.MustCompile(`(?m)^//.*$`).ReplaceAllString(read(t, "replay/fleet.json"), "")
-	folder := temporary(t)
+	trace := readTestdata(t, "replay/trace.jsonl")
+	plain := regexp.MustCompile(`(?m)^//.*$`).ReplaceAllString(readTestdata(t, "replay/fleet.json"), "")
+	folder := resolvedTempDir(t)
 	var out strings.Builder
-	for _, c := range changes(fleetRejected) {
-		got := replay(t, folder, edited(t, plain, c.path, c.value), trace)
-		fmt.Fprintf(&out, "== %s %s\n%s", c.path, c.value, withoutGoNames(got.text(folder)))
+	for _, c := range parseEdits(fleetRejectedEdits) {
+		got := runReplay(t, folder, editJSON(t, plain, c.path, c.value), trace)
+		fmt.Fprintf(&out, "== %s %s\n%s", c.path, c.value, stripGoNames(got.text(folder)))
 	}
-	got := replay(t, folder, "{\n\"halls\": [\n", trace)
+	got := runReplay(t, folder, "{\n\"halls\": [\n", trace)
 	fmt.Fprintf(&out, "== broken\n%s", got.text(folder))
-	got = replay(t, folder, plain, trace, "--policy", "other")
+	got = runReplay(t, folder, plain, trace, "--policy", "other")
 	fmt.Fprintf(&out, "== no such policy\n%s", got.text(folder))
-	pin(t, "replay/fleet_rejected.txt", out.String())
+	checkGolden(t, "replay/fleet_rejected.txt", out.String())
 }
 
-// TestReplayResultKeys pins the keys of each policy's result; the figures are stated beside the traces.
+// TestReplayResultKeys compares the keys of each policy's result with the golden file. The result's values are documented with
+// the traces, not in the golden file.
 func TestReplayResultKeys(t *testing.T) {
-	fleet, trace := read(t, "replay/fleet.json"), read(t, "replay/trace.jsonl")
-	folder := temporary(t)
+	fleet, trace := readTestdata(t, "replay/fleet.json"), readTestdata(t, "replay/trace.jsonl")
+	folder := resolvedTempDir(t)
 	var out strings.Builder
 	for _, policy := range []string{"shelfledge", "lru", "affinity", "bound"} {
-		got := replay(t, folder, fleet, trace, "--json", "--policy", policy)
+		got := runReplay(t, folder, fleet, trace, "--json", "--policy", policy)
 		require.Zero(t, got.code, got.stderr)
 		var result map[string]any
 		require.NoError(t, json.Unmarshal([]byte(got.stdout), &result))
 		require.Equal(t, policy, result["policy"])
 		values := make(map[string]string)
-		flatten(values, "", result)
+		flattenValues(values, "", result)
 		fmt.Fprintf(&out, "== %s\n%s\n", policy, strings.Join(slices.Sorted(maps.Keys(values)), "\n"))
 	}
-	pin(t, "replay/result_keys.txt", out.String())
+	checkGolden(t, "replay/result_keys.txt", out.String())
 }
 
-// TestReplayTable pins the table's head and which lines "all" prints.
+// TestReplayTable compares the table's head and the policies in its lines with the golden file, for the policy "all".
 func TestReplayTable(t *testing.T) {
-	folder := temporary(t)
-	got := replay(t, folder, read(t, "replay/fleet.json"), read(t, "replay/trace.jsonl"), "--policy", "all")
+	folder := resolvedTempDir(t)
+	got := runReplay(t, folder, readTestdata(t, "replay/fleet.json"), readTestdata(t, "replay/trace.jsonl"), "--policy", "all")
 	require.Zero(t, got.code, got.stderr)
 	var first []string
 	for line := range strings.Lines(got.stdout) {
@@ -146,5 +147,5 @@
 	}
 	head, _, _ := strings.Cut(got.stdout, "\n")
 	slices.Sort(first[1:])
-	pin(t, "replay/table.txt", head+"\n"+strings.Join(first[1:], "\n")+"\n")
+	checkGolden(t, "replay/table.txt", head+"\n"+strings.Join(first[1:], "\n")+"\n")
 }
--- a/tests/pinned/program/settings_test.go
+++ b/tests/pinned/program/settings_test.go
@@ -16,8 +16,8 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/setting"
 )
 
-// daemonRejected makes a rejected file of daemon_least.json with each line.
-const daemonRejected = `
+// daemonRejectedEdits has edits of daemon_least.json, one per line. Each makes the daemon reject the file.
+const daemonRejectedEdits = `
 instance.id ""
 instance.hall "h9"
 listen.callers.address
@@ -111,49 +111,49 @@
 colour "red"
 metrics.max_callers "many"`
 
-// ownType is the name of a Go type of this module in a decoding error: it is no promise.
-var ownType = regexp.MustCompile(` Go value of type [a-z]+\.[A-Za-z]+`)
+// goTypePattern matches the name of a Go type of this module in a decoding error, which is not part of the interface.
+var goTypePattern = regexp.MustCompile(` Go value of type [a-z]+\.[A-Za-z]+`)
 
-func read(t *testing.T, name string) string {
+func readTestdata(t *testing.T, name string) string {
 	t.Helper()
 	raw, err := os.ReadFile(filepath.Join("testdata", name))
 	require.NoError(t, err)
 	return string(raw)
 }
 
-// daemonValues gives what the daemon reads from a settings file.
+// daemonValues returns the settings that the daemon decodes from a settings file, by path.
 func daemonValues(t *testing.T, text string) map[string]string {
 	t.Helper()
 	settings, err := setting.Parse("file", []byte(text))
 	require.NoError(t, err)
-	return dump(settings)
+	return flattenSettings(settings)
 }
 
 func TestDaemonSettings(t *testing.T) {
-	full := daemonValues(t, read(t, "settings/daemon_full.json"))
-	least := daemonValues(t, read(t, "settings/daemon_least.json"))
+	full := daemonValues(t, readTestdata(t, "settings/daemon_full.json"))
+	least := daemonValues(t, readTestdata(t, "settings/daemon_least.json"))
 	for path, value := range least {
 		if got, ok := full[path]; ok && path != "endpoints[0].kind" && path != "endpoints[1].kind" {
 			require.NotEqual(t, value, got, "daemon_full.json should not set %s to its default", path)
 		}
 	}
-	pin(t, "settings/daemon_full.values.txt", lines(full))
-	pin(t, "settings/daemon_least.values.txt", lines(least))
+	checkGolden(t, "settings/daemon_full.values.txt", formatValues(full))
+	checkGolden(t, "settings/daemon_least.values.txt", formatValues(least))
 	sample, err := os.ReadFile(filepath.Join(root, "conf/shelfledged.sample.json"))
 	require.NoError(t, err)
-	pin(t, "settings/daemon_sample.values.txt", lines(daemonValues(t, string(sample))))
+	checkGolden(t, "settings/daemon_sample.values.txt", formatValues(daemonValues(t, string(sample))))
 }
 
 func TestDaemonAcceptsSettings(t *testing.T) {
 	for _, name := range []string{"settings/daemon_full.json", "settings/daemon_least.json"} {
-		got := run(t, "testdata", "shelfledged", "--settings", name, "--check-settings")
+		got := runProgram(t, "testdata", "shelfledged", "--settings", name, "--check-settings")
 		require.Equal(t, outcome{stdout: "the settings are valid\n"}, got, name)
 	}
 }
 
-// TestDaemonFullNamesEveryField holds that the full file has each field that is decoded.
+// TestDaemonFullNamesEveryField checks that daemon_full.json sets each field that the daemon decodes.
 func TestDaemonFullNamesEveryField(t *testing.T) {
-	text := read(t, "settings/daemon_full.json")
+	text := readTestdata(t, "settings/daemon_full.json")
 	index := regexp.MustCompile(`\[\d+\]`)
 	for path := range daemonValues(t, text) {
 		name := index.ReplaceAllString(path, "")
@@ -161,36 +161,37 @@
 	}
 }
 
-// TestDaemonRejectsSettings pins the error of each rejected file, as the daemon prints it.
+// TestDaemonRejectsSettings compares the daemon's error for each rejected file with the golden file.
 func TestDaemonRejectsSettings(t *testing.T) {
-	least := read(t, "settings/daemon_least.json")
-	cases := []struct{ title, text string }{{"broken", brokenSettings}, {"empty", ""}, {"list", "[]"}}
-	for _, c := range changes(daemonRejected) {
-		cases = append(cases, struct{ title, text string }{c.path + " " + c.value, edited(t, least, c.path, c.value)})
+	least := readTestdata(t, "settings/daemon_least.json")
+	cases := []struct{ title, text string }{{"broken", truncatedSettings}, {"empty", ""}, {"list", "[]"}}
+	for _, c := range parseEdits(daemonRejectedEdits) {
+		cases = append(cases, struct{ title, text string }{c.path + " " + c.value, editJSON(t, least, c.path, c.value)})
 	}
 	var out strings.Builder
 	for _, c := range cases {
 		_, err := setting.Parse("file.json", []byte(c.text))
 		require.Error(t, err, c.title)
-		fmt.Fprintf(&out, "== %s\n%s\n", c.title, ownType.ReplaceAllString(err.Error(), ""))
+		fmt.Fprintf(&out, "== %s\n%s\n", c.title, goTypePattern.ReplaceAllString(err.Error(), ""))
 	}
-	pin(t, "settings/daemon_rejected.txt", out.String())
+	checkGolden(t, "settings/daemon_rejected.txt", out.String())
 }
 
-const brokenSettings = "{\n\"halls\": [\n"
+const truncatedSettings = "{\n\"halls\": [\n"
 
-// TestDaemonEndsOnBadSettings pins how the program ends on files that cannot be read or are wrong.
+// TestDaemonEndsOnBadSettings compares exit code and output of the daemon with the golden file, for settings files that are
+// missing, malformed or invalid.
 func TestDaemonEndsOnBadSettings(t *testing.T) {
-	least := read(t, "settings/daemon_least.json")
-	folder := temporary(t)
-	write(t, folder, "broken.json", brokenSettings)
-	write(t, folder, "wrong.json", edited(t, edited(t, least, "limits.max_attempts", "0"), "log.level", `"loud"`))
+	least := readTestdata(t, "settings/daemon_least.json")
+	folder := resolvedTempDir(t)
+	writeFile(t, folder, "broken.json", truncatedSettings)
+	writeFile(t, folder, "wrong.json", editJSON(t, editJSON(t, least, "limits.max_attempts", "0"), "log.level", `"loud"`))
 	var out strings.Builder
 	for _, file := range []string{"broken.json", "wrong.json", "none.json"} {
 		for _, arguments := range [][]string{{"--settings", file}, {"--settings", file, "--check-settings"}} {
-			got := run(t, folder, "shelfledged", arguments...)
+			got := runProgram(t, folder, "shelfledged", arguments...)
 			fmt.Fprintf(&out, "== %s\n%s", strings.Join(arguments, " "), got.text(folder))
 		}
 	}
-	pin(t, "settings/daemon_ended.txt", out.String())
+	checkGolden(t, "settings/daemon_ended.txt", out.String())
 }
--- a/tests/pinned/program/source_test.go
+++ b/tests/pinned/program/source_test.go
@@ -23,8 +23,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// listedPackage is what the go command tells of a package.
-type listedPackage struct {
+// goListPackage has the fields of a package in the output of go list.
+type goListPackage struct {
 	ImportPath string
 	Export     string
 	Dir        string
@@ -32,26 +32,26 @@
 	Module     *struct{ Main bool }
 }
 
-// source is the checked code of the module's packages that programs are built from.
-type source struct {
+// checkedSource is the type-checked code of the module's packages that some programs are built from.
+type checkedSource struct {
 	info  *types.Info
 	files []*ast.File
-	// values are the expressions that variables get, by variable.
+	// values has the expressions that are assigned to each variable.
 	values map[types.Object][]ast.Expr
-	// ranged are the literals that range variables run over.
-	ranged map[types.Object]*ast.CompositeLit
-	// added are the keys put into a map variable one by one.
-	added map[types.Object][]ast.Expr
+	// rangedLiterals has the composite literal that each range variable iterates over.
+	rangedLiterals map[types.Object]*ast.CompositeLit
+	// addedKeys has the keys that index assignments add to each map variable.
+	addedKeys map[types.Object][]ast.Expr
 }
 
-func loadSource(t *testing.T, programs ...string) *source {
+func loadSource(t *testing.T, programs ...string) *checkedSource {
 	t.Helper()
-	out, err := goTool(append([]string{"list", "-export", "-deps", "-json=ImportPath,Export,Dir,GoFiles,Module"}, programs...)...)
+	out, err := runGo(append([]string{"list", "-export", "-deps", "-json=ImportPath,Export,Dir,GoFiles,Module"}, programs...)...)
 	require.NoError(t, err)
 	exports := make(map[string]string)
-	var own []listedPackage
+	var own []goListPackage
 	for decoder := json.NewDecoder(strings.NewReader(out)); ; {
-		var one listedPackage
+		var one goListPackage
 		err := decoder.Decode(&one)
 		if errors.Is(err, io.EOF) {
 			break
@@ -62,20 +62,20 @@
 			own = append(own, one)
 		}
 	}
-	s := &source{
+	s := &checkedSource{
 		info: &types.Info{
 			Types: make(map[ast.Expr]types.TypeAndValue), Defs: make(map[*ast.Ident]types.Object), Uses: make(map[*ast.Ident]types.Object),
 		},
-		values: make(map[types.Object][]ast.Expr), ranged: make(map[types.Object]*ast.CompositeLit), added: make(map[types.Object][]ast.Expr),
+		values: make(map[types.Object][]ast.Expr), rangedLiterals: make(map[types.Object]*ast.CompositeLit), addedKeys: make(map[types.Object][]ast.Expr),
 	}
-	s.check(t, own, exports)
+	s.typeCheck(t, own, exports)
 	for _, file := range s.files {
-		ast.Inspect(file, s.note)
+		ast.Inspect(file, s.recordVariables)
 	}
 	return s
 }
 
-func (s *source) check(t *testing.T, own []listedPackage, exports map[string]string) {
+func (s *checkedSource) typeCheck(t *testing.T, own []goListPackage, exports map[string]string) {
 	t.Helper()
 	set := token.NewFileSet()
 	open := func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) }
@@ -93,12 +93,12 @@
 	}
 }
 
-// note remembers what variables hold.
-func (s *source) note(node ast.Node) bool {
+// recordVariables records the assignments and range loops of a node.
+func (s *checkedSource) recordVariables(node ast.Node) bool {
 	switch node := node.(type) {
 	case *ast.AssignStmt:
 		for i, left := range node.Lhs {
-			s.noteAssignment(left, node.Rhs, i)
+			s.recordAssignment(left, node.Rhs, i)
 		}
 	case *ast.RangeStmt:
 		literal, ok := ast.Unparen(node.X).(*ast.CompositeLit)
@@ -107,17 +107,17 @@
 		}
 		for _, variable := range []ast.Expr{node.Key, node.Value} {
 			if object := s.object(variable); object != nil {
-				s.ranged[object] = literal
+				s.rangedLiterals[object] = literal
 			}
 		}
 	}
 	return true
 }
 
-func (s *source) noteAssignment(left ast.Expr, right []ast.Expr, i int) {
+func (s *checkedSource) recordAssignment(left ast.Expr, right []ast.Expr, i int) {
 	if index, ok := left.(*ast.IndexExpr); ok {
 		if object := s.object(index.X); object != nil {
-			s.added[object] = append(s.added[object], index.Index)
+			s.addedKeys[object] = append(s.addedKeys[object], index.Index)
 		}
 		return
 	}
@@ -126,8 +126,8 @@
 	}
 }
 
-// object gives the variable that an expression names, or nil.
-func (s *source) object(e ast.Expr) types.Object {
+// object returns the object that an identifier refers to, or nil for other expressions.
+func (s *checkedSource) object(e ast.Expr) types.Object {
 	identifier, ok := e.(*ast.Ident)
 	if !ok {
 		return nil
@@ -138,8 +138,8 @@
 	return s.info.Uses[identifier]
 }
 
-// text gives an expression's constant string.
-func (s *source) text(e ast.Expr) (string, bool) {
+// text returns the string value of a constant expression.
+func (s *checkedSource) text(e ast.Expr) (string, bool) {
 	value := s.info.Types[e].Value
 	if value == nil || value.Kind() != constant.String {
 		return "", false
@@ -147,8 +147,8 @@
 	return constant.StringVal(value), true
 }
 
-// typeName gives package and name of an expression's type, without its pointer.
-func (s *source) typeName(e ast.Expr) string {
+// typeName returns the qualified name of an expression's type. For a pointer, it returns the name of the element type.
+func (s *checkedSource) typeName(e ast.Expr) string {
 	kind := s.info.TypeOf(e)
 	if kind == nil {
 		return ""
@@ -159,8 +159,8 @@
 	return types.TypeString(kind, nil)
 }
 
-// constantsLike gives the used constants of each type that has one of this value.
-func (s *source) constantsLike(value string) []string {
+// constantsOfTypesWith returns the values of all used string constants whose type has a used constant with the given value.
+func (s *checkedSource) constantsOfTypesWith(value string) []string {
 	byType := make(map[string]map[string]bool)
 	for _, object := range s.info.Uses {
 		found, ok := object.(*types.Const)
