--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -20,35 +20,35 @@
 )
 
 // TestPagesNameOnlyWhatExists resolves each name in backticks: a path, a test, a symbol, a flag, a make target, a
-// metric, a setting, or a text of the code, such as a log line's or a reason.
+// metric, a setting, or a string constant of the code, such as a log message or a reason.
 func TestPagesNameOnlyWhatExists(t *testing.T) {
-	all := readTree(t)
+	repo := readRepository(t)
 	used := make(map[string]bool)
 	count := 0
 	for _, one := range readPages(t) {
 		for _, named := range one.mentions() {
 			count++
-			if one.isRecord() && !named.outlivesRecord() {
+			if one.isIncident() && !named.mustExistInIncidents() {
 				continue
 			}
 			if exceptions[named.text] != "" {
 				used[named.text] = true
 				continue
 			}
-			assert.True(t, all.knows(named), "%s names `%s`, which does not exist", named.page, named.text)
+			assert.True(t, repo.defines(named), "%s refers to `%s`, which does not exist", named.page, named.text)
 		}
 		for _, line := range one.code {
-			assert.True(t, all.knowsCommand(line), "%s shows %q, whose target or flag does not exist", one.path, line)
+			assert.True(t, repo.definesCommand(line), "%s shows %q, whose target or flag does not exist", one.path, line)
 		}
 	}
-	assert.Greater(t, count, leastMentions, "the pages are read")
+	assert.Greater(t, count, minMentions, "number of names in backticks")
 	for text, reason := range exceptions {
-		assert.True(t, used[text], "no page names `%s` any more (%s): take it off the list", text, reason)
+		assert.True(t, used[text], "no page refers to `%s` (%s): remove the exception", text, reason)
 	}
 }
 
-// leastMentions guards against a scan that reads nothing.
-const leastMentions = 500
+// minMentions is the minimum number of names in backticks. It detects a scan that reads no pages.
+const minMentions = 500
 
 func TestLinksLeadToFiles(t *testing.T) {
 	count := 0
@@ -64,7 +64,7 @@
 func TestLinkedSectionsExist(t *testing.T) {
 	count := 0
 	for _, one := range readPages(t) {
-		for _, linked := range one.sections() {
+		for _, linked := range one.linkedSections() {
 			count++
 			content, err := os.ReadFile(filepath.Join(root, linked.path))
 			require.NoError(t, err, "%s links to %s", one.path, linked.path)
@@ -82,25 +82,26 @@
 		for _, id := range one.journalEntries() {
 			count++
 			found := slices.ContainsFunc(files, func(file os.DirEntry) bool { return strings.HasSuffix(file.Name(), "-"+id+".json") })
-			assert.True(t, found, "%s names the journal's %s", one.path, id)
+			assert.True(t, found, "%s refers to journal entry %s, which does not exist", one.path, id)
 		}
 	}
 	assert.NotZero(t, count)
 }
 
 func TestStatedSpansAreTheConstants(t *testing.T) {
-	all := readTree(t)
+	repo := readRepository(t)
 	count := 0
 	for _, one := range readPages(t) {
-		for _, stated := range one.statedSpans(t) {
+		for _, stated := range one.statedDurations(t) {
 			count++
-			assert.Contains(t, all.spans[stated.constant], stated.value, "%s on %s", one.path, stated.constant)
+			assert.Contains(t, repo.durations[stated.constant], stated.value, "%s: value of %s differs from the constant", one.path, stated.constant)
 		}
 	}
 	assert.NotZero(t, count)
 }
 
-// TestEachFailureNamesItsTest wants a test, or the words "no test", in the last cell of each row of the table of failures.
+// TestEachFailureNamesItsTest checks that the last cell of each row of the failure table has the name of a test or the text
+// "no test".
 func TestEachFailureNamesItsTest(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(root, "docs", "ARCHITECTURE.md"))
 	require.NoError(t, err)
@@ -110,125 +111,128 @@
 	rows := 0
 	for line := range strings.SplitSeq(section, "\n") {
 		cells := strings.Split(line, "|")
-		if len(cells) < failureCells || strings.Contains(line, "| --- |") || strings.HasPrefix(line, "| failure |") {
+		if len(cells) < minFailureCells || strings.Contains(line, "| --- |") || strings.HasPrefix(line, "| failure |") {
 			continue
 		}
 		rows++
 		assert.Regexp(t, "^ `Test|no test", cells[len(cells)-2], "%s", cells[1])
 	}
-	assert.Greater(t, rows, leastFailures)
+	assert.Greater(t, rows, minFailures)
 }
 
 const (
-	// failureCells is the number of parts that the bars of a row of the table of failures make, at least.
-	failureCells = 8
-	// leastFailures is how many kinds of failures it must tell of: those of the store, the planner, peers, endpoints, the weight
-	// store, the platform's list, a hall and the clock.
-	leastFailures = 16
+	// minFailureCells is the minimum number of parts after splitting a row of the failure table at its bars.
+	minFailureCells = 8
+	// minFailures is the minimum number of failures in the table. It covers failures of the store, the planner, peers,
+	// endpoints, the weight store, the platform's list, a hall and the clock.
+	minFailures = 16
 )
 
-// TestMadeUpNamesAreFound shows that the check fails where it should: one made-up name of each kind.
+// TestMadeUpNamesAreFound checks that the tests of this package report names and values that do not exist, with one invented
+// name of each kind.
 func TestMadeUpNamesAreFound(t *testing.T) {
-	all := readTree(t)
+	repo := readRepository(t)
 	madeUp := []string{
 		"services/nowhere", "docs/nowhere.md", "TestNothingOfThatName", "nowhereConstant", "balance.Nowhere", "--no-such-flag", "-q", "make nothing",
 		"shelfledge_nothing_total", "limits.nowhere", "reason nobody gives", `"reason":"nobody gives"`, "NOWHERE_SET", "/v1/nowhere", "nowhere.go",
 	}
 	for _, text := range madeUp {
-		assert.False(t, all.knows(mention{page: "docs/ARCHITECTURE.md", text: text}), "%s", text)
+		assert.False(t, repo.defines(mention{page: "docs/ARCHITECTURE.md", text: text}), "%s", text)
 	}
 	for _, line := range []string{"make nothing", "shelfledged --no-such-flag"} {
-		assert.False(t, all.knowsCommand(line), "%s", line)
+		assert.False(t, repo.definesCommand(line), "%s", line)
 	}
-	stated := parsePage("page.md", "`upstreamDial`, 77 s and 78 s (`firstEjection`)").statedSpans(t)
+	stated := parsePage("page.md", "`upstreamDial`, 77 s and 78 s (`firstEjection`)").statedDurations(t)
 	require.Len(t, stated, 2)
 	for _, one := range stated {
-		assert.NotContains(t, all.spans[one.constant], one.value)
+		assert.NotContains(t, repo.durations[one.constant], one.value)
 	}
 }
 
 var (
-	targetCall  = regexp.MustCompile(`^make ([a-z]+)`)
-	flagForm    = regexp.MustCompile(`(?:^|\s)(--?[a-z][a-z-]*)`)
-	symbolForm  = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z][A-Za-z0-9]*)$`)
-	settingForm = regexp.MustCompile(`^[a-z_]+(\.[a-z_]+)+$`)
-	fileForm    = regexp.MustCompile(`\.(go|md|json|yml|toml|jsonl)$`)
-	fieldForm   = regexp.MustCompile(`^"(msg|reason|result|wait)":"([^"]+)"$`)
-	numberForm  = regexp.MustCompile(`\bN\b`)
-	holderForm  = regexp.MustCompile(`\b[A-Z]{2,}\b`)
-	callForm    = regexp.MustCompile(`^(GET|POST|DELETE|HEAD|OPTIONS|PUT) (/\S*)$`)
+	makeCommandPattern = regexp.MustCompile(`^make ([a-z]+)`)
+	flagPattern        = regexp.MustCompile(`(?:^|\s)(--?[a-z][a-z-]*)`)
+	symbolPattern      = regexp.MustCompile(`^([a-z][a-z0-9]*)\.([A-Za-z][A-Za-z0-9]*)$`)
+	settingPattern     = regexp.MustCompile(`^[a-z_]+(\.[a-z_]+)+$`)
+	filePattern        = regexp.MustCompile(`\.(go|md|json|yml|toml|jsonl)$`)
+	logFieldPattern    = regexp.MustCompile(`^"(msg|reason|result|wait)":"([^"]+)"$`)
+	numberPattern      = regexp.MustCompile(`\bN\b`)
+	placeholderPattern = regexp.MustCompile(`\b[A-Z]{2,}\b`)
+	httpRequestPattern = regexp.MustCompile(`^(GET|POST|DELETE|HEAD|OPTIONS|PUT) (/\S*)$`)
 )
 
-// knows tells whether what a page names exists.
-func (all *tree) knows(named mention) bool {
+// defines reports whether a name in backticks exists.
+func (repo *repository) defines(named mention) bool {
 	text := named.text
 	switch {
-	case all.isValue(text):
+	case repo.isValue(text):
 		return true
-	case callForm.MatchString(text):
-		return all.knowsURL(callForm.FindStringSubmatch(text)[2])
-	case fieldForm.MatchString(text):
-		return all.texts[fieldForm.FindStringSubmatch(text)[2]] || strings.Contains(all.allTexts, text)
+	case httpRequestPattern.MatchString(text):
+		return repo.definesURL(httpRequestPattern.FindStringSubmatch(text)[2])
+	case logFieldPattern.MatchString(text):
+		return repo.literals[logFieldPattern.FindStringSubmatch(text)[2]] || strings.Contains(repo.joinedStrings, text)
 	case strings.HasPrefix(text, "shelfledge_"):
-		return all.metrics[strings.TrimPrefix(text, "shelfledge_")]
+		return repo.metrics[strings.TrimPrefix(text, "shelfledge_")]
 	case strings.HasPrefix(text, "-"):
-		return all.flags[text]
+		return repo.flags[text]
 	case strings.HasPrefix(text, "/"):
-		return all.knowsURL(text)
+		return repo.definesURL(text)
 	case strings.Contains(text, " "):
-		return all.knowsPhrase(text)
-	case strings.Contains(text, "/") || fileForm.MatchString(text):
-		return knowsPath(named) || all.files[text] || all.knowsURL(text)
-	case symbolForm.MatchString(text) && all.knowsMember(text):
+		return repo.definesPhrase(text)
+	case strings.Contains(text, "/") || filePattern.MatchString(text):
+		return pathExists(named) || repo.files[text] || repo.definesURL(text)
+	case symbolPattern.MatchString(text) && repo.definesMember(text):
 		return true
-	case settingForm.MatchString(text):
-		return all.knowsSetting(text)
+	case settingPattern.MatchString(text):
+		return repo.definesSetting(text)
 	default:
-		return all.declared[text] || all.texts[text] || strings.Contains(all.samples, `"`+text+`"`) || isPackage(text)
+		return repo.declared[text] || repo.literals[text] || strings.Contains(repo.configSamples, `"`+text+`"`) || isPackage(text)
 	}
 }
 
-// isValue tells whether a text is no name but a value: a number, a span, or the greater or lesser of values and constants.
-func (all *tree) isValue(text string) bool {
+// isValue reports whether a text is a value instead of a name: a number, a duration, or the maximum or minimum of values and
+// constants.
+func (repo *repository) isValue(text string) bool {
 	expression, err := parser.ParseExpr(text)
-	return err == nil && all.isValueExpression(expression)
+	return err == nil && repo.isValueExpression(expression)
 }
 
-func (all *tree) isValueExpression(expression ast.Expr) bool {
+func (repo *repository) isValueExpression(expression ast.Expr) bool {
 	switch node := expression.(type) {
 	case *ast.CallExpr:
 		called, ok := node.Fun.(*ast.Ident)
 		if !ok || (called.Name != "max" && called.Name != "min") {
 			return false
 		}
-		return !slices.ContainsFunc(node.Args, func(argument ast.Expr) bool { return !all.isOperand(argument) })
+		return !slices.ContainsFunc(node.Args, func(argument ast.Expr) bool { return !repo.isOperand(argument) })
 	default:
 		_, ok := evaluate(expression)
 		return ok
 	}
 }
 
-// isOperand tells whether a part of a value is a value itself, a constant, or a product of these.
-func (all *tree) isOperand(expression ast.Expr) bool {
+// isOperand reports whether an argument of max or min is a value, a declared name, or a binary expression of these.
+func (repo *repository) isOperand(expression ast.Expr) bool {
 	switch node := expression.(type) {
 	case *ast.Ident:
-		return all.declared[node.Name]
+		return repo.declared[node.Name]
 	case *ast.BinaryExpr:
-		return all.isOperand(node.X) && all.isOperand(node.Y)
+		return repo.isOperand(node.X) && repo.isOperand(node.Y)
 	default:
-		return all.isValueExpression(expression)
+		return repo.isValueExpression(expression)
 	}
 }
 
-// knowsPhrase resolves what has spaces: a command, a statement of the operators' language or a text of the code.
-func (all *tree) knowsPhrase(text string) bool {
+// definesPhrase reports whether a text with spaces exists: a command, a statement of the operators' language or a string constant
+// of the code.
+func (repo *repository) definesPhrase(text string) bool {
 	if isCommand(text) {
-		return all.knowsCommand(text)
+		return repo.definesCommand(text)
 	}
-	if all.texts[text] {
+	if repo.literals[text] {
 		return true
 	}
-	statement := numberForm.ReplaceAllString(text, "1")
+	statement := numberPattern.ReplaceAllString(text, "1")
 	for _, before := range []string{"", "show endpoints where "} {
 		if _, err := language.Parse(before + statement); err == nil {
 			return true
@@ -237,13 +241,13 @@
 	return false
 }
 
-// knowsMember resolves what a package declares, such as balance.Full.
-func (all *tree) knowsMember(text string) bool {
-	parts := symbolForm.FindStringSubmatch(text)
-	return all.members[parts[1]][parts[2]]
+// definesMember reports whether a package declares a qualified name, such as balance.Full.
+func (repo *repository) definesMember(text string) bool {
+	parts := symbolPattern.FindStringSubmatch(text)
+	return repo.members[parts[1]][parts[2]]
 }
 
-// programs are what a command may begin with.
+// programs are the programs whose command lines are checked.
 var programs = []string{"make", "go", "shelfledged", "shelfledge-entry", "shelfctl", "standin", "tracegen"}
 
 func isCommand(text string) bool {
@@ -251,49 +255,51 @@
 	return slices.Contains(programs, program)
 }
 
-// knowsCommand resolves the targets and flags of a line; a line that is no command of ours is none of its concern.
-func (all *tree) knowsCommand(line string) bool {
+// definesCommand reports whether the make target or the flags of a command line exist. It accepts lines that do not start with one
+// of the programs.
+func (repo *repository) definesCommand(line string) bool {
 	line, _, _ = strings.Cut(line, " #")
 	if !isCommand(line) {
 		return true
 	}
-	if match := targetCall.FindStringSubmatch(line); match != nil {
-		return all.targets[match[1]]
+	if match := makeCommandPattern.FindStringSubmatch(line); match != nil {
+		return repo.targets[match[1]]
 	}
 	if strings.HasPrefix(line, "go ") {
 		return true
 	}
-	for _, match := range flagForm.FindAllStringSubmatch(line, -1) {
-		if !all.flags[match[1]] {
+	for _, match := range flagPattern.FindAllStringSubmatch(line, -1) {
+		if !repo.flags[match[1]] {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsURL resolves a URL's path or a store's key by its fixed parts; what is in capitals stands for a value.
-func (all *tree) knowsURL(text string) bool {
-	for part := range strings.SplitSeq(holderForm.ReplaceAllString(text, "\x00"), "\x00") {
+// definesURL reports whether each fixed part of a URL path or store key occurs in a string constant. Words in capitals are
+// placeholders for values.
+func (repo *repository) definesURL(text string) bool {
+	for part := range strings.SplitSeq(placeholderPattern.ReplaceAllString(text, "\x00"), "\x00") {
 		part = strings.Trim(part, "/")
-		if part != "" && !strings.Contains(all.allTexts, part) {
+		if part != "" && !strings.Contains(repo.joinedStrings, part) {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsSetting resolves a setting, such as limits.drain_limit.
-func (all *tree) knowsSetting(text string) bool {
+// definesSetting reports whether each part of a setting's name, such as limits.drain_limit, is the name of an encoded field.
+func (repo *repository) definesSetting(text string) bool {
 	for part := range strings.SplitSeq(text, ".") {
-		if !all.settings[part] {
+		if !repo.settings[part] {
 			return false
 		}
 	}
 	return true
 }
 
-// knowsPath resolves a file or folder from the top or from the page's own folder.
-func knowsPath(named mention) bool {
+// pathExists reports whether a file or folder exists, relative to the root or to the page's folder.
+func pathExists(named mention) bool {
 	text := strings.TrimSuffix(strings.TrimPrefix(named.text, "./"), "/...")
 	return exists(text) || exists(filepath.Join(filepath.Dir(named.page), text))
 }
@@ -303,7 +309,7 @@
 	return err == nil && len(found) > 0
 }
 
-// isPackage tells whether a folder of one of the layers has the name.
+// isPackage reports whether a folder of this name exists at most two levels below the root.
 func isPackage(name string) bool {
 	return exists(name) || exists(filepath.Join("*", name)) || exists(filepath.Join("*", "*", name))
 }
--- a/tests/docs/operations_test.go
+++ b/tests/docs/operations_test.go
@@ -18,21 +18,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-// entryFolders have the code of the entry program that writes log lines.
+// entryFolders are the folders with the entry program's code that writes log lines.
 var entryFolders = []string{"cmd/shelfledge-entry", "platform", "routers/entry", "services/entry", "modules/entry"}
 
-// logCalls are the logger's methods, with the place of the text among their arguments.
-var logCalls = map[string]int{"Info": 0, "Warn": 0, "Error": 0, "Log": 1}
+// logMethods maps the logger's methods to the index of their message argument.
+var logMethods = map[string]int{"Info": 0, "Warn": 0, "Error": 0, "Log": 1}
 
-// TestOperationsTellsEveryLineAndReason wants each log line of the entry program, and each reason of a failed request, on
-// the page that engineers read at night.
+// TestOperationsTellsEveryLineAndReason checks that docs/OPERATIONS.md, the page for engineers on call, has each log message of
+// the entry program and each reason of a failed request.
 func TestOperationsTellsEveryLineAndReason(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
 	page := string(content)
-	lines, reasons := readLines(t)
-	assert.Greater(t, len(lines), leastLines)
-	assert.Greater(t, len(reasons), leastReasons)
+	lines, reasons := readLogLines(t)
+	assert.Greater(t, len(lines), minLines)
+	assert.Greater(t, len(reasons), minReasons)
 	for text := range lines {
 		assert.Contains(t, page, `"msg":"`+text+`"`)
 	}
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestOperationsLeadsFromEachLineToItsPackage wants a package of the code in each row of the two tables that lead from a reason
-// or a line to what decided it.
+// TestOperationsLeadsFromEachLineToItsPackage checks that each row of the two tables for reasons and log lines has the package
+// that decides them.
 func TestOperationsLeadsFromEachLineToItsPackage(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
@@ -59,17 +59,17 @@
 			assert.Regexp(t, "`(platform|(services|routers|modules)/entry/[a-z/]+)`", line)
 		}
 	}
-	assert.Greater(t, rows, leastLines+leastReasons)
+	assert.Greater(t, rows, minLines+minReasons)
 }
 
 const (
-	// leastLines and leastReasons guard against a scan that finds nothing.
-	leastLines   = 15
-	leastReasons = 10
+	// minLines and minReasons are the minimum numbers of log lines and reasons. They detect a scan that finds too few.
+	minLines   = 15
+	minReasons = 10
 )
 
-// readLines returns the texts of the entry program's log lines, and its reasons of failed requests.
-func readLines(t *testing.T) (lines, reasons map[string]bool) {
+// readLogLines returns the messages of the entry program's log lines, and its reasons of failed requests.
+func readLogLines(t *testing.T) (lines, reasons map[string]bool) {
 	t.Helper()
 	lines, reasons = make(map[string]bool), make(map[string]bool)
 	for _, folder := range entryFolders {
@@ -82,7 +82,7 @@
 				return err
 			}
 			ast.Inspect(file, func(node ast.Node) bool {
-				addLine(node, lines)
+				addLogLine(node, lines)
 				addReason(node, reasons)
 				return true
 			})
@@ -93,8 +93,8 @@
 	return lines, reasons
 }
 
-// addLine takes in the text of a call of the logger.
-func addLine(node ast.Node, lines map[string]bool) {
+// addLogLine adds the message of a log call.
+func addLogLine(node ast.Node, lines map[string]bool) {
 	call, ok := node.(*ast.CallExpr)
 	if !ok {
 		return
@@ -103,17 +103,17 @@
 	if !ok {
 		return
 	}
-	place, ok := logCalls[method.Sel.Name]
-	if !ok || len(call.Args) <= place {
+	index, ok := logMethods[method.Sel.Name]
+	if !ok || len(call.Args) <= index {
 		return
 	}
-	if text, ok := textOf(call.Args[place]); ok {
+	if text, ok := stringLiteral(call.Args[index]); ok {
 		lines[text] = true
 	}
 }
 
-// addReason takes in a text that becomes the reason of a request's line: a constant of the type Reason, or what a field
-// named reason is set to.
+// addReason adds a string that becomes the reason in a request's log line: a constant of the type Reason, or a literal assigned
+// to a field named reason.
 func addReason(node ast.Node, reasons map[string]bool) {
 	switch node := node.(type) {
 	case *ast.ValueSpec:
@@ -121,7 +121,7 @@
 			return
 		}
 		for _, value := range node.Values {
-			if text, ok := textOf(value); ok {
+			if text, ok := stringLiteral(value); ok {
 				reasons[text] = true
 			}
 		}
@@ -131,14 +131,14 @@
 			if !ok || !strings.EqualFold(field.Sel.Name, "reason") || i >= len(node.Rhs) {
 				continue
 			}
-			if text, ok := textOf(node.Rhs[i]); ok {
+			if text, ok := stringLiteral(node.Rhs[i]); ok {
 				reasons[text] = true
 			}
 		}
 	}
 }
 
-func textOf(expression ast.Expr) (string, bool) {
+func stringLiteral(expression ast.Expr) (string, bool) {
 	literal, ok := expression.(*ast.BasicLit)
 	if !ok || literal.Kind != token.STRING {
 		return "", false
--- a/tests/docs/tree_test.go
+++ b/tests/docs/repository_test.go
@@ -21,41 +21,41 @@
 	"github.com/stretchr/testify/require"
 )
 
-// tree is what the repository defines.
-type tree struct {
-	// declared are the names of packages, constants, variables, types, fields and functions.
+// repository has the names and strings that the repository defines.
+type repository struct {
+	// declared has the names of packages, constants, variables, types, fields and functions.
 	declared map[string]bool
-	// members are the declared names by the name of their package.
+	// members has the declared names by the name of their package.
 	members map[string]map[string]bool
-	// texts are all string constants of Go code outside tests, and parts of struct tags.
-	texts map[string]bool
-	// allTexts are these constants and those of tests in one, for parts of texts.
-	allTexts string
-	// settings are the names of fields in JSON.
+	// literals has all string literals of Go code outside tests, and names from struct tags.
+	literals map[string]bool
+	// joinedStrings is the concatenation of all string literals, including those of tests, to find parts of them.
+	joinedStrings string
+	// settings has the encoded names of fields, from their json, msgpack and env tags.
 	settings map[string]bool
-	// files are the names of Go files without their folders.
+	// files has the names of Go files without their folders.
 	files map[string]bool
-	// flags are the programs' flags, with their dashes.
+	// flags has the programs' flags, with their dashes.
 	flags map[string]bool
-	// metrics are the names of metrics without their common beginning.
+	// metrics has the names of metrics without their common prefix.
 	metrics map[string]bool
-	// spans are the values of constants that are durations, by name, and by package and name.
-	spans map[string][]time.Duration
-	// targets are the Makefile's targets and its variables.
+	// durations has the values of constants and variables that are durations, by name, and by package and name.
+	durations map[string][]time.Duration
+	// targets has the Makefile's targets and variables.
 	targets map[string]bool
-	// samples are the settings' sample, the alerts and the dashboard.
-	samples string
+	// configSamples is the content of the sample settings, the alerts and the dashboard.
+	configSamples string
 }
 
-// skipped folders hold no code, or records that name what went long ago.
-var skipped = map[string]bool{".git": true, "journal": true, "bin": true, "testdata": true}
+// skippedFolders has the folders that have no code, or records that refer to removed names.
+var skippedFolders = map[string]bool{".git": true, "journal": true, "bin": true, "testdata": true}
 
-func readTree(t *testing.T) *tree {
+func readRepository(t *testing.T) *repository {
 	t.Helper()
-	all := &tree{
-		declared: make(map[string]bool), members: make(map[string]map[string]bool), texts: make(map[string]bool),
+	repo := &repository{
+		declared: make(map[string]bool), members: make(map[string]map[string]bool), literals: make(map[string]bool),
 		settings: make(map[string]bool), files: make(map[string]bool), flags: make(map[string]bool),
-		metrics: make(map[string]bool), spans: make(map[string][]time.Duration), targets: make(map[string]bool),
+		metrics: make(map[string]bool), durations: make(map[string][]time.Duration), targets: make(map[string]bool),
 	}
 	var builder strings.Builder
 	err := filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
@@ -63,7 +63,7 @@
 			return err
 		}
 		if entry.IsDir() {
-			if skipped[entry.Name()] || path == filepath.Join(root, "tests", "docs") {
+			if skippedFolders[entry.Name()] || path == filepath.Join(root, "tests", "docs") {
 				return filepath.SkipDir
 			}
 			return nil
@@ -75,49 +75,49 @@
 		if err != nil {
 			return err
 		}
-		all.files[entry.Name()] = true
-		all.addFile(file, strings.HasSuffix(path, "_test.go"), &builder)
+		repo.files[entry.Name()] = true
+		repo.addFile(file, strings.HasSuffix(path, "_test.go"), &builder)
 		return nil
 	})
 	require.NoError(t, err)
-	all.allTexts = builder.String()
-	all.readMakefile(t)
+	repo.joinedStrings = builder.String()
+	repo.readMakefile(t)
 	for _, name := range []string{"shelfledged.sample.json", "alerts.yml", "grafana.json"} {
 		content, err := os.ReadFile(filepath.Join(root, "conf", name))
 		require.NoError(t, err)
-		all.samples += string(content)
+		repo.configSamples += string(content)
 	}
-	return all
+	return repo
 }
 
 var (
-	targetForm   = regexp.MustCompile(`(?m)^([a-z]+):`)
-	variableForm = regexp.MustCompile(`(?m)^([A-Z]+) *[?:]?=`)
+	targetPattern   = regexp.MustCompile(`(?m)^([a-z]+):`)
+	variablePattern = regexp.MustCompile(`(?m)^([A-Z]+) *[?:]?=`)
 )
 
-func (all *tree) readMakefile(t *testing.T) {
+func (repo *repository) readMakefile(t *testing.T) {
 	t.Helper()
 	content, err := os.ReadFile(filepath.Join(root, "Makefile"))
 	require.NoError(t, err)
-	for _, form := range []*regexp.Regexp{targetForm, variableForm} {
+	for _, form := range []*regexp.Regexp{targetPattern, variablePattern} {
 		for _, match := range form.FindAllStringSubmatch(string(content), -1) {
-			all.targets[match[1]] = true
+			repo.targets[match[1]] = true
 		}
 	}
 }
 
-// addFile takes in what one file declares and says.
-func (all *tree) addFile(file *ast.File, test bool, texts *strings.Builder) {
+// addFile adds the declared names, string literals and durations of a file.
+func (repo *repository) addFile(file *ast.File, test bool, literals *strings.Builder) {
 	name := strings.TrimSuffix(file.Name.Name, "_test")
-	if all.members[name] == nil {
-		all.members[name] = make(map[string]bool)
+	if repo.members[name] == nil {
+		repo.members[name] = make(map[string]bool)
 	}
-	all.declared[name] = true
+	repo.declared[name] = true
 	declare := func(ident *ast.Ident) {
-		all.declared[ident.Name] = true
-		all.members[name][ident.Name] = true
+		repo.declared[ident.Name] = true
+		repo.members[name][ident.Name] = true
 	}
-	prometheus := imports(file, "prometheus/client_golang/prometheus")
+	prometheus := importsSuffix(file, "prometheus/client_golang/prometheus")
 	ast.Inspect(file, func(node ast.Node) bool {
 		switch node := node.(type) {
 		case *ast.FuncDecl:
@@ -128,30 +128,30 @@
 			for _, ident := range node.Names {
 				declare(ident)
 			}
-			all.addSpans(name, node)
+			repo.addDurations(name, node)
 		case *ast.Field:
 			for _, ident := range node.Names {
 				declare(ident)
 			}
-			all.addTag(node)
+			repo.addTag(node)
 		case *ast.BasicLit:
 			text, err := strconv.Unquote(node.Value)
 			if node.Kind != token.STRING || err != nil {
 				return true
 			}
-			texts.WriteString(text + "\n")
+			literals.WriteString(text + "\n")
 			if !test {
-				all.texts[text] = true
+				repo.literals[text] = true
 			}
 			if prometheus && !test {
-				all.metrics[text] = true
+				repo.metrics[text] = true
 			}
 		}
 		return true
 	})
 }
 
-func imports(file *ast.File, suffix string) bool {
+func importsSuffix(file *ast.File, suffix string) bool {
 	for _, one := range file.Imports {
 		if strings.HasSuffix(strings.Trim(one.Path.Value, `"`), suffix) {
 			return true
@@ -160,8 +160,8 @@
 	return false
 }
 
-// addTag takes in the names that a field has in JSON and MessagePack, and its flag.
-func (all *tree) addTag(field *ast.Field) {
+// addTag adds the names of a field in JSON, MessagePack and the environment, and its flag.
+func (repo *repository) addTag(field *ast.Field) {
 	if field.Tag == nil {
 		return
 	}
@@ -173,8 +173,8 @@
 	for _, key := range []string{"json", "msgpack", "env"} {
 		name, _, _ := strings.Cut(tag.Get(key), ",")
 		if name != "" && name != "-" {
-			all.texts[name] = true
-			all.settings[name] = true
+			repo.literals[name] = true
+			repo.settings[name] = true
 		}
 	}
 	for _, key := range []string{"help", "cmd"} {
@@ -182,32 +182,32 @@
 			continue
 		}
 		for _, ident := range field.Names {
-			all.texts[kebab(ident.Name)] = true
-			all.flags["--"+kebab(ident.Name)] = true
+			repo.literals[kebabCase(ident.Name)] = true
+			repo.flags["--"+kebabCase(ident.Name)] = true
 		}
 	}
 	if short := tag.Get("short"); short != "" {
-		all.flags["-"+short] = true
+		repo.flags["-"+short] = true
 	}
 	if name := tag.Get("name"); name != "" {
-		all.flags["--"+name] = true
+		repo.flags["--"+name] = true
 	}
 }
 
-var wordForm = regexp.MustCompile("[A-Z]+[a-z0-9]*")
+var fieldWordPattern = regexp.MustCompile("[A-Z]+[a-z0-9]*")
 
-// kebab writes a field's name as kong does, such as CheckSettings as check-settings.
-func kebab(name string) string {
-	return strings.ToLower(strings.Join(wordForm.FindAllString(name, -1), "-"))
+// kebabCase converts a field's name to kebab case as kong does, such as CheckSettings to check-settings.
+func kebabCase(name string) string {
+	return strings.ToLower(strings.Join(fieldWordPattern.FindAllString(name, -1), "-"))
 }
 
-// units are the spans that constants are built from.
-var units = map[string]time.Duration{
+// durationUnits has the units of time that durations are built from.
+var durationUnits = map[string]time.Duration{
 	"Microsecond": time.Microsecond, "Millisecond": time.Millisecond, "Second": time.Second, "Minute": time.Minute, "Hour": time.Hour,
 }
 
-// addSpans evaluates constants that are durations.
-func (all *tree) addSpans(pkg string, spec *ast.ValueSpec) {
+// addDurations adds the values of constants and variables that are durations of at least a microsecond.
+func (repo *repository) addDurations(pkg string, spec *ast.ValueSpec) {
 	for i, ident := range spec.Names {
 		if i >= len(spec.Values) {
 			return
@@ -221,12 +221,12 @@
 			continue
 		}
 		for _, name := range []string{ident.Name, pkg + "." + ident.Name} {
-			all.spans[name] = append(all.spans[name], time.Duration(span))
+			repo.durations[name] = append(repo.durations[name], time.Duration(span))
 		}
 	}
 }
 
-// evaluate returns the value of an expression of numbers and units of time.
+// evaluate returns the value of an expression that consists of numbers and units of time, and whether it is one.
 func evaluate(expression ast.Expr) (constant.Value, bool) {
 	switch node := expression.(type) {
 	case *ast.BasicLit:
@@ -235,7 +235,7 @@
 		}
 		return constant.MakeFromLiteral(node.Value, node.Kind, 0), true
 	case *ast.SelectorExpr:
-		unit, ok := units[node.Sel.Name]
+		unit, ok := durationUnits[node.Sel.Name]
 		return constant.MakeInt64(int64(unit)), ok
 	case *ast.BinaryExpr:
 		left, ok := evaluate(node.X)
