--- a/tests/words/doc.go
+++ b/tests/words/doc.go
@@ -1,5 +1,6 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package words holds no code: its test keeps the words of the users' platform out of the entry program.
+// Package words has no code outside its tests. They check that the programs use the project's terms, such as endpoint and hall,
+// and not those of the users' platform.
 package words
--- a/tests/words/words_test.go
+++ b/tests/words/words_test.go
@@ -23,9 +23,9 @@
 	module = "github.com/shelfledge/shelfledge/"
 )
 
-// foreignWords are words of the users' platform and of earlier forms of the daemon, in lower case, with the house's word for the
-// same thing.
-var foreignWords = map[string]string{
+// forbiddenWords maps words of the users' platform and of earlier versions of the daemon, in lower case, to the project's term for
+// the same thing.
+var forbiddenWords = map[string]string{
 	"worker": "endpoint", "workers": "endpoint",
 	"server": "endpoint", "servers": "endpoint",
 	"machine": "instance", "machines": "instance",
@@ -34,18 +34,19 @@
 	"tenant": "customer", "tenants": "customer",
 }
 
-// foreignNames are names on the platform's wire.
-var foreignNames = []string{
+// forbiddenNames are names of the platform's wire protocol.
+var forbiddenNames = []string{
 	"X-Attempt-Id", "X-Server-Seal", "X-Not-Executed", "X-Expect-Instance", "X-Expect-Version", "X-Request-Urgency",
 	"kv-key", "kv-range", "kv-watch", "kv-txn", "kv-lease", "kv-keep",
 }
 
-// daemonWords are the foreign words that the daemon and its tool avoid too. Their own HTTP servers and front ends are not meant.
-var daemonWords = map[string]bool{
+// daemonForbiddenWords are the words that the daemon and its tool must not use either. The words for servers and front ends are allowed
+// there, since the daemon has HTTP servers and front ends of its own.
+var daemonForbiddenWords = map[string]bool{
 	"worker": true, "workers": true, "machine": true, "machines": true, "zone": true, "zones": true, "tenant": true, "tenants": true,
 }
 
-// kind is where a word stands.
+// kind is the kind of source text in which a word occurs.
 type kind int
 
 const (
@@ -54,26 +55,26 @@
 	text
 )
 
-// finding is a foreign word and the text that it stands in.
-type finding struct {
+// occurrence is an occurrence of a forbidden word, with the text that contains it.
+type occurrence struct {
 	kind     kind
 	word     string
 	text     string
 	position token.Position
 }
 
-// phrases are pairs of words of which the second or first one has its usual sense.
-var phrases = map[[2]string]string{
-	{"state", "machine"}: "the field's word for states and their changes",
-	{"server", "error"}:  "HTTP's word for a status of 500 and above",
-	{"time", "zone"}:     "a clock's",
+// allowedPhrases are pairs of words in which a forbidden word has its usual technical meaning, with that meaning.
+var allowedPhrases = map[[2]string]string{
+	{"state", "machine"}: "the technical term for states and transitions",
+	{"server", "error"}:  "the HTTP term for a status of 500 and above",
+	{"time", "zone"}:     "the time zone of a clock",
 }
 
-// place is a package and a foreign word that it uses in another sense.
-type place struct{ folder, word string }
+// packageWord is the folder of a package and a forbidden word that the package uses in another sense.
+type packageWord struct{ folder, word string }
 
-// exceptions are such uses, with what the word means there.
-var exceptions = map[place]string{
+// allowedUses maps allowed uses of forbidden words in a package to the meaning of the word there.
+var allowedUses = map[packageWord]string{
 	{"routers/entry/gateway", "server"}:  "the instance's own HTTP servers",
 	{"services/entry/process", "server"}: "the gateway's Server, which a process owns",
 
@@ -83,60 +84,62 @@
 	{"services/daemon/query", "zone"}:   "a rule's time zone",
 }
 
-func (f *finding) place() place {
-	return place{folder: strings.TrimPrefix(filepath.ToSlash(filepath.Dir(f.position.Filename)), root+"/"), word: f.word}
+func (f *occurrence) packageWord() packageWord {
+	return packageWord{folder: strings.TrimPrefix(filepath.ToSlash(filepath.Dir(f.position.Filename)), root+"/"), word: f.word}
 }
 
 func TestNoWordOfThePlatformStandsInTheEntryProgram(t *testing.T) {
-	check(t, "entry", folders(t, "./cmd/shelfledge-entry"), func(finding) bool { return true })
-	for _, folder := range folders(t, "./cmd/shelfledge-entry") {
-		for _, path := range sources(t, folder) {
+	checkFolders(t, "entry", packageFolders(t, "./cmd/shelfledge-entry"), func(occurrence) bool { return true })
+	for _, folder := range packageFolders(t, "./cmd/shelfledge-entry") {
+		for _, path := range sourceFiles(t, folder) {
 			content, err := os.ReadFile(path)
 			require.NoError(t, err)
-			for _, name := range foreignNames {
+			for _, name := range forbiddenNames {
 				assert.False(t, strings.Contains(strings.ToLower(string(content)), strings.ToLower(name)), "%s names %q", path, name)
 			}
 		}
 	}
 }
 
-// TestNoFormerWordStandsInTheDaemon leaves out texts: encoded names keep their form.
+// TestNoFormerWordStandsInTheDaemon checks identifiers and comments. It skips strings, since encoded names keep their form.
 func TestNoFormerWordStandsInTheDaemon(t *testing.T) {
-	check(t, "daemon", folders(t, "./cmd/shelfledged", "./cmd/shelfctl"), func(found finding) bool {
-		return daemonWords[found.word] && found.kind != text
+	checkFolders(t, "daemon", packageFolders(t, "./cmd/shelfledged", "./cmd/shelfctl"), func(found occurrence) bool {
+		return daemonForbiddenWords[found.word] && found.kind != text
 	})
 }
 
-// check demands that folders hold no foreign word that counts, and that no exception is left over for a part of the program.
-func check(t *testing.T, part string, folders []string, counts func(finding) bool) {
+// checkFolders fails for each occurrence of a forbidden word in the folders for which counts returns true and no exception exists. It
+// also fails for exceptions of this part of the program that are not used.
+func checkFolders(t *testing.T, part string, folders []string, counts func(occurrence) bool) {
 	t.Helper()
 	seen := 0
-	used := make(map[place]bool)
+	used := make(map[packageWord]bool)
 	for _, folder := range folders {
-		for _, path := range sources(t, folder) {
+		for _, path := range sourceFiles(t, folder) {
 			seen++
-			for _, found := range findings(t, path) {
+			for _, found := range findOccurrences(t, path) {
 				if !counts(found) {
 					continue
 				}
-				if _, allowed := exceptions[found.place()]; allowed {
-					used[found.place()] = true
+				if _, allowed := allowedUses[found.packageWord()]; allowed {
+					used[found.packageWord()] = true
 					continue
 				}
-				assert.Fail(t, "a word of the platform", "%s: %q in %q: say %q", found.position, found.word, found.text, foreignWords[found.word])
+				assert.Fail(t, "forbidden word in the source", "%s: %q in %q: use %q", found.position, found.word, found.text, forbiddenWords[found.word])
 			}
 		}
 	}
-	assert.Greater(t, seen, 50, "files that were looked at")
-	for one, sense := range exceptions {
+	assert.Greater(t, seen, 50, "number of checked files")
+	for one, sense := range allowedUses {
 		if strings.Contains(one.folder, "/"+part+"/") {
-			assert.True(t, used[one], "%v (%s): not used any more", one, sense)
+			assert.True(t, used[one], "exception %v (%s) is not used", one, sense)
 		}
 	}
 }
 
-// folders gives the folders of some programs' packages, except those that join them to the platform.
-func folders(t *testing.T, programs ...string) []string {
+// packageFolders returns the folders of the packages of this module that the programs consist of, except platform and those below cmd,
+// which connect the programs to the platform.
+func packageFolders(t *testing.T, programs ...string) []string {
 	t.Helper()
 	command := exec.Command("go", append([]string{"list", "-deps", "-f", "{{.ImportPath}}"}, programs...)...)
 	command.Dir = root
@@ -152,8 +155,8 @@
 	return found
 }
 
-// sources gives the files of a folder, tests excepted.
-func sources(t *testing.T, folder string) []string {
+// sourceFiles returns the Go files of a folder, without test files.
+func sourceFiles(t *testing.T, folder string) []string {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(folder, "*.go"))
 	require.NoError(t, err)
@@ -166,23 +169,23 @@
 	return found
 }
 
-// findings gives the foreign words of a file's identifiers, comments and texts. Paths of imports and the tags of
-// encoded fields are not among them; an encoded name that a comment quotes is a text.
-func findings(t *testing.T, path string) []finding {
+// findOccurrences returns the forbidden words in a file's identifiers, comments and strings. It skips import paths and struct tags. An
+// encoded name that a comment quotes counts as a string.
+func findOccurrences(t *testing.T, path string) []occurrence {
 	t.Helper()
 	files := token.NewFileSet()
 	file, err := parser.ParseFile(files, path, nil, parser.ParseComments)
 	require.NoError(t, err)
-	var found []finding
+	var found []occurrence
 	look := func(kind kind, text string, at token.Pos) {
-		for _, word := range foreignIn(text) {
-			found = append(found, finding{kind: kind, word: word, text: text, position: files.Position(at)})
+		for _, word := range forbiddenIn(text) {
+			found = append(found, occurrence{kind: kind, word: word, text: text, position: files.Position(at)})
 		}
 	}
 	for _, group := range file.Comments {
 		for _, line := range group.List {
-			look(comment, encodedName.ReplaceAllString(line.Text, ""), line.Pos())
-			for _, name := range encodedName.FindAllString(line.Text, -1) {
+			look(comment, encodedNamePattern.ReplaceAllString(line.Text, ""), line.Pos())
+			for _, name := range encodedNamePattern.FindAllString(line.Text, -1) {
 				look(text, name, line.Pos())
 			}
 		}
@@ -212,7 +215,8 @@
 	return found
 }
 
-// importedLibraries gives the names of a file's imports from outside this module: what they export is named by others.
+// importedLibraries returns the names of a file's imports from outside this module, since this module does not choose the names
+// that they export.
 func importedLibraries(file *ast.File) map[string]bool {
 	names := make(map[string]bool)
 	for _, one := range file.Imports {
@@ -230,28 +234,29 @@
 }
 
 var (
-	encodedName = regexp.MustCompile(`\b[a-z]+(?:_[a-z]+)+\b`)
-	letters     = regexp.MustCompile(`[A-Za-z]+`)
-	// capital finds where a word of a name begins: at a capital letter after a small one, and at the last of some capital letters.
-	capital = regexp.MustCompile(`([a-z])([A-Z])|([A-Z])([A-Z][a-z])`)
+	encodedNamePattern = regexp.MustCompile(`\b[a-z]+(?:_[a-z]+)+\b`)
+	letterPattern      = regexp.MustCompile(`[A-Za-z]+`)
+	// wordBoundaryPattern matches the start of a word in a name: a capital letter after a small one, or the last of several capital letters
+	// before a small one.
+	wordBoundaryPattern = regexp.MustCompile(`([a-z])([A-Z])|([A-Z])([A-Z][a-z])`)
 )
 
-// wordsOf splits a text into words in lower case, and names in camel case into theirs.
-func wordsOf(text string) []string {
-	apart := capital.ReplaceAllString(text, "$1$3 $2$4")
-	return letters.FindAllString(strings.ToLower(apart), -1)
+// splitWords splits a text into words in lower case. It also splits names in camel case.
+func splitWords(text string) []string {
+	apart := wordBoundaryPattern.ReplaceAllString(text, "$1$3 $2$4")
+	return letterPattern.FindAllString(strings.ToLower(apart), -1)
 }
 
-// foreignIn gives the foreign words of a text, except those of phrases.
-func foreignIn(text string) []string {
+// forbiddenIn returns the forbidden words of a text, except those in allowed phrases.
+func forbiddenIn(text string) []string {
 	var found []string
-	words := append(append([]string{""}, wordsOf(text)...), "")
+	words := append(append([]string{""}, splitWords(text)...), "")
 	for i, word := range words[:len(words)-1] {
-		if _, foreign := foreignWords[word]; !foreign {
+		if _, foreign := forbiddenWords[word]; !foreign {
 			continue
 		}
-		_, withFormer := phrases[[2]string{words[max(0, i-1)], word}]
-		_, withNext := phrases[[2]string{word, words[i+1]}]
+		_, withFormer := allowedPhrases[[2]string{words[max(0, i-1)], word}]
+		_, withNext := allowedPhrases[[2]string{word, words[i+1]}]
 		if !withFormer && !withNext {
 			found = append(found, word)
 		}
@@ -270,7 +275,7 @@
 		"machine":              {"machine"},
 		"frontier, zoned":      nil,
 	} {
-		assert.Equal(t, words, foreignIn(text), text)
+		assert.Equal(t, words, forbiddenIn(text), text)
 	}
 }
 
@@ -284,6 +289,6 @@
 		"workersOfZone2Machine": {"workers", "of", "zone", "machine"},
 		"frontier":              {"frontier"},
 	} {
-		assert.Equal(t, words, wordsOf(text), text)
+		assert.Equal(t, words, splitWords(text), text)
 	}
 }
