--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package constants_test keeps docs/constants.md in step with the constants of the deciding packages.
+// Package constants_test checks that docs/constants.md agrees with the constants of the packages that make decisions.
 package constants_test
 
 import (
@@ -21,12 +21,12 @@
 )
 
 const (
-	root         = "../.."
-	page         = root + "/docs/constants.md"
-	measuredPage = root + "/docs/design/0006-measured.md"
+	root          = "../.."
+	constantsPage = root + "/docs/constants.md"
+	measuredPage  = root + "/docs/design/0006-measured.md"
 )
 
-// decidingPackages are the folders whose constants the page must list.
+// decidingPackages are the folders of the packages whose constants the page must list.
 var decidingPackages = []string{
 	"services/entry/admission", "services/entry/balance", "services/entry/retry", "services/entry/proxy/attempt",
 	"services/entry/directory", "services/entry/limit", "services/entry/loading", "services/quarantine",
@@ -39,32 +39,32 @@
 	"services/daemon/node/waiting",
 }
 
-// constant is one numeric constant as the code declares it.
+// constant is a numeric constant as declared in the code.
 type constant struct {
 	value   string
 	comment string
 }
 
-// row is one line of the page.
+// row has the cells of a constant's row on the page.
 type row struct {
-	value, unit, trades, measured string
+	value, unit, tradeOff, source string
 }
 
 func TestThePageListsEachConstantWithItsValue(t *testing.T) {
 	sections := readPage(t)
 	for _, folder := range decidingPackages {
-		assert.Contains(t, sections, folder, "the page has no section for this package")
+		assert.Contains(t, sections, folder, "docs/constants.md has no section for this package")
 	}
 	for folder, rows := range sections {
 		declared := readConstants(t, folder)
 		for name, one := range declared {
 			listed, ok := rows[name]
-			if assert.True(t, ok, "%s: the page lacks %s", folder, name) {
+			if assert.True(t, ok, "%s: docs/constants.md has no row for %s", folder, name) {
 				assert.Equal(t, one.value, listed.value, "%s: value of %s", folder, name)
 			}
 		}
 		for name := range rows {
-			assert.Contains(t, declared, name, "%s: the code has no such constant", folder)
+			assert.Contains(t, declared, name, "%s: the package declares no such constant", folder)
 		}
 	}
 }
@@ -76,17 +76,17 @@
 	for folder, rows := range readPage(t) {
 		for name, one := range rows {
 			assert.NotEmpty(t, one.unit, "%s: unit of %s", folder, name)
-			assert.NotEmpty(t, one.trades, "%s: trade-off of %s", folder, name)
-			assert.NotEmpty(t, one.measured, "%s: source of %s", folder, name)
-			for _, quote := range quoted.FindAllStringSubmatch(one.measured, -1) {
-				assert.Contains(t, string(content), "| "+quote[1], "%s: the measured page has no row that %s quotes", folder, name)
+			assert.NotEmpty(t, one.tradeOff, "%s: trade-off of %s", folder, name)
+			assert.NotEmpty(t, one.source, "%s: source of %s", folder, name)
+			for _, quote := range quoted.FindAllStringSubmatch(one.source, -1) {
+				assert.Contains(t, string(content), "| "+quote[1], "%s: the page of measurements has no row that %s quotes", folder, name)
 			}
 		}
 	}
 }
 
-// TestNoConstantsCommentTellsOfMeasuring: how a value was found stands on the page, in the column that each row must have, and a comment
-// that says it again tells a reader of the code nothing.
+// TestNoConstantsCommentTellsOfMeasuring checks that each constant has a comment that does not repeat how the value was found. The
+// page documents that in a column that each row must fill.
 func TestNoConstantsCommentTellsOfMeasuring(t *testing.T) {
 	for folder := range readPage(t) {
 		for name, one := range readConstants(t, folder) {
@@ -98,10 +98,10 @@
 	}
 }
 
-// readPage gives the page's rows by folder and name.
+// readPage returns the page's rows by folder and name.
 func readPage(t *testing.T) map[string]map[string]row {
 	t.Helper()
-	content, err := os.ReadFile(page)
+	content, err := os.ReadFile(constantsPage)
 	require.NoError(t, err)
 	sections := make(map[string]map[string]row)
 	var rows map[string]row
@@ -120,19 +120,19 @@
 			cells[i] = strings.TrimSpace(cells[i])
 		}
 		name := strings.Trim(cells[0], "`")
-		require.NotContains(t, rows, name, "listed twice")
-		rows[name] = row{value: readValue(cells[1]), unit: cells[2], trades: cells[3], measured: cells[4]}
+		require.NotContains(t, rows, name, "constant is listed twice")
+		rows[name] = row{value: unquoteValue(cells[1]), unit: cells[2], tradeOff: cells[3], source: cells[4]}
 	}
 	return sections
 }
 
-// readValue gives the expression of a cell. One that is no number stands without backticks, which are for names that exist
-// elsewhere in the code, and with its stars escaped.
-func readValue(cell string) string {
+// unquoteValue returns the expression in a cell, without backticks and with unescaped stars. The page writes expressions other than
+// numbers without backticks, since backticks are for names that exist elsewhere in the code, and with escaped stars.
+func unquoteValue(cell string) string {
 	return strings.ReplaceAll(strings.Trim(cell, "`"), `\*`, "*")
 }
 
-// readConstants gives the numeric constants that the files of a folder declare outside functions, tests excepted.
+// readConstants returns the numeric package-level constants of a folder, without those of test files.
 func readConstants(t *testing.T, folder string) map[string]constant {
 	t.Helper()
 	paths, err := filepath.Glob(filepath.Join(root, folder, "*.go"))
@@ -149,15 +149,15 @@
 		for _, declaration := range parsed.Decls {
 			group, ok := declaration.(*ast.GenDecl)
 			if ok && group.Tok == token.CONST {
-				addGroup(t, files, group, constants)
+				addConstants(t, files, group, constants)
 			}
 		}
 	}
 	return constants
 }
 
-// addGroup adds the numeric constants of one declaration. One without a comment of its own shares that of the one before.
-func addGroup(t *testing.T, files *token.FileSet, group *ast.GenDecl, constants map[string]constant) {
+// addConstants adds the numeric constants of one declaration. A constant without a comment gets the comment of the constant before it.
+func addConstants(t *testing.T, files *token.FileSet, group *ast.GenDecl, constants map[string]constant) {
 	t.Helper()
 	comment := group.Doc.Text()
 	for _, spec := range group.Specs {
@@ -166,7 +166,7 @@
 			comment = values.Doc.Text()
 		}
 		for i, name := range values.Names {
-			if len(values.Values) <= i || !numeric(values.Values[i]) {
+			if len(values.Values) <= i || !isNumeric(values.Values[i]) {
 				continue
 			}
 			var text bytes.Buffer
@@ -176,8 +176,8 @@
 	}
 }
 
-// numeric reports whether an expression is a number that somebody chose: neither a text nor a running count of kinds.
-func numeric(expression ast.Expr) bool {
+// isNumeric reports whether an expression is a chosen number. Strings and enumerations with iota are not.
+func isNumeric(expression ast.Expr) bool {
 	result := true
 	ast.Inspect(expression, func(node ast.Node) bool {
 		switch part := node.(type) {
