--- a/tests/pinned/daemon/stored_keys_test.go
+++ b/tests/pinned/daemon/stored_keys_test.go
@@ -95,7 +95,7 @@
 		preload fare-1@1; drain endpoint h1-e1; set budget 3 loads per second 2 at once`
 	a := r.runStatements("admin", "first", first)
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
-	// 101 rounds of two changes each make the daemon write a snapshot.
+	// Enough revisions for the daemon to write a snapshot.
 	const rounds = 101
 	body, err := json.Marshal(map[string]any{"text": strings.Repeat("pin fare-1@1; show classes; unpin fare-1@1; show classes;", rounds), "id": "many", "wait_ms": 1})
 	require.NoError(t, err)
