--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -50,7 +50,7 @@
 	value, unit, tradeOff, source string
 }
 
-func TestThePageListsEachConstantWithItsValue(t *testing.T) {
+func TestPageListsEachConstantWithItsValue(t *testing.T) {
 	sections := readPage(t)
 	for _, folder := range decidingPackages {
 		assert.Contains(t, sections, folder, "docs/constants.md has no section for this package")
@@ -85,9 +85,9 @@
 	}
 }
 
-// TestNoConstantsCommentTellsOfMeasuring checks that each constant has a comment that does not repeat how the value was found. The
+// TestConstantCommentsOmitMeasurements checks that each constant has a comment that does not repeat how the value was found. The
 // page documents that in a column that each row must fill.
-func TestNoConstantsCommentTellsOfMeasuring(t *testing.T) {
+func TestConstantCommentsOmitMeasurements(t *testing.T) {
 	for folder := range readPage(t) {
 		for name, one := range readConstants(t, folder) {
 			assert.NotEmpty(t, one.comment, "%s: comment of %s", folder, name)
--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -19,9 +19,9 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/language"
 )
 
-// TestPagesNameOnlyWhatExists resolves each name in backticks: a path, a test, a symbol, a flag, a make target, a
+// TestPagesReferToExistingNames resolves each name in backticks: a path, a test, a symbol, a flag, a make target, a
 // metric, a setting, or a string constant of the code, such as a log message or a reason.
-func TestPagesNameOnlyWhatExists(t *testing.T) {
+func TestPagesReferToExistingNames(t *testing.T) {
 	repo := readRepository(t)
 	used := make(map[string]bool)
 	count := 0
@@ -50,7 +50,7 @@
 // minMentions is the minimum number of names in backticks. It detects a scan that reads no pages.
 const minMentions = 500
 
-func TestLinksLeadToFiles(t *testing.T) {
+func TestLinkedFilesExist(t *testing.T) {
 	count := 0
 	for _, one := range readPages(t) {
 		for _, link := range one.links() {
@@ -74,7 +74,7 @@
 	assert.NotZero(t, count)
 }
 
-func TestNamedJournalEntriesExist(t *testing.T) {
+func TestReferencedJournalEntriesExist(t *testing.T) {
 	files, err := os.ReadDir(filepath.Join(root, "journal"))
 	require.NoError(t, err)
 	count := 0
@@ -88,7 +88,7 @@
 	assert.NotZero(t, count)
 }
 
-func TestStatedSpansAreTheConstants(t *testing.T) {
+func TestStatedDurationsMatchConstants(t *testing.T) {
 	repo := readRepository(t)
 	count := 0
 	for _, one := range readPages(t) {
@@ -100,9 +100,9 @@
 	assert.NotZero(t, count)
 }
 
-// TestEachFailureNamesItsTest checks that the last cell of each row of the failure table has the name of a test or the text
+// TestFailureTableRowsNameTests checks that the last cell of each row of the failure table has the name of a test or the text
 // "no test".
-func TestEachFailureNamesItsTest(t *testing.T) {
+func TestFailureTableRowsNameTests(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(root, "docs", "ARCHITECTURE.md"))
 	require.NoError(t, err)
 	_, section, found := strings.Cut(string(content), "\n## When a dependency fails\n")
@@ -128,9 +128,9 @@
 	minFailures = 16
 )
 
-// TestMadeUpNamesAreFound checks that the tests of this package report names and values that do not exist, with one invented
+// TestUnknownNamesAreReported checks that the tests of this package report names and values that do not exist, with one invented
 // name of each kind.
-func TestMadeUpNamesAreFound(t *testing.T) {
+func TestUnknownNamesAreReported(t *testing.T) {
 	repo := readRepository(t)
 	madeUp := []string{
 		"services/nowhere", "docs/nowhere.md", "TestNothingOfThatName", "nowhereConstant", "balance.Nowhere", "--no-such-flag", "-q", "make nothing",
--- a/tests/docs/operations_test.go
+++ b/tests/docs/operations_test.go
@@ -24,9 +24,9 @@
 // logMethods maps the logger's methods to the index of their message argument.
 var logMethods = map[string]int{"Info": 0, "Warn": 0, "Error": 0, "Log": 1}
 
-// TestOperationsTellsEveryLineAndReason checks that docs/OPERATIONS.md, the page for engineers on call, has each log message of
+// TestOperationsPageHasEveryLogLineAndReason checks that docs/OPERATIONS.md, the page for engineers on call, has each log message of
 // the entry program and each reason of a failed request.
-func TestOperationsTellsEveryLineAndReason(t *testing.T) {
+func TestOperationsPageHasEveryLogLineAndReason(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
 	page := string(content)
@@ -41,9 +41,9 @@
 	}
 }
 
-// TestOperationsLeadsFromEachLineToItsPackage checks that each row of the two tables for reasons and log lines has the package
+// TestOperationsPageNamesPackageOfEachLine checks that each row of the two tables for reasons and log lines has the package
 // that decides them.
-func TestOperationsLeadsFromEachLineToItsPackage(t *testing.T) {
+func TestOperationsPageNamesPackageOfEachLine(t *testing.T) {
 	content, err := os.ReadFile(filepath.Join(root, "docs", "OPERATIONS.md"))
 	require.NoError(t, err)
 	rows := 0
--- a/tests/pinned/daemon/caller_test.go
+++ b/tests/pinned/daemon/caller_test.go
@@ -211,7 +211,7 @@
 	}
 }
 
-func TestAnswersToCallers(t *testing.T) {
+func TestCallerResponses(t *testing.T) {
 	out := make(map[string]callerResponse)
 	for name, c := range callerCases() {
 		out[name] = c.sendRequest(t)
--- a/tests/pinned/daemon/calls_test.go
+++ b/tests/pinned/daemon/calls_test.go
@@ -101,7 +101,7 @@
 	return map[string]any{"end": "done"}
 }
 
-func TestOrdersToEndpoints(t *testing.T) {
+func TestEndpointOrders(t *testing.T) {
 	r, at := startRecorder(t, fixedResponse(http.StatusOK, nil, ""))
 	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: waitTimeout, LoadTimeout: waitTimeout})
 	e := fleet.Endpoint{Name: "h1-e1", Hall: "h1", Kind: fleet.KindEngine, Address: at}
@@ -127,7 +127,7 @@
 	checkGolden(t, "endpoint_orders.json", out)
 }
 
-func TestCallsToEndpoints(t *testing.T) {
+func TestEndpointRequests(t *testing.T) {
 	r, at := startRecorder(t, nil)
 	d := engine.NewVLLM(engine.VLLMOptions{Transport: &http.Transport{}, Timeout: waitTimeout, LoadTimeout: waitTimeout})
 	out := map[string]exchange{}
@@ -161,7 +161,7 @@
 	checkGolden(t, "endpoint_calls.json", out)
 }
 
-func TestStatusOfEndpoints(t *testing.T) {
+func TestEndpointStatus(t *testing.T) {
 	r, at := startRecorder(t, func(w http.ResponseWriter, q *http.Request) {
 		for name, value := range map[string]string{"X-Incarnation": "life-3", "X-Fence": "41", "X-Fence-Holder": "h1-i1", "X-Leaving": "true"} {
 			w.Header().Set(name, value)
@@ -183,7 +183,7 @@
 	checkGolden(t, "endpoint_status.json", out)
 }
 
-func TestCallsToTheInstanceList(t *testing.T) {
+func TestInstanceListRequests(t *testing.T) {
 	list := compactJSON(t, readGolden(t, "instance_list.json"))
 	r, at := startRecorder(t, fixedResponse(http.StatusOK, nil, string(list)))
 	l, err := instancelist.Reader{Address: at, Timeout: waitTimeout, Client: &http.Client{}}.Read(context.Background())
@@ -202,7 +202,7 @@
 	checkGolden(t, "instance_list_calls.json", map[string]any{"sent": r.takeRequests(), "instances": instances, "leaving": l.Leaving()})
 }
 
-func TestCallsToTheKeyValueService(t *testing.T) {
+func TestKeyValueServiceRequests(t *testing.T) {
 	r, at := startRecorder(t, func(w http.ResponseWriter, q *http.Request) {
 		file := map[string]string{
 			"/v3/kv/range": "kv_range_response.json", "/v3/kv/txn": "kv_txn_response.json", "/v3/lease/grant": "kv_lease_response.json",
--- a/tests/pinned/daemon/operator_test.go
+++ b/tests/pinned/daemon/operator_test.go
@@ -140,7 +140,7 @@
 show nothing
 show adapters where nothing = 1`
 
-func TestOperatorsOverHTTP(t *testing.T) {
+func TestOperatorStatementsOverHTTP(t *testing.T) {
 	parallelUnlessUpdate(t)
 	r := startDaemon(t, 0, nil)
 	r.waitReady()
@@ -167,7 +167,7 @@
 	checkGolden(t, "stored_configuration.json", readableStoredValues(t, r.cluster.KV.Dump(), "/config/"))
 }
 
-func TestUnreadableRequestAndLostService(t *testing.T) {
+func TestOperatorRequestFailures(t *testing.T) {
 	parallelUnlessUpdate(t)
 	r := startDaemon(t, 0, nil)
 	r.waitReady()
@@ -177,7 +177,7 @@
 	checkGolden(t, "operator_failures.json", out)
 }
 
-func TestRowsOfALoadedAdapter(t *testing.T) {
+func TestShowRowsOfLoadedAdapter(t *testing.T) {
 	parallelUnlessUpdate(t)
 	r := startDaemon(t, 0, nil)
 	r.waitReady()
--- a/tests/pinned/daemon/peer_test.go
+++ b/tests/pinned/daemon/peer_test.go
@@ -212,7 +212,7 @@
 	panic("unreachable")
 }
 
-func TestWhatLinksSend(t *testing.T) {
+func TestPeerLinksSendGoldenMessages(t *testing.T) {
 	all := readPeerMessages(t)
 	to, received := startRawPeer(t, all["answer"])
 	links := peerlink.New(listenLoopback(t), peerlink.Options{})
@@ -232,7 +232,7 @@
 	require.Equal(t, receivedMessage{Method: "/shelfledge.Peer/Ask", ContentType: []string{"application/grpc+msgpack"}, Data: all["question"]}, receiveNext(t, received))
 }
 
-func TestWhatLinksReceive(t *testing.T) {
+func TestPeerLinksReceiveGoldenMessages(t *testing.T) {
 	all := readPeerMessages(t)
 	pushed, asked := make(chan []byte, 64), make(chan []byte, 1)
 	l := listenLoopback(t)
--- a/tests/pinned/entry/peer_test.go
+++ b/tests/pinned/entry/peer_test.go
@@ -229,8 +229,8 @@
 	}
 }
 
-// TestAFollower checks what an instance that follows a planner reads from the planner's view, and what it reports.
-func TestAFollower(t *testing.T) {
+// TestFollowerReadsPlannerView checks what an instance that follows a planner reads from the planner's view, and what it reports.
+func TestFollowerReadsPlannerView(t *testing.T) {
 	t.Parallel()
 	r := newProgramRun(t)
 	r.store.Put("op/config", json.RawMessage(`{"version": 1}`))
--- a/tests/pinned/entry/run_test.go
+++ b/tests/pinned/entry/run_test.go
@@ -194,9 +194,9 @@
 	}
 }
 
-// TestARun compares what the store, endpoints and callers receive from one run of the program, and its log and metrics,
+// TestProgramRunMatchesGolden compares what the store, endpoints and callers receive from one run of the program, and its log and metrics,
 // with the golden files.
-func TestARun(t *testing.T) {
+func TestProgramRunMatchesGolden(t *testing.T) {
 	t.Parallel()
 	r := newProgramRun(t)
 	answers := r.startWithStoreDown()
--- a/tests/pinned/entry/source_test.go
+++ b/tests/pinned/entry/source_test.go
@@ -316,9 +316,9 @@
 	return fields
 }
 
-// TestLogLinesInTheSource compares level, message and fields of each log call in the program's
+// TestLogCallsMatchGolden compares level, message and fields of each log call in the program's
 // source with the golden file, independent of the call's package.
-func TestLogLinesInTheSource(t *testing.T) {
+func TestLogCallsMatchGolden(t *testing.T) {
 	t.Parallel()
 	files := parsedSources(t)
 	constantsByPackage := stringConstants(files)
@@ -333,9 +333,9 @@
 	checkGolden(t, "log_calls.txt", sortedUniqueLines(lines))
 }
 
-// TestWordsOfTheLog checks that each reason, kind, reply and cause that appears in logs, metrics and
+// TestLogWordsAreStringLiterals checks that each reason, kind, reply and cause that appears in logs, metrics and
 // responses is a complete string literal in the program's source.
-func TestWordsOfTheLog(t *testing.T) {
+func TestLogWordsAreStringLiterals(t *testing.T) {
 	t.Parallel()
 	found := make(map[string]bool)
 	for _, file := range parsedSources(t) {
--- a/tests/pinned/program/daemon_test.go
+++ b/tests/pinned/program/daemon_test.go
@@ -142,9 +142,9 @@
 	checkGolden(t, "daemon/log.txt", d.logKinds())
 }
 
-// TestDaemonThatCannotStart compares log line and exit code with the golden file, for a listener whose address does not belong
+// TestDaemonStartFailure compares log line and exit code with the golden file, for a listener whose address does not belong
 // to the host.
-func TestDaemonThatCannotStart(t *testing.T) {
+func TestDaemonStartFailure(t *testing.T) {
 	folder := resolvedTempDir(t)
 	text := editJSON(t, runningDaemonSettings, "listen.callers.address", `"192.0.2.1:1"`)
 	got := runProgram(t, folder, "shelfledged", "--settings", writeFile(t, folder, "file.json", text))
--- a/tests/pinned/program/deploy_test.go
+++ b/tests/pinned/program/deploy_test.go
@@ -24,8 +24,8 @@
 	checkGolden(t, "deploy/system.values.txt", formatValues(values))
 }
 
-// TestDeployBuildsWhatItRuns checks that the deploy file builds an existing main package and runs the program of that name.
-func TestDeployBuildsWhatItRuns(t *testing.T) {
+// TestDeployFileRunsBuiltProgram checks that the deploy file builds an existing main package and runs the program of that name.
+func TestDeployFileRunsBuiltProgram(t *testing.T) {
 	pinned := readTestdata(t, "deploy/system.values.txt")
 	listed, err := runGo("list", "-f", "{{.Name}}", entryProgram)
 	require.NoError(t, err)
--- a/tests/pinned/program/entry_settings_test.go
+++ b/tests/pinned/program/entry_settings_test.go
@@ -141,9 +141,9 @@
 	checkGolden(t, "settings/entry_rejected.txt", out.String())
 }
 
-// TestEntryEndsOnBadSettings compares exit code and output of the entry with the golden file, for settings files that are
+// TestEntryExitsOnInvalidSettings compares exit code and output of the entry with the golden file, for settings files that are
 // missing, malformed or invalid.
-func TestEntryEndsOnBadSettings(t *testing.T) {
+func TestEntryExitsOnInvalidSettings(t *testing.T) {
 	folder := resolvedTempDir(t)
 	writeFile(t, folder, "broken.json", "{")
 	writeFile(t, folder, "wrong.json", editJSON(t, readTestdata(t, "settings/entry_full.json"), "ip", `"here"`))
--- a/tests/pinned/program/flags_test.go
+++ b/tests/pinned/program/flags_test.go
@@ -43,9 +43,9 @@
 	}
 }
 
-// TestVariables compares the effect of the environment variables with the golden file: those of shelfctl replace flags, that of
+// TestEnvironmentVariables compares the effect of the environment variables with the golden file: those of shelfctl replace flags, that of
 // the entry gives its settings file.
-func TestVariables(t *testing.T) {
+func TestEnvironmentVariables(t *testing.T) {
 	folder := resolvedTempDir(t)
 	writeFile(t, folder, "file.json", readTestdata(t, "settings/entry_full.json"))
 	var out strings.Builder
@@ -72,9 +72,9 @@
 	}
 }
 
-// TestOtherProgramsTakeFlagsAlike checks only how the remaining programs handle --help and an unknown flag. Their options are not
+// TestOtherProgramsHandleFlags checks only how the remaining programs handle --help and an unknown flag. Their options are not
 // a stable interface.
-func TestOtherProgramsTakeFlagsAlike(t *testing.T) {
+func TestOtherProgramsHandleFlags(t *testing.T) {
 	for _, name := range otherPrograms {
 		help := runProgram(t, resolvedTempDir(t), name, "--help")
 		require.Zero(t, help.code, name)
--- a/tests/pinned/program/main_test.go
+++ b/tests/pinned/program/main_test.go
@@ -168,9 +168,9 @@
 	return file
 }
 
-// TestSourcesAreSeen walks all folders of the module. The go command then discards cached results of this package after a
+// TestCachedResultsDependOnSources walks all folders of the module. The go command then discards cached results of this package after a
 // change of any source file of the programs, although the tests import few of their packages.
-func TestSourcesAreSeen(t *testing.T) {
+func TestCachedResultsDependOnSources(t *testing.T) {
 	require.NoError(t, filepath.WalkDir(root, func(path string, entry fs.DirEntry, err error) error {
 		if err == nil && entry.IsDir() && (entry.Name() == ".git" || entry.Name() == "journal") {
 			return filepath.SkipDir
--- a/tests/pinned/program/metrics_test.go
+++ b/tests/pinned/program/metrics_test.go
@@ -97,8 +97,8 @@
 	checkGolden(t, "metrics/daemon.txt", daemonMetrics(t))
 }
 
-// TestAlertsAndBoardsNameMetrics checks that each metric name in the alerts and the dashboard exists.
-func TestAlertsAndBoardsNameMetrics(t *testing.T) {
+// TestAlertsAndDashboardUseKnownMetrics checks that each metric name in the alerts and the dashboard exists.
+func TestAlertsAndDashboardUseKnownMetrics(t *testing.T) {
 	known := make(map[string]bool)
 	for line := range strings.Lines(daemonMetrics(t)) {
 		known[strings.TrimSpace(line)] = true
--- a/tests/pinned/program/settings_test.go
+++ b/tests/pinned/program/settings_test.go
@@ -151,8 +151,8 @@
 	}
 }
 
-// TestDaemonFullNamesEveryField checks that daemon_full.json sets each field that the daemon decodes.
-func TestDaemonFullNamesEveryField(t *testing.T) {
+// TestFullDaemonSettingsNameEveryField checks that daemon_full.json sets each field that the daemon decodes.
+func TestFullDaemonSettingsNameEveryField(t *testing.T) {
 	text := readTestdata(t, "settings/daemon_full.json")
 	index := regexp.MustCompile(`\[\d+\]`)
 	for path := range daemonValues(t, text) {
@@ -179,9 +179,9 @@
 
 const truncatedSettings = "{\n\"halls\": [\n"
 
-// TestDaemonEndsOnBadSettings compares exit code and output of the daemon with the golden file, for settings files that are
+// TestDaemonExitsOnInvalidSettings compares exit code and output of the daemon with the golden file, for settings files that are
 // missing, malformed or invalid.
-func TestDaemonEndsOnBadSettings(t *testing.T) {
+func TestDaemonExitsOnInvalidSettings(t *testing.T) {
 	least := readTestdata(t, "settings/daemon_least.json")
 	folder := resolvedTempDir(t)
 	writeFile(t, folder, "broken.json", truncatedSettings)
--- a/tests/words/words_test.go
+++ b/tests/words/words_test.go
@@ -88,7 +88,7 @@
 	return packageWord{folder: strings.TrimPrefix(filepath.ToSlash(filepath.Dir(f.position.Filename)), root+"/"), word: f.word}
 }
 
-func TestNoWordOfThePlatformStandsInTheEntryProgram(t *testing.T) {
+func TestEntryProgramHasNoForbiddenWords(t *testing.T) {
 	checkFolders(t, "entry", packageFolders(t, "./cmd/shelfledge-entry"), func(occurrence) bool { return true })
 	for _, folder := range packageFolders(t, "./cmd/shelfledge-entry") {
 		for _, path := range sourceFiles(t, folder) {
@@ -101,8 +101,8 @@
 	}
 }
 
-// TestNoFormerWordStandsInTheDaemon checks identifiers and comments. It skips strings, since encoded names keep their form.
-func TestNoFormerWordStandsInTheDaemon(t *testing.T) {
+// TestDaemonHasNoForbiddenWords checks identifiers and comments. It skips strings, since encoded names keep their form.
+func TestDaemonHasNoForbiddenWords(t *testing.T) {
 	checkFolders(t, "daemon", packageFolders(t, "./cmd/shelfledged", "./cmd/shelfctl"), func(found occurrence) bool {
 		return daemonForbiddenWords[found.word] && found.kind != text
 	})
@@ -264,7 +264,7 @@
 	return found
 }
 
-func TestForeignWordsAreFound(t *testing.T) {
+func TestForbiddenWordsAreFound(t *testing.T) {
 	for text, words := range map[string][]string{
 		"// the worker's zone": {"worker", "zone"},
 		"serverURL":            {"server"},
