--- a/tools/soak/cases.go
+++ b/tools/soak/cases.go
@@ -11,33 +11,33 @@
 	"strings"
 )
 
-// keptCases are the runs that once broke something, each with its cause.
+// embeddedCases holds the runs that once found a fault, each with the cause of the fault.
 //
 //go:embed cases.json
-var keptCases []byte
+var embeddedCases []byte
 
-// keptCase is one of them.
-type keptCase struct {
+// soakCase is one regression case of cases.json.
+type soakCase struct {
 	Name string `json:"name"`
-	// Cause is what was wrong, and Short says that CI plays it.
+	// Cause describes the fault. Short reports whether CI runs the case.
 	Cause string `json:"cause"`
 	Short bool   `json:"short"`
-	// Daemons says that it is a run of shelfledged.
+	// Daemons reports whether the case runs shelfledged in place of shelfledge-entry.
 	Daemons bool `json:"daemons"`
-	// Arguments are the run's, laid over those of the command line.
+	// Arguments override the arguments of the command line.
 	Arguments json.RawMessage `json:"arguments"`
 }
 
-// The choices of cases beside a case's own name.
+// Values of --cases other than the name of a case.
 const (
 	allCases   = "all"
 	shortCases = "short"
 )
 
-// runCases plays the cases that were chosen, one after the other, also after one that breaks something.
+// runCases runs the selected cases one after the other and continues after a failed case.
 func runCases(args arguments) error {
-	var cases []keptCase
-	if err := json.Unmarshal(keptCases, &cases); err != nil {
+	var cases []soakCase
+	if err := json.Unmarshal(embeddedCases, &cases); err != nil {
 		return err
 	}
 	var failed []error
@@ -61,12 +61,12 @@
 		}
 	}
 	if played == 0 {
-		return fmt.Errorf("--cases: no case %q, only %s", args.Cases, strings.Join(append(names(cases), allCases, shortCases), ", "))
+		return fmt.Errorf("--cases: no case %q, only %s", args.Cases, strings.Join(append(caseNames(cases), allCases, shortCases), ", "))
 	}
 	return errors.Join(failed...)
 }
 
-func names(cases []keptCase) []string {
+func caseNames(cases []soakCase) []string {
 	all := make([]string, 0, len(cases))
 	for _, one := range cases {
 		all = append(all, one.Name)
--- a/tools/soak/crasher.go
+++ b/tools/soak/crasher.go
@@ -17,47 +17,49 @@
 )
 
 const (
-	// crashAfter is how long a request runs until its endpoint ends, in milliseconds.
+	// crashAfter is how long a crashing request runs before its endpoint crashes, in milliseconds.
 	crashAfter = 60
-	// crashPause bounds the pause after which a caller sends such a request again.
-	crashPause = 1500 * time.Millisecond
-	// crashPatience bounds one sending, leavingPatience one whose caller leaves before its endpoint ends.
-	crashPatience   = 5 * time.Second
-	leavingPatience = crashAfter / 2 * time.Millisecond
+	// maxCrashPause bounds the pause before a crashing request is sent again.
+	maxCrashPause = 1500 * time.Millisecond
+	// crashTimeout is the time-out of a crashing request. abandonTimeout is the time-out of a request whose caller closes the
+	// connection before the endpoint crashes.
+	crashTimeout   = 5 * time.Second
+	abandonTimeout = crashAfter / 2 * time.Millisecond
 )
 
-// crasher is a request that crashes each endpoint which runs it, with what became of it.
+// crasher repeatedly sends a request that crashes each endpoint which runs it, and records every sending.
 type crasher struct {
 	call     platformstandin.Call
 	patience time.Duration
 
-	mutex sync.Mutex
-	seen  ledger.Crasher
+	mutex  sync.Mutex
+	record ledger.Crasher
 }
 
-// newCrasher gives one of each kind of route in turn, with a body of its own; of each eight, the callers of the last four leave.
+// newCrasher returns a crasher with a body of its own. The number selects one of the four kinds of route in turn; of every eight
+// crashers, the callers of the last four close the connection early.
 func newCrasher(number int) *crasher {
 	prefixes := []string{platformstandin.SafePrefix, platformstandin.UnsafePrefix, platformstandin.StreamPrefix, platformstandin.ResumePrefix}
 	prefix := prefixes[number%len(prefixes)]
-	c := &crasher{patience: crashPatience, seen: ledger.Crasher{Name: fmt.Sprintf("crasher %d of %s", number, prefix)}}
+	c := &crasher{patience: crashTimeout, record: ledger.Crasher{Name: fmt.Sprintf("crasher %d of %s", number, prefix)}}
 	if number/len(prefixes)%2 == 1 {
-		c.patience = leavingPatience
+		c.patience = abandonTimeout
 	}
-	c.call = platformstandin.Call{Path: fmt.Sprintf("%sx?%s=%d", prefix, platformstandin.CrashParameter, crashAfter), Body: c.seen.Name}
+	c.call = platformstandin.Call{Path: fmt.Sprintf("%sx?%s=%d", prefix, platformstandin.CrashParameter, crashAfter), Body: c.record.Name}
 	if prefix == platformstandin.StreamPrefix || prefix == platformstandin.ResumePrefix {
-		// Sound requests use the same adapter.
+		// Regular requests use the same adapter.
 		c.call.Adapter = "a1"
 	}
 	return c
 }
 
-// run sends it again and again, each time from another address, until the context ends.
+// run sends the request repeatedly, each time from a randomly drawn address, until the context ends.
 func (c *crasher) run(ctx context.Context, balancer *traffic.Balancer, random *rand.Rand) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(time.Duration(random.Float64() * float64(crashPause))):
+		case <-time.After(time.Duration(random.Float64() * float64(maxCrashPause))):
 		}
 		target := balancer.Pick(random)
 		one := c.call
@@ -67,62 +69,65 @@
 		answer := one.Send(sending, target.Callers)
 		cancel()
 		c.mutex.Lock()
-		c.seen.Sends = append(c.seen.Sends, ledger.Sending{ID: answer.ID, Instance: target.Name, At: began, Status: answer.Status})
+		c.record.Sends = append(c.record.Sends, ledger.Sending{ID: answer.ID, Instance: target.Name, At: began, Status: answer.Status})
 		c.mutex.Unlock()
 	}
 }
 
-// startCrashers has the requests come that crash endpoints, and endpoints come back, until the context ends; wait returns then.
+// startCrashers starts the crashers and the replacement of crashed endpoints, which go on until the context ends. The returned function
+// waits for all of them to end.
 func (s *site) startCrashers(ctx context.Context, balancer *traffic.Balancer) (wait func()) {
 	var tasks sync.WaitGroup
 	for number := range s.args.Crashers {
 		one := newCrasher(number)
-		s.crashing = append(s.crashing, one)
+		s.activeCrashers = append(s.activeCrashers, one)
 		tasks.Go(func() { one.run(ctx, balancer, rand.New(rand.NewPCG(s.args.Seed, uint64(number)))) })
 	}
 	for _, e := range s.endpoints {
 		if s.args.Crashers > 0 {
-			tasks.Go(func() { e.watch(ctx) })
+			tasks.Go(func() { e.replaceCrashed(ctx) })
 		}
 	}
 	return tasks.Wait
 }
 
-// crashers gives what became of each.
-func (s *site) crashers() []ledger.Crasher {
+// crasherRecords returns the record of each crasher.
+func (s *site) crasherRecords() []ledger.Crasher {
 	var all []ledger.Crasher
-	for _, one := range s.crashing {
+	for _, one := range s.activeCrashers {
 		one.mutex.Lock()
-		all = append(all, one.seen)
+		all = append(all, one.record)
 		one.mutex.Unlock()
 	}
 	return all
 }
 
-// watchPause is the pause between two looks whether an endpoint has crashed, comebackPause that until another one comes.
+// crashPollInterval is the pause between two checks whether an endpoint has crashed, and crashReplaceDelay the time from the detection
+// of a crash to the start of another endpoint.
 const (
-	watchPause    = 50 * time.Millisecond
-	comebackPause = 2 * time.Second
+	crashPollInterval = 50 * time.Millisecond
+	crashReplaceDelay = 2 * time.Second
 )
 
-// watch brings another endpoint for each that crashes; its entry goes after a silence.
-func (e *endpoint) watch(ctx context.Context) {
+// replaceCrashed starts another endpoint for each endpoint that crashes. The entry of the crashed endpoint is removed after
+// entryExpiry, as by the platform.
+func (e *endpoint) replaceCrashed(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(watchPause):
+		case <-time.After(crashPollInterval):
 		}
 		one := e.current()
-		if one.asked.Load() || !one.process.HasExited() {
+		if one.ending.Load() || !one.process.HasExited() {
 			continue
 		}
 		now := time.Now()
-		e.site.notes.disrupt(ledger.EndpointEnds, one.id, now.Add(-blamed), now.Add(blamed))
-		time.AfterFunc(silentBeats, func() {
-			e.site.logFailure("removal of an entry", e.site.storeAt.Remove(platformstandin.EntryKey(one.id)))
+		e.site.recorder.addDisruption(ledger.EndpointEnds, one.id, now.Add(-blameWindow), now.Add(blameWindow))
+		time.AfterFunc(entryExpiry, func() {
+			e.site.logFailure("removal of an entry", e.site.storeHandle.Remove(platformstandin.EntryKey(one.id)))
 		})
-		time.Sleep(comebackPause)
-		e.site.logFailure("another endpoint", e.begin())
+		time.Sleep(crashReplaceDelay)
+		e.site.logFailure("another endpoint", e.startNext())
 	}
 }
--- a/tools/soak/daemoncallers.go
+++ b/tools/soak/daemoncallers.go
@@ -20,24 +20,26 @@
 )
 
 const (
-	// mostTokens bounds the length of a stream, in tokens of one engine step each; longTokens is that of the long ones.
-	mostTokens = 60
+	// maxTokens bounds the length of a usual stream and longTokens is the length of a long one, in tokens. An engine produces one token
+	// a step.
+	maxTokens  = 60
 	longTokens = 250
-	// restTime bounds the pause of a caller between two requests.
-	restTime = 400 * time.Millisecond
-	// daemonPatience is how long a caller waits for the end of an answer.
-	daemonPatience = 40 * time.Second
-	// popularSkew and popularOffset make few adapters popular.
+	// maxPause bounds the pause of a caller between two requests.
+	maxPause = 400 * time.Millisecond
+	// daemonCallTimeout is how long a caller waits for the end of an answer.
+	daemonCallTimeout = 40 * time.Second
+	// popularSkew and popularOffset are the parameters of the Zipf distribution by which a few adapters get most requests.
 	popularSkew   = 1.1
 	popularOffset = 2
-	// onceShare is the share of requests that must not run twice, longShare that of long streams, wholeShare that of answers in one piece.
+	// onceShare is the share of requests that must not run twice, longShare the share of long streams, and wholeShare the share of
+	// requests whose answer is not streamed.
 	onceShare  = 0.4
 	longShare  = 0.05
 	wholeShare = 0.2
 )
 
-// daemonCrowd is the callers of daemons.
-type daemonCrowd struct {
+// daemonCallers runs all callers of the daemons and collects their attempts.
+type daemonCallers struct {
 	balancer *traffic.Balancer
 	args     arguments
 	tasks    sync.WaitGroup
@@ -46,33 +48,33 @@
 	attempts []ledger.Attempt
 }
 
-func newDaemonCrowd(balancer *traffic.Balancer, args arguments) *daemonCrowd {
-	return &daemonCrowd{balancer: balancer, args: args}
+func newDaemonCallers(balancer *traffic.Balancer, args arguments) *daemonCallers {
+	return &daemonCallers{balancer: balancer, args: args}
 }
 
-// start has all callers send until the context ends.
-func (c *daemonCrowd) start(ctx context.Context) {
+// start starts all callers, which send requests until the context ends.
+func (c *daemonCallers) start(ctx context.Context) {
 	for number := range c.args.Callers {
 		one := newDaemonCaller(c, number)
 		c.tasks.Go(func() { one.run(ctx) })
 	}
 }
 
-// wait gives all attempts once the callers have ended.
-func (c *daemonCrowd) wait() []ledger.Attempt {
+// wait waits for all callers to end and returns their attempts.
+func (c *daemonCallers) wait() []ledger.Attempt {
 	c.tasks.Wait()
 	return c.attempts
 }
 
-func (c *daemonCrowd) note(a ledger.Attempt) {
+func (c *daemonCallers) record(a ledger.Attempt) {
 	c.mutex.Lock()
 	defer c.mutex.Unlock()
 	c.attempts = append(c.attempts, a)
 }
 
-// daemonCaller keeps one connection, and stays with its daemon until that connection fails or the daemon refuses.
+// daemonCaller sends requests to one daemon over one connection. After a request without a whole answer, it picks a daemon anew.
 type daemonCaller struct {
-	crowd   *daemonCrowd
+	callers *daemonCallers
 	number  int
 	random  *rand.Rand
 	popular *rand.Zipf
@@ -80,31 +82,31 @@
 	target  traffic.Target
 }
 
-func newDaemonCaller(crowd *daemonCrowd, number int) *daemonCaller {
-	random := rand.New(rand.NewPCG(crowd.args.Seed, uint64(number)))
+func newDaemonCaller(callers *daemonCallers, number int) *daemonCaller {
+	random := rand.New(rand.NewPCG(callers.args.Seed, uint64(number)))
 	return &daemonCaller{
-		crowd: crowd, number: number, random: random, popular: rand.NewZipf(random, popularSkew, popularOffset, daemonAdapters-1),
-		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}, target: crowd.balancer.Pick(random),
+		callers: callers, number: number, random: random, popular: rand.NewZipf(random, popularSkew, popularOffset, daemonAdapters-1),
+		client: &http.Client{Transport: &http.Transport{MaxConnsPerHost: 1}}, target: callers.balancer.Pick(random),
 	}
 }
 
-// run sends one request after the other until the context ends; the last one is waited for.
+// run sends one request after the other until the context ends. It waits for the answer to the last request.
 func (c *daemonCaller) run(ctx context.Context) {
 	defer c.client.CloseIdleConnections()
 	for turn := 0; ctx.Err() == nil; turn++ {
 		rest := c.send(c.draw(turn))
 		select {
 		case <-ctx.Done():
-		case <-time.After(rest + time.Duration(c.random.Float64()*float64(restTime))):
+		case <-time.After(rest + time.Duration(c.random.Float64()*float64(maxPause))):
 		}
 	}
 }
 
-// draw draws the next request.
+// draw returns the next request, drawn from the caller's random numbers.
 func (c *daemonCaller) draw(turn int) standin.Call {
 	call := standin.Call{
 		ID: fmt.Sprintf("call-%d-%d", c.number, turn), Class: []string{"kiosk", "traveller", "overnight"}[c.random.IntN(3)], Caller: "soak",
-		Model: standin.Adapter(int(c.popular.Uint64()), 1+c.random.IntN(standin.AdapterVersions)), Tokens: 1 + c.random.IntN(mostTokens),
+		Model: standin.Adapter(int(c.popular.Uint64()), 1+c.random.IntN(standin.AdapterVersions)), Tokens: 1 + c.random.IntN(maxTokens),
 		Once: c.random.Float64() < onceShare, Whole: c.random.Float64() < wholeShare, Client: c.client,
 	}
 	if c.random.Float64() < longShare {
@@ -113,28 +115,28 @@
 	return call
 }
 
-// send sends one request and notes what became of it; rest is how long its daemon asks the caller to wait.
+// send sends one request and records the attempt. The result is the Retry-After time of the answer.
 func (c *daemonCaller) send(call standin.Call) (rest time.Duration) {
-	ctx, cancel := context.WithTimeout(context.Background(), daemonPatience)
+	ctx, cancel := context.WithTimeout(context.Background(), daemonCallTimeout)
 	defer cancel()
-	attempt := ledger.Attempt{ID: call.ID, Kind: ledger.Resumable, Path: "/" + call.Model, Instance: c.target.Name, Began: time.Now(), Patience: daemonPatience}
+	attempt := ledger.Attempt{ID: call.ID, Kind: ledger.Resumable, Path: "/" + call.Model, Instance: c.target.Name, Began: time.Now(), Patience: daemonCallTimeout}
 	if call.Once {
 		attempt.Kind = ledger.Unsafe
 	}
 	attempt.Sent = attempt.Began
 	answer := call.Send(ctx, c.target.Callers)
 	attempt.Ended, attempt.Status = time.Now(), answer.Status
-	attempt.Outcome, attempt.Cause = judgeAnswer(answer)
-	attempt.Wrong = wrongWith(call, answer)
-	c.crowd.note(attempt)
+	attempt.Outcome, attempt.Cause = classifyAnswer(answer)
+	attempt.Wrong = answerDefect(call, answer)
+	c.callers.record(attempt)
 	if attempt.Outcome != ledger.Whole {
-		c.target = c.crowd.balancer.Pick(c.random)
+		c.target = c.callers.balancer.Pick(c.random)
 	}
 	return answer.RetryAfter
 }
 
-// judgeAnswer gives how an attempt ended for its caller, and why.
-func judgeAnswer(a standin.Answer) (outcome ledger.Outcome, cause string) {
+// classifyAnswer returns the outcome of an attempt for its caller and the cause of that outcome.
+func classifyAnswer(a standin.Answer) (outcome ledger.Outcome, cause string) {
 	var refused *net.OpError
 	switch {
 	case a.Done:
@@ -154,8 +156,8 @@
 	}
 }
 
-// wrongWith says what is wrong with an answer, or with the beginning of one; empty for nothing.
-func wrongWith(call standin.Call, a standin.Answer) string {
+// answerDefect describes the error in a whole or partial answer. It returns an empty string for a correct one.
+func answerDefect(call standin.Call, a standin.Answer) string {
 	expected := call.Expected()
 	switch {
 	case !strings.HasPrefix(expected, a.Text):
--- a/tools/soak/daemons.go
+++ b/tools/soak/daemons.go
@@ -22,23 +22,23 @@
 )
 
 const (
-	// daemonIPs count up the addresses of daemons.
+	// daemonIPs is the format of the daemons' addresses; it takes a number from 1 on.
 	daemonIPs = "127.0.5.%d"
-	// daemonNotice is for how long a daemon that stops is not ready before it closes, and daemonDrain bounds its stop from then on.
+	// daemonNotice is how long a stopping daemon reports that it is not ready before it closes. daemonDrain bounds the rest of the stop.
 	daemonNotice = time.Second
 	daemonDrain  = 8 * time.Second
-	// daemonAdapters is how many adapters there are.
+	// daemonAdapters is the number of adapters.
 	daemonAdapters = 60
-	// neverIdle is in place of an idle limit: daemons end no connection that rests within a run.
-	neverIdle = time.Hour
+	// noIdleLimit stands for an idle limit in the bounds: within a run, daemons close no idle connection.
+	noIdleLimit = time.Hour
 )
 
-// daemonKinds are the steps of a soak of daemons; endpoint-killed restarts an engine.
+// daemonKinds are the kinds of step of a soak of daemons. There, endpoint-killed restarts an engine.
 var daemonKinds = []plan.Kind{
 	plan.Stop, plan.StopTwice, plan.Kill, plan.Freeze, plan.EndpointKilled, plan.LinkSlow, plan.LinkCut, plan.LinkDeaf, plan.LinkReset, plan.Busy,
 }
 
-// daemonSite is a cluster of stand-ins with shelfledged as processes before it.
+// daemonSite is a cluster of stand-ins with processes of shelfledged in front of it.
 type daemonSite struct {
 	*site
 
@@ -49,7 +49,7 @@
 	runs  []platformstandin.RunEvent
 }
 
-// runDaemons runs one soak of shelfledged and reports it.
+// runDaemons runs one soak of shelfledged and prints its report.
 func runDaemons(args arguments) error {
 	site, err := newSite(args, "daemons")
 	if err != nil {
@@ -64,10 +64,10 @@
 	attempts, lag := d.play(steps)
 	usages := d.usages()
 	d.close()
-	return d.judge(d.record(attempts, lag), usages, steps)
+	return d.reportRun(d.record(attempts, lag), usages, steps)
 }
 
-// planOptions are those of the plan: without a choice, all kinds that daemons have.
+// planOptions returns the options of the plan. Without --only, all of daemonKinds may be drawn.
 func (d *daemonSite) planOptions() plan.Options {
 	only := d.args.kinds()
 	if only == nil {
@@ -81,14 +81,14 @@
 // start starts the stand-ins and all daemons, and creates the adapters.
 func (d *daemonSite) start() error {
 	var names []string
-	for i := range min(halls, d.args.Instances) {
+	for i := range min(hallCount, d.args.Instances) {
 		names = append(names, hall(i))
 	}
 	var err error
 	d.cluster, err = standin.StartCluster(standin.ClusterOptions{
 		Halls: names, EnginesPerHall: max(1, d.args.Endpoints/len(names)), Bases: []string{"base-a", "base-b"}, Slots: 4, MaxBatch: 16,
 		Step: 20 * time.Millisecond, Load: 300 * time.Millisecond, UnfencedEvery: 4, ListLag: 500 * time.Millisecond, StoreRate: 8, StoreAtOnce: 4,
-		Began: d.noteBegin,
+		Began: d.recordBegin,
 	})
 	if err != nil {
 		return err
@@ -126,7 +126,7 @@
 	return nil
 }
 
-// newDaemon gives an instance of shelfledged, and adds it to the platform's list.
+// newDaemon returns an instance that runs shelfledged and adds it to the instance list.
 func (d *daemonSite) newDaemon(at place) (*instance, error) {
 	one, err := newInstance(d.site, at, d.cluster.KVAddress.String())
 	if err != nil {
@@ -148,15 +148,16 @@
 	return one, nil
 }
 
-// noteBegin notes that an engine begins to run a request; what the daemon adds to its caller's identifier tells the attempts apart.
-func (d *daemonSite) noteBegin(engine, id string) {
+// recordBegin records that an engine begins to run a request. The daemon appends "~" and a suffix to the caller's identifier to
+// distinguish its attempts; recordBegin removes the suffix.
+func (d *daemonSite) recordBegin(engine, id string) {
 	callerID, _, _ := strings.Cut(id, "~")
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	d.runs = append(d.runs, platformstandin.RunEvent{At: time.Now(), Phase: platformstandin.RunBegan, Endpoint: engine, ID: callerID})
 }
 
-// play has callers send while the plan is carried out, and gives their attempts and the soak's own lag.
+// play sends the requests of all callers while it executes the plan. It returns the attempts and the meter of the soak's own lag.
 func (d *daemonSite) play(steps []plan.Step) ([]ledger.Attempt, *lagMeter) {
 	background, end := context.WithCancel(context.Background())
 	defer end()
@@ -166,14 +167,14 @@
 	go balancer.Run(background)
 	sending, stopSending := context.WithTimeout(background, time.Duration(d.args.Seconds)*time.Second)
 	defer stopSending()
-	crowd := newDaemonCrowd(balancer, d.args)
+	crowd := newDaemonCallers(balancer, d.args)
 	crowd.start(sending)
-	d.execute(sending, steps, d.carryOut)
+	d.execute(sending, steps, d.executeStep)
 	return crowd.wait(), lag
 }
 
-// carryOut carries out one step; number varies what a kind leaves open.
-func (d *daemonSite) carryOut(ctx context.Context, step plan.Step, number int) error {
+// executeStep executes one step. The number of the step varies the details that its kind does not fix.
+func (d *daemonSite) executeStep(ctx context.Context, step plan.Step, number int) error {
 	switch {
 	case step.Kind == plan.Busy:
 		return d.keepBusy(ctx, step)
@@ -181,23 +182,23 @@
 		engine := d.cluster.Engines[step.Target%len(d.cluster.Engines)]
 		engine.Engine.Restart()
 		return nil
-	case d.strikeInstance(step, number), d.strikeLink(step):
+	case d.disturbInstance(step, number), d.disturbStoreLink(step):
 		return nil
 	}
 	return fmt.Errorf("no step of daemons: %q", step.Kind)
 }
 
-// record joins what callers, engines and the soak itself saw.
+// record combines the records of callers, engines and the soak itself.
 func (d *daemonSite) record(attempts []ledger.Attempt, lag *lagMeter) *ledger.Record {
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return &ledger.Record{
-		Attempts: attempts, Runs: d.runs, Disruptions: d.notes.disruptions, Exits: d.notes.exits, Broken: d.cluster.Violations(), Lag: lag.most,
-		Bounds: ledger.Bounds{Grace: daemonNotice + daemonDrain, GraceMargin: graceMargin, IdleLimit: neverIdle},
+		Attempts: attempts, Runs: d.runs, Disruptions: d.recorder.disruptions, Exits: d.recorder.exits, Broken: d.cluster.Violations(), Lag: lag.maxLag,
+		Bounds: ledger.Bounds{Grace: daemonNotice + daemonDrain, GraceMargin: graceMargin, IdleLimit: noIdleLimit},
 	}
 }
 
-// close ends all processes and stand-ins.
+// close stops all processes and stand-ins.
 func (d *daemonSite) close() {
 	d.site.close()
 	if d.cluster != nil {
--- a/tools/soak/endpoint.go
+++ b/tools/soak/endpoint.go
@@ -18,56 +18,56 @@
 )
 
 const (
-	// drainTime is how long an endpoint serves on after the store has taken that it leaves, as the settings tell instances; drainExtra
-	// is how much longer it does.
+	// drainTime is how long an endpoint still serves after the store has acknowledged its departure, as in the settings of the
+	// instances. The endpoint ends drainExtra later than that.
 	drainTime  = 2 * time.Second
 	drainExtra = 3 * time.Second
-	// silentLeaving is for how long an endpoint says in its answers alone that it leaves.
-	silentLeaving = 6 * time.Second
-	// silentBeats is after what silence the platform drops an endpoint's entry.
-	silentBeats = 3 * platformstandin.BeatPace
-	// replacePause is the pause until another endpoint comes for one that was killed.
-	replacePause = 500 * time.Millisecond
-	// blamed is for how long after its end an endpoint counts as the cause of a request's end.
-	blamed = 3 * time.Second
-	// modelSlots and plainSlots are what endpoints take at once.
+	// answerOnlyNotice is how long an endpoint announces its departure only in its answers, before the store is updated.
+	answerOnlyNotice = 6 * time.Second
+	// entryExpiry is the time without heartbeats after which the platform removes the entry of an endpoint.
+	entryExpiry = 3 * platformstandin.BeatPace
+	// replaceDelay is the time from the kill of an endpoint to the start of another one.
+	replaceDelay = 500 * time.Millisecond
+	// blameWindow is how long after its end an endpoint is accepted as the cause of a failed request.
+	blameWindow = 3 * time.Second
+	// modelSlots and plainSlots are the numbers of requests that a model endpoint and a plain endpoint run at once.
 	modelSlots = 16
 	plainSlots = 8
 )
 
-// endpoint is a place at which one endpoint after the other stands.
+// endpoint is a slot of the site in which successive endpoint processes run.
 type endpoint struct {
 	site  *site
-	place int
+	index int
 	ip    string
 
 	mutex   sync.Mutex
 	count   int
-	present *incarnation
+	running *endpointProcess
 }
 
-// incarnation is one endpoint's process.
-type incarnation struct {
+// endpointProcess is one process of an endpoint.
+type endpointProcess struct {
 	*outside.EndpointHandle
 
 	id      string
 	process *processes.Process
-	// asked says that the soak ends it.
-	asked atomic.Bool
+	// ending reports whether the soak has ended the process; an exit without it is a crash.
+	ending atomic.Bool
 }
 
-// begin starts the next incarnation; the one before goes on until it is ended. The operator tells its versions without the endpoint's mutex,
-// since it asks for endpoints while it holds its own.
-func (e *endpoint) begin() error {
+// startNext starts the next process and sends it the versions of the adapters. The previous process goes on until it is ended.
+// The versions are sent without the endpoint's mutex, because the operator calls endpoint.current while it holds its own mutex.
+func (e *endpoint) startNext() error {
 	started, err := e.start()
 	if err != nil {
 		return err
 	}
-	return e.site.operator.tellVersions(started)
+	return e.site.operator.sendVersions(started)
 }
 
-// start starts the next incarnation.
-func (e *endpoint) start() (*incarnation, error) {
+// start starts the next process and returns when it answers control calls.
+func (e *endpoint) start() (*endpointProcess, error) {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
 	ports, err := platformstandin.FreePorts([]string{e.ip})
@@ -75,13 +75,13 @@
 		return nil, err
 	}
 	e.count++
-	id := fmt.Sprintf("i-%d-%d", e.place, e.count)
+	id := fmt.Sprintf("i-%d-%d", e.index, e.count)
 	control := fmt.Sprintf("%s:%d", e.ip, ports.Callers)
 	arguments := []string{
-		"endpoint", "--control", control, "--store", e.site.storeControl(), "--id", id, "--hall", hall(e.place),
+		"endpoint", "--control", control, "--store", e.site.storeControl(), "--id", id, "--hall", hall(e.index),
 		"--journal", filepath.Join(e.site.folder, id+".runs.jsonl"),
 	}
-	if e.place%plainEvery == plainEvery-1 {
+	if e.index%plainServiceInterval == plainServiceInterval-1 {
 		arguments = append(arguments, "--slots", fmt.Sprint(plainSlots))
 	} else {
 		arguments = append(arguments, "--slots", fmt.Sprint(modelSlots), "--model", platformstandin.Model)
@@ -90,73 +90,74 @@
 	if err != nil {
 		return nil, err
 	}
-	e.present = &incarnation{EndpointHandle: outside.NewEndpointHandle(control), id: id, process: process}
+	e.running = &endpointProcess{EndpointHandle: outside.NewEndpointHandle(control), id: id, process: process}
 	up := func() bool {
-		_, err := e.present.Overfull()
+		_, err := e.running.Overfull()
 		return err == nil
 	}
-	if !processes.Poll(upLimit, up) {
+	if !processes.Poll(startTimeout, up) {
 		return nil, fmt.Errorf("endpoint %s does not come up", id)
 	}
-	return e.present, nil
+	return e.running, nil
 }
 
-func (e *endpoint) current() *incarnation {
+func (e *endpoint) current() *endpointProcess {
 	e.mutex.Lock()
 	defer e.mutex.Unlock()
-	return e.present
+	return e.running
 }
 
-// drain has the present endpoint leave, with a notice or without, and another one come; it ends a while after the notice.
-func (e *endpoint) drain(leave func(*incarnation) error) error {
+// drain makes the current process leave through the given function and starts another one. The process that leaves is killed
+// drainTime + drainExtra after its departure.
+func (e *endpoint) drain(leave func(*endpointProcess) error) error {
 	leaving := e.current()
 	if err := leave(leaving); err != nil {
 		return err
 	}
-	e.site.notes.depart(leaving.id, time.Now())
+	e.site.recorder.addDeparture(leaving.id, time.Now())
 	time.AfterFunc(drainTime+drainExtra, func() { e.site.logFailure("end of an endpoint", e.end(leaving)) })
-	return e.begin()
+	return e.startNext()
 }
 
-// leaveByAnswers has the present endpoint say in its answers that it leaves, a good while before it tells the store.
+// leaveByAnswers makes the current process announce its departure in its answers, answerOnlyNotice before it updates the store.
 func (e *endpoint) leaveByAnswers() error {
 	leaving := e.current()
 	if err := leaving.SetFaults(platformstandin.WorkerFaults{Says: platformstandin.Notice{Leaving: true}}); err != nil {
 		return err
 	}
-	time.Sleep(silentLeaving)
+	time.Sleep(answerOnlyNotice)
 	if e.current() != leaving || leaving.process.HasExited() {
 		return nil
 	}
-	return e.drain(func(one *incarnation) error { return one.Drain() })
+	return e.drain(func(one *endpointProcess) error { return one.Drain() })
 }
 
-// kill kills the present endpoint; its entry goes after a silence, and another one comes.
+// kill kills the current process and starts another one. The entry of the killed process is removed after entryExpiry.
 func (e *endpoint) kill() error {
 	killed := e.current()
 	if err := e.end(killed); err != nil {
 		return err
 	}
-	time.AfterFunc(silentBeats, func() {
-		e.site.logFailure("removal of an entry", e.site.storeAt.Remove(platformstandin.EntryKey(killed.id)))
+	time.AfterFunc(entryExpiry, func() {
+		e.site.logFailure("removal of an entry", e.site.storeHandle.Remove(platformstandin.EntryKey(killed.id)))
 	})
-	time.Sleep(replacePause)
-	return e.begin()
+	time.Sleep(replaceDelay)
+	return e.startNext()
 }
 
-// end kills an endpoint's process and takes its entry out if it is still there.
-func (e *endpoint) end(one *incarnation) error {
-	one.asked.Store(true)
+// end kills a process of the endpoint, unless it has exited, and records the disruption.
+func (e *endpoint) end(one *endpointProcess) error {
+	one.ending.Store(true)
 	if one.process.HasExited() {
 		return nil
 	}
 	now := time.Now()
-	e.site.notes.disrupt(ledger.EndpointEnds, one.id, now, now.Add(blamed))
-	e.site.noteOverfull(one)
+	e.site.recorder.addDisruption(ledger.EndpointEnds, one.id, now, now.Add(blameWindow))
+	e.site.recordOverfull(one)
 	return one.process.Signal(syscall.SIGKILL)
 }
 
-// freeze stands the present endpoint still for a time.
+// freeze suspends the current process for the span.
 func (e *endpoint) freeze(span time.Duration) error {
 	one := e.current()
 	from := time.Now()
@@ -164,7 +165,7 @@
 		return err
 	}
 	time.Sleep(span)
-	e.site.notes.disrupt(ledger.EndpointEnds, one.id, from, time.Now().Add(blamed))
+	e.site.recorder.addDisruption(ledger.EndpointEnds, one.id, from, time.Now().Add(blameWindow))
 	return one.process.Signal(syscall.SIGCONT)
 }
 
@@ -173,7 +174,7 @@
 	if one == nil {
 		return
 	}
-	one.asked.Store(true)
-	e.site.noteOverfull(one)
-	one.process.End(endLimit)
+	one.ending.Store(true)
+	e.site.recordOverfull(one)
+	one.process.End(stopTimeout)
 }
--- a/tools/soak/execute.go
+++ b/tools/soak/execute.go
@@ -17,24 +17,25 @@
 )
 
 const (
-	// secondSignal is how long after the first signal of a stop the second one comes; earliest is how soon after a start a signal
-	// comes, in steps of earlyStep.
-	secondSignal = 700 * time.Millisecond
-	earlyStep    = 3 * time.Millisecond
-	earlySteps   = 8
-	// brokenAfter is after how many events an endpoint breaks streams off.
-	brokenAfter = 5
-	// lateBy is how late the store does late writes; throttled is how many calls a second it answers while it throttles.
-	lateBy    = 1500 * time.Millisecond
-	throttled = 40
-	// queueFor is for how long an endpoint has requests wait.
-	queueFor = 3 * time.Second
-	// limitStep is a step between limits, in requests a second, and restStep one between rests, in seconds.
+	// secondSignalDelay is the time between the two signals of a stop that is signalled twice. An early signal follows the start of a
+	// process after a multiple of earlyStep, from 0 to earlySteps - 1.
+	secondSignalDelay = 700 * time.Millisecond
+	earlyStep         = 3 * time.Millisecond
+	earlySteps        = 8
+	// breakAfterEvents is the number of events after which an endpoint breaks off a stream.
+	breakAfterEvents = 5
+	// lateWriteDelay is the delay of the store's late writes. throttledRate is the number of calls a second that a throttling store
+	// answers.
+	lateWriteDelay = 1500 * time.Millisecond
+	throttledRate  = 40
+	// queueDuration is how long an endpoint goes on to queue new requests.
+	queueDuration = 3 * time.Second
+	// limitStep is the unit of announced limits, in requests a second, and restStep the unit of announced rests, in seconds.
 	limitStep = 0.5
 	restStep  = 0.5
 )
 
-// execute carries out a plan by a function for one step, which gets the step's number as well; it returns when each step has ended.
+// execute calls carryOut for each step of a plan at the step's time, with the number of the step. It returns when all steps have ended.
 func (s *site) execute(ctx context.Context, steps []plan.Step, carryOut func(ctx context.Context, step plan.Step, number int) error) {
 	begin := time.Now()
 	var running sync.WaitGroup
@@ -49,8 +50,8 @@
 	}
 }
 
-// carryOut carries out one step; number varies what a kind leaves open.
-func (s *site) carryOut(ctx context.Context, step plan.Step, number int) error {
+// executeStep executes one step. The number of the step varies the details that its kind does not fix.
+func (s *site) executeStep(ctx context.Context, step plan.Step, number int) error {
 	s.log.WithField("kind", step.Kind).WithField("target", step.Target).WithField("for", step.For).Debug("step")
 	switch step.Kind {
 	case plan.AddRoute:
@@ -62,21 +63,21 @@
 	case plan.SetTimeouts:
 		return s.operator.setTimeouts(number)
 	case plan.Name:
-		return s.operator.name(number)
+		return s.operator.addNaming(number)
 	case plan.Busy:
 		return s.keepBusy(ctx, step)
 	}
-	if s.strikeInstance(step, number) || s.strikeLink(step) {
+	if s.disturbInstance(step, number) || s.disturbStoreLink(step) {
 		return nil
 	}
-	if done, err := s.strikeEndpoint(step); done {
+	if done, err := s.disturbEndpoint(step); done {
 		return err
 	}
-	return s.strikeStore(step)
+	return s.disturbStore(step)
 }
 
-// strikeInstance carries out a step on an instance; false for one that is none.
-func (s *site) strikeInstance(step plan.Step, number int) bool {
+// disturbInstance executes a step on an instance. It returns false if the kind of the step does not apply to instances.
+func (s *site) disturbInstance(step plan.Step, number int) bool {
 	if step.Target >= len(s.instances) {
 		return false
 	}
@@ -87,7 +88,7 @@
 		one.signal(syscall.SIGTERM)
 	case plan.StopTwice:
 		one.signal(syscall.SIGTERM)
-		time.Sleep(secondSignal)
+		time.Sleep(secondSignalDelay)
 		one.signal(syscall.SIGTERM)
 	case plan.StopEarly:
 		one.signalNext(syscall.SIGTERM, early)
@@ -107,15 +108,15 @@
 	return true
 }
 
-// strikeEndpoint carries out a step on an endpoint; false for one that is none.
-func (s *site) strikeEndpoint(step plan.Step) (bool, error) {
+// disturbEndpoint executes a step on an endpoint. It returns false if the kind of the step does not apply to endpoints.
+func (s *site) disturbEndpoint(step plan.Step) (bool, error) {
 	if step.Target >= len(s.endpoints) {
 		return false, nil
 	}
 	e := s.endpoints[step.Target]
 	switch step.Kind {
 	case plan.EndpointBreaks:
-		return true, e.current().SetFaults(platformstandin.WorkerFaults{Breaks: step.Count, BreakAfter: brokenAfter})
+		return true, e.current().SetFaults(platformstandin.WorkerFaults{Breaks: step.Count, BreakAfter: breakAfterEvents})
 	case plan.EndpointResets:
 		return true, e.current().SetFaults(platformstandin.WorkerFaults{Resets: step.Count})
 	case plan.EndpointSheds:
@@ -127,38 +128,39 @@
 	case plan.EndpointHangs:
 		return true, e.current().SetFaults(platformstandin.WorkerFaults{Hangs: step.Count})
 	case plan.EndpointDrains:
-		return true, e.drain(func(one *incarnation) error { return one.Drain() })
+		return true, e.drain(func(one *endpointProcess) error { return one.Drain() })
 	case plan.EndpointVanishes:
-		return true, e.drain(func(one *incarnation) error { return one.Vanish() })
+		return true, e.drain(func(one *endpointProcess) error { return one.Vanish() })
 	case plan.EndpointKilled:
 		return true, e.kill()
 	case plan.EndpointFreezes:
 		return true, e.freeze(step.For)
 	case plan.EndpointLinksSilent:
-		return true, s.breakLinks(e.current(), (*incarnation).SilenceOpen)
+		return true, s.breakLinks(e.current(), (*endpointProcess).SilenceOpen)
 	case plan.EndpointLinksReset:
-		return true, s.breakLinks(e.current(), (*incarnation).ResetOpen)
+		return true, s.breakLinks(e.current(), (*endpointProcess).ResetOpen)
 	case plan.EndpointLimits:
-		return true, s.say(e.current(), platformstandin.Notice{Limit: fmt.Sprint(float64(step.Count) * limitStep)}, step.For)
+		return true, s.announce(e.current(), platformstandin.Notice{Limit: fmt.Sprint(float64(step.Count) * limitStep)}, step.For)
 	case plan.EndpointRests:
-		return true, s.say(e.current(), platformstandin.Notice{Rest: fmt.Sprint(float64(step.Count) * restStep)}, step.For)
+		return true, s.announce(e.current(), platformstandin.Notice{Rest: fmt.Sprint(float64(step.Count) * restStep)}, step.For)
 	case plan.EndpointSaysLeaving:
 		return true, e.leaveByAnswers()
 	case plan.EndpointQueues:
-		return true, s.queueAt(e.current(), step.For)
+		return true, s.queueRequests(e.current(), step.For)
 	}
 	return false, nil
 }
 
-// breakLinks breaks the open connections to an endpoint.
-func (s *site) breakLinks(one *incarnation, breakOpen func(*incarnation) error) error {
+// breakLinks breaks the open connections to an endpoint with breakOpen and records the disruption.
+func (s *site) breakLinks(one *endpointProcess, breakOpen func(*endpointProcess) error) error {
 	now := time.Now()
-	s.notes.disrupt(ledger.LinkBroken, one.id, now, now.Add(blamed))
+	s.recorder.addDisruption(ledger.LinkBroken, one.id, now, now.Add(blameWindow))
 	return breakOpen(one)
 }
 
-// strikeLink carries out a step on the link of an instance to the store; false for one that is none.
-func (s *site) strikeLink(step plan.Step) bool {
+// disturbStoreLink executes a step on the link from an instance to the store. It returns false if the kind of the step does not apply to
+// links.
+func (s *site) disturbStoreLink(step plan.Step) bool {
 	if step.Target >= len(s.instances) {
 		return false
 	}
@@ -178,8 +180,8 @@
 	return true
 }
 
-// say has an endpoint say something of itself for a time, unless another step ends that.
-func (s *site) say(one *incarnation, notice platformstandin.Notice, span time.Duration) error {
+// announce makes an endpoint send the notice in its answers for the span, unless another step replaces its faults earlier.
+func (s *site) announce(one *endpointProcess, notice platformstandin.Notice, span time.Duration) error {
 	if err := one.SetFaults(platformstandin.WorkerFaults{Says: notice}); err != nil {
 		return err
 	}
@@ -187,32 +189,32 @@
 	return one.SetFaults(platformstandin.WorkerFaults{})
 }
 
-// queueAt has the requests of an endpoint wait for a time before they begin.
-func (s *site) queueAt(one *incarnation, wait time.Duration) error {
+// queueRequests makes an endpoint delay the begin of each new request by wait, for queueDuration.
+func (s *site) queueRequests(one *endpointProcess, wait time.Duration) error {
 	if err := one.SetQueueWait(wait); err != nil {
 		return err
 	}
-	time.Sleep(queueFor)
+	time.Sleep(queueDuration)
 	return one.SetQueueWait(0)
 }
 
-// strikeStore carries out a step on the store.
-func (s *site) strikeStore(step plan.Step) error {
+// disturbStore executes a step on the store.
+func (s *site) disturbStore(step plan.Step) error {
 	switch step.Kind {
 	case plan.StoreDown:
-		return s.troubleStore(platformstandin.StoreFaults{Down: true}, step.For)
+		return s.setStoreFaults(platformstandin.StoreFaults{Down: true}, step.For)
 	case plan.StoreSilent:
-		return s.troubleStore(platformstandin.StoreFaults{Silent: true}, step.For)
+		return s.setStoreFaults(platformstandin.StoreFaults{Silent: true}, step.For)
 	case plan.StoreThrottles:
-		return s.troubleStore(platformstandin.StoreFaults{PerSecond: throttled}, step.For)
+		return s.setStoreFaults(platformstandin.StoreFaults{PerSecond: throttledRate}, step.For)
 	case plan.StoreLosesWrites:
-		return s.storeAt.SetFaults(platformstandin.StoreFaults{LoseAnswers: step.Count})
+		return s.storeHandle.SetFaults(platformstandin.StoreFaults{LoseAnswers: step.Count})
 	case plan.StoreLateWrites:
-		return s.storeAt.SetFaults(platformstandin.StoreFaults{LateWrites: step.Count, LateBy: lateBy})
+		return s.storeHandle.SetFaults(platformstandin.StoreFaults{LateWrites: step.Count, LateBy: lateWriteDelay})
 	case plan.StoreForgets:
-		return s.storeAt.DropHistory()
+		return s.storeHandle.DropHistory()
 	case plan.StoreRevokes:
-		return s.storeAt.RevokeLeases()
+		return s.storeHandle.RevokeLeases()
 	case plan.StoreLinksSilent:
 		return s.silenceStoreLinks()
 	case plan.StoreFreezes:
@@ -221,40 +223,41 @@
 	return fmt.Errorf("no step of the kind %q", step.Kind)
 }
 
-// troubleStore has the store in trouble for a time; while it is, bounds that run from its acknowledgements do not hold.
-func (s *site) troubleStore(faults platformstandin.StoreFaults, span time.Duration) error {
+// setStoreFaults sets the faults of the store for the span and records the disruption. During the disruption, the checks suspend the
+// bounds that start at an acknowledgement of the store.
+func (s *site) setStoreFaults(faults platformstandin.StoreFaults, span time.Duration) error {
 	from := time.Now()
-	if err := s.storeAt.SetFaults(faults); err != nil {
+	if err := s.storeHandle.SetFaults(faults); err != nil {
 		return err
 	}
 	time.Sleep(span)
-	err := s.storeAt.SetFaults(platformstandin.StoreFaults{})
-	s.notes.disrupt(ledger.StoreTroubled, "", from, time.Now())
+	err := s.storeHandle.SetFaults(platformstandin.StoreFaults{})
+	s.recorder.addDisruption(ledger.StoreTroubled, "", from, time.Now())
 	return err
 }
 
-// silenceStoreLinks lets all open connections to the store fall silent. For the platform's bounds that is a reset of the connections of
-// all instances, which only time-outs show.
+// silenceStoreLinks silences all open connections to the store. For the platform's bounds this counts as a reset of the store
+// connections of all instances; the instances detect it only by time-outs.
 func (s *site) silenceStoreLinks() error {
 	now := time.Now()
-	s.notes.disrupt(ledger.StoreTroubled, "", now, now)
-	return s.storeAt.SilenceOpen()
+	s.recorder.addDisruption(ledger.StoreTroubled, "", now, now)
+	return s.storeHandle.SilenceOpen()
 }
 
-// freezeStore stands the store's process still for a time.
+// freezeStore suspends the store's process for the span.
 func (s *site) freezeStore(span time.Duration) error {
 	from := time.Now()
 	if err := s.store.Signal(syscall.SIGSTOP); err != nil {
 		return err
 	}
 	time.Sleep(span)
-	s.notes.disrupt(ledger.StoreTroubled, "", from, time.Now())
+	s.recorder.addDisruption(ledger.StoreTroubled, "", from, time.Now())
 	return s.store.Signal(syscall.SIGCONT)
 }
 
-// keepBusy keeps some of the host's processors busy for a time, by processes of the soak's own.
+// keepBusy keeps step.Count processors of the host busy for the time of the step.
 func (s *site) keepBusy(ctx context.Context, step plan.Step) error {
 	ctx, cancel := context.WithTimeout(ctx, step.For)
 	defer cancel()
-	return s.busy(ctx, step.Count)
+	return s.spinProcessors(ctx, step.Count)
 }
--- a/tools/soak/instance.go
+++ b/tools/soak/instance.go
@@ -19,15 +19,15 @@
 )
 
 const (
-	// grace is the time between the signal to stop and the kill, as the settings tell the instance; afterGrace is how much later the
-	// soak kills, so that an instance that overstays is seen.
-	grace      = 8 * time.Second
-	afterGrace = 1500 * time.Millisecond
+	// grace is the time between the stop signal and SIGKILL in the settings of the instance. The soak sends SIGKILL killDelay later,
+	// so that an instance that exceeds its grace is detected.
+	grace     = 8 * time.Second
+	killDelay = 1500 * time.Millisecond
 	// restartPause is the pause between the end of an instance and its next start.
 	restartPause = 300 * time.Millisecond
 )
 
-// place is where an instance stands.
+// place is the name, hall and addresses of an instance.
 type place struct {
 	name  string
 	hall  string
@@ -35,43 +35,44 @@
 	ports platformstandin.Ports
 }
 
-// callers is the IP:PORT of the instance's callers.
+// callers returns the IP:PORT at which the instance listens for callers.
 func (p place) callers() string {
 	return fmt.Sprintf("%s:%d", p.ip, p.ports.Callers)
 }
 
-// instance is one process of the program, which is started again whenever it ends.
+// instance runs one process of the program and starts another process whenever it ends.
 type instance struct {
 	place
 
 	site *site
-	// storeLink leads to the store.
+	// storeLink is the link through which the instance connects to the store.
 	storeLink *link.Link
-	// command gives what to start, with the address of that link; ready is the URL that tells whether the instance is ready.
+	// command returns the command that starts the instance; its second argument is the address of the store link. ready is the URL of
+	// the readiness check.
 	command func(place, string) (processes.Command, error)
 	ready   string
 
 	mutex   sync.Mutex
 	process *processes.Process
-	// began is when the present process was started.
-	began time.Time
-	// asked is when the present process was first sent a signal that ends it; zero for never.
-	asked time.Time
-	// killed says that the first such signal was SIGKILL.
+	// startedAt is when the current process was started.
+	startedAt time.Time
+	// stopSignaled is when the current process was first sent a signal that ends it. It is zero if none was sent.
+	stopSignaled time.Time
+	// killed reports whether the first such signal was SIGKILL.
 	killed bool
-	// early are sent to the next process as soon as it was started, each after its delay.
-	early   []earlySignal
-	closing bool
-	ended   chan struct{}
+	// earlySignals are sent to the next process after its start, each after its own delay.
+	earlySignals []earlySignal
+	closing      bool
+	ended        chan struct{}
 }
 
-// earlySignal is a signal in the first moments of a process.
+// earlySignal is a signal sent shortly after the start of a process.
 type earlySignal struct {
 	signal syscall.Signal
 	after  time.Duration
 }
 
-// newEntry gives an instance of shelfledge-entry.
+// newEntry returns an instance that runs shelfledge-entry.
 func newEntry(s *site, at place, seeds []string, store string) (*instance, error) {
 	one, err := newInstance(s, at, store)
 	if err != nil {
@@ -88,7 +89,7 @@
 	return one, nil
 }
 
-// newInstance gives an instance whose program is still to be set.
+// newInstance returns an instance without a command; the caller sets command and ready.
 func newInstance(s *site, at place, store string) (*instance, error) {
 	storeLink, err := link.New(store)
 	if err != nil {
@@ -97,20 +98,20 @@
 	return &instance{place: at, site: s, storeLink: storeLink, ended: make(chan struct{})}, nil
 }
 
-// disturbLink disturbs the link to the store for a time.
+// disturbLink sets the mode of the store link for the span and records the disruption.
 func (i *instance) disturbLink(mode link.Mode, span time.Duration) {
 	from := time.Now()
 	i.storeLink.SetMode(mode)
 	time.Sleep(span)
 	i.storeLink.SetMode(link.Pass)
-	i.site.notes.disrupt(ledger.StoreTroubled, i.name, from, time.Now())
+	i.site.recorder.addDisruption(ledger.StoreTroubled, i.name, from, time.Now())
 }
 
 func (i *instance) target() traffic.Target {
 	return traffic.Target{Name: i.name, Callers: i.callers(), Ready: i.ready}
 }
 
-// start starts the first process and the goroutine that starts the next ones.
+// start starts the first process and the goroutine that starts its successors.
 func (i *instance) start() error {
 	process, err := i.launch()
 	if err != nil {
@@ -125,27 +126,27 @@
 	if err != nil {
 		return nil, err
 	}
-	began := time.Now()
+	startedAt := time.Now()
 	process, err := processes.Start(command)
 	if err != nil {
 		return nil, err
 	}
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.process, i.began, i.asked, i.killed = process, began, time.Time{}, false
-	for _, one := range i.early {
+	i.process, i.startedAt, i.stopSignaled, i.killed = process, startedAt, time.Time{}, false
+	for _, one := range i.earlySignals {
 		time.AfterFunc(one.after, func() { i.signal(one.signal) })
 	}
-	i.early = nil
+	i.earlySignals = nil
 	return process, nil
 }
 
-// supervise notes each end and starts the next process.
+// supervise records each exit and starts the next process.
 func (i *instance) supervise(process *processes.Process) {
 	defer close(i.ended)
 	for {
 		<-process.Exited()
-		i.noteExit(process)
+		i.handleExit(process)
 		if i.isClosing() {
 			return
 		}
@@ -159,21 +160,21 @@
 	}
 }
 
-func (i *instance) noteExit(process *processes.Process) {
+func (i *instance) handleExit(process *processes.Process) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	now := time.Now()
-	exit := ledger.Exit{Instance: i.name, At: now, Asked: !i.asked.IsZero(), Lived: now.Sub(i.began)}
+	exit := ledger.Exit{Instance: i.name, At: now, Asked: !i.stopSignaled.IsZero(), Lived: now.Sub(i.startedAt)}
 	if exit.Asked {
-		exit.Took = now.Sub(i.asked)
+		exit.Took = now.Sub(i.stopSignaled)
 		if !i.killed {
-			i.site.notes.disrupt(ledger.Stop, i.name, i.asked, now)
+			i.site.recorder.addDisruption(ledger.Stop, i.name, i.stopSignaled, now)
 		}
 	}
 	if err := process.Err(); err != nil {
 		exit.Error = err.Error()
 	}
-	i.site.notes.exit(exit)
+	i.site.recorder.exit(exit)
 }
 
 func (i *instance) isClosing() bool {
@@ -182,7 +183,8 @@
 	return i.closing
 }
 
-// signal sends a signal to the present process and notes whether it ends it.
+// signal sends a signal to the current process. If the signal is to end the process, signal records that and schedules the SIGKILL
+// after the grace.
 func (i *instance) signal(signal syscall.Signal) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
@@ -191,42 +193,42 @@
 	}
 	now := time.Now()
 	ends := signal == syscall.SIGTERM || signal == syscall.SIGINT || signal == syscall.SIGKILL
-	if ends && i.asked.IsZero() {
-		i.asked, i.killed = now, signal == syscall.SIGKILL
+	if ends && i.stopSignaled.IsZero() {
+		i.stopSignaled, i.killed = now, signal == syscall.SIGKILL
 		process := i.process
-		time.AfterFunc(grace+afterGrace, func() { i.overstay(process) })
+		time.AfterFunc(grace+killDelay, func() { i.killOverdue(process) })
 	}
 	if signal == syscall.SIGKILL {
-		i.site.notes.disrupt(ledger.Kill, i.name, now, now.Add(time.Second))
+		i.site.recorder.addDisruption(ledger.Kill, i.name, now, now.Add(time.Second))
 	}
-	// A process that ends at this moment needs no signal: its exit is noted.
+	// An error means that the process has just ended; supervise records its exit.
 	_ = i.process.Signal(signal)
 }
 
-// overstay kills a process that has not ended within its grace, as the platform does.
-func (i *instance) overstay(process *processes.Process) {
+// killOverdue kills a process that has not ended within its grace, as the platform does.
+func (i *instance) killOverdue(process *processes.Process) {
 	if process.HasExited() {
 		return
 	}
 	now := time.Now()
-	i.site.notes.disrupt(ledger.Kill, i.name, now, now.Add(time.Second))
+	i.site.recorder.addDisruption(ledger.Kill, i.name, now, now.Add(time.Second))
 	_ = process.Signal(syscall.SIGKILL)
 }
 
-// freeze stands the present process still for a time.
+// freeze suspends the current process for the span.
 func (i *instance) freeze(span time.Duration) {
 	from := time.Now()
 	i.signal(syscall.SIGSTOP)
 	time.Sleep(span)
 	i.signal(syscall.SIGCONT)
-	i.site.notes.disrupt(ledger.Freeze, i.name, from, time.Now())
+	i.site.recorder.addDisruption(ledger.Freeze, i.name, from, time.Now())
 }
 
-// signalNext has the next process get a signal in its first moments.
+// signalNext schedules a signal to the next process, at the given time after its start.
 func (i *instance) signalNext(signal syscall.Signal, after time.Duration) {
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
-	i.early = append(i.early, earlySignal{signal: signal, after: after})
+	i.earlySignals = append(i.earlySignals, earlySignal{signal: signal, after: after})
 }
 
 func (i *instance) close() {
@@ -237,7 +239,7 @@
 	i.signal(syscall.SIGTERM)
 	select {
 	case <-i.ended:
-	case <-time.After(endLimit):
+	case <-time.After(stopTimeout):
 		i.signal(syscall.SIGKILL)
 	}
 	i.storeLink.Close()
--- a/tools/soak/lag.go
+++ b/tools/soak/lag.go
@@ -10,22 +10,22 @@
 )
 
 const (
-	// lagPace is how often the soak looks at its own clock.
-	lagPace = 10 * time.Millisecond
-	// leastLag is the shortest lateness that counts: a host that is starved for a few milliseconds delays the first ones of a process, in
-	// which SIGHUP still ends it. Beside 24 busy processes on 8 cores it ended 41 of 150 that had run for 16 ms, on the same host without
-	// them none.
-	leastLag = time.Millisecond
+	// lagSampleInterval is the interval at which the soak measures its own scheduling delay.
+	lagSampleInterval = 10 * time.Millisecond
+	// minLag is the shortest delay that is recorded. A host without free processor time for a few milliseconds prolongs the first
+	// milliseconds of a process, in which SIGHUP still ends the process. With 24 busy processes on 8 cores, SIGHUP ended 41 of 150
+	// processes that had run for 16 ms; on the same host without the busy processes it ended none.
+	minLag = time.Millisecond
 )
 
-// lagMeter measures by how much the soak itself is late, as a measure of how starved its host is.
+// lagMeter measures the scheduling delay of the soak process, which shows how overloaded the host is.
 type lagMeter struct {
-	mutex sync.Mutex
-	late  []lateness
+	mutex   sync.Mutex
+	samples []lagSample
 }
 
-// lateness is one look that came late.
-type lateness struct {
+// lagSample is one measured delay that exceeded minLag.
+type lagSample struct {
 	at time.Time
 	by time.Duration
 }
@@ -37,26 +37,26 @@
 func (m *lagMeter) run(ctx context.Context) {
 	last := time.Now()
 	for ctx.Err() == nil {
-		time.Sleep(lagPace)
+		time.Sleep(lagSampleInterval)
 		now := time.Now()
-		if by := now.Sub(last) - lagPace; by > leastLag {
+		if by := now.Sub(last) - lagSampleInterval; by > minLag {
 			m.mutex.Lock()
-			m.late = append(m.late, lateness{at: now, by: by})
+			m.samples = append(m.samples, lagSample{at: now, by: by})
 			m.mutex.Unlock()
 		}
 		last = now
 	}
 }
 
-// most gives by how much the soak was late at most within a span.
-func (m *lagMeter) most(from, to time.Time) time.Duration {
+// maxLag returns the longest delay that overlaps the span.
+func (m *lagMeter) maxLag(from, to time.Time) time.Duration {
 	m.mutex.Lock()
 	defer m.mutex.Unlock()
-	var most time.Duration
-	for _, one := range m.late {
+	var maxLag time.Duration
+	for _, one := range m.samples {
 		if !one.at.Before(from) && !one.at.Add(-one.by).After(to) {
-			most = max(most, one.by)
+			maxLag = max(maxLag, one.by)
 		}
 	}
-	return most
+	return maxLag
 }
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -22,7 +22,7 @@
 	exitBroken = 3
 )
 
-// arguments are those of a soak.
+// arguments are the command-line arguments of a soak run.
 type arguments struct {
 	Bin       string  `help:"Folder with the built programs." default:"bin" type:"path"`
 	Seconds   int     `help:"How long callers send." default:"60"`
@@ -46,7 +46,7 @@
 	Debug     bool    `help:"Log each step."`
 }
 
-// command is the whole command line: the soak itself, and the roles in which it starts itself.
+// command is the whole command line: the soak run and the hidden subcommands with which the soak starts its own child processes.
 type command struct {
 	Run      arguments               `cmd:"" default:"withargs" help:"Run a soak."`
 	Daemons  arguments               `cmd:"" help:"Run a soak of shelfledged in place of shelfledge-entry: instances are daemons, endpoints engines."`
@@ -55,7 +55,7 @@
 	Spin     spinOptions             `cmd:"" hidden:"" help:"Keep a processor busy."`
 }
 
-// spinOptions are the settings of a process that keeps a processor busy.
+// spinOptions are the settings of a child process that keeps one processor busy.
 type spinOptions struct {
 	For time.Duration `help:"How long." default:"5s"`
 }
@@ -64,7 +64,7 @@
 	var c command
 	context := kong.Parse(&c, kong.Name("soak"), kong.Description("Disturbs real processes by a plan and checks that no promise is broken."),
 		kong.Vars{"plants": strings.Join(plantNames(), ", ")})
-	// A library of the stand-ins would print the soak's own use of the machine.
+	// go-zero, which the stand-ins use, would otherwise print resource statistics of the soak process.
 	logx.DisableStat()
 	os.Exit(exitCode(dispatch(context.Command(), c)))
 }
@@ -92,14 +92,14 @@
 		return 0
 	}
 	fmt.Fprintln(os.Stderr, "soak:", err)
-	var broken *brokenError
+	var broken *findingsError
 	if errors.As(err, &broken) {
 		return exitBroken
 	}
 	return exitFailed
 }
 
-// spin keeps one processor busy.
+// spin keeps one processor busy for the given time.
 func spin(span time.Duration) {
 	for end := time.Now().Add(span); time.Now().Before(end); {
 		continue
--- a/tools/soak/operator.go
+++ b/tools/soak/operator.go
@@ -14,34 +14,34 @@
 	"github.com/shelfledge/shelfledge/tools/soak/ledger"
 )
 
-// firstIdle is the idle limit that a soak begins with, and idleLimits are those that it changes between.
-const firstIdle = 2 * time.Second
+// initialIdleLimit is the idle limit at the start of a soak. Later steps choose from idleLimits.
+const initialIdleLimit = 2 * time.Second
 
 var (
-	idleLimits = []time.Duration{time.Second, firstIdle, 3 * time.Second}
-	// timeouts are the routes' time-outs, all above what callers wait for, so that the callers' own bound is what counts.
+	idleLimits = []time.Duration{time.Second, initialIdleLimit, 3 * time.Second}
+	// timeouts are the time-outs of the routes. All are longer than the callers' own time-out, so that the latter takes effect first.
 	timeouts = []time.Duration{4500 * time.Millisecond, 5 * time.Second, 6 * time.Second}
 )
 
-// pauseTimeouts are the time-outs of the routes whose streams pause: one is below what their callers wait for.
+// pauseTimeouts are the time-outs of the routes with pausing streams. Some are shorter than the callers' own time-out.
 var pauseTimeouts = []time.Duration{8 * time.Second, 13 * time.Second, 18 * time.Second}
 
 const (
-	// namedAdapters is how many adapters get newer versions.
-	namedAdapters = 6
-	// mostAdded bounds the routes that are added beside each other.
-	mostAdded = 6
+	// versionedAdapters is the number of adapters that get newer versions.
+	versionedAdapters = 6
+	// maxAddedRoutes bounds the number of added routes that are in force at once.
+	maxAddedRoutes = 6
 )
 
-// operator writes the configuration and the versions into the store.
+// operator writes the configuration and the adapter versions into the store.
 type operator struct {
-	site     *site
-	mutex    sync.Mutex
-	version  int
-	idle     time.Duration
-	shortest time.Duration
-	timeout  time.Duration
-	// pauseTimeout is that of the routes whose streams pause, and pauseLimits are all that it was.
+	site    *site
+	mutex   sync.Mutex
+	version int
+	idle    time.Duration
+	minIdle time.Duration
+	timeout time.Duration
+	// pauseTimeout is the time-out of the routes with pausing streams, and pauseLimits is the history of its values.
 	pauseTimeout time.Duration
 	pauseLimits  []ledger.Limit
 	routes       map[string]string
@@ -52,12 +52,12 @@
 
 func newOperator(s *site) *operator {
 	return &operator{
-		site: s, idle: firstIdle, shortest: firstIdle, timeout: timeouts[1], pauseTimeout: pauseTimeouts[1], routes: make(map[string]string), versions: make(map[string]int),
+		site: s, idle: initialIdleLimit, minIdle: initialIdleLimit, timeout: timeouts[1], pauseTimeout: pauseTimeouts[1], routes: make(map[string]string), versions: make(map[string]int),
 	}
 }
 
-// put writes the configuration; the caller holds the mutex, or nobody else knows the operator yet.
-func (o *operator) put() error {
+// writeConfiguration writes the configuration. The caller holds the mutex, unless the operator is not shared yet.
+func (o *operator) writeConfiguration() error {
 	o.version++
 	configuration := platformstandin.WithPatientRoute(platformstandin.Configuration(o.version, o.routes))
 	configuration["limits"].(map[string]any)["idle_timeout_ms"] = o.idle.Milliseconds()
@@ -68,7 +68,7 @@
 	}
 	configuration = platformstandin.WithPausingRoutes(configuration, o.pauseTimeout)
 	sent := time.Now()
-	if err := o.site.storeAt.Put(platformstandin.ConfigurationKey, configuration); err != nil {
+	if err := o.site.storeHandle.Put(platformstandin.ConfigurationKey, configuration); err != nil {
 		return err
 	}
 	o.pauseLimits = append(o.pauseLimits, ledger.Limit{
@@ -77,40 +77,40 @@
 	return nil
 }
 
-// change changes the configuration and notes when.
-func (o *operator) change(apply func(random int), random int) error {
+// changeConfiguration calls apply, writes the configuration and records the disruption.
+func (o *operator) changeConfiguration(apply func(random int), random int) error {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	apply(random)
 	from := time.Now()
-	if err := o.put(); err != nil {
+	if err := o.writeConfiguration(); err != nil {
 		return err
 	}
-	o.site.notes.disrupt(ledger.Configured, "", from, time.Now())
+	o.site.recorder.addDisruption(ledger.Configured, "", from, time.Now())
 	return nil
 }
 
 func (o *operator) setIdle(random int) error {
-	return o.change(func(n int) {
+	return o.changeConfiguration(func(n int) {
 		o.idle = idleLimits[n%len(idleLimits)]
-		o.shortest = min(o.shortest, o.idle)
+		o.minIdle = min(o.minIdle, o.idle)
 	}, random)
 }
 
 func (o *operator) setTimeouts(random int) error {
-	return o.change(func(n int) {
+	return o.changeConfiguration(func(n int) {
 		o.timeout = timeouts[n%len(timeouts)]
 		o.pauseTimeout = pauseTimeouts[n%len(pauseTimeouts)]
 	}, random)
 }
 
-// addRoute adds a route; callers ask for it from its acknowledgement on.
+// addRoute adds a route. Callers send requests to the route once the store has acknowledged it.
 func (o *operator) addRoute() error {
-	if len(o.addedPrefixes()) >= mostAdded {
+	if len(o.addedPrefixes()) >= maxAddedRoutes {
 		return nil
 	}
 	var prefix string
-	err := o.change(func(int) {
+	err := o.changeConfiguration(func(int) {
 		o.count++
 		prefix = fmt.Sprintf("/added-%d/", o.count)
 		o.routes[prefix] = platformstandin.PlainService
@@ -124,7 +124,7 @@
 	return nil
 }
 
-// removeRoute takes the oldest added route out.
+// removeRoute removes the oldest added route.
 func (o *operator) removeRoute() error {
 	o.mutex.Lock()
 	for i := range o.added {
@@ -135,12 +135,12 @@
 		}
 	}
 	o.mutex.Unlock()
-	return o.change(func(int) {}, 0)
+	return o.changeConfiguration(func(int) {}, 0)
 }
 
-// name names the next version of an adapter; endpoints load it from then on.
-func (o *operator) name(random int) error {
-	adapter := fmt.Sprintf("a%d", random%namedAdapters)
+// addNaming names the next version of an adapter in the store, after it has told all endpoints to load that version from now on.
+func (o *operator) addNaming(random int) error {
+	adapter := fmt.Sprintf("a%d", random%versionedAdapters)
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
 	version := max(1, o.versions[adapter]) + 1
@@ -150,15 +150,15 @@
 			return err
 		}
 	}
-	if err := o.site.storeAt.Put(platformstandin.NamedVersion(adapter, version)); err != nil {
+	if err := o.site.storeHandle.Put(platformstandin.NamedVersion(adapter, version)); err != nil {
 		return err
 	}
-	o.site.notes.name(ledger.Naming{Adapter: adapter, Version: version, Acknowledged: time.Now()})
+	o.site.recorder.addNaming(ledger.Naming{Adapter: adapter, Version: version, Acknowledged: time.Now()})
 	return nil
 }
 
-// tellVersions tells a new endpoint which versions it loads.
-func (o *operator) tellVersions(one *incarnation) error {
+// sendVersions sends a new endpoint process the versions that it is to load.
+func (o *operator) sendVersions(one *endpointProcess) error {
 	o.mutex.Lock()
 	versions := maps.Clone(o.versions)
 	o.mutex.Unlock()
@@ -176,7 +176,7 @@
 	return o.idle
 }
 
-// addedPrefixes gives the routes that were added and not removed.
+// addedPrefixes returns the prefixes of the routes that were added and not removed.
 func (o *operator) addedPrefixes() []string {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
@@ -201,8 +201,8 @@
 	return slices.Clone(o.pauseLimits)
 }
 
-func (o *operator) shortestIdle() time.Duration {
+func (o *operator) minIdleLimit() time.Duration {
 	o.mutex.Lock()
 	defer o.mutex.Unlock()
-	return o.shortest
+	return o.minIdle
 }
--- a/tools/soak/plant.go
+++ b/tools/soak/plant.go
@@ -12,33 +12,33 @@
 	"github.com/shelfledge/shelfledge/tools/soak/ledger"
 )
 
-// planted names what a planted fault is of.
-const planted = "planted"
+// plantedName is the instance, endpoint or crasher that a planted fault names.
+const plantedName = "planted"
 
-// plants are faults that are put into the record of a real run, by name: each shows that a check finds it there. The checks' own tests
-// have one for each check.
+// plants maps names to functions that insert a fault into the record of a real run, to show that a check finds the fault there. The
+// unit tests of the checks cover every check.
 var plants = map[string]func(*ledger.Record){
 	"lost": func(r *ledger.Record) {
-		whole(r).Outcome = ledger.Closed
+		wholeUnsafeAttempt(r).Outcome = ledger.Closed
 	},
 	"ran-though-refused": func(r *ledger.Record) {
-		whole(r).Outcome = ledger.Refused
+		wholeUnsafeAttempt(r).Outcome = ledger.Refused
 	},
 	"ran-twice": func(r *ledger.Record) {
-		id := whole(r).ID
-		r.Runs = append(r.Runs, platformstandin.RunEvent{ID: id, Endpoint: planted, Phase: platformstandin.RunBegan, At: time.Now()})
+		id := wholeUnsafeAttempt(r).ID
+		r.Runs = append(r.Runs, platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunBegan, At: time.Now()})
 	},
 	"another-answer": func(r *ledger.Record) {
-		whole(r).Wrong = planted
+		wholeUnsafeAttempt(r).Wrong = plantedName
 	},
 	"late-work": func(r *ledger.Record) {
 		r.Departures = append(r.Departures, ledger.Departure{Endpoint: r.Runs[len(r.Runs)-1].Endpoint, Acknowledged: r.Runs[0].At})
 	},
 	"crashing": func(r *ledger.Record) {
-		crasher := ledger.Crasher{Name: planted}
+		crasher := ledger.Crasher{Name: plantedName}
 		for number := range 8 {
 			id, at := fmt.Sprint("planted-", number), r.Runs[0].At.Add(time.Duration(number)*r.Bounds.Contact)
-			crasher.Sends = append(crasher.Sends, ledger.Sending{ID: id, Instance: planted, At: at})
+			crasher.Sends = append(crasher.Sends, ledger.Sending{ID: id, Instance: plantedName, At: at})
 			r.Runs = append(r.Runs,
 				platformstandin.RunEvent{ID: id, Endpoint: id, Phase: platformstandin.RunBegan, At: at},
 				platformstandin.RunEvent{ID: id, Endpoint: id, Phase: platformstandin.RunCrashed, At: at})
@@ -49,19 +49,19 @@
 	"leaving": func(r *ledger.Record) { plantNotices(r, platformstandin.Notice{Leaving: true}) },
 	"rest":    func(r *ledger.Record) { plantNotices(r, platformstandin.Notice{Rest: "9"}) },
 	"own-end": func(r *ledger.Record) {
-		r.Exits = append(r.Exits, ledger.Exit{Instance: planted, At: time.Now(), Lived: time.Minute})
+		r.Exits = append(r.Exits, ledger.Exit{Instance: plantedName, At: time.Now(), Lived: time.Minute})
 	},
 }
 
-// plantNotices has an endpoint that says something of itself go on getting requests of one instance.
+// plantNotices adds requests that one instance keeps sending to an endpoint after the endpoint sent it the notice.
 func plantNotices(r *ledger.Record, said platformstandin.Notice) {
 	from := r.Runs[0].At
 	for number := range 40 {
 		id, at := fmt.Sprint("planted-", number), from.Add(time.Duration(number)*time.Second/4)
-		r.Attempts = append(r.Attempts, ledger.Attempt{ID: id, Instance: planted, Began: at, Sent: at, Ended: at, Outcome: ledger.Failed})
+		r.Attempts = append(r.Attempts, ledger.Attempt{ID: id, Instance: plantedName, Began: at, Sent: at, Ended: at, Outcome: ledger.Failed})
 		r.Notices = append(r.Notices,
-			platformstandin.RunEvent{ID: id, Endpoint: planted, Phase: platformstandin.RunArrived, At: at, Said: said},
-			platformstandin.RunEvent{ID: id, Endpoint: planted, Phase: platformstandin.RunTold, At: at, Said: said})
+			platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunArrived, At: at, Said: said},
+			platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunTold, At: at, Said: said})
 	}
 }
 
@@ -74,8 +74,9 @@
 	return names
 }
 
-// whole gives an attempt that got its whole answer and must not run twice; a run without any has nothing to plant a fault in.
-func whole(r *ledger.Record) *ledger.Attempt {
+// wholeUnsafeAttempt returns the first attempt on an unsafe route that got a whole answer. If there is none, it returns an attempt
+// outside the record, so that no fault is planted.
+func wholeUnsafeAttempt(r *ledger.Record) *ledger.Attempt {
 	for i := range r.Attempts {
 		if r.Attempts[i].Kind == ledger.Unsafe && r.Attempts[i].Outcome == ledger.Whole {
 			return &r.Attempts[i]
--- a/tools/soak/report.go
+++ b/tools/soak/report.go
@@ -22,37 +22,37 @@
 )
 
 const (
-	// applyTime, versionTime and budget figures are those of the settings and of the platform's pages.
-	applyTime    = 2 * time.Second
-	versionTime  = 5 * time.Second
-	graceMargin  = 600 * time.Millisecond
-	retryRatio   = 0.2
-	retryExtra   = 54
-	contactTime  = 3 * time.Second
-	crashRetries = 3
-	budgetWindow = 10 * time.Second
-	limitSpan    = 4 * time.Second
-	limitSlack   = 1.5
-	limitExtra   = 5
-	heardTime    = 500 * time.Millisecond
-	restRequests = 2
-	// mostTimelines bounds the requests whose timelines are written.
-	mostTimelines = 20
-	// histogramTop and histogramDigits are the range, in milliseconds, and the precision of latencies.
-	histogramTop    = 60_000
+	// applyTime, versionTime and the figures of the retry budget are those of the settings and of the platform's documentation.
+	applyTime       = 2 * time.Second
+	versionTime     = 5 * time.Second
+	graceMargin     = 600 * time.Millisecond
+	retryRatio      = 0.2
+	retryExtra      = 54
+	contactTime     = 3 * time.Second
+	crashRetries    = 3
+	budgetWindow    = 10 * time.Second
+	limitSpan       = 4 * time.Second
+	limitSlack      = 1.5
+	limitExtra      = 5
+	noticeApplyTime = 500 * time.Millisecond
+	restRequests    = 2
+	// maxTimelines bounds the number of findings that are printed and whose timelines are written.
+	maxTimelines = 20
+	// histogramMax is the largest latency of the histograms, in milliseconds, and histogramDigits their precision in significant digits.
+	histogramMax    = 60_000
 	histogramDigits = 2
 )
 
-// record joins what callers, endpoints and the soak itself saw.
+// record combines the records of callers, endpoints and the soak itself.
 func (s *site) record(attempts []ledger.Attempt, lag *lagMeter) (*ledger.Record, error) {
 	r := &ledger.Record{
-		Attempts: attempts, Disruptions: s.notes.disruptions, Departures: s.notes.departures, Namings: s.notes.namings,
-		Crashers: s.crashers(), Additions: s.operator.additions(), Limits: s.operator.limits(), Exits: s.notes.exits, Overfull: s.notes.overfull, Lag: lag.most,
+		Attempts: attempts, Disruptions: s.recorder.disruptions, Departures: s.recorder.departures, Namings: s.recorder.namings,
+		Crashers: s.crasherRecords(), Additions: s.operator.additions(), Limits: s.operator.limits(), Exits: s.recorder.exits, Overfull: s.recorder.overfull, Lag: lag.maxLag,
 		Bounds: ledger.Bounds{
 			Grace: grace, GraceMargin: graceMargin, Drain: drainTime, Apply: applyTime, Version: versionTime,
 			Contact: contactTime, CrashRetries: crashRetries,
-			LimitSpan: limitSpan, LimitSlack: limitSlack, LimitExtra: limitExtra, Heard: heardTime, RestRequests: restRequests,
-			BudgetWindow: budgetWindow, RetryRatio: retryRatio, RetryExtra: retryExtra, IdleLimit: s.operator.shortestIdle(),
+			LimitSpan: limitSpan, LimitSlack: limitSlack, LimitExtra: limitExtra, Heard: noticeApplyTime, RestRequests: restRequests,
+			BudgetWindow: budgetWindow, RetryRatio: retryRatio, RetryExtra: retryExtra, IdleLimit: s.operator.minIdleLimit(),
 		},
 	}
 	files, err := s.journals()
@@ -75,7 +75,7 @@
 	return r, nil
 }
 
-// readJournal reads an endpoint's journal; a last line that a kill cut off is passed over.
+// readJournal reads the journal of an endpoint. It skips a last line that is incomplete because the endpoint was killed.
 func readJournal(file string) ([]platformstandin.RunEvent, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
@@ -91,30 +91,31 @@
 	return events, nil
 }
 
-// report prints a line, and keeps the folder of a run that broke something.
+// report prints the result of the run. It removes the folder of a run without findings, unless --keep is set, and otherwise writes the
+// record of the run into the folder.
 func (s *site) report(r *ledger.Record, steps []plan.Step) error {
 	findings := ledger.Judge(r)
 	if cut := ledger.CutStreams(r); s.args.NoCut && cut > 0 {
 		findings = append(findings, ledger.Finding{Check: "a stream that may be resumed was cut", Text: fmt.Sprintf("%d streams", cut)})
 	}
-	fmt.Println(s.line(r, steps, findings))
-	for _, line := range latencies(r) {
-		fmt.Println(line)
+	fmt.Println(s.summaryLine(r, steps, findings))
+	for _, summaryLine := range latencyLines(r) {
+		fmt.Println(summaryLine)
 	}
 	if len(findings) == 0 && !s.args.Keep {
 		return os.RemoveAll(s.folder)
 	}
-	if err := s.keep(r, steps, findings); err != nil {
+	if err := s.saveRun(r, steps, findings); err != nil {
 		return err
 	}
 	if len(findings) == 0 {
 		return nil
 	}
-	return &brokenError{findings: len(findings), folder: s.folder}
+	return &findingsError{findings: len(findings), folder: s.folder}
 }
 
-// line sums a run up.
-func (s *site) line(r *ledger.Record, steps []plan.Step, findings []ledger.Finding) string {
+// summaryLine returns the line that summarizes the run.
+func (s *site) summaryLine(r *ledger.Record, steps []plan.Step, findings []ledger.Finding) string {
 	var b strings.Builder
 	fmt.Fprintf(&b, "seed %d, %d s, %d instances, %d callers: %d requests", s.args.Seed, s.args.Seconds, s.args.Instances, s.args.Callers, len(r.Attempts))
 	outcomes := make(map[string]int)
@@ -122,15 +123,15 @@
 		outcomes[string(a.Outcome)]++
 	}
 	unrun := ledger.Unanswered(r)
-	fmt.Fprintf(&b, " (%s); closed and not run %d, of them at the idle limit %d, beside a stop %d; streams cut that may be resumed %d", counts(outcomes), unrun.All, unrun.Idle, unrun.Stop,
+	fmt.Fprintf(&b, " (%s); closed and not run %d, of them at the idle limit %d, beside a stop %d; streams cut that may be resumed %d", formatCounts(outcomes), unrun.All, unrun.Idle, unrun.Stop,
 		ledger.CutStreams(r))
-	fmt.Fprintf(&b, "; most memory %d MB, most descriptors after the last caller %d", most(r, func(u ledger.Usage) int { return u.PeakKB })/kbPerMB,
-		most(r, func(u ledger.Usage) int { return u.Descriptors }))
+	fmt.Fprintf(&b, "; most memory %d MB, most descriptors after the last caller %d", maxUsage(r, func(u ledger.Usage) int { return u.PeakKB })/kbPerMB,
+		maxUsage(r, func(u ledger.Usage) int { return u.Descriptors }))
 	kinds := make(map[string]int)
 	for _, step := range steps {
 		kinds[string(step.Kind)]++
 	}
-	fmt.Fprintf(&b, "; %d steps (%s)", len(steps), counts(kinds))
+	fmt.Fprintf(&b, "; %d steps (%s)", len(steps), formatCounts(kinds))
 	broken := make(map[string]int)
 	for _, f := range findings {
 		broken[f.Check]++
@@ -138,24 +139,24 @@
 	if len(broken) == 0 {
 		return b.String() + "; nothing broken"
 	}
-	fmt.Fprintf(&b, "; BROKEN: %s", counts(broken))
+	fmt.Fprintf(&b, "; BROKEN: %s", formatCounts(broken))
 	return b.String()
 }
 
-// kbPerMB is how many KB are a MB.
+// kbPerMB converts the kilobytes of /proc to megabytes.
 const kbPerMB = 1024
 
-// most gives the largest figure of all instances.
-func most(r *ledger.Record, of func(ledger.Usage) int) int {
-	most := 0
+// maxUsage returns the largest value of the given figure over all instances.
+func maxUsage(r *ledger.Record, of func(ledger.Usage) int) int {
+	maxUsage := 0
 	for _, u := range r.Usages {
-		most = max(most, of(u))
+		maxUsage = max(maxUsage, of(u))
 	}
-	return most
+	return maxUsage
 }
 
-// counts writes counts in the order of their names.
-func counts(all map[string]int) string {
+// formatCounts returns the counts as text, ordered by name.
+func formatCounts(all map[string]int) string {
 	names := make([]string, 0, len(all))
 	for name := range all {
 		names = append(names, name)
@@ -168,18 +169,18 @@
 	return strings.Join(parts, ", ")
 }
 
-// latencies gives a line for each kind of route: how long whole answers took.
-func latencies(r *ledger.Record) []string {
+// latencyLines returns, for each kind of route, a line with the latencies of whole answers.
+func latencyLines(r *ledger.Record) []string {
 	histograms := make(map[ledger.RouteKind]*hdrhistogram.Histogram)
 	for _, a := range r.Attempts {
 		if a.Outcome != ledger.Whole {
 			continue
 		}
 		if histograms[a.Kind] == nil {
-			histograms[a.Kind] = hdrhistogram.New(1, histogramTop, histogramDigits)
+			histograms[a.Kind] = hdrhistogram.New(1, histogramMax, histogramDigits)
 		}
-		// A value beyond the range is counted at its end.
-		_ = histograms[a.Kind].RecordValue(min(histogramTop, max(1, a.Ended.Sub(a.Began).Milliseconds())))
+		// Values outside the range are clamped, so that recording cannot fail.
+		_ = histograms[a.Kind].RecordValue(min(histogramMax, max(1, a.Ended.Sub(a.Began).Milliseconds())))
 	}
 	var lines []string
 	for kind, h := range histograms {
@@ -190,8 +191,8 @@
 	return lines
 }
 
-// keep writes what led to the findings into the run's folder.
-func (s *site) keep(r *ledger.Record, steps []plan.Step, findings []ledger.Finding) error {
+// saveRun writes the arguments, plan, record and findings into the folder of the run and prints the first findings.
+func (s *site) saveRun(r *ledger.Record, steps []plan.Step, findings []ledger.Finding) error {
 	content := map[string]any{
 		"arguments.json": s.args, "plan.json": steps, "findings.json": findings, "disruptions.json": r.Disruptions, "exits.json": r.Exits,
 		"usages.json": r.Usages,
@@ -205,23 +206,23 @@
 			return err
 		}
 	}
-	if err := s.keepAttempts(r.Attempts); err != nil {
+	if err := s.saveAttempts(r.Attempts); err != nil {
 		return err
 	}
 	for i, f := range findings {
-		if i < mostTimelines && f.Request != "" {
-			if err := s.keepTimeline(r, f); err != nil {
+		if i < maxTimelines && f.Request != "" {
+			if err := s.saveTimeline(r, f); err != nil {
 				return err
 			}
 		}
-		if i < mostTimelines {
+		if i < maxTimelines {
 			fmt.Printf("  %s: %s %s\n", f.Check, f.Request, f.Text)
 		}
 	}
 	return nil
 }
 
-func (s *site) keepAttempts(attempts []ledger.Attempt) error {
+func (s *site) saveAttempts(attempts []ledger.Attempt) error {
 	var b bytes.Buffer
 	encoder := json.NewEncoder(&b)
 	for _, a := range attempts {
@@ -232,28 +233,28 @@
 	return os.WriteFile(s.runFile("attempts.jsonl"), b.Bytes(), 0o600)
 }
 
-// moment is a line of a timeline.
-type moment struct {
+// timelineEntry is one line of a timeline.
+type timelineEntry struct {
 	at   time.Time
 	text string
 }
 
-// keepTimeline writes all that is known of one request, in order: the caller's attempt, the runs, the steps beside it and the log
-// lines that name it.
-func (s *site) keepTimeline(r *ledger.Record, f ledger.Finding) error {
-	moments := momentsOf(r, f.Request)
+// saveTimeline writes the events of the finding's request in order of time: the caller's attempt, the runs, the disruptions around the
+// attempt and the log lines that name the request.
+func (s *site) saveTimeline(r *ledger.Record, f ledger.Finding) error {
+	moments := requestTimeline(r, f.Request)
 	files, err := filepath.Glob(s.runFile("*.log"))
 	if err != nil {
 		return err
 	}
 	for _, file := range files {
-		lines, err := linesNaming(file, f.Request)
+		lines, err := logLinesNaming(file, f.Request)
 		if err != nil {
 			return err
 		}
 		moments = append(moments, lines...)
 	}
-	slices.SortStableFunc(moments, func(a, b moment) int { return a.at.Compare(b.at) })
+	slices.SortStableFunc(moments, func(a, b timelineEntry) int { return a.at.Compare(b.at) })
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s: %s\n", f.Check, f.Text)
 	for _, m := range moments {
@@ -262,39 +263,39 @@
 	return os.WriteFile(s.runFile("timeline-"+f.Request+".txt"), []byte(b.String()), 0o600)
 }
 
-// beside is how far from a request disruptions are listed in its timeline.
-const beside = 5 * time.Second
+// timelineMargin is the time before and after a request in which disruptions are included in its timeline.
+const timelineMargin = 5 * time.Second
 
-func momentsOf(r *ledger.Record, id string) []moment {
-	var moments []moment
+func requestTimeline(r *ledger.Record, id string) []timelineEntry {
+	var moments []timelineEntry
 	for _, a := range r.Attempts {
 		if a.ID != id {
 			continue
 		}
 		moments = append(moments,
-			moment{a.Began, fmt.Sprintf("caller begins %s %s at %s from %s, use %d after %s of rest, closed before: %t", a.Kind, a.Path, a.Instance, a.Connection, a.Use, a.Rested, a.ClosedBefore)},
-			moment{a.Sent, "caller has sent all"}, moment{a.Ended, fmt.Sprintf("caller sees %s, status %d: %s", a.Outcome, a.Status, a.Cause)})
+			timelineEntry{a.Began, fmt.Sprintf("caller begins %s %s at %s from %s, use %d after %s of rest, closed before: %t", a.Kind, a.Path, a.Instance, a.Connection, a.Use, a.Rested, a.ClosedBefore)},
+			timelineEntry{a.Sent, "caller has sent all"}, timelineEntry{a.Ended, fmt.Sprintf("caller sees %s, status %d: %s", a.Outcome, a.Status, a.Cause)})
 		for _, d := range r.Disruptions {
-			if d.From.Before(a.Ended.Add(beside)) && d.To.After(a.Began.Add(-beside)) {
-				moments = append(moments, moment{d.From, fmt.Sprintf("%s of %q until %s", d.Trouble, d.Target, d.To.UTC().Format("15:04:05.000"))})
+			if d.From.Before(a.Ended.Add(timelineMargin)) && d.To.After(a.Began.Add(-timelineMargin)) {
+				moments = append(moments, timelineEntry{d.From, fmt.Sprintf("%s of %q until %s", d.Trouble, d.Target, d.To.UTC().Format("15:04:05.000"))})
 			}
 		}
 	}
 	for _, event := range r.Runs {
 		if event.ID == id {
-			moments = append(moments, moment{event.At, fmt.Sprintf("%s: %s, version %d, resumed after %q", event.Endpoint, event.Phase, event.Version, event.Resumed)})
+			moments = append(moments, timelineEntry{event.At, fmt.Sprintf("%s: %s, version %d, resumed after %q", event.Endpoint, event.Phase, event.Version, event.Resumed)})
 		}
 	}
 	return moments
 }
 
-// linesNaming gives the log lines of a file that name a request, at their own time.
-func linesNaming(file, id string) ([]moment, error) {
+// logLinesNaming returns the lines of a log file that contain the identifier of a request, each with the time of the line.
+func logLinesNaming(file, id string) ([]timelineEntry, error) {
 	content, err := os.ReadFile(file)
 	if err != nil {
 		return nil, err
 	}
-	var moments []moment
+	var moments []timelineEntry
 	scanner := bufio.NewScanner(bytes.NewReader(content))
 	scanner.Buffer(nil, len(content)+1)
 	for scanner.Scan() {
@@ -304,9 +305,9 @@
 		var line struct {
 			Time time.Time `json:"time"`
 		}
-		// A line without a time stands first.
+		// A line without a valid time keeps the zero time and is sorted to the beginning.
 		_ = json.Unmarshal(scanner.Bytes(), &line)
-		moments = append(moments, moment{line.Time, filepath.Base(file) + ": " + scanner.Text()})
+		moments = append(moments, timelineEntry{line.Time, filepath.Base(file) + ": " + scanner.Text()})
 	}
 	return moments, scanner.Err()
 }
--- a/tools/soak/run.go
+++ b/tools/soak/run.go
@@ -21,22 +21,22 @@
 	"github.com/shelfledge/shelfledge/tools/soak/traffic"
 )
 
-// brokenError says that a run broke promises.
-type brokenError struct {
+// findingsError reports that the checks of a run had findings.
+type findingsError struct {
 	findings int
 	folder   string
 }
 
 // Error implements error.
-func (e *brokenError) Error() string {
+func (e *findingsError) Error() string {
 	return fmt.Sprintf("%d findings; all logs are in %s", e.findings, e.folder)
 }
 
-// noSteps is the argument that draws an empty plan.
+// noSteps is the value of --only that selects an empty plan.
 const noSteps = "none"
 
-// problems names all that is wrong with the arguments at once.
-func (a arguments) problems() error {
+// validate returns the errors of all arguments, joined.
+func (a arguments) validate() error {
 	var found []error
 	report := func(wrong bool, format string, values ...any) {
 		if wrong {
@@ -44,9 +44,9 @@
 		}
 	}
 	report(a.Seconds < 1, "--seconds: %d is below 1", a.Seconds)
-	report(a.Instances < 1 || a.Instances > mostInstances, "--instances: %d is not within 1 and %d", a.Instances, mostInstances)
-	report(a.Endpoints < plainEvery || a.Endpoints > mostEndpoints, "--endpoints: %d is not within %d and %d", a.Endpoints, plainEvery, mostEndpoints)
-	report(a.Callers < 1 || a.Callers > mostCallers, "--callers: %d is not within 1 and %d", a.Callers, mostCallers)
+	report(a.Instances < 1 || a.Instances > maxInstances, "--instances: %d is not within 1 and %d", a.Instances, maxInstances)
+	report(a.Endpoints < plainServiceInterval || a.Endpoints > maxEndpoints, "--endpoints: %d is not within %d and %d", a.Endpoints, plainServiceInterval, maxEndpoints)
+	report(a.Callers < 1 || a.Callers > maxCallers, "--callers: %d is not within 1 and %d", a.Callers, maxCallers)
 	for name, share := range map[string]float64{"--blind": a.Blind, "--long": a.Long, "--edge": a.Edge, "--odd": a.Odd, "--patient": a.Patient} {
 		report(share < 0 || share > 1, "%s: %g is no share", name, share)
 	}
@@ -61,14 +61,14 @@
 	return errors.Join(found...)
 }
 
-// Bounds of a run, so that it stays within a few hundred processes and half of the memory of a host of 24 GiB.
+// Bounds of the arguments. They keep a run within a few hundred processes and half of the memory of a host with 24 GiB.
 const (
-	mostInstances = 80
-	mostEndpoints = 60
-	mostCallers   = 12000
+	maxInstances = 80
+	maxEndpoints = 60
+	maxCallers   = 12000
 )
 
-// kinds gives the kinds that may be drawn; none allows all.
+// kinds returns the kinds of step that may be drawn. An empty result allows all kinds.
 func (a arguments) kinds() []plan.Kind {
 	if a.Only == "" || a.Only == noSteps {
 		return nil
@@ -80,9 +80,10 @@
 	return kinds
 }
 
-// newSite checks the arguments and gives a site without processes, in a new folder whose name begins with the soak's.
+// newSite validates the arguments and returns a site without processes. The site gets a new folder whose name contains soak and the
+// seed.
 func newSite(args arguments, soak string) (*site, error) {
-	if err := args.problems(); err != nil {
+	if err := args.validate(); err != nil {
 		return nil, err
 	}
 	folder, err := os.MkdirTemp(args.Folder, fmt.Sprintf("shelfledge-%s-%d-", soak, args.Seed))
@@ -97,10 +98,10 @@
 	if args.Debug {
 		logger.SetLevel(logrus.DebugLevel)
 	}
-	return &site{args: args, folder: folder, self: self, log: logrus.NewEntry(logger), notes: &notes{}}, nil
+	return &site{args: args, folder: folder, self: self, log: logrus.NewEntry(logger), recorder: &recorder{}}, nil
 }
 
-// runSoak runs one soak of shelfledge-entry and reports it.
+// runSoak runs one soak of shelfledge-entry and prints its report.
 func runSoak(args arguments) error {
 	site, err := newSite(args, "soak")
 	if err != nil {
@@ -118,10 +119,10 @@
 	if err != nil {
 		return err
 	}
-	return site.judge(record, usages, steps)
+	return site.reportRun(record, usages, steps)
 }
 
-// drawPlan draws the plan of a run.
+// drawPlan draws the plan of a run from the seed.
 func (a arguments) drawPlan() []plan.Step {
 	options := plan.Options{Span: time.Duration(a.Seconds) * time.Second, Instances: a.Instances, Endpoints: a.Endpoints, Only: a.kinds()}
 	var steps []plan.Step
@@ -134,8 +135,8 @@
 	return steps
 }
 
-// judge adds what processes held at the end to a record, and the fault that is to be planted, and reports it.
-func (s *site) judge(record *ledger.Record, usages []ledger.Usage, steps []plan.Step) error {
+// reportRun adds the resource usages and the planted fault, if any, to the record and reports the record.
+func (s *site) reportRun(record *ledger.Record, usages []ledger.Usage, steps []plan.Step) error {
 	record.Usages = usages
 	if s.args.Plant != "" {
 		plants[s.args.Plant](record)
@@ -143,7 +144,7 @@
 	return s.report(record, steps)
 }
 
-// play has callers send while the plan is carried out, and gives their attempts and the soak's own lag.
+// play sends the requests of all callers while it executes the plan. It returns the attempts and the meter of the soak's own lag.
 func (s *site) play(steps []plan.Step) ([]ledger.Attempt, *lagMeter) {
 	balancer := traffic.NewBalancer(s.targets())
 	var mutex sync.Mutex
@@ -167,14 +168,14 @@
 	var crowd traffic.Crowd
 	crowd.Start(sending, options, s.args.Seed, s.args.Callers)
 	waitCrashers := s.startCrashers(sending, balancer)
-	s.execute(sending, steps, s.carryOut)
+	s.execute(sending, steps, s.executeStep)
 	crowd.Wait()
 	waitCrashers()
 	return attempts, lag
 }
 
-// busy keeps processors busy until the context ends.
-func (s *site) busy(ctx context.Context, count int) error {
+// spinProcessors keeps count processors busy with child processes until the context ends.
+func (s *site) spinProcessors(ctx context.Context, count int) error {
 	var spinning []*processes.Process
 	defer func() {
 		for _, one := range spinning {
@@ -194,7 +195,7 @@
 	return nil
 }
 
-// logFailure notes a step that could not be carried out: the endpoint may have gone meanwhile.
+// logFailure logs the error of a step. A failed step is no fault of the run: its endpoint may have ended before the step.
 func (s *site) logFailure(what string, err error) {
 	if err != nil {
 		s.log.WithError(err).WithField("step", what).Warn("a step could not be carried out")
@@ -202,23 +203,23 @@
 }
 
 func (s *site) storeControl() string {
-	return s.storeAt.Control()
+	return s.storeHandle.Control()
 }
 
-// noteOverfull adds an endpoint's own count of orders beyond its places.
-func (s *site) noteOverfull(one *incarnation) {
+// recordOverfull adds the number of orders that the endpoint received beyond its places.
+func (s *site) recordOverfull(one *endpointProcess) {
 	count, err := one.Overfull()
 	if err != nil {
-		// An endpoint that stands still or was killed tells nothing.
+		// A frozen or killed endpoint does not answer.
 		s.log.WithError(err).WithField("endpoint", one.id).Debug("an endpoint does not tell its orders")
 		return
 	}
-	s.notes.mutex.Lock()
-	defer s.notes.mutex.Unlock()
-	s.notes.overfull += count
+	s.recorder.mutex.Lock()
+	defer s.recorder.mutex.Unlock()
+	s.recorder.overfull += count
 }
 
-// runFile names a file in the run's folder.
+// runFile returns the path of a file in the folder of the run.
 func (s *site) runFile(name string) string {
 	return filepath.Join(s.folder, name)
 }
--- a/tools/soak/site.go
+++ b/tools/soak/site.go
@@ -20,45 +20,46 @@
 )
 
 const (
-	// storeIP steers the store, endpointIPs count up those at which endpoints are steered, instanceIPs those of instances.
+	// storeIP is the control address of the store. endpointIPs is the format of the endpoints' control addresses and instanceIPs that
+	// of the instances' addresses; each takes a number from 1 on.
 	storeIP     = "127.0.2.1"
 	endpointIPs = "127.0.3.%d"
 	instanceIPs = "127.0.4.%d"
-	// upLimit bounds the start of a process and endLimit its planned end; both are far beyond what was seen.
-	upLimit  = 30 * time.Second
-	endLimit = 12 * time.Second
-	// halls is in how many halls the site stands.
-	halls = 3
-	// plainEvery is of how many endpoints one is a plain service.
-	plainEvery = 3
+	// startTimeout bounds the start of a process and stopTimeout its planned stop. Observed starts and stops are far shorter.
+	startTimeout = 30 * time.Second
+	stopTimeout  = 12 * time.Second
+	// hallCount is the number of halls over which instances and endpoints are spread.
+	hallCount = 3
+	// plainServiceInterval makes every third endpoint a plain service; the other endpoints serve a model.
+	plainServiceInterval = 3
 )
 
-// site is a store, endpoints and instances as processes.
+// site is a deployment of a store, endpoints and instances, each in a process of its own.
 type site struct {
-	args      arguments
-	folder    string
-	self      string
-	log       *logrus.Entry
-	notes     *notes
-	store     *processes.Process
-	storeAt   *outside.StoreHandle
-	endpoints []*endpoint
-	instances []*instance
-	operator  *operator
-	crashing  []*crasher
+	args           arguments
+	folder         string
+	self           string
+	log            *logrus.Entry
+	recorder       *recorder
+	store          *processes.Process
+	storeHandle    *outside.StoreHandle
+	endpoints      []*endpoint
+	instances      []*instance
+	operator       *operator
+	activeCrashers []*crasher
 }
 
 func hall(i int) string {
-	return fmt.Sprintf("h%d", 1+i%halls)
+	return fmt.Sprintf("h%d", 1+i%hallCount)
 }
 
-// start starts all processes and waits until all instances are ready.
+// start starts all processes and returns when all instances are ready.
 func (s *site) start() error {
 	if err := s.startStore(); err != nil {
 		return err
 	}
 	s.operator = newOperator(s)
-	if err := s.operator.put(); err != nil {
+	if err := s.operator.writeConfiguration(); err != nil {
 		return err
 	}
 	if err := s.startEndpoints(); err != nil {
@@ -79,12 +80,12 @@
 	if err != nil {
 		return err
 	}
-	s.storeAt = outside.NewStoreHandle(control)
+	s.storeHandle = outside.NewStoreHandle(control)
 	up := func() bool {
-		_, err := s.storeAt.Address()
+		_, err := s.storeHandle.Address()
 		return err == nil
 	}
-	if !processes.Poll(upLimit, up) {
+	if !processes.Poll(startTimeout, up) {
 		return fmt.Errorf("the store does not come up")
 	}
 	return nil
@@ -96,8 +97,8 @@
 		ips = append(ips, fmt.Sprintf(endpointIPs, i+1))
 	}
 	for i, ip := range ips {
-		e := &endpoint{site: s, place: i, ip: ip}
-		if err := e.begin(); err != nil {
+		e := &endpoint{site: s, index: i, ip: ip}
+		if err := e.startNext(); err != nil {
 			return err
 		}
 		s.endpoints = append(s.endpoints, e)
@@ -117,7 +118,7 @@
 	for _, ip := range ips[:min(len(ips), 3)] {
 		seeds = append(seeds, fmt.Sprintf("%s:%d", ip, ports.Callers))
 	}
-	store, err := s.storeAt.Address()
+	store, err := s.storeHandle.Address()
 	if err != nil {
 		return err
 	}
@@ -136,10 +137,10 @@
 
 // awaitReady waits until all instances are ready.
 func (s *site) awaitReady() error {
-	// A connection that is kept would be taken for a caller's.
+	// An idle keep-alive connection would be counted as an open connection of a caller.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, one := range s.instances {
-		if !processes.Poll(upLimit, func() bool { return processes.Answers(client, one.ready) }) {
+		if !processes.Poll(startTimeout, func() bool { return processes.Answers(client, one.ready) }) {
 			return fmt.Errorf("%s does not become ready", one.name)
 		}
 	}
@@ -154,7 +155,7 @@
 	return targets
 }
 
-// close ends all processes by plan; instances first, so that the others' ends disturb nobody.
+// close stops all processes. Instances stop first, so that stopping the store and the endpoints disturbs no instance.
 func (s *site) close() {
 	var ending sync.WaitGroup
 	for _, one := range s.instances {
@@ -166,17 +167,17 @@
 	}
 	ending.Wait()
 	if s.store != nil {
-		s.store.End(endLimit)
+		s.store.End(stopTimeout)
 	}
 }
 
-// journals gives the files in which endpoints note their runs.
+// journals returns the paths of the files in which endpoints record their runs.
 func (s *site) journals() ([]string, error) {
 	return filepath.Glob(filepath.Join(s.folder, "*.runs.jsonl"))
 }
 
-// notes collects what the soak itself did, for the record.
-type notes struct {
+// recorder collects the actions of the soak itself and the process exits for the record of the run.
+type recorder struct {
 	mutex       sync.Mutex
 	disruptions []ledger.Disruption
 	departures  []ledger.Departure
@@ -185,25 +186,25 @@
 	overfull    int
 }
 
-func (n *notes) disrupt(trouble ledger.Trouble, target string, from, to time.Time) {
+func (n *recorder) addDisruption(trouble ledger.Trouble, target string, from, to time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.disruptions = append(n.disruptions, ledger.Disruption{Trouble: trouble, Target: target, From: from, To: to})
 }
 
-func (n *notes) depart(id string, acknowledged time.Time) {
+func (n *recorder) addDeparture(id string, acknowledged time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.departures = append(n.departures, ledger.Departure{Endpoint: id, Acknowledged: acknowledged})
 }
 
-func (n *notes) name(naming ledger.Naming) {
+func (n *recorder) addNaming(naming ledger.Naming) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.namings = append(n.namings, naming)
 }
 
-func (n *notes) exit(exit ledger.Exit) {
+func (n *recorder) exit(exit ledger.Exit) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
 	n.exits = append(n.exits, exit)
--- a/tools/soak/usage.go
+++ b/tools/soak/usage.go
@@ -16,21 +16,21 @@
 	"github.com/shelfledge/shelfledge/tools/soak/ledger"
 )
 
-// settleLimit is how long after the last caller has left its connections may still be open at an instance.
-const settleLimit = 5 * time.Second
+// socketCloseTimeout is how long an instance may take to close its callers' connections after the last caller has left.
+const socketCloseTimeout = 5 * time.Second
 
-// usages gives what each instance holds once its callers have left.
+// usages returns the resource usage of each instance after its callers have left.
 func (s *site) usages() []ledger.Usage {
 	var all []ledger.Usage
 	for _, one := range s.instances {
 		var usage ledger.Usage
 		var failed error
-		processes.Poll(settleLimit, func() bool {
+		processes.Poll(socketCloseTimeout, func() bool {
 			usage, failed = one.usage()
 			return failed != nil || usage.CallerSockets == 0
 		})
 		if failed != nil {
-			// An instance that is being started again holds nothing yet.
+			// An instance that is being restarted has no usage to measure.
 			s.log.WithError(failed).WithField("instance", one.name).Debug("no usage")
 			continue
 		}
@@ -56,7 +56,7 @@
 	return usage, err
 }
 
-// peakKB gives the most memory that a process has held.
+// peakKB returns the peak resident memory of a process in KB.
 func peakKB(pid int) (int, error) {
 	status, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -78,7 +78,7 @@
 	closeWait   = "08"
 )
 
-// openSockets counts the connections at an address of this host that its process has not closed.
+// openSockets returns the number of TCP connections at a local address that the local process has not closed.
 func openSockets(local netip.AddrPort) (int, error) {
 	table, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
