--- a/tools/soak/ledger/check.go
+++ b/tools/soak/ledger/check.go
@@ -36,7 +36,7 @@
 	CheckEndpoint    = "an endpoint saw a promise broken"
 )
 
-// All are the checks of a record, by name.
+// All holds the checks of a record by name.
 var All = map[string]func(*Record) []Finding{
 	CheckLost: checkLost, CheckUnexplained: checkUnexplained, CheckNotRun: checkNotRun, CheckOnce: checkOnce, CheckWhole: checkWhole,
 	CheckHeld: checkHeld, CheckDenied: checkDenied, CheckDeparted: checkDeparted, CheckVersion: checkVersion, CheckPlaces: checkPlaces,
@@ -45,7 +45,7 @@
 	CheckEndpoint: checkEndpoint,
 }
 
-// Judge runs all checks; their order does not matter, that of the findings is by check.
+// Judge runs all checks and returns their findings, ordered by the name of the check.
 func Judge(r *Record) []Finding {
 	names := make([]string, 0, len(All))
 	for name := range All {
@@ -59,13 +59,13 @@
 	return findings
 }
 
-// runs gives the begun runs and their ends by request.
+// runs holds the begins and the ends of the runs of one request.
 type runs struct {
 	began []platformstandin.RunEvent
 	ended []platformstandin.RunEvent
 }
 
-// canceled is when the last run ended that its instance ended; zero for none.
+// canceled returns when the last run that was canceled by its instance ended. It returns the zero time if there is none.
 func (r *runs) canceled() time.Time {
 	var last time.Time
 	for _, event := range r.ended {
@@ -93,7 +93,7 @@
 	return all
 }
 
-// lag is the allowance for a starved host within a span.
+// lag returns the time by which bounds are extended within a span because the host was overloaded.
 func (r *Record) lag(from, to time.Time) time.Duration {
 	if r.Lag == nil {
 		return 0
@@ -101,27 +101,27 @@
 	return r.Lag(from, to)
 }
 
-// struck reports whether a process had one of the troubles within a span.
-func (r *Record) struck(target string, from, to time.Time, troubles ...Trouble) bool {
+// disrupted reports whether one of the given kinds of disruption affected the target within a span.
+func (r *Record) disrupted(target string, from, to time.Time, troubles ...Trouble) bool {
 	return slices.ContainsFunc(r.Disruptions, func(d Disruption) bool {
 		return d.Target == target && slices.Contains(troubles, d.Trouble) && d.overlaps(from, to)
 	})
 }
 
 const (
-	// deadlineSlack is how long before its deadline the end of a request still counts as the deadline's, and noticeSlack how long before
-	// the soak noted a kill its effect may be seen.
+	// deadlineSlack is how long before its deadline a request may end and still count as ended by the deadline. noticeSlack is how long
+	// the effect of a disruption may precede the time that the soak recorded for the disruption.
 	deadlineSlack = 150 * time.Millisecond
 	noticeSlack   = 50 * time.Millisecond
-	// crossing is how near to the idle limit a request and the close of its connection may cross.
-	crossing = 100 * time.Millisecond
-	// lateStop is how long after the signal of a stop a request may be sent and still be cut off at the end of the grace: the
-	// platform's own allowance.
+	// idleCrossing is how long before the idle limit a request may be sent and still cross with the close of its idle connection.
+	idleCrossing = 100 * time.Millisecond
+	// lateStop is how long after the stop signal a request may be sent and still be cut off at the end of the grace. The platform
+	// allows this time.
 	lateStop = 3 * time.Second
 )
 
-// checkLost finds requests that ran and whose connection ended without a whole answer, though neither caller, endpoint nor deadline
-// ended them and no process on their way was killed.
+// checkLost finds requests that ran and whose connection ended without a whole answer, although none of caller, endpoint and deadline
+// ended the request and no process on its path was killed.
 func checkLost(r *Record) []Finding {
 	var findings []Finding
 	byRequest := r.runsByRequest()
@@ -139,7 +139,7 @@
 func (r *Record) lossExcused(a Attempt, run *runs) bool {
 	from := a.Began.Add(-noticeSlack)
 	switch {
-	case r.struck(a.Instance, from, a.Ended, Kill, LinkBroken):
+	case r.disrupted(a.Instance, from, a.Ended, Kill, LinkBroken):
 		return true
 	case a.Ended.Sub(a.Began) >= a.Patience-deadlineSlack:
 		return true
@@ -149,7 +149,8 @@
 	return r.endpointBroke(a, run)
 }
 
-// routeTimedOut reports whether the request lasted for a time-out of its route that may have been in force when it was sent.
+// routeTimedOut reports whether the request lasted as long as a time-out of its route that may have been in force when the request was
+// sent.
 func (r *Record) routeTimedOut(a Attempt) bool {
 	for i, limit := range r.Limits {
 		if !slices.ContainsFunc(limit.Prefixes, func(prefix string) bool { return strings.HasPrefix(a.Path, prefix) }) {
@@ -163,21 +164,22 @@
 	return false
 }
 
-// cutByGrace reports whether an instance that stopped cut the request off at the end of its grace. A caller that reads slowly sees the end
-// later than its endpoint.
+// cutByGrace reports whether a stopping instance cut the request off at the end of its grace. The end of the run at the endpoint counts
+// if it is earlier than the end that the caller observed, because a caller that reads slowly observes the end later.
 func (r *Record) cutByGrace(a Attempt, run *runs) bool {
 	ended := a.Ended
 	if last := run.canceled(); !last.IsZero() && last.Before(ended) {
 		ended = last
 	}
 	return slices.ContainsFunc(r.Disruptions, func(d Disruption) bool {
-		return d.Trouble == Stop && d.Target == a.Instance && a.Sent.Before(r.signalTaken(d).Add(lateStop)) &&
+		return d.Trouble == Stop && d.Target == a.Instance && a.Sent.Before(r.stopReceived(d).Add(lateStop)) &&
 			!ended.Before(d.From.Add(r.Bounds.Grace-r.Bounds.GraceMargin-noticeSlack)) && !ended.After(d.To.Add(time.Second))
 	})
 }
 
-// signalTaken is when an instance learnt that it was to stop: one that stood still when the signal was sent learns it once it goes on.
-func (r *Record) signalTaken(stop Disruption) time.Time {
+// stopReceived returns when an instance received a stop signal. An instance that was frozen when the signal was sent receives it when the
+// freeze ends.
+func (r *Record) stopReceived(stop Disruption) time.Time {
 	taken := stop.From
 	for again := true; again; {
 		again = false
@@ -190,7 +192,7 @@
 	return taken
 }
 
-// endpointBroke reports whether an endpoint of the request ended its run by itself, or was ended.
+// endpointBroke reports whether an endpoint of the request broke off the run, or was itself disrupted during the request.
 func (r *Record) endpointBroke(a Attempt, run *runs) bool {
 	for _, ended := range run.ended {
 		if ended.Phase == platformstandin.RunBroke {
@@ -198,15 +200,15 @@
 		}
 	}
 	for _, began := range run.began {
-		if r.struck(began.Endpoint, a.Began.Add(-noticeSlack), a.Ended, EndpointEnds, LinkBroken) {
+		if r.disrupted(began.Endpoint, a.Began.Add(-noticeSlack), a.Ended, EndpointEnds, LinkBroken) {
 			return true
 		}
 	}
 	return false
 }
 
-// checkUnexplained finds requests that did not run and whose connection closed though nothing was at hand that closes connections: no
-// stop, kill or broken link, not the idle limit, and no end that the caller could have seen before it sent.
+// checkUnexplained finds requests that did not run and whose connection closed without a known reason. Known reasons are a stop, a kill
+// or a broken link, the idle limit, the deadline, and a close that the caller could have detected before it sent the request.
 func checkUnexplained(r *Record) []Finding {
 	var findings []Finding
 	byRequest := r.runsByRequest()
@@ -214,10 +216,10 @@
 		if a.Outcome != Closed || byRequest[a.ID] != nil || a.ClosedBefore || a.Malformed {
 			continue
 		}
-		if r.struck(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Kill, LinkBroken) || r.crossedStop(a) {
+		if r.disrupted(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Kill, LinkBroken) || r.crossedStop(a) {
 			continue
 		}
-		if a.Use > 0 && a.Rested >= r.Bounds.IdleLimit-crossing {
+		if a.Use > 0 && a.Rested >= r.Bounds.IdleLimit-idleCrossing {
 			continue
 		}
 		if a.Ended.Sub(a.Began) >= a.Patience-deadlineSlack {
@@ -228,14 +230,14 @@
 	return findings
 }
 
-// stopCrossing is how soon after it was sent a request's connection may close that an instance closes because it stops. One that is open
-// longer was taken, and is told of the end.
+// stopCrossing is how long after a request was sent a stopping instance may close the connection without an answer. A request on a
+// connection that stays open longer was accepted, and the instance has to answer it.
 const stopCrossing = time.Second
 
-// crossedStop reports whether a request crossed with the close of its connection by an instance that stops.
+// crossedStop reports whether a request crossed with the close of its connection by a stopping instance.
 func (r *Record) crossedStop(a Attempt) bool {
 	held := a.Ended.Sub(a.Sent) - r.frozen(a.Instance, a.Sent, a.Ended) - r.lag(a.Sent, a.Ended)
-	return held < stopCrossing && r.struck(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Stop)
+	return held < stopCrossing && r.disrupted(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Stop)
 }
 
 func checkNotRun(r *Record) []Finding {
@@ -270,7 +272,7 @@
 	return findings
 }
 
-// heldSlack is how long after its deadline a request may still be without an end, as the platform allows.
+// heldSlack is how long after its deadline a request may still be open. The platform allows this time.
 const heldSlack = 500 * time.Millisecond
 
 func checkHeld(r *Record) []Finding {
@@ -279,7 +281,7 @@
 		if a.OnPlan || a.Outcome != Left {
 			continue
 		}
-		if r.struck(a.Instance, a.Began, a.Ended, Freeze, Kill, LinkBroken) {
+		if r.disrupted(a.Instance, a.Began, a.Ended, Freeze, Kill, LinkBroken) {
 			continue
 		}
 		if held := a.Ended.Sub(a.Began); held > a.Patience+heldSlack+r.lag(a.Began, a.Ended) {
@@ -289,12 +291,13 @@
 	return findings
 }
 
-// checkDenied finds statuses that say that a proper request is none, outside the time in which its route comes into force.
+// checkDenied finds well-formed requests that were answered with a client error (4xx), outside the time in which the route of the
+// request comes into force.
 func checkDenied(r *Record) []Finding {
 	var findings []Finding
 	for _, a := range r.Attempts {
 		own := a.Outcome == Failed && a.Status >= 400 && a.Status < 500
-		if !own || a.Malformed || r.routeComes(a) {
+		if !own || a.Malformed || r.routeChanging(a) {
 			continue
 		}
 		findings = append(findings, Finding{CheckDenied, a.ID, fmt.Sprintf("%d for %s at %s: %s", a.Status, a.Path, a.Instance, a.Cause)})
@@ -302,13 +305,14 @@
 	return findings
 }
 
-// routeComes reports whether the attempt's route was not yet, or no longer, to be in force everywhere.
-func (r *Record) routeComes(a Attempt) bool {
+// routeChanging reports whether the attempt's route need not have been in force on all instances, because it was added or removed
+// around the time of the attempt or because a disruption delayed the configuration.
+func (r *Record) routeChanging(a Attempt) bool {
 	for _, added := range r.Additions {
 		if len(a.Path) < len(added.Prefix) || a.Path[:len(added.Prefix)] != added.Prefix {
 			continue
 		}
-		if r.struck("", added.Acknowledged.Add(-contact), a.Ended, StoreTroubled) || r.struck(a.Instance, a.Began.Add(-contact), a.Ended, Freeze, StoreTroubled) {
+		if r.disrupted("", added.Acknowledged.Add(-contact), a.Ended, StoreTroubled) || r.disrupted(a.Instance, a.Began.Add(-contact), a.Ended, Freeze, StoreTroubled) {
 			return true
 		}
 		inForce := added.Acknowledged.Add(r.Bounds.Apply + r.lag(added.Acknowledged, a.Ended))
@@ -317,19 +321,19 @@
 	return false
 }
 
-// contact is for how long the store and an instance must have been without trouble before a bound from an acknowledgement holds: the
-// platform's own.
+// contact is how long the store and an instance must have been undisrupted before an acknowledgement for a bound from that
+// acknowledgement to hold. The platform uses the same time.
 const contact = 3 * time.Second
 
-// inTouch reports whether a bound from an acknowledgement on holds for a run: neither the store nor the instance that sent it had
-// trouble meanwhile.
-func (r *Record) inTouch(event platformstandin.RunEvent, acknowledged time.Time) bool {
-	if r.struck("", acknowledged.Add(-contact), event.At, StoreTroubled) {
+// boundHolds reports whether a bound from an acknowledgement holds for a run: neither the store nor the instance that sent the run was
+// disrupted between contact before the acknowledgement and the run.
+func (r *Record) boundHolds(event platformstandin.RunEvent, acknowledged time.Time) bool {
+	if r.disrupted("", acknowledged.Add(-contact), event.At, StoreTroubled) {
 		return false
 	}
 	for _, a := range r.Attempts {
 		if a.ID == event.ID {
-			return !r.struck(a.Instance, acknowledged.Add(-contact), event.At, Freeze, StoreTroubled)
+			return !r.disrupted(a.Instance, acknowledged.Add(-contact), event.At, Freeze, StoreTroubled)
 		}
 	}
 	return true
@@ -342,7 +346,7 @@
 			if event.Phase != platformstandin.RunBegan || event.Endpoint != left.Endpoint {
 				continue
 			}
-			if late := event.At.Sub(left.Acknowledged); late > r.Bounds.Drain+r.lag(left.Acknowledged, event.At) && r.inTouch(event, left.Acknowledged) {
+			if late := event.At.Sub(left.Acknowledged); late > r.Bounds.Drain+r.lag(left.Acknowledged, event.At) && r.boundHolds(event, left.Acknowledged) {
 				findings = append(findings, Finding{CheckDeparted, event.ID, fmt.Sprintf("%s began it %s after it had said that it leaves", event.Endpoint, late)})
 			}
 		}
@@ -357,7 +361,7 @@
 			if event.Phase != platformstandin.RunBegan || event.Adapter != named.Adapter || event.Version >= named.Version {
 				continue
 			}
-			if late := event.At.Sub(named.Acknowledged); late > r.Bounds.Version+r.lag(named.Acknowledged, event.At) && r.inTouch(event, named.Acknowledged) {
+			if late := event.At.Sub(named.Acknowledged); late > r.Bounds.Version+r.lag(named.Acknowledged, event.At) && r.boundHolds(event, named.Acknowledged) {
 				findings = append(findings, Finding{CheckVersion, event.ID, fmt.Sprintf("%s began %s@%d %s after version %d was named",
 					event.Endpoint, event.Adapter, event.Version, late, named.Version)})
 			}
@@ -382,17 +386,17 @@
 }
 
 const (
-	// hungUp is how a process ends that SIGHUP ends.
-	hungUp = "signal: hangup"
-	// takesSignals is after what time a program takes signals at the latest, if its host is not starved: until its own code runs, SIGHUP
-	// ends any process.
-	takesSignals = 15 * time.Millisecond
+	// hangupError is the error of a process that SIGHUP ended.
+	hangupError = "signal: hangup"
+	// signalSetupTime is the longest time that a program takes to install its signal handlers on a host that is not overloaded. Until
+	// the program's own code runs, SIGHUP ends any process.
+	signalSetupTime = 15 * time.Millisecond
 )
 
 func checkExit(r *Record) []Finding {
 	var findings []Finding
 	for _, e := range r.Exits {
-		early := e.Error == hungUp && e.Lived < takesSignals+r.lag(e.At.Add(-e.Lived), e.At)
+		early := e.Error == hangupError && e.Lived < signalSetupTime+r.lag(e.At.Add(-e.Lived), e.At)
 		if !e.Asked && !early {
 			findings = append(findings, Finding{Check: CheckExit, Text: fmt.Sprintf("%s: %s", e.Instance, e.Error)})
 		}
@@ -411,7 +415,7 @@
 	return findings
 }
 
-// frozen is for how long an instance stood still within a span: one that is frozen cannot end.
+// frozen returns how long an instance was frozen by the freezes that overlap a span. A frozen instance cannot end.
 func (r *Record) frozen(instance string, from, to time.Time) time.Duration {
 	var sum time.Duration
 	for _, d := range r.Disruptions {
@@ -422,7 +426,8 @@
 	return sum
 }
 
-// checkBudget counts, in windows of the budget's length, the begun runs beyond the first of each request.
+// checkBudget finds windows, of the length of the retry budget's window, in which more retries began than the budget allows. Every
+// begun run of a request but the first is a retry.
 func checkBudget(r *Record) []Finding {
 	if r.Bounds.BudgetWindow == 0 {
 		return nil
@@ -447,20 +452,20 @@
 	return findings
 }
 
-// CutStreams counts streams that may be resumed and that ended in their middle though their callers still listened: more is lost than
-// must be where their endpoint lives.
+// CutStreams returns the number of resumable streams that ended early although their callers were still reading. Where the endpoint of
+// such a stream is alive, the loss is avoidable.
 func CutStreams(r *Record) int {
 	count := 0
 	byRequest := r.runsByRequest()
 	for _, a := range r.Attempts {
-		if a.Kind == Resumable && a.Outcome == Closed && byRequest[a.ID] != nil && !r.struck(a.Instance, a.Began, a.Ended, Kill, Stop) {
+		if a.Kind == Resumable && a.Outcome == Closed && byRequest[a.ID] != nil && !r.disrupted(a.Instance, a.Began, a.Ended, Kill, Stop) {
 			count++
 		}
 	}
 	return count
 }
 
-// checkLeak finds instances that hold connections whose callers have closed them.
+// checkLeak finds instances that still hold connections that their callers have closed.
 func checkLeak(r *Record) []Finding {
 	var findings []Finding
 	for _, u := range r.Usages {
@@ -471,13 +476,14 @@
 	return findings
 }
 
-// Unrun counts requests that did not run and whose connection closed without an answer.
+// Unrun holds the numbers of requests that did not run and whose connection closed without an answer: of all of them, of those about
+// the idle limit and of those during a stop.
 type Unrun struct {
 	All, Idle, Stop int
 }
 
-// Unanswered counts them, those about the idle limit and those beside a stop each for itself. Callers that had been told before that
-// their connection ended are left out.
+// Unanswered counts the requests that did not run and whose connection closed without an answer. Requests that were sent after the close
+// of the connection had arrived at the caller are left out, and so are malformed requests.
 func Unanswered(r *Record) Unrun {
 	var count Unrun
 	byRequest := r.runsByRequest()
@@ -487,9 +493,9 @@
 		}
 		count.All++
 		switch {
-		case r.struck(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Stop):
+		case r.disrupted(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Stop):
 			count.Stop++
-		case a.Use > 0 && a.Rested >= r.Bounds.IdleLimit-crossing:
+		case a.Use > 0 && a.Rested >= r.Bounds.IdleLimit-idleCrossing:
 			count.Idle++
 		}
 	}
--- a/tools/soak/ledger/check_test.go
+++ b/tools/soak/ledger/check_test.go
@@ -20,8 +20,8 @@
 
 const second = time.Second
 
-// sound is a record in which nothing is broken.
-func sound() *ledger.Record {
+// validRecord returns a record without violations.
+func validRecord() *ledger.Record {
 	return &ledger.Record{
 		Attempts: []ledger.Attempt{{
 			ID: "r", Kind: ledger.Unsafe, Path: "/hold/x", Instance: "a", Use: 1, Rested: second / 2, Began: at(10 * second), Sent: at(10 * second),
@@ -38,36 +38,37 @@
 	}
 }
 
-// closed has the request's connection end without an answer.
-func closed(r *ledger.Record) { r.Attempts[0].Outcome = ledger.Closed }
+// closeConnection makes the connection of the request end without an answer.
+func closeConnection(r *ledger.Record) { r.Attempts[0].Outcome = ledger.Closed }
 
-// unrun takes the runs out.
-func unrun(r *ledger.Record) { r.Runs = nil }
+// removeRuns removes all runs, so that the request did not run.
+func removeRuns(r *ledger.Record) { r.Runs = nil }
 
-func disrupted(trouble ledger.Trouble, target string, from, to time.Duration) func(*ledger.Record) {
+func addDisruption(trouble ledger.Trouble, target string, from, to time.Duration) func(*ledger.Record) {
 	return func(r *ledger.Record) {
 		r.Disruptions = append(r.Disruptions, ledger.Disruption{Trouble: trouble, Target: target, From: at(from), To: at(to)})
 	}
 }
 
-// lasted has the request end after a time.
-func lasted(span time.Duration) func(*ledger.Record) {
+// setDuration returns a change that makes the request last for the span.
+func setDuration(span time.Duration) func(*ledger.Record) {
 	return func(r *ledger.Record) { r.Attempts[0].Ended = r.Attempts[0].Began.Add(span) }
 }
 
-// limited has the time-out of the request's route change at a moment.
-func limited(timeout, when time.Duration) func(*ledger.Record) {
+// addRouteTimeout returns a change that sets the time-out of the request's route at the given time after start.
+func addRouteTimeout(timeout, when time.Duration) func(*ledger.Record) {
 	return func(r *ledger.Record) {
 		r.Limits = append(r.Limits, ledger.Limit{Prefixes: []string{"/hold/"}, Timeout: timeout, Sent: at(when), Acknowledged: at(when)})
 	}
 }
 
-func rested(span time.Duration) func(*ledger.Record) {
+func setIdleTime(span time.Duration) func(*ledger.Record) {
 	return func(r *ledger.Record) { r.Attempts[0].Rested = span }
 }
 
-// TestEachCheckFindsWhatItIsFor puts a fault in, and then what excuses it.
-func TestEachCheckFindsWhatItIsFor(t *testing.T) {
+// TestChecksFindFaults applies changes to a valid record: a fault alone, which its check must find, and the fault with a reason that
+// excuses it, which no check may report.
+func TestChecksFindFaults(t *testing.T) {
 	type change = func(*ledger.Record)
 	exit := func(e ledger.Exit) change { return func(r *ledger.Record) { r.Exits = []ledger.Exit{e} } }
 	cases := []struct {
@@ -75,134 +76,134 @@
 		fault []change
 		check string
 	}{
-		{"nothing", nil, ""},
-		{"a request that ran got no answer", []change{closed}, ledger.CheckLost},
-		{"beside a kill of its instance", []change{closed, disrupted(ledger.Kill, "a", 10*second, 11*second)}, ""},
-		{"beside a kill of another", []change{closed, disrupted(ledger.Kill, "b", 10*second, 11*second)}, ledger.CheckLost},
-		{"beside a stop", []change{closed, disrupted(ledger.Stop, "a", 9*second, 17*second)}, ledger.CheckLost},
-		{"beside a hang-up", []change{closed, disrupted(ledger.Hangup, "a", 10*second, 10*second)}, ledger.CheckLost},
-		{"beside a freeze", []change{closed, disrupted(ledger.Freeze, "a", 9*second, 11*second)}, ledger.CheckLost},
-		{"at the idle limit", []change{closed, rested(2 * second)}, ledger.CheckLost},
-		{"at the end of the grace", []change{closed, disrupted(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
+		{"no fault", nil, ""},
+		{"ran and closed", []change{closeConnection}, ledger.CheckLost},
+		{"ran and closed, instance killed", []change{closeConnection, addDisruption(ledger.Kill, "a", 10*second, 11*second)}, ""},
+		{"ran and closed, other instance killed", []change{closeConnection, addDisruption(ledger.Kill, "b", 10*second, 11*second)}, ledger.CheckLost},
+		{"ran and closed, instance stopping", []change{closeConnection, addDisruption(ledger.Stop, "a", 9*second, 17*second)}, ledger.CheckLost},
+		{"ran and closed, SIGHUP to instance", []change{closeConnection, addDisruption(ledger.Hangup, "a", 10*second, 10*second)}, ledger.CheckLost},
+		{"ran and closed, instance frozen", []change{closeConnection, addDisruption(ledger.Freeze, "a", 9*second, 11*second)}, ledger.CheckLost},
+		{"ran and closed, idle limit reached", []change{closeConnection, setIdleTime(2 * second)}, ledger.CheckLost},
+		{"ran and closed, grace ended", []change{closeConnection, addDisruption(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
 			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(16*second)
 		}}, ""},
-		{"at the end of the grace, seen late by a slow reader", []change{closed, disrupted(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
+		{"ran and closed, grace ended, slow reader sees it late", []change{closeConnection, addDisruption(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
 			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(18*second)
 			r.Runs[1].Phase, r.Runs[1].At = platformstandin.RunCanceled, at(16*second)
 		}}, ""},
-		{"before the end of the grace, seen at it by a slow reader", []change{closed, disrupted(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
+		{"ran and canceled before end of grace, slow reader sees it at end of grace", []change{closeConnection, addDisruption(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
 			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(16*second)
 			r.Runs[1].Phase, r.Runs[1].At = platformstandin.RunCanceled, at(12*second)
 		}}, ledger.CheckLost},
-		{"at the end of the grace, but sent late", []change{closed, disrupted(ledger.Stop, "a", 6*second, 14*second), func(r *ledger.Record) {
+		{"ran and closed, grace ended, sent late after stop signal", []change{closeConnection, addDisruption(ledger.Stop, "a", 6*second, 14*second), func(r *ledger.Record) {
 			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(14*second)
 		}}, ledger.CheckLost},
-		{"at the end of the grace, sent late to an instance that stood still at the signal", []change{
-			closed, disrupted(ledger.Stop, "a", 6*second, 14*second), disrupted(ledger.Freeze, "a", 5*second, 7*second),
-			disrupted(ledger.Freeze, "a", 7*second, 8*second), func(r *ledger.Record) {
+		{"ran and closed, grace ended, sent late, instance frozen at stop signal", []change{
+			closeConnection, addDisruption(ledger.Stop, "a", 6*second, 14*second), addDisruption(ledger.Freeze, "a", 5*second, 7*second),
+			addDisruption(ledger.Freeze, "a", 7*second, 8*second), func(r *ledger.Record) {
 				r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(14*second)
 			},
 		}, ""},
-		{"at the end of the grace, sent late to an instance that stood still after the signal", []change{
-			closed, disrupted(ledger.Stop, "a", 6*second, 14*second), disrupted(ledger.Freeze, "a", 6*second+1, 8*second), func(r *ledger.Record) {
+		{"ran and closed, grace ended, sent late, instance frozen after stop signal", []change{
+			closeConnection, addDisruption(ledger.Stop, "a", 6*second, 14*second), addDisruption(ledger.Freeze, "a", 6*second+1, 8*second), func(r *ledger.Record) {
 				r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(14*second)
 			},
 		}, ledger.CheckLost},
-		{"at its deadline", []change{closed, func(r *ledger.Record) { r.Attempts[0].Ended = at(14 * second) }}, ""},
-		{"at its route's time-out", []change{closed, lasted(3 * second), limited(3*second, 5*second)}, ""},
-		{"before its route's time-out", []change{closed, lasted(2 * second), limited(3*second, 5*second)}, ledger.CheckLost},
-		{"at another route's time-out", []change{closed, lasted(3 * second), limited(3*second, 5*second), func(r *ledger.Record) { r.Attempts[0].Path = "/status/x" }}, ledger.CheckLost},
-		{"at a former time-out that may be in force", []change{closed, lasted(3 * second), limited(3*second, 5*second), limited(9*second, 9*second)}, ""},
-		{"at a former time-out", []change{closed, lasted(3 * second), limited(3*second, 5*second), limited(9*second, 7*second)}, ledger.CheckLost},
-		{"at a later time-out", []change{closed, lasted(3 * second), limited(3*second, 11*second)}, ledger.CheckLost},
-		{"by its endpoint", []change{closed, func(r *ledger.Record) { r.Runs[1].Phase = platformstandin.RunBroke }}, ""},
-		{"by its endpoint's end", []change{closed, disrupted(ledger.EndpointEnds, "e", 10*second, 11*second)}, ""},
-
-		{"closed and not run", []change{closed, unrun}, ledger.CheckUnexplained},
-		{"closed and not run, in a stop", []change{closed, unrun, disrupted(ledger.Stop, "a", 9*second, 11*second)}, ""},
-		{"closed and not run, long after it came, in a stop", []change{closed, unrun, disrupted(ledger.Stop, "a", 9*second, 13*second), func(r *ledger.Record) {
+		{"ran and closed, deadline reached", []change{closeConnection, func(r *ledger.Record) { r.Attempts[0].Ended = at(14 * second) }}, ""},
+		{"ran and closed, route timed out", []change{closeConnection, setDuration(3 * second), addRouteTimeout(3*second, 5*second)}, ""},
+		{"ran and closed, before time-out of route", []change{closeConnection, setDuration(2 * second), addRouteTimeout(3*second, 5*second)}, ledger.CheckLost},
+		{"ran and closed, time-out of other route", []change{closeConnection, setDuration(3 * second), addRouteTimeout(3*second, 5*second), func(r *ledger.Record) { r.Attempts[0].Path = "/status/x" }}, ledger.CheckLost},
+		{"ran and closed, previous time-out possibly in force", []change{closeConnection, setDuration(3 * second), addRouteTimeout(3*second, 5*second), addRouteTimeout(9*second, 9*second)}, ""},
+		{"ran and closed, previous time-out no longer in force", []change{closeConnection, setDuration(3 * second), addRouteTimeout(3*second, 5*second), addRouteTimeout(9*second, 7*second)}, ledger.CheckLost},
+		{"ran and closed, time-out set after request", []change{closeConnection, setDuration(3 * second), addRouteTimeout(3*second, 11*second)}, ledger.CheckLost},
+		{"ran and closed, endpoint broke off", []change{closeConnection, func(r *ledger.Record) { r.Runs[1].Phase = platformstandin.RunBroke }}, ""},
+		{"ran and closed, endpoint ended", []change{closeConnection, addDisruption(ledger.EndpointEnds, "e", 10*second, 11*second)}, ""},
+
+		{"not run and closed", []change{closeConnection, removeRuns}, ledger.CheckUnexplained},
+		{"not run and closed, instance stopping", []change{closeConnection, removeRuns, addDisruption(ledger.Stop, "a", 9*second, 11*second)}, ""},
+		{"not run and closed late, instance stopping", []change{closeConnection, removeRuns, addDisruption(ledger.Stop, "a", 9*second, 13*second), func(r *ledger.Record) {
 			r.Attempts[0].Ended = at(12 * second)
 		}}, ledger.CheckUnexplained},
-		{"the same while the instance stood still", []change{closed, unrun, disrupted(ledger.Stop, "a", 9*second, 13*second), func(r *ledger.Record) {
+		{"not run and closed late, instance stopping and frozen", []change{closeConnection, removeRuns, addDisruption(ledger.Stop, "a", 9*second, 13*second), func(r *ledger.Record) {
 			r.Attempts[0].Ended = at(12 * second)
 			r.Disruptions = append(r.Disruptions, ledger.Disruption{Trouble: ledger.Freeze, Target: "a", From: at(10 * second), To: at(12 * second)})
 		}}, ""},
-		{"an endpoint saw it", []change{func(r *ledger.Record) { r.Broken = []string{"an adapter was unloaded"} }}, ledger.CheckEndpoint},
-		{"closed and not run, at the idle limit", []change{closed, unrun, rested(2 * second)}, ""},
-		{"closed and not run, first on its connection", []change{closed, unrun, rested(2 * second), func(r *ledger.Record) { r.Attempts[0].Use = 0 }}, ledger.CheckUnexplained},
-		{"closed before it was sent", []change{closed, unrun, func(r *ledger.Record) { r.Attempts[0].ClosedBefore = true }}, ""},
-
-		{"refused, but it ran", []change{func(r *ledger.Record) { r.Attempts[0].Outcome = ledger.Refused }}, ledger.CheckNotRun},
-		{"refused, and it did not run", []change{unrun, func(r *ledger.Record) { r.Attempts[0].Outcome = ledger.Refused }}, ""},
-		{"ran twice", []change{func(r *ledger.Record) { r.Runs = append(r.Runs, r.Runs[0]) }}, ledger.CheckOnce},
-		{"ran twice as it may", []change{func(r *ledger.Record) { r.Runs, r.Attempts[0].Kind = append(r.Runs, r.Runs[0]), ledger.Safe }}, ""},
-		{"another's answer", []change{func(r *ledger.Record) { r.Attempts[0].Wrong = "it answers another" }}, ledger.CheckWhole},
-		{"held too long", []change{func(r *ledger.Record) {
+		{"violation detected by endpoint", []change{func(r *ledger.Record) { r.Broken = []string{"an adapter was unloaded"} }}, ledger.CheckEndpoint},
+		{"not run and closed, idle limit reached", []change{closeConnection, removeRuns, setIdleTime(2 * second)}, ""},
+		{"not run and closed, first request of connection", []change{closeConnection, removeRuns, setIdleTime(2 * second), func(r *ledger.Record) { r.Attempts[0].Use = 0 }}, ledger.CheckUnexplained},
+		{"not run, connection closed before request", []change{closeConnection, removeRuns, func(r *ledger.Record) { r.Attempts[0].ClosedBefore = true }}, ""},
+
+		{"refused and ran", []change{func(r *ledger.Record) { r.Attempts[0].Outcome = ledger.Refused }}, ledger.CheckNotRun},
+		{"refused and not run", []change{removeRuns, func(r *ledger.Record) { r.Attempts[0].Outcome = ledger.Refused }}, ""},
+		{"unsafe request ran twice", []change{func(r *ledger.Record) { r.Runs = append(r.Runs, r.Runs[0]) }}, ledger.CheckOnce},
+		{"safe request ran twice", []change{func(r *ledger.Record) { r.Runs, r.Attempts[0].Kind = append(r.Runs, r.Runs[0]), ledger.Safe }}, ""},
+		{"answer to another request", []change{func(r *ledger.Record) { r.Attempts[0].Wrong = "it answers another" }}, ledger.CheckWhole},
+		{"open after deadline", []change{func(r *ledger.Record) {
 			r.Attempts[0].Outcome, r.Attempts[0].Ended = ledger.Left, at(14600*time.Millisecond)
 		}}, ledger.CheckHeld},
-		{"held too long on a starved host", []change{func(r *ledger.Record) {
+		{"open after deadline, host overloaded", []change{func(r *ledger.Record) {
 			r.Attempts[0].Outcome, r.Attempts[0].Ended = ledger.Left, at(14600*time.Millisecond)
 			r.Lag = func(time.Time, time.Time) time.Duration { return second }
 		}}, ""},
-		{"left by plan", []change{func(r *ledger.Record) {
+		{"left as planned", []change{func(r *ledger.Record) {
 			r.Attempts[0].Outcome, r.Attempts[0].Ended, r.Attempts[0].OnPlan = ledger.Left, at(15*second), true
 		}}, ""},
-		{"denied", []change{unrun, func(r *ledger.Record) { r.Attempts[0].Outcome, r.Attempts[0].Status = ledger.Failed, 404 }}, ledger.CheckDenied},
-		{"denied as it is malformed", []change{unrun, func(r *ledger.Record) {
+		{"well-formed request denied", []change{removeRuns, func(r *ledger.Record) { r.Attempts[0].Outcome, r.Attempts[0].Status = ledger.Failed, 404 }}, ledger.CheckDenied},
+		{"malformed request denied", []change{removeRuns, func(r *ledger.Record) {
 			r.Attempts[0].Outcome, r.Attempts[0].Status, r.Attempts[0].Malformed = ledger.Failed, 400, true
 		}}, ""},
-		{"a route that is not yet in force", []change{unrun, func(r *ledger.Record) {
+		{"denied, route not yet in force", []change{removeRuns, func(r *ledger.Record) {
 			r.Attempts[0].Outcome, r.Attempts[0].Status = ledger.Failed, 404
 			r.Additions = []ledger.Addition{{Prefix: "/hold/", Acknowledged: at(9 * second)}}
 		}}, ""},
-		{"a route that is late", []change{unrun, func(r *ledger.Record) {
+		{"denied, route in force", []change{removeRuns, func(r *ledger.Record) {
 			r.Attempts[0].Outcome, r.Attempts[0].Status = ledger.Failed, 404
 			r.Additions = []ledger.Addition{{Prefix: "/hold/", Acknowledged: at(7 * second)}}
 		}}, ledger.CheckDenied},
-		{"an endpoint that left", []change{func(r *ledger.Record) {
+		{"run begun long after departure of endpoint", []change{func(r *ledger.Record) {
 			r.Departures = []ledger.Departure{{Endpoint: "e", Acknowledged: at(7 * second)}}
 		}}, ledger.CheckDeparted},
-		{"an endpoint that leaves", []change{func(r *ledger.Record) {
+		{"run begun soon after departure of endpoint", []change{func(r *ledger.Record) {
 			r.Departures = []ledger.Departure{{Endpoint: "e", Acknowledged: at(9 * second)}}
 		}}, ""},
-		{"an endpoint that left while the store was down", []change{disrupted(ledger.StoreTroubled, "", 8*second, 9*second), func(r *ledger.Record) {
+		{"run begun long after departure of endpoint, store down", []change{addDisruption(ledger.StoreTroubled, "", 8*second, 9*second), func(r *ledger.Record) {
 			r.Departures = []ledger.Departure{{Endpoint: "e", Acknowledged: at(7 * second)}}
 		}}, ""},
-		{"a former version", []change{func(r *ledger.Record) {
+		{"run with previous version, long after new version", []change{func(r *ledger.Record) {
 			r.Namings = []ledger.Naming{{Adapter: "a1", Version: 3, Acknowledged: at(4 * second)}}
 		}}, ledger.CheckVersion},
-		{"a former version in its time", []change{func(r *ledger.Record) {
+		{"run with previous version, soon after new version", []change{func(r *ledger.Record) {
 			r.Namings = []ledger.Naming{{Adapter: "a1", Version: 3, Acknowledged: at(6 * second)}}
 		}}, ""},
-		{"the named version", []change{func(r *ledger.Record) {
+		{"run with new version", []change{func(r *ledger.Record) {
 			r.Namings = []ledger.Naming{{Adapter: "a1", Version: 2, Acknowledged: at(second)}}
 		}}, ""},
-		{"an order beyond the places", []change{func(r *ledger.Record) { r.Overfull = 1 }}, ledger.CheckPlaces},
-		{"an end of its own", []change{exit(ledger.Exit{Instance: "a", At: at(second)})}, ledger.CheckExit},
-		{"an end by a hang-up", []change{exit(ledger.Exit{Instance: "a", At: at(second), Lived: 20 * time.Millisecond, Error: "signal: hangup"})}, ledger.CheckExit},
-		{"an end by a hang-up before its own code runs", []change{
+		{"order beyond places of endpoint", []change{func(r *ledger.Record) { r.Overfull = 1 }}, ledger.CheckPlaces},
+		{"unrequested exit", []change{exit(ledger.Exit{Instance: "a", At: at(second)})}, ledger.CheckExit},
+		{"exit on SIGHUP", []change{exit(ledger.Exit{Instance: "a", At: at(second), Lived: 20 * time.Millisecond, Error: "signal: hangup"})}, ledger.CheckExit},
+		{"exit on SIGHUP before signal handlers are installed", []change{
 			exit(ledger.Exit{Instance: "a", At: at(second), Lived: 3 * time.Millisecond, Error: "signal: hangup"}),
 		}, ""},
-		{"an end that was asked for", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 7 * second})}, ""},
-		{"an end after the grace", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 9 * second})}, ledger.CheckGrace},
-		{"an end after the grace, frozen meanwhile", []change{
-			exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 9 * second}), disrupted(ledger.Freeze, "a", 6*second, 8*second),
+		{"requested exit within grace", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 7 * second})}, ""},
+		{"requested exit after grace", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 9 * second})}, ledger.CheckGrace},
+		{"requested exit after grace, instance frozen", []change{
+			exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 9 * second}), addDisruption(ledger.Freeze, "a", 6*second, 8*second),
 		}, ""},
-		{"a request that crashes endpoints is sent on", []change{func(r *ledger.Record) { *r = *crashing(6*second+1, 4) }}, ledger.CheckCrashing},
-		{"a sound request is held back", []change{func(r *ledger.Record) {
+		{"crashing request forwarded again", []change{func(r *ledger.Record) { *r = *crashingRecord(6*second+1, 4) }}, ledger.CheckCrashing},
+		{"harmless request held back", []change{func(r *ledger.Record) {
 			r.Runs, r.Attempts[0].Outcome, r.Attempts[0].Cause = nil, ledger.Refused, "crashes endpoints"
 		}}, ledger.CheckHeldBack},
-		{"a limit that is not kept", []change{func(r *ledger.Record) {
-			*r = *told(platformstandin.Notice{Limit: "1"}, 120, second/4)
+		{"announced limit exceeded", []change{func(r *ledger.Record) {
+			*r = *noticeRecord(platformstandin.Notice{Limit: "1"}, 120, second/4)
 		}}, ledger.CheckLimit},
-		{"a leaving that was told in vain", []change{func(r *ledger.Record) {
-			*r = *told(platformstandin.Notice{Leaving: true}, 10, second/4)
+		{"request to endpoint after leave notice", []change{func(r *ledger.Record) {
+			*r = *noticeRecord(platformstandin.Notice{Leaving: true}, 10, second/4)
 		}}, ledger.CheckLeaving},
-		{"a rest that was asked for in vain", []change{func(r *ledger.Record) {
-			*r = *told(platformstandin.Notice{Rest: "3"}, 4, 7*second/10)
+		{"requests within announced rest", []change{func(r *ledger.Record) {
+			*r = *noticeRecord(platformstandin.Notice{Rest: "3"}, 4, 7*second/10)
 		}}, ledger.CheckRest},
-		{"a connection left open", []change{func(r *ledger.Record) { r.Usages = []ledger.Usage{{Instance: "a", CallerSockets: 1}} }}, ledger.CheckLeak},
-		{"no connection left open", []change{func(r *ledger.Record) { r.Usages = []ledger.Usage{{Instance: "a", Descriptors: 100}} }}, ""},
+		{"caller connection left open", []change{func(r *ledger.Record) { r.Usages = []ledger.Usage{{Instance: "a", CallerSockets: 1}} }}, ledger.CheckLeak},
+		{"no caller connection left open", []change{func(r *ledger.Record) { r.Usages = []ledger.Usage{{Instance: "a", Descriptors: 100}} }}, ""},
 		{"retries beyond the budget", []change{func(r *ledger.Record) {
 			r.Attempts[0].Kind = ledger.Safe
 			r.Runs = slices.Repeat(r.Runs, 5)
@@ -211,7 +212,7 @@
 	found := make(map[string]bool)
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
-			r := sound()
+			r := validRecord()
 			for _, change := range test.fault {
 				change(r)
 			}
@@ -228,6 +229,6 @@
 		})
 	}
 	for name := range ledger.All {
-		assert.True(t, found[name], "nothing shows that this check can fail: %s", name)
+		assert.True(t, found[name], "no case makes this check report a finding: %s", name)
 	}
 }
--- a/tools/soak/ledger/crashing.go
+++ b/tools/soak/ledger/crashing.go
@@ -13,13 +13,14 @@
 )
 
 const (
-	// toldCrashes is how many endpoints a request may end until it counts as one that does.
-	toldCrashes = 3
-	// heldBack is in the answer to a request that is kept from all endpoints.
-	heldBack = "crashes endpoints"
+	// crashThreshold is the number of crashed endpoints from which on instances must stop to forward the request.
+	crashThreshold = 3
+	// heldBackText is part of the answer to a request that instances do not forward because it crashes endpoints.
+	heldBackText = "crashes endpoints"
 )
 
-// checkCrashing finds requests that were sent to endpoints more often than allowed after all instances must have known that they crash them.
+// checkCrashing finds requests that endpoints began to run more often than allowed after all instances must have learned that the
+// request crashes endpoints.
 func checkCrashing(r *Record) []Finding {
 	var findings []Finding
 	for _, crasher := range r.Crashers {
@@ -36,7 +37,7 @@
 	return findings
 }
 
-// thirdCrash is when a request had ended three endpoints; false if it has not.
+// thirdCrash returns when a request had crashed three endpoints. It returns false if the request has crashed fewer.
 func (r *Record) thirdCrash(crasher Crasher) (time.Time, bool) {
 	var crashes []time.Time
 	for _, event := range r.Runs {
@@ -44,46 +45,48 @@
 			crashes = append(crashes, event.At)
 		}
 	}
-	if len(crashes) < toldCrashes {
+	if len(crashes) < crashThreshold {
 		return time.Time{}, false
 	}
 	slices.SortFunc(crashes, time.Time.Compare)
-	return crashes[toldCrashes-1], true
+	return crashes[crashThreshold-1], true
 }
 
-// has reports whether an identifier is that of one of the sendings.
+// has reports whether one of the sendings has the identifier.
 func (c Crasher) has(id string) bool {
 	return slices.ContainsFunc(c.Sends, func(s Sending) bool { return s.ID == id })
 }
 
-// lateBegins gives the sendings after a moment that endpoints began to run, but for those by instances that something kept from knowing.
+// lateBegins returns the identifiers of the sendings after from that endpoints began to run. Sendings to instances that a disruption
+// may have kept from learning of the crashes are left out.
 func (r *Record) lateBegins(crasher Crasher, from time.Time) []string {
 	var late []string
 	for _, sending := range crasher.Sends {
 		begun := slices.ContainsFunc(r.Runs, func(event platformstandin.RunEvent) bool {
 			return event.ID == sending.ID && event.Phase == platformstandin.RunBegan
 		})
-		if begun && sending.At.After(from) && r.knew(sending) {
+		if begun && sending.At.After(from) && r.couldLearn(sending) {
 			late = append(late, sending.ID)
 		}
 	}
 	return late
 }
 
-// knew reports whether an instance was in touch for long enough before a sending: neither it nor the store had trouble.
-func (r *Record) knew(sending Sending) bool {
+// couldLearn reports whether an instance had time to learn of the crashes before a sending: neither the instance nor the store was
+// disrupted in the Contact time before it.
+func (r *Record) couldLearn(sending Sending) bool {
 	since := sending.At.Add(-r.Bounds.Contact - r.lag(sending.At.Add(-r.Bounds.Contact), sending.At))
-	if r.struck(sending.Instance, since, sending.At, Stop, Kill, Freeze, Hangup, LinkBroken) {
+	if r.disrupted(sending.Instance, since, sending.At, Stop, Kill, Freeze, Hangup, LinkBroken) {
 		return false
 	}
 	return !slices.ContainsFunc(r.Disruptions, func(d Disruption) bool { return d.Trouble == StoreTroubled && d.overlaps(since, sending.At) })
 }
 
-// checkHeldBack finds requests that were kept from all endpoints, though they crash none.
+// checkHeldBack finds requests that instances refused as crashing endpoints although the requests crash none.
 func checkHeldBack(r *Record) []Finding {
 	var findings []Finding
 	for _, a := range r.Attempts {
-		if a.Outcome == Refused && strings.Contains(a.Cause, heldBack) {
+		if a.Outcome == Refused && strings.Contains(a.Cause, heldBackText) {
 			findings = append(findings, Finding{CheckHeldBack, a.ID, fmt.Sprintf("%s %s at %s", a.Kind, a.Path, a.Instance)})
 		}
 	}
--- a/tools/soak/ledger/crashing_test.go
+++ b/tools/soak/ledger/crashing_test.go
@@ -14,9 +14,10 @@
 	"github.com/shelfledge/shelfledge/tools/soak/ledger"
 )
 
-// crashing is a record of a request that ended three endpoints by 3 s and began as often again, each second from a moment on.
-func crashing(from time.Duration, again int) *ledger.Record {
-	r := sound()
+// crashingRecord returns a record of a request that has crashed three endpoints after 3 s and then crashes again more endpoints, one each
+// second from the given time on.
+func crashingRecord(from time.Duration, again int) *ledger.Record {
+	r := validRecord()
 	r.Bounds.Contact, r.Bounds.CrashRetries = 3*second, 3
 	crasher := ledger.Crasher{Name: "crasher"}
 	begin := func(when time.Duration) {
@@ -36,27 +37,27 @@
 	return r
 }
 
-func TestARequestThatCrashesEndpointsAndIsSentOnIsFound(t *testing.T) {
-	assert.NotEmpty(t, ledger.All[ledger.CheckCrashing](crashing(6*second+1, 4)))
-	assert.Empty(t, ledger.All[ledger.CheckCrashing](crashing(6*second+1, 3)), "as often as allowed")
-	assert.Empty(t, ledger.All[ledger.CheckCrashing](crashing(3*second, 7)), "four of them within the time to know of it")
+func TestCheckCrashingCountsBeginsAfterThirdCrash(t *testing.T) {
+	assert.NotEmpty(t, ledger.All[ledger.CheckCrashing](crashingRecord(6*second+1, 4)))
+	assert.Empty(t, ledger.All[ledger.CheckCrashing](crashingRecord(6*second+1, 3)), "as many begins as allowed")
+	assert.Empty(t, ledger.All[ledger.CheckCrashing](crashingRecord(3*second, 7)), "four of the begins within the contact time")
 }
 
-func TestWhatKeepsAnInstanceFromKnowingExcuses(t *testing.T) {
+func TestCheckCrashingSkipsDisruptedInstance(t *testing.T) {
 	for _, trouble := range []ledger.Disruption{
 		{Trouble: ledger.Freeze, Target: "a", From: at(6 * second), To: at(9 * second)},
 		{Trouble: ledger.StoreTroubled, Target: "store", From: at(6 * second), To: at(9 * second)},
 	} {
-		r := crashing(6*second+1, 4)
+		r := crashingRecord(6*second+1, 4)
 		r.Disruptions = []ledger.Disruption{trouble}
 		assert.Empty(t, ledger.All[ledger.CheckCrashing](r))
 		r.Disruptions[0].Target, r.Disruptions[0].Trouble = "b", ledger.Freeze
-		assert.NotEmpty(t, ledger.All[ledger.CheckCrashing](r), "another instance's trouble")
+		assert.NotEmpty(t, ledger.All[ledger.CheckCrashing](r), "disruption of another instance")
 	}
 }
 
-func TestASoundRequestThatIsHeldBackIsFound(t *testing.T) {
-	r := sound()
+func TestCheckHeldBackFindsRefusalOfHarmlessRequest(t *testing.T) {
+	r := validRecord()
 	r.Attempts[0].Outcome, r.Attempts[0].Cause = ledger.Refused, "crashes endpoints"
 	assert.NotEmpty(t, ledger.All[ledger.CheckHeldBack](r))
 	r.Attempts[0].Cause = "no endpoint"
--- a/tools/soak/ledger/notice.go
+++ b/tools/soak/ledger/notice.go
@@ -13,23 +13,24 @@
 	"github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// arrival is a request that arrived at an endpoint from an instance.
-type arrival struct {
+// noticedRequest is a request at an endpoint that sends notices, together with its instance.
+type noticedRequest struct {
 	platformstandin.RunEvent
 
 	instance string
-	// sent is when its caller sent it.
+	// sent is when the caller sent the request.
 	sent time.Time
 }
 
-// history is what one endpoint's requests saw of what it says, in the order of their moments.
+// history holds the requests that arrived at one endpoint and those whose answers carried its notice, each in order of time.
 type history struct {
 	endpoint string
-	arrived  []arrival
-	told     []arrival
+	arrived  []noticedRequest
+	notified []noticedRequest
 }
 
-// histories gives what each endpoint's requests saw. Requests whose attempt is not in the record are left out.
+// histories returns the history of each endpoint that sent notices, ordered by endpoint. Requests whose attempt is not in the record
+// are left out.
 func (r *Record) histories() []*history {
 	attempts := make(map[string]Attempt, len(r.Attempts))
 	for _, a := range r.Attempts {
@@ -46,44 +47,45 @@
 			one = &history{endpoint: event.Endpoint}
 			byEndpoint[event.Endpoint] = one
 		}
-		seen := arrival{RunEvent: event, instance: attempt.Instance, sent: attempt.Began}
+		seen := noticedRequest{RunEvent: event, instance: attempt.Instance, sent: attempt.Began}
 		if event.Phase == platformstandin.RunTold {
-			one.told = append(one.told, seen)
+			one.notified = append(one.notified, seen)
 		} else {
 			one.arrived = append(one.arrived, seen)
 		}
 	}
 	var all []*history
 	for _, one := range byEndpoint {
-		slices.SortFunc(one.arrived, func(a, b arrival) int { return a.At.Compare(b.At) })
-		slices.SortFunc(one.told, func(a, b arrival) int { return a.At.Compare(b.At) })
+		slices.SortFunc(one.arrived, func(a, b noticedRequest) int { return a.At.Compare(b.At) })
+		slices.SortFunc(one.notified, func(a, b noticedRequest) int { return a.At.Compare(b.At) })
 		all = append(all, one)
 	}
 	slices.SortFunc(all, func(a, b *history) int { return cmp.Compare(a.endpoint, b.endpoint) })
 	return all
 }
 
-// firstTold is when an instance was first told, from a moment on, what the function asks for; false for never.
-func (h *history) firstTold(instance string, from time.Time, said func(platformstandin.Notice) bool) (time.Time, bool) {
-	for _, one := range h.told {
-		if one.instance == instance && !one.At.Before(from) && said(one.Said) {
+// firstNotified returns when an instance first received, at or after from, a notice that the function matches. It returns false if the
+// instance received none.
+func (h *history) firstNotified(instance string, from time.Time, match func(platformstandin.Notice) bool) (time.Time, bool) {
+	for _, one := range h.notified {
+		if one.instance == instance && !one.At.Before(from) && match(one.Said) {
 			return one.At, true
 		}
 	}
 	return time.Time{}, false
 }
 
-// checkLeaving finds requests at endpoints that had told their instance that they leave.
+// checkLeaving finds requests at endpoints that had notified the instance of the request that they leave.
 func checkLeaving(r *Record) []Finding {
-	leaves := func(said platformstandin.Notice) bool { return said.Leaving }
+	leaves := func(notice platformstandin.Notice) bool { return notice.Leaving }
 	var findings []Finding
 	for _, s := range r.histories() {
 		for _, one := range s.arrived {
-			told, ok := s.firstTold(one.instance, time.Time{}, leaves)
-			if !ok || r.struck(one.instance, told, one.At, Stop, Kill, Freeze) {
+			notifiedAt, ok := s.firstNotified(one.instance, time.Time{}, leaves)
+			if !ok || r.disrupted(one.instance, notifiedAt, one.At, Stop, Kill, Freeze) {
 				continue
 			}
-			if late := one.sent.Sub(told); late > r.Bounds.Drain+r.lag(told, one.At) {
+			if late := one.sent.Sub(notifiedAt); late > r.Bounds.Drain+r.lag(notifiedAt, one.At) {
 				findings = append(findings, Finding{CheckLeaving, one.ID, fmt.Sprintf("sent to %s by %s %s after it was told", s.endpoint, one.instance, late)})
 			}
 		}
@@ -91,21 +93,21 @@
 	return findings
 }
 
-// checkRest finds requests within rests that endpoints asked their instance for.
+// checkRest finds endpoints that got more requests than allowed within a rest that they had asked the instance for.
 func checkRest(r *Record) []Finding {
 	var findings []Finding
 	for _, s := range r.histories() {
-		for _, asked := range s.told {
+		for _, asked := range s.notified {
 			seconds, err := strconv.ParseFloat(asked.Said.Rest, 64)
 			if err != nil {
-				// It asked for none.
+				// The notice asks for no rest.
 				continue
 			}
 			from, until := asked.At.Add(r.Bounds.Heard), asked.At.Add(time.Duration(seconds*float64(time.Second)))
 			count := 0
 			for _, one := range s.arrived {
 				within := one.At.After(from.Add(r.lag(asked.At, one.At))) && one.At.Before(until)
-				if within && one.instance == asked.instance && !r.struck(one.instance, asked.At, one.At, Stop, Kill, Freeze, LinkBroken) {
+				if within && one.instance == asked.instance && !r.disrupted(one.instance, asked.At, one.At, Stop, Kill, Freeze, LinkBroken) {
 					count++
 				}
 			}
@@ -117,7 +119,7 @@
 	return findings
 }
 
-// checkLimit finds spans in which endpoints got more than the limit that they named allows.
+// checkLimit finds spans in which an endpoint got more requests than the limit that it announced allows.
 func checkLimit(r *Record) []Finding {
 	var findings []Finding
 	for _, s := range r.histories() {
@@ -128,23 +130,24 @@
 	return findings
 }
 
-// episodes gives the stretches of arrivals that were told one limit.
-func (h *history) episodes() [][]arrival {
-	var all [][]arrival
+// episodes returns the runs of consecutive arrivals during which the endpoint announced the same limit.
+func (h *history) episodes() [][]noticedRequest {
+	var all [][]noticedRequest
 	for i, one := range h.arrived {
 		switch {
 		case one.Said.Limit == "":
 		case i > 0 && h.arrived[i-1].Said.Limit == one.Said.Limit:
 			all[len(all)-1] = append(all[len(all)-1], one)
 		default:
-			all = append(all, []arrival{one})
+			all = append(all, []noticedRequest{one})
 		}
 	}
 	return all
 }
 
-// checkEpisode counts the requests of instances that had been told a limit, in each span that ends with one of them.
-func (r *Record) checkEpisode(h *history, episode []arrival) []Finding {
+// checkEpisode counts the requests from instances that had received the limit, in each LimitSpan that ends with such a request. It
+// reports the first span with more requests than allowed.
+func (r *Record) checkEpisode(h *history, episode []noticedRequest) []Finding {
 	limit, err := strconv.ParseFloat(episode[0].Said.Limit, 64)
 	if err != nil {
 		return []Finding{{CheckLimit, episode[0].ID, "not a limit: " + episode[0].Said.Limit}}
@@ -152,12 +155,12 @@
 	begin := episode[0].At
 	binds := begin.Add(r.Bounds.Contact)
 	allowed := int(r.Bounds.LimitSlack*limit*r.Bounds.LimitSpan.Seconds()) + r.Bounds.LimitExtra
-	var counted []arrival
+	var counted []noticedRequest
 	for _, one := range episode {
-		if one.At.Before(binds) || !r.knewLimit(h, one, begin) {
+		if one.At.Before(binds) || !r.limitReceived(h, one, begin) {
 			continue
 		}
-		counted = slices.DeleteFunc(append(counted, one), func(other arrival) bool { return one.At.Sub(other.At) >= r.Bounds.LimitSpan })
+		counted = slices.DeleteFunc(append(counted, one), func(other noticedRequest) bool { return one.At.Sub(other.At) >= r.Bounds.LimitSpan })
 		if len(counted) > allowed {
 			return []Finding{{CheckLimit, one.ID, fmt.Sprintf("%s got %d requests in %s with a limit of %g a second, allowed %d",
 				h.endpoint, len(counted), r.Bounds.LimitSpan, limit, allowed)}}
@@ -166,11 +169,11 @@
 	return nil
 }
 
-// knewLimit reports whether an instance had been told a limit for long enough before an arrival, and nothing struck it since.
-func (r *Record) knewLimit(h *history, one arrival, begin time.Time) bool {
-	told, ok := h.firstTold(one.instance, begin, func(said platformstandin.Notice) bool { return said.Limit != "" })
-	if !ok || one.At.Sub(told) < r.Bounds.Heard+r.lag(told, one.At) {
+// limitReceived reports whether the instance had received a limit long enough before an arrival and was not disrupted since.
+func (r *Record) limitReceived(h *history, one noticedRequest, begin time.Time) bool {
+	notifiedAt, ok := h.firstNotified(one.instance, begin, func(notice platformstandin.Notice) bool { return notice.Limit != "" })
+	if !ok || one.At.Sub(notifiedAt) < r.Bounds.Heard+r.lag(notifiedAt, one.At) {
 		return false
 	}
-	return !r.struck(one.instance, told.Add(-r.Bounds.Contact), one.At, Stop, Kill, Freeze, LinkBroken)
+	return !r.disrupted(one.instance, notifiedAt.Add(-r.Bounds.Contact), one.At, Stop, Kill, Freeze, LinkBroken)
 }
--- a/tools/soak/ledger/notice_test.go
+++ b/tools/soak/ledger/notice_test.go
@@ -14,8 +14,8 @@
 	"github.com/shelfledge/shelfledge/tools/soak/ledger"
 )
 
-// told is a record of requests of one instance at an endpoint, one each pause, all of which were told the same.
-func told(said platformstandin.Notice, count int, pause time.Duration) *ledger.Record {
+// noticeRecord returns a record of count requests of one instance at an endpoint, one each pause, all of which got the same notice.
+func noticeRecord(notice platformstandin.Notice, count int, pause time.Duration) *ledger.Record {
 	r := &ledger.Record{Bounds: ledger.Bounds{
 		Drain: 2 * second, Contact: 3 * second, LimitSpan: 4 * second, LimitSlack: 1.5, LimitExtra: 5, Heard: second / 2, RestRequests: 2,
 	}}
@@ -23,13 +23,13 @@
 		id, when := fmt.Sprint("r-", i), at(time.Duration(i)*pause)
 		r.Attempts = append(r.Attempts, ledger.Attempt{ID: id, Instance: "a", Began: when})
 		for _, phase := range []platformstandin.RunPhase{platformstandin.RunArrived, platformstandin.RunTold} {
-			r.Notices = append(r.Notices, platformstandin.RunEvent{ID: id, Endpoint: "e", Phase: phase, At: when, Said: said})
+			r.Notices = append(r.Notices, platformstandin.RunEvent{ID: id, Endpoint: "e", Phase: phase, At: when, Said: notice})
 		}
 	}
 	return r
 }
 
-func TestWhatEndpointsSayOfThemselvesIsChecked(t *testing.T) {
+func TestNoticeChecks(t *testing.T) {
 	limit, leaving, rest := platformstandin.Notice{Limit: "1"}, platformstandin.Notice{Leaving: true}, platformstandin.Notice{Rest: "3"}
 	for name, test := range map[string]struct {
 		record *ledger.Record
@@ -37,18 +37,18 @@
 		check  string
 		found  bool
 	}{
-		"within a limit":                   {told(limit, 40, second), nil, ledger.CheckLimit, false},
-		"beyond a limit":                   {told(limit, 120, second/4), nil, ledger.CheckLimit, true},
-		"before a limit binds":             {told(limit, 13, second/4), nil, ledger.CheckLimit, false},
-		"by an instance that is frozen":    {told(limit, 120, second/4), disrupted(ledger.Freeze, "a", 0, 40*second), ledger.CheckLimit, false},
-		"until the leaving binds":          {told(leaving, 9, second/4), nil, ledger.CheckLeaving, false},
-		"after the leaving binds":          {told(leaving, 10, second/4), nil, ledger.CheckLeaving, true},
-		"after the instance's restart":     {told(leaving, 10, second/4), disrupted(ledger.Kill, "a", second, second), ledger.CheckLeaving, false},
-		"two requests within a rest":       {told(rest, 3, second), nil, ledger.CheckRest, false},
-		"three requests within a rest":     {told(rest, 4, 7*second/10), nil, ledger.CheckRest, true},
-		"before a rest binds":              {told(rest, 20, second/50), nil, ledger.CheckRest, false},
-		"a rest of another instance":       {told(rest, 20, second/4), func(r *ledger.Record) { r.Attempts = r.Attempts[:1] }, ledger.CheckRest, false},
-		"nothing was said of a late start": {told(platformstandin.Notice{}, 40, second/10), nil, ledger.CheckLeaving, false},
+		"requests within limit":                          {noticeRecord(limit, 40, second), nil, ledger.CheckLimit, false},
+		"requests beyond limit":                          {noticeRecord(limit, 120, second/4), nil, ledger.CheckLimit, true},
+		"requests before limit applies":                  {noticeRecord(limit, 13, second/4), nil, ledger.CheckLimit, false},
+		"requests beyond limit, instance frozen":         {noticeRecord(limit, 120, second/4), addDisruption(ledger.Freeze, "a", 0, 40*second), ledger.CheckLimit, false},
+		"requests until leave notice applies":            {noticeRecord(leaving, 9, second/4), nil, ledger.CheckLeaving, false},
+		"request after leave notice applies":             {noticeRecord(leaving, 10, second/4), nil, ledger.CheckLeaving, true},
+		"request after leave notice, instance restarted": {noticeRecord(leaving, 10, second/4), addDisruption(ledger.Kill, "a", second, second), ledger.CheckLeaving, false},
+		"two requests within rest":                       {noticeRecord(rest, 3, second), nil, ledger.CheckRest, false},
+		"three requests within rest":                     {noticeRecord(rest, 4, 7*second/10), nil, ledger.CheckRest, true},
+		"requests before rest applies":                   {noticeRecord(rest, 20, second/50), nil, ledger.CheckRest, false},
+		"rest, other requests not in record":             {noticeRecord(rest, 20, second/4), func(r *ledger.Record) { r.Attempts = r.Attempts[:1] }, ledger.CheckRest, false},
+		"no notice":                                      {noticeRecord(platformstandin.Notice{}, 40, second/10), nil, ledger.CheckLeaving, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			if test.adjust != nil {
--- a/tools/soak/ledger/record.go
+++ b/tools/soak/ledger/record.go
@@ -9,26 +9,26 @@
 	"github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// Outcome is how an attempt ended for its caller.
+// Outcome is the result of an attempt for its caller.
 type Outcome string
 
 // The outcomes of an attempt.
 const (
-	// Whole: a whole answer of an endpoint.
+	// Whole is a complete successful answer of an endpoint.
 	Whole Outcome = "whole"
-	// Refused: a status that promises that the request did not run and never will.
+	// Refused is an answer whose status guarantees that the request did not run and will not run.
 	Refused Outcome = "refused"
-	// Failed: a whole answer without success that promises nothing.
+	// Failed is a complete unsuccessful answer that leaves open whether the request ran.
 	Failed Outcome = "failed"
-	// Closed: the connection ended without a whole answer.
+	// Closed means that the connection ended before the complete answer had arrived.
 	Closed Outcome = "closed"
-	// Left: the caller closed the connection, by its own plan or since no answer had come in time.
+	// Left means that the caller closed the connection, as planned or because no answer had arrived in time.
 	Left Outcome = "left"
-	// Unreached: no connection came about.
+	// Unreached means that no connection could be opened.
 	Unreached Outcome = "unreached"
 )
 
-// RouteKind is what a route's requests may do.
+// RouteKind is the kind of a route. It determines whether the route's requests may run more than once or be resumed.
 type RouteKind string
 
 // The kinds of route.
@@ -44,58 +44,60 @@
 	return k == Streaming || k == Unsafe
 }
 
-// Attempt is one request as its caller saw it.
+// Attempt is one request as observed by its caller.
 type Attempt struct {
 	ID       string    `json:"id"`
 	Kind     RouteKind `json:"kind"`
 	Path     string    `json:"path"`
 	Adapter  string    `json:"adapter,omitempty"`
 	Instance string    `json:"instance"`
-	// Connection is the caller's own address; Use is how many requests were sent on the connection before.
+	// Connection is the local address of the caller. Use is the number of earlier requests on the connection.
 	Connection string `json:"connection"`
 	Use        int    `json:"use"`
-	// Rested is for how long the connection was idle before, and ClosedBefore that its end had arrived before the first byte was sent.
+	// Rested is how long the connection had been idle. ClosedBefore reports whether the instance's close of the connection had arrived
+	// before the first byte of the request was sent.
 	Rested       time.Duration `json:"rested"`
 	ClosedBefore bool          `json:"closed_before,omitempty"`
-	// Began and Sent are when the first and the last byte of the request were written, Ended when the outcome was known.
+	// Began and Sent are when the first and the last byte of the request were written. Ended is when the outcome was known.
 	Began time.Time `json:"began"`
 	Sent  time.Time `json:"sent"`
 	Ended time.Time `json:"ended"`
-	// Patience is how long the caller said that it would wait.
+	// Patience is the time-out that the caller sent with the request.
 	Patience time.Duration `json:"patience"`
 	Outcome  Outcome       `json:"outcome"`
 	Status   int           `json:"status"`
-	// Cause is the error of a connection that ended, or the text of a refusal.
+	// Cause is the error of a connection that ended, or the body of an answer without success.
 	Cause string `json:"cause,omitempty"`
-	// Wrong says what was wrong with an answer; empty for none.
+	// Wrong describes the error in the content of an answer. It is empty for a correct answer.
 	Wrong string `json:"wrong,omitempty"`
-	// OnPlan says that the caller left by its own plan.
+	// OnPlan reports whether the caller closed the connection as planned.
 	OnPlan bool `json:"on_plan,omitempty"`
-	// Malformed says that the request was no proper one, by plan.
+	// Malformed reports whether the request was deliberately malformed.
 	Malformed bool `json:"malformed,omitempty"`
 }
 
-// Trouble is what a disruption does.
+// Trouble is the kind of a disruption.
 type Trouble string
 
-// The troubles that checks know.
+// The kinds of disruption that the checks take into account.
 const (
-	// Stop is the time from the signal to an instance until its end; Kill, Freeze and Hangup strike instances, too.
+	// Stop lasts from the stop signal to an instance until the instance has ended. Kill, Freeze and Hangup affect instances, too.
 	Stop   Trouble = "stop"
 	Kill   Trouble = "kill"
 	Freeze Trouble = "freeze"
 	Hangup Trouble = "hangup"
-	// EndpointEnds is the time in which an endpoint is killed, hung or breaks answers off.
+	// EndpointEnds is the time in which an endpoint is killed, hangs or breaks off answers.
 	EndpointEnds Trouble = "endpoint-ends"
-	// LinkBroken is the time in which connections of an instance's callers, or to an endpoint, are cut or reset from outside.
+	// LinkBroken is the time in which the connections between callers and an instance, or to an endpoint, are cut or reset by the soak.
 	LinkBroken Trouble = "link-broken"
-	// StoreTroubled is the time in which the store is down, silent or stands still.
+	// StoreTroubled is the time in which the store is down, silent or frozen. With an empty target it affects the store itself, else
+	// the store link of the instance that is the target.
 	StoreTroubled Trouble = "store-troubled"
 	// Configured is a change of the configuration.
 	Configured Trouble = "configured"
 )
 
-// Disruption is a trouble of one process, as it was carried out.
+// Disruption is a fault that was injected into one process or its links.
 type Disruption struct {
 	Trouble Trouble   `json:"trouble"`
 	Target  string    `json:"target"`
@@ -107,27 +109,29 @@
 	return !d.From.After(to) && !d.To.Before(from)
 }
 
-// Departure is an endpoint's leaving, from its acknowledgement on.
+// Departure is the announced departure of an endpoint and the time at which the store acknowledged it.
 type Departure struct {
 	Endpoint     string    `json:"endpoint"`
 	Acknowledged time.Time `json:"acknowledged"`
 }
 
-// Naming is a newer version of an adapter, from its acknowledgement on.
+// Naming is a newer version of an adapter and the time at which the store acknowledged it.
 type Naming struct {
 	Adapter      string    `json:"adapter"`
 	Version      int       `json:"version"`
 	Acknowledged time.Time `json:"acknowledged"`
 }
 
-// Addition is a route that a configuration added, from its acknowledgement on; Removed is when it was taken out, zero if it never was.
+// Addition is a route that a configuration added and the time at which the store acknowledged that configuration. Removed is when the
+// route was removed; it is zero if the route was not removed.
 type Addition struct {
 	Prefix       string    `json:"prefix"`
 	Acknowledged time.Time `json:"acknowledged"`
 	Removed      time.Time `json:"removed"`
 }
 
-// Limit is a time-out of routes, from when it was sent and acknowledged on, until the next one of the record.
+// Limit is a time-out of routes, with the times at which it was sent to the store and acknowledged. It is in force until the next
+// Limit of the record.
 type Limit struct {
 	Prefixes     []string      `json:"prefixes"`
 	Timeout      time.Duration `json:"timeout"`
@@ -135,36 +139,36 @@
 	Acknowledged time.Time     `json:"acknowledged"`
 }
 
-// Exit is the end of an instance's process.
+// Exit is the exit of an instance's process.
 type Exit struct {
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
-	// Asked says that the soak had sent a signal to end it; Took is how long after the first such signal it ended.
+	// Asked reports whether the soak had sent a signal to end the process. Took is the time from the first such signal to the exit.
 	Asked bool          `json:"asked"`
 	Took  time.Duration `json:"took"`
 	Error string        `json:"error,omitempty"`
-	// Lived is for how long the process had run.
+	// Lived is how long the process had run.
 	Lived time.Duration `json:"lived"`
 }
 
-// Usage is what an instance's process holds once its callers have left.
+// Usage is the resource usage of an instance's process after its callers have left.
 type Usage struct {
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
-	// PeakKB is the most memory that it has held.
+	// PeakKB is the peak resident memory of the process in KB.
 	PeakKB      int `json:"peak_kb"`
 	Descriptors int `json:"descriptors"`
-	// CallerSockets is how many of its callers' connections it has not closed.
+	// CallerSockets is the number of callers' connections that the process has not closed.
 	CallerSockets int `json:"caller_sockets"`
 }
 
-// Crasher is a request that crashes each endpoint which begins to run it, and comes again and again.
+// Crasher is a request that crashes each endpoint which begins to run it and that its callers send repeatedly.
 type Crasher struct {
 	Name  string    `json:"name"`
 	Sends []Sending `json:"sends"`
 }
 
-// Sending is one time that it came.
+// Sending is one sending of a Crasher.
 type Sending struct {
 	ID       string    `json:"id"`
 	Instance string    `json:"instance"`
@@ -172,31 +176,33 @@
 	Status   int       `json:"status"`
 }
 
-// Bounds are the times that checks allow, from the settings of the instances.
+// Bounds are the limits that the checks apply, from the settings of the instances.
 type Bounds struct {
 	Grace, GraceMargin, Drain, Apply, Version, BudgetWindow time.Duration
-	// Contact is how long instances may take to know of a third crash, and CrashRetries how often a request may be sent later than that.
+	// Contact is how long the instances may take to learn of the third crash of a request. CrashRetries is how often the request may
+	// still be sent to endpoints after that time.
 	Contact      time.Duration
 	CrashRetries int
-	// LimitSpan is the span in which requests to an endpoint with a limit are counted, LimitSlack and LimitExtra what is allowed beyond it.
+	// LimitSpan is the span in which the requests to an endpoint with a limit are counted. LimitSlack is the factor and LimitExtra the
+	// number of requests by which the count may exceed the limit.
 	LimitSpan  time.Duration
 	LimitSlack float64
 	LimitExtra int
-	// Heard is after what time an instance must go by what an endpoint told it, and RestRequests how many requests it may send after that
-	// within a rest.
+	// Heard is the time after which an instance must comply with the notice that an endpoint sent it. RestRequests is how many requests
+	// the instance may send after that time within a rest.
 	Heard        time.Duration
 	RestRequests int
 	RetryRatio   float64
 	RetryExtra   int
-	// IdleLimit is the shortest idle limit that was in force.
+	// IdleLimit is the shortest idle limit that was in force during the run.
 	IdleLimit time.Duration
 }
 
-// Record is all that a run saw.
+// Record holds the observations of a run.
 type Record struct {
 	Attempts []Attempt
 	Runs     []platformstandin.RunEvent
-	// Notices are arrivals of requests at endpoints that say something of themselves, and which of them were told.
+	// Notices are the arrivals of requests at endpoints that send notices, and the answers in which the notices were sent.
 	Notices     []platformstandin.RunEvent
 	Disruptions []Disruption
 	Departures  []Departure
@@ -207,18 +213,19 @@
 	Crashers    []Crasher
 	Usages      []Usage
 	Bounds      Bounds
-	// Overfull is how many orders went beyond an endpoint's places.
+	// Overfull is the number of orders that exceeded the places of their endpoint.
 	Overfull int
-	// Broken are the promises that endpoints themselves saw broken, such as an adapter that was unloaded in use.
+	// Broken are the violations that endpoints detected themselves, such as the unload of an adapter in use.
 	Broken []string
-	// Lag gives by how much the soak's own clock was late at most within a span: what it allows for a starved host.
+	// Lag returns the longest scheduling delay of the soak itself within a span. The checks extend their bounds by this delay to allow
+	// for an overloaded host.
 	Lag func(from, to time.Time) time.Duration
 }
 
-// Finding is a promise that was broken.
+// Finding is a violated guarantee.
 type Finding struct {
 	Check string `json:"check"`
-	// Request is the attempt's identifier; empty where none is concerned.
+	// Request is the identifier of the attempt. It is empty if the finding does not concern a single attempt.
 	Request string `json:"request,omitempty"`
 	Text    string `json:"text"`
 }
