--- a/tools/soak/link/doc.go
+++ b/tools/soak/link/doc.go
@@ -1,6 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package link is a loopback link that can be disturbed: it passes TCP connections on to a target, and delays, cuts, silences or
-// resets them. A Link owns its listener and the connections through it, and starts two goroutines for each connection.
+// Package link provides a TCP proxy on the loopback address that injects network faults: it forwards connections to a target, and delays
+// them, holds back their bytes or resets them. A Link owns its listener and the connections through it. It starts one goroutine that
+// accepts connections and three goroutines for each connection.
 package link
--- a/tools/soak/link/link.go
+++ b/tools/soak/link/link.go
@@ -9,87 +9,87 @@
 	"time"
 )
 
-// Mode is how a link treats bytes.
+// Mode is how a link forwards bytes.
 type Mode int
 
 // The modes of a link.
 const (
-	// Pass passes all on.
+	// Pass forwards all bytes without delay.
 	Pass Mode = iota
-	// Slow passes all on after a delay.
+	// Slow forwards all bytes after a delay.
 	Slow
-	// Cut passes nothing on; what is sent meanwhile arrives when the link heals.
+	// Cut forwards nothing. Bytes that are sent meanwhile arrive after the mode has changed to one that forwards them.
 	Cut
-	// Deaf passes nothing on from the target, but all to it.
+	// Deaf forwards bytes to the target, but none from the target.
 	Deaf
 )
 
-// slowBy is the delay of each piece on a slow link, and pieceBytes the largest piece.
+// slowDelay is the delay of each chunk on a slow link, and chunkBytes the maximum size of a chunk.
 const (
-	slowBy     = 150 * time.Millisecond
-	pieceBytes = 16 << 10
+	slowDelay  = 150 * time.Millisecond
+	chunkBytes = 16 << 10
 )
 
-// Link passes connections on to a target.
+// Link forwards connections to a target.
 type Link struct {
 	listener net.Listener
 	target   string
 
 	mutex sync.Mutex
 	mode  Mode
-	// changed is closed at each change of the mode.
-	changed chan struct{}
-	open    map[*net.TCPConn]bool
-	closed  bool
+	// modeChanged is closed and replaced at each change of the mode.
+	modeChanged chan struct{}
+	open        map[*net.TCPConn]bool
+	closed      bool
 }
 
-// New opens a link to a target, IP:PORT, on a port of the loopback address.
+// New starts a link to a target, IP:PORT, that listens on a free port of the loopback address.
 func New(target string) (*Link, error) {
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	if err != nil {
 		return nil, err
 	}
-	l := &Link{listener: listener, target: target, changed: make(chan struct{}), open: make(map[*net.TCPConn]bool)}
+	l := &Link{listener: listener, target: target, modeChanged: make(chan struct{}), open: make(map[*net.TCPConn]bool)}
 	go l.accept()
 	return l, nil
 }
 
-// Address gives the IP:PORT that leads to the target.
+// Address returns the IP:PORT at which the link accepts connections.
 func (l *Link) Address() string {
 	return l.listener.Addr().String()
 }
 
-// SetMode changes how bytes are treated from now on.
+// SetMode changes the mode for all bytes that have not been forwarded yet.
 func (l *Link) SetMode(mode Mode) {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	l.mode = mode
-	close(l.changed)
-	l.changed = make(chan struct{})
+	close(l.modeChanged)
+	l.modeChanged = make(chan struct{})
 }
 
-// Reset resets all open connections; new ones work.
+// Reset resets all open connections. New connections are accepted as before.
 func (l *Link) Reset() {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	for conn := range l.open {
-		giveUp(conn)
+		reset(conn)
 	}
 }
 
-// Close ends the link and all its connections.
+// Close closes the listener and resets all open connections.
 func (l *Link) Close() {
 	l.mutex.Lock()
 	l.closed = true
 	l.mutex.Unlock()
-	// A listener that cannot be closed ends with the process.
+	// If closing fails, the listener is closed at the end of the process.
 	_ = l.listener.Close()
 	l.SetMode(Pass)
 	l.Reset()
 }
 
-// giveUp resets a connection; an error says that it has ended.
-func giveUp(conn *net.TCPConn) {
+// reset resets a connection. Errors are ignored, because they mean that the connection has already ended.
+func reset(conn *net.TCPConn) {
 	_ = conn.SetLinger(0)
 	_ = conn.Close()
 }
@@ -100,76 +100,76 @@
 		if err != nil {
 			return
 		}
-		go l.pass(conn.(*net.TCPConn))
+		go l.forward(conn.(*net.TCPConn))
 	}
 }
 
-// pass joins a connection with one to the target.
-func (l *Link) pass(near *net.TCPConn) {
+// forward connects an accepted connection with a new connection to the target, and returns when both directions have ended.
+func (l *Link) forward(client *net.TCPConn) {
 	conn, err := net.Dial("tcp4", l.target)
 	if err != nil {
-		giveUp(near)
+		reset(client)
 		return
 	}
-	far := conn.(*net.TCPConn)
-	if !l.keep(near, far) {
+	upstream := conn.(*net.TCPConn)
+	if !l.track(client, upstream) {
 		return
 	}
 	var both sync.WaitGroup
-	both.Go(func() { l.carry(near, far, true) })
-	both.Go(func() { l.carry(far, near, false) })
+	both.Go(func() { l.pipe(client, upstream, true) })
+	both.Go(func() { l.pipe(upstream, client, false) })
 	both.Wait()
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
-	delete(l.open, near)
-	delete(l.open, far)
+	delete(l.open, client)
+	delete(l.open, upstream)
 }
 
-// keep notes both connections as open; false once the link is closed.
-func (l *Link) keep(near, far *net.TCPConn) bool {
+// track adds both connections to the open ones. If the link is closed, it resets them and returns false.
+func (l *Link) track(client, upstream *net.TCPConn) bool {
 	l.mutex.Lock()
 	defer l.mutex.Unlock()
 	if l.closed {
-		giveUp(near)
-		giveUp(far)
+		reset(client)
+		reset(upstream)
 		return false
 	}
-	l.open[near], l.open[far] = true, true
+	l.open[client], l.open[upstream] = true, true
 	return true
 }
 
-// carry passes on what comes from one end until either has ended, and ends the other one.
-func (l *Link) carry(from, to *net.TCPConn, toTarget bool) {
-	buffer := make([]byte, pieceBytes)
+// pipe forwards bytes in one direction until one of the connections has ended, and then ends the other one.
+func (l *Link) pipe(from, to *net.TCPConn, toTarget bool) {
+	buffer := make([]byte, chunkBytes)
 	for {
 		n, err := from.Read(buffer)
-		l.await(toTarget)
+		l.awaitMode(toTarget)
 		if n > 0 {
 			if _, failed := to.Write(buffer[:n]); failed != nil {
-				giveUp(from)
+				reset(from)
 				return
 			}
 		}
 		if err != nil {
-			// The other end learns the end as this one did; a reset has ended both.
+			// Forward the end of the stream. After a reset the call has no effect, because both connections are closed.
 			_ = to.CloseWrite()
 			return
 		}
 	}
 }
 
-// await waits as long as the mode holds bytes back.
-func (l *Link) await(toTarget bool) {
+// awaitMode returns when the mode allows bytes of the direction to be forwarded.
+func (l *Link) awaitMode(toTarget bool) {
 	for {
 		l.mutex.Lock()
-		mode, changed := l.mode, l.changed
+		mode, modeChanged := l.mode, l.modeChanged
 		l.mutex.Unlock()
 		switch {
 		case mode == Slow:
-			time.Sleep(slowBy)
+			time.Sleep(slowDelay)
 			return
 		case mode == Cut, mode == Deaf && !toTarget:
-			<-changed
+			<-modeChanged
 		default:
 			return
 		}
--- a/tools/soak/link/link_test.go
+++ b/tools/soak/link/link_test.go
@@ -16,15 +16,15 @@
 	"github.com/shelfledge/shelfledge/tools/soak/link"
 )
 
-const patience = 10 * time.Second
+const testTimeout = 10 * time.Second
 
-// echo answers each line by itself, and tells what it got.
-func echo(t *testing.T) (address string, got chan string) {
+// startEcho starts a server that echoes each line and sends the line to the channel.
+func startEcho(t *testing.T) (address string, received chan string) {
 	t.Helper()
 	listener, err := net.Listen("tcp4", "127.0.0.1:0")
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = listener.Close() })
-	got = make(chan string, 10)
+	received = make(chan string, 10)
 	go func() {
 		for {
 			conn, err := listener.Accept()
@@ -34,36 +34,36 @@
 			go func() {
 				lines := bufio.NewScanner(conn)
 				for lines.Scan() {
-					got <- lines.Text()
+					received <- lines.Text()
 					_, _ = io.WriteString(conn, lines.Text()+"\n")
 				}
 			}()
 		}
 	}()
-	return listener.Addr().String(), got
+	return listener.Addr().String(), received
 }
 
-// caller sends lines over a link.
+// caller sends lines through a link and reads the answers.
 type caller struct {
 	t      *testing.T
 	conn   net.Conn
 	reader *bufio.Reader
 }
 
-func open(t *testing.T) (*link.Link, *caller, chan string) {
+func openLink(t *testing.T) (*link.Link, *caller, chan string) {
 	t.Helper()
-	address, got := echo(t)
+	address, received := startEcho(t)
 	l, err := link.New(address)
 	require.NoError(t, err)
 	t.Cleanup(l.Close)
-	conn, err := net.DialTimeout("tcp4", l.Address(), patience)
+	conn, err := net.DialTimeout("tcp4", l.Address(), testTimeout)
 	require.NoError(t, err)
 	t.Cleanup(func() { _ = conn.Close() })
 	c := &caller{t: t, conn: conn, reader: bufio.NewReader(conn)}
 	c.send("hello")
-	assert.Equal(t, "hello\n", c.read(patience))
-	assert.Equal(t, "hello", <-got)
-	return l, c, got
+	assert.Equal(t, "hello\n", c.read(testTimeout))
+	assert.Equal(t, "hello", <-received)
+	return l, c, received
 }
 
 func (c *caller) send(text string) {
@@ -72,7 +72,7 @@
 	require.NoError(c.t, err)
 }
 
-// read gives the next line, or nothing if none comes in time.
+// read returns the next line, or an empty string if none arrives within the limit.
 func (c *caller) read(limit time.Duration) string {
 	require.NoError(c.t, c.conn.SetReadDeadline(time.Now().Add(limit)))
 	line, err := c.reader.ReadString('\n')
@@ -82,44 +82,44 @@
 	return line
 }
 
-const short = 200 * time.Millisecond
+const noAnswerTime = 200 * time.Millisecond
 
-func TestWhatACutLinkHoldsUpArrivesWhenItHeals(t *testing.T) {
-	l, c, got := open(t)
+func TestCutLinkDeliversHeldBytesAfterPass(t *testing.T) {
+	l, c, received := openLink(t)
 	l.SetMode(link.Cut)
 	c.send("held")
-	assert.Empty(t, c.read(short))
-	assert.Empty(t, got)
+	assert.Empty(t, c.read(noAnswerTime))
+	assert.Empty(t, received)
 	l.SetMode(link.Pass)
-	assert.Equal(t, "held\n", c.read(patience))
+	assert.Equal(t, "held\n", c.read(testTimeout))
 }
 
-func TestADeafLinkPassesToItsTargetOnly(t *testing.T) {
-	l, c, got := open(t)
+func TestOneWayLinkForwardsToTargetOnly(t *testing.T) {
+	l, c, received := openLink(t)
 	l.SetMode(link.Deaf)
 	c.send("done")
-	assert.Equal(t, "done", <-got)
-	assert.Empty(t, c.read(short))
+	assert.Equal(t, "done", <-received)
+	assert.Empty(t, c.read(noAnswerTime))
 }
 
-func TestASlowLinkDelays(t *testing.T) {
-	l, c, _ := open(t)
+func TestSlowLinkDelaysBytes(t *testing.T) {
+	l, c, _ := openLink(t)
 	l.SetMode(link.Slow)
 	began := time.Now()
 	c.send("later")
-	assert.Equal(t, "later\n", c.read(patience))
+	assert.Equal(t, "later\n", c.read(testTimeout))
 	assert.GreaterOrEqual(t, time.Since(began), 300*time.Millisecond)
 }
 
-func TestAResetEndsOpenConnectionsOnly(t *testing.T) {
-	l, c, _ := open(t)
+func TestResetClosesOpenConnectionsOnly(t *testing.T) {
+	l, c, _ := openLink(t)
 	l.Reset()
 	_, err := c.conn.Read(make([]byte, 1))
 	require.Error(t, err)
-	conn, err := net.DialTimeout("tcp4", l.Address(), patience)
+	conn, err := net.DialTimeout("tcp4", l.Address(), testTimeout)
 	require.NoError(t, err)
 	defer func() { _ = conn.Close() }()
 	again := &caller{t: t, conn: conn, reader: bufio.NewReader(conn)}
 	again.send("again")
-	assert.Equal(t, "again\n", again.read(patience))
+	assert.Equal(t, "again\n", again.read(testTimeout))
 }
