--- a/tools/soak/outside/child.go
+++ b/tools/soak/outside/child.go
@@ -17,12 +17,12 @@
 	"github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// StoreOptions are the settings of a store's process.
+// StoreOptions are the command-line options of the store process.
 type StoreOptions struct {
 	Control string `help:"IP:PORT at which the soak steers this process." required:""`
 }
 
-// EndpointOptions are the settings of an endpoint's process.
+// EndpointOptions are the command-line options of an endpoint process.
 type EndpointOptions struct {
 	Control  string        `help:"IP:PORT at which the soak steers this process." required:""`
 	Store    string        `help:"IP:PORT at which the store's process is steered." required:""`
@@ -37,40 +37,41 @@
 	Journal  string        `help:"The file that takes a line for each begin and end of a run." required:""`
 }
 
-// headerTimeout bounds a control call's head.
+// headerTimeout is the time-out for reading the header of a control request.
 const headerTimeout = 5 * time.Second
 
-// item is one key of the store.
-type item struct {
+// keyValue is one key of the store and its value.
+type keyValue struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
 
-// reading is what a store's process tells of itself.
-type reading struct {
+// storeStatus is the answer of the store process to GET /reading.
+type storeStatus struct {
 	Address string `json:"address"`
 }
 
-// account is what an endpoint's process tells of itself.
-type account struct {
+// endpointStatus is the answer of an endpoint process to GET /account.
+type endpointStatus struct {
 	Overfull int `json:"overfull"`
 }
 
-// RunStore runs a store until the process is ended.
+// RunStore runs a store until the process is stopped. It returns an error if the control server fails.
 func RunStore(o StoreOptions) error {
 	store := platformstandin.NewStore()
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /reading", answer(func() any { return reading{Address: store.Address()} }))
-	mux.HandleFunc("POST /put", take(func(i item) { store.Put(i.Key, i.Value) }))
-	mux.HandleFunc("POST /remove", take(func(i item) { store.Remove(i.Key) }))
-	mux.HandleFunc("POST /faults", take(store.SetFaults))
-	mux.HandleFunc("POST /drop-history", take(func(struct{}) { store.DropHistory() }))
-	mux.HandleFunc("POST /revoke", take(func(struct{}) { store.RevokeLeases() }))
-	mux.HandleFunc("POST /silence-open", take(func(struct{}) { store.SilenceOpen() }))
+	mux.HandleFunc("GET /reading", respond(func() any { return storeStatus{Address: store.Address()} }))
+	mux.HandleFunc("POST /put", handleJSON(func(i keyValue) { store.Put(i.Key, i.Value) }))
+	mux.HandleFunc("POST /remove", handleJSON(func(i keyValue) { store.Remove(i.Key) }))
+	mux.HandleFunc("POST /faults", handleJSON(store.SetFaults))
+	mux.HandleFunc("POST /drop-history", handleJSON(func(struct{}) { store.DropHistory() }))
+	mux.HandleFunc("POST /revoke", handleJSON(func(struct{}) { store.RevokeLeases() }))
+	mux.HandleFunc("POST /silence-open", handleJSON(func(struct{}) { store.SilenceOpen() }))
 	return serve(o.Control, mux)
 }
 
-// RunEndpoint runs an endpoint until the process is ended.
+// RunEndpoint runs an endpoint until the process is stopped. It returns an error if the journal cannot be opened or the control server
+// fails.
 func RunEndpoint(o EndpointOptions) error {
 	file, err := os.OpenFile(o.Journal, os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -88,30 +89,30 @@
 	}, platformstandin.WorkerOptions{
 		ID: o.ID, Service: service, Zone: o.Hall, Slots: o.Slots, Model: o.Model, Capacity: o.Capacity, LoadTime: o.LoadTime,
 		Events: o.Events, Pause: o.Pause, Journal: journal.write,
-		Crash: func() { os.Exit(crashed) },
+		Crash: func() { os.Exit(crashExitStatus) },
 	})
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /account", answer(func() any { return account{Overfull: worker.Overfull()} }))
-	mux.HandleFunc("POST /faults", take(worker.SetFaults))
-	mux.HandleFunc("POST /drain", take(func(struct{}) { worker.Drain() }))
-	mux.HandleFunc("POST /vanish", take(func(struct{}) { worker.Vanish() }))
-	mux.HandleFunc("POST /silence-open", take(func(struct{}) { worker.SilenceOpen() }))
-	mux.HandleFunc("POST /reset-open", take(func(struct{}) { worker.ResetOpen() }))
-	mux.HandleFunc("POST /queue-wait", take(worker.SetQueueWait))
-	mux.HandleFunc("POST /name", take(func(v namedVersion) { worker.Name(v.Adapter, v.Version) }))
+	mux.HandleFunc("GET /account", respond(func() any { return endpointStatus{Overfull: worker.Overfull()} }))
+	mux.HandleFunc("POST /faults", handleJSON(worker.SetFaults))
+	mux.HandleFunc("POST /drain", handleJSON(func(struct{}) { worker.Drain() }))
+	mux.HandleFunc("POST /vanish", handleJSON(func(struct{}) { worker.Vanish() }))
+	mux.HandleFunc("POST /silence-open", handleJSON(func(struct{}) { worker.SilenceOpen() }))
+	mux.HandleFunc("POST /reset-open", handleJSON(func(struct{}) { worker.ResetOpen() }))
+	mux.HandleFunc("POST /queue-wait", handleJSON(worker.SetQueueWait))
+	mux.HandleFunc("POST /name", handleJSON(func(v namedVersion) { worker.Name(v.Adapter, v.Version) }))
 	return serve(o.Control, mux)
 }
 
-// crashed is the status with which an endpoint ends that a request crashes.
-const crashed = 2
+// crashExitStatus is the exit status of an endpoint process that is crashed by a request.
+const crashExitStatus = 2
 
-// namedVersion is a version that later loads of an adapter bring.
+// namedVersion is the version that an endpoint loads of an adapter from now on.
 type namedVersion struct {
 	Adapter string `json:"adapter"`
 	Version int    `json:"version"`
 }
 
-// journal writes a line for each event of a run.
+// journal writes each event of a run as a line of JSON.
 type journal struct {
 	mutex   sync.Mutex
 	encoder *json.Encoder
@@ -123,7 +124,7 @@
 	logFailure("journal", j.encoder.Encode(event))
 }
 
-// logFailure notes an error that the stand-in can do nothing about: the soak reads the log.
+// logFailure logs an error that the stand-in cannot handle. The log is kept in the folder of the run.
 func logFailure(what string, err error) {
 	if err != nil {
 		logrus.WithError(err).WithField("call", what).Error("a stand-in's call failed")
@@ -138,15 +139,15 @@
 	return nil
 }
 
-// answer makes a handler that answers with JSON.
-func answer(read func() any) http.HandlerFunc {
+// respond returns a handler that answers with the result of read as JSON.
+func respond(read func() any) http.HandlerFunc {
 	return func(writer http.ResponseWriter, _ *http.Request) {
 		logFailure("answer", json.NewEncoder(writer).Encode(read()))
 	}
 }
 
-// take makes a handler that carries out what a JSON body says.
-func take[T any](apply func(T)) http.HandlerFunc {
+// handleJSON returns a handler that decodes the JSON body of the request and passes it to apply.
+func handleJSON[T any](apply func(T)) http.HandlerFunc {
 	return func(writer http.ResponseWriter, request *http.Request) {
 		var body T
 		if err := json.NewDecoder(request.Body).Decode(&body); err != nil {
--- a/tools/soak/outside/handle.go
+++ b/tools/soak/outside/handle.go
@@ -13,20 +13,20 @@
 	"github.com/shelfledge/shelfledge/tests/platformstandin"
 )
 
-// callTimeout bounds a control call: a stand-in that is paused does not answer.
+// callTimeout is the time-out of a control call. A frozen stand-in does not answer.
 const callTimeout = 5 * time.Second
 
-// handle steers a stand-in's process.
-type handle struct {
+// controlClient sends control calls to the process of a stand-in.
+type controlClient struct {
 	control string
 	client  *http.Client
 }
 
-func newHandle(control string) handle {
-	return handle{control: control, client: &http.Client{Timeout: callTimeout}}
+func newControlClient(control string) controlClient {
+	return controlClient{control: control, client: &http.Client{Timeout: callTimeout}}
 }
 
-func (h handle) post(call string, body any) error {
+func (h controlClient) post(call string, body any) error {
 	encoded, err := json.Marshal(body)
 	if err != nil {
 		return err
@@ -35,7 +35,7 @@
 	if err != nil {
 		return err
 	}
-	// Only the status counts.
+	// The body is not used, so that an error of closing it does not matter.
 	_ = response.Body.Close()
 	if response.StatusCode != http.StatusOK {
 		return fmt.Errorf("outside: %s: %s", call, response.Status)
@@ -43,103 +43,103 @@
 	return nil
 }
 
-func (h handle) get(call string, into any) error {
+func (h controlClient) get(call string, into any) error {
 	response, err := h.client.Get("http://" + h.control + "/" + call)
 	if err != nil {
 		return err
 	}
 	defer func() {
-		// The body was read: closing it can't lose anything.
+		// The body has been read, so that an error of closing it does not matter.
 		_ = response.Body.Close()
 	}()
 	return json.NewDecoder(response.Body).Decode(into)
 }
 
-// StoreHandle steers a store's process.
-type StoreHandle struct{ handle }
+// StoreHandle controls the store process.
+type StoreHandle struct{ controlClient }
 
-// NewStoreHandle steers the store at a control address, IP:PORT.
+// NewStoreHandle returns a handle of the store process with the given control address, IP:PORT.
 func NewStoreHandle(control string) *StoreHandle {
-	return &StoreHandle{newHandle(control)}
+	return &StoreHandle{newControlClient(control)}
 }
 
-// Address gives the IP:PORT at which the store serves instances.
+// Address returns the IP:PORT at which the store serves instances.
 func (s *StoreHandle) Address() (string, error) {
-	var r reading
+	var r storeStatus
 	err := s.get("reading", &r)
 	return r.Address, err
 }
 
-// Control gives the IP:PORT at which the store's process is steered.
+// Control returns the control address of the store process, IP:PORT.
 func (s *StoreHandle) Control() string {
 	return s.control
 }
 
-// Put writes a key as the platform does; it is acknowledged when Put returns.
+// Put writes a key as the platform does. The store has acknowledged the write when Put returns without an error.
 func (s *StoreHandle) Put(key string, value any) error {
 	encoded, err := json.Marshal(value)
 	if err != nil {
 		return err
 	}
-	return s.post("put", item{Key: key, Value: encoded})
+	return s.post("put", keyValue{Key: key, Value: encoded})
 }
 
-// Remove removes a key as an endpoint's silence does.
+// Remove removes a key, as the platform does after an endpoint has sent no heartbeats.
 func (s *StoreHandle) Remove(key string) error {
-	return s.post("remove", item{Key: key})
+	return s.post("remove", keyValue{Key: key})
 }
 
-// SetFaults replaces the store's troubles.
+// SetFaults replaces the injected faults of the store.
 func (s *StoreHandle) SetFaults(faults platformstandin.StoreFaults) error {
 	return s.post("faults", faults)
 }
 
-// DropHistory lets the store forget all changes so far.
+// DropHistory makes the store drop its history of changes.
 func (s *StoreHandle) DropHistory() error {
 	return s.post("drop-history", struct{}{})
 }
 
-// RevokeLeases takes all keys with leases away.
+// RevokeLeases makes the store remove all keys that have leases.
 func (s *StoreHandle) RevokeLeases() error {
 	return s.post("revoke", struct{}{})
 }
 
-// SilenceOpen lets all open connections to the store fall silent for good.
+// SilenceOpen silences all open connections to the store permanently, without closing them.
 func (s *StoreHandle) SilenceOpen() error {
 	return s.post("silence-open", struct{}{})
 }
 
-// EndpointHandle steers an endpoint's process.
-type EndpointHandle struct{ handle }
+// EndpointHandle controls an endpoint process.
+type EndpointHandle struct{ controlClient }
 
-// NewEndpointHandle steers the endpoint at a control address, IP:PORT.
+// NewEndpointHandle returns a handle of the endpoint process with the given control address, IP:PORT.
 func NewEndpointHandle(control string) *EndpointHandle {
-	return &EndpointHandle{newHandle(control)}
+	return &EndpointHandle{newControlClient(control)}
 }
 
-// Overfull is how many orders went beyond the endpoint's places.
+// Overfull returns the number of orders that exceeded the endpoint's places.
 func (e *EndpointHandle) Overfull() (int, error) {
-	var a account
+	var a endpointStatus
 	err := e.get("account", &a)
 	return a.Overfull, err
 }
 
-// SetFaults replaces the endpoint's troubles.
+// SetFaults replaces the injected faults of the endpoint.
 func (e *EndpointHandle) SetFaults(faults platformstandin.WorkerFaults) error {
 	return e.post("faults", faults)
 }
 
-// Drain lets the endpoint say that it leaves; the store has acknowledged it when Drain returns.
+// Drain makes the endpoint announce its departure. The store has acknowledged the announcement when Drain returns without an error.
 func (e *EndpointHandle) Drain() error {
 	return e.post("drain", struct{}{})
 }
 
-// Vanish takes the endpoint's entry away without a notice.
+// Vanish removes the endpoint's entry from the store without an announcement.
 func (e *EndpointHandle) Vanish() error {
 	return e.post("vanish", struct{}{})
 }
 
-// SilenceOpen lets all open connections to the endpoint fall silent for good.
+// SilenceOpen silences all open connections to the endpoint permanently, without closing them.
 func (e *EndpointHandle) SilenceOpen() error {
 	return e.post("silence-open", struct{}{})
 }
@@ -149,12 +149,12 @@
 	return e.post("reset-open", struct{}{})
 }
 
-// SetQueueWait makes each coming request wait before it begins.
+// SetQueueWait makes each new request wait before it begins.
 func (e *EndpointHandle) SetQueueWait(wait time.Duration) error {
 	return e.post("queue-wait", wait)
 }
 
-// Name names the version that later loads of an adapter bring.
+// Name sets the version that the endpoint loads of an adapter from now on.
 func (e *EndpointHandle) Name(adapter string, version int) error {
 	return e.post("name", namedVersion{Adapter: adapter, Version: version})
 }
