--- a/tools/soak/plan/plan.go
+++ b/tools/soak/plan/plan.go
@@ -10,29 +10,32 @@
 	"time"
 )
 
-// Kind is what a step does.
+// Kind is the kind of a step.
 type Kind string
 
-// The kinds of step. Those of instances and endpoints strike the one that Target numbers.
+// The kinds of step. A step on an instance or an endpoint affects the instance or endpoint with the number Target.
 const (
-	// Stop asks an instance to stop and starts it again; StopTwice sends the signal once more during the stop; StopEarly right after
-	// it has started again. Hangup sends SIGHUP, HangupEarly also right after a start that follows a stop.
+	// Stop sends an instance the stop signal, after which it is restarted. StopTwice sends the signal again during the stop, and
+	// StopEarly again shortly after the restart. Hangup sends SIGHUP. HangupEarly stops an instance and sends SIGHUP shortly after the
+	// restart.
 	Stop        Kind = "stop"
 	StopTwice   Kind = "stop-twice"
 	StopEarly   Kind = "stop-early"
 	Hangup      Kind = "hangup"
 	HangupEarly Kind = "hangup-early"
-	// Kill kills an instance and starts it again; Freeze stands it still for a time.
+	// Kill kills an instance, after which it is restarted. Freeze suspends an instance for a time.
 	Kill   Kind = "kill"
 	Freeze Kind = "freeze"
-	// AddRoute, RemoveRoute, SetIdle and SetTimeouts change the configuration; Name names a newer version of an adapter.
+	// AddRoute, RemoveRoute, SetIdle and SetTimeouts change the configuration. Name publishes a newer version of an adapter.
 	AddRoute    Kind = "add-route"
 	RemoveRoute Kind = "remove-route"
 	SetIdle     Kind = "set-idle"
 	SetTimeouts Kind = "set-timeouts"
 	Name        Kind = "name"
-	// The following strike an endpoint: it breaks off Count streams, resets, refuses or fails Count requests, answers Count twice,
-	// hangs on Count; it leaves with or without a notice and another one comes; it is killed and another one comes; it stands still.
+	// The following kinds affect an endpoint. It breaks off Count streams; resets, sheds or fails Count requests; answers Count
+	// requests twice; or hangs on Count requests. EndpointDrains and EndpointVanishes make it leave with and without an announcement,
+	// EndpointKilled kills it; in all three cases another endpoint replaces it. EndpointFreezes suspends it for a time, and
+	// EndpointQueues makes new requests wait before they begin.
 	EndpointBreaks   Kind = "endpoint-breaks"
 	EndpointResets   Kind = "endpoint-resets"
 	EndpointSheds    Kind = "endpoint-sheds"
@@ -44,20 +47,21 @@
 	EndpointKilled   Kind = "endpoint-killed"
 	EndpointFreezes  Kind = "endpoint-freezes"
 	EndpointQueues   Kind = "endpoint-queues"
-	// The following have an endpoint say of itself, in each answer: that it takes Count halves of a request a second; that it leaves, while
-	// its entry says otherwise; that it wants to rest, as it turns requests away.
+	// The following kinds make an endpoint send a notice in its answers: that it accepts Count/2 requests a second; that it leaves, although
+	// its entry in the store does not show that yet; or that it asks for a rest of Count/2 seconds, while it turns requests away.
 	EndpointLimits      Kind = "endpoint-limits"
 	EndpointSaysLeaving Kind = "endpoint-says-leaving"
 	EndpointRests       Kind = "endpoint-rests"
-	// The following have open connections to an endpoint fall silent for good, or close them.
+	// The following kinds silence the open connections to an endpoint permanently, or close them.
 	EndpointLinksSilent Kind = "endpoint-links-silent"
 	EndpointLinksReset  Kind = "endpoint-links-reset"
-	// The following strike the link of an instance to the store: it is slow, passes nothing, passes nothing back, or is reset.
+	// The following kinds affect the link from an instance to the store: it is slow, forwards nothing, forwards nothing from the store,
+	// or is reset.
 	LinkSlow  Kind = "link-slow"
 	LinkCut   Kind = "link-cut"
 	LinkDeaf  Kind = "link-deaf"
 	LinkReset Kind = "link-reset"
-	// The following strike the store.
+	// The following kinds affect the store.
 	StoreDown        Kind = "store-down"
 	StoreSilent      Kind = "store-silent"
 	StoreLosesWrites Kind = "store-loses-writes"
@@ -67,11 +71,11 @@
 	StoreLinksSilent Kind = "store-links-silent"
 	StoreFreezes     Kind = "store-freezes"
 	StoreThrottles   Kind = "store-throttles"
-	// Busy keeps Count processes of the host busy.
+	// Busy keeps Count processors of the host busy.
 	Busy Kind = "busy"
 )
 
-// Step is one thing that is done.
+// Step is one action of a plan.
 type Step struct {
 	At     time.Duration `json:"at"`
 	Kind   Kind          `json:"kind"`
@@ -80,91 +84,93 @@
 	Count  int           `json:"count,omitempty"`
 }
 
-// Options are the size of a soak.
+// Options are the options of a plan.
 type Options struct {
 	Span                 time.Duration
 	Instances, Endpoints int
-	// Only are the kinds that may be drawn; none allows all.
+	// Only lists the kinds that may be drawn. If it is empty, all kinds may be drawn.
 	Only []Kind
 }
 
-// share is a kind and how often it is drawn.
-type share struct {
+// kindSpec describes how steps of a kind are drawn. A kind is drawn with a probability proportional to its weight.
+type kindSpec struct {
 	kind   Kind
 	weight int
-	// longest bounds For, most bounds Count.
-	longest time.Duration
-	most    int
+	// maxFor bounds Step.For, and maxCount bounds Step.Count.
+	maxFor   time.Duration
+	maxCount int
 }
 
-// shares are all kinds. What real platforms do often is drawn often.
-var shares = []share{
+// kindSpecs are the kinds that Draw draws. Events that are frequent on real platforms have a high weight.
+var kindSpecs = []kindSpec{
 	{kind: Stop, weight: 12}, {kind: StopTwice, weight: 4}, {kind: StopEarly, weight: 2}, {kind: Hangup, weight: 8},
-	{kind: HangupEarly, weight: 3}, {kind: Kill, weight: 3}, {kind: Freeze, weight: 4, longest: 2500 * time.Millisecond},
+	{kind: HangupEarly, weight: 3}, {kind: Kill, weight: 3}, {kind: Freeze, weight: 4, maxFor: 2500 * time.Millisecond},
 	{kind: AddRoute, weight: 4}, {kind: RemoveRoute, weight: 2}, {kind: SetIdle, weight: 6}, {kind: SetTimeouts, weight: 4}, {kind: Name, weight: 4},
-	{kind: EndpointBreaks, weight: 6, most: 3}, {kind: EndpointResets, weight: 3, most: 4}, {kind: EndpointSheds, weight: 3, most: 10},
-	{kind: EndpointErrors, weight: 2, most: 4}, {kind: EndpointTwice, weight: 2, most: 3}, {kind: EndpointHangs, weight: 1, most: 2},
+	{kind: EndpointBreaks, weight: 6, maxCount: 3}, {kind: EndpointResets, weight: 3, maxCount: 4}, {kind: EndpointSheds, weight: 3, maxCount: 10},
+	{kind: EndpointErrors, weight: 2, maxCount: 4}, {kind: EndpointTwice, weight: 2, maxCount: 3}, {kind: EndpointHangs, weight: 1, maxCount: 2},
 	{kind: EndpointDrains, weight: 3}, {kind: EndpointVanishes, weight: 2}, {kind: EndpointKilled, weight: 2},
-	{kind: EndpointFreezes, weight: 2, longest: 2 * time.Second}, {kind: EndpointQueues, weight: 2, longest: 2 * time.Second},
+	{kind: EndpointFreezes, weight: 2, maxFor: 2 * time.Second}, {kind: EndpointQueues, weight: 2, maxFor: 2 * time.Second},
 	{kind: EndpointLinksSilent, weight: 2}, {kind: EndpointLinksReset, weight: 2},
-	{kind: LinkSlow, weight: 2, longest: 4 * time.Second}, {kind: LinkCut, weight: 3, longest: 4 * time.Second},
-	{kind: LinkDeaf, weight: 2, longest: 4 * time.Second}, {kind: LinkReset, weight: 2},
-	{kind: StoreDown, weight: 2, longest: 4 * time.Second}, {kind: StoreSilent, weight: 2, longest: 4 * time.Second},
-	{kind: StoreLosesWrites, weight: 2, most: 3}, {kind: StoreLateWrites, weight: 1, most: 2}, {kind: StoreForgets, weight: 2},
-	{kind: StoreRevokes, weight: 1}, {kind: StoreLinksSilent, weight: 2}, {kind: StoreFreezes, weight: 1, longest: 2 * time.Second},
-	{kind: StoreThrottles, weight: 1, longest: 3 * time.Second}, {kind: Busy, weight: 1, longest: 6 * time.Second, most: 6},
+	{kind: LinkSlow, weight: 2, maxFor: 4 * time.Second}, {kind: LinkCut, weight: 3, maxFor: 4 * time.Second},
+	{kind: LinkDeaf, weight: 2, maxFor: 4 * time.Second}, {kind: LinkReset, weight: 2},
+	{kind: StoreDown, weight: 2, maxFor: 4 * time.Second}, {kind: StoreSilent, weight: 2, maxFor: 4 * time.Second},
+	{kind: StoreLosesWrites, weight: 2, maxCount: 3}, {kind: StoreLateWrites, weight: 1, maxCount: 2}, {kind: StoreForgets, weight: 2},
+	{kind: StoreRevokes, weight: 1}, {kind: StoreLinksSilent, weight: 2}, {kind: StoreFreezes, weight: 1, maxFor: 2 * time.Second},
+	{kind: StoreThrottles, weight: 1, maxFor: 3 * time.Second}, {kind: Busy, weight: 1, maxFor: 6 * time.Second, maxCount: 6},
 }
 
-// notices are the kinds in which endpoints say something of themselves. They are drawn apart, so that a seed draws the same other steps
-// with them and without.
-var notices = []share{
-	{kind: EndpointLimits, weight: 4, longest: 12 * time.Second, most: 8}, {kind: EndpointSaysLeaving, weight: 2},
-	{kind: EndpointRests, weight: 3, longest: 8 * time.Second, most: 6},
+// noticeSpecs are the kinds in which endpoints send notices. They are drawn from random numbers of their own, so that a seed gives the
+// same other steps with and without notices.
+var noticeSpecs = []kindSpec{
+	{kind: EndpointLimits, weight: 4, maxFor: 12 * time.Second, maxCount: 8}, {kind: EndpointSaysLeaving, weight: 2},
+	{kind: EndpointRests, weight: 3, maxFor: 8 * time.Second, maxCount: 6},
 }
 
 const (
-	// noticeGap is the mean pause between two steps of notices.
+	// noticeGap is the mean time between two steps with notices.
 	noticeGap = 1500 * time.Millisecond
-	// noticeStream is the sequence of random numbers of notices.
+	// noticeStream is added to the stream number of the random generator, so that notices get random numbers of their own.
 	noticeStream = 1 << 40
-	// quietBegin and quietEnd are kept free of steps, so that caches fill first and the last trouble's effect shows.
+	// quietBegin and quietEnd are times without steps at the begin and the end of a run, so that caches are filled before the first step and
+	// the effects of the last steps are observed.
 	quietBegin = 3 * time.Second
 	quietEnd   = 10 * time.Second
-	// meanGap is the mean pause between steps; seriesGap that of a series, mostSeries the longest series.
-	meanGap    = 900 * time.Millisecond
-	seriesGap  = 400 * time.Millisecond
-	mostSeries = 5
-	// seriesShare is how many of so many draws are a series of one kind over several targets.
-	seriesShare = 5
+	// meanGap is the mean time between two draws. In a series, step i follows the first step after at most i times seriesGap. maxSeries
+	// is the greatest number of steps of a series.
+	meanGap   = 900 * time.Millisecond
+	seriesGap = 400 * time.Millisecond
+	maxSeries = 5
+	// seriesOdds makes one of five draws a series: steps of one kind on several targets.
+	seriesOdds = 5
 )
 
-// Draw draws a plan, in the order of its moments.
+// Draw returns a plan without notices, ordered by time.
 func Draw(seed uint64, o Options) []Step {
-	return drawSteps(rand.New(rand.NewPCG(seed, uint64(o.Span))), allowedShares(o.Only), meanGap, o)
+	return drawSteps(rand.New(rand.NewPCG(seed, uint64(o.Span))), allowedSpecs(o.Only), meanGap, o)
 }
 
-// DrawNotices draws what endpoints say of themselves, in the order of its moments.
+// DrawNotices returns a plan of the steps in which endpoints send notices, ordered by time.
 func DrawNotices(seed uint64, o Options) []Step {
-	return drawSteps(rand.New(rand.NewPCG(seed, noticeStream+uint64(o.Span))), notices, noticeGap, o)
+	return drawSteps(rand.New(rand.NewPCG(seed, noticeStream+uint64(o.Span))), noticeSpecs, noticeGap, o)
 }
 
-// Merge joins two plans in the order of their moments.
+// Merge returns the steps of two plans, ordered by time.
 func Merge(one, other []Step) []Step {
 	all := slices.Concat(one, other)
 	slices.SortStableFunc(all, func(a, b Step) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
-func drawSteps(random *rand.Rand, allowed []share, gap time.Duration, o Options) []Step {
+func drawSteps(random *rand.Rand, allowed []kindSpec, gap time.Duration, o Options) []Step {
 	if len(allowed) == 0 {
 		return nil
 	}
 	var steps []Step
 	for at := quietBegin; at < o.Span-quietEnd; at += time.Duration(random.ExpFloat64() * float64(gap)) {
-		drawn := draw(random, allowed)
+		drawn := drawSpec(random, allowed)
 		count := 1
-		if random.IntN(seriesShare) == 0 {
-			count += random.IntN(mostSeries)
+		if random.IntN(seriesOdds) == 0 {
+			count += random.IntN(maxSeries)
 		}
 		for i := range count {
 			step := drawn.step(random, o)
@@ -176,12 +182,12 @@
 	return steps
 }
 
-func allowedShares(only []Kind) []share {
+func allowedSpecs(only []Kind) []kindSpec {
 	if len(only) == 0 {
-		return shares
+		return kindSpecs
 	}
-	var allowed []share
-	for _, one := range shares {
+	var allowed []kindSpec
+	for _, one := range kindSpecs {
 		if slices.Contains(only, one.kind) {
 			allowed = append(allowed, one)
 		}
@@ -189,7 +195,7 @@
 	return allowed
 }
 
-func draw(random *rand.Rand, allowed []share) share {
+func drawSpec(random *rand.Rand, allowed []kindSpec) kindSpec {
 	sum := 0
 	for _, one := range allowed {
 		sum += one.weight
@@ -203,30 +209,30 @@
 	return allowed[0]
 }
 
-func (s share) step(random *rand.Rand, o Options) Step {
+func (s kindSpec) step(random *rand.Rand, o Options) Step {
 	step := Step{Kind: s.kind, Target: random.IntN(o.Instances)}
-	if s.strikesEndpoint() {
+	if s.targetsEndpoint() {
 		step.Target = random.IntN(o.Endpoints)
 	}
-	if s.longest > 0 {
-		step.For = time.Duration(random.Float64() * float64(s.longest)).Round(time.Millisecond)
+	if s.maxFor > 0 {
+		step.For = time.Duration(random.Float64() * float64(s.maxFor)).Round(time.Millisecond)
 	}
-	if s.most > 0 {
-		step.Count = 1 + random.IntN(s.most)
+	if s.maxCount > 0 {
+		step.Count = 1 + random.IntN(s.maxCount)
 	}
 	return step
 }
 
-// strikesEndpoint reports whether the target is an endpoint.
-func (s share) strikesEndpoint() bool {
+// targetsEndpoint reports whether the target of the kind is an endpoint.
+func (s kindSpec) targetsEndpoint() bool {
 	const prefix = "endpoint-"
 	return len(s.kind) > len(prefix) && s.kind[:len(prefix)] == prefix
 }
 
-// Kinds gives all kinds, in the order of the shares.
+// Kinds returns all kinds that Draw draws, in the order of kindSpecs.
 func Kinds() []Kind {
-	kinds := make([]Kind, 0, len(shares))
-	for _, one := range shares {
+	kinds := make([]Kind, 0, len(kindSpecs))
+	for _, one := range kindSpecs {
 		kinds = append(kinds, one.kind)
 	}
 	return kinds
--- a/tools/soak/plan/plan_test.go
+++ b/tools/soak/plan/plan_test.go
@@ -16,24 +16,24 @@
 
 var options = plan.Options{Span: 5 * time.Minute, Instances: 4, Endpoints: 6}
 
-func TestASeedGivesOnePlan(t *testing.T) {
+func TestDrawIsDeterministic(t *testing.T) {
 	assert.Equal(t, plan.Draw(7, options), plan.Draw(7, options))
 	assert.NotEqual(t, plan.Draw(7, options), plan.Draw(8, options))
 }
 
-func TestAPlanKeepsItsBounds(t *testing.T) {
+func TestDrawKeepsBounds(t *testing.T) {
 	steps := plan.Draw(7, options)
 	require.NotEmpty(t, steps)
 	assert.True(t, slices.IsSortedFunc(steps, func(a, b plan.Step) int { return int(a.At - b.At) }))
 	for _, step := range steps {
-		assert.GreaterOrEqual(t, step.At, 3*time.Second, "callers come first")
-		assert.Less(t, step.At, options.Span, "what follows the last step is seen")
+		assert.GreaterOrEqual(t, step.At, 3*time.Second, "callers start before the first step")
+		assert.Less(t, step.At, options.Span, "the run goes on after the last step")
 		assert.Less(t, step.Target, options.Endpoints)
 		assert.Contains(t, plan.Kinds(), step.Kind)
 	}
 }
 
-func TestOnlyTheKindsAskedForAreDrawn(t *testing.T) {
+func TestDrawUsesOnlyAllowedKinds(t *testing.T) {
 	only := options
 	only.Only = []plan.Kind{plan.Hangup, plan.SetIdle}
 	drawn := make(map[plan.Kind]bool)
@@ -45,7 +45,7 @@
 	assert.Empty(t, plan.Draw(7, only))
 }
 
-func TestALongPlanDrawsEachKind(t *testing.T) {
+func TestLongPlanContainsEachKind(t *testing.T) {
 	long := options
 	long.Span = time.Hour
 	drawn := make(map[plan.Kind]bool)
