--- a/tools/soak/traffic/balancer.go
+++ b/tools/soak/traffic/balancer.go
@@ -14,23 +14,23 @@
 )
 
 const (
-	// askPause is the pause between two questions for readiness, and missesOut how many of them in a row an instance may miss: the
-	// platform's own.
-	askPause  = time.Second
-	missesOut = 2
-	// askTimeout bounds one question.
-	askTimeout = 900 * time.Millisecond
+	// checkInterval is the interval of the readiness checks. An instance that fails maxMisses checks in a row gets no new connections.
+	// The platform's balancer uses the same values.
+	checkInterval = time.Second
+	maxMisses     = 2
+	// checkTimeout is the time-out of one readiness check.
+	checkTimeout = 900 * time.Millisecond
 )
 
-// Target is an instance that callers may be sent to.
+// Target is an instance to which callers may connect.
 type Target struct {
 	Name string
-	// Callers is the IP:PORT of its callers, Ready the URL that tells whether it is ready.
+	// Callers is the IP:PORT at which the instance listens for callers, and Ready the URL of its readiness check.
 	Callers string
 	Ready   string
 }
 
-// Balancer asks instances whether they are ready and gives new connections to those that are.
+// Balancer checks the readiness of instances and selects a ready instance for each new connection.
 type Balancer struct {
 	targets []Target
 	client  *http.Client
@@ -38,20 +38,20 @@
 	missed  []int
 }
 
-// NewBalancer makes a balancer that takes all targets for ready; Run asks them.
+// NewBalancer returns a balancer that considers all targets ready until Run has checked them.
 func NewBalancer(targets []Target) *Balancer {
 	return &Balancer{targets: targets, missed: make([]int, len(targets)), client: &http.Client{
-		Timeout: askTimeout, Transport: &http.Transport{DisableKeepAlives: true},
+		Timeout: checkTimeout, Transport: &http.Transport{DisableKeepAlives: true},
 	}}
 }
 
-// Run asks all targets until the context ends.
+// Run checks the readiness of all targets at each checkInterval until the context ends.
 func (b *Balancer) Run(ctx context.Context) {
-	ticker := time.NewTicker(askPause)
+	ticker := time.NewTicker(checkInterval)
 	defer ticker.Stop()
 	for {
 		for i := range b.targets {
-			go b.ask(i)
+			go b.check(i)
 		}
 		select {
 		case <-ctx.Done():
@@ -61,7 +61,7 @@
 	}
 }
 
-func (b *Balancer) ask(i int) {
+func (b *Balancer) check(i int) {
 	ready := processes.Answers(b.client, b.targets[i].Ready)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
@@ -72,18 +72,19 @@
 	b.missed[i]++
 }
 
-// Pick gives an instance for a new connection: one that is ready, or any where fewer than half of them are.
+// Pick returns a random instance for a new connection. It selects from the ready instances, or from all instances if fewer than half
+// of them are ready.
 func (b *Balancer) Pick(random *rand.Rand) Target {
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
-	var in []int
+	var ready []int
 	for i, missed := range b.missed {
-		if missed < missesOut {
-			in = append(in, i)
+		if missed < maxMisses {
+			ready = append(ready, i)
 		}
 	}
-	if len(in)*2 < len(b.targets) {
+	if len(ready)*2 < len(b.targets) {
 		return b.targets[random.IntN(len(b.targets))]
 	}
-	return b.targets[in[random.IntN(len(in))]]
+	return b.targets[ready[random.IntN(len(ready))]]
 }
--- a/tools/soak/traffic/caller.go
+++ b/tools/soak/traffic/caller.go
@@ -18,86 +18,86 @@
 	"github.com/shelfledge/shelfledge/tools/soak/ledger"
 )
 
-// Options are what all callers of a soak share.
+// Options are the options that all callers of a soak share.
 type Options struct {
 	Balancer *Balancer
-	// Record takes each attempt at its end.
+	// Record is called with each attempt when the attempt has ended.
 	Record func(ledger.Attempt)
-	// IdleLimit is the idle limit in force, Added the prefixes of routes that were added.
+	// IdleLimit returns the idle limit in force, and Added the prefixes of the routes that were added.
 	IdleLimit func() time.Duration
 	Added     func() []string
-	// LongPauses is the share of callers, 0 to 1, that rest for seconds; EdgePauses that of those that rest for the idle limit, give
-	// or take a few milliseconds.
+	// LongPauses is the share of callers, 0 to 1, that pause for seconds between requests. EdgePauses is the share of callers that pause
+	// for the idle limit, plus or minus up to edgeSpread.
 	LongPauses, EdgePauses float64
-	// Blind is the share of callers that do not look whether their connection was closed.
+	// Blind is the share of callers that reuse a connection without checking whether the instance has closed it.
 	Blind float64
-	// Odd is the share of requests that are sent in pieces or malformed, or whose callers leave.
+	// Odd is the share of requests that are sent in pieces or malformed, or whose callers close the connection early.
 	Odd float64
-	// Patient is the share of requests whose callers stay to their deadline: streams with long pauses, and large ones that are read
-	// slowly. With 0, a seed gives the requests of before they came.
+	// Patient is the share of requests whose callers wait until their deadline: streams with long pauses, and large streams that are read
+	// slowly. With 0, no random numbers are drawn for these requests, so that the other requests of a seed stay the same.
 	Patient float64
 }
 
-// rest is how a caller pauses between two requests.
-type rest int
+// pauseKind is the kind of a caller's pauses between two requests.
+type pauseKind int
 
 const (
-	restShort rest = iota
-	restLong
-	restEdge
+	pauseShort pauseKind = iota
+	pauseLong
+	pauseEdge
 )
 
 const (
-	// shortRest and longRest bound pauses; edgeSpread is how near to the idle limit the callers at its edge come back.
-	shortRest  = 400 * time.Millisecond
-	longRest   = 6 * time.Second
-	edgeSpread = 2 * time.Millisecond
-	// polite is the part of the idle limit for which a caller that knows it rests at most: the platform's own.
-	polite = 0.8
-	// beyondPatience is how long a caller waits for the end after its own deadline, to see by how much it is late.
-	beyondPatience = 700 * time.Millisecond
-	// trickle is the pause between two pieces of a request.
-	trickle = 30 * time.Millisecond
-	// mostRetryAfter bounds how long a refused caller waits before it comes back.
-	mostRetryAfter = 1500 * time.Millisecond
+	// maxShortPause and maxLongPause bound pauses. edgeSpread is the greatest difference between an edge pause and the idle limit.
+	maxShortPause = 400 * time.Millisecond
+	maxLongPause  = 6 * time.Second
+	edgeSpread    = 2 * time.Millisecond
+	// idleShare is the part of the idle limit that bounds a long pause. The platform's own callers use the same share.
+	idleShare = 0.8
+	// deadlineMargin is how long a caller waits for the end of an answer after its own deadline, to measure by how much the end is late.
+	deadlineMargin = 700 * time.Millisecond
+	// pieceDelay is the pause between two pieces of a request.
+	pieceDelay = 30 * time.Millisecond
+	// maxRetryAfter bounds how long a refused caller waits before it retries.
+	maxRetryAfter = 1500 * time.Millisecond
 )
 
-// Caller sends one request after the other.
+// Caller sends one request after the other over a persistent connection.
 type Caller struct {
-	options Options
-	random  *rand.Rand
-	rest    rest
-	blind   bool
-	conn    *connection
+	options   Options
+	random    *rand.Rand
+	pauseKind pauseKind
+	blind     bool
+	conn      *connection
 }
 
-// NewCaller makes a caller whose habits come from its random numbers.
+// NewCaller returns a caller whose behavior is drawn from random.
 func NewCaller(options Options, random *rand.Rand) *Caller {
 	c := &Caller{options: options, random: random, blind: random.Float64() < options.Blind}
 	switch share := random.Float64(); {
 	case share < options.EdgePauses:
-		c.rest = restEdge
+		c.pauseKind = pauseEdge
 	case share < options.EdgePauses+options.LongPauses:
-		c.rest = restLong
+		c.pauseKind = pauseLong
 	}
 	return c
 }
 
-// Run sends requests until the context ends; the last one is awaited.
+// Run sends requests until the context ends. It waits for the answer to the last request.
 func (c *Caller) Run(ctx context.Context) {
-	defer c.drop()
-	for c.pause(ctx, c.nextRest()) {
-		attempt, wait := c.try()
+	defer c.closeConnection()
+	for c.pause(ctx, c.nextPause()) {
+		attempt, wait := c.sendRequest()
 		c.options.Record(attempt)
 		if wait <= 0 || !c.pause(ctx, wait) {
 			continue
 		}
-		again, _ := c.try()
+		again, _ := c.sendRequest()
 		c.options.Record(again)
 	}
 }
 
-// pause waits, and reports false once the context has ended.
+// pause waits for the span. It returns false if the context ends first.
 func (c *Caller) pause(ctx context.Context, span time.Duration) bool {
 	timer := time.NewTimer(span)
 	defer timer.Stop()
@@ -109,38 +109,39 @@
 	}
 }
 
-// nextRest draws a pause. A caller that rests long keeps within the part of the idle limit that the platform's callers keep to.
-func (c *Caller) nextRest() time.Duration {
-	switch c.rest {
-	case restLong:
-		limit := min(longRest, time.Duration(polite*float64(c.options.IdleLimit())))
+// nextPause returns the next pause, drawn by the caller's pauseKind. Long pauses stay within idleShare of the idle limit.
+func (c *Caller) nextPause() time.Duration {
+	switch c.pauseKind {
+	case pauseLong:
+		limit := min(maxLongPause, time.Duration(idleShare*float64(c.options.IdleLimit())))
 		return time.Duration(c.random.Float64() * float64(limit))
-	case restEdge:
+	case pauseEdge:
 		off := time.Duration((2*c.random.Float64() - 1) * float64(edgeSpread))
 		return c.options.IdleLimit() + off
 	default:
-		return time.Duration(c.random.Float64() * float64(shortRest))
+		return time.Duration(c.random.Float64() * float64(maxShortPause))
 	}
 }
 
-func (c *Caller) drop() {
+func (c *Caller) closeConnection() {
 	if c.conn != nil {
-		c.conn.giveUp()
+		c.conn.discard()
 		c.conn = nil
 	}
 }
 
-// try sends one request, and tells after what time a refused caller comes back.
-func (c *Caller) try() (ledger.Attempt, time.Duration) {
+// sendRequest sends one request and reads the answer. It returns the attempt and the time after which a refused caller retries, or 0
+// if the caller does not retry.
+func (c *Caller) sendRequest() (ledger.Attempt, time.Duration) {
 	q := c.draw()
 	odd := c.random.Float64() < c.options.Odd
-	a := ledger.Attempt{ID: q.id, Kind: q.kind, Path: q.path, Adapter: q.adapter, Patience: q.patience, Began: time.Now()}
+	a := ledger.Attempt{ID: q.id, Kind: q.kind, Path: q.path, Adapter: q.adapter, Patience: q.callTimeout, Began: time.Now()}
 	if err := c.connect(&a); err != nil {
 		a.Outcome, a.Cause, a.Ended = ledger.Unreached, err.Error(), time.Now()
-		return a, shortRest
+		return a, maxShortPause
 	}
 	a.Instance, a.Connection, a.Use = c.conn.target.Name, c.conn.LocalAddr().String(), c.conn.uses
-	a.Rested = time.Since(c.conn.since)
+	a.Rested = time.Since(c.conn.idleSince)
 	c.conn.uses++
 	a.Began = time.Now()
 	c.write(q, &a, odd)
@@ -148,12 +149,12 @@
 	wait := c.read(q, &a, odd)
 	a.Ended = time.Now()
 	if c.conn != nil {
-		c.conn.since = a.Ended
+		c.conn.idleSince = a.Ended
 	}
 	return a, wait
 }
 
-// draw draws the next request.
+// draw returns the next request, drawn from the caller's random numbers.
 func (c *Caller) draw() *request {
 	if c.options.Patient > 0 && c.random.Float64() < c.options.Patient {
 		return drawPatient(c.random)
@@ -161,17 +162,18 @@
 	return draw(c.random, c.options.Added())
 }
 
-// connect takes the kept connection, or opens one where there is none or the caller sees that it has ended.
+// connect ensures that the caller has a connection. It opens a new one if there is none or if the caller detects that the instance has
+// closed it. A blind caller keeps a closed connection.
 func (c *Caller) connect(a *ledger.Attempt) error {
 	if c.conn != nil && c.conn.reader.Buffered() > 0 {
 		a.Wrong = "bytes that belong to no request came before it"
 	}
-	if c.conn != nil && c.conn.hasEnded() {
+	if c.conn != nil && c.conn.closedByPeer() {
 		if c.blind {
 			a.ClosedBefore = true
 			return nil
 		}
-		c.drop()
+		c.closeConnection()
 	}
 	if c.conn != nil {
 		return nil
@@ -184,7 +186,7 @@
 	return nil
 }
 
-// write sends a request, in pieces if it is an odd one. What cannot be written shows in the reading.
+// write sends a request, in pieces if the request is odd. An error of writing is not returned, because reading the answer fails as well.
 func (c *Caller) write(q *request, a *ledger.Attempt, odd bool) {
 	text := q.head() + q.payload()
 	pieces := 1
@@ -195,70 +197,71 @@
 			text = q.head() + q.payload()
 		}
 	}
-	_ = c.conn.SetDeadline(a.Began.Add(q.patience + beyondPatience))
+	_ = c.conn.SetDeadline(a.Began.Add(q.callTimeout + deadlineMargin))
 	for size := len(text)/pieces + 1; len(text) > 0; {
 		n := min(size, len(text))
 		if _, err := io.WriteString(c.conn, text[:n]); err != nil {
 			return
 		}
 		if text = text[n:]; len(text) > 0 {
-			time.Sleep(trickle)
+			time.Sleep(pieceDelay)
 		}
 	}
 }
 
-// read reads the answer and notes the outcome.
+// read reads the answer and sets the outcome of the attempt. It returns the time after which the caller retries.
 func (c *Caller) read(q *request, a *ledger.Attempt, odd bool) time.Duration {
 	if odd && c.random.IntN(4) == 0 {
-		time.Sleep(time.Duration(c.random.Float64() * float64(shortRest)))
+		time.Sleep(time.Duration(c.random.Float64() * float64(maxShortPause)))
 		a.Outcome, a.OnPlan = ledger.Left, true
 		if c.random.IntN(2) == 0 {
-			// Its end is a reset. One that has ended needs none.
+			// Close with a reset in place of an orderly close. An error means that the connection has already ended.
 			_ = c.conn.SetLinger(0)
 		}
-		c.drop()
+		c.closeConnection()
 		return 0
 	}
 	response, err := http.ReadResponse(c.conn.reader, &http.Request{Method: http.MethodPost})
 	if err != nil {
-		c.broken(a, err)
+		c.recordFailure(a, err)
 		return 0
 	}
-	time.Sleep(q.slow)
+	time.Sleep(q.readDelay)
 	body, err := io.ReadAll(response.Body)
-	// The body is read to its end or to an error: closing it changes nothing.
+	// The body has been read to its end or to an error, so that an error of closing it does not matter.
 	_ = response.Body.Close()
 	a.Status = response.StatusCode
 	if err != nil {
-		c.broken(a, err)
+		c.recordFailure(a, err)
 		return 0
 	}
 	seal := response.Header.Get(platformstandin.HeaderSeal)
-	wait := c.judge(q, a, response, seal, string(body))
+	wait := c.classify(q, a, response, seal, string(body))
 	if response.Close || a.Malformed {
-		c.drop()
+		c.closeConnection()
 	}
 	return wait
 }
 
-// broken notes a connection that ended without a whole answer, or an answer that did not come in time.
-func (c *Caller) broken(a *ledger.Attempt, err error) {
+// recordFailure sets the outcome of an attempt whose connection ended without a whole answer or whose answer did not arrive in time, and
+// closes the connection.
+func (c *Caller) recordFailure(a *ledger.Attempt, err error) {
 	a.Outcome, a.Cause = ledger.Closed, err.Error()
 	var timeout interface{ Timeout() bool }
 	if errors.As(err, &timeout) && timeout.Timeout() {
 		a.Outcome = ledger.Left
 	}
-	c.drop()
+	c.closeConnection()
 }
 
-// judge notes the outcome of a whole answer.
-func (c *Caller) judge(q *request, a *ledger.Attempt, response *http.Response, seal, body string) time.Duration {
+// classify sets the outcome of an attempt with a whole answer. It returns the time after which the caller retries.
+func (c *Caller) classify(q *request, a *ledger.Attempt, response *http.Response, seal, body string) time.Duration {
 	switch {
 	case response.StatusCode < http.StatusMultipleChoices:
 		a.Outcome = ledger.Whole
-		a.Wrong = q.wrong(seal, response.Header.Get(platformstandin.HeaderRequestID), body)
+		a.Wrong = q.answerDefect(seal, response.Header.Get(platformstandin.HeaderRequestID), body)
 		return 0
-	case seal == "" && refuses(response.StatusCode):
+	case seal == "" && guaranteesNotRun(response.StatusCode):
 		a.Outcome, a.Cause = ledger.Refused, strings.TrimSpace(body)
 		return retryAfter(response.Header)
 	default:
@@ -267,8 +270,8 @@
 	}
 }
 
-// refuses reports whether a status promises that the request did not run.
-func refuses(status int) bool {
+// guaranteesNotRun reports whether a status guarantees that the request did not run.
+func guaranteesNotRun(status int) bool {
 	switch status {
 	case http.StatusTooManyRequests, http.StatusServiceUnavailable, http.StatusRequestTimeout, http.StatusMisdirectedRequest:
 		return true
@@ -281,15 +284,15 @@
 	if err != nil {
 		return 0
 	}
-	return min(mostRetryAfter, time.Duration(seconds*float64(time.Second)))
+	return min(maxRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
 
-// Crowd is all callers of a soak.
+// Crowd runs all callers of a soak.
 type Crowd struct {
 	running sync.WaitGroup
 }
 
-// Start starts a number of callers, each with random numbers of its own, until the context ends.
+// Start starts count callers, each with random numbers of its own. They send requests until the context ends.
 func (c *Crowd) Start(ctx context.Context, options Options, seed uint64, count int) {
 	for i := range count {
 		caller := NewCaller(options, rand.New(rand.NewPCG(seed, uint64(i)+1)))
@@ -297,7 +300,7 @@
 	}
 }
 
-// Wait waits until all callers have their last answer.
+// Wait returns when all callers have received their last answer.
 func (c *Crowd) Wait() {
 	c.running.Wait()
 }
--- a/tools/soak/traffic/connection.go
+++ b/tools/soak/traffic/connection.go
@@ -18,12 +18,13 @@
 
 	reader *bufio.Reader
 	target Target
-	// uses is how many requests were sent on it; since is when it was opened or the last answer ended.
-	uses  int
-	since time.Time
+	// uses is the number of requests that were sent on the connection. idleSince is when the connection was opened or its last answer
+	// ended.
+	uses      int
+	idleSince time.Time
 }
 
-// dialTimeout is what the platform's callers give a new connection to come up.
+// dialTimeout is the time-out of a new connection. The platform's own callers use the same value.
 const dialTimeout = time.Second
 
 func dial(target Target) (*connection, error) {
@@ -31,11 +32,11 @@
 	if err != nil {
 		return nil, err
 	}
-	return &connection{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), target: target, since: time.Now()}, nil
+	return &connection{TCPConn: conn.(*net.TCPConn), reader: bufio.NewReader(conn), target: target, idleSince: time.Now()}, nil
 }
 
-// hasEnded reports whether the instance's end of the connection has arrived, without waiting for it.
-func (c *connection) hasEnded() bool {
+// closedByPeer reports, without blocking, whether the instance's close of the connection has arrived.
+func (c *connection) closedByPeer() bool {
 	raw, err := c.SyscallConn()
 	if err != nil {
 		return true
@@ -48,7 +49,7 @@
 	return ended || err != nil
 }
 
-// giveUp closes a connection that is not used again; an error of closing changes nothing then.
-func (c *connection) giveUp() {
+// discard closes a connection that is not used again, so that an error of closing it does not matter.
+func (c *connection) discard() {
 	_ = c.Close()
 }
--- a/tools/soak/traffic/doc.go
+++ b/tools/soak/traffic/doc.go
@@ -1,8 +1,9 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Package traffic plays the callers of a soak and the platform's balancer before them. Callers speak HTTP/1.1 on sockets of their own,
-// so that they decide byte by byte what is sent when, and keep their connections for as long as they can.
+// Package traffic simulates the callers of a soak and the platform's load balancer between callers and instances. Callers write HTTP/1.1
+// to TCP sockets directly, so that they control when each byte is sent, and keep their connections open as long as possible.
 //
-// It owns callers' connections and starts one goroutine for each caller and one for the balancer.
+// The package owns the callers' connections. It starts one goroutine for each caller and one for each readiness check. The caller of
+// Balancer.Run provides the goroutine of the balancer.
 package traffic
--- a/tools/soak/traffic/export_test.go
+++ b/tools/soak/traffic/export_test.go
@@ -5,8 +5,9 @@
 
 import "github.com/shelfledge/shelfledge/tools/soak/ledger"
 
-// Wrong says what is wrong with the body of a whole answer to a stream of some events; empty for nothing.
-func Wrong(kind ledger.RouteKind, id string, events int, body string) string {
+// AnswerDefect describes the error in the body of a whole answer to a stream with the given number of events. It returns an empty string
+// for a correct body.
+func AnswerDefect(kind ledger.RouteKind, id string, events int, body string) string {
 	q := &request{id: id, kind: kind, events: events}
-	return q.wrong("endpoint."+id, id, body)
+	return q.answerDefect("endpoint."+id, id, body)
 }
--- a/tools/soak/traffic/patient.go
+++ b/tools/soak/traffic/patient.go
@@ -14,36 +14,36 @@
 )
 
 const (
-	// leastPause and mostPause bound the pauses of streams whose callers stay: about and beyond the 3.2 s for which callers of their route
-	// usually listen. mostPauses is how many events a stream has at most.
-	leastPause = 2200 * time.Millisecond
-	mostPause  = 4200 * time.Millisecond
-	mostPauses = 4
-	// slowShare is how many in 100 of these requests are large streams that are read slowly: of slowEvents events, with so much padding that
-	// the kernels between endpoint and caller can't hold them.
-	slowShare   = 15
+	// minEventPause and maxEventPause bound the pauses between the events of pausing streams. They range from below to above the 3.2 s for
+	// which callers of such a route usually listen. maxPausingEvents is the greatest number of events of a pausing stream.
+	minEventPause    = 2200 * time.Millisecond
+	maxEventPause    = 4200 * time.Millisecond
+	maxPausingEvents = 4
+	// slowPercent is the percentage of patient requests that are large streams and are read slowly. They have slowEvents events, each with
+	// slowPadding bytes of padding, which is more than the socket buffers between endpoint and caller can hold.
+	slowPercent = 15
 	slowEvents  = 32
 	slowPadding = 512 << 10
-	// slowest bounds for how long a slow caller reads nothing.
-	slowest = 6 * time.Second
-	// stay is what these callers wait for.
-	stay = 15 * time.Second
+	// maxReadDelay bounds how long a slow caller reads nothing.
+	maxReadDelay = 6 * time.Second
+	// patientTimeout is the time-out of patient requests.
+	patientTimeout = 15 * time.Second
 )
 
-// drawPatient draws a request whose caller stays to its deadline, however long nothing comes.
+// drawPatient returns a random request whose caller waits until its deadline even if no bytes arrive for a long time.
 func drawPatient(random *rand.Rand) *request {
-	q := &request{id: fmt.Sprintf("s-%d", identifiers.Add(1)), patience: stay}
-	q.body = strings.Repeat("x", random.IntN(mostBody))
+	q := &request{id: fmt.Sprintf("s-%d", requestCounter.Add(1)), callTimeout: patientTimeout}
+	q.body = strings.Repeat("x", random.IntN(maxBody))
 	kind, prefix := ledger.Streaming, platformstandin.PausePrefix
 	if random.IntN(2) == 0 {
 		kind, prefix = ledger.Resumable, platformstandin.PauseResumePrefix
 	}
 	q.stream(random, kind, prefix)
-	q.events = 2 + random.IntN(mostPauses-1)
-	pause := leastPause + time.Duration(random.Float64()*float64(mostPause-leastPause))
-	if random.IntN(100) < slowShare {
+	q.events = 2 + random.IntN(maxPausingEvents-1)
+	pause := minEventPause + time.Duration(random.Float64()*float64(maxEventPause-minEventPause))
+	if random.IntN(100) < slowPercent {
 		q.events, q.padding, pause = slowEvents, slowPadding, 0
-		q.slow = time.Duration(random.Float64() * float64(slowest))
+		q.readDelay = time.Duration(random.Float64() * float64(maxReadDelay))
 	}
 	q.path = fmt.Sprintf("%sx?events=%d&pause_ms=%d&padding=%d", prefix, q.events, pause.Milliseconds(), q.padding)
 	return q
--- a/tools/soak/traffic/request.go
+++ b/tools/soak/traffic/request.go
@@ -15,42 +15,43 @@
 	"github.com/shelfledge/shelfledge/tools/soak/ledger"
 )
 
-// request is what a caller sends.
+// request is a request of a caller.
 type request struct {
-	id       string
-	kind     ledger.RouteKind
-	path     string
-	adapter  string
-	body     string
-	events   int
-	patience time.Duration
-	// padding is how many bytes each event has beside its own, and slow for how long the caller reads nothing after the head.
-	padding int
-	slow    time.Duration
-	// chunked sends the body in chunks.
+	id          string
+	kind        ledger.RouteKind
+	path        string
+	adapter     string
+	body        string
+	events      int
+	callTimeout time.Duration
+	// padding is the number of additional bytes of each event. readDelay is how long the caller reads nothing after the head of the answer.
+	padding   int
+	readDelay time.Duration
+	// chunked selects chunked transfer encoding.
 	chunked bool
-	// malformed ends the chunks by something else.
+	// malformed replaces the chunks with an invalid chunk size.
 	malformed bool
 }
 
-// identifiers numbers the requests of a soak.
-var identifiers atomic.Int64
+// requestCounter numbers the requests of a soak.
+var requestCounter atomic.Int64
 
 const (
 	adapterCount = 24
-	// longStream and longPause make a stream that lasts longer than the grace of a stop.
+	// longStream is the number of events of a long stream and longPause the pause between them. Such a stream lasts longer than the grace
+	// of a stopping instance.
 	longStream = 24
 	longPause  = 450 * time.Millisecond
-	// patience is what most callers wait for, and longPatience what callers of long streams do.
-	patience     = 4 * time.Second
-	longPatience = 14 * time.Second
-	mostBody     = 3000
+	// callTimeout is the time-out of most requests, and longTimeout that of long streams.
+	callTimeout = 4 * time.Second
+	longTimeout = 14 * time.Second
+	maxBody     = 3000
 )
 
-// draw draws a request; added are prefixes of routes that were added while the soak runs.
+// draw returns a random request. added are the prefixes of routes that were added during the soak.
 func draw(random *rand.Rand, added []string) *request {
-	q := &request{id: fmt.Sprintf("s-%d", identifiers.Add(1)), patience: patience, chunked: random.IntN(4) == 0}
-	q.body = strings.Repeat("x", random.IntN(mostBody))
+	q := &request{id: fmt.Sprintf("s-%d", requestCounter.Add(1)), callTimeout: callTimeout, chunked: random.IntN(4) == 0}
+	q.body = strings.Repeat("x", random.IntN(maxBody))
 	switch share := random.IntN(100); {
 	case share < 22:
 		q.stream(random, ledger.Streaming, platformstandin.StreamPrefix)
@@ -58,20 +59,21 @@
 		q.stream(random, ledger.Resumable, platformstandin.ResumePrefix)
 	case share < 42:
 		q.stream(random, ledger.Streaming, platformstandin.PatientPrefix)
-		q.events, q.patience = longStream, longPatience
+		q.events, q.callTimeout = longStream, longTimeout
 		q.path = fmt.Sprintf("%sx?events=%d&pause_ms=%d", platformstandin.PatientPrefix, longStream, longPause.Milliseconds())
 	case share < 70:
-		q.kind, q.path = ledger.Unsafe, platformstandin.UnsafePrefix+work(random)
+		q.kind, q.path = ledger.Unsafe, platformstandin.UnsafePrefix+plainPathSuffix(random)
 	case share < 74 && len(added) > 0:
 		q.kind, q.path = ledger.Safe, added[random.IntN(len(added))]+"x"
 	default:
-		q.kind, q.path = ledger.Safe, platformstandin.SafePrefix+work(random)
+		q.kind, q.path = ledger.Safe, platformstandin.SafePrefix+plainPathSuffix(random)
 	}
 	return q
 }
 
-// work gives the end of a plain request's path, which says how long its endpoint works on it.
-func work(random *rand.Rand) string {
+// plainPathSuffix returns the end of the path of a plain request. In one of three cases it sets how long the endpoint works on the
+// request.
+func plainPathSuffix(random *rand.Rand) string {
 	if random.IntN(3) > 0 {
 		return "x"
 	}
@@ -85,16 +87,16 @@
 	q.path = fmt.Sprintf("%sx?events=%d&pause_ms=%d", prefix, q.events, random.IntN(40))
 }
 
-// head gives the bytes of the request's head.
+// head returns the head of the request as it is sent.
 func (q *request) head() string {
 	framing := fmt.Sprintf("Content-Length: %d", len(q.body))
 	if q.chunked {
 		framing = "Transfer-Encoding: chunked"
 	}
-	return platformstandin.Head{Path: q.path, ID: q.id, Adapter: q.adapter, Patience: q.patience, Framing: framing}.String()
+	return platformstandin.Head{Path: q.path, ID: q.id, Adapter: q.adapter, Patience: q.callTimeout, Framing: framing}.String()
 }
 
-// payload gives the bytes of the body as they are sent.
+// payload returns the body of the request as it is sent.
 func (q *request) payload() string {
 	if !q.chunked {
 		return q.body
@@ -114,21 +116,21 @@
 	return text + "0\r\n\r\n"
 }
 
-// twice is the answer of an endpoint that answers twice.
-const twice = "twice"
+// repeatedAnswer is the body that an endpoint which answers twice sends.
+const repeatedAnswer = "twice"
 
-// isTwice reports whether a body is the answer of an endpoint that answers twice, for a stream that may be resumed also after some whole
-// events of another endpoint.
-func (q *request) isTwice(body, expected string) bool {
-	before, ok := strings.CutSuffix(body, twice)
+// isRepeatedAnswer reports whether a body is that of an endpoint which answers twice. In a resumable stream, whole events of another
+// endpoint may precede secondAnswer.
+func (q *request) isRepeatedAnswer(body, expected string) bool {
+	before, ok := strings.CutSuffix(body, repeatedAnswer)
 	if !ok || before == "" {
 		return ok
 	}
 	return q.kind == ledger.Resumable && strings.HasPrefix(expected, before) && strings.HasSuffix(before, "\n\n")
 }
 
-// wrong says what is wrong with a whole successful answer; empty for nothing.
-func (q *request) wrong(seal, id, body string) string {
+// answerDefect describes the error in a whole successful answer. It returns an empty string for a correct answer.
+func (q *request) answerDefect(seal, id, body string) string {
 	if id != q.id {
 		return fmt.Sprintf("it answers %q", id)
 	}
@@ -144,7 +146,7 @@
 		}
 		expected = all.String()
 	}
-	if body != expected && !q.isTwice(body, expected) {
+	if body != expected && !q.isRepeatedAnswer(body, expected) {
 		return fmt.Sprintf("%d bytes in place of %d", len(body), len(expected))
 	}
 	return ""
--- a/tools/soak/traffic/request_test.go
+++ b/tools/soak/traffic/request_test.go
@@ -13,27 +13,28 @@
 	"github.com/shelfledge/shelfledge/tools/soak/traffic"
 )
 
-// TestWhichAnswersToAStreamAreWhole: the stand-in of an endpoint that answers twice gives another text than a stream, also where it is
-// to go on with one; that was taken for a wrong answer (seed 516, 20 instances).
-func TestWhichAnswersToAStreamAreWhole(t *testing.T) {
+// TestStreamAnswerDefects guards against correct answers being reported as defective. The stand-in for an endpoint that answers twice
+// sends a text that differs from a stream, also when it has to resume a stream of another endpoint. A soak reported that text as a wrong
+// answer (seed 516, 20 instances).
+func TestStreamAnswerDefects(t *testing.T) {
 	first, second := platformstandin.Event(1, "r", ""), platformstandin.Event(2, "r", "")
 	for name, test := range map[string]struct {
 		kind  ledger.RouteKind
 		body  string
 		whole bool
 	}{
-		"all events":                        {ledger.Streaming, first + second, true},
-		"an event less":                     {ledger.Streaming, first, false},
-		"an event twice":                    {ledger.Resumable, first + first + second, false},
-		"a second answer's text":            {ledger.Streaming, "twice", true},
-		"the same after an event":           {ledger.Streaming, first + "twice", false},
-		"the same after one, resumable":     {ledger.Resumable, first + "twice", true},
-		"the same within an event":          {ledger.Resumable, first[:5] + "twice", false},
-		"the same after another's event":    {ledger.Resumable, second + "twice", false},
-		"the same before the rest of a one": {ledger.Resumable, first + "twice" + second, false},
+		"all events":                             {ledger.Streaming, first + second, true},
+		"last event missing":                     {ledger.Streaming, first, false},
+		"event repeated":                         {ledger.Resumable, first + first + second, false},
+		"repeated answer":                        {ledger.Streaming, "twice", true},
+		"repeated answer after event":            {ledger.Streaming, first + "twice", false},
+		"repeated answer after event, resumable": {ledger.Resumable, first + "twice", true},
+		"repeated answer within event":           {ledger.Resumable, first[:5] + "twice", false},
+		"repeated answer after wrong event":      {ledger.Resumable, second + "twice", false},
+		"repeated answer between events":         {ledger.Resumable, first + "twice" + second, false},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.whole, traffic.Wrong(test.kind, "r", 2, test.body) == "")
+			assert.Equal(t, test.whole, traffic.AnswerDefect(test.kind, "r", 2, test.body) == "")
 		})
 	}
 }
