--- a/tools/soak/daemoncallers.go
+++ b/tools/soak/daemoncallers.go
@@ -119,7 +119,7 @@
 func (c *daemonCaller) send(call standin.Call) (rest time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), daemonCallTimeout)
 	defer cancel()
-	attempt := ledger.Attempt{ID: call.ID, Kind: ledger.Resumable, Path: "/" + call.Model, Instance: c.target.Name, Began: time.Now(), Patience: daemonCallTimeout}
+	attempt := ledger.Attempt{ID: call.ID, Kind: ledger.Resumable, Path: "/" + call.Model, Instance: c.target.Name, Began: time.Now(), Timeout: daemonCallTimeout}
 	if call.Once {
 		attempt.Kind = ledger.Unsafe
 	}
@@ -127,7 +127,7 @@
 	answer := call.Send(ctx, c.target.Callers)
 	attempt.Ended, attempt.Status = time.Now(), answer.Status
 	attempt.Outcome, attempt.Cause = classifyAnswer(answer)
-	attempt.Wrong = answerDefect(call, answer)
+	attempt.Defect = answerDefect(call, answer)
 	c.callers.record(attempt)
 	if attempt.Outcome != ledger.Whole {
 		c.target = c.callers.balancer.Pick(c.random)
@@ -148,7 +148,7 @@
 	case errors.As(a.Err, &refused) && refused.Op == "dial":
 		return ledger.Unreached, a.Err.Error()
 	case errors.Is(a.Err, context.DeadlineExceeded):
-		return ledger.Left, a.Err.Error()
+		return ledger.Abandoned, a.Err.Error()
 	case a.Err != nil:
 		return ledger.Closed, a.Err.Error()
 	default:
--- a/tools/soak/daemons.go
+++ b/tools/soak/daemons.go
@@ -193,7 +193,7 @@
 	d.mutex.Lock()
 	defer d.mutex.Unlock()
 	return &ledger.Record{
-		Attempts: attempts, Runs: d.runs, Disruptions: d.recorder.disruptions, Exits: d.recorder.exits, Broken: d.cluster.Violations(), Lag: lag.maxLag,
+		Attempts: attempts, Runs: d.runs, Disruptions: d.recorder.disruptions, Exits: d.recorder.exits, EndpointViolations: d.cluster.Violations(), Lag: lag.maxLag,
 		Bounds: ledger.Bounds{Grace: daemonNotice + daemonDrain, GraceMargin: graceMargin, IdleLimit: noIdleLimit},
 	}
 }
--- a/tools/soak/execute.go
+++ b/tools/soak/execute.go
@@ -171,7 +171,7 @@
 	case plan.LinkCut:
 		one.disturbLink(link.Cut, step.For)
 	case plan.LinkDeaf:
-		one.disturbLink(link.Deaf, step.For)
+		one.disturbLink(link.OneWay, step.For)
 	case plan.LinkReset:
 		one.storeLink.Reset()
 	default:
@@ -232,7 +232,7 @@
 	}
 	time.Sleep(span)
 	err := s.storeHandle.SetFaults(platformstandin.StoreFaults{})
-	s.recorder.addDisruption(ledger.StoreTroubled, "", from, time.Now())
+	s.recorder.addDisruption(ledger.StoreFault, "", from, time.Now())
 	return err
 }
 
@@ -240,7 +240,7 @@
 // connections of all instances; the instances detect it only by time-outs.
 func (s *site) silenceStoreLinks() error {
 	now := time.Now()
-	s.recorder.addDisruption(ledger.StoreTroubled, "", now, now)
+	s.recorder.addDisruption(ledger.StoreFault, "", now, now)
 	return s.storeHandle.SilenceOpen()
 }
 
@@ -251,7 +251,7 @@
 		return err
 	}
 	time.Sleep(span)
-	s.recorder.addDisruption(ledger.StoreTroubled, "", from, time.Now())
+	s.recorder.addDisruption(ledger.StoreFault, "", from, time.Now())
 	return s.store.Signal(syscall.SIGCONT)
 }
 
--- a/tools/soak/instance.go
+++ b/tools/soak/instance.go
@@ -104,7 +104,7 @@
 	i.storeLink.SetMode(mode)
 	time.Sleep(span)
 	i.storeLink.SetMode(link.Pass)
-	i.site.recorder.addDisruption(ledger.StoreTroubled, i.name, from, time.Now())
+	i.site.recorder.addDisruption(ledger.StoreFault, i.name, from, time.Now())
 }
 
 func (i *instance) target() traffic.Target {
@@ -164,9 +164,9 @@
 	i.mutex.Lock()
 	defer i.mutex.Unlock()
 	now := time.Now()
-	exit := ledger.Exit{Instance: i.name, At: now, Asked: !i.stopSignaled.IsZero(), Lived: now.Sub(i.startedAt)}
-	if exit.Asked {
-		exit.Took = now.Sub(i.stopSignaled)
+	exit := ledger.Exit{Instance: i.name, At: now, Requested: !i.stopSignaled.IsZero(), Lifetime: now.Sub(i.startedAt)}
+	if exit.Requested {
+		exit.StopTime = now.Sub(i.stopSignaled)
 		if !i.killed {
 			i.site.recorder.addDisruption(ledger.Stop, i.name, i.stopSignaled, now)
 		}
--- a/tools/soak/ledger/check.go
+++ b/tools/soak/ledger/check.go
@@ -36,8 +36,8 @@
 	CheckEndpoint    = "an endpoint saw a promise broken"
 )
 
-// All holds the checks of a record by name.
-var All = map[string]func(*Record) []Finding{
+// Checks holds the checks of a record by name.
+var Checks = map[string]func(*Record) []Finding{
 	CheckLost: checkLost, CheckUnexplained: checkUnexplained, CheckNotRun: checkNotRun, CheckOnce: checkOnce, CheckWhole: checkWhole,
 	CheckHeld: checkHeld, CheckDenied: checkDenied, CheckDeparted: checkDeparted, CheckVersion: checkVersion, CheckPlaces: checkPlaces,
 	CheckExit: checkExit, CheckGrace: checkGrace, CheckBudget: checkBudget, CheckLeak: checkLeak,
@@ -45,16 +45,16 @@
 	CheckEndpoint: checkEndpoint,
 }
 
-// Judge runs all checks and returns their findings, ordered by the name of the check.
-func Judge(r *Record) []Finding {
-	names := make([]string, 0, len(All))
-	for name := range All {
+// RunChecks runs all checks and returns their findings, ordered by the name of the check.
+func RunChecks(r *Record) []Finding {
+	names := make([]string, 0, len(Checks))
+	for name := range Checks {
 		names = append(names, name)
 	}
 	slices.Sort(names)
 	var findings []Finding
 	for _, name := range names {
-		findings = append(findings, All[name](r)...)
+		findings = append(findings, Checks[name](r)...)
 	}
 	return findings
 }
@@ -102,9 +102,9 @@
 }
 
 // disrupted reports whether one of the given kinds of disruption affected the target within a span.
-func (r *Record) disrupted(target string, from, to time.Time, troubles ...Trouble) bool {
+func (r *Record) disrupted(target string, from, to time.Time, troubles ...Fault) bool {
 	return slices.ContainsFunc(r.Disruptions, func(d Disruption) bool {
-		return d.Target == target && slices.Contains(troubles, d.Trouble) && d.overlaps(from, to)
+		return d.Target == target && slices.Contains(troubles, d.Fault) && d.overlaps(from, to)
 	})
 }
 
@@ -141,7 +141,7 @@
 	switch {
 	case r.disrupted(a.Instance, from, a.Ended, Kill, LinkBroken):
 		return true
-	case a.Ended.Sub(a.Began) >= a.Patience-deadlineSlack:
+	case a.Ended.Sub(a.Began) >= a.Timeout-deadlineSlack:
 		return true
 	case r.cutByGrace(a, run), r.routeTimedOut(a):
 		return true
@@ -172,7 +172,7 @@
 		ended = last
 	}
 	return slices.ContainsFunc(r.Disruptions, func(d Disruption) bool {
-		return d.Trouble == Stop && d.Target == a.Instance && a.Sent.Before(r.stopReceived(d).Add(lateStop)) &&
+		return d.Fault == Stop && d.Target == a.Instance && a.Sent.Before(r.stopReceived(d).Add(lateStop)) &&
 			!ended.Before(d.From.Add(r.Bounds.Grace-r.Bounds.GraceMargin-noticeSlack)) && !ended.After(d.To.Add(time.Second))
 	})
 }
@@ -184,7 +184,7 @@
 	for again := true; again; {
 		again = false
 		for _, d := range r.Disruptions {
-			if d.Trouble == Freeze && d.Target == stop.Target && !d.From.After(taken) && d.To.After(taken) {
+			if d.Fault == Freeze && d.Target == stop.Target && !d.From.After(taken) && d.To.After(taken) {
 				taken, again = d.To, true
 			}
 		}
@@ -219,13 +219,13 @@
 		if r.disrupted(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Kill, LinkBroken) || r.crossedStop(a) {
 			continue
 		}
-		if a.Use > 0 && a.Rested >= r.Bounds.IdleLimit-idleCrossing {
+		if a.Use > 0 && a.IdleTime >= r.Bounds.IdleLimit-idleCrossing {
 			continue
 		}
-		if a.Ended.Sub(a.Began) >= a.Patience-deadlineSlack {
+		if a.Ended.Sub(a.Began) >= a.Timeout-deadlineSlack {
 			continue
 		}
-		findings = append(findings, Finding{CheckUnexplained, a.ID, fmt.Sprintf("%s at %s, use %d after %s of rest: %s", a.Path, a.Instance, a.Use, a.Rested, a.Cause)})
+		findings = append(findings, Finding{CheckUnexplained, a.ID, fmt.Sprintf("%s at %s, use %d after %s of rest: %s", a.Path, a.Instance, a.Use, a.IdleTime, a.Cause)})
 	}
 	return findings
 }
@@ -265,8 +265,8 @@
 func checkWhole(r *Record) []Finding {
 	var findings []Finding
 	for _, a := range r.Attempts {
-		if a.Wrong != "" {
-			findings = append(findings, Finding{CheckWhole, a.ID, fmt.Sprintf("%d from %s: %s", a.Status, a.Instance, a.Wrong)})
+		if a.Defect != "" {
+			findings = append(findings, Finding{CheckWhole, a.ID, fmt.Sprintf("%d from %s: %s", a.Status, a.Instance, a.Defect)})
 		}
 	}
 	return findings
@@ -278,13 +278,13 @@
 func checkHeld(r *Record) []Finding {
 	var findings []Finding
 	for _, a := range r.Attempts {
-		if a.OnPlan || a.Outcome != Left {
+		if a.PlannedClose || a.Outcome != Abandoned {
 			continue
 		}
 		if r.disrupted(a.Instance, a.Began, a.Ended, Freeze, Kill, LinkBroken) {
 			continue
 		}
-		if held := a.Ended.Sub(a.Began); held > a.Patience+heldSlack+r.lag(a.Began, a.Ended) {
+		if held := a.Ended.Sub(a.Began); held > a.Timeout+heldSlack+r.lag(a.Began, a.Ended) {
 			findings = append(findings, Finding{CheckHeld, a.ID, fmt.Sprintf("%s at %s had no end after %s", a.Path, a.Instance, held)})
 		}
 	}
@@ -312,7 +312,7 @@
 		if len(a.Path) < len(added.Prefix) || a.Path[:len(added.Prefix)] != added.Prefix {
 			continue
 		}
-		if r.disrupted("", added.Acknowledged.Add(-contact), a.Ended, StoreTroubled) || r.disrupted(a.Instance, a.Began.Add(-contact), a.Ended, Freeze, StoreTroubled) {
+		if r.disrupted("", added.Acknowledged.Add(-contact), a.Ended, StoreFault) || r.disrupted(a.Instance, a.Began.Add(-contact), a.Ended, Freeze, StoreFault) {
 			return true
 		}
 		inForce := added.Acknowledged.Add(r.Bounds.Apply + r.lag(added.Acknowledged, a.Ended))
@@ -328,12 +328,12 @@
 // boundHolds reports whether a bound from an acknowledgement holds for a run: neither the store nor the instance that sent the run was
 // disrupted between contact before the acknowledgement and the run.
 func (r *Record) boundHolds(event platformstandin.RunEvent, acknowledged time.Time) bool {
-	if r.disrupted("", acknowledged.Add(-contact), event.At, StoreTroubled) {
+	if r.disrupted("", acknowledged.Add(-contact), event.At, StoreFault) {
 		return false
 	}
 	for _, a := range r.Attempts {
 		if a.ID == event.ID {
-			return !r.disrupted(a.Instance, acknowledged.Add(-contact), event.At, Freeze, StoreTroubled)
+			return !r.disrupted(a.Instance, acknowledged.Add(-contact), event.At, Freeze, StoreFault)
 		}
 	}
 	return true
@@ -372,7 +372,7 @@
 
 func checkEndpoint(r *Record) []Finding {
 	var findings []Finding
-	for _, text := range r.Broken {
+	for _, text := range r.EndpointViolations {
 		findings = append(findings, Finding{Check: CheckEndpoint, Text: text})
 	}
 	return findings
@@ -396,8 +396,8 @@
 func checkExit(r *Record) []Finding {
 	var findings []Finding
 	for _, e := range r.Exits {
-		early := e.Error == hangupError && e.Lived < signalSetupTime+r.lag(e.At.Add(-e.Lived), e.At)
-		if !e.Asked && !early {
+		early := e.Error == hangupError && e.Lifetime < signalSetupTime+r.lag(e.At.Add(-e.Lifetime), e.At)
+		if !e.Requested && !early {
 			findings = append(findings, Finding{Check: CheckExit, Text: fmt.Sprintf("%s: %s", e.Instance, e.Error)})
 		}
 	}
@@ -407,9 +407,9 @@
 func checkGrace(r *Record) []Finding {
 	var findings []Finding
 	for _, e := range r.Exits {
-		from := e.At.Add(-e.Took)
-		if e.Asked && e.Took > r.Bounds.Grace+r.lag(from, e.At)+r.frozen(e.Instance, from, e.At) {
-			findings = append(findings, Finding{Check: CheckGrace, Text: fmt.Sprintf("%s ended after %s", e.Instance, e.Took)})
+		from := e.At.Add(-e.StopTime)
+		if e.Requested && e.StopTime > r.Bounds.Grace+r.lag(from, e.At)+r.frozen(e.Instance, from, e.At) {
+			findings = append(findings, Finding{Check: CheckGrace, Text: fmt.Sprintf("%s ended after %s", e.Instance, e.StopTime)})
 		}
 	}
 	return findings
@@ -419,7 +419,7 @@
 func (r *Record) frozen(instance string, from, to time.Time) time.Duration {
 	var sum time.Duration
 	for _, d := range r.Disruptions {
-		if d.Trouble == Freeze && d.Target == instance && d.overlaps(from, to) {
+		if d.Fault == Freeze && d.Target == instance && d.overlaps(from, to) {
 			sum += d.To.Sub(d.From)
 		}
 	}
@@ -452,9 +452,9 @@
 	return findings
 }
 
-// CutStreams returns the number of resumable streams that ended early although their callers were still reading. Where the endpoint of
+// CountCutStreams returns the number of resumable streams that ended early although their callers were still reading. Where the endpoint of
 // such a stream is alive, the loss is avoidable.
-func CutStreams(r *Record) int {
+func CountCutStreams(r *Record) int {
 	count := 0
 	byRequest := r.runsByRequest()
 	for _, a := range r.Attempts {
@@ -476,16 +476,16 @@
 	return findings
 }
 
-// Unrun holds the numbers of requests that did not run and whose connection closed without an answer: of all of them, of those about
+// NotRun holds the numbers of requests that did not run and whose connection closed without an answer: of all of them, of those about
 // the idle limit and of those during a stop.
-type Unrun struct {
+type NotRun struct {
 	All, Idle, Stop int
 }
 
-// Unanswered counts the requests that did not run and whose connection closed without an answer. Requests that were sent after the close
+// CountNotRun counts the requests that did not run and whose connection closed without an answer. Requests that were sent after the close
 // of the connection had arrived at the caller are left out, and so are malformed requests.
-func Unanswered(r *Record) Unrun {
-	var count Unrun
+func CountNotRun(r *Record) NotRun {
+	var count NotRun
 	byRequest := r.runsByRequest()
 	for _, a := range r.Attempts {
 		if a.Outcome != Closed || byRequest[a.ID] != nil || a.ClosedBefore || a.Malformed {
@@ -495,7 +495,7 @@
 		switch {
 		case r.disrupted(a.Instance, a.Began.Add(-noticeSlack), a.Ended.Add(noticeSlack), Stop):
 			count.Stop++
-		case a.Use > 0 && a.Rested >= r.Bounds.IdleLimit-idleCrossing:
+		case a.Use > 0 && a.IdleTime >= r.Bounds.IdleLimit-idleCrossing:
 			count.Idle++
 		}
 	}
--- a/tools/soak/ledger/check_test.go
+++ b/tools/soak/ledger/check_test.go
@@ -24,8 +24,8 @@
 func validRecord() *ledger.Record {
 	return &ledger.Record{
 		Attempts: []ledger.Attempt{{
-			ID: "r", Kind: ledger.Unsafe, Path: "/hold/x", Instance: "a", Use: 1, Rested: second / 2, Began: at(10 * second), Sent: at(10 * second),
-			Ended: at(10*second + second/10), Patience: 4 * second, Outcome: ledger.Whole, Status: 200,
+			ID: "r", Kind: ledger.Unsafe, Path: "/hold/x", Instance: "a", Use: 1, IdleTime: second / 2, Began: at(10 * second), Sent: at(10 * second),
+			Ended: at(10*second + second/10), Timeout: 4 * second, Outcome: ledger.Whole, Status: 200,
 		}},
 		Runs: []platformstandin.RunEvent{
 			{ID: "r", Endpoint: "e", Adapter: "a1", Version: 2, Phase: platformstandin.RunBegan, At: at(10 * second)},
@@ -44,9 +44,9 @@
 // removeRuns removes all runs, so that the request did not run.
 func removeRuns(r *ledger.Record) { r.Runs = nil }
 
-func addDisruption(trouble ledger.Trouble, target string, from, to time.Duration) func(*ledger.Record) {
+func addDisruption(trouble ledger.Fault, target string, from, to time.Duration) func(*ledger.Record) {
 	return func(r *ledger.Record) {
-		r.Disruptions = append(r.Disruptions, ledger.Disruption{Trouble: trouble, Target: target, From: at(from), To: at(to)})
+		r.Disruptions = append(r.Disruptions, ledger.Disruption{Fault: trouble, Target: target, From: at(from), To: at(to)})
 	}
 }
 
@@ -63,7 +63,7 @@
 }
 
 func setIdleTime(span time.Duration) func(*ledger.Record) {
-	return func(r *ledger.Record) { r.Attempts[0].Rested = span }
+	return func(r *ledger.Record) { r.Attempts[0].IdleTime = span }
 }
 
 // TestChecksFindFaults applies changes to a valid record: a fault alone, which its check must find, and the fault with a reason that
@@ -85,28 +85,28 @@
 		{"ran and closed, instance frozen", []change{closeConnection, addDisruption(ledger.Freeze, "a", 9*second, 11*second)}, ledger.CheckLost},
 		{"ran and closed, idle limit reached", []change{closeConnection, setIdleTime(2 * second)}, ledger.CheckLost},
 		{"ran and closed, grace ended", []change{closeConnection, addDisruption(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
-			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(16*second)
+			r.Attempts[0].Timeout, r.Attempts[0].Ended = 14*second, at(16*second)
 		}}, ""},
 		{"ran and closed, grace ended, slow reader sees it late", []change{closeConnection, addDisruption(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
-			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(18*second)
+			r.Attempts[0].Timeout, r.Attempts[0].Ended = 14*second, at(18*second)
 			r.Runs[1].Phase, r.Runs[1].At = platformstandin.RunCanceled, at(16*second)
 		}}, ""},
 		{"ran and canceled before end of grace, slow reader sees it at end of grace", []change{closeConnection, addDisruption(ledger.Stop, "a", 8*second, 16*second), func(r *ledger.Record) {
-			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(16*second)
+			r.Attempts[0].Timeout, r.Attempts[0].Ended = 14*second, at(16*second)
 			r.Runs[1].Phase, r.Runs[1].At = platformstandin.RunCanceled, at(12*second)
 		}}, ledger.CheckLost},
 		{"ran and closed, grace ended, sent late after stop signal", []change{closeConnection, addDisruption(ledger.Stop, "a", 6*second, 14*second), func(r *ledger.Record) {
-			r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(14*second)
+			r.Attempts[0].Timeout, r.Attempts[0].Ended = 14*second, at(14*second)
 		}}, ledger.CheckLost},
 		{"ran and closed, grace ended, sent late, instance frozen at stop signal", []change{
 			closeConnection, addDisruption(ledger.Stop, "a", 6*second, 14*second), addDisruption(ledger.Freeze, "a", 5*second, 7*second),
 			addDisruption(ledger.Freeze, "a", 7*second, 8*second), func(r *ledger.Record) {
-				r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(14*second)
+				r.Attempts[0].Timeout, r.Attempts[0].Ended = 14*second, at(14*second)
 			},
 		}, ""},
 		{"ran and closed, grace ended, sent late, instance frozen after stop signal", []change{
 			closeConnection, addDisruption(ledger.Stop, "a", 6*second, 14*second), addDisruption(ledger.Freeze, "a", 6*second+1, 8*second), func(r *ledger.Record) {
-				r.Attempts[0].Patience, r.Attempts[0].Ended = 14*second, at(14*second)
+				r.Attempts[0].Timeout, r.Attempts[0].Ended = 14*second, at(14*second)
 			},
 		}, ledger.CheckLost},
 		{"ran and closed, deadline reached", []change{closeConnection, func(r *ledger.Record) { r.Attempts[0].Ended = at(14 * second) }}, ""},
@@ -126,9 +126,9 @@
 		}}, ledger.CheckUnexplained},
 		{"not run and closed late, instance stopping and frozen", []change{closeConnection, removeRuns, addDisruption(ledger.Stop, "a", 9*second, 13*second), func(r *ledger.Record) {
 			r.Attempts[0].Ended = at(12 * second)
-			r.Disruptions = append(r.Disruptions, ledger.Disruption{Trouble: ledger.Freeze, Target: "a", From: at(10 * second), To: at(12 * second)})
+			r.Disruptions = append(r.Disruptions, ledger.Disruption{Fault: ledger.Freeze, Target: "a", From: at(10 * second), To: at(12 * second)})
 		}}, ""},
-		{"violation detected by endpoint", []change{func(r *ledger.Record) { r.Broken = []string{"an adapter was unloaded"} }}, ledger.CheckEndpoint},
+		{"violation detected by endpoint", []change{func(r *ledger.Record) { r.EndpointViolations = []string{"an adapter was unloaded"} }}, ledger.CheckEndpoint},
 		{"not run and closed, idle limit reached", []change{closeConnection, removeRuns, setIdleTime(2 * second)}, ""},
 		{"not run and closed, first request of connection", []change{closeConnection, removeRuns, setIdleTime(2 * second), func(r *ledger.Record) { r.Attempts[0].Use = 0 }}, ledger.CheckUnexplained},
 		{"not run, connection closed before request", []change{closeConnection, removeRuns, func(r *ledger.Record) { r.Attempts[0].ClosedBefore = true }}, ""},
@@ -137,16 +137,16 @@
 		{"refused and not run", []change{removeRuns, func(r *ledger.Record) { r.Attempts[0].Outcome = ledger.Refused }}, ""},
 		{"unsafe request ran twice", []change{func(r *ledger.Record) { r.Runs = append(r.Runs, r.Runs[0]) }}, ledger.CheckOnce},
 		{"safe request ran twice", []change{func(r *ledger.Record) { r.Runs, r.Attempts[0].Kind = append(r.Runs, r.Runs[0]), ledger.Safe }}, ""},
-		{"answer to another request", []change{func(r *ledger.Record) { r.Attempts[0].Wrong = "it answers another" }}, ledger.CheckWhole},
+		{"answer to another request", []change{func(r *ledger.Record) { r.Attempts[0].Defect = "it answers another" }}, ledger.CheckWhole},
 		{"open after deadline", []change{func(r *ledger.Record) {
-			r.Attempts[0].Outcome, r.Attempts[0].Ended = ledger.Left, at(14600*time.Millisecond)
+			r.Attempts[0].Outcome, r.Attempts[0].Ended = ledger.Abandoned, at(14600*time.Millisecond)
 		}}, ledger.CheckHeld},
 		{"open after deadline, host overloaded", []change{func(r *ledger.Record) {
-			r.Attempts[0].Outcome, r.Attempts[0].Ended = ledger.Left, at(14600*time.Millisecond)
+			r.Attempts[0].Outcome, r.Attempts[0].Ended = ledger.Abandoned, at(14600*time.Millisecond)
 			r.Lag = func(time.Time, time.Time) time.Duration { return second }
 		}}, ""},
 		{"left as planned", []change{func(r *ledger.Record) {
-			r.Attempts[0].Outcome, r.Attempts[0].Ended, r.Attempts[0].OnPlan = ledger.Left, at(15*second), true
+			r.Attempts[0].Outcome, r.Attempts[0].Ended, r.Attempts[0].PlannedClose = ledger.Abandoned, at(15*second), true
 		}}, ""},
 		{"well-formed request denied", []change{removeRuns, func(r *ledger.Record) { r.Attempts[0].Outcome, r.Attempts[0].Status = ledger.Failed, 404 }}, ledger.CheckDenied},
 		{"malformed request denied", []change{removeRuns, func(r *ledger.Record) {
@@ -166,7 +166,7 @@
 		{"run begun soon after departure of endpoint", []change{func(r *ledger.Record) {
 			r.Departures = []ledger.Departure{{Endpoint: "e", Acknowledged: at(9 * second)}}
 		}}, ""},
-		{"run begun long after departure of endpoint, store down", []change{addDisruption(ledger.StoreTroubled, "", 8*second, 9*second), func(r *ledger.Record) {
+		{"run begun long after departure of endpoint, store down", []change{addDisruption(ledger.StoreFault, "", 8*second, 9*second), func(r *ledger.Record) {
 			r.Departures = []ledger.Departure{{Endpoint: "e", Acknowledged: at(7 * second)}}
 		}}, ""},
 		{"run with previous version, long after new version", []change{func(r *ledger.Record) {
@@ -180,14 +180,14 @@
 		}}, ""},
 		{"order beyond places of endpoint", []change{func(r *ledger.Record) { r.Overfull = 1 }}, ledger.CheckPlaces},
 		{"unrequested exit", []change{exit(ledger.Exit{Instance: "a", At: at(second)})}, ledger.CheckExit},
-		{"exit on SIGHUP", []change{exit(ledger.Exit{Instance: "a", At: at(second), Lived: 20 * time.Millisecond, Error: "signal: hangup"})}, ledger.CheckExit},
+		{"exit on SIGHUP", []change{exit(ledger.Exit{Instance: "a", At: at(second), Lifetime: 20 * time.Millisecond, Error: "signal: hangup"})}, ledger.CheckExit},
 		{"exit on SIGHUP before signal handlers are installed", []change{
-			exit(ledger.Exit{Instance: "a", At: at(second), Lived: 3 * time.Millisecond, Error: "signal: hangup"}),
+			exit(ledger.Exit{Instance: "a", At: at(second), Lifetime: 3 * time.Millisecond, Error: "signal: hangup"}),
 		}, ""},
-		{"requested exit within grace", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 7 * second})}, ""},
-		{"requested exit after grace", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 9 * second})}, ledger.CheckGrace},
+		{"requested exit within grace", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Requested: true, StopTime: 7 * second})}, ""},
+		{"requested exit after grace", []change{exit(ledger.Exit{Instance: "a", At: at(9 * second), Requested: true, StopTime: 9 * second})}, ledger.CheckGrace},
 		{"requested exit after grace, instance frozen", []change{
-			exit(ledger.Exit{Instance: "a", At: at(9 * second), Asked: true, Took: 9 * second}), addDisruption(ledger.Freeze, "a", 6*second, 8*second),
+			exit(ledger.Exit{Instance: "a", At: at(9 * second), Requested: true, StopTime: 9 * second}), addDisruption(ledger.Freeze, "a", 6*second, 8*second),
 		}, ""},
 		{"crashing request forwarded again", []change{func(r *ledger.Record) { *r = *crashingRecord(6*second+1, 4) }}, ledger.CheckCrashing},
 		{"harmless request held back", []change{func(r *ledger.Record) {
@@ -217,7 +217,7 @@
 				change(r)
 			}
 			var checks []string
-			for _, finding := range ledger.Judge(r) {
+			for _, finding := range ledger.RunChecks(r) {
 				checks = append(checks, finding.Check)
 				found[finding.Check] = true
 			}
@@ -228,7 +228,7 @@
 			assert.Equal(t, []string{test.check}, checks)
 		})
 	}
-	for name := range ledger.All {
+	for name := range ledger.Checks {
 		assert.True(t, found[name], "no case makes this check report a finding: %s", name)
 	}
 }
--- a/tools/soak/ledger/crashing.go
+++ b/tools/soak/ledger/crashing.go
@@ -79,7 +79,7 @@
 	if r.disrupted(sending.Instance, since, sending.At, Stop, Kill, Freeze, Hangup, LinkBroken) {
 		return false
 	}
-	return !slices.ContainsFunc(r.Disruptions, func(d Disruption) bool { return d.Trouble == StoreTroubled && d.overlaps(since, sending.At) })
+	return !slices.ContainsFunc(r.Disruptions, func(d Disruption) bool { return d.Fault == StoreFault && d.overlaps(since, sending.At) })
 }
 
 // checkHeldBack finds requests that instances refused as crashing endpoints although the requests crash none.
--- a/tools/soak/ledger/crashing_test.go
+++ b/tools/soak/ledger/crashing_test.go
@@ -38,28 +38,28 @@
 }
 
 func TestCheckCrashingCountsBeginsAfterThirdCrash(t *testing.T) {
-	assert.NotEmpty(t, ledger.All[ledger.CheckCrashing](crashingRecord(6*second+1, 4)))
-	assert.Empty(t, ledger.All[ledger.CheckCrashing](crashingRecord(6*second+1, 3)), "as many begins as allowed")
-	assert.Empty(t, ledger.All[ledger.CheckCrashing](crashingRecord(3*second, 7)), "four of the begins within the contact time")
+	assert.NotEmpty(t, ledger.Checks[ledger.CheckCrashing](crashingRecord(6*second+1, 4)))
+	assert.Empty(t, ledger.Checks[ledger.CheckCrashing](crashingRecord(6*second+1, 3)), "as many begins as allowed")
+	assert.Empty(t, ledger.Checks[ledger.CheckCrashing](crashingRecord(3*second, 7)), "four of the begins within the contact time")
 }
 
 func TestCheckCrashingSkipsDisruptedInstance(t *testing.T) {
 	for _, trouble := range []ledger.Disruption{
-		{Trouble: ledger.Freeze, Target: "a", From: at(6 * second), To: at(9 * second)},
-		{Trouble: ledger.StoreTroubled, Target: "store", From: at(6 * second), To: at(9 * second)},
+		{Fault: ledger.Freeze, Target: "a", From: at(6 * second), To: at(9 * second)},
+		{Fault: ledger.StoreFault, Target: "store", From: at(6 * second), To: at(9 * second)},
 	} {
 		r := crashingRecord(6*second+1, 4)
 		r.Disruptions = []ledger.Disruption{trouble}
-		assert.Empty(t, ledger.All[ledger.CheckCrashing](r))
-		r.Disruptions[0].Target, r.Disruptions[0].Trouble = "b", ledger.Freeze
-		assert.NotEmpty(t, ledger.All[ledger.CheckCrashing](r), "disruption of another instance")
+		assert.Empty(t, ledger.Checks[ledger.CheckCrashing](r))
+		r.Disruptions[0].Target, r.Disruptions[0].Fault = "b", ledger.Freeze
+		assert.NotEmpty(t, ledger.Checks[ledger.CheckCrashing](r), "disruption of another instance")
 	}
 }
 
 func TestCheckHeldBackFindsRefusalOfHarmlessRequest(t *testing.T) {
 	r := validRecord()
 	r.Attempts[0].Outcome, r.Attempts[0].Cause = ledger.Refused, "crashes endpoints"
-	assert.NotEmpty(t, ledger.All[ledger.CheckHeldBack](r))
+	assert.NotEmpty(t, ledger.Checks[ledger.CheckHeldBack](r))
 	r.Attempts[0].Cause = "no endpoint"
-	assert.Empty(t, ledger.All[ledger.CheckHeldBack](r))
+	assert.Empty(t, ledger.Checks[ledger.CheckHeldBack](r))
 }
--- a/tools/soak/ledger/notice.go
+++ b/tools/soak/ledger/notice.go
@@ -103,7 +103,7 @@
 				// The notice asks for no rest.
 				continue
 			}
-			from, until := asked.At.Add(r.Bounds.Heard), asked.At.Add(time.Duration(seconds*float64(time.Second)))
+			from, until := asked.At.Add(r.Bounds.NoticeApply), asked.At.Add(time.Duration(seconds*float64(time.Second)))
 			count := 0
 			for _, one := range s.arrived {
 				within := one.At.After(from.Add(r.lag(asked.At, one.At))) && one.At.Before(until)
@@ -172,7 +172,7 @@
 // limitReceived reports whether the instance had received a limit long enough before an arrival and was not disrupted since.
 func (r *Record) limitReceived(h *history, one noticedRequest, begin time.Time) bool {
 	notifiedAt, ok := h.firstNotified(one.instance, begin, func(notice platformstandin.Notice) bool { return notice.Limit != "" })
-	if !ok || one.At.Sub(notifiedAt) < r.Bounds.Heard+r.lag(notifiedAt, one.At) {
+	if !ok || one.At.Sub(notifiedAt) < r.Bounds.NoticeApply+r.lag(notifiedAt, one.At) {
 		return false
 	}
 	return !r.disrupted(one.instance, notifiedAt.Add(-r.Bounds.Contact), one.At, Stop, Kill, Freeze, LinkBroken)
--- a/tools/soak/ledger/notice_test.go
+++ b/tools/soak/ledger/notice_test.go
@@ -17,7 +17,7 @@
 // noticeRecord returns a record of count requests of one instance at an endpoint, one each pause, all of which got the same notice.
 func noticeRecord(notice platformstandin.Notice, count int, pause time.Duration) *ledger.Record {
 	r := &ledger.Record{Bounds: ledger.Bounds{
-		Drain: 2 * second, Contact: 3 * second, LimitSpan: 4 * second, LimitSlack: 1.5, LimitExtra: 5, Heard: second / 2, RestRequests: 2,
+		Drain: 2 * second, Contact: 3 * second, LimitSpan: 4 * second, LimitSlack: 1.5, LimitExtra: 5, NoticeApply: second / 2, RestRequests: 2,
 	}}
 	for i := range count {
 		id, when := fmt.Sprint("r-", i), at(time.Duration(i)*pause)
@@ -54,7 +54,7 @@
 			if test.adjust != nil {
 				test.adjust(test.record)
 			}
-			assert.Equal(t, test.found, len(ledger.All[test.check](test.record)) > 0)
+			assert.Equal(t, test.found, len(ledger.Checks[test.check](test.record)) > 0)
 		})
 	}
 }
--- a/tools/soak/ledger/record.go
+++ b/tools/soak/ledger/record.go
@@ -22,8 +22,8 @@
 	Failed Outcome = "failed"
 	// Closed means that the connection ended before the complete answer had arrived.
 	Closed Outcome = "closed"
-	// Left means that the caller closed the connection, as planned or because no answer had arrived in time.
-	Left Outcome = "left"
+	// Abandoned means that the caller closed the connection, as planned or because no answer had arrived in time.
+	Abandoned Outcome = "left"
 	// Unreached means that no connection could be opened.
 	Unreached Outcome = "unreached"
 )
@@ -54,55 +54,55 @@
 	// Connection is the local address of the caller. Use is the number of earlier requests on the connection.
 	Connection string `json:"connection"`
 	Use        int    `json:"use"`
-	// Rested is how long the connection had been idle. ClosedBefore reports whether the instance's close of the connection had arrived
+	// IdleTime is how long the connection had been idle. ClosedBefore reports whether the instance's close of the connection had arrived
 	// before the first byte of the request was sent.
-	Rested       time.Duration `json:"rested"`
+	IdleTime     time.Duration `json:"rested"`
 	ClosedBefore bool          `json:"closed_before,omitempty"`
 	// Began and Sent are when the first and the last byte of the request were written. Ended is when the outcome was known.
 	Began time.Time `json:"began"`
 	Sent  time.Time `json:"sent"`
 	Ended time.Time `json:"ended"`
-	// Patience is the time-out that the caller sent with the request.
-	Patience time.Duration `json:"patience"`
-	Outcome  Outcome       `json:"outcome"`
-	Status   int           `json:"status"`
+	// Timeout is the time-out that the caller sent with the request.
+	Timeout time.Duration `json:"patience"`
+	Outcome Outcome       `json:"outcome"`
+	Status  int           `json:"status"`
 	// Cause is the error of a connection that ended, or the body of an answer without success.
 	Cause string `json:"cause,omitempty"`
-	// Wrong describes the error in the content of an answer. It is empty for a correct answer.
-	Wrong string `json:"wrong,omitempty"`
-	// OnPlan reports whether the caller closed the connection as planned.
-	OnPlan bool `json:"on_plan,omitempty"`
+	// Defect describes the error in the content of an answer. It is empty for a correct answer.
+	Defect string `json:"wrong,omitempty"`
+	// PlannedClose reports whether the caller closed the connection as planned.
+	PlannedClose bool `json:"on_plan,omitempty"`
 	// Malformed reports whether the request was deliberately malformed.
 	Malformed bool `json:"malformed,omitempty"`
 }
 
-// Trouble is the kind of a disruption.
-type Trouble string
+// Fault is the kind of a disruption.
+type Fault string
 
 // The kinds of disruption that the checks take into account.
 const (
 	// Stop lasts from the stop signal to an instance until the instance has ended. Kill, Freeze and Hangup affect instances, too.
-	Stop   Trouble = "stop"
-	Kill   Trouble = "kill"
-	Freeze Trouble = "freeze"
-	Hangup Trouble = "hangup"
+	Stop   Fault = "stop"
+	Kill   Fault = "kill"
+	Freeze Fault = "freeze"
+	Hangup Fault = "hangup"
 	// EndpointEnds is the time in which an endpoint is killed, hangs or breaks off answers.
-	EndpointEnds Trouble = "endpoint-ends"
+	EndpointEnds Fault = "endpoint-ends"
 	// LinkBroken is the time in which the connections between callers and an instance, or to an endpoint, are cut or reset by the soak.
-	LinkBroken Trouble = "link-broken"
-	// StoreTroubled is the time in which the store is down, silent or frozen. With an empty target it affects the store itself, else
+	LinkBroken Fault = "link-broken"
+	// StoreFault is the time in which the store is down, silent or frozen. With an empty target it affects the store itself, else
 	// the store link of the instance that is the target.
-	StoreTroubled Trouble = "store-troubled"
+	StoreFault Fault = "store-troubled"
 	// Configured is a change of the configuration.
-	Configured Trouble = "configured"
+	Configured Fault = "configured"
 )
 
 // Disruption is a fault that was injected into one process or its links.
 type Disruption struct {
-	Trouble Trouble   `json:"trouble"`
-	Target  string    `json:"target"`
-	From    time.Time `json:"from"`
-	To      time.Time `json:"to"`
+	Fault  Fault     `json:"trouble"`
+	Target string    `json:"target"`
+	From   time.Time `json:"from"`
+	To     time.Time `json:"to"`
 }
 
 func (d Disruption) overlaps(from, to time.Time) bool {
@@ -143,12 +143,12 @@
 type Exit struct {
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
-	// Asked reports whether the soak had sent a signal to end the process. Took is the time from the first such signal to the exit.
-	Asked bool          `json:"asked"`
-	Took  time.Duration `json:"took"`
-	Error string        `json:"error,omitempty"`
-	// Lived is how long the process had run.
-	Lived time.Duration `json:"lived"`
+	// Requested reports whether the soak had sent a signal to end the process. Took is the time from the first such signal to the exit.
+	Requested bool          `json:"asked"`
+	StopTime  time.Duration `json:"took"`
+	Error     string        `json:"error,omitempty"`
+	// Lifetime is how long the process had run.
+	Lifetime time.Duration `json:"lived"`
 }
 
 // Usage is the resource usage of an instance's process after its callers have left.
@@ -188,9 +188,9 @@
 	LimitSpan  time.Duration
 	LimitSlack float64
 	LimitExtra int
-	// Heard is the time after which an instance must comply with the notice that an endpoint sent it. RestRequests is how many requests
+	// NoticeApply is the time after which an instance must comply with the notice that an endpoint sent it. RestRequests is how many requests
 	// the instance may send after that time within a rest.
-	Heard        time.Duration
+	NoticeApply  time.Duration
 	RestRequests int
 	RetryRatio   float64
 	RetryExtra   int
@@ -215,8 +215,8 @@
 	Bounds      Bounds
 	// Overfull is the number of orders that exceeded the places of their endpoint.
 	Overfull int
-	// Broken are the violations that endpoints detected themselves, such as the unload of an adapter in use.
-	Broken []string
+	// EndpointViolations are the violations that endpoints detected themselves, such as the unload of an adapter in use.
+	EndpointViolations []string
 	// Lag returns the longest scheduling delay of the soak itself within a span. The checks extend their bounds by this delay to allow
 	// for an overloaded host.
 	Lag func(from, to time.Time) time.Duration
--- a/tools/soak/link/link.go
+++ b/tools/soak/link/link.go
@@ -20,8 +20,8 @@
 	Slow
 	// Cut forwards nothing. Bytes that are sent meanwhile arrive after the mode has changed to one that forwards them.
 	Cut
-	// Deaf forwards bytes to the target, but none from the target.
-	Deaf
+	// OneWay forwards bytes to the target, but none from the target.
+	OneWay
 )
 
 // slowDelay is the delay of each chunk on a slow link, and chunkBytes the maximum size of a chunk.
@@ -168,7 +168,7 @@
 		case mode == Slow:
 			time.Sleep(slowDelay)
 			return
-		case mode == Cut, mode == Deaf && !toTarget:
+		case mode == Cut, mode == OneWay && !toTarget:
 			<-modeChanged
 		default:
 			return
--- a/tools/soak/link/link_test.go
+++ b/tools/soak/link/link_test.go
@@ -96,7 +96,7 @@
 
 func TestOneWayLinkForwardsToTargetOnly(t *testing.T) {
 	l, c, received := openLink(t)
-	l.SetMode(link.Deaf)
+	l.SetMode(link.OneWay)
 	c.send("done")
 	assert.Equal(t, "done", <-received)
 	assert.Empty(t, c.read(noAnswerTime))
--- a/tools/soak/operator.go
+++ b/tools/soak/operator.go
@@ -146,7 +146,7 @@
 	version := max(1, o.versions[adapter]) + 1
 	o.versions[adapter] = version
 	for _, e := range o.site.endpoints {
-		if err := e.current().Name(adapter, version); err != nil {
+		if err := e.current().SetVersion(adapter, version); err != nil {
 			return err
 		}
 	}
@@ -163,7 +163,7 @@
 	versions := maps.Clone(o.versions)
 	o.mutex.Unlock()
 	for adapter, version := range versions {
-		if err := one.Name(adapter, version); err != nil {
+		if err := one.SetVersion(adapter, version); err != nil {
 			return err
 		}
 	}
--- a/tools/soak/outside/handle.go
+++ b/tools/soak/outside/handle.go
@@ -154,7 +154,7 @@
 	return e.post("queue-wait", wait)
 }
 
-// Name sets the version that the endpoint loads of an adapter from now on.
-func (e *EndpointHandle) Name(adapter string, version int) error {
+// SetVersion sets the version that the endpoint loads of an adapter from now on.
+func (e *EndpointHandle) SetVersion(adapter string, version int) error {
 	return e.post("name", namedVersion{Adapter: adapter, Version: version})
 }
--- a/tools/soak/plant.go
+++ b/tools/soak/plant.go
@@ -29,7 +29,7 @@
 		r.Runs = append(r.Runs, platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunBegan, At: time.Now()})
 	},
 	"another-answer": func(r *ledger.Record) {
-		wholeUnsafeAttempt(r).Wrong = plantedName
+		wholeUnsafeAttempt(r).Defect = plantedName
 	},
 	"late-work": func(r *ledger.Record) {
 		r.Departures = append(r.Departures, ledger.Departure{Endpoint: r.Runs[len(r.Runs)-1].Endpoint, Acknowledged: r.Runs[0].At})
@@ -49,7 +49,7 @@
 	"leaving": func(r *ledger.Record) { plantNotices(r, platformstandin.Notice{Leaving: true}) },
 	"rest":    func(r *ledger.Record) { plantNotices(r, platformstandin.Notice{Rest: "9"}) },
 	"own-end": func(r *ledger.Record) {
-		r.Exits = append(r.Exits, ledger.Exit{Instance: plantedName, At: time.Now(), Lived: time.Minute})
+		r.Exits = append(r.Exits, ledger.Exit{Instance: plantedName, At: time.Now(), Lifetime: time.Minute})
 	},
 }
 
--- a/tools/soak/report.go
+++ b/tools/soak/report.go
@@ -51,7 +51,7 @@
 		Bounds: ledger.Bounds{
 			Grace: grace, GraceMargin: graceMargin, Drain: drainTime, Apply: applyTime, Version: versionTime,
 			Contact: contactTime, CrashRetries: crashRetries,
-			LimitSpan: limitSpan, LimitSlack: limitSlack, LimitExtra: limitExtra, Heard: noticeApplyTime, RestRequests: restRequests,
+			LimitSpan: limitSpan, LimitSlack: limitSlack, LimitExtra: limitExtra, NoticeApply: noticeApplyTime, RestRequests: restRequests,
 			BudgetWindow: budgetWindow, RetryRatio: retryRatio, RetryExtra: retryExtra, IdleLimit: s.operator.minIdleLimit(),
 		},
 	}
@@ -94,8 +94,8 @@
 // report prints the result of the run. It removes the folder of a run without findings, unless --keep is set, and otherwise writes the
 // record of the run into the folder.
 func (s *site) report(r *ledger.Record, steps []plan.Step) error {
-	findings := ledger.Judge(r)
-	if cut := ledger.CutStreams(r); s.args.NoCut && cut > 0 {
+	findings := ledger.RunChecks(r)
+	if cut := ledger.CountCutStreams(r); s.args.NoCut && cut > 0 {
 		findings = append(findings, ledger.Finding{Check: "a stream that may be resumed was cut", Text: fmt.Sprintf("%d streams", cut)})
 	}
 	fmt.Println(s.summaryLine(r, steps, findings))
@@ -122,9 +122,9 @@
 	for _, a := range r.Attempts {
 		outcomes[string(a.Outcome)]++
 	}
-	unrun := ledger.Unanswered(r)
+	unrun := ledger.CountNotRun(r)
 	fmt.Fprintf(&b, " (%s); closed and not run %d, of them at the idle limit %d, beside a stop %d; streams cut that may be resumed %d", formatCounts(outcomes), unrun.All, unrun.Idle, unrun.Stop,
-		ledger.CutStreams(r))
+		ledger.CountCutStreams(r))
 	fmt.Fprintf(&b, "; most memory %d MB, most descriptors after the last caller %d", maxUsage(r, func(u ledger.Usage) int { return u.PeakKB })/kbPerMB,
 		maxUsage(r, func(u ledger.Usage) int { return u.Descriptors }))
 	kinds := make(map[string]int)
@@ -273,11 +273,11 @@
 			continue
 		}
 		moments = append(moments,
-			timelineEntry{a.Began, fmt.Sprintf("caller begins %s %s at %s from %s, use %d after %s of rest, closed before: %t", a.Kind, a.Path, a.Instance, a.Connection, a.Use, a.Rested, a.ClosedBefore)},
+			timelineEntry{a.Began, fmt.Sprintf("caller begins %s %s at %s from %s, use %d after %s of rest, closed before: %t", a.Kind, a.Path, a.Instance, a.Connection, a.Use, a.IdleTime, a.ClosedBefore)},
 			timelineEntry{a.Sent, "caller has sent all"}, timelineEntry{a.Ended, fmt.Sprintf("caller sees %s, status %d: %s", a.Outcome, a.Status, a.Cause)})
 		for _, d := range r.Disruptions {
 			if d.From.Before(a.Ended.Add(timelineMargin)) && d.To.After(a.Began.Add(-timelineMargin)) {
-				moments = append(moments, timelineEntry{d.From, fmt.Sprintf("%s of %q until %s", d.Trouble, d.Target, d.To.UTC().Format("15:04:05.000"))})
+				moments = append(moments, timelineEntry{d.From, fmt.Sprintf("%s of %q until %s", d.Fault, d.Target, d.To.UTC().Format("15:04:05.000"))})
 			}
 		}
 	}
--- a/tools/soak/run.go
+++ b/tools/soak/run.go
@@ -150,7 +150,7 @@
 	var mutex sync.Mutex
 	var attempts []ledger.Attempt
 	options := traffic.Options{
-		Balancer: balancer, IdleLimit: s.operator.idleLimit, Added: s.operator.addedPrefixes,
+		Balancer: balancer, IdleLimit: s.operator.idleLimit, AddedPrefixes: s.operator.addedPrefixes,
 		LongPauses: s.args.Long, EdgePauses: s.args.Edge, Blind: s.args.Blind, Odd: s.args.Odd, Patient: s.args.Patient,
 		Record: func(a ledger.Attempt) {
 			mutex.Lock()
@@ -165,7 +165,7 @@
 	go balancer.Run(background)
 	sending, stopSending := context.WithTimeout(background, time.Duration(s.args.Seconds)*time.Second)
 	defer stopSending()
-	var crowd traffic.Crowd
+	var crowd traffic.CallerGroup
 	crowd.Start(sending, options, s.args.Seed, s.args.Callers)
 	waitCrashers := s.startCrashers(sending, balancer)
 	s.execute(sending, steps, s.executeStep)
--- a/tools/soak/site.go
+++ b/tools/soak/site.go
@@ -186,10 +186,10 @@
 	overfull    int
 }
 
-func (n *recorder) addDisruption(trouble ledger.Trouble, target string, from, to time.Time) {
+func (n *recorder) addDisruption(trouble ledger.Fault, target string, from, to time.Time) {
 	n.mutex.Lock()
 	defer n.mutex.Unlock()
-	n.disruptions = append(n.disruptions, ledger.Disruption{Trouble: trouble, Target: target, From: from, To: to})
+	n.disruptions = append(n.disruptions, ledger.Disruption{Fault: trouble, Target: target, From: from, To: to})
 }
 
 func (n *recorder) addDeparture(id string, acknowledged time.Time) {
--- a/tools/soak/traffic/caller.go
+++ b/tools/soak/traffic/caller.go
@@ -24,8 +24,8 @@
 	// Record is called with each attempt when the attempt has ended.
 	Record func(ledger.Attempt)
 	// IdleLimit returns the idle limit in force, and Added the prefixes of the routes that were added.
-	IdleLimit func() time.Duration
-	Added     func() []string
+	IdleLimit     func() time.Duration
+	AddedPrefixes func() []string
 	// LongPauses is the share of callers, 0 to 1, that pause for seconds between requests. EdgePauses is the share of callers that pause
 	// for the idle limit, plus or minus up to edgeSpread.
 	LongPauses, EdgePauses float64
@@ -135,13 +135,13 @@
 func (c *Caller) sendRequest() (ledger.Attempt, time.Duration) {
 	q := c.draw()
 	odd := c.random.Float64() < c.options.Odd
-	a := ledger.Attempt{ID: q.id, Kind: q.kind, Path: q.path, Adapter: q.adapter, Patience: q.callTimeout, Began: time.Now()}
+	a := ledger.Attempt{ID: q.id, Kind: q.kind, Path: q.path, Adapter: q.adapter, Timeout: q.callTimeout, Began: time.Now()}
 	if err := c.connect(&a); err != nil {
 		a.Outcome, a.Cause, a.Ended = ledger.Unreached, err.Error(), time.Now()
 		return a, maxShortPause
 	}
 	a.Instance, a.Connection, a.Use = c.conn.target.Name, c.conn.LocalAddr().String(), c.conn.uses
-	a.Rested = time.Since(c.conn.idleSince)
+	a.IdleTime = time.Since(c.conn.idleSince)
 	c.conn.uses++
 	a.Began = time.Now()
 	c.write(q, &a, odd)
@@ -159,14 +159,14 @@
 	if c.options.Patient > 0 && c.random.Float64() < c.options.Patient {
 		return drawPatient(c.random)
 	}
-	return draw(c.random, c.options.Added())
+	return draw(c.random, c.options.AddedPrefixes())
 }
 
 // connect ensures that the caller has a connection. It opens a new one if there is none or if the caller detects that the instance has
 // closed it. A blind caller keeps a closed connection.
 func (c *Caller) connect(a *ledger.Attempt) error {
 	if c.conn != nil && c.conn.reader.Buffered() > 0 {
-		a.Wrong = "bytes that belong to no request came before it"
+		a.Defect = "bytes that belong to no request came before it"
 	}
 	if c.conn != nil && c.conn.closedByPeer() {
 		if c.blind {
@@ -213,7 +213,7 @@
 func (c *Caller) read(q *request, a *ledger.Attempt, odd bool) time.Duration {
 	if odd && c.random.IntN(4) == 0 {
 		time.Sleep(time.Duration(c.random.Float64() * float64(maxShortPause)))
-		a.Outcome, a.OnPlan = ledger.Left, true
+		a.Outcome, a.PlannedClose = ledger.Abandoned, true
 		if c.random.IntN(2) == 0 {
 			// Close with a reset in place of an orderly close. An error means that the connection has already ended.
 			_ = c.conn.SetLinger(0)
@@ -249,7 +249,7 @@
 	a.Outcome, a.Cause = ledger.Closed, err.Error()
 	var timeout interface{ Timeout() bool }
 	if errors.As(err, &timeout) && timeout.Timeout() {
-		a.Outcome = ledger.Left
+		a.Outcome = ledger.Abandoned
 	}
 	c.closeConnection()
 }
@@ -259,7 +259,7 @@
 	switch {
 	case response.StatusCode < http.StatusMultipleChoices:
 		a.Outcome = ledger.Whole
-		a.Wrong = q.answerDefect(seal, response.Header.Get(platformstandin.HeaderRequestID), body)
+		a.Defect = q.answerDefect(seal, response.Header.Get(platformstandin.HeaderRequestID), body)
 		return 0
 	case seal == "" && guaranteesNotRun(response.StatusCode):
 		a.Outcome, a.Cause = ledger.Refused, strings.TrimSpace(body)
@@ -287,13 +287,13 @@
 	return min(maxRetryAfter, time.Duration(seconds*float64(time.Second)))
 }
 
-// Crowd runs all callers of a soak.
-type Crowd struct {
+// CallerGroup runs all callers of a soak.
+type CallerGroup struct {
 	running sync.WaitGroup
 }
 
 // Start starts count callers, each with random numbers of its own. They send requests until the context ends.
-func (c *Crowd) Start(ctx context.Context, options Options, seed uint64, count int) {
+func (c *CallerGroup) Start(ctx context.Context, options Options, seed uint64, count int) {
 	for i := range count {
 		caller := NewCaller(options, rand.New(rand.NewPCG(seed, uint64(i)+1)))
 		c.running.Go(func() { caller.Run(ctx) })
@@ -301,6 +301,6 @@
 }
 
 // Wait returns when all callers have received their last answer.
-func (c *Crowd) Wait() {
+func (c *CallerGroup) Wait() {
 	c.running.Wait()
 }
