--- a/tools/soak/ledger/check.go
+++ b/tools/soak/ledger/check.go
@@ -180,16 +180,16 @@
 // stopReceived returns when an instance received a stop signal. An instance that was frozen when the signal was sent receives it when the
 // freeze ends.
 func (r *Record) stopReceived(stop Disruption) time.Time {
-	taken := stop.From
+	received := stop.From
 	for again := true; again; {
 		again = false
 		for _, d := range r.Disruptions {
-			if d.Fault == Freeze && d.Target == stop.Target && !d.From.After(taken) && d.To.After(taken) {
-				taken, again = d.To, true
+			if d.Fault == Freeze && d.Target == stop.Target && !d.From.After(received) && d.To.After(received) {
+				received, again = d.To, true
 			}
 		}
 	}
-	return taken
+	return received
 }
 
 // endpointBroke reports whether an endpoint of the request broke off the run, or was itself disrupted during the request.
@@ -296,8 +296,8 @@
 func checkDenied(r *Record) []Finding {
 	var findings []Finding
 	for _, a := range r.Attempts {
-		own := a.Outcome == Failed && a.Status >= 400 && a.Status < 500
-		if !own || a.Malformed || r.routeChanging(a) {
+		clientError := a.Outcome == Failed && a.Status >= 400 && a.Status < 500
+		if !clientError || a.Malformed || r.routeChanging(a) {
 			continue
 		}
 		findings = append(findings, Finding{CheckDenied, a.ID, fmt.Sprintf("%d for %s at %s: %s", a.Status, a.Path, a.Instance, a.Cause)})
--- a/tools/soak/ledger/record.go
+++ b/tools/soak/ledger/record.go
@@ -143,7 +143,8 @@
 type Exit struct {
 	Instance string    `json:"instance"`
 	At       time.Time `json:"at"`
-	// Requested reports whether the soak had sent a signal to end the process. Took is the time from the first such signal to the exit.
+	// Requested reports whether the soak had sent a signal to end the process. StopTime is the time from the first such signal to the
+	// exit.
 	Requested bool          `json:"asked"`
 	StopTime  time.Duration `json:"took"`
 	Error     string        `json:"error,omitempty"`
--- a/tools/soak/main.go
+++ b/tools/soak/main.go
@@ -16,7 +16,7 @@
 	"github.com/shelfledge/shelfledge/tools/soak/outside"
 )
 
-// Exit codes of the program, beside 0.
+// Exit codes of the program other than 0.
 const (
 	exitFailed = 1
 	exitBroken = 3
--- a/tools/soak/operator.go
+++ b/tools/soak/operator.go
@@ -138,7 +138,7 @@
 	return o.changeConfiguration(func(int) {}, 0)
 }
 
-// addNaming names the next version of an adapter in the store, after it has told all endpoints to load that version from now on.
+// addNaming makes all endpoints load the next version of an adapter from now on, and then writes that version to the store.
 func (o *operator) addNaming(random int) error {
 	adapter := fmt.Sprintf("a%d", random%versionedAdapters)
 	o.mutex.Lock()
--- a/tools/soak/plant.go
+++ b/tools/soak/plant.go
@@ -54,14 +54,14 @@
 }
 
 // plantNotices adds requests that one instance keeps sending to an endpoint after the endpoint sent it the notice.
-func plantNotices(r *ledger.Record, said platformstandin.Notice) {
+func plantNotices(r *ledger.Record, notice platformstandin.Notice) {
 	from := r.Runs[0].At
 	for number := range 40 {
 		id, at := fmt.Sprint("planted-", number), from.Add(time.Duration(number)*time.Second/4)
 		r.Attempts = append(r.Attempts, ledger.Attempt{ID: id, Instance: plantedName, Began: at, Sent: at, Ended: at, Outcome: ledger.Failed})
 		r.Notices = append(r.Notices,
-			platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunArrived, At: at, Said: said},
-			platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunTold, At: at, Said: said})
+			platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunArrived, At: at, Said: notice},
+			platformstandin.RunEvent{ID: id, Endpoint: plantedName, Phase: platformstandin.RunTold, At: at, Said: notice})
 	}
 }
 
--- a/tools/soak/traffic/caller.go
+++ b/tools/soak/traffic/caller.go
@@ -23,7 +23,7 @@
 	Balancer *Balancer
 	// Record is called with each attempt when the attempt has ended.
 	Record func(ledger.Attempt)
-	// IdleLimit returns the idle limit in force, and Added the prefixes of the routes that were added.
+	// IdleLimit returns the idle limit in force, and AddedPrefixes the prefixes of the routes that were added.
 	IdleLimit     func() time.Duration
 	AddedPrefixes func() []string
 	// LongPauses is the share of callers, 0 to 1, that pause for seconds between requests. EdgePauses is the share of callers that pause
