--- a/tests/constants/constants_test.go
+++ b/tests/constants/constants_test.go
@@ -57,10 +57,10 @@
 	}
 	for folder, rows := range sections {
 		declared := readConstants(t, folder)
-		for name, one := range declared {
+		for name, actual := range declared {
 			listed, ok := rows[name]
 			if assert.True(t, ok, "%s: docs/constants.md has no row for %s", folder, name) {
-				assert.Equal(t, one.value, listed.value, "%s: value of %s", folder, name)
+				assert.Equal(t, actual.value, listed.value, "%s: value of %s", folder, name)
 			}
 		}
 		for name := range rows {
@@ -74,11 +74,11 @@
 	require.NoError(t, err)
 	quoted := regexp.MustCompile(`"([^"]+)"`)
 	for folder, rows := range readPage(t) {
-		for name, one := range rows {
-			assert.NotEmpty(t, one.unit, "%s: unit of %s", folder, name)
-			assert.NotEmpty(t, one.tradeOff, "%s: trade-off of %s", folder, name)
-			assert.NotEmpty(t, one.source, "%s: source of %s", folder, name)
-			for _, quote := range quoted.FindAllStringSubmatch(one.source, -1) {
+		for name, listed := range rows {
+			assert.NotEmpty(t, listed.unit, "%s: unit of %s", folder, name)
+			assert.NotEmpty(t, listed.tradeOff, "%s: trade-off of %s", folder, name)
+			assert.NotEmpty(t, listed.source, "%s: source of %s", folder, name)
+			for _, quote := range quoted.FindAllStringSubmatch(listed.source, -1) {
 				assert.Contains(t, string(content), "| "+quote[1], "%s: the page of measurements has no row that %s quotes", folder, name)
 			}
 		}
@@ -89,10 +89,10 @@
 // page documents that in a column that each row must fill.
 func TestConstantCommentsOmitMeasurements(t *testing.T) {
 	for folder := range readPage(t) {
-		for name, one := range readConstants(t, folder) {
-			assert.NotEmpty(t, one.comment, "%s: comment of %s", folder, name)
+		for name, declared := range readConstants(t, folder) {
+			assert.NotEmpty(t, declared.comment, "%s: comment of %s", folder, name)
 			for _, word := range []string{"not measured", "measured:", "measured with", "(commit "} {
-				assert.NotContains(t, strings.ToLower(one.comment), word, "%s: comment of %s", folder, name)
+				assert.NotContains(t, strings.ToLower(declared.comment), word, "%s: comment of %s", folder, name)
 			}
 		}
 	}
--- a/tests/docs/docs_test.go
+++ b/tests/docs/docs_test.go
@@ -25,10 +25,10 @@
 	repo := readRepository(t)
 	used := make(map[string]bool)
 	count := 0
-	for _, one := range readPages(t) {
-		for _, named := range one.mentions() {
+	for _, doc := range readPages(t) {
+		for _, named := range doc.mentions() {
 			count++
-			if one.isIncident() && !named.mustExistInIncidents() {
+			if doc.isIncident() && !named.mustExistInIncidents() {
 				continue
 			}
 			if exceptions[named.text] != "" {
@@ -37,8 +37,8 @@
 			}
 			assert.True(t, repo.defines(named), "%s refers to `%s`, which does not exist", named.page, named.text)
 		}
-		for _, line := range one.code {
-			assert.True(t, repo.definesCommand(line), "%s shows %q, whose target or flag does not exist", one.path, line)
+		for _, line := range doc.code {
+			assert.True(t, repo.definesCommand(line), "%s shows %q, whose target or flag does not exist", doc.path, line)
 		}
 	}
 	assert.Greater(t, count, minMentions, "number of names in backticks")
@@ -52,10 +52,10 @@
 
 func TestLinkedFilesExist(t *testing.T) {
 	count := 0
-	for _, one := range readPages(t) {
-		for _, link := range one.links() {
+	for _, doc := range readPages(t) {
+		for _, link := range doc.links() {
 			count++
-			assert.True(t, exists(link), "%s links to %s", one.path, link)
+			assert.True(t, exists(link), "%s links to %s", doc.path, link)
 		}
 	}
 	assert.NotZero(t, count)
@@ -63,12 +63,12 @@
 
 func TestLinkedSectionsExist(t *testing.T) {
 	count := 0
-	for _, one := range readPages(t) {
-		for _, linked := range one.linkedSections() {
+	for _, doc := range readPages(t) {
+		for _, linked := range doc.linkedSections() {
 			count++
 			content, err := os.ReadFile(filepath.Join(root, linked.path))
-			require.NoError(t, err, "%s links to %s", one.path, linked.path)
-			assert.Contains(t, anchors(string(content)), linked.anchor, "%s links to %s", one.path, linked.path)
+			require.NoError(t, err, "%s links to %s", doc.path, linked.path)
+			assert.Contains(t, anchors(string(content)), linked.anchor, "%s links to %s", doc.path, linked.path)
 		}
 	}
 	assert.NotZero(t, count)
@@ -78,11 +78,11 @@
 	files, err := os.ReadDir(filepath.Join(root, "journal"))
 	require.NoError(t, err)
 	count := 0
-	for _, one := range readPages(t) {
-		for _, id := range one.journalEntries() {
+	for _, doc := range readPages(t) {
+		for _, id := range doc.journalEntries() {
 			count++
 			found := slices.ContainsFunc(files, func(file os.DirEntry) bool { return strings.HasSuffix(file.Name(), "-"+id+".json") })
-			assert.True(t, found, "%s refers to journal entry %s, which does not exist", one.path, id)
+			assert.True(t, found, "%s refers to journal entry %s, which does not exist", doc.path, id)
 		}
 	}
 	assert.NotZero(t, count)
@@ -91,10 +91,10 @@
 func TestStatedDurationsMatchConstants(t *testing.T) {
 	repo := readRepository(t)
 	count := 0
-	for _, one := range readPages(t) {
-		for _, stated := range one.statedDurations(t) {
+	for _, doc := range readPages(t) {
+		for _, stated := range doc.statedDurations(t) {
 			count++
-			assert.Contains(t, repo.durations[stated.constant], stated.value, "%s: value of %s differs from the constant", one.path, stated.constant)
+			assert.Contains(t, repo.durations[stated.constant], stated.value, "%s: value of %s differs from the constant", doc.path, stated.constant)
 		}
 	}
 	assert.NotZero(t, count)
@@ -144,8 +144,8 @@
 	}
 	stated := parsePage("page.md", "`upstreamDial`, 77 s and 78 s (`firstEjection`)").statedDurations(t)
 	require.Len(t, stated, 2)
-	for _, one := range stated {
-		assert.NotContains(t, repo.durations[one.constant], one.value)
+	for _, duration := range stated {
+		assert.NotContains(t, repo.durations[duration.constant], duration.value)
 	}
 }
 
--- a/tests/docs/repository_test.go
+++ b/tests/docs/repository_test.go
@@ -152,8 +152,8 @@
 }
 
 func importsSuffix(file *ast.File, suffix string) bool {
-	for _, one := range file.Imports {
-		if strings.HasSuffix(strings.Trim(one.Path.Value, `"`), suffix) {
+	for _, spec := range file.Imports {
+		if strings.HasSuffix(strings.Trim(spec.Path.Value, `"`), suffix) {
 			return true
 		}
 	}
--- a/tests/pinned/daemon/golden_test.go
+++ b/tests/pinned/daemon/golden_test.go
@@ -41,11 +41,11 @@
 // requireEqualLines fails at the first line that differs.
 func requireEqualLines(t *testing.T, name string, want, got []byte) {
 	t.Helper()
-	wanted, found := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
-	for i := range min(len(wanted), len(found)) {
-		require.Equal(t, wanted[i], found[i], "%s: line %d differs from the golden file", name, i+1)
+	wantLines, gotLines := strings.Split(string(want), "\n"), strings.Split(string(got), "\n")
+	for i := range min(len(wantLines), len(gotLines)) {
+		require.Equal(t, wantLines[i], gotLines[i], "%s: line %d differs from the golden file", name, i+1)
 	}
-	require.Len(t, found, len(wanted), "%s: number of lines differs from the golden file", name)
+	require.Len(t, gotLines, len(wantLines), "%s: number of lines differs from the golden file", name)
 }
 
 func encodeIndented(t *testing.T, value any) []byte {
--- a/tests/pinned/daemon/peer_test.go
+++ b/tests/pinned/daemon/peer_test.go
@@ -86,27 +86,27 @@
 func readPeerMessages(t *testing.T) map[string][]byte {
 	t.Helper()
 	if *update {
-		all := make(map[string]pinnedMessage)
+		golden := make(map[string]pinnedMessage)
 		for name, e := range filledEnvelopes() {
-			all[name] = newPinnedMessage(t, encodeMsgpack(t, e))
+			golden[name] = newPinnedMessage(t, encodeMsgpack(t, e))
 		}
 		var q peerlink.Question
 		var a peerlink.Answer
 		(&filler{}).fill(reflect.ValueOf(&q).Elem())
 		(&filler{}).fill(reflect.ValueOf(&a).Elem())
-		all["question"], all["answer"] = newPinnedMessage(t, encodeMsgpack(t, q)), newPinnedMessage(t, encodeMsgpack(t, a))
-		checkGolden(t, peerMessagesFile, all)
+		golden["question"], golden["answer"] = newPinnedMessage(t, encodeMsgpack(t, q)), newPinnedMessage(t, encodeMsgpack(t, a))
+		checkGolden(t, peerMessagesFile, golden)
 	}
-	var all map[string]pinnedMessage
-	require.NoError(t, json.Unmarshal(readGolden(t, peerMessagesFile), &all))
+	var golden map[string]pinnedMessage
+	require.NoError(t, json.Unmarshal(readGolden(t, peerMessagesFile), &golden))
 	out := make(map[string][]byte)
-	for name, m := range all {
+	for name, m := range golden {
 		data, err := hex.DecodeString(m.Hex)
 		require.NoError(t, err)
 		out[name] = data
-		all[name] = newPinnedMessage(t, data)
+		golden[name] = newPinnedMessage(t, data)
 	}
-	checkGolden(t, peerMessagesFile, all)
+	checkGolden(t, peerMessagesFile, golden)
 	return out
 }
 
@@ -126,14 +126,14 @@
 }
 
 func TestMessagesBetweenInstances(t *testing.T) {
-	all := readPeerMessages(t)
-	requireFilled(t, "question", "msgpack", reflect.ValueOf(requireRoundTrip[peerlink.Question](t, "question", all["question"])))
-	requireFilled(t, "answer", "msgpack", reflect.ValueOf(requireRoundTrip[peerlink.Answer](t, "answer", all["answer"])))
+	golden := readPeerMessages(t)
+	requireFilled(t, "question", "msgpack", reflect.ValueOf(requireRoundTrip[peerlink.Question](t, "question", golden["question"])))
+	requireFilled(t, "answer", "msgpack", reflect.ValueOf(requireRoundTrip[peerlink.Answer](t, "answer", golden["answer"])))
 	kinds := filledEnvelopes()
-	require.Len(t, all, len(kinds)+2, "the golden file and the program have different kinds of messages")
+	require.Len(t, golden, len(kinds)+2, "the golden file and the program have different kinds of messages")
 	for name := range kinds {
-		require.Contains(t, all, name)
-		v := reflect.ValueOf(requireRoundTrip[fleet.Envelope](t, name, all[name]))
+		require.Contains(t, golden, name)
+		v := reflect.ValueOf(requireRoundTrip[fleet.Envelope](t, name, golden[name]))
 		bodies := 0
 		for i := range v.NumField() {
 			if v.Field(i).Kind() == reflect.Pointer && !v.Field(i).IsNil() {
@@ -213,34 +213,34 @@
 }
 
 func TestPeerLinksSendGoldenMessages(t *testing.T) {
-	all := readPeerMessages(t)
-	to, received := startRawPeer(t, all["answer"])
+	golden := readPeerMessages(t)
+	to, received := startRawPeer(t, golden["answer"])
 	links := peerlink.New(listenLoopback(t), peerlink.Options{})
 	defer links.Close()
 	for name := range filledEnvelopes() {
-		e := requireRoundTrip[fleet.Envelope](t, name, all[name])
+		e := requireRoundTrip[fleet.Envelope](t, name, golden[name])
 		e.To = to
 		links.Send(e)
 		got := receiveNext(t, received)
-		require.Equal(t, receivedMessage{Method: "/shelfledge.Peer/Push", ContentType: []string{"application/grpc+msgpack"}, Data: all[name]}, got, name)
+		require.Equal(t, receivedMessage{Method: "/shelfledge.Peer/Push", ContentType: []string{"application/grpc+msgpack"}, Data: golden[name]}, got, name)
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
-	a, err := links.Ask(ctx, to, requireRoundTrip[peerlink.Question](t, "question", all["question"]))
+	a, err := links.Ask(ctx, to, requireRoundTrip[peerlink.Question](t, "question", golden["question"]))
 	require.NoError(t, err)
-	require.Equal(t, all["answer"], encodeMsgpack(t, a))
-	require.Equal(t, receivedMessage{Method: "/shelfledge.Peer/Ask", ContentType: []string{"application/grpc+msgpack"}, Data: all["question"]}, receiveNext(t, received))
+	require.Equal(t, golden["answer"], encodeMsgpack(t, a))
+	require.Equal(t, receivedMessage{Method: "/shelfledge.Peer/Ask", ContentType: []string{"application/grpc+msgpack"}, Data: golden["question"]}, receiveNext(t, received))
 }
 
 func TestPeerLinksReceiveGoldenMessages(t *testing.T) {
-	all := readPeerMessages(t)
+	golden := readPeerMessages(t)
 	pushed, asked := make(chan []byte, 64), make(chan []byte, 1)
 	l := listenLoopback(t)
 	links := peerlink.New(l, peerlink.Options{
 		Receive: func(e fleet.Envelope) { pushed <- encodeMsgpack(t, e) },
 		Answer: func(_ context.Context, q peerlink.Question) (peerlink.Answer, error) {
 			asked <- encodeMsgpack(t, q)
-			return requireRoundTrip[peerlink.Answer](t, "answer", all["answer"]), nil
+			return requireRoundTrip[peerlink.Answer](t, "answer", golden["answer"]), nil
 		},
 	})
 	defer links.Close()
@@ -253,11 +253,11 @@
 	stream, err := conn.NewStream(ctx, &grpc.StreamDesc{ClientStreams: true}, "/shelfledge.Peer/Push")
 	require.NoError(t, err)
 	for name := range filledEnvelopes() {
-		require.NoError(t, stream.SendMsg(all[name]))
-		require.Equal(t, all[name], receiveNext(t, pushed), name)
+		require.NoError(t, stream.SendMsg(golden[name]))
+		require.Equal(t, golden[name], receiveNext(t, pushed), name)
 	}
 	var answer []byte
-	require.NoError(t, conn.Invoke(ctx, "/shelfledge.Peer/Ask", all["question"], &answer))
-	require.Equal(t, all["answer"], answer)
-	require.Equal(t, all["question"], receiveNext(t, asked))
+	require.NoError(t, conn.Invoke(ctx, "/shelfledge.Peer/Ask", golden["question"], &answer))
+	require.Equal(t, golden["answer"], answer)
+	require.Equal(t, golden["question"], receiveNext(t, asked))
 }
--- a/tests/pinned/daemon/stored_keys_test.go
+++ b/tests/pinned/daemon/stored_keys_test.go
@@ -103,21 +103,21 @@
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
 	a = r.runStatements("admin", "last", "pin fare-1@1")
 	require.Equal(t, http.StatusOK, a.Status, a.Body)
-	all := readableStoredValues(t, r.cluster.KV.Dump(), "/config/")
+	values := readableStoredValues(t, r.cluster.KV.Dump(), "/config/")
 	snapshots := 0
-	for key := range all {
+	for key := range values {
 		if strings.Contains(key, "/config/snapshot/") {
 			snapshots++
 		}
 	}
 	require.Equal(t, 1, snapshots, "number of stored snapshots")
-	for key := range all {
+	for key := range values {
 		// The daemon does not need log records from before the snapshot.
 		if strings.Contains(key, "/config/log/") && key < "/shelfledge/config/log/0000000000000201" {
-			delete(all, key)
+			delete(values, key)
 		}
 	}
-	checkGolden(t, "stored_snapshot.json", all)
+	checkGolden(t, "stored_snapshot.json", values)
 }
 
 func TestStoredOwnersAndClaims(t *testing.T) {
--- a/tests/pinned/entry/peer_test.go
+++ b/tests/pinned/entry/peer_test.go
@@ -101,16 +101,16 @@
 			backlogs[service] = "NUMBER"
 		}
 	case "e":
-		return sortedElements(value, func(one any) any {
-			fields, _ := one.([]any)
+		return sortedElements(value, func(element any) any {
+			fields, _ := element.([]any)
 			if len(fields) > 3 {
 				fields[1], fields[3] = "REVISION", formatAddress(fields[3])
 			}
 			return fields
 		})
 	case "o":
-		return sortedElements(value, func(one any) any {
-			fields, _ := one.(map[string]any)
+		return sortedElements(value, func(element any) any {
+			fields, _ := element.(map[string]any)
 			fields["Revision"] = "REVISION"
 			fields["Value"] = fmt.Sprintf("%T", fields["Value"])
 			return fields
@@ -148,7 +148,7 @@
 	return json.RawMessage("[" + strings.Join(texts, ",") + "]")
 }
 
-// fakePlanner is a fake planner that the program follows.
+// fakePlanner is a planner that the test runs and the program follows.
 type fakePlanner struct {
 	listener net.Listener
 	run      *programRun
@@ -156,7 +156,7 @@
 	view     map[string]any
 }
 
-// startFakePlanner starts a fake planner and writes its record to the store.
+// startFakePlanner starts a fake planner and writes its record to the store, so that the program follows it.
 func (r *programRun) startFakePlanner(view func(endpoints []byte) map[string]any) *fakePlanner {
 	r.t.Helper()
 	listener, err := net.Listen("tcp4", newLoopbackAddress()+":0")
@@ -218,8 +218,8 @@
 		case message := <-p.reports:
 			report, _ := message["r"].(map[string]any)
 			list, _ := report[field].([]any)
-			for _, one := range list {
-				if text := encodeJSON(one); strings.Contains(text, about) {
+			for _, element := range list {
+				if text := encodeJSON(element); strings.Contains(text, about) {
 					return text
 				}
 			}
--- a/tests/pinned/entry/program_test.go
+++ b/tests/pinned/entry/program_test.go
@@ -124,22 +124,22 @@
 		{"good settings checked by the environment", "SHELFLEDGE_CONFIG=" + good, []string{"--check-settings"}},
 		{"port in use", "", []string{"--settings=" + busy}},
 	}
-	var all strings.Builder
-	for _, one := range cases {
-		command := exec.Command(buildProgram(t), one.arguments...)
-		command.Env = append(os.Environ(), one.environment)
+	var text strings.Builder
+	for _, testCase := range cases {
+		command := exec.Command(buildProgram(t), testCase.arguments...)
+		command.Env = append(os.Environ(), testCase.environment)
 		var stdout, stderr bytes.Buffer
 		command.Stdout, command.Stderr = &stdout, &stderr
 		code := exitCode(t, command.Run())
 		errorText := stderr.String()
-		if strings.HasPrefix(one.name, "bad settings") {
+		if strings.HasPrefix(testCase.name, "bad settings") {
 			// The program reports invalid settings in no fixed order.
 			errorText = sortedUniqueLines(strings.Split(strings.TrimSpace(errorText), "\n"))
 		}
 		errorText = strings.ReplaceAll(errorText, occupied.ip+":"+occupied.peers, "IP:PORT")
-		fmt.Fprintf(&all, "=== %s: exit code %d\n--- output\n%s--- errors\n%s", one.name, code, stdout.String(), errorText)
+		fmt.Fprintf(&text, "=== %s: exit code %d\n--- output\n%s--- errors\n%s", testCase.name, code, stdout.String(), errorText)
 	}
-	checkGolden(t, "command_line.txt", all.String())
+	checkGolden(t, "command_line.txt", text.String())
 }
 
 // TestVersion checks that --version prints a text without a settings file. The text depends on the build.
--- a/tests/pinned/entry/run_test.go
+++ b/tests/pinned/entry/run_test.go
@@ -238,11 +238,11 @@
 		kinds = append(kinds, kind)
 	}
 	slices.Sort(kinds)
-	var all strings.Builder
+	var text strings.Builder
 	for _, kind := range kinds {
-		fmt.Fprintf(&all, "=== %s\n%s", kind, r.received[kind])
+		fmt.Fprintf(&text, "=== %s\n%s", kind, r.received[kind])
 	}
-	return all.String()
+	return text.String()
 }
 
 // logLineKinds returns level, message and field names of the log lines, including the names of nested fields.
@@ -255,8 +255,8 @@
 		for name, value := range fields {
 			names = append(names, name)
 			list, _ := value.([]any)
-			for _, one := range list {
-				inner, _ := one.(map[string]any)
+			for _, element := range list {
+				inner, _ := element.(map[string]any)
 				for key := range inner {
 					names = append(names, name+"."+key)
 				}
@@ -292,8 +292,8 @@
 			}
 		}
 		if list, ok := fields["attempts"].([]any); ok {
-			for _, one := range list {
-				attempt := one.(map[string]any)
+			for _, element := range list {
+				attempt := element.(map[string]any)
 				attempt["took_ms"], attempt["waited_ms"] = "VARIES", "VARIES"
 				if ended, ok := attempt["ended"].(map[string]any); ok {
 					ended["silent_ms"] = "VARIES"
@@ -326,10 +326,10 @@
 			continue
 		}
 		sample := line[:strings.LastIndexByte(line, ' ')]
-		lines = append(lines, sampleLabel.ReplaceAllStringFunc(sample, func(one string) string {
-			name, _, _ := strings.Cut(one, "=")
+		lines = append(lines, sampleLabel.ReplaceAllStringFunc(sample, func(matched string) string {
+			name, _, _ := strings.Cut(matched, "=")
 			if name == "le" || (name == "reason" && !connectionEndMetrics.MatchString(sample)) {
-				return one
+				return matched
 			}
 			return name
 		}))
--- a/tests/pinned/entry/values_test.go
+++ b/tests/pinned/entry/values_test.go
@@ -67,8 +67,8 @@
 func checkValuesRead(t *testing.T, name string, read ...any) {
 	t.Helper()
 	var found []string
-	for _, one := range read {
-		found = append(found, nonZeroScalars(reflect.ValueOf(one))...)
+	for _, structure := range read {
+		found = append(found, nonZeroScalars(reflect.ValueOf(structure))...)
 	}
 	for _, value := range strings.Split(string(readTestdata(t, name)), "\n") {
 		assert.Contains(t, found, value, "%s: value missing from the decoded structures", name)
--- a/tests/pinned/program/deploy_test.go
+++ b/tests/pinned/program/deploy_test.go
@@ -38,12 +38,12 @@
 func flattenValues(out map[string]string, path string, value any) {
 	switch value := value.(type) {
 	case map[string]any:
-		for key, one := range value {
-			flattenValues(out, strings.TrimPrefix(path+"."+key, "."), one)
+		for key, element := range value {
+			flattenValues(out, strings.TrimPrefix(path+"."+key, "."), element)
 		}
 	case []any:
-		for i, one := range value {
-			flattenValues(out, fmt.Sprintf("%s[%d]", path, i), one)
+		for i, element := range value {
+			flattenValues(out, fmt.Sprintf("%s[%d]", path, i), element)
 		}
 	case string:
 		out[path] = fmt.Sprintf("%q", value)
--- a/tests/pinned/program/label_test.go
+++ b/tests/pinned/program/label_test.go
@@ -42,8 +42,8 @@
 	if call, ok := argument.(*ast.CallExpr); ok {
 		sources = append(sources, returnedValues[s.object(call.Fun)]...)
 	}
-	for _, one := range sources {
-		for _, text := range s.possibleKeys(one) {
+	for _, expression := range sources {
+		for _, text := range s.possibleKeys(expression) {
 			values[text] = true
 		}
 	}
--- a/tests/pinned/program/metrics_test.go
+++ b/tests/pinned/program/metrics_test.go
@@ -32,12 +32,12 @@
 	for i := range value.NumField() {
 		field := value.Field(i)
 		// unsafe gives access to unexported fields too, so that the test does not depend on field names.
-		one := reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem().Interface()
-		if found, ok := one.(*prometheus.Registry); ok {
+		fieldValue := reflect.NewAt(field.Type(), unsafe.Pointer(field.UnsafeAddr())).Elem().Interface()
+		if found, ok := fieldValue.(*prometheus.Registry); ok {
 			registry = found
 			continue
 		}
-		if collector, ok := one.(prometheus.Collector); ok {
+		if collector, ok := fieldValue.(prometheus.Collector); ok {
 			addSample(t, collector)
 		}
 	}
@@ -112,9 +112,9 @@
 		names := name.FindAllString(string(raw), -1)
 		require.NotEmpty(t, names)
 		slices.Sort(names)
-		for _, one := range slices.Compact(names) {
-			require.True(t, known[suffix.ReplaceAllString(one, "")], "%s refers to unknown metric %s", file, one)
-			fmt.Fprintf(&out, "%s: %s\n", file, one)
+		for _, metricName := range slices.Compact(names) {
+			require.True(t, known[suffix.ReplaceAllString(metricName, "")], "%s refers to unknown metric %s", file, metricName)
+			fmt.Fprintf(&out, "%s: %s\n", file, metricName)
 		}
 	}
 	checkGolden(t, "metrics/named.txt", out.String())
--- a/tests/pinned/program/source_test.go
+++ b/tests/pinned/program/source_test.go
@@ -51,15 +51,15 @@
 	exports := make(map[string]string)
 	var own []goListPackage
 	for decoder := json.NewDecoder(strings.NewReader(out)); ; {
-		var one goListPackage
-		err := decoder.Decode(&one)
+		var pkg goListPackage
+		err := decoder.Decode(&pkg)
 		if errors.Is(err, io.EOF) {
 			break
 		}
 		require.NoError(t, err)
-		exports[one.ImportPath] = one.Export
-		if one.Module != nil && one.Module.Main {
-			own = append(own, one)
+		exports[pkg.ImportPath] = pkg.Export
+		if pkg.Module != nil && pkg.Module.Main {
+			own = append(own, pkg)
 		}
 	}
 	s := &checkedSource{
@@ -80,14 +80,14 @@
 	set := token.NewFileSet()
 	open := func(path string) (io.ReadCloser, error) { return os.Open(exports[path]) }
 	config := &types.Config{Importer: importer.ForCompiler(set, "gc", open)}
-	for _, one := range own {
+	for _, pkg := range own {
 		var files []*ast.File
-		for _, name := range one.GoFiles {
-			file, err := parser.ParseFile(set, filepath.Join(one.Dir, name), nil, parser.SkipObjectResolution)
+		for _, name := range pkg.GoFiles {
+			file, err := parser.ParseFile(set, filepath.Join(pkg.Dir, name), nil, parser.SkipObjectResolution)
 			require.NoError(t, err)
 			files = append(files, file)
 		}
-		_, err := config.Check(one.ImportPath, set, files, s.info)
+		_, err := config.Check(pkg.ImportPath, set, files, s.info)
 		require.NoError(t, err)
 		s.files = append(s.files, files...)
 	}
@@ -177,11 +177,11 @@
 		}
 		byType[name][constant.StringVal(found.Val())] = true
 	}
-	all := make(map[string]bool)
+	matching := make(map[string]bool)
 	for _, values := range byType {
 		if values[value] {
-			maps.Copy(all, values)
+			maps.Copy(matching, values)
 		}
 	}
-	return slices.Sorted(maps.Keys(all))
+	return slices.Sorted(maps.Keys(matching))
 }
--- a/tests/words/words_test.go
+++ b/tests/words/words_test.go
@@ -130,9 +130,9 @@
 		}
 	}
 	assert.Greater(t, seen, 50, "number of checked files")
-	for one, sense := range allowedUses {
-		if strings.Contains(one.folder, "/"+part+"/") {
-			assert.True(t, used[one], "exception %v (%s) is not used", one, sense)
+	for exempted, sense := range allowedUses {
+		if strings.Contains(exempted.folder, "/"+part+"/") {
+			assert.True(t, used[exempted], "exception %v (%s) is not used", exempted, sense)
 		}
 	}
 }
@@ -219,14 +219,14 @@
 // that they export.
 func importedLibraries(file *ast.File) map[string]bool {
 	names := make(map[string]bool)
-	for _, one := range file.Imports {
-		path := strings.Trim(one.Path.Value, "\"")
+	for _, spec := range file.Imports {
+		path := strings.Trim(spec.Path.Value, "\"")
 		if strings.HasPrefix(path, module) {
 			continue
 		}
 		name := path[strings.LastIndexByte(path, '/')+1:]
-		if one.Name != nil {
-			name = one.Name.Name
+		if spec.Name != nil {
+			name = spec.Name.Name
 		}
 		names[name] = true
 	}
