--- a/tools/replay/doc.go
+++ b/tools/replay/doc.go
@@ -1,6 +1,6 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-// Command replay runs a recorded trace against the product's decision functions
-// or a baseline and prints what came of it.
+// Command replay replays a recorded trace against the decision functions of the product or against a
+// baseline and prints the results.
 package main
--- a/tools/replay/main.go
+++ b/tools/replay/main.go
@@ -12,7 +12,8 @@
 	"github.com/shelfledge/shelfledge/tools/replay/sim"
 )
 
-const badInput = 2
+// exitBadInput is the exit code for an invalid fleet file, trace or policy.
+const exitBadInput = 2
 
 type arguments struct {
 	Fleet  string `help:"Fleet file, JSON with comments." required:""`
@@ -31,11 +32,11 @@
 func run(args arguments) int {
 	f, err := sim.ReadFleet(args.Fleet)
 	if err != nil {
-		return fail(err)
+		return printError(err)
 	}
 	lines, err := sim.ReadTrace(args.Trace, f)
 	if err != nil {
-		return fail(err)
+		return printError(err)
 	}
 	policies := []string{args.Policy}
 	if args.Policy == "all" {
@@ -47,16 +48,16 @@
 	for _, name := range policies {
 		result, err := sim.Run(f, lines, name)
 		if err != nil {
-			return fail(err)
+			return printError(err)
 		}
-		if err := show(result, args.JSON); err != nil {
-			return fail(err)
+		if err := printResult(result, args.JSON); err != nil {
+			return printError(err)
 		}
 	}
 	return 0
 }
 
-func show(r sim.Result, asJSON bool) error {
+func printResult(r sim.Result, asJSON bool) error {
 	if asJSON {
 		return r.WriteJSON(os.Stdout)
 	}
@@ -64,7 +65,7 @@
 	return err
 }
 
-func fail(err error) int {
+func printError(err error) int {
 	fmt.Fprintln(os.Stderr, "replay:", err)
-	return badInput
+	return exitBadInput
 }
--- a/tools/replay/sim/attempt.go
+++ b/tools/replay/sim/attempt.go
@@ -10,9 +10,9 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// start begins an attempt; the request joins the batch at the endpoint's next step.
-func (w *world) start(now time.Time, r *request, e *engine) {
-	if r.done() {
+// startAttempt starts an attempt of a request; the request joins the batch at the endpoint's next step.
+func (w *world) startAttempt(now time.Time, r *request, e *engine) {
+	if r.finished() {
 		return
 	}
 	w.checkStart(now, r, e)
@@ -30,19 +30,20 @@
 	first := join.Add(time.Duration(steps+1) * step)
 	a := &attempt{request: r, engine: e}
 	r.run = a
-	r.runs++
+	r.runCount++
 	e.running[a] = true
-	e.using[r.Adapter]++
-	w.account(now, r, e, first)
-	w.agenda.Add(first.Add(time.Duration(r.OutputTokens-1)*step), func(at time.Time) { w.end(at, a) })
+	e.runningByAdapter[r.Adapter]++
+	w.recordTimings(now, r, e, first)
+	w.agenda.Add(first.Add(time.Duration(r.OutputTokens-1)*step), func(at time.Time) { w.completeAttempt(at, a) })
 }
 
-func (w *world) account(now time.Time, r *request, e *engine, first time.Time) {
-	if r.runs > 1 {
+// recordTimings sets the wait, stall and time to first token of a request at its first attempt.
+func (w *world) recordTimings(now time.Time, r *request, e *engine, firstToken time.Time) {
+	if r.runCount > 1 {
 		return
 	}
 	r.wait = now.Sub(r.Arrived)
-	r.first = first.Sub(r.Arrived)
+	r.firstToken = firstToken.Sub(r.Arrived)
 	since := e.resident[r.Adapter]
 	r.stall = min(max(0, since.Sub(r.Arrived)), r.wait)
 }
@@ -51,36 +52,37 @@
 	if _, ok := e.resident[r.Adapter]; !ok {
 		w.violations[wrongVersion]++
 	}
-	if r.Once && r.runs > 0 {
-		w.violations[onceRunTwice]++
+	if r.Once && r.runCount > 0 {
+		w.violations[onceRunAgain]++
 	}
 	if !e.leavingAt.IsZero() && now.Sub(e.leavingAt) > leavingGrace {
 		w.violations[workOnLeaving]++
 	}
 	if len(e.running) >= e.entry.MaxBatch {
-		w.violations[beyondCapacity]++
+		w.violations[capacityExceeded]++
 	}
 }
 
-func (w *world) end(now time.Time, a *attempt) {
-	if a.dead {
+func (w *world) completeAttempt(now time.Time, a *attempt) {
+	if a.removed {
 		return
 	}
 	r := a.request
-	w.leave(now, a)
+	w.removeAttempt(now, a)
 	w.tokens += int64(r.OutputTokens)
 	r.run = nil
-	w.finish(now, r, fleet.OutcomeAnswered)
-	w.decide(func() { w.policy.ended(now, r, a.engine) })
+	w.finishRequest(now, r, fleet.OutcomeAnswered)
+	w.timeDecision(func() { w.policy.requestEnded(now, r, a.engine) })
 }
 
-func (w *world) leave(now time.Time, a *attempt) {
+// removeAttempt frees the resources that an attempt uses at its endpoint.
+func (w *world) removeAttempt(now time.Time, a *attempt) {
 	e := a.engine
-	a.dead = true
+	a.removed = true
 	delete(e.running, a)
-	e.using[a.request.Adapter]--
-	if e.using[a.request.Adapter] <= 0 {
-		delete(e.using, a.request.Adapter)
+	e.runningByAdapter[a.request.Adapter]--
+	if e.runningByAdapter[a.request.Adapter] <= 0 {
+		delete(e.runningByAdapter, a.request.Adapter)
 	}
 	if len(e.running) == 0 {
 		e.busy += now.Sub(e.busySince)
--- a/tools/replay/sim/bound.go
+++ b/tools/replay/sim/bound.go
@@ -9,11 +9,11 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// bound gives a result whose mean stalls are lower bounds for any policy that refuses nothing,
-// under the same model; its other figures are empty. A policy learns an adapter's name from its
-// first call in the trace, and nobody can have the adapter resident sooner than the fastest load
-// after that: each call within that time waits for the rest of it, or until its caller stops waiting.
-func bound(f *FleetFile, lines []Line) Result {
+// lowerBound returns a result whose mean load stalls are lower bounds, under the same model, for any policy that
+// refuses no request; its other figures are empty. A policy learns the name of an adapter from the first call in the
+// trace, and no policy can have the adapter resident before the fastest load after that call has ended. A call during
+// that load therefore waits for the rest of the load, or until its deadline.
+func lowerBound(f *FleetFile, lines []Line) Result {
 	weights := f.stallWeights()
 	fastest := math.Inf(1)
 	for _, e := range f.Endpoints {
--- a/tools/replay/sim/event.go
+++ b/tools/replay/sim/event.go
@@ -10,14 +10,14 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-func (w *world) event(l Line) {
+func (w *world) applyEvent(l Line) {
 	now, until := w.now, start.Add(milliseconds(l.UntilMS))
 	switch l.Event {
 	case EndpointRestart:
-		w.restart(now, w.engines[l.Endpoint])
+		w.restartEndpoint(now, w.engines[l.Endpoint])
 	case EndpointLeaving:
 		w.engines[l.Endpoint].leavingAt = now
-		w.policy.leaving(now, w.engines[l.Endpoint])
+		w.policy.endpointLeaving(now, w.engines[l.Endpoint])
 	case LoadFails:
 		w.engines[l.Endpoint].failNext += l.Count
 	case StoreRate:
@@ -27,74 +27,76 @@
 		w.cut(now, l.Hall, true)
 		w.agenda.Add(until, func(now time.Time) { w.cut(now, l.Hall, false) })
 	case KVDown:
-		w.policy.kvDown(now, until)
+		w.policy.kvUnavailable(now, until)
 	case InstanceLost:
-		w.lose(now, l.Instance)
+		w.removeInstance(now, l.Instance)
 	default:
-		panic(fmt.Sprintf("event %q passed the check", l.Event))
+		panic(fmt.Sprintf("trace event %q is not handled", l.Event))
 	}
 }
 
+// cut cuts a hall off from the other halls, or ends the cut.
 func (w *world) cut(now time.Time, hall string, cut bool) {
 	w.cutHalls[hall] = cut
 	w.policy.cut(now)
 }
 
 func (w *world) setRate(now time.Time, rate float64) {
-	w.moveStore(now)
+	w.advanceStore(now)
 	w.store.rate = rate
-	w.policy.storeRate(now, rate)
-	w.moveStore(now)
+	w.policy.storeRateChanged(now, rate)
+	w.advanceStore(now)
 }
 
-// restart empties an endpoint; what ran there is repeated unless it must not be.
-func (w *world) restart(now time.Time, e *engine) {
+// restartEndpoint clears an endpoint's state and breaks off its attempts, which are repeated where that is allowed.
+func (w *world) restartEndpoint(now time.Time, e *engine) {
 	e.incarnation++
 	clear(e.resident)
 	for _, l := range e.loading {
-		l.dead = true
+		l.canceled = true
 	}
 	clear(e.loading)
 	broken := w.attemptsOn(e)
 	for _, a := range broken {
-		w.leave(now, a)
+		w.removeAttempt(now, a)
 	}
-	w.policy.restarted(now, e)
+	w.policy.endpointRestarted(now, e)
 	for _, a := range broken {
 		w.broken(now, a)
 	}
 }
 
-// attemptsOn lists the attempts of an endpoint in the order of the trace.
+// attemptsOn returns the attempts that run on an endpoint, in the order of the trace.
 func (w *world) attemptsOn(e *engine) []*attempt {
 	var out []*attempt
-	for _, r := range w.list {
-		if r.run != nil && r.run.engine == e && !r.run.dead {
+	for _, r := range w.requestList {
+		if r.run != nil && r.run.engine == e && !r.run.removed {
 			out = append(out, r.run)
 		}
 	}
 	return out
 }
 
+// broken handles an attempt that broke off: it repeats the request if that is allowed, else its outcome is unknown.
 func (w *world) broken(now time.Time, a *attempt) {
 	r := a.request
 	r.run = nil
 	if r.Once || r.Expired(now) {
-		// A caller beyond its deadline has a part of the answer already.
-		w.finish(now, r, fleet.OutcomeUnknown)
+		// An expired request that runs started before its deadline, so its caller already has a part of the answer.
+		w.finishRequest(now, r, fleet.OutcomeUnknown)
 		return
 	}
 	r.Attempt++
-	w.arrive(now, r)
+	w.requestArrived(now, r)
 }
 
-// lose takes an instance away: the streams through it end unknown, and what waited
-// there is asked for again by its caller at another instance.
-func (w *world) lose(now time.Time, instance string) {
-	w.lost[instance] = true
+// removeInstance removes an instance. Requests that run through it end with the outcome unknown; those that wait are
+// sent again by their callers through another instance.
+func (w *world) removeInstance(now time.Time, instance string) {
+	w.lostInstances[instance] = true
 	var moved []*request
-	for _, r := range w.list {
-		if r.done() || r.Entry != instance {
+	for _, r := range w.requestList {
+		if r.finished() || r.Entry != instance {
 			continue
 		}
 		if r.run == nil {
@@ -102,20 +104,20 @@
 			continue
 		}
 		a := r.run
-		w.leave(now, a)
+		w.removeAttempt(now, a)
 		r.run = nil
-		w.finish(now, r, fleet.OutcomeUnknown)
-		w.policy.ended(now, r, a.engine)
+		w.finishRequest(now, r, fleet.OutcomeUnknown)
+		w.policy.requestEnded(now, r, a.engine)
 	}
 	w.policy.instanceLost(now, instance)
 	for _, r := range moved {
-		r.Entry = w.entryFor(r.ID, r.Hall)
+		r.Entry = w.entryInstance(r.ID, r.Hall)
 		if r.Entry == "" {
-			w.refuse(now, r)
+			w.refuseRequest(now, r)
 			continue
 		}
 		w.policy.expired(now, r)
 		r.Attempt++
-		w.arrive(now, r)
+		w.requestArrived(now, r)
 	}
 }
--- a/tools/replay/sim/fleet_file.go
+++ b/tools/replay/sim/fleet_file.go
@@ -17,7 +17,7 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// FleetFile is the fleet that a trace is replayed on.
+// FleetFile describes the fleet on which a trace is replayed.
 type FleetFile struct {
 	Halls       []HallEntry     `json:"halls"`
 	Endpoints   []EndpointEntry `json:"endpoints"`
@@ -25,13 +25,13 @@
 	Classes     []ClassEntry    `json:"classes"`
 }
 
-// HallEntry is one hall with its instances.
+// HallEntry describes a hall and its instances.
 type HallEntry struct {
 	Name      string   `json:"name"`
 	Instances []string `json:"instances"`
 }
 
-// EndpointEntry is one endpoint with its speed.
+// EndpointEntry describes an endpoint and its speed.
 type EndpointEntry struct {
 	Name               string   `json:"name"`
 	Hall               string   `json:"hall"`
@@ -44,13 +44,13 @@
 	ChecksFence        bool     `json:"checks_fence"`
 }
 
-// WeightStore is the rate of the store that all loads come from.
+// WeightStore describes the store from which all adapters are loaded.
 type WeightStore struct {
 	LoadsPerSecond float64 `json:"loads_per_second"`
 	AtFullSpeed    int     `json:"at_full_speed"`
 }
 
-// ClassEntry is one service class.
+// ClassEntry describes a service class.
 type ClassEntry struct {
 	Name        string  `json:"name"`
 	Priority    int     `json:"priority"`
@@ -65,7 +65,7 @@
 	Reason string
 }
 
-// Error gives file, line, field and reason.
+// Error returns a message with file, line, field and reason.
 func (e ErrBadFile) Error() string {
 	if e.Field == "" {
 		return fmt.Sprintf("%s:%d: %s", e.File, e.Line, e.Reason)
@@ -73,10 +73,10 @@
 	return fmt.Sprintf("%s:%d: field %q: %s", e.File, e.Line, e.Field, e.Reason)
 }
 
-// patientPriority is the highest priority of classes whose work may be held back.
-const patientPriority = 2
+// maxPatientPriority is the highest priority of a class whose requests may be delayed.
+const maxPatientPriority = 2
 
-// ReadFleet reads a fleet file, JSON with comments.
+// ReadFleet reads and validates a fleet file in JSON with comments.
 func ReadFleet(file string) (*FleetFile, error) {
 	raw, err := os.ReadFile(file)
 	if err != nil {
@@ -84,14 +84,14 @@
 	}
 	plain, err := hujson.Standardize(bytes.Clone(raw))
 	if err != nil {
-		return nil, ErrBadFile{File: file, Line: lineIn(err.Error()), Reason: err.Error()}
+		return nil, ErrBadFile{File: file, Line: lineInMessage(err.Error()), Reason: err.Error()}
 	}
 	f := &FleetFile{}
 	if err := decodeStrict(plain, f); err != nil {
-		line, field := locate(plain, err)
+		line, field := locateError(plain, err)
 		return nil, ErrBadFile{File: file, Line: line, Field: field, Reason: err.Error()}
 	}
-	if err := f.check(file, plain); err != nil {
+	if err := f.validate(file, plain); err != nil {
 		return nil, err
 	}
 	return f, nil
@@ -103,8 +103,8 @@
 	return d.Decode(into)
 }
 
-// lineIn finds the line number that hujson puts into its errors.
-func lineIn(message string) int {
+// lineInMessage returns the line number in an error message of hujson, or 1 if there is none.
+func lineInMessage(message string) int {
 	var line int
 	if at := strings.Index(message, "line "); at >= 0 {
 		_, _ = fmt.Sscanf(message[at:], "line %d", &line)
@@ -112,8 +112,8 @@
 	return max(1, line)
 }
 
-// locate finds the line and field of a decoding error.
-func locate(raw []byte, err error) (int, string) {
+// locateError returns the line and the field of a decoding error.
+func locateError(raw []byte, err error) (int, string) {
 	var typed *json.UnmarshalTypeError
 	if errors.As(err, &typed) {
 		return lineOfOffset(raw, int(typed.Offset)), typed.Field
@@ -137,40 +137,40 @@
 	return lineOfOffset(raw, max(0, bytes.Index(raw, []byte(text))))
 }
 
-func (f *FleetFile) check(file string, raw []byte) error {
-	bad := func(near, field, reason string) error {
-		return ErrBadFile{File: file, Line: lineOfText(raw, `"`+near+`"`), Field: field, Reason: reason}
+func (f *FleetFile) validate(file string, raw []byte) error {
+	fileError := func(nearText, field, reason string) error {
+		return ErrBadFile{File: file, Line: lineOfText(raw, `"`+nearText+`"`), Field: field, Reason: reason}
 	}
 	halls := make(map[string]bool)
 	for _, h := range f.Halls {
 		if h.Name == "" || halls[h.Name] {
-			return bad("halls", "halls.name", "missing or given twice")
+			return fileError("halls", "halls.name", "missing or given twice")
 		}
 		halls[h.Name] = true
 	}
 	seen := make(map[string]bool)
 	for _, e := range f.Endpoints {
-		field, reason := e.problem(halls, seen)
+		field, reason := e.firstProblem(halls, seen)
 		if field != "" {
-			return bad(e.Name, "endpoints."+field, reason)
+			return fileError(e.Name, "endpoints."+field, reason)
 		}
 		seen[e.Name] = true
 	}
 	if len(f.Halls) == 0 || len(f.Endpoints) == 0 {
-		return bad("halls", "endpoints", "a fleet needs halls and endpoints")
+		return fileError("halls", "endpoints", "a fleet needs halls and endpoints")
 	}
 	if f.WeightStore.LoadsPerSecond <= 0 || f.WeightStore.AtFullSpeed < 1 {
-		return bad("weight_store", "weight_store", "needs loads_per_second above 0 and at_full_speed of 1 or more")
+		return fileError("weight_store", "weight_store", "needs loads_per_second above 0 and at_full_speed of 1 or more")
 	}
 	for _, c := range f.Classes {
 		if c.Name == "" || c.StallWeight < 0 {
-			return bad("classes", "classes", "a class needs a name and a stall_weight of 0 or more")
+			return fileError("classes", "classes", "a class needs a name and a stall_weight of 0 or more")
 		}
 	}
 	return nil
 }
 
-func (e EndpointEntry) problem(halls, seen map[string]bool) (string, string) {
+func (e EndpointEntry) firstProblem(halls, seen map[string]bool) (string, string) {
 	switch {
 	case e.Name == "" || seen[e.Name]:
 		return "name", "missing or given twice"
@@ -192,28 +192,29 @@
 	return "", ""
 }
 
-func (e EndpointEntry) spec() fleet.Endpoint {
+func (e EndpointEntry) endpoint() fleet.Endpoint {
 	return fleet.Endpoint{
 		Name: e.Name, Hall: e.Hall, Kind: fleet.KindEngine, Bases: e.Bases, Slots: e.Slots, MaxBatch: e.MaxBatch,
 		Step: milliseconds(e.StepMS), Load: milliseconds(e.LoadMS), ChecksFence: e.ChecksFence,
 	}
 }
 
-// productClasses gives the product's classes; low priority work counts as patient.
+// productClasses returns the classes in the product's form; classes of low priority are patient.
 func (f *FleetFile) productClasses() []fleet.Class {
 	out := make([]fleet.Class, 0, len(f.Classes))
 	for _, c := range f.Classes {
 		out = append(out, fleet.Class{
 			Name: c.Name, Priority: c.Priority, StallWeight: c.StallWeight,
-			Patient: c.Priority <= patientPriority, MaxQueuedTokens: replayQueueTokens,
+			Patient: c.Priority <= maxPatientPriority, MaxQueuedTokens: replayQueueTokens,
 		})
 	}
 	return out
 }
 
+// replayQueueTokens is the queue limit of each class, in tokens.
 const replayQueueTokens = 20_000_000
 
-// stallWeights gives each class's weight of a stall.
+// stallWeights returns the stall weight of each class.
 func (f *FleetFile) stallWeights() map[string]float64 {
 	weights := make(map[string]float64)
 	for _, c := range f.Classes {
--- a/tools/replay/sim/model.go
+++ b/tools/replay/sim/model.go
@@ -12,19 +12,19 @@
 
 // engine is the model of one endpoint.
 type engine struct {
-	entry       EndpointEntry
-	incarnation int
-	resident    map[fleet.AdapterRef]time.Time
-	loading     map[fleet.AdapterRef]*load
-	running     map[*attempt]bool
-	using       map[fleet.AdapterRef]int
-	leavingAt   time.Time
-	failNext    int
-	busySince   time.Time
-	busy        time.Duration
+	entry            EndpointEntry
+	incarnation      int
+	resident         map[fleet.AdapterRef]time.Time
+	loading          map[fleet.AdapterRef]*load
+	running          map[*attempt]bool
+	runningByAdapter map[fleet.AdapterRef]int
+	leavingAt        time.Time
+	failNext         int
+	busySince        time.Time
+	busy             time.Duration
 }
 
-// holds tells whether an adapter is resident or being loaded.
+// holds reports whether an adapter is resident or being loaded.
 func (e *engine) holds(ref fleet.AdapterRef) bool {
 	_, resident := e.resident[ref]
 	return resident || e.loading[ref] != nil
@@ -34,51 +34,50 @@
 type attempt struct {
 	request *request
 	engine  *engine
-	dead    bool
+	removed bool
 }
 
-// load is one load under way at the weight store; left is in seconds at full speed.
+// load is a queued or running load at the weight store; remaining is in seconds at full speed.
 type load struct {
-	engine  *engine
-	adapter fleet.AdapterRef
-	left    float64
-	dead    bool
+	engine    *engine
+	adapter   fleet.AdapterRef
+	remaining float64
+	canceled  bool
 }
 
-// store is the model of the weight store: a rate of starts, and a speed that
-// loads share beyond the number that run at full speed.
+// store models the weight store. It limits the rate at which loads start; loads beyond the number that can run at
+// full speed share the bandwidth.
 type store struct {
-	rate    float64
-	atFull  int
-	tokens  float64
-	moved   time.Time
-	waiting []*load
-	active  []*load
-	version int
+	rate        float64
+	atFullSpeed int
+	tokens      float64
+	advancedTo  time.Time
+	waiting     []*load
+	active      []*load
+	generation  int
 }
 
-// speed gives the part of full speed at which each active load runs.
+// speed returns the fraction of full speed at which each active load runs.
 func (s *store) speed() float64 {
-	return math.Min(1, float64(s.atFull)/float64(len(s.active)))
+	return math.Min(1, float64(s.atFullSpeed)/float64(len(s.active)))
 }
 
-// Rounding leaves that much of a load, in seconds, or of a token; it counts as none.
+// A remainder below these values, in seconds of a load or in tokens, is a rounding error and counts as zero.
 const (
-	loadRest  = 1e-7
-	tokenRest = 1e-9
+	loadTolerance  = 1e-7
+	tokenTolerance = 1e-9
 )
 
-// advance moves the active loads on, starts waiting ones as the rate allows, and returns those
-// that have ended.
+// advance advances the active loads, starts waiting loads as the rate allows, and returns the loads that have ended.
 func (s *store) advance(now time.Time) []*load {
-	elapsed := now.Sub(s.moved).Seconds()
-	s.moved = now
+	elapsed := now.Sub(s.advancedTo).Seconds()
+	s.advancedTo = now
 	done := elapsed * s.speed()
 	var ended []*load
 	kept := s.active[:0]
 	for _, l := range s.active {
-		l.left -= done
-		if l.left <= loadRest || l.dead {
+		l.remaining -= done
+		if l.remaining <= loadTolerance || l.canceled {
 			ended = append(ended, l)
 			continue
 		}
@@ -86,10 +85,10 @@
 	}
 	s.active = kept
 	s.tokens = math.Min(1, s.tokens+elapsed*s.rate)
-	for len(s.waiting) > 0 && s.tokens >= 1-tokenRest {
+	for len(s.waiting) > 0 && s.tokens >= 1-tokenTolerance {
 		l := s.waiting[0]
 		s.waiting = s.waiting[1:]
-		if !l.dead {
+		if !l.canceled {
 			s.tokens--
 			s.active = append(s.active, l)
 		}
@@ -97,11 +96,11 @@
 	return ended
 }
 
-// next gives the time of the store's next change, if any.
-func (s *store) next(now time.Time) (time.Time, bool) {
+// nextChange returns the time of the store's next change, and false if none is due.
+func (s *store) nextChange(now time.Time) (time.Time, bool) {
 	seconds := math.Inf(1)
 	for _, l := range s.active {
-		seconds = math.Min(seconds, math.Max(0, l.left)/s.speed())
+		seconds = math.Min(seconds, math.Max(0, l.remaining)/s.speed())
 	}
 	if len(s.waiting) > 0 {
 		seconds = math.Min(seconds, math.Max(0, 1-s.tokens)/s.rate)
--- a/tools/replay/sim/policy.go
+++ b/tools/replay/sim/policy.go
@@ -9,34 +9,36 @@
 	"github.com/shelfledge/shelfledge/models/daemon/fleet"
 )
 
-// policy is one way to decide. The world calls it; it calls the world's start, refuse and load.
+// policy decides where requests run and which adapters are loaded. The world calls its methods; the policy calls
+// startAttempt, refuseRequest and load of the world.
 type policy interface {
-	// arrive takes a new request, or one whose attempt broke off and may be repeated.
-	arrive(now time.Time, r *request)
-	// ended says that a request has left its endpoint.
-	ended(now time.Time, r *request, e *engine)
-	// loaded says how a load ended.
-	loaded(now time.Time, e *engine, adapter fleet.AdapterRef, ok bool)
-	// restarted says that an endpoint came back empty.
-	restarted(now time.Time, e *engine)
-	// leaving says that an endpoint is to get no new work.
-	leaving(now time.Time, e *engine)
-	// cut says that a hall was cut off, or is back.
+	// requestArrived handles a new request, or a request whose attempt broke off and may be repeated.
+	requestArrived(now time.Time, r *request)
+	// requestEnded is called when a request has left its endpoint.
+	requestEnded(now time.Time, r *request, e *engine)
+	// loadEnded is called when a load has ended; ok is false if the load failed.
+	loadEnded(now time.Time, e *engine, adapter fleet.AdapterRef, ok bool)
+	// endpointRestarted is called when an endpoint has restarted without any adapter.
+	endpointRestarted(now time.Time, e *engine)
+	// endpointLeaving is called when an endpoint must not get new work any more.
+	endpointLeaving(now time.Time, e *engine)
+	// cut is called when a hall has been cut off or is reachable again.
 	cut(now time.Time)
-	// expired says that a caller has stopped waiting.
+	// expired is called when a caller has stopped waiting.
 	expired(now time.Time, r *request)
-	// storeRate gives the weight store's rate, in loads a second.
-	storeRate(now time.Time, rate float64)
-	// kvDown says that the key-value service does not answer until a time.
-	kvDown(now, until time.Time)
-	// instanceLost says that an instance is gone.
+	// storeRateChanged is called with the weight store's new rate, in loads per second.
+	storeRateChanged(now time.Time, rate float64)
+	// kvUnavailable is called when the key-value service stops answering until the given time.
+	kvUnavailable(now, until time.Time)
+	// instanceLost is called when an instance has been removed.
 	instanceLost(now time.Time, instance string)
 }
 
-// withoutPlatform is the part of a policy that keeps no state of the key-value service, cuts, budget or instances.
-type withoutPlatform struct{}
+// ignorePlatformEvents implements the events of the platform for a policy that does not depend on the key-value service,
+// hall cuts, the load budget or instances.
+type ignorePlatformEvents struct{}
 
-func (withoutPlatform) cut(time.Time)                  {}
-func (withoutPlatform) storeRate(time.Time, float64)   {}
-func (withoutPlatform) kvDown(time.Time, time.Time)    {}
-func (withoutPlatform) instanceLost(time.Time, string) {}
+func (ignorePlatformEvents) cut(time.Time)                       {}
+func (ignorePlatformEvents) storeRateChanged(time.Time, float64) {}
+func (ignorePlatformEvents) kvUnavailable(time.Time, time.Time)  {}
+func (ignorePlatformEvents) instanceLost(time.Time, string)      {}
--- a/tools/replay/sim/policy_baseline.go
+++ b/tools/replay/sim/policy_baseline.go
@@ -11,51 +11,52 @@
 	"github.com/shelfledge/shelfledge/modules/daemon/ring"
 )
 
-// baseline binds each request to an endpoint on arrival, serves each endpoint's
-// queue first come first served, and evicts the least recently used adapter.
+// baseline assigns each request to an endpoint on arrival, serves the queue of each endpoint in order of arrival, and
+// evicts the least recently used adapter.
 type baseline struct {
-	withoutPlatform
+	ignorePlatformEvents
 	world     *world
-	choose    func(r *request, usable []*baseEndpoint) *baseEndpoint
-	endpoints []*baseEndpoint
-	byEngine  map[*engine]*baseEndpoint
+	choose    func(r *request, usable []*baselineEndpoint) *baselineEndpoint
+	endpoints []*baselineEndpoint
+	byEngine  map[*engine]*baselineEndpoint
 }
 
-// baseEndpoint is one endpoint's queue and its use of adapters.
-type baseEndpoint struct {
+// baselineEndpoint is an endpoint with its queue and the last use of each adapter.
+type baselineEndpoint struct {
 	*engine
 	queue []*request
 	used  map[fleet.AdapterRef]time.Time
 }
 
-func newBaseline(w *world, choose func(*request, []*baseEndpoint) *baseEndpoint) *baseline {
-	b := &baseline{world: w, choose: choose, byEngine: make(map[*engine]*baseEndpoint)}
-	for _, e := range w.order {
-		one := &baseEndpoint{engine: e, used: make(map[fleet.AdapterRef]time.Time)}
-		b.byEngine[e] = one
-		b.endpoints = append(b.endpoints, one)
+func newBaseline(w *world, choose func(*request, []*baselineEndpoint) *baselineEndpoint) *baseline {
+	b := &baseline{world: w, choose: choose, byEngine: make(map[*engine]*baselineEndpoint)}
+	for _, e := range w.engineList {
+		endpoint := &baselineEndpoint{engine: e, used: make(map[fleet.AdapterRef]time.Time)}
+		b.byEngine[e] = endpoint
+		b.endpoints = append(b.endpoints, endpoint)
 	}
 	return b
 }
 
-// load gives the running and queued requests for each place of the batch.
-func (e *baseEndpoint) load() float64 {
+// loadFactor returns the number of running and queued requests per place of the batch.
+func (e *baselineEndpoint) loadFactor() float64 {
 	return float64(len(e.running)+len(e.queue)) / float64(e.entry.MaxBatch)
 }
 
-// leastLoaded takes the least loaded endpoint, among equals one that holds the adapter.
-func leastLoaded(r *request, usable []*baseEndpoint) *baseEndpoint {
+// chooseLeastLoaded returns the endpoint with the lowest load factor; of equally loaded ones it prefers an endpoint that
+// holds the adapter.
+func chooseLeastLoaded(r *request, usable []*baselineEndpoint) *baselineEndpoint {
 	best := usable[0]
 	for _, e := range usable[1:] {
-		if e.load() < best.load() || (e.load() == best.load() && e.holds(r.Adapter) && !best.holds(r.Adapter)) {
+		if e.loadFactor() < best.loadFactor() || (e.loadFactor() == best.loadFactor() && e.holds(r.Adapter) && !best.holds(r.Adapter)) {
 			best = e
 		}
 	}
 	return best
 }
 
-// byAffinity takes the endpoint that rendezvous hashing gives the adapter.
-func byAffinity(r *request, usable []*baseEndpoint) *baseEndpoint {
+// chooseByAffinity returns the endpoint that rendezvous hashing assigns to the adapter.
+func chooseByAffinity(r *request, usable []*baselineEndpoint) *baselineEndpoint {
 	names := make([]string, len(usable))
 	for i, e := range usable {
 		names[i] = e.entry.Name
@@ -63,51 +64,52 @@
 	return usable[slices.Index(names, ring.Best(r.Adapter.String(), names))]
 }
 
-func (b *baseline) usable(r *request) []*baseEndpoint {
-	var out []*baseEndpoint
+func (b *baseline) usable(r *request) []*baselineEndpoint {
+	var out []*baselineEndpoint
 	for _, e := range b.endpoints {
-		if e.leavingAt.IsZero() && !b.world.apart(e.entry.Hall, r.Hall) && slices.Contains(e.entry.Bases, r.Base) {
+		if e.leavingAt.IsZero() && !b.world.isCutBetween(e.entry.Hall, r.Hall) && slices.Contains(e.entry.Bases, r.Base) {
 			out = append(out, e)
 		}
 	}
 	return out
 }
 
-func (b *baseline) arrive(now time.Time, r *request) {
+func (b *baseline) requestArrived(now time.Time, r *request) {
 	usable := b.usable(r)
 	if len(usable) == 0 {
-		b.world.refuse(now, r)
+		b.world.refuseRequest(now, r)
 		return
 	}
 	e := b.choose(r, usable)
 	e.queue = append(e.queue, r)
-	b.serve(now, e)
+	b.serveQueue(now, e)
 }
 
-// serve starts what can start and loads what is missing, in order of arrival.
-func (b *baseline) serve(now time.Time, e *baseEndpoint) {
+// serveQueue starts the queued requests that can run and loads missing adapters, in order of arrival.
+func (b *baseline) serveQueue(now time.Time, e *baselineEndpoint) {
 	kept := e.queue[:0]
 	for _, r := range e.queue {
-		if r.done() {
+		if r.finished() {
 			continue
 		}
 		if _, ok := e.resident[r.Adapter]; ok && len(e.running) < e.entry.MaxBatch {
 			e.used[r.Adapter] = now
-			b.world.start(now, r, e.engine)
+			b.world.startAttempt(now, r, e.engine)
 			continue
 		}
 		kept = append(kept, r)
 	}
 	e.queue = kept
 	for _, r := range e.queue {
-		if !e.holds(r.Adapter) && !b.fetch(now, e, r.Adapter) {
+		if !e.holds(r.Adapter) && !b.loadAdapter(now, e, r.Adapter) {
 			return
 		}
 	}
 }
 
-// fetch loads an adapter into a free slot or the least recently used idle one.
-func (b *baseline) fetch(now time.Time, e *baseEndpoint, ref fleet.AdapterRef) bool {
+// loadAdapter loads an adapter into a free slot or in place of the least recently used idle adapter. It reports whether
+// a slot was available.
+func (b *baseline) loadAdapter(now time.Time, e *baselineEndpoint, ref fleet.AdapterRef) bool {
 	var victim fleet.AdapterRef
 	if len(e.resident)+len(e.loading) >= e.entry.Slots {
 		if victim = e.leastRecentlyUsed(); victim.IsZero() {
@@ -119,12 +121,12 @@
 	return true
 }
 
-// leastRecentlyUsed gives the adapter to evict, or a zero one if all are in use or waited for.
-func (e *baseEndpoint) leastRecentlyUsed() fleet.AdapterRef {
+// leastRecentlyUsed returns the adapter to evict, or a zero reference if requests use or wait for every adapter.
+func (e *baselineEndpoint) leastRecentlyUsed() fleet.AdapterRef {
 	var victim fleet.AdapterRef
 	for other := range e.resident {
 		awaited := slices.ContainsFunc(e.queue, func(r *request) bool { return r.Adapter == other })
-		if e.using[other] > 0 || awaited {
+		if e.runningByAdapter[other] > 0 || awaited {
 			continue
 		}
 		earlier := e.used[other].Compare(e.used[victim])
@@ -135,33 +137,33 @@
 	return victim
 }
 
-func (b *baseline) ended(now time.Time, r *request, e *engine) {
-	b.loaded(now, e, r.Adapter, true)
+func (b *baseline) requestEnded(now time.Time, r *request, e *engine) {
+	b.loadEnded(now, e, r.Adapter, true)
 }
 
-func (b *baseline) loaded(now time.Time, e *engine, ref fleet.AdapterRef, _ bool) {
-	one := b.byEngine[e]
-	one.used[ref] = now
-	b.serve(now, one)
+func (b *baseline) loadEnded(now time.Time, e *engine, ref fleet.AdapterRef, _ bool) {
+	endpoint := b.byEngine[e]
+	endpoint.used[ref] = now
+	b.serveQueue(now, endpoint)
 }
 
-func (b *baseline) restarted(now time.Time, e *engine) {
-	one := b.byEngine[e]
-	clear(one.used)
-	b.serve(now, one)
+func (b *baseline) endpointRestarted(now time.Time, e *engine) {
+	endpoint := b.byEngine[e]
+	clear(endpoint.used)
+	b.serveQueue(now, endpoint)
 }
 
-// leaving moves what waits on a leaving endpoint to others.
-func (b *baseline) leaving(now time.Time, e *engine) {
-	one := b.byEngine[e]
-	waiting := one.queue
-	one.queue = nil
+// endpointLeaving assigns the requests that wait at a leaving endpoint to other endpoints.
+func (b *baseline) endpointLeaving(now time.Time, e *engine) {
+	endpoint := b.byEngine[e]
+	waiting := endpoint.queue
+	endpoint.queue = nil
 	for _, r := range waiting {
-		b.arrive(now, r)
+		b.requestArrived(now, r)
 	}
 }
 
-// expired takes a request out of the queue that it waits in, if any.
+// expired removes a request from the queue in which it waits, if any.
 func (b *baseline) expired(_ time.Time, r *request) {
 	for _, e := range b.endpoints {
 		e.queue = slices.DeleteFunc(e.queue, func(other *request) bool { return other == r })
--- a/tools/replay/sim/policy_budget.go
+++ b/tools/replay/sim/policy_budget.go
@@ -13,52 +13,52 @@
 	"github.com/shelfledge/shelfledge/services/daemon/placement"
 )
 
-// budgets shares the weight store among the pools: one ledger for each group of halls that see
-// one another, named for its hall if it is cut off, and empty for all others.
+// budgets divides the load rate of the weight store among the pools. It has one ledger for each group of halls that can
+// reach one another. The key of a group is the hall's name for a hall that is cut off, and "" for all other halls.
 type budgets struct {
-	product *product
-	limits  budget.Limits
-	ledgers map[string]*budget.Ledger
-	permits map[loadKey]heldPermit
-	wake    alarm
+	productPolicy *productPolicy
+	limits        budget.Limits
+	ledgers       map[string]*budget.Ledger
+	permits       map[loadKey]heldPermit
+	wake          wakeTimer
 }
 
-// loadKey names one load on one endpoint.
+// loadKey identifies a load of an adapter on an endpoint.
 type loadKey struct {
 	engine  *engine
 	adapter fleet.AdapterRef
 }
 
-// heldPermit is a permit in use and the ledger that gave it.
+// heldPermit is a permit in use and the ledger that granted it.
 type heldPermit struct {
 	ledger *budget.Ledger
 	id     uint64
 }
 
-func newBudgets(p *product) *budgets {
+func newBudgets(p *productPolicy) *budgets {
 	s := p.world.fleet.WeightStore
 	return &budgets{
-		product: p, limits: budget.Limits{LoadsPerSecond: s.LoadsPerSecond, AtFullSpeed: s.AtFullSpeed},
+		productPolicy: p, limits: budget.Limits{LoadsPerSecond: s.LoadsPerSecond, AtFullSpeed: s.AtFullSpeed},
 		ledgers: make(map[string]*budget.Ledger), permits: make(map[loadKey]heldPermit),
 	}
 }
 
 func (b *budgets) groupOf(hall string) string {
-	if b.product.world.cutHalls[hall] {
+	if b.productPolicy.world.cutHalls[hall] {
 		return hall
 	}
 	return ""
 }
 
-// share makes the ledgers of new groups and shares the limits out among all.
-func (b *budgets) share(now time.Time) {
-	halls := b.product.world.fleet.Halls
+// shareLimits creates the ledgers of new groups and divides the limits among all groups by their number of halls.
+func (b *budgets) shareLimits(now time.Time) {
+	halls := b.productPolicy.world.fleet.Halls
 	sizes := make(map[string]int)
 	for _, h := range halls {
 		group := b.groupOf(h.Name)
 		sizes[group]++
 		if b.ledgers[group] == nil {
-			b.ledgers[group] = budget.NewLedger(now, b.limits, permitLife)
+			b.ledgers[group] = budget.NewLedger(now, b.limits, permitLifetime)
 		}
 	}
 	for group, l := range b.ledgers {
@@ -66,20 +66,20 @@
 	}
 }
 
-// spend collects the bids and uses the permits that the ledgers give.
-func (b *budgets) spend(now time.Time) {
-	for _, pl := range b.product.pools {
+// grantPermits collects the bids of the pools and uses the permits that the ledgers grant.
+func (b *budgets) grantPermits(now time.Time) {
+	for _, pl := range b.productPolicy.pools {
 		if l := b.ledgers[b.groupOf(pl.Hall)]; l != nil && l.CanGrant(now) {
-			bid(now, l, pl)
+			updateBid(now, l, pl)
 		}
 	}
 	for _, group := range slices.Sorted(maps.Keys(b.ledgers)) {
-		b.spendOf(now, b.ledgers[group])
+		b.grantFrom(now, b.ledgers[group])
 	}
 }
 
-// bid renews a pool's bid; a value of zero takes it back.
-func bid(now time.Time, l *budget.Ledger, pl *pool) {
+// updateBid updates a pool's bid in the ledger; a value of 0 withdraws the bid.
+func updateBid(now time.Time, l *budget.Ledger, pl *pool) {
 	if pl.placer == nil {
 		l.SetBid(now, pl.Name, 0, false)
 		return
@@ -91,19 +91,19 @@
 	l.SetBid(now, pl.Name, wanted.Value, wanted.Preload)
 }
 
-func (b *budgets) spendOf(now time.Time, l *budget.Ledger) {
+func (b *budgets) grantFrom(now time.Time, l *budget.Ledger) {
 	for {
 		permit, ok := l.Grant(now)
 		if !ok {
 			break
 		}
-		b.use(now, l, permit)
+		b.usePermit(now, l, permit)
 	}
-	b.wake.plan(now, l.NextWake(now), &b.product.world.agenda, b.spend)
+	b.wake.schedule(now, l.NextWake(now), &b.productPolicy.world.agenda, b.grantPermits)
 }
 
-func (b *budgets) use(now time.Time, l *budget.Ledger, permit budget.Permit) {
-	pl := b.product.byName[permit.Pool]
+func (b *budgets) usePermit(now time.Time, l *budget.Ledger, permit budget.Permit) {
+	pl := b.productPolicy.byName[permit.Pool]
 	if pl.placer == nil {
 		l.ReturnPermit(now, permit.ID, false)
 		return
@@ -111,19 +111,19 @@
 	effects, used := pl.placer.UsePermit(now)
 	for _, effect := range effects {
 		if e, ok := effect.(placement.Load); ok {
-			b.permits[loadKey{b.product.world.engines[e.Endpoint], e.Adapter}] = heldPermit{ledger: l, id: permit.ID}
+			b.permits[loadKey{b.productPolicy.world.engines[e.Endpoint], e.Adapter}] = heldPermit{ledger: l, id: permit.ID}
 		}
 	}
-	b.product.run(now, pl, effects)
+	b.productPolicy.run(now, pl, effects)
 	if !used {
 		l.ReturnPermit(now, permit.ID, false)
 		return
 	}
-	bid(now, l, pl)
+	updateBid(now, l, pl)
 }
 
-// loadEnded gives the permit of a load back.
-func (b *budgets) loadEnded(now time.Time, e *engine, ref fleet.AdapterRef) {
+// returnPermit returns the permit of a load to its ledger.
+func (b *budgets) returnPermit(now time.Time, e *engine, ref fleet.AdapterRef) {
 	key := loadKey{e, ref}
 	if held, ok := b.permits[key]; ok {
 		delete(b.permits, key)
@@ -131,11 +131,11 @@
 	}
 }
 
-// loadsLost gives the permits of all loads on a restarted endpoint back.
-func (b *budgets) loadsLost(now time.Time, e *engine) {
+// returnPermitsOf returns the permits of all loads on a restarted endpoint.
+func (b *budgets) returnPermitsOf(now time.Time, e *engine) {
 	for key := range b.permits {
 		if key.engine == e {
-			b.loadEnded(now, e, key.adapter)
+			b.returnPermit(now, e, key.adapter)
 		}
 	}
 }
--- a/tools/replay/sim/policy_shelfledge.go
+++ b/tools/replay/sim/policy_shelfledge.go
@@ -18,41 +18,41 @@
 )
 
 const (
-	// publishEvery is how far the summaries lag behind the pools.
-	publishEvery = 250 * time.Millisecond
-	// takeoverDelay is the time from an instance's loss to its pools taken over.
-	takeoverDelay = time.Second
-	permitLife    = time.Minute
-	leaseLife     = 10 * time.Second
+	// publishInterval is the delay between a change of a pool and its published summary.
+	publishInterval = 250 * time.Millisecond
+	// takeoverDelay is the time from the loss of an instance until other instances have taken over its pools.
+	takeoverDelay  = time.Second
+	permitLifetime = time.Minute
+	leaseLifetime  = 10 * time.Second
 )
 
-// product drives the product's own decisions: a router in each hall, a placer
-// for each pool, and a ledger for each group of halls that see one another.
-type product struct {
-	world    *world
-	options  placement.Options
-	pools    []*pool
-	byName   map[string]*pool
-	byEngine map[*engine]*pool
-	routers  map[string]*routing.Router
-	epoch    uint64
-	planned  bool
-	budget   *budgets
+// productPolicy runs the product's own decision functions: a router for each hall, a placer for each pool, and a
+// ledger for each group of halls that can reach one another.
+type productPolicy struct {
+	world            *world
+	options          placement.Options
+	pools            []*pool
+	byName           map[string]*pool
+	byEngine         map[*engine]*pool
+	routers          map[string]*routing.Router
+	epoch            uint64
+	publishScheduled bool
+	budget           *budgets
 }
 
-// pool is one pool of endpoints with the placer that decides for it and the instance that runs
-// it; the placer is nil between the loss of that instance and the takeover.
+// pool is a pool of endpoints with its placer and the instance that runs the placer. The placer is nil between the
+// loss of that instance and the takeover by another one.
 type pool struct {
 	fleet.Pool
 	owner     string
 	placer    *placement.Placer
 	publisher *routing.Publisher
 	changed   bool
-	wake      alarm
+	wake      wakeTimer
 }
 
-func newProduct(w *world) *product {
-	p := &product{
+func newProductPolicy(w *world) *productPolicy {
+	p := &productPolicy{
 		world: w, options: placement.DefaultOptions(), byName: make(map[string]*pool), byEngine: make(map[*engine]*pool),
 		routers: make(map[string]*routing.Router),
 	}
@@ -60,28 +60,28 @@
 	p.budget = newBudgets(p)
 	var specs []fleet.Endpoint
 	for _, e := range w.fleet.Endpoints {
-		specs = append(specs, e.spec())
+		specs = append(specs, e.endpoint())
 	}
-	built := fleet.BuildPools(specs)
-	for _, one := range built {
-		pl := &pool{Pool: one, owner: ring.Best(one.Name, w.liveIn(one.Hall))}
+	poolSpecs := fleet.BuildPools(specs)
+	for _, poolSpec := range poolSpecs {
+		pl := &pool{Pool: poolSpec, owner: ring.Best(poolSpec.Name, w.liveInstances(poolSpec.Hall))}
 		p.pools = append(p.pools, pl)
 		p.byName[pl.Name] = pl
 		for _, e := range pl.Endpoints {
 			p.byEngine[w.engines[e.Name]] = pl
 		}
-		p.adopt(start, pl)
+		p.createPlacer(start, pl)
 	}
 	for _, h := range w.fleet.Halls {
-		p.routers[h.Name] = routing.NewRouter(h.Name, built, routing.DefaultOptions())
+		p.routers[h.Name] = routing.NewRouter(h.Name, poolSpecs, routing.DefaultOptions())
 	}
 	p.publish(start)
-	p.budget.share(start)
+	p.budget.shareLimits(start)
 	return p
 }
 
-// adopt makes a pool's placer anew from what the endpoints show.
-func (p *product) adopt(now time.Time, pl *pool) {
+// createPlacer creates the placer of a pool from the present state of the pool's endpoints.
+func (p *productPolicy) createPlacer(now time.Time, pl *pool) {
 	p.epoch++
 	pl.placer = placement.NewPlacer(pl.Name, "replay", pl.Endpoints, p.options)
 	pl.publisher = routing.NewPublisher(p.epoch)
@@ -92,50 +92,51 @@
 	pl.changed = true
 }
 
-func (p *product) inspect(now time.Time, endpoint string) placement.Inspection {
+func (p *productPolicy) inspect(now time.Time, endpoint string) placement.Inspection {
 	e := p.world.engines[endpoint]
-	in := placement.Inspection{Endpoint: endpoint, Incarnation: strconv.Itoa(e.incarnation), StartedAt: now, Up: true}
-	in.Resident = slices.SortedFunc(maps.Keys(e.resident), func(a, b fleet.AdapterRef) int { return strings.Compare(a.String(), b.String()) })
-	in.Running = slices.Collect(maps.Keys(e.using))
-	return in
+	inspection := placement.Inspection{Endpoint: endpoint, Incarnation: strconv.Itoa(e.incarnation), StartedAt: now, Up: true}
+	inspection.Resident = slices.SortedFunc(maps.Keys(e.resident), func(a, b fleet.AdapterRef) int { return strings.Compare(a.String(), b.String()) })
+	inspection.Running = slices.Collect(maps.Keys(e.runningByAdapter))
+	return inspection
 }
 
-// decide lets a pool's placer decide, if it has one, and spends the permits that follow.
-func (p *product) decide(now time.Time, pl *pool, decision func(*placement.Placer) []placement.Effect) {
+// runDecision applies a decision of the pool's placer, if the pool has a placer, and then grants load permits.
+func (p *productPolicy) runDecision(now time.Time, pl *pool, decision func(*placement.Placer) []placement.Effect) {
 	if pl == nil || pl.placer == nil {
 		return
 	}
 	p.run(now, pl, decision(pl.placer))
-	p.budget.spend(now)
+	p.budget.grantPermits(now)
 }
 
-func (p *product) arrive(now time.Time, r *request) {
+func (p *productPolicy) requestArrived(now time.Time, r *request) {
 	p.routers[r.Hall].ConfirmSummaries(now)
 	name, ok := p.routers[r.Hall].Choose(now, r.Request, nil)
 	if !ok {
-		p.world.refuse(now, r)
+		p.world.refuseRequest(now, r)
 		return
 	}
 	r.pool = name
 	if p.byName[name].placer == nil {
-		// The pool is between two placers; the entry asks again, if no placer got the request meanwhile.
+		// The pool has no placer until the takeover; the entry then submits the request again, unless the request has
+		// finished or started in the meantime.
 		p.world.agenda.Add(now.Add(takeoverDelay), func(at time.Time) {
-			if !r.done() && r.run == nil {
-				p.arrive(at, r)
+			if !r.finished() && r.run == nil {
+				p.requestArrived(at, r)
 			}
 		})
 		return
 	}
-	p.decide(now, p.byName[name], func(placer *placement.Placer) []placement.Effect { return placer.Submit(now, r.Request) })
+	p.runDecision(now, p.byName[name], func(placer *placement.Placer) []placement.Effect { return placer.Submit(now, r.Request) })
 }
 
-func (p *product) ended(now time.Time, r *request, _ *engine) {
+func (p *productPolicy) requestEnded(now time.Time, r *request, _ *engine) {
 	pl, ticket := p.byName[r.pool], r.ticket
 	r.pool, r.ticket = "", ""
-	p.decide(now, pl, func(placer *placement.Placer) []placement.Effect { return placer.ReturnTicket(now, ticket) })
+	p.runDecision(now, pl, func(placer *placement.Placer) []placement.Effect { return placer.ReturnTicket(now, ticket) })
 }
 
-func (p *product) expired(now time.Time, r *request) {
+func (p *productPolicy) expired(now time.Time, r *request) {
 	pl := p.byName[r.pool]
 	r.pool, r.ticket = "", ""
 	if pl != nil && pl.placer != nil {
@@ -143,54 +144,54 @@
 	}
 }
 
-func (p *product) loaded(now time.Time, e *engine, ref fleet.AdapterRef, ok bool) {
-	p.budget.loadEnded(now, e, ref)
+func (p *productPolicy) loadEnded(now time.Time, e *engine, ref fleet.AdapterRef, ok bool) {
+	p.budget.returnPermit(now, e, ref)
 	result := placement.LoadDone
 	if !ok {
 		result = placement.LoadFailed
 	}
-	p.decide(now, p.byEngine[e], func(placer *placement.Placer) []placement.Effect {
+	p.runDecision(now, p.byEngine[e], func(placer *placement.Placer) []placement.Effect {
 		return placer.HandleLoadResult(now, e.entry.Name, strconv.Itoa(e.incarnation), ref, result, "the load failed")
 	})
 }
 
-func (p *product) restarted(now time.Time, e *engine) {
-	p.budget.loadsLost(now, e)
+func (p *productPolicy) endpointRestarted(now time.Time, e *engine) {
+	p.budget.returnPermitsOf(now, e)
 	pl := p.byEngine[e]
 	if pl.placer != nil {
 		p.run(now, pl, pl.placer.HandleInspection(now, p.inspect(now, e.entry.Name)))
 	}
 }
 
-func (p *product) leaving(now time.Time, e *engine) {
+func (p *productPolicy) endpointLeaving(now time.Time, e *engine) {
 	pl := p.byEngine[e]
 	if pl.placer != nil {
 		p.run(now, pl, pl.placer.SetLeaving(now, e.entry.Name, true))
 	}
 }
 
-func (p *product) cut(now time.Time) {
-	for own, r := range p.routers {
+func (p *productPolicy) cut(now time.Time) {
+	for hall, r := range p.routers {
 		for _, h := range p.world.fleet.Halls {
-			r.SetCutOff(h.Name, p.world.apart(h.Name, own))
+			r.SetCutOff(h.Name, p.world.isCutBetween(h.Name, hall))
 		}
 	}
-	p.budget.share(now)
+	p.budget.shareLimits(now)
 }
 
-func (p *product) storeRate(now time.Time, rate float64) {
+func (p *productPolicy) storeRateChanged(now time.Time, rate float64) {
 	p.budget.limits.LoadsPerSecond = rate
-	p.budget.share(now)
-	p.budget.spend(now)
+	p.budget.shareLimits(now)
+	p.budget.grantPermits(now)
 }
 
-// kvDown freezes, once the leases have lapsed, the endpoints that do not check fences.
-func (p *product) kvDown(now, until time.Time) {
-	lapse := now.Add(leaseLife)
-	if !lapse.Before(until) {
+// kvUnavailable freezes the endpoints that do not check fences as soon as the leases expire, if the outage lasts that long.
+func (p *productPolicy) kvUnavailable(now, until time.Time) {
+	expiry := now.Add(leaseLifetime)
+	if !expiry.Before(until) {
 		return
 	}
-	p.world.agenda.Add(lapse, func(at time.Time) {
+	p.world.agenda.Add(expiry, func(at time.Time) {
 		for _, pl := range p.pools {
 			if pl.placer == nil || pl.ChecksFence() {
 				continue
@@ -202,22 +203,22 @@
 	})
 }
 
-// instanceLost takes an instance's pools away until a successor has taken them over.
-func (p *product) instanceLost(now time.Time, instance string) {
+// instanceLost removes the placers of the instance's pools and schedules the takeover by a successor.
+func (p *productPolicy) instanceLost(now time.Time, instance string) {
 	for _, pl := range p.pools {
 		if pl.owner == instance {
-			pl.placer, pl.owner = nil, ring.Best(pl.Name, p.world.liveIn(pl.Hall))
-			p.world.agenda.Add(now.Add(takeoverDelay), func(at time.Time) { p.takeover(at, pl) })
+			pl.placer, pl.owner = nil, ring.Best(pl.Name, p.world.liveInstances(pl.Hall))
+			p.world.agenda.Add(now.Add(takeoverDelay), func(at time.Time) { p.takeOverPool(at, pl) })
 		} else if pl.placer != nil {
 			p.run(now, pl, pl.placer.HandleEntryLoss(now, instance))
 		}
 	}
 }
 
-func (p *product) takeover(now time.Time, pl *pool) {
-	p.adopt(now, pl)
+func (p *productPolicy) takeOverPool(now time.Time, pl *pool) {
+	p.createPlacer(now, pl)
 	var waiting []*request
-	for _, r := range p.world.list {
+	for _, r := range p.world.requestList {
 		switch {
 		case r.pool != pl.Name:
 		case r.run != nil:
@@ -229,7 +230,7 @@
 	for _, r := range waiting {
 		p.run(now, pl, pl.placer.Submit(now, r.Request))
 	}
-	p.budget.spend(now)
+	p.budget.grantPermits(now)
 }
 
 func ticketOf(r *request) fleet.Ticket {
@@ -240,8 +241,8 @@
 	}
 }
 
-// run carries out a placer's effects.
-func (p *product) run(now time.Time, pl *pool, effects []placement.Effect) {
+// run carries out the effects that a placer returned.
+func (p *productPolicy) run(now time.Time, pl *pool, effects []placement.Effect) {
 	if len(effects) > 0 {
 		p.markChanged(now, pl)
 	}
@@ -250,30 +251,30 @@
 		case placement.Grant:
 			r := p.world.requests[e.Request.ID]
 			r.ticket = e.Ticket.ID
-			p.world.start(now, r, p.world.engines[e.Ticket.Endpoint])
+			p.world.startAttempt(now, r, p.world.engines[e.Ticket.Endpoint])
 		case placement.Refuse:
 			r := p.world.requests[e.Request.ID]
 			r.pool, r.ticket = "", ""
-			p.world.refuse(now, r)
+			p.world.refuseRequest(now, r)
 		case placement.Load:
 			p.world.load(now, p.world.engines[e.Endpoint], e.Evict, e.Adapter)
 		case placement.RepeatTakeover:
-			// A restarted endpoint is taken again; the model answers at once.
+			// The placer must take over a restarted endpoint again; in this model the endpoint answers at once.
 			p.epoch++
 			p.run(now, pl, pl.placer.TakeOverEndpoint(now, p.inspect(now, e.Endpoint), p.epoch, now))
 		case placement.InspectEndpoint:
 			p.world.agenda.Add(now, func(at time.Time) {
-				p.decide(at, pl, func(placer *placement.Placer) []placement.Effect {
+				p.runDecision(at, pl, func(placer *placement.Placer) []placement.Effect {
 					return placer.HandleInspection(at, p.inspect(at, e.Endpoint))
 				})
 			})
 		}
 	}
-	p.planTick(now, pl)
+	p.scheduleTick(now, pl)
 }
 
-// planTick sees to it that the pool's Tick is called in time.
-func (p *product) planTick(now time.Time, pl *pool) {
+// scheduleTick schedules the next call of Tick that the pool's placer asked for.
+func (p *productPolicy) scheduleTick(now time.Time, pl *pool) {
 	if pl.placer == nil {
 		return
 	}
@@ -281,31 +282,31 @@
 	if !next.IsZero() && !next.After(now) {
 		next = now.Add(time.Millisecond)
 	}
-	pl.wake.plan(now, next, &p.world.agenda, func(at time.Time) {
-		p.decide(at, pl, func(placer *placement.Placer) []placement.Effect { return placer.Tick(at) })
+	pl.wake.schedule(now, next, &p.world.agenda, func(at time.Time) {
+		p.runDecision(at, pl, func(placer *placement.Placer) []placement.Effect { return placer.Tick(at) })
 	})
 }
 
-func (p *product) markChanged(now time.Time, pl *pool) {
+func (p *productPolicy) markChanged(now time.Time, pl *pool) {
 	pl.changed = true
-	if !p.planned {
-		p.planned = true
-		p.world.agenda.Add(now.Add(publishEvery), p.publish)
+	if !p.publishScheduled {
+		p.publishScheduled = true
+		p.world.agenda.Add(now.Add(publishInterval), p.publish)
 	}
 }
 
-// publish brings the summaries of changed pools to every hall that can be reached.
-func (p *product) publish(now time.Time) {
-	p.planned = false
+// publish sends the summaries of changed pools to the routers of all reachable halls.
+func (p *productPolicy) publish(now time.Time) {
+	p.publishScheduled = false
 	for _, pl := range p.pools {
 		if pl.placer == nil || !pl.changed {
 			continue
 		}
 		pl.changed = false
 		pl.publisher.Update(now, pl.placer.Summary())
-		recent := pl.publisher.Partial(now)
+		partial := pl.publisher.Partial(now)
 		for hall, r := range p.routers {
-			if !p.world.apart(hall, pl.Hall) && !r.ApplySummary(now, recent) {
+			if !p.world.isCutBetween(hall, pl.Hall) && !r.ApplySummary(now, partial) {
 				r.ApplySummary(now, pl.publisher.Full())
 			}
 		}
@@ -315,16 +316,16 @@
 	}
 }
 
-// alarm is the next time that something is woken at; an earlier one replaces it.
-type alarm time.Time
+// wakeTimer is the time of the next scheduled call; an earlier call replaces a later one.
+type wakeTimer time.Time
 
-// plan has act called at the next time, unless it is zero or an alarm before it is still to come.
-func (a *alarm) plan(now, next time.Time, agenda *timeline.Timeline, act func(now time.Time)) {
+// schedule calls act at the time next, unless next is zero or a pending call is due at the same time or earlier.
+func (a *wakeTimer) schedule(now, next time.Time, agenda *timeline.Timeline, act func(now time.Time)) {
 	planned := time.Time(*a)
 	if next.IsZero() || planned.After(now) && !next.Before(planned) {
 		return
 	}
-	*a = alarm(next)
+	*a = wakeTimer(next)
 	agenda.Add(next, func(at time.Time) {
 		if time.Time(*a).Equal(at) {
 			act(at)
--- a/tools/replay/sim/replay_test.go
+++ b/tools/replay/sim/replay_test.go
@@ -15,53 +15,53 @@
 	"github.com/shelfledge/shelfledge/tools/replay/sim"
 )
 
-const traces = "../../../testdata/traces"
+const tracesDir = "../../../testdata/traces"
 
-func replay(t *testing.T, scenario, policy string) sim.Result {
+func replayCommitted(t *testing.T, scenario, policy string) sim.Result {
 	t.Helper()
-	f, err := sim.ReadFleet(filepath.Join(traces, scenario+".fleet.json"))
+	f, err := sim.ReadFleet(filepath.Join(tracesDir, scenario+".fleet.json"))
 	require.NoError(t, err)
-	lines, err := sim.ReadTrace(filepath.Join(traces, scenario+".trace.jsonl"), f)
+	lines, err := sim.ReadTrace(filepath.Join(tracesDir, scenario+".trace.jsonl"), f)
 	require.NoError(t, err)
 	r, err := sim.Run(f, lines, policy)
 	require.NoError(t, err)
 	return r
 }
 
-func TestEveryPolicyKeepsThePromises(t *testing.T) {
+func TestPoliciesViolateNoInvariant(t *testing.T) {
 	for _, scenario := range []string{"dakar", "plovdiv", "storm"} {
 		for _, policy := range []string{"shelfledge", "affinity", "lru"} {
-			r := replay(t, scenario, policy)
+			r := replayCommitted(t, scenario, policy)
 			require.Zero(t, r.ViolationCount(), "%s under %s: %v", scenario, policy, r.Violations)
 			require.Equal(t, r.Requests, r.Answered+r.RefusedNot+r.Unknown+r.Expired, "%s under %s", scenario, policy)
 		}
 	}
 }
 
-func TestSameTraceSameOutcome(t *testing.T) {
-	first := replay(t, "storm", "shelfledge")
-	second := replay(t, "storm", "shelfledge")
+func TestReplayIsDeterministic(t *testing.T) {
+	first := replayCommitted(t, "storm", "shelfledge")
+	second := replayCommitted(t, "storm", "shelfledge")
 	first.DecideNS, second.DecideNS = sim.DecideFigures{}, sim.DecideFigures{}
 	require.Equal(t, first, second)
 }
 
-func TestBadFilesAreNamedByLineAndField(t *testing.T) {
-	f, err := sim.ReadFleet(filepath.Join(traces, "dakar.fleet.json"))
+func TestReadTraceReportsLineAndField(t *testing.T) {
+	f, err := sim.ReadFleet(filepath.Join(tracesDir, "dakar.fleet.json"))
 	require.NoError(t, err)
 	good := `{"at_ms":0,"id":"r1","caller":"c","class":"kiosk","hall":"h1","base":"base-a","adapter":"x","version":1,"prompt_tokens":1,"output_tokens":1}`
 	for name, c := range map[string]struct {
 		text, field string
 		line        int
 	}{
-		"unknown hall":    {good + "\n" + `{"at_ms":1,"id":"r2","class":"kiosk","hall":"h9","base":"base-a","adapter":"x","version":1,"output_tokens":1}`, "hall", 2},
-		"time runs back":  {`{"at_ms":5,"event":"kv_down","until_ms":9}` + "\n" + good, "at_ms", 2},
-		"id given twice":  {good + "\n" + good, "id", 2},
-		"not a number":    {`{"at_ms":"soon"}`, "at_ms", 1},
-		"unknown field":   {`{"at_ms":0,"colour":"red"}`, "colour", 1},
-		"unknown event":   {`{"at_ms":0,"event":"flood"}`, "event", 1},
-		"no such server":  {`{"at_ms":0,"event":"endpoint_restart","endpoint":"h7-e1"}`, "endpoint", 1},
-		"empty cut":       {`{"at_ms":3,"event":"hall_cut","hall":"h1","until_ms":2}`, "until_ms", 1},
-		"version missing": {`{"at_ms":0,"id":"r1","class":"kiosk","hall":"h1","base":"base-a","adapter":"x","output_tokens":1}`, "version", 1},
+		"unknown hall":         {good + "\n" + `{"at_ms":1,"id":"r2","class":"kiosk","hall":"h9","base":"base-a","adapter":"x","version":1,"output_tokens":1}`, "hall", 2},
+		"decreasing time":      {`{"at_ms":5,"event":"kv_down","until_ms":9}` + "\n" + good, "at_ms", 2},
+		"id given twice":       {good + "\n" + good, "id", 2},
+		"not a number":         {`{"at_ms":"soon"}`, "at_ms", 1},
+		"unknown field":        {`{"at_ms":0,"colour":"red"}`, "colour", 1},
+		"unknown event":        {`{"at_ms":0,"event":"flood"}`, "event", 1},
+		"unknown endpoint":     {`{"at_ms":0,"event":"endpoint_restart","endpoint":"h7-e1"}`, "endpoint", 1},
+		"cut without duration": {`{"at_ms":3,"event":"hall_cut","hall":"h1","until_ms":2}`, "until_ms", 1},
+		"version missing":      {`{"at_ms":0,"id":"r1","class":"kiosk","hall":"h1","base":"base-a","adapter":"x","output_tokens":1}`, "version", 1},
 	} {
 		t.Run(name, func(t *testing.T) {
 			file := filepath.Join(t.TempDir(), "trace.jsonl")
@@ -75,7 +75,7 @@
 	}
 }
 
-func TestBadFleetIsNamedByLineAndField(t *testing.T) {
+func TestReadFleetReportsLineAndField(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "fleet.json")
 	text := "// a comment\n{\"halls\":[{\"name\":\"h1\"}],\n\"endpoints\":[{\"name\":\"e1\",\"hall\":\"h1\",\n\"bases\":[\"b\"],\"slots\":\"many\"}]}"
 	require.NoError(t, os.WriteFile(file, []byte(text), 0o600))
@@ -86,7 +86,7 @@
 	require.Contains(t, bad.Field, "slots")
 }
 
-// outcome is what a replay of a committed trace must give.
+// outcome holds the recorded figures of a replay of a committed trace.
 type outcome struct {
 	Answered int     `json:"answered"`
 	Refused  int     `json:"refused_not_run"`
@@ -106,15 +106,15 @@
 	}
 }
 
-// TestPoliciesGiveTheStatedOutcomes holds every policy to the outcomes stated beside the traces. Who
-// changes a decision states the new ones with `UPDATE_OUTCOMES=1 go test ./tools/replay/sim`.
-func TestPoliciesGiveTheStatedOutcomes(t *testing.T) {
-	file := filepath.Join(traces, "outcomes.json")
+// TestPoliciesMatchRecordedOutcomes compares every policy with the outcomes recorded beside the traces. After a
+// change of decisions, `UPDATE_OUTCOMES=1 go test ./tools/replay/sim` records the new outcomes.
+func TestPoliciesMatchRecordedOutcomes(t *testing.T) {
+	file := filepath.Join(tracesDir, "outcomes.json")
 	got := make(map[string]map[string]outcome)
 	for _, scenario := range []string{"dakar", "plovdiv", "storm"} {
 		got[scenario] = make(map[string]outcome)
 		for _, policy := range sim.Policies() {
-			got[scenario][policy] = outcomeOf(replay(t, scenario, policy))
+			got[scenario][policy] = outcomeOf(replayCommitted(t, scenario, policy))
 		}
 	}
 	if os.Getenv("UPDATE_OUTCOMES") != "" {
@@ -130,6 +130,6 @@
 	dakar := got["dakar"]
 	require.LessOrEqual(t, dakar["shelfledge"].Weighted, 0.4*dakar["lru"].Weighted)
 	require.LessOrEqual(t, dakar["shelfledge"].Weighted, 0.6*dakar["affinity"].Weighted)
-	require.GreaterOrEqual(t, dakar["shelfledge"].Weighted, dakar["bound"].Weighted, "nothing beats the bound")
+	require.GreaterOrEqual(t, dakar["shelfledge"].Weighted, dakar["bound"].Weighted, "no policy is better than the lower bound")
 	require.GreaterOrEqual(t, got["plovdiv"]["shelfledge"].Batch, 1.3*got["plovdiv"]["lru"].Batch)
 }
--- a/tools/replay/sim/result.go
+++ b/tools/replay/sim/result.go
@@ -14,7 +14,7 @@
 	"github.com/shelfledge/shelfledge/tools/stats"
 )
 
-// Figures summarises one measure.
+// Figures summarizes the values of one measurement.
 type Figures struct {
 	Mean float64 `json:"mean"`
 	P50  float64 `json:"p50"`
@@ -23,7 +23,7 @@
 	Max  float64 `json:"max"`
 }
 
-// Group holds the figures of one class, or of all requests.
+// Group holds the figures of one class or of all requests.
 type Group struct {
 	Requests     int     `json:"requests"`
 	Answered     int     `json:"answered"`
@@ -36,13 +36,13 @@
 	WeightedMean float64 `json:"weighted_stall_ms"`
 }
 
-// DecideFigures is the processor time of one decision, in nanoseconds.
+// DecideFigures summarizes the time of one decision, in nanoseconds.
 type DecideFigures struct {
 	Mean float64 `json:"mean"`
 	P99  float64 `json:"p99"`
 }
 
-// Result is what a replay reports.
+// Result is the result of a replay.
 type Result struct {
 	Policy string `json:"policy"`
 	Group
@@ -61,30 +61,30 @@
 func (w *world) result(policy string) Result {
 	weights := w.fleet.stallWeights()
 	byClass := make(map[string][]*request)
-	for _, r := range w.list {
+	for _, r := range w.requestList {
 		byClass[r.Class] = append(byClass[r.Class], r)
 	}
 	out := Result{
-		Policy: policy, Group: group(w.list, weights), Loads: w.loads, LoadsFailed: w.failed, Evictions: w.evictions,
-		ByClass: make(map[string]Group), BatchEfficiency: w.efficiency(),
-		MakespanMS: float64(w.lastEnd.Sub(start)) / perMillisecond, Violations: w.violations,
+		Policy: policy, Group: newGroup(w.requestList, weights), Loads: w.loads, LoadsFailed: w.failed, Evictions: w.evictions,
+		ByClass: make(map[string]Group), BatchEfficiency: w.batchEfficiency(),
+		MakespanMS: float64(w.lastFinish.Sub(start)) / perMillisecond, Violations: w.violations,
 	}
-	for name, list := range byClass {
-		out.ByClass[name] = group(list, weights)
+	for name, requestList := range byClass {
+		out.ByClass[name] = newGroup(requestList, weights)
 	}
 	if len(w.decisions) > 0 {
 		out.DecideNS.P99 = float64(stats.Percentile(w.decisions, 0.99))
-		for _, took := range w.decisions {
-			out.DecideNS.Mean += float64(took) / float64(len(w.decisions))
+		for _, duration := range w.decisions {
+			out.DecideNS.Mean += float64(duration) / float64(len(w.decisions))
 		}
 	}
 	return out
 }
 
-// efficiency is tokens made over the places of the steps taken.
-func (w *world) efficiency() float64 {
+// batchEfficiency returns the number of generated tokens divided by the places of all batch steps taken.
+func (w *world) batchEfficiency() float64 {
 	places := 0.0
-	for _, e := range w.order {
+	for _, e := range w.engineList {
 		places += float64(e.busy) / float64(milliseconds(e.entry.StepMS)) * float64(e.entry.MaxBatch)
 	}
 	if places == 0 {
@@ -93,9 +93,9 @@
 	return float64(w.tokens) / places
 }
 
-func group(list []*request, weights map[string]float64) Group {
+func newGroup(list []*request, weights map[string]float64) Group {
 	g := Group{Requests: len(list)}
-	var stall, wait, first []float64
+	var stall, wait, firstToken []float64
 	weighted := 0.0
 	for _, r := range list {
 		switch {
@@ -112,18 +112,18 @@
 		stall = append(stall, ms)
 		weighted += ms * weights[r.Class]
 		wait = append(wait, float64(r.wait)/perMillisecond)
-		if r.first > 0 {
-			first = append(first, float64(r.first)/perMillisecond)
+		if r.firstToken > 0 {
+			firstToken = append(firstToken, float64(r.firstToken)/perMillisecond)
 		}
 	}
-	g.LoadStall, g.QueueWait, g.FirstToken = figures(stall), figures(wait), figures(first)
+	g.LoadStall, g.QueueWait, g.FirstToken = newFigures(stall), newFigures(wait), newFigures(firstToken)
 	if len(list) > 0 {
 		g.WeightedMean = weighted / float64(len(list))
 	}
 	return g
 }
 
-func figures(values []float64) Figures {
+func newFigures(values []float64) Figures {
 	f := Figures{
 		P50: stats.Percentile(values, 0.50), P95: stats.Percentile(values, 0.95), P99: stats.Percentile(values, 0.99),
 		Max: stats.Percentile(values, 1),
@@ -135,14 +135,14 @@
 	return f
 }
 
-// WriteJSON prints the result as one JSON object.
+// WriteJSON writes the result as one JSON object.
 func (r Result) WriteJSON(out io.Writer) error {
 	e := json.NewEncoder(out)
 	e.SetIndent("", "  ")
 	return e.Encode(r)
 }
 
-// ViolationCount adds up the violations of all promises.
+// ViolationCount returns the number of violations of all invariants.
 func (r Result) ViolationCount() int {
 	sum := 0
 	for _, n := range r.Violations {
@@ -151,13 +151,13 @@
 	return sum
 }
 
-// TableHeader is the first line of the table of results.
+// TableHeader returns the header line of the table of results.
 func TableHeader() string {
 	return fmt.Sprintf("%-12s %8s %8s %7s %7s %7s %7s %9s %9s %9s %9s %9s %6s %5s %7s",
 		"policy", "requests", "answered", "refused", "unknown", "expired", "loads", "weighted", "stall", "p95", "p99", "wait p99", "batch", "viol", "ns")
 }
 
-// TableLine gives the result as one line under TableHeader; times are in milliseconds.
+// TableLine returns the result as one line of the table of TableHeader; times are in milliseconds.
 func (r Result) TableLine() string {
 	return fmt.Sprintf("%-12s %8d %8d %7d %7d %7d %7d %9.1f %9.1f %9.0f %9.0f %9.0f %6.3f %5d %7.0f",
 		r.Policy, r.Requests, r.Answered, r.RefusedNot, r.Unknown, r.Expired, r.Loads, r.WeightedMean,
--- a/tools/replay/sim/run.go
+++ b/tools/replay/sim/run.go
@@ -12,28 +12,28 @@
 	Name string
 }
 
-// Error names the policies that exist.
+// Error returns a message with the unknown name and the existing policies.
 func (e ErrNoPolicy) Error() string {
 	return fmt.Sprintf("no policy %q; there are shelfledge, lru, affinity and bound", e.Name)
 }
 
-// Policies lists the policies, the product's first.
+// Policies returns the names of all policies, the product's policy first.
 func Policies() []string {
 	return []string{"shelfledge", "affinity", "lru", "bound"}
 }
 
-// Run replays a trace on a fleet under a policy; its only error is ErrNoPolicy.
+// Run replays a trace on a fleet under the named policy. Its only error is ErrNoPolicy.
 func Run(f *FleetFile, lines []Line, name string) (Result, error) {
 	w := newWorld(f)
 	switch name {
 	case "bound":
-		return bound(f, lines), nil
+		return lowerBound(f, lines), nil
 	case "shelfledge":
-		w.policy = newProduct(w)
+		w.policy = newProductPolicy(w)
 	case "lru":
-		w.policy = newBaseline(w, leastLoaded)
+		w.policy = newBaseline(w, chooseLeastLoaded)
 	case "affinity":
-		w.policy = newBaseline(w, byAffinity)
+		w.policy = newBaseline(w, chooseByAffinity)
 	default:
 		return Result{}, ErrNoPolicy{Name: name}
 	}
--- a/tools/replay/sim/trace_file.go
+++ b/tools/replay/sim/trace_file.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// EventName names what happens to the fleet in a trace.
+// EventName names a kind of change to the fleet in a trace.
 type EventName string
 
 // The events of a trace.
@@ -48,9 +48,10 @@
 	Instance     string    `json:"instance,omitempty"`
 }
 
+// maxLineBytes is the maximum length of a line of a trace.
 const maxLineBytes = 1 << 20
 
-// ReadTrace reads a trace of JSON lines and checks it against the fleet.
+// ReadTrace reads a trace of JSON lines and validates it against the fleet.
 func ReadTrace(file string, f *FleetFile) ([]Line, error) {
 	in, err := os.Open(file)
 	if err != nil {
@@ -62,7 +63,7 @@
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLineBytes)
 	var lines []Line
 	for scanner.Scan() {
-		c.number++
+		c.lineNumber++
 		text := strings.TrimSpace(scanner.Text())
 		if text == "" {
 			continue
@@ -74,18 +75,18 @@
 		lines = append(lines, line)
 	}
 	if err := scanner.Err(); err != nil {
-		return nil, ErrBadFile{File: file, Line: c.number + 1, Reason: err.Error()}
+		return nil, ErrBadFile{File: file, Line: c.lineNumber + 1, Reason: err.Error()}
 	}
 	return lines, nil
 }
 
-// traceChecker checks the lines of one trace as they come.
+// traceChecker validates the lines of a trace one after the other.
 type traceChecker struct {
-	file   string
-	number int
-	last   float64
-	ids    map[string]bool
-	// known holds the names that the fleet gives to what a field names.
+	file       string
+	lineNumber int
+	lastAtMS   float64
+	ids        map[string]bool
+	// known holds the names that exist in the fleet, by the field that refers to them.
 	known map[string]map[string]bool
 }
 
@@ -109,24 +110,24 @@
 	return &traceChecker{file: file, ids: make(map[string]bool), known: known}
 }
 
-func (c *traceChecker) bad(field, reason string, args ...any) error {
-	return ErrBadFile{File: c.file, Line: c.number, Field: field, Reason: fmt.Sprintf(reason, args...)}
+func (c *traceChecker) fieldError(field, reason string, args ...any) error {
+	return ErrBadFile{File: c.file, Line: c.lineNumber, Field: field, Reason: fmt.Sprintf(reason, args...)}
 }
 
 func (c *traceChecker) parse(text string) (Line, error) {
 	var line Line
 	if err := decodeStrict([]byte(text), &line); err != nil {
-		_, field := locate([]byte(text), err)
+		_, field := locateError([]byte(text), err)
 		var typed *json.UnmarshalTypeError
 		if errors.As(err, &typed) {
-			return line, c.bad(field, "a %s does not fit here", typed.Value)
+			return line, c.fieldError(field, "unexpected JSON value: %s", typed.Value)
 		}
-		return line, c.bad(field, "%s", err)
+		return line, c.fieldError(field, "%s", err)
 	}
-	if line.AtMS < c.last {
-		return line, c.bad("at_ms", "%g is before the line above, %g", line.AtMS, c.last)
+	if line.AtMS < c.lastAtMS {
+		return line, c.fieldError("at_ms", "%g is less than %g in the previous line", line.AtMS, c.lastAtMS)
 	}
-	c.last = line.AtMS
+	c.lastAtMS = line.AtMS
 	if line.Event != "" {
 		return line, c.checkEvent(line)
 	}
@@ -136,49 +137,49 @@
 func (c *traceChecker) checkRequest(l Line) error {
 	switch {
 	case l.ID == "":
-		return c.bad("id", "missing")
+		return c.fieldError("id", "missing")
 	case c.ids[l.ID]:
-		return c.bad("id", "%q stands twice", l.ID)
+		return c.fieldError("id", "%q is used more than once", l.ID)
 	case !c.known["hall"][l.Hall]:
-		return c.bad("hall", "no hall %q in the fleet", l.Hall)
+		return c.fieldError("hall", "no hall %q in the fleet", l.Hall)
 	case !c.known["base"][l.Base]:
-		return c.bad("base", "no endpoint runs %q", l.Base)
+		return c.fieldError("base", "no endpoint runs %q", l.Base)
 	case !c.known["class"][l.Class]:
-		return c.bad("class", "no class %q in the fleet", l.Class)
+		return c.fieldError("class", "no class %q in the fleet", l.Class)
 	case l.Adapter == "":
-		return c.bad("adapter", "missing")
+		return c.fieldError("adapter", "missing")
 	case l.Version < 1:
-		return c.bad("version", "must be 1 or more")
+		return c.fieldError("version", "must be 1 or more")
 	case l.PromptTokens < 0:
-		return c.bad("prompt_tokens", "must be 0 or more")
+		return c.fieldError("prompt_tokens", "must be 0 or more")
 	case l.OutputTokens < 1:
-		return c.bad("output_tokens", "must be 1 or more")
+		return c.fieldError("output_tokens", "must be 1 or more")
 	case l.DeadlineMS < 0:
-		return c.bad("deadline_ms", "must be 0 or more")
+		return c.fieldError("deadline_ms", "must be 0 or more")
 	}
 	c.ids[l.ID] = true
 	return nil
 }
 
 func (c *traceChecker) checkEvent(l Line) error {
-	// What an event names, by its field.
-	named := map[EventName][2]string{
+	// The field that an event uses to refer to a part of the fleet, and its value.
+	references := map[EventName][2]string{
 		EndpointRestart: {"endpoint", l.Endpoint}, EndpointLeaving: {"endpoint", l.Endpoint}, LoadFails: {"endpoint", l.Endpoint},
 		HallCut: {"hall", l.Hall}, InstanceLost: {"instance", l.Instance}, StoreRate: {}, KVDown: {},
 	}
-	name, known := named[l.Event]
-	lasts := l.Event == StoreRate || l.Event == HallCut || l.Event == KVDown
+	reference, known := references[l.Event]
+	hasEnd := l.Event == StoreRate || l.Event == HallCut || l.Event == KVDown
 	switch {
 	case !known:
-		return c.bad("event", "unknown event %q", l.Event)
-	case name[0] != "" && !c.known[name[0]][name[1]]:
-		return c.bad(name[0], "no %s %q in the fleet", name[0], name[1])
+		return c.fieldError("event", "unknown event %q", l.Event)
+	case reference[0] != "" && !c.known[reference[0]][reference[1]]:
+		return c.fieldError(reference[0], "no %s %q in the fleet", reference[0], reference[1])
 	case l.Event == LoadFails && l.Count < 1:
-		return c.bad("count", "must be 1 or more")
+		return c.fieldError("count", "must be 1 or more")
 	case l.Event == StoreRate && l.Rate <= 0:
-		return c.bad("rate_per_second", "must be above 0")
-	case lasts && l.UntilMS <= l.AtMS:
-		return c.bad("until_ms", "must be after at_ms")
+		return c.fieldError("rate_per_second", "must be above 0")
+	case hasEnd && l.UntilMS <= l.AtMS:
+		return c.fieldError("until_ms", "must be after at_ms")
 	}
 	return nil
 }
--- a/tools/replay/sim/traces_test.go
+++ b/tools/replay/sim/traces_test.go
@@ -20,19 +20,19 @@
 const (
 	// committedSeed is the seed of the committed traces.
 	committedSeed = 1
-	// envDraw names scenarios to draw into the folder of the traces, such as "dakar,plovdiv,storm".
-	envDraw = "DRAW_TRACES"
+	// envScenarios is the environment variable that lists the scenarios to write to the trace folder, such as "dakar,plovdiv,storm".
+	envScenarios = "DRAW_TRACES"
 )
 
-// drawn gives the text of a scenario's fleet file and trace.
-func drawn(t testing.TB, scenario string, seed uint64) (fleetText, trace []byte) {
+// generateScenario returns the text of a scenario's fleet file and of its trace.
+func generateScenario(t testing.TB, scenario string, seed uint64) (fleetText, trace []byte) {
 	t.Helper()
-	b := newBuilder(seed)
+	b := newTraceBuilder(seed)
 	f, err := json.MarshalIndent(scenarios[scenario](b), "", "  ")
 	require.NoError(t, err)
 	var lines bytes.Buffer
 	encoder := json.NewEncoder(&lines)
-	for _, line := range b.sorted() {
+	for _, line := range b.sortedLines() {
 		require.NoError(t, encoder.Encode(line))
 	}
 	header := fmt.Sprintf("// Made by: make traces (scenario %s, seed %d)\n", scenario, seed)
@@ -41,33 +41,33 @@
 
 func writeScenario(t testing.TB, folder, scenario string, seed uint64) (fleetFile, traceFile string) {
 	t.Helper()
-	fleetText, trace := drawn(t, scenario, seed)
+	fleetText, trace := generateScenario(t, scenario, seed)
 	fleetFile, traceFile = filepath.Join(folder, scenario+".fleet.json"), filepath.Join(folder, scenario+".trace.jsonl")
 	require.NoError(t, os.WriteFile(fleetFile, fleetText, 0o600))
 	require.NoError(t, os.WriteFile(traceFile, trace, 0o600))
 	return fleetFile, traceFile
 }
 
-// TestCommittedTracesAreDrawnFromTheirSeed compares the committed traces with those of the
-// scenarios; `make traces` writes them anew first.
-func TestCommittedTracesAreDrawnFromTheirSeed(t *testing.T) {
-	if names := os.Getenv(envDraw); names != "" {
+// TestCommittedTracesMatchTheirSeed compares the committed traces with those that the scenarios generate
+// from the same seed. `make traces` rewrites the files before the comparison.
+func TestCommittedTracesMatchTheirSeed(t *testing.T) {
+	if names := os.Getenv(envScenarios); names != "" {
 		for _, scenario := range strings.Split(names, ",") {
-			writeScenario(t, traces, scenario, committedSeed)
+			writeScenario(t, tracesDir, scenario, committedSeed)
 		}
 	}
 	for _, scenario := range []string{"dakar", "plovdiv", "storm"} {
-		fleetText, trace := drawn(t, scenario, committedSeed)
-		committed, err := os.ReadFile(filepath.Join(traces, scenario+".fleet.json"))
+		fleetText, trace := generateScenario(t, scenario, committedSeed)
+		committed, err := os.ReadFile(filepath.Join(tracesDir, scenario+".fleet.json"))
 		require.NoError(t, err)
 		require.Equal(t, string(committed), string(fleetText), scenario)
-		committed, err = os.ReadFile(filepath.Join(traces, scenario+".trace.jsonl"))
+		committed, err = os.ReadFile(filepath.Join(tracesDir, scenario+".trace.jsonl"))
 		require.NoError(t, err)
-		require.True(t, bytes.Equal(committed, trace), "%s is not what its seed draws", scenario)
+		require.True(t, bytes.Equal(committed, trace), "committed trace of %s differs from the trace generated from its seed", scenario)
 	}
 }
 
-// BenchmarkReplayOf200000Requests is for the tool's promise to take less than 60 s.
+// BenchmarkReplayOf200000Requests measures a replay of 200,000 requests, which must take less than 60 s.
 func BenchmarkReplayOf200000Requests(b *testing.B) {
 	fleetFile, traceFile := writeScenario(b, b.TempDir(), "large", committedSeed)
 	for b.Loop() {
--- a/tools/replay/sim/world.go
+++ b/tools/replay/sim/world.go
@@ -12,90 +12,91 @@
 	"github.com/shelfledge/shelfledge/tools/timeline"
 )
 
-// request is one request of the trace and what became of it.
+// request is one request of the trace with its progress and outcome.
 type request struct {
 	fleet.Request
-	run     *attempt
-	runs    int
-	outcome fleet.Outcome
-	expired bool
-	stall   time.Duration
-	wait    time.Duration
-	first   time.Duration
-	// pool and ticket are what the product's policy placed it with.
+	// run is the running attempt, or nil; runCount counts all attempts that started.
+	run        *attempt
+	runCount   int
+	outcome    fleet.Outcome
+	expired    bool
+	stall      time.Duration
+	wait       time.Duration
+	firstToken time.Duration
+	// pool and ticket identify the placement of the request under productPolicy.
 	pool, ticket string
 }
 
-// done tells whether the request has come to an outcome.
-func (r *request) done() bool { return r.outcome != "" }
+// finished reports whether the request has an outcome.
+func (r *request) finished() bool { return r.outcome != "" }
 
-// world is the model that a policy acts on.
+// world is the simulated fleet on which a policy acts.
 type world struct {
-	fleet      *FleetFile
-	now        time.Time
-	agenda     timeline.Timeline
-	engines    map[string]*engine
-	order      []*engine
-	store      store
-	requests   map[string]*request
-	list       []*request
-	policy     policy
-	lost       map[string]bool
-	cutHalls   map[string]bool
-	violations map[string]int
-	loads      int
-	failed     int
-	evictions  int
-	tokens     int64
-	decisions  []time.Duration
-	openCount  int
-	lastEnd    time.Time
+	fleet           *FleetFile
+	now             time.Time
+	agenda          timeline.Timeline
+	engines         map[string]*engine
+	engineList      []*engine
+	store           store
+	requests        map[string]*request
+	requestList     []*request
+	policy          policy
+	lostInstances   map[string]bool
+	cutHalls        map[string]bool
+	violations      map[string]int
+	loads           int
+	failed          int
+	evictions       int
+	tokens          int64
+	decisions       []time.Duration
+	unfinishedCount int
+	lastFinish      time.Time
 }
 
-// start is the trace's time zero; its calendar day has no meaning.
+// start is time zero of the trace; its calendar date has no meaning.
 var start = time.Unix(0, 0).UTC()
 
-// leavingGrace is how long after the notice new work is still allowed.
+// leavingGrace is how long after its leaving notice an endpoint may still be given new work.
 const leavingGrace = 3 * time.Second
 
-// The promises whose violations are counted.
+// The invariants whose violations are counted, by their keys in the result.
 const (
-	wrongVersion   = "wrong_adapter_or_version"
-	unloadInUse    = "unload_in_use"
-	onceRunTwice   = "once_run_twice"
-	notRunButRan   = "not_run_but_ran"
-	workOnLeaving  = "work_on_leaving_endpoint"
-	answeredTwice  = "answered_twice"
-	beyondCapacity = "beyond_capacity"
-	withoutEnd     = "without_end"
+	wrongVersion     = "wrong_adapter_or_version"
+	unloadInUse      = "unload_in_use"
+	onceRunAgain     = "once_run_twice"
+	refusedAfterRun  = "not_run_but_ran"
+	workOnLeaving    = "work_on_leaving_endpoint"
+	answeredTwice    = "answered_twice"
+	capacityExceeded = "beyond_capacity"
+	neverFinished    = "without_end"
 )
 
 func newWorld(f *FleetFile) *world {
 	w := &world{
-		fleet:    f,
-		now:      start,
-		engines:  make(map[string]*engine),
-		requests: make(map[string]*request),
-		lost:     make(map[string]bool),
-		cutHalls: make(map[string]bool),
-		store:    store{rate: f.WeightStore.LoadsPerSecond, atFull: f.WeightStore.AtFullSpeed, tokens: 1, moved: start},
+		fleet:         f,
+		now:           start,
+		engines:       make(map[string]*engine),
+		requests:      make(map[string]*request),
+		lostInstances: make(map[string]bool),
+		cutHalls:      make(map[string]bool),
+		store:         store{rate: f.WeightStore.LoadsPerSecond, atFullSpeed: f.WeightStore.AtFullSpeed, tokens: 1, advancedTo: start},
 		violations: map[string]int{
-			wrongVersion: 0, unloadInUse: 0, onceRunTwice: 0, notRunButRan: 0,
-			workOnLeaving: 0, answeredTwice: 0, beyondCapacity: 0, withoutEnd: 0,
+			wrongVersion: 0, unloadInUse: 0, onceRunAgain: 0, refusedAfterRun: 0,
+			workOnLeaving: 0, answeredTwice: 0, capacityExceeded: 0, neverFinished: 0,
 		},
 	}
 	for _, entry := range f.Endpoints {
 		e := &engine{
 			entry: entry, resident: make(map[fleet.AdapterRef]time.Time), loading: make(map[fleet.AdapterRef]*load),
-			running: make(map[*attempt]bool), using: make(map[fleet.AdapterRef]int),
+			running: make(map[*attempt]bool), runningByAdapter: make(map[fleet.AdapterRef]int),
 		}
 		w.engines[entry.Name] = e
-		w.order = append(w.order, e)
+		w.engineList = append(w.engineList, e)
 	}
 	return w
 }
 
-// replay feeds the lines to the policy and runs until nothing is left to happen.
+// replay applies the lines of the trace and then runs scheduled events until all requests have finished or no event is left.
 func (w *world) replay(lines []Line) {
 	for i := 0; i < len(lines); {
 		at := start.Add(milliseconds(lines[i].AtMS))
@@ -104,26 +105,26 @@
 			continue
 		}
 		w.now = at
-		w.line(lines[i])
+		w.applyLine(lines[i])
 		i++
 	}
-	for w.openCount > 0 && w.agenda.Step(&w.now) {
+	for w.unfinishedCount > 0 && w.agenda.Step(&w.now) {
 	}
-	for _, r := range w.list {
-		if !r.done() {
-			w.violations[withoutEnd]++
+	for _, r := range w.requestList {
+		if !r.finished() {
+			w.violations[neverFinished]++
 		}
 	}
-	for _, e := range w.order {
+	for _, e := range w.engineList {
 		if len(e.running) > 0 {
 			e.busy += w.now.Sub(e.busySince)
 		}
 	}
 }
 
-func (w *world) line(l Line) {
+func (w *world) applyLine(l Line) {
 	if l.Event != "" {
-		w.event(l)
+		w.applyEvent(l)
 		return
 	}
 	r := &request{Request: fleet.Request{
@@ -133,33 +134,34 @@
 	}}
 	if l.DeadlineMS > 0 {
 		r.Deadline = w.now.Add(milliseconds(l.DeadlineMS))
-		w.agenda.Add(r.Deadline, func(now time.Time) { w.expire(now, r) })
+		w.agenda.Add(r.Deadline, func(now time.Time) { w.expireRequest(now, r) })
 	}
-	r.Entry = w.entryFor(r.ID, r.Hall)
+	r.Entry = w.entryInstance(r.ID, r.Hall)
 	w.requests[r.ID] = r
-	w.list = append(w.list, r)
-	w.openCount++
+	w.requestList = append(w.requestList, r)
+	w.unfinishedCount++
 	if r.Entry == "" {
-		w.refuse(w.now, r)
+		w.refuseRequest(w.now, r)
 		return
 	}
-	w.arrive(w.now, r)
+	w.requestArrived(w.now, r)
 }
 
-func (w *world) arrive(now time.Time, r *request) {
-	w.decide(func() { w.policy.arrive(now, r) })
+func (w *world) requestArrived(now time.Time, r *request) {
+	w.timeDecision(func() { w.policy.requestArrived(now, r) })
 }
 
-// decide measures the time of a decision.
-func (w *world) decide(decision func()) {
-	began := time.Now()
+// timeDecision runs a decision and records how long it took.
+func (w *world) timeDecision(decision func()) {
+	started := time.Now()
 	decision()
-	w.decisions = append(w.decisions, time.Since(began))
+	w.decisions = append(w.decisions, time.Since(started))
 }
 
-// entryFor spreads requests over the hall's live instances as the platform's balancer does.
-func (w *world) entryFor(id, hall string) string {
-	live := w.liveIn(hall)
+// entryInstance returns the instance that receives a request. It spreads requests over the live instances of the hall as
+// the platform's load balancer does, and returns "" if there is none.
+func (w *world) entryInstance(id, hall string) string {
+	live := w.liveInstances(hall)
 	if len(live) == 0 {
 		return ""
 	}
@@ -168,36 +170,37 @@
 	return live[int(f.Sum32())%len(live)]
 }
 
-// liveIn lists a hall's instances that were not lost; a hall without any counts as one itself.
-func (w *world) liveIn(hall string) []string {
+// liveInstances returns the instances of a hall that are not lost. A hall without configured instances counts as one
+// instance of the same name.
+func (w *world) liveInstances(hall string) []string {
 	at := slices.IndexFunc(w.fleet.Halls, func(h HallEntry) bool { return h.Name == hall })
 	instances := w.fleet.Halls[at].Instances
 	if len(instances) == 0 {
 		return []string{hall}
 	}
-	return slices.DeleteFunc(slices.Clone(instances), func(instance string) bool { return w.lost[instance] })
+	return slices.DeleteFunc(slices.Clone(instances), func(instance string) bool { return w.lostInstances[instance] })
 }
 
-// apart tells whether a cut lies between two halls.
-func (w *world) apart(one, other string) bool {
-	return one != other && (w.cutHalls[one] || w.cutHalls[other])
+// isCutBetween reports whether a cut separates two halls.
+func (w *world) isCutBetween(a, b string) bool {
+	return a != b && (w.cutHalls[a] || w.cutHalls[b])
 }
 
-func (w *world) expire(now time.Time, r *request) {
-	if r.done() || r.run != nil {
+func (w *world) expireRequest(now time.Time, r *request) {
+	if r.finished() || r.run != nil {
 		return
 	}
 	r.expired = true
 	r.wait = now.Sub(r.Arrived)
-	r.stall = w.stalled(r, now)
-	w.finish(now, r, fleet.OutcomeNotRun)
+	r.stall = w.stallOfUnstarted(r, now)
+	w.finishRequest(now, r, fleet.OutcomeNotRun)
 	w.policy.expired(now, r)
 }
 
-// stalled gives the wait of a request that never started: all of it, unless its
-// adapter was resident on an endpoint of its base that was merely full.
-func (w *world) stalled(r *request, now time.Time) time.Duration {
-	for _, e := range w.order {
+// stallOfUnstarted returns the load stall of a request that never started: its whole wait, or only the wait until its
+// adapter became resident if an endpoint of its base had the adapter and was merely full.
+func (w *world) stallOfUnstarted(r *request, now time.Time) time.Duration {
+	for _, e := range w.engineList {
 		if since, ok := e.resident[r.Adapter]; ok {
 			return min(max(0, since.Sub(r.Arrived)), now.Sub(r.Arrived))
 		}
@@ -205,69 +208,69 @@
 	return now.Sub(r.Arrived)
 }
 
-func (w *world) refuse(now time.Time, r *request) {
-	if r.done() {
+func (w *world) refuseRequest(now time.Time, r *request) {
+	if r.finished() {
 		return
 	}
-	if r.runs > 0 && r.Once {
-		w.violations[notRunButRan]++
+	if r.runCount > 0 && r.Once {
+		w.violations[refusedAfterRun]++
 	}
 	r.wait = now.Sub(r.Arrived)
-	r.stall = w.stalled(r, now)
-	w.finish(now, r, fleet.OutcomeNotRun)
+	r.stall = w.stallOfUnstarted(r, now)
+	w.finishRequest(now, r, fleet.OutcomeNotRun)
 }
 
-func (w *world) finish(now time.Time, r *request, o fleet.Outcome) {
-	if r.done() {
+func (w *world) finishRequest(now time.Time, r *request, o fleet.Outcome) {
+	if r.finished() {
 		w.violations[answeredTwice]++
 		return
 	}
 	r.outcome = o
-	w.lastEnd = now
-	w.openCount--
+	w.lastFinish = now
+	w.unfinishedCount--
 }
 
-// load evicts at once and queues the load at the weight store.
+// load evicts an adapter at once, if one is given, and queues the load at the weight store.
 func (w *world) load(now time.Time, e *engine, evict, adapter fleet.AdapterRef) {
 	if !evict.IsZero() {
-		if e.using[evict] > 0 {
+		if e.runningByAdapter[evict] > 0 {
 			w.violations[unloadInUse]++
 		}
 		delete(e.resident, evict)
 		w.evictions++
 	}
 	if len(e.resident)+len(e.loading) >= e.entry.Slots {
-		w.violations[beyondCapacity]++
+		w.violations[capacityExceeded]++
 		return
 	}
-	l := &load{engine: e, adapter: adapter, left: e.entry.LoadMS / 1000}
+	l := &load{engine: e, adapter: adapter, remaining: e.entry.LoadMS / 1000}
 	e.loading[adapter] = l
 	w.loads++
-	w.moveStore(now)
+	w.advanceStore(now)
 	w.store.waiting = append(w.store.waiting, l)
-	w.moveStore(now)
+	w.advanceStore(now)
 }
 
-// moveStore brings the weight store up to the present and plans its next change.
-func (w *world) moveStore(now time.Time) {
+// advanceStore advances the weight store to the present and schedules its next change.
+func (w *world) advanceStore(now time.Time) {
 	ended := w.store.advance(now)
-	w.store.version++
-	version := w.store.version
-	if at, ok := w.store.next(now); ok {
+	w.store.generation++
+	generation := w.store.generation
+	if at, ok := w.store.nextChange(now); ok {
 		w.agenda.Add(at, func(now time.Time) {
-			if w.store.version == version {
-				w.moveStore(now)
+			if w.store.generation == generation {
+				w.advanceStore(now)
 			}
 		})
 	}
 	for _, l := range ended {
-		w.loadEnded(now, l)
+		w.finishLoad(now, l)
 	}
 }
 
-func (w *world) loadEnded(now time.Time, l *load) {
+func (w *world) finishLoad(now time.Time, l *load) {
 	e := l.engine
-	if l.dead {
+	if l.canceled {
 		return
 	}
 	delete(e.loading, l.adapter)
@@ -278,5 +281,5 @@
 		e.failNext--
 		w.failed++
 	}
-	w.decide(func() { w.policy.loaded(now, e, l.adapter, ok) })
+	w.timeDecision(func() { w.policy.loadEnded(now, e, l.adapter, ok) })
 }
