--- a/tools/demo/fleet.go
+++ b/tools/demo/fleet.go
@@ -13,24 +13,24 @@
 	"github.com/shelfledge/shelfledge/tools/processes"
 )
 
-// readyLimit and stopLimit bound the start and the planned stop of a process; both are far beyond what was seen.
+// readyTimeout and stopTimeout limit the start and the planned stop of a process; both far exceed the usual durations.
 const (
-	readyLimit = 30 * time.Second
-	stopLimit  = 40 * time.Second
+	readyTimeout = 30 * time.Second
+	stopTimeout  = 40 * time.Second
 )
 
-// process is one daemon or entry.
+// process is a daemon or an entry process.
 type process struct {
 	*processes.Process
 
 	name string
-	// callers is the HOST:PORT of its callers, ready the URL that tells whether it is ready.
+	// callers is the HOST:PORT at which it accepts requests; ready is the URL of its readiness check.
 	callers string
 	ready   string
 	leaving atomic.Bool
 }
 
-// start runs a program with a settings file, and with its output in a log file beside it.
+// start starts a program with a settings file and with its output in a log file in the same folder.
 func (p *process) start(program, folder string, settings []byte, arguments ...string) error {
 	started, err := processes.Start(processes.Command{Name: p.name, Program: program, Folder: folder, Settings: settings, Arguments: arguments})
 	if err != nil {
@@ -40,44 +40,44 @@
 	return nil
 }
 
-// stop asks the process to stop by plan; new requests are kept away from it, as the balancer does.
+// stop starts a planned stop of the process and sends it no more requests, as a load balancer does.
 func (p *process) stop() error {
 	p.leaving.Store(true)
 	return p.Signal(syscall.SIGTERM)
 }
 
-// fleet is the processes of one part.
-type fleet struct {
+// processGroup is the group of processes of one part of the demo.
+type processGroup struct {
 	processes []*process
-	turn      atomic.Int64
+	nextIndex atomic.Int64
 }
 
-// next gives the process that the balancer sends a request to.
-func (f *fleet) next() *process {
+// nextProcess returns the next process that is not stopping, in turn, as a load balancer does.
+func (f *processGroup) nextProcess() *process {
 	for {
-		p := f.processes[int(f.turn.Add(1))%len(f.processes)]
+		p := f.processes[int(f.nextIndex.Add(1))%len(f.processes)]
 		if !p.leaving.Load() {
 			return p
 		}
 	}
 }
 
-func (f *fleet) waitReady() error {
+func (f *processGroup) waitReady() error {
 	for _, p := range f.processes {
-		if !processes.Poll(readyLimit, func() bool { return processes.Answers(http.DefaultClient, p.ready) }) {
-			return fmt.Errorf("%s does not become ready", p.name)
+		if !processes.Poll(readyTimeout, func() bool { return processes.Answers(http.DefaultClient, p.ready) }) {
+			return fmt.Errorf("%s did not become ready in time", p.name)
 		}
 	}
 	return nil
 }
 
-// close stops the processes by plan, and kills those that do not end in time.
-func (f *fleet) close() {
+// stopAll stops all processes and kills those that do not end within stopTimeout.
+func (f *processGroup) stopAll() {
 	for _, p := range f.processes {
-		// A process that has ended needs no signal.
+		// Signaling a process that has already ended fails; there is nothing to stop then.
 		_ = p.stop()
 	}
 	for _, p := range f.processes {
-		p.End(stopLimit)
+		p.End(stopTimeout)
 	}
 }
--- a/tools/demo/load.go
+++ b/tools/demo/load.go
@@ -12,30 +12,31 @@
 	"github.com/shelfledge/shelfledge/tools/stats"
 )
 
-// outcome is what one attempt came to.
+// outcome is the outcome of one attempt.
 type outcome int
 
 const (
-	// answered is a whole answer, its own and from the right adapter.
+	// answered means a complete answer to this request, from the right adapter.
 	answered outcome = iota
-	// refused says that the request was not run and may be sent again.
+	// refused means that the request did not run and may be sent again.
 	refused
-	// unknown says truly that it may have run; it is not sent again.
+	// unknown means that the request may have run; it is not sent again.
 	unknown
-	// wrong is everything that must not be.
-	wrong
+	// invalid means any other answer, which the programs must never give.
+	invalid
 )
 
-// reply is one attempt's outcome.
+// reply is the result of one attempt.
 type reply struct {
 	outcome outcome
 	detail  string
-	// attempt is the id that the endpoints know it by, if not that of its request.
+	// attempt is the ID that the endpoints know the attempt by, if it differs from the request's ID.
 	attempt string
 	// wait is how long the caller waits before it sends a refused request again.
 	wait time.Duration
-	// stalled is the wait for a load that the answer tells, first the time until the answer begins, or ends where that is all that is known.
-	stalled, first time.Duration
+	// loadStall is the wait for an adapter load that the answer reports. latency is the time until the answer begins,
+	// or until it ends if the beginning is not measured.
+	loadStall, latency time.Duration
 }
 
 // request is one request of the demo; send makes one attempt.
@@ -44,25 +45,25 @@
 	send      func() reply
 }
 
-// load is a number of requests, sent in order by so many callers at once.
-type load struct {
+// loadRun is a list of requests that a number of concurrent callers send in order.
+type loadRun struct {
 	requests []request
 	callers  int
-	// tries bounds the attempts of a request that is refused.
+	// tries is the maximum number of attempts of a request that is refused.
 	tries int
-	// troubles are carried out right before the request of their index is sent.
-	troubles map[int]func() error
+	// faults maps the index of a request to a fault that is injected right before that request is sent.
+	faults map[int]func() error
 }
 
-// result is what became of a request.
+// result is the last reply to a request and the number of attempts.
 type result struct {
 	request
 	reply
 	tries int
 }
 
-// run sends all requests, and again what was refused.
-func (l load) run() ([]result, error) {
+// sendAll sends all requests, retries refused ones and returns the results in the order of the requests.
+func (l loadRun) sendAll() ([]result, error) {
 	results := make([]result, len(l.requests))
 	indices := make(chan int)
 	var callers sync.WaitGroup
@@ -75,7 +76,7 @@
 	}
 	var failed []error
 	for i := range l.requests {
-		if trouble := l.troubles[i]; trouble != nil {
+		if trouble := l.faults[i]; trouble != nil {
 			failed = append(failed, trouble())
 		}
 		indices <- i
@@ -85,7 +86,7 @@
 	return results, errors.Join(failed...)
 }
 
-func (l load) send(q request) result {
+func (l loadRun) send(q request) result {
 	r := result{request: q}
 	for {
 		r.tries++
@@ -97,15 +98,15 @@
 	}
 }
 
-// report prints a line for each class and gives an error for each answer that was wrong.
-func report(results []result, classes ...string) error {
+// printReport prints a line for each class. It returns an error for each invalid answer and each class without an answer.
+func printReport(results []result, classes ...string) error {
 	fmt.Printf("%-10s %8s %8s %8s %8s %8s %6s %26s %32s\n", "class", "requests", "answered", "refused", "unknown", "repeated", "wrong",
 		"load stall p50/p95/p99 ms", "first or whole p50/p95/p99 ms")
 	var failed []error
 	for _, class := range classes {
 		counts := make(map[outcome]int)
 		requests, repeated := 0, 0
-		var stalls, firsts []time.Duration
+		var stalls, latencies []time.Duration
 		for _, r := range results {
 			if r.class != class {
 				continue
@@ -115,15 +116,15 @@
 			repeated += r.tries - 1
 			switch r.outcome {
 			case answered:
-				stalls, firsts = append(stalls, r.stalled), append(firsts, r.first)
-			case wrong:
+				stalls, latencies = append(stalls, r.loadStall), append(latencies, r.latency)
+			case invalid:
 				failed = append(failed, fmt.Errorf("%s: %s", r.id, r.detail))
 			default:
 				fmt.Printf("  %s after %d attempts: %s\n", r.id, r.tries, r.detail)
 			}
 		}
 		fmt.Printf("%-10s %8d %8d %8d %8d %8d %6d %26s %32s\n", class, requests, counts[answered], counts[refused], counts[unknown],
-			repeated, counts[wrong], percentiles(stalls), percentiles(firsts))
+			repeated, counts[invalid], percentiles(stalls), percentiles(latencies))
 		if counts[answered] == 0 {
 			failed = append(failed, fmt.Errorf("no request of class %s was answered", class))
 		}
--- a/tools/demo/main.go
+++ b/tools/demo/main.go
@@ -20,30 +20,30 @@
 
 func main() {
 	var args arguments
-	kong.Parse(&args, kong.Name("demo"), kong.Description("Shows the main job of both programs with every answer checked."))
-	// A library of the stand-ins would print the demo's own use of the machine among its tables.
+	kong.Parse(&args, kong.Name("demo"), kong.Description("Runs both programs under load and checks every answer."))
+	// A library of the stand-ins logs the resource usage of the demo process, which would appear among the tables.
 	logx.DisableStat()
 	if err := run(args); err != nil {
 		fmt.Fprintln(os.Stderr, "demo:", err)
 		os.Exit(1)
 	}
-	fmt.Println("every answer was whole, its own, and from the adapter and version named")
+	fmt.Println("every answer was complete, belonged to its request and came from the requested adapter and version")
 }
 
-// run shows the parts asked for, also the second one if the first one fails.
+// run runs the selected parts; the second part also runs if the first one fails.
 func run(args arguments) error {
 	var failed []error
 	if args.Part != "entries" {
-		failed = append(failed, show("daemons", args, showDaemons))
+		failed = append(failed, runPart("daemons", args, runDaemons))
 	}
 	if args.Part != "daemons" {
-		failed = append(failed, show("entries", args, showEntries))
+		failed = append(failed, runPart("entries", args, runEntries))
 	}
 	return errors.Join(failed...)
 }
 
-// show runs one part in a folder of its own, which is kept if the part fails.
-func show(name string, args arguments, part func(args arguments, folder string) error) error {
+// runPart runs one part in a temporary folder of its own, which is kept if the part fails.
+func runPart(name string, args arguments, part func(args arguments, folder string) error) error {
 	folder, err := os.MkdirTemp("", "shelfledge-demo-"+name+"-")
 	if err != nil {
 		return err
