--- a/tools/knownred/main.go
+++ b/tools/knownred/main.go
@@ -12,7 +12,7 @@
 	"github.com/shelfledge/shelfledge/tools/knownred/verdict"
 )
 
-// options are the command's arguments.
+// options are the arguments of the command.
 type options struct {
 	List   string `help:"The list of known failures." default:"KNOWN-RED.txt" type:"path"`
 	Status int    `help:"The exit status of go test."`
@@ -22,10 +22,10 @@
 
 func main() {
 	var arguments options
-	kong.Parse(&arguments, kong.Description("Judge a test run against the list of known failures."))
+	kong.Parse(&arguments, kong.Description("Checks a test run against the list of known failures."))
 	accepted, err := judge(arguments)
 	if err != nil {
-		logrus.WithError(err).Error("cannot judge the test run")
+		logrus.WithError(err).Error("cannot check the test run against the known failures")
 	}
 	if !accepted {
 		os.Exit(1)
@@ -46,7 +46,7 @@
 		return false, err
 	}
 	defer func() {
-		// The file was only read: closing it can't lose anything.
+		// The file was only read, so an error of Close loses no data.
 		_ = events.Close()
 	}()
 	run, err := verdict.ReadRun(events)
--- a/tools/knownred/verdict/judge.go
+++ b/tools/knownred/verdict/judge.go
@@ -10,25 +10,25 @@
 	"strings"
 )
 
-// Verdict is the outcome of a run against the list of known failures.
+// Verdict is the result of comparing a test run with the list of known failures.
 type Verdict struct {
-	// Passed and Skipped count tests, subtests not counted.
+	// Passed and Skipped count tests without subtests.
 	Passed, Skipped int
-	// Known are listed tests that failed, as expected.
+	// Known are the listed tests that failed as expected.
 	Known []Entry
-	// Targets are listed make targets, which the run does not show.
+	// Targets are the listed make targets, which are not part of the test run.
 	Targets []Entry
-	// Problems say why the run is not accepted; empty if it is.
-	Problems []string
-	failed   []string
-	run      *Run
+	// Problems are the reasons why the run is not accepted; it is empty for an accepted run.
+	Problems   []string
+	unexpected []string
+	run        *Run
 }
 
-// Judge compares a run with the list. status is the exit status of go test: a run that failed without a
-// failing test is not accepted.
+// Judge compares a run with the list. status is the exit status of go test; a run with a non-zero status and no failed
+// test is not accepted.
 func (r *Run) Judge(entries []Entry, status int) *Verdict {
 	verdict := &Verdict{run: r}
-	listed := verdict.judgeListed(entries)
+	listed := verdict.checkListed(entries)
 	failing := make(map[string]bool)
 	for name, result := range r.results {
 		switch {
@@ -40,36 +40,36 @@
 			failing[packageOf(name)] = true
 		default:
 			failing[packageOf(name)] = true
-			verdict.failed = append(verdict.failed, name)
+			verdict.unexpected = append(verdict.unexpected, name)
 		}
 	}
-	slices.Sort(verdict.failed)
-	for _, name := range verdict.failed {
+	slices.Sort(verdict.unexpected)
+	for _, name := range verdict.unexpected {
 		verdict.reject("%s failed and is not listed", name)
 	}
-	verdict.judgePackages(failing, status)
-	verdict.judgeRaces()
+	verdict.checkPackages(failing, status)
+	verdict.rejectRaces()
 	return verdict
 }
 
-// raceWarning is what the race detector prints of each race that it finds.
+// raceWarning is the line that the race detector prints for each data race.
 const raceWarning = "WARNING: DATA RACE"
 
-// judgeRaces rejects a data race, also in a test that is known to fail.
-func (v *Verdict) judgeRaces() {
+// rejectRaces rejects a run with a data race, even if the race is in a test that is known to fail.
+func (v *Verdict) rejectRaces() {
 	for name, lines := range v.run.output {
 		if !slices.ContainsFunc(lines, func(line string) bool { return strings.Contains(line, raceWarning) }) {
 			continue
 		}
 		v.reject("%s has a data race", name)
-		if !slices.Contains(v.failed, name) {
-			v.failed = append(v.failed, name)
+		if !slices.Contains(v.unexpected, name) {
+			v.unexpected = append(v.unexpected, name)
 		}
 	}
 	slices.Sort(v.Problems)
 }
 
-// Failed gives those of the entries that failed in the run.
+// Failed returns the entries whose tests failed in the run.
 func (r *Run) Failed(entries []Entry) []Entry {
 	var failed []Entry
 	for _, entry := range entries {
@@ -80,8 +80,8 @@
 	return failed
 }
 
-// judgeListed looks up each listed test and gives the names of those that failed.
-func (v *Verdict) judgeListed(entries []Entry) map[string]bool {
+// checkListed checks the result of each listed test and returns the names of the listed tests that failed.
+func (v *Verdict) checkListed(entries []Entry) map[string]bool {
 	listed := make(map[string]bool)
 	for _, entry := range entries {
 		if entry.IsTarget() {
@@ -101,11 +101,11 @@
 	return listed
 }
 
-// judgePackages rejects a failure that no failing test explains, such as a build that failed.
-func (v *Verdict) judgePackages(failing map[string]bool, status int) {
+// checkPackages rejects a failure that no failed test explains, such as a failed build.
+func (v *Verdict) checkPackages(failing map[string]bool, status int) {
 	for name := range v.run.failedPackages {
 		if !failing[name] {
-			v.failed = append(v.failed, name)
+			v.unexpected = append(v.unexpected, name)
 			v.reject("%s failed without a failing test", name)
 		}
 	}
@@ -122,14 +122,14 @@
 	v.Problems = append(v.Problems, fmt.Sprintf(format, arguments...))
 }
 
-// Write prints the packages, the output of tests that failed without being listed, the known failures and the
-// verdict; it returns the first error of the writer.
+// Write writes the package summaries, the output of unlisted failures, the known failures, the problems and the counts.
+// It returns the error of the writer.
 func (v *Verdict) Write(writer io.Writer) error {
 	var text strings.Builder
 	for _, line := range v.run.summary {
 		fmt.Fprintln(&text, line)
 	}
-	for _, name := range v.failed {
+	for _, name := range v.unexpected {
 		v.writeOutput(&text, name)
 	}
 	for _, entry := range slices.Concat(v.Known, v.Targets) {
@@ -139,12 +139,12 @@
 		fmt.Fprintln(&text, "not accepted:", problem)
 	}
 	fmt.Fprintf(&text, "%d known red\n", len(v.Known))
-	fmt.Fprintf(&text, "%d passed, %d failed, %d skipped\n", v.Passed, len(v.failed), v.Skipped)
+	fmt.Fprintf(&text, "%d passed, %d failed, %d skipped\n", v.Passed, len(v.unexpected), v.Skipped)
 	_, err := io.WriteString(writer, text.String())
 	return err
 }
 
-// writeOutput prints what a test and its subtests, or a package, printed.
+// writeOutput appends the output of a package, or of a test and its subtests.
 func (v *Verdict) writeOutput(text *strings.Builder, name string) {
 	var names []string
 	for candidate := range v.run.output {
@@ -160,7 +160,7 @@
 	}
 }
 
-// packageOf cuts the test's name off.
+// packageOf returns the import path of the package of a test.
 func packageOf(name string) string {
 	return name[:strings.LastIndex(name, ".")]
 }
--- a/tools/knownred/verdict/list.go
+++ b/tools/knownred/verdict/list.go
@@ -8,7 +8,7 @@
 	"strings"
 )
 
-// targetPrefix marks an entry that is a make target and no test: it is printed, not judged.
+// targetPrefix marks an entry that is a make target instead of a test; such an entry is printed and not checked.
 const targetPrefix = "make "
 
 // entryFields is the number of fields of a line: test, cause and issue.
@@ -16,32 +16,32 @@
 
 // Entry is one line of the list of known failures.
 type Entry struct {
-	// Test is the import path of the package, a dot and the test's name; or a make target.
+	// Test is the import path of the package, a dot and the name of the test, or a make target.
 	Test string
-	// Cause says why it fails.
+	// Cause is the reason why the test fails.
 	Cause string
-	// Issue says where it is followed.
+	// Issue refers to the issue that tracks the failure.
 	Issue string
 }
 
-// IsTarget tells whether the entry is a make target, which `make test` does not run.
+// IsTarget reports whether the entry is a make target, which `make test` does not run.
 func (e Entry) IsTarget() bool {
 	return strings.HasPrefix(e.Test, targetPrefix)
 }
 
-// ErrBadLine is a line of the list that can't be read.
+// ErrBadLine reports a malformed line of the list.
 type ErrBadLine struct {
 	Line    int
 	Problem string
 }
 
-// Error says which line it is and what is wrong with it.
+// Error returns a message with the line number and the problem.
 func (e *ErrBadLine) Error() string {
 	return fmt.Sprintf("known failures: line %d: %s", e.Line, e.Problem)
 }
 
-// ParseList reads the list: a line each, "test | cause | issue"; lines that are empty or begin with # say nothing.
-// Its error is an *ErrBadLine.
+// ParseList parses the list, which has one entry per line in the form "test | cause | issue". It ignores empty lines and
+// lines that begin with #. Its error is an *ErrBadLine.
 func ParseList(content string) ([]Entry, error) {
 	var entries []Entry
 	listed := make(map[string]bool)
--- a/tools/knownred/verdict/run.go
+++ b/tools/knownred/verdict/run.go
@@ -12,7 +12,7 @@
 	"strings"
 )
 
-// Actions of test events that end a test or a package.
+// Values of Event.Action that end a test or a package or carry output.
 const (
 	actionPass   = "pass"
 	actionFail   = "fail"
@@ -26,23 +26,23 @@
 	Package string
 	Test    string
 	Output  string
-	// ImportPath names the package of an event of the build.
+	// ImportPath is the package of a build event.
 	ImportPath string
 }
 
-// Run is what a test run's events say.
+// Run holds the results and the output of a test run.
 type Run struct {
-	// results holds the last action of each test, by package and name; subtests are left out.
+	// results holds the last action of each test, by package and name, without subtests.
 	results map[string]string
-	// output holds what each test, package or build printed.
+	// output holds the output of each test, package and build.
 	output map[string][]string
-	// failedPackages are those whose failure must be explained by a failed test.
+	// failedPackages holds the packages whose failure must be explained by a failed test.
 	failedPackages map[string]bool
-	// summary holds the line with which each package closed.
+	// summary holds the last line of output of each package.
 	summary []string
 }
 
-// ReadRun reads the events of a test run; lines that are no events are kept as output.
+// ReadRun reads the events of a test run; input that is not JSON is an error.
 func ReadRun(reader io.Reader) (*Run, error) {
 	run := &Run{
 		results: make(map[string]string), output: make(map[string][]string), failedPackages: make(map[string]bool),
@@ -55,7 +55,7 @@
 			return run, nil
 		}
 		if err != nil {
-			return nil, fmt.Errorf("known failures: events of the test run: %w", err)
+			return nil, fmt.Errorf("known failures: decode events of the test run: %w", err)
 		}
 		run.add(event)
 	}
@@ -71,7 +71,7 @@
 	}
 	switch event.Action {
 	case actionPass, actionFail, actionSkip:
-		r.end(event, name)
+		r.endTestOrPackage(event, name)
 	case actionOutput, "build-output":
 		r.output[name] = append(r.output[name], event.Output)
 	case "build-fail":
@@ -79,9 +79,9 @@
 	}
 }
 
-func (r *Run) end(event Event, name string) {
+func (r *Run) endTestOrPackage(event Event, name string) {
 	if event.Test != "" {
-		// A subtest's result is part of its test's.
+		// The result of a subtest is part of the result of its test.
 		if !strings.Contains(event.Test, "/") {
 			r.results[name] = event.Action
 		}
@@ -93,7 +93,7 @@
 	r.summary = append(r.summary, lastLine(r.output[name]))
 }
 
-// lastLine is the line with which go test closes a package.
+// lastLine returns the last non-empty line, with which go test ends a package.
 func lastLine(lines []string) string {
 	for _, line := range slices.Backward(lines) {
 		if trimmed := strings.TrimSpace(line); trimmed != "" {
--- a/tools/knownred/verdict/verdict_test.go
+++ b/tools/knownred/verdict/verdict_test.go
@@ -34,7 +34,7 @@
 	return run.Judge(entries, status)
 }
 
-func TestAFailureThatIsNotListedIsRejectedAndItsOutputShown(t *testing.T) {
+func TestUnlistedFailureIsRejectedWithItsOutput(t *testing.T) {
 	result := judge(t, events, "# nothing\n\n", 1)
 	assert.Equal(t, []string{"example/p.TestBad failed and is not listed"}, result.Problems)
 	var text strings.Builder
@@ -44,7 +44,7 @@
 	assert.Contains(t, text.String(), "\n2 passed, 1 failed, 0 skipped\n")
 }
 
-func TestAListedFailureIsPassedOverAndPrinted(t *testing.T) {
+func TestListedFailureIsAcceptedAndPrinted(t *testing.T) {
 	result := judge(t, events, "example/p.TestBad | a fault | issue 1", 1)
 	assert.Empty(t, result.Problems)
 	var text strings.Builder
@@ -53,7 +53,7 @@
 	assert.Contains(t, text.String(), "\n1 known red\n2 passed, 0 failed, 0 skipped\n")
 }
 
-func TestAListedTestThatPassesOrIsGoneIsRejected(t *testing.T) {
+func TestListedTestThatPassesOrIsMissingIsRejected(t *testing.T) {
 	list := "example/p.TestBad | a | 1\nexample/q.TestFine | b | 2\nexample/q.TestGone | c | 3\nmake demo | d | 4\n"
 	result := judge(t, events, list, 1)
 	assert.Equal(t, []string{
@@ -62,19 +62,19 @@
 	assert.Len(t, result.Targets, 1)
 }
 
-func TestARaceIsRejectedAlsoInAListedTest(t *testing.T) {
+func TestDataRaceIsRejectedEvenInListedTest(t *testing.T) {
 	race := `{"Action":"output","Package":"example/p","Test":"TestBad","Output":"WARNING: DATA RACE\n"}` + "\n"
 	result := judge(t, race+events, "example/p.TestBad | a fault | issue 1", 1)
 	assert.Equal(t, []string{"example/p.TestBad has a data race"}, result.Problems)
 	var text strings.Builder
 	require.NoError(t, result.Write(&text))
-	assert.Contains(t, text.String(), "it broke", "its output is shown")
+	assert.Contains(t, text.String(), "it broke", "the output of the test must be printed")
 	outside := `{"Action":"output","Package":"example/q","Output":"WARNING: DATA RACE\n"}` + "\n"
 	result = judge(t, outside+events, "example/p.TestBad | a fault | issue 1", 1)
-	assert.Equal(t, []string{"example/q has a data race"}, result.Problems, "after its tests have ended")
+	assert.Equal(t, []string{"example/q has a data race"}, result.Problems, "a race outside of any test must be rejected")
 }
 
-func TestAPartOfTheTestsShowsOnlyTheListedOnesThatFail(t *testing.T) {
+func TestRunFailedReturnsOnlyListedTestsThatFailed(t *testing.T) {
 	list := "example/p.TestBad | a | 1\nexample/q.TestFine | b | 2\nexample/other.TestElsewhere | c | 3\nmake demo | d | 4\n"
 	run, err := verdict.ReadRun(strings.NewReader(events))
 	require.NoError(t, err)
@@ -86,7 +86,7 @@
 	assert.Equal(t, []string{"example/p.TestBad failed and is not listed"}, run.Judge(run.Failed(entries[1:]), 1).Problems)
 }
 
-func TestAFailureWithoutAFailingTestIsRejected(t *testing.T) {
+func TestFailureWithoutFailedTestIsRejected(t *testing.T) {
 	passed := `{"Action":"pass","Package":"example/q","Test":"TestFine"}` + "\n"
 	build := `{"ImportPath":"example/p","Action":"build-output","Output":"does not compile\n"}
 {"ImportPath":"example/p","Action":"build-fail"}
@@ -98,7 +98,7 @@
 	assert.Empty(t, judge(t, passed, "", 0).Problems)
 }
 
-func TestABadListNamesItsLine(t *testing.T) {
+func TestParseListReportsLineOfError(t *testing.T) {
 	for list, problem := range map[string]string{
 		"a | b":                    "known failures: line 1: is not \"test | cause | issue\"",
 		"\na | | c":                "known failures: line 2: leaves a field empty",
