--- a/tools/processes/process.go
+++ b/tools/processes/process.go
@@ -13,16 +13,16 @@
 	"time"
 )
 
-// pollPause is the pause between two looks of Poll.
-const pollPause = 50 * time.Millisecond
+// pollInterval is the pause between two checks of Poll.
+const pollInterval = 50 * time.Millisecond
 
-// Command says what to start.
+// Command describes the process to start.
 type Command struct {
-	// Name names the process, its settings file and its log file in the folder.
+	// Name is the name of the process and, without extension, of its settings file and log file in Folder.
 	Name    string
 	Program string
 	Folder  string
-	// Settings is the content of the settings file, which the argument --settings names; nil for a program without one.
+	// Settings is the content of the settings file, whose path is passed as --settings; nil for a program without one.
 	Settings  []byte
 	Arguments []string
 }
@@ -31,7 +31,7 @@
 type Process struct {
 	command *exec.Cmd
 	exited  chan struct{}
-	ended   error
+	exitErr error
 }
 
 // Start starts a child process; its output is appended to its log file.
@@ -52,32 +52,32 @@
 	p.command.Stdout, p.command.Stderr = log, log
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.command.Start(); err != nil {
-		// The first error says why; nothing was written to the log.
+		// The error of Start is reported; the log file is still empty.
 		_ = log.Close()
-		return nil, fmt.Errorf("%s: %w", c.Name, err)
+		return nil, fmt.Errorf("start process %s: %w", c.Name, err)
 	}
 	go p.wait(log)
 	return p, nil
 }
 
 func (p *Process) wait(log *os.File) {
-	p.ended = p.command.Wait()
-	// The child holds the file itself: an error of closing it here loses nothing.
+	p.exitErr = p.command.Wait()
+	// The child process has its own handle of the log file, so an error of Close loses no output.
 	_ = log.Close()
 	close(p.exited)
 }
 
-// PID is the process's identifier in the system.
+// PID returns the process ID.
 func (p *Process) PID() int {
 	return p.command.Process.Pid
 }
 
-// Signal sends a signal; one to a process that has ended is an error.
+// Signal sends a signal to the process. It returns an error if the process has ended.
 func (p *Process) Signal(signal syscall.Signal) error {
 	return p.command.Process.Signal(signal)
 }
 
-// Exited is closed once the process has ended.
+// Exited returns a channel that is closed when the process has ended.
 func (p *Process) Exited() <-chan struct{} {
 	return p.exited
 }
@@ -92,14 +92,14 @@
 	}
 }
 
-// Err tells how the process ended, nil for exit code 0; it may be asked once Exited is closed.
+// Err returns how the process ended, nil for exit code 0. It may be called only after Exited is closed.
 func (p *Process) Err() error {
-	return p.ended
+	return p.exitErr
 }
 
-// End asks the process to stop by plan and kills it if it has not ended after a time.
+// End sends SIGTERM to the process and kills it if it has not ended within the limit.
 func (p *Process) End(limit time.Duration) {
-	// A process that has ended needs no signal.
+	// Signaling a process that has already ended fails; there is nothing to stop then.
 	_ = p.Signal(syscall.SIGTERM)
 	select {
 	case <-p.exited:
@@ -109,9 +109,9 @@
 	}
 }
 
-// Poll asks again until a condition holds, at most for a time.
+// Poll checks a condition repeatedly until it holds or the limit has passed, and reports whether it holds.
 func Poll(limit time.Duration, condition func() bool) bool {
-	for end := time.Now().Add(limit); !condition(); time.Sleep(pollPause) {
+	for end := time.Now().Add(limit); !condition(); time.Sleep(pollInterval) {
 		if time.Now().After(end) {
 			return false
 		}
@@ -119,13 +119,13 @@
 	return true
 }
 
-// Answers reports whether a URL answers 200.
+// Answers reports whether a GET request to the URL is answered with status 200.
 func Answers(client *http.Client, url string) bool {
 	response, err := client.Get(url)
 	if err != nil {
 		return false
 	}
-	// Only the status counts.
+	// The body is not needed.
 	_ = response.Body.Close()
 	return response.StatusCode == http.StatusOK
 }
--- a/tools/stats/stats.go
+++ b/tools/stats/stats.go
@@ -9,8 +9,8 @@
 	"slices"
 )
 
-// Percentile gives the value at a share q (0 to 1) of the values by nearest rank, and the zero
-// value for none. It sorts the values in place.
+// Percentile returns the value at quantile q (0 to 1) by the nearest-rank method, or the zero value for an empty slice.
+// It sorts the values in place.
 func Percentile[T cmp.Ordered](values []T, q float64) T {
 	if len(values) == 0 {
 		var none T
--- a/tools/stats/stats_test.go
+++ b/tools/stats/stats_test.go
@@ -11,7 +11,7 @@
 	"github.com/shelfledge/shelfledge/tools/stats"
 )
 
-func TestPercentileIsTheValueOfTheNearestRank(t *testing.T) {
+func TestPercentileUsesNearestRank(t *testing.T) {
 	values := []int{40, 10, 30, 20}
 	require.Equal(t, 20, stats.Percentile(values, 0.5))
 	require.Equal(t, 40, stats.Percentile(values, 0.95))
--- a/tools/timeline/timeline.go
+++ b/tools/timeline/timeline.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// Timeline is a queue of events; the zero value is empty.
+// Timeline is a queue of scheduled events. Its zero value is an empty queue.
 type Timeline struct {
-	events eventHeap
-	added  int
+	events     eventHeap
+	addedCount int
 }
 
-// event is a call at its time; events of the same time happen in the order of their addition.
+// event is a function call at a time; events at the same time run in the order in which they were added.
 type event struct {
-	at    time.Time
-	order int
-	run   func(now time.Time)
+	at       time.Time
+	sequence int
+	run      func(now time.Time)
 }
 
-// Add plans a call; run gets the time that it was planned for.
+// Add schedules a call; run receives the time for which it was scheduled.
 func (t *Timeline) Add(at time.Time, run func(now time.Time)) {
-	t.added++
-	heap.Push(&t.events, event{at: at, order: t.added, run: run})
+	t.addedCount++
+	heap.Push(&t.events, event{at: at, sequence: t.addedCount, run: run})
 }
 
-// Next gives the time of the next event, and false if nothing is planned.
+// Next returns the time of the next event, and false if none is scheduled.
 func (t *Timeline) Next() (time.Time, bool) {
 	if len(t.events) == 0 {
 		return time.Time{}, false
@@ -35,8 +35,8 @@
 	return t.events[0].at, true
 }
 
-// Step takes the next event off the queue, sets the clock to its time and runs it. It gives
-// false if nothing is planned.
+// Step removes the next event from the queue, sets the clock to its time and runs it. It returns false if no event is
+// scheduled.
 func (t *Timeline) Step(clock *time.Time) bool {
 	if len(t.events) == 0 {
 		return false
@@ -47,7 +47,7 @@
 	return true
 }
 
-// Until runs all events up to and including a time and leaves the clock there.
+// Until runs all events up to and including the time end and sets the clock to end.
 func (t *Timeline) Until(clock *time.Time, end time.Time) {
 	for len(t.events) > 0 && !t.events[0].at.After(end) {
 		t.Step(clock)
@@ -63,7 +63,7 @@
 	if !h[i].at.Equal(h[j].at) {
 		return h[i].at.Before(h[j].at)
 	}
-	return h[i].order < h[j].order
+	return h[i].sequence < h[j].sequence
 }
 
 func (h eventHeap) Swap(i, j int) { h[i], h[j] = h[j], h[i] }
--- a/tools/timeline/timeline_test.go
+++ b/tools/timeline/timeline_test.go
@@ -12,19 +12,19 @@
 	"github.com/shelfledge/shelfledge/tools/timeline"
 )
 
-func TestEventsOfOneTimeHappenInTheOrderOfTheirAddition(t *testing.T) {
+func TestEventsAtSameTimeRunInOrderOfAddition(t *testing.T) {
 	start := time.Unix(0, 0)
-	var line timeline.Timeline
-	var happened []string
-	note := func(name string) func(time.Time) { return func(time.Time) { happened = append(happened, name) } }
-	line.Add(start.Add(2*time.Second), note("late"))
-	line.Add(start.Add(time.Second), note("first"))
-	line.Add(start.Add(time.Second), note("second"))
+	var queue timeline.Timeline
+	var ran []string
+	record := func(name string) func(time.Time) { return func(time.Time) { ran = append(ran, name) } }
+	queue.Add(start.Add(2*time.Second), record("late"))
+	queue.Add(start.Add(time.Second), record("first"))
+	queue.Add(start.Add(time.Second), record("second"))
 	now := start
-	line.Until(&now, start.Add(time.Second))
-	require.Equal(t, []string{"first", "second"}, happened)
+	queue.Until(&now, start.Add(time.Second))
+	require.Equal(t, []string{"first", "second"}, ran)
 	require.Equal(t, start.Add(time.Second), now)
-	require.True(t, line.Step(&now))
+	require.True(t, queue.Step(&now))
 	require.Equal(t, start.Add(2*time.Second), now)
-	require.False(t, line.Step(&now))
+	require.False(t, queue.Step(&now))
 }
