--- a/tests/capacity/capacity_test.go
+++ b/tests/capacity/capacity_test.go
@@ -286,7 +286,7 @@
 	gap := time.Second / time.Duration(rate)
 	for i := range rate * int(span/time.Second) {
 		f.run(gap / tickEvery * tickEvery)
-		f.messages.Until(&f.now, f.now.Add(gap%tickEvery))
+		f.messages.RunUntil(&f.now, f.now.Add(gap%tickEvery))
 		ref, err := fleet.ParseAdapterRef(pool.Slots[i%len(pool.Slots)].Adapter)
 		if err != nil {
 			panic(err)
--- a/tests/capacity/fleet_test.go
+++ b/tests/capacity/fleet_test.go
@@ -103,7 +103,7 @@
 func (f *simFleet) run(d time.Duration) {
 	until := f.now.Add(d)
 	for next := f.now; next.Before(until); next = next.Add(tickEvery) {
-		f.messages.Until(&f.now, next)
+		f.messages.RunUntil(&f.now, next)
 		for _, s := range f.nodes {
 			f.act(s, func() []node.Effect { return s.node.Tick(f.now) })
 		}
--- a/tests/fuzz/world_test.go
+++ b/tests/fuzz/world_test.go
@@ -94,7 +94,7 @@
 
 // advance lets time pass.
 func (w *world) advance(d time.Duration) {
-	w.events.Until(&w.now, w.now.Add(d))
+	w.events.RunUntil(&w.now, w.now.Add(d))
 }
 
 func (w *world) sortedNodes() []*fakeNode {
--- a/tests/process/instance_test.go
+++ b/tests/process/instance_test.go
@@ -121,7 +121,7 @@
 	i.process, err = processes.Start(command)
 	require.NoError(i.t, err)
 	i.t.Cleanup(func() {
-		i.process.End(shutdownGrace)
+		i.process.Terminate(shutdownGrace)
 		if i.t.Failed() {
 			log, _ := os.ReadFile(filepath.Join(i.folder, "instance.log"))
 			i.t.Logf("%s", log[max(0, len(log)-4000):])
@@ -131,7 +131,7 @@
 
 func (i *instance) waitReady() {
 	i.t.Helper()
-	require.True(i.t, processes.Poll(waitTimeout, func() bool { return processes.Answers(http.DefaultClient, i.readyURL) }), "the instance becomes ready")
+	require.True(i.t, processes.Poll(waitTimeout, func() bool { return processes.RespondsOK(http.DefaultClient, i.readyURL) }), "the instance becomes ready")
 }
 
 // caller is a raw connection to an instance.
--- a/tools/demo/fleet.go
+++ b/tools/demo/fleet.go
@@ -64,7 +64,7 @@
 
 func (f *processGroup) waitReady() error {
 	for _, p := range f.processes {
-		if !processes.Poll(readyTimeout, func() bool { return processes.Answers(http.DefaultClient, p.ready) }) {
+		if !processes.Poll(readyTimeout, func() bool { return processes.RespondsOK(http.DefaultClient, p.ready) }) {
 			return fmt.Errorf("%s did not become ready in time", p.name)
 		}
 	}
@@ -78,6 +78,6 @@
 		_ = p.stop()
 	}
 	for _, p := range f.processes {
-		p.End(stopTimeout)
+		p.Terminate(stopTimeout)
 	}
 }
--- a/tools/processes/process.go
+++ b/tools/processes/process.go
@@ -97,8 +97,8 @@
 	return p.exitErr
 }
 
-// End sends SIGTERM to the process and kills it if it has not ended within the limit.
-func (p *Process) End(limit time.Duration) {
+// Terminate sends SIGTERM to the process and kills it if it has not ended within the limit.
+func (p *Process) Terminate(limit time.Duration) {
 	// Signaling a process that has already ended fails; there is nothing to stop then.
 	_ = p.Signal(syscall.SIGTERM)
 	select {
@@ -119,8 +119,8 @@
 	return true
 }
 
-// Answers reports whether a GET request to the URL is answered with status 200.
-func Answers(client *http.Client, url string) bool {
+// RespondsOK reports whether a GET request to the URL is answered with status 200.
+func RespondsOK(client *http.Client, url string) bool {
 	response, err := client.Get(url)
 	if err != nil {
 		return false
--- a/tools/replay/sim/replay_test.go
+++ b/tools/replay/sim/replay_test.go
@@ -33,7 +33,7 @@
 		for _, policy := range []string{"shelfledge", "affinity", "lru"} {
 			r := replayCommitted(t, scenario, policy)
 			require.Zero(t, r.ViolationCount(), "%s under %s: %v", scenario, policy, r.Violations)
-			require.Equal(t, r.Requests, r.Answered+r.RefusedNot+r.Unknown+r.Expired, "%s under %s", scenario, policy)
+			require.Equal(t, r.Requests, r.Answered+r.RefusedNotRun+r.Unknown+r.Expired, "%s under %s", scenario, policy)
 		}
 	}
 }
@@ -101,7 +101,7 @@
 
 func outcomeOf(r sim.Result) outcome {
 	return outcome{
-		Answered: r.Answered, Refused: r.RefusedNot, Unknown: r.Unknown, Expired: r.Expired, Loads: r.Loads, Failed: r.LoadsFailed,
+		Answered: r.Answered, Refused: r.RefusedNotRun, Unknown: r.Unknown, Expired: r.Expired, Loads: r.Loads, Failed: r.LoadsFailed,
 		Evicted: r.Evictions, Weighted: math.Round(r.WeightedMean*10) / 10, Batch: math.Round(r.BatchEfficiency*1000) / 1000,
 	}
 }
--- a/tools/replay/sim/result.go
+++ b/tools/replay/sim/result.go
@@ -25,15 +25,15 @@
 
 // Group holds the figures of one class or of all requests.
 type Group struct {
-	Requests     int     `json:"requests"`
-	Answered     int     `json:"answered"`
-	RefusedNot   int     `json:"refused_not_run"`
-	Unknown      int     `json:"unknown"`
-	Expired      int     `json:"expired"`
-	LoadStall    Figures `json:"load_stall_ms"`
-	QueueWait    Figures `json:"queue_wait_ms"`
-	FirstToken   Figures `json:"first_token_ms"`
-	WeightedMean float64 `json:"weighted_stall_ms"`
+	Requests      int     `json:"requests"`
+	Answered      int     `json:"answered"`
+	RefusedNotRun int     `json:"refused_not_run"`
+	Unknown       int     `json:"unknown"`
+	Expired       int     `json:"expired"`
+	LoadStall     Figures `json:"load_stall_ms"`
+	QueueWait     Figures `json:"queue_wait_ms"`
+	FirstToken    Figures `json:"first_token_ms"`
+	WeightedMean  float64 `json:"weighted_stall_ms"`
 }
 
 // DecideFigures summarizes the time of one decision, in nanoseconds.
@@ -102,7 +102,7 @@
 		case r.expired:
 			g.Expired++
 		case r.outcome == fleet.OutcomeNotRun:
-			g.RefusedNot++
+			g.RefusedNotRun++
 		case r.outcome == fleet.OutcomeUnknown:
 			g.Unknown++
 		case r.outcome == fleet.OutcomeAnswered:
@@ -160,6 +160,6 @@
 // TableLine returns the result as one line of the table of TableHeader; times are in milliseconds.
 func (r Result) TableLine() string {
 	return fmt.Sprintf("%-12s %8d %8d %7d %7d %7d %7d %9.1f %9.1f %9.0f %9.0f %9.0f %6.3f %5d %7.0f",
-		r.Policy, r.Requests, r.Answered, r.RefusedNot, r.Unknown, r.Expired, r.Loads, r.WeightedMean,
+		r.Policy, r.Requests, r.Answered, r.RefusedNotRun, r.Unknown, r.Expired, r.Loads, r.WeightedMean,
 		r.LoadStall.Mean, r.LoadStall.P95, r.LoadStall.P99, r.QueueWait.P99, r.BatchEfficiency, r.ViolationCount(), r.DecideNS.Mean)
 }
--- a/tools/replay/sim/run.go
+++ b/tools/replay/sim/run.go
@@ -7,13 +7,13 @@
 	"fmt"
 )
 
-// ErrNoPolicy reports an unknown policy name.
-type ErrNoPolicy struct {
+// ErrUnknownPolicy reports an unknown policy name.
+type ErrUnknownPolicy struct {
 	Name string
 }
 
 // Error returns a message with the unknown name and the existing policies.
-func (e ErrNoPolicy) Error() string {
+func (e ErrUnknownPolicy) Error() string {
 	return fmt.Sprintf("no policy %q; there are shelfledge, lru, affinity and bound", e.Name)
 }
 
@@ -35,7 +35,7 @@
 	case "affinity":
 		w.policy = newBaseline(w, chooseByAffinity)
 	default:
-		return Result{}, ErrNoPolicy{Name: name}
+		return Result{}, ErrUnknownPolicy{Name: name}
 	}
 	w.replay(lines)
 	return w.result(name), nil
--- a/tools/soak/endpoint.go
+++ b/tools/soak/endpoint.go
@@ -175,5 +175,5 @@
 	}
 	one.asked.Store(true)
 	e.site.noteOverfull(one)
-	one.process.End(endLimit)
+	one.process.Terminate(endLimit)
 }
--- a/tools/soak/run.go
+++ b/tools/soak/run.go
@@ -178,7 +178,7 @@
 	var spinning []*processes.Process
 	defer func() {
 		for _, one := range spinning {
-			one.End(0)
+			one.Terminate(0)
 		}
 	}()
 	for i := range count {
--- a/tools/soak/site.go
+++ b/tools/soak/site.go
@@ -139,7 +139,7 @@
 	// A connection that is kept would be taken for a caller's.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, one := range s.instances {
-		if !processes.Poll(upLimit, func() bool { return processes.Answers(client, one.ready) }) {
+		if !processes.Poll(upLimit, func() bool { return processes.RespondsOK(client, one.ready) }) {
 			return fmt.Errorf("%s does not become ready", one.name)
 		}
 	}
@@ -166,7 +166,7 @@
 	}
 	ending.Wait()
 	if s.store != nil {
-		s.store.End(endLimit)
+		s.store.Terminate(endLimit)
 	}
 }
 
--- a/tools/soak/traffic/balancer.go
+++ b/tools/soak/traffic/balancer.go
@@ -62,7 +62,7 @@
 }
 
 func (b *Balancer) ask(i int) {
-	ready := processes.Answers(b.client, b.targets[i].Ready)
+	ready := processes.RespondsOK(b.client, b.targets[i].Ready)
 	b.mutex.Lock()
 	defer b.mutex.Unlock()
 	if ready {
--- a/tools/timeline/timeline.go
+++ b/tools/timeline/timeline.go
@@ -47,8 +47,8 @@
 	return true
 }
 
-// Until runs all events up to and including the time end and sets the clock to end.
-func (t *Timeline) Until(clock *time.Time, end time.Time) {
+// RunUntil runs all events up to and including the time end and sets the clock to end.
+func (t *Timeline) RunUntil(clock *time.Time, end time.Time) {
 	for len(t.events) > 0 && !t.events[0].at.After(end) {
 		t.Step(clock)
 	}
--- a/tools/timeline/timeline_test.go
+++ b/tools/timeline/timeline_test.go
@@ -21,7 +21,7 @@
 	queue.Add(start.Add(time.Second), record("first"))
 	queue.Add(start.Add(time.Second), record("second"))
 	now := start
-	queue.Until(&now, start.Add(time.Second))
+	queue.RunUntil(&now, start.Add(time.Second))
 	require.Equal(t, []string{"first", "second"}, ran)
 	require.Equal(t, start.Add(time.Second), now)
 	require.True(t, queue.Step(&now))
