--- a/tools/processes/process.go
+++ b/tools/processes/process.go
@@ -52,7 +52,7 @@
 	p.command.Stdout, p.command.Stderr = log, log
 	p.command.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := p.command.Start(); err != nil {
-		// The error of Start is reported; the log file is still empty.
+		// The error of Start is reported; nothing was written to the log file.
 		_ = log.Close()
 		return nil, fmt.Errorf("start process %s: %w", c.Name, err)
 	}
