--- a/tests/capacity/sim_fleet_test.go
+++ b/tests/capacity/sim_fleet_test.go
@@ -104,7 +104,7 @@
 func (f *simFleet) run(d time.Duration) {
 	until := f.now.Add(d)
 	for next := f.now; next.Before(until); next = next.Add(tickInterval) {
-		f.messages.Until(&f.now, next)
+		f.messages.RunUntil(&f.now, next)
 		for _, s := range f.nodes {
 			f.runTimed(s, func() []node.Effect { return s.node.Tick(f.now) })
 		}
--- a/tests/capacity/slopes_test.go
+++ b/tests/capacity/slopes_test.go
@@ -288,7 +288,7 @@
 	gap := time.Second / time.Duration(rate)
 	for i := range rate * int(span/time.Second) {
 		f.run(gap / tickInterval * tickInterval)
-		f.messages.Until(&f.now, f.now.Add(gap%tickInterval))
+		f.messages.RunUntil(&f.now, f.now.Add(gap%tickInterval))
 		ref, err := fleet.ParseAdapterRef(pool.Slots[i%len(pool.Slots)].Adapter)
 		if err != nil {
 			panic(err)
--- a/tests/fuzz/simulation_test.go
+++ b/tests/fuzz/simulation_test.go
@@ -98,7 +98,7 @@
 
 // advance runs the events of the next d of simulated time.
 func (s *simulation) advance(d time.Duration) {
-	s.events.Until(&s.now, s.now.Add(d))
+	s.events.RunUntil(&s.now, s.now.Add(d))
 }
 
 func (s *simulation) sortedNodes() []*fakeNode {
--- a/tools/soak/endpoint.go
+++ b/tools/soak/endpoint.go
@@ -176,5 +176,5 @@
 	}
 	one.ending.Store(true)
 	e.site.recordOverfull(one)
-	one.process.End(stopTimeout)
+	one.process.Terminate(stopTimeout)
 }
--- a/tools/soak/site.go
+++ b/tools/soak/site.go
@@ -140,7 +140,7 @@
 	// An idle keep-alive connection would be counted as an open connection of a caller.
 	client := &http.Client{Transport: &http.Transport{DisableKeepAlives: true}}
 	for _, one := range s.instances {
-		if !processes.Poll(startTimeout, func() bool { return processes.Answers(client, one.ready) }) {
+		if !processes.Poll(startTimeout, func() bool { return processes.RespondsOK(client, one.ready) }) {
 			return fmt.Errorf("%s does not become ready", one.name)
 		}
 	}
@@ -167,7 +167,7 @@
 	}
 	ending.Wait()
 	if s.store != nil {
-		s.store.End(stopTimeout)
+		s.store.Terminate(stopTimeout)
 	}
 }
 
