--- a/services/entry/coordinator/acquire.go
+++ b/services/entry/coordinator/acquire.go
@@ -13,7 +13,7 @@
 	"github.com/shelfledge/shelfledge/services/entry/admission"
 	"github.com/shelfledge/shelfledge/services/entry/balance"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/forecast"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/waiting"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/entry/directory"
@@ -57,7 +57,7 @@
 	// FormerVersion describes the choice of an endpoint that holds only a former version.
 	FormerVersion FormerUse
 	// Recall cancels the exchange if the request has not begun in time. It is nil if the request is never recalled.
-	Recall *unbegun.Recall
+	Recall *recall.Recall
 	// status is the endpoint's status at the time of the choice. Only the control goroutine uses it.
 	status *directory.EndpointStatus
 }
@@ -169,7 +169,7 @@
 	c.directory.Begin(now, status.ID, w.Request)
 	assignment := Assignment{
 		Endpoint: status.Endpoint, MaxConnections: c.connectionShare(w.Service), Waited: now.Sub(w.Since), Assigned: now,
-		Urgency: c.urgency(now, w.Request, status), HeldVersion: held, FormerVersion: formerUse, Recall: c.trackUnbegun(w.Request, held),
+		Urgency: c.urgency(now, w.Request, status), HeldVersion: held, FormerVersion: formerUse, Recall: c.trackPendingStart(w.Request, held),
 		status: status,
 	}
 	if w.PromptTokens > 0 {
@@ -284,7 +284,7 @@
 
 // endRequest removes a request from the in-flight counts and from its endpoint's queue.
 func (c *Coordinator) endRequest(now time.Time, assignment Assignment, request *deployment.Request, outcome directory.Outcome) {
-	c.unbegun.Remove(assignment.Recall)
+	c.pendingStarts.Remove(assignment.Recall)
 	if !c.sameIncarnation(assignment) {
 		return
 	}
--- a/services/entry/coordinator/begin.go
+++ b/services/entry/coordinator/begin.go
@@ -14,7 +14,7 @@
 // MarkRunning records that an endpoint has begun to answer a request.
 func (c *Coordinator) MarkRunning(request *deployment.Request, assignment Assignment) {
 	c.loop.Post(func(now time.Time) {
-		c.unbegun.Remove(assignment.Recall)
+		c.pendingStarts.Remove(assignment.Recall)
 		if !c.sameIncarnation(assignment) {
 			return
 		}
--- a/services/entry/coordinator/coordinator.go
+++ b/services/entry/coordinator/coordinator.go
@@ -16,9 +16,9 @@
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/leasestore"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/loop"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/member"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/report"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/seed"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/waiting"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator/wire"
 	"github.com/shelfledge/shelfledge/services/entry/directory"
@@ -73,7 +73,7 @@
 	keys              *follow.Keys
 	keysCompleteness  follow.Completeness
 	versions          *follow.Versions
-	unbegun           *unbegun.Requests
+	pendingStarts     *recall.Requests
 	budget            *retry.Budget
 	crashes           *quarantine.Table
 	// quarantined holds the requests that were quarantined at the last review.
@@ -130,7 +130,7 @@
 		directory:         directory.New(),
 		keys:              follow.NewKeys(),
 		versions:          follow.NewVersions(),
-		unbegun:           unbegun.NewRequests(),
+		pendingStarts:     recall.NewRequests(),
 		budget:            retry.NewBudget(options.Retry, options.Now()),
 		crashes:           quarantine.NewTable(),
 		demand:            report.NewCounter(),
--- a/services/entry/coordinator/doc.go
+++ b/services/entry/coordinator/doc.go
@@ -29,7 +29,7 @@
 //   - report: the demand for adapters, and when it is reported
 //   - view: which views are accepted, how old they are and when they are sent
 //   - follow: which keys are newer, for how long former versions serve, and which instance reads the store
-//   - unbegun: which requests must be recalled from their endpoints
+//   - recall: which requests must be recalled from their endpoints
 //   - relay: how the operators' keys are passed on between instances
 //   - tree: which instances are gatherers
 //   - gather: the sums of the gatherers
--- a/services/entry/coordinator/recall.go
+++ b/services/entry/coordinator/recall.go
@@ -7,20 +7,20 @@
 	"time"
 
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 )
 
-// trackUnbegun tracks a request that is assigned to an endpoint with a version of its adapter until the request is known
+// trackPendingStart tracks a request that is assigned to an endpoint with a version of its adapter until the request is known
 // to run. A request that was sent cannot be controlled otherwise: a newer version may be named while it waits in the
 // endpoint's own queue, and that queue may grow. It returns nil for routes whose answers are sent as a whole. Their begin
 // is not visible before their end, so nothing shows whether they may still be recalled.
-func (c *Coordinator) trackUnbegun(request *deployment.Request, held int64) *unbegun.Recall {
+func (c *Coordinator) trackPendingStart(request *deployment.Request, held int64) *recall.Recall {
 	if request.Adapter.IsZero() || !request.StartIsVisible() {
 		return nil
 	}
-	recall := &unbegun.Recall{}
-	c.unbegun.Add(recall, request.Adapter, held, c.beginDeadline(request.Adapter, held))
-	return recall
+	requestRecall := &recall.Recall{}
+	c.pendingStarts.Add(requestRecall, request.Adapter, held, c.beginDeadline(request.Adapter, held))
+	return requestRecall
 }
 
 // beginDeadline returns the time by which a request must have begun on a version of its adapter. It is long past if the
@@ -30,13 +30,13 @@
 	if !newerNamed || c.options.VersionLimit == 0 {
 		return time.Time{}
 	}
-	return unbegun.BeginBy(since, c.options.VersionLimit)
+	return recall.BeginBy(since, c.options.VersionLimit)
 }
 
 // recallOverdue recalls the requests that have not begun in time.
 func (c *Coordinator) recallOverdue(now time.Time) {
-	for _, recall := range c.unbegun.TakeLate(now) {
-		if recall.Fire() && c.options.ObserveRecall != nil {
+	for _, requestRecall := range c.pendingStarts.TakeLate(now) {
+		if requestRecall.Fire() && c.options.ObserveRecall != nil {
 			c.options.ObserveRecall()
 		}
 	}
--- a/services/entry/coordinator/unbegun/benchmark_test.go
+++ b/services/entry/coordinator/recall/benchmark_test.go
@@ -1,23 +1,23 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package unbegun_test
+package recall_test
 
 import (
 	"testing"
 	"time"
 
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 )
 
 // manyRequests is the number of an instance's requests that wait at endpoints, far more than under usual load.
 const manyRequests = 1000
 
 // newRequests returns waiting requests, with or without a time by which they must have begun.
-func newRequests(beginBy time.Time) *unbegun.Requests {
-	requests := unbegun.NewRequests()
+func newRequests(beginBy time.Time) *recall.Requests {
+	requests := recall.NewRequests()
 	for range manyRequests {
-		requests.Add(&unbegun.Recall{}, adapter, 1, beginBy)
+		requests.Add(&recall.Recall{}, adapter, 1, beginBy)
 	}
 	return requests
 }
@@ -27,11 +27,11 @@
 	requests := newRequests(never)
 	b.ReportAllocs()
 	for b.Loop() {
-		recall := &unbegun.Recall{}
-		requests.Add(recall, other, 1, never)
-		recall.Arm(func() {})
-		recall.Disarm()
-		requests.Remove(recall)
+		requestRecall := &recall.Recall{}
+		requests.Add(requestRecall, other, 1, never)
+		requestRecall.Arm(func() {})
+		requestRecall.Disarm()
+		requests.Remove(requestRecall)
 	}
 }
 
--- a/services/entry/coordinator/unbegun/export_test.go
+++ b/services/entry/coordinator/recall/export_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package unbegun
+package recall
 
 // Kept returns the number of tracked requests.
 func (r *Requests) Kept() int {
--- a/services/entry/coordinator/unbegun/recall_test.go
+++ b/services/entry/coordinator/recall/recall_test.go
@@ -1,7 +1,7 @@
 // Copyright 2026 The shelfledge Authors. All rights reserved.
 // SPDX-License-Identifier: MIT
 
-package unbegun_test
+package recall_test
 
 import (
 	"sync"
@@ -10,7 +10,7 @@
 
 	"github.com/stretchr/testify/assert"
 
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 )
 
 func TestRecallStates(t *testing.T) {
@@ -32,47 +32,47 @@
 		"fired, then ended without being sent": {[]string{fire, disarm, arm}, []bool{true}, true, true},
 	} {
 		t.Run(name, func(t *testing.T) {
-			recall := &unbegun.Recall{}
+			requestRecall := &recall.Recall{}
 			canceled := false
 			var fires []bool
 			for _, step := range test.steps {
 				switch step {
 				case arm:
-					recall.Arm(func() { canceled = true })
+					requestRecall.Arm(func() { canceled = true })
 				case fire:
-					fires = append(fires, recall.Fire())
+					fires = append(fires, requestRecall.Fire())
 				case disarm:
-					recall.Disarm()
+					requestRecall.Disarm()
 				}
 			}
 			assert.Equal(t, test.fires, fires)
 			assert.Equal(t, test.canceled, canceled)
-			assert.Equal(t, test.fired, recall.Fired())
+			assert.Equal(t, test.fired, requestRecall.Fired())
 		})
 	}
 }
 
 func TestNilRecallNeverFires(t *testing.T) {
-	var recall *unbegun.Recall
-	recall.Arm(func() { assert.Fail(t, "the request was recalled") })
-	assert.False(t, recall.Fire())
-	recall.Disarm()
-	assert.False(t, recall.Fired())
+	var requestRecall *recall.Recall
+	requestRecall.Arm(func() { assert.Fail(t, "the request was recalled") })
+	assert.False(t, requestRecall.Fire())
+	requestRecall.Disarm()
+	assert.False(t, requestRecall.Fired())
 }
 
 // TestConcurrentFireAndDisarmAgree fires and disarms at the same time. Whichever comes first, both sides must agree on the result.
 func TestConcurrentFireAndDisarmAgree(t *testing.T) {
 	for range 1000 {
-		recall := &unbegun.Recall{}
+		requestRecall := &recall.Recall{}
 		var canceled, fired atomic.Bool
 		var sides sync.WaitGroup
 		sides.Go(func() {
-			recall.Arm(func() { canceled.Store(true) })
-			recall.Disarm()
+			requestRecall.Arm(func() { canceled.Store(true) })
+			requestRecall.Disarm()
 		})
-		sides.Go(func() { fired.Store(recall.Fire()) })
+		sides.Go(func() { fired.Store(requestRecall.Fire()) })
 		sides.Wait()
-		assert.Equal(t, fired.Load(), recall.Fired())
+		assert.Equal(t, fired.Load(), requestRecall.Fired())
 		assert.Equal(t, fired.Load(), canceled.Load())
 	}
 }
--- a/services/entry/coordinator/recall_test.go
+++ b/services/entry/coordinator/recall_test.go
@@ -63,7 +63,7 @@
 	return namedAt
 }
 
-func TestUnbegunRequestIsRecalledBeforeVersionLimit(t *testing.T) {
+func TestUnstartedRequestIsRecalledBeforeVersionLimit(t *testing.T) {
 	f := newFixture()
 	f.start(t)
 	waiting := f.assignRequest(t)
@@ -78,9 +78,9 @@
 	assert.False(t, ended.assignment.Recall.Fired())
 }
 
-// TestUnbegunRequestWithRequiredVersionIsRecalled covers a request for which the endpoint checks the version. The endpoint
+// TestUnstartedRequestWithRequiredVersionIsRecalled covers a request for which the endpoint checks the version. The endpoint
 // still holds that version after a newer one is named.
-func TestUnbegunRequestWithRequiredVersionIsRecalled(t *testing.T) {
+func TestUnstartedRequestWithRequiredVersionIsRecalled(t *testing.T) {
 	f := newFixture()
 	f.nameVersion("1")
 	f.start(t)
--- a/services/entry/proxy/inflight.go
+++ b/services/entry/proxy/inflight.go
@@ -15,7 +15,7 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 	"github.com/shelfledge/shelfledge/services/entry/admission"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
 )
 
@@ -30,7 +30,7 @@
 	context  context.Context
 	tried    []deployment.EndpointID
 	// recall is the recall of the current attempt.
-	recall *unbegun.Recall
+	recall *recall.Recall
 	// sentCount is the number of endpoints that the request was sent to, unreachedCount the number of endpoints to which nothing
 	// could be sent, and inPlaceCount how often the request was sent again to the endpoint that served it since the last forwarded
 	// event.
--- a/services/entry/proxy/proxy_test.go
+++ b/services/entry/proxy/proxy_test.go
@@ -28,7 +28,7 @@
 	"github.com/shelfledge/shelfledge/modules/entry/upstream"
 	"github.com/shelfledge/shelfledge/services/entry/admission"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 	"github.com/shelfledge/shelfledge/services/entry/proxy"
 	"github.com/shelfledge/shelfledge/services/entry/proxy/attempt"
@@ -70,7 +70,7 @@
 	mutex sync.Mutex
 	// recalls holds the recall of the assignments to each endpoint that queues; connectionClosed receives a value when such an
 	// endpoint sees its connection close.
-	recalls          map[deployment.EndpointID]*unbegun.Recall
+	recalls          map[deployment.EndpointID]*recall.Recall
 	connectionClosed chan struct{}
 	outcomes         []directory.Outcome
 	missing          []bool
@@ -83,7 +83,7 @@
 func newTestProxy(t *testing.T, scripts ...string) (*testProxy, *httptest.Server) {
 	t.Helper()
 	p := &testProxy{
-		observations: make(chan proxy.Observation, 1), recalls: make(map[deployment.EndpointID]*unbegun.Recall),
+		observations: make(chan proxy.Observation, 1), recalls: make(map[deployment.EndpointID]*recall.Recall),
 		connectionClosed: make(chan struct{}, len(scripts)),
 	}
 	route := func(name string, kind deployment.RouteKind, resumable bool) *deployment.Route {
@@ -186,12 +186,12 @@
 }
 
 // addRecall adds a recall to the assignments to an endpoint.
-func (p *testProxy) addRecall(id deployment.EndpointID) *unbegun.Recall {
-	p.recalls[id] = &unbegun.Recall{}
+func (p *testProxy) addRecall(id deployment.EndpointID) *recall.Recall {
+	p.recalls[id] = &recall.Recall{}
 	return p.recalls[id]
 }
 
-func (p *testProxy) listen(t *testing.T, script string, recall *unbegun.Recall) netip.AddrPort {
+func (p *testProxy) listen(t *testing.T, script string, requestRecall *recall.Recall) netip.AddrPort {
 	t.Helper()
 	if script == scriptUnreachable {
 		// Port 1 is never assigned as an ephemeral port, so no other test listens there.
@@ -207,14 +207,14 @@
 			if err != nil {
 				return
 			}
-			p.serveScript(conn, scripts[min(count, len(scripts)-1)], recall)
+			p.serveScript(conn, scripts[min(count, len(scripts)-1)], requestRecall)
 		}
 	}()
 	return listener.Addr().(*net.TCPAddr).AddrPort()
 }
 
 // serveScript reads one request and writes the script.
-func (p *testProxy) serveScript(conn net.Conn, script string, recall *unbegun.Recall) {
+func (p *testProxy) serveScript(conn net.Conn, script string, requestRecall *recall.Recall) {
 	defer func() { _ = conn.Close() }()
 	request, err := http.ReadRequest(bufio.NewReader(conn))
 	if err != nil {
@@ -225,7 +225,7 @@
 	p.resumeIDs = append(p.resumeIDs, request.Header.Get("Resume"))
 	p.mutex.Unlock()
 	if beginning, ok := strings.CutPrefix(script, scriptQueued); ok {
-		p.holdUntilClosed(conn, beginning, recall)
+		p.holdUntilClosed(conn, beginning, requestRecall)
 		return
 	}
 	for number, part := range strings.Split(script, pauseMark) {
@@ -237,9 +237,9 @@
 }
 
 // holdUntilClosed recalls the request, and keeps the connection open until the other side closes it.
-func (p *testProxy) holdUntilClosed(conn net.Conn, beginning string, recall *unbegun.Recall) {
+func (p *testProxy) holdUntilClosed(conn net.Conn, beginning string, requestRecall *recall.Recall) {
 	_, _ = io.WriteString(conn, beginning)
-	recall.Fire()
+	requestRecall.Fire()
 	_, _ = io.Copy(io.Discard, conn)
 	p.connectionClosed <- struct{}{}
 }
--- a/services/entry/proxy/running_test.go
+++ b/services/entry/proxy/running_test.go
@@ -18,7 +18,7 @@
 	"github.com/shelfledge/shelfledge/models/entry/deployment"
 	"github.com/shelfledge/shelfledge/modules/entry/upstream"
 	"github.com/shelfledge/shelfledge/services/entry/coordinator"
-	"github.com/shelfledge/shelfledge/services/entry/coordinator/unbegun"
+	"github.com/shelfledge/shelfledge/services/entry/coordinator/recall"
 	"github.com/shelfledge/shelfledge/services/entry/directory"
 	"github.com/shelfledge/shelfledge/services/entry/proxy"
 )
@@ -46,7 +46,7 @@
 			var reports []string
 			assignment := coordinator.Assignment{
 				Endpoint: p.endpoints[0], Assigned: assigned, Version: 5, HeldVersion: 6,
-				FormerVersion: coordinator.FormerUse{Remaining: time.Second, Expected: 20 * time.Millisecond}, Recall: &unbegun.Recall{},
+				FormerVersion: coordinator.FormerUse{Remaining: time.Second, Expected: 20 * time.Millisecond}, Recall: &recall.Recall{},
 			}
 			observed := p.serveWithAssignment(test.path, test.model, time.Now, assignment, func(report string, reported coordinator.Assignment) {
 				assert.Equal(t, assignment, reported)
