--- a/modules/entry/metric/metrics.go
+++ b/modules/entry/metric/metrics.go
@@ -14,7 +14,7 @@
 
 // Request describes a request that has ended.
 type Request struct {
-	// Route is the name of the route; its label keeps the former name "class".
+	// Route is the name of the route. It is exported as the label "class".
 	Route string
 	// Status is the answered status; 0 if the connection was closed without an answer.
 	Status int
@@ -106,7 +106,7 @@
 		registry: prometheus.NewRegistry(),
 		requests: counter("requests_total", "Requests by class and answered status; 0 is a connection closed without a whole answer.", "class", "status"),
 		failures: counter("failures_total", "Requests without success, by reason.", "class", "reason"),
-		// The help text keeps its former wording.
+		// The exported name and help text call retries "repeats" and "repeated sends"; they are part of the program's outer interface and stay.
 		retries:          counter("repeats_total", "Repeated sends to further endpoints.", "class"),
 		orders:           counter("orders_total", "Orders to endpoints, by kind and reply.", "kind", "reply"),
 		storeFailures:    counter("store_failures_total", "Calls to the store that failed, by call.", "call"),
--- a/services/entry/coordinator/relay/request.go
+++ b/services/entry/coordinator/relay/request.go
@@ -58,15 +58,16 @@
 		if source.Revision <= revision {
 			continue
 		}
-		if !found || r.better(source, best) {
+		if !found || r.preferSource(source, best) {
 			best, found = source, true
 		}
 	}
 	return best, found
 }
 
-// better reports whether a source is preferred to another one.
-func (r *Request) better(source, other member.Source) bool {
+// preferSource reports whether source is preferred to other: a source that was not asked last, then
+// newer keys, then the name that sorts first.
+func (r *Request) preferSource(source, other member.Source) bool {
 	switch {
 	case (source.Instance == r.asked) != (other.Instance == r.asked):
 		return other.Instance == r.asked
--- a/tests/process/unanswered_test.go
+++ b/tests/process/unanswered_test.go
@@ -25,10 +25,10 @@
 // TestReceivedRequestGetsAnswer guards against valid requests that end without an answer, which happened at a real process.
 //
 // A keep-alive connection was idle, and its caller sent the next request. The timer of the idle limit, which only considered complete heads that
-// had been read, closed the connection while another goroutine read the request and forwarded it. The endpoint ran the request, and nobody
-// received its answer. A process that had been suspended closed connections of callers well within the limit in the same way, since its timers
-// fired before it read the data that had arrived meanwhile. The cause was that idleness was decided by what had been parsed, and not by what had
-// arrived on the connection. A stop of the process decided it in the same way.
+// had been read, closed the connection while another goroutine read the request and forwarded it. The endpoint ran the request, but its answer
+// was not delivered to the caller. A process that had been suspended closed connections of callers well within the limit in the same way, since
+// its timers fired before it read the data that had arrived meanwhile. The cause was that idleness was decided by what had been parsed, and not
+// by what had arrived on the connection. A stop of the process decided it in the same way.
 //
 // The log of each connection (requests read, requests answered, who closed the connection and why) and the journal of the endpoint showed that
 // each request which ran without an answer was on a connection that the process had closed for its idle limit.
--- a/tools/demo/daemons.go
+++ b/tools/demo/daemons.go
@@ -24,7 +24,7 @@
 	daemonConcurrency = 80
 	daemonMaxAttempts = 6
 	daemonAdapters    = 120
-	// onceInterval selects the requests that must run at most once, whoever retries them: every onceInterval-th one.
+	// onceInterval selects the requests that must run at most once, whichever caller or daemon retries them: every onceInterval-th request.
 	onceInterval = 5
 	// zipfExponent and zipfOffset are the parameters of the Zipf distribution by which a few adapters get most requests.
 	zipfExponent = 1.1
