--- a/tests/pinned/entry/run_test.go
+++ b/tests/pinned/entry/run_test.go
@@ -127,7 +127,7 @@
 	r.waitFor("the program listens", func() bool { return r.ready() == http.StatusServiceUnavailable })
 	answers := r.sendRaw("not ready yet", r.ports.ready, readyRequest)
 	answers += r.sendRequest("no configuration yet", http.MethodGet, "/ok/x", "", nil)
-	r.waitFor("the program logs that the store does not answer", func() bool { return r.hasLogged("the store did not answer") })
+	r.waitFor("the program logs that the store does not answer", func() bool { return r.hasLogged("a call to the store failed") })
 	r.store.SetFaults(standin.StoreFaults{})
 	r.waitFor("the program is ready", func() bool { return r.ready() == http.StatusOK })
 	r.waitFor("the program begins planning", func() bool { return r.hasLogged("planning begins") })
